--- a/config/config.go
+++ b/config/config.go
@@ -8,8 +8,10 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"math"
 	"net"
 	"os"
+	"strings"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
@@ -162,7 +164,11 @@
 		var de *toml.DecodeError
 		if errors.As(err, &de) {
 			row, col := de.Position()
-			return nil, fmt.Errorf("line %d column %d: %v", row, col, err)
+			key := strings.Join(de.Key(), ".")
+			if key == "" {
+				key = "(no key)"
+			}
+			return nil, fmt.Errorf("line %d column %d: %s: %v", row, col, key, err)
 		}
 		return nil, err
 	}
@@ -206,8 +212,8 @@
 			return fmt.Errorf("settings.teams[%d].name: missing", i)
 		case seen[t.Name]:
 			return fmt.Errorf("settings.teams[%d].name: %q appears twice", i, t.Name)
-		case t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0:
-			return fmt.Errorf("settings.teams[%d]: %q has a negative amount", i, t.Name)
+		case !amount(t.CPUs) || !amount(t.CPUsMax) || !amount(t.GPUs) || !amount(t.GPUsMax):
+			return fmt.Errorf("settings.teams[%d]: %q has an amount that is negative or no number", i, t.Name)
 		case t.Limited() && (t.CPUs > t.CPUsMax || t.GPUs > t.GPUsMax):
 			return fmt.Errorf("settings.teams[%d]: %q is guaranteed more than its limit", i, t.Name)
 		}
@@ -232,13 +238,16 @@
 		{"settings.resources.ram_mb", s.Resources.RAMMB},
 		{"settings.resources.sockets", float64(s.Resources.Sockets)},
 	} {
-		if f.v <= 0 {
-			return fmt.Errorf("%s: must be above 0", f.field)
+		if !amount(f.v) || f.v == 0 {
+			return fmt.Errorf("%s: must be a number above 0", f.field)
 		}
 	}
 	return nil
 }
 
+// amount tells whether a setting is a finite number that is not negative.
+func amount(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
+
 // Operator is the operators' own settings.
 type Operator struct {
 	Leadership struct {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -57,11 +57,15 @@
 		{`cpus = 4.0`, `cpus = -4.0`, "settings.teams[0]"},
 		{`lease_s = 30.0`, ``, "settings.workers.lease_s"},
 		{`txn_ops = 32`, `txn_ops = "many"`, "line"},
+		{`txn_ops = 32`, `txn_ops = "many"`, "settings.state.txn_ops"},
+		{`report_s = 3.0`, `report_s = nan`, "settings.workers.report_s"},
+		{`lease_s = 30.0`, `lease_s = inf`, "settings.workers.lease_s"},
+		{`cpus = 4.0`, `cpus = nan`, "settings.teams[0]"},
 		{`[settings.cloud]`, `[settings.cloud`, "line"},
 	} {
 		_, err := ParsePlatform([]byte(strings.Replace(good, c.from, c.to, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.field) {
-			t.Errorf("%q for %q: error %v, want one that names %s", c.to, c.from, err, c.field)
+		if err == nil || !strings.Contains(err.Error(), c.field) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%q for %q: error %v, want one line that names %s", c.to, c.from, err, c.field)
 		}
 	}
 }
--- a/election/election.go
+++ b/election/election.go
@@ -151,6 +151,9 @@
 	log    *slog.Logger
 	lead   func(ctx context.Context, t *Term) error
 
+	// unreadable is the stamp of a key that could not be read and was reported.
+	unreadable ids.Stamp
+
 	mu     sync.Mutex
 	leader Leader
 	term   *Term
@@ -224,6 +227,11 @@
 	if found {
 		var h Holder
 		if err := wire.Decode(entry.Value, &h); err != nil {
+			// Whoever holds it leads all the same; it goes with its lease.
+			if e.unreadable != entry.Stamp {
+				e.unreadable = entry.Stamp
+				e.log.Error("record unreadable, nobody is followed", "key", ledger.LeaderKey, "err", err)
+			}
 			return fmt.Errorf("leader's key: %w", err)
 		}
 		if h.Name != e.self.Name || h.Incarnation == e.self.Incarnation {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -126,24 +126,27 @@
 	return strings.TrimPrefix(srv.URL, "http://"), refuse
 }
 
-// badRecords is a stand-in that lists records that make no sense: of job-1, and
-// of where tasks of job-3 are.
+// badRecords is a stand-in that lists records that make no sense: of job-1 and of
+// job-4, whose tasks are placed, of where tasks of job-3 are, and of the format.
 func badRecords(t *testing.T) string {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var body any = map[string]any{"epoch": 9, "entries": []any{}}
 		switch {
 		case r.URL.Path == "/store/format":
-			w.WriteHeader(404)
+			body = map[string]any{"v": "nonsense", "stamp": 3}
 		case r.URL.Path == "/store/fleet":
 			body = map[string]any{"v": 1, "stamp": 2}
 		case r.URL.Query().Get("prefix") == "jobs/":
 			good := ledger.Job{Status: wire.StatusQueued, Tasks: 1, Spec: &wire.Spec{Team: "red", Tasks: 1, CPUs: 1}}
 			body = map[string]any{"epoch": 9, "entries": []any{
 				map[string]any{"key": "jobs/job-1", "v": "nonsense", "stamp": 7},
-				map[string]any{"key": "jobs/job-2", "v": good, "stamp": 8}, map[string]any{"key": "jobs/job-3", "v": good, "stamp": 8}}}
+				map[string]any{"key": "jobs/job-2", "v": good, "stamp": 8}, map[string]any{"key": "jobs/job-3", "v": good, "stamp": 8},
+				map[string]any{"key": "jobs/job-4", "v": "nonsense", "stamp": 8}}}
 		case r.URL.Query().Get("prefix") == "admissions/":
-			body = map[string]any{"epoch": 9, "entries": []any{map[string]any{"key": "admissions/job-3/00000", "v": "nonsense", "stamp": 7}}}
+			placed := ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}}
+			body = map[string]any{"epoch": 9, "entries": []any{map[string]any{"key": "admissions/job-3/00000", "v": "nonsense", "stamp": 7},
+				map[string]any{"key": "admissions/job-4/00000", "v": placed, "stamp": 7}}}
 		}
 		_, _ = w.Write(wire.Encode(body))
 	}))
--- a/node/polls_test.go
+++ b/node/polls_test.go
@@ -1,11 +1,14 @@
 package node
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"math/rand/v2"
 	"slices"
+	"strings"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -187,6 +190,8 @@
 // too, and all jobs would be forgotten with it.
 func TestUnreadableRecordDoesNotEndTheTerm(t *testing.T) {
 	n := testNode(t, testConfig(badRecords(t)))
+	var logged bytes.Buffer
+	n.log = slog.New(slog.NewTextHandler(&logged, nil))
 	n.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
 	tm := newTerm(n, testTerm(5))
 	tm.ctx = t.Context()
@@ -211,6 +216,34 @@
 	if !slices.Equal(written, []string{"admissions/job-2/00000"}) {
 		t.Errorf("placed %v", written)
 	}
+	for _, key := range []string{"jobs/job-1", "jobs/job-4", "admissions/job-3/00000", "format"} {
+		if !strings.Contains(logged.String(), "key="+key) {
+			t.Errorf("%s is not reported", key)
+		}
+	}
+}
+
+// What is recorded of where a job's tasks are must outlive a description of the job
+// that cannot be read: it used to be dropped like what is left of a job that is done.
+func TestPlacementsOfAnUnreadableJobAreKept(t *testing.T) {
+	n := testNode(t, testConfig(badRecords(t)))
+	n.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
+	tm := newTerm(n, testTerm(5))
+	tm.ctx = t.Context()
+	if _, err := tm.load(); err != nil {
+		t.Fatalf("taking over: %v", err)
+	}
+	now := n.clock.Now()
+	for range 20 {
+		now = now.Add(time.Second)
+		for _, ch := range tm.core.Step(now).Changes {
+			for _, op := range ch.Apply {
+				if strings.Contains(op.Drop+op.Write, "job-4") {
+					t.Fatalf("changed %+v", op)
+				}
+			}
+		}
+	}
 }
 
 // stoodStill is a context whose time is over although its timer has not fired:
--- a/node/term.go
+++ b/node/term.go
@@ -215,6 +215,7 @@
 		var rec ledger.Job
 		if err := wire.Decode(e.Value, &rec); err != nil {
 			n.unreadable(e.Key, err)
+			t.core.LoadUnreadableJob(ids.JobID(e.Key[len(ledger.JobPrefix):]))
 			return nil
 		}
 		t.core.LoadJob(ids.JobID(e.Key[len(ledger.JobPrefix):]), &rec, e.Stamp)
@@ -246,10 +247,11 @@
 	return since, nil
 }
 
-// unreadable tells of a job's record that makes no sense. Ending the term for
-// it would end every later term too, and forget all other jobs.
+// unreadable reports a record that makes no sense. It is never taken for absent.
+// Ending the term for a job's record would end every later term too, and forget all
+// other jobs.
 func (n *Node) unreadable(key string, err error) {
-	n.log.Error("record unreadable, its job waits", "key", key, "err", err)
+	n.log.Error("record unreadable, what it is about waits", "key", key, "err", err)
 }
 
 // stepEvery is how often the core looks at the time when nothing happens.
--- a/node/upgrade.go
+++ b/node/upgrade.go
@@ -139,7 +139,12 @@
 	var rec struct {
 		Format int `msgpack:"v"`
 	}
-	if err := wire.Decode(e.Value, &rec); err == nil && rec.Format >= formatNew {
+	if err := wire.Decode(e.Value, &rec); err != nil {
+		// Until the peers tell, only what the older format holds is written.
+		n.unreadable(ledger.FormatKey, err)
+		return nil
+	}
+	if rec.Format >= formatNew {
 		n.upgrade.durable.Store(true)
 	}
 	return nil
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -233,6 +233,7 @@
 	typeList    []wire.MachineType
 	jobs        map[ids.JobID]*job // all that are not over, and withdrawn ones with tasks
 	graph       *pipeline.Graph    // all jobs, and who waits for whom
+	unreadable  map[ids.JobID]bool // jobs whose own record cannot be read
 	machines    map[ids.Host]*machine
 	order       []*machine // machines by host
 	gone        map[ids.Host]bool
@@ -316,6 +317,7 @@
 	c := &Core{
 		opt:        opt,
 		jobs:       map[ids.JobID]*job{},
+		unreadable: map[ids.JobID]bool{},
 		graph:      pipeline.New(),
 		machines:   map[ids.Host]*machine{},
 		gone:       map[ids.Host]bool{},
@@ -405,8 +407,16 @@
 	c.jobs[id] = c.newJob(id, rec, stamp)
 }
 
+// LoadUnreadableJob notes a job whose own record cannot be read. Its admission
+// records are left as they are: they say where its tasks may be, for the time when
+// its record is repaired.
+func (c *Core) LoadUnreadableJob(id ids.JobID) { c.unreadable[id] = true }
+
 // LoadSlice takes an admission record at the start of the term.
 func (c *Core) LoadSlice(id ids.JobID, n int, rec *ledger.Slice, stamp ids.Stamp) error {
+	if c.unreadable[id] {
+		return nil
+	}
 	j := c.jobs[id]
 	if j == nil {
 		// What is left of a done job; it only has to be dropped.
