--- a/ledger/committer_test.go
+++ b/ledger/committer_test.go
@@ -23,10 +23,9 @@
 	epoch ids.Stamp
 	keys  map[string]statestore.Entry
 	// fate decides about the next transaction.
-	fate  func() fate
-	txns  int
-	most  int
-	calls []statestore.Txn
+	fate func() fate
+	txns int
+	most int
 	// mostOps is the service's limit; 0: none. tooBig are keys whose values are
 	// beyond the limit, with how often they were sent.
 	mostOps int
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -20,16 +20,17 @@
 type State uint8
 
 const (
-	// Unknown: no record of it was seen, though others may name it. It is
-	// unfinished, never done and never gone.
+	// Unknown is a job of which no record was seen, though others may name it. It
+	// is unfinished, never done and never gone.
 	Unknown State = iota
-	// Waiting: a job that it needs is not done yet.
+	// Waiting is a job that needs one which is not done yet.
 	Waiting
-	// Ready: all that it needs is done, in settled commits.
+	// Ready is a job of which all that it needs is done, in settled commits.
 	Ready
-	// Done and Withdrawn are final. Withdrawn by its own record, or because a
-	// job that it needs is.
+	// Done is final.
 	Done
+	// Withdrawn is final too: by the job's own record, or because a job that it
+	// needs is withdrawn.
 	Withdrawn
 )
 
