--- a/election/election.go
+++ b/election/election.go
@@ -29,7 +29,7 @@
 // leader.
 type Leader struct {
 	Holder
-	Stamp ids.Stamp
+	Revision ids.Revision
 }
 
 // Store is what an election needs of the state service.
@@ -39,24 +39,24 @@
 	Grant(ctx context.Context, ttl time.Duration) (ids.LeaseID, error)
 	Touch(ctx context.Context, id ids.LeaseID) error
 	Revoke(ctx context.Context, id ids.LeaseID) error
-	Watch(ctx context.Context, prefix string, since ids.Stamp, hold time.Duration) (ids.Stamp, []statestore.Event, error)
+	Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []statestore.Event, error)
 }
 
 // Term is one time of leading. Its context ends when it is over.
 type Term struct {
-	Stamp ids.Stamp
+	Revision ids.Revision
 
-	clock  ids.Clock
-	valid  atomic.Int64 // ids.Instant until which the key is surely held
-	asked  atomic.Int64 // ids.Instant when the last renewal that ended was begun
-	over   atomic.Bool
-	bounds Bounds
-	end    context.CancelCauseFunc
+	clock          ids.Clock
+	heldUntil      atomic.Int64 // ids.Instant until which the key is surely held
+	renewalAskedAt atomic.Int64 // ids.Instant when the last renewal that ended was begun
+	over           atomic.Bool
+	bounds         Bounds
+	end            context.CancelCauseFunc
 
 	mu sync.Mutex
 	// vouched is when each peer was last asked that then knew of no later leader;
 	// see Vouch.
-	vouched map[ids.NodeName]ids.Instant
+	confirmedBy map[ids.NodeName]ids.Instant
 }
 
 // Bounds are how long a leader may go on.
@@ -76,12 +76,12 @@
 }
 
 // Holds tells whether the key is surely held now.
-func (t *Term) Holds() bool { return t.clock.Now() < ids.Instant(t.valid.Load()) }
+func (t *Term) Holds() bool { return t.clock.Now() < ids.Instant(t.heldUntil.Load()) }
 
-// askedWithin is how lately a renewal must have been tried, whatever came of
+// renewalWindow is how lately a renewal must have been tried, whatever came of
 // it, by who acts without holding the key. It is longer than one takes that
 // gets no answer.
-const askedWithin = 5 * time.Second
+const renewalWindow = 5 * time.Second
 
 // MayAnswer tells whether workers may be answered: while the key is held, and
 // for a bounded grace after it, in which the state service may be away for
@@ -94,35 +94,35 @@
 	if t.over.Load() {
 		return false
 	}
-	valid := ids.Instant(t.valid.Load())
-	return now < valid || now < valid.Add(t.bounds.Grace) && now < ids.Instant(t.asked.Load()).Add(askedWithin) &&
-		(len(t.bounds.Peers) == 0 || now < t.undisputed(valid).Add(t.bounds.Isolated))
+	valid := ids.Instant(t.heldUntil.Load())
+	return now < valid || now < valid.Add(t.bounds.Grace) && now < ids.Instant(t.renewalAskedAt.Load()).Add(renewalWindow) &&
+		(len(t.bounds.Peers) == 0 || now < t.unchallengedAt(valid).Add(t.bounds.Isolated))
 }
 
 // Vouch takes a peer's word that it knew of no later leader when it was asked. It
 // counts only if the peer's process was running while the key was still surely
 // held: one that was started since may have led before, and not know it.
-func (t *Term) Vouch(peer ids.NodeName, asked, started ids.Instant) {
-	if started >= ids.Instant(t.valid.Load()) {
+func (t *Term) Confirm(peer ids.NodeName, asked, started ids.Instant) {
+	if started >= ids.Instant(t.heldUntil.Load()) {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.vouched == nil {
-		t.vouched = map[ids.NodeName]ids.Instant{}
+	if t.confirmedBy == nil {
+		t.confirmedBy = map[ids.NodeName]ids.Instant{}
 	}
-	t.vouched[peer] = max(t.vouched[peer], asked)
+	t.confirmedBy[peer] = max(t.confirmedBy[peer], asked)
 }
 
 // undisputed is the latest moment at which there surely was no later leader: the
 // key was held until valid, and whoever led after that was one of the peers, none
 // of which knew of it when it was last asked.
-func (t *Term) undisputed(valid ids.Instant) ids.Instant {
+func (t *Term) unchallengedAt(valid ids.Instant) ids.Instant {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := t.vouched[t.bounds.Peers[0]]
+	at := t.confirmedBy[t.bounds.Peers[0]]
 	for _, p := range t.bounds.Peers {
-		at = min(at, t.vouched[p])
+		at = min(at, t.confirmedBy[p])
 	}
 	return max(at, valid)
 }
@@ -152,7 +152,7 @@
 	lead   func(ctx context.Context, t *Term) error
 
 	// unreadable is the stamp of a key that could not be read and was reported.
-	unreadable ids.Stamp
+	unreadable ids.Revision
 
 	mu     sync.Mutex
 	leader Leader
@@ -185,23 +185,23 @@
 func (e *Election) Observe(l Leader) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if l.Stamp <= e.leader.Stamp {
+	if l.Revision <= e.leader.Revision {
 		return
 	}
 	if l.Name != "" {
 		e.leader = l
 	}
-	if e.term != nil && l.Stamp > e.term.Stamp {
+	if e.term != nil && l.Revision > e.term.Revision {
 		e.term.End(ErrReplaced)
 	}
 }
 
 // forget drops a leader whose key is gone.
-func (e *Election) forget(stamp ids.Stamp) {
+func (e *Election) dropLeader(stamp ids.Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.leader.Stamp <= stamp {
-		e.leader = Leader{Stamp: e.leader.Stamp}
+	if e.leader.Revision <= stamp {
+		e.leader = Leader{Revision: e.leader.Revision}
 	}
 }
 
@@ -223,30 +223,30 @@
 	if err != nil {
 		return err
 	}
-	var guard ids.Stamp
+	var guard ids.Revision
 	if found {
 		var h Holder
 		if err := wire.Decode(entry.Value, &h); err != nil {
 			// Whoever holds it leads all the same; it goes with its lease.
-			if e.unreadable != entry.Stamp {
-				e.unreadable = entry.Stamp
+			if e.unreadable != entry.Revision {
+				e.unreadable = entry.Revision
 				e.log.Error("record unreadable, nobody is followed", "key", ledger.LeaderKey, "err", err)
 			}
 			return fmt.Errorf("leader's key: %w", err)
 		}
 		if h.Name != e.self.Name || h.Incarnation == e.self.Incarnation {
-			e.Observe(Leader{h, entry.Stamp})
-			return e.await(ctx, entry.Stamp)
+			e.Observe(Leader{h, entry.Revision})
+			return e.await(ctx, entry.Revision)
 		}
 		// The key names an earlier process of this very node. It is dead, so
 		// there is no need to wait for its lease.
-		guard = entry.Stamp
+		guard = entry.Revision
 	}
 	return e.campaign(ctx, guard)
 }
 
 // await returns when the key changes.
-func (e *Election) await(ctx context.Context, held ids.Stamp) error {
+func (e *Election) await(ctx context.Context, held ids.Revision) error {
 	since := held
 	for ctx.Err() == nil {
 		epoch, events, err := e.store.Watch(ctx, ledger.LeaderKey, since, 10*time.Second)
@@ -254,11 +254,11 @@
 			// The leader has held the key for longer than the service keeps
 			// changes. Reading the key again would give the same stamp, at once
 			// and for ever; that it still has it tells from where to watch.
-			out, err := e.store.Commit(ctx, statestore.Txn{Guards: []statestore.Guard{{Key: ledger.LeaderKey, Stamp: held}}})
+			out, err := e.store.Commit(ctx, statestore.Txn{Guards: []statestore.Guard{{Key: ledger.LeaderKey, Revision: held}}})
 			if err != nil || !out.Applied {
 				return err
 			}
-			since = max(since, out.Epoch)
+			since = max(since, out.Revision)
 			continue
 		}
 		if err != nil {
@@ -266,7 +266,7 @@
 		}
 		for _, ev := range events {
 			if ev.Drop == ledger.LeaderKey {
-				e.forget(ev.Stamp)
+				e.dropLeader(ev.Revision)
 			}
 			if ev.Drop == ledger.LeaderKey || ev.Write == ledger.LeaderKey {
 				return nil
@@ -277,17 +277,17 @@
 	return ctx.Err()
 }
 
-func (e *Election) campaign(ctx context.Context, guard ids.Stamp) error {
+func (e *Election) campaign(ctx context.Context, guard ids.Revision) error {
 	asked := e.clock.Now()
 	lease, err := e.store.Grant(ctx, e.bounds.TTL)
 	if err != nil {
 		return err
 	}
 	t := &Term{clock: e.clock, bounds: e.bounds}
-	t.valid.Store(int64(e.validity(asked)))
-	t.asked.Store(int64(asked))
+	t.heldUntil.Store(int64(e.validity(asked)))
+	t.renewalAskedAt.Store(int64(asked))
 	txn := statestore.Txn{
-		Guards: []statestore.Guard{{Key: ledger.LeaderKey, Stamp: guard}},
+		Guards: []statestore.Guard{{Key: ledger.LeaderKey, Revision: guard}},
 		Apply:  []statestore.Op{{Write: ledger.LeaderKey, Value: e.self, Lease: lease}},
 	}
 	out, err := e.store.Commit(ctx, txn)
@@ -299,7 +299,7 @@
 		_ = e.store.Revoke(revoke, lease)
 		return err
 	}
-	t.Stamp = out.Epoch
+	t.Revision = out.Revision
 	return e.hold(ctx, t, lease)
 }
 
@@ -314,16 +314,16 @@
 	defer end(nil)
 	t.end = end
 	e.mu.Lock()
-	if e.leader.Stamp > t.Stamp {
+	if e.leader.Revision > t.Revision {
 		// Somebody leads since: the answer to our claim was late, or this
 		// process stood still. Peers may have been told so already.
 		e.mu.Unlock()
 		return ErrReplaced
 	}
 	e.term = t
-	e.leader = Leader{e.self, t.Stamp}
+	e.leader = Leader{e.self, t.Revision}
 	e.mu.Unlock()
-	e.log.Info("leading", "stamp", t.Stamp)
+	e.log.Info("leading", "stamp", t.Revision)
 
 	done := make(chan struct{})
 	go func() {
@@ -338,11 +338,11 @@
 	<-done
 
 	cause := context.Cause(tctx)
-	e.log.Info("no longer leading", "stamp", t.Stamp, "cause", cause)
+	e.log.Info("no longer leading", "stamp", t.Revision, "cause", cause)
 	e.mu.Lock()
 	e.term = nil
-	if e.leader.Stamp == t.Stamp {
-		e.leader = Leader{Stamp: t.Stamp}
+	if e.leader.Revision == t.Revision {
+		e.leader = Leader{Revision: t.Revision}
 	}
 	e.mu.Unlock()
 	revoke, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
@@ -357,14 +357,14 @@
 	for ctx.Err() == nil {
 		asked := e.clock.Now()
 		err := e.store.Touch(ctx, lease)
-		t.asked.Store(int64(asked))
+		t.renewalAskedAt.Store(int64(asked))
 		switch {
 		case err == nil:
-			t.valid.Store(int64(e.validity(asked)))
+			t.heldUntil.Store(int64(e.validity(asked)))
 		case errors.Is(err, statestore.ErrNoLease):
 			t.End(errLost)
 			return
-		case e.clock.Now() >= ids.Instant(t.valid.Load()).Add(t.bounds.Grace):
+		case e.clock.Now() >= ids.Instant(t.heldUntil.Load()).Add(t.bounds.Grace):
 			t.End(errGrace)
 			return
 		}
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -19,9 +19,9 @@
 // outage for all, and a refusal of single nodes.
 type service struct {
 	mu     sync.Mutex
-	epoch  ids.Stamp
+	epoch  ids.Revision
 	value  []byte
-	stamp  ids.Stamp
+	stamp  ids.Revision
 	lease  ids.LeaseID
 	leases map[ids.LeaseID]time.Time
 	ttl    time.Duration
@@ -30,7 +30,7 @@
 	change chan struct{}
 	// oldest is the revision before which changes are not kept; calls counts the
 	// requests of all nodes.
-	oldest ids.Stamp
+	oldest ids.Revision
 	calls  int
 }
 
@@ -107,7 +107,7 @@
 		return statestore.Entry{}, false, err
 	}
 	defer c.s.mu.Unlock()
-	return statestore.Entry{Key: ledger.LeaderKey, Value: c.s.value, Stamp: c.s.stamp}, c.s.stamp != 0, nil
+	return statestore.Entry{Key: ledger.LeaderKey, Value: c.s.value, Revision: c.s.stamp}, c.s.stamp != 0, nil
 }
 
 func (c *client) Commit(_ context.Context, t statestore.Txn) (statestore.Outcome, error) {
@@ -116,11 +116,11 @@
 	}
 	defer c.s.mu.Unlock()
 	s := c.s
-	if t.Guards[0].Stamp != s.stamp {
+	if t.Guards[0].Revision != s.stamp {
 		return statestore.Outcome{Failed: []string{ledger.LeaderKey}}, nil
 	}
 	if len(t.Apply) == 0 {
-		return statestore.Outcome{Applied: true, Epoch: s.epoch}, nil
+		return statestore.Outcome{Applied: true, Revision: s.epoch}, nil
 	}
 	if _, ok := s.leases[t.Apply[0].Lease]; !ok {
 		return statestore.Outcome{}, statestore.ErrNoLease
@@ -128,7 +128,7 @@
 	s.epoch++
 	s.stamp, s.value, s.lease = s.epoch, wire.Encode(t.Apply[0].Value), t.Apply[0].Lease
 	s.touched()
-	return statestore.Outcome{Applied: true, Epoch: s.epoch}, nil
+	return statestore.Outcome{Applied: true, Revision: s.epoch}, nil
 }
 
 func (c *client) Grant(_ context.Context, ttl time.Duration) (ids.LeaseID, error) {
@@ -163,7 +163,7 @@
 	return nil
 }
 
-func (c *client) Watch(ctx context.Context, _ string, since ids.Stamp, hold time.Duration) (ids.Stamp, []statestore.Event, error) {
+func (c *client) Watch(ctx context.Context, _ string, since ids.Revision, hold time.Duration) (ids.Revision, []statestore.Event, error) {
 	if err := c.enter(); err != nil {
 		return 0, nil, err
 	}
@@ -176,9 +176,9 @@
 		c.s.sweep()
 		if c.s.epoch > since {
 			if c.s.stamp == 0 {
-				return c.s.epoch, []statestore.Event{{Drop: ledger.LeaderKey, Stamp: c.s.epoch}}, nil
+				return c.s.epoch, []statestore.Event{{Drop: ledger.LeaderKey, Revision: c.s.epoch}}, nil
 			}
-			return c.s.epoch, []statestore.Event{{Write: ledger.LeaderKey, Stamp: c.s.stamp}}, nil
+			return c.s.epoch, []statestore.Event{{Write: ledger.LeaderKey, Revision: c.s.stamp}}, nil
 		}
 		c.s.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
@@ -191,7 +191,7 @@
 type watcher struct {
 	mu      sync.Mutex
 	holding map[ids.NodeName]*Term
-	stamps  map[ids.Stamp]string // whose term it was, if asked for
+	stamps  map[ids.Revision]string // whose term it was, if asked for
 	clashes []string
 }
 
@@ -225,10 +225,10 @@
 			w.holding[name] = term
 			if w.stamps != nil {
 				who := fmt.Sprintf("%s#%d", name, inc)
-				if had := w.stamps[term.Stamp]; had != "" {
-					w.clashes = append(w.clashes, fmt.Sprintf("stamp %d served %s and %s", term.Stamp, had, who))
+				if had := w.stamps[term.Revision]; had != "" {
+					w.clashes = append(w.clashes, fmt.Sprintf("stamp %d served %s and %s", term.Revision, had, who))
 				}
-				w.stamps[term.Stamp] = who
+				w.stamps[term.Revision] = who
 			}
 			w.mu.Unlock()
 			for ctx.Err() == nil {
@@ -249,7 +249,7 @@
 	var held []string
 	for n, term := range w.holding {
 		if term.Holds() {
-			held = append(held, fmt.Sprintf("%s@%d", n, term.Stamp))
+			held = append(held, fmt.Sprintf("%s@%d", n, term.Revision))
 		}
 	}
 	if len(held) > 1 {
@@ -305,7 +305,7 @@
 		nodes[first].c.refuse(true)
 		time.Sleep(5 * time.Second)
 		second, next := w.leader()
-		if second == "" || second == first || next.Stamp <= term.Stamp {
+		if second == "" || second == first || next.Revision <= term.Revision {
 			t.Fatalf("%q leads after %s was refused alone", second, first)
 		}
 		nodes[first].c.refuse(false)
@@ -341,7 +341,7 @@
 		s.value = wire.Encode(Holder{Name: "n0", Incarnation: 1})
 		m := w.start(t, s, "n0", 2)
 		time.Sleep(time.Second)
-		if l, term := w.leader(); l != "n0" || term.Stamp <= 4 {
+		if l, term := w.leader(); l != "n0" || term.Revision <= 4 {
 			t.Errorf("%q leads", l)
 		}
 		m.cancel()
@@ -391,12 +391,12 @@
 			t.Fatal("nobody leads")
 		}
 		m.c.refuse(true)
-		m.e.Observe(Leader{Stamp: term.Stamp + 5}) // its name is not known any more
+		m.e.Observe(Leader{Revision: term.Revision + 5}) // its name is not known any more
 		time.Sleep(time.Second)
 		if m.e.Term() != nil {
 			t.Error("the term goes on")
 		}
-		m.e.Observe(Leader{Holder{Name: "n1"}, term.Stamp + 5})
+		m.e.Observe(Leader{Holder{Name: "n1"}, term.Revision + 5})
 		if l, _ := m.e.Leader(); l.Name != "n1" {
 			t.Errorf("takes %q for the leader", l.Name)
 		}
@@ -464,19 +464,19 @@
 		until time.Duration // after the key was surely held last, give or take
 	}{
 		{"nobody heard", func(*Term, ids.Instant, ids.Instant) {}, isolated},
-		{"one is heard", func(t *Term, now, began ids.Instant) { t.Vouch("n1", now, began) }, isolated},
+		{"one is heard", func(t *Term, now, began ids.Instant) { t.Confirm("n1", now, began) }, isolated},
 		{"one was started since", func(t *Term, now, began ids.Instant) {
-			t.Vouch("n1", now, began)
-			t.Vouch("n2", now, ids.Instant(t.valid.Load()))
+			t.Confirm("n1", now, began)
+			t.Confirm("n2", now, ids.Instant(t.heldUntil.Load()))
 		}, isolated},
 		{"both are heard", func(t *Term, now, began ids.Instant) {
-			t.Vouch("n1", now, began)
-			t.Vouch("n2", now, began)
+			t.Confirm("n1", now, began)
+			t.Confirm("n2", now, began)
 		}, 20 * time.Second},
 		{"one is heard for 5 s", func(t *Term, now, began ids.Instant) {
-			t.Vouch("n1", now, began)
-			if now < ids.Instant(t.valid.Load()).Add(5*time.Second) {
-				t.Vouch("n2", now, began)
+			t.Confirm("n1", now, began)
+			if now < ids.Instant(t.heldUntil.Load()).Add(5*time.Second) {
+				t.Confirm("n2", now, began)
 			}
 		}, 5*time.Second + isolated},
 	} {
@@ -498,7 +498,7 @@
 				began := term.clock.Now().Add(-time.Minute)
 				s.outage(true)
 				time.Sleep(time.Second)
-				valid := ids.Instant(term.valid.Load())
+				valid := ids.Instant(term.heldUntil.Load())
 				var last ids.Instant
 				for range 300 {
 					now := term.clock.Now()
--- a/election/restart_test.go
+++ b/election/restart_test.go
@@ -75,7 +75,7 @@
 				rng := rand.New(rand.NewPCG(seed, 5))
 				s, w := newService(), &watcher{holding: map[ids.NodeName]*Term{}}
 				s.ttl = 3 * time.Second
-				w.stamps = map[ids.Stamp]string{}
+				w.stamps = map[ids.Revision]string{}
 				names := []ids.NodeName{"n0", "n1", "n2"}
 				nodes := map[ids.NodeName]*member{}
 				inc := ids.Incarnation(0)
--- a/ids/ids.go
+++ b/ids/ids.go
@@ -26,14 +26,14 @@
 	MachineType string
 	// Attempt numbers the starts of one task; a number is never used twice.
 	Attempt uint64
-	// Stamp is a revision of the state service.
-	Stamp uint64
+	// Revision is a revision of the state service.
+	Revision uint64
 	// LeaseID names a lease of the state service.
 	LeaseID uint64
-	// Tenure counts a worker's sessions.
-	Tenure uint64
-	// Tick counts a worker's messages.
-	Tick uint64
+	// Session counts a worker's sessions.
+	Session uint64
+	// Sequence counts a worker's messages.
+	Sequence uint64
 	// Incarnation tells one process of a controller from the next.
 	Incarnation uint64
 )
@@ -45,12 +45,12 @@
 const counterBits = 20
 
 // NewToken makes the token of a leader's stamp and a worker's counter.
-func NewToken(s Stamp, counter uint64) Token {
+func NewToken(s Revision, counter uint64) Token {
 	return Token(uint64(s)<<counterBits | counter&(1<<counterBits-1))
 }
 
-// Stamp returns the leader's stamp inside the token.
-func (t Token) Stamp() Stamp { return Stamp(t >> counterBits) }
+// Revision returns the leader's stamp inside the token.
+func (t Token) Revision() Revision { return Revision(t >> counterBits) }
 
 // TaskRef names one task of a job.
 type TaskRef struct {
--- a/ledger/changes.go
+++ b/ledger/changes.go
@@ -8,28 +8,28 @@
 
 // SliceVersion names a slice and the version that it should have.
 type SliceVersion struct {
-	N     int
-	Stamp ids.Stamp
+	N        int
+	Revision ids.Revision
 }
 
 // SliceChange writes admission records: one, or all parts of one that is split, so
 // that no task is ever without its record or in two. The job's version is guarded
 // too, so that nothing is admitted for a job that was withdrawn.
-func SliceChange(id ids.JobID, jobStamp ids.Stamp, at []SliceVersion, recs []Slice) Change {
-	c := Change{Guards: []statestore.Guard{{Key: JobKey(id), Stamp: jobStamp}}}
+func SliceChange(id ids.JobID, jobStamp ids.Revision, at []SliceVersion, recs []Slice) Change {
+	c := Change{Guards: []statestore.Guard{{Key: JobKey(id), Revision: jobStamp}}}
 	for i, v := range at {
 		key := AdmissionKey(id, v.N)
-		c.Guards = append(c.Guards, statestore.Guard{Key: key, Stamp: v.Stamp})
+		c.Guards = append(c.Guards, statestore.Guard{Key: key, Revision: v.Revision})
 		c.Apply = append(c.Apply, statestore.Op{Write: key, Value: recs[i]})
 	}
 	return c
 }
 
 // DoneChange makes a job done for good and drops admission records.
-func DoneChange(id ids.JobID, jobStamp ids.Stamp, rec Job, drops []SliceVersion) Change {
+func DoneChange(id ids.JobID, jobStamp ids.Revision, rec Job, drops []SliceVersion) Change {
 	rec.Status = wire.StatusDone
 	c := DropChange(id, drops)
-	c.Guards = append(c.Guards, statestore.Guard{Key: JobKey(id), Stamp: jobStamp})
+	c.Guards = append(c.Guards, statestore.Guard{Key: JobKey(id), Revision: jobStamp})
 	c.Apply = append(c.Apply, statestore.Op{Write: JobKey(id), Value: rec})
 	return c
 }
@@ -39,7 +39,7 @@
 	var c Change
 	for _, d := range drops {
 		key := AdmissionKey(id, d.N)
-		c.Guards = append(c.Guards, statestore.Guard{Key: key, Stamp: d.Stamp})
+		c.Guards = append(c.Guards, statestore.Guard{Key: key, Revision: d.Revision})
 		c.Apply = append(c.Apply, statestore.Op{Drop: key})
 	}
 	return c
@@ -54,19 +54,19 @@
 	}
 }
 
-// WithdrawChange makes a job withdrawn for good. The description stays, since
+// CancelChange makes a job withdrawn for good. The description stays, since
 // quota counts its tasks until they are gone; but of one that is larger than the
 // limit in bytes only what that takes: the record may be from before the limits
 // of the state service fell.
-func WithdrawChange(id ids.JobID, stamp ids.Stamp, nonce uint64, rec Job, limit int) Change {
-	rec.Nonce, rec.Status = nonce, wire.StatusWithdrawn
+func CancelChange(id ids.JobID, stamp ids.Revision, nonce uint64, rec Job, limit int) Change {
+	rec.Nonce, rec.Status = nonce, wire.StatusCancelled
 	if s := rec.Spec; s != nil && wire.Exceeds(rec, limit) {
 		rec.Spec = &wire.Spec{Team: s.Team, Service: s.Service, Gang: s.Gang, Priority: s.Priority, Tasks: s.Tasks,
 			CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot}
 	}
 	key := JobKey(id)
 	return Change{
-		Guards: []statestore.Guard{{Key: key, Stamp: stamp}},
+		Guards: []statestore.Guard{{Key: key, Revision: stamp}},
 		Apply:  []statestore.Op{{Write: key, Value: rec}},
 	}
 }
--- a/ledger/committer.go
+++ b/ledger/committer.go
@@ -157,7 +157,7 @@
 		}
 		if out.Applied {
 			for _, it := range rest {
-				it.done(Outcome{Change: it.change, Applied: true, Stamp: out.Epoch}, nil)
+				it.done(Outcome{Change: it.change, Applied: true, Revision: out.Revision}, nil)
 			}
 			return nil
 		}
@@ -210,7 +210,7 @@
 			applied, stamp, rerr := c.settle(ctx, txn)
 			if rerr == nil {
 				if applied {
-					return statestore.Outcome{Applied: true, Epoch: stamp}, batch, false, nil
+					return statestore.Outcome{Applied: true, Revision: stamp}, batch, false, nil
 				}
 				return out, batch, refused, err
 			}
@@ -263,7 +263,7 @@
 
 // settle tells whether a transaction of unknown outcome was applied, once a
 // repeat of it has been refused.
-func (c *Committer) settle(ctx context.Context, txn statestore.Txn) (bool, ids.Stamp, error) {
+func (c *Committer) settle(ctx context.Context, txn statestore.Txn) (bool, ids.Revision, error) {
 	for _, op := range txn.Apply {
 		if op.Write == "" {
 			continue
@@ -281,10 +281,10 @@
 		if !found || wire.Decode(e.Value, &mark) != nil || mark.Nonce != ours.Nonce {
 			return false, 0, nil
 		}
-		return true, e.Stamp, nil
+		return true, e.Revision, nil
 	}
 	// Only drops: what they drop is gone if they were applied, and nobody
 	// else drops it.
 	e, found, err := c.store.Get(ctx, txn.Apply[0].Drop)
-	return err == nil && !found, e.Stamp, err
+	return err == nil && !found, e.Revision, err
 }
--- a/ledger/committer_test.go
+++ b/ledger/committer_test.go
@@ -20,7 +20,7 @@
 // transactions whose answer was lost can be applied late.
 type fakeStore struct {
 	mu    sync.Mutex
-	epoch ids.Stamp
+	epoch ids.Revision
 	keys  map[string]statestore.Entry
 	// fate decides about the next transaction.
 	fate func() fate
@@ -48,12 +48,12 @@
 	defer s.mu.Unlock()
 	var failed []string
 	for _, g := range t.Guards {
-		if s.keys[g.Key].Stamp != g.Stamp {
+		if s.keys[g.Key].Revision != g.Revision {
 			failed = append(failed, g.Key)
 		}
 	}
 	if failed != nil {
-		return statestore.Outcome{Epoch: s.epoch, Failed: failed}
+		return statestore.Outcome{Revision: s.epoch, Failed: failed}
 	}
 	s.epoch++
 	for _, op := range t.Apply {
@@ -61,9 +61,9 @@
 			delete(s.keys, op.Drop)
 			continue
 		}
-		s.keys[op.Write] = statestore.Entry{Key: op.Write, Value: wire.Encode(op.Value), Stamp: s.epoch}
+		s.keys[op.Write] = statestore.Entry{Key: op.Write, Value: wire.Encode(op.Value), Revision: s.epoch}
 	}
-	return statestore.Outcome{Applied: true, Epoch: s.epoch}
+	return statestore.Outcome{Applied: true, Revision: s.epoch}
 }
 
 func (s *fakeStore) Commit(ctx context.Context, t statestore.Txn) (statestore.Outcome, error) {
@@ -121,7 +121,7 @@
 			store := &fakeStore{keys: map[string]statestore.Entry{}}
 			store.apply(statestore.Txn{Apply: []statestore.Op{{Write: LeaderKey, Value: "a"}}})
 			store.fate = func() fate { return fate(rng.IntN(4)) }
-			c := NewCommitter(store, Limits{Ops: 4, Bytes: 4096}, &statestore.Guard{Key: LeaderKey, Stamp: store.epoch}, quiet())
+			c := NewCommitter(store, Limits{Ops: 4, Bytes: 4096}, &statestore.Guard{Key: LeaderKey, Revision: store.epoch}, quiet())
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan error, 1)
 			go func() { done <- c.Run(ctx) }()
@@ -131,12 +131,12 @@
 			}
 			results := make([]told, 30)
 			for i := range results {
-				stamp := ids.Stamp(0)
+				stamp := ids.Revision(0)
 				if i%7 == 3 {
 					stamp = 99 // a guard that fails
 				}
 				ch := SubmitChange(ids.JobID(fmt.Sprintf("job-%d", i)), Job{Nonce: uint64(i + 1), Status: wire.StatusQueued, Tasks: 1})
-				ch.Guards[0].Stamp = stamp
+				ch.Guards[0].Revision = stamp
 				ch.ID = uint64(i)
 				c.Submit(ch, time.Time{}, func(o Outcome, err error) { results[i] = told{o, err} })
 			}
@@ -149,8 +149,8 @@
 				if want := i%7 != 3; r.err != nil || r.o.Applied != want || found != want {
 					t.Errorf("seed %d change %d: told %+v, err %v; in the store: %v", seed, i, r.o, r.err, found)
 				}
-				if r.o.Applied && r.o.Stamp != e.Stamp {
-					t.Errorf("seed %d change %d: told stamp %d, the store has %d", seed, i, r.o.Stamp, e.Stamp)
+				if r.o.Applied && r.o.Revision != e.Revision {
+					t.Errorf("seed %d change %d: told stamp %d, the store has %d", seed, i, r.o.Revision, e.Revision)
 				}
 			}
 			if store.most > 4 {
@@ -215,7 +215,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakeStore{keys: map[string]statestore.Entry{}}
 		store.apply(statestore.Txn{Apply: []statestore.Op{{Write: LeaderKey, Value: "a"}}})
-		c := NewCommitter(store, Limits{Ops: 4, Bytes: 4096}, &statestore.Guard{Key: LeaderKey, Stamp: store.epoch}, quiet())
+		c := NewCommitter(store, Limits{Ops: 4, Bytes: 4096}, &statestore.Guard{Key: LeaderKey, Revision: store.epoch}, quiet())
 		store.apply(statestore.Txn{Apply: []statestore.Op{{Write: LeaderKey, Value: "b"}}})
 		var got error
 		c.Submit(SubmitChange("job-1", Job{Nonce: 1}), time.Time{}, func(_ Outcome, err error) { got = err })
--- a/ledger/records.go
+++ b/ledger/records.go
@@ -62,12 +62,12 @@
 }
 
 // Pipeline is what the record says about waiting.
-func (j *Job) Pipeline() pipeline.Record {
+func (j *Job) Dependencies() pipeline.Record {
 	r := pipeline.Record{Status: j.Status, SubmittedMS: j.SubmittedMS, DoneMS: j.DoneMS}
 	if s := j.Spec; s != nil {
-		r.Needs, r.Priority, r.Takes = s.Needs, s.Priority, ids.Seconds(s.EstimateS)
+		r.DependsOn, r.Priority, r.ExpectedRun = s.DependsOn, s.Priority, ids.Seconds(s.EstimateS)
 		// Deadlines of jobs that wait for none decide nothing, as before.
-		if len(s.Needs) > 0 && s.DeadlineS > 0 {
+		if len(s.DependsOn) > 0 && s.DeadlineS > 0 {
 			r.DueMS = j.SubmittedMS + ids.Seconds(s.DeadlineS).Milliseconds()
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 // Over tells whether the job is done or withdrawn, for good.
-func (j *Job) Over() bool { return j.Status == wire.StatusDone || j.Status == wire.StatusWithdrawn }
+func (j *Job) Over() bool { return j.Status == wire.StatusDone || j.Status == wire.StatusCancelled }
 
 // Slice is the durable record of some of a job's tasks: where each was
 // admitted and with which attempt. It is committed before any task of it is
@@ -107,9 +107,9 @@
 // the keys whose versions had moved on, or was refused: the state service would
 // not take it as it is, whatever the versions.
 type Outcome struct {
-	Change  Change
-	Applied bool
-	Refused bool
-	Stamp   ids.Stamp
-	Failed  []string
+	Change   Change
+	Applied  bool
+	Refused  bool
+	Revision ids.Revision
+	Failed   []string
 }
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -24,7 +24,7 @@
 
 // serving is how many requests one connection may have under way. More are
 // held back in the connection itself.
-const serving = 32
+const maxInFlight = 32
 
 type frame struct {
 	ID     uint64          `cbor:"1,keyasint"`
@@ -112,7 +112,7 @@
 	r, w := bufio.NewReader(c), bufio.NewWriter(c)
 	var mu sync.Mutex
 	var g errgroup.Group
-	g.SetLimit(serving)
+	g.SetLimit(maxInFlight)
 	defer g.Wait() //nolint:errcheck // the handlers return nothing
 	for {
 		_ = c.SetReadDeadline(time.Now().Add(30 * time.Second))
--- a/node/edge.go
+++ b/node/edge.go
@@ -16,49 +16,49 @@
 // renewed by nobody else.
 
 // passedOn is one report on its way to the leader.
-type passedOn struct {
+type relayedReport struct {
 	raw  []byte
 	done chan<- server.Answer
 }
 
 // edge collects reports for the leader.
-type edge struct {
+type reportRelay struct {
 	n *Node
 
 	mu      sync.Mutex
-	waiting []passedOn
+	waiting []relayedReport
 	wake    chan struct{}
 }
 
 const (
-	// batchMost bounds the reports in one batch, and batches how many are on
+	// maxBatch bounds the reports in one batch, and batches how many are on
 	// their way at once.
-	batchMost = 48
-	batches   = 4
-	// reportTime is how long a report may take here, of the 4 s that workers
+	maxBatch           = 48
+	maxBatchesInFlight = 4
+	// relayTimeout is how long a report may take here, of the 4 s that workers
 	// wait.
-	reportTime = 2500 * time.Millisecond
-	// reportsMost bounds the reports that wait.
-	reportsMost = 1000
+	relayTimeout = 2500 * time.Millisecond
+	// maxWaitingReports bounds the reports that wait.
+	maxWaitingReports = 1000
 )
 
 // reportAnswer is the leader's answer to one report of a batch.
-type reportAnswer struct {
-	OK     bool        `cbor:"1,keyasint"`
-	Orders wire.Orders `cbor:"2,keyasint"`
+type relayedAnswer struct {
+	OK     bool              `cbor:"1,keyasint"`
+	Orders wire.ReportAnswer `cbor:"2,keyasint"`
 }
 
 // pass hands a report to the leader and waits for the answer.
-func (e *edge) pass(ctx context.Context, raw []byte) server.Answer {
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+func (e *reportRelay) relay(ctx context.Context, raw []byte) server.Answer {
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	done := make(chan server.Answer, 1)
 	e.mu.Lock()
-	if len(e.waiting) >= reportsMost {
+	if len(e.waiting) >= maxWaitingReports {
 		e.mu.Unlock()
 		return server.Answer{Code: 503}
 	}
-	e.waiting = append(e.waiting, passedOn{raw, done})
+	e.waiting = append(e.waiting, relayedReport{raw, done})
 	e.mu.Unlock()
 	select {
 	case e.wake <- struct{}{}:
@@ -72,18 +72,18 @@
 	}
 }
 
-func (e *edge) take() []passedOn {
+func (e *reportRelay) take() []relayedReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := min(len(e.waiting), batchMost)
+	n := min(len(e.waiting), maxBatch)
 	batch := e.waiting[:n:n]
 	e.waiting = e.waiting[n:]
 	return batch
 }
 
 // run sends batches until the context ends.
-func (e *edge) run(ctx context.Context) error {
-	slots := make(chan struct{}, batches)
+func (e *reportRelay) run(ctx context.Context) error {
+	slots := make(chan struct{}, maxBatchesInFlight)
 	for {
 		select {
 		case <-ctx.Done():
@@ -104,10 +104,10 @@
 	}
 }
 
-func (e *edge) send(ctx context.Context, batch []passedOn) {
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+func (e *reportRelay) send(ctx context.Context, batch []relayedReport) {
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	var answers []reportAnswer
+	var answers []relayedAnswer
 	if p := e.n.leaderPeer(); p != nil {
 		raws := make([][]byte, len(batch))
 		for i := range batch {
@@ -127,14 +127,14 @@
 }
 
 // reports gives a batch from a follower to the leader's core.
-func (n *Node) reports(ctx context.Context, t *term, raws [][]byte) ([]reportAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+func (n *Node) relayedReports(ctx context.Context, t *term, raws [][]byte) ([]relayedAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	answers := make([]reportAnswer, len(raws))
+	answers := make([]relayedAnswer, len(raws))
 	reps := make([]*wire.Report, len(raws))
 	for i, raw := range raws {
 		rep := new(wire.Report)
-		if err := wire.Decode(raw, rep); err == nil && rep.Host != "" && rep.Tenure != 0 {
+		if err := wire.Decode(raw, rep); err == nil && rep.Host != "" && rep.Session != 0 {
 			reps[i] = rep
 		}
 	}
@@ -152,29 +152,29 @@
 
 // crowd counts the workers that report here, and sends some to other nodes
 // when they are too many: after a restart they would all stay where they went.
-type crowd struct {
-	mu    sync.Mutex
-	seen  map[ids.Host]ids.Instant
-	moved ids.Instant
+type connectionBalancer struct {
+	mu      sync.Mutex
+	seen    map[ids.Host]ids.Instant
+	movedAt ids.Instant
 }
 
 const (
-	// moveEvery paces the workers that are sent elsewhere. Moving all at once
+	// moveInterval paces the workers that are sent elsewhere. Moving all at once
 	// would only move the crowd.
-	moveEvery = 100 * time.Millisecond
-	// crowdSlack is how many more than its share a node keeps.
-	crowdSlack = 16
+	moveInterval = 100 * time.Millisecond
+	// balanceSlack is how many more than its share a node keeps.
+	balanceSlack = 16
 )
 
 // came notes a worker's report.
-func (c *crowd) came(h ids.Host, now ids.Instant) {
+func (c *connectionBalancer) reported(h ids.Host, now ids.Instant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seen[h] = now
 }
 
 // count is the number of workers heard within a time.
-func (c *crowd) count(now ids.Instant, within time.Duration) int {
+func (c *connectionBalancer) count(now ids.Instant, within time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for h, at := range c.seen {
@@ -187,17 +187,17 @@
 
 // load is what a node tells of its workers, and how many it should have for
 // each one that another has.
-type load struct {
+type nodeLoad struct {
 	name    ids.NodeName
 	workers int
 	weight  float64
 }
 
 // move tells where a worker should go, if this node has too many of them.
-func (c *crowd) move(self load, others []load, now ids.Instant) (ids.NodeName, bool) {
+func (c *connectionBalancer) chooseTarget(self nodeLoad, others []nodeLoad, now ids.Instant) (ids.NodeName, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now < c.moved.Add(moveEvery) || len(others) == 0 {
+	if now < c.movedAt.Add(moveInterval) || len(others) == 0 {
 		return "", false
 	}
 	sum, weights := float64(self.workers), self.weight
@@ -206,7 +206,7 @@
 		weights += o.weight
 	}
 	share := sum / weights
-	if float64(self.workers) <= 1.2*share*self.weight+crowdSlack {
+	if float64(self.workers) <= 1.2*share*self.weight+balanceSlack {
 		return "", false
 	}
 	best, room := ids.NodeName(""), 0.0
@@ -218,6 +218,6 @@
 	if best == "" {
 		return "", false
 	}
-	c.moved = now
+	c.movedAt = now
 	return best, true
 }
--- a/node/edge_test.go
+++ b/node/edge_test.go
@@ -30,29 +30,29 @@
 	cfg.HostName = "n-1"
 	cfg.Seeds = []config.Peer{{Name: "n-0", Address: meshOf(t, leader)}}
 	follower := testNode(t, cfg)
-	g.Go(func() error { _ = follower.edge.run(ctx); return nil })
+	g.Go(func() error { _ = follower.relay.run(ctx); return nil })
 	defer func() { cancel(); _ = g.Wait() }()
 
-	rep := &wire.Report{Host: "m-1", Endpoint: "127.0.0.1:5", Type: "m", Zone: "a", Tenure: 1, Tick: 1}
-	hello := func() server.Answer { return follower.Hello(ctx, wire.Encode(rep), rep) }
+	rep := &wire.Report{Host: "m-1", Endpoint: "127.0.0.1:5", Type: "m", Zone: "a", Session: 1, Sequence: 1}
+	hello := func() server.Answer { return follower.Report(ctx, wire.Encode(rep), rep) }
 	if a := hello(); a.Code != 503 {
 		t.Fatalf("without a leader: %+v", a)
 	}
-	follower.election.Observe(election.Leader{Holder: election.Holder{Name: "n-0"}, Stamp: 7})
+	follower.election.Observe(election.Leader{Holder: election.Holder{Name: "n-0"}, Revision: 7})
 	if a := hello(); a.Code != 503 {
 		t.Fatalf("before the leader leads: %+v", a)
 	}
 	g.Go(func() error { _ = leader.election.Run(ctx); return nil })
 	until(t, "somebody leads", func() bool { return leader.term.Load() != nil })
 	a := hello()
-	if o, ok := a.Body.(wire.Orders); a.Code != 200 || !ok || o.Token.Stamp() != 7 {
+	if o, ok := a.Body.(wire.ReportAnswer); a.Code != 200 || !ok || o.Token.Revision() != 7 {
 		t.Fatalf("through the follower: %+v", a)
 	}
-	if n := follower.crowd.count(follower.clock.Now(), time.Minute); n != 1 {
+	if n := follower.balancer.count(follower.clock.Now(), time.Minute); n != 1 {
 		t.Errorf("%d workers counted", n)
 	}
 	// A later leader is known: this one has nothing to say any more.
-	leader.election.Observe(election.Leader{Holder: election.Holder{Name: "n-2"}, Stamp: 9})
+	leader.election.Observe(election.Leader{Holder: election.Holder{Name: "n-2"}, Revision: 9})
 	until(t, "the term is over", func() bool { return leader.term.Load() == nil })
 	if a := hello(); a.Code != 503 {
 		t.Errorf("from a leader that was replaced: %+v", a)
--- a/node/node.go
+++ b/node/node.go
@@ -51,22 +51,22 @@
 	catalog  atomic.Pointer[[]wire.MachineType]
 	term     atomic.Pointer[term]
 
-	started ids.Instant
-	ended   endedJobs
-	acked   acked
-	polls   *polls
-	edge    *edge
-	crowd   crowd
+	startedAt    ids.Instant
+	terminalJobs terminalJobCache
+	acknowledged acknowledgedRevision
+	statusReads  *statusReader
+	relay        *reportRelay
+	balancer     connectionBalancer
 	// upgrade tells whether all controllers are known to be of this version.
 	upgrade upgrade
 	// workersHere is the size of the crowd as last counted.
-	workersHere atomic.Int32
+	workerCount atomic.Int32
 }
 
 // New makes a controller from its settings.
 func New(cfg *config.Platform, op *config.Operator, log *slog.Logger) *Node {
 	n := &Node{cfg: cfg, op: op, log: log, clock: ids.Steady()}
-	n.started = n.clock.Now()
+	n.startedAt = n.clock.Now()
 	s := &cfg.Settings
 	n.cloud = cloud.New(cfg.External.Cloud, s.Cloud.RPS)
 	n.workers = worker.New()
@@ -81,24 +81,24 @@
 	n.userState = statestore.New(&userRoute{n, direct}, rps*0.65/nodes)
 	n.intake = ledger.NewCommitter(n.userState, n.limits(), nil, log)
 	self := election.Holder{Name: cfg.HostName, Mesh: cfg.MeshAddr, Incarnation: ids.Incarnation(rand.Uint64())}
-	bounds := election.Bounds{TTL: op.LeaseTTL(), Grace: op.Grace(), Isolated: n.isolated()}
+	bounds := election.Bounds{TTL: op.LeaseTTL(), Grace: op.Grace(), Isolated: n.isolatedBound()}
 	for _, p := range cfg.Seeds {
 		bounds.Peers = append(bounds.Peers, p.Name)
 	}
 	n.election = election.New(n.leaderState.Urgent(), self, bounds, n.clock, log, n.lead)
-	n.ended.jobs = map[ids.JobID]wire.JobStatus{}
-	n.crowd.seen = map[ids.Host]ids.Instant{}
-	n.edge = &edge{n: n, wake: make(chan struct{}, 1)}
+	n.terminalJobs.jobs = map[ids.JobID]wire.JobStatus{}
+	n.balancer.seen = map[ids.Host]ids.Instant{}
+	n.relay = &reportRelay{n: n, wake: make(chan struct{}, 1)}
 	// A fifth of the requests is for polls, by all nodes together.
 	gap := ids.Seconds(nodes / (0.2 * rps))
-	n.polls = newPolls(n.userState, gap, n.progress)
+	n.statusReads = newStatusReader(n.userState, gap, n.progress)
 	return n
 }
 
 // isolated is for how long a leader that cannot rule out a later one may go on
 // answering workers. A user may have been told since then that a job is withdrawn;
 // the lease that is renewed last must end within cancel_s of that.
-func (n *Node) isolated() time.Duration {
+func (n *Node) isolatedBound() time.Duration {
 	w := &n.cfg.Settings.Workers
 	cancel := ids.Seconds(w.CancelS)
 	return max(0, cancel-cancel/500-ids.Drift(ids.Seconds(w.LeaseS))-time.Second)
@@ -134,20 +134,20 @@
 	s := &n.cfg.Settings
 	app := server.New(n, server.Limits{
 		// Outgoing connections, peers and the runtime need sockets too.
-		Conns: max(16, s.Resources.Sockets*3/4),
-		Idle:  max(15*time.Second, 3*ids.Seconds(s.Workers.ReportS)),
+		MaxConnections: max(16, s.Resources.Sockets*3/4),
+		IdleTimeout:    max(15*time.Second, 3*ids.Seconds(s.Workers.ReportS)),
 	}, n.log)
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return server.Serve(ctx, app, patient{api, n.log}) })
-	g.Go(func() error { return mesh.Serve(ctx, patient{meshLn, n.log}, n.handle, n.log) })
+	g.Go(func() error { return server.Serve(ctx, app, retryListener{api, n.log}) })
+	g.Go(func() error { return mesh.Serve(ctx, retryListener{meshLn, n.log}, n.handle, n.log) })
 	g.Go(func() error { return n.election.Run(ctx) })
 	g.Go(func() error { return n.intake.Run(ctx) })
-	g.Go(func() error { return n.polls.run(ctx) })
-	g.Go(func() error { return n.edge.run(ctx) })
+	g.Go(func() error { return n.statusReads.run(ctx) })
+	g.Go(func() error { return n.relay.run(ctx) })
 	g.Go(func() error { return n.readCatalog(ctx) })
 	g.Go(func() error { return n.awaitUpgrade(ctx) })
 	for _, p := range n.peers {
-		g.Go(func() error { return n.gossip(ctx, p) })
+		g.Go(func() error { return n.pingLoop(ctx, p) })
 	}
 	n.log.Info("serving", "host", n.cfg.HostName, "api", n.cfg.APIAddr, "mesh", n.cfg.MeshAddr)
 	err = g.Wait()
@@ -179,25 +179,25 @@
 
 // endedJobs remembers jobs that are over. That is final, so any node may say
 // it at any time.
-type endedJobs struct {
+type terminalJobCache struct {
 	mu   sync.Mutex
 	jobs map[ids.JobID]wire.JobStatus
 }
 
-// endedMost bounds the memory; a job that was dropped is read again.
-const endedMost = 20_000
+// terminalJobCacheSize bounds the memory; a job that was dropped is read again.
+const terminalJobCacheSize = 20_000
 
-func (e *endedJobs) get(id ids.JobID) (wire.JobStatus, bool) {
+func (e *terminalJobCache) get(id ids.JobID) (wire.JobStatus, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.jobs[id]
 	return s, ok
 }
 
-func (e *endedJobs) put(s wire.JobStatus) {
+func (e *terminalJobCache) put(s wire.JobStatus) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.jobs) >= endedMost {
+	if len(e.jobs) >= terminalJobCacheSize {
 		clear(e.jobs)
 	}
 	e.jobs[s.ID] = s
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -48,18 +48,18 @@
 	names := []ids.NodeName{"n-0", "n-1", "n-2"}
 	have := map[ids.NodeName]int{"n-0": 900, "n-1": 0, "n-2": 0}
 	weight := map[ids.NodeName]float64{"n-0": leaderWeight, "n-1": 1, "n-2": 1}
-	var crowds [3]crowd
+	var crowds [3]connectionBalancer
 	moves := 0
 	for step := range 4000 {
 		before := moves
 		for i, name := range names {
-			var others []load
+			var others []nodeLoad
 			for _, o := range names {
 				if o != name {
-					others = append(others, load{o, have[o], weight[o]})
+					others = append(others, nodeLoad{o, have[o], weight[o]})
 				}
 			}
-			if to, ok := crowds[i].move(load{name, have[name], weight[name]}, others, at(float64(step)*0.05)); ok {
+			if to, ok := crowds[i].chooseTarget(nodeLoad{name, have[name], weight[name]}, others, at(float64(step)*0.05)); ok {
 				have[name]--
 				have[to]++
 				moves++
@@ -72,7 +72,7 @@
 	if have["n-0"] > 250 || have["n-1"] < 300 || have["n-2"] < 300 || moves > 700 {
 		t.Fatalf("after %d moves: %v", moves, have)
 	}
-	if _, ok := crowds[0].move(load{"n-0", 900, 1}, nil, at(1000)); ok {
+	if _, ok := crowds[0].chooseTarget(nodeLoad{"n-0", 900, 1}, nil, at(1000)); ok {
 		t.Error("moved although nobody else follows the leader")
 	}
 }
@@ -154,7 +154,7 @@
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
-func testTerm(stamp ids.Stamp) *election.Term { return &election.Term{Stamp: stamp} }
+func testTerm(stamp ids.Revision) *election.Term { return &election.Term{Revision: stamp} }
 
 // A node that the state service refuses alone reads through a peer; without
 // one it says at once that it does not know.
@@ -169,24 +169,24 @@
 	cfg.Seeds = []config.Peer{{Name: "n-1", Address: meshOf(t, other)}}
 	n := testNode(t, cfg)
 	answering := make(chan error, 1)
-	go func() { answering <- n.polls.run(ctx) }()
+	go func() { answering <- n.statusReads.run(ctx) }()
 	defer func() { cancel(); <-answering }()
-	if a := n.Status(ctx, "job-1"); a.Code != 503 || a.Retry == 0 {
+	if a := n.Status(ctx, "job-1"); a.Code != 503 || a.RetryAfter == 0 {
 		t.Fatalf("refused, and no peer known to be better: %+v", a)
 	}
 	n.health.failures.Store(2)
 	n.peers[0].stateOK.Store(true)
-	n.peers[0].heard.Store(int64(n.clock.Now()))
+	n.peers[0].lastHeard.Store(int64(n.clock.Now()))
 	if a := n.Status(ctx, "job-2"); a.Code != 404 {
 		t.Errorf("an unknown job: %+v", a)
 	}
 	// The withdrawal is told only since a leader is known to have taken it in.
-	if a := n.Status(ctx, "job-1"); a.Code != 503 || a.Retry == 0 {
+	if a := n.Status(ctx, "job-1"); a.Code != 503 || a.RetryAfter == 0 {
 		t.Errorf("a withdrawal that no leader may know of: %+v", a)
 	}
-	n.pinged(ping{Acked: 7})
+	n.observePing(ping{Acked: 7})
 	a := n.Status(ctx, "job-1")
-	if s, ok := a.Body.(wire.JobStatus); a.Code != 200 || !ok || s.Status != wire.StatusWithdrawn {
+	if s, ok := a.Body.(wire.JobStatus); a.Code != 200 || !ok || s.Status != wire.StatusCancelled {
 		t.Fatalf("through the peer: %+v", a)
 	}
 	// What is over stays over, whoever can be reached.
@@ -238,7 +238,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := patient{&fullOnce{ln, 2}, slog.New(slog.DiscardHandler)}
+	p := retryListener{&fullOnce{ln, 2}, slog.New(slog.DiscardHandler)}
 	go func() {
 		if c, err := net.Dial("tcp4", ln.Addr().String()); err == nil {
 			c.Close()
@@ -289,8 +289,8 @@
 			first, second uint64
 			told          int
 		}{{0, 0, 0}, {9, 0, 0}, {9, 6, 0}, {9, 7, 1}} {
-			n.peers[0].stamp.Store(step.first)
-			n.peers[1].stamp.Store(step.second)
+			n.peers[0].leaderRevision.Store(step.first)
+			n.peers[1].leaderRevision.Store(step.second)
 			time.Sleep(time.Second)
 			if told := len(tm.events); told != step.told {
 				t.Errorf("%+v: told %d times", step, told)
--- a/node/polls.go
+++ b/node/polls.go
@@ -21,45 +21,47 @@
 
 // jobReader is what the copy needs of the state service.
 type jobReader interface {
-	List(ctx context.Context, prefix string, each func(statestore.Entry) error) (ids.Stamp, error)
-	Watch(ctx context.Context, prefix string, since ids.Stamp, hold time.Duration) (ids.Stamp, []statestore.Event, error)
+	List(ctx context.Context, prefix string, each func(statestore.Entry) error) (ids.Revision, error)
+	Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []statestore.Event, error)
 }
 
 // known is what the copy holds of a job.
-type known struct {
-	Status string
-	Tasks  int
-	stamp  ids.Stamp
+type jobSnapshot struct {
+	Status   string
+	Tasks    int
+	revision ids.Revision
 	// orphan: it is withdrawn with a job that it needs and so never had a task,
 	// whether or not its own record says so yet.
 	orphan bool
 }
 
-func (k known) over() bool { return k.Status == wire.StatusDone || k.Status == wire.StatusWithdrawn }
+func (k jobSnapshot) terminal() bool {
+	return k.Status == wire.StatusDone || k.Status == wire.StatusCancelled
+}
 
 // jobCopy is a node's copy of all jobs. One goroutine alone uses it.
-type jobCopy struct {
-	read   jobReader
-	jobs   map[ids.JobID]known
-	graph  *pipeline.Graph
-	epoch  ids.Stamp
-	loaded bool
+type jobReplica struct {
+	read     jobReader
+	jobs     map[ids.JobID]jobSnapshot
+	graph    *pipeline.Graph
+	revision ids.Revision
+	loaded   bool
 }
 
 // refresh makes the copy at least as new as the moment of the call.
-func (c *jobCopy) refresh(ctx context.Context) error {
+func (c *jobReplica) refresh(ctx context.Context) error {
 	if !c.loaded {
-		c.jobs, c.graph = map[ids.JobID]known{}, pipeline.New()
+		c.jobs, c.graph = map[ids.JobID]jobSnapshot{}, pipeline.New()
 		epoch, err := c.read.List(ctx, ledger.JobPrefix, func(e statestore.Entry) error {
-			c.put(e.Key, e.Value, e.Stamp)
+			c.put(e.Key, e.Value, e.Revision)
 			return nil
 		})
 		if err != nil {
 			return err
 		}
-		c.epoch, c.loaded = epoch, true
+		c.revision, c.loaded = epoch, true
 	}
-	epoch, events, err := c.read.Watch(ctx, ledger.JobPrefix, c.epoch, 0)
+	epoch, events, err := c.read.Watch(ctx, ledger.JobPrefix, c.revision, 0)
 	if errors.Is(err, statestore.ErrTooOld) {
 		c.loaded = false
 	}
@@ -68,67 +70,67 @@
 	}
 	for _, ev := range events {
 		if ev.Write != "" {
-			c.put(ev.Write, ev.Value, ev.Stamp)
+			c.put(ev.Write, ev.Value, ev.Revision)
 		}
 	}
-	c.epoch = max(c.epoch, epoch)
+	c.revision = max(c.revision, epoch)
 	return nil
 }
 
 // put takes a record in. One that can't be read is still that of a job which
 // was accepted: its user must never be told that it is unknown.
-func (c *jobCopy) put(key string, raw []byte, stamp ids.Stamp) {
+func (c *jobReplica) put(key string, raw []byte, stamp ids.Revision) {
 	var rec ledger.Job
 	if err := wire.Decode(raw, &rec); err != nil || rec.Status == "" {
 		rec = ledger.Job{Status: wire.StatusQueued}
 	}
 	id := ids.JobID(key[len(ledger.JobPrefix):])
-	c.jobs[id] = recordOf(&rec, stamp)
-	c.graph.Put(id, rec.Pipeline())
+	c.jobs[id] = snapshotOf(&rec, stamp)
+	c.graph.Put(id, rec.Dependencies())
 }
 
 // get tells what is known of a job. One is withdrawn as soon as a job that it
 // needs is, whether or not its own record says so yet.
-func (c *jobCopy) get(id ids.JobID) (known, bool) {
+func (c *jobReplica) get(id ids.JobID) (jobSnapshot, bool) {
 	k, found := c.jobs[id]
-	if found && !k.over() && c.graph.Of(id).State == pipeline.Withdrawn {
-		k.Status, k.orphan = wire.StatusWithdrawn, true
+	if found && !k.terminal() && c.graph.Of(id).State == pipeline.Cancelled {
+		k.Status, k.orphan = wire.StatusCancelled, true
 	}
 	return k, found
 }
 
 // named tells whether all jobs of a list were accepted, and whether one of them is
 // withdrawn.
-func (c *jobCopy) named(list []ids.JobID) (all, withdrawn bool) {
+func (c *jobReplica) dependencyState(list []ids.JobID) (all, withdrawn bool) {
 	all = true
 	for _, id := range list {
 		k, found := c.get(id)
 		all = all && found
-		withdrawn = withdrawn || k.Status == wire.StatusWithdrawn
+		withdrawn = withdrawn || k.Status == wire.StatusCancelled
 	}
 	return all, withdrawn
 }
 
 // poll is one question that waits: about a job and, before it is accepted, about
 // those that it names.
-type poll struct {
-	id    ids.JobID
-	needs []ids.JobID
-	done  chan<- pollAnswer
+type statusQuery struct {
+	id        ids.JobID
+	dependsOn []ids.JobID
+	done      chan<- queryAnswer
 }
 
-type pollAnswer struct {
-	job   known
+type queryAnswer struct {
+	job   jobSnapshot
 	found bool
 	err   error
 	// accepted tells that all named jobs were, doomed that one is withdrawn.
-	accepted, doomed bool
+	accepted, dependencyCancelled bool
 	progress
 }
 
 // polls answers questions about jobs, round by round.
-type polls struct {
-	copy jobCopy
+type statusReader struct {
+	replica jobReplica
 	// gap is the least time between two calls, so that all nodes together
 	// leave the state service to those who change something.
 	gap time.Duration
@@ -136,28 +138,28 @@
 	progress func(ctx context.Context, list []ids.JobID) []progress
 
 	mu      sync.Mutex
-	waiting []poll
+	waiting []statusQuery
 	wake    chan struct{}
 }
 
-// pollsMost bounds the questions that wait.
-const pollsMost = 512
+// maxWaitingQueries bounds the questions that wait.
+const maxWaitingQueries = 512
 
 var errBusy = errors.New("too many questions wait")
 
-func newPolls(read jobReader, gap time.Duration, ask func(context.Context, []ids.JobID) []progress) *polls {
-	return &polls{copy: jobCopy{read: read}, gap: gap, progress: ask, wake: make(chan struct{}, 1)}
+func newStatusReader(read jobReader, gap time.Duration, ask func(context.Context, []ids.JobID) []progress) *statusReader {
+	return &statusReader{replica: jobReplica{read: read}, gap: gap, progress: ask, wake: make(chan struct{}, 1)}
 }
 
 // ask waits for the answer to one question.
-func (p *polls) ask(ctx context.Context, id ids.JobID, needs []ids.JobID) pollAnswer {
-	done := make(chan pollAnswer, 1)
+func (p *statusReader) ask(ctx context.Context, id ids.JobID, needs []ids.JobID) queryAnswer {
+	done := make(chan queryAnswer, 1)
 	p.mu.Lock()
-	if len(p.waiting) >= pollsMost {
+	if len(p.waiting) >= maxWaitingQueries {
 		p.mu.Unlock()
-		return pollAnswer{err: errBusy}
+		return queryAnswer{err: errBusy}
 	}
-	p.waiting = append(p.waiting, poll{id, needs, done})
+	p.waiting = append(p.waiting, statusQuery{id, needs, done})
 	p.mu.Unlock()
 	select {
 	case p.wake <- struct{}{}:
@@ -168,17 +170,17 @@
 		// Both may be ready at once after this process stood still. What was
 		// true before is then older than what others may have told since.
 		if d, ok := ctx.Deadline(); ok && time.Now().After(d) {
-			return pollAnswer{err: context.DeadlineExceeded}
+			return queryAnswer{err: context.DeadlineExceeded}
 		}
 		return a
 	case <-ctx.Done():
-		return pollAnswer{err: ctx.Err()}
+		return queryAnswer{err: ctx.Err()}
 	}
 }
 
 // run answers until the context ends. One call is under way at a time; what
 // comes meanwhile waits for the next.
-func (p *polls) run(ctx context.Context) error {
+func (p *statusReader) run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -199,23 +201,23 @@
 	}
 }
 
-func (p *polls) round(ctx context.Context, round []poll) {
-	call, cancel := context.WithTimeout(ctx, pollTime)
+func (p *statusReader) round(ctx context.Context, round []statusQuery) {
+	call, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	if err := p.copy.refresh(call); err != nil {
+	if err := p.replica.refresh(call); err != nil {
 		for _, q := range round {
-			q.done <- pollAnswer{err: err}
+			q.done <- queryAnswer{err: err}
 		}
 		return
 	}
-	var open []poll
+	var open []statusQuery
 	var list []ids.JobID
-	var answers []pollAnswer
+	var answers []queryAnswer
 	for _, q := range round {
-		k, found := p.copy.get(q.id)
-		a := pollAnswer{job: k, found: found}
-		a.accepted, a.doomed = p.copy.named(q.needs)
-		if !found || k.over() {
+		k, found := p.replica.get(q.id)
+		a := queryAnswer{job: k, found: found}
+		a.accepted, a.dependencyCancelled = p.replica.dependencyState(q.dependsOn)
+		if !found || k.terminal() {
 			q.done <- a
 			continue
 		}
--- a/node/polls_test.go
+++ b/node/polls_test.go
@@ -25,7 +25,7 @@
 type records struct {
 	mu     sync.Mutex
 	rng    *rand.Rand
-	epoch  ids.Stamp
+	epoch  ids.Revision
 	log    []statestore.Event
 	kept   int // changes kept for watches
 	calls  int
@@ -43,10 +43,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.epoch++
-	r.log = append(r.log, statestore.Event{Write: ledger.JobKey(id), Value: wire.Encode(rec), Stamp: r.epoch})
+	r.log = append(r.log, statestore.Event{Write: ledger.JobKey(id), Value: wire.Encode(rec), Revision: r.epoch})
 }
 
-func (r *records) List(_ context.Context, _ string, each func(statestore.Entry) error) (ids.Stamp, error) {
+func (r *records) List(_ context.Context, _ string, each func(statestore.Entry) error) (ids.Revision, error) {
 	r.delay()
 	r.mu.Lock()
 	r.calls++
@@ -57,7 +57,7 @@
 	epoch, log := r.epoch, slices.Clone(r.log)
 	r.mu.Unlock()
 	for _, e := range log {
-		if err := each(statestore.Entry{Key: e.Write, Value: e.Value, Stamp: e.Stamp}); err != nil {
+		if err := each(statestore.Entry{Key: e.Write, Value: e.Value, Revision: e.Revision}); err != nil {
 			return 0, err
 		}
 	}
@@ -65,7 +65,7 @@
 	return epoch, nil
 }
 
-func (r *records) Watch(_ context.Context, _ string, since ids.Stamp, _ time.Duration) (ids.Stamp, []statestore.Event, error) {
+func (r *records) Watch(_ context.Context, _ string, since ids.Revision, _ time.Duration) (ids.Revision, []statestore.Event, error) {
 	r.delay()
 	r.mu.Lock()
 	r.calls++
@@ -79,8 +79,8 @@
 	return r.epoch, slices.Clone(r.log[since:]), nil
 }
 
-func pollsOf(r jobReader) *polls {
-	return newPolls(r, 50*time.Millisecond, func(_ context.Context, list []ids.JobID) []progress {
+func pollsOf(r jobReader) *statusReader {
+	return newStatusReader(r, 50*time.Millisecond, func(_ context.Context, list []ids.JobID) []progress {
 		return make([]progress, len(list))
 	})
 }
@@ -89,10 +89,10 @@
 // also when the other node's answer came just before the question. And the
 // calls to the state service do not grow with the questions.
 func TestAnswersOfTwoNodesNeverGoBack(t *testing.T) {
-	rank := map[string]int{"": 0, wire.StatusQueued: 1, wire.StatusWithdrawn: 2, wire.StatusDone: 2}
+	rank := map[string]int{"": 0, wire.StatusQueued: 1, wire.StatusCancelled: 2, wire.StatusDone: 2}
 	synctest.Test(t, func(t *testing.T) {
 		r := &records{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
-		nodes := []*polls{pollsOf(r), pollsOf(r)}
+		nodes := []*statusReader{pollsOf(r), pollsOf(r)}
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		for _, p := range nodes {
@@ -131,7 +131,7 @@
 			rng := rand.New(rand.NewPCG(77, 3))
 			for n := range 60 {
 				id := ids.JobID(fmt.Sprintf("job-%d", n))
-				for i, status := range []string{wire.StatusQueued, []string{wire.StatusDone, wire.StatusWithdrawn}[n%2]} {
+				for i, status := range []string{wire.StatusQueued, []string{wire.StatusDone, wire.StatusCancelled}[n%2]} {
 					r.write(id, ledger.Job{Status: status, Tasks: 2})
 					mu.Lock()
 					told[id] = max(told[id], i+1)
@@ -203,7 +203,7 @@
 	}
 	// Of job-3 it is not known where it runs: it is not started elsewhere.
 	now := n.clock.Now()
-	rep := &wire.Report{Host: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Tenure: 1, Tick: 1, Token: ids.NewToken(5, 0)}
+	rep := &wire.Report{Host: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Session: 1, Sequence: 1, Token: ids.NewToken(5, 0)}
 	if _, ok := tm.core.Report(now, rep, true); !ok {
 		t.Fatal("report refused")
 	}
@@ -246,7 +246,7 @@
 	}
 }
 
-// stoodStill is a context whose time is over although its timer has not fired:
+// pauseThreshold is a context whose time is over although its timer has not fired:
 // so a process finds it that stood still while its clocks ran on.
 type stoodStill struct{ context.Context }
 
--- a/node/routes.go
+++ b/node/routes.go
@@ -15,10 +15,10 @@
 // peer is another controller and what is known of it.
 type peer struct {
 	*mesh.Peer
-	heard   atomic.Int64 // ids.Instant of the last answer
-	stateOK atomic.Bool
-	stamp   atomic.Uint64 // of the leader that it follows
-	workers atomic.Int32
+	lastHeard      atomic.Int64 // ids.Instant of the last answer
+	stateOK        atomic.Bool
+	leaderRevision atomic.Uint64 // of the leader that it follows
+	workers        atomic.Int32
 	// version is its own and what it knows of the others'; nil: older than this
 	// one, or not heard yet.
 	version atomic.Pointer[versions]
@@ -82,7 +82,7 @@
 func (n *Node) peerWithState() *peer {
 	now := n.clock.Now()
 	for _, p := range n.peers {
-		if p.stateOK.Load() && now < ids.Instant(p.heard.Load()).Add(2*time.Second) {
+		if p.stateOK.Load() && now < ids.Instant(p.lastHeard.Load()).Add(2*time.Second) {
 			return p
 		}
 	}
@@ -109,61 +109,61 @@
 
 // ping is what controllers tell each other twice a second.
 type ping struct {
-	From    ids.NodeName    `cbor:"1,keyasint"`
-	Leader  ids.NodeName    `cbor:"2,keyasint"`
-	Mesh    string          `cbor:"3,keyasint"`
-	Inc     ids.Incarnation `cbor:"4,keyasint"`
-	Stamp   ids.Stamp       `cbor:"5,keyasint"`
-	StateOK bool            `cbor:"6,keyasint"`
-	Workers int             `cbor:"7,keyasint"`
+	From        ids.NodeName    `cbor:"1,keyasint"`
+	Leader      ids.NodeName    `cbor:"2,keyasint"`
+	Mesh        string          `cbor:"3,keyasint"`
+	Incarnation ids.Incarnation `cbor:"4,keyasint"`
+	Revision    ids.Revision    `cbor:"5,keyasint"`
+	StateOK     bool            `cbor:"6,keyasint"`
+	Workers     int             `cbor:"7,keyasint"`
 	// Up is for how long the process has run, and Acked a revision up to which
 	// withdrawals may be told; see acked. Older controllers lack both.
 	Up    time.Duration `cbor:"11,keyasint,omitempty"`
-	Acked ids.Stamp     `cbor:"12,keyasint,omitempty"`
+	Acked ids.Revision  `cbor:"12,keyasint,omitempty"`
 	versions
 }
 
 func (n *Node) ping() ping {
 	l, _ := n.election.Leader()
-	return ping{n.cfg.HostName, l.Name, l.Mesh, l.Incarnation, l.Stamp, n.stateOK(), int(n.workersHere.Load()),
-		n.clock.Now().Sub(n.started), n.ackedRevision(), n.versions()}
+	return ping{n.cfg.HostName, l.Name, l.Mesh, l.Incarnation, l.Revision, n.stateOK(), int(n.workerCount.Load()),
+		n.clock.Now().Sub(n.startedAt), n.acknowledgedUpTo(), n.versions()}
 }
 
 // pinged takes in what a peer tells. A leader that it knows only by its stamp, since
 // that one's key is gone already, ends earlier terms as well.
-func (n *Node) pinged(p ping) {
-	n.election.Observe(election.Leader{Holder: election.Holder{Name: p.Leader, Mesh: p.Mesh, Incarnation: p.Inc}, Stamp: p.Stamp})
-	n.acked.raise(p.Acked)
+func (n *Node) observePing(p ping) {
+	n.election.Observe(election.Leader{Holder: election.Holder{Name: p.Leader, Mesh: p.Mesh, Incarnation: p.Incarnation}, Revision: p.Revision})
+	n.acknowledged.advanceTo(p.Acked)
 }
 
 // vouched hands a peer's answer to a ping to the own term: what it knew of leaders
 // when it was asked.
-func (n *Node) vouched(asked ids.Instant, ans ping) {
+func (n *Node) confirmTerm(asked ids.Instant, ans ping) {
 	t := n.election.Term()
-	if t == nil || ans.Stamp > t.Stamp || ans.Up <= 0 {
+	if t == nil || ans.Revision > t.Revision || ans.Up <= 0 {
 		return
 	}
 	// The peer's clock may run fast.
-	t.Vouch(ans.From, asked, n.clock.Now().Add(ans.Up/500-ans.Up))
+	t.Confirm(ans.From, asked, n.clock.Now().Add(ans.Up/500-ans.Up))
 }
 
 // gossip keeps in touch with a peer.
-func (n *Node) gossip(ctx context.Context, p *peer) error {
+func (n *Node) pingLoop(ctx context.Context, p *peer) error {
 	for {
-		n.workersHere.Store(int32(n.crowd.count(n.clock.Now(), n.crowdWindow())))
+		n.workerCount.Store(int32(n.balancer.count(n.clock.Now(), n.balancerWindow())))
 		call, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
 		var ans ping
 		asked := n.clock.Now()
 		err := p.Call(call, "ping", n.ping(), &ans)
 		cancel()
 		if err == nil {
-			p.heard.Store(int64(n.clock.Now()))
+			p.lastHeard.Store(int64(n.clock.Now()))
 			p.stateOK.Store(ans.StateOK)
-			p.stamp.Store(uint64(ans.Stamp))
+			p.leaderRevision.Store(uint64(ans.Revision))
 			p.workers.Store(int32(ans.Workers))
-			p.heardVersion(ans)
-			n.pinged(ans)
-			n.vouched(asked, ans)
+			p.observeVersion(ans)
+			n.observePing(ans)
+			n.confirmTerm(asked, ans)
 		} else {
 			p.Close()
 		}
--- a/node/service.go
+++ b/node/service.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	retrySoon = time.Second
-	// userTime is how long a user's request may take here, of the 5 s that
+	retryDelay = time.Second
+	// userRequestTimeout is how long a user's request may take here, of the 5 s that
 	// users wait.
-	userTime = 3500 * time.Millisecond
-	// pollTime is the same for polls, of 2 s.
-	pollTime = 1500 * time.Millisecond
-	// intakeMost bounds the submissions that wait for a commit.
-	intakeMost = 128
+	userRequestTimeout = 3500 * time.Millisecond
+	// pollTimeout is the same for polls, of 2 s.
+	pollTimeout = 1500 * time.Millisecond
+	// maxIntake bounds the submissions that wait for a commit.
+	maxIntake = 128
 )
 
 // Healthy implements server.Service. A node without the catalog cannot judge
@@ -55,14 +55,14 @@
 
 // Submit implements server.Service.
 func (n *Node) Submit(ctx context.Context, id ids.JobID, spec *wire.Spec) server.Answer {
-	if s, ok := n.ended.get(id); ok {
+	if s, ok := n.terminalJobs.get(id); ok {
 		return server.Answer{Code: 200, Body: s}
 	}
 	types := n.catalog.Load()
 	if types == nil {
-		return server.Later(retrySoon)
+		return server.RetryLater(retryDelay)
 	}
-	ctx, cancel := context.WithTimeout(ctx, userTime)
+	ctx, cancel := context.WithTimeout(ctx, userRequestTimeout)
 	defer cancel()
 	if !n.canRun(spec, *types) {
 		// A job that was accepted stays so, whatever has changed since.
@@ -75,18 +75,18 @@
 	spec.Types = slices.DeleteFunc(spec.Types, func(name ids.MachineType) bool {
 		return !slices.ContainsFunc(*types, func(t wire.MachineType) bool { return t.Name == name })
 	})
-	if n.intake.Waiting() >= intakeMost {
-		return server.Later(retrySoon)
+	if n.intake.Waiting() >= maxIntake {
+		return server.RetryLater(retryDelay)
 	}
 	rec := ledger.Job{Nonce: rand.Uint64(), Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: spec,
 		SubmittedMS: time.Now().UnixMilli()}
-	if len(spec.Needs) > 0 {
-		doomed, a := n.judgeNeeds(ctx, id, spec.Needs)
+	if len(spec.DependsOn) > 0 {
+		doomed, a := n.checkDependencies(ctx, id, spec.DependsOn)
 		if a.Code != 0 {
 			return a
 		}
 		if doomed {
-			rec.Status = wire.StatusWithdrawn
+			rec.Status = wire.StatusCancelled
 		}
 	}
 	// With room for what a withdrawal changes. A list that is too long to be kept
@@ -100,14 +100,14 @@
 	out, err := n.commit(ctx, ledger.SubmitChange(id, rec))
 	if err != nil {
 		n.log.Debug("submission not taken", "job", id, "err", err)
-		return server.Later(retrySoon)
+		return server.RetryLater(retryDelay)
 	}
 	if out.Applied {
-		n.announce(id, &rec, out.Stamp)
+		n.notifyLeader(id, &rec, out.Revision)
 		return server.Answer{Code: 201, Body: wire.JobStatus{ID: id, Status: rec.Status}}
 	}
 	if out.Refused {
-		return server.Later(refusedLater)
+		return server.RetryLater(refusedLater)
 	}
 	return n.Status(ctx, id)
 }
@@ -125,23 +125,23 @@
 // accepted before is answered from its record, whatever it names. That a named job
 // was never accepted is said only on the strength of a copy that is as new as the
 // question.
-func (n *Node) judgeNeeds(ctx context.Context, id ids.JobID, needs []ids.JobID) (doomed bool, _ server.Answer) {
-	ctx, cancel := context.WithTimeout(ctx, pollTime)
+func (n *Node) checkDependencies(ctx context.Context, id ids.JobID, needs []ids.JobID) (doomed bool, _ server.Answer) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	a := n.polls.ask(ctx, id, needs)
+	a := n.statusReads.ask(ctx, id, needs)
 	switch {
 	case a.err != nil:
 		n.log.Debug("named jobs not read", "job", id, "err", a.err)
-		return false, server.Later(retrySoon)
+		return false, server.RetryLater(retryDelay)
 	case a.found:
-		return false, n.told(ctx, id, a)
+		return false, n.jobAnswer(ctx, id, a)
 	case !a.accepted:
 		return false, server.Answer{Code: 422}
 	case !n.upgrade.done():
 		// An older leader would not wait for them.
-		return false, server.Later(retrySoon)
+		return false, server.RetryLater(retryDelay)
 	}
-	return a.doomed, server.Answer{}
+	return a.dependencyCancelled, server.Answer{}
 }
 
 // commit brings one user's change to its outcome, or to an error after which
@@ -165,26 +165,26 @@
 // Status implements server.Service. What is over may be told from memory;
 // everything else is read, since another node may have told something newer.
 func (n *Node) Status(ctx context.Context, id ids.JobID) server.Answer {
-	if s, ok := n.ended.get(id); ok {
+	if s, ok := n.terminalJobs.get(id); ok {
 		return server.Answer{Code: 200, Body: s}
 	}
-	ctx, cancel := context.WithTimeout(ctx, pollTime)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	a := n.polls.ask(ctx, id, nil)
+	a := n.statusReads.ask(ctx, id, nil)
 	if a.err != nil {
 		n.log.Debug("job not read", "job", id, "err", a.err)
-		return server.Later(retrySoon)
+		return server.RetryLater(retryDelay)
 	}
 	if !a.found {
 		return server.Answer{Code: 404}
 	}
-	return n.told(ctx, id, a)
+	return n.jobAnswer(ctx, id, a)
 }
 
 // told is the answer about a job that was found.
-func (n *Node) told(ctx context.Context, id ids.JobID, a pollAnswer) server.Answer {
-	if a.job.over() {
-		return n.over(ctx, id, a.job)
+func (n *Node) jobAnswer(ctx context.Context, id ids.JobID, a queryAnswer) server.Answer {
+	if a.job.terminal() {
+		return n.terminalAnswer(ctx, id, a.job)
 	}
 	s := wire.JobStatus{ID: id, Status: a.job.Status, Done: a.Done, Running: a.Running}
 	if s.Running > 0 {
@@ -194,28 +194,28 @@
 }
 
 // over is the answer about a job that is done or withdrawn, if it may be told.
-func (n *Node) over(ctx context.Context, id ids.JobID, job known) server.Answer {
+func (n *Node) terminalAnswer(ctx context.Context, id ids.JobID, job jobSnapshot) server.Answer {
 	s := wire.JobStatus{ID: id, Status: job.Status}
 	switch {
 	case job.Status == wire.StatusDone:
 		s.Done = job.Tasks
-	case !job.orphan && !n.mayTell(ctx, id, &ledger.Job{Status: job.Status, Tasks: job.Tasks}, job.stamp):
-		a := server.Later(retrySoon)
+	case !job.orphan && !n.cancelVisible(ctx, id, &ledger.Job{Status: job.Status, Tasks: job.Tasks}, job.revision):
+		a := server.RetryLater(retryDelay)
 		a.Close = true // another node may reach the leader
 		return a
 	}
-	n.ended.put(s)
+	n.terminalJobs.put(s)
 	return server.Answer{Code: 200, Body: s}
 }
 
 // recordOf is what a job's own record tells.
-func recordOf(rec *ledger.Job, stamp ids.Stamp) known {
+func snapshotOf(rec *ledger.Job, stamp ids.Revision) jobSnapshot {
 	// Only the leader withdraws without the description: what never had a task.
-	return known{Status: rec.Status, Tasks: rec.Tasks, stamp: stamp,
-		orphan: rec.Status == wire.StatusWithdrawn && rec.Spec == nil}
+	return jobSnapshot{Status: rec.Status, Tasks: rec.Tasks, revision: stamp,
+		orphan: rec.Status == wire.StatusCancelled && rec.Spec == nil}
 }
 
-func (n *Node) readJob(ctx context.Context, id ids.JobID) (*ledger.Job, ids.Stamp, bool, error) {
+func (n *Node) readJob(ctx context.Context, id ids.JobID) (*ledger.Job, ids.Revision, bool, error) {
 	e, found, err := n.userState.Get(ctx, ledger.JobKey(id))
 	if err != nil || !found {
 		return nil, 0, false, err
@@ -224,7 +224,7 @@
 	if err := wire.Decode(e.Value, rec); err != nil {
 		return nil, 0, false, err
 	}
-	return rec, e.Stamp, true, nil
+	return rec, e.Revision, true, nil
 }
 
 // progress asks the leader how many tasks of each job are done and running. It
@@ -261,58 +261,58 @@
 }
 
 // Withdraw implements server.Service.
-func (n *Node) Withdraw(ctx context.Context, id ids.JobID) server.Answer {
-	if s, ok := n.ended.get(id); ok {
+func (n *Node) Cancel(ctx context.Context, id ids.JobID) server.Answer {
+	if s, ok := n.terminalJobs.get(id); ok {
 		return server.Answer{Code: 200, Body: s}
 	}
-	ctx, cancel := context.WithTimeout(ctx, userTime)
+	ctx, cancel := context.WithTimeout(ctx, userRequestTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		rec, stamp, found, err := n.readJob(ctx, id)
 		if err != nil {
-			return server.Later(retrySoon)
+			return server.RetryLater(retryDelay)
 		}
 		if !found {
 			return server.Answer{Code: 404}
 		}
 		if rec.Over() {
-			return n.over(ctx, id, recordOf(rec, stamp))
+			return n.terminalAnswer(ctx, id, snapshotOf(rec, stamp))
 		}
-		out, err := n.commit(ctx, ledger.WithdrawChange(id, stamp, rand.Uint64(), *rec, n.valueBytes()))
+		out, err := n.commit(ctx, ledger.CancelChange(id, stamp, rand.Uint64(), *rec, n.valueBytes()))
 		if err != nil {
-			return server.Later(retrySoon)
+			return server.RetryLater(retryDelay)
 		}
 		if out.Refused {
-			return server.Later(refusedLater)
+			return server.RetryLater(refusedLater)
 		}
 		if out.Applied {
-			return n.over(ctx, id, known{Status: wire.StatusWithdrawn, Tasks: rec.Tasks, stamp: out.Stamp})
+			return n.terminalAnswer(ctx, id, jobSnapshot{Status: wire.StatusCancelled, Tasks: rec.Tasks, revision: out.Revision})
 		}
 	}
-	return server.Later(retrySoon)
+	return server.RetryLater(retryDelay)
 }
 
 // announcement tells the leader about a job at once. The leader's watch finds
 // it too, only later. The answer tells whether the leader had taken it in while it
-// held its key; see mayTell. Older leaders say so once it is in the core's queue.
-type announcement struct {
-	ID    ids.JobID `cbor:"1,keyasint"`
-	Rec   []byte    `cbor:"2,keyasint"`
-	Stamp ids.Stamp `cbor:"3,keyasint"`
+// held its key; see cancelVisible. Older leaders say so once it is in the core's queue.
+type jobNotice struct {
+	ID       ids.JobID    `cbor:"1,keyasint"`
+	Record   []byte       `cbor:"2,keyasint"`
+	Revision ids.Revision `cbor:"3,keyasint"`
 }
 
-func newAnnouncement(id ids.JobID, rec *ledger.Job, stamp ids.Stamp) announcement {
-	return announcement{id, wire.Encode(rec), stamp}
+func newJobNotice(id ids.JobID, rec *ledger.Job, stamp ids.Revision) jobNotice {
+	return jobNotice{id, wire.Encode(rec), stamp}
 }
 
 // announce tells of a submission. Nothing hangs on its being heard.
-func (n *Node) announce(id ids.JobID, rec *ledger.Job, stamp ids.Stamp) {
+func (n *Node) notifyLeader(id ids.JobID, rec *ledger.Job, stamp ids.Revision) {
 	if t := n.term.Load(); t != nil {
-		go t.post(t.ctx, func() { t.core.JobSeen(n.clock.Now(), id, rec, stamp) })
+		go t.post(t.ctx, func() { t.core.ObserveJob(n.clock.Now(), id, rec, stamp) })
 		return
 	}
 	if p := n.leaderPeer(); p != nil {
-		a := newAnnouncement(id, rec, stamp)
+		a := newJobNotice(id, rec, stamp)
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
@@ -324,34 +324,34 @@
 }
 
 // Hello implements server.Service.
-func (n *Node) Hello(ctx context.Context, raw []byte, rep *wire.Report) server.Answer {
+func (n *Node) Report(ctx context.Context, raw []byte, rep *wire.Report) server.Answer {
 	now := n.clock.Now()
 	t := n.term.Load()
 	leading := t != nil && t.key.MayAnswer()
 	if l, ok := n.election.Leader(); !leading && (!ok || l.Name == n.cfg.HostName) {
 		return server.Answer{Code: 503}
 	}
-	n.crowd.came(rep.Host, now)
-	if to, ok := n.elsewhere(now, leading); ok {
+	n.balancer.reported(rep.Host, now)
+	if to, ok := n.redirectTarget(now, leading); ok {
 		return server.Answer{Code: 421, Body: wire.Redirect{Leader: to}}
 	}
 	if leading {
-		return n.report(ctx, t, rep)
+		return n.reportToCore(ctx, t, rep)
 	}
-	return n.edge.pass(ctx, raw)
+	return n.relay.relay(ctx, raw)
 }
 
 // leaderWeight is how many workers the leader should have for each that
 // another node has: it decides for all of them.
 const leaderWeight = 0.5
 
-// crowdWindow is how long a worker counts as one of a node's after a report.
-func (n *Node) crowdWindow() time.Duration {
+// balancerWindow is how long a worker counts as one of a node's after a report.
+func (n *Node) balancerWindow() time.Duration {
 	return ids.Seconds(2 * n.cfg.Settings.Workers.ReportS)
 }
 
 // elsewhere tells to which node a worker should go, if this one has too many.
-func (n *Node) elsewhere(now ids.Instant, leading bool) (ids.NodeName, bool) {
+func (n *Node) redirectTarget(now ids.Instant, leading bool) (ids.NodeName, bool) {
 	weigh := func(leads bool) float64 {
 		if leads {
 			return leaderWeight
@@ -359,21 +359,21 @@
 		return 1
 	}
 	leader, _ := n.election.Leader()
-	var others []load
+	var others []nodeLoad
 	for _, p := range n.peers {
 		// Only nodes that can pass reports on to the same leader.
-		if now < ids.Instant(p.heard.Load()).Add(1500*time.Millisecond) && p.stamp.Load() == uint64(leader.Stamp) {
-			others = append(others, load{p.Name, int(p.workers.Load()), weigh(p.Name == leader.Name)})
+		if now < ids.Instant(p.lastHeard.Load()).Add(1500*time.Millisecond) && p.leaderRevision.Load() == uint64(leader.Revision) {
+			others = append(others, nodeLoad{p.Name, int(p.workers.Load()), weigh(p.Name == leader.Name)})
 		}
 	}
-	return n.crowd.move(load{n.cfg.HostName, int(n.workersHere.Load()), weigh(leading)}, others, now)
+	return n.balancer.chooseTarget(nodeLoad{n.cfg.HostName, int(n.workerCount.Load()), weigh(leading)}, others, now)
 }
 
 // report gives a worker's report to the leader's core.
-func (n *Node) report(ctx context.Context, t *term, rep *wire.Report) server.Answer {
+func (n *Node) reportToCore(ctx context.Context, t *term, rep *wire.Report) server.Answer {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	var orders wire.Orders
+	var orders wire.ReportAnswer
 	var ok bool
 	if !t.ask(ctx, func() { orders, ok = t.core.Report(n.clock.Now(), rep, false) }) || !ok || !t.key.MayAnswer() {
 		return server.Answer{Code: 503}
@@ -391,9 +391,9 @@
 		if err := mesh.Decode(body, &p); err != nil {
 			return nil, err
 		}
-		n.pinged(p)
+		n.observePing(p)
 		if from := n.peerNamed(p.From); from != nil {
-			from.heardVersion(p)
+			from.observeVersion(p)
 		}
 		return n.ping(), nil
 	case "state":
@@ -423,21 +423,21 @@
 		}
 		return ans, nil
 	case "job":
-		var a announcement
+		var a jobNotice
 		if err := mesh.Decode(body, &a); err != nil {
 			return nil, err
 		}
 		rec := new(ledger.Job)
-		if err := wire.Decode(a.Rec, rec); err != nil {
+		if err := wire.Decode(a.Record, rec); err != nil {
 			return nil, err
 		}
-		return t.acknowledge(ctx, a.ID, rec, a.Stamp), nil
+		return t.acknowledge(ctx, a.ID, rec, a.Revision), nil
 	case "reports":
 		var raws [][]byte
 		if err := mesh.Decode(body, &raws); err != nil {
 			return nil, err
 		}
-		return n.reports(ctx, t, raws)
+		return n.relayedReports(ctx, t, raws)
 	}
 	return nil, errors.New("unknown request " + op)
 }
--- a/node/term.go
+++ b/node/term.go
@@ -66,53 +66,53 @@
 }
 
 const (
-	passEvery = 50 * time.Millisecond
-	// passCost is what looking at one machine costs a whole core, three times
+	roundInterval = 50 * time.Millisecond
+	// roundCostPerMachine is what looking at one machine costs a whole core, three times
 	// over: passes take a third of the processor at most.
-	passCost = 300 * time.Nanosecond
-	// lazySave is how long the record of a task that ended may wait. Were its
+	roundCostPerMachine = 300 * time.Nanosecond
+	// lazyWriteDelay is how long the record of a task that ended may wait. Were its
 	// machine lost together with the leader, the task would run again.
-	lazySave = 3 * time.Second
-	// mostCalls bounds the calls to workers under way.
-	mostCalls = 64
+	lazyWriteDelay = 3 * time.Second
+	// maxDirectCalls bounds the calls to workers under way.
+	maxDirectCalls = 64
 )
 
-func (n *Node) options(stamp ids.Stamp, predecessor bool) scheduler.Options {
+func (n *Node) options(stamp ids.Revision, predecessor bool) scheduler.Options {
 	s, op := &n.cfg.Settings, n.op
 	// What an earlier leader may do follows from its version.
 	grace := op.Grace()
 	if n.upgrade.done() {
-		grace = min(grace, n.isolated())
+		grace = min(grace, n.isolatedBound())
 	}
 	o := scheduler.Options{
-		Stamp:        stamp,
-		Predecessor:  predecessor,
-		Report:       ids.Seconds(s.Workers.ReportS),
-		Lease:        ids.Seconds(s.Workers.LeaseS),
-		Cancel:       ids.Seconds(s.Workers.CancelS),
-		Grace:        grace,
-		ListLag:      ids.Seconds(s.Cloud.ListLagS),
-		TxnOps:       n.limits().Ops,
-		ValueBytes:   n.valueBytes(),
-		Split:        n.upgrade.done(),
-		SliceTasks:   op.Quota.SliceTasks,
-		PassOver:     op.Quota.PassOver,
-		ReclaimHold:  ids.Seconds(op.Quota.ReclaimHoldS),
-		Idle:         ids.Seconds(op.Fleet.IdleS),
-		SpotIdle:     op.Fleet.SpotIdle,
-		HeadroomIdle: ids.Seconds(op.Fleet.HeadroomIdle),
-		Headroom:     op.Fleet.Headroom,
-		BootFactor:   op.Fleet.BootFactor,
-		CapacityBack: ids.Seconds(op.Fleet.CapacityBack),
-		MaxMachines:  op.Fleet.MaxMachines,
-		Impatient:    map[string]time.Duration{},
-		KeepAfter:    ids.Seconds(op.Quota.KeepAfterS),
-		KeepFor:      ids.Seconds(op.Quota.KeepForS),
-		PassEvery:    passEvery,
-		PassCost:     time.Duration(float64(passCost) / s.Resources.CPUShare),
-		LazySave:     lazySave,
-		WriteRate:    0.7 * s.State.Planned().WriteRPS,
-		MaxDirect:    min(mostCalls, max(8, s.Resources.Sockets/16)),
+		Revision:            stamp,
+		Predecessor:         predecessor,
+		Report:              ids.Seconds(s.Workers.ReportS),
+		Lease:               ids.Seconds(s.Workers.LeaseS),
+		Cancel:              ids.Seconds(s.Workers.CancelS),
+		Grace:               grace,
+		ListLag:             ids.Seconds(s.Cloud.ListLagS),
+		TxnOps:              n.limits().Ops,
+		ValueBytes:          n.valueBytes(),
+		SplitRecords:        n.upgrade.done(),
+		SliceTasks:          op.Quota.SliceTasks,
+		MaxSkippedJobs:      op.Quota.PassOver,
+		ReclaimHold:         ids.Seconds(op.Quota.ReclaimHoldS),
+		Idle:                ids.Seconds(op.Fleet.IdleS),
+		SpotIdleFactor:      op.Fleet.SpotIdle,
+		HeadroomIdle:        ids.Seconds(op.Fleet.HeadroomIdle),
+		Headroom:            op.Fleet.Headroom,
+		BootFactor:          op.Fleet.BootFactor,
+		CapacityBackoff:     ids.Seconds(op.Fleet.CapacityBack),
+		MaxMachines:         op.Fleet.MaxMachines,
+		LatencySensitive:    map[string]time.Duration{},
+		ReserveAfter:        ids.Seconds(op.Quota.KeepAfterS),
+		ReserveFor:          ids.Seconds(op.Quota.KeepForS),
+		RoundInterval:       roundInterval,
+		RoundCostPerMachine: time.Duration(float64(roundCostPerMachine) / s.Resources.CPUShare),
+		LazyWriteDelay:      lazyWriteDelay,
+		WriteRate:           0.7 * s.State.Planned().WriteRPS,
+		MaxDirectCalls:      min(maxDirectCalls, max(8, s.Resources.Sockets/16)),
 	}
 	for _, t := range s.Teams {
 		nominal := quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs}
@@ -126,7 +126,7 @@
 	for _, a := range s.Objectives {
 		// No machine boots within a few seconds, whatever the catalog says.
 		if a.Kind == "wait" && a.WithinS <= 10 {
-			o.Impatient[a.Class] = ids.Seconds(a.WithinS)
+			o.LatencySensitive[a.Class] = ids.Seconds(a.WithinS)
 		}
 	}
 	return o
@@ -141,7 +141,7 @@
 }
 
 func newTerm(n *Node, key *election.Term) *term {
-	fence := &statestore.Guard{Key: ledger.LeaderKey, Stamp: key.Stamp}
+	fence := &statestore.Guard{Key: ledger.LeaderKey, Revision: key.Revision}
 	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.While(key.MayAnswer),
 		returns: returnQueue{wake: make(chan struct{}, 1)},
 		ledger:  ledger.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
@@ -160,10 +160,10 @@
 	t.applied.Store(uint64(since))
 	n.term.Store(t)
 	if n.upgrade.done() { // perhaps only since the records were read
-		t.core.AllNew(n.clock.Now())
+		t.core.EnableSplitRecords(n.clock.Now())
 	}
 	defer n.term.CompareAndSwap(t, nil)
-	n.log.Info("records read", "stamp", key.Stamp, "state", t.core.Summary())
+	n.log.Info("records read", "stamp", key.Revision, "state", t.core.Summary())
 	g.Go(func() error { return t.ledger.Run(t.ctx) })
 	g.Go(func() error { return t.watchJobs(since) })
 	g.Go(t.listMachines)
@@ -178,7 +178,7 @@
 }
 
 // load reads the records, which nobody else can change any more, and the jobs.
-func (t *term) load() (ids.Stamp, error) {
+func (t *term) load() (ids.Revision, error) {
 	n := t.n
 	// The leader's commits are fenced by its stamp from here on, so the
 	// admissions stand still; jobs go on changing and are watched.
@@ -198,8 +198,8 @@
 	}
 	if !before {
 		out, err := n.leaderState.Commit(t.ctx, statestore.Txn{
-			Guards: []statestore.Guard{{Key: ledger.LeaderKey, Stamp: t.key.Stamp}},
-			Apply:  []statestore.Op{{Write: ledger.FleetKey, Value: map[string]uint64{"first": uint64(t.key.Stamp)}}},
+			Guards: []statestore.Guard{{Key: ledger.LeaderKey, Revision: t.key.Revision}},
+			Apply:  []statestore.Op{{Write: ledger.FleetKey, Value: map[string]uint64{"first": uint64(t.key.Revision)}}},
 		})
 		if err != nil {
 			return 0, err
@@ -208,8 +208,8 @@
 			return 0, ledger.ErrFenced
 		}
 	}
-	opt := n.options(t.key.Stamp, before)
-	opt.WallMS = time.Now().UnixMilli()
+	opt := n.options(t.key.Revision, before)
+	opt.WallClockMS = time.Now().UnixMilli()
 	t.core = scheduler.New(opt, *types)
 	since, err := n.leaderState.List(t.ctx, ledger.JobPrefix, func(e statestore.Entry) error {
 		var rec ledger.Job
@@ -218,7 +218,7 @@
 			t.core.LoadUnreadableJob(ids.JobID(e.Key[len(ledger.JobPrefix):]))
 			return nil
 		}
-		t.core.LoadJob(ids.JobID(e.Key[len(ledger.JobPrefix):]), &rec, e.Stamp)
+		t.core.LoadJob(ids.JobID(e.Key[len(ledger.JobPrefix):]), &rec, e.Revision)
 		return nil
 	})
 	if err != nil {
@@ -232,11 +232,11 @@
 		var rec ledger.Slice
 		err := wire.Decode(e.Value, &rec)
 		if err == nil {
-			err = t.core.LoadSlice(id, num, &rec, e.Stamp)
+			err = t.core.LoadSlice(id, num, &rec, e.Revision)
 		}
 		if err != nil {
 			n.unreadable(e.Key, err)
-			t.core.SetAside(id)
+			t.core.Suspend(id)
 		}
 		return nil
 	})
@@ -254,12 +254,12 @@
 	n.log.Error("record unreadable, what it is about waits", "key", key, "err", err)
 }
 
-// stepEvery is how often the core looks at the time when nothing happens.
-const stepEvery = 200 * time.Millisecond
+// stepInterval is how often the core looks at the time when nothing happens.
+const stepInterval = 200 * time.Millisecond
 
 // loop owns the core.
 func (t *term) loop() error {
-	tick := time.NewTicker(stepEvery)
+	tick := time.NewTicker(stepInterval)
 	defer tick.Stop()
 	lastLog := t.n.clock.Now()
 	for {
@@ -361,7 +361,7 @@
 		}
 		if err == nil {
 			if found {
-				t.post(t.ctx, func() { t.core.JobSeen(t.n.clock.Now(), id, &rec, e.Stamp) })
+				t.post(t.ctx, func() { t.core.ObserveJob(t.n.clock.Now(), id, &rec, e.Revision) })
 			}
 			return
 		}
@@ -413,8 +413,8 @@
 	return part
 }
 
-// returnEvery is the least time between two calls that give machines back.
-const returnEvery = 400 * time.Millisecond
+// returnInterval is the least time between two calls that give machines back.
+const returnInterval = 400 * time.Millisecond
 
 // returnMachines gives machines back, until the cloud says that they are gone.
 func (t *term) returnMachines() error {
@@ -437,7 +437,7 @@
 			}
 			t.n.log.Info("returned", "hosts", hosts)
 			t.post(t.ctx, func() { t.core.ReturnResult(t.n.clock.Now(), hosts, true) })
-			if !ids.Pause(t.ctx, returnEvery) {
+			if !ids.Pause(t.ctx, returnInterval) {
 				return t.ctx.Err()
 			}
 		}
@@ -445,7 +445,7 @@
 }
 
 // watchJobs is the safety net under the peers' announcements.
-func (t *term) watchJobs(since ids.Stamp) error {
+func (t *term) watchJobs(since ids.Revision) error {
 	for {
 		epoch, events, err := t.n.leaderState.Watch(t.ctx, ledger.JobPrefix, since, 10*time.Second)
 		if errors.Is(err, statestore.ErrTooOld) {
@@ -467,7 +467,7 @@
 				continue
 			}
 			id := ids.JobID(ev.Write[len(ledger.JobPrefix):])
-			t.post(t.ctx, func() { t.core.JobSeen(t.n.clock.Now(), id, &rec, ev.Stamp) })
+			t.post(t.ctx, func() { t.core.ObserveJob(t.n.clock.Now(), id, &rec, ev.Revision) })
 		}
 		since = max(since, epoch)
 		upTo := uint64(since)
@@ -478,7 +478,7 @@
 // awaitPeers waits until all other controllers follow this leader, and tells
 // the core.
 func (t *term) awaitPeers() error {
-	follows := func(p *peer) bool { return p.stamp.Load() >= uint64(t.key.Stamp) }
+	follows := func(p *peer) bool { return p.leaderRevision.Load() >= uint64(t.key.Revision) }
 	for _, p := range t.n.peers {
 		for !follows(p) {
 			if !ids.Pause(t.ctx, 200*time.Millisecond) {
@@ -486,7 +486,7 @@
 			}
 		}
 	}
-	t.post(t.ctx, func() { t.core.Followed(t.n.clock.Now()) })
+	t.post(t.ctx, func() { t.core.AllFollow(t.n.clock.Now()) })
 	return nil
 }
 
--- a/node/upgrade.go
+++ b/node/upgrade.go
@@ -17,8 +17,8 @@
 // no job that names others is accepted and no record is split. Everything else is
 // written as they write and read it. A leader before that may be an older one, which
 // goes on alone for the whole grace: term.options counts on that. And an older one
-// acknowledges withdrawals without saying whether it holds its key: mayTell takes that,
-// as older followers do. The file can go, with scheduler's AllNew and
+// acknowledges withdrawals without saying whether it holds its key: cancelVisible takes that,
+// as older followers do. The file can go, with scheduler's EnableSplitRecords and
 // Options.Split, once no deployment is left whose state lacks ledger.FormatKey; what
 // asks done() then takes it for true.
 
@@ -38,7 +38,7 @@
 }
 
 // heardVersion notes what a peer's latest ping told.
-func (p *peer) heardVersion(ans ping) {
+func (p *peer) observeVersion(ans ping) {
 	if ans.Format < formatNew {
 		p.version.Store(nil)
 		return
@@ -68,7 +68,7 @@
 
 // allNew tells what the peers' pings show: that all controllers are new, or that
 // somebody has written so.
-func (n *Node) allNew() (all, durable bool) {
+func (n *Node) allControllersNew() (all, durable bool) {
 	all = true
 	for _, p := range n.peers {
 		known := p.version.Load() != nil
@@ -83,9 +83,9 @@
 }
 
 const (
-	upgradeLook = 500 * time.Millisecond
-	// upgradeRead is how often the state service is asked meanwhile.
-	upgradeRead = 10 * time.Second
+	upgradeCheckInterval = 500 * time.Millisecond
+	// upgradeReadInterval is how often the state service is asked meanwhile.
+	upgradeReadInterval = 10 * time.Second
 )
 
 // awaitUpgrade waits until every controller is known to be new, makes that durable,
@@ -93,7 +93,7 @@
 func (n *Node) awaitUpgrade(ctx context.Context) error {
 	var readAt ids.Instant
 	for !n.upgrade.done() {
-		all, durable := n.allNew()
+		all, durable := n.allControllersNew()
 		now := n.clock.Now()
 		var err error
 		switch {
@@ -110,19 +110,19 @@
 				continue
 			}
 		case now >= readAt:
-			readAt = now.Add(upgradeRead)
+			readAt = now.Add(upgradeReadInterval)
 			err = n.readUpgrade(ctx, n.userState)
 		}
 		if err != nil {
 			n.log.Debug("upgrade not settled", "err", err)
 		}
-		if !ids.Pause(ctx, upgradeLook) {
+		if !ids.Pause(ctx, upgradeCheckInterval) {
 			return ctx.Err()
 		}
 	}
 	n.log.Info("all controllers are of this version")
 	if t := n.term.Load(); t != nil {
-		t.post(ctx, func() { t.core.AllNew(n.clock.Now()) })
+		t.post(ctx, func() { t.core.EnableSplitRecords(n.clock.Now()) })
 	}
 	return nil
 }
--- a/node/upgrade_test.go
+++ b/node/upgrade_test.go
@@ -33,7 +33,7 @@
 // commits, lists and changes.
 type smallState struct {
 	mu    sync.Mutex
-	epoch ids.Stamp
+	epoch ids.Revision
 	keys  map[string]statestore.Entry
 	log   []statestore.Event
 	down  bool
@@ -82,7 +82,7 @@
 			return
 		}
 		for _, g := range txn.Guards {
-			if s.keys[g.Key].Stamp != g.Stamp {
+			if s.keys[g.Key].Revision != g.Revision {
 				w.WriteHeader(409)
 				ans["failed"] = []string{g.Key}
 				_, _ = w.Write(wire.Encode(ans))
@@ -96,8 +96,8 @@
 				delete(s.keys, op.Drop)
 				continue
 			}
-			s.keys[op.Write] = statestore.Entry{Key: op.Write, Value: op.Value, Stamp: s.epoch}
-			s.log = append(s.log, statestore.Event{Write: op.Write, Value: op.Value, Stamp: s.epoch})
+			s.keys[op.Write] = statestore.Entry{Key: op.Write, Value: op.Value, Revision: s.epoch}
+			s.log = append(s.log, statestore.Event{Write: op.Write, Value: op.Value, Revision: s.epoch})
 		}
 		if s.lose > 0 {
 			s.lose--
@@ -107,7 +107,7 @@
 		list := []any{}
 		for key, e := range s.keys {
 			if strings.HasPrefix(key, prefix) {
-				list = append(list, map[string]any{"key": key, "v": e.Value, "stamp": e.Stamp})
+				list = append(list, map[string]any{"key": key, "v": e.Value, "stamp": e.Revision})
 			}
 		}
 		ans["entries"] = list
@@ -115,8 +115,8 @@
 		since, _ := strconv.Atoi(r.URL.Query().Get("since"))
 		list := []any{}
 		for _, e := range s.log {
-			if int(e.Stamp) > since && strings.HasPrefix(e.Write, prefix) {
-				list = append(list, map[string]any{"write": e.Write, "v": e.Value, "stamp": e.Stamp})
+			if int(e.Revision) > since && strings.HasPrefix(e.Write, prefix) {
+				list = append(list, map[string]any{"write": e.Write, "v": e.Value, "stamp": e.Revision})
 			}
 		}
 		ans["events"] = list
@@ -126,7 +126,7 @@
 			w.WriteHeader(404)
 			break
 		}
-		ans["v"], ans["stamp"] = e.Value, e.Stamp
+		ans["v"], ans["stamp"] = e.Value, e.Revision
 	}
 	_, _ = w.Write(wire.Encode(ans))
 }
@@ -142,7 +142,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() { _ = n.intake.Run(ctx) })
-	wg.Go(func() { _ = n.polls.run(ctx) })
+	wg.Go(func() { _ = n.statusReads.run(ctx) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	return n
 }
@@ -181,7 +181,7 @@
 }
 
 func waiting(needs ...ids.JobID) *wire.Spec {
-	return &wire.Spec{Class: "c", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", Needs: needs}
+	return &wire.Spec{Class: "c", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", DependsOn: needs}
 }
 
 // Submissions that name others, at two nodes. What is refused as never accepted is
@@ -199,7 +199,7 @@
 	submit := func(n *Node, id ids.JobID, code int, status string, needs ...ids.JobID) {
 		t.Helper()
 		ans := n.Submit(t.Context(), id, waiting(needs...))
-		if s, _ := ans.Body.(wire.JobStatus); ans.Code != code || s.Status != status || code == 503 && ans.Retry == 0 {
+		if s, _ := ans.Body.(wire.JobStatus); ans.Code != code || s.Status != status || code == 503 && ans.RetryAfter == 0 {
 			t.Errorf("%s after %v: %+v, want %d %s", id, needs, ans, code, status)
 		}
 	}
@@ -229,21 +229,21 @@
 	submit(a, "job-6", 422, "", long...) // cannot be kept whole
 	submit(a, "job-7", 201, "queued", long[:40]...)
 	var rec ledger.Job
-	if err := wire.Decode(state.keys["jobs/job-7"].Value, &rec); err != nil || !slices.Equal(rec.Spec.Needs, long[:40]) {
+	if err := wire.Decode(state.keys["jobs/job-7"].Value, &rec); err != nil || !slices.Equal(rec.Spec.DependsOn, long[:40]) {
 		t.Errorf("kept %v, %v", rec.Spec, err)
 	}
 
 	state.outage(true)
 	submit(b, "job-8", 503, "", "job-none") // unknown is not never accepted
 	state.outage(false)
-	if ans := a.Withdraw(t.Context(), "job-1"); ans.Code != 200 {
+	if ans := a.Cancel(t.Context(), "job-1"); ans.Code != 200 {
 		t.Fatalf("withdrawal: %+v", ans)
 	}
-	says("job-2", wire.StatusWithdrawn)
-	says("job-3", wire.StatusWithdrawn)
-	submit(b, "job-9", 201, wire.StatusWithdrawn, "job-3")
-	says("job-9", wire.StatusWithdrawn)
-	submit(a, "job-3", 200, wire.StatusWithdrawn, "job-2")
+	says("job-2", wire.StatusCancelled)
+	says("job-3", wire.StatusCancelled)
+	submit(b, "job-9", 201, wire.StatusCancelled, "job-3")
+	says("job-9", wire.StatusCancelled)
+	submit(a, "job-3", 200, wire.StatusCancelled, "job-2")
 	says("job-7", "queued")
 
 	// While some controller may be old, nothing that names others is taken, and
@@ -252,7 +252,7 @@
 	follow(old, a)
 	submit(old, "job-10", 503, "", "job-7")
 	submit(old, "job-10", 422, "", "job-none")
-	submit(old, "job-3", 200, wire.StatusWithdrawn, "job-2")
+	submit(old, "job-3", 200, wire.StatusCancelled, "job-2")
 	submit(old, "job-11", 201, "queued")
 }
 
@@ -278,11 +278,11 @@
 		n := testNode(t, cfg)
 		for i, p := range []*ping{c.first, c.second} {
 			if p != nil {
-				n.peers[i].heardVersion(fresh("n-1", "n-2"))
-				n.peers[i].heardVersion(*p)
+				n.peers[i].observeVersion(fresh("n-1", "n-2"))
+				n.peers[i].observeVersion(*p)
 			}
 		}
-		if all, durable := n.allNew(); all != c.all || durable {
+		if all, durable := n.allControllersNew(); all != c.all || durable {
 			t.Errorf("%s: all new: %v, durable: %v", c.name, all, durable)
 		}
 	}
@@ -292,7 +292,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	for i := range peers {
-		first.peers[i].heardVersion(fresh())
+		first.peers[i].observeVersion(fresh())
 	}
 	for _, n := range []*Node{first, second} {
 		if err := n.awaitUpgrade(ctx); err != nil || !n.upgrade.done() {
@@ -323,14 +323,14 @@
 
 func prodSpec() *wire.Spec {
 	return &wire.Spec{Class: "train", Team: "vision", Priority: wire.High, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
-		ImageGB: 6.2, Types: []ids.MachineType{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, SaveEvery: 30, SaveS: 4, DeadlineS: 900}
+		ImageGB: 6.2, Types: []ids.MachineType{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, CheckpointEveryS: 30, CheckpointS: 4, DeadlineS: 900}
 }
 
 // Every record and frame of the version in production means the same here.
 func TestReadsWhatProductionWrote(t *testing.T) {
 	queued := ledger.Job{Nonce: 1<<63 + 5, Status: wire.StatusQueued, Tasks: 70, Spec: prodSpec(), SubmittedMS: 1764640000123}
 	withdrawn := queued
-	withdrawn.Nonce, withdrawn.Status = 99, wire.StatusWithdrawn
+	withdrawn.Nonce, withdrawn.Status = 99, wire.StatusCancelled
 	old := production(t)
 	for name, want := range map[string]any{
 		"job queued":    queued,
@@ -339,11 +339,11 @@
 		"slice": ledger.Slice{Nonce: 97, Hosts: []ids.Host{"n-000231", "n-000007"}, Zones: []ids.Zone{"a", "b"},
 			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 3, -1}, Done: []int{67, 69}},
 		"leader":       election.Holder{Name: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3},
-		"ping":         ping{From: "perch-1", Leader: "perch-0", Mesh: "10.0.0.1:8081", Inc: 1<<62 + 3, Stamp: 412, StateOK: true, Workers: 231},
+		"ping":         ping{From: "perch-1", Leader: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StateOK: true, Workers: 231},
 		"state call":   stateCall{"POST", "/commit", []byte{1, 2}, 1000},
 		"state answer": stateAnswer{200, []byte{3}, false, true},
-		"announcement": announcement{"job-1", old["job queued"], 412},
-		"report answer": []reportAnswer{{true, wire.Orders{Token: ids.NewToken(412, 3), Orders: []wire.Order{
+		"announcement": jobNotice{"job-1", old["job queued"], 412},
+		"report answer": []relayedAnswer{{true, wire.ReportAnswer{Token: ids.NewToken(412, 3), Commands: []wire.Command{
 			{Verb: "run", Name: "job-1/3", Attempt: 2}, {Verb: "kill", Name: "job-2/1", Attempt: 1, GraceS: 5.5}}}}},
 		"progress": []progress{{3, 13}},
 	} {
@@ -420,9 +420,9 @@
 	}{
 		{"done, with the time", ledger.DoneChange("job-1", 7, ledger.Job{Nonce: 6, Tasks: 70, DoneMS: 1764640000123}, nil).Apply[0].Value,
 			oldJob{Nonce: 6, Status: "done", Tasks: 70}},
-		{"withdrawn", ledger.WithdrawChange("job-1", 7, 6, rec, 2000).Apply[0].Value,
+		{"withdrawn", ledger.CancelChange("job-1", 7, 6, rec, 2000).Apply[0].Value,
 			oldJob{Nonce: 6, Status: "withdrawn", Tasks: 70, Spec: &spec, SubmittedMS: 5}},
-		{"withdrawn, and too large", ledger.WithdrawChange("job-1", 7, 6, rec, 150).Apply[0].Value,
+		{"withdrawn, and too large", ledger.CancelChange("job-1", 7, 6, rec, 150).Apply[0].Value,
 			oldJob{Nonce: 6, Status: "withdrawn", Tasks: 70, Spec: &short, SubmittedMS: 5}},
 	} {
 		var got oldJob
--- a/node/withdrawals.go
+++ b/node/withdrawals.go
@@ -22,9 +22,9 @@
 
 // acked is the revision up to which a leader that held its key had applied all changes
 // of jobs. It stays true whoever leads, so nodes pass it on.
-type acked struct{ upTo atomic.Uint64 }
+type acknowledgedRevision struct{ upTo atomic.Uint64 }
 
-func (a *acked) raise(to ids.Stamp) {
+func (a *acknowledgedRevision) advanceTo(to ids.Revision) {
 	for {
 		was := a.upTo.Load()
 		if uint64(to) <= was || a.upTo.CompareAndSwap(was, uint64(to)) {
@@ -33,31 +33,31 @@
 	}
 }
 
-// ackedRevision is the latest that this node knows of it. Whether the key is held is
+// acknowledgedUpTo is the latest that this node knows of it. Whether the key is held is
 // asked after what the own term has taken in.
-func (n *Node) ackedRevision() ids.Stamp {
+func (n *Node) acknowledgedUpTo() ids.Revision {
 	if t := n.term.Load(); t != nil {
-		if applied := ids.Stamp(t.applied.Load()); t.key.Holds() {
-			n.acked.raise(applied)
+		if applied := ids.Revision(t.applied.Load()); t.key.Holds() {
+			n.acknowledged.advanceTo(applied)
 		}
 	}
-	return ids.Stamp(n.acked.upTo.Load())
+	return ids.Revision(n.acknowledged.upTo.Load())
 }
 
-// ackTime is how long the leader may take to take a withdrawal in.
-const ackTime = 700 * time.Millisecond
+// acknowledgeTimeout is how long the leader may take to take a withdrawal in.
+const acknowledgeTimeout = 700 * time.Millisecond
 
-// mayTell tells whether a withdrawal may be told, and has the leader take it in if
+// cancelVisible tells whether a withdrawal may be told, and has the leader take it in if
 // that is not known. Without a leader that answers it may not, for now: the next
 // request asks again, and the pings bring what a leader has read by itself.
-func (n *Node) mayTell(ctx context.Context, id ids.JobID, rec *ledger.Job, stamp ids.Stamp) bool {
-	if stamp <= n.ackedRevision() {
+func (n *Node) cancelVisible(ctx context.Context, id ids.JobID, rec *ledger.Job, stamp ids.Revision) bool {
+	if stamp <= n.acknowledgedUpTo() {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, ackTime)
+	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
 	defer cancel()
 	l, _ := n.election.Leader()
-	if t := n.term.Load(); t != nil && l.Stamp == t.key.Stamp {
+	if t := n.term.Load(); t != nil && l.Revision == t.key.Revision {
 		return t.acknowledge(ctx, id, rec, stamp)
 	}
 	p := n.peerNamed(l.Name)
@@ -65,7 +65,7 @@
 		return false
 	}
 	var held bool
-	if err := p.Call(ctx, "job", newAnnouncement(id, rec, stamp), &held); err != nil {
+	if err := p.Call(ctx, "job", newJobNotice(id, rec, stamp), &held); err != nil {
 		n.log.Debug("withdrawal not taken in", "job", id, "err", err)
 		return false
 	}
@@ -74,6 +74,6 @@
 
 // acknowledge has the core take a job's record in, and tells whether the key was surely
 // held after that.
-func (t *term) acknowledge(ctx context.Context, id ids.JobID, rec *ledger.Job, stamp ids.Stamp) bool {
-	return t.ask(ctx, func() { t.core.JobSeen(t.n.clock.Now(), id, rec, stamp) }) && t.key.Holds()
+func (t *term) acknowledge(ctx context.Context, id ids.JobID, rec *ledger.Job, stamp ids.Revision) bool {
+	return t.ask(ctx, func() { t.core.ObserveJob(t.n.clock.Now(), id, rec, stamp) }) && t.key.Holds()
 }
--- a/node/withdrawals_test.go
+++ b/node/withdrawals_test.go
@@ -66,10 +66,10 @@
 		name string
 		ask  func(n *Node, id ids.JobID) server.Answer
 	}{
-		{"withdraw", func(n *Node, id ids.JobID) server.Answer { return n.Withdraw(t.Context(), id) }},
+		{"withdraw", func(n *Node, id ids.JobID) server.Answer { return n.Cancel(t.Context(), id) }},
 		{"poll", func(n *Node, id ids.JobID) server.Answer { return n.Status(t.Context(), id) }},
 		{"submit", func(n *Node, id ids.JobID) server.Answer { return n.Submit(t.Context(), id, waiting()) }},
-		{"withdraw again", func(n *Node, id ids.JobID) server.Answer { return n.Withdraw(t.Context(), id) }},
+		{"withdraw again", func(n *Node, id ids.JobID) server.Answer { return n.Cancel(t.Context(), id) }},
 	}
 	check := func(id ids.JobID, told bool, when string) {
 		t.Helper()
@@ -77,7 +77,7 @@
 			for _, way := range ways {
 				a := way.ask(n, id)
 				s, _ := a.Body.(wire.JobStatus)
-				if told && (a.Code != 200 || s.Status != wire.StatusWithdrawn) || !told && (a.Code != 503 || a.Retry == 0) {
+				if told && (a.Code != 200 || s.Status != wire.StatusCancelled) || !told && (a.Code != 503 || a.RetryAfter == 0) {
 					t.Errorf("%s, %s: %s: %+v", when, way.name, id, a)
 				}
 			}
@@ -93,7 +93,7 @@
 		}
 		until(t, "the leader knows the job", func() bool { return known(id) })
 	}
-	if a := asked.Withdraw(t.Context(), "job-1"); a.Code != 200 {
+	if a := asked.Cancel(t.Context(), "job-1"); a.Code != 200 {
 		t.Errorf("the leader holds its key: %+v", a)
 	}
 	if known("job-1") {
@@ -109,8 +109,8 @@
 	}
 	check("job-1", true, "the leader is refused alone")
 	// Nor while nobody leads, as far as this node knows.
-	asked.election.Observe(election.Leader{Holder: election.Holder{Name: "n-9"}, Stamp: term.key.Stamp + 1})
-	if a := asked.Withdraw(t.Context(), "job-3"); a.Code != 503 {
+	asked.election.Observe(election.Leader{Holder: election.Holder{Name: "n-9"}, Revision: term.key.Revision + 1})
+	if a := asked.Cancel(t.Context(), "job-3"); a.Code != 503 {
 		t.Errorf("nobody leads: %+v", a)
 	}
 
@@ -123,9 +123,9 @@
 	until(t, "the leader has read all", func() bool {
 		state.mu.Lock()
 		defer state.mu.Unlock()
-		return ids.Stamp(term.applied.Load()) >= state.keys["jobs/job-3"].Stamp
+		return ids.Revision(term.applied.Load()) >= state.keys["jobs/job-3"].Revision
 	})
-	asked.pinged(leader.ping())
+	asked.observePing(leader.ping())
 	check("job-2", true, "the leader holds its key again")
 	check("job-3", true, "the leader holds its key again")
 }
@@ -159,7 +159,7 @@
 	cfg.Seeds = []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}}
 	cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS = 27, 52
 	n := testNode(t, cfg)
-	if d := n.isolated(); d < 23*time.Second || d > 24*time.Second {
+	if d := n.isolatedBound(); d < 23*time.Second || d > 24*time.Second {
 		t.Errorf("isolated for %v", d)
 	}
 	n.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
@@ -170,7 +170,7 @@
 	key := n.election.Term()
 	// A peer that has seen a later leader ends the term, though it does not know who
 	// leads now.
-	n.pinged(ping{From: "n-1", Stamp: key.Stamp + 1})
+	n.observePing(ping{From: "n-1", Revision: key.Revision + 1})
 	until(t, "the term is over", func() bool { return n.election.Term() != key })
 	if key.MayAnswer() {
 		t.Error("answers in the name of an earlier term")
@@ -181,7 +181,7 @@
 // read what it wrote, and write on. Whoever asks after an answer gets nothing older,
 // from any node, and the node that waited for its answer least of all.
 func TestNothingOlderAfterLostAnswers(t *testing.T) {
-	rank := map[string]int{wire.StatusQueued: 1, wire.StatusWithdrawn: 2}
+	rank := map[string]int{wire.StatusQueued: 1, wire.StatusCancelled: 2}
 	state := newSmallState(t)
 	a := state.started(t)
 	seed := config.Peer{Name: "n-0", Address: state.leads(t, a)}
@@ -221,7 +221,7 @@
 					ask("polled", func(ctx context.Context) server.Answer { return n.Status(ctx, id) })
 				}
 				if i == round%3 {
-					ask("cancelled", func(ctx context.Context) server.Answer { return n.Withdraw(ctx, id) })
+					ask("cancelled", func(ctx context.Context) server.Answer { return n.Cancel(ctx, id) })
 				}
 				for range 5 {
 					ask("polled", func(ctx context.Context) server.Answer { return n.Status(ctx, id) })
@@ -230,7 +230,7 @@
 			})
 		}
 		users.Wait()
-		ask("cancelled again", func(ctx context.Context) server.Answer { return nodes[round%3].Withdraw(ctx, id) })
+		ask("cancelled again", func(ctx context.Context) server.Answer { return nodes[round%3].Cancel(ctx, id) })
 		if newest != 2 {
 			t.Errorf("%s: told %d", id, newest)
 		}
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -31,20 +31,20 @@
 	Done
 	// Withdrawn is final too: by the job's own record, or because a job that it
 	// needs is withdrawn.
-	Withdrawn
+	Cancelled
 )
 
 // Record is what a job's record says that matters here.
 type Record struct {
-	Status   string
-	Needs    []ids.JobID
-	Priority wire.Priority
+	Status    string
+	DependsOn []ids.JobID
+	Priority  wire.Priority
 	// SubmittedMS and DoneMS are times of day; 0: not known.
 	SubmittedMS, DoneMS int64
 	// DueMS is when the job should be done, as the time of day; 0: no deadline.
 	// Takes is how long its tasks should run.
-	DueMS int64
-	Takes time.Duration
+	DueMS       int64
+	ExpectedRun time.Duration
 }
 
 // Standing is what follows for a job from all records.
@@ -62,30 +62,30 @@
 }
 
 // levels is how many priorities there are.
-const levels = int(wire.Critical) + 1
+const priorityLevels = int(wire.Critical) + 1
 
 type node struct {
 	id    ids.JobID
 	state State
 	// open counts the needed jobs that are not done.
-	open         int32
-	needs, after []*node // unfinished ones
-	own, prio    wire.Priority
+	unfinished               int32
+	dependencies, dependents []*node // unfinished ones
+	ownPriority, priority    wire.Priority
 	// by counts those that need this job and still wait, by their priority. A
 	// crowd that needs one job may then change without being looked through.
-	by              [levels]int32
-	readyMS, doneMS int64
-	endBy           int64 // as StartByMS, for its end
-	takes           time.Duration
+	dependentsByPriority [priorityLevels]int32
+	readyMS, doneMS      int64
+	endByMS              int64 // as StartByMS, for its end
+	expectedRun          time.Duration
 }
 
 func (n *node) over() bool { return n.state >= Done }
 
-func (n *node) startBy() int64 {
-	if n.endBy == 0 {
+func (n *node) startByMS() int64 {
+	if n.endByMS == 0 {
 		return 0
 	}
-	return n.endBy - n.takes.Milliseconds()
+	return n.endByMS - n.expectedRun.Milliseconds()
 }
 
 // Graph holds all jobs and who needs whom. Its work is in proportion to what
@@ -101,7 +101,7 @@
 	if n == nil {
 		return Standing{}
 	}
-	return Standing{State: n.state, Priority: n.prio, ReadyMS: n.readyMS, StartByMS: n.startBy()}
+	return Standing{State: n.state, Priority: n.priority, ReadyMS: n.readyMS, StartByMS: n.startByMS()}
 }
 
 func (g *Graph) node(id ids.JobID) *node {
@@ -120,14 +120,14 @@
 	if n.over() {
 		return nil
 	}
-	w := &walk{}
+	w := &update{}
 	switch {
 	case r.Status == wire.StatusDone:
 		n.doneMS = r.DoneMS
-		w.change(n)
-		w.done(n)
-	case r.Status == wire.StatusWithdrawn:
-		w.withdraw(n)
+		w.markChanged(n)
+		w.finish(n)
+	case r.Status == wire.StatusCancelled:
+		w.cancel(n)
 	case n.state == Unknown:
 		w.accept(g, n, r)
 	}
@@ -135,88 +135,88 @@
 }
 
 // walk is one change and what follows from it.
-type walk struct {
+type update struct {
 	changed []ids.JobID
-	seen    map[*node]bool
+	marked  map[*node]bool
 }
 
-func (w *walk) change(n *node) {
-	if w.seen == nil {
-		w.seen = map[*node]bool{}
+func (w *update) markChanged(n *node) {
+	if w.marked == nil {
+		w.marked = map[*node]bool{}
 	}
-	if !w.seen[n] {
-		w.seen[n] = true
+	if !w.marked[n] {
+		w.marked[n] = true
 		w.changed = append(w.changed, n.id)
 	}
 }
 
-func (w *walk) accept(g *Graph, n *node, r Record) {
-	w.change(n)
-	n.state, n.own, n.readyMS = Waiting, r.Priority, r.SubmittedMS
-	n.prio = n.highest()
-	n.takes = r.Takes
-	n.due(r.DueMS)
+func (w *update) accept(g *Graph, n *node, r Record) {
+	w.markChanged(n)
+	n.state, n.ownPriority, n.readyMS = Waiting, r.Priority, r.SubmittedMS
+	n.priority = n.effectivePriority()
+	n.expectedRun = r.ExpectedRun
+	n.tightenEndBy(r.DueMS)
 	doomed := false
-	named := slices.Clone(r.Needs)
+	named := slices.Clone(r.DependsOn)
 	slices.Sort(named)
 	for _, id := range slices.Compact(named) {
 		m := g.node(id)
 		switch m.state {
 		case Done:
 			n.readyMS = max(n.readyMS, m.doneMS)
-		case Withdrawn:
+		case Cancelled:
 			doomed = true
 		default:
-			n.open++
-			n.needs = append(n.needs, m)
-			m.after = append(m.after, n)
-			m.by[n.prio]++
+			n.unfinished++
+			n.dependencies = append(n.dependencies, m)
+			m.dependents = append(m.dependents, n)
+			m.dependentsByPriority[n.priority]++
 		}
 	}
 	switch {
 	case doomed:
-		w.withdraw(n)
+		w.cancel(n)
 		return
-	case n.open == 0:
+	case n.unfinished == 0:
 		n.state = Ready
 	}
-	for _, m := range n.needs {
-		w.raise(m)
+	for _, m := range n.dependencies {
+		w.propagatePriority(m)
 	}
-	w.hurry(n)
+	w.propagateDeadline(n)
 }
 
 // leave takes a job that is over out of the count of those that still need others.
-func (w *walk) leave(n *node) {
-	for _, m := range n.needs {
+func (w *update) detachFromDependencies(n *node) {
+	for _, m := range n.dependencies {
 		if !m.over() {
-			m.by[n.prio]--
-			w.raise(m)
+			m.dependentsByPriority[n.priority]--
+			w.propagatePriority(m)
 		}
 	}
-	n.after, n.needs = nil, nil
+	n.dependents, n.dependencies = nil, nil
 }
 
 // done lets those go on that needed the job.
-func (w *walk) done(n *node) {
+func (w *update) finish(n *node) {
 	n.state = Done
-	for _, a := range n.after {
+	for _, a := range n.dependents {
 		if a.over() {
 			continue
 		}
-		a.open--
+		a.unfinished--
 		a.readyMS = max(a.readyMS, n.doneMS)
-		if a.open == 0 && a.state == Waiting {
-			a.state, a.needs = Ready, nil
-			w.change(a)
+		if a.unfinished == 0 && a.state == Waiting {
+			a.state, a.dependencies = Ready, nil
+			w.markChanged(a)
 		}
 	}
-	w.leave(n)
+	w.detachFromDependencies(n)
 }
 
 // withdraw takes a job out, and all that need it, directly or through others. A
 // chain may be long, so it goes by a list and not by calls.
-func (w *walk) withdraw(first *node) {
+func (w *update) cancel(first *node) {
 	todo := []*node{first}
 	for len(todo) > 0 {
 		n := todo[len(todo)-1]
@@ -224,32 +224,32 @@
 		if n.over() {
 			continue
 		}
-		n.state = Withdrawn
-		w.change(n)
-		todo = append(todo, n.after...)
-		w.leave(n)
+		n.state = Cancelled
+		w.markChanged(n)
+		todo = append(todo, n.dependents...)
+		w.detachFromDependencies(n)
 	}
 }
 
 // due notes a time by which a job should be done, and tells whether it is the
 // earliest.
-func (n *node) due(by int64) bool {
-	if by == 0 || n.endBy != 0 && by >= n.endBy {
+func (n *node) tightenEndBy(by int64) bool {
+	if by == 0 || n.endByMS != 0 && by >= n.endByMS {
 		return false
 	}
-	n.endBy = by
+	n.endByMS = by
 	return true
 }
 
 // hurry brings the times by which what a job needs should be done up to date.
-func (w *walk) hurry(first *node) {
+func (w *update) propagateDeadline(first *node) {
 	todo := []*node{first}
 	for len(todo) > 0 {
 		n := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		for _, m := range n.needs {
-			if !m.over() && m.due(n.startBy()) {
-				w.change(m)
+		for _, m := range n.dependencies {
+			if !m.over() && m.tightenEndBy(n.startByMS()) {
+				w.markChanged(m)
 				todo = append(todo, m)
 			}
 		}
@@ -257,33 +257,33 @@
 }
 
 // highest is the priority that follows for a job.
-func (n *node) highest() wire.Priority {
-	for p := levels - 1; p > int(n.own); p-- {
-		if n.by[p] > 0 {
+func (n *node) effectivePriority() wire.Priority {
+	for p := priorityLevels - 1; p > int(n.ownPriority); p-- {
+		if n.dependentsByPriority[p] > 0 {
 			return wire.Priority(p)
 		}
 	}
-	return n.own
+	return n.ownPriority
 }
 
 // raise brings a job's priority, and those of all that it needs, up to date.
-func (w *walk) raise(first *node) {
+func (w *update) propagatePriority(first *node) {
 	todo := []*node{first}
 	for len(todo) > 0 {
 		n := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		p := n.highest()
-		if n.over() || p == n.prio {
+		p := n.effectivePriority()
+		if n.over() || p == n.priority {
 			continue
 		}
-		for _, m := range n.needs {
+		for _, m := range n.dependencies {
 			if !m.over() {
-				m.by[n.prio]--
-				m.by[p]++
+				m.dependentsByPriority[n.priority]--
+				m.dependentsByPriority[p]++
 				todo = append(todo, m)
 			}
 		}
-		n.prio = p
-		w.change(n)
+		n.priority = p
+		w.markChanged(n)
 	}
 }
--- a/pipeline/pipeline_test.go
+++ b/pipeline/pipeline_test.go
@@ -22,14 +22,14 @@
 		return Unknown
 	case r.Status == wire.StatusDone:
 		return Done
-	case r.Status == wire.StatusWithdrawn:
-		return Withdrawn
+	case r.Status == wire.StatusCancelled:
+		return Cancelled
 	}
 	s := Ready
-	for _, n := range r.Needs {
+	for _, n := range r.DependsOn {
 		switch p.state(n) {
-		case Withdrawn:
-			return Withdrawn
+		case Cancelled:
+			return Cancelled
 		case Unknown, Waiting, Ready:
 			s = Waiting
 		}
@@ -40,7 +40,7 @@
 func (p plain) priority(id ids.JobID) wire.Priority {
 	most := p[id].Priority
 	for other, r := range p {
-		if slices.Contains(r.Needs, id) && p.state(other) == Waiting {
+		if slices.Contains(r.DependsOn, id) && p.state(other) == Waiting {
 			most = max(most, p.priority(other))
 		}
 	}
@@ -49,7 +49,7 @@
 
 func (p plain) readyMS(id ids.JobID) int64 {
 	at := p[id].SubmittedMS
-	for _, n := range p[id].Needs {
+	for _, n := range p[id].DependsOn {
 		at = max(at, p[n].DoneMS)
 	}
 	return at
@@ -76,7 +76,7 @@
 			case pick < 2 || len(order) == 0:
 				r := Record{Status: wire.StatusQueued, Priority: wire.Priority(rng.IntN(4)), SubmittedMS: int64(10 * step)}
 				for range min(len(order), rng.IntN(4)) {
-					r.Needs = append(r.Needs, order[len(order)-1-rng.IntN(min(len(order), 12))])
+					r.DependsOn = append(r.DependsOn, order[len(order)-1-rng.IntN(min(len(order), 12))])
 				}
 				real[id] = r
 				order = append(order, id)
@@ -87,8 +87,8 @@
 				case r.Status != wire.StatusQueued:
 				case pick == 2 && s == Ready: // only what is ready can run
 					real[id] = Record{Status: wire.StatusDone, DoneMS: int64(10*step + 5)}
-				case pick == 3 || s == Withdrawn: // a user's, or the leader's for an orphan
-					real[id] = Record{Status: wire.StatusWithdrawn}
+				case pick == 3 || s == Cancelled: // a user's, or the leader's for an orphan
+					real[id] = Record{Status: wire.StatusCancelled}
 				}
 			}
 			for _, c := range copies {
@@ -138,12 +138,12 @@
 // are heard of: each must start early enough for what comes after it.
 func TestDeadlinesReachBack(t *testing.T) {
 	records := map[ids.JobID]Record{
-		"job-1": {Status: wire.StatusQueued, Takes: 5 * time.Second},
-		"job-2": {Status: wire.StatusQueued, Takes: 20 * time.Second, Needs: []ids.JobID{"job-1"}},
-		"job-3": {Status: wire.StatusQueued, Takes: 10 * time.Second, Needs: []ids.JobID{"job-1"}},
-		"job-4": {Status: wire.StatusQueued, Takes: 2 * time.Second, Needs: []ids.JobID{"job-2", "job-3"}, DueMS: 100_000},
-		"job-5": {Status: wire.StatusQueued, Takes: time.Second, Needs: []ids.JobID{"job-3"}, DueMS: 80_000},
-		"job-6": {Status: wire.StatusQueued, Takes: time.Second},
+		"job-1": {Status: wire.StatusQueued, ExpectedRun: 5 * time.Second},
+		"job-2": {Status: wire.StatusQueued, ExpectedRun: 20 * time.Second, DependsOn: []ids.JobID{"job-1"}},
+		"job-3": {Status: wire.StatusQueued, ExpectedRun: 10 * time.Second, DependsOn: []ids.JobID{"job-1"}},
+		"job-4": {Status: wire.StatusQueued, ExpectedRun: 2 * time.Second, DependsOn: []ids.JobID{"job-2", "job-3"}, DueMS: 100_000},
+		"job-5": {Status: wire.StatusQueued, ExpectedRun: time.Second, DependsOn: []ids.JobID{"job-3"}, DueMS: 80_000},
+		"job-6": {Status: wire.StatusQueued, ExpectedRun: time.Second},
 	}
 	want := map[ids.JobID]int64{"job-1": 64_000, "job-2": 78_000, "job-3": 69_000, "job-4": 98_000, "job-5": 79_000, "job-6": 0}
 	for seed := range uint64(50) {
@@ -174,7 +174,7 @@
 		}
 		first := r
 		if i > 0 {
-			r.Needs, first.Needs = []ids.JobID{name(i - 1)}, []ids.JobID{name(0)}
+			r.DependsOn, first.DependsOn = []ids.JobID{name(i - 1)}, []ids.JobID{name(0)}
 		}
 		chain.Put(name(i), r)
 		fan.Put(name(i), first)
@@ -183,7 +183,7 @@
 		if p := g.Of(name(0)).Priority; p != wire.Critical {
 			t.Errorf("%s: the first job has priority %d", kind, p)
 		}
-		if changed := g.Put(name(0), Record{Status: wire.StatusWithdrawn}); len(changed) != n || g.Of(name(n-1)).State != Withdrawn {
+		if changed := g.Put(name(0), Record{Status: wire.StatusCancelled}); len(changed) != n || g.Of(name(n-1)).State != Cancelled {
 			t.Errorf("%s: %d of %d jobs are withdrawn", kind, len(changed), n)
 		}
 	}
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -24,8 +24,8 @@
 
 // Options are the settings of one term of leadership.
 type Options struct {
-	// Stamp is the stamp of the leader's key; tokens are made of it.
-	Stamp ids.Stamp
+	// Revision is the stamp of the leader's key; tokens are made of it.
+	Revision ids.Revision
 	// Predecessor tells that another leader may have acted before.
 	Predecessor bool
 	Teams       []quota.Team
@@ -41,42 +41,42 @@
 	TxnOps     int
 	ValueBytes int
 	// Split tells that every controller can read a slice that was split; see
-	// AllNew.
-	Split      bool
-	SliceTasks int
-	PassOver   int
-	// Impatient names the classes whose tasks must start sooner than a
+	// EnableSplitRecords.
+	SplitRecords   bool
+	SliceTasks     int
+	MaxSkippedJobs int
+	// LatencySensitive names the classes whose tasks must start sooner than a
 	// machine boots.
-	Impatient    map[string]time.Duration
-	ReclaimHold  time.Duration
-	Idle         time.Duration
-	SpotIdle     float64 // spot machines may stand idle this many times as long
-	HeadroomIdle time.Duration
-	Headroom     float64
-	BootFactor   float64
-	CapacityBack time.Duration
+	LatencySensitive map[string]time.Duration
+	ReclaimHold      time.Duration
+	Idle             time.Duration
+	SpotIdleFactor   float64 // spot machines may stand idle this many times as long
+	HeadroomIdle     time.Duration
+	Headroom         float64
+	BootFactor       float64
+	CapacityBackoff  time.Duration
 	// MaxMachines bounds the machines held; 0: no bound.
 	MaxMachines int
-	// PassEvery is the least time between two passes of admission, and
-	// PassCost the time that each machine looked at in a pass keeps the next
+	// RoundInterval is the least time between two passes of admission, and
+	// RoundCostPerMachine the time that each machine looked at in a pass keeps the next
 	// one away. Reports and renewals have their turn in between, however much
 	// work waits.
-	PassEvery, PassCost time.Duration
-	// LazySave is how long a record may lag behind tasks that ended. A
+	RoundInterval, RoundCostPerMachine time.Duration
+	// LazyWriteDelay is how long a record may lag behind tasks that ended. A
 	// placement is recorded at once, since it is sent only then.
-	LazySave time.Duration
+	LazyWriteDelay time.Duration
 	// WriteRate is how many writes and drops a second the records may take;
 	// 0: no bound.
 	WriteRate float64
-	// MaxDirect bounds the calls to workers under way; 0: no bound.
-	MaxDirect int
-	// KeepAfter is how long a job waits to begin until room is kept for it; 0:
-	// never. KeepFor is how long it is kept at a time. After twice KeepAfter a
+	// MaxDirectCalls bounds the calls to workers under way; 0: no bound.
+	MaxDirectCalls int
+	// ReserveAfter is how long a job waits to begin until room is kept for it; 0:
+	// never. ReserveFor is how long it is kept at a time. After twice ReserveAfter a
 	// job begins before others go on.
-	KeepAfter, KeepFor time.Duration
-	// WallMS is the time of day when the term begins, to tell how long jobs
+	ReserveAfter, ReserveFor time.Duration
+	// WallClockMS is the time of day when the term begins, to tell how long jobs
 	// have waited already; 0: not known.
-	WallMS int64
+	WallClockMS int64
 }
 
 type taskState uint8
@@ -88,17 +88,17 @@
 )
 
 type task struct {
-	attempt ids.Attempt
-	state   taskState
-	a       *assignment
-	in      *slice // whose record it belongs to
+	attempt    ids.Attempt
+	state      taskState
+	assignment *assignment
+	slice      *admissionSlice // whose record it belongs to
 }
 
 type stopReason uint8
 
 const (
 	stopNone stopReason = iota
-	stopWithdrawn
+	stopCancelled
 	stopPreempted
 	stopDrained
 )
@@ -109,28 +109,28 @@
 	job     *job
 	index   int
 	attempt ids.Attempt
-	m       *machine
+	machine *machine
 	// recorded: the admission record is committed. Nothing is sent before.
 	recorded bool
 	// saving: a change that holds this placement is on its way.
-	saving bool
+	recordInFlight bool
 	// inherited: a predecessor recorded it and may have sent it.
 	inherited bool
 	// sentToken is the highest token under which run may have been sent. A
 	// worker that shows a higher one and not the attempt will never start it.
-	sentToken  ids.Token
-	sentTenure ids.Tenure
-	sentAt     ids.Instant // first, since it was last known not to be there
-	sent       bool
-	seen       bool
-	phase      string
-	since      ids.Instant   // when the phase began, as far as known
-	stood      time.Duration // Core.stood at that time
-	stop       stopReason
-	sheltered  bool // a first task of a job that starved
-	stopAt     ids.Instant
-	graceS     float64
-	killAt     ids.Instant
+	sentToken    ids.Token
+	sentSession  ids.Session
+	sentAt       ids.Instant // first, since it was last known not to be there
+	sent         bool
+	seen         bool
+	phase        string
+	phaseSince   ids.Instant   // when the phase began, as far as known
+	pausedBefore time.Duration // Core.stood at that time
+	stopReason   stopReason
+	protected    bool // a first task of a job that starved
+	stoppedAt    ids.Instant
+	graceS       float64
+	killSentAt   ids.Instant
 }
 
 func (a *assignment) ref() ids.TaskRef { return ids.TaskRef{Job: a.job.id, Index: a.index} }
@@ -139,66 +139,66 @@
 func (a *assignment) mayRun() bool { return a.sent || a.inherited }
 
 // slice is one admission record.
-type slice struct {
-	n        int
-	stamp    ids.Stamp // 0: no record
-	dirty    bool
-	dirtyAt  ids.Instant
-	urgent   bool // holds placements that are not recorded
-	inflight bool
-	tasks    []int // ascending
+type admissionSlice struct {
+	number     int
+	revision   ids.Revision // 0: no record
+	dirty      bool
+	dirtySince ids.Instant
+	urgent     bool // holds placements that are not recorded
+	inFlight   bool
+	tasks      []int // ascending
 	// large: its record is beyond ValueBytes and was written all the same,
 	// since older controllers could not read it in parts.
-	large bool
+	oversized bool
 }
 
 type job struct {
-	id    ids.JobID
-	spec  *wire.Spec
-	stamp ids.Stamp
-	at    int64 // when it was ready to run, as the time of day
+	id       ids.JobID
+	spec     *wire.Spec
+	revision ids.Revision
+	readyMS  int64 // when it was ready to run, as the time of day
 	// by is what jobs go by: at, or for a pipeline that is late, when this job
 	// should have started for the last to be done in time.
-	by     int64
-	status string
+	orderMS int64
+	status  string
 	// prio is the job's own priority or that of one that needs it, ready tells
 	// that all that it needs is done, and unwritten that it is withdrawn with
 	// a job that it needs, but its own record does not say so yet.
-	prio      wire.Priority
-	ready     bool
-	unwritten bool
-	refusals  int // changes in a row that the state service would not take
-	tasks     []task
-	slices    []*slice
-	pending   []int // descending, so that the lowest is popped first
-	done      int
-	active    map[int]*assignment
-	zones     placement.Zones
+	priority         wire.Priority
+	ready            bool
+	cancelUnrecorded bool
+	refusals         int // changes in a row that the state service would not take
+	tasks            []task
+	slices           []*admissionSlice
+	pending          []int // descending, so that the lowest is popped first
+	done             int
+	active           map[int]*assignment
+	zones            placement.Zones
 	// finishing: the commit of done is on its way.
-	finishing bool
-	stopAt    ids.Instant
-	retryAt   ids.Instant
-	refreshAt ids.Instant // no change before, the record is being read again
-	backoff   time.Duration
-	deferred  bool     // goes with the borrowers, behind higher work of its team
-	only      ids.Zone // while a zone is tried for a job that needs one
+	completing  bool
+	cancelledAt ids.Instant
+	retryAt     ids.Instant
+	rereadAt    ids.Instant // no change before, the record is being read again
+	backoff     time.Duration
+	deferred    bool     // goes with the borrowers, behind higher work of its team
+	onlyZone    ids.Zone // while a zone is tried for a job that needs one
 	// begun: one of its tasks was placed once. came is when it was ready to run,
 	// waits since when it could not begin, keptSince since when room is kept.
-	begun     bool
-	setAside  bool // see SetAside
-	came      ids.Instant
-	waits     ids.Instant
-	keptSince ids.Instant
+	started       bool
+	suspended     bool // see Suspend
+	readyAt       ids.Instant
+	waitingSince  ids.Instant
+	reservedSince ids.Instant
 	// coldOK: no machine that holds the image can take the job's tasks, so
 	// others may.
-	coldOK    bool
-	failedOn  map[ids.Host]ids.Instant // when last
-	succeeded int
-	rounds    int                          // in which it failed everywhere, since it last succeeded
-	ran       map[ids.Host][]time.Duration // tasks that were seen from start to end
+	allowColdStart bool
+	antiAffinity   map[ids.Host]ids.Instant // when last
+	succeeded      int
+	failureRounds  int                          // in which it failed everywhere, since it last succeeded
+	runTimes       map[ids.Host][]time.Duration // tasks that were seen from start to end
 }
 
-func (j *job) over() bool { return j.status != wire.StatusQueued }
+func (j *job) terminal() bool { return j.status != wire.StatusQueued }
 
 func (j *job) amount() quota.Amount { return quota.Amount{CPUs: j.spec.CPUs, GPUs: j.spec.GPUs} }
 
@@ -209,90 +209,90 @@
 
 type pendingChange struct {
 	job   *job
-	slice *slice
+	slice *admissionSlice
 	// parts are the slices that come of a split, slice first, and split the
 	// tasks of each; nil if there is none.
-	parts   []*slice
-	split   [][]int
-	placed  []*assignment
-	finish  bool
-	doneMS  int64
-	orphan  bool // the job is withdrawn with one that it needs
-	dropped []*slice
+	parts        []*admissionSlice
+	split        [][]int
+	placed       []*assignment
+	completes    bool
+	doneMS       int64
+	orphanCancel bool // the job is withdrawn with one that it needs
+	dropped      []*admissionSlice
 }
 
 // Core is the scheduler of one term.
 type Core struct {
-	opt     Options
-	started ids.Instant
+	opt       Options
+	termBegan ids.Instant
 	// othersUntil is the latest that an earlier leader can have received a
 	// report which it then answered.
-	othersUntil ids.Instant
-	now         ids.Instant
-	types       map[ids.MachineType]*wire.MachineType
-	typeList    []wire.MachineType
-	jobs        map[ids.JobID]*job // all that are not over, and withdrawn ones with tasks
-	graph       *pipeline.Graph    // all jobs, and who waits for whom
-	unreadable  map[ids.JobID]bool // jobs whose own record cannot be read
-	machines    map[ids.Host]*machine
-	order       []*machine // machines by host
-	gone        map[ids.Host]bool
-	from        map[ids.Zone]*zoneState
-	lastHeard   ids.Instant // when any machine was last heard
-	lastStep    ids.Instant
-	resumed     ids.Instant   // when steps went on after a time without any
-	stood       time.Duration // all such times together
-	book        *quota.Book
-	on          map[work]onMachines
-	backoff     *fleet.Backoff
-
-	changes    map[uint64]*pendingChange
-	nextChange uint64
-	changed    bool        // something happened that scheduling may act on
-	passAt     ids.Instant // no pass before
-	recheck    ids.Instant // a pass is due although nothing changed; 0: none
+	predecessorUntil ids.Instant
+	now              ids.Instant
+	types            map[ids.MachineType]*wire.MachineType
+	typeList         []wire.MachineType
+	jobs             map[ids.JobID]*job // all that are not over, and withdrawn ones with tasks
+	graph            *pipeline.Graph    // all jobs, and who waits for whom
+	unreadable       map[ids.JobID]bool // jobs whose own record cannot be read
+	machines         map[ids.Host]*machine
+	machineList      []*machine // machines by host
+	returnedHosts    map[ids.Host]bool
+	zoneStates       map[ids.Zone]*zoneState
+	lastHeard        ids.Instant // when any machine was last heard
+	lastStep         ids.Instant
+	resumedAt        ids.Instant   // when steps went on after a time without any
+	totalPause       time.Duration // all such times together
+	quotas           *quota.Book
+	workloads        map[workload]workloadCount
+	backoff          *fleet.Backoff
+
+	pendingChanges map[uint64]*pendingChange
+	nextChange     uint64
+	schedulingDue  bool        // something happened that scheduling may act on
+	nextRoundAt    ids.Instant // no pass before
+	recheckAt      ids.Instant // a pass is due although nothing changed; 0: none
 	// Work counts the machines that passes of admission have looked at, all
 	// told. It bounds and measures their work without a clock.
-	Work uint64
+	MachinesExamined uint64
 	// ready holds the machines that take tasks in the present pass, by host.
-	ready      []*machine
-	zones      []ids.Zone // of the ready machines
-	passes     uint64
-	lastWatch  ids.Instant
-	watchSoon  bool
-	hot        []*machine // machines to which a command may have to go
-	calls      int        // calls to workers under way
-	writes     float64    // writes that the rate still allows
-	lastWrites ids.Instant
-	dirty      map[*slice]*job
-	finishable map[*job]bool
-	withdrawn  map[*job]bool
-	orphans    []*job // unwritten ones whose change is not on its way
-
-	lastFleet   ids.Instant
-	nextBooking int
-	renting     map[placement.Site]int // machines asked for
-	bookings    map[placement.Site]int // rentals under way
-	peaks       map[string]*peak
-	paces       map[string]float64          // by class, how long tasks ran against their estimates
-	boots       map[ids.MachineType]float64 // how long boots took lately against the catalog
-	out         Effects
-
-	returns map[string]int // machines given back, by reason
+	candidates       []*machine
+	candidateZones   []ids.Zone // of the ready machines
+	preemptionRounds uint64
+	healthCheckedAt  ids.Instant
+	healthCheckDue   bool
+	queuedMachines   []*machine // machines to which a command may have to go
+	callsInFlight    int        // calls to workers under way
+	writeBudget      float64    // writes that the rate still allows
+	budgetRefilledAt ids.Instant
+	dirty            map[*admissionSlice]*job
+	completable      map[*job]bool
+	droppable        map[*job]bool
+	orphanCancels    []*job // unwritten ones whose change is not on its way
+
+	plannedAt         ids.Instant
+	nextBooking       int
+	machinesRequested map[placement.Site]int // machines asked for
+	rentalsInFlight   map[placement.Site]int // rentals under way
+	demandByClass     map[string]*classDemand
+	estimateFactors   map[string]float64          // by class, how long tasks ran against their estimates
+	bootFactors       map[ids.MachineType]float64 // how long boots took lately against the catalog
+	effects           Effects
+
+	returnCounts map[string]int // machines given back, by reason
 
 	spotTime   time.Duration
 	spotLosses int
 
-	lost [stopDrained + 1]loss // by what the core had decided, if anything
+	lostWork [stopDrained + 1]lostWorkTally // by what the core had decided, if anything
 
 	// Deposed is set when a worker shows a higher leader's token.
-	deposed bool
-	broken  error
+	deposed    bool
+	recordsErr error
 }
 
 // loss counts tasks that were taken off machines before they were done, and
 // the CPU seconds they had run.
-type loss struct {
+type lostWorkTally struct {
 	tasks int
 	cpuS  float64
 }
@@ -315,27 +315,27 @@
 // then Begin.
 func New(opt Options, types []wire.MachineType) *Core {
 	c := &Core{
-		opt:        opt,
-		jobs:       map[ids.JobID]*job{},
-		unreadable: map[ids.JobID]bool{},
-		graph:      pipeline.New(),
-		machines:   map[ids.Host]*machine{},
-		gone:       map[ids.Host]bool{},
-		from:       map[ids.Zone]*zoneState{},
-		book:       quota.NewBook(opt.Teams),
-		on:         map[work]onMachines{},
-		backoff:    fleet.NewBackoff(opt.CapacityBack),
-		changes:    map[uint64]*pendingChange{},
-		dirty:      map[*slice]*job{},
-		finishable: map[*job]bool{},
-		withdrawn:  map[*job]bool{},
-		renting:    map[placement.Site]int{},
-		bookings:   map[placement.Site]int{},
-		peaks:      map[string]*peak{},
-		returns:    map[string]int{},
-		paces:      map[string]float64{},
-		boots:      map[ids.MachineType]float64{},
-		writes:     opt.WriteRate,
+		opt:               opt,
+		jobs:              map[ids.JobID]*job{},
+		unreadable:        map[ids.JobID]bool{},
+		graph:             pipeline.New(),
+		machines:          map[ids.Host]*machine{},
+		returnedHosts:     map[ids.Host]bool{},
+		zoneStates:        map[ids.Zone]*zoneState{},
+		quotas:            quota.NewBook(opt.Teams),
+		workloads:         map[workload]workloadCount{},
+		backoff:           fleet.NewBackoff(opt.CapacityBackoff),
+		pendingChanges:    map[uint64]*pendingChange{},
+		dirty:             map[*admissionSlice]*job{},
+		completable:       map[*job]bool{},
+		droppable:         map[*job]bool{},
+		machinesRequested: map[placement.Site]int{},
+		rentalsInFlight:   map[placement.Site]int{},
+		demandByClass:     map[string]*classDemand{},
+		returnCounts:      map[string]int{},
+		estimateFactors:   map[string]float64{},
+		bootFactors:       map[ids.MachineType]float64{},
+		writeBudget:       opt.WriteRate,
 	}
 	c.SetCatalog(types)
 	return c
@@ -349,10 +349,10 @@
 	for i := range c.typeList {
 		c.types[c.typeList[i].Name] = &c.typeList[i]
 	}
-	for _, m := range c.order {
-		c.fillType(m)
+	for _, m := range c.machineList {
+		c.applyType(m)
 	}
-	c.changed = true
+	c.schedulingDue = true
 }
 
 // Deposed tells that a worker has seen a later leader.
@@ -360,47 +360,47 @@
 
 // Broken is set when the records are not as this leader left them. The term
 // must then end and the records be read again.
-func (c *Core) Broken() error { return c.broken }
+func (c *Core) Broken() error { return c.recordsErr }
 
-func (c *Core) newJob(id ids.JobID, rec *ledger.Job, stamp ids.Stamp) *job {
-	j := &job{id: id, spec: rec.Spec, stamp: stamp, at: rec.SubmittedMS, by: rec.SubmittedMS, status: rec.Status,
-		active: map[int]*assignment{}, zones: placement.Zones{}, came: c.now, waits: c.now}
+func (c *Core) newJob(id ids.JobID, rec *ledger.Job, stamp ids.Revision) *job {
+	j := &job{id: id, spec: rec.Spec, revision: stamp, readyMS: rec.SubmittedMS, orderMS: rec.SubmittedMS, status: rec.Status,
+		active: map[int]*assignment{}, zones: placement.Zones{}, readyAt: c.now, waitingSince: c.now}
 	if j.spec == nil {
 		j.spec = &wire.Spec{Tasks: rec.Tasks}
 	}
-	j.prio = j.spec.Priority
+	j.priority = j.spec.Priority
 	j.tasks = make([]task, j.spec.Tasks)
 	per := c.opt.SliceTasks
-	j.grow((len(j.tasks) + per - 1) / per)
+	j.growSlices((len(j.tasks) + per - 1) / per)
 	for i := range j.tasks {
-		j.tasks[i].in = j.slices[i/per]
+		j.tasks[i].slice = j.slices[i/per]
 	}
-	j.relist()
+	j.rebuildSlices()
 	return j
 }
 
 // grow makes room for slices with numbers below n.
-func (j *job) grow(n int) {
+func (j *job) growSlices(n int) {
 	for len(j.slices) < n {
-		j.slices = append(j.slices, &slice{n: len(j.slices)})
+		j.slices = append(j.slices, &admissionSlice{number: len(j.slices)})
 	}
 }
 
 // relist lists the tasks of each slice anew.
-func (j *job) relist() {
+func (j *job) rebuildSlices() {
 	for _, s := range j.slices {
 		s.tasks = s.tasks[:0]
 	}
 	for i := range j.tasks {
-		s := j.tasks[i].in
+		s := j.tasks[i].slice
 		s.tasks = append(s.tasks, i)
 	}
 }
 
 // LoadJob takes a job's record at the start of the term. Jobs come before
 // slices.
-func (c *Core) LoadJob(id ids.JobID, rec *ledger.Job, stamp ids.Stamp) {
-	c.graph.Put(id, rec.Pipeline())
+func (c *Core) LoadJob(id ids.JobID, rec *ledger.Job, stamp ids.Revision) {
+	c.graph.Put(id, rec.Dependencies())
 	if rec.Status == wire.StatusDone || rec.Spec == nil {
 		return
 	}
@@ -413,7 +413,7 @@
 func (c *Core) LoadUnreadableJob(id ids.JobID) { c.unreadable[id] = true }
 
 // LoadSlice takes an admission record at the start of the term.
-func (c *Core) LoadSlice(id ids.JobID, n int, rec *ledger.Slice, stamp ids.Stamp) error {
+func (c *Core) LoadSlice(id ids.JobID, n int, rec *ledger.Slice, stamp ids.Revision) error {
 	if c.unreadable[id] {
 		return nil
 	}
@@ -425,21 +425,21 @@
 	}
 	// Splits make a slice for each task at most, beside those there are, and leave
 	// out numbers that were not used.
-	if !j.over() && n >= len(j.slices)+2*len(j.tasks) {
+	if !j.terminal() && n >= len(j.slices)+2*len(j.tasks) {
 		return fmt.Errorf("admission record %s/%d lies outside its job", id, n)
 	}
-	j.grow(n + 1)
+	j.growSlices(n + 1)
 	s := j.slices[n]
-	s.stamp = stamp
+	s.revision = stamp
 	if j.status == wire.StatusDone {
 		return nil
 	}
-	s.large = wire.Exceeds(rec, c.opt.ValueBytes)
+	s.oversized = wire.Exceeds(rec, c.opt.ValueBytes)
 	for _, i := range rec.Done {
 		if i < 0 || i >= len(j.tasks) {
 			return fmt.Errorf("admission record %s/%d names task %d", id, n, i)
 		}
-		j.tasks[i].in = s
+		j.tasks[i].slice = s
 		if j.tasks[i].state != taskDone {
 			j.tasks[i].state = taskDone
 			j.done++
@@ -451,66 +451,66 @@
 			return fmt.Errorf("admission record %s/%d names task %d on place %d", id, n, i, h)
 		}
 		t := &j.tasks[i]
-		t.attempt, t.in = attempt, s
+		t.attempt, t.slice = attempt, s
 		if h < 0 || t.state == taskDone {
 			continue
 		}
-		m := c.machine(rec.Hosts[h])
+		m := c.ensureMachine(rec.Hosts[h])
 		if m.Zone == "" && h < len(rec.Zones) {
 			c.setSite(m, placement.Site{Zone: rec.Zones[h]}, "")
 		}
-		a := &assignment{job: j, index: i, attempt: attempt, m: m, recorded: true, inherited: true,
-			sentToken: ids.NewToken(c.opt.Stamp, 0) - 1}
+		a := &assignment{job: j, index: i, attempt: attempt, machine: m, recorded: true, inherited: true,
+			sentToken: ids.NewToken(c.opt.Revision, 0) - 1}
 		c.attach(a)
 	}
 	return nil
 }
 
-// SetAside keeps a job from being placed, because it is not known where all
+// Suspend keeps a job from being placed, because it is not known where all
 // its tasks may be. It stays known, and the others go on.
-func (c *Core) SetAside(id ids.JobID) {
+func (c *Core) Suspend(id ids.JobID) {
 	if j := c.jobs[id]; j != nil {
-		j.setAside = true
+		j.suspended = true
 	}
 }
 
 // Begin ends the loading of records.
 func (c *Core) Begin(now ids.Instant) {
-	c.started, c.now = now, now
-	c.othersUntil = now
+	c.termBegan, c.now = now, now
+	c.predecessorUntil = now
 	if c.opt.Predecessor {
-		c.othersUntil = now.Add(c.opt.Grace)
+		c.predecessorUntil = now.Add(c.opt.Grace)
 	}
-	c.lastFleet = now
-	c.lastWrites = now
+	c.plannedAt = now
+	c.budgetRefilledAt = now
 	// In order: it decides what is stopped, sent and written first.
 	for _, j := range c.sortedJobs() {
-		j.relist()
-		c.follow(j)
-		j.came = now
-		if c.opt.WallMS > 0 {
-			age := time.Duration(c.opt.WallMS-j.at) * time.Millisecond
-			j.came = now.Add(-min(max(age, 0), time.Hour))
+		j.rebuildSlices()
+		c.syncDependencies(j)
+		j.readyAt = now
+		if c.opt.WallClockMS > 0 {
+			age := time.Duration(c.opt.WallClockMS-j.readyMS) * time.Millisecond
+			j.readyAt = now.Add(-min(max(age, 0), time.Hour))
 		}
-		j.waits = j.came
+		j.waitingSince = j.readyAt
 		for _, s := range j.slices {
-			c.markLarge(j, s)
+			c.markOversized(j, s)
 		}
 		switch j.status {
 		case wire.StatusQueued:
-			c.refill(j)
+			c.rebuildPending(j)
 			if j.done == len(j.tasks) {
-				c.finishable[j] = true
+				c.completable[j] = true
 			}
 		default:
-			c.beginStop(j)
+			c.stopAllTasks(j)
 		}
 	}
-	for _, m := range c.order {
-		m.known = now
-		c.heat(m)
+	for _, m := range c.machineList {
+		m.knownSince = now
+		c.queueCommands(m)
 	}
-	c.changed = true
+	c.schedulingDue = true
 }
 
 // Followed tells that every other controller has said, since this term began,
@@ -519,12 +519,12 @@
 // since; so no worker's lease can have been renewed by anybody else for a
 // report sent after now, and what silent workers hold need not wait for the
 // grace.
-func (c *Core) Followed(now ids.Instant) {
+func (c *Core) AllFollow(now ids.Instant) {
 	c.now = now
-	c.othersUntil = min(c.othersUntil, now)
+	c.predecessorUntil = min(c.predecessorUntil, now)
 }
 
-func (c *Core) refill(j *job) {
+func (c *Core) rebuildPending(j *job) {
 	j.pending = j.pending[:0]
 	for i := len(j.tasks) - 1; i >= 0; i-- {
 		if j.tasks[i].state == taskPending {
@@ -536,64 +536,64 @@
 // attach makes an assignment count on its machine, its job and the books.
 func (c *Core) attach(a *assignment) {
 	t := &a.job.tasks[a.index]
-	t.state, t.a = taskAssigned, a
-	a.job.begun = true
+	t.state, t.assignment = taskAssigned, a
+	a.job.started = true
 	a.job.active[a.index] = a
-	a.job.zones[a.m.Zone]++
-	a.m.put(a)
-	a.m.used = a.m.used.Plus(placement.Of(a.job.spec))
-	c.book.Take(a.job.spec.Team, a.job.amount())
-	c.note(a, 1, 0)
+	a.job.zones[a.machine.Zone]++
+	a.machine.addTask(a)
+	a.machine.used = a.machine.used.Plus(placement.Of(a.job.spec))
+	c.quotas.Take(a.job.spec.Team, a.job.amount())
+	c.countTask(a, 1, 0)
 }
 
 // detach undoes attach. The caller has shown that the attempt is surely gone
 // or was never sent.
 func (c *Core) detach(a *assignment) {
 	t := &a.job.tasks[a.index]
-	t.state, t.a = taskPending, nil
+	t.state, t.assignment = taskPending, nil
 	delete(a.job.active, a.index)
-	if a.job.zones[a.m.Zone]--; a.job.zones[a.m.Zone] <= 0 {
-		delete(a.job.zones, a.m.Zone)
-	}
-	a.m.remove(a)
-	a.m.used = a.m.used.Minus(placement.Of(a.job.spec))
-	if len(a.m.tasks) == 0 {
-		a.m.used = placement.Resources{}
-		a.m.idleSince = c.now
-	}
-	c.book.Free(a.job.spec.Team, a.job.amount())
-	if a.stop == stopNone {
-		c.note(a, -1, 0)
+	if a.job.zones[a.machine.Zone]--; a.job.zones[a.machine.Zone] <= 0 {
+		delete(a.job.zones, a.machine.Zone)
+	}
+	a.machine.removeTask(a)
+	a.machine.used = a.machine.used.Minus(placement.Of(a.job.spec))
+	if len(a.machine.tasks) == 0 {
+		a.machine.used = placement.Resources{}
+		a.machine.idleSince = c.now
+	}
+	c.quotas.Free(a.job.spec.Team, a.job.amount())
+	if a.stopReason == stopNone {
+		c.countTask(a, -1, 0)
 	} else {
-		c.note(a, 0, -1)
+		c.countTask(a, 0, -1)
 	}
-	c.changed = true
+	c.schedulingDue = true
 }
 
 // release takes a task that is surely gone off its machine; it waits again if
 // its job goes on.
 func (c *Core) release(a *assignment) {
 	if a.phase == wire.TaskRunning && !a.job.spec.Service {
-		l := &c.lost[a.stop]
+		l := &c.lostWork[a.stopReason]
 		l.tasks++
-		l.cpuS += c.now.Sub(a.since).Seconds() * a.job.spec.CPUs
+		l.cpuS += c.now.Sub(a.phaseSince).Seconds() * a.job.spec.CPUs
 	}
 	c.detach(a)
 	j := a.job
-	if j.over() {
-		c.withdrawn[j] = true
+	if j.terminal() {
+		c.droppable[j] = true
 		return
 	}
 	k, _ := slices.BinarySearchFunc(j.pending, a.index, func(e, t int) int { return t - e })
 	j.pending = slices.Insert(j.pending, k, a.index)
-	c.touch(j, a.index, false)
+	c.markTaskDirty(j, a.index, false)
 }
 
 // heed takes a record into the graph and does what follows for any job.
-func (c *Core) heed(id ids.JobID, rec *ledger.Job) {
-	for _, other := range c.graph.Put(id, rec.Pipeline()) {
+func (c *Core) applyJobRecord(id ids.JobID, rec *ledger.Job) {
+	for _, other := range c.graph.Put(id, rec.Dependencies()) {
 		if j := c.jobs[other]; j != nil {
-			c.follow(j)
+			c.syncDependencies(j)
 		}
 	}
 }
@@ -602,168 +602,170 @@
 // and whether it is withdrawn because one that it needs is. Such a job never had
 // a task, and nobody answers otherwise any more; its own record says so when there
 // is time.
-func (c *Core) follow(j *job) {
-	if j.over() {
+func (c *Core) syncDependencies(j *job) {
+	if j.terminal() {
 		return
 	}
 	s := c.graph.Of(j.id)
 	c.setPriority(j, s.Priority)
-	if j.by = s.ReadyMS; s.StartByMS != 0 {
-		j.by = min(j.by, s.StartByMS)
+	if j.orderMS = s.ReadyMS; s.StartByMS != 0 {
+		j.orderMS = min(j.orderMS, s.StartByMS)
 	}
 	switch {
-	case s.State == pipeline.Withdrawn:
-		j.status, j.unwritten = wire.StatusWithdrawn, true
-		c.orphans = append(c.orphans, j)
-		c.beginStop(j)
+	case s.State == pipeline.Cancelled:
+		j.status, j.cancelUnrecorded = wire.StatusCancelled, true
+		c.orphanCancels = append(c.orphanCancels, j)
+		c.stopAllTasks(j)
 	case s.State == pipeline.Ready && !j.ready:
-		j.ready, j.at = true, s.ReadyMS
-		j.came, j.waits = c.now, c.now
-		c.arrived(j.spec)
-		c.changed = true
+		j.ready, j.readyMS = true, s.ReadyMS
+		j.readyAt, j.waitingSince = c.now, c.now
+		c.recordArrival(j.spec)
+		c.schedulingDue = true
 	}
 }
 
 // setPriority changes what a job counts as, with its tasks on machines.
 func (c *Core) setPriority(j *job, p wire.Priority) {
-	if p == j.prio {
+	if p == j.priority {
 		return
 	}
 	count := func(n int) {
 		for _, a := range j.active {
-			if a.stop == stopNone {
-				c.note(a, n, 0)
+			if a.stopReason == stopNone {
+				c.countTask(a, n, 0)
 			} else {
-				c.note(a, 0, n)
+				c.countTask(a, 0, n)
 			}
 		}
 	}
 	count(-1)
-	j.prio = p
+	j.priority = p
 	count(1)
-	c.changed = true
+	c.schedulingDue = true
 }
 
 // wallMS is the time of day, as far as it is known.
-func (c *Core) wallMS() int64 {
-	if c.opt.WallMS == 0 {
+func (c *Core) wallClockMS() int64 {
+	if c.opt.WallClockMS == 0 {
 		return 0
 	}
-	return c.opt.WallMS + c.now.Sub(c.started).Milliseconds()
+	return c.opt.WallClockMS + c.now.Sub(c.termBegan).Milliseconds()
 }
 
-// AllNew tells that every controller can read slices that were split. Records
+// EnableSplitRecords tells that every controller can read slices that were split. Records
 // beyond what the state service may take at any moment are split from now on.
-func (c *Core) AllNew(now ids.Instant) {
+func (c *Core) EnableSplitRecords(now ids.Instant) {
 	c.now = now
-	if c.opt.Split {
+	if c.opt.SplitRecords {
 		return
 	}
-	c.opt.Split = true
+	c.opt.SplitRecords = true
 	for _, j := range c.sortedJobs() {
 		j.refusals = 0 // what could not be split may be now
 		for _, s := range j.slices {
-			c.markLarge(j, s)
+			c.markOversized(j, s)
 		}
 	}
 }
 
 // markLarge sees that a record which is too large is written again, in parts.
-func (c *Core) markLarge(j *job, s *slice) {
-	if c.opt.Split && s.large && !j.over() {
-		c.soil(j, s, false)
+func (c *Core) markOversized(j *job, s *admissionSlice) {
+	if c.opt.SplitRecords && s.oversized && !j.terminal() {
+		c.markDirty(j, s, false)
 	}
 }
 
 // touch notes that a task's record must be written: at once for a placement,
 // else when there is time.
-func (c *Core) touch(j *job, index int, urgent bool) { c.soil(j, j.tasks[index].in, urgent) }
+func (c *Core) markTaskDirty(j *job, index int, urgent bool) {
+	c.markDirty(j, j.tasks[index].slice, urgent)
+}
 
-func (c *Core) soil(j *job, s *slice, urgent bool) {
+func (c *Core) markDirty(j *job, s *admissionSlice, urgent bool) {
 	if !s.dirty {
-		s.dirty, s.dirtyAt = true, c.now
+		s.dirty, s.dirtySince = true, c.now
 	}
 	s.urgent = s.urgent || urgent
 	c.dirty[s] = j
 }
 
 // complete notes that a task is done.
-func (c *Core) complete(a *assignment) {
+func (c *Core) completeTask(a *assignment) {
 	c.detach(a)
 	j := a.job
-	if j.over() {
-		c.withdrawn[j] = true
+	if j.terminal() {
+		c.droppable[j] = true
 		return
 	}
-	c.notePace(a)
+	c.compareRunTimes(a)
 	if a.phase == wire.TaskRunning {
-		c.noteEstimate(a.job.spec, c.ran(a))
+		c.recordRun(a.job.spec, c.runTime(a))
 	}
 	j.tasks[a.index].state = taskDone
 	j.done++
 	j.succeeded++
-	j.rounds, j.backoff = 0, 0
-	c.touch(j, a.index, false)
+	j.failureRounds, j.backoff = 0, 0
+	c.markTaskDirty(j, a.index, false)
 	if j.done == len(j.tasks) {
-		c.finishable[j] = true
+		c.completable[j] = true
 	}
 }
 
-// JobSeen takes a job's record as found in state: new, withdrawn or with a
+// ObserveJob takes a job's record as found in state: new, withdrawn or with a
 // version that this leader did not know.
-func (c *Core) JobSeen(now ids.Instant, id ids.JobID, rec *ledger.Job, stamp ids.Stamp) {
+func (c *Core) ObserveJob(now ids.Instant, id ids.JobID, rec *ledger.Job, stamp ids.Revision) {
 	c.now = now
 	j := c.jobs[id]
-	if j != nil && stamp <= j.stamp {
+	if j != nil && stamp <= j.revision {
 		return
 	}
 	if j == nil {
-		if s := c.graph.Of(id).State; rec.Over() || s == pipeline.Done || s == pipeline.Withdrawn {
-			c.heed(id, rec) // or an older record, delivered late
+		if s := c.graph.Of(id).State; rec.Over() || s == pipeline.Done || s == pipeline.Cancelled {
+			c.applyJobRecord(id, rec) // or an older record, delivered late
 			return
 		}
 		j = c.newJob(id, rec, stamp)
 		c.jobs[id] = j
-		c.refill(j)
-		c.heed(id, rec)
+		c.rebuildPending(j)
+		c.applyJobRecord(id, rec)
 		return
 	}
-	j.stamp = stamp
+	j.revision = stamp
 	if rec.Over() {
-		if !j.over() {
+		if !j.terminal() {
 			j.status = rec.Status
-			c.beginStop(j)
+			c.stopAllTasks(j)
 		}
-		c.written(j)
-		c.heed(id, rec)
+		c.cancelRecorded(j)
+		c.applyJobRecord(id, rec)
 	}
 }
 
 // written notes that a job's own record says that it is over.
-func (c *Core) written(j *job) {
-	if j.unwritten {
-		j.unwritten = false
-		c.withdrawn[j] = true
+func (c *Core) cancelRecorded(j *job) {
+	if j.cancelUnrecorded {
+		j.cancelUnrecorded = false
+		c.droppable[j] = true
 	}
 }
 
 // beginStop stops all that a job which is over may still have on machines.
-func (c *Core) beginStop(j *job) {
+func (c *Core) stopAllTasks(j *job) {
 	j.pending = nil
-	j.stopAt = c.now
+	j.cancelledAt = c.now
 	for _, s := range j.slices {
 		delete(c.dirty, s)
 		s.dirty = false
 	}
-	delete(c.finishable, j)
-	for _, a := range sortedTasks(j.active) {
-		c.stop(a, stopWithdrawn)
+	delete(c.completable, j)
+	for _, a := range tasksByIndex(j.active) {
+		c.stopTask(a, stopCancelled)
 	}
-	c.withdrawn[j] = true
-	c.changed = true
+	c.droppable[j] = true
+	c.schedulingDue = true
 }
 
-func sortedTasks(m map[int]*assignment) []*assignment {
+func tasksByIndex(m map[int]*assignment) []*assignment {
 	out := make([]*assignment, 0, len(m))
 	for _, a := range m {
 		out = append(out, a)
@@ -775,24 +777,24 @@
 // stop decides that a task must leave its machine. One that was never sent is
 // gone at once, unless its record is still being written: then the record
 // decides first.
-func (c *Core) stop(a *assignment, why stopReason) {
-	if a.stop == stopNone {
-		a.stopAt = c.now
-		a.m.count(a, -1)
-		c.note(a, -1, 1)
+func (c *Core) stopTask(a *assignment, why stopReason) {
+	if a.stopReason == stopNone {
+		a.stoppedAt = c.now
+		a.machine.countActive(a, -1)
+		c.countTask(a, -1, 1)
 	}
-	c.heat(a.m)
+	c.queueCommands(a.machine)
 	a.graceS = 0
-	if why != stopWithdrawn && a.stop != stopWithdrawn && a.job.spec.SaveEvery > 0 {
-		a.graceS = a.job.spec.SaveS*1.25 + 0.5
+	if why != stopCancelled && a.stopReason != stopCancelled && a.job.spec.CheckpointEveryS > 0 {
+		a.graceS = a.job.spec.CheckpointS*1.25 + 0.5
 	}
-	if a.stop != stopWithdrawn {
-		a.stop = why
+	if a.stopReason != stopCancelled {
+		a.stopReason = why
 	}
-	if !a.mayRun() && !a.saving {
+	if !a.mayRun() && !a.recordInFlight {
 		c.release(a)
 	}
-	c.changed = true
+	c.schedulingDue = true
 }
 
 // Status tells a job's progress for display.
@@ -803,7 +805,7 @@
 	}
 	s := Status{Done: j.done}
 	for _, a := range j.active {
-		if a.phase == wire.TaskRunning || a.phase == wire.TaskFlushing {
+		if a.phase == wire.TaskRunning || a.phase == wire.TaskSaving {
 			s.Running++
 		}
 	}
@@ -813,127 +815,127 @@
 // ChangeResult takes the definite outcome of a change.
 func (c *Core) ChangeResult(now ids.Instant, o ledger.Outcome) {
 	c.now = now
-	p := c.changes[o.Change.ID]
+	p := c.pendingChanges[o.Change.ID]
 	if p == nil {
 		return
 	}
-	delete(c.changes, o.Change.ID)
-	c.changed = true
+	delete(c.pendingChanges, o.Change.ID)
+	c.schedulingDue = true
 	j := p.job
 	if p.slice != nil {
-		p.slice.inflight = false
+		p.slice.inFlight = false
 	}
 	for _, s := range p.dropped {
-		s.inflight = false
+		s.inFlight = false
 	}
 	if !o.Applied {
 		if o.Refused {
-			c.putOff(p)
+			c.postpone(p)
 		} else {
-			c.refused(p, o.Failed)
+			c.changeRejected(p, o.Failed)
 		}
 		return
 	}
 	j.refusals = 0
 	switch {
-	case p.orphan:
-		j.stamp = o.Stamp
-		c.written(j)
-	case p.finish:
-		j.finishing = false
-		j.status, j.stamp = wire.StatusDone, o.Stamp
+	case p.orphanCancel:
+		j.revision = o.Revision
+		c.cancelRecorded(j)
+	case p.completes:
+		j.completing = false
+		j.status, j.revision = wire.StatusDone, o.Revision
 		// Only now may those that need it start: a successor would find it done.
-		c.heed(j.id, &ledger.Job{Status: wire.StatusDone, DoneMS: p.doneMS})
+		c.applyJobRecord(j.id, &ledger.Job{Status: wire.StatusDone, DoneMS: p.doneMS})
 		for _, s := range p.dropped {
-			s.stamp = 0
+			s.revision = 0
 		}
-		c.withdrawn[j] = true
+		c.droppable[j] = true
 	case p.slice != nil:
-		p.slice.stamp = o.Stamp
-		c.divide(p, o.Stamp)
+		p.slice.revision = o.Revision
+		c.applySplit(p, o.Revision)
 		for _, a := range p.placed {
-			a.recorded, a.saving = true, false
-			c.heat(a.m)
-			if a.stop != stopNone && a.m.tasks[a.ref()] == a {
+			a.recorded, a.recordInFlight = true, false
+			c.queueCommands(a.machine)
+			if a.stopReason != stopNone && a.machine.tasks[a.ref()] == a {
 				c.release(a) // never sent
 			}
 		}
-		if j.over() {
-			c.withdrawn[j] = true
+		if j.terminal() {
+			c.droppable[j] = true
 		}
 	default:
 		for _, s := range p.dropped {
-			s.stamp = 0
+			s.revision = 0
 		}
-		c.withdrawn[j] = true
+		c.droppable[j] = true
 	}
 }
 
 // refused handles a change whose guards failed. Only the job's own key may
 // have moved, by a withdrawal; anything else means that the records are not
 // as this leader left them.
-func (c *Core) refused(p *pendingChange, failed []string) {
+func (c *Core) changeRejected(p *pendingChange, failed []string) {
 	j := p.job
-	j.finishing = false
-	if len(failed) != 1 || failed[0] != ledger.JobKey(j.id) || j.stamp == 0 {
-		c.broken = fmt.Errorf("records of %s moved without this leader: %v", j.id, failed)
+	j.completing = false
+	if len(failed) != 1 || failed[0] != ledger.JobKey(j.id) || j.revision == 0 {
+		c.recordsErr = fmt.Errorf("records of %s moved without this leader: %v", j.id, failed)
 		return
 	}
-	c.undo(p)
-	if p.orphan || !j.over() {
-		j.refreshAt = c.now.Add(500 * time.Millisecond)
-		c.out.Refresh = append(c.out.Refresh, j.id)
+	c.rollBack(p)
+	if p.orphanCancel || !j.terminal() {
+		j.rereadAt = c.now.Add(500 * time.Millisecond)
+		c.effects.Refresh = append(c.effects.Refresh, j.id)
 	}
 }
 
 // undo takes back what a change that was not applied would have recorded.
-func (c *Core) undo(p *pendingChange) {
+func (c *Core) rollBack(p *pendingChange) {
 	j := p.job
 	for _, a := range p.placed {
-		a.saving = false
-		if a.m.tasks[a.ref()] == a {
+		a.recordInFlight = false
+		if a.machine.tasks[a.ref()] == a {
 			c.release(a)
 		}
 	}
 	switch {
-	case p.orphan:
-		c.orphans = append(c.orphans, j) // unless its user withdrew it too
-	case j.over():
-		c.withdrawn[j] = true
-	case p.finish:
-		c.finishable[j] = true
+	case p.orphanCancel:
+		c.orphanCancels = append(c.orphanCancels, j) // unless its user withdrew it too
+	case j.terminal():
+		c.droppable[j] = true
+	case p.completes:
+		c.completable[j] = true
 	case p.slice != nil:
-		c.soil(j, p.slice, true)
+		c.markDirty(j, p.slice, true)
 	}
 }
 
-// mostRefusals is how often a change of one job may be refused for its size.
-const mostRefusals = 8
+// maxRefusals is how often a change of one job may be refused for its size.
+const maxRefusals = 8
 
 // putOff handles a change that the state service would not take at all, as when
 // its limits are lower than it said. The same would be refused again: the job's
 // next change is half as large and comes later, and after a few of them nothing more
 // is written or placed for it, until all controllers are new or another leads. Others
 // go on meanwhile.
-func (c *Core) putOff(p *pendingChange) {
+func (c *Core) postpone(p *pendingChange) {
 	j := p.job
-	j.finishing = false
-	c.undo(p)
+	j.completing = false
+	c.rollBack(p)
 	j.refusals++
-	wait := min(time.Minute, time.Second<<min(j.refusals, mostRefusals))
-	j.refreshAt, j.retryAt = c.now.Add(wait), c.now.Add(wait)
+	wait := min(time.Minute, time.Second<<min(j.refusals, maxRefusals))
+	j.rereadAt, j.retryAt = c.now.Add(wait), c.now.Add(wait)
 }
 
 // divide makes the slices of a split that is recorded. What happened to their
 // tasks since belongs to the parts.
-func (c *Core) divide(p *pendingChange, stamp ids.Stamp) {
+func (c *Core) applySplit(p *pendingChange, stamp ids.Revision) {
 	for k, part := range p.parts {
-		part.stamp, part.tasks = stamp, p.split[k]
+		part.revision, part.tasks = stamp, p.split[k]
 		for _, i := range part.tasks {
-			p.job.tasks[i].in = part
+			p.job.tasks[i].slice = part
 		}
 		if p.slice.dirty {
-			c.soil(p.job, part, p.slice.urgent)
+			c.markDirty(p.job, part, p.slice.urgent)
 		}
 	}
 }
@@ -947,178 +949,178 @@
 // decisions.
 func (c *Core) sortedJobs() []*job { return slices.SortedFunc(maps.Values(c.jobs), compareJobs) }
 
-// watchEvery is how often the machines are looked at for what time alone
+// healthCheckInterval is how often the machines are looked at for what time alone
 // brings about.
-const watchEvery = 200 * time.Millisecond
+const healthCheckInterval = 200 * time.Millisecond
 
-// stoodStill is how long a time without a step tells that the leader did not
+// pauseThreshold is how long a time without a step tells that the leader did not
 // run, rather than that its machines were silent: what they said meanwhile is
 // still to be read.
-const stoodStill = time.Second
+const pauseThreshold = time.Second
 
 // awake moves the time on, and notices that the leader did not run for a while.
-func (c *Core) awake(now ids.Instant) {
+func (c *Core) advance(now ids.Instant) {
 	c.now = now
-	if gap := now.Sub(c.lastStep); gap > stoodStill {
-		c.resumed = now
+	if gap := now.Sub(c.lastStep); gap > pauseThreshold {
+		c.resumedAt = now
 		if c.lastStep != 0 {
-			c.stood += gap
+			c.totalPause += gap
 		}
 	}
 	c.lastStep = now
 }
 
-// passBy sees that a pass comes by a time, whether or not anything happens.
-func (c *Core) passBy(at ids.Instant) {
-	if c.recheck == 0 || at < c.recheck {
-		c.recheck = at
+// scheduleAt sees that a pass comes by a time, whether or not anything happens.
+func (c *Core) scheduleAt(at ids.Instant) {
+	if c.recheckAt == 0 || at < c.recheckAt {
+		c.recheckAt = at
 	}
 }
 
 // Step runs what time and events call for and hands out the decisions.
 func (c *Core) Step(now ids.Instant) Effects {
-	c.awake(now)
-	if c.watchSoon || now >= c.lastWatch.Add(watchEvery) {
-		c.watchSoon, c.lastWatch = false, now
-		c.watchMachines()
+	c.advance(now)
+	if c.healthCheckDue || now >= c.healthCheckedAt.Add(healthCheckInterval) {
+		c.healthCheckDue, c.healthCheckedAt = false, now
+		c.checkMachines()
 	}
-	if (c.changed || c.recheck != 0 && now >= c.recheck) && now >= c.passAt {
-		c.changed, c.recheck = false, 0
-		before := c.Work
-		c.schedule()
-		c.passAt = now.Add(max(c.opt.PassEvery, time.Duration(c.Work-before)*c.opt.PassCost))
+	if (c.schedulingDue || c.recheckAt != 0 && now >= c.recheckAt) && now >= c.nextRoundAt {
+		c.schedulingDue, c.recheckAt = false, 0
+		before := c.MachinesExamined
+		c.scheduleRound()
+		c.nextRoundAt = now.Add(max(c.opt.RoundInterval, time.Duration(c.MachinesExamined-before)*c.opt.RoundCostPerMachine))
 	}
 	c.planFleet()
-	c.save()
-	c.direct()
-	out := c.out
-	c.out = Effects{}
+	c.writeRecords()
+	c.dispatchCommands()
+	out := c.effects
+	c.effects = Effects{}
 	return out
 }
 
 // mayWrite tells whether the write rate allows one more change now.
-func (c *Core) mayWrite() bool { return c.opt.WriteRate <= 0 || c.writes >= 1 }
+func (c *Core) mayWrite() bool { return c.opt.WriteRate <= 0 || c.writeBudget >= 1 }
 
 // save turns dirty records into changes, no faster than the state service may
 // be written: placements first, then what is over, then what only lags behind. While
 // writes are scarce, as for half a minute after a zone is lost, the ends of jobs go
 // before placements: each is one write, users wait for it, and so may other jobs.
-func (c *Core) save() {
-	c.writes = min(c.opt.WriteRate, c.writes+c.opt.WriteRate*c.now.Sub(c.lastWrites).Seconds())
-	c.lastWrites = c.now
+func (c *Core) writeRecords() {
+	c.writeBudget = min(c.opt.WriteRate, c.writeBudget+c.opt.WriteRate*c.now.Sub(c.budgetRefilledAt).Seconds())
+	c.budgetRefilledAt = c.now
 	if !c.mayWrite() {
 		return
 	}
-	if c.writes < c.opt.WriteRate*scarce && !c.finishAll(0) {
+	if c.writeBudget < c.opt.WriteRate*scarceWrites && !c.completeJobs(0) {
 		return
 	}
-	c.saveSlices(true)
-	if !c.finishAll(c.opt.TxnOps-2) || !c.writeOrphans() {
+	c.writeSlices(true)
+	if !c.completeJobs(c.opt.TxnOps-2) || !c.recordOrphanCancels() {
 		return
 	}
-	for _, j := range sortedJobs(c.withdrawn) {
+	for _, j := range sortedJobs(c.droppable) {
 		if !c.mayWrite() {
 			return
 		}
-		c.cleanUp(j)
+		c.dropRecords(j)
 	}
-	c.saveSlices(false)
+	c.writeSlices(false)
 }
 
 // scarce is the part of a second's writes below which they are scarce.
-const scarce = 0.5
+const scarceWrites = 0.5
 
-// finishAll ends the jobs whose tasks are all done, with so many drops each. False
+// completeJobs ends the jobs whose tasks are all done, with so many drops each. False
 // means that the rate allows no more.
-func (c *Core) finishAll(drops int) bool {
-	for _, j := range sortedJobs(c.finishable) {
+func (c *Core) completeJobs(drops int) bool {
+	for _, j := range sortedJobs(c.completable) {
 		if !c.mayWrite() {
 			return false
 		}
-		c.finish(j, drops)
+		c.completeJob(j, drops)
 	}
 	return true
 }
 
-// saveSlices saves the dirty slices that hold placements, or else those that
+// writeSlices saves the dirty slices that hold placements, or else those that
 // have lagged behind for long enough.
-func (c *Core) saveSlices(urgent bool) {
+func (c *Core) writeSlices(urgent bool) {
 	type item struct {
-		s *slice
+		s *admissionSlice
 		j *job
 	}
 	var items []item
 	for s, j := range c.dirty {
-		if s.inflight || j.over() || j.finishing || c.finishable[j] || c.now < j.refreshAt || j.refusals >= mostRefusals {
+		if s.inFlight || j.terminal() || j.completing || c.completable[j] || c.now < j.rereadAt || j.refusals >= maxRefusals {
 			continue
 		}
-		if s.urgent != urgent || !urgent && c.now < s.dirtyAt.Add(c.opt.LazySave) {
+		if s.urgent != urgent || !urgent && c.now < s.dirtySince.Add(c.opt.LazyWriteDelay) {
 			continue
 		}
 		items = append(items, item{s, j})
 	}
 	sort.Slice(items, func(i, k int) bool {
 		a, b := items[i], items[k]
-		if a.j.prio != b.j.prio {
-			return a.j.prio > b.j.prio
+		if a.j.priority != b.j.priority {
+			return a.j.priority > b.j.priority
 		}
 		if a.j.id != b.j.id {
 			return a.j.id < b.j.id
 		}
-		return a.s.n < b.s.n
+		return a.s.number < b.s.number
 	})
 	for _, it := range items {
 		if !c.mayWrite() {
 			return
 		}
-		c.saveSlice(it.j, it.s)
+		c.writeSlice(it.j, it.s)
 	}
 }
 
-func (c *Core) submit(p *pendingChange, ch ledger.Change) {
+func (c *Core) submitChange(p *pendingChange, ch ledger.Change) {
 	c.nextChange++
 	ch.ID = c.nextChange
-	c.changes[ch.ID] = p
-	c.writes -= float64(len(ch.Apply))
-	c.out.Changes = append(c.out.Changes, ch)
+	c.pendingChanges[ch.ID] = p
+	c.writeBudget -= float64(len(ch.Apply))
+	c.effects.Changes = append(c.effects.Changes, ch)
 }
 
 // nonce names the next change. No two leaders share a stamp.
-func (c *Core) nonce() uint64 {
-	return uint64(ids.NewToken(c.opt.Stamp, c.nextChange+1))
+func (c *Core) nextNonce() uint64 {
+	return uint64(ids.NewToken(c.opt.Revision, c.nextChange+1))
 }
 
-func (c *Core) saveSlice(j *job, s *slice) {
+func (c *Core) writeSlice(j *job, s *admissionSlice) {
 	delete(c.dirty, s)
-	s.dirty, s.urgent, s.inflight = false, false, true
+	s.dirty, s.urgent, s.inFlight = false, false, true
 	p := &pendingChange{job: j, slice: s}
 	for _, i := range s.tasks {
-		if a := j.tasks[i].a; a != nil && !a.recorded {
-			a.saving = true
+		if a := j.tasks[i].assignment; a != nil && !a.recorded {
+			a.recordInFlight = true
 			p.placed = append(p.placed, a)
 		}
 	}
-	at := []ledger.SliceVersion{{N: s.n, Stamp: s.stamp}}
+	at := []ledger.SliceVersion{{N: s.number, Revision: s.revision}}
 	recs := []ledger.Slice{c.sliceRecord(j, s.tasks)}
 	limit := c.opt.ValueBytes >> j.refusals
-	s.large = wire.Exceeds(recs[0], limit)
-	if s.large && c.opt.Split {
-		s.large = false
-		p.split, recs = c.cut(j, s.tasks, limit)
-		p.parts = []*slice{s}
+	s.oversized = wire.Exceeds(recs[0], limit)
+	if s.oversized && c.opt.SplitRecords {
+		s.oversized = false
+		p.split, recs = c.splitTasks(j, s.tasks, limit)
+		p.parts = []*admissionSlice{s}
 		for range recs[1:] {
-			j.grow(len(j.slices) + 1)
+			j.growSlices(len(j.slices) + 1)
 			part := j.slices[len(j.slices)-1]
 			p.parts = append(p.parts, part)
-			at = append(at, ledger.SliceVersion{N: part.n})
+			at = append(at, ledger.SliceVersion{N: part.number})
 		}
 	}
-	c.submit(p, ledger.SliceChange(j.id, j.stamp, at, recs))
+	c.submitChange(p, ledger.SliceChange(j.id, j.revision, at, recs))
 }
 
 // cut divides the tasks of a record that is too large into parts whose records are
 // not, no more than one change may write.
-func (c *Core) cut(j *job, tasks []int, limit int) (parts [][]int, recs []ledger.Slice) {
+func (c *Core) splitTasks(j *job, tasks []int, limit int) (parts [][]int, recs []ledger.Slice) {
 	parts = [][]int{tasks}
 	for k := 0; k < len(parts); {
 		list := parts[k]
@@ -1136,7 +1138,7 @@
 
 // sliceRecord is the record of some of a job's tasks.
 func (c *Core) sliceRecord(j *job, tasks []int) ledger.Slice {
-	rec := ledger.Slice{Nonce: c.nonce()}
+	rec := ledger.Slice{Nonce: c.nextNonce()}
 	place := map[ids.Host]int{}
 	for _, i := range tasks {
 		t := &j.tasks[i]
@@ -1148,13 +1150,13 @@
 			continue
 		}
 		at := -1
-		if t.a != nil {
-			h, ok := place[t.a.m.host]
+		if t.assignment != nil {
+			h, ok := place[t.assignment.machine.host]
 			if !ok {
 				h = len(rec.Hosts)
-				place[t.a.m.host] = h
-				rec.Hosts = append(rec.Hosts, t.a.m.host)
-				rec.Zones = append(rec.Zones, t.a.m.Zone)
+				place[t.assignment.machine.host] = h
+				rec.Hosts = append(rec.Hosts, t.assignment.machine.host)
+				rec.Zones = append(rec.Zones, t.assignment.machine.Zone)
 			}
 			at = h
 		}
@@ -1163,23 +1165,23 @@
 	return rec
 }
 
-// writeOrphans writes that jobs are withdrawn with one that they need. They never
+// recordOrphanCancels writes that jobs are withdrawn with one that they need. They never
 // had a task, so nothing else of them has to be kept. There may be a crowd of them,
 // so each is looked at once, in order. False means that the rate allows no more.
-func (c *Core) writeOrphans() bool {
-	for n := len(c.orphans); n > 0; n-- {
+func (c *Core) recordOrphanCancels() bool {
+	for n := len(c.orphanCancels); n > 0; n-- {
 		if !c.mayWrite() {
 			return false
 		}
-		j := c.orphans[0]
-		c.orphans = c.orphans[1:]
+		j := c.orphanCancels[0]
+		c.orphanCancels = c.orphanCancels[1:]
 		switch {
-		case !j.unwritten: // its user withdrew it too
-		case c.now < j.refreshAt:
-			c.orphans = append(c.orphans, j)
+		case !j.cancelUnrecorded: // its user withdrew it too
+		case c.now < j.rereadAt:
+			c.orphanCancels = append(c.orphanCancels, j)
 		default:
-			rec := ledger.Job{Tasks: len(j.tasks), SubmittedMS: j.at}
-			c.submit(&pendingChange{job: j, orphan: true}, ledger.WithdrawChange(j.id, j.stamp, c.nonce(), rec, 0))
+			rec := ledger.Job{Tasks: len(j.tasks), SubmittedMS: j.readyMS}
+			c.submitChange(&pendingChange{job: j, orphanCancel: true}, ledger.CancelChange(j.id, j.revision, c.nextNonce(), rec, 0))
 		}
 	}
 	return true
@@ -1187,18 +1189,18 @@
 
 // finish commits that a job is done, and drops what records it can in the
 // same transaction.
-func (c *Core) finish(j *job, most int) {
+func (c *Core) completeJob(j *job, most int) {
 	for _, s := range j.slices {
-		if s.inflight {
+		if s.inFlight {
 			return // its version is not known yet
 		}
 	}
-	if j.finishing || j.over() || c.now < j.refreshAt {
+	if j.completing || j.terminal() || c.now < j.rereadAt {
 		return
 	}
-	delete(c.finishable, j)
-	j.finishing = true
-	p := &pendingChange{job: j, finish: true, doneMS: c.wallMS()}
+	delete(c.completable, j)
+	j.completing = true
+	p := &pendingChange{job: j, completes: true, doneMS: c.wallClockMS()}
 	// The rest of the records is dropped later, and less at once where a change
 	// was refused.
 	most >>= j.refusals
@@ -1206,35 +1208,35 @@
 	for _, s := range j.slices {
 		delete(c.dirty, s)
 		s.dirty = false
-		if s.stamp != 0 && len(drops) < most {
-			s.inflight = true
+		if s.revision != 0 && len(drops) < most {
+			s.inFlight = true
 			p.dropped = append(p.dropped, s)
-			drops = append(drops, ledger.SliceVersion{N: s.n, Stamp: s.stamp})
+			drops = append(drops, ledger.SliceVersion{N: s.number, Revision: s.revision})
 		}
 	}
-	rec := ledger.Job{Nonce: c.nonce(), Tasks: len(j.tasks), DoneMS: p.doneMS}
-	c.submit(p, ledger.DoneChange(j.id, j.stamp, rec, drops))
+	rec := ledger.Job{Nonce: c.nextNonce(), Tasks: len(j.tasks), DoneMS: p.doneMS}
+	c.submitChange(p, ledger.DoneChange(j.id, j.revision, rec, drops))
 }
 
-// cleanUp drops the admission records of a job that is over, once none of its
+// dropRecords drops the admission records of a job that is over, once none of its
 // tasks can be on a machine.
-func (c *Core) cleanUp(j *job) {
-	if c.now < j.refreshAt {
+func (c *Core) dropRecords(j *job) {
+	if c.now < j.rereadAt {
 		return
 	}
-	delete(c.withdrawn, j)
-	if !j.over() || len(j.active) > 0 || j.unwritten {
+	delete(c.droppable, j)
+	if !j.terminal() || len(j.active) > 0 || j.cancelUnrecorded {
 		return // comes again with what is missing
 	}
 	p := &pendingChange{job: j}
 	var drops []ledger.SliceVersion
 	for _, s := range j.slices {
-		if s.inflight {
+		if s.inFlight {
 			return // comes again with the outcome
 		}
-		if s.stamp != 0 && len(drops) < max(1, c.opt.TxnOps>>j.refusals-1) {
+		if s.revision != 0 && len(drops) < max(1, c.opt.TxnOps>>j.refusals-1) {
 			p.dropped = append(p.dropped, s)
-			drops = append(drops, ledger.SliceVersion{N: s.n, Stamp: s.stamp})
+			drops = append(drops, ledger.SliceVersion{N: s.number, Revision: s.revision})
 		}
 	}
 	if len(drops) == 0 {
@@ -1242,9 +1244,9 @@
 		return
 	}
 	for _, s := range p.dropped {
-		s.inflight = true
+		s.inFlight = true
 	}
-	c.submit(p, ledger.DropChange(j.id, drops))
+	c.submitChange(p, ledger.DropChange(j.id, drops))
 }
 
 // Summary is one line about the state of things, for the log.
@@ -1252,13 +1254,13 @@
 	var b strings.Builder
 	var pend, act, up, boot, starving int
 	for _, j := range c.jobs {
-		if j.ready && !j.over() && c.starves(j) {
+		if j.ready && !j.terminal() && c.starving(j) {
 			starving++
 		}
 		pend += len(j.pending)
 		act += len(j.active)
 	}
-	for _, m := range c.order {
+	for _, m := range c.machineList {
 		if c.usable(m) {
 			up++
 		} else if !m.reported {
@@ -1266,20 +1268,20 @@
 		}
 	}
 	fmt.Fprintf(&b, "jobs=%d waiting=%d starving=%d placed=%d machines=%d usable=%d booting=%d",
-		len(c.jobs), pend, starving, act, len(c.order), up, boot)
-	for i, name := range []string{stopNone: "lost", stopWithdrawn: "withdrawn", stopPreempted: "preempted", stopDrained: "drained"} {
-		fmt.Fprintf(&b, " %s=%d/%.0f", name, c.lost[i].tasks, c.lost[i].cpuS)
+		len(c.jobs), pend, starving, act, len(c.machineList), up, boot)
+	for i, name := range []string{stopNone: "lost", stopCancelled: "withdrawn", stopPreempted: "preempted", stopDrained: "drained"} {
+		fmt.Fprintf(&b, " %s=%d/%.0f", name, c.lostWork[i].tasks, c.lostWork[i].cpuS)
 	}
 	for _, t := range c.opt.Teams {
-		fmt.Fprintf(&b, " %s=%.0f", t.Name, c.book.Used(t.Name).CPUs)
+		fmt.Fprintf(&b, " %s=%.0f", t.Name, c.quotas.Used(t.Name).CPUs)
 	}
-	for _, zone := range slices.Sorted(maps.Keys(c.from)) {
-		if c.cutOff(zone) {
+	for _, zone := range slices.Sorted(maps.Keys(c.zoneStates)) {
+		if c.zonePartitioned(zone) {
 			fmt.Fprintf(&b, " cut-off=%s", zone)
 		}
 	}
-	for _, why := range slices.Sorted(maps.Keys(c.returns)) {
-		fmt.Fprintf(&b, " returned-%s=%d", why, c.returns[why])
+	for _, why := range slices.Sorted(maps.Keys(c.returnCounts)) {
+		fmt.Fprintf(&b, " returned-%s=%d", why, c.returnCounts[why])
 	}
 	// By type and kind: machines, those without a task, and the part of their
 	// CPUs in use.
@@ -1288,7 +1290,7 @@
 		used, total float64
 	}
 	kinds := map[placement.Site]*held{}
-	for _, m := range c.order {
+	for _, m := range c.machineList {
 		k := placement.Site{Type: m.Type, Spot: m.Spot}
 		if kinds[k] == nil {
 			kinds[k] = &held{}
--- a/scheduler/core_test.go
+++ b/scheduler/core_test.go
@@ -20,7 +20,7 @@
 	t    *testing.T
 	c    *Core
 	now  ids.Instant
-	tick ids.Tick
+	tick ids.Sequence
 }
 
 func newBench(t *testing.T, opt Options, types ...wire.MachineType) *bench {
@@ -28,11 +28,11 @@
 	if opt.Teams == nil {
 		opt.Teams = []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 64}, Limit: quota.Amount{CPUs: 64}, Lend: quota.Amount{CPUs: 64}}}
 	}
-	if opt.Stamp == 0 {
-		opt.Stamp = 5
+	if opt.Revision == 0 {
+		opt.Revision = 5
 	}
 	opt.Report, opt.Lease, opt.Cancel = simReport, simLease, simCancel
-	opt.TxnOps, opt.SliceTasks, opt.PassOver, opt.BootFactor, opt.MaxMachines = 8, 4, 100, 4, 100
+	opt.TxnOps, opt.SliceTasks, opt.MaxSkippedJobs, opt.BootFactor, opt.MaxMachines = 8, 4, 100, 4, 100
 	opt.Idle, opt.HeadroomIdle = time.Hour, time.Hour
 	if types == nil {
 		types = []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: []ids.Zone{"a", "b"}}}
@@ -48,7 +48,7 @@
 		spec.Team = "red"
 	}
 	spec.Image = "i"
-	b.c.JobSeen(b.now, id, &ledger.Job{Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(len(b.c.jobs))}, ids.Stamp(100+len(b.c.jobs)))
+	b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(len(b.c.jobs))}, ids.Revision(100+len(b.c.jobs)))
 }
 
 // inherit loads job-1 and its admission record as a predecessor left them.
@@ -79,9 +79,9 @@
 	}
 }
 
-func (b *bench) report(host ids.Host, zone ids.Zone, token ids.Token, tasks ...wire.Task) wire.Orders {
+func (b *bench) report(host ids.Host, zone ids.Zone, token ids.Token, tasks ...wire.Task) wire.ReportAnswer {
 	b.tick++
-	o, ok := b.c.Report(b.now, &wire.Report{Host: host, Endpoint: string(host), Type: "m", Zone: zone, Tenure: 1, Tick: b.tick,
+	o, ok := b.c.Report(b.now, &wire.Report{Host: host, Endpoint: string(host), Type: "m", Zone: zone, Session: 1, Sequence: b.tick,
 		Token: token, Tasks: tasks}, false)
 	if !ok {
 		b.t.Fatalf("report of %s not answered", host)
@@ -93,12 +93,12 @@
 func (b *bench) step() Effects {
 	e := b.c.Step(b.now)
 	for _, ch := range e.Changes {
-		b.c.ChangeResult(b.now, ledger.Outcome{Change: ch, Applied: true, Stamp: ids.Stamp(1000 + ch.ID)})
+		b.c.ChangeResult(b.now, ledger.Outcome{Change: ch, Applied: true, Revision: ids.Revision(1000 + ch.ID)})
 	}
 	return e
 }
 
-func verbs(orders []wire.Order, verb string) []string {
+func verbs(orders []wire.Command, verb string) []string {
 	var out []string
 	for _, o := range orders {
 		if o.Verb == verb {
@@ -119,12 +119,12 @@
 		b.c.Begin(b.now)
 		b.report("n-3", "a", ids.NewToken(5, 0))
 		b.step()
-		if a := b.c.jobs["job-1"].tasks[2].a; a != nil {
-			t.Errorf("zones %v: the third replica went to %s in zone %s", zones, a.m.host, a.m.Zone)
+		if a := b.c.jobs["job-1"].tasks[2].assignment; a != nil {
+			t.Errorf("zones %v: the third replica went to %s in zone %s", zones, a.machine.host, a.machine.Zone)
 		}
 		b.report("n-4", "b", ids.NewToken(5, 0))
 		b.step()
-		if a := b.c.jobs["job-1"].tasks[2].a; zones != nil && (a == nil || a.m.Zone != "b") {
+		if a := b.c.jobs["job-1"].tasks[2].assignment; zones != nil && (a == nil || a.machine.Zone != "b") {
 			t.Errorf("zones %v: the third replica did not go to zone b", zones)
 		}
 	}
@@ -143,17 +143,17 @@
 		t.Fatalf("nothing goes to the worker at once: %+v", e)
 	}
 	d, _, _ := b.c.TakeDirect(b.now, "n-1")
-	if got := verbs(d.Orders, wire.VerbRun); len(got) != 2 {
+	if got := verbs(d.Commands, wire.VerbRun); len(got) != 2 {
 		t.Fatalf("runs sent: %v", got)
 	}
 	b.c.DirectResult(b.now, "n-1", nil)
 	ended := wire.Task{Name: "job-1/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseError}
-	if o := b.report("n-1", "a", d.Token, ended); len(verbs(o.Orders, wire.VerbReap)) != 0 {
+	if o := b.report("n-1", "a", d.Token, ended); len(verbs(o.Commands, wire.VerbReap)) != 0 {
 		t.Fatalf("reaped before the end is recorded: %+v", o)
 	}
 	b.step()
 	o := b.report("n-1", "a", d.Token, ended)
-	if got := verbs(o.Orders, wire.VerbReap); !slices.Equal(got, []string{"job-1/0#1"}) {
+	if got := verbs(o.Commands, wire.VerbReap); !slices.Equal(got, []string{"job-1/0#1"}) {
 		t.Fatalf("reaped: %v", got)
 	}
 	if o.Token <= d.Token {
@@ -172,17 +172,17 @@
 	b.step()
 	d, _, _ := b.c.TakeDirect(b.now, "n-1")
 	b.c.DirectResult(b.now, "n-1", nil)
-	b.c.JobSeen(b.now, "job-1", &ledger.Job{Status: wire.StatusWithdrawn, Tasks: 1, Spec: b.c.jobs["job-1"].spec}, 500)
+	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusCancelled, Tasks: 1, Spec: b.c.jobs["job-1"].spec}, 500)
 	b.step()
 	o := b.report("n-1", "a", d.Token)
-	if b.c.book.Used("red").CPUs != 2 {
+	if b.c.quotas.Used("red").CPUs != 2 {
 		t.Fatal("the task was counted as gone while its start may still arrive")
 	}
 	if o.Token <= d.Token {
 		t.Fatalf("the counter was not raised: %d after %d", o.Token, d.Token)
 	}
 	b.report("n-1", "a", o.Token)
-	if used := b.c.book.Used("red").CPUs; used != 0 {
+	if used := b.c.quotas.Used("red").CPUs; used != 0 {
 		t.Fatalf("%v CPUs still count after the worker was fenced", used)
 	}
 }
@@ -199,7 +199,7 @@
 	}{{simLease + 5*time.Second, true}, {time.Minute + simLease - time.Second, true}, {time.Minute + simLease + 5*time.Second, false}} {
 		b.now = ids.Instant(time.Hour).Add(step.after)
 		b.step()
-		if held := b.c.book.Used("red").CPUs > 0; held != step.held {
+		if held := b.c.quotas.Used("red").CPUs > 0; held != step.held {
 			t.Errorf("after %v: still counted %v, want %v", step.after, held, step.held)
 		}
 	}
@@ -213,14 +213,14 @@
 	b.inherit(wire.Spec{Tasks: 1}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	followed := 5 * time.Second
-	b.c.Followed(b.now.Add(followed))
+	b.c.AllFollow(b.now.Add(followed))
 	for _, step := range []struct {
 		after time.Duration
 		held  bool
 	}{{followed + simLease, true}, {followed + simLease + 2*time.Second, false}} {
 		b.now = ids.Instant(time.Hour).Add(step.after)
 		b.step()
-		if held := b.c.book.Used("red").CPUs > 0; held != step.held {
+		if held := b.c.quotas.Used("red").CPUs > 0; held != step.held {
 			t.Errorf("after %v: still counted %v, want %v", step.after, held, step.held)
 		}
 	}
@@ -231,8 +231,8 @@
 	b := newBench(t, Options{})
 	b.c.Begin(b.now)
 	spec := wire.Spec{Team: "red", Tasks: 1, CPUs: 1}
-	b.c.JobSeen(b.now, "job-1", &ledger.Job{Status: wire.StatusWithdrawn, Tasks: 1, Spec: &spec}, 9)
-	b.c.JobSeen(b.now, "job-1", &ledger.Job{Status: wire.StatusQueued, Tasks: 1, Spec: &spec}, 8)
+	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusCancelled, Tasks: 1, Spec: &spec}, 9)
+	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusQueued, Tasks: 1, Spec: &spec}, 8)
 	b.report("n-1", "a", 0)
 	b.step()
 	if b.c.jobs["job-1"] != nil {
@@ -250,19 +250,19 @@
 		b.job(id, wire.Spec{Tasks: 1})
 		b.step()
 		o := b.report("n-1", "a", 0)
-		run := verbs(o.Orders, wire.VerbRun)
+		run := verbs(o.Commands, wire.VerbRun)
 		if len(run) != 1 {
 			t.Fatalf("job %d: runs %v", n, run)
 		}
 		b.report("n-1", "a", o.Token, wire.Task{Name: string(id) + "/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseError})
-		b.c.JobSeen(b.now, id, &ledger.Job{Status: wire.StatusWithdrawn, Tasks: 1, Spec: b.c.jobs[id].spec}, 900)
+		b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.StatusCancelled, Tasks: 1, Spec: b.c.jobs[id].spec}, 900)
 		b.step()
 		b.report("n-1", "a", o.Token)
 	}
 	b.job("job-9", wire.Spec{Tasks: 1})
 	b.step()
-	if a := b.c.jobs["job-9"].tasks[0].a; a != nil {
-		t.Fatalf("placed on %s, which fails everything", a.m.host)
+	if a := b.c.jobs["job-9"].tasks[0].assignment; a != nil {
+		t.Fatalf("placed on %s, which fails everything", a.machine.host)
 	}
 }
 
@@ -283,7 +283,7 @@
 	b.job("job-high", wire.Spec{Tasks: 1, Priority: wire.High})
 	b.step()
 	o = b.report("n-1", "a", o.Token, shown...)
-	kills := verbs(o.Orders, wire.VerbKill)
+	kills := verbs(o.Commands, wire.VerbKill)
 	if len(kills) != 1 {
 		t.Fatalf("killed: %v", kills)
 	}
@@ -291,7 +291,7 @@
 	shown[i].State, shown[i].Cause = wire.TaskEnded, wire.CauseStopped
 	b.report("n-1", "a", o.Token, shown...)
 	b.step()
-	if b.c.jobs["job-high"].tasks[0].a == nil {
+	if b.c.jobs["job-high"].tasks[0].assignment == nil {
 		t.Fatal("the higher job did not get the room")
 	}
 }
@@ -317,7 +317,7 @@
 	sort.Slice(jobs, func(i, k int) bool {
 		a, b := jobs[i], jobs[k]
 		return a.spec.Priority > b.spec.Priority || a.spec.Priority == b.spec.Priority &&
-			(a.at < b.at || a.at == b.at && a.id < b.id)
+			(a.readyMS < b.readyMS || a.readyMS == b.readyMS && a.id < b.id)
 	})
 	fits := func(j *job, nominal bool, n int) bool {
 		var over, idle, guaranteed float64
@@ -345,7 +345,7 @@
 				return false
 			}
 		}
-		return !j.begun && c.opt.KeepAfter > 0 && c.now.Sub(j.came) > time.Duration(times*float64(c.opt.KeepAfter))
+		return !j.started && c.opt.ReserveAfter > 0 && c.now.Sub(j.readyAt) > time.Duration(times*float64(c.opt.ReserveAfter))
 	}
 	borrower := map[ids.Team]wire.Priority{}
 	for _, nominal := range []bool{true, false} {
@@ -377,7 +377,7 @@
 			zones := []ids.Zone{""}
 			if whole && j.spec.OneZone && len(j.active) == 0 {
 				zones = nil
-				for _, m := range c.order {
+				for _, m := range c.machineList {
 					if !slices.Contains(zones, m.Zone) {
 						zones = append(zones, m.Zone)
 					}
@@ -397,15 +397,15 @@
 					}
 					var best *machine
 					bestScore := 0.0
-					for _, m := range c.order {
+					for _, m := range c.machineList {
 						if only != "" && m.Zone != only {
 							continue
 						}
 						zones := placement.Zones{}
 						same := 0
 						for _, a := range j.active {
-							zones[a.m.Zone]++
-							if a.m == m {
+							zones[a.machine.Zone]++
+							if a.machine == m {
 								same++
 							}
 						}
@@ -417,7 +417,7 @@
 								}
 							}
 						}
-						if k := m.keptFor; k != nil && k != j &&
+						if k := m.reservedFor; k != nil && k != j &&
 							(k.spec.Priority >= j.spec.Priority || j.spec.Priority < wire.Critical && waited(k, 2.5)) {
 							continue
 						}
@@ -430,11 +430,11 @@
 						}
 						o.Fetching = len(m.tasks) > 0
 						for _, a := range m.tasks {
-							o.Pinned = o.Pinned || a.job.spec.Service
+							o.HostsServices = o.HostsServices || a.job.spec.Service
 						}
 						for ref, p := range placedAt {
 							o.Fetching = o.Fetching || p == m
-							o.Pinned = o.Pinned || p == m && c.jobs[ref.Job].spec.Service
+							o.HostsServices = o.HostsServices || p == m && c.jobs[ref.Job].spec.Service
 						}
 						if s := placement.Score(j.spec, &o); best == nil || s > bestScore {
 							best, bestScore = m, s
@@ -498,17 +498,17 @@
 	b.t.Helper()
 	want := plainPass(b.c)
 	before := map[*assignment]bool{}
-	for _, m := range b.c.order {
+	for _, m := range b.c.machineList {
 		for _, a := range m.tasks {
 			before[a] = true
 		}
 	}
 	b.c.now = b.now
-	// makeRoom is left out: the model knows only the placing pass.
-	b.c.countSurplus()
-	b.c.admitAll(b.c.waiting())
+	// preempt is left out: the model knows only the placing pass.
+	b.c.updateSurplus()
+	b.c.admitAll(b.c.waitingJobs())
 	var got []string
-	for _, m := range b.c.order {
+	for _, m := range b.c.machineList {
 		for _, a := range m.tasks {
 			if !before[a] {
 				got = append(got, fmt.Sprintf("%s@%s", a.ref(), m.host))
@@ -527,7 +527,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		teams := randomTeams(rng, func() float64 { return float64(rng.IntN(3)) / 2 })
-		b := newBench(t, Options{Teams: teams, KeepAfter: time.Second, KeepFor: time.Hour})
+		b := newBench(t, Options{Teams: teams, ReserveAfter: time.Second, ReserveFor: time.Hour})
 		b.c.Begin(b.now)
 		b.randomMachines(rng, 1+rng.IntN(6))
 		for round := range 4 {
@@ -544,9 +544,9 @@
 			}
 			b.now = b.now.Add(time.Second)
 			b.c.now = b.now
-			b.c.keepRoom(b.c.waiting())
-			for _, m := range b.c.order {
-				if m.keptFor != nil {
+			b.c.updateReservations(b.c.waitingJobs())
+			for _, m := range b.c.machineList {
+				if m.reservedFor != nil {
 					kept++
 				}
 			}
@@ -585,18 +585,18 @@
 	}
 	// Two looks around, for the guarantee and for borrowing, and a few more
 	// for each task.
-	if most := uint64((2*jobs+3)*machines + 8*placed); b.c.Work > most {
-		t.Errorf("looked at %d machines for %d jobs and %d tasks, at most %d", b.c.Work, jobs, placed, most)
+	if most := uint64((2*jobs+3)*machines + 8*placed); b.c.MachinesExamined > most {
+		t.Errorf("looked at %d machines for %d jobs and %d tasks, at most %d", b.c.MachinesExamined, jobs, placed, most)
 	}
 	// Work that finds no room costs no more than a look around, however many
 	// wait: those alike are not tried twice.
 	for n := range 300 {
 		b.job(ids.JobID(fmt.Sprintf("job-w%d", n)), wire.Spec{Class: "c", Team: "t0", Tasks: 200, CPUs: 7})
 	}
-	b.c.schedule()
-	before := b.c.Work
-	b.c.schedule()
-	if work := b.c.Work - before; work > 20*machines {
+	b.c.scheduleRound()
+	before := b.c.MachinesExamined
+	b.c.scheduleRound()
+	if work := b.c.MachinesExamined - before; work > 20*machines {
 		t.Errorf("a pass without room looked at %d machines", work)
 	}
 }
@@ -610,7 +610,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		teams := randomTeams(rng, func() float64 { return 1 })
-		b := newBench(t, Options{Teams: teams, Impatient: map[string]time.Duration{"hasty": time.Second}})
+		b := newBench(t, Options{Teams: teams, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
 		b.c.Begin(b.now)
 		b.randomMachines(rng, 1+rng.IntN(5))
 		for round := range 4 {
@@ -631,12 +631,12 @@
 			}
 			before := attempts()
 			for range 8 {
-				b.c.changed = true
+				b.c.schedulingDue = true
 				b.step()
 			}
 			settled := attempts()
 			for range 8 {
-				b.c.changed = true
+				b.c.schedulingDue = true
 				b.step()
 			}
 			if now := attempts(); now != settled {
@@ -740,7 +740,7 @@
 			}
 			if tick == 10 && c.stands > 0 {
 				// Of what came meanwhile only one zone's has been read yet.
-				b.c.from["a"].heard = start
+				b.c.zoneStates["a"].lastHeard = start
 			}
 			for _, r := range b.step().Rent {
 				rented += r.Count
@@ -768,12 +768,12 @@
 		b.step()
 		on := map[ids.Host][]wire.Task{}
 		for i, tk := range b.c.jobs[id].tasks {
-			if tk.a == nil {
+			if tk.assignment == nil {
 				continue
 			}
-			on[tk.a.m.host] = append(on[tk.a.m.host], wire.Task{Name: fmt.Sprintf("%s/%d", id, i), Attempt: tk.attempt, State: wire.TaskRunning})
+			on[tk.assignment.machine.host] = append(on[tk.assignment.machine.host], wire.Task{Name: fmt.Sprintf("%s/%d", id, i), Attempt: tk.attempt, State: wire.TaskRunning})
 		}
-		if m := b.c.machines["n-3"]; m.slowFor >= slowJobs {
+		if m := b.c.machines["n-3"]; m.slowStreak >= slowStreakLimit {
 			if len(on["n-3"]) > 0 {
 				t.Fatalf("round %d: the slow machine was set aside and got %d tasks", round, len(on["n-3"]))
 			}
@@ -806,13 +806,13 @@
 		end("n-3")
 		b.step()
 	}
-	t.Fatalf("the slow machine was never set aside: pace %v", b.c.machines["n-3"].pace)
+	t.Fatalf("the slow machine was never set aside: pace %v", b.c.machines["n-3"].slowness)
 }
 
 // Spare room for classes in a hurry was once looked for in the free room that
 // had already been counted, and so never rented.
 func TestHeadroomIsRentedBesideFreeRoom(t *testing.T) {
-	b := newBench(t, Options{Headroom: 3, Impatient: map[string]time.Duration{"hasty": time.Second}})
+	b := newBench(t, Options{Headroom: 3, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	b.job("job-1", wire.Spec{Class: "hasty", Tasks: 2, CPUs: 2})
@@ -844,7 +844,7 @@
 				t.Fatalf("given back after %d s, within the lag of the list", s+1)
 			}
 			b.c.ReturnResult(b.now, e.Return, true)
-			if b.c.book.Used("red").CPUs != 0 {
+			if b.c.quotas.Used("red").CPUs != 0 {
 				t.Fatal("the task still counts")
 			}
 			return
@@ -863,7 +863,7 @@
 	up := func(zone ids.Zone) {
 		for n := range 5 {
 			h := ids.Host(fmt.Sprintf("n-%s%d", zone, n))
-			for _, o := range b.report(h, zone, ids.NewToken(5, 0), on[h]...).Orders {
+			for _, o := range b.report(h, zone, ids.NewToken(5, 0), on[h]...).Commands {
 				on[h] = append(on[h], wire.Task{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning})
 			}
 		}
@@ -930,7 +930,7 @@
 	b.step()
 	o = b.report("n-1", "a", o.Token)
 	var on []wire.Task
-	for _, order := range o.Orders {
+	for _, order := range o.Commands {
 		on = append(on, wire.Task{Name: order.Name, Attempt: order.Attempt, State: wire.TaskRunning})
 	}
 	b.report("n-1", "a", o.Token, on...)
--- a/scheduler/digest_test.go
+++ b/scheduler/digest_test.go
@@ -65,8 +65,8 @@
 // boot, so that spare room and late returns depend on what is known of a class.
 func impatientDay(t *testing.T, seed uint64) *sim {
 	s := newSim(t, seed)
-	s.opt.Impatient = map[string]time.Duration{"c": 5 * time.Second}
-	s.opt.Headroom, s.opt.SpotIdle = 0.3, 1.5
+	s.opt.LatencySensitive = map[string]time.Duration{"c": 5 * time.Second}
+	s.opt.Headroom, s.opt.SpotIdleFactor = 0.3, 1.5
 	s.takeOver()
 	return s
 }
--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -18,7 +18,7 @@
 }
 
 // Buy is a wish for machines of one site.
-type Buy struct {
+type Purchase struct {
 	placement.Site
 	Count int
 }
@@ -54,7 +54,7 @@
 func (b *Backoff) Granted(s placement.Site) { delete(b.sites, s) }
 
 // Lately tells whether a site lacked capacity when it was last asked.
-func (b *Backoff) Lately(s placement.Site) bool { return b.sites[s].next > 0 }
+func (b *Backoff) RecentlyRefused(s placement.Site) bool { return b.sites[s].next > 0 }
 
 // Blocked tells whether a site should not be asked yet.
 func (b *Backoff) Blocked(s placement.Site, now ids.Instant) bool { return now < b.sites[s].until }
@@ -74,12 +74,12 @@
 	// Budget is the most machines to buy.
 	Budget int
 
-	bins []*bin
-	buys map[placement.Site]int
+	bins      []*bin
+	purchases map[placement.Site]int
 }
 
 // Coming adds a machine that is starting, with the room that is left on it.
-func (p *Planner) Coming(s placement.Site, free placement.Resources) {
+func (p *Planner) AddCapacity(s placement.Site, free placement.Resources) {
 	p.bins = append(p.bins, &bin{s, free})
 }
 
@@ -87,8 +87,8 @@
 // Cheapest per task that fits goes first; services and ordinary work are
 // spread over zones by taking the zone with the fewest machines.
 func (p *Planner) Add(d Demand) {
-	if p.buys == nil {
-		p.buys = map[placement.Site]int{}
+	if p.purchases == nil {
+		p.purchases = map[placement.Site]int{}
 	}
 	zones := placement.Zones{}
 	for z, n := range d.Zones {
@@ -107,7 +107,7 @@
 		if !ok {
 			return
 		}
-		p.buys[site]++
+		p.purchases[site]++
 		p.Budget--
 		b := &bin{site, placement.OfType(t)}
 		p.bins = append(p.bins, b)
@@ -155,7 +155,7 @@
 				}
 				used := min(n, max(1, d.Count))
 				cost := price / float64(used)
-				cost *= 1 + 0.02*float64(p.Held[site]+p.buys[site])
+				cost *= 1 + 0.02*float64(p.Held[site]+p.purchases[site])
 				if bestType == nil || cost < bestCost || cost == bestCost && site.Compare(best) < 0 {
 					best, bestType, bestCost = site, t, cost
 				}
@@ -181,11 +181,11 @@
 }
 
 // Buys lists the purchases in a fixed order.
-func (p *Planner) Buys() []Buy {
-	var out []Buy
-	for s, n := range p.buys {
-		out = append(out, Buy{s, n})
+func (p *Planner) Purchases() []Purchase {
+	var out []Purchase
+	for s, n := range p.purchases {
+		out = append(out, Purchase{s, n})
 	}
-	slices.SortFunc(out, func(a, b Buy) int { return a.Site.Compare(b.Site) })
+	slices.SortFunc(out, func(a, b Purchase) int { return a.Site.Compare(b.Site) })
 	return out
 }
