--- a/scheduler/long_test.go
+++ b/scheduler/long_test.go
@@ -32,13 +32,13 @@
 	jobs    int
 	done    int
 	specs   map[ids.JobID]*wire.Spec
-	stamp   ids.Stamp
+	stamp   ids.Revision
 }
 
 type longWorker struct {
 	host  ids.Host
 	site  wire.Rental
-	tick  ids.Tick
+	tick  ids.Sequence
 	token ids.Token
 	tasks []wire.Task
 	soon  bool
@@ -50,12 +50,12 @@
 	team := func(name ids.Team, nominal, limit float64) quota.Team {
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, Lend: quota.Amount{CPUs: nominal}}
 	}
-	opt := Options{Stamp: 5, Teams: []quota.Team{team("red", 9000, 27000), team("blue", 27000, 60000), team("gold", 10500, 45000), team("lime", 10500, 37500)},
+	opt := Options{Revision: 5, Teams: []quota.Team{team("red", 9000, 27000), team("blue", 27000, 60000), team("gold", 10500, 45000), team("lime", 10500, 37500)},
 		Report: 5 * time.Second, Lease: 27 * time.Second, Cancel: simCancel, ListLag: 3 * time.Second, TxnOps: 24, SliceTasks: 64,
-		PassOver: 2000, ReclaimHold: 5 * time.Second, Idle: 30 * time.Second, SpotIdle: 1.5, HeadroomIdle: 15 * time.Minute, Headroom: 0.3,
-		BootFactor: 4, CapacityBack: 10 * time.Second, PassEvery: 50 * time.Millisecond, PassCost: 900 * time.Nanosecond,
-		LazySave: 3 * time.Second, WriteRate: 63, MaxDirect: 64, KeepAfter: time.Minute, KeepFor: 90 * time.Second,
-		Impatient: map[string]time.Duration{"map": time.Second, "push": 5 * time.Second}}
+		MaxSkippedJobs: 2000, ReclaimHold: 5 * time.Second, Idle: 30 * time.Second, SpotIdleFactor: 1.5, HeadroomIdle: 15 * time.Minute, Headroom: 0.3,
+		BootFactor: 4, CapacityBackoff: 10 * time.Second, RoundInterval: 50 * time.Millisecond, RoundCostPerMachine: 900 * time.Nanosecond,
+		LazyWriteDelay: 3 * time.Second, WriteRate: 63, MaxDirectCalls: 64, ReserveAfter: time.Minute, ReserveFor: 90 * time.Second,
+		LatencySensitive: map[string]time.Duration{"map": time.Second, "push": 5 * time.Second}}
 	types := []wire.MachineType{{Name: "m", CPUs: 32, MemoryGB: 64, CacheGB: 80, FetchGBps: 0.25, Price: 2, SpotPrice: 0.5, BootS: 25, Zones: []ids.Zone{"a", "b", "c"}}}
 	d.c = New(opt, types)
 	d.c.Begin(d.now)
@@ -80,7 +80,7 @@
 
 func (d *longDay) said(w *longWorker) *wire.Report {
 	w.tick++
-	return &wire.Report{Host: w.host, Endpoint: string(w.host), Type: w.site.Type, Zone: w.site.Zone, Spot: w.site.Spot, Tenure: 1, Tick: w.tick,
+	return &wire.Report{Host: w.host, Endpoint: string(w.host), Type: w.site.Type, Zone: w.site.Zone, Spot: w.site.Spot, Session: 1, Sequence: w.tick,
 		Token: w.token, Tasks: slices.Clone(w.tasks)}
 }
 
@@ -91,7 +91,7 @@
 	w.soon = false
 	o, _ := d.c.Report(d.now, d.said(w), false)
 	w.token = max(w.token, o.Token)
-	d.execute(w, o.Orders)
+	d.execute(w, o.Commands)
 	tick := w.tick
 	d.after(5*time.Second, func() {
 		if w.tick == tick {
@@ -107,7 +107,7 @@
 	}
 }
 
-func (d *longDay) execute(w *longWorker, orders []wire.Order) {
+func (d *longDay) execute(w *longWorker, orders []wire.Command) {
 	for _, o := range orders {
 		i := slices.IndexFunc(w.tasks, func(t wire.Task) bool { return t.Name == o.Name && t.Attempt == o.Attempt })
 		switch {
@@ -127,7 +127,7 @@
 	}
 }
 
-func (d *longDay) end(w *longWorker, o wire.Order) {
+func (d *longDay) end(w *longWorker, o wire.Command) {
 	i := slices.IndexFunc(w.tasks, func(t wire.Task) bool { return t.Name == o.Name && t.Attempt == o.Attempt })
 	if i >= 0 && w.tasks[i].State == wire.TaskRunning {
 		w.tasks[i].State, w.tasks[i].Cause = wire.TaskEnded, wire.CauseDone
@@ -144,7 +144,7 @@
 	spec.ImageGB = 1
 	d.specs[id] = &spec
 	d.stamp++
-	d.c.JobSeen(d.now, id, &ledger.Job{Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(d.jobs)}, d.stamp)
+	d.c.ObserveJob(d.now, id, &ledger.Job{Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(d.jobs)}, d.stamp)
 }
 
 func (d *longDay) arrive() {
@@ -165,7 +165,7 @@
 	for _, ch := range e.Changes {
 		d.after(5*time.Millisecond, func() {
 			d.stamp++
-			d.c.ChangeResult(d.now, ledger.Outcome{Change: ch, Applied: true, Stamp: d.stamp})
+			d.c.ChangeResult(d.now, ledger.Outcome{Change: ch, Applied: true, Revision: d.stamp})
 			d.step()
 		})
 	}
@@ -175,7 +175,7 @@
 				var rep *wire.Report
 				if w := d.workers[h]; w != nil {
 					w.token = max(w.token, x.Token)
-					d.execute(w, x.Orders)
+					d.execute(w, x.Commands)
 					rep = d.said(w)
 				}
 				d.c.DirectResult(d.now, h, rep)
@@ -234,7 +234,7 @@
 		if d.done == 0 {
 			b.Fatal("nothing was done, so nothing was measured")
 		}
-		b.ReportMetric(float64(d.c.Work)/float64(d.done), "looks/task")
+		b.ReportMetric(float64(d.c.MachinesExamined)/float64(d.done), "looks/task")
 		b.ReportMetric(float64(len(d.workers)), "machines")
 		b.ReportMetric(float64(d.done), "tasks")
 		b.Log(d.c.Summary())
--- a/scheduler/meetings_test.go
+++ b/scheduler/meetings_test.go
@@ -336,7 +336,7 @@
 	b.job("job-1", spec)
 	b.report("n-1", "a", 0)
 	b.step()
-	if len(verbs(b.report("n-1", "a", 0).Orders, wire.VerbRun)) != 1 {
+	if len(verbs(b.report("n-1", "a", 0).Commands, wire.VerbRun)) != 1 {
 		t.Fatal("job-1 was not started")
 	}
 	b.job("job-2", spec)
@@ -345,7 +345,7 @@
 	if len(placed) != 1 {
 		t.Fatal("job-2 was not placed beside job-1")
 	}
-	b.c.JobSeen(b.now, "job-1", &ledger.Job{Status: wire.StatusWithdrawn, Tasks: 1, Spec: &spec}, 900)
+	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusCancelled, Tasks: 1, Spec: &spec}, 900)
 	told := b.now
 	for returned := false; !returned; {
 		b.now = b.now.Add(200 * time.Millisecond)
@@ -361,7 +361,7 @@
 		t.Error("what surely went with the machine still counts")
 	}
 	// The record comes through after all: its task was never sent, and waits again.
-	b.c.ChangeResult(b.now, ledger.Outcome{Change: placed[0], Applied: true, Stamp: 901})
+	b.c.ChangeResult(b.now, ledger.Outcome{Change: placed[0], Applied: true, Revision: 901})
 	for range 10 {
 		b.now = b.now.Add(200 * time.Millisecond)
 		if e := b.step(); len(e.Return) > 0 {
--- a/scheduler/ops_test.go
+++ b/scheduler/ops_test.go
@@ -39,8 +39,8 @@
 				active += len(j.active)
 			}
 			most = max(most, active)
-			for _, m := range b.c.order {
-				if b.now < m.quarantine {
+			for _, m := range b.c.machineList {
+				if b.now < m.quarantinedUntil {
 					condemned++
 				}
 			}
@@ -48,7 +48,7 @@
 		for _, h := range hosts {
 			orders := b.report(h, "a", ids.NewToken(5, b.c.machines[h].counter), running[h]...)
 			running[h] = nil
-			for _, o := range orders.Orders {
+			for _, o := range orders.Commands {
 				if o.Verb == wire.VerbRun {
 					tried++
 					running[h] = append(running[h], wire.Task{Name: o.Name, Attempt: o.Attempt, State: wire.TaskEnded, Cause: wire.CauseError})
@@ -71,7 +71,7 @@
 		for _, h := range hosts {
 			orders := b.report(h, "a", ids.NewToken(5, b.c.machines[h].counter), running[h]...)
 			running[h] = nil
-			for _, o := range orders.Orders {
+			for _, o := range orders.Commands {
 				if o.Verb == wire.VerbRun {
 					done = true
 					running[h] = append(running[h], wire.Task{Name: o.Name, Attempt: o.Attempt, State: wire.TaskEnded, Cause: wire.CauseDone})
@@ -91,24 +91,24 @@
 	b.report("n-0", "a", 0)
 	m := b.c.machines["n-0"]
 	fail := func(id ids.JobID, j *job) {
-		a := &assignment{job: j, m: m, attempt: 1}
-		b.c.taskFailed(a)
+		a := &assignment{job: j, machine: m, attempt: 1}
+		b.c.recordFailure(a)
 	}
 	b.job("job-bad", wire.Spec{Class: "c", Tasks: 1})
 	b.job("job-1", wire.Spec{Class: "c", Tasks: 4})
 	b.job("job-2", wire.Spec{Class: "c", Tasks: 4})
-	b.c.jobs["job-bad"].rounds = 1
+	b.c.jobs["job-bad"].failureRounds = 1
 	fail("job-bad", b.c.jobs["job-bad"])
 	fail("job-1", b.c.jobs["job-1"])
-	if b.c.now < m.quarantine {
+	if b.c.now < m.quarantinedUntil {
 		t.Error("condemned for one job's failure")
 	}
 	fail("job-2", b.c.jobs["job-2"])
-	if b.c.now >= m.quarantine {
+	if b.c.now >= m.quarantinedUntil {
 		t.Error("not condemned for two")
 	}
-	b.c.acquit(b.c.jobs["job-2"])
-	if b.c.now < m.quarantine {
+	b.c.clearFailureHistory(b.c.jobs["job-2"])
+	if b.c.now < m.quarantinedUntil {
 		t.Error("still condemned although one of them fails everywhere")
 	}
 }
@@ -128,7 +128,7 @@
 		{"late even so", 2.5, 48 * time.Second, 1},
 	} {
 		b := newBench(t, Options{})
-		b.c.boots["m"] = c.boots
+		b.c.bootFactors["m"] = c.boots
 		b.job("job-1", wire.Spec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
 		var asked []wire.Rental
 		began := b.now
@@ -171,7 +171,7 @@
 	b.job("job-1", wire.Spec{Class: "c", Tasks: 1, EstimateS: 5})
 	b.step()
 	run := func() wire.Task {
-		for _, o := range b.report("n-0", "a", 0).Orders {
+		for _, o := range b.report("n-0", "a", 0).Commands {
 			if o.Verb == wire.VerbRun {
 				return wire.Task{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning}
 			}
@@ -182,11 +182,11 @@
 	task := run()
 	b.c.RentResult(b.now, wire.Rental{Type: "m", Zone: "a", Count: 1}, []ids.Host{"n-1"}, true)
 	b.c.machines["n-1"].Site = placement.Site{Type: "m", Zone: "a"}
-	b.c.machines["n-1"].bootBy = b.now.Add(10 * time.Second)
+	b.c.machines["n-1"].bootDeadline = b.now.Add(10 * time.Second)
 
 	b.now = b.now.Add(20 * time.Second) // it stands still
 	b.report("n-0", "a", 0)             // on its way since before the command came
-	if b.c.machines["n-0"].deaf {
+	if b.c.machines["n-0"].unreachable {
 		t.Error("a machine counts as deaf for what the leader slept through")
 	}
 	if e := b.step(); len(e.Return) > 0 {
@@ -198,12 +198,12 @@
 	b.step()
 	b.now = b.now.Add(20 * time.Second) // and again
 	b.step()
-	if ran := b.c.ran(a); ran > time.Second {
+	if ran := b.c.runTime(a); ran > time.Second {
 		t.Errorf("ran for %v", ran)
 	}
 	b.now = b.now.Add(900 * time.Millisecond)
 	b.step()
-	if ran := b.c.ran(a); ran < time.Second || ran > 2*time.Second {
+	if ran := b.c.runTime(a); ran < time.Second || ran > 2*time.Second {
 		t.Errorf("ran for %v", ran)
 	}
 }
@@ -214,7 +214,7 @@
 func TestIdleTimeWorkBegins(t *testing.T) {
 	play := func(keep time.Duration) (began, ran time.Duration, most int) {
 		limit := quota.Amount{CPUs: 48}
-		b := newBench(t, Options{KeepAfter: keep, KeepFor: 90 * time.Second, Teams: []quota.Team{
+		b := newBench(t, Options{ReserveAfter: keep, ReserveFor: 90 * time.Second, Teams: []quota.Team{
 			{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: limit, Lend: quota.Amount{CPUs: 40}},
 			{Name: "guest", Limit: quota.Unlimited}}})
 		b.c.Begin(b.now)
@@ -242,7 +242,7 @@
 					}
 				}
 				o := b.report(host, "a", ids.NewToken(5, 900), on[host]...)
-				for _, order := range o.Orders {
+				for _, order := range o.Commands {
 					name := order.Name
 					switch order.Verb {
 					case wire.VerbRun:
--- a/scheduler/placement/placement.go
+++ b/scheduler/placement/placement.go
@@ -95,15 +95,15 @@
 // Offer is one machine as seen by a task that looks for a place.
 type Offer struct {
 	Site
-	Free, Total Resources
-	Cached      bool    // the image is there
-	Fetching    bool    // the image is on its way
-	SameJob     int     // tasks of the same job on the machine
-	SameZone    int     // tasks of the same job in the zone
-	Pinned      bool    // services keep the machine
-	Hasty       bool    // the job's class must start within seconds
-	SpotRisk    float64 // chance that a spot machine is taken during the task
-	Suspect     bool    // the machine failed tasks or runs them slowly
+	Free, Total      Resources
+	Cached           bool    // the image is there
+	Fetching         bool    // the image is on its way
+	SameJob          int     // tasks of the same job on the machine
+	SameZone         int     // tasks of the same job in the zone
+	HostsServices    bool    // services keep the machine
+	LatencySensitive bool    // the job's class must start within seconds
+	SpotRisk         float64 // chance that a spot machine is taken during the task
+	Suspect          bool    // the machine failed tasks or runs them slowly
 }
 
 // Score ranks offers for a job; the largest goes first. Kind of machine weighs
@@ -112,7 +112,7 @@
 func Score(s *wire.Spec, o *Offer) float64 {
 	score := 0.0
 	image := 25.0
-	if o.Hasty {
+	if o.LatencySensitive {
 		image = 100
 	}
 	switch {
@@ -123,10 +123,10 @@
 	}
 	// A service stays for long. Where one stays already, the next costs
 	// nothing more; elsewhere it keeps a machine from being returned.
-	if o.Pinned && !o.Spot {
+	if o.HostsServices && !o.Spot {
 		score += 20
 	}
-	if s.Spot && o.Spot && !o.Hasty {
+	if s.Spot && o.Spot && !o.LatencySensitive {
 		score += 60 - min(200, 800*o.SpotRisk)
 	}
 	if o.Suspect {
--- a/scheduler/quota/quota.go
+++ b/scheduler/quota/quota.go
@@ -46,8 +46,8 @@
 
 type account struct {
 	Team
-	used      Amount
-	holdUntil ids.Instant
+	used                  Amount
+	lendingSuspendedUntil ids.Instant
 }
 
 // Book counts what every team uses. Whatever may be on a machine counts as
@@ -138,7 +138,7 @@
 			used = used.Plus(m)
 		}
 		over = over.Plus(used.Minus(o.Nominal).positive())
-		if now < o.holdUntil {
+		if now < o.lendingSuspendedUntil {
 			continue
 		}
 		lent = lent.Plus(least(o.Nominal.Minus(used).positive(), o.Lend))
@@ -147,7 +147,7 @@
 }
 
 // Over is how much a team uses beyond its guarantee.
-func (b *Book) Over(t ids.Team) Amount {
+func (b *Book) Borrowed(t ids.Team) Amount {
 	a := b.accounts[t]
 	if a == nil {
 		return Amount{}
@@ -156,12 +156,12 @@
 }
 
 // Borrows tells whether a team uses more than its guarantee.
-func (b *Book) Borrows(t ids.Team) bool { return !b.Over(t).Within(Amount{}) }
+func (b *Book) Borrows(t ids.Team) bool { return !b.Borrowed(t).Within(Amount{}) }
 
 // Hold keeps a team's idle quota from being lent until a time, so that a team
 // that just reclaimed does not see it lent away at once.
-func (b *Book) Hold(t ids.Team, until ids.Instant) {
-	if a := b.accounts[t]; a != nil && until > a.holdUntil {
-		a.holdUntil = until
+func (b *Book) SuspendLending(t ids.Team, until ids.Instant) {
+	if a := b.accounts[t]; a != nil && until > a.lendingSuspendedUntil {
+		a.lendingSuspendedUntil = until
 	}
 }
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -57,7 +57,7 @@
 }
 
 type simEntry struct {
-	stamp ids.Stamp
+	stamp ids.Revision
 	raw   []byte
 }
 
@@ -73,8 +73,8 @@
 	typ    ids.MachineType
 	zone   ids.Zone
 	spot   bool
-	tenure ids.Tenure
-	tick   ids.Tick
+	tenure ids.Session
+	tick   ids.Sequence
 	token  ids.Token
 	tasks  []*simTask
 	sentAt ids.Instant // of the last answered report, or the session's start
@@ -102,9 +102,9 @@
 	seq   int
 	queue simQueue
 
-	epoch  ids.Stamp
+	epoch  ids.Revision
 	store  map[string]simEntry
-	leader ids.Stamp
+	leader ids.Revision
 	outage ids.Instant // the state service is away for everybody until then
 	// refusal: the state service refuses the leader alone until then. sure is until
 	// when its key is surely held.
@@ -165,10 +165,10 @@
 	}
 	s.opt = Options{Teams: []quota.Team{team("red", 16, 40), team("blue", 24, 32), team("gold", 8, 60)},
 		Report: simReport, Lease: simLease, Cancel: simCancel, Grace: simIsolated, ListLag: 3 * time.Second, TxnOps: 8,
-		SliceTasks: 4, PassOver: 100, ReclaimHold: 5 * time.Second, Idle: 20 * time.Second, HeadroomIdle: time.Minute,
-		BootFactor: 4, CapacityBack: 5 * time.Second, MaxMachines: 20,
-		PassEvery: 50 * time.Millisecond, PassCost: 10 * time.Microsecond, LazySave: 2 * time.Second, WriteRate: 40, MaxDirect: 6,
-		KeepAfter: 40 * time.Second, KeepFor: 60 * time.Second}
+		SliceTasks: 4, MaxSkippedJobs: 100, ReclaimHold: 5 * time.Second, Idle: 20 * time.Second, HeadroomIdle: time.Minute,
+		BootFactor: 4, CapacityBackoff: 5 * time.Second, MaxMachines: 20,
+		RoundInterval: 50 * time.Millisecond, RoundCostPerMachine: 10 * time.Microsecond, LazyWriteDelay: 2 * time.Second, WriteRate: 40, MaxDirectCalls: 6,
+		ReserveAfter: 40 * time.Second, ReserveFor: 60 * time.Second}
 	s.epoch = 1
 	s.takeOver()
 	return s
@@ -200,7 +200,7 @@
 func (s *sim) commit(guards []statestore.Guard, ops []statestore.Op) (bool, []string) {
 	var failed []string
 	for _, g := range guards {
-		if s.store[g.Key].stamp != g.Stamp {
+		if s.store[g.Key].stamp != g.Revision {
 			failed = append(failed, g.Key)
 		}
 	}
@@ -285,8 +285,8 @@
 	s.leader = s.epoch
 	s.term++
 	opt := s.opt
-	opt.Stamp, opt.Predecessor = s.leader, before
-	opt.WallMS = int64(time.Duration(s.now) / time.Millisecond)
+	opt.Revision, opt.Predecessor = s.leader, before
+	opt.WallClockMS = int64(time.Duration(s.now) / time.Millisecond)
 	s.core = New(opt, s.types)
 	keys := make([]string, 0, len(s.store))
 	for k := range s.store {
@@ -346,7 +346,7 @@
 	e := s.store[ledger.JobKey(id)]
 	var rec ledger.Job
 	s.must(wire.Decode(e.raw, &rec))
-	core.JobSeen(s.now, id, &rec, e.stamp)
+	core.ObserveJob(s.now, id, &rec, e.stamp)
 }
 
 func (s *sim) submit(id ids.JobID, spec *wire.Spec) {
@@ -370,7 +370,7 @@
 	if rec.Over() {
 		return
 	}
-	c := ledger.WithdrawChange(id, s.store[key].stamp, s.rng.Uint64(), rec, s.opt.ValueBytes)
+	c := ledger.CancelChange(id, s.store[key].stamp, s.rng.Uint64(), rec, s.opt.ValueBytes)
 	s.commit(c.Guards, c.Apply)
 	s.cancelled[id] = true
 	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
@@ -415,7 +415,7 @@
 	if s.old != nil {
 		s.stepOf(s.old, s.oldTerm)
 	} else {
-		s.core.Followed(s.now)
+		s.core.AllFollow(s.now)
 	}
 }
 
@@ -431,7 +431,7 @@
 	e := core.Step(s.now)
 	s.digest.effects(e)
 	for _, ch := range e.Changes {
-		bounded := core.opt.Split // what was decided before may come after the limits fell
+		bounded := core.opt.SplitRecords // what was decided before may come after the limits fell
 		s.after(s.latency(), func() { s.change(core, term, ch, bounded) })
 	}
 	for _, h := range e.Direct {
@@ -530,7 +530,7 @@
 	if ok && len(ch.Apply) > 1 && strings.HasPrefix(ch.Apply[1].Write, ledger.AdmissionPrefix) {
 		s.splits++
 	}
-	o := ledger.Outcome{Change: ch, Applied: ok, Stamp: s.epoch, Failed: failed}
+	o := ledger.Outcome{Change: ch, Applied: ok, Revision: s.epoch, Failed: failed}
 	wait := time.Duration(0)
 	if s.chance(0.05) {
 		wait = time.Duration(1+s.rng.IntN(4)) * time.Second
@@ -579,22 +579,22 @@
 func (s *sim) report(w *simWorker) *wire.Report {
 	w.tick++
 	r := &wire.Report{Host: w.host, Endpoint: string(w.host), Type: w.typ, Zone: w.zone, Spot: w.spot,
-		Tenure: w.tenure, Tick: w.tick, Token: w.token}
+		Session: w.tenure, Sequence: w.tick, Token: w.token}
 	for _, t := range w.tasks {
 		r.Tasks = append(r.Tasks, wire.Task{Name: t.ref.String(), Attempt: t.attempt, State: t.state, Cause: t.cause})
 	}
 	return r
 }
 
-func (s *sim) direct(w *simWorker, d wire.Direct) *wire.Report {
-	if d.Token >= w.token && d.Tenure == w.tenure {
+func (s *sim) direct(w *simWorker, d wire.DirectCommand) *wire.Report {
+	if d.Token >= w.token && d.Session == w.tenure {
 		w.token = d.Token
-		s.execute(w, d.Orders)
+		s.execute(w, d.Commands)
 	}
 	return s.report(w)
 }
 
-func (s *sim) execute(w *simWorker, orders []wire.Order) {
+func (s *sim) execute(w *simWorker, orders []wire.Command) {
 	for _, o := range orders {
 		ref, _ := ids.ParseTask(o.Name)
 		i := slices.IndexFunc(w.tasks, func(t *simTask) bool { return t.ref == ref && t.attempt == o.Attempt })
@@ -603,7 +603,7 @@
 			if i >= 0 {
 				continue
 			}
-			t := &simTask{ref: ref, attempt: o.Attempt, state: wire.TaskPulling}
+			t := &simTask{ref: ref, attempt: o.Attempt, state: wire.TaskFetching}
 			w.tasks = append(w.tasks, t)
 			s.sent[ref.Job] = append(s.sent[ref.Job], simPlace{w, t})
 			used := 0.0
@@ -615,10 +615,10 @@
 					t.state, t.cause = wire.TaskEnded, wire.CauseInUse
 				}
 			}
-			if t.state == wire.TaskPulling && used > s.typeOf(w).CPUs+1e-9 {
+			if t.state == wire.TaskFetching && used > s.typeOf(w).CPUs+1e-9 {
 				t.state, t.cause = wire.TaskEnded, wire.CauseFull
 			}
-			if t.state == wire.TaskPulling {
+			if t.state == wire.TaskFetching {
 				s.after(time.Duration(100+s.rng.IntN(2000))*time.Millisecond, func() { s.start(w, t) })
 			}
 		case wire.VerbKill:
@@ -648,7 +648,7 @@
 		s.after(w.hung.Sub(s.now), func() { s.start(w, t) })
 		return
 	}
-	if !s.here(w, t) || t.state != wire.TaskPulling || s.expired(w) {
+	if !s.here(w, t) || t.state != wire.TaskFetching || s.expired(w) {
 		return
 	}
 	s.starts++
@@ -661,7 +661,7 @@
 			s.breaks("ran_cancelled: %s started", t.ref)
 		}
 	}
-	for _, n := range spec.Needs {
+	for _, n := range spec.DependsOn {
 		if s.status(n) != wire.StatusDone {
 			s.breaks("too_early: %s started while %s is %s", t.ref, n, s.status(n))
 		}
@@ -798,7 +798,7 @@
 				return
 			}
 			w.token, w.sentAt = orders.Token, sent
-			s.execute(w, orders.Orders)
+			s.execute(w, orders.Commands)
 		})
 	})
 }
@@ -892,8 +892,8 @@
 	sp := s.randomSpec()
 	for range min(len(all), s.rng.IntN(4)) {
 		id := all[len(all)-1-s.rng.IntN(min(len(all), 8))]
-		if !s.specs[id].Service && !slices.Contains(sp.Needs, id) {
-			sp.Needs = append(sp.Needs, id)
+		if !s.specs[id].Service && !slices.Contains(sp.DependsOn, id) {
+			sp.DependsOn = append(sp.DependsOn, id)
 		}
 	}
 	return sp
@@ -908,8 +908,8 @@
 
 // orphan tells by the records alone whether a job needs one that is withdrawn.
 func (s *sim) orphan(id ids.JobID) bool {
-	return slices.ContainsFunc(s.specs[id].Needs, func(n ids.JobID) bool {
-		return s.status(n) == wire.StatusWithdrawn || s.orphan(n)
+	return slices.ContainsFunc(s.specs[id].DependsOn, func(n ids.JobID) bool {
+		return s.status(n) == wire.StatusCancelled || s.orphan(n)
 	})
 }
 
@@ -919,7 +919,7 @@
 	s.t.Helper()
 	for _, id := range all {
 		byUser := s.cancelled[id]
-		if got := s.status(id) == wire.StatusWithdrawn; got != (byUser || s.orphan(id)) {
+		if got := s.status(id) == wire.StatusCancelled; got != (byUser || s.orphan(id)) {
 			s.t.Errorf("%s is %s; withdrawn by its user: %v, an orphan: %v", id, s.status(id), byUser, s.orphan(id))
 		}
 	}
@@ -1104,7 +1104,7 @@
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, Lend: quota.Amount{CPUs: nominal}}
 	}
 	s.opt.Teams = []quota.Team{team("red", 3000, 7000), team("blue", 2500, 8000), team("gold", 1000, 6000)}
-	s.opt.MaxMachines, s.opt.SliceTasks, s.opt.TxnOps, s.opt.WriteRate, s.opt.MaxDirect = 0, 64, 32, 56, 64
+	s.opt.MaxMachines, s.opt.SliceTasks, s.opt.TxnOps, s.opt.WriteRate, s.opt.MaxDirectCalls = 0, 64, 32, 56, 64
 	s.takeOver()
 	var all []ids.JobID
 	most, work := 0, uint64(0)
@@ -1133,7 +1133,7 @@
 			}
 		}
 		if round%4 == 3 {
-			work += s.core.Work
+			work += s.core.MachinesExamined
 			s.takeOver()
 		}
 		s.run(4 * time.Second)
@@ -1142,7 +1142,7 @@
 			t.Fatalf("rules broken: %v", s.broken)
 		}
 	}
-	work += s.core.Work
+	work += s.core.MachinesExamined
 	s.toTheEnd(all, 5*time.Minute)
 	if most < 1700 {
 		t.Fatalf("the day had only %d machines", most)
@@ -1213,7 +1213,7 @@
 				(len(sp.Types) == 0 || slices.Contains(sp.Types, w.typ))
 		}
 		begun := slices.ContainsFunc(s.sent[id], func(p simPlace) bool { return s.here(p.w, p.t) && p.t.state != wire.TaskEnded })
-		ready := !slices.ContainsFunc(sp.Needs, func(n ids.JobID) bool { return s.status(n) != wire.StatusDone })
+		ready := !slices.ContainsFunc(sp.DependsOn, func(n ids.JobID) bool { return s.status(n) != wire.StatusDone })
 		i := slices.IndexFunc(s.opt.Teams, func(t quota.Team) bool { return t.Name == sp.Team })
 		if begun || !room || !ready || s.status(id) != wire.StatusQueued || used[sp.Team]+need > s.opt.Teams[i].Limit.CPUs ||
 			(sp.Gang || sp.Service) && sp.Tasks > 1 {
--- a/scheduler/trouble_test.go
+++ b/scheduler/trouble_test.go
@@ -14,8 +14,8 @@
 )
 
 // said is a report as a worker would make it, for messages out of order.
-func said(host ids.Host, tenure ids.Tenure, tick ids.Tick, token ids.Token, tasks ...wire.Task) *wire.Report {
-	return &wire.Report{Host: host, Endpoint: string(host), Type: "m", Zone: "a", Tenure: tenure, Tick: tick, Token: token, Tasks: tasks}
+func said(host ids.Host, tenure ids.Session, tick ids.Sequence, token ids.Token, tasks ...wire.Task) *wire.Report {
+	return &wire.Report{Host: host, Endpoint: string(host), Type: "m", Zone: "a", Session: tenure, Sequence: tick, Token: token, Tasks: tasks}
 }
 
 // A machine whose reports arrive, but which hears nothing, takes work for ever
@@ -42,10 +42,10 @@
 		if s == 16 {
 			b.job("job-2", wire.Spec{Tasks: 1})
 		}
-		if j := b.c.jobs["job-2"]; j != nil && j.tasks[0].a != nil {
+		if j := b.c.jobs["job-2"]; j != nil && j.tasks[0].assignment != nil {
 			t.Fatalf("after %d s: new work went to it", s)
 		}
-		if a := b.c.jobs["job-1"].tasks[0].a; a == nil {
+		if a := b.c.jobs["job-1"].tasks[0].assignment; a == nil {
 			t.Fatalf("after %d s: its task counts as gone before it was returned", s)
 		}
 		if slices.Contains(e.Return, "n-1") {
@@ -59,7 +59,7 @@
 	b.report("n-2", "a", 0)
 	b.c.ReturnResult(b.now, []ids.Host{"n-1"}, true)
 	b.step()
-	if a := b.c.jobs["job-1"].tasks[0].a; a == nil || a.m.host != "n-2" {
+	if a := b.c.jobs["job-1"].tasks[0].assignment; a == nil || a.machine.host != "n-2" {
 		t.Fatal("its task did not move")
 	}
 }
@@ -77,12 +77,12 @@
 		b.c.Report(b.now, said("n-1", 2, b.tick, o.Token), false)
 		b.job("job-1", wire.Spec{Tasks: 1})
 		b.step()
-		if b.c.jobs["job-1"].tasks[0].a != nil {
+		if b.c.jobs["job-1"].tasks[0].assignment != nil {
 			t.Fatal("work went to a machine that may hear nothing")
 		}
 		var returned bool
 		for range 20 {
-			if b.c.jobs["job-1"].tasks[0].a != nil {
+			if b.c.jobs["job-1"].tasks[0].assignment != nil {
 				break
 			}
 			b.now = b.now.Add(time.Second)
@@ -94,7 +94,7 @@
 			b.c.Report(b.now, said("n-1", 2, b.tick, token), false)
 			returned = returned || slices.Contains(b.step().Return, "n-1")
 		}
-		if placed := b.c.jobs["job-1"].tasks[0].a != nil; returned == hears || placed != hears {
+		if placed := b.c.jobs["job-1"].tasks[0].assignment != nil; returned == hears || placed != hears {
 			t.Errorf("hears %v: returned %v, work placed %v", hears, returned, placed)
 		}
 	}
@@ -111,7 +111,7 @@
 	o = b.report("n-1", "a", o.Token)
 	running := wire.Task{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
 	b.report("n-1", "a", o.Token, running)
-	b.c.JobSeen(b.now, "job-1", &ledger.Job{Status: wire.StatusWithdrawn, Tasks: 1, Spec: b.c.jobs["job-1"].spec}, 500)
+	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusCancelled, Tasks: 1, Spec: b.c.jobs["job-1"].spec}, 500)
 	for s := range 52 {
 		b.now = b.now.Add(time.Second)
 		b.report("n-1", "a", o.Token, running)
@@ -162,7 +162,7 @@
 	b := newBench(t, Options{})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
-	b.c.giveBack(b.c.machines["n-1"], "test")
+	b.c.returnMachine(b.c.machines["n-1"], "test")
 	b.step()
 	b.c.ReturnResult(b.now, []ids.Host{"n-1"}, true)
 	b.report("n-1", "a", 0)
@@ -175,13 +175,13 @@
 	b.report("n-1", "a", ids.NewToken(4, 7))
 	b.job("job-1", wire.Spec{Tasks: 1})
 	b.step()
-	if b.c.jobs["job-1"].tasks[0].a != nil {
+	if b.c.jobs["job-1"].tasks[0].assignment != nil {
 		t.Fatal("a successor placed work on a machine that it only has an old report of")
 	}
 	b.report("n-1", "a", ids.NewToken(5, 0))
-	b.c.changed = true
+	b.c.schedulingDue = true
 	b.step()
-	if b.c.jobs["job-1"].tasks[0].a == nil {
+	if b.c.jobs["job-1"].tasks[0].assignment == nil {
 		t.Fatal("a machine that shows our token is not used")
 	}
 }
@@ -190,7 +190,7 @@
 // goes on answering them. Its successor tells the workers of itself, and their
 // next report ends the old leader's term.
 func TestSuccessorTakesWorkersFromALeaderThatKeepsThem(t *testing.T) {
-	old := newBench(t, Options{Stamp: 5})
+	old := newBench(t, Options{Revision: 5})
 	old.c.Begin(old.now)
 	o := old.report("n-1", "a", 0)
 	old.job("job-1", wire.Spec{Tasks: 1})
@@ -199,7 +199,7 @@
 	run := wire.Task{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
 	old.report("n-1", "a", o.Token, run)
 
-	next := newBench(t, Options{Stamp: 9, Predecessor: true, Grace: time.Minute})
+	next := newBench(t, Options{Revision: 9, Predecessor: true, Grace: time.Minute})
 	next.inherit(wire.Spec{Tasks: 1}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	next.c.Begin(next.now)
 	// It knows the address from the list, and has no report: all of them go
@@ -208,7 +208,7 @@
 		{Host: "n-2", Endpoint: "n-2", Type: "m", Zone: "a", Status: "running", AgeS: 60}}
 	next.c.MachineList(next.now, next.now, list)
 	token := map[ids.Host]ids.Token{"n-1": o.Token, "n-2": o.Token}
-	tick := ids.Tick(50)
+	tick := ids.Sequence(50)
 	for range 10 {
 		next.now = next.now.Add(time.Second)
 		e := next.step()
@@ -227,7 +227,7 @@
 	if m := next.c.machines["n-2"]; m == nil || !m.reported {
 		t.Error("a machine without tasks was not asked")
 	}
-	if token["n-1"].Stamp() != 9 || !next.c.machines["n-1"].fenced {
+	if token["n-1"].Revision() != 9 || !next.c.machines["n-1"].fenced {
 		t.Fatalf("n-1 was not told of the successor: token %d", token["n-1"])
 	}
 	if _, ok := old.c.Report(old.now, said("n-1", 1, tick+1, token["n-1"], run), false); ok || !old.c.Deposed() {
@@ -235,11 +235,11 @@
 	}
 }
 
-// Later jobs that fit pass one that does not, but not for ever: without room
+// RetryLater jobs that fit pass one that does not, but not for ever: without room
 // kept for it a large task would find every gap taken by small ones.
 func TestLargeJobsBegin(t *testing.T) {
 	begins := func(keep time.Duration) time.Duration {
-		b := newBench(t, Options{KeepAfter: keep, KeepFor: time.Minute})
+		b := newBench(t, Options{ReserveAfter: keep, ReserveFor: time.Minute})
 		b.c.Begin(b.now)
 		start := b.now
 		on := map[ids.Host][]wire.Task{}
@@ -265,11 +265,11 @@
 				token = max(token, o.Token)
 				var left []wire.Task
 				for _, tk := range tasks {
-					if !slices.Contains(verbs(o.Orders, wire.VerbReap), fmt.Sprintf("%s#%d", tk.Name, tk.Attempt)) {
+					if !slices.Contains(verbs(o.Commands, wire.VerbReap), fmt.Sprintf("%s#%d", tk.Name, tk.Attempt)) {
 						left = append(left, tk)
 					}
 				}
-				for _, order := range o.Orders {
+				for _, order := range o.Commands {
 					if order.Verb == wire.VerbRun {
 						left = append(left, wire.Task{Name: order.Name, Attempt: order.Attempt, State: wire.TaskRunning})
 						// The gaps open one at a time.
@@ -278,7 +278,7 @@
 				}
 				on[h] = left
 			}
-			if j := b.c.jobs["job-large"]; j != nil && j.begun {
+			if j := b.c.jobs["job-large"]; j != nil && j.started {
 				return b.now.Sub(start) - 20*time.Second
 			}
 		}
@@ -299,7 +299,7 @@
 // long a job has waited.
 func TestEveryJobBeginsThoughOlderOnesGoOn(t *testing.T) {
 	begins := func(keep time.Duration, quotaShort, takeover bool) time.Duration {
-		opt := Options{KeepAfter: keep, KeepFor: time.Minute}
+		opt := Options{ReserveAfter: keep, ReserveFor: time.Minute}
 		on := map[ids.Host][]wire.Task{"n-1": nil}
 		if quotaShort { // room there is
 			eight := quota.Amount{CPUs: 8}
@@ -311,8 +311,8 @@
 		start := b.now
 		wall := func() int64 { return int64(b.now.Sub(start) / time.Millisecond) }
 		submit := func(id ids.JobID, tasks int) {
-			b.c.JobSeen(b.now, id, &ledger.Job{Status: wire.StatusQueued, Tasks: tasks, SubmittedMS: wall(),
-				Spec: &wire.Spec{Team: "red", Tasks: tasks, CPUs: 2}}, ids.Stamp(100+len(b.c.jobs)))
+			b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.StatusQueued, Tasks: tasks, SubmittedMS: wall(),
+				Spec: &wire.Spec{Team: "red", Tasks: tasks, CPUs: 2}}, ids.Revision(100+len(b.c.jobs)))
 		}
 		submit("job-old", 200)
 		until := map[string]ids.Instant{}
@@ -322,11 +322,11 @@
 				submit("job-late", 4)
 			}
 			if s == 50 && takeover {
-				opt.Stamp, opt.WallMS = 9, wall()
+				opt.Revision, opt.WallClockMS = 9, wall()
 				next := newBench(t, opt)
 				next.now, next.tick = b.now, b.tick
 				for id, j := range b.c.jobs {
-					next.c.LoadJob(id, &ledger.Job{Status: wire.StatusQueued, Tasks: j.spec.Tasks, Spec: j.spec, SubmittedMS: j.at}, j.stamp)
+					next.c.LoadJob(id, &ledger.Job{Status: wire.StatusQueued, Tasks: j.spec.Tasks, Spec: j.spec, SubmittedMS: j.readyMS}, j.revision)
 				}
 				next.c.Begin(next.now)
 				b = next
@@ -340,19 +340,19 @@
 						tasks[i].State, tasks[i].Cause = wire.TaskEnded, wire.CauseDone
 					}
 				}
-				o := b.report(h, "a", ids.NewToken(b.c.opt.Stamp, 900), tasks...)
-				reaped := verbs(o.Orders, wire.VerbReap)
+				o := b.report(h, "a", ids.NewToken(b.c.opt.Revision, 900), tasks...)
+				reaped := verbs(o.Commands, wire.VerbReap)
 				on[h] = slices.DeleteFunc(tasks, func(tk wire.Task) bool {
 					return slices.Contains(reaped, fmt.Sprintf("%s#%d", tk.Name, tk.Attempt))
 				})
-				for _, order := range o.Orders {
+				for _, order := range o.Commands {
 					if order.Verb == wire.VerbRun {
 						on[h] = append(on[h], wire.Task{Name: order.Name, Attempt: order.Attempt, State: wire.TaskRunning})
 						until[order.Name] = b.now.Add(10 * time.Second)
 					}
 				}
 			}
-			if j := b.c.jobs["job-late"]; j != nil && j.begun {
+			if j := b.c.jobs["job-late"]; j != nil && j.started {
 				return time.Duration(s-20) * time.Second
 			}
 		}
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -38,8 +38,8 @@
 						if s.core.opt.ValueBytes == 0 {
 							s.takeOver() // the last old process is replaced
 						}
-						s.oldFormat, s.opt.Split = false, true
-						s.core.AllNew(s.now)
+						s.oldFormat, s.opt.SplitRecords = false, true
+						s.core.EnableSplitRecords(s.now)
 					case 11 + s.rng.IntN(6):
 						s.valueBytes, s.txnOps = value, ops
 					}
@@ -105,7 +105,7 @@
 		b.now = b.now.Add(500 * time.Millisecond)
 		b.report("n-1", "a", 0)
 	}
-	if tries < 2 || tries > mostRefusals {
+	if tries < 2 || tries > maxRefusals {
 		t.Errorf("the change was sent %d times in 25 minutes", tries)
 	}
 	b.job("job-2", wire.Spec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
@@ -115,7 +115,7 @@
 	if _, known := b.c.Status("job-1"); !known {
 		t.Error("the job is forgotten")
 	}
-	b.c.AllNew(b.now)
+	b.c.EnableSplitRecords(b.now)
 	b.now = b.now.Add(time.Minute)
 	b.report("n-1", "a", 0)
 	if got := sent(b.c.Step(b.now), "job-1"); len(got) != 1 {
@@ -130,35 +130,35 @@
 	b := newBench(t, Options{})
 	low := wire.Spec{Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1}
 	last := low
-	last.Priority, last.Needs = wire.High, []ids.JobID{"job-1"}
+	last.Priority, last.DependsOn = wire.High, []ids.JobID{"job-1"}
 	other := low
 	other.Priority = wire.Normal
 	b.job("job-1", low)
 	b.job("job-2", last)
 	b.job("job-3", other)
 	first := b.c.jobs["job-1"]
-	if first.prio != wire.High {
-		t.Fatalf("the first job has priority %d", first.prio)
+	if first.priority != wire.High {
+		t.Fatalf("the first job has priority %d", first.priority)
 	}
 	b.report("n-1", "a", 0)
 	b.step()
 	if len(first.active) != 1 || len(b.c.jobs["job-2"].active) != 0 {
 		t.Fatal("the first job of the pipeline must go first, the last not at all")
 	}
-	on := b.c.on[work{"red", wire.High}]
+	on := b.c.workloads[workload{"red", wire.High}]
 	if on.staying != 1 {
 		t.Errorf("counted %+v", on)
 	}
-	b.c.JobSeen(b.now, "job-2", &ledger.Job{Status: wire.StatusWithdrawn, Tasks: 1}, 999)
-	if first.prio != wire.BestEffort || b.c.on[work{"red", wire.High}].staying != 0 || b.c.on[work{"red", wire.BestEffort}].staying != 1 {
-		t.Errorf("after the last job is gone the first has priority %d, counted %+v", first.prio, b.c.on)
+	b.c.ObserveJob(b.now, "job-2", &ledger.Job{Status: wire.StatusCancelled, Tasks: 1}, 999)
+	if first.priority != wire.BestEffort || b.c.workloads[workload{"red", wire.High}].staying != 0 || b.c.workloads[workload{"red", wire.BestEffort}].staying != 1 {
+		t.Errorf("after the last job is gone the first has priority %d, counted %+v", first.priority, b.c.workloads)
 	}
 }
 
 // While a split is on its way its tasks go on: what is placed then belongs to one of
 // the parts, and would wait for ever if that part were not written for it.
 func TestPlacedWhileTheRecordIsSplit(t *testing.T) {
-	b := newBench(t, Options{ValueBytes: 50, Split: true})
+	b := newBench(t, Options{ValueBytes: 50, SplitRecords: true})
 	b.job("job-1", wire.Spec{Tasks: 4, CPUs: 4, MemoryGB: 1})
 	b.report("n-1", "a", 0)
 	split := b.c.Step(b.now).Changes
@@ -168,11 +168,11 @@
 	b.now = b.now.Add(time.Second)
 	b.report("n-2", "a", 0)
 	b.step()
-	b.c.ChangeResult(b.now, ledger.Outcome{Change: split[0], Applied: true, Stamp: 500})
+	b.c.ChangeResult(b.now, ledger.Outcome{Change: split[0], Applied: true, Revision: 500})
 	var runs []string
 	for _, h := range []ids.Host{"n-1", "n-2"} {
 		b.step()
-		runs = append(runs, verbs(b.report(h, "a", 0).Orders, wire.VerbRun)...)
+		runs = append(runs, verbs(b.report(h, "a", 0).Commands, wire.VerbRun)...)
 	}
 	if len(runs) != 4 {
 		t.Errorf("started %v", runs)
@@ -188,7 +188,7 @@
 	if e := b.step(); len(e.Changes) != 1 || len(e.Changes[0].Apply) != 1 {
 		t.Fatalf("changes %+v", e.Changes)
 	}
-	b.c.AllNew(b.now)
+	b.c.EnableSplitRecords(b.now)
 	b.now = b.now.Add(simLease / 2)
 	if e := b.step(); len(e.Changes) != 1 || len(e.Changes[0].Apply) != 2 {
 		t.Errorf("changes %+v", e.Changes)
--- a/server/server.go
+++ b/server/server.go
@@ -19,50 +19,50 @@
 // again (0: not said). Close ends the connection, so that the load balancer may
 // choose another node for the next request.
 type Answer struct {
-	Code  int
-	Body  any
-	Retry time.Duration
-	Close bool
+	Code       int
+	Body       any
+	RetryAfter time.Duration
+	Close      bool
 }
 
-// Later is the answer when a request can't be served now: at once, with the
+// RetryLater is the answer when a request can't be served now: at once, with the
 // time after which asking again makes sense.
-func Later(after time.Duration) Answer { return Answer{Code: 503, Retry: after} }
+func RetryLater(after time.Duration) Answer { return Answer{Code: 503, RetryAfter: after} }
 
 // Service is what stands behind the endpoints.
 type Service interface {
 	Submit(ctx context.Context, id ids.JobID, spec *wire.Spec) Answer
 	Status(ctx context.Context, id ids.JobID) Answer
-	Withdraw(ctx context.Context, id ids.JobID) Answer
-	Hello(ctx context.Context, raw []byte, rep *wire.Report) Answer
+	Cancel(ctx context.Context, id ids.JobID) Answer
+	Report(ctx context.Context, raw []byte, rep *wire.Report) Answer
 	Healthy() bool
 }
 
-const mime = "application/msgpack"
+const contentType = "application/msgpack"
 
 // Limits bound what the connections of users and workers may take.
 type Limits struct {
 	// Conns is the most open connections.
-	Conns int
+	MaxConnections int
 	// Idle is how long a connection stays open without a request. A machine
 	// that lost its power or the network never closes its own.
-	Idle time.Duration
+	IdleTimeout time.Duration
 }
 
 // keepWorkers is the part of the connections up to which those of workers stay
 // open. Beyond it a worker's is closed after its answer: there may be more
 // workers than sockets, and each must have its turn within its lease, without
 // taking the sockets of users and health checks.
-const keepWorkers = 0.7
+const workerConnectionShare = 0.7
 
 // New makes the HTTP application.
 func New(svc Service, limits Limits, log *slog.Logger) *fiber.App {
 	app := fiber.New(fiber.Config{
 		BodyLimit:         wire.MaxBody,
-		Concurrency:       limits.Conns,
+		Concurrency:       limits.MaxConnections,
 		ReadTimeout:       20 * time.Second,
 		WriteTimeout:      10 * time.Second,
-		IdleTimeout:       limits.Idle,
+		IdleTimeout:       limits.IdleTimeout,
 		ReduceMemoryUsage: true,
 		CaseSensitive:     true,
 		StrictRouting:     true,
@@ -96,7 +96,7 @@
 		if svc.Healthy() {
 			return send(c, Answer{Code: 200})
 		}
-		return send(c, Later(time.Second))
+		return send(c, RetryLater(time.Second))
 	})
 	app.Post("/api/jobs", func(c fiber.Ctx) error {
 		id, spec, err := wire.ParseSubmission(c.Body())
@@ -118,26 +118,26 @@
 		if !wire.ValidID(id) {
 			return send(c, Answer{Code: 404})
 		}
-		return send(c, svc.Withdraw(c.Context(), id))
+		return send(c, svc.Cancel(c.Context(), id))
 	})
 	app.Post("/hello", func(c fiber.Ctx) error {
 		raw := append([]byte(nil), c.Body()...)
 		rep := new(wire.Report)
-		if err := wire.Decode(raw, rep); err != nil || rep.Host == "" || rep.Tenure == 0 {
+		if err := wire.Decode(raw, rep); err != nil || rep.Host == "" || rep.Session == 0 {
 			return send(c, Answer{Code: 400})
 		}
-		if float64(app.Server().GetOpenConnectionsCount()) > keepWorkers*float64(limits.Conns) {
+		if float64(app.Server().GetOpenConnectionsCount()) > workerConnectionShare*float64(limits.MaxConnections) {
 			c.RequestCtx().SetConnectionClose()
 		}
-		return send(c, svc.Hello(c.Context(), raw, rep))
+		return send(c, svc.Report(c.Context(), raw, rep))
 	})
 	return app
 }
 
 func send(c fiber.Ctx, a Answer) error {
 	c.Status(a.Code)
-	if a.Retry > 0 {
-		secs := int((a.Retry + time.Second - 1) / time.Second)
+	if a.RetryAfter > 0 {
+		secs := int((a.RetryAfter + time.Second - 1) / time.Second)
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(secs))
 	}
 	if a.Close {
@@ -146,7 +146,7 @@
 	if a.Body == nil {
 		return nil
 	}
-	c.Set(fiber.HeaderContentType, mime)
+	c.Set(fiber.HeaderContentType, contentType)
 	if raw, ok := a.Body.([]byte); ok {
 		return c.Send(raw)
 	}
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -28,21 +28,21 @@
 	}
 	return Answer{Code: 200, Body: wire.JobStatus{ID: id, Status: wire.StatusRunning, Running: 2}}
 }
-func (f *fakeService) Withdraw(context.Context, ids.JobID) Answer {
-	return Later(1500 * time.Millisecond)
+func (f *fakeService) Cancel(context.Context, ids.JobID) Answer {
+	return RetryLater(1500 * time.Millisecond)
 }
-func (f *fakeService) Hello(_ context.Context, _ []byte, _ *wire.Report) Answer {
+func (f *fakeService) Report(_ context.Context, _ []byte, _ *wire.Report) Answer {
 	return Answer{Code: 421, Body: wire.Redirect{Leader: "n-1"}}
 }
 func (f *fakeService) Healthy() bool { return f.healthy }
 
 func TestEndpoints(t *testing.T) {
 	svc := &fakeService{}
-	app := New(svc, Limits{Conns: 100}, slog.New(slog.DiscardHandler))
+	app := New(svc, Limits{MaxConnections: 100}, slog.New(slog.DiscardHandler))
 	job := wire.Encode(map[string]any{"nameId": "job-1", "workclass": "c", "crew": "t", "shape": "batch", "urgency": "high", "legs": 1,
 		"cpus": 1, "accelerators": 0, "memoryGb": 1, "bundle": "i", "pullGb": 1, "oneZone": false, "spread": false, "loaner": true,
 		"expectS": 1, "snapshotEveryS": 0, "snapshotS": 0})
-	report := wire.Encode(wire.Report{Host: "n-1", Tenure: 1})
+	report := wire.Encode(wire.Report{Host: "n-1", Session: 1})
 	for _, c := range []struct {
 		method, path string
 		body         []byte
@@ -92,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	app := New(&fakeService{healthy: true}, Limits{Conns: 10, Idle: time.Minute}, slog.New(slog.DiscardHandler))
+	app := New(&fakeService{healthy: true}, Limits{MaxConnections: 10, IdleTimeout: time.Minute}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan error, 1)
 	go func() { served <- Serve(ctx, app, ln) }()
@@ -106,8 +106,8 @@
 	url := "http://" + ln.Addr().String()
 	for round := range 3 {
 		for i, w := range workers {
-			body := wire.Encode(wire.Report{Host: ids.Host(fmt.Sprintf("n-%d", i)), Tenure: 1})
-			res, err := w.Post(url+"/hello", mime, bytes.NewReader(body))
+			body := wire.Encode(wire.Report{Host: ids.Host(fmt.Sprintf("n-%d", i)), Session: 1})
+			res, err := w.Post(url+"/hello", contentType, bytes.NewReader(body))
 			if err != nil || res.StatusCode != 421 {
 				t.Fatalf("round %d, worker %d: %v %v", round, i, res, err)
 			}
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -35,16 +35,16 @@
 
 // Entry is a key with its value and version.
 type Entry struct {
-	Key   string             `msgpack:"key"`
-	Value msgpack.RawMessage `msgpack:"v"`
-	Stamp ids.Stamp          `msgpack:"stamp"`
-	Lease ids.LeaseID        `msgpack:"hold"`
+	Key      string             `msgpack:"key"`
+	Value    msgpack.RawMessage `msgpack:"v"`
+	Revision ids.Revision       `msgpack:"stamp"`
+	Lease    ids.LeaseID        `msgpack:"hold"`
 }
 
 // Guard is a condition of a transaction; stamp 0 means the key is absent.
 type Guard struct {
-	Key   string    `msgpack:"key"`
-	Stamp ids.Stamp `msgpack:"stamp"`
+	Key      string       `msgpack:"key"`
+	Revision ids.Revision `msgpack:"stamp"`
 }
 
 // Op is one change of a transaction: a write, or else a drop.
@@ -63,17 +63,17 @@
 
 // Outcome is the definite answer to a transaction.
 type Outcome struct {
-	Applied bool
-	Epoch   ids.Stamp
-	Failed  []string
+	Applied  bool
+	Revision ids.Revision
+	Failed   []string
 }
 
 // Event is one change seen by a watch.
 type Event struct {
-	Write string             `msgpack:"write"`
-	Drop  string             `msgpack:"drop"`
-	Value msgpack.RawMessage `msgpack:"v"`
-	Stamp ids.Stamp          `msgpack:"stamp"`
+	Write    string             `msgpack:"write"`
+	Drop     string             `msgpack:"drop"`
+	Value    msgpack.RawMessage `msgpack:"v"`
+	Revision ids.Revision       `msgpack:"stamp"`
 }
 
 // Caller carries one request to the service. It is the direct connection, or
@@ -157,7 +157,7 @@
 	if status == 404 {
 		return Entry{}, false, nil
 	}
-	if status != 200 || e.Stamp == 0 {
+	if status != 200 || e.Revision == 0 {
 		return Entry{}, false, fmt.Errorf("%w: GET %s", ErrBadAnswer, key)
 	}
 	e.Key = key
@@ -166,14 +166,14 @@
 
 // List reads all keys with a prefix. The revision returned is that of the
 // first page, so that a watch from there misses nothing.
-func (c *Client) List(ctx context.Context, prefix string, each func(Entry) error) (ids.Stamp, error) {
-	var first ids.Stamp
+func (c *Client) List(ctx context.Context, prefix string, each func(Entry) error) (ids.Revision, error) {
+	var first ids.Revision
 	since := ""
 	for {
 		var page struct {
-			Entries []Entry   `msgpack:"entries"`
-			More    bool      `msgpack:"hasNext"`
-			Epoch   ids.Stamp `msgpack:"epoch"`
+			Entries []Entry      `msgpack:"entries"`
+			More    bool         `msgpack:"hasNext"`
+			Epoch   ids.Revision `msgpack:"epoch"`
 		}
 		path := "/store?prefix=" + url.QueryEscape(prefix) + "&page=1000"
 		if since != "" {
@@ -204,8 +204,8 @@
 // Commit sends one transaction once.
 func (c *Client) Commit(ctx context.Context, t Txn) (Outcome, error) {
 	var ans struct {
-		Epoch  ids.Stamp `msgpack:"epoch"`
-		Failed []string  `msgpack:"failed"`
+		Epoch  ids.Revision `msgpack:"epoch"`
+		Failed []string     `msgpack:"failed"`
 	}
 	status, err := c.do(ctx, "POST", "/commit", t, c.Timeout, &ans)
 	if err != nil {
@@ -213,9 +213,9 @@
 	}
 	switch status {
 	case 200:
-		return Outcome{Applied: true, Epoch: ans.Epoch}, nil
+		return Outcome{Applied: true, Revision: ans.Epoch}, nil
 	case 409:
-		return Outcome{Epoch: ans.Epoch, Failed: ans.Failed}, nil
+		return Outcome{Revision: ans.Epoch, Failed: ans.Failed}, nil
 	}
 	return Outcome{}, fmt.Errorf("%w: commit status %d", ErrBadAnswer, status)
 }
@@ -251,10 +251,10 @@
 }
 
 // Watch waits for changes under a prefix after a revision.
-func (c *Client) Watch(ctx context.Context, prefix string, since ids.Stamp, hold time.Duration) (ids.Stamp, []Event, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []Event, error) {
 	var ans struct {
-		Epoch  ids.Stamp `msgpack:"epoch"`
-		Events []Event   `msgpack:"events"`
+		Epoch  ids.Revision `msgpack:"epoch"`
+		Events []Event      `msgpack:"events"`
 	}
 	path := fmt.Sprintf("/changes?prefix=%s&since=%d&holdMs=%d", url.QueryEscape(prefix), since, hold.Milliseconds())
 	status, err := c.do(ctx, "GET", path, nil, hold+2*time.Second, &ans)
--- a/wire/spec.go
+++ b/wire/spec.go
@@ -24,29 +24,29 @@
 // Spec is a job as its user described it. The tags are those of our own
 // records in the state service.
 type Spec struct {
-	Class     string            `msgpack:"c"`
-	Team      ids.Team          `msgpack:"g"`
-	Service   bool              `msgpack:"s,omitempty"`
-	Gang      bool              `msgpack:"gg,omitempty"`
-	Priority  Priority          `msgpack:"p"`
-	Tasks     int               `msgpack:"n"`
-	CPUs      float64           `msgpack:"u"`
-	GPUs      float64           `msgpack:"a,omitempty"`
-	MemoryGB  float64           `msgpack:"m"`
-	Image     ids.Image         `msgpack:"i"`
-	ImageGB   float64           `msgpack:"ig"`
-	Types     []ids.MachineType `msgpack:"t,omitempty"`
-	Zone      ids.Zone          `msgpack:"z,omitempty"`
-	OneZone   bool              `msgpack:"oz,omitempty"`
-	Spread    bool              `msgpack:"sp,omitempty"`
-	Spot      bool              `msgpack:"l,omitempty"`
-	EstimateS float64           `msgpack:"e,omitempty"`
-	SaveEvery float64           `msgpack:"ce,omitempty"`
-	SaveS     float64           `msgpack:"cs,omitempty"`
-	DeadlineS float64           `msgpack:"d,omitempty"`
+	Class            string            `msgpack:"c"`
+	Team             ids.Team          `msgpack:"g"`
+	Service          bool              `msgpack:"s,omitempty"`
+	Gang             bool              `msgpack:"gg,omitempty"`
+	Priority         Priority          `msgpack:"p"`
+	Tasks            int               `msgpack:"n"`
+	CPUs             float64           `msgpack:"u"`
+	GPUs             float64           `msgpack:"a,omitempty"`
+	MemoryGB         float64           `msgpack:"m"`
+	Image            ids.Image         `msgpack:"i"`
+	ImageGB          float64           `msgpack:"ig"`
+	Types            []ids.MachineType `msgpack:"t,omitempty"`
+	Zone             ids.Zone          `msgpack:"z,omitempty"`
+	OneZone          bool              `msgpack:"oz,omitempty"`
+	Spread           bool              `msgpack:"sp,omitempty"`
+	Spot             bool              `msgpack:"l,omitempty"`
+	EstimateS        float64           `msgpack:"e,omitempty"`
+	CheckpointEveryS float64           `msgpack:"ce,omitempty"`
+	CheckpointS      float64           `msgpack:"cs,omitempty"`
+	DeadlineS        float64           `msgpack:"d,omitempty"`
 	// Needs names the jobs that must be done before any task of this one
 	// starts; each once.
-	Needs []ids.JobID `msgpack:"b,omitempty"`
+	DependsOn []ids.JobID `msgpack:"b,omitempty"`
 }
 
 // maxTasks is the protocol's largest job.
@@ -174,20 +174,20 @@
 		f.fail("nameId", "is not a job id")
 	}
 	s := &Spec{
-		Class:     f.text("workclass", 200),
-		Team:      ids.Team(f.text("crew", 200)),
-		CPUs:      f.amount("cpus", true),
-		GPUs:      f.amount("accelerators", false),
-		MemoryGB:  f.amount("memoryGb", false),
-		Image:     ids.Image(f.text("bundle", 500)),
-		ImageGB:   f.amount("pullGb", false),
-		Zone:      ids.Zone(f.optText("hall", 200)),
-		OneZone:   f.flag("oneZone"),
-		Spread:    f.flag("spread"),
-		Spot:      f.flag("loaner"),
-		EstimateS: f.amount("expectS", false),
-		SaveEvery: f.amount("snapshotEveryS", false),
-		SaveS:     f.amount("snapshotS", false),
+		Class:            f.text("workclass", 200),
+		Team:             ids.Team(f.text("crew", 200)),
+		CPUs:             f.amount("cpus", true),
+		GPUs:             f.amount("accelerators", false),
+		MemoryGB:         f.amount("memoryGb", false),
+		Image:            ids.Image(f.text("bundle", 500)),
+		ImageGB:          f.amount("pullGb", false),
+		Zone:             ids.Zone(f.optText("hall", 200)),
+		OneZone:          f.flag("oneZone"),
+		Spread:           f.flag("spread"),
+		Spot:             f.flag("loaner"),
+		EstimateS:        f.amount("expectS", false),
+		CheckpointEveryS: f.amount("snapshotEveryS", false),
+		CheckpointS:      f.amount("snapshotS", false),
 	}
 	switch f.text("shape", 50) {
 	case "batch":
@@ -235,9 +235,9 @@
 				f.fail("waitsOn", "must be a list of job ids")
 				break
 			}
-			s.Needs = append(s.Needs, ids.JobID(name))
+			s.DependsOn = append(s.DependsOn, ids.JobID(name))
 		}
-		s.Needs = unique(s.Needs)
+		s.DependsOn = unique(s.DependsOn)
 	default:
 		f.fail("waitsOn", "must be a list of job ids")
 	}
--- a/wire/spec_test.go
+++ b/wire/spec_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	want := Spec{Class: "train", Team: "vision", Priority: High, Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
-		ImageGB: 6.2, OneZone: true, Spot: true, EstimateS: 240, SaveEvery: 30, SaveS: 4, DeadlineS: 900}
+		ImageGB: 6.2, OneZone: true, Spot: true, EstimateS: 240, CheckpointEveryS: 30, CheckpointS: 4, DeadlineS: 900}
 	got := *s
 	if len(got.Types) != 1 || got.Types[0] != "g8" {
 		t.Errorf("types %v", got.Types)
@@ -44,7 +44,7 @@
 	} {
 		m := submission()
 		m["waitsOn"] = c.given
-		if _, s, err := ParseSubmission(Encode(m)); err != nil || !slices.Equal(s.Needs, c.want) {
+		if _, s, err := ParseSubmission(Encode(m)); err != nil || !slices.Equal(s.DependsOn, c.want) {
 			t.Errorf("%v: %v, %v", c.given, s, err)
 		}
 	}
@@ -152,10 +152,10 @@
 }
 
 func TestNewerMessages(t *testing.T) {
-	r := Report{Tenure: 2, Tick: 5}
+	r := Report{Session: 2, Sequence: 5}
 	for _, c := range []struct {
-		tenure ids.Tenure
-		tick   ids.Tick
+		tenure ids.Session
+		tick   ids.Sequence
 		newer  bool
 	}{{1, 9, true}, {2, 4, true}, {2, 5, false}, {2, 6, false}, {3, 1, false}} {
 		if got := r.Newer(c.tenure, c.tick); got != c.newer {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -87,14 +87,14 @@
 	StatusQueued    = "queued"
 	StatusRunning   = "running"
 	StatusDone      = "done"
-	StatusWithdrawn = "withdrawn"
+	StatusCancelled = "withdrawn"
 )
 
 // Task states and causes in workers' reports, and the verbs of commands.
 const (
-	TaskPulling  = "pulling"
+	TaskFetching = "pulling"
 	TaskRunning  = "running"
-	TaskFlushing = "flushing"
+	TaskSaving   = "flushing"
 	TaskEnded    = "ended"
 
 	CauseDone    = "done"
@@ -119,35 +119,35 @@
 
 // Task is one task of a worker's report.
 type Task struct {
-	Name    string      `msgpack:"leg"`
-	Attempt ids.Attempt `msgpack:"try"`
-	State   string      `msgpack:"status"`
-	Cause   string      `msgpack:"cause"`
-	Saved   bool        `msgpack:"stored"`
+	Name         string      `msgpack:"leg"`
+	Attempt      ids.Attempt `msgpack:"try"`
+	State        string      `msgpack:"status"`
+	Cause        string      `msgpack:"cause"`
+	Checkpointed bool        `msgpack:"stored"`
 }
 
 // Report is what a worker says about itself.
 type Report struct {
-	Host     ids.Host        `msgpack:"host"`
-	Endpoint string          `msgpack:"endpoint"`
-	Type     ids.MachineType `msgpack:"frame"`
-	Zone     ids.Zone        `msgpack:"hall"`
-	Spot     bool            `msgpack:"loaner"`
-	Tenure   ids.Tenure      `msgpack:"tenure"`
-	Tick     ids.Tick        `msgpack:"tick"`
-	Token    ids.Token       `msgpack:"baton"`
-	NoticeS  *float64        `msgpack:"warningS"`
-	Tasks    []Task          `msgpack:"legs"`
+	Host        ids.Host        `msgpack:"host"`
+	Endpoint    string          `msgpack:"endpoint"`
+	Type        ids.MachineType `msgpack:"frame"`
+	Zone        ids.Zone        `msgpack:"hall"`
+	Spot        bool            `msgpack:"loaner"`
+	Session     ids.Session     `msgpack:"tenure"`
+	Sequence    ids.Sequence    `msgpack:"tick"`
+	Token       ids.Token       `msgpack:"baton"`
+	SpotNoticeS *float64        `msgpack:"warningS"`
+	Tasks       []Task          `msgpack:"legs"`
 }
 
 // Newer tells whether r was made after the message with the given tenure and
 // tick.
-func (r *Report) Newer(t ids.Tenure, k ids.Tick) bool {
-	return r.Tenure > t || r.Tenure == t && r.Tick > k
+func (r *Report) Newer(t ids.Session, k ids.Sequence) bool {
+	return r.Session > t || r.Session == t && r.Sequence > k
 }
 
 // Order is a command to a worker.
-type Order struct {
+type Command struct {
 	Verb    string      `msgpack:"verb" cbor:"1,keyasint"`
 	Name    string      `msgpack:"leg" cbor:"2,keyasint"`
 	Attempt ids.Attempt `msgpack:"try" cbor:"3,keyasint"`
@@ -155,16 +155,16 @@
 }
 
 // Orders is the answer to a report.
-type Orders struct {
-	Token  ids.Token `msgpack:"baton" cbor:"1,keyasint"`
-	Orders []Order   `msgpack:"orders" cbor:"2,keyasint"`
+type ReportAnswer struct {
+	Token    ids.Token `msgpack:"baton" cbor:"1,keyasint"`
+	Commands []Command `msgpack:"orders" cbor:"2,keyasint"`
 }
 
 // Direct is a command sent straight to a worker.
-type Direct struct {
-	Token  ids.Token  `msgpack:"baton"`
-	Tenure ids.Tenure `msgpack:"tenure"`
-	Orders []Order    `msgpack:"orders"`
+type DirectCommand struct {
+	Token    ids.Token   `msgpack:"baton"`
+	Session  ids.Session `msgpack:"tenure"`
+	Commands []Command   `msgpack:"orders"`
 }
 
 // Redirect names the node that a worker should report to.
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -50,9 +50,9 @@
 // Do sends commands. Whether they were executed or refused, the report is the
 // worker's after it, and tells. Any error leaves the outcome unknown unless it wraps
 // httpc.ErrNotSent.
-func (c *Client) Do(ctx context.Context, addr string, d wire.Direct, timeout time.Duration) (*wire.Report, error) {
-	if d.Orders == nil {
-		d.Orders = []wire.Order{}
+func (c *Client) Do(ctx context.Context, addr string, d wire.DirectCommand, timeout time.Duration) (*wire.Report, error) {
+	if d.Commands == nil {
+		d.Commands = []wire.Command{}
 	}
 	return c.call(ctx, addr, "POST", "/do", wire.Encode(d), timeout)
 }
