--- a/scheduler/buy.go
+++ b/scheduler/buy.go
@@ -425,13 +425,18 @@
 // or would not rent.
 func (c *Core) RentResult(now ids.Instant, r wire.Rental, hosts []ids.Host, ok bool) {
 	c.now = now
+	c.rentResult(r, hosts, ok)
+}
+
+// rentResult ends a rental.
+func (c *Core) rentResult(r wire.Rental, hosts []ids.Host, ok bool) {
 	site := placement.Site{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	if c.machinesRequested[site] -= r.Count; c.machinesRequested[site] <= 0 {
 		delete(c.machinesRequested, site)
 	}
 	c.rentalsInFlight[site]--
 	if !ok {
-		c.backoff.Refused(site, now)
+		c.backoff.Refused(site, c.now)
 		return
 	}
 	for _, h := range hosts {
@@ -443,7 +448,7 @@
 		c.setSite(m, site, "")
 	}
 	if len(hosts) < r.Count {
-		c.backoff.Refused(site, now)
+		c.backoff.Refused(site, c.now)
 	} else {
 		c.backoff.Granted(site)
 	}
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -815,6 +815,11 @@
 // ChangeResult takes the definite outcome of a change.
 func (c *Core) ChangeResult(now ids.Instant, o ledger.Outcome) {
 	c.now = now
+	c.settleChange(o)
+}
+
+// settleChange takes the definite outcome of a change into account.
+func (c *Core) settleChange(o ledger.Outcome) {
 	p := c.pendingChanges[o.Change.ID]
 	if p == nil {
 		return
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -775,6 +775,11 @@
 // followed by DirectResult.
 func (c *Core) TakeDirect(now ids.Instant, h ids.Host) (d wire.DirectCommand, endpoint string, ok bool) {
 	c.now = now
+	return c.takeDirect(h)
+}
+
+// takeDirect makes the command for a worker and counts the call as under way.
+func (c *Core) takeDirect(h ids.Host) (d wire.DirectCommand, endpoint string, ok bool) {
 	m := c.machines[h]
 	if m == nil || m.callInFlight || !m.reported || m.returning {
 		return wire.DirectCommand{}, "", false
@@ -794,6 +799,11 @@
 // one, the command may still be carried out; the tokens see to that.
 func (c *Core) DirectResult(now ids.Instant, h ids.Host, rep *wire.Report) {
 	c.now = now
+	c.directResult(h, rep)
+}
+
+// directResult ends a call to a worker; rep is nil if it was not answered.
+func (c *Core) directResult(h ids.Host, rep *wire.Report) {
 	c.callsInFlight--
 	m := c.machines[h]
 	if m == nil {
@@ -802,12 +812,12 @@
 	m.callInFlight = false
 	c.queueCommands(m)
 	if rep == nil {
-		m.callRetryAt = now.Add(time.Second)
+		m.callRetryAt = c.now.Add(time.Second)
 		m.callFailed = true
 		return
 	}
 	if rep.Host == h {
-		c.Report(now, rep, true)
+		c.Report(c.now, rep, true)
 	}
 }
 
@@ -822,6 +832,11 @@
 // ShowResult takes the answer to a request for a report, or nil.
 func (c *Core) ShowResult(now ids.Instant, h ids.Host, rep *wire.Report) {
 	c.now = now
+	c.showResult(h, rep)
+}
+
+// showResult ends a request for a report; rep is nil if it was not answered.
+func (c *Core) showResult(h ids.Host, rep *wire.Report) {
 	c.callsInFlight--
 	m := c.machines[h]
 	if m == nil {
@@ -830,7 +845,7 @@
 	m.reportRequested = false
 	c.queueCommands(m)
 	if rep != nil && rep.Host == h {
-		c.Report(now, rep, true)
+		c.Report(c.now, rep, true)
 	}
 }
 
@@ -1056,6 +1071,11 @@
 // the machines and all on them are gone.
 func (c *Core) ReturnResult(now ids.Instant, hosts []ids.Host, ok bool) {
 	c.now = now
+	c.returnResult(hosts, ok)
+}
+
+// returnResult takes the outcome of a return call.
+func (c *Core) returnResult(hosts []ids.Host, ok bool) {
 	for _, h := range hosts {
 		m := c.machines[h]
 		if m == nil {
@@ -1095,6 +1115,11 @@
 // before, so absence proves nothing by itself. asked is when it was asked for.
 func (c *Core) MachineList(now, asked ids.Instant, list []wire.Machine) {
 	c.now = now
+	c.observeList(asked, list)
+}
+
+// observeList takes the cloud's list into account.
+func (c *Core) observeList(asked ids.Instant, list []wire.Machine) {
 	listed := map[ids.Host]bool{}
 	for _, w := range list {
 		listed[w.Host] = true
