--- /dev/null
+++ b/scheduler/admission.go
@@ -0,0 +1,210 @@
+package scheduler
+
+import (
+	"slices"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/quota"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// admitter admits waiting jobs against the quotas and places their tasks.
+type admitter struct {
+	core *Core
+	// candidates are the machines that take tasks in the present round, by host, and
+	// candidateZones their zones.
+	candidates     []*machine
+	candidateZones []ids.Zone
+	// MachinesExamined counts the machines that all rounds so far have looked at. It
+	// measures and bounds their work without a clock.
+	MachinesExamined uint64
+}
+
+// schedule is one pass of admission: first the jobs that stay within their
+// team's guarantee, then those that borrow, each by priority and creation
+// time. One that does not fit is passed by later ones that do. Then room is
+// made for those that are owed it.
+func (adm *admitter) scheduleRound() {
+	waiting := adm.core.waitingJobs()
+	if len(waiting) == 0 {
+		return
+	}
+	adm.core.updateSurplus()
+	adm.admitAll(waiting)
+	adm.core.preemption.preempt(waiting)
+	adm.core.updateReservations(waiting)
+}
+
+// collectCandidates lists the machines that take tasks now.
+func (adm *admitter) collectCandidates() {
+	adm.candidates, adm.candidateZones = adm.candidates[:0], adm.candidateZones[:0]
+	for _, m := range adm.core.registry.machineList {
+		if adm.core.health.takesTasks(m) {
+			adm.candidates = append(adm.candidates, m)
+			if !slices.Contains(adm.candidateZones, m.Zone) {
+				adm.candidateZones = append(adm.candidateZones, m.Zone)
+			}
+		}
+	}
+	adm.MachinesExamined += uint64(len(adm.core.registry.machineList))
+}
+
+// admitAll places what fits of the waiting jobs.
+func (adm *admitter) admitAll(waiting []*job) {
+	adm.collectCandidates()
+	full := map[placementRequest]bool{}
+	// A team's lower work must not slip into the rest of its guarantee past
+	// higher work that has to borrow: the higher would stop it again.
+	borrower := map[ids.Team]wire.Priority{}
+	for _, nominal := range []bool{true, false} {
+		passed := 0
+		if !nominal { // what is lent goes to those that starve first
+			waiting = adm.core.starvingFirst(waiting)
+		}
+		for _, j := range waiting {
+			if len(j.pending) == 0 {
+				continue
+			}
+			if nominal {
+				j.deferred = j.priority < borrower[j.spec.Team]
+				if j.deferred {
+					continue
+				}
+			}
+			sh, alike := adm.requestOf(j, j.zones)
+			tried := !alike || !full[sh]
+			if tried && adm.admitJob(j, nominal) {
+				// The shape of what is left: some of it may have been placed.
+				if sh, alike := adm.requestOf(j, j.zones); alike {
+					full[sh] = true
+				}
+			}
+			if nominal && adm.mustBorrow(j) {
+				borrower[j.spec.Team] = max(borrower[j.spec.Team], j.priority)
+			}
+			if tried && len(j.pending) > 0 {
+				if passed++; passed > adm.core.opt.MaxSkippedJobs {
+					break
+				}
+			}
+		}
+	}
+}
+
+// updateSurplus gives the cohort what the machines have beyond the sum of the
+// guarantees: left unused it would serve nobody.
+func (c *Core) updateSurplus() {
+	var have quota.Amount
+	for _, m := range c.registry.machineList {
+		if c.health.usable(m) {
+			have = have.Plus(quota.Amount{CPUs: m.total.CPUs, GPUs: m.total.GPUs})
+		}
+	}
+	c.quotas.SetSurplus(have.Minus(c.quotas.Nominal()))
+}
+
+func (c *Core) fitsQuota(j *job, nominal bool, n int) bool {
+	m := j.amount().Times(n)
+	if nominal {
+		return c.quotas.FitsNominal(j.spec.Team, m)
+	}
+	return c.quotas.FitsBorrowing(j.spec.Team, m, c.now)
+}
+
+// mustBorrow tells whether a job's waiting tasks fit quota, but not within the
+// guarantee.
+func (adm *admitter) mustBorrow(j *job) bool {
+	n := j.tasksTogether()
+	return len(j.pending) > 0 && !adm.core.fitsQuota(j, true, n) && adm.core.fitsQuota(j, false, n)
+}
+
+// admit places what fits of a job: a service whole when it starts, an array
+// in slices that fit. noRoom tells that no machine had room.
+func (adm *admitter) admitJob(j *job, nominal bool) (noRoom bool) {
+	whole := j.needsAllTasks()
+	if j.spec.Gang && len(j.active) > 0 {
+		// The rest of the gang waits for the tasks that it lost. It starts
+		// again together, so it is stopped whole first.
+		for _, a := range tasksByIndex(j.active) {
+			adm.core.stopTask(a, stopPreempted)
+		}
+		return false
+	}
+	if whole && !adm.core.fitsQuota(j, nominal, len(j.pending)) {
+		return false
+	}
+	if !whole || !j.spec.OneZone {
+		return adm.admitTasks(j, nominal, whole)
+	}
+	// The best machine for the first task may stand in a zone that cannot
+	// hold the rest, so every zone has its turn, that one first.
+	first := adm.newSearch(j).next(j.pending[len(j.pending)-1])
+	if first == nil {
+		return true
+	}
+	defer func() { j.onlyZone = "" }()
+	zones := []ids.Zone{first.Zone}
+	for _, m := range adm.core.registry.machineList {
+		if !slices.Contains(zones, m.Zone) {
+			zones = append(zones, m.Zone)
+		}
+	}
+	for _, z := range zones {
+		j.onlyZone = z
+		if noRoom = adm.admitTasks(j, nominal, whole); !noRoom {
+			return false
+		}
+	}
+	return true
+}
+
+// admitTasks is admit, in the one zone that the job is held to, if any.
+func (adm *admitter) admitTasks(j *job, nominal, whole bool) (noRoom bool) {
+	var placed []*assignment
+	var s *candidateSearch
+	begins := adm.core.agedToFront(j)
+	for k := len(j.pending) - 1; k >= 0; k-- {
+		if !adm.core.fitsQuota(j, nominal, 1) {
+			break
+		}
+		if s == nil {
+			s = adm.newSearch(j)
+		}
+		i := j.pending[k]
+		m := s.next(i)
+		if m == nil {
+			noRoom = true
+			break
+		}
+		placed = append(placed, adm.assign(j, i, m))
+		s.reinsert(m)
+		if j.probing() {
+			break
+		}
+		if begins && !whole {
+			adm.core.schedulingDue = true
+			break // the rest has no more right than others
+		}
+	}
+	if whole && len(placed) < len(j.pending) {
+		for _, a := range placed {
+			adm.core.detach(a)
+			j.tasks[a.index].attempt--
+		}
+		return noRoom
+	}
+	j.pending = j.pending[:len(j.pending)-len(placed)]
+	for _, a := range placed {
+		adm.core.records.markTaskDirty(j, a.index, true)
+	}
+	return noRoom
+}
+
+// place decides on a machine for a task. From here on it counts as used; it
+// is sent once the record is committed.
+func (adm *admitter) assign(j *job, i int, m *machine) *assignment {
+	j.tasks[i].attempt++
+	a := &assignment{job: j, index: i, attempt: j.tasks[i].attempt, machine: m, phaseSince: adm.core.now, protected: j.priority == wire.BestEffort && adm.core.starving(j)}
+	adm.core.attach(a)
+	return a
+}
--- /dev/null
+++ b/scheduler/autoscaler.go
@@ -0,0 +1,212 @@
+package scheduler
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/fleet"
+	"ospreystile.example/ospreystile/scheduler/placement"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// autoscaler rents machines for what was admitted or could be and found no place, and
+// returns those that stand idle.
+type autoscaler struct {
+	core        *Core
+	plannedAt   ids.Instant
+	nextBooking int
+	// machinesRequested counts the machines asked for in rentals under way, and
+	// rentalsInFlight those rentals, by site.
+	machinesRequested map[placement.Site]int
+	rentalsInFlight   map[placement.Site]int
+	// backoff holds the sites that lacked capacity lately.
+	backoff       *fleet.Backoff
+	demandByClass map[string]*classDemand
+	// bootFactors tells how long boots took lately, against the catalog.
+	bootFactors map[ids.MachineType]float64
+	// spotTime is how long spot machines were up, all together, and spotLosses how
+	// many of them were lost meanwhile.
+	spotTime   time.Duration
+	spotLosses int
+}
+
+func newAutoscaler(c *Core) *autoscaler {
+	return &autoscaler{
+		core:              c,
+		machinesRequested: map[placement.Site]int{},
+		rentalsInFlight:   map[placement.Site]int{},
+		backoff:           fleet.NewBackoff(c.opt.CapacityBackoff),
+		demandByClass:     map[string]*classDemand{},
+		bootFactors:       map[ids.MachineType]float64{},
+	}
+}
+
+// planInterval is how often the fleet is planned.
+const planInterval = time.Second
+
+// planFleet rents for what was admitted or could be and found no place, and
+// gives back what stands idle.
+func (as *autoscaler) planFleet() {
+	if as.core.now < as.plannedAt.Add(planInterval) {
+		return
+	}
+	as.countSpotTime(as.core.now.Sub(as.plannedAt))
+	as.plannedAt = as.core.now
+	as.updateDemand()
+	// A predecessor's machines may not be listed yet; rented again, they
+	// would be there twice.
+	if as.core.opt.Predecessor && as.core.now < as.core.termBegan.Add(2*as.core.opt.ListLag) {
+		return
+	}
+	p := &fleet.Planner{Types: as.core.typeList, Held: map[placement.Site]int{}, Budget: math.MaxInt32,
+		Blocked: func(s placement.Site) bool {
+			return as.core.health.zonePartitioned(s.Zone) || as.backoff.Blocked(s, as.core.now)
+		}}
+	if as.core.opt.MaxMachines > 0 {
+		p.Budget = as.core.opt.MaxMachines - len(as.core.registry.machineList)
+		for _, n := range as.machinesRequested {
+			p.Budget -= n
+		}
+	}
+	for _, m := range as.core.registry.machineList {
+		p.Held[m.Site]++
+		if !m.reported && !m.returning && m.machineType != nil && !as.bootLate(m) {
+			p.AddCapacity(m.Site, m.free())
+		}
+	}
+	for _, s := range slices.SortedFunc(maps.Keys(as.machinesRequested), placement.Site.Compare) {
+		p.Held[s] += as.machinesRequested[s]
+		if t := as.core.types[s.Type]; t != nil {
+			for range as.machinesRequested[s] {
+				p.AddCapacity(s, placement.OfType(t))
+			}
+		}
+	}
+	as.addDemand(p)
+	as.addHeadroom(p)
+	as.addReplacements(p) // last, as it counts free room that the others have used
+	for _, b := range p.Purchases() {
+		for left := b.Count; left > 0 && as.canRent(b.Site); left -= maxRentalSize {
+			n := min(left, maxRentalSize)
+			as.nextBooking++
+			as.machinesRequested[b.Site] += n
+			as.rentalsInFlight[b.Site]++
+			as.core.effects.Rent = append(as.core.effects.Rent, wire.Rental{
+				Request: fmt.Sprintf("r-%d-%d", as.core.opt.Revision, as.nextBooking),
+				Type:    b.Type, Zone: b.Zone, Spot: b.Spot, Count: n,
+			})
+		}
+	}
+	as.returnIdle()
+}
+
+const (
+	// maxRentalSize is the protocol's limit for one rental.
+	maxRentalSize = 50
+	// maxRentalsPerSite bounds the rentals under way for one site.
+	maxRentalsPerSite = 3
+)
+
+// canRent tells whether one more rental may be under way for a site. Where the
+// cloud lacked machines lately one is enough to ask: more of them took all
+// calls for seconds, only to be refused too.
+func (as *autoscaler) canRent(s placement.Site) bool {
+	if as.backoff.RecentlyRefused(s) {
+		return as.rentalsInFlight[s] == 0
+	}
+	return as.rentalsInFlight[s] < maxRentalsPerSite
+}
+
+// RentResult takes the answer to a rental; ok is false if the cloud had none
+// or would not rent.
+func (c *Core) RentResult(now ids.Instant, r wire.Rental, hosts []ids.Host, ok bool) {
+	c.now = now
+	c.autoscaler.rentResult(r, hosts, ok)
+}
+
+// rentResult ends a rental.
+func (as *autoscaler) rentResult(r wire.Rental, hosts []ids.Host, ok bool) {
+	site := placement.Site{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+	if as.machinesRequested[site] -= r.Count; as.machinesRequested[site] <= 0 {
+		delete(as.machinesRequested, site)
+	}
+	as.rentalsInFlight[site]--
+	if !ok {
+		as.backoff.Refused(site, as.core.now)
+		return
+	}
+	for _, h := range hosts {
+		if as.core.registry.returnedHosts[h] {
+			continue
+		}
+		m := as.core.registry.ensureMachine(h)
+		m.rentedThisTerm = true
+		as.core.registry.setSite(m, site, "")
+	}
+	if len(hosts) < r.Count {
+		as.backoff.Refused(site, as.core.now)
+	} else {
+		as.backoff.Granted(site)
+	}
+	as.core.schedulingDue = true
+}
+
+// lateBootFactor is how many times as long as its type's boot, as it has been lately, a
+// machine may take before it counts as late.
+const lateBootFactor = 1.7
+
+// late tells whether a machine takes so long to come up that it may never do so. What
+// waits for it has another rented in its place, unless all of its type take as long
+// now: then another would come no sooner.
+func (as *autoscaler) bootLate(m *machine) bool {
+	if m.reported || m.machineType == nil || !m.rentedThisTerm {
+		return false
+	}
+	usual := max(1, as.bootFactors[m.Type])
+	return as.core.now > m.knownSince.Add(ids.Seconds(lateBootFactor*usual*m.machineType.BootS)+as.core.opt.Report)
+}
+
+// recordBoot takes in how long a machine took to come up, as a part of its type's time.
+func (as *autoscaler) recordBoot(m *machine) {
+	if m.machineType == nil || !m.rentedThisTerm || m.machineType.BootS <= 0 {
+		return
+	}
+	took := min(as.core.now.Sub(m.knownSince).Seconds()/m.machineType.BootS, as.core.opt.BootFactor)
+	if was := as.bootFactors[m.Type]; was > 0 {
+		took = 0.8*was + 0.2*took
+	}
+	as.bootFactors[m.Type] = took
+}
+
+// fastestBoot is how long the quickest type that would do takes to boot.
+func (as *autoscaler) fastestBoot(s *wire.Spec) time.Duration {
+	boot := time.Duration(0)
+	for i := range as.core.typeList {
+		if t := &as.core.typeList[i]; placement.Fits(s, t) && (boot == 0 || ids.Seconds(t.BootS) < boot) {
+			boot = ids.Seconds(t.BootS)
+		}
+	}
+	return boot
+}
+
+// spotRisk is the chance that a spot machine is taken while a task of the job
+// runs, going by the losses seen so far. Before anything was seen it assumes
+// one in half an hour.
+func (as *autoscaler) spotRisk(j *job) float64 {
+	const priorHours = 0.5
+	perHour := (1 + float64(as.spotLosses)) / (priorHours + as.spotTime.Hours())
+	return perHour * j.spec.EstimateS / 3600
+}
+
+// countSpotTime counts the time that spot machines were up.
+func (as *autoscaler) countSpotTime(passed time.Duration) {
+	for _, m := range as.core.registry.machineList {
+		if m.Spot && m.reported && !m.returning {
+			as.spotTime += passed
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/class_demand.go
@@ -0,0 +1,92 @@
+package scheduler
+
+import (
+	"math"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// demandWindow is how long a class's peak is remembered.
+const demandWindow = 2 * time.Minute
+
+// peak is the most tasks of a class at once, lately.
+type classDemand struct {
+	spec    *wire.Spec
+	current int
+	peaks   [4]int // by half minute
+	slot    int
+	// Jobs and tasks that came, by half minute.
+	jobs, tasks [4]int
+}
+
+// coming is how many tasks to expect within a time: those that came in the
+// window, and three times their spread. Tasks come in jobs, which makes the
+// spread as much wider.
+func (p *classDemand) expectedArrivals(within time.Duration) float64 {
+	jobs, tasks := 0, 0
+	for i := range p.jobs {
+		jobs += p.jobs[i]
+		tasks += p.tasks[i]
+	}
+	if jobs == 0 {
+		return 0
+	}
+	part := within.Seconds() / demandWindow.Seconds()
+	size := float64(tasks) / float64(jobs)
+	return size * (float64(jobs)*part + 3*math.Sqrt(float64(jobs)*part))
+}
+
+// turn moves on to the half minute of now.
+func (p *classDemand) advance(now ids.Instant) {
+	slot := int(time.Duration(now) / (demandWindow / 4))
+	for ; p.slot < slot; p.slot++ {
+		if slot-p.slot > 4 {
+			p.slot = slot - 5
+			continue
+		}
+		next := (p.slot + 1) % 4
+		p.peaks[next], p.jobs[next], p.tasks[next] = 0, 0, 0
+	}
+}
+
+func (p *classDemand) peakTasks() int {
+	m := p.current
+	for _, v := range p.peaks {
+		m = max(m, v)
+	}
+	return m
+}
+
+// arrived notes a job that came.
+func (as *autoscaler) recordArrival(s *wire.Spec) {
+	if p := as.demandByClass[s.Class]; p != nil {
+		p.advance(as.core.now)
+		p.jobs[p.slot%4]++
+		p.tasks[p.slot%4] += s.Tasks
+	}
+}
+
+func (as *autoscaler) updateDemand() {
+	count := map[string]int{}
+	first := map[string]*job{} // by id, of the classes that are new
+	for _, j := range as.core.jobs {
+		class := j.spec.Class
+		if j.terminal() || !j.ready {
+			continue
+		}
+		count[class] += len(j.active) + len(j.pending)
+		if f := first[class]; as.demandByClass[class] == nil && (f == nil || j.id < f.id) {
+			first[class] = j
+		}
+	}
+	for class, j := range first {
+		as.demandByClass[class] = &classDemand{spec: j.spec}
+	}
+	for class, p := range as.demandByClass {
+		p.advance(as.core.now)
+		p.current = count[class]
+		p.peaks[p.slot%4] = max(p.peaks[p.slot%4], p.current)
+	}
+}
--- a/scheduler/core_test.go
+++ b/scheduler/core_test.go
@@ -305,7 +305,7 @@
 	used := map[ids.Team]quota.Amount{}
 	room := map[ids.Host]*spot{}
 	var total quota.Amount
-	for _, m := range c.machines {
+	for _, m := range c.registry.machines {
 		room[m.host] = &spot{m.total.Minus(m.used), m.total}
 		total.CPUs += m.total.CPUs
 	}
@@ -377,7 +377,7 @@
 			zones := []ids.Zone{""}
 			if whole && j.spec.OneZone && len(j.active) == 0 {
 				zones = nil
-				for _, m := range c.machineList {
+				for _, m := range c.registry.machineList {
 					if !slices.Contains(zones, m.Zone) {
 						zones = append(zones, m.Zone)
 					}
@@ -397,7 +397,7 @@
 					}
 					var best *machine
 					bestScore := 0.0
-					for _, m := range c.machineList {
+					for _, m := range c.registry.machineList {
 						if only != "" && m.Zone != only {
 							continue
 						}
@@ -498,7 +498,7 @@
 	b.t.Helper()
 	want := plainPass(b.c)
 	before := map[*assignment]bool{}
-	for _, m := range b.c.machineList {
+	for _, m := range b.c.registry.machineList {
 		for _, a := range m.tasks {
 			before[a] = true
 		}
@@ -506,9 +506,9 @@
 	b.c.now = b.now
 	// preempt is left out: the model knows only the placing pass.
 	b.c.updateSurplus()
-	b.c.admitAll(b.c.waitingJobs())
+	b.c.admission.admitAll(b.c.waitingJobs())
 	var got []string
-	for _, m := range b.c.machineList {
+	for _, m := range b.c.registry.machineList {
 		for _, a := range m.tasks {
 			if !before[a] {
 				got = append(got, fmt.Sprintf("%s@%s", a.ref(), m.host))
@@ -545,7 +545,7 @@
 			b.now = b.now.Add(time.Second)
 			b.c.now = b.now
 			b.c.updateReservations(b.c.waitingJobs())
-			for _, m := range b.c.machineList {
+			for _, m := range b.c.registry.machineList {
 				if m.reservedFor != nil {
 					kept++
 				}
@@ -585,18 +585,18 @@
 	}
 	// Two looks around, for the guarantee and for borrowing, and a few more
 	// for each task.
-	if most := uint64((2*jobs+3)*machines + 8*placed); b.c.MachinesExamined > most {
-		t.Errorf("looked at %d machines for %d jobs and %d tasks, at most %d", b.c.MachinesExamined, jobs, placed, most)
+	if most := uint64((2*jobs+3)*machines + 8*placed); b.c.admission.MachinesExamined > most {
+		t.Errorf("looked at %d machines for %d jobs and %d tasks, at most %d", b.c.admission.MachinesExamined, jobs, placed, most)
 	}
 	// Work that finds no room costs no more than a look around, however many
 	// wait: those alike are not tried twice.
 	for n := range 300 {
 		b.job(ids.JobID(fmt.Sprintf("job-w%d", n)), wire.Spec{Class: "c", Team: "t0", Tasks: 200, CPUs: 7})
 	}
-	b.c.scheduleRound()
-	before := b.c.MachinesExamined
-	b.c.scheduleRound()
-	if work := b.c.MachinesExamined - before; work > 20*machines {
+	b.c.admission.scheduleRound()
+	before := b.c.admission.MachinesExamined
+	b.c.admission.scheduleRound()
+	if work := b.c.admission.MachinesExamined - before; work > 20*machines {
 		t.Errorf("a pass without room looked at %d machines", work)
 	}
 }
@@ -740,7 +740,7 @@
 			}
 			if tick == 10 && c.stands > 0 {
 				// Of what came meanwhile only one zone's has been read yet.
-				b.c.zoneStates["a"].lastHeard = start
+				b.c.health.zoneStates["a"].lastHeard = start
 			}
 			for _, r := range b.step().Rent {
 				rented += r.Count
@@ -773,7 +773,7 @@
 			}
 			on[tk.assignment.machine.host] = append(on[tk.assignment.machine.host], wire.Task{Name: fmt.Sprintf("%s/%d", id, i), Attempt: tk.attempt, State: wire.TaskRunning})
 		}
-		if m := b.c.machines["n-3"]; m.slowStreak >= slowStreakLimit {
+		if m := b.c.registry.machines["n-3"]; m.slowStreak >= slowStreakLimit {
 			if len(on["n-3"]) > 0 {
 				t.Fatalf("round %d: the slow machine was set aside and got %d tasks", round, len(on["n-3"]))
 			}
@@ -806,7 +806,7 @@
 		end("n-3")
 		b.step()
 	}
-	t.Fatalf("the slow machine was never set aside: pace %v", b.c.machines["n-3"].slowness)
+	t.Fatalf("the slow machine was never set aside: pace %v", b.c.registry.machines["n-3"].slowness)
 }
 
 // Spare room for classes in a hurry was once looked for in the free room that
--- /dev/null
+++ b/scheduler/direct_calls.go
@@ -0,0 +1,168 @@
+package scheduler
+
+import (
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// heat notes that a command may have to go to a machine. Only such machines
+// are looked at: looking at all of them after every event costs a node its
+// processor once there are a thousand.
+func (q *commandQueue) queueCommands(m *machine) {
+	if !m.queued {
+		m.queued = true
+		q.queuedMachines = append(q.queuedMachines, m)
+	}
+}
+
+// direct lists the workers to which a command should go at once, those first
+// that have waited longest. After a takeover or a cut hundreds wait, and events
+// come in between: what each step looks at here must be little.
+func (q *commandQueue) dispatchCommands() {
+	room := q.core.opt.MaxDirectCalls - q.callsInFlight
+	if q.core.opt.MaxDirectCalls <= 0 {
+		room = len(q.queuedMachines)
+	}
+	left := q.queuedMachines[:0]
+	for _, m := range q.queuedMachines {
+		if m.queued = q.dispatchTo(m, &room); m.queued {
+			left = append(left, m)
+		}
+	}
+	clear(q.queuedMachines[len(left):])
+	q.queuedMachines = left
+}
+
+// wait sends what should go to a machine now, if there is room for a call, and
+// tells whether the machine must be looked at again; otherwise what changes
+// heats it again.
+func (q *commandQueue) dispatchTo(m *machine, room *int) bool {
+	switch {
+	case q.core.registry.machines[m.host] != m || m.returning || m.endpoint == "":
+		return false
+	case !m.reported:
+		if !q.needsReportRequest(m) {
+			return false
+		}
+		if *room <= 0 {
+			return true
+		}
+		m.reportRequested, m.requestReportAt = true, q.core.now.Add(2*time.Second)
+		q.callsInFlight++
+		*room--
+		q.core.effects.Show = append(q.core.effects.Show, m.host)
+		return false
+	case m.callInFlight || m.callFailed:
+		return false
+	case q.core.now < m.callRetryAt:
+		return true
+	case !q.needsDirectCommand(m):
+		return q.needsFencing(m)
+	case *room <= 0:
+		return true
+	}
+	*room--
+	q.core.effects.Direct = append(q.core.effects.Direct, m.host)
+	return false
+}
+
+// needsReportRequest tells whether a machine that a predecessor left should be asked for
+// its report now. After a change of leaders its worker's session is not known,
+// and it may take seconds until it finds its way here. A predecessor that lost
+// the state service and us, but not its workers, keeps them from coming; one
+// that was told of us makes it give up.
+func (q *commandQueue) needsReportRequest(m *machine) bool {
+	return !m.reported && !m.reportRequested && q.core.now >= m.requestReportAt && !m.returning && m.endpoint != "" &&
+		(len(m.tasks) > 0 || m.listedStatus == "running" && !m.rentedThisTerm)
+}
+
+// needsFencing tells whether a machine has yet to show a token of this leader. The
+// answer to its report brings it one; who does not report here must be told.
+func (q *commandQueue) needsFencing(m *machine) bool { return !m.fenced && len(m.tasks) > 0 }
+
+func (q *commandQueue) needsDirectCommand(m *machine) bool {
+	if q.needsFencing(m) && (m.answeredAt == 0 || q.core.now > m.answeredAt.Add(q.core.opt.Report)) {
+		return true
+	}
+	for _, a := range m.taskList {
+		if a.recorded && !a.sent && !a.inherited && a.stopReason == stopNone {
+			return true
+		}
+		if a.stopReason != stopNone && a.mayRun() && a.killSentAt == 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// TakeDirect hands out the command that should go to a worker now. It must be
+// followed by DirectResult.
+func (c *Core) TakeDirect(now ids.Instant, h ids.Host) (d wire.DirectCommand, endpoint string, ok bool) {
+	c.now = now
+	return c.commands.takeDirect(h)
+}
+
+// takeDirect makes the command for a worker and counts the call as under way.
+func (q *commandQueue) takeDirect(h ids.Host) (d wire.DirectCommand, endpoint string, ok bool) {
+	m := q.core.registry.machines[h]
+	if m == nil || m.callInFlight || !m.reported || m.returning {
+		return wire.DirectCommand{}, "", false
+	}
+	orders := q.killCommands(m)
+	token := q.tokenOf(m)
+	if runs := q.runCommands(m, false, maxCommands-len(orders)); len(runs) > 0 {
+		orders = append(orders, runs...)
+		m.directRunToken = max(m.directRunToken, token)
+	}
+	m.callInFlight = true
+	q.callsInFlight++
+	return wire.DirectCommand{Token: token, Session: m.session, Commands: orders}, m.endpoint, true
+}
+
+// DirectResult takes the answer to a direct command, or its absence. Without
+// one, the command may still be carried out; the tokens see to that.
+func (c *Core) DirectResult(now ids.Instant, h ids.Host, rep *wire.Report) {
+	c.now = now
+	c.commands.directResult(h, rep)
+}
+
+// directResult ends a call to a worker; rep is nil if it was not answered.
+func (q *commandQueue) directResult(h ids.Host, rep *wire.Report) {
+	q.callsInFlight--
+	m := q.core.registry.machines[h]
+	if m == nil {
+		return
+	}
+	m.callInFlight = false
+	q.queueCommands(m)
+	if rep == nil {
+		m.callRetryAt = q.core.now.Add(time.Second)
+		m.callFailed = true
+		return
+	}
+	if rep.Host == h {
+		q.core.Report(q.core.now, rep, true)
+	}
+}
+
+// ShowResult takes the answer to a request for a report, or nil.
+func (c *Core) ShowResult(now ids.Instant, h ids.Host, rep *wire.Report) {
+	c.now = now
+	c.commands.showResult(h, rep)
+}
+
+// showResult ends a request for a report; rep is nil if it was not answered.
+func (q *commandQueue) showResult(h ids.Host, rep *wire.Report) {
+	q.callsInFlight--
+	m := q.core.registry.machines[h]
+	if m == nil {
+		return
+	}
+	m.reportRequested = false
+	q.queueCommands(m)
+	if rep != nil && rep.Host == h {
+		q.core.Report(q.core.now, rep, true)
+	}
+}
--- /dev/null
+++ b/scheduler/fleet_demand.go
@@ -0,0 +1,204 @@
+package scheduler
+
+import (
+	"maps"
+	"math"
+	"slices"
+	"sort"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/fleet"
+	"ospreystile.example/ospreystile/scheduler/placement"
+	"ospreystile.example/ospreystile/scheduler/quota"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// demand adds the waiting tasks that quota would let in.
+func (as *autoscaler) addDemand(p *fleet.Planner) {
+	type taken struct {
+		t ids.Team
+		m quota.Amount
+	}
+	var all []taken
+	counted := map[*job]int{}
+	// Machines for borrowers may be rented up to the teams' limits.
+	as.core.quotas.SetSurplus(quota.Amount{CPUs: math.MaxInt32, GPUs: math.MaxInt32})
+	defer as.core.updateSurplus()
+	var later []fleet.Demand
+	waiting := as.core.waitingJobs()
+	for _, nominal := range []bool{true, false} {
+		for _, j := range waiting {
+			if j.needsAllTasks() && !as.core.fitsQuota(j, nominal, len(j.pending)) {
+				continue
+			}
+			// The most that fit; that more fit whenever fewer do makes the
+			// search by halves right.
+			n := sort.Search(len(j.pending)-counted[j], func(n int) bool { return !as.core.fitsQuota(j, nominal, n+1) })
+			if j.probing() {
+				n = min(n, 1-counted[j])
+			}
+			if n <= 0 {
+				continue
+			}
+			as.core.quotas.Take(j.spec.Team, j.amount().Times(n))
+			all = append(all, taken{j.spec.Team, j.amount().Times(n)})
+			counted[j] += n
+			d := fleet.Demand{Spec: j.spec, Count: n, Zones: j.zones}
+			if j.needsAllTasks() || as.core.latencySensitive(j) || as.core.now > j.waitingSince.Add(as.fastestBoot(j.spec)) {
+				p.Add(d)
+			} else {
+				later = append(later, d)
+			}
+		}
+	}
+	for _, t := range all {
+		as.core.quotas.Free(t.t, t.m)
+	}
+	if len(later) == 0 {
+		return
+	}
+	// What need not start sooner than a machine boots can as well have the
+	// room of tasks that end before one would be up. What has waited for that
+	// long already has seen others take it.
+	for _, m := range as.core.registry.machineList {
+		if as.core.health.takesTasks(m) && m.replicas < len(m.taskList) {
+			p.AddCapacity(m.Site, as.freeSoon(m))
+		}
+	}
+	for _, d := range later {
+		p.Add(d)
+	}
+}
+
+// freeSoon is the room that a machine will have when one like it could have
+// been rented and booted, going by the estimates and by how long tasks of
+// their classes have run so far.
+func (as *autoscaler) freeSoon(m *machine) placement.Resources {
+	free := m.free()
+	by := as.core.now.Add(ids.Seconds(0.8 * m.machineType.BootS))
+	for _, a := range m.taskList {
+		if !a.job.spec.Service && (a.stopReason != stopNone || a.phase == wire.TaskRunning && a.phaseSince.Add(as.core.estimates.expectedRun(a.job.spec)) < by) {
+			free = free.Plus(placement.Of(a.job.spec))
+		}
+	}
+	return free
+}
+
+// silentReports is after how many reports' time a single machine's silence is
+// more than a worker needs to find another node.
+const silentReports = 3
+
+// replacements rents ahead for services on machines that are likely to lose
+// them: whose zone is cut off, that are silent, or that will be taken. Their
+// leases run out about when a machine rented now is up, and a boot that began
+// only then would be time without them; if they come back, the machine is idle
+// and returned.
+func (as *autoscaler) addReplacements(p *fleet.Planner) {
+	var silent []*machine
+	late := as.core.now > as.core.resumedAt.Add(as.core.opt.Report*3/2) // all have had their turn
+	for _, m := range as.core.registry.machineList {
+		if m.replicas > 0 && !as.core.health.takesTasks(m) && (as.core.health.zonePartitioned(m.Zone) || late && as.core.health.silentFor(m, silentReports*as.core.opt.Report) || m.takenBy != 0) {
+			silent = append(silent, m)
+		}
+	}
+	if len(silent) == 0 {
+		return
+	}
+	for _, m := range as.core.registry.machineList {
+		if as.core.health.takesTasks(m) {
+			p.AddCapacity(m.Site, m.free())
+		}
+	}
+	for _, m := range silent {
+		for _, a := range m.taskList {
+			if a.job.spec.Service && a.stopReason == stopNone {
+				p.Add(fleet.Demand{Spec: a.job.spec, Count: 1})
+			}
+		}
+	}
+}
+
+// spareBoots is how many boots long what may come is counted for spare room:
+// the room must have the image too, and stand in the right zone.
+const spareBoots = 8
+
+// spare is the room that a class which cannot wait for a boot should have: a
+// part of its peak, but no more than what may come while a machine boots. With
+// hundreds of services the former is far more than ever comes.
+func (as *autoscaler) spareTasks(p *classDemand) int {
+	want := as.core.opt.Headroom * float64(p.peakTasks())
+	boot := as.fastestBoot(p.spec)
+	if as.core.now > as.core.termBegan.Add(demandWindow/2) { // what came before is not known
+		want = min(want, p.expectedArrivals(spareBoots*boot))
+	}
+	return int(math.Ceil(want)) + 2
+}
+
+// headroom keeps room for classes that cannot wait for a machine to boot.
+func (as *autoscaler) addHeadroom(p *fleet.Planner) {
+	for _, class := range slices.Sorted(maps.Keys(as.core.opt.LatencySensitive)) {
+		pk := as.demandByClass[class]
+		if pk == nil {
+			continue
+		}
+		spare := as.spareTasks(pk)
+		if want := spare - as.freeSlots(pk.spec, spare); want > 0 {
+			p.Add(fleet.Demand{Spec: pk.spec, Count: want})
+		}
+	}
+}
+
+// slots counts how many more tasks the machines have room for, up to most.
+func (as *autoscaler) freeSlots(s *wire.Spec, most int) int {
+	n := 0
+	for _, m := range as.core.registry.machineList {
+		if n >= most {
+			break
+		}
+		if as.core.health.usable(m) && placement.Allowed(s, m.Site) {
+			n += fleet.Holds(s, m.free())
+		}
+	}
+	return n
+}
+
+// returnIdle gives back machines that nothing has used for a while. Where a
+// class cannot wait for a boot, those that its spare room is made of stay
+// longer.
+func (as *autoscaler) returnIdle() {
+	over := map[*classDemand]int{}
+	for class := range as.core.opt.LatencySensitive {
+		if pk := as.demandByClass[class]; pk != nil {
+			over[pk] = as.freeSlots(pk.spec, math.MaxInt) - as.spareTasks(pk)
+		}
+	}
+	for _, m := range as.core.registry.machineList {
+		if m.returning || !m.reported || len(m.tasks) > 0 || m.unrecorded.CPUs > 0 {
+			continue
+		}
+		wait := as.core.opt.Idle
+		if m.Spot && len(over) > 0 {
+			// They cost little, and hold images for work in a hurry.
+			wait = as.core.opt.HeadroomIdle
+		}
+		for pk, n := range over {
+			if placement.Allowed(pk.spec, m.Site) && fleet.Holds(pk.spec, m.free()) > n {
+				wait = as.core.opt.HeadroomIdle
+			}
+		}
+		if m.Spot {
+			wait = time.Duration(float64(wait) * as.core.opt.SpotIdleFactor)
+		}
+		if as.core.now > m.idleSince.Add(wait) || as.core.now < m.quarantinedUntil && as.core.now > m.idleSince.Add(5*time.Second) {
+			if as.core.health.usable(m) {
+				for pk := range over {
+					if placement.Allowed(pk.spec, m.Site) {
+						over[pk] -= fleet.Holds(pk.spec, m.free())
+					}
+				}
+			}
+			as.core.registry.returnMachine(m, "idle")
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/health.go
@@ -0,0 +1,179 @@
+package scheduler
+
+import (
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// healthMonitor judges which machines and zones can be reached, and acts on what time
+// alone brings about.
+type healthMonitor struct {
+	core       *Core
+	zoneStates map[ids.Zone]*zoneState
+	// lastHeard is when any machine was last heard.
+	lastHeard       ids.Instant
+	healthCheckedAt ids.Instant
+	// healthCheckDue asks for a check before its time.
+	healthCheckDue bool
+}
+
+// healthCheckInterval is how often the machines are looked at for what time alone
+// brings about.
+const healthCheckInterval = 200 * time.Millisecond
+
+// silentLeases is for how many leases a machine that holds nothing any more may
+// be silent before it is returned. One that hung or lost the network often
+// comes back soon after its lease, sooner than another boots, and has its
+// images; one that died costs nothing more, and the list tells of it.
+const silentLeases = 2
+
+// checkMachines handles what time alone brings about.
+func (hm *healthMonitor) checkMachines() {
+	hm.drainNoticed()
+	hm.updateZones()
+	// When most machines fall silent at once, it is more likely this node's
+	// network than the machines: they are not given back for that.
+	heard, silent := 0, 0
+	for _, m := range hm.core.registry.machineList {
+		if m.reported {
+			heard++
+			if hm.silentFor(m, hm.core.opt.Lease/2) {
+				silent++
+			}
+		}
+	}
+	mass := silent >= 3 && 2*silent > heard
+	// A predecessor's machines are up already, and have yet to find their way
+	// here: that is no boot which takes too long.
+	heardBy := ids.Instant(0)
+	if hm.core.opt.Predecessor {
+		heardBy = hm.core.termBegan.Add(hm.core.opt.Lease)
+	}
+	var gone []*machine // forgetting one takes it out of the order
+	for _, m := range hm.core.registry.machineList {
+		if m.quarantinedUntil != 0 && hm.core.now >= m.quarantinedUntil {
+			m.quarantinedUntil, hm.core.schedulingDue = 0, true
+		}
+		if m.returnInFlight {
+			continue
+		}
+		if hm.core.commands.needsReportRequest(m) {
+			hm.core.commands.queueCommands(m)
+		}
+		keep := mass || hm.zonePartitioned(m.Zone)
+		if m.returning {
+			if m.returned {
+				gone = append(gone, m)
+			} else {
+				hm.core.registry.returnMachine(m, "")
+			}
+			continue
+		}
+		switch {
+		case m.listedStatus == "failed":
+			hm.core.registry.returnMachine(m, "failed")
+		case m.missingLists >= 2 && hm.silentFor(m, 2*hm.core.opt.Report):
+			// It was listed and is not any more: it was taken. Returning what
+			// is gone does nothing, and the answer proves that it is gone.
+			if m.Spot && m.takenBy == 0 {
+				hm.core.autoscaler.spotLosses++
+			}
+			hm.core.registry.returnMachine(m, "missing")
+		case !m.reported && m.bootDeadline != 0 && hm.core.now > max(m.bootDeadline, heardBy, hm.core.resumedAt.Add(2*hm.core.opt.Report)) && len(m.tasks) == 0:
+			hm.core.registry.returnMachine(m, "boot")
+		case len(m.tasks) > 0 && hm.leaseExpired(m) && hm.silentFor(m, ids.Drift(hm.core.opt.Lease)):
+			for _, a := range m.tasksSnapshot() {
+				if !a.recordInFlight {
+					hm.core.release(a)
+				}
+			}
+			hm.core.commands.queueCommands(m)
+		case m.reported && len(m.tasks) == 0 && !keep && hm.silentFor(m, silentLeases*hm.core.opt.Lease):
+			hm.core.registry.returnMachine(m, "silent")
+		case hm.cancelOverdue(m):
+			hm.core.registry.returnMachine(m, "withdrawn")
+		case m.unreachable && hm.core.now > m.unreachableSince.Add(hm.acknowledgeWithin()):
+			// Nobody else can tell it anything either. Given back, its tasks
+			// are surely gone and may go elsewhere.
+			hm.core.registry.returnMachine(m, "deaf")
+		}
+	}
+	for _, m := range gone {
+		hm.core.registry.removeMachine(m)
+	}
+}
+
+// drainNoticed stops what will not complete before a machine is taken.
+func (hm *healthMonitor) drainNoticed() {
+	for _, m := range hm.core.registry.machineList {
+		if m.takenBy == 0 {
+			continue
+		}
+		for _, a := range m.tasksSnapshot() {
+			if a.stopReason == stopNone && !hm.completesBy(a, m.takenBy) {
+				hm.core.stopTask(a, stopDrained)
+			}
+		}
+	}
+}
+
+// completesBy guesses whether a task will be done by a time.
+func (hm *healthMonitor) completesBy(a *assignment, by ids.Instant) bool {
+	if a.job.spec.Service || a.phase != wire.TaskRunning {
+		return false
+	}
+	return a.phaseSince.Add(hm.core.estimates.expectedRun(a.job.spec)) < by
+}
+
+func (hm *healthMonitor) silentFor(m *machine, d time.Duration) bool {
+	return hm.core.now > max(m.lastHeard, m.knownSince).Add(d)
+}
+
+// overdue tells whether a machine holds a task of a withdrawn job that must be
+// gone soon, whether it is silent or only does not do as it is told. Giving
+// the machine back is the one sure way.
+func (hm *healthMonitor) cancelOverdue(m *machine) bool {
+	if m.staying == len(m.taskList) {
+		return false
+	}
+	for _, a := range m.taskList {
+		if a.stopReason == stopCancelled && hm.core.now > a.job.cancelledAt.Add(hm.core.opt.Cancel*45/100) {
+			return true
+		}
+	}
+	return false
+}
+
+// leaseExpired tells whether a worker has surely lost its lease: nobody can have
+// answered it for that long. A predecessor without the state service may have
+// gone on answering for its grace, until the worker was fenced or the
+// predecessor followed this leader.
+func (hm *healthMonitor) leaseExpired(m *machine) bool {
+	last := hm.core.predecessorUntil
+	if m.fenced {
+		last = max(m.fencedAt, m.answeredAt)
+	} else if m.answeredAt > last {
+		last = m.answeredAt
+	}
+	return hm.core.now > last.Add(ids.Drift(hm.core.opt.Lease)+time.Second)
+}
+
+// trusted tells whether a machine's messages are surely no late copies: what
+// this leader did not rent may have been returned by a predecessor, and then
+// only an answer, or a token of ours, shows that it is there.
+func (hm *healthMonitor) trusted(m *machine) bool {
+	return m.rentedThisTerm || m.answeredCall || m.fenced || !hm.core.opt.Predecessor
+}
+
+// usable tells whether new tasks may go to a machine.
+func (hm *healthMonitor) usable(m *machine) bool {
+	return m.reported && m.machineType != nil && !m.returning && m.takenBy == 0 && !m.callFailed && !m.unreachable && hm.trusted(m) &&
+		hm.core.now < m.lastHeard.Add(hm.core.opt.Report*3/2+1500*time.Millisecond)
+}
+
+// takesTasks tells whether a usable machine is not set aside either.
+func (hm *healthMonitor) takesTasks(m *machine) bool {
+	return hm.usable(m) && hm.core.now >= m.quarantinedUntil
+}
--- /dev/null
+++ b/scheduler/job.go
@@ -0,0 +1,153 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/scheduler/placement"
+	"ospreystile.example/ospreystile/scheduler/quota"
+	"ospreystile.example/ospreystile/wire"
+)
+
+type taskState uint8
+
+const (
+	taskPending taskState = iota
+	taskAssigned
+	taskDone
+)
+
+type task struct {
+	attempt    ids.Attempt
+	state      taskState
+	assignment *assignment
+	slice      *admissionSlice // whose record it belongs to
+}
+
+// slice is one admission record.
+type admissionSlice struct {
+	number     int
+	revision   ids.Revision // 0: no record
+	dirty      bool
+	dirtySince ids.Instant
+	urgent     bool // holds placements that are not recorded
+	inFlight   bool
+	tasks      []int // ascending
+	// large: its record is beyond ValueBytes and was written all the same,
+	// since older controllers could not read it in parts.
+	oversized bool
+}
+
+type job struct {
+	id       ids.JobID
+	spec     *wire.Spec
+	revision ids.Revision
+	readyMS  int64 // when it was ready to run, as the time of day
+	// by is what jobs go by: at, or for a pipeline that is late, when this job
+	// should have started for the last to be done in time.
+	orderMS int64
+	status  string
+	// prio is the job's own priority or that of one that needs it, ready tells
+	// that all that it needs is done, and unwritten that it is withdrawn with
+	// a job that it needs, but its own record does not say so yet.
+	priority         wire.Priority
+	ready            bool
+	cancelUnrecorded bool
+	refusals         int // changes in a row that the state service would not take
+	tasks            []task
+	slices           []*admissionSlice
+	pending          []int // descending, so that the lowest is popped first
+	done             int
+	active           map[int]*assignment
+	zones            placement.Zones
+	// finishing: the commit of done is on its way.
+	completing  bool
+	cancelledAt ids.Instant
+	retryAt     ids.Instant
+	rereadAt    ids.Instant // no change before, the record is being read again
+	backoff     time.Duration
+	deferred    bool     // goes with the borrowers, behind higher work of its team
+	onlyZone    ids.Zone // while a zone is tried for a job that needs one
+	// begun: one of its tasks was placed once. came is when it was ready to run,
+	// waits since when it could not begin, keptSince since when room is kept.
+	started       bool
+	suspended     bool // see Suspend
+	readyAt       ids.Instant
+	waitingSince  ids.Instant
+	reservedSince ids.Instant
+	// coldOK: no machine that holds the image can take the job's tasks, so
+	// others may.
+	allowColdStart bool
+	antiAffinity   map[ids.Host]ids.Instant // when last
+	succeeded      int
+	failureRounds  int                          // in which it failed everywhere, since it last succeeded
+	runTimes       map[ids.Host][]time.Duration // tasks that were seen from start to end
+}
+
+func (j *job) terminal() bool { return j.status != wire.StatusQueued }
+
+func (j *job) amount() quota.Amount { return quota.Amount{CPUs: j.spec.CPUs, GPUs: j.spec.GPUs} }
+
+// whole tells whether all waiting tasks of a job must be placed together: a
+// gang's always, a service's when it starts.
+func (j *job) needsAllTasks() bool { return j.spec.Gang || j.spec.Service && len(j.active) == 0 }
+
+// together is how many of a job's waiting tasks must find room at once.
+func (j *job) tasksTogether() int {
+	if j.needsAllTasks() {
+		return len(j.pending)
+	}
+	return 1
+}
+
+// probes tells whether a job has failed everywhere for so long that one task at a time
+// is tried: it must not hold the room that others need until its user cancels it.
+func (j *job) probing() bool { return j.failureRounds >= probingAfterRounds && !j.needsAllTasks() }
+
+// grow makes room for slices with numbers below n.
+func (j *job) growSlices(n int) {
+	for len(j.slices) < n {
+		j.slices = append(j.slices, &admissionSlice{number: len(j.slices)})
+	}
+}
+
+// relist lists the tasks of each slice anew.
+func (j *job) rebuildSlices() {
+	for _, s := range j.slices {
+		s.tasks = s.tasks[:0]
+	}
+	for i := range j.tasks {
+		s := j.tasks[i].slice
+		s.tasks = append(s.tasks, i)
+	}
+}
+
+func (c *Core) newJob(id ids.JobID, rec *ledger.Job, stamp ids.Revision) *job {
+	j := &job{id: id, spec: rec.Spec, revision: stamp, readyMS: rec.SubmittedMS, orderMS: rec.SubmittedMS, status: rec.Status,
+		active: map[int]*assignment{}, zones: placement.Zones{}, readyAt: c.now, waitingSince: c.now}
+	if j.spec == nil {
+		j.spec = &wire.Spec{Tasks: rec.Tasks}
+	}
+	j.priority = j.spec.Priority
+	j.tasks = make([]task, j.spec.Tasks)
+	per := c.opt.SliceTasks
+	j.growSlices((len(j.tasks) + per - 1) / per)
+	for i := range j.tasks {
+		j.tasks[i].slice = j.slices[i/per]
+	}
+	j.rebuildSlices()
+	return j
+}
+
+func compareJobs(a, b *job) int { return strings.Compare(string(a.id), string(b.id)) }
+
+func sortedJobs(m map[*job]bool) []*job { return slices.SortedFunc(maps.Keys(m), compareJobs) }
+
+// sortedJobs lists all jobs by id. Whatever may reach a decision goes through them
+// in this order, never in that of the map: the same events must give the same
+// decisions.
+func (c *Core) sortedJobs() []*job { return slices.SortedFunc(maps.Values(c.jobs), compareJobs) }
--- /dev/null
+++ b/scheduler/job_records.go
@@ -0,0 +1,198 @@
+package scheduler
+
+import (
+	"fmt"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/pipeline"
+	"ospreystile.example/ospreystile/scheduler/placement"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// LoadJob takes a job's record at the start of the term. Jobs come before
+// slices.
+func (c *Core) LoadJob(id ids.JobID, rec *ledger.Job, stamp ids.Revision) {
+	c.graph.Put(id, rec.Dependencies())
+	if rec.Status == wire.StatusDone || rec.Spec == nil {
+		return
+	}
+	c.jobs[id] = c.newJob(id, rec, stamp)
+}
+
+// LoadUnreadableJob notes a job whose own record cannot be read. Its admission
+// records are left as they are: they say where its tasks may be, for the time when
+// its record is repaired.
+func (c *Core) LoadUnreadableJob(id ids.JobID) { c.unreadable[id] = true }
+
+// LoadSlice takes an admission record at the start of the term.
+func (c *Core) LoadSlice(id ids.JobID, n int, rec *ledger.Slice, stamp ids.Revision) error {
+	if c.unreadable[id] {
+		return nil
+	}
+	j := c.jobs[id]
+	if j == nil {
+		// What is left of a done job; it only has to be dropped.
+		j = c.newJob(id, &ledger.Job{Status: wire.StatusDone}, 0)
+		c.jobs[id] = j
+	}
+	// Splits make a slice for each task at most, beside those there are, and leave
+	// out numbers that were not used.
+	if !j.terminal() && n >= len(j.slices)+2*len(j.tasks) {
+		return fmt.Errorf("admission record %s/%d lies outside its job", id, n)
+	}
+	j.growSlices(n + 1)
+	s := j.slices[n]
+	s.revision = stamp
+	if j.status == wire.StatusDone {
+		return nil
+	}
+	s.oversized = wire.Exceeds(rec, c.opt.ValueBytes)
+	for _, i := range rec.Done {
+		if i < 0 || i >= len(j.tasks) {
+			return fmt.Errorf("admission record %s/%d names task %d", id, n, i)
+		}
+		j.tasks[i].slice = s
+		if j.tasks[i].state != taskDone {
+			j.tasks[i].state = taskDone
+			j.done++
+		}
+	}
+	for k := 0; k+2 < len(rec.Tasks); k += 3 {
+		i, attempt, h := rec.Tasks[k], ids.Attempt(rec.Tasks[k+1]), rec.Tasks[k+2]
+		if i < 0 || i >= len(j.tasks) || h >= len(rec.Hosts) {
+			return fmt.Errorf("admission record %s/%d names task %d on place %d", id, n, i, h)
+		}
+		t := &j.tasks[i]
+		t.attempt, t.slice = attempt, s
+		if h < 0 || t.state == taskDone {
+			continue
+		}
+		m := c.registry.ensureMachine(rec.Hosts[h])
+		if m.Zone == "" && h < len(rec.Zones) {
+			c.registry.setSite(m, placement.Site{Zone: rec.Zones[h]}, "")
+		}
+		a := &assignment{job: j, index: i, attempt: attempt, machine: m, recorded: true, inherited: true,
+			sentToken: ids.NewToken(c.opt.Revision, 0) - 1}
+		c.attach(a)
+	}
+	return nil
+}
+
+// Suspend keeps a job from being placed, because it is not known where all
+// its tasks may be. It stays known, and the others go on.
+func (c *Core) Suspend(id ids.JobID) {
+	if j := c.jobs[id]; j != nil {
+		j.suspended = true
+	}
+}
+
+// ObserveJob takes a job's record as found in state: new, withdrawn or with a
+// version that this leader did not know.
+func (c *Core) ObserveJob(now ids.Instant, id ids.JobID, rec *ledger.Job, stamp ids.Revision) {
+	c.now = now
+	j := c.jobs[id]
+	if j != nil && stamp <= j.revision {
+		return
+	}
+	if j == nil {
+		if s := c.graph.Of(id).State; rec.Over() || s == pipeline.Done || s == pipeline.Cancelled {
+			c.applyJobRecord(id, rec) // or an older record, delivered late
+			return
+		}
+		j = c.newJob(id, rec, stamp)
+		c.jobs[id] = j
+		c.rebuildPending(j)
+		c.applyJobRecord(id, rec)
+		return
+	}
+	j.revision = stamp
+	if rec.Over() {
+		if !j.terminal() {
+			j.status = rec.Status
+			c.stopAllTasks(j)
+		}
+		c.records.cancelRecorded(j)
+		c.applyJobRecord(id, rec)
+	}
+}
+
+// heed takes a record into the graph and does what follows for any job.
+func (c *Core) applyJobRecord(id ids.JobID, rec *ledger.Job) {
+	for _, other := range c.graph.Put(id, rec.Dependencies()) {
+		if j := c.jobs[other]; j != nil {
+			c.syncDependencies(j)
+		}
+	}
+}
+
+// follow brings a job in line with the graph: its priority, whether it may run,
+// and whether it is withdrawn because one that it needs is. Such a job never had
+// a task, and nobody answers otherwise any more; its own record says so when there
+// is time.
+func (c *Core) syncDependencies(j *job) {
+	if j.terminal() {
+		return
+	}
+	s := c.graph.Of(j.id)
+	c.setPriority(j, s.Priority)
+	if j.orderMS = s.ReadyMS; s.StartByMS != 0 {
+		j.orderMS = min(j.orderMS, s.StartByMS)
+	}
+	switch {
+	case s.State == pipeline.Cancelled:
+		j.status, j.cancelUnrecorded = wire.StatusCancelled, true
+		c.records.orphanCancels = append(c.records.orphanCancels, j)
+		c.stopAllTasks(j)
+	case s.State == pipeline.Ready && !j.ready:
+		j.ready, j.readyMS = true, s.ReadyMS
+		j.readyAt, j.waitingSince = c.now, c.now
+		c.autoscaler.recordArrival(j.spec)
+		c.schedulingDue = true
+	}
+}
+
+// setPriority changes what a job counts as, with its tasks on machines.
+func (c *Core) setPriority(j *job, p wire.Priority) {
+	if p == j.priority {
+		return
+	}
+	count := func(n int) {
+		for _, a := range j.active {
+			if a.stopReason == stopNone {
+				c.preemption.countTask(a, n, 0)
+			} else {
+				c.preemption.countTask(a, 0, n)
+			}
+		}
+	}
+	count(-1)
+	j.priority = p
+	count(1)
+	c.schedulingDue = true
+}
+
+func (c *Core) rebuildPending(j *job) {
+	j.pending = j.pending[:0]
+	for i := len(j.tasks) - 1; i >= 0; i-- {
+		if j.tasks[i].state == taskPending {
+			j.pending = append(j.pending, i)
+		}
+	}
+}
+
+// EnableSplitRecords tells that every controller can read slices that were split. Records
+// beyond what the state service may take at any moment are split from now on.
+func (c *Core) EnableSplitRecords(now ids.Instant) {
+	c.now = now
+	if c.opt.SplitRecords {
+		return
+	}
+	c.opt.SplitRecords = true
+	for _, j := range c.sortedJobs() {
+		j.refusals = 0 // what could not be split may be now
+		for _, s := range j.slices {
+			c.records.markOversized(j, s)
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/machine_registry.go
@@ -0,0 +1,181 @@
+package scheduler
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/placement"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// machineRegistry holds the machines that are known, rented or reporting, until the
+// cloud has said that they are gone.
+type machineRegistry struct {
+	core     *Core
+	machines map[ids.Host]*machine
+	// machineList holds the same machines by host.
+	machineList []*machine
+	// returnedHosts are machines that were returned in this term.
+	returnedHosts map[ids.Host]bool
+	// returnCounts counts returned machines by reason, for the log.
+	returnCounts map[string]int
+}
+
+func newMachineRegistry(c *Core) *machineRegistry {
+	return &machineRegistry{
+		core:          c,
+		machines:      map[ids.Host]*machine{},
+		returnedHosts: map[ids.Host]bool{},
+		returnCounts:  map[string]int{},
+	}
+}
+
+// machine finds or makes the entry of a host.
+func (r *machineRegistry) ensureMachine(h ids.Host) *machine {
+	m := r.machines[h]
+	if m == nil {
+		m = &machine{host: h, knownSince: r.core.now, idleSince: r.core.now, tasks: map[ids.TaskRef]*assignment{},
+			images: map[ids.Image]*cachedImage{}, fetches: map[ids.Image]int{}, failuresByJob: map[ids.JobID]int{}}
+		r.machines[h] = m
+		i, _ := slices.BinarySearchFunc(r.machineList, h, func(o *machine, h ids.Host) int {
+			return strings.Compare(string(o.host), string(h))
+		})
+		r.machineList = slices.Insert(r.machineList, i, m)
+	}
+	return m
+}
+
+// setSite fills in what a machine is. Tasks that records placed on it before
+// its zone was known are counted to the zone now.
+func (r *machineRegistry) setSite(m *machine, s placement.Site, endpoint string) {
+	if endpoint != "" {
+		m.endpoint = endpoint
+		r.core.commands.queueCommands(m)
+	}
+	if m.Site == s {
+		return
+	}
+	for _, a := range m.tasks {
+		if a.job.zones[m.Zone]--; a.job.zones[m.Zone] <= 0 {
+			delete(a.job.zones, m.Zone)
+		}
+		a.job.zones[s.Zone]++
+	}
+	m.Site = s
+	r.applyType(m)
+	r.core.schedulingDue = true
+}
+
+func (r *machineRegistry) applyType(m *machine) {
+	if t := r.core.types[m.Type]; t != nil {
+		m.machineType = t
+		m.total = placement.OfType(t)
+		if m.bootDeadline == 0 {
+			m.bootDeadline = m.knownSince.Add(ids.Seconds(t.BootS*r.core.opt.BootFactor) + r.core.opt.ListLag)
+		}
+	}
+}
+
+// MachineList takes the cloud's list. It lags and may be older than one
+// before, so absence proves nothing by itself. asked is when it was asked for.
+func (c *Core) MachineList(now, asked ids.Instant, list []wire.Machine) {
+	c.now = now
+	c.registry.observeList(asked, list)
+}
+
+// observeList takes the cloud's list into account.
+func (r *machineRegistry) observeList(asked ids.Instant, list []wire.Machine) {
+	listed := map[ids.Host]bool{}
+	for _, w := range list {
+		listed[w.Host] = true
+		if r.returnedHosts[w.Host] {
+			continue
+		}
+		m := r.machines[w.Host]
+		if m == nil {
+			m = r.ensureMachine(w.Host)
+			m.knownSince = asked.Add(-ids.Seconds(w.AgeS))
+		}
+		r.setSite(m, placement.Site{Type: w.Type, Zone: w.Zone, Spot: w.Spot}, w.Endpoint)
+		if m.listedStatus != w.Status && !m.reported && r.core.opt.Predecessor {
+			r.core.commands.queueCommands(m)
+		}
+		m.listedStatus, m.missingLists = w.Status, 0
+	}
+	for _, m := range r.machineList {
+		// A machine that a predecessor placed tasks on is long past the lag.
+		// Unless this is said, one that died with the predecessor keeps its
+		// tasks for the whole grace and a lease.
+		old := m.knownSince <= r.core.termBegan && asked > r.core.termBegan.Add(2*r.core.opt.ListLag+time.Second)
+		if (m.listedStatus != "" || old) && !listed[m.host] {
+			m.missingLists++
+		}
+	}
+}
+
+// returnMachine returns a machine; why is for the log, and empty when it was begun
+// before.
+func (r *machineRegistry) returnMachine(m *machine, why string) {
+	if why != "" {
+		r.returnCounts[why]++
+	}
+	// What is still being recorded was never sent, so nothing has to wait for the
+	// state service here: a withdrawn job's task beside it must be gone in time.
+	m.returning, m.returnInFlight = true, true
+	r.core.effects.Return = append(r.core.effects.Return, m.host)
+	r.core.schedulingDue = true
+}
+
+// ReturnResult takes the outcome of giving machines back. Once it succeeded,
+// the machines and all on them are gone.
+func (c *Core) ReturnResult(now ids.Instant, hosts []ids.Host, ok bool) {
+	c.now = now
+	c.registry.returnResult(hosts, ok)
+}
+
+// returnResult takes the outcome of a return call.
+func (r *machineRegistry) returnResult(hosts []ids.Host, ok bool) {
+	for _, h := range hosts {
+		m := r.machines[h]
+		if m == nil {
+			continue
+		}
+		m.returnInFlight = false
+		if ok {
+			m.returned = true
+			r.removeMachine(m)
+		}
+	}
+}
+
+func (r *machineRegistry) removeMachine(m *machine) {
+	for _, a := range m.tasksSnapshot() {
+		if !a.recordInFlight {
+			r.core.release(a)
+		}
+	}
+	if len(m.tasks) > 0 {
+		return // a record is being written; it is forgotten after that
+	}
+	for _, j := range m.unrecordedJobs {
+		r.core.quotas.Free(j.spec.Team, j.amount())
+	}
+	r.returnedHosts[m.host] = true
+	delete(r.machines, m.host)
+	i := slices.Index(r.machineList, m)
+	r.machineList = slices.Delete(r.machineList, i, i+1)
+	if m.endpoint != "" {
+		r.core.effects.Forget = append(r.core.effects.Forget, m.endpoint)
+	}
+	r.core.schedulingDue = true
+}
+
+// Endpoint is a worker's address.
+func (c *Core) Endpoint(h ids.Host) string {
+	if m := c.registry.machines[h]; m != nil {
+		return m.endpoint
+	}
+	return ""
+}
--- a/scheduler/meetings_test.go
+++ b/scheduler/meetings_test.go
@@ -368,7 +368,7 @@
 			t.Errorf("returned again: %v", e.Return)
 		}
 	}
-	if j := b.c.jobs["job-2"]; len(j.pending) != 1 || b.c.machines["n-1"] != nil {
-		t.Errorf("waiting: %v, machine known: %v", j.pending, b.c.machines["n-1"] != nil)
+	if j := b.c.jobs["job-2"]; len(j.pending) != 1 || b.c.registry.machines["n-1"] != nil {
+		t.Errorf("waiting: %v, machine known: %v", j.pending, b.c.registry.machines["n-1"] != nil)
 	}
 }
--- a/scheduler/ops_test.go
+++ b/scheduler/ops_test.go
@@ -39,14 +39,14 @@
 				active += len(j.active)
 			}
 			most = max(most, active)
-			for _, m := range b.c.machineList {
+			for _, m := range b.c.registry.machineList {
 				if b.now < m.quarantinedUntil {
 					condemned++
 				}
 			}
 		}
 		for _, h := range hosts {
-			orders := b.report(h, "a", ids.NewToken(5, b.c.machines[h].counter), running[h]...)
+			orders := b.report(h, "a", ids.NewToken(5, b.c.registry.machines[h].counter), running[h]...)
 			running[h] = nil
 			for _, o := range orders.Commands {
 				if o.Verb == wire.VerbRun {
@@ -69,7 +69,7 @@
 		b.now = b.now.Add(500 * time.Millisecond)
 		b.step()
 		for _, h := range hosts {
-			orders := b.report(h, "a", ids.NewToken(5, b.c.machines[h].counter), running[h]...)
+			orders := b.report(h, "a", ids.NewToken(5, b.c.registry.machines[h].counter), running[h]...)
 			running[h] = nil
 			for _, o := range orders.Commands {
 				if o.Verb == wire.VerbRun {
@@ -89,7 +89,7 @@
 func TestSickMachineBesideAMistakenJob(t *testing.T) {
 	b := newBench(t, Options{})
 	b.report("n-0", "a", 0)
-	m := b.c.machines["n-0"]
+	m := b.c.registry.machines["n-0"]
 	fail := func(id ids.JobID, j *job) {
 		a := &assignment{job: j, machine: m, attempt: 1}
 		b.c.recordFailure(a)
@@ -128,7 +128,7 @@
 		{"late even so", 2.5, 48 * time.Second, 1},
 	} {
 		b := newBench(t, Options{})
-		b.c.bootFactors["m"] = c.boots
+		b.c.autoscaler.bootFactors["m"] = c.boots
 		b.job("job-1", wire.Spec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
 		var asked []wire.Rental
 		began := b.now
@@ -150,7 +150,7 @@
 	// One that never comes is returned in the end, and pays no more.
 	b := newBench(t, Options{})
 	b.c.RentResult(b.now, wire.Rental{Type: "m", Zone: "a", Count: 1}, []ids.Host{"n-9"}, true)
-	b.c.machines["n-9"].Site = placement.Site{Type: "m", Zone: "a"}
+	b.c.registry.machines["n-9"].Site = placement.Site{Type: "m", Zone: "a"}
 	gone := false
 	for range 120 {
 		b.now = b.now.Add(500 * time.Millisecond)
@@ -181,12 +181,12 @@
 	}
 	task := run()
 	b.c.RentResult(b.now, wire.Rental{Type: "m", Zone: "a", Count: 1}, []ids.Host{"n-1"}, true)
-	b.c.machines["n-1"].Site = placement.Site{Type: "m", Zone: "a"}
-	b.c.machines["n-1"].bootDeadline = b.now.Add(10 * time.Second)
+	b.c.registry.machines["n-1"].Site = placement.Site{Type: "m", Zone: "a"}
+	b.c.registry.machines["n-1"].bootDeadline = b.now.Add(10 * time.Second)
 
 	b.now = b.now.Add(20 * time.Second) // it stands still
 	b.report("n-0", "a", 0)             // on its way since before the command came
-	if b.c.machines["n-0"].unreachable {
+	if b.c.registry.machines["n-0"].unreachable {
 		t.Error("a machine counts as deaf for what the leader slept through")
 	}
 	if e := b.step(); len(e.Return) > 0 {
--- /dev/null
+++ b/scheduler/record_outcomes.go
@@ -0,0 +1,137 @@
+package scheduler
+
+import (
+	"fmt"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// ChangeResult takes the definite outcome of a change.
+func (c *Core) ChangeResult(now ids.Instant, o ledger.Outcome) {
+	c.now = now
+	c.records.settleChange(o)
+}
+
+// settleChange takes the definite outcome of a change into account.
+func (w *recordWriter) settleChange(o ledger.Outcome) {
+	p := w.pendingChanges[o.Change.ID]
+	if p == nil {
+		return
+	}
+	delete(w.pendingChanges, o.Change.ID)
+	w.core.schedulingDue = true
+	j := p.job
+	if p.slice != nil {
+		p.slice.inFlight = false
+	}
+	for _, s := range p.dropped {
+		s.inFlight = false
+	}
+	if !o.Applied {
+		if o.Refused {
+			w.postpone(p)
+		} else {
+			w.changeRejected(p, o.Failed)
+		}
+		return
+	}
+	j.refusals = 0
+	switch {
+	case p.orphanCancel:
+		j.revision = o.Revision
+		w.cancelRecorded(j)
+	case p.completes:
+		j.completing = false
+		j.status, j.revision = wire.StatusDone, o.Revision
+		// Only now may those that need it start: a successor would find it done.
+		w.core.applyJobRecord(j.id, &ledger.Job{Status: wire.StatusDone, DoneMS: p.doneMS})
+		for _, s := range p.dropped {
+			s.revision = 0
+		}
+		w.droppable[j] = true
+	case p.slice != nil:
+		p.slice.revision = o.Revision
+		w.applySplit(p, o.Revision)
+		for _, a := range p.placed {
+			a.recorded, a.recordInFlight = true, false
+			w.core.commands.queueCommands(a.machine)
+			if a.stopReason != stopNone && a.machine.tasks[a.ref()] == a {
+				w.core.release(a) // never sent
+			}
+		}
+		if j.terminal() {
+			w.droppable[j] = true
+		}
+	default:
+		for _, s := range p.dropped {
+			s.revision = 0
+		}
+		w.droppable[j] = true
+	}
+}
+
+// refused handles a change whose guards failed. Only the job's own key may
+// have moved, by a withdrawal; anything else means that the records are not
+// as this leader left them.
+func (w *recordWriter) changeRejected(p *pendingChange, failed []string) {
+	j := p.job
+	j.completing = false
+	if len(failed) != 1 || failed[0] != ledger.JobKey(j.id) || j.revision == 0 {
+		w.core.recordsErr = fmt.Errorf("records of %s moved without this leader: %v", j.id, failed)
+		return
+	}
+	w.rollBack(p)
+	if p.orphanCancel || !j.terminal() {
+		j.rereadAt = w.core.now.Add(500 * time.Millisecond)
+		w.core.effects.Refresh = append(w.core.effects.Refresh, j.id)
+	}
+}
+
+// undo takes back what a change that was not applied would have recorded.
+func (w *recordWriter) rollBack(p *pendingChange) {
+	j := p.job
+	for _, a := range p.placed {
+		a.recordInFlight = false
+		if a.machine.tasks[a.ref()] == a {
+			w.core.release(a)
+		}
+	}
+	switch {
+	case p.orphanCancel:
+		w.orphanCancels = append(w.orphanCancels, j) // unless its user withdrew it too
+	case j.terminal():
+		w.droppable[j] = true
+	case p.completes:
+		w.completable[j] = true
+	case p.slice != nil:
+		w.markDirty(j, p.slice, true)
+	}
+}
+
+// maxRefusals is how often a change of one job may be refused for its size.
+const maxRefusals = 8
+
+// putOff handles a change that the state service would not take at all, as when
+// its limits are lower than it said. The same would be refused again: the job's
+// next change is half as large and comes later, and after a few of them nothing more
+// is written or placed for it, until all controllers are new or another leads. Others
+// go on meanwhile.
+func (w *recordWriter) postpone(p *pendingChange) {
+	j := p.job
+	j.completing = false
+	w.rollBack(p)
+	j.refusals++
+	wait := min(time.Minute, time.Second<<min(j.refusals, maxRefusals))
+	j.rereadAt, j.retryAt = w.core.now.Add(wait), w.core.now.Add(wait)
+}
+
+// written notes that a job's own record says that it is over.
+func (w *recordWriter) cancelRecorded(j *job) {
+	if j.cancelUnrecorded {
+		j.cancelUnrecorded = false
+		w.droppable[j] = true
+	}
+}
--- /dev/null
+++ b/scheduler/record_writer.go
@@ -0,0 +1,251 @@
+package scheduler
+
+import (
+	"sort"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+)
+
+// recordWriter turns changes of tasks and jobs into guarded changes of the records in
+// the state service, no faster than it may be written, and settles their outcomes.
+type recordWriter struct {
+	core *Core
+	// pendingChanges are on their way to the state service, by their id.
+	pendingChanges map[uint64]*pendingChange
+	nextChange     uint64
+	// writeBudget is how many writes the rate still allows.
+	writeBudget      float64
+	budgetRefilledAt ids.Instant
+	// dirty are the slices whose records lag behind, with their jobs.
+	dirty map[*admissionSlice]*job
+	// completable are jobs whose tasks are all done, and droppable those that are
+	// over, whose admission records may be dropped.
+	completable map[*job]bool
+	droppable   map[*job]bool
+	// orphanCancels are jobs that are cancelled with one that they depend on, whose
+	// own records do not say so yet.
+	orphanCancels []*job
+}
+
+func newRecordWriter(c *Core) *recordWriter {
+	return &recordWriter{
+		core:           c,
+		pendingChanges: map[uint64]*pendingChange{},
+		writeBudget:    c.opt.WriteRate,
+		dirty:          map[*admissionSlice]*job{},
+		completable:    map[*job]bool{},
+		droppable:      map[*job]bool{},
+	}
+}
+
+type pendingChange struct {
+	job   *job
+	slice *admissionSlice
+	// parts are the slices that come of a split, slice first, and split the
+	// tasks of each; nil if there is none.
+	parts        []*admissionSlice
+	split        [][]int
+	placed       []*assignment
+	completes    bool
+	doneMS       int64
+	orphanCancel bool // the job is withdrawn with one that it needs
+	dropped      []*admissionSlice
+}
+
+// markLarge sees that a record which is too large is written again, in parts.
+func (w *recordWriter) markOversized(j *job, s *admissionSlice) {
+	if w.core.opt.SplitRecords && s.oversized && !j.terminal() {
+		w.markDirty(j, s, false)
+	}
+}
+
+// touch notes that a task's record must be written: at once for a placement,
+// else when there is time.
+func (w *recordWriter) markTaskDirty(j *job, index int, urgent bool) {
+	w.markDirty(j, j.tasks[index].slice, urgent)
+}
+
+func (w *recordWriter) markDirty(j *job, s *admissionSlice, urgent bool) {
+	if !s.dirty {
+		s.dirty, s.dirtySince = true, w.core.now
+	}
+	s.urgent = s.urgent || urgent
+	w.dirty[s] = j
+}
+
+// mayWrite tells whether the write rate allows one more change now.
+func (w *recordWriter) mayWrite() bool { return w.core.opt.WriteRate <= 0 || w.writeBudget >= 1 }
+
+// save turns dirty records into changes, no faster than the state service may
+// be written: placements first, then what is over, then what only lags behind. While
+// writes are scarce, as for half a minute after a zone is lost, the ends of jobs go
+// before placements: each is one write, users wait for it, and so may other jobs.
+func (w *recordWriter) writeRecords() {
+	w.writeBudget = min(w.core.opt.WriteRate, w.writeBudget+w.core.opt.WriteRate*w.core.now.Sub(w.budgetRefilledAt).Seconds())
+	w.budgetRefilledAt = w.core.now
+	if !w.mayWrite() {
+		return
+	}
+	if w.writeBudget < w.core.opt.WriteRate*scarceWrites && !w.completeJobs(0) {
+		return
+	}
+	w.writeSlices(true)
+	if !w.completeJobs(w.core.opt.TxnOps-2) || !w.recordOrphanCancels() {
+		return
+	}
+	for _, j := range sortedJobs(w.droppable) {
+		if !w.mayWrite() {
+			return
+		}
+		w.dropRecords(j)
+	}
+	w.writeSlices(false)
+}
+
+// scarce is the part of a second's writes below which they are scarce.
+const scarceWrites = 0.5
+
+// writeSlices saves the dirty slices that hold placements, or else those that
+// have lagged behind for long enough.
+func (w *recordWriter) writeSlices(urgent bool) {
+	type item struct {
+		s *admissionSlice
+		j *job
+	}
+	var items []item
+	for s, j := range w.dirty {
+		if s.inFlight || j.terminal() || j.completing || w.completable[j] || w.core.now < j.rereadAt || j.refusals >= maxRefusals {
+			continue
+		}
+		if s.urgent != urgent || !urgent && w.core.now < s.dirtySince.Add(w.core.opt.LazyWriteDelay) {
+			continue
+		}
+		items = append(items, item{s, j})
+	}
+	sort.Slice(items, func(i, k int) bool {
+		a, b := items[i], items[k]
+		if a.j.priority != b.j.priority {
+			return a.j.priority > b.j.priority
+		}
+		if a.j.id != b.j.id {
+			return a.j.id < b.j.id
+		}
+		return a.s.number < b.s.number
+	})
+	for _, it := range items {
+		if !w.mayWrite() {
+			return
+		}
+		w.writeSlice(it.j, it.s)
+	}
+}
+
+// completeJobs ends the jobs whose tasks are all done, with so many drops each. False
+// means that the rate allows no more.
+func (w *recordWriter) completeJobs(drops int) bool {
+	for _, j := range sortedJobs(w.completable) {
+		if !w.mayWrite() {
+			return false
+		}
+		w.completeJob(j, drops)
+	}
+	return true
+}
+
+// finish commits that a job is done, and drops what records it can in the
+// same transaction.
+func (w *recordWriter) completeJob(j *job, most int) {
+	for _, s := range j.slices {
+		if s.inFlight {
+			return // its version is not known yet
+		}
+	}
+	if j.completing || j.terminal() || w.core.now < j.rereadAt {
+		return
+	}
+	delete(w.completable, j)
+	j.completing = true
+	p := &pendingChange{job: j, completes: true, doneMS: w.core.wallClockMS()}
+	// The rest of the records is dropped later, and less at once where a change
+	// was refused.
+	most >>= j.refusals
+	var drops []ledger.SliceVersion
+	for _, s := range j.slices {
+		delete(w.dirty, s)
+		s.dirty = false
+		if s.revision != 0 && len(drops) < most {
+			s.inFlight = true
+			p.dropped = append(p.dropped, s)
+			drops = append(drops, ledger.SliceVersion{N: s.number, Revision: s.revision})
+		}
+	}
+	rec := ledger.Job{Nonce: w.nextNonce(), Tasks: len(j.tasks), DoneMS: p.doneMS}
+	w.submitChange(p, ledger.DoneChange(j.id, j.revision, rec, drops))
+}
+
+// recordOrphanCancels writes that jobs are withdrawn with one that they need. They never
+// had a task, so nothing else of them has to be kept. There may be a crowd of them,
+// so each is looked at once, in order. False means that the rate allows no more.
+func (w *recordWriter) recordOrphanCancels() bool {
+	for n := len(w.orphanCancels); n > 0; n-- {
+		if !w.mayWrite() {
+			return false
+		}
+		j := w.orphanCancels[0]
+		w.orphanCancels = w.orphanCancels[1:]
+		switch {
+		case !j.cancelUnrecorded: // its user withdrew it too
+		case w.core.now < j.rereadAt:
+			w.orphanCancels = append(w.orphanCancels, j)
+		default:
+			rec := ledger.Job{Tasks: len(j.tasks), SubmittedMS: j.readyMS}
+			w.submitChange(&pendingChange{job: j, orphanCancel: true}, ledger.CancelChange(j.id, j.revision, w.nextNonce(), rec, 0))
+		}
+	}
+	return true
+}
+
+// dropRecords drops the admission records of a job that is over, once none of its
+// tasks can be on a machine.
+func (w *recordWriter) dropRecords(j *job) {
+	if w.core.now < j.rereadAt {
+		return
+	}
+	delete(w.droppable, j)
+	if !j.terminal() || len(j.active) > 0 || j.cancelUnrecorded {
+		return // comes again with what is missing
+	}
+	p := &pendingChange{job: j}
+	var drops []ledger.SliceVersion
+	for _, s := range j.slices {
+		if s.inFlight {
+			return // comes again with the outcome
+		}
+		if s.revision != 0 && len(drops) < max(1, w.core.opt.TxnOps>>j.refusals-1) {
+			p.dropped = append(p.dropped, s)
+			drops = append(drops, ledger.SliceVersion{N: s.number, Revision: s.revision})
+		}
+	}
+	if len(drops) == 0 {
+		delete(w.core.jobs, j.id)
+		return
+	}
+	for _, s := range p.dropped {
+		s.inFlight = true
+	}
+	w.submitChange(p, ledger.DropChange(j.id, drops))
+}
+
+func (w *recordWriter) submitChange(p *pendingChange, ch ledger.Change) {
+	w.nextChange++
+	ch.ID = w.nextChange
+	w.pendingChanges[ch.ID] = p
+	w.writeBudget -= float64(len(ch.Apply))
+	w.core.effects.Changes = append(w.core.effects.Changes, ch)
+}
+
+// nonce names the next change. No two leaders share a stamp.
+func (w *recordWriter) nextNonce() uint64 {
+	return uint64(ids.NewToken(w.core.opt.Revision, w.nextChange+1))
+}
--- /dev/null
+++ b/scheduler/search.go
@@ -0,0 +1,188 @@
+package scheduler
+
+import (
+	"container/heap"
+	"slices"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/placement"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// shape is what decides whether a task finds any machine at all. Once one
+// task of a shape found none, the rest of the pass need not look again: room
+// only shrinks during a pass.
+type placementRequest struct {
+	resources     placement.Resources
+	priority      wire.Priority
+	spot          bool
+	zone          ids.Zone
+	image         ids.Image // where only machines that hold it will do
+	openZones     uint64    // the zones that the job's other tasks leave open
+	tasksTogether int       // how many must find room together
+}
+
+// requestOf is the shape of a job's next task, given where its others are; ok is
+// false for a job that is like no other.
+func (adm *admitter) requestOf(j *job, at placement.Zones) (sh placementRequest, ok bool) {
+	s := j.spec
+	if len(s.Types) > 0 || len(adm.candidateZones) > 64 || j.reservedSince != 0 {
+		// Room that is kept for a job is there for no other: one like it that
+		// found none must not keep the job from it.
+		return placementRequest{}, false
+	}
+	sh = placementRequest{resources: placement.Of(s), priority: j.priority, spot: s.Spot, zone: s.Zone}
+	if adm.core.latencySensitive(j) && !j.allowColdStart {
+		sh.image = s.Image
+	}
+	if j.needsAllTasks() {
+		sh.tasksTogether = len(j.pending)
+	}
+	for i, z := range adm.candidateZones {
+		if at.Admits(s, z) {
+			sh.openZones |= 1 << i
+		}
+	}
+	return sh, true
+}
+
+// search finds machines for the tasks of one job, one after the other. All
+// machines are looked at once; after that only those that took a task.
+type candidateSearch struct {
+	core       *Core
+	job        *job
+	need       placement.Resources
+	zones      []*zoneHeap
+	replicasOn map[*machine]int // tasks of a service by machine
+}
+
+// candidate is a machine with its score, less what the zone counts for.
+type candidate struct {
+	machine  *machine
+	score    float64
+	position int // in the order of hosts, which decides between equals
+}
+
+// zoneHeap holds the candidates of a zone, the best on top.
+type zoneHeap struct {
+	zone ids.Zone
+	list []candidate
+}
+
+func (z *zoneHeap) Len() int { return len(z.list) }
+
+func (z *zoneHeap) Less(i, k int) bool {
+	a, b := &z.list[i], &z.list[k]
+	return a.score > b.score || a.score == b.score && a.position < b.position
+}
+
+func (z *zoneHeap) Swap(i, k int) { z.list[i], z.list[k] = z.list[k], z.list[i] }
+
+func (z *zoneHeap) Push(x any) { z.list = append(z.list, x.(candidate)) }
+
+func (z *zoneHeap) Pop() any {
+	last := z.list[len(z.list)-1]
+	z.list = z.list[:len(z.list)-1]
+	return last
+}
+
+func (adm *admitter) newSearch(j *job) *candidateSearch {
+	s := &candidateSearch{core: adm.core, job: j, need: placement.Of(j.spec)}
+	if j.spec.Service {
+		s.replicasOn = map[*machine]int{}
+		for _, a := range j.active {
+			s.replicasOn[a.machine]++
+		}
+	}
+	hasty := adm.core.latencySensitive(j) && !j.allowColdStart
+	adm.MachinesExamined += uint64(len(adm.candidates))
+	for at, m := range adm.candidates {
+		if !s.need.Within(m.free()) || !placement.Allowed(j.spec, m.Site) || j.onlyZone != "" && m.Zone != j.onlyZone {
+			continue
+		}
+		if adm.core.reservedForOther(m, j) {
+			continue // it would never begin
+		}
+		if hasty && m.images[j.spec.Image] == nil {
+			continue // a fetch takes longer than making room where the image is
+		}
+		z := s.zone(m.Zone)
+		z.list = append(z.list, candidate{m, s.score(m, 0), at})
+	}
+	for _, z := range s.zones {
+		heap.Init(z)
+	}
+	return s
+}
+
+func (s *candidateSearch) zone(name ids.Zone) *zoneHeap {
+	for _, z := range s.zones {
+		if z.zone == name {
+			return z
+		}
+	}
+	z := &zoneHeap{zone: name}
+	s.zones = append(s.zones, z)
+	return z
+}
+
+func (s *candidateSearch) score(m *machine, sameZone int) float64 {
+	o := s.core.admission.offer(s.job, m)
+	o.SameJob, o.SameZone = s.replicasOn[m], sameZone
+	return placement.Score(s.job.spec, &o)
+}
+
+// next chooses the best machine for a task, or nil.
+func (s *candidateSearch) next(index int) *machine {
+	ref := ids.TaskRef{Job: s.job.id, Index: index}
+	var best candidate
+	for _, z := range s.zones {
+		if !s.job.zones.Admits(s.job.spec, z.zone) {
+			continue
+		}
+		var aside []candidate
+		for z.Len() > 0 && z.list[0].machine.reportsTask(ref) {
+			aside = append(aside, heap.Pop(z).(candidate))
+		}
+		if z.Len() > 0 {
+			top := z.list[0]
+			s.core.admission.MachinesExamined++
+			top.score = s.score(top.machine, s.job.zones[z.zone])
+			if best.machine == nil || top.score > best.score || top.score == best.score && top.position < best.position {
+				best = top
+			}
+		}
+		for _, a := range aside {
+			heap.Push(z, a)
+		}
+	}
+	return best.machine
+}
+
+// took brings a machine that was given a task back to its rank.
+func (s *candidateSearch) reinsert(m *machine) {
+	if s.replicasOn != nil {
+		s.replicasOn[m]++
+	}
+	z := s.zone(m.Zone)
+	i := slices.IndexFunc(z.list, func(c candidate) bool { return c.machine == m })
+	if !s.need.Within(m.free()) {
+		heap.Remove(z, i)
+		return
+	}
+	z.list[i].score = s.score(m, 0)
+	heap.Fix(z, i)
+}
+
+func (adm *admitter) offer(j *job, m *machine) placement.Offer {
+	o := placement.Offer{Site: m.Site, Free: m.free(), Total: m.total,
+		Cached:  m.images[j.spec.Image] != nil,
+		Suspect: j.antiAffinity[m.host] != 0 || adm.core.now < m.slowUntil || len(m.failuresByJob) > 0 && adm.core.now < m.lastFailure.Add(quarantinePeriod)}
+	if m.Spot {
+		o.SpotRisk = adm.core.autoscaler.spotRisk(j)
+	}
+	o.LatencySensitive = adm.core.latencySensitive(j)
+	o.HostsServices = m.replicas > 0
+	o.Fetching = m.fetches[j.spec.Image] > 0
+	return o
+}
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -1133,7 +1133,7 @@
 			}
 		}
 		if round%4 == 3 {
-			work += s.core.MachinesExamined
+			work += s.core.admission.MachinesExamined
 			s.takeOver()
 		}
 		s.run(4 * time.Second)
@@ -1142,7 +1142,7 @@
 			t.Fatalf("rules broken: %v", s.broken)
 		}
 	}
-	work += s.core.MachinesExamined
+	work += s.core.admission.MachinesExamined
 	s.toTheEnd(all, 5*time.Minute)
 	if most < 1700 {
 		t.Fatalf("the day had only %d machines", most)
--- a/scheduler/trouble_test.go
+++ b/scheduler/trouble_test.go
@@ -143,13 +143,13 @@
 			b.c.Report(b.now, said("n-1", 1, tick, o.Token, run), false)
 		}
 		b.step()
-		if m := b.c.machines["n-1"]; m == nil || len(m.tasks) == 0 {
+		if m := b.c.registry.machines["n-1"]; m == nil || len(m.tasks) == 0 {
 			if time.Duration(s)*time.Second < simLease {
 				t.Fatalf("its task was released after %d s, within the lease", s)
 			}
 			return
 		}
-		if s > 3 && b.c.usable(b.c.machines["n-1"]) && time.Duration(s)*time.Second > 2*simReport {
+		if s > 3 && b.c.health.usable(b.c.registry.machines["n-1"]) && time.Duration(s)*time.Second > 2*simReport {
 			t.Fatalf("after %d s of copies alone it counts as usable", s)
 		}
 	}
@@ -162,11 +162,11 @@
 	b := newBench(t, Options{})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
-	b.c.returnMachine(b.c.machines["n-1"], "test")
+	b.c.registry.returnMachine(b.c.registry.machines["n-1"], "test")
 	b.step()
 	b.c.ReturnResult(b.now, []ids.Host{"n-1"}, true)
 	b.report("n-1", "a", 0)
-	if b.c.machines["n-1"] != nil {
+	if b.c.registry.machines["n-1"] != nil {
 		t.Fatal("it came back at the leader that returned it")
 	}
 
@@ -224,10 +224,10 @@
 			}
 		}
 	}
-	if m := next.c.machines["n-2"]; m == nil || !m.reported {
+	if m := next.c.registry.machines["n-2"]; m == nil || !m.reported {
 		t.Error("a machine without tasks was not asked")
 	}
-	if token["n-1"].Revision() != 9 || !next.c.machines["n-1"].fenced {
+	if token["n-1"].Revision() != 9 || !next.c.registry.machines["n-1"].fenced {
 		t.Fatalf("n-1 was not told of the successor: token %d", token["n-1"])
 	}
 	if _, ok := old.c.Report(old.now, said("n-1", 1, tick+1, token["n-1"], run), false); ok || !old.c.Deposed() {
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -145,13 +145,13 @@
 	if len(first.active) != 1 || len(b.c.jobs["job-2"].active) != 0 {
 		t.Fatal("the first job of the pipeline must go first, the last not at all")
 	}
-	on := b.c.workloads[workload{"red", wire.High}]
+	on := b.c.preemption.workloads[workload{"red", wire.High}]
 	if on.staying != 1 {
 		t.Errorf("counted %+v", on)
 	}
 	b.c.ObserveJob(b.now, "job-2", &ledger.Job{Status: wire.StatusCancelled, Tasks: 1}, 999)
-	if first.priority != wire.BestEffort || b.c.workloads[workload{"red", wire.High}].staying != 0 || b.c.workloads[workload{"red", wire.BestEffort}].staying != 1 {
-		t.Errorf("after the last job is gone the first has priority %d, counted %+v", first.priority, b.c.workloads)
+	if first.priority != wire.BestEffort || b.c.preemption.workloads[workload{"red", wire.High}].staying != 0 || b.c.preemption.workloads[workload{"red", wire.BestEffort}].staying != 1 {
+		t.Errorf("after the last job is gone the first has priority %d, counted %+v", first.priority, b.c.preemption.workloads)
 	}
 }
 
@@ -217,7 +217,7 @@
 	if s := b.c.graph.Of("job-0").State; s != pipeline.Done {
 		t.Errorf("after 2 s the job is %d", s)
 	}
-	if len(b.c.dirty) == 0 {
+	if len(b.c.records.dirty) == 0 {
 		t.Error("no placement waited")
 	}
 }
--- /dev/null
+++ b/scheduler/zones.go
@@ -0,0 +1,59 @@
+package scheduler
+
+import (
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+)
+
+// zoneState is what is known of a zone as a whole.
+type zoneState struct {
+	lastHeard  ids.Instant // when any machine there was last heard
+	machinesUp int         // machines that reported while it was heard
+}
+
+const (
+	// minZoneMachines is how many machines must be silent together to tell a zone
+	// that is cut off from machines that are.
+	minZoneMachines = 4
+	// zoneSilence is the least time without a word from a zone after which it
+	// counts as cut off. The fewer machines it has, the longer it takes.
+	zoneSilence = 2500 * time.Millisecond
+	// zoneOutageLimit is how long a zone counts as cut off without a word from it.
+	// So long its machines are kept: they come back without a boot, and with
+	// their images. After that it is tried again.
+	zoneOutageLimit = 3 * time.Minute
+)
+
+// updateZones notes how many machines each zone has that is heard.
+func (hm *healthMonitor) updateZones() {
+	up := map[ids.Zone]int{}
+	for _, m := range hm.core.registry.machineList {
+		if m.reported && !m.returning {
+			up[m.Zone]++
+		}
+	}
+	for zone, z := range hm.zoneStates {
+		if !hm.zoneSilent(z) {
+			z.machinesUp = up[zone]
+		}
+	}
+}
+
+// quiet tells whether a zone has not been heard for longer than its machines
+// would leave between them by chance. With hundreds of them that is seconds.
+func (hm *healthMonitor) zoneSilent(z *zoneState) bool {
+	by := hm.core.opt.Lease / 2
+	if z.machinesUp > 0 && hm.core.now < hm.lastHeard.Add(zoneSilence/2) { // others are heard
+		by = min(by, zoneSilence+10*hm.core.opt.Report/time.Duration(z.machinesUp))
+	}
+	return hm.core.now > max(z.lastHeard, hm.core.resumedAt).Add(by)
+}
+
+// cutOff tells whether a whole zone fell silent at once, while others are
+// heard. What is rented there cannot report: it costs, takes the place of
+// machines elsewhere, and counts as coming.
+func (hm *healthMonitor) zonePartitioned(zone ids.Zone) bool {
+	z := hm.zoneStates[zone]
+	return z != nil && z.machinesUp >= minZoneMachines && hm.zoneSilent(z) && hm.core.now < z.lastHeard.Add(zoneOutageLimit)
+}
