--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -48,6 +48,7 @@
 	return &cp
 }
 
+// do sends one call within the budget.
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
 	if err := c.budget.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: budget: %w", ErrTrouble, err)
--- a/config/config.go
+++ b/config/config.go
@@ -36,7 +36,7 @@
 	GPUsMax float64  `toml:"gpus_max"`
 }
 
-// Limited tells whether the team has a limit. 0 means none: a guest, with neither
+// Limited tells whether the team has a limit. 0 means none: a team without a guarantee, with neither
 // guarantee nor limit, may borrow whatever is idle. Of a team that has one limit, 0
 // means that it may use none of the other kind.
 func (t Team) Limited() bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
@@ -78,6 +78,7 @@
 		lesser(s.ValueKB, s.Next.ValueKB), lesser(s.TxnOps, s.Next.TxnOps)}
 }
 
+// lesser is the smaller of a limit and the one to come, if that is known.
 func lesser[T float64 | int](now T, next *T) T {
 	if next == nil {
 		return now
@@ -175,6 +176,7 @@
 	return &p, p.check()
 }
 
+// check names the first setting that makes no sense, and fills in defaults.
 func (p *Platform) check() error {
 	addr := func(field, v string) error {
 		if _, _, err := net.SplitHostPort(v); err != nil {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// A guest team comes with zeroes for its guarantee and its limits: it has neither. Its
+// A team without a guarantee team comes with zeroes for its guarantee and its limits: it has neither. Its
 // jobs used to get 422, every one.
 func TestGuestTeamHasNoLimit(t *testing.T) {
 	for text, limited := range map[string]bool{
--- a/election/election.go
+++ b/election/election.go
@@ -25,7 +25,7 @@
 	Incarnation ids.Incarnation `msgpack:"i"`
 }
 
-// Leader is a holder and the stamp of its key. A larger stamp is a later
+// Leader is a holder and the revision of its key. A larger revision is a later
 // leader.
 type Leader struct {
 	Holder
@@ -54,8 +54,8 @@
 	end            context.CancelCauseFunc
 
 	mu sync.Mutex
-	// vouched is when each peer was last asked that then knew of no later leader;
-	// see Vouch.
+	// confirmedBy is when each peer was last asked that then knew of no later leader;
+	// see Confirm.
 	confirmedBy map[ids.NodeName]ids.Instant
 }
 
@@ -68,7 +68,7 @@
 	Grace time.Duration
 	// Isolated is the same, counted from the last moment at which all Peers were
 	// known to follow no later leader: what a later one has told users, as that a
-	// job is withdrawn, this one does not know, and it must not keep workers'
+	// job is cancelled, this one does not know, and it must not keep workers'
 	// leases for longer than such a promise allows.
 	Isolated time.Duration
 	// Peers are the other controllers.
@@ -86,7 +86,7 @@
 // MayAnswer tells whether workers may be answered: while the key is held, and
 // for a bounded grace after it, in which the state service may be away for
 // everyone. It is shorter while a later leader cannot be ruled out. A successor
-// counts on these bounds. A process that stood still while
+// counts on these bounds. A process that was paused while
 // its clocks ran on finds its key expired, and does not know yet whether the
 // state service was away or somebody else leads: it must ask first.
 func (t *Term) MayAnswer() bool {
@@ -99,7 +99,7 @@
 		(len(t.bounds.Peers) == 0 || now < t.unchallengedAt(valid).Add(t.bounds.Isolated))
 }
 
-// Vouch takes a peer's word that it knew of no later leader when it was asked. It
+// Confirm takes a peer's word that it knew of no later leader when it was asked. It
 // counts only if the peer's process was running while the key was still surely
 // held: one that was started since may have led before, and not know it.
 func (t *Term) Confirm(peer ids.NodeName, asked, started ids.Instant) {
@@ -114,7 +114,7 @@
 	t.confirmedBy[peer] = max(t.confirmedBy[peer], asked)
 }
 
-// undisputed is the latest moment at which there surely was no later leader: the
+// unchallengedAt is the latest moment at which there surely was no later leader: the
 // key was held until valid, and whoever led after that was one of the peers, none
 // of which knew of it when it was last asked.
 func (t *Term) unchallengedAt(valid ids.Instant) ids.Instant {
@@ -151,7 +151,7 @@
 	log    *slog.Logger
 	lead   func(ctx context.Context, t *Term) error
 
-	// unreadable is the stamp of a key that could not be read and was reported.
+	// unreadable is the revision of a key that could not be read and was reported.
 	unreadable ids.Revision
 
 	mu     sync.Mutex
@@ -180,7 +180,7 @@
 }
 
 // Observe takes what a peer or the state service says about the leader. A peer that
-// knows a leader by its stamp alone, since that one's key is gone, tells of no leader to
+// knows a leader by its revision alone, since that one's key is gone, tells of no leader to
 // follow, only that earlier terms are over.
 func (e *Election) Observe(l Leader) {
 	e.mu.Lock()
@@ -196,7 +196,7 @@
 	}
 }
 
-// forget drops a leader whose key is gone.
+// dropLeader forgets a leader whose key is gone.
 func (e *Election) dropLeader(stamp ids.Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -252,7 +252,7 @@
 		epoch, events, err := e.store.Watch(ctx, ledger.LeaderKey, since, 10*time.Second)
 		if errors.Is(err, statestore.ErrTooOld) {
 			// The leader has held the key for longer than the service keeps
-			// changes. Reading the key again would give the same stamp, at once
+			// changes. Reading the key again would give the same revision, at once
 			// and for ever; that it still has it tells from where to watch.
 			out, err := e.store.Commit(ctx, statestore.Txn{Guards: []statestore.Guard{{Key: ledger.LeaderKey, Revision: held}}})
 			if err != nil || !out.Applied {
@@ -277,6 +277,7 @@
 	return ctx.Err()
 }
 
+// campaign tries to take the key. guard is its expected revision; 0: it is absent.
 func (e *Election) campaign(ctx context.Context, guard ids.Revision) error {
 	asked := e.clock.Now()
 	lease, err := e.store.Grant(ctx, e.bounds.TTL)
@@ -316,7 +317,7 @@
 	e.mu.Lock()
 	if e.leader.Revision > t.Revision {
 		// Somebody leads since: the answer to our claim was late, or this
-		// process stood still. Peers may have been told so already.
+		// process was paused. Peers may have been told so already.
 		e.mu.Unlock()
 		return ErrReplaced
 	}
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -350,7 +350,7 @@
 }
 
 // A leader holds its key for longer than the state service keeps changes. A node that
-// comes then cannot watch from the key's stamp: it asked for the key again without a
+// comes then cannot watch from the key's revision: it asked for the key again without a
 // pause, hundreds of times a second. It must watch, and still notice at once when the
 // key goes.
 func TestNodeThatComesLongAfterTheElection(t *testing.T) {
@@ -405,7 +405,7 @@
 	})
 }
 
-// A leader that stood still for longer than its lease finds its clocks moved on
+// A leader that was paused for longer than its lease finds its clocks moved on
 // and its key expired. Within the grace it would answer workers and act on what
 // it had decided, as in an outage. It must not, before it has asked whether
 // this is one; nor may work that has not noticed the end of its term.
--- a/election/restart_test.go
+++ b/election/restart_test.go
@@ -65,7 +65,7 @@
 
 // Processes that are back within a fraction of a second, also in the middle of
 // an election, while copies of what the earlier ones sent still arrive: claims,
-// renewals, and leases given up. No two may hold the key, no stamp may serve
+// renewals, and leases given up. No two may hold the key, no revision may serve
 // two terms, and when it all ends somebody leads.
 func TestQuickRestartsWithLateCopies(t *testing.T) {
 	terms := 0
--- a/ids/ids.go
+++ b/ids/ids.go
@@ -38,18 +38,18 @@
 	Incarnation uint64
 )
 
-// Token is the fencing token that workers compare: the leader's stamp in the
+// Token is the fencing token that workers compare: the leader's revision in the
 // high bits and a per-worker counter in the low ones.
 type Token uint64
 
 const counterBits = 20
 
-// NewToken makes the token of a leader's stamp and a worker's counter.
+// NewToken makes the token of a leader's revision and a worker's counter.
 func NewToken(s Revision, counter uint64) Token {
 	return Token(uint64(s)<<counterBits | counter&(1<<counterBits-1))
 }
 
-// Revision returns the leader's stamp inside the token.
+// Revision returns the leader's revision inside the token.
 func (t Token) Revision() Revision { return Revision(t >> counterBits) }
 
 // TaskRef names one task of a job.
--- a/ledger/changes.go
+++ b/ledger/changes.go
@@ -14,7 +14,7 @@
 
 // SliceChange writes admission records: one, or all parts of one that is split, so
 // that no task is ever without its record or in two. The job's version is guarded
-// too, so that nothing is admitted for a job that was withdrawn.
+// too, so that nothing is admitted for a job that was cancelled.
 func SliceChange(id ids.JobID, jobStamp ids.Revision, at []SliceVersion, recs []Slice) Change {
 	c := Change{Guards: []statestore.Guard{{Key: JobKey(id), Revision: jobStamp}}}
 	for i, v := range at {
@@ -54,7 +54,7 @@
 	}
 }
 
-// CancelChange makes a job withdrawn for good. The description stays, since
+// CancelChange makes a job cancelled for good. The description stays, since
 // quota counts its tasks until they are gone; but of one that is larger than the
 // limit in bytes only what that takes: the record may be from before the limits
 // of the state service fell.
--- a/ledger/committer.go
+++ b/ledger/committer.go
@@ -249,6 +249,7 @@
 	}
 }
 
+// transaction puts the changes of a batch together.
 func transaction(fence *statestore.Guard, batch []item) statestore.Txn {
 	var txn statestore.Txn
 	if fence != nil {
--- a/ledger/committer_test.go
+++ b/ledger/committer_test.go
@@ -112,7 +112,7 @@
 func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 // Whatever happens to answers, the outcome told must be the truth: a change
-// told as applied is in the store with the stamp told, and one told as refused
+// told as applied is in the store with the revision told, and one told as refused
 // never gets there.
 func TestUnknownOutcomesAreSettled(t *testing.T) {
 	for seed := range uint64(20) {
--- a/ledger/records.go
+++ b/ledger/records.go
@@ -46,7 +46,7 @@
 	return ids.JobID(rest[:i]), n, true
 }
 
-// Job is the durable record of a job. Status is queued, done or withdrawn:
+// Job is the durable record of a job. Status is queued, done or cancelled:
 // whether tasks run is not kept here.
 type Job struct {
 	// Nonce names this very write, as in Slice.
@@ -61,7 +61,7 @@
 	DoneMS int64 `msgpack:"e,omitempty"`
 }
 
-// Pipeline is what the record says about waiting.
+// Dependencies is what the record says about waiting for other jobs.
 func (j *Job) Dependencies() pipeline.Record {
 	r := pipeline.Record{Status: j.Status, SubmittedMS: j.SubmittedMS, DoneMS: j.DoneMS}
 	if s := j.Spec; s != nil {
@@ -74,7 +74,7 @@
 	return r
 }
 
-// Over tells whether the job is done or withdrawn, for good.
+// Over tells whether the job is done or cancelled, for good.
 func (j *Job) Over() bool { return j.Status == wire.StatusDone || j.Status == wire.StatusCancelled }
 
 // Slice is the durable record of some of a job's tasks: where each was
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -22,10 +22,11 @@
 // maxFrame bounds one frame; a larger one ends the connection.
 const maxFrame = 4 << 20
 
-// serving is how many requests one connection may have under way. More are
-// held back in the connection itself.
+// maxInFlight is how many requests one connection may have under way. More are held back
+// in the connection itself.
 const maxInFlight = 32
 
+// frame is one request or answer.
 type frame struct {
 	ID     uint64          `cbor:"1,keyasint"`
 	Op     string          `cbor:"2,keyasint,omitempty"`
@@ -49,6 +50,7 @@
 // Decode reads a request's body.
 func Decode(b []byte, v any) error { return cbor.Unmarshal(b, v) }
 
+// writeFrame writes a frame behind its length.
 func writeFrame(w *bufio.Writer, f *frame) error {
 	b, err := cbor.Marshal(f)
 	if err != nil {
@@ -65,6 +67,7 @@
 	return w.Flush()
 }
 
+// readFrame reads a frame behind its length.
 func readFrame(r *bufio.Reader) (*frame, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -103,6 +106,7 @@
 	}
 }
 
+// serveConn answers the requests of one connection until it ends.
 func serveConn(ctx context.Context, c net.Conn, h Handler, log *slog.Logger) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -156,6 +160,7 @@
 // NewPeer makes the way to a peer.
 func NewPeer(name ids.NodeName, addr string) *Peer { return &Peer{Name: name, addr: addr} }
 
+// conn is a connection to a peer with the requests that wait for their answers.
 type conn struct {
 	c       net.Conn
 	w       *bufio.Writer
@@ -165,6 +170,7 @@
 	dead    bool
 }
 
+// connect returns the open connection, or opens one.
 func (p *Peer) connect(ctx context.Context) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,12 +188,14 @@
 	return cn, nil
 }
 
+// isDead tells whether the connection has ended.
 func (cn *conn) isDead() bool {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	return cn.dead
 }
 
+// read hands answers to those who wait for them until the connection ends.
 func (cn *conn) read() {
 	r := bufio.NewReader(cn.c)
 	for {
@@ -206,6 +214,7 @@
 	}
 }
 
+// close ends the connection and fails the requests that wait.
 func (cn *conn) close() {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
--- /dev/null
+++ b/node/cancellations.go
@@ -0,0 +1,117 @@
+package node
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync/atomic"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/server"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// Cancel implements server.Service.
+func (n *Node) Cancel(ctx context.Context, id ids.JobID) server.Answer {
+	if s, ok := n.terminalJobs.get(id); ok {
+		return server.Answer{Code: 200, Body: s}
+	}
+	ctx, cancel := context.WithTimeout(ctx, userRequestTimeout)
+	defer cancel()
+	for ctx.Err() == nil {
+		rec, stamp, found, err := n.readJob(ctx, id)
+		if err != nil {
+			return server.RetryLater(retryDelay)
+		}
+		if !found {
+			return server.Answer{Code: 404}
+		}
+		if rec.Over() {
+			return n.terminalAnswer(ctx, id, snapshotOf(rec, stamp))
+		}
+		out, err := n.commit(ctx, ledger.CancelChange(id, stamp, rand.Uint64(), *rec, n.valueBytes()))
+		if err != nil {
+			return server.RetryLater(retryDelay)
+		}
+		if out.Refused {
+			return server.RetryLater(refusedLater)
+		}
+		if out.Applied {
+			return n.terminalAnswer(ctx, id, jobSnapshot{Status: wire.StatusCancelled, Tasks: rec.Tasks, revision: out.Revision})
+		}
+	}
+	return server.RetryLater(retryDelay)
+}
+
+// acknowledgedRevision is the revision up to which a leader that held its key had applied
+// all changes of jobs. It stays true whoever leads, so nodes pass it on.
+//
+// It is half of what makes a cancellation visible. A user who is told that a job is
+// cancelled may count on its tasks being gone within cancel_s, whatever fails from then
+// on. A leader that the state service refuses, or that is away for everybody, never reads
+// the record; but it goes on renewing the leases of the job's tasks. So a cancellation is
+// told only once a leader that surely holds its key has taken it in. That one acts on it
+// without the state service; those that come later read the record; and earlier ones
+// cannot renew a lease for long enough (election.Bounds.Isolated). Until then the answer
+// is 503, never an older one.
+//
+// This holds for all ways to tell it: Node.terminalAnswer is the only one. A job that is
+// cancelled because one that it depends on is never had a task, so nobody renews anything
+// for it.
+type acknowledgedRevision struct{ upTo atomic.Uint64 }
+
+// advanceTo raises the revision, and never lowers it.
+func (a *acknowledgedRevision) advanceTo(to ids.Revision) {
+	for {
+		was := a.upTo.Load()
+		if uint64(to) <= was || a.upTo.CompareAndSwap(was, uint64(to)) {
+			return
+		}
+	}
+}
+
+// acknowledgedUpTo is the latest that this node knows of it. Whether the key is held is
+// asked after what the own term has taken in.
+func (n *Node) acknowledgedUpTo() ids.Revision {
+	if t := n.term.Load(); t != nil {
+		if applied := ids.Revision(t.applied.Load()); t.key.Holds() {
+			n.acknowledged.advanceTo(applied)
+		}
+	}
+	return ids.Revision(n.acknowledged.upTo.Load())
+}
+
+// acknowledgeTimeout is how long the leader may take to take a cancellation in.
+const acknowledgeTimeout = 700 * time.Millisecond
+
+// cancelVisible tells whether a cancellation may be told, and has the leader take it in if
+// that is not known. Without a leader that answers it may not, for now: the next
+// request asks again, and the pings bring what a leader has read by itself.
+func (n *Node) cancelVisible(ctx context.Context, id ids.JobID, rec *ledger.Job, stamp ids.Revision) bool {
+	if stamp <= n.acknowledgedUpTo() {
+		return true
+	}
+	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
+	defer cancel()
+	l, _ := n.election.Leader()
+	if t := n.term.Load(); t != nil && l.Revision == t.key.Revision {
+		return t.acknowledge(ctx, id, rec, stamp)
+	}
+	p := n.peerNamed(l.Name)
+	if p == nil {
+		return false
+	}
+	var held bool
+	if err := p.Call(ctx, "job", newJobNotice(id, rec, stamp), &held); err != nil {
+		n.log.Debug("withdrawal not taken in", "job", id, "err", err)
+		return false
+	}
+	return held
+}
+
+// acknowledge has the core take a job's record in, and tells whether the key was surely
+// held after that.
+func (t *term) acknowledge(ctx context.Context, id ids.JobID, rec *ledger.Job, stamp ids.Revision) bool {
+	return t.ask(ctx, func() { t.core.ObserveJob(t.n.clock.Now(), id, rec, stamp) }) && t.key.Holds()
+}
--- /dev/null
+++ b/node/job_notice.go
@@ -0,0 +1,42 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// jobNotice tells the leader about a job at once. The leader's watch finds it too, only
+// later. The answer tells whether the leader had taken it in while it held its key; see
+// cancelVisible. Older leaders answer once it is in the core's queue.
+type jobNotice struct {
+	ID       ids.JobID    `cbor:"1,keyasint"`
+	Record   []byte       `cbor:"2,keyasint"`
+	Revision ids.Revision `cbor:"3,keyasint"`
+}
+
+// newJobNotice makes the notice of a record.
+func newJobNotice(id ids.JobID, rec *ledger.Job, stamp ids.Revision) jobNotice {
+	return jobNotice{id, wire.Encode(rec), stamp}
+}
+
+// notifyLeader tells the leader of a submission. Nothing depends on its being heard.
+func (n *Node) notifyLeader(id ids.JobID, rec *ledger.Job, stamp ids.Revision) {
+	if t := n.term.Load(); t != nil {
+		go t.post(t.ctx, func() { t.core.ObserveJob(n.clock.Now(), id, rec, stamp) })
+		return
+	}
+	if p := n.leaderPeer(); p != nil {
+		a := newJobNotice(id, rec, stamp)
+		go func() {
+			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+			defer cancel()
+			if err := p.Call(ctx, "job", a, nil); err != nil {
+				n.log.Debug("not announced", "job", id, "err", err)
+			}
+		}()
+	}
+}
--- /dev/null
+++ b/node/job_replica.go
@@ -0,0 +1,106 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/pipeline"
+	"ospreystile.example/ospreystile/statestore"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// jobReader is what the copy needs of the state service.
+type jobReader interface {
+	List(ctx context.Context, prefix string, each func(statestore.Entry) error) (ids.Revision, error)
+	Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []statestore.Event, error)
+}
+
+// jobSnapshot is what a replica holds of a job.
+type jobSnapshot struct {
+	Status   string
+	Tasks    int
+	revision ids.Revision
+	// orphan tells that it is cancelled with a job that it depends on, and so never had a task,
+	// whether or not its own record says so yet.
+	orphan bool
+}
+
+// terminal tells whether the job is done or cancelled, for good.
+func (k jobSnapshot) terminal() bool {
+	return k.Status == wire.StatusDone || k.Status == wire.StatusCancelled
+}
+
+// jobReplica is a node's copy of all jobs. One goroutine alone uses it.
+type jobReplica struct {
+	read     jobReader
+	jobs     map[ids.JobID]jobSnapshot
+	graph    *pipeline.Graph
+	revision ids.Revision
+	loaded   bool
+}
+
+// refresh makes the copy at least as new as the moment of the call.
+func (c *jobReplica) refresh(ctx context.Context) error {
+	if !c.loaded {
+		c.jobs, c.graph = map[ids.JobID]jobSnapshot{}, pipeline.New()
+		epoch, err := c.read.List(ctx, ledger.JobPrefix, func(e statestore.Entry) error {
+			c.put(e.Key, e.Value, e.Revision)
+			return nil
+		})
+		if err != nil {
+			return err
+		}
+		c.revision, c.loaded = epoch, true
+	}
+	epoch, events, err := c.read.Watch(ctx, ledger.JobPrefix, c.revision, 0)
+	if errors.Is(err, statestore.ErrTooOld) {
+		c.loaded = false
+	}
+	if err != nil {
+		return err
+	}
+	for _, ev := range events {
+		if ev.Write != "" {
+			c.put(ev.Write, ev.Value, ev.Revision)
+		}
+	}
+	c.revision = max(c.revision, epoch)
+	return nil
+}
+
+// put takes a record in. One that can't be read is still that of a job which
+// was accepted: its user must never be told that it is unknown.
+func (c *jobReplica) put(key string, raw []byte, stamp ids.Revision) {
+	var rec ledger.Job
+	if err := wire.Decode(raw, &rec); err != nil || rec.Status == "" {
+		rec = ledger.Job{Status: wire.StatusQueued}
+	}
+	id := ids.JobID(key[len(ledger.JobPrefix):])
+	c.jobs[id] = snapshotOf(&rec, stamp)
+	c.graph.Put(id, rec.Dependencies())
+}
+
+// get tells what is known of a job. One is cancelled as soon as a job that it
+// needs is, whether or not its own record says so yet.
+func (c *jobReplica) get(id ids.JobID) (jobSnapshot, bool) {
+	k, found := c.jobs[id]
+	if found && !k.terminal() && c.graph.Of(id).State == pipeline.Cancelled {
+		k.Status, k.orphan = wire.StatusCancelled, true
+	}
+	return k, found
+}
+
+// dependencyState tells whether all jobs of a list were accepted, and whether one of them
+// is cancelled.
+func (c *jobReplica) dependencyState(list []ids.JobID) (all, withdrawn bool) {
+	all = true
+	for _, id := range list {
+		k, found := c.get(id)
+		all = all && found
+		withdrawn = withdrawn || k.Status == wire.StatusCancelled
+	}
+	return all, withdrawn
+}
--- /dev/null
+++ b/node/job_status.go
@@ -0,0 +1,113 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/server"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// Status implements server.Service. What is over may be told from memory;
+// everything else is read, since another node may have told something newer.
+func (n *Node) Status(ctx context.Context, id ids.JobID) server.Answer {
+	if s, ok := n.terminalJobs.get(id); ok {
+		return server.Answer{Code: 200, Body: s}
+	}
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
+	defer cancel()
+	a := n.statusReads.ask(ctx, id, nil)
+	if a.err != nil {
+		n.log.Debug("job not read", "job", id, "err", a.err)
+		return server.RetryLater(retryDelay)
+	}
+	if !a.found {
+		return server.Answer{Code: 404}
+	}
+	return n.jobAnswer(ctx, id, a)
+}
+
+// jobAnswer is the answer about a job that was found.
+func (n *Node) jobAnswer(ctx context.Context, id ids.JobID, a queryAnswer) server.Answer {
+	if a.job.terminal() {
+		return n.terminalAnswer(ctx, id, a.job)
+	}
+	s := wire.JobStatus{ID: id, Status: a.job.Status, Done: a.Done, Running: a.Running}
+	if s.Running > 0 {
+		s.Status = wire.StatusRunning
+	}
+	return server.Answer{Code: 200, Body: s}
+}
+
+// terminalAnswer is the answer about a job that is done or cancelled, if that may be told
+// yet.
+func (n *Node) terminalAnswer(ctx context.Context, id ids.JobID, job jobSnapshot) server.Answer {
+	s := wire.JobStatus{ID: id, Status: job.Status}
+	switch {
+	case job.Status == wire.StatusDone:
+		s.Done = job.Tasks
+	case !job.orphan && !n.cancelVisible(ctx, id, &ledger.Job{Status: job.Status, Tasks: job.Tasks}, job.revision):
+		a := server.RetryLater(retryDelay)
+		a.Close = true // another node may reach the leader
+		return a
+	}
+	n.terminalJobs.put(s)
+	return server.Answer{Code: 200, Body: s}
+}
+
+// snapshotOf is what a job's own record tells.
+func snapshotOf(rec *ledger.Job, stamp ids.Revision) jobSnapshot {
+	// Only the leader cancels without the description: what never had a task.
+	return jobSnapshot{Status: rec.Status, Tasks: rec.Tasks, revision: stamp,
+		orphan: rec.Status == wire.StatusCancelled && rec.Spec == nil}
+}
+
+// readJob reads a job's record from the state service.
+func (n *Node) readJob(ctx context.Context, id ids.JobID) (*ledger.Job, ids.Revision, bool, error) {
+	e, found, err := n.userState.Get(ctx, ledger.JobKey(id))
+	if err != nil || !found {
+		return nil, 0, false, err
+	}
+	rec := new(ledger.Job)
+	if err := wire.Decode(e.Value, rec); err != nil {
+		return nil, 0, false, err
+	}
+	return rec, e.Revision, true, nil
+}
+
+// progress is how many tasks of a job are done and running.
+type progress struct {
+	Done    int `cbor:"1,keyasint"`
+	Running int `cbor:"2,keyasint"`
+}
+
+// progress asks the leader how many tasks of each job are done and running. It
+// is for display; without an answer nothing is known to run.
+func (n *Node) progress(ctx context.Context, list []ids.JobID) []progress {
+	ctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
+	defer cancel()
+	if t := n.term.Load(); t != nil {
+		return t.progress(ctx, list)
+	}
+	var ans []progress
+	if p := n.leaderPeer(); p != nil && p.Call(ctx, "progress", list, &ans) == nil {
+		return ans
+	}
+	return nil
+}
+
+// progress asks the core; nil means that the term is over.
+func (t *term) progress(ctx context.Context, list []ids.JobID) []progress {
+	out := make([]progress, len(list))
+	if !t.ask(ctx, func() {
+		for i, id := range list {
+			s, _ := t.core.Status(id)
+			out[i] = progress{s.Done, s.Running}
+		}
+	}) {
+		return nil
+	}
+	return out
+}
--- a/node/node.go
+++ b/node/node.go
@@ -1,4 +1,5 @@
-// Package node wires one controller together and runs it.
+// Package node wires one controller together and runs it: its answers to users, workers and
+// peers, and the work of a term while it leads.
 package node
 
 import (
@@ -9,7 +10,6 @@
 	"math/rand/v2"
 	"net"
 	"runtime/debug"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -59,7 +59,7 @@
 	balancer     connectionBalancer
 	// upgrade tells whether all controllers are known to be of this version.
 	upgrade upgrade
-	// workersHere is the size of the crowd as last counted.
+	// workerCount is how many workers report here, as last counted.
 	workerCount atomic.Int32
 }
 
@@ -95,15 +95,16 @@
 	return n
 }
 
-// isolated is for how long a leader that cannot rule out a later one may go on
-// answering workers. A user may have been told since then that a job is withdrawn;
-// the lease that is renewed last must end within cancel_s of that.
+// isolatedBound is for how long a leader that cannot rule out a later one may go on
+// answering workers. A user may have been told since then that a job is cancelled; the
+// lease that is renewed last must end within cancel_s of that.
 func (n *Node) isolatedBound() time.Duration {
 	w := &n.cfg.Settings.Workers
 	cancel := ids.Seconds(w.CancelS)
 	return max(0, cancel-cancel/500-ids.Drift(ids.Seconds(w.LeaseS))-time.Second)
 }
 
+// limits are those of one transaction.
 func (n *Node) limits() ledger.Limits {
 	s := n.cfg.Settings.State.Planned()
 	// A transaction beyond one second's worth of changes never passes the rate.
@@ -176,29 +177,3 @@
 		}
 	}
 }
-
-// endedJobs remembers jobs that are over. That is final, so any node may say
-// it at any time.
-type terminalJobCache struct {
-	mu   sync.Mutex
-	jobs map[ids.JobID]wire.JobStatus
-}
-
-// terminalJobCacheSize bounds the memory; a job that was dropped is read again.
-const terminalJobCacheSize = 20_000
-
-func (e *terminalJobCache) get(id ids.JobID) (wire.JobStatus, bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	s, ok := e.jobs[id]
-	return s, ok
-}
-
-func (e *terminalJobCache) put(s wire.JobStatus) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if len(e.jobs) >= terminalJobCacheSize {
-		clear(e.jobs)
-	}
-	e.jobs[s.ID] = s
-}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -180,7 +180,7 @@
 	if a := n.Status(ctx, "job-2"); a.Code != 404 {
 		t.Errorf("an unknown job: %+v", a)
 	}
-	// The withdrawal is told only since a leader is known to have taken it in.
+	// The cancellation is told only since a leader is known to have taken it in.
 	if a := n.Status(ctx, "job-1"); a.Code != 503 || a.RetryAfter == 0 {
 		t.Errorf("a withdrawal that no leader may know of: %+v", a)
 	}
@@ -256,7 +256,7 @@
 }
 
 // The cloud fences nobody: a call that waited for its turn while its leader was
-// replaced, or stood still, is not made any more.
+// replaced, or was paused, is not made any more.
 func TestCallsOfAnEndedTermAreNotMade(t *testing.T) {
 	var calls atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { calls.Add(1) }))
--- /dev/null
+++ b/node/peers.go
@@ -0,0 +1,106 @@
+package node
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+
+	"ospreystile.example/ospreystile/election"
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/mesh"
+)
+
+// peer is another controller and what is known of it.
+type peer struct {
+	*mesh.Peer
+	lastHeard      atomic.Int64 // ids.Instant of the last answer
+	stateOK        atomic.Bool
+	leaderRevision atomic.Uint64 // of the leader that it follows
+	workers        atomic.Int32
+	// version is its own and what it knows of the others'; nil: older than this
+	// one, or not heard yet.
+	version atomic.Pointer[versions]
+}
+
+// ping is what controllers tell each other twice a second.
+type ping struct {
+	From        ids.NodeName    `cbor:"1,keyasint"`
+	Leader      ids.NodeName    `cbor:"2,keyasint"`
+	Mesh        string          `cbor:"3,keyasint"`
+	Incarnation ids.Incarnation `cbor:"4,keyasint"`
+	Revision    ids.Revision    `cbor:"5,keyasint"`
+	StateOK     bool            `cbor:"6,keyasint"`
+	Workers     int             `cbor:"7,keyasint"`
+	// Up is for how long the process has run, and Acked a revision up to which
+	// cancellations may be told; see acknowledgedRevision. Older controllers lack both.
+	Up    time.Duration `cbor:"11,keyasint,omitempty"`
+	Acked ids.Revision  `cbor:"12,keyasint,omitempty"`
+	versions
+}
+
+// ping is what this node tells the others now.
+func (n *Node) ping() ping {
+	l, _ := n.election.Leader()
+	return ping{n.cfg.HostName, l.Name, l.Mesh, l.Incarnation, l.Revision, n.stateOK(), int(n.workerCount.Load()),
+		n.clock.Now().Sub(n.startedAt), n.acknowledgedUpTo(), n.versions()}
+}
+
+// observePing takes in what a peer tells. A leader that it knows only by its revision,
+// since that one's key is gone already, ends earlier terms as well.
+func (n *Node) observePing(p ping) {
+	n.election.Observe(election.Leader{Holder: election.Holder{Name: p.Leader, Mesh: p.Mesh, Incarnation: p.Incarnation}, Revision: p.Revision})
+	n.acknowledged.advanceTo(p.Acked)
+}
+
+// confirmTerm hands a peer's answer to a ping to the own term: what it knew of leaders when
+// it was asked.
+func (n *Node) confirmTerm(asked ids.Instant, ans ping) {
+	t := n.election.Term()
+	if t == nil || ans.Revision > t.Revision || ans.Up <= 0 {
+		return
+	}
+	// The peer's clock may run fast.
+	t.Confirm(ans.From, asked, n.clock.Now().Add(ans.Up/500-ans.Up))
+}
+
+// pingLoop keeps in touch with a peer until the context ends.
+func (n *Node) pingLoop(ctx context.Context, p *peer) error {
+	for {
+		n.workerCount.Store(int32(n.balancer.count(n.clock.Now(), n.balancerWindow())))
+		call, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
+		var ans ping
+		asked := n.clock.Now()
+		err := p.Call(call, "ping", n.ping(), &ans)
+		cancel()
+		if err == nil {
+			p.lastHeard.Store(int64(n.clock.Now()))
+			p.stateOK.Store(ans.StateOK)
+			p.leaderRevision.Store(uint64(ans.Revision))
+			p.workers.Store(int32(ans.Workers))
+			p.observeVersion(ans)
+			n.observePing(ans)
+			n.confirmTerm(asked, ans)
+		} else {
+			p.Close()
+		}
+		if !ids.Pause(ctx, 500*time.Millisecond) {
+			return ctx.Err()
+		}
+	}
+}
+
+// leaderPeer is the way to the leader; nil if none is known, or this node leads.
+func (n *Node) leaderPeer() *peer {
+	l, _ := n.election.Leader()
+	return n.peerNamed(l.Name)
+}
+
+// peerNamed finds a peer.
+func (n *Node) peerNamed(name ids.NodeName) *peer {
+	for _, p := range n.peers {
+		if p.Name == name {
+			return p
+		}
+	}
+	return nil
+}
--- a/node/polls_test.go
+++ b/node/polls_test.go
@@ -247,12 +247,12 @@
 }
 
 // pauseThreshold is a context whose time is over although its timer has not fired:
-// so a process finds it that stood still while its clocks ran on.
+// so a process finds it that was paused while its clocks ran on.
 type stoodStill struct{ context.Context }
 
 func (stoodStill) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
 
-// An answer that was ready before a process stood still is older by then than
+// An answer that was ready before a process was paused is older by then than
 // what others may have told meanwhile.
 func TestAnswersFromBeforeStandingStillAreNotGiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/node/edge.go
+++ b/node/report_relay.go
@@ -5,23 +5,20 @@
 	"sync"
 	"time"
 
-	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Every node takes reports, so that one node's sockets and processor need not
-// do for all workers. A follower passes them on to the leader in batches, and
-// each answer waits for the leader's: it alone decides, and a worker's lease is
-// renewed by nobody else.
-
-// passedOn is one report on its way to the leader.
+// relayedReport is one report on its way to the leader.
 type relayedReport struct {
 	raw  []byte
 	done chan<- server.Answer
 }
 
-// edge collects reports for the leader.
+// reportRelay passes workers' reports on to the leader. Every node takes reports, so that
+// one node's sockets and processor need not do for all workers. A follower sends them in
+// batches, and each answer waits for the leader's: it alone decides, and nobody else
+// renews a worker's lease.
 type reportRelay struct {
 	n *Node
 
@@ -42,13 +39,13 @@
 	maxWaitingReports = 1000
 )
 
-// reportAnswer is the leader's answer to one report of a batch.
+// relayedAnswer is the leader's answer to one report of a batch.
 type relayedAnswer struct {
 	OK     bool              `cbor:"1,keyasint"`
 	Orders wire.ReportAnswer `cbor:"2,keyasint"`
 }
 
-// pass hands a report to the leader and waits for the answer.
+// relay hands a report to the leader and waits for the answer.
 func (e *reportRelay) relay(ctx context.Context, raw []byte) server.Answer {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -72,6 +69,7 @@
 	}
 }
 
+// take removes the next batch from the queue.
 func (e *reportRelay) take() []relayedReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,6 +102,7 @@
 	}
 }
 
+// send passes one batch on and answers its reports.
 func (e *reportRelay) send(ctx context.Context, batch []relayedReport) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -126,7 +125,7 @@
 	}
 }
 
-// reports gives a batch from a follower to the leader's core.
+// relayedReports gives a batch from a follower to the leader's core.
 func (n *Node) relayedReports(ctx context.Context, t *term, raws [][]byte) ([]relayedAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -149,75 +148,3 @@
 	}
 	return answers, nil
 }
-
-// crowd counts the workers that report here, and sends some to other nodes
-// when they are too many: after a restart they would all stay where they went.
-type connectionBalancer struct {
-	mu      sync.Mutex
-	seen    map[ids.Host]ids.Instant
-	movedAt ids.Instant
-}
-
-const (
-	// moveInterval paces the workers that are sent elsewhere. Moving all at once
-	// would only move the crowd.
-	moveInterval = 100 * time.Millisecond
-	// balanceSlack is how many more than its share a node keeps.
-	balanceSlack = 16
-)
-
-// came notes a worker's report.
-func (c *connectionBalancer) reported(h ids.Host, now ids.Instant) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.seen[h] = now
-}
-
-// count is the number of workers heard within a time.
-func (c *connectionBalancer) count(now ids.Instant, within time.Duration) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for h, at := range c.seen {
-		if now > at.Add(within) {
-			delete(c.seen, h)
-		}
-	}
-	return len(c.seen)
-}
-
-// load is what a node tells of its workers, and how many it should have for
-// each one that another has.
-type nodeLoad struct {
-	name    ids.NodeName
-	workers int
-	weight  float64
-}
-
-// move tells where a worker should go, if this node has too many of them.
-func (c *connectionBalancer) chooseTarget(self nodeLoad, others []nodeLoad, now ids.Instant) (ids.NodeName, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if now < c.movedAt.Add(moveInterval) || len(others) == 0 {
-		return "", false
-	}
-	sum, weights := float64(self.workers), self.weight
-	for _, o := range others {
-		sum += float64(o.workers)
-		weights += o.weight
-	}
-	share := sum / weights
-	if float64(self.workers) <= 1.2*share*self.weight+balanceSlack {
-		return "", false
-	}
-	best, room := ids.NodeName(""), 0.0
-	for _, o := range others {
-		if r := share*o.weight - float64(o.workers); r > room {
-			best, room = o.name, r
-		}
-	}
-	if best == "" {
-		return "", false
-	}
-	c.movedAt = now
-	return best, true
-}
--- /dev/null
+++ b/node/reports.go
@@ -0,0 +1,43 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"ospreystile.example/ospreystile/server"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// Report implements server.Service.
+func (n *Node) Report(ctx context.Context, raw []byte, rep *wire.Report) server.Answer {
+	now := n.clock.Now()
+	t := n.term.Load()
+	leading := t != nil && t.key.MayAnswer()
+	if l, ok := n.election.Leader(); !leading && (!ok || l.Name == n.cfg.HostName) {
+		return server.Answer{Code: 503}
+	}
+	n.balancer.reported(rep.Host, now)
+	if to, ok := n.redirectTarget(now, leading); ok {
+		return server.Answer{Code: 421, Body: wire.Redirect{Leader: to}}
+	}
+	if leading {
+		return n.reportToCore(ctx, t, rep)
+	}
+	return n.relay.relay(ctx, raw)
+}
+
+// reportToCore gives a worker's report to the leader's core.
+func (n *Node) reportToCore(ctx context.Context, t *term, rep *wire.Report) server.Answer {
+	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
+	defer cancel()
+	var orders wire.ReportAnswer
+	var ok bool
+	if !t.ask(ctx, func() { orders, ok = t.core.Report(n.clock.Now(), rep, false) }) || !ok || !t.key.MayAnswer() {
+		return server.Answer{Code: 503}
+	}
+	return server.Answer{Code: 200, Body: orders}
+}
+
+// errNotLeading refuses what only a leader may do.
+var errNotLeading = errors.New("not leading")
--- a/node/listen.go
+++ b/node/retry_listener.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// patient is a listener that goes on after errors. When a node is out of
-// sockets, accepting fails; that passes, and must not end the process.
+// retryListener is a listener that goes on after errors. When a node is out of sockets,
+// accepting fails; that passes, and must not end the process.
 type retryListener struct {
 	net.Listener
 	log *slog.Logger
--- /dev/null
+++ b/node/submissions.go
@@ -0,0 +1,159 @@
+package node
+
+import (
+	"context"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/scheduler/placement"
+	"ospreystile.example/ospreystile/scheduler/quota"
+	"ospreystile.example/ospreystile/server"
+	"ospreystile.example/ospreystile/wire"
+)
+
+const (
+	retryDelay = time.Second
+	// userRequestTimeout is how long a user's request may take here, of the 5 s that
+	// users wait.
+	userRequestTimeout = 3500 * time.Millisecond
+	// pollTimeout is the same for polls, of 2 s.
+	pollTimeout = 1500 * time.Millisecond
+	// maxIntake bounds the submissions that wait for a commit.
+	maxIntake = 128
+)
+
+// Healthy implements server.Service. A node without the catalog cannot judge
+// submissions yet.
+func (n *Node) Healthy() bool { return n.catalog.Load() != nil }
+
+// canRun tells whether a job could ever run here.
+func (n *Node) canRun(s *wire.Spec, types []wire.MachineType) bool {
+	for i := range n.cfg.Settings.Teams {
+		t := &n.cfg.Settings.Teams[i]
+		if t.Name != s.Team {
+			continue
+		}
+		need := quota.Amount{CPUs: s.CPUs, GPUs: s.GPUs}
+		if s.Service || s.Gang {
+			need = need.Times(s.Tasks)
+		}
+		if !need.Within(limitOf(*t)) {
+			return false
+		}
+		return slices.ContainsFunc(types, func(t wire.MachineType) bool {
+			return placement.Fits(s, &t) && (s.Zone == "" || slices.Contains(t.Zones, s.Zone))
+		})
+	}
+	return false
+}
+
+// Submit implements server.Service.
+func (n *Node) Submit(ctx context.Context, id ids.JobID, spec *wire.Spec) server.Answer {
+	if s, ok := n.terminalJobs.get(id); ok {
+		return server.Answer{Code: 200, Body: s}
+	}
+	types := n.catalog.Load()
+	if types == nil {
+		return server.RetryLater(retryDelay)
+	}
+	ctx, cancel := context.WithTimeout(ctx, userRequestTimeout)
+	defer cancel()
+	if !n.canRun(spec, *types) {
+		// A job that was accepted stays so, whatever has changed since.
+		if a := n.Status(ctx, id); a.Code != 404 {
+			return a
+		}
+		return server.Answer{Code: 422}
+	}
+	// Names that no machine type has would only make the record larger.
+	spec.Types = slices.DeleteFunc(spec.Types, func(name ids.MachineType) bool {
+		return !slices.ContainsFunc(*types, func(t wire.MachineType) bool { return t.Name == name })
+	})
+	if n.intake.Waiting() >= maxIntake {
+		return server.RetryLater(retryDelay)
+	}
+	rec := ledger.Job{Nonce: rand.Uint64(), Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: spec,
+		SubmittedMS: time.Now().UnixMilli()}
+	if len(spec.DependsOn) > 0 {
+		doomed, a := n.checkDependencies(ctx, id, spec.DependsOn)
+		if a.Code != 0 {
+			return a
+		}
+		if doomed {
+			rec.Status = wire.StatusCancelled
+		}
+	}
+	// With room for what a cancellation changes. A list that is too long to be kept
+	// is refused whole.
+	if wire.Exceeds(rec, n.valueBytes()-recordSlack) {
+		if a := n.Status(ctx, id); a.Code != 404 {
+			return a
+		}
+		return server.Answer{Code: 422}
+	}
+	out, err := n.commit(ctx, ledger.SubmitChange(id, rec))
+	if err != nil {
+		n.log.Debug("submission not taken", "job", id, "err", err)
+		return server.RetryLater(retryDelay)
+	}
+	if out.Applied {
+		n.notifyLeader(id, &rec, out.Revision)
+		return server.Answer{Code: 201, Body: wire.JobStatus{ID: id, Status: rec.Status}}
+	}
+	if out.Refused {
+		return server.RetryLater(refusedLater)
+	}
+	return n.Status(ctx, id)
+}
+
+const (
+	// recordSlack is by how much rewriting a job's record may lengthen it.
+	recordSlack = 64
+	// refusedLater is when to come back with what the state service would not
+	// take although it keeps to all its limits that are known.
+	refusedLater = 5 * time.Second
+)
+
+// checkDependencies decides on a submission that depends on other jobs: the answer, or that
+// it may be accepted (code 0), and whether it is then cancelled at once. What has been
+// accepted before is answered from its record, whatever it names. That a named job was
+// never accepted is said only on the strength of a replica that is as new as the question.
+func (n *Node) checkDependencies(ctx context.Context, id ids.JobID, needs []ids.JobID) (doomed bool, _ server.Answer) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
+	defer cancel()
+	a := n.statusReads.ask(ctx, id, needs)
+	switch {
+	case a.err != nil:
+		n.log.Debug("named jobs not read", "job", id, "err", a.err)
+		return false, server.RetryLater(retryDelay)
+	case a.found:
+		return false, n.jobAnswer(ctx, id, a)
+	case !a.accepted:
+		return false, server.Answer{Code: 422}
+	case !n.upgrade.done():
+		// An older leader would not wait for them.
+		return false, server.RetryLater(retryDelay)
+	}
+	return a.dependencyCancelled, server.Answer{}
+}
+
+// commit brings one user's change to its outcome, or to an error after which
+// the user must ask again.
+func (n *Node) commit(ctx context.Context, ch ledger.Change) (ledger.Outcome, error) {
+	type result struct {
+		out ledger.Outcome
+		err error
+	}
+	done := make(chan result, 1)
+	until, _ := ctx.Deadline()
+	n.intake.Submit(ch, until, func(o ledger.Outcome, err error) { done <- result{o, err} })
+	select {
+	case r := <-done:
+		return r.out, r.err
+	case <-ctx.Done():
+		return ledger.Outcome{}, ctx.Err()
+	}
+}
--- /dev/null
+++ b/node/term_cloud.go
@@ -0,0 +1,106 @@
+package node
+
+import (
+	"errors"
+	"sync"
+	"time"
+
+	"ospreystile.example/ospreystile/cloud"
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// rent brings one rental to its end. Without an answer it is repeated under
+// the same name, which rents nothing twice.
+func (t *term) rent(r wire.Rental) {
+	for t.ctx.Err() == nil {
+		hosts, err := t.cloud.Rent(t.ctx, r)
+		switch {
+		case err == nil, errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrRefused):
+			t.n.log.Info("rental", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(hosts))
+			t.post(t.ctx, func() { t.core.RentResult(t.n.clock.Now(), r, hosts, err == nil) })
+			return
+		}
+		t.n.log.Info("rental unanswered", "booking", r.Request, "err", err)
+		ids.Pause(t.ctx, time.Second)
+	}
+}
+
+// returnQueue collects the machines to give back, so that those that become due
+// one by one share a call: rentals need the others.
+type returnQueue struct {
+	mu    sync.Mutex
+	hosts []ids.Host
+	wake  chan struct{}
+}
+
+// add queues machines and wakes the goroutine that returns them.
+func (q *returnQueue) add(hosts []ids.Host) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.hosts = append(q.hosts, hosts...)
+	select {
+	case q.wake <- struct{}{}:
+	default:
+	}
+}
+
+// take removes as many machines as one call may return.
+func (q *returnQueue) take() []ids.Host {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	n := min(len(q.hosts), cloud.MaxReturn)
+	part := q.hosts[:n:n]
+	q.hosts = q.hosts[n:]
+	return part
+}
+
+// returnInterval is the least time between two calls that give machines back.
+const returnInterval = 400 * time.Millisecond
+
+// returnMachines gives machines back, until the cloud says that they are gone.
+func (t *term) returnMachines() error {
+	for {
+		select {
+		case <-t.ctx.Done():
+			return t.ctx.Err()
+		case <-t.returns.wake:
+		}
+		for hosts := t.returns.take(); len(hosts) > 0; hosts = t.returns.take() {
+			for {
+				err := t.cloud.Return(t.ctx, hosts)
+				if err == nil {
+					break
+				}
+				t.n.log.Info("return unanswered", "err", err)
+				if !ids.Pause(t.ctx, time.Second) {
+					return t.ctx.Err()
+				}
+			}
+			t.n.log.Info("returned", "hosts", hosts)
+			t.post(t.ctx, func() { t.core.ReturnResult(t.n.clock.Now(), hosts, true) })
+			if !ids.Pause(t.ctx, returnInterval) {
+				return t.ctx.Err()
+			}
+		}
+	}
+}
+
+// listMachines reads the cloud's list.
+func (t *term) listMachines() error {
+	for {
+		asked := t.n.clock.Now()
+		list, err := t.cloud.List(t.ctx)
+		if err == nil {
+			t.post(t.ctx, func() { t.core.MachineList(t.n.clock.Now(), asked, list) })
+		} else {
+			t.n.log.Debug("machines not listed", "err", err)
+		}
+		// Reading the list takes a fifth of the calls at most, however long
+		// it is: rentals and returns need the rest.
+		pages := float64(1 + len(list)/cloud.PageSize)
+		if !ids.Pause(t.ctx, max(2*time.Second, ids.Seconds(5*pages/t.n.cfg.Settings.Cloud.RPS))) {
+			return t.ctx.Err()
+		}
+	}
+}
--- a/node/upgrade.go
+++ b/node/upgrade.go
@@ -17,7 +17,7 @@
 // no job that names others is accepted and no record is split. Everything else is
 // written as they write and read it. A leader before that may be an older one, which
 // goes on alone for the whole grace: term.options counts on that. And an older one
-// acknowledges withdrawals without saying whether it holds its key: cancelVisible takes that,
+// acknowledges cancellations without saying whether it holds its key: cancelVisible takes that,
 // as older followers do. The file can go, with scheduler's EnableSplitRecords and
 // Options.Split, once no deployment is left whose state lacks ledger.FormatKey; what
 // asks done() then takes it for true.
@@ -37,7 +37,7 @@
 	Durable bool `cbor:"10,keyasint,omitempty"`
 }
 
-// heardVersion notes what a peer's latest ping told.
+// observeVersion takes note of the version that a peer's latest ping told.
 func (p *peer) observeVersion(ans ping) {
 	if ans.Format < formatNew {
 		p.version.Store(nil)
@@ -51,8 +51,10 @@
 // goes back.
 type upgrade struct{ durable atomic.Bool }
 
+// done tells whether every controller is known to be of this version.
 func (u *upgrade) done() bool { return u.durable.Load() }
 
+// versions is what this node's pings tell of versions.
 func (n *Node) versions() versions {
 	v := versions{Format: formatNew, Durable: n.upgrade.done()}
 	if v.Durable {
@@ -66,7 +68,7 @@
 	return v
 }
 
-// allNew tells what the peers' pings show: that all controllers are new, or that
+// allControllersNew tells what the peers' pings show: that all controllers are new, or that
 // somebody has written so.
 func (n *Node) allControllersNew() (all, durable bool) {
 	all = true
--- a/node/upgrade_test.go
+++ b/node/upgrade_test.go
@@ -186,7 +186,7 @@
 
 // Submissions that name others, at two nodes. What is refused as never accepted is
 // refused only when that is known, a retry of what was accepted is answered from
-// its record, and a withdrawal takes along whatever needs the job, at any node and
+// its record, and a cancellation takes along whatever needs the job, at any node and
 // whenever it came, whether or not the leader has written so.
 func TestSubmissionsThatWait(t *testing.T) {
 	state := newSmallState(t)
--- a/node/withdrawals_test.go
+++ b/node/withdrawals_test.go
@@ -49,7 +49,7 @@
 // another node. Were the user told, and the state service then away for everybody, the
 // leader would go on renewing the leases of the tasks for longer than cancel_s, knowing
 // of nothing. So nobody is told, in whatever way, before a leader that holds its key has
-// taken the withdrawal in; and nobody is told anything older.
+// taken the cancellation in; and nobody is told anything older.
 func TestWithdrawalIsToldOnceALeaderHasTakenItIn(t *testing.T) {
 	state := newSmallState(t)
 	addr, refuse := state.door(t)
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -1,9 +1,9 @@
 // Package pipeline decides which jobs wait for others, which are ready and
-// which are withdrawn because one that they need is. It is the only place that
+// which are cancelled because one that they need is. It is the only place that
 // does: the leader and every node's copy of the jobs ask it.
 //
 // A job that waits never had a task, so it can be neither running nor done. Done
-// and withdrawn are final. So the answer follows from the records alone, and
+// and cancelled are final. So the answer follows from the records alone, and
 // whoever has newer records never takes an answer back.
 package pipeline
 
@@ -15,8 +15,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// State is where a job stands. What is waiting becomes ready or withdrawn, what is
-// ready done or withdrawn, and nothing goes back.
+// State is where a job stands. What is waiting becomes ready or cancelled, what is
+// ready done or cancelled, and nothing goes back.
 type State uint8
 
 const (
@@ -29,8 +29,8 @@
 	Ready
 	// Done is final.
 	Done
-	// Withdrawn is final too: by the job's own record, or because a job that it
-	// needs is withdrawn.
+	// Cancelled is final too: by the job's own record, or because a job that it
+	// needs is cancelled.
 	Cancelled
 )
 
@@ -51,19 +51,20 @@
 type Standing struct {
 	State State
 	// Priority is the highest of the job's own and of those that need it,
-	// directly or through others, withdrawn ones aside.
+	// directly or through others, cancelled ones aside.
 	Priority wire.Priority
 	// ReadyMS is when the job became ready, or will have been at the least.
 	ReadyMS int64
 	// StartByMS is the latest time at which the job may start, if it and all that
 	// need it are to be done by their deadlines; 0: there are none. It counts those
-	// that were withdrawn since.
+	// that were cancelled since.
 	StartByMS int64
 }
 
-// levels is how many priorities there are.
+// priorityLevels is how many priorities there are.
 const priorityLevels = int(wire.Critical) + 1
 
+// node is one job in the graph.
 type node struct {
 	id    ids.JobID
 	state State
@@ -79,8 +80,10 @@
 	expectedRun          time.Duration
 }
 
+// over tells whether the job is done or cancelled, for good.
 func (n *node) over() bool { return n.state >= Done }
 
+// startByMS is when the job must start to end by endByMS; 0: at any time.
 func (n *node) startByMS() int64 {
 	if n.endByMS == 0 {
 		return 0
@@ -104,6 +107,7 @@
 	return Standing{State: n.state, Priority: n.priority, ReadyMS: n.readyMS, StartByMS: n.startByMS()}
 }
 
+// node finds a job, or makes one that is unknown.
 func (g *Graph) node(id ids.JobID) *node {
 	n := g.nodes[id]
 	if n == nil {
@@ -134,12 +138,13 @@
 	return w.changed
 }
 
-// walk is one change and what follows from it.
+// update is one change of a record and what follows from it.
 type update struct {
 	changed []ids.JobID
 	marked  map[*node]bool
 }
 
+// markChanged lists a job among those whose standing changed, once.
 func (w *update) markChanged(n *node) {
 	if w.marked == nil {
 		w.marked = map[*node]bool{}
@@ -150,6 +155,7 @@
 	}
 }
 
+// accept takes in the record of a job that was not known.
 func (w *update) accept(g *Graph, n *node, r Record) {
 	w.markChanged(n)
 	n.state, n.ownPriority, n.readyMS = Waiting, r.Priority, r.SubmittedMS
@@ -186,7 +192,8 @@
 	w.propagateDeadline(n)
 }
 
-// leave takes a job that is over out of the count of those that still need others.
+// detachFromDependencies takes a job that is over out of the counts of those that it
+// depends on.
 func (w *update) detachFromDependencies(n *node) {
 	for _, m := range n.dependencies {
 		if !m.over() {
@@ -197,7 +204,7 @@
 	n.dependents, n.dependencies = nil, nil
 }
 
-// done lets those go on that needed the job.
+// finish marks a job as done and makes those ready that waited for it alone.
 func (w *update) finish(n *node) {
 	n.state = Done
 	for _, a := range n.dependents {
@@ -214,8 +221,8 @@
 	w.detachFromDependencies(n)
 }
 
-// withdraw takes a job out, and all that need it, directly or through others. A
-// chain may be long, so it goes by a list and not by calls.
+// cancel marks a job as cancelled, and all that depend on it, directly or through others.
+// A chain may be long, so it is worked off from a list rather than by recursion.
 func (w *update) cancel(first *node) {
 	todo := []*node{first}
 	for len(todo) > 0 {
@@ -231,8 +238,8 @@
 	}
 }
 
-// due notes a time by which a job should be done, and tells whether it is the
-// earliest.
+// tightenEndBy notes a time by which a job should be done, and tells whether it is the
+// earliest so far.
 func (n *node) tightenEndBy(by int64) bool {
 	if by == 0 || n.endByMS != 0 && by >= n.endByMS {
 		return false
@@ -241,7 +248,8 @@
 	return true
 }
 
-// hurry brings the times by which what a job needs should be done up to date.
+// propagateDeadline brings the times up to date by which a job's dependencies should be
+// done.
 func (w *update) propagateDeadline(first *node) {
 	todo := []*node{first}
 	for len(todo) > 0 {
@@ -256,7 +264,8 @@
 	}
 }
 
-// highest is the priority that follows for a job.
+// effectivePriority is the highest of the job's own priority and of those that depend on
+// it.
 func (n *node) effectivePriority() wire.Priority {
 	for p := priorityLevels - 1; p > int(n.ownPriority); p-- {
 		if n.dependentsByPriority[p] > 0 {
@@ -266,7 +275,8 @@
 	return n.ownPriority
 }
 
-// raise brings a job's priority, and those of all that it needs, up to date.
+// propagatePriority brings a job's priority, and those of all that it depends on, up to
+// date.
 func (w *update) propagatePriority(first *node) {
 	todo := []*node{first}
 	for len(todo) > 0 {
--- a/pipeline/pipeline_test.go
+++ b/pipeline/pipeline_test.go
@@ -55,7 +55,7 @@
 	return at
 }
 
-// Random pipelines: jobs are submitted, withdrawn and done in any order that can
+// Random pipelines: jobs are submitted, cancelled and done in any order that can
 // be, and their records come late, twice, and in any order. Whoever has seen the
 // same records says the same as the model, and nobody takes back that a job is
 // over or ready.
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -20,10 +20,10 @@
 	MachinesExamined uint64
 }
 
-// schedule is one pass of admission: first the jobs that stay within their
-// team's guarantee, then those that borrow, each by priority and creation
-// time. One that does not fit is passed by later ones that do. Then room is
-// made for those that are owed it.
+// scheduleRound is one round of admission: first the jobs that stay within their team's
+// guarantee, then those that borrow, each by priority and creation time. A job that does
+// not fit is passed by later ones that do. Then room is made for jobs that are entitled
+// to it, and machines are reserved for those that have waited too long.
 func (adm *admitter) scheduleRound() {
 	waiting := adm.core.waitingJobs()
 	if len(waiting) == 0 {
@@ -103,6 +103,8 @@
 	c.quotas.SetSurplus(have.Minus(c.quotas.Nominal()))
 }
 
+// fitsQuota tells whether n more tasks of a job fit its team's quota: within the
+// guarantee, or else with what may be borrowed.
 func (c *Core) fitsQuota(j *job, nominal bool, n int) bool {
 	m := j.amount().Times(n)
 	if nominal {
@@ -118,8 +120,8 @@
 	return len(j.pending) > 0 && !adm.core.fitsQuota(j, true, n) && adm.core.fitsQuota(j, false, n)
 }
 
-// admit places what fits of a job: a service whole when it starts, an array
-// in slices that fit. noRoom tells that no machine had room.
+// admitJob places what fits of a job: a service or a gang whole, an array task by task.
+// noRoom tells that no machine had room.
 func (adm *admitter) admitJob(j *job, nominal bool) (noRoom bool) {
 	whole := j.needsAllTasks()
 	if j.spec.Gang && len(j.active) > 0 {
@@ -200,8 +202,8 @@
 	return noRoom
 }
 
-// place decides on a machine for a task. From here on it counts as used; it
-// is sent once the record is committed.
+// assign places a task on a machine. From here on it counts as used; the command to run
+// it is sent once the record is committed.
 func (adm *admitter) assign(j *job, i int, m *machine) *assignment {
 	j.tasks[i].attempt++
 	a := &assignment{job: j, index: i, attempt: j.tasks[i].attempt, machine: m, phaseSince: adm.core.now, protected: j.priority == wire.BestEffort && adm.core.starving(j)}
--- a/scheduler/assignment.go
+++ b/scheduler/assignment.go
@@ -10,6 +10,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
+// stopReason tells why a task must leave its machine, if it must.
 type stopReason uint8
 
 const (
@@ -26,11 +27,11 @@
 	index   int
 	attempt ids.Attempt
 	machine *machine
-	// recorded: the admission record is committed. Nothing is sent before.
+	// recorded tells that the admission record is committed. Nothing is sent before.
 	recorded bool
-	// saving: a change that holds this placement is on its way.
+	// recordInFlight tells that a change which holds this placement is on its way.
 	recordInFlight bool
-	// inherited: a predecessor recorded it and may have sent it.
+	// inherited tells that a predecessor recorded it and may have sent it.
 	inherited bool
 	// sentToken is the highest token under which run may have been sent. A
 	// worker that shows a higher one and not the attempt will never start it.
@@ -41,14 +42,15 @@
 	seen         bool
 	phase        string
 	phaseSince   ids.Instant   // when the phase began, as far as known
-	pausedBefore time.Duration // Core.stood at that time
+	pausedBefore time.Duration // Core.totalPause at that time
 	stopReason   stopReason
-	protected    bool // a first task of a job that starved
+	protected    bool // see protectionPeriod
 	stoppedAt    ids.Instant
 	graceS       float64
 	killSentAt   ids.Instant
 }
 
+// ref names the task.
 func (a *assignment) ref() ids.TaskRef { return ids.TaskRef{Job: a.job.id, Index: a.index} }
 
 // mayRun tells whether the worker might have the task.
@@ -110,7 +112,7 @@
 	c.records.markTaskDirty(j, a.index, false)
 }
 
-// complete notes that a task is done.
+// completeTask takes note that a task is done.
 func (c *Core) completeTask(a *assignment) {
 	c.detach(a)
 	j := a.job
@@ -132,9 +134,8 @@
 	}
 }
 
-// stop decides that a task must leave its machine. One that was never sent is
-// gone at once, unless its record is still being written: then the record
-// decides first.
+// stopTask decides that a task must leave its machine. One that was never sent is gone at
+// once, unless its record is on its way: then the outcome of that is awaited first.
 func (c *Core) stopTask(a *assignment, why stopReason) {
 	if a.stopReason == stopNone {
 		a.stoppedAt = c.now
@@ -155,7 +156,7 @@
 	c.schedulingDue = true
 }
 
-// beginStop stops all that a job which is over may still have on machines.
+// stopAllTasks stops whatever a job that is over may still have on machines.
 func (c *Core) stopAllTasks(j *job) {
 	j.pending = nil
 	j.cancelledAt = c.now
@@ -171,6 +172,7 @@
 	c.schedulingDue = true
 }
 
+// tasksByIndex lists a job's assignments in the order of its tasks.
 func tasksByIndex(m map[int]*assignment) []*assignment {
 	out := make([]*assignment, 0, len(m))
 	for _, a := range m {
@@ -180,15 +182,15 @@
 	return out
 }
 
-// loss counts tasks that were taken off machines before they were done, and
-// the CPU seconds they had run.
+// lostWorkTally counts tasks that were taken off machines before they were done, and the
+// CPU seconds that they had run.
 type lostWorkTally struct {
 	tasks int
 	cpuS  float64
 }
 
-// ran is how long a task has been in its phase, without what the leader itself stood
-// still: what began or ended meanwhile is heard of only after it.
+// runTime is how long a task has been in its phase, less the pauses of this process:
+// what began or ended during a pause is heard of only after it.
 func (c *Core) runTime(a *assignment) time.Duration {
 	return c.now.Sub(a.phaseSince) - (c.totalPause - a.pausedBefore)
 }
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -34,6 +34,7 @@
 	spotLosses int
 }
 
+// newAutoscaler makes an autoscaler that has seen no demand yet.
 func newAutoscaler(c *Core) *autoscaler {
 	return &autoscaler{
 		core:              c,
@@ -159,9 +160,9 @@
 // machine may take before it counts as late.
 const lateBootFactor = 1.7
 
-// late tells whether a machine takes so long to come up that it may never do so. What
-// waits for it has another rented in its place, unless all of its type take as long
-// now: then another would come no sooner.
+// bootLate tells whether a machine takes so long to boot that it may never come up. What
+// waits for it has another rented in its place, unless all machines of its type take as
+// long now: then another would come no sooner.
 func (as *autoscaler) bootLate(m *machine) bool {
 	if m.reported || m.machineType == nil || !m.rentedThisTerm {
 		return false
--- a/scheduler/class_demand.go
+++ b/scheduler/class_demand.go
@@ -11,7 +11,7 @@
 // demandWindow is how long a class's peak is remembered.
 const demandWindow = 2 * time.Minute
 
-// peak is the most tasks of a class at once, lately.
+// classDemand is the recent demand of one class of jobs.
 type classDemand struct {
 	spec    *wire.Spec
 	current int
@@ -21,9 +21,8 @@
 	jobs, tasks [4]int
 }
 
-// coming is how many tasks to expect within a time: those that came in the
-// window, and three times their spread. Tasks come in jobs, which makes the
-// spread as much wider.
+// expectedArrivals is how many tasks to expect within a time: those that arrived in the
+// window, and three times their spread. Tasks arrive in jobs, which widens the spread.
 func (p *classDemand) expectedArrivals(within time.Duration) float64 {
 	jobs, tasks := 0, 0
 	for i := range p.jobs {
@@ -38,7 +37,7 @@
 	return size * (float64(jobs)*part + 3*math.Sqrt(float64(jobs)*part))
 }
 
-// turn moves on to the half minute of now.
+// advance moves on to the window's slot of the given time.
 func (p *classDemand) advance(now ids.Instant) {
 	slot := int(time.Duration(now) / (demandWindow / 4))
 	for ; p.slot < slot; p.slot++ {
@@ -51,6 +50,7 @@
 	}
 }
 
+// peakTasks is the largest number of tasks at once in the window.
 func (p *classDemand) peakTasks() int {
 	m := p.current
 	for _, v := range p.peaks {
@@ -59,7 +59,7 @@
 	return m
 }
 
-// arrived notes a job that came.
+// recordArrival takes note of a job that became ready.
 func (as *autoscaler) recordArrival(s *wire.Spec) {
 	if p := as.demandByClass[s.Class]; p != nil {
 		p.advance(as.core.now)
@@ -68,6 +68,7 @@
 	}
 }
 
+// updateDemand counts the tasks of each class that wait or run.
 func (as *autoscaler) updateDemand() {
 	count := map[string]int{}
 	first := map[string]*job{} // by id, of the classes that are new
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -23,8 +23,7 @@
 	return ids.NewToken(q.core.opt.Revision, m.counter)
 }
 
-// answer makes the answer to a report: what to end, what to forget, what to
-// start.
+// answerReport makes the answer to a report: what to end, what to reap, what to start.
 func (q *commandQueue) answerReport(m *machine) wire.ReportAnswer {
 	orders := q.killCommands(m)
 	if !m.callInFlight {
@@ -46,8 +45,8 @@
 	return wire.ReportAnswer{Token: q.tokenOf(m), Commands: append(orders, runs...)}
 }
 
-// kills lists what must end on a machine. It also raises the counter if the
-// message that would start a stopped task may still be under way.
+// killCommands lists what must end on a machine. It also raises the token's counter if
+// the message that would start a stopped task may still be under way.
 func (q *commandQueue) killCommands(m *machine) []wire.Command {
 	orders := []wire.Command{}
 	for _, a := range m.taskList {
@@ -82,8 +81,8 @@
 	return orders
 }
 
-// runs lists what should start on a machine and has not been seen there.
-// Again asks also for what was sent before.
+// runCommands lists what should start on a machine and was not seen there. With again it
+// also repeats what was sent before.
 func (q *commandQueue) runCommands(m *machine, again bool, most int) []wire.Command {
 	var orders []wire.Command
 	if m.returning {
@@ -108,8 +107,7 @@
 	return orders
 }
 
-// reapable tells whether the end of an attempt is recorded, or is without
-// consequence.
+// canReap tells whether the end of an attempt is recorded, or has no consequence.
 func (q *commandQueue) canReap(m *machine, s *reportedTask) bool {
 	if a := m.tasks[s.ref]; a != nil && a.attempt == s.attempt {
 		return false
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -151,12 +151,11 @@
 	c.schedulingDue = true
 }
 
-// Followed tells that every other controller has said, since this term began,
-// that it follows this leader. A process that knows of a later leader answers
-// no report in the name of an earlier one, nor does one that was started
-// since; so no worker's lease can have been renewed by anybody else for a
-// report sent after now, and what silent workers hold need not wait for the
-// grace.
+// AllFollow is called once every other controller has said, since this term began, that
+// it follows this leader. A process that knows of a later leader answers no report in the
+// name of an earlier one, nor does one that was started since. So no worker's lease can
+// be renewed by anybody else for a report sent after now, and what silent workers hold
+// need not wait for the predecessor's grace.
 func (c *Core) AllFollow(now ids.Instant) {
 	c.now = now
 	c.predecessorUntil = min(c.predecessorUntil, now)
@@ -183,7 +182,7 @@
 	return out
 }
 
-// awake moves the time on, and notices that the leader did not run for a while.
+// advance moves the clock on and detects pauses of the process.
 func (c *Core) advance(now ids.Instant) {
 	c.now = now
 	if gap := now.Sub(c.lastStep); gap > pauseThreshold {
@@ -195,14 +194,15 @@
 	c.lastStep = now
 }
 
-// scheduleAt sees that a pass comes by a time, whether or not anything happens.
+// scheduleAt sees that a scheduling round comes by a time, whether or not anything
+// happens.
 func (c *Core) scheduleAt(at ids.Instant) {
 	if c.recheckAt == 0 || at < c.recheckAt {
 		c.recheckAt = at
 	}
 }
 
-// wallMS is the time of day, as far as it is known.
+// wallClockMS is the time of day in milliseconds; 0: not known.
 func (c *Core) wallClockMS() int64 {
 	if c.opt.WallClockMS == 0 {
 		return 0
--- a/scheduler/core_test.go
+++ b/scheduler/core_test.go
@@ -296,7 +296,7 @@
 	}
 }
 
-// plainPass is the slow plain model of one pass of admission. It starts from
+// plainPass is the slow plain model of one round of admission. It starts from
 // nothing but the machines and the jobs, adds everything up again for every
 // single task, and follows the written rule: within the guarantee first, then
 // borrowing; by priority, creation time and id; what does not fit is passed.
@@ -492,7 +492,7 @@
 	return out
 }
 
-// samePass runs one pass of the core and of the plain model, and returns how
+// samePass runs one round of the core and of the plain model, and returns how
 // many tasks both have placed.
 func (b *bench) samePass() int {
 	b.t.Helper()
@@ -557,7 +557,7 @@
 	}
 }
 
-// At over a thousand machines the pass is still that of the plain model, and
+// At over a thousand machines the round is still that of the plain model, and
 // its work grows with machines times jobs at most, not times tasks. Work is
 // counted, not timed.
 func TestAdmissionAtScale(t *testing.T) {
@@ -704,7 +704,7 @@
 
 // A zone that is cut off is known by its silence within seconds, and what its
 // services need is rented before their leases run out. When all zones are
-// silent at once, or the leader itself stood still, it is not the zone.
+// silent at once, or the leader itself was paused, it is not the zone.
 func TestCutZoneIsNoticedSoon(t *testing.T) {
 	for name, c := range map[string]struct {
 		silent []ids.Zone
@@ -903,7 +903,7 @@
 	}
 }
 
-// With a zone cut off, hundreds of services waited for it, and each pass ended
+// With a zone cut off, hundreds of services waited for it, and each round ended
 // with them: arrays behind them waited beside idle machines.
 func TestCrowdWithoutRoomDoesNotEndThePass(t *testing.T) {
 	b := newBench(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 6400}, Limit: quota.Amount{CPUs: 6400}}}})
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -7,9 +7,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// heat notes that a command may have to go to a machine. Only such machines
-// are looked at: looking at all of them after every event costs a node its
-// processor once there are a thousand.
+// queueCommands notes that a command may have to go to a machine. Only such machines are
+// looked at: with a thousand machines, looking at all of them after every event takes too
+// much of a node's processor.
 func (q *commandQueue) queueCommands(m *machine) {
 	if !m.queued {
 		m.queued = true
@@ -17,9 +17,9 @@
 	}
 }
 
-// direct lists the workers to which a command should go at once, those first
-// that have waited longest. After a takeover or a cut hundreds wait, and events
-// come in between: what each step looks at here must be little.
+// dispatchCommands lists the workers that should be called now, those that have waited
+// longest first. After a takeover or a partition hundreds wait while events keep coming,
+// so a step does little work here.
 func (q *commandQueue) dispatchCommands() {
 	room := q.core.opt.MaxDirectCalls - q.callsInFlight
 	if q.core.opt.MaxDirectCalls <= 0 {
@@ -35,9 +35,8 @@
 	q.queuedMachines = left
 }
 
-// wait sends what should go to a machine now, if there is room for a call, and
-// tells whether the machine must be looked at again; otherwise what changes
-// heats it again.
+// dispatchTo sends what should go to a machine now, if another call is allowed. It tells
+// whether the machine stays in the queue; otherwise whatever changes queues it again.
 func (q *commandQueue) dispatchTo(m *machine, room *int) bool {
 	switch {
 	case q.core.registry.machines[m.host] != m || m.returning || m.endpoint == "":
@@ -82,6 +81,8 @@
 // answer to its report brings it one; who does not report here must be told.
 func (q *commandQueue) needsFencing(m *machine) bool { return !m.fenced && len(m.tasks) > 0 }
 
+// needsDirectCommand tells whether a machine must be told something before its next
+// report.
 func (q *commandQueue) needsDirectCommand(m *machine) bool {
 	if q.needsFencing(m) && (m.answeredAt == 0 || q.core.now > m.answeredAt.Add(q.core.opt.Report)) {
 		return true
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -15,8 +15,8 @@
 	estimateFactors map[string]float64
 }
 
-// expected is how long a task should run. Estimates of a class are mostly too
-// high or mostly too low on some days.
+// expectedRun is how long a task should run. Owners' estimates for a class are mostly too
+// high or mostly too low on some days, which recordRun learns.
 func (e *runEstimates) expectedRun(s *wire.Spec) time.Duration {
 	factor := 1.0
 	if r := e.estimateFactors[s.Class]; r > 0 {
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// acquit takes back what a job that fails everywhere has laid to machines' charge. A
-// few of them, submitted with a mistake, would condemn one healthy machine after
-// another.
+// clearFailureHistory takes back the failures that a permanently failing job has added to
+// machines' histories. A few jobs that were submitted with a mistake would otherwise
+// quarantine one healthy machine after another.
 func (c *Core) clearFailureHistory(j *job) {
 	for _, m := range c.registry.machineList {
 		if m.failuresByJob[j.id] == 0 {
@@ -63,6 +63,7 @@
 	c.schedulingDue = true
 }
 
+// addAntiAffinity keeps a job off a machine for a while.
 func (c *Core) addAntiAffinity(j *job, m *machine) {
 	if j.antiAffinity == nil {
 		j.antiAffinity = map[ids.Host]ids.Instant{}
@@ -71,8 +72,8 @@
 	c.scheduleAt(c.now.Add(antiAffinityPeriod))
 }
 
-// avoids tells whether a job keeps off a machine where it failed a while ago. It
-// must not for ever: there may be no other machine for it.
+// hasAntiAffinity tells whether a job keeps off a machine where it failed a while ago.
+// This ends after antiAffinityPeriod: there may be no other machine for it.
 func (c *Core) hasAntiAffinity(j *job, m *machine) bool {
 	at, failed := j.antiAffinity[m.host]
 	return failed && c.now < at.Add(antiAffinityPeriod)
--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -17,7 +17,7 @@
 	Zones placement.Zones // the job's tasks by zone so far
 }
 
-// Buy is a wish for machines of one site.
+// Purchase is a wish for machines of one site.
 type Purchase struct {
 	placement.Site
 	Count int
@@ -29,6 +29,7 @@
 	sites map[placement.Site]wait
 }
 
+// wait is until when a site is not asked, and how long the next wait is.
 type wait struct {
 	until ids.Instant
 	next  time.Duration
@@ -53,7 +54,7 @@
 // Granted clears a site.
 func (b *Backoff) Granted(s placement.Site) { delete(b.sites, s) }
 
-// Lately tells whether a site lacked capacity when it was last asked.
+// RecentlyRefused tells whether a site lacked capacity when it was last asked.
 func (b *Backoff) RecentlyRefused(s placement.Site) bool { return b.sites[s].next > 0 }
 
 // Blocked tells whether a site should not be asked yet.
@@ -78,7 +79,7 @@
 	purchases map[placement.Site]int
 }
 
-// Coming adds a machine that is starting, with the room that is left on it.
+// AddCapacity adds a machine that is starting, with the room that is left on it.
 func (p *Planner) AddCapacity(s placement.Site, free placement.Resources) {
 	p.bins = append(p.bins, &bin{s, free})
 }
@@ -129,6 +130,7 @@
 	return n
 }
 
+// pick chooses the site that is cheapest for a task.
 func (p *Planner) pick(d Demand, zones placement.Zones) (placement.Site, *wire.MachineType, bool) {
 	if p.Budget <= 0 {
 		return placement.Site{}, nil, false
@@ -165,6 +167,7 @@
 	return best, bestType, bestType != nil
 }
 
+// perMachine is how many tasks of a job an empty machine holds, and at least one.
 func perMachine(s *wire.Spec, t *wire.MachineType) int {
 	return max(1, Holds(s, placement.OfType(t)))
 }
@@ -180,7 +183,7 @@
 	return max(0, n)
 }
 
-// Buys lists the purchases in a fixed order.
+// Purchases lists the purchases in a fixed order.
 func (p *Planner) Purchases() []Purchase {
 	var out []Purchase
 	for s, n := range p.purchases {
--- a/scheduler/fleet_demand.go
+++ b/scheduler/fleet_demand.go
@@ -14,7 +14,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// demand adds the waiting tasks that quota would let in.
+// addDemand adds the waiting tasks that quota would admit.
 func (as *autoscaler) addDemand(p *fleet.Planner) {
 	type taken struct {
 		t ids.Team
@@ -89,11 +89,10 @@
 // more than a worker needs to find another node.
 const silentReports = 3
 
-// replacements rents ahead for services on machines that are likely to lose
-// them: whose zone is cut off, that are silent, or that will be taken. Their
-// leases run out about when a machine rented now is up, and a boot that began
-// only then would be time without them; if they come back, the machine is idle
-// and returned.
+// addReplacements rents ahead for services on machines that are likely to lose them:
+// whose zone is partitioned, that are silent, or that will be taken. Their leases run out
+// about when a machine rented now is up; a boot begun only then would be downtime. If the
+// machines come back, the new one is idle and is returned.
 func (as *autoscaler) addReplacements(p *fleet.Planner) {
 	var silent []*machine
 	late := as.core.now > as.core.resumedAt.Add(as.core.opt.Report*3/2) // all have had their turn
@@ -123,9 +122,9 @@
 // the room must have the image too, and stand in the right zone.
 const spareBoots = 8
 
-// spare is the room that a class which cannot wait for a boot should have: a
-// part of its peak, but no more than what may come while a machine boots. With
-// hundreds of services the former is far more than ever comes.
+// spareTasks is the spare room, in tasks, that a latency-sensitive class should have: a
+// part of its peak, but no more than what may arrive within a few boots. With hundreds of
+// services the former is far more than ever arrives.
 func (as *autoscaler) spareTasks(p *classDemand) int {
 	want := as.core.opt.Headroom * float64(p.peakTasks())
 	boot := as.fastestBoot(p.spec)
@@ -135,7 +134,7 @@
 	return int(math.Ceil(want)) + 2
 }
 
-// headroom keeps room for classes that cannot wait for a machine to boot.
+// addHeadroom rents spare room for classes that cannot wait for a machine to boot.
 func (as *autoscaler) addHeadroom(p *fleet.Planner) {
 	for _, class := range slices.Sorted(maps.Keys(as.core.opt.LatencySensitive)) {
 		pk := as.demandByClass[class]
@@ -149,7 +148,7 @@
 	}
 }
 
-// slots counts how many more tasks the machines have room for, up to most.
+// freeSlots counts how many more tasks the machines have room for, up to most.
 func (as *autoscaler) freeSlots(s *wire.Spec, most int) int {
 	n := 0
 	for _, m := range as.core.registry.machineList {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -127,13 +127,14 @@
 	return a.phaseSince.Add(hm.core.estimates.expectedRun(a.job.spec)) < by
 }
 
+// silentFor tells whether a machine has not been heard for longer than d.
 func (hm *healthMonitor) silentFor(m *machine, d time.Duration) bool {
 	return hm.core.now > max(m.lastHeard, m.knownSince).Add(d)
 }
 
-// overdue tells whether a machine holds a task of a withdrawn job that must be
-// gone soon, whether it is silent or only does not do as it is told. Giving
-// the machine back is the one sure way.
+// cancelOverdue tells whether a machine holds a task of a cancelled job that must be gone
+// soon, whether the machine is silent or only does not do as it is told. Returning the
+// machine is the one sure way to end the task.
 func (hm *healthMonitor) cancelOverdue(m *machine) bool {
 	if m.staying == len(m.taskList) {
 		return false
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -13,6 +13,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
+// taskState is where a task of a job stands.
 type taskState uint8
 
 const (
@@ -21,6 +22,7 @@
 	taskDone
 )
 
+// task is one task of a job.
 type task struct {
 	attempt    ids.Attempt
 	state      taskState
@@ -28,7 +30,7 @@
 	slice      *admissionSlice // whose record it belongs to
 }
 
-// slice is one admission record.
+// admissionSlice is one admission record of a job and the tasks that it is for.
 type admissionSlice struct {
 	number     int
 	revision   ids.Revision // 0: no record
@@ -37,25 +39,28 @@
 	urgent     bool // holds placements that are not recorded
 	inFlight   bool
 	tasks      []int // ascending
-	// large: its record is beyond ValueBytes and was written all the same,
-	// since older controllers could not read it in parts.
+	// oversized tells that the record is beyond ValueBytes and was written all the
+	// same, since older controllers could not read it in parts.
 	oversized bool
 }
 
+// job is what the core knows of one job.
 type job struct {
 	id       ids.JobID
 	spec     *wire.Spec
 	revision ids.Revision
-	readyMS  int64 // when it was ready to run, as the time of day
-	// by is what jobs go by: at, or for a pipeline that is late, when this job
-	// should have started for the last to be done in time.
+	// readyMS is the time of day when the job was ready to run.
+	readyMS int64
+	// orderMS orders jobs of a priority: readyMS, or for a pipeline that is late, when
+	// this job should have started for the last one to be done in time.
 	orderMS int64
 	status  string
-	// prio is the job's own priority or that of one that needs it, ready tells
-	// that all that it needs is done, and unwritten that it is withdrawn with
-	// a job that it needs, but its own record does not say so yet.
-	priority         wire.Priority
-	ready            bool
+	// priority is the job's own or that of one that depends on it.
+	priority wire.Priority
+	// ready tells that all that the job depends on is done.
+	ready bool
+	// cancelUnrecorded tells that it is cancelled with a job that it depends on, but
+	// its own record does not say so yet.
 	cancelUnrecorded bool
 	refusals         int // changes in a row that the state service would not take
 	tasks            []task
@@ -64,7 +69,7 @@
 	done             int
 	active           map[int]*assignment
 	zones            placement.Zones
-	// finishing: the commit of done is on its way.
+	// completing tells that the commit of done is on its way.
 	completing  bool
 	cancelledAt ids.Instant
 	retryAt     ids.Instant
@@ -72,31 +77,34 @@
 	backoff     time.Duration
 	deferred    bool     // goes with the borrowers, behind higher work of its team
 	onlyZone    ids.Zone // while a zone is tried for a job that needs one
-	// begun: one of its tasks was placed once. came is when it was ready to run,
-	// waits since when it could not begin, keptSince since when room is kept.
-	started       bool
-	suspended     bool // see Suspend
-	readyAt       ids.Instant
+	// started tells that one of its tasks was placed once.
+	started   bool
+	suspended bool // see Suspend
+	readyAt   ids.Instant
+	// waitingSince is since when it could not start; a reservation that did not
+	// suffice moves it.
 	waitingSince  ids.Instant
-	reservedSince ids.Instant
-	// coldOK: no machine that holds the image can take the job's tasks, so
-	// others may.
+	reservedSince ids.Instant // 0: no machine is reserved for it
+	// allowColdStart tells that no machine which holds the image can take the job's
+	// tasks, so others may.
 	allowColdStart bool
-	antiAffinity   map[ids.Host]ids.Instant // when last
+	antiAffinity   map[ids.Host]ids.Instant // where it failed, and when last
 	succeeded      int
 	failureRounds  int                          // in which it failed everywhere, since it last succeeded
 	runTimes       map[ids.Host][]time.Duration // tasks that were seen from start to end
 }
 
+// terminal tells whether the job is done or cancelled, for good.
 func (j *job) terminal() bool { return j.status != wire.StatusQueued }
 
+// amount is what one task takes of its team's quota.
 func (j *job) amount() quota.Amount { return quota.Amount{CPUs: j.spec.CPUs, GPUs: j.spec.GPUs} }
 
-// whole tells whether all waiting tasks of a job must be placed together: a
-// gang's always, a service's when it starts.
+// needsAllTasks tells whether all waiting tasks of a job must be placed together: those
+// of a gang always, those of a service when it starts.
 func (j *job) needsAllTasks() bool { return j.spec.Gang || j.spec.Service && len(j.active) == 0 }
 
-// together is how many of a job's waiting tasks must find room at once.
+// tasksTogether is how many of a job's waiting tasks must find room at once.
 func (j *job) tasksTogether() int {
 	if j.needsAllTasks() {
 		return len(j.pending)
@@ -104,18 +112,19 @@
 	return 1
 }
 
-// probes tells whether a job has failed everywhere for so long that one task at a time
-// is tried: it must not hold the room that others need until its user cancels it.
+// probing tells whether a job has failed everywhere for so long that only one task at a
+// time is tried, like a half-open circuit breaker: it must not hold room that others need
+// until its user cancels it.
 func (j *job) probing() bool { return j.failureRounds >= probingAfterRounds && !j.needsAllTasks() }
 
-// grow makes room for slices with numbers below n.
+// growSlices makes room for slices with numbers below n.
 func (j *job) growSlices(n int) {
 	for len(j.slices) < n {
 		j.slices = append(j.slices, &admissionSlice{number: len(j.slices)})
 	}
 }
 
-// relist lists the tasks of each slice anew.
+// rebuildSlices lists the tasks of each slice anew.
 func (j *job) rebuildSlices() {
 	for _, s := range j.slices {
 		s.tasks = s.tasks[:0]
@@ -126,6 +135,7 @@
 	}
 }
 
+// newJob makes a job from its record.
 func (c *Core) newJob(id ids.JobID, rec *ledger.Job, stamp ids.Revision) *job {
 	j := &job{id: id, spec: rec.Spec, revision: stamp, readyMS: rec.SubmittedMS, orderMS: rec.SubmittedMS, status: rec.Status,
 		active: map[int]*assignment{}, zones: placement.Zones{}, readyAt: c.now, waitingSince: c.now}
@@ -143,8 +153,10 @@
 	return j
 }
 
+// compareJobs orders jobs by id.
 func compareJobs(a, b *job) int { return strings.Compare(string(a.id), string(b.id)) }
 
+// sortedJobs lists a set of jobs by id.
 func sortedJobs(m map[*job]bool) []*job { return slices.SortedFunc(maps.Keys(m), compareJobs) }
 
 // sortedJobs lists all jobs by id. Whatever may reach a decision goes through them
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// ObserveJob takes a job's record as found in state: new, withdrawn or with a
+// ObserveJob takes a job's record as found in state: new, cancelled or with a
 // version that this leader did not know.
 func (c *Core) ObserveJob(now ids.Instant, id ids.JobID, rec *ledger.Job, stamp ids.Revision) {
 	c.now = now
@@ -117,7 +117,8 @@
 	}
 }
 
-// heed takes a record into the graph and does what follows for any job.
+// applyJobRecord takes a record into the dependency graph and updates all jobs whose
+// standing changes.
 func (c *Core) applyJobRecord(id ids.JobID, rec *ledger.Job) {
 	for _, other := range c.graph.Put(id, rec.Dependencies()) {
 		if j := c.jobs[other]; j != nil {
@@ -126,10 +127,10 @@
 	}
 }
 
-// follow brings a job in line with the graph: its priority, whether it may run,
-// and whether it is withdrawn because one that it needs is. Such a job never had
-// a task, and nobody answers otherwise any more; its own record says so when there
-// is time.
+// syncDependencies brings a job in line with the graph: its priority, whether it may run,
+// and whether it is cancelled because one that it depends on is. Such a job never had a
+// task and nobody answers otherwise any more; its own record is written when there is
+// time.
 func (c *Core) syncDependencies(j *job) {
 	if j.terminal() {
 		return
@@ -172,6 +173,7 @@
 	c.schedulingDue = true
 }
 
+// rebuildPending lists a job's tasks that wait to be placed.
 func (c *Core) rebuildPending(j *job) {
 	j.pending = j.pending[:0]
 	for i := len(j.tasks) - 1; i >= 0; i-- {
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -9,7 +9,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// shownTask is one entry of a worker's newest report.
+// reportedTask is one entry of a worker's newest report.
 type reportedTask struct {
 	ref     ids.TaskRef
 	attempt ids.Attempt
@@ -17,11 +17,13 @@
 	cause   string
 }
 
+// cachedImage is an image in a machine's cache.
 type cachedImage struct {
 	sizeGB float64
 	usedAt ids.Instant
 }
 
+// machine is what the core knows of one machine.
 type machine struct {
 	placement.Site
 	host           ids.Host
@@ -44,13 +46,14 @@
 	fencedAt   ids.Instant
 	counter    uint64
 
-	// ours: this leader rented it, so it cannot have been returned before.
-	// proven: it answered a call of this leader.
+	// rentedThisTerm tells that it cannot have been returned before, and answeredCall
+	// that it answered a call of this leader.
 	rentedThisTerm, answeredCall bool
-	// deaf: it reports, but what it is told does not reach it.
+	// unreachable tells that it reports, but that what it is told does not reach it.
 	unreachable      bool
 	unreachableSince ids.Instant
-	reservedFor      *job // the job that its room is kept for
+	// reservedFor is the job that alone may use the machine's free room; nil: all.
+	reservedFor *job
 
 	queued          bool // in Core.hot
 	callInFlight    bool
@@ -61,13 +64,13 @@
 	requestReportAt ids.Instant
 
 	tasks map[ids.TaskRef]*assignment
-	// list holds the tasks by job and index; staying, services and pulls count
-	// those that are not told to stop, pulls by image.
+	// taskList holds the tasks by job and index; staying, replicas and fetches count
+	// those that are not told to stop, fetches by image.
 	taskList []*assignment
 	staying  int
 	replicas int
 	fetches  map[ids.Image]int
-	// pass, coming and victims belong to one search for room.
+	// planRound, plannedFree and victimCache belong to one round of preemption.
 	planRound     uint64
 	plannedFree   placement.Resources
 	victimCache   []victim
@@ -82,20 +85,22 @@
 	returned       bool // the cloud has said that it is gone
 	idleSince      ids.Instant
 
-	// errors counts failed tasks since the last that succeeded, by job.
+	// failuresByJob counts failed tasks since the last that succeeded.
 	failuresByJob          map[ids.JobID]int
 	quarantinedUntil       ids.Instant
 	quarantinedForFailures bool // the quarantine is for its errors
 	lastFailure            ids.Instant
-	// pace is a running mean of how many times as long tasks took here as
-	// others of their jobs did, as a power of 2.
+	// slowness is a running mean of how many times as long tasks took here as others
+	// of their jobs did, as a power of 2.
 	slowness   float64
 	slowUntil  ids.Instant
 	slowStreak int // jobs in a row that found the machine slow
 }
 
+// free is the room that is left on the machine.
 func (m *machine) free() placement.Resources { return m.total.Minus(m.used).Minus(m.unrecorded) }
 
+// findReported finds an attempt of a task in the newest report, or returns nil.
 func (m *machine) findReported(ref ids.TaskRef, attempt ids.Attempt) *reportedTask {
 	for i := range m.reportedTasks {
 		if m.reportedTasks[i].ref == ref && m.reportedTasks[i].attempt == attempt {
@@ -105,6 +110,7 @@
 	return nil
 }
 
+// reportsTask tells whether the newest report shows any attempt of a task.
 func (m *machine) reportsTask(ref ids.TaskRef) bool {
 	for i := range m.reportedTasks {
 		if m.reportedTasks[i].ref == ref {
@@ -114,10 +120,11 @@
 	return false
 }
 
-// sorted lists the tasks by job and index. The list may be kept while tasks
-// come and go.
+// tasksSnapshot lists the assignments by job and index. The snapshot stays valid while
+// tasks come and go.
 func (m *machine) tasksSnapshot() []*assignment { return slices.Clone(m.taskList) }
 
+// compareTasks orders assignments by job and index.
 func compareTasks(a, b *assignment) int {
 	if a.job.id != b.job.id {
 		return strings.Compare(string(a.job.id), string(b.job.id))
@@ -125,6 +132,7 @@
 	return a.index - b.index
 }
 
+// addTask counts an assignment on the machine.
 func (m *machine) addTask(a *assignment) {
 	m.tasks[a.ref()] = a
 	i, _ := slices.BinarySearchFunc(m.taskList, a, compareTasks)
@@ -134,6 +142,7 @@
 	}
 }
 
+// removeTask undoes addTask.
 func (m *machine) removeTask(a *assignment) {
 	delete(m.tasks, a.ref())
 	if i, ok := slices.BinarySearchFunc(m.taskList, a, compareTasks); ok {
@@ -144,7 +153,7 @@
 	}
 }
 
-// count keeps the tallies of tasks that are not told to stop.
+// countActive keeps the tallies of tasks that are not told to stop.
 func (m *machine) countActive(a *assignment, n int) {
 	m.staying += n
 	if a.job.spec.Service {
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -23,6 +23,7 @@
 	returnCounts map[string]int
 }
 
+// newMachineRegistry makes an empty registry.
 func newMachineRegistry(c *Core) *machineRegistry {
 	return &machineRegistry{
 		core:          c,
@@ -32,7 +33,7 @@
 	}
 }
 
-// machine finds or makes the entry of a host.
+// ensureMachine finds the entry of a host, or makes one.
 func (r *machineRegistry) ensureMachine(h ids.Host) *machine {
 	m := r.machines[h]
 	if m == nil {
@@ -68,6 +69,7 @@
 	r.core.schedulingDue = true
 }
 
+// applyType fills in what follows from a machine's type.
 func (r *machineRegistry) applyType(m *machine) {
 	if t := r.core.types[m.Type]; t != nil {
 		m.machineType = t
@@ -122,7 +124,7 @@
 		r.returnCounts[why]++
 	}
 	// What is still being recorded was never sent, so nothing has to wait for the
-	// state service here: a withdrawn job's task beside it must be gone in time.
+	// state service here: a cancelled job's task beside it must be gone in time.
 	m.returning, m.returnInFlight = true, true
 	r.core.effects.Return = append(r.core.effects.Return, m.host)
 	r.core.schedulingDue = true
@@ -150,6 +152,7 @@
 	}
 }
 
+// removeMachine drops a machine that is gone, and releases its tasks.
 func (r *machineRegistry) removeMachine(m *machine) {
 	for _, a := range m.tasksSnapshot() {
 		if !a.recordInFlight {
--- a/scheduler/meetings_test.go
+++ b/scheduler/meetings_test.go
@@ -327,7 +327,7 @@
 	}
 }
 
-// While a machine of a withdrawn job can't be asked, it must be returned before
+// While a machine of a cancelled job can't be asked, it must be returned before
 // cancel_s; a placement beside it whose record waits for the state service used to
 // hold that back until the end of an outage.
 func TestReturnDoesNotWaitForARecord(t *testing.T) {
--- a/scheduler/ops_test.go
+++ b/scheduler/ops_test.go
@@ -85,7 +85,7 @@
 }
 
 // Errors of different jobs still condemn a machine that is at fault, also where a
-// mistaken job has failed.
+// permanently failing job has failed.
 func TestSickMachineBesideAMistakenJob(t *testing.T) {
 	b := newBench(t, Options{})
 	b.report("n-0", "a", 0)
@@ -162,7 +162,7 @@
 	}
 }
 
-// What began or ended while the leader itself stood still is heard of only after it:
+// What began or ended while the leader itself was paused is heard of only after it:
 // tasks did not run for that long, machines are not deaf, and none took too long to
 // boot.
 func TestStandingStillIsNobodysFault(t *testing.T) {
@@ -184,7 +184,7 @@
 	b.c.registry.machines["n-1"].Site = placement.Site{Type: "m", Zone: "a"}
 	b.c.registry.machines["n-1"].bootDeadline = b.now.Add(10 * time.Second)
 
-	b.now = b.now.Add(20 * time.Second) // it stands still
+	b.now = b.now.Add(20 * time.Second) // it is paused
 	b.report("n-0", "a", 0)             // on its way since before the command came
 	if b.c.registry.machines["n-0"].unreachable {
 		t.Error("a machine counts as deaf for what the leader slept through")
@@ -208,7 +208,7 @@
 	}
 }
 
-// Idle-time work of a guest found each gap taken by others' work of higher priority, and
+// Best-effort work of a team without a guarantee found each gap taken by others' work of higher priority, and
 // began after seven and ten minutes. Its first task must begin within four, and run on for
 // a while; beyond that it takes nothing from the others.
 func TestIdleTimeWorkBegins(t *testing.T) {
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -9,13 +9,13 @@
 
 // Options are the settings of one term of leadership.
 type Options struct {
-	// Revision is the stamp of the leader's key; tokens are made of it.
+	// Revision is the revision of the leader's key; tokens are made of it.
 	Revision ids.Revision
 	// Predecessor tells that another leader may have acted before.
 	Predecessor bool
 	Teams       []quota.Team
 	// Report and Lease are the workers' settings, Cancel is the time in
-	// which a withdrawn job's tasks must be gone.
+	// which a cancelled job's tasks must be gone.
 	Report, Lease, Cancel time.Duration
 	// Grace is how long a predecessor without the state service may have
 	// gone on answering workers after this term began.
@@ -25,7 +25,7 @@
 	// its JSON form; 0: no bound.
 	TxnOps     int
 	ValueBytes int
-	// Split tells that every controller can read a slice that was split; see
+	// SplitRecords tells that every controller can read a slice that was split; see
 	// EnableSplitRecords.
 	SplitRecords   bool
 	SliceTasks     int
@@ -35,15 +35,16 @@
 	LatencySensitive map[string]time.Duration
 	ReclaimHold      time.Duration
 	Idle             time.Duration
-	SpotIdleFactor   float64 // spot machines may stand idle this many times as long
-	HeadroomIdle     time.Duration
-	Headroom         float64
-	BootFactor       float64
-	CapacityBackoff  time.Duration
+	// SpotIdleFactor is how many times as long spot machines may stand idle.
+	SpotIdleFactor  float64
+	HeadroomIdle    time.Duration
+	Headroom        float64
+	BootFactor      float64
+	CapacityBackoff time.Duration
 	// MaxMachines bounds the machines held; 0: no bound.
 	MaxMachines int
-	// RoundInterval is the least time between two passes of admission, and
-	// RoundCostPerMachine the time that each machine looked at in a pass keeps the next
+	// RoundInterval is the least time between two rounds of admission, and
+	// RoundCostPerMachine the time that each machine looked at in a round keeps the next
 	// one away. Reports and renewals have their turn in between, however much
 	// work waits.
 	RoundInterval, RoundCostPerMachine time.Duration
@@ -55,9 +56,9 @@
 	WriteRate float64
 	// MaxDirectCalls bounds the calls to workers under way; 0: no bound.
 	MaxDirectCalls int
-	// ReserveAfter is how long a job waits to begin until room is kept for it; 0:
-	// never. ReserveFor is how long it is kept at a time. After twice ReserveAfter a
-	// job begins before others go on.
+	// ReserveAfter is how long a job waits to start until machines are reserved for it;
+	// 0: never. ReserveFor is how long a reservation lasts. After twice ReserveAfter a
+	// job starts before others go on.
 	ReserveAfter, ReserveFor time.Duration
 	// WallClockMS is the time of day when the term begins, to tell how long jobs
 	// have waited already; 0: not known.
--- a/scheduler/placement/placement.go
+++ b/scheduler/placement/placement.go
@@ -9,6 +9,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
+// slack keeps sums of decimal amounts from failing a comparison by rounding.
 const slack = 1e-9
 
 // Resources is what a task takes of a machine, or a machine offers.
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -21,7 +21,7 @@
 	preemptionRounds uint64
 }
 
-// room is the state of one search for victims.
+// preemptor is the state of one round of preemption.
 type preemptor struct {
 	core           *Core
 	borrowed       map[ids.Team]quota.Amount // what teams use beyond their guarantee
@@ -30,8 +30,8 @@
 	// zones counts a job's tasks with those that room is being made for.
 	zones            placement.Zones
 	presentWorkloads []workload // whose work there is at all
-	// failed holds what no room could be made for in this pass. Nothing gets
-	// easier during a pass, so the like of it is not tried again.
+	// infeasible holds what no room could be made for in this round. Nothing gets
+	// easier during a round, so the like of it is not tried again.
 	infeasible map[infeasibleRequest]bool
 	// options are the machines for the present job, as long as its claim
 	// stays the same.
@@ -91,6 +91,7 @@
 	r.evict(j, all)
 }
 
+// evict stops the chosen victims.
 func (r *preemptor) evict(j *job, victims []*assignment) {
 	for _, a := range victims {
 		if a.job.spec.Team != j.spec.Team {
@@ -106,25 +107,26 @@
 // evictionBackoff is how long evicted work stays out of admission.
 const evictionBackoff = 500 * time.Millisecond
 
-// work is whose and how important some tasks are.
+// workload names the tasks of one team and priority.
 type workload struct {
 	team     ids.Team
 	priority wire.Priority
 }
 
+// compare orders workloads by team and priority.
 func (w workload) compare(o workload) int {
 	return cmp.Or(strings.Compare(string(w.team), string(o.team)), cmp.Compare(w.priority, o.priority))
 }
 
 // workloadCount counts the tasks on machines that were not told to stop, and
-// those that were and what they will free. Counting them anew in each pass
+// those that were and what they will free. Counting them anew in each round
 // took a fifth of the processor with ten thousand tasks.
 type workloadCount struct {
 	staying, leaving int
 	freeing          quota.Amount
 }
 
-// note keeps the count of tasks on machines.
+// countTask keeps the counts of tasks on machines.
 func (p *evictor) countTask(a *assignment, staying, leaving int) {
 	w := workload{a.job.spec.Team, a.job.priority}
 	on := p.workloads[w]
@@ -136,7 +138,8 @@
 	p.workloads[w] = on
 }
 
-// tally takes in what is leaving already and whose work there is to stop.
+// collectWorkloads takes into account what is being stopped already, and finds whose
+// work there is.
 func (r *preemptor) collectWorkloads() {
 	for _, w := range slices.SortedFunc(maps.Keys(r.core.preemption.workloads), workload.compare) {
 		on := r.core.preemption.workloads[w]
@@ -160,6 +163,7 @@
 	claimNominal       // by work of lower priority, and by what others borrow
 )
 
+// claim is the strongest claim that a job's team has for one more task.
 func (r *preemptor) claim(j *job) claim {
 	m := r.committedQuota[j.spec.Team].Plus(j.amount())
 	switch {
@@ -173,8 +177,7 @@
 	return claimNone
 }
 
-// stoppable tells whether there is any work that may be stopped by such a
-// claim.
+// anyStoppable tells whether there is any work that a claim allows to stop.
 func (r *preemptor) anyStoppable(j *job, by claim) bool {
 	for _, w := range r.presentWorkloads {
 		free, asBorrower := mayStop(j, by, w.team, w.priority)
--- a/scheduler/preemption_plan.go
+++ b/scheduler/preemption_plan.go
@@ -11,14 +11,15 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// hopeless is all that decides whether room can be made for a task.
+// infeasibleRequest is all that decides whether room can be made for a task.
 type infeasibleRequest struct {
 	placementRequest
 	team  ids.Team
 	claim claim
 }
 
-// option is a machine where room could be made, and at what cost.
+// preemptionPlan is a machine on which room could be made, whose tasks would be stopped
+// for it, and the cost of that.
 type preemptionPlan struct {
 	machine *machine
 	victims []*assignment
@@ -32,9 +33,9 @@
 // fetched first.
 const missingImageCost = 80
 
-// make finds room for one more task of a job, and the tasks that must be
-// stopped for it. In before, if there is one, it notes what was coming on the
-// machine that it uses.
+// planPreemption finds room for one more task of a job, and the tasks that must be
+// stopped for it. In before, unless it is nil, it notes the expected room of the machine
+// that it uses.
 func (r *preemptor) planPreemption(j *job, before map[*machine]placement.Resources) ([]*assignment, bool) {
 	by := r.claim(j)
 	if by == claimNone || by == claimOwn && !r.anyStoppable(j, by) {
@@ -87,9 +88,9 @@
 	return victims, true
 }
 
-// best finds the cheapest machine to make room on. All machines are looked at
-// once for a job and a claim. Costs only rise within a pass, so afterwards the
-// cheapest is looked at again before it is taken.
+// cheapestPlan finds the cheapest machine to make room on. All machines are looked at
+// once for a job and a claim. Costs only rise within a round, so afterwards the cheapest
+// is looked at again before it is taken.
 func (r *preemptor) cheapestPlan(j *job, by claim) *preemptionPlan {
 	if r.plans == nil || r.plansClaim != by {
 		r.plans, r.plansClaim = make([]preemptionPlan, 0, 16), by
@@ -130,7 +131,7 @@
 	}
 }
 
-// option tells what it would cost to make room on a machine.
+// planOn tells what it would cost to make room on a machine.
 func (r *preemptor) planOn(j *job, m *machine, by claim) (preemptionPlan, bool) {
 	if !placement.Allowed(j.spec, m.Site) || r.core.hasAntiAffinity(j, m) || r.core.reservedForOther(m, j) && r.core.starving(m.reservedFor) {
 		return preemptionPlan{}, false
@@ -156,7 +157,7 @@
 	return o, true
 }
 
-// coming is what is free on a machine or about to be.
+// expectedFree is the room that is free on a machine or about to be.
 func (r *preemptor) expectedFree(m *machine) placement.Resources {
 	if m.planRound != r.core.preemption.preemptionRounds {
 		m.planRound, m.victimCache = r.core.preemption.preemptionRounds, nil
@@ -176,7 +177,7 @@
 	cost       float64
 }
 
-// losses lists a machine's tasks by what their end loses, once in a pass.
+// victimsByCost lists a machine's tasks by the cost of stopping them, once in a round.
 func (r *preemptor) victimsByCost(m *machine) []victim {
 	if m.victimCache == nil {
 		m.victimCache = make([]victim, 0, len(m.taskList))
@@ -191,16 +192,18 @@
 	return m.victimCache
 }
 
-// shelter is how long the first tasks of idle-time work that starved run undisturbed: all
-// others stop it, and stopped at once it would have begun for nothing. Work of other
-// priorities is not sheltered: in its place tasks that have run for longer would be stopped.
+// protectionPeriod is how long the first task of a starving best-effort job runs without
+// being preempted: all other work may stop it, and stopped at once it would have started
+// for nothing. Other priorities are not protected: tasks that have run for longer would be
+// stopped in their place.
 const protectionPeriod = 45 * time.Second
 
+// preemptionProtected tells whether a task must not be stopped for others yet.
 func (p *evictor) preemptionProtected(a *assignment) bool {
 	return a.protected && (a.phase != wire.TaskRunning || p.core.runTime(a) < protectionPeriod)
 }
 
-// victims picks the tasks on a machine whose end loses least.
+// chooseVictims picks the tasks on a machine that are cheapest to stop.
 func (r *preemptor) chooseVictims(j *job, m *machine, by claim, need, room placement.Resources) (out []*assignment, cost float64, ok bool) {
 	// With no quota left, the victims must free that as well.
 	short := quota.Amount{}
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// waiting lists the jobs with tasks to place: by priority, then those that must
-// begin, then by creation time, or for pipelines by when they became ready.
+// waitingJobs lists the jobs with tasks to place: by priority, then those that have
+// waited too long, then by creation time, or for pipelines by when they should start.
 func (c *Core) waitingJobs() []*job {
 	var out []*job
 	for _, j := range c.jobs {
@@ -36,28 +36,28 @@
 	return out
 }
 
-// hasty tells whether a job's class must start sooner than a machine boots.
+// latencySensitive tells whether a job's class must start sooner than a machine boots.
 func (c *Core) latencySensitive(j *job) bool {
 	_, ok := c.opt.LatencySensitive[j.spec.Class]
 	return ok
 }
 
-// mustBegin tells whether a job has waited to begin for so long that it goes
-// before the rest of those that have. A team's quota may all go to its older
-// jobs, task by task: room kept for a later one is of no use to it then.
+// agedToFront tells whether a job has waited to start for so long that it goes before the
+// jobs of its priority that have started. A team's quota may all go to its older jobs,
+// task by task: reserved machines are of no use to a later one then.
 func (c *Core) agedToFront(j *job) bool { return c.waitedToStart(j, 2) }
 
-// waited tells whether a job could not begin for so many times ReserveAfter.
+// waitedToStart tells whether a job could not start for so many times ReserveAfter.
 func (c *Core) waitedToStart(j *job, times float64) bool {
 	return !j.started && c.opt.ReserveAfter > 0 && c.now > j.readyAt.Add(time.Duration(times*float64(c.opt.ReserveAfter)))
 }
 
 // starvationFactor is after how many times ReserveAfter a job that could not begin has room
-// kept from work of higher priority too.
+// reserved against work of higher priority too.
 const starvationFactor = 2.5
 
-// starves tells whether a job of whatever priority has waited to begin for so long that
-// it must, as every job does within four minutes where limits allow. Idle-time work
+// starving tells whether a job of whatever priority has waited to start for so long that
+// it must, as every job does within four minutes where limits allow. Best-effort work
 // would never see room where more urgent work takes each gap. One task is little.
 func (c *Core) starving(j *job) bool { return c.waitedToStart(j, starvationFactor) }
 
--- a/scheduler/quota/quota.go
+++ b/scheduler/quota/quota.go
@@ -31,8 +31,10 @@
 // Within tells whether a fits into b.
 func (a Amount) Within(b Amount) bool { return a.CPUs <= b.CPUs+slack && a.GPUs <= b.GPUs+slack }
 
+// positive replaces negative parts by 0.
 func (a Amount) positive() Amount { return Amount{max(0, a.CPUs), max(0, a.GPUs)} }
 
+// least is the smaller of each part.
 func least(a, b Amount) Amount { return Amount{min(a.CPUs, b.CPUs), min(a.GPUs, b.GPUs)} }
 
 // Team is a team's quota.
@@ -44,6 +46,7 @@
 	Lend Amount
 }
 
+// account is a team with what it uses.
 type account struct {
 	Team
 	used                  Amount
@@ -146,7 +149,7 @@
 	return over.Within(lent)
 }
 
-// Over is how much a team uses beyond its guarantee.
+// Borrowed is how much a team uses beyond its guarantee.
 func (b *Book) Borrowed(t ids.Team) Amount {
 	a := b.accounts[t]
 	if a == nil {
@@ -158,7 +161,7 @@
 // Borrows tells whether a team uses more than its guarantee.
 func (b *Book) Borrows(t ids.Team) bool { return !b.Borrowed(t).Within(Amount{}) }
 
-// Hold keeps a team's idle quota from being lent until a time, so that a team
+// SuspendLending keeps a team's idle quota from being lent until a time, so that a team
 // that just reclaimed does not see it lent away at once.
 func (b *Book) SuspendLending(t ids.Team, until ids.Instant) {
 	if a := b.accounts[t]; a != nil && until > a.lendingSuspendedUntil {
--- a/scheduler/reachability.go
+++ b/scheduler/reachability.go
@@ -7,10 +7,10 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// hear judges whether a machine hears us. One whose reports come while nothing
-// that it is told reaches it looks healthy, takes work for ever and does none:
-// its lease runs out although every report was answered, and what it was told
-// to start never shows.
+// updateReachability detects one-way partitions. A machine whose reports arrive while
+// nothing that it is told reaches it looks healthy, takes work for ever and does none: its
+// lease runs out although every report was answered, and what it was told to start never
+// shows.
 func (hm *healthMonitor) updateReachability(m *machine, rep *wire.Report, direct bool) {
 	switch {
 	case direct || m.unreachable && rep.Token >= hm.core.commands.tokenOf(m):
@@ -31,7 +31,7 @@
 	return 2*hm.core.opt.Report + 2*time.Second
 }
 
-// unheeded tells whether a report still lacks something that its machine was
+// startUnacknowledged tells whether a report still lacks something that its machine was
 // told long ago to start.
 func (hm *healthMonitor) startUnacknowledged(m *machine, rep *wire.Report) bool {
 	for _, a := range m.taskList {
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// refused handles a change whose guards failed. Only the job's own key may
-// have moved, by a withdrawal; anything else means that the records are not
-// as this leader left them.
+// changeRejected handles a change whose guards failed. Only the job's own key may have
+// moved, by a cancellation; anything else means that the records are not as this leader
+// left them.
 func (w *recordWriter) changeRejected(p *pendingChange, failed []string) {
 	j := p.job
 	j.completing = false
@@ -90,7 +90,7 @@
 	}
 }
 
-// undo takes back what a change that was not applied would have recorded.
+// rollBack takes back what a change that was not applied would have recorded.
 func (w *recordWriter) rollBack(p *pendingChange) {
 	j := p.job
 	for _, a := range p.placed {
@@ -114,11 +114,10 @@
 // maxRefusals is how often a change of one job may be refused for its size.
 const maxRefusals = 8
 
-// putOff handles a change that the state service would not take at all, as when
-// its limits are lower than it said. The same would be refused again: the job's
-// next change is half as large and comes later, and after a few of them nothing more
-// is written or placed for it, until all controllers are new or another leads. Others
-// go on meanwhile.
+// postpone handles a change that the state service would not take at all, as when its
+// limits are lower than it said. The same change would be refused again: the job's next
+// one is half as large and comes later, and after a few of them nothing more is written or
+// placed for it, until all controllers are new or another leads. Others go on meanwhile.
 func (w *recordWriter) postpone(p *pendingChange) {
 	j := p.job
 	j.completing = false
@@ -128,7 +127,7 @@
 	j.rereadAt, j.retryAt = w.core.now.Add(wait), w.core.now.Add(wait)
 }
 
-// written notes that a job's own record says that it is over.
+// cancelRecorded takes note that a job's own record says that it is over.
 func (w *recordWriter) cancelRecorded(j *job) {
 	if j.cancelUnrecorded {
 		j.cancelUnrecorded = false
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -8,6 +8,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
+// writeSlice submits a slice's record, in parts if it is too large.
 func (w *recordWriter) writeSlice(j *job, s *admissionSlice) {
 	delete(w.dirty, s)
 	s.dirty, s.urgent, s.inFlight = false, false, true
@@ -36,7 +37,7 @@
 	w.submitChange(p, ledger.SliceChange(j.id, j.revision, at, recs))
 }
 
-// cut divides the tasks of a record that is too large into parts whose records are
+// splitTasks divides the tasks of a record that is too large into parts whose records are
 // not, no more than one change may write.
 func (w *recordWriter) splitTasks(j *job, tasks []int, limit int) (parts [][]int, recs []ledger.Slice) {
 	parts = [][]int{tasks}
@@ -83,8 +84,8 @@
 	return rec
 }
 
-// divide makes the slices of a split that is recorded. What happened to their
-// tasks since belongs to the parts.
+// applySplit makes the slices of a split that is recorded. What happened to their tasks
+// since belongs to the parts.
 func (w *recordWriter) applySplit(p *pendingChange, stamp ids.Revision) {
 	for k, part := range p.parts {
 		part.revision, part.tasks = stamp, p.split[k]
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -28,6 +28,7 @@
 	orphanCancels []*job
 }
 
+// newRecordWriter makes a writer whose budget is full.
 func newRecordWriter(c *Core) *recordWriter {
 	return &recordWriter{
 		core:           c,
@@ -39,33 +40,37 @@
 	}
 }
 
+// pendingChange is a change on its way to the state service, and what follows from its
+// outcome.
 type pendingChange struct {
 	job   *job
 	slice *admissionSlice
 	// parts are the slices that come of a split, slice first, and split the
 	// tasks of each; nil if there is none.
-	parts        []*admissionSlice
-	split        [][]int
-	placed       []*assignment
-	completes    bool
-	doneMS       int64
-	orphanCancel bool // the job is withdrawn with one that it needs
+	parts     []*admissionSlice
+	split     [][]int
+	placed    []*assignment
+	completes bool
+	doneMS    int64
+	// orphanCancel tells that the job is cancelled with one that it depends on.
+	orphanCancel bool
 	dropped      []*admissionSlice
 }
 
-// markLarge sees that a record which is too large is written again, in parts.
+// markOversized sees that a record which is too large is written again, in parts.
 func (w *recordWriter) markOversized(j *job, s *admissionSlice) {
 	if w.core.opt.SplitRecords && s.oversized && !j.terminal() {
 		w.markDirty(j, s, false)
 	}
 }
 
-// touch notes that a task's record must be written: at once for a placement,
-// else when there is time.
+// markTaskDirty notes that a task's record must be written: at once for a placement, else
+// when there is time.
 func (w *recordWriter) markTaskDirty(j *job, index int, urgent bool) {
 	w.markDirty(j, j.tasks[index].slice, urgent)
 }
 
+// markDirty notes that a slice's record must be written.
 func (w *recordWriter) markDirty(j *job, s *admissionSlice, urgent bool) {
 	if !s.dirty {
 		s.dirty, s.dirtySince = true, w.core.now
@@ -77,10 +82,10 @@
 // mayWrite tells whether the write rate allows one more change now.
 func (w *recordWriter) mayWrite() bool { return w.core.opt.WriteRate <= 0 || w.writeBudget >= 1 }
 
-// save turns dirty records into changes, no faster than the state service may
-// be written: placements first, then what is over, then what only lags behind. While
-// writes are scarce, as for half a minute after a zone is lost, the ends of jobs go
-// before placements: each is one write, users wait for it, and so may other jobs.
+// writeRecords turns dirty records into changes, no faster than the state service may be
+// written: placements first, then what is over, then what only lags behind. While writes
+// are scarce, as for half a minute after a zone is lost, the ends of jobs go before
+// placements: each is one write, users wait for it, and so may other jobs.
 func (w *recordWriter) writeRecords() {
 	w.writeBudget = min(w.core.opt.WriteRate, w.writeBudget+w.core.opt.WriteRate*w.core.now.Sub(w.budgetRefilledAt).Seconds())
 	w.budgetRefilledAt = w.core.now
@@ -103,7 +108,7 @@
 	w.writeSlices(false)
 }
 
-// scarce is the part of a second's writes below which they are scarce.
+// scarceWrites is the part of a second's writes below which they count as scarce.
 const scarceWrites = 0.5
 
 // writeSlices saves the dirty slices that hold placements, or else those that
@@ -153,8 +158,8 @@
 	return true
 }
 
-// finish commits that a job is done, and drops what records it can in the
-// same transaction.
+// completeJob commits that a job is done, and drops what records it can in the same
+// transaction.
 func (w *recordWriter) completeJob(j *job, most int) {
 	for _, s := range j.slices {
 		if s.inFlight {
@@ -184,8 +189,8 @@
 	w.submitChange(p, ledger.DoneChange(j.id, j.revision, rec, drops))
 }
 
-// recordOrphanCancels writes that jobs are withdrawn with one that they need. They never
-// had a task, so nothing else of them has to be kept. There may be a crowd of them,
+// recordOrphanCancels writes that jobs are cancelled with one that they need. They never
+// had a task, so nothing else of them has to be kept. There may be thousands of them,
 // so each is looked at once, in order. False means that the rate allows no more.
 func (w *recordWriter) recordOrphanCancels() bool {
 	for n := len(w.orphanCancels); n > 0; n-- {
@@ -237,6 +242,7 @@
 	w.submitChange(p, ledger.DropChange(j.id, drops))
 }
 
+// submitChange hands a change out with the step's effects.
 func (w *recordWriter) submitChange(p *pendingChange, ch ledger.Change) {
 	w.nextChange++
 	ch.ID = w.nextChange
@@ -245,7 +251,8 @@
 	w.core.effects.Changes = append(w.core.effects.Changes, ch)
 }
 
-// nonce names the next change. No two leaders share a stamp.
+// nextNonce names the next change. No two leaders share a revision, so no two changes
+// share a nonce.
 func (w *recordWriter) nextNonce() uint64 {
 	return uint64(ids.NewToken(w.core.opt.Revision, w.nextChange+1))
 }
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -58,7 +58,7 @@
 	return c.commands.answerReport(m), true
 }
 
-// apply takes in a report that is newer than all before it.
+// applyReport takes in a report that is newer than all before it.
 func (c *Core) applyReport(m *machine, rep *wire.Report) {
 	if !m.reported {
 		m.reported = true
@@ -98,7 +98,7 @@
 	c.countUnrecorded(m)
 }
 
-// absent handles a recorded task that the newest report does not show.
+// handleMissingTask handles a recorded task that the newest report does not show.
 func (c *Core) handleMissingTask(a *assignment) {
 	m := a.machine
 	switch {
@@ -123,6 +123,7 @@
 	}
 }
 
+// handleActiveTask handles a recorded task that the newest report shows before its end.
 func (c *Core) handleActiveTask(a *assignment, s *reportedTask) {
 	a.seen = true
 	if !a.sent {
@@ -139,6 +140,7 @@
 	}
 }
 
+// handleEndedTask handles a recorded task that the newest report shows as ended.
 func (c *Core) handleEndedTask(a *assignment, cause string) {
 	m, j := a.machine, a.job
 	if im := m.images[j.spec.Image]; im != nil {
--- a/scheduler/reservations.go
+++ b/scheduler/reservations.go
@@ -9,18 +9,18 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// reservedForOther tells whether a machine's room is kept for another job. Critical work, and
+// reservedForOther tells whether a machine is reserved for another job. Critical work, and
 // what must start sooner than a machine boots, goes before those that starve.
 func (c *Core) reservedForOther(m *machine, j *job) bool {
 	k := m.reservedFor
 	return k != nil && k != j && (k.priority >= j.priority || j.priority < wire.Critical && !c.latencySensitive(j) && c.starving(k))
 }
 
-// updateReservations sees that every job begins. RetryLater jobs that fit pass one that does
+// updateReservations sees that every job starts. Later jobs that fit pass one that does
 // not, so a large one might wait for ever while small ones take each gap as it
 // opens. Once it has waited too long, machines that it could use take no other
 // work of its priority or below, until their room has grown to what it needs.
-// What another waits for is not kept twice, and room that did not suffice in
+// What another waits for is not reserved twice, and room that did not suffice in
 // time is given up for a while.
 func (c *Core) updateReservations(waiting []*job) {
 	if c.opt.ReserveAfter <= 0 {
@@ -45,7 +45,7 @@
 		if j.started {
 			continue
 		}
-		// Time alone lets a job have room kept, or lose it again.
+		// Time alone lets a job gain a reservation, or lose it again.
 		c.scheduleAt(c.now.Add(time.Second))
 		if c.now < j.waitingSince.Add(c.opt.ReserveAfter) {
 			continue
@@ -57,14 +57,14 @@
 		n := j.tasksTogether()
 		if !c.fitsQuota(j, false, n) && !(j.priority == wire.BestEffort && c.starving(j)) {
 			// Room is not what it waits for. What is lent comes and goes, though, and
-			// idle-time work lives on it alone: it must find room when it comes.
+			// best-effort work lives on it alone: it must find room when it comes.
 			continue
 		}
 		kept += c.reserveMachines(j, n, held[j], kept)
 	}
 }
 
-// maxReservedShare bounds the machines whose room is kept, as a part of all.
+// maxReservedShare bounds the reserved machines, as a part of all.
 const maxReservedShare = 0.1
 
 // reserveMachines keeps machines for n tasks of a job, beside those it holds: those with
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -9,9 +9,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// shape is what decides whether a task finds any machine at all. Once one
-// task of a shape found none, the rest of the pass need not look again: room
-// only shrinks during a pass.
+// placementRequest is all that decides whether a task finds a machine. Once one task found
+// none, the rest of the round need not look again for its like: room only shrinks during a
+// round.
 type placementRequest struct {
 	resources     placement.Resources
 	priority      wire.Priority
@@ -27,8 +27,8 @@
 func (adm *admitter) requestOf(j *job, at placement.Zones) (sh placementRequest, ok bool) {
 	s := j.spec
 	if len(s.Types) > 0 || len(adm.candidateZones) > 64 || j.reservedSince != 0 {
-		// Room that is kept for a job is there for no other: one like it that
-		// found none must not keep the job from it.
+		// Machines that are reserved for a job are there for no other: one like it
+		// that found none must not keep the job from them.
 		return placementRequest{}, false
 	}
 	sh = placementRequest{resources: placement.Of(s), priority: j.priority, spot: s.Spot, zone: s.Zone}
@@ -46,7 +46,7 @@
 	return sh, true
 }
 
-// search finds machines for the tasks of one job, one after the other. All
+// candidateSearch finds machines for the tasks of one job, one after the other. All
 // machines are looked at once; after that only those that took a task.
 type candidateSearch struct {
 	core       *Core
@@ -69,23 +69,29 @@
 	list []candidate
 }
 
+// Len implements heap.Interface.
 func (z *zoneHeap) Len() int { return len(z.list) }
 
+// Less implements heap.Interface; the best candidate is the least.
 func (z *zoneHeap) Less(i, k int) bool {
 	a, b := &z.list[i], &z.list[k]
 	return a.score > b.score || a.score == b.score && a.position < b.position
 }
 
+// Swap implements heap.Interface.
 func (z *zoneHeap) Swap(i, k int) { z.list[i], z.list[k] = z.list[k], z.list[i] }
 
+// Push implements heap.Interface.
 func (z *zoneHeap) Push(x any) { z.list = append(z.list, x.(candidate)) }
 
+// Pop implements heap.Interface.
 func (z *zoneHeap) Pop() any {
 	last := z.list[len(z.list)-1]
 	z.list = z.list[:len(z.list)-1]
 	return last
 }
 
+// newSearch ranks the machines that may take a task of a job.
 func (adm *admitter) newSearch(j *job) *candidateSearch {
 	s := &candidateSearch{core: adm.core, job: j, need: placement.Of(j.spec)}
 	if j.spec.Service {
@@ -115,6 +121,7 @@
 	return s
 }
 
+// zone finds the heap of a zone, or makes one.
 func (s *candidateSearch) zone(name ids.Zone) *zoneHeap {
 	for _, z := range s.zones {
 		if z.zone == name {
@@ -126,6 +133,8 @@
 	return z
 }
 
+// score rates a machine for a task of the job; sameZone counts the job's tasks in its
+// zone.
 func (s *candidateSearch) score(m *machine, sameZone int) float64 {
 	o := s.core.admission.offer(s.job, m)
 	o.SameJob, o.SameZone = s.replicasOn[m], sameZone
@@ -159,7 +168,7 @@
 	return best.machine
 }
 
-// took brings a machine that was given a task back to its rank.
+// reinsert brings a machine that was given a task back to its rank.
 func (s *candidateSearch) reinsert(m *machine) {
 	if s.replicasOn != nil {
 		s.replicasOn[m]++
@@ -174,6 +183,7 @@
 	heap.Fix(z, i)
 }
 
+// offer describes a machine to the scoring.
 func (adm *admitter) offer(j *job, m *machine) placement.Offer {
 	o := placement.Offer{Site: m.Site, Free: m.free(), Total: m.total,
 		Cached:  m.images[j.spec.Image] != nil,
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -130,7 +130,7 @@
 	specs     map[ids.JobID]*wire.Spec
 	sent      map[ids.JobID][]simPlace // where tasks were ever told to run
 	completed map[ids.TaskRef]bool
-	// cancelled are the jobs whose users asked for it, withdrawn when they were told.
+	// cancelled are the jobs whose users asked for it, cancelled when they were told.
 	cancelled map[ids.JobID]bool
 	withdrawn map[ids.JobID]ids.Instant
 	lateStart int            // starts after that
@@ -906,14 +906,14 @@
 	return rec.Status
 }
 
-// orphan tells by the records alone whether a job needs one that is withdrawn.
+// orphan tells by the records alone whether a job needs one that is cancelled.
 func (s *sim) orphan(id ids.JobID) bool {
 	return slices.ContainsFunc(s.specs[id].DependsOn, func(n ids.JobID) bool {
 		return s.status(n) == wire.StatusCancelled || s.orphan(n)
 	})
 }
 
-// checkOrphans sees that what needs a withdrawn job is withdrawn as well, and that
+// checkOrphans sees that what needs a cancelled job is cancelled as well, and that
 // nothing else is but by its user.
 func (s *sim) checkOrphans(all []ids.JobID) {
 	s.t.Helper()
--- a/scheduler/trouble_test.go
+++ b/scheduler/trouble_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// A withdrawn job's task on a machine that talks but does not do as it is told
+// A cancelled job's task on a machine that talks but does not do as it is told
 // must be gone in time as well.
 func TestWithdrawnTaskOnAMachineThatHearsNothing(t *testing.T) {
 	b := newBench(t, Options{})
@@ -235,7 +235,7 @@
 	}
 }
 
-// RetryLater jobs that fit pass one that does not, but not for ever: without room
+// Later jobs that fit pass one that does not, but not for ever: without room
 // kept for it a large task would find every gap taken by small ones.
 func TestLargeJobsBegin(t *testing.T) {
 	begins := func(keep time.Duration) time.Duration {
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -16,11 +16,11 @@
 	// minZoneMachines is how many machines must be silent together to tell a zone
 	// that is cut off from machines that are.
 	minZoneMachines = 4
-	// zoneSilence is the least time without a word from a zone after which it
-	// counts as cut off. The fewer machines it has, the longer it takes.
+	// zoneSilence is the least time without a report from a zone after which it
+	// counts as partitioned. The fewer machines it has, the longer it takes.
 	zoneSilence = 2500 * time.Millisecond
-	// zoneOutageLimit is how long a zone counts as cut off without a word from it.
-	// So long its machines are kept: they come back without a boot, and with
+	// zoneOutageLimit is how long a zone counts as partitioned without a report from
+	// it. So long its machines are kept: they come back without a boot, and with
 	// their images. After that it is tried again.
 	zoneOutageLimit = 3 * time.Minute
 )
@@ -40,8 +40,8 @@
 	}
 }
 
-// quiet tells whether a zone has not been heard for longer than its machines
-// would leave between them by chance. With hundreds of them that is seconds.
+// zoneSilent tells whether a zone has not been heard for longer than its machines would
+// leave between their reports by chance. With hundreds of machines that is seconds.
 func (hm *healthMonitor) zoneSilent(z *zoneState) bool {
 	by := hm.core.opt.Lease / 2
 	if z.machinesUp > 0 && hm.core.now < hm.lastHeard.Add(zoneSilence/2) { // others are heard
@@ -50,9 +50,9 @@
 	return hm.core.now > max(z.lastHeard, hm.core.resumedAt).Add(by)
 }
 
-// cutOff tells whether a whole zone fell silent at once, while others are
-// heard. What is rented there cannot report: it costs, takes the place of
-// machines elsewhere, and counts as coming.
+// zonePartitioned tells whether a whole zone fell silent at once, while others are heard.
+// What is rented there cannot report: it costs, takes the place of machines elsewhere, and
+// counts as coming.
 func (hm *healthMonitor) zonePartitioned(zone ids.Zone) bool {
 	z := hm.zoneStates[zone]
 	return z != nil && z.machinesUp >= minZoneMachines && hm.zoneSilent(z) && hm.core.now < z.lastHeard.Add(zoneOutageLimit)
--- a/server/server.go
+++ b/server/server.go
@@ -38,6 +38,7 @@
 	Healthy() bool
 }
 
+// contentType is that of all bodies.
 const contentType = "application/msgpack"
 
 // Limits bound what the connections of users and workers may take.
@@ -49,10 +50,10 @@
 	IdleTimeout time.Duration
 }
 
-// keepWorkers is the part of the connections up to which those of workers stay
-// open. Beyond it a worker's is closed after its answer: there may be more
-// workers than sockets, and each must have its turn within its lease, without
-// taking the sockets of users and health checks.
+// workerConnectionShare is the part of the connections up to which those of workers stay
+// open. Beyond it a worker's is closed after its answer: there may be more workers than
+// sockets, and each must have its turn within its lease, without taking the sockets of
+// users and health checks.
 const workerConnectionShare = 0.7
 
 // New makes the HTTP application.
@@ -134,6 +135,7 @@
 	return app
 }
 
+// send writes an answer.
 func send(c fiber.Ctx, a Answer) error {
 	c.Status(a.Code)
 	if a.RetryAfter > 0 {
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -41,7 +41,7 @@
 	Lease    ids.LeaseID        `msgpack:"hold"`
 }
 
-// Guard is a condition of a transaction; stamp 0 means the key is absent.
+// Guard is a condition of a transaction; revision 0 means the key is absent.
 type Guard struct {
 	Key      string       `msgpack:"key"`
 	Revision ids.Revision `msgpack:"stamp"`
@@ -109,6 +109,7 @@
 	return &cp
 }
 
+// do sends one request within the budget.
 func (c *Client) do(ctx context.Context, method, path string, body any, timeout time.Duration, out any) (int, error) {
 	if err := c.budget.Wait(ctx); err != nil {
 		return 0, fmt.Errorf("%w: budget: %w", ErrUnavailable, err)
--- a/wire/spec.go
+++ b/wire/spec.go
@@ -19,6 +19,7 @@
 	Critical
 )
 
+// priorities holds the protocol's words.
 var priorities = map[string]Priority{"best_effort": BestEffort, "normal": Normal, "high": High, "critical": Critical}
 
 // Spec is a job as its user described it. The tags are those of our own
@@ -58,12 +59,14 @@
 	err error
 }
 
+// fail notes the first complaint.
 func (f *fields) fail(key, want string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %s", key, want)
 	}
 }
 
+// text reads a text that must be there.
 func (f *fields) text(key string, max int) string {
 	s, ok := f.m[key].(string)
 	if !ok || s == "" || len(s) > max {
@@ -72,6 +75,7 @@
 	return s
 }
 
+// optText reads a text that may be null or left out.
 func (f *fields) optText(key string, max int) string {
 	if f.m[key] == nil {
 		return ""
@@ -79,6 +83,7 @@
 	return f.text(key, max)
 }
 
+// flag reads true or false.
 func (f *fields) flag(key string) bool {
 	b, ok := f.m[key].(bool)
 	if !ok {
@@ -87,6 +92,7 @@
 	return b
 }
 
+// number reads any kind of number.
 func number(v any) (float64, bool) {
 	switch n := v.(type) {
 	case float64:
@@ -100,6 +106,7 @@
 	return 0, false
 }
 
+// integer reads any kind of integer.
 func integer(v any) (int64, bool) {
 	switch n := v.(type) {
 	case int8:
@@ -122,6 +129,7 @@
 	return 0, false
 }
 
+// amount reads a finite number that is not negative.
 func (f *fields) amount(key string, positive bool) float64 {
 	n, ok := number(f.m[key])
 	if !ok || math.IsNaN(n) || math.IsInf(n, 0) || n < 0 || n > 1e12 || positive && n == 0 {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -146,7 +146,7 @@
 	return r.Session > t || r.Session == t && r.Sequence > k
 }
 
-// Order is a command to a worker.
+// Command is one command to a worker.
 type Command struct {
 	Verb    string      `msgpack:"verb" cbor:"1,keyasint"`
 	Name    string      `msgpack:"leg" cbor:"2,keyasint"`
@@ -154,13 +154,13 @@
 	GraceS  float64     `msgpack:"leewayS" cbor:"4,keyasint"`
 }
 
-// Orders is the answer to a report.
+// ReportAnswer is the answer to a worker's report.
 type ReportAnswer struct {
 	Token    ids.Token `msgpack:"baton" cbor:"1,keyasint"`
 	Commands []Command `msgpack:"orders" cbor:"2,keyasint"`
 }
 
-// Direct is a command sent straight to a worker.
+// DirectCommand holds commands that are sent straight to a worker.
 type DirectCommand struct {
 	Token    ids.Token   `msgpack:"baton"`
 	Session  ids.Session `msgpack:"tenure"`
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -25,6 +25,7 @@
 // New makes an empty client.
 func New() *Client { return &Client{conns: map[string]*httpc.Client{}} }
 
+// to finds the client of an address, or makes one.
 func (c *Client) to(addr string) *httpc.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,6 +63,7 @@
 	return c.call(ctx, addr, "GET", "/show", nil, timeout)
 }
 
+// call sends one request and reads the worker's report from the answer.
 func (c *Client) call(ctx context.Context, addr, method, path string, body []byte, timeout time.Duration) (*wire.Report, error) {
 	status, ans, err := c.to(addr).Do(ctx, method, path, body, timeout)
 	if err != nil {
