--- a/election/election.go
+++ b/election/election.go
@@ -67,9 +67,8 @@
 	// the state service is away.
 	Grace time.Duration
 	// Isolated is the same, counted from the last moment at which all Peers were
-	// known to follow no later leader: what a later one has told users, as that a
-	// job is cancelled, this one does not know, and it must not keep workers'
-	// leases for longer than such a promise allows.
+	// known to follow no later leader. A later one counts on it: what that has told
+	// users, as that a job is cancelled, this one does not know.
 	Isolated time.Duration
 	// Peers are the other controllers.
 	Peers []ids.NodeName
--- a/node/cancellations.go
+++ b/node/cancellations.go
@@ -53,8 +53,8 @@
 // the record; but it goes on renewing the leases of the job's tasks. So a cancellation is
 // told only once a leader that surely holds its key has taken it in. That one acts on it
 // without the state service; those that come later read the record; and earlier ones
-// cannot renew a lease for long enough (election.Bounds.Isolated). Until then the answer
-// is 503, never an older one.
+// cannot renew a lease for long enough, or have none of the job's tasks any more
+// (scheduler.Core.CanAcknowledgeCancel). Until then the answer is 503, never an older one.
 //
 // This holds for all ways to tell it: Node.terminalAnswer is the only one. A job that is
 // cancelled because one that it depends on is never had a task, so nobody renews anything
@@ -110,8 +110,14 @@
 	return held
 }
 
-// acknowledge has the core take a job's record in, and tells whether the key was surely
-// held after that.
-func (t *term) acknowledge(ctx context.Context, id ids.JobID, rec *ledger.Job, stamp ids.Revision) bool {
-	return t.ask(ctx, func() { t.core.ObserveJob(t.n.clock.Now(), id, rec, stamp) }) && t.key.Holds()
+// acknowledge has the core take a job's record in, and tells whether its cancellation may
+// be told: no earlier leader can keep its tasks for too long, and the key was surely held
+// after that.
+func (t *term) acknowledge(ctx context.Context, id ids.JobID, rec *ledger.Job, revision ids.Revision) bool {
+	harmless := false
+	return t.ask(ctx, func() {
+		now := t.n.clock.Now()
+		t.core.ObserveJob(now, id, rec, revision)
+		harmless = t.core.CanAcknowledgeCancel(now, id)
+	}) && harmless && t.key.Holds()
 }
--- a/node/node.go
+++ b/node/node.go
@@ -22,6 +22,7 @@
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/ledger"
 	"ospreystile.example/ospreystile/mesh"
+	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
@@ -95,13 +96,20 @@
 	return n
 }
 
+// cancelHold is for how long after it began a leader may have to refuse to acknowledge
+// cancellations, because an earlier one may still keep tasks of the job. It is half of the
+// 90 s after which a job counts as forgotten about which no question is answered.
+const cancelHold = 45 * time.Second
+
 // isolatedBound is for how long a leader that cannot rule out a later one may go on
-// answering workers. A user may have been told since then that a job is cancelled; the
-// lease that is renewed last must end within cancel_s of that.
+// answering workers. A zone that is cut off together with its leader keeps its tasks for
+// that long and a lease. The later leader counts on this bound: until it is over but for
+// scheduler.CancelMargin, no user is told that a job is cancelled whose tasks the earlier
+// leader may keep.
 func (n *Node) isolatedBound() time.Duration {
 	w := &n.cfg.Settings.Workers
-	cancel := ids.Seconds(w.CancelS)
-	return max(0, cancel-cancel/500-ids.Drift(ids.Seconds(w.LeaseS))-time.Second)
+	margin := scheduler.CancelMargin(ids.Seconds(w.CancelS), ids.Seconds(w.LeaseS))
+	return min(n.op.Grace(), margin+cancelHold)
 }
 
 // limits are those of one transaction.
--- a/node/term.go
+++ b/node/term.go
@@ -11,6 +11,7 @@
 
 	"ospreystile.example/ospreystile/cloud"
 	"ospreystile.example/ospreystile/election"
+	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/ledger"
 	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/statestore"
@@ -25,8 +26,11 @@
 	events chan func()
 	ledger *ledger.Committer
 	cloud  *cloud.Client
-	// applied is the revision up to which the core has taken in the jobs' records.
-	applied atomic.Uint64
+	// observed is the revision up to which the core has taken in the jobs' records;
+	// only the loop uses it. applied is the same once all cancellations up to it may
+	// be told to users.
+	observed ids.Revision
+	applied  atomic.Uint64
 	// returns are the machines to give back.
 	returns returnQueue
 	ctx     context.Context
@@ -78,7 +82,7 @@
 	if err != nil {
 		return fmt.Errorf("taking over: %w", err)
 	}
-	t.applied.Store(uint64(since))
+	t.observed = since
 	n.term.Store(t)
 	if n.upgrade.done() { // perhaps only since the records were read
 		t.core.EnableSplitRecords(n.clock.Now())
@@ -134,6 +138,7 @@
 			continue
 		}
 		t.dispatch(t.core.Step(t.n.clock.Now()))
+		t.publishApplied()
 		if now := t.n.clock.Now(); now > lastLog.Add(5*time.Second) {
 			lastLog = now
 			t.n.log.Info("state of things", "sum", t.core.Summary())
@@ -141,6 +146,15 @@
 	}
 }
 
+// publishApplied lets all cancellations that the core has taken in be told to users,
+// once no earlier leader stands in the way. Until then each of them is asked for on its
+// own; see acknowledge.
+func (t *term) publishApplied() {
+	if observed := uint64(t.observed); observed > t.applied.Load() && t.core.PredecessorsHarmless(t.n.clock.Now()) {
+		t.applied.Store(observed)
+	}
+}
+
 // dispatch sends the core's decisions on their way. It never waits.
 func (t *term) dispatch(e scheduler.Effects) {
 	for _, ch := range e.Changes {
--- a/node/term_watch.go
+++ b/node/term_watch.go
@@ -56,8 +56,8 @@
 			t.post(t.ctx, func() { t.core.ObserveJob(t.n.clock.Now(), id, &rec, ev.Revision) })
 		}
 		since = max(since, epoch)
-		upTo := uint64(since)
-		t.post(t.ctx, func() { t.applied.Store(upTo) })
+		upTo := since
+		t.post(t.ctx, func() { t.observed = upTo })
 	}
 }
 
--- a/scheduler/trouble_test.go
+++ b/scheduler/trouble_test.go
@@ -371,3 +371,49 @@
 		}
 	}
 }
+
+// While an earlier leader may go on answering workers, a cancellation is acknowledged
+// only once that one cannot keep a task of the job: its machine was heard with a token of
+// this leader, or was returned; the earlier leader is gone; or it will be soon enough.
+func TestCancellationWaitsForEarlierLeaders(t *testing.T) {
+	const grace = simCancel // well beyond the margin
+	margin := CancelMargin(simCancel, simLease)
+	for _, c := range []struct {
+		name         string
+		bring        func(b *bench)
+		acknowledged bool
+	}{
+		{"its machine was not heard", func(*bench) {}, false},
+		{"one of its machines was heard", func(b *bench) { b.report("n-1", "a", ids.NewToken(5, 0)) }, false},
+		{"its machines were heard", func(b *bench) {
+			b.report("n-1", "a", ids.NewToken(5, 0))
+			b.report("n-2", "a", ids.NewToken(5, 0))
+		}, true},
+		{"they have yet to show this leader's token", func(b *bench) {
+			b.report("n-1", "a", ids.NewToken(4, 0))
+			b.report("n-2", "a", ids.NewToken(4, 0))
+		}, false},
+		{"its machines were returned", func(b *bench) { b.c.ReturnResult(b.now, []ids.Host{"n-1", "n-2"}, true) }, true},
+		{"all controllers follow", func(b *bench) { b.c.AllFollow(b.now) }, true},
+		{"just before the margin", func(b *bench) { b.now = b.now.Add(grace - margin - time.Second) }, false},
+		{"within the margin", func(b *bench) { b.now = b.now.Add(grace - margin) }, true},
+	} {
+		b := newBench(t, Options{Predecessor: true, Grace: grace})
+		b.inherit(wire.Spec{Service: true, Tasks: 2}, ledger.Slice{Hosts: []ids.Host{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
+		b.c.Begin(b.now)
+		spec := wire.Spec{Service: true, Tasks: 2, Class: "c", Team: "red", CPUs: 2, Image: "i"}
+		b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusCancelled, Tasks: 2, Spec: &spec}, 50)
+		c.bring(b)
+		if got := b.c.CanAcknowledgeCancel(b.now, "job-1"); got != c.acknowledged {
+			t.Errorf("%s: acknowledged: %v", c.name, got)
+		}
+		if !b.c.CanAcknowledgeCancel(b.now, "job-2") {
+			t.Errorf("%s: a job without tasks is held back", c.name)
+		}
+	}
+	b := newBench(t, Options{})
+	b.c.Begin(b.now)
+	if !b.c.PredecessorsHarmless(b.now) {
+		t.Error("the first leader waits for earlier ones")
+	}
+}
