--- /dev/null
+++ b/scheduler/bench_test.go
@@ -0,0 +1,107 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/scheduler/quota"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// bench is a core with machines that are up, driven by hand.
+type bench struct {
+	t    *testing.T
+	c    *Core
+	now  ids.Instant
+	tick ids.Sequence
+}
+
+func newBench(t *testing.T, opt Options, types ...wire.MachineType) *bench {
+	t.Helper()
+	if opt.Teams == nil {
+		opt.Teams = []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 64}, Limit: quota.Amount{CPUs: 64}, Lend: quota.Amount{CPUs: 64}}}
+	}
+	if opt.Revision == 0 {
+		opt.Revision = 5
+	}
+	opt.Report, opt.Lease, opt.Cancel = simReport, simLease, simCancel
+	opt.TxnOps, opt.SliceTasks, opt.MaxSkippedJobs, opt.BootFactor, opt.MaxMachines = 8, 4, 100, 4, 100
+	opt.Idle, opt.HeadroomIdle = time.Hour, time.Hour
+	if types == nil {
+		types = []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: []ids.Zone{"a", "b"}}}
+	}
+	return &bench{t: t, c: New(opt, types), now: ids.Instant(time.Hour)}
+}
+
+func (b *bench) job(id ids.JobID, spec wire.Spec) {
+	if spec.CPUs == 0 {
+		spec.CPUs = 2
+	}
+	if spec.Team == "" {
+		spec.Team = "red"
+	}
+	spec.Image = "i"
+	b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(len(b.c.jobs))}, ids.Revision(100+len(b.c.jobs)))
+}
+
+// inherit loads job-1 and its admission record as a predecessor left them.
+func (b *bench) inherit(spec wire.Spec, rec ledger.Slice) {
+	b.t.Helper()
+	spec.Class, spec.Team, spec.CPUs, spec.Image = "c", "red", 2, "i"
+	b.c.LoadJob("job-1", &ledger.Job{Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: &spec}, 3)
+	if err := b.c.LoadSlice("job-1", 0, &rec, 4); err != nil {
+		b.t.Fatal(err)
+	}
+}
+
+// randomTeams makes three teams that lend the given part of their guarantee.
+func randomTeams(rng *rand.Rand, lend func() float64) []quota.Team {
+	var teams []quota.Team
+	for n := range 3 {
+		nominal := float64(4 * rng.IntN(6))
+		teams = append(teams, quota.Team{Name: ids.Team(fmt.Sprintf("t%d", n)), Nominal: quota.Amount{CPUs: nominal},
+			Limit: quota.Amount{CPUs: nominal + float64(4*rng.IntN(8))}, Lend: quota.Amount{CPUs: nominal * lend()}})
+	}
+	return teams
+}
+
+// randomMachines brings machines up in random zones.
+func (b *bench) randomMachines(rng *rand.Rand, count int) {
+	for n := range count {
+		b.report(ids.Host(fmt.Sprintf("n-%d", n)), []ids.Zone{"a", "b", "c"}[rng.IntN(3)], 0)
+	}
+}
+
+func (b *bench) report(host ids.Host, zone ids.Zone, token ids.Token, tasks ...wire.Task) wire.ReportAnswer {
+	b.tick++
+	o, ok := b.c.Report(b.now, &wire.Report{Host: host, Endpoint: string(host), Type: "m", Zone: zone, Session: 1, Sequence: b.tick,
+		Token: token, Tasks: tasks}, false)
+	if !ok {
+		b.t.Fatalf("report of %s not answered", host)
+	}
+	return o
+}
+
+// step runs the core and commits whatever it decides, at once.
+func (b *bench) step() Effects {
+	e := b.c.Step(b.now)
+	for _, ch := range e.Changes {
+		b.c.ChangeResult(b.now, ledger.Outcome{Change: ch, Applied: true, Revision: ids.Revision(1000 + ch.ID)})
+	}
+	return e
+}
+
+func verbs(orders []wire.Command, verb string) []string {
+	var out []string
+	for _, o := range orders {
+		if o.Verb == verb {
+			out = append(out, fmt.Sprintf("%s#%d", o.Name, o.Attempt))
+		}
+	}
+	return out
+}
--- /dev/null
+++ b/scheduler/health_test.go
@@ -0,0 +1,215 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+
+	"slices"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/scheduler/quota"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// A machine that fails tasks of two jobs gets no more of them.
+func TestSickMachineIsSetAside(t *testing.T) {
+	b := newBench(t, Options{})
+	b.c.Begin(b.now)
+	b.report("n-1", "a", 0)
+	for n := range 2 {
+		id := ids.JobID(fmt.Sprintf("job-%d", n))
+		b.job(id, wire.Spec{Tasks: 1})
+		b.step()
+		o := b.report("n-1", "a", 0)
+		run := verbs(o.Commands, wire.VerbRun)
+		if len(run) != 1 {
+			t.Fatalf("job %d: runs %v", n, run)
+		}
+		b.report("n-1", "a", o.Token, wire.Task{Name: string(id) + "/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseError})
+		b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.StatusCancelled, Tasks: 1, Spec: b.c.jobs[id].spec}, 900)
+		b.step()
+		b.report("n-1", "a", o.Token)
+	}
+	b.job("job-9", wire.Spec{Tasks: 1})
+	b.step()
+	if a := b.c.jobs["job-9"].tasks[0].assignment; a != nil {
+		t.Fatalf("placed on %s, which fails everything", a.machine.host)
+	}
+}
+
+// A machine whose lease ran out in silence holds nothing any more, but often
+// comes back sooner than another boots: it hung, or lost the network.
+func TestSilentMachineIsKeptForAWhile(t *testing.T) {
+	b := newBench(t, Options{})
+	b.c.Begin(b.now)
+	b.report("n-1", "a", 0)
+	start := b.now
+	for ; b.now < start.Add(3*simLease); b.now = b.now.Add(time.Second) {
+		if e := b.step(); len(e.Return) > 0 {
+			if silent := b.now.Sub(start); silent < silentLeases*simLease {
+				t.Errorf("returned after %v", silent)
+			}
+			return
+		}
+	}
+	t.Error("never returned")
+}
+
+// A zone that is cut off is known by its silence within seconds, and what its
+// services need is rented before their leases run out. When all zones are
+// silent at once, or the leader itself was paused, it is not the zone.
+func TestCutZoneIsNoticedSoon(t *testing.T) {
+	for name, c := range map[string]struct {
+		silent []ids.Zone
+		stands time.Duration
+		rents  bool
+	}{
+		"a zone is cut off":       {[]ids.Zone{"a"}, 0, true},
+		"no zone is heard":        {[]ids.Zone{"a", "b"}, 0, false},
+		"the leader stood still":  {nil, 8 * time.Second, false},
+		"nothing is out of order": {nil, 0, false},
+	} {
+		b := newBench(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 999}, Limit: quota.Amount{CPUs: 999}}}})
+		b.c.Begin(b.now)
+		hosts := map[ids.Zone][]ids.Host{}
+		for n := range 60 {
+			zone := []ids.Zone{"a", "b"}[n%2]
+			hosts[zone] = append(hosts[zone], ids.Host(fmt.Sprintf("n-%02d", n)))
+			b.report(hosts[zone][n/2], zone, 0)
+		}
+		b.job("job-1", wire.Spec{Tasks: 60, Service: true, CPUs: 8}) // no room is left
+		b.step()
+		rented := 0
+		start := b.now
+		for tick := range 80 {
+			b.now = b.now.Add(100 * time.Millisecond)
+			if tick == 10 {
+				b.now = b.now.Add(c.stands)
+			}
+			for zone, list := range hosts {
+				if !slices.Contains(c.silent, zone) {
+					b.report(list[tick%30], zone, 0)
+				}
+			}
+			if tick == 10 && c.stands > 0 {
+				// Of what came meanwhile only one zone's has been read yet.
+				b.c.health.zoneStates["a"].lastHeard = start
+			}
+			for _, r := range b.step().Rent {
+				rented += r.Count
+			}
+		}
+		if (rented > 0) != c.rents {
+			t.Errorf("%s: rented %d", name, rented)
+		}
+	}
+}
+
+// A machine on which tasks take much longer than their siblings elsewhere is
+// taken last, and after more of them not at all.
+func TestSlowMachinesAreTakenLast(t *testing.T) {
+	b := newBench(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 640}, Limit: quota.Amount{CPUs: 640}}}})
+	b.c.Begin(b.now)
+	hosts := []ids.Host{"n-1", "n-2", "n-3"}
+	token := ids.NewToken(5, 0)
+	for round := range 8 {
+		id := ids.JobID(fmt.Sprintf("job-%d", round))
+		for _, h := range hosts {
+			b.report(h, "a", token)
+		}
+		b.job(id, wire.Spec{Tasks: 12})
+		b.step()
+		on := map[ids.Host][]wire.Task{}
+		for i, tk := range b.c.jobs[id].tasks {
+			if tk.assignment == nil {
+				continue
+			}
+			on[tk.assignment.machine.host] = append(on[tk.assignment.machine.host], wire.Task{Name: fmt.Sprintf("%s/%d", id, i), Attempt: tk.attempt, State: wire.TaskRunning})
+		}
+		if m := b.c.registry.machines["n-3"]; m.slowStreak >= slowStreakLimit {
+			if len(on["n-3"]) > 0 {
+				t.Fatalf("round %d: the slow machine was set aside and got %d tasks", round, len(on["n-3"]))
+			}
+			return
+		}
+		for _, h := range hosts {
+			b.report(h, "a", token)
+			b.report(h, "a", token, on[h]...)
+		}
+		end := func(h ids.Host) {
+			for i := range on[h] {
+				on[h][i].State, on[h][i].Cause = wire.TaskEnded, wire.CauseDone
+			}
+			b.report(h, "a", token, on[h]...)
+		}
+		// The leader runs meanwhile: what it sleeps through counts for nobody.
+		running := func(d time.Duration) {
+			for until := b.now.Add(d); b.now < until; {
+				b.now = b.now.Add(500 * time.Millisecond)
+				for _, h := range hosts {
+					b.report(h, "a", token, on[h]...)
+				}
+				b.step()
+			}
+		}
+		running(10 * time.Second)
+		end("n-1")
+		end("n-2")
+		running(20 * time.Second)
+		end("n-3")
+		b.step()
+	}
+	t.Fatalf("the slow machine was never set aside: pace %v", b.c.registry.machines["n-3"].slowness)
+}
+
+// A zone was cut off: its machines were returned after their leases and rented
+// again in the same zone, where they could not report either, and counted as
+// coming.
+func TestZoneThatIsCutOff(t *testing.T) {
+	b := newBench(t, Options{})
+	b.c.Begin(b.now)
+	on := map[ids.Host][]wire.Task{}
+	up := func(zone ids.Zone) {
+		for n := range 5 {
+			h := ids.Host(fmt.Sprintf("n-%s%d", zone, n))
+			for _, o := range b.report(h, zone, ids.NewToken(5, 0), on[h]...).Commands {
+				on[h] = append(on[h], wire.Task{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning})
+			}
+		}
+	}
+	up("a")
+	up("b")
+	wants := func(at int) {
+		b.job(ids.JobID(fmt.Sprintf("job-%d", at)), wire.Spec{Tasks: 30, CPUs: 2, EstimateS: 1000})
+	}
+	rented := map[ids.Zone]int{}
+	for s := range 240 {
+		b.now = b.now.Add(time.Second)
+		if s%3 == 0 {
+			up("a")
+		}
+		if s == 20 || s == 200 {
+			wants(s)
+		}
+		e := b.step()
+		if s < 170 && len(e.Return) > 0 {
+			t.Fatalf("after %d s: returned %v", s, e.Return)
+		}
+		for _, r := range e.Rent {
+			if s < 170 {
+				rented[r.Zone] += r.Count
+			} else {
+				rented[r.Zone+" again"] += r.Count
+			}
+			b.c.RentResult(b.now, r, nil, false)
+		}
+	}
+	if rented["a"] == 0 || rented["b"] != 0 {
+		t.Errorf("while zone b was cut off: %v", rented)
+	}
+	if rented["b again"] == 0 {
+		t.Errorf("zone b was never tried again: %v", rented)
+	}
+}
--- /dev/null
+++ b/scheduler/sim_cloud_test.go
@@ -0,0 +1,77 @@
+package scheduler
+
+import (
+	"fmt"
+
+	"slices"
+	"sort"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/wire"
+)
+
+func (s *sim) rent(r wire.Rental) []ids.Host {
+	if h, ok := s.rented[r.Request]; ok {
+		return h
+	}
+	var out []ids.Host
+	for range r.Count {
+		held := 0
+		for _, w := range s.workers {
+			if w.typ == r.Type && w.zone == r.Zone && w.spot == r.Spot {
+				held++
+			}
+		}
+		if held >= s.capacity {
+			break
+		}
+		s.hosts++
+		w := &simWorker{host: ids.Host(fmt.Sprintf("n-%06d", s.hosts)), typ: r.Type, zone: r.Zone, spot: r.Spot, dead: true}
+		s.workers[w.host] = w
+		out = append(out, w.host)
+		boot := time.Duration(5+s.rng.IntN(10)) * time.Second
+		switch {
+		case s.chance(0.05):
+			boot = time.Hour
+		case s.chance(s.quickBoots):
+			boot = time.Duration(500+s.rng.IntN(1500)) * time.Millisecond
+		}
+		s.after(boot, func() { w.dead, w.tenure, w.sentAt = false, 1, s.now })
+	}
+	if out != nil {
+		s.rented[r.Request] = out
+	}
+	return out
+}
+
+func (s *sim) typeOf(w *simWorker) *wire.MachineType {
+	return &s.types[slices.IndexFunc(s.types, func(t wire.MachineType) bool { return t.Name == w.typ })]
+}
+
+func (s *sim) list() []wire.Machine {
+	var out []wire.Machine
+	for h, w := range s.workers {
+		out = append(out, wire.Machine{Host: h, Endpoint: string(h), Type: w.typ, Zone: w.zone, Spot: w.spot, Status: "running"})
+	}
+	sort.Slice(out, func(i, k int) bool { return out[i].Host < out[k].Host })
+	return out
+}
+
+func (s *sim) sortedHosts() []ids.Host {
+	out := make([]ids.Host, 0, len(s.workers))
+	for h := range s.workers {
+		out = append(out, h)
+	}
+	slices.Sort(out)
+	return out
+}
+
+// someWorker is a machine of those there are, or nil.
+func (s *sim) someWorker() *simWorker {
+	hosts := s.sortedHosts()
+	if len(hosts) == 0 {
+		return nil
+	}
+	return s.workers[hosts[s.rng.IntN(len(hosts))]]
+}
--- /dev/null
+++ b/scheduler/sim_leader_test.go
@@ -0,0 +1,186 @@
+package scheduler
+
+import (
+	"sort"
+	"strings"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/statestore"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// takeOver puts a new leader in place. What the old one sent is still under
+// way.
+func (s *sim) takeOver() {
+	before := s.leader != 0
+	s.old = nil
+	if before && s.chance(0.4) {
+		s.old, s.oldTerm, s.oldUntil = s.core, s.term, s.now.Add(simIsolated)
+	}
+	s.refusal, s.sure = 0, s.now.Add(simKey)
+	s.commit(nil, []statestore.Op{{Write: ledger.LeaderKey, Value: "x"}})
+	s.leader = s.epoch
+	s.term++
+	opt := s.opt
+	opt.Revision, opt.Predecessor = s.leader, before
+	opt.WallClockMS = int64(time.Duration(s.now) / time.Millisecond)
+	s.core = New(opt, s.types)
+	keys := make([]string, 0, len(s.store))
+	for k := range s.store {
+		keys = append(keys, k)
+	}
+	sort.Strings(keys)
+	for _, admissions := range []bool{false, true} {
+		for _, k := range keys {
+			id, n, ok := ledger.ParseAdmissionKey(k)
+			switch {
+			case ok && admissions:
+				var rec ledger.Slice
+				s.must(wire.Decode(s.store[k].raw, &rec))
+				s.must(s.core.LoadSlice(id, n, &rec, s.store[k].stamp))
+			case !ok && !admissions && k != ledger.LeaderKey:
+				var rec ledger.Job
+				s.must(wire.Decode(s.store[k].raw, &rec))
+				s.core.LoadJob(ids.JobID(k[len(ledger.JobPrefix):]), &rec, s.store[k].stamp)
+			}
+		}
+	}
+	s.core.Begin(s.now)
+	for _, rep := range s.kept {
+		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Report(s.now, rep, false) })
+	}
+	s.kept = nil
+}
+
+// deposed puts a new leader in place of one that goes on unseen: it lost the state
+// service and its peers, but not its workers.
+func (s *sim) deposed() {
+	old, term := s.core, s.term
+	s.takeOver()
+	s.old, s.oldTerm, s.oldUntil = old, term, s.now.Add(simIsolated)
+}
+
+func (s *sim) stepOf(core *Core, term int) {
+	current := func(f func()) func() {
+		return func() {
+			if s.now >= s.away && (s.term == term || s.old == core) {
+				f()
+			}
+		}
+	}
+	reached := func(w *simWorker) bool { return s.now >= s.islandUntil || s.apart(w) == (s.old == core) }
+	e := core.Step(s.now)
+	s.digest.effects(e)
+	for _, ch := range e.Changes {
+		bounded := core.opt.SplitRecords // what was decided before may come after the limits fell
+		s.after(s.latency(), func() { s.change(core, term, ch, bounded) })
+	}
+	for _, h := range e.Direct {
+		d, _, ok := core.TakeDirect(s.now, h)
+		if !ok {
+			continue
+		}
+		s.digest.add("command", d)
+		answered := false
+		var arrive func()
+		arrive = func() {
+			w := s.workers[h]
+			if w != nil && s.now < w.hung {
+				s.after(w.hung.Sub(s.now), arrive) // a command is read when it goes on
+				return
+			}
+			if w == nil || w.dead || s.now < w.cut || s.now < w.deaf || !reached(w) {
+				return
+			}
+			rep := s.direct(w, d)
+			if !answered && !s.chance(0.03) {
+				s.after(2*time.Millisecond, func() {
+					if !answered {
+						answered = true
+						current(func() { core.DirectResult(s.now, h, rep) })()
+					}
+				})
+			}
+		}
+		s.after(s.latency(), arrive)
+		if s.chance(0.2) { // a late copy of what was carried out
+			s.after(time.Duration(1+s.rng.IntN(50))*time.Second, arrive)
+		}
+		s.after(2*time.Second, func() {
+			if !answered {
+				answered = true
+				current(func() { core.DirectResult(s.now, h, nil) })()
+			}
+		})
+	}
+	for _, h := range e.Show {
+		s.after(s.latency(), current(func() {
+			w := s.workers[h]
+			if w != nil && !w.dead && s.now >= max(w.cut, w.deaf, w.hung) && reached(w) {
+				core.ShowResult(s.now, h, s.report(w))
+			} else {
+				core.ShowResult(s.now, h, nil)
+			}
+		}))
+	}
+	for _, id := range e.Refresh {
+		s.after(s.latency(), current(func() { s.seen(id) }))
+	}
+	for _, r := range e.Rent {
+		s.after(max(80*time.Millisecond, s.cloudAway.Sub(s.now)), func() {
+			hosts := s.rent(r)
+			current(func() { core.RentResult(s.now, r, hosts, len(hosts) > 0) })()
+		})
+	}
+	if hosts := e.Return; len(hosts) > 0 {
+		s.after(max(s.latency(), s.cloudAway.Sub(s.now)), func() {
+			for _, h := range hosts {
+				delete(s.workers, h)
+			}
+			current(func() { core.ReturnResult(s.now, hosts, true) })()
+		})
+	}
+}
+
+// change commits one change of a leader, as the committer does: without an
+// answer it is sent again until its outcome is clear.
+func (s *sim) change(core *Core, term int, ch ledger.Change, bounded bool) {
+	if s.now < max(s.outage, s.away) || s.now < s.refusal && s.term == term {
+		s.after(500*time.Millisecond, func() { s.change(core, term, ch, bounded) })
+		return
+	}
+	leader := s.leader
+	if term != s.term {
+		leader = 0 // its guard on the leader's key fails
+	}
+	if leader == 0 {
+		return
+	}
+	if !s.fits(ch.Apply) {
+		if bounded {
+			s.refused++
+		}
+		s.after(0, func() {
+			if s.term == term {
+				core.ChangeResult(s.now, ledger.Outcome{Change: ch, Refused: true})
+			}
+		})
+		return
+	}
+	ok, failed := s.commit(ch.Guards, ch.Apply)
+	if ok && len(ch.Apply) > 1 && strings.HasPrefix(ch.Apply[1].Write, ledger.AdmissionPrefix) {
+		s.splits++
+	}
+	o := ledger.Outcome{Change: ch, Applied: ok, Revision: s.epoch, Failed: failed}
+	wait := time.Duration(0)
+	if s.chance(0.05) {
+		wait = time.Duration(1+s.rng.IntN(4)) * time.Second
+	}
+	s.after(wait, func() {
+		if s.term == term {
+			core.ChangeResult(s.now, o)
+		}
+	})
+}
--- /dev/null
+++ b/scheduler/sim_state_test.go
@@ -0,0 +1,184 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/statestore"
+	"ospreystile.example/ospreystile/wire"
+)
+
+type simEntry struct {
+	stamp ids.Revision
+	raw   []byte
+}
+
+// commit applies a transaction as the state service would.
+func (s *sim) commit(guards []statestore.Guard, ops []statestore.Op) (bool, []string) {
+	var failed []string
+	for _, g := range guards {
+		if s.store[g.Key].stamp != g.Revision {
+			failed = append(failed, g.Key)
+		}
+	}
+	if failed != nil {
+		return false, failed
+	}
+	s.epoch++
+	defer s.checkSlices(ops)
+	for _, op := range ops {
+		if op.Write == "" {
+			delete(s.store, op.Drop)
+			continue
+		}
+		s.store[op.Write] = simEntry{s.epoch, wire.Encode(op.Value)}
+		if rec, ok := op.Value.(ledger.Job); ok && rec.Status == wire.StatusDone {
+			id := ids.JobID(op.Write[len(ledger.JobPrefix):])
+			for i := range s.specs[id].Tasks {
+				if !s.completed[ids.TaskRef{Job: id, Index: i}] {
+					s.breaks("not_done: %s/%d", id, i)
+				}
+			}
+		}
+	}
+	return true, nil
+}
+
+// fits tells whether the state service would take a change.
+func (s *sim) fits(ops []statestore.Op) bool {
+	if s.txnOps > 0 && len(ops) > s.txnOps {
+		return false
+	}
+	return !slices.ContainsFunc(ops, func(op statestore.Op) bool { return op.Write != "" && wire.Exceeds(op.Value, s.valueBytes) })
+}
+
+// checkSlices looks at the admission records of a job that was written to: no task
+// may be in two, and before the upgrade each slice must hold the tasks that its
+// number tells.
+func (s *sim) checkSlices(ops []statestore.Op) {
+	var job ids.JobID
+	for _, op := range ops {
+		if id, _, ok := ledger.ParseAdmissionKey(op.Write); ok {
+			job = id
+		}
+	}
+	if job == "" {
+		return
+	}
+	in := map[int]int{}
+	for key, e := range s.store {
+		id, n, ok := ledger.ParseAdmissionKey(key)
+		if !ok || id != job {
+			continue
+		}
+		var rec ledger.Slice
+		s.must(wire.Decode(e.raw, &rec))
+		tasks := slices.Clone(rec.Done)
+		for k := 0; k < len(rec.Tasks); k += 3 {
+			tasks = append(tasks, rec.Tasks[k])
+		}
+		for _, i := range tasks {
+			if other, twice := in[i]; twice && other != n {
+				s.breaks("%s/%d is recorded in slices %d and %d", id, i, other, n)
+			}
+			in[i] = n
+			if s.oldFormat && i/s.opt.SliceTasks != n {
+				s.breaks("%s/%d is recorded in slice %d before the upgrade", id, i, n)
+			}
+		}
+	}
+}
+
+// watched tells whether the leader reads what others write.
+func (s *sim) watched() bool { return s.now >= max(s.outage, s.refusal) }
+
+// seen brings a job's record to the leader, as its watch does.
+func (s *sim) seen(id ids.JobID) {
+	if !s.watched() {
+		s.after(max(s.outage, s.refusal).Sub(s.now), func() { s.seen(id) })
+		return
+	}
+	s.bring(s.core, id)
+}
+
+func (s *sim) bring(core *Core, id ids.JobID) {
+	e := s.store[ledger.JobKey(id)]
+	var rec ledger.Job
+	s.must(wire.Decode(e.raw, &rec))
+	core.ObserveJob(s.now, id, &rec, e.stamp)
+}
+
+func (s *sim) submit(id ids.JobID, spec *wire.Spec) {
+	s.specs[id] = spec
+	s.commit(nil, []statestore.Op{{Write: ledger.JobKey(id), Value: ledger.Job{Nonce: s.rng.Uint64(), Status: wire.StatusQueued,
+		Tasks: spec.Tasks, Spec: spec, SubmittedMS: int64(time.Duration(s.now) / time.Millisecond)}}})
+	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
+}
+
+// withdraw is what a user's cancellation comes to: it is repeated until it is
+// committed, and the user is told once a leader that surely held its key after that
+// has taken it in.
+func (s *sim) withdraw(id ids.JobID) {
+	if s.now < s.outage {
+		s.after(time.Second, func() { s.withdraw(id) })
+		return
+	}
+	key := ledger.JobKey(id)
+	var rec ledger.Job
+	s.must(wire.Decode(s.store[key].raw, &rec))
+	if rec.Over() {
+		return
+	}
+	c := ledger.CancelChange(id, s.store[key].stamp, s.rng.Uint64(), rec, s.opt.ValueBytes)
+	s.commit(c.Guards, c.Apply)
+	s.cancelled[id] = true
+	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
+	s.tell(id)
+}
+
+func (s *sim) tell(id ids.JobID) {
+	s.after(min(s.latency(), time.Second), func() {
+		if s.now >= s.away && !s.chance(0.2) {
+			core, holds := s.core, s.now < s.sure
+			if s.old != nil && s.chance(0.5) {
+				// The node that was asked still follows the old leader. What that one
+				// takes in it acts on, but it has lost its key.
+				core, holds = s.old, false
+			}
+			s.bring(core, id)
+			if holds && core.CanAcknowledgeCancel(s.now, id) {
+				s.withdrawn[id] = s.now
+				return
+			}
+		}
+		s.after(time.Second, func() { s.tell(id) })
+	})
+}
+
+// status is a job's own record.
+func (s *sim) status(id ids.JobID) string {
+	var rec ledger.Job
+	s.must(wire.Decode(s.store[ledger.JobKey(id)].raw, &rec))
+	return rec.Status
+}
+
+// orphan tells by the records alone whether a job needs one that is cancelled.
+func (s *sim) orphan(id ids.JobID) bool {
+	return slices.ContainsFunc(s.specs[id].DependsOn, func(n ids.JobID) bool {
+		return s.status(n) == wire.StatusCancelled || s.orphan(n)
+	})
+}
+
+// checkOrphans sees that what needs a cancelled job is cancelled as well, and that
+// nothing else is but by its user.
+func (s *sim) checkOrphans(all []ids.JobID) {
+	s.t.Helper()
+	for _, id := range all {
+		byUser := s.cancelled[id]
+		if got := s.status(id) == wire.StatusCancelled; got != (byUser || s.orphan(id)) {
+			s.t.Errorf("%s is %s; withdrawn by its user: %v, an orphan: %v", id, s.status(id), byUser, s.orphan(id))
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/sim_troubles_test.go
@@ -0,0 +1,183 @@
+package scheduler
+
+import (
+	"fmt"
+
+	"slices"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// troubles are what may happen at any moment, whatever else goes on.
+var troubles = []struct {
+	name  string
+	weigh int
+	bring func(s *sim, all []ids.JobID, d func(from, to int) ids.Instant)
+}{
+	{"machine cut", 4, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+		if w := s.someWorker(); w != nil {
+			w.cut = d(5, 65)
+		}
+	}},
+	{"machine sick, or well again", 3, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
+		if w := s.someWorker(); w != nil {
+			w.sick = !w.sick
+		}
+	}},
+	{"machine dies", 3, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
+		if w := s.someWorker(); w != nil && w.tenure > 0 {
+			w.dead = true
+		}
+	}},
+	{"machine hears nothing", 3, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+		if w := s.someWorker(); w != nil {
+			w.deaf = d(5, 95)
+		}
+	}},
+	{"machine says nothing", 3, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+		if w := s.someWorker(); w != nil {
+			w.mute = d(5, 95)
+		}
+	}},
+	{"machine hangs", 3, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+		if w := s.someWorker(); w != nil {
+			w.hung = d(5, 65)
+		}
+	}},
+	{"machine back at once", 2, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
+		if w := s.someWorker(); w != nil && w.tenure > 0 && !w.dead {
+			w.tasks, w.tick, w.sentAt = nil, 0, s.now
+			w.tenure++
+		}
+	}},
+	{"another leader", 4, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) { s.takeOver() }},
+	{"leaders in a row", 1, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
+		for i := range 3 {
+			s.after(time.Duration(i)*700*time.Millisecond, s.takeOver)
+		}
+	}},
+	{"no state service", 2, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) { s.outage = d(5, 65) }},
+	{"leader refused alone", 2, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) { s.refusal = d(1, 20) }},
+	{"leader goes on unseen", 2, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+		s.deposed()
+		s.island, s.islandUntil = ids.Zone([]string{"a", "b", "c"}[s.rng.IntN(3)]), d(5, 60)
+	}},
+	{"no controller", 1, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+		s.away = d(1, 40)
+		s.old = nil
+		s.after(s.away.Sub(s.now), s.takeOver)
+	}},
+	{"no cloud", 1, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) { s.cloudAway = d(5, 40) }},
+	{"slow links", 1, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
+		s.slow = time.Duration(s.rng.IntN(800)) * time.Millisecond
+		s.after(20*time.Second, func() { s.slow = 0 })
+	}},
+	{"jobs that run are cancelled, and their machines hang", 2, func(s *sim, all []ids.JobID, d func(int, int) ids.Instant) {
+		s.cancelRunning(all, 2, d(5, 60))
+	}},
+}
+
+// trouble brings one of them about.
+func (s *sim) trouble(all []ids.JobID) {
+	sum := 0
+	for _, t := range troubles {
+		sum += t.weigh
+	}
+	n := s.rng.IntN(sum)
+	for _, t := range troubles {
+		if n -= t.weigh; n < 0 {
+			t.bring(s, all, func(from, to int) ids.Instant {
+				return s.now.Add(time.Duration(from+s.rng.IntN(to-from)) * time.Second)
+			})
+			return
+		}
+	}
+}
+
+// cancelRunning has users call off some jobs that run, and hangs their machines until
+// a time: before, while or after they are told.
+func (s *sim) cancelRunning(all []ids.JobID, count int, hang ids.Instant) {
+	for _, id := range all {
+		if count == 0 {
+			return
+		}
+		if s.cancelled[id] {
+			continue
+		}
+		hosts := map[ids.Host]bool{}
+		for _, p := range s.sent[id] {
+			if p.t.state == wire.TaskRunning && s.here(p.w, p.t) && !s.expired(p.w) {
+				hosts[p.w.host] = true
+			}
+		}
+		if len(hosts) == 0 {
+			continue
+		}
+		count--
+		s.after(time.Duration(s.rng.IntN(200))*time.Millisecond, func() { s.withdraw(id) })
+		s.after(time.Duration(s.rng.IntN(200))*time.Millisecond, func() {
+			for h := range hosts {
+				if w := s.workers[h]; w != nil {
+					w.hung = max(w.hung, hang)
+				}
+			}
+		})
+	}
+}
+
+func (s *sim) randomSpec() *wire.Spec {
+	teams := []ids.Team{"red", "blue", "gold"}
+	sp := &wire.Spec{Class: "c", Team: teams[s.rng.IntN(3)], Priority: wire.Priority(s.rng.IntN(4)), Tasks: 1 + s.rng.IntN(9),
+		CPUs: float64(1 + s.rng.IntN(4)), MemoryGB: 2, Image: "i", ImageGB: 1, Spot: s.rng.IntN(2) == 0, EstimateS: 10}
+	switch s.rng.IntN(5) {
+	case 0:
+		sp.Service, sp.Tasks, sp.Spread = true, 1+s.rng.IntN(3), true
+	case 1:
+		sp.Gang, sp.Tasks = true, 1+s.rng.IntN(4)
+	case 2:
+		sp.OneZone = true
+	case 3:
+		sp.Zone = "b"
+	}
+	return sp
+}
+
+// waitingSpec is a random job that may wait for some that were submitted before,
+// over or not.
+func (s *sim) waitingSpec(all []ids.JobID) *wire.Spec {
+	sp := s.randomSpec()
+	for range min(len(all), s.rng.IntN(4)) {
+		id := all[len(all)-1-s.rng.IntN(min(len(all), 8))]
+		if !s.specs[id].Service && !slices.Contains(sp.DependsOn, id) {
+			sp.DependsOn = append(sp.DependsOn, id)
+		}
+	}
+	return sp
+}
+
+// playRandomDay submits random jobs over a number of rounds, with troubles in each,
+// and stops as soon as a rule is broken.
+func (s *sim) playRandomDay(rounds int) []ids.JobID {
+	s.t.Helper()
+	var all []ids.JobID
+	for range rounds {
+		for range s.rng.IntN(3) {
+			id := ids.JobID(fmt.Sprintf("job-%03d", len(all)))
+			s.submit(id, s.waitingSpec(all))
+			all = append(all, id)
+		}
+		if len(all) > 0 && s.rng.IntN(5) == 0 {
+			s.withdraw(all[s.rng.IntN(len(all))])
+		}
+		for range 1 + s.rng.IntN(2) {
+			s.trouble(all)
+		}
+		s.run(time.Duration(2+s.rng.IntN(12)) * time.Second)
+		if len(s.broken) > 0 {
+			s.t.Fatalf("rules broken: %v", s.broken)
+		}
+	}
+	return all
+}
--- /dev/null
+++ b/scheduler/sim_worker_test.go
@@ -0,0 +1,279 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/wire"
+)
+
+type simTask struct {
+	ref     ids.TaskRef
+	attempt ids.Attempt
+	state   string
+	cause   string
+}
+
+type simWorker struct {
+	host   ids.Host
+	typ    ids.MachineType
+	zone   ids.Zone
+	spot   bool
+	tenure ids.Session
+	tick   ids.Sequence
+	token  ids.Token
+	tasks  []*simTask
+	sentAt ids.Instant // of the last answered report, or the session's start
+	cut    ids.Instant // unreachable until then
+	hung   ids.Instant // executes and says nothing until then, but is reachable
+	deaf   ids.Instant // its reports arrive, but nothing reaches it, until then
+	mute   ids.Instant // its reports do not arrive, but commands reach it, until then
+	loyal  int         // the term to whose leader it reports
+	dead   bool
+	sick   bool
+	asking bool
+	last   ids.Instant
+	soon   bool
+}
+
+type simPlace struct {
+	w *simWorker
+	t *simTask
+}
+
+func (s *sim) report(w *simWorker) *wire.Report {
+	w.tick++
+	r := &wire.Report{Host: w.host, Endpoint: string(w.host), Type: w.typ, Zone: w.zone, Spot: w.spot,
+		Session: w.tenure, Sequence: w.tick, Token: w.token}
+	for _, t := range w.tasks {
+		r.Tasks = append(r.Tasks, wire.Task{Name: t.ref.String(), Attempt: t.attempt, State: t.state, Cause: t.cause})
+	}
+	return r
+}
+
+func (s *sim) direct(w *simWorker, d wire.DirectCommand) *wire.Report {
+	if d.Token >= w.token && d.Session == w.tenure {
+		w.token = d.Token
+		s.execute(w, d.Commands)
+	}
+	return s.report(w)
+}
+
+func (s *sim) execute(w *simWorker, orders []wire.Command) {
+	for _, o := range orders {
+		ref, _ := ids.ParseTask(o.Name)
+		i := slices.IndexFunc(w.tasks, func(t *simTask) bool { return t.ref == ref && t.attempt == o.Attempt })
+		switch o.Verb {
+		case wire.VerbRun:
+			if i >= 0 {
+				continue
+			}
+			t := &simTask{ref: ref, attempt: o.Attempt, state: wire.TaskFetching}
+			w.tasks = append(w.tasks, t)
+			s.sent[ref.Job] = append(s.sent[ref.Job], simPlace{w, t})
+			used := 0.0
+			for _, other := range w.tasks {
+				if other.state != wire.TaskEnded {
+					used += s.specs[other.ref.Job].CPUs
+				}
+				if other != t && other.ref == ref {
+					t.state, t.cause = wire.TaskEnded, wire.CauseInUse
+				}
+			}
+			if t.state == wire.TaskFetching && used > s.typeOf(w).CPUs+1e-9 {
+				t.state, t.cause = wire.TaskEnded, wire.CauseFull
+			}
+			if t.state == wire.TaskFetching {
+				s.after(time.Duration(100+s.rng.IntN(2000))*time.Millisecond, func() { s.start(w, t) })
+			}
+		case wire.VerbKill:
+			if i >= 0 && w.tasks[i].state != wire.TaskEnded {
+				w.tasks[i].state, w.tasks[i].cause = wire.TaskEnded, wire.CauseStopped
+			}
+		case wire.VerbReap:
+			if i >= 0 && w.tasks[i].state == wire.TaskEnded {
+				w.tasks = slices.Delete(w.tasks, i, i+1)
+			}
+		}
+		w.soon = true
+	}
+}
+
+func (s *sim) here(w *simWorker, t *simTask) bool {
+	return s.workers[w.host] == w && slices.Contains(w.tasks, t)
+}
+
+// start is when a task has its image. The rules are checked here.
+func (s *sim) start(w *simWorker, t *simTask) {
+	if s.now < w.hung {
+		s.after(w.hung.Sub(s.now), func() { s.start(w, t) })
+		return
+	}
+	if !s.here(w, t) || t.state != wire.TaskFetching || s.expired(w) {
+		return
+	}
+	s.starts++
+	t.state = wire.TaskRunning
+	w.soon = true
+	spec := s.specs[t.ref.Job]
+	if when, ok := s.withdrawn[t.ref.Job]; ok {
+		s.lateStart++
+		if s.now > when.Add(simCancel) {
+			s.breaks("ran_cancelled: %s started", t.ref)
+		}
+	}
+	for _, n := range spec.DependsOn {
+		if s.status(n) != wire.StatusDone {
+			s.breaks("too_early: %s started while %s is %s", t.ref, n, s.status(n))
+		}
+	}
+	zones := map[ids.Zone]int{}
+	for _, p := range s.sent[t.ref.Job] {
+		if p.t.state != wire.TaskRunning || s.expired(p.w) || !s.here(p.w, p.t) {
+			continue
+		}
+		zones[p.w.zone]++
+		if p.t != t && p.t.ref == t.ref {
+			s.breaks("ran_twice: %s on %s and %s", t.ref, w.host, p.w.host)
+		}
+	}
+	if s.starts%max(1, len(s.workers)/20) == 0 { // it looks at every task there is
+		s.checkQuota()
+	}
+	if w.spot && !spec.Spot || spec.Zone != "" && spec.Zone != w.zone ||
+		spec.Spread && zones[w.zone] > (spec.Tasks+1)/2 || spec.OneZone && len(zones) > 1 ||
+		len(spec.Types) > 0 && !slices.Contains(spec.Types, w.typ) {
+		s.breaks("wrong_place: %s on %s in %s, zones %v", t.ref, w.host, w.zone, zones)
+	}
+	if spec.Service {
+		return
+	}
+	run := time.Duration(1+s.rng.IntN(25)) * time.Second
+	if s.completed[t.ref] {
+		run = 0
+	}
+	fails := w.sick || s.chance(0.1)
+	var end func()
+	end = func() {
+		if s.now < w.hung {
+			s.after(w.hung.Sub(s.now), end)
+			return
+		}
+		if !s.here(w, t) || t.state != wire.TaskRunning || s.expired(w) {
+			return
+		}
+		t.state, t.cause = wire.TaskEnded, wire.CauseDone
+		if fails {
+			t.cause = wire.CauseError
+		} else {
+			s.completed[t.ref] = true
+			if s.chance(s.cancelAtEnd) {
+				s.after(time.Duration(s.rng.IntN(100))*time.Millisecond, func() { s.withdraw(t.ref.Job) })
+			}
+		}
+		w.soon = true
+	}
+	s.after(run, end)
+}
+
+func (s *sim) checkQuota() {
+	used := map[ids.Team]float64{}
+	for _, o := range s.workers {
+		for _, u := range o.tasks {
+			if u.state == wire.TaskRunning && !s.expired(o) {
+				used[s.specs[u.ref.Job].Team] += s.specs[u.ref.Job].CPUs
+			}
+		}
+	}
+	for _, team := range s.opt.Teams {
+		if used[team.Name] > team.Limit.CPUs+1e-9 {
+			s.breaks("quota: %s uses %v", team.Name, used[team.Name])
+		}
+	}
+}
+
+// expired tells whether a worker's lease has run out, whether or not it has
+// got round to ending its tasks.
+func (s *sim) expired(w *simWorker) bool { return w.dead || s.now > w.sentAt.Add(simLease) }
+
+func (s *sim) workerStep(w *simWorker) {
+	if w.dead || s.now < w.hung {
+		return
+	}
+	if s.now > w.sentAt.Add(simLease) {
+		w.tasks = nil
+		w.tenure++
+		w.sentAt = s.now
+	}
+	due := s.now > w.last.Add(simReport) || w.soon && s.now > w.last.Add(500*time.Millisecond)
+	if w.asking || !due {
+		return
+	}
+	w.asking, w.last, w.soon = true, s.now, false
+	sent, tenure, answered := s.now, w.tenure, false
+	rep := s.report(w)
+	finish := func() { w.asking = false }
+	s.after(4*time.Second, func() {
+		if !answered {
+			answered = true
+			finish()
+		}
+	})
+	if s.now < max(w.cut, w.mute, s.away) || s.apart(w) && s.old == nil {
+		return
+	}
+	core := s.core
+	if s.old != nil && (w.loyal == s.oldTerm && s.now >= s.islandUntil || s.apart(w)) {
+		core = s.old
+	} else {
+		w.loyal = s.term
+	}
+	if s.chance(s.copies) { // a copy, from seconds to well over a lease later
+		s.after(time.Duration(2+s.rng.IntN(90))*time.Second, func() { s.core.Report(s.now, rep, false) })
+	}
+	if s.chance(s.copies) && len(s.kept) < 50 {
+		s.kept = append(s.kept, rep)
+	}
+	s.after(s.latency(), func() {
+		if core != s.core && core != s.old {
+			core = s.core
+		}
+		if s.now < s.away || core == s.core && (s.apart(w) || s.now >= s.sure.Add(simGrace)) {
+			return
+		}
+		orders, ok := core.Report(s.now, rep, false)
+		s.digest.add("answer", orders)
+		if !ok {
+			w.loyal = s.term
+		}
+		if !ok || s.chance(0.02) {
+			return
+		}
+		s.after(s.latency(), func() {
+			if answered || s.now < w.cut || s.now < w.deaf || s.now < w.hung || w.dead {
+				return
+			}
+			answered = true
+			finish()
+			if tenure != w.tenure || orders.Token < w.token {
+				return
+			}
+			w.token, w.sentAt = orders.Token, sent
+			s.execute(w, orders.Commands)
+		})
+	})
+}
+
+// apart tells whether only an old leader reaches a machine.
+func (s *sim) apart(w *simWorker) bool { return w.zone == s.island && s.now < s.islandUntil }
+
+func (s *sim) checkGone(id ids.JobID) {
+	for _, w := range s.workers {
+		for _, t := range w.tasks {
+			if t.ref.Job == id && t.state == wire.TaskRunning && !s.expired(w) {
+				s.breaks("ran_cancelled: %s is still on %s", t.ref, w.host)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/succession_test.go
@@ -0,0 +1,110 @@
+package scheduler
+
+import (
+	"testing"
+
+	"slices"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// A successor placed a replacement replica into a zone that already held half
+// of the service: it had not heard from the machines yet and counted their
+// tasks to no zone.
+func TestSuccessorKeepsSpreadBeforeItHearsFromMachines(t *testing.T) {
+	for _, zones := range [][]ids.Zone{{"a", "a"}, nil} {
+		b := newBench(t, Options{Predecessor: true, Grace: time.Minute})
+		b.inherit(wire.Spec{Service: true, Spread: true, Tasks: 3},
+			ledger.Slice{Hosts: []ids.Host{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
+		b.c.Begin(b.now)
+		b.report("n-3", "a", ids.NewToken(5, 0))
+		b.step()
+		if a := b.c.jobs["job-1"].tasks[2].assignment; a != nil {
+			t.Errorf("zones %v: the third replica went to %s in zone %s", zones, a.machine.host, a.machine.Zone)
+		}
+		b.report("n-4", "b", ids.NewToken(5, 0))
+		b.step()
+		if a := b.c.jobs["job-1"].tasks[2].assignment; zones != nil && (a == nil || a.machine.Zone != "b") {
+			t.Errorf("zones %v: the third replica did not go to zone b", zones)
+		}
+	}
+}
+
+// A predecessor cut off from the state service may go on answering workers;
+// until its grace and a lease are over, its tasks may run.
+func TestPredecessorsGraceCounts(t *testing.T) {
+	b := newBench(t, Options{Predecessor: true, Grace: time.Minute})
+	b.inherit(wire.Spec{Tasks: 1}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	b.c.Begin(b.now)
+	for _, step := range []struct {
+		after time.Duration
+		held  bool
+	}{{simLease + 5*time.Second, true}, {time.Minute + simLease - time.Second, true}, {time.Minute + simLease + 5*time.Second, false}} {
+		b.now = ids.Instant(time.Hour).Add(step.after)
+		b.step()
+		if held := b.c.quotas.Used("red").CPUs > 0; held != step.held {
+			t.Errorf("after %v: still counted %v, want %v", step.after, held, step.held)
+		}
+	}
+}
+
+// Once all other controllers follow this leader nobody else answers workers, and
+// what a dead machine holds need not wait for the grace. A lease it does wait:
+// a report sent just before may have been answered.
+func TestOnceAllFollowThereIsNoGrace(t *testing.T) {
+	b := newBench(t, Options{Predecessor: true, Grace: 10 * time.Minute})
+	b.inherit(wire.Spec{Tasks: 1}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	b.c.Begin(b.now)
+	followed := 5 * time.Second
+	b.c.AllFollow(b.now.Add(followed))
+	for _, step := range []struct {
+		after time.Duration
+		held  bool
+	}{{followed + simLease, true}, {followed + simLease + 2*time.Second, false}} {
+		b.now = ids.Instant(time.Hour).Add(step.after)
+		b.step()
+		if held := b.c.quotas.Used("red").CPUs > 0; held != step.held {
+			t.Errorf("after %v: still counted %v, want %v", step.after, held, step.held)
+		}
+	}
+}
+
+// A late record of a submission must not bring back a job that is over.
+func TestOlderRecordDoesNotReviveAJob(t *testing.T) {
+	b := newBench(t, Options{})
+	b.c.Begin(b.now)
+	spec := wire.Spec{Team: "red", Tasks: 1, CPUs: 1}
+	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusCancelled, Tasks: 1, Spec: &spec}, 9)
+	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusQueued, Tasks: 1, Spec: &spec}, 8)
+	b.report("n-1", "a", 0)
+	b.step()
+	if b.c.jobs["job-1"] != nil {
+		t.Fatal("the job came back")
+	}
+}
+
+// A machine died around a takeover. The successor never heard of it, never saw
+// it listed, and held its tasks for two minutes.
+func TestMachineThatDiedAtTheTakeoverIsNoticed(t *testing.T) {
+	b := newBench(t, Options{Predecessor: true, Grace: 90 * time.Second, ListLag: 3 * time.Second})
+	b.inherit(wire.Spec{Tasks: 1}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	b.c.Begin(b.now)
+	for s := range 20 {
+		b.now = b.now.Add(time.Second)
+		b.c.MachineList(b.now, b.now, nil)
+		if e := b.step(); slices.Contains(e.Return, "n-1") {
+			if s < 7 {
+				t.Fatalf("given back after %d s, within the lag of the list", s+1)
+			}
+			b.c.ReturnResult(b.now, e.Return, true)
+			if b.c.quotas.Used("red").CPUs != 0 {
+				t.Fatal("the task still counts")
+			}
+			return
+		}
+	}
+	t.Fatal("the machine was never given back")
+}
