--- a/config/config_test.go
+++ b/config/config_test.go
@@ -72,7 +72,7 @@
 
 // A team without a guarantee team comes with zeroes for its guarantee and its limits: it has neither. Its
 // jobs used to get 422, every one.
-func TestGuestTeamHasNoLimit(t *testing.T) {
+func TestTeamWithoutGuaranteeHasNoLimit(t *testing.T) {
 	for text, limited := range map[string]bool{
 		"cpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0": false,
 		"cpus = 4.0\ncpus_max = 0.0":                             false,
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -409,7 +409,7 @@
 // and its key expired. Within the grace it would answer workers and act on what
 // it had decided, as in an outage. It must not, before it has asked whether
 // this is one; nor may work that has not noticed the end of its term.
-func TestNoAnswersAfterStandingStill(t *testing.T) {
+func TestNoAnswersAfterAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, w := newService(), &watcher{holding: map[ids.NodeName]*Term{}}
 		m := w.start(t, s, "n0", 1)
--- a/node/withdrawals_test.go
+++ b/node/cancellations_test.go
@@ -51,7 +51,7 @@
 // leader would go on renewing the leases of the tasks for longer than cancel_s, knowing
 // of nothing. So nobody is told, in whatever way, before a leader that holds its key has
 // taken the cancellation in; and nobody is told anything older.
-func TestWithdrawalIsToldOnceALeaderHasTakenItIn(t *testing.T) {
+func TestCancellationIsVisibleOnceALeaderAcknowledgedIt(t *testing.T) {
 	state := newSmallState(t)
 	addr, refuse := state.door(t)
 	cfg := testConfig(addr)
@@ -133,7 +133,7 @@
 
 // A leader's word counts only while it holds its key: a later one may not know then
 // what it has taken in.
-func TestLeaderThatMayBeReplacedVouchesForNothing(t *testing.T) {
+func TestLeaderWithoutItsKeyAcknowledgesNothing(t *testing.T) {
 	state := newSmallState(t)
 	addr, refuse := state.door(t)
 	n := testNode(t, testConfig(addr))
@@ -154,7 +154,7 @@
 
 // A peer's answer speaks for what it knew when it was asked, and for no longer than
 // its process has run.
-func TestPeersVouch(t *testing.T) {
+func TestPeersConfirmTheTerm(t *testing.T) {
 	state := newSmallState(t)
 	cfg := testConfig(state.addr)
 	cfg.Seeds = []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -43,7 +43,7 @@
 
 // After a restart a node's workers would stay where they went, all of them on
 // one node at last. They are sent back, one at a time, and no more than needed.
-func TestCrowdsSpread(t *testing.T) {
+func TestWorkersSpreadOverNodes(t *testing.T) {
 	at := func(s float64) ids.Instant { return ids.Instant(time.Hour).Add(ids.Seconds(s)) }
 	names := []ids.NodeName{"n-0", "n-1", "n-2"}
 	have := map[ids.NodeName]int{"n-0": 900, "n-1": 0, "n-2": 0}
--- a/node/polls_test.go
+++ b/node/status_reader_test.go
@@ -254,7 +254,7 @@
 
 // An answer that was ready before a process was paused is older by then than
 // what others may have told meanwhile.
-func TestAnswersFromBeforeStandingStillAreNotGiven(t *testing.T) {
+func TestAnswersFromBeforeAPauseAreNotGiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &records{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
 		r.write("job-1", ledger.Job{Status: wire.StatusQueued, Tasks: 2})
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -23,7 +23,7 @@
 		{Name: "t0", Nominal: quota.Amount{CPUs: 2000}, Limit: quota.Amount{CPUs: 6000}, Lend: quota.Amount{CPUs: 2000}},
 		{Name: "t1", Nominal: quota.Amount{CPUs: 3000}, Limit: quota.Amount{CPUs: 9000}, Lend: quota.Amount{CPUs: 3000}},
 	}
-	b := newBench(t, Options{Teams: teams})
+	b := newHarness(t, Options{Teams: teams})
 	b.c.Begin(b.now)
 	b.randomMachines(rng, machines)
 	jobs, placed := 0, 0
@@ -60,7 +60,7 @@
 // A job of higher priority makes room inside its own team when the team is at
 // its limit, and stops no more than it needs.
 func TestPreemptsInsideATeamAtItsLimit(t *testing.T) {
-	b := newBench(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4}, Limit: quota.Amount{CPUs: 4}}}})
+	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4}, Limit: quota.Amount{CPUs: 4}}}})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	b.job("job-low", wire.Spec{Tasks: 2, Priority: wire.Normal})
@@ -96,7 +96,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		teams := randomTeams(rng, func() float64 { return 1 })
-		b := newBench(t, Options{Teams: teams, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
+		b := newHarness(t, Options{Teams: teams, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
 		b.c.Begin(b.now)
 		b.randomMachines(rng, 1+rng.IntN(5))
 		for round := range 4 {
@@ -142,8 +142,8 @@
 
 // With a zone cut off, hundreds of services waited for it, and each round ended
 // with them: arrays behind them waited beside idle machines.
-func TestCrowdWithoutRoomDoesNotEndThePass(t *testing.T) {
-	b := newBench(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 6400}, Limit: quota.Amount{CPUs: 6400}}}})
+func TestJobsWithoutRoomDoNotEndTheRound(t *testing.T) {
+	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 6400}, Limit: quota.Amount{CPUs: 6400}}}})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	for n := range 300 { // more than pass_over; there is no machine in zone b
--- a/scheduler/autoscaler_test.go
+++ b/scheduler/autoscaler_test.go
@@ -15,7 +15,7 @@
 // have heard of the machine.
 func TestRentsAheadForServicesOnSilentMachines(t *testing.T) {
 	for _, inherited := range []bool{false, true} {
-		b := newBench(t, Options{Predecessor: inherited})
+		b := newHarness(t, Options{Predecessor: inherited})
 		if inherited {
 			b.inherit(wire.Spec{Tasks: 1, Service: true}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 			b.c.Begin(b.now)
@@ -43,7 +43,7 @@
 // Spare room for classes in a hurry was once looked for in the free room that
 // had already been counted, and so never rented.
 func TestHeadroomIsRentedBesideFreeRoom(t *testing.T) {
-	b := newBench(t, Options{Headroom: 3, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
+	b := newHarness(t, Options{Headroom: 3, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	b.job("job-1", wire.Spec{Class: "hasty", Tasks: 2, CPUs: 2})
@@ -65,7 +65,7 @@
 // waited for a boot has seen others take it: there a backlog stayed for a
 // minute while hardly anything was rented.
 func TestWorkThatWaitedForABootIsRentedFor(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	o := b.report("n-1", "a", 0)
 	b.job("job-1", wire.Spec{Tasks: 4, CPUs: 2, EstimateS: 3})
--- a/scheduler/long_test.go
+++ b/scheduler/benchmark_test.go
@@ -36,12 +36,12 @@
 }
 
 type longWorker struct {
-	host  ids.Host
-	site  wire.Rental
-	tick  ids.Sequence
-	token ids.Token
-	tasks []wire.Task
-	soon  bool
+	host       ids.Host
+	site       wire.Rental
+	sequence   ids.Sequence
+	token      ids.Token
+	tasks      []wire.Task
+	reportSoon bool
 }
 
 func newLongDay() *longDay {
@@ -78,9 +78,9 @@
 	return w.host
 }
 
-func (d *longDay) said(w *longWorker) *wire.Report {
-	w.tick++
-	return &wire.Report{Host: w.host, Endpoint: string(w.host), Type: w.site.Type, Zone: w.site.Zone, Spot: w.site.Spot, Session: 1, Sequence: w.tick,
+func (d *longDay) newReport(w *longWorker) *wire.Report {
+	w.sequence++
+	return &wire.Report{Host: w.host, Endpoint: string(w.host), Type: w.site.Type, Zone: w.site.Zone, Spot: w.site.Spot, Session: 1, Sequence: w.sequence,
 		Token: w.token, Tasks: slices.Clone(w.tasks)}
 }
 
@@ -88,21 +88,21 @@
 	if d.workers[w.host] != w {
 		return
 	}
-	w.soon = false
-	o, _ := d.c.Report(d.now, d.said(w), false)
+	w.reportSoon = false
+	o, _ := d.c.Report(d.now, d.newReport(w), false)
 	w.token = max(w.token, o.Token)
 	d.execute(w, o.Commands)
-	tick := w.tick
+	tick := w.sequence
 	d.after(5*time.Second, func() {
-		if w.tick == tick {
+		if w.sequence == tick {
 			d.report(w)
 		}
 	})
 }
 
 func (d *longDay) change(w *longWorker) {
-	if !w.soon {
-		w.soon = true
+	if !w.reportSoon {
+		w.reportSoon = true
 		d.after(500*time.Millisecond, func() { d.report(w) })
 	}
 }
@@ -176,7 +176,7 @@
 				if w := d.workers[h]; w != nil {
 					w.token = max(w.token, x.Token)
 					d.execute(w, x.Commands)
-					rep = d.said(w)
+					rep = d.newReport(w)
 				}
 				d.c.DirectResult(d.now, h, rep)
 				d.step()
--- a/scheduler/commands_test.go
+++ b/scheduler/commands_test.go
@@ -11,8 +11,8 @@
 
 // A direct command can be carried out once more, late. Were reap sent under
 // the same token as the run, the copy would start a task that is over.
-func TestReapGoesAboveEveryDirectRun(t *testing.T) {
-	b := newBench(t, Options{})
+func TestReapUsesATokenAboveDirectRuns(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	b.job("job-1", wire.Spec{Tasks: 2})
@@ -43,7 +43,7 @@
 // A task whose start was sent but never seen moves only when the worker shows
 // a token above the one it was sent under.
 func TestUnansweredRunStaysUntilFenced(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	b.job("job-1", wire.Spec{Tasks: 1})
--- a/scheduler/ops_test.go
+++ b/scheduler/failures_test.go
@@ -16,8 +16,8 @@
 // Jobs that were submitted with a mistake fail on every machine until their users
 // cancel them. Two of them used to condemn each machine that both had tried, for two
 // minutes, and an array of one tried all of its tasks in each round.
-func TestMistakenJobsCondemnNoMachine(t *testing.T) {
-	b := newBench(t, Options{})
+func TestPermanentlyFailingJobsQuarantineNoMachine(t *testing.T) {
+	b := newHarness(t, Options{})
 	const machines = 6
 	hosts := make([]ids.Host, machines)
 	running := map[ids.Host][]wire.Task{}
@@ -86,8 +86,8 @@
 
 // Errors of different jobs still condemn a machine that is at fault, also where a
 // permanently failing job has failed.
-func TestSickMachineBesideAMistakenJob(t *testing.T) {
-	b := newBench(t, Options{})
+func TestUnhealthyMachineBesideAPermanentlyFailingJob(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.report("n-0", "a", 0)
 	m := b.c.registry.machines["n-0"]
 	fail := func(id ids.JobID, j *job) {
@@ -127,7 +127,7 @@
 		{"all are slow", 2.5, 22 * time.Second, 0},
 		{"late even so", 2.5, 48 * time.Second, 1},
 	} {
-		b := newBench(t, Options{})
+		b := newHarness(t, Options{})
 		b.c.autoscaler.bootFactors["m"] = c.boots
 		b.job("job-1", wire.Spec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
 		var asked []wire.Rental
@@ -148,7 +148,7 @@
 		}
 	}
 	// One that never comes is returned in the end, and pays no more.
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.c.RentResult(b.now, wire.Rental{Type: "m", Zone: "a", Count: 1}, []ids.Host{"n-9"}, true)
 	b.c.registry.machines["n-9"].Site = placement.Site{Type: "m", Zone: "a"}
 	gone := false
@@ -165,8 +165,8 @@
 // What began or ended while the leader itself was paused is heard of only after it:
 // tasks did not run for that long, machines are not deaf, and none took too long to
 // boot.
-func TestStandingStillIsNobodysFault(t *testing.T) {
-	b := newBench(t, Options{})
+func TestProcessPauseCountsAgainstNobody(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.report("n-0", "a", 0)
 	b.job("job-1", wire.Spec{Class: "c", Tasks: 1, EstimateS: 5})
 	b.step()
@@ -211,10 +211,10 @@
 // Best-effort work of a team without a guarantee found each gap taken by others' work of higher priority, and
 // began after seven and ten minutes. Its first task must begin within four, and run on for
 // a while; beyond that it takes nothing from the others.
-func TestIdleTimeWorkBegins(t *testing.T) {
+func TestBestEffortWorkStarts(t *testing.T) {
 	play := func(keep time.Duration) (began, ran time.Duration, most int) {
 		limit := quota.Amount{CPUs: 48}
-		b := newBench(t, Options{ReserveAfter: keep, ReserveFor: 90 * time.Second, Teams: []quota.Team{
+		b := newHarness(t, Options{ReserveAfter: keep, ReserveFor: 90 * time.Second, Teams: []quota.Team{
 			{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: limit, Lend: quota.Amount{CPUs: 40}},
 			{Name: "guest", Limit: quota.Unlimited}}})
 		b.c.Begin(b.now)
--- a/scheduler/bench_test.go
+++ b/scheduler/harness_test.go
@@ -14,14 +14,14 @@
 )
 
 // bench is a core with machines that are up, driven by hand.
-type bench struct {
+type harness struct {
 	t    *testing.T
 	c    *Core
 	now  ids.Instant
 	tick ids.Sequence
 }
 
-func newBench(t *testing.T, opt Options, types ...wire.MachineType) *bench {
+func newHarness(t *testing.T, opt Options, types ...wire.MachineType) *harness {
 	t.Helper()
 	if opt.Teams == nil {
 		opt.Teams = []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 64}, Limit: quota.Amount{CPUs: 64}, Lend: quota.Amount{CPUs: 64}}}
@@ -35,10 +35,10 @@
 	if types == nil {
 		types = []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: []ids.Zone{"a", "b"}}}
 	}
-	return &bench{t: t, c: New(opt, types), now: ids.Instant(time.Hour)}
+	return &harness{t: t, c: New(opt, types), now: ids.Instant(time.Hour)}
 }
 
-func (b *bench) job(id ids.JobID, spec wire.Spec) {
+func (b *harness) job(id ids.JobID, spec wire.Spec) {
 	if spec.CPUs == 0 {
 		spec.CPUs = 2
 	}
@@ -50,7 +50,7 @@
 }
 
 // inherit loads job-1 and its admission record as a predecessor left them.
-func (b *bench) inherit(spec wire.Spec, rec ledger.Slice) {
+func (b *harness) inherit(spec wire.Spec, rec ledger.Slice) {
 	b.t.Helper()
 	spec.Class, spec.Team, spec.CPUs, spec.Image = "c", "red", 2, "i"
 	b.c.LoadJob("job-1", &ledger.Job{Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: &spec}, 3)
@@ -71,13 +71,13 @@
 }
 
 // randomMachines brings machines up in random zones.
-func (b *bench) randomMachines(rng *rand.Rand, count int) {
+func (b *harness) randomMachines(rng *rand.Rand, count int) {
 	for n := range count {
 		b.report(ids.Host(fmt.Sprintf("n-%d", n)), []ids.Zone{"a", "b", "c"}[rng.IntN(3)], 0)
 	}
 }
 
-func (b *bench) report(host ids.Host, zone ids.Zone, token ids.Token, tasks ...wire.Task) wire.ReportAnswer {
+func (b *harness) report(host ids.Host, zone ids.Zone, token ids.Token, tasks ...wire.Task) wire.ReportAnswer {
 	b.tick++
 	o, ok := b.c.Report(b.now, &wire.Report{Host: host, Endpoint: string(host), Type: "m", Zone: zone, Session: 1, Sequence: b.tick,
 		Token: token, Tasks: tasks}, false)
@@ -88,7 +88,7 @@
 }
 
 // step runs the core and commits whatever it decides, at once.
-func (b *bench) step() Effects {
+func (b *harness) step() Effects {
 	e := b.c.Step(b.now)
 	for _, ch := range e.Changes {
 		b.c.ChangeResult(b.now, ledger.Outcome{Change: ch, Applied: true, Revision: ids.Revision(1000 + ch.ID)})
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -14,8 +14,8 @@
 )
 
 // A machine that fails tasks of two jobs gets no more of them.
-func TestSickMachineIsSetAside(t *testing.T) {
-	b := newBench(t, Options{})
+func TestUnhealthyMachineIsQuarantined(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	for n := range 2 {
@@ -42,7 +42,7 @@
 // A machine whose lease ran out in silence holds nothing any more, but often
 // comes back sooner than another boots: it hung, or lost the network.
 func TestSilentMachineIsKeptForAWhile(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	start := b.now
@@ -60,7 +60,7 @@
 // A zone that is cut off is known by its silence within seconds, and what its
 // services need is rented before their leases run out. When all zones are
 // silent at once, or the leader itself was paused, it is not the zone.
-func TestCutZoneIsNoticedSoon(t *testing.T) {
+func TestPartitionedZoneIsNoticedSoon(t *testing.T) {
 	for name, c := range map[string]struct {
 		silent []ids.Zone
 		stands time.Duration
@@ -71,7 +71,7 @@
 		"the leader stood still":  {nil, 8 * time.Second, false},
 		"nothing is out of order": {nil, 0, false},
 	} {
-		b := newBench(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 999}, Limit: quota.Amount{CPUs: 999}}}})
+		b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 999}, Limit: quota.Amount{CPUs: 999}}}})
 		b.c.Begin(b.now)
 		hosts := map[ids.Zone][]ids.Host{}
 		for n := range 60 {
@@ -110,7 +110,7 @@
 // A machine on which tasks take much longer than their siblings elsewhere is
 // taken last, and after more of them not at all.
 func TestSlowMachinesAreTakenLast(t *testing.T) {
-	b := newBench(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 640}, Limit: quota.Amount{CPUs: 640}}}})
+	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 640}, Limit: quota.Amount{CPUs: 640}}}})
 	b.c.Begin(b.now)
 	hosts := []ids.Host{"n-1", "n-2", "n-3"}
 	token := ids.NewToken(5, 0)
@@ -167,8 +167,8 @@
 // A zone was cut off: its machines were returned after their leases and rented
 // again in the same zone, where they could not report either, and counted as
 // coming.
-func TestZoneThatIsCutOff(t *testing.T) {
-	b := newBench(t, Options{})
+func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	on := map[ids.Host][]wire.Task{}
 	up := func(zone ids.Zone) {
--- a/scheduler/plain_model_test.go
+++ b/scheduler/plain_model_test.go
@@ -213,7 +213,7 @@
 
 // samePass runs one round of the core and of the plain model, and returns how
 // many tasks both have placed.
-func (b *bench) samePass() int {
+func (b *harness) samePass() int {
 	b.t.Helper()
 	want := plainPass(b.c)
 	before := map[*assignment]bool{}
@@ -246,7 +246,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		teams := randomTeams(rng, func() float64 { return float64(rng.IntN(3)) / 2 })
-		b := newBench(t, Options{Teams: teams, ReserveAfter: time.Second, ReserveFor: time.Hour})
+		b := newHarness(t, Options{Teams: teams, ReserveAfter: time.Second, ReserveFor: time.Hour})
 		b.c.Begin(b.now)
 		b.randomMachines(rng, 1+rng.IntN(6))
 		for round := range 4 {
--- a/scheduler/trouble_test.go
+++ b/scheduler/reachability_test.go
@@ -14,14 +14,14 @@
 )
 
 // said is a report as a worker would make it, for messages out of order.
-func said(host ids.Host, tenure ids.Session, tick ids.Sequence, token ids.Token, tasks ...wire.Task) *wire.Report {
+func newReport(host ids.Host, tenure ids.Session, tick ids.Sequence, token ids.Token, tasks ...wire.Task) *wire.Report {
 	return &wire.Report{Host: host, Endpoint: string(host), Type: "m", Zone: "a", Session: tenure, Sequence: tick, Token: token, Tasks: tasks}
 }
 
 // A machine whose reports arrive, but which hears nothing, takes work for ever
 // and does none. It gets no more, is returned, and its work moves only then.
-func TestMachineThatHearsNothingIsReturned(t *testing.T) {
-	b := newBench(t, Options{})
+func TestUnreachableMachineIsReturned(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	b.job("job-1", wire.Spec{Tasks: 1})
@@ -68,13 +68,13 @@
 // machine that then shows the new token has only missed something.
 func TestLeaseLostWhileAnswered(t *testing.T) {
 	for _, hears := range []bool{false, true} {
-		b := newBench(t, Options{})
+		b := newHarness(t, Options{})
 		b.c.Begin(b.now)
 		o := b.report("n-1", "a", 0)
 		b.report("n-1", "a", o.Token)
 		b.now = b.now.Add(simReport)
 		b.tick++
-		b.c.Report(b.now, said("n-1", 2, b.tick, o.Token), false)
+		b.c.Report(b.now, newReport("n-1", 2, b.tick, o.Token), false)
 		b.job("job-1", wire.Spec{Tasks: 1})
 		b.step()
 		if b.c.jobs["job-1"].tasks[0].assignment != nil {
@@ -91,7 +91,7 @@
 			if hears {
 				token = ids.NewToken(5, 1)
 			}
-			b.c.Report(b.now, said("n-1", 2, b.tick, token), false)
+			b.c.Report(b.now, newReport("n-1", 2, b.tick, token), false)
 			returned = returned || slices.Contains(b.step().Return, "n-1")
 		}
 		if placed := b.c.jobs["job-1"].tasks[0].assignment != nil; returned == hears || placed != hears {
@@ -102,8 +102,8 @@
 
 // A cancelled job's task on a machine that talks but does not do as it is told
 // must be gone in time as well.
-func TestWithdrawnTaskOnAMachineThatHearsNothing(t *testing.T) {
-	b := newBench(t, Options{})
+func TestCancelledTaskOnAnUnreachableMachine(t *testing.T) {
+	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	o := b.report("n-1", "a", 0)
 	b.job("job-1", wire.Spec{Tasks: 1})
@@ -128,7 +128,7 @@
 // A copy of a report that comes late is no sign of life: its machine may be
 // long dead, and its tasks must be able to move.
 func TestCopiesAreNoSignOfLife(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	o := b.report("n-1", "a", 0)
 	b.job("job-1", wire.Spec{Tasks: 1, Service: true})
@@ -140,7 +140,7 @@
 	for s := range 60 {
 		b.now = b.now.Add(time.Second)
 		for tick := last - 1; tick <= last; tick++ { // older ones, and the newest once more
-			b.c.Report(b.now, said("n-1", 1, tick, o.Token, run), false)
+			b.c.Report(b.now, newReport("n-1", 1, tick, o.Token, run), false)
 		}
 		b.step()
 		if m := b.c.registry.machines["n-1"]; m == nil || len(m.tasks) == 0 {
@@ -159,7 +159,7 @@
 // A copy must not bring back a machine that was returned: not at the leader
 // that returned it, and not at a successor, which never knew of it.
 func TestCopiesDoNotReviveReturnedMachines(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	b.c.registry.returnMachine(b.c.registry.machines["n-1"], "test")
@@ -170,7 +170,7 @@
 		t.Fatal("it came back at the leader that returned it")
 	}
 
-	b = newBench(t, Options{Predecessor: true, Grace: time.Minute})
+	b = newHarness(t, Options{Predecessor: true, Grace: time.Minute})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", ids.NewToken(4, 7))
 	b.job("job-1", wire.Spec{Tasks: 1})
@@ -190,7 +190,7 @@
 // goes on answering them. Its successor tells the workers of itself, and their
 // next report ends the old leader's term.
 func TestSuccessorTakesWorkersFromALeaderThatKeepsThem(t *testing.T) {
-	old := newBench(t, Options{Revision: 5})
+	old := newHarness(t, Options{Revision: 5})
 	old.c.Begin(old.now)
 	o := old.report("n-1", "a", 0)
 	old.job("job-1", wire.Spec{Tasks: 1})
@@ -199,7 +199,7 @@
 	run := wire.Task{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
 	old.report("n-1", "a", o.Token, run)
 
-	next := newBench(t, Options{Revision: 9, Predecessor: true, Grace: time.Minute})
+	next := newHarness(t, Options{Revision: 9, Predecessor: true, Grace: time.Minute})
 	next.inherit(wire.Spec{Tasks: 1}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	next.c.Begin(next.now)
 	// It knows the address from the list, and has no report: all of them go
@@ -214,13 +214,13 @@
 		e := next.step()
 		for _, h := range e.Show {
 			tick++
-			next.c.ShowResult(next.now, h, said(h, 1, tick, token[h]))
+			next.c.ShowResult(next.now, h, newReport(h, 1, tick, token[h]))
 		}
 		for _, h := range e.Direct {
 			if d, _, ok := next.c.TakeDirect(next.now, h); ok {
 				token[h] = max(token[h], d.Token)
 				tick++
-				next.c.DirectResult(next.now, h, said(h, 1, tick, token[h]))
+				next.c.DirectResult(next.now, h, newReport(h, 1, tick, token[h]))
 			}
 		}
 	}
@@ -230,16 +230,16 @@
 	if token["n-1"].Revision() != 9 || !next.c.registry.machines["n-1"].fenced {
 		t.Fatalf("n-1 was not told of the successor: token %d", token["n-1"])
 	}
-	if _, ok := old.c.Report(old.now, said("n-1", 1, tick+1, token["n-1"], run), false); ok || !old.c.Deposed() {
+	if _, ok := old.c.Report(old.now, newReport("n-1", 1, tick+1, token["n-1"], run), false); ok || !old.c.Deposed() {
 		t.Fatal("the old leader goes on")
 	}
 }
 
 // Later jobs that fit pass one that does not, but not for ever: without room
 // kept for it a large task would find every gap taken by small ones.
-func TestLargeJobsBegin(t *testing.T) {
+func TestLargeJobsStart(t *testing.T) {
 	begins := func(keep time.Duration) time.Duration {
-		b := newBench(t, Options{ReserveAfter: keep, ReserveFor: time.Minute})
+		b := newHarness(t, Options{ReserveAfter: keep, ReserveFor: time.Minute})
 		b.c.Begin(b.now)
 		start := b.now
 		on := map[ids.Host][]wire.Task{}
@@ -297,7 +297,7 @@
 // quota was short, each slot that came free went to the next task of its oldest
 // jobs, and the largest began after seven minutes. A successor must know how
 // long a job has waited.
-func TestEveryJobBeginsThoughOlderOnesGoOn(t *testing.T) {
+func TestEveryJobStartsThoughOlderOnesGoOn(t *testing.T) {
 	begins := func(keep time.Duration, quotaShort, takeover bool) time.Duration {
 		opt := Options{ReserveAfter: keep, ReserveFor: time.Minute}
 		on := map[ids.Host][]wire.Task{"n-1": nil}
@@ -306,7 +306,7 @@
 			opt.Teams = []quota.Team{{Name: "red", Nominal: eight, Limit: eight, Lend: eight}}
 			on["n-2"] = nil
 		}
-		b := newBench(t, opt)
+		b := newHarness(t, opt)
 		b.c.Begin(b.now)
 		start := b.now
 		wall := func() int64 { return int64(b.now.Sub(start) / time.Millisecond) }
@@ -323,7 +323,7 @@
 			}
 			if s == 50 && takeover {
 				opt.Revision, opt.WallClockMS = 9, wall()
-				next := newBench(t, opt)
+				next := newHarness(t, opt)
 				next.now, next.tick = b.now, b.tick
 				for id, j := range b.c.jobs {
 					next.c.LoadJob(id, &ledger.Job{Status: wire.StatusQueued, Tasks: j.spec.Tasks, Spec: j.spec, SubmittedMS: j.readyMS}, j.revision)
@@ -380,25 +380,25 @@
 	margin := CancelMargin(simCancel, simLease)
 	for _, c := range []struct {
 		name         string
-		bring        func(b *bench)
+		bring        func(b *harness)
 		acknowledged bool
 	}{
-		{"its machine was not heard", func(*bench) {}, false},
-		{"one of its machines was heard", func(b *bench) { b.report("n-1", "a", ids.NewToken(5, 0)) }, false},
-		{"its machines were heard", func(b *bench) {
+		{"its machine was not heard", func(*harness) {}, false},
+		{"one of its machines was heard", func(b *harness) { b.report("n-1", "a", ids.NewToken(5, 0)) }, false},
+		{"its machines were heard", func(b *harness) {
 			b.report("n-1", "a", ids.NewToken(5, 0))
 			b.report("n-2", "a", ids.NewToken(5, 0))
 		}, true},
-		{"they have yet to show this leader's token", func(b *bench) {
+		{"they have yet to show this leader's token", func(b *harness) {
 			b.report("n-1", "a", ids.NewToken(4, 0))
 			b.report("n-2", "a", ids.NewToken(4, 0))
 		}, false},
-		{"its machines were returned", func(b *bench) { b.c.ReturnResult(b.now, []ids.Host{"n-1", "n-2"}, true) }, true},
-		{"all controllers follow", func(b *bench) { b.c.AllFollow(b.now) }, true},
-		{"just before the margin", func(b *bench) { b.now = b.now.Add(grace - margin - time.Second) }, false},
-		{"within the margin", func(b *bench) { b.now = b.now.Add(grace - margin) }, true},
+		{"its machines were returned", func(b *harness) { b.c.ReturnResult(b.now, []ids.Host{"n-1", "n-2"}, true) }, true},
+		{"all controllers follow", func(b *harness) { b.c.AllFollow(b.now) }, true},
+		{"just before the margin", func(b *harness) { b.now = b.now.Add(grace - margin - time.Second) }, false},
+		{"within the margin", func(b *harness) { b.now = b.now.Add(grace - margin) }, true},
 	} {
-		b := newBench(t, Options{Predecessor: true, Grace: grace})
+		b := newHarness(t, Options{Predecessor: true, Grace: grace})
 		b.inherit(wire.Spec{Service: true, Tasks: 2}, ledger.Slice{Hosts: []ids.Host{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
 		b.c.Begin(b.now)
 		spec := wire.Spec{Service: true, Tasks: 2, Class: "c", Team: "red", CPUs: 2, Image: "i"}
@@ -411,7 +411,7 @@
 			t.Errorf("%s: a job without tasks is held back", c.name)
 		}
 	}
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	if !b.c.PredecessorsHarmless(b.now) {
 		t.Error("the first leader waits for earlier ones")
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -62,11 +62,11 @@
 			case 0:
 				w.cut = s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second)
 			case 1:
-				w.deaf = s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second)
+				w.unreachable = s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second)
 			case 2: // hangs, and goes on within its lease or after it
 				w.hung = s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second)
 			default:
-				w.dead = w.tenure > 0
+				w.dead = w.session > 0
 			}
 		}
 		if round%4 == 3 {
@@ -75,8 +75,8 @@
 		}
 		s.run(4 * time.Second)
 		most = max(most, len(s.workers))
-		if len(s.broken) > 0 {
-			t.Fatalf("rules broken: %v", s.broken)
+		if len(s.violations) > 0 {
+			t.Fatalf("rules broken: %v", s.violations)
 		}
 	}
 	work += s.core.admission.MachinesExamined
@@ -96,12 +96,12 @@
 	s.faults = false
 	s.outage, s.refusal, s.cloudAway, s.islandUntil = min(s.outage, s.now), min(s.refusal, s.now), min(s.cloudAway, s.now), 0
 	for _, w := range s.workers {
-		w.sick = false
-		w.cut, w.deaf, w.mute, w.hung = min(w.cut, s.now), min(w.deaf, s.now), min(w.mute, s.now), min(w.hung, s.now)
+		w.unhealthy = false
+		w.cut, w.unreachable, w.cannotReport, w.hung = min(w.cut, s.now), min(w.unreachable, s.now), min(w.cannotReport, s.now), min(w.hung, s.now)
 	}
 	for _, id := range all {
 		if s.specs[id].Service {
-			s.withdraw(id)
+			s.cancel(id)
 		}
 	}
 	const part = 10 * time.Second
@@ -113,8 +113,8 @@
 			break
 		}
 	}
-	if len(s.broken) > 0 {
-		s.t.Fatalf("rules broken: %v", s.broken)
+	if len(s.violations) > 0 {
+		s.t.Fatalf("rules broken: %v", s.violations)
 	}
 	if !s.allOver(all) {
 		s.t.Fatalf("jobs never ended: %v\n%s", s.unfinished(all), s.core.Summary())
@@ -127,7 +127,7 @@
 	used := map[ids.Team]float64{}
 	free := map[*simWorker]float64{}
 	for _, w := range s.workers {
-		if w.tenure == 0 || s.expired(w) {
+		if w.session == 0 || s.expired(w) {
 			continue
 		}
 		free[w] = s.typeOf(w).CPUs
@@ -158,7 +158,7 @@
 			continue
 		}
 		if beside[id] += passed; beside[id] >= 90*time.Second {
-			s.breaks("%s waits beside room: %+v", id, *sp)
+			s.violation("%s waits beside room: %+v", id, *sp)
 			delete(beside, id)
 		}
 	}
--- a/scheduler/meetings_test.go
+++ b/scheduler/scenarios_test.go
@@ -11,19 +11,19 @@
 )
 
 // meeting is a day on which certain troubles are made to meet.
-type meeting struct {
+type scenario struct {
 	*sim
 	all []ids.JobID
 }
 
-func newMeeting(t *testing.T, seed uint64) *meeting {
-	m := &meeting{sim: newSim(t, seed)}
+func newScenario(t *testing.T, seed uint64) *scenario {
+	m := &scenario{sim: newSim(t, seed)}
 	m.capacity = 3
 	return m
 }
 
 // jobs submits some, changed by shape.
-func (m *meeting) jobs(count int, shape func(*wire.Spec)) {
+func (m *scenario) jobs(count int, shape func(*wire.Spec)) {
 	for range count {
 		sp := m.randomSpec()
 		if shape != nil {
@@ -44,10 +44,10 @@
 		Spot: sp.Spot, EstimateS: 10}
 }
 
-func (m *meeting) in(d time.Duration) ids.Instant { return m.now.Add(d) }
+func (m *scenario) in(d time.Duration) ids.Instant { return m.now.Add(d) }
 
 // some does something to every nth machine.
-func (m *meeting) some(nth int, f func(w *simWorker)) {
+func (m *scenario) some(nth int, f func(w *simWorker)) {
 	for i, h := range m.sortedHosts() {
 		if i%nth == 0 {
 			f(m.workers[h])
@@ -55,11 +55,11 @@
 	}
 }
 
-// cancel has users call off every nth job that is not over.
-func (m *meeting) cancel(nth int) {
+// cancelEvery has users call off every nth job that is not over.
+func (m *scenario) cancelEvery(nth int) {
 	for i, id := range m.all {
 		if i%nth == 0 && !m.cancelled[id] {
-			m.withdraw(id)
+			m.cancel(id)
 		}
 	}
 }
@@ -68,64 +68,64 @@
 
 // meetings are those of the operators' list that concern what runs where; those that
 // concern answers alone are in packages node and ledger (docs/design.md has the table).
-var meetings = []struct {
+var scenarios = []struct {
 	name  string
-	bring func(m *meeting)
+	bring func(m *scenario)
 }{
-	{"old reports after newer ones, also of earlier sessions and attempts", func(m *meeting) {
+	{"old reports after newer ones, also of earlier sessions and attempts", func(m *scenario) {
 		m.copies = 0.6
 		m.jobs(12, nil)
 		for range 8 {
 			m.some(3, func(w *simWorker) { w.cut = m.in(10 * s1) })
 			m.run(12 * s1)
-			m.some(4, func(w *simWorker) { w.deaf = m.in(32 * s1) }) // its session ends
+			m.some(4, func(w *simWorker) { w.unreachable = m.in(32 * s1) }) // its session ends
 			m.run(20 * s1)
 		}
 	}},
-	{"jobs bound to one zone lose machines", func(m *meeting) {
+	{"jobs bound to one zone lose machines", func(m *scenario) {
 		for range 5 {
 			m.jobs(4, func(sp *wire.Spec) { array(sp); sp.OneZone = true })
 			m.jobs(2, func(sp *wire.Spec) { array(sp); sp.Zone = "b" })
 			m.jobs(2, func(sp *wire.Spec) { long(sp); sp.Tasks, sp.OneZone = 3, true })
 			m.run(15 * s1)
-			m.some(3, func(w *simWorker) { w.dead = w.tenure > 0 })
+			m.some(3, func(w *simWorker) { w.dead = w.session > 0 })
 			m.some(4, func(w *simWorker) { w.cut = m.in(40 * s1) })
 			m.run(15 * s1)
 			m.takeOver()
 		}
 	}},
-	{"a leader ends while long tasks can't be reached, or don't hear the new one", func(m *meeting) {
+	{"a leader ends while long tasks can't be reached, or don't hear the new one", func(m *scenario) {
 		m.jobs(10, func(sp *wire.Spec) { long(sp); sp.Tasks = 2 })
 		for range 4 {
 			m.run(25 * s1)
 			m.some(2, func(w *simWorker) { w.cut = m.in(35 * s1) })
-			m.some(3, func(w *simWorker) { w.deaf = m.in(50 * s1) })
+			m.some(3, func(w *simWorker) { w.unreachable = m.in(50 * s1) })
 			m.takeOver()
-			m.cancel(4)
+			m.cancelEvery(4)
 			m.run(40 * s1)
 		}
 	}},
-	{"leaders change ten times in two minutes, also inside an outage", func(m *meeting) {
+	{"leaders change ten times in two minutes, also inside an outage", func(m *scenario) {
 		m.jobs(14, nil)
 		m.run(30 * s1)
 		for i := range 10 {
 			if i == 3 {
 				m.outage = m.in(40 * s1)
 			}
-			m.cancel(7)
+			m.cancelEvery(7)
 			m.takeOver()
 			m.run(12 * s1)
 		}
 	}},
-	{"more work than room, urgent and not, over slow links", func(m *meeting) {
+	{"more work than room, urgent and not, over slow links", func(m *scenario) {
 		m.slow = 900 * time.Millisecond
 		for range 6 {
 			m.jobs(10, nil)
 			m.run(20 * s1)
-			m.cancel(9)
+			m.cancelEvery(9)
 		}
 	}},
-	{"a zone with workers and a controller is cut off for longer than a lease", func(m *meeting) {
+	{"a zone with workers and a controller is cut off for longer than a lease", func(m *scenario) {
 		m.jobs(14, func(sp *wire.Spec) {
 			if sp.Tasks%2 == 0 {
 				long(sp)
@@ -135,50 +135,50 @@
 		m.run(40 * s1)
 		m.deposed()
 		m.island, m.islandUntil = "a", m.in(60*s1)
-		m.cancel(2)
+		m.cancelEvery(2)
 		m.jobs(6, nil)
 		m.run(90 * s1)
 	}},
-	{"the same, and the cloud is away: only the old leader's own bound is left", func(m *meeting) {
+	{"the same, and the cloud is away: only the old leader's own bound is left", func(m *scenario) {
 		m.jobs(14, func(sp *wire.Spec) { long(sp); sp.Spread, sp.Zone, sp.OneZone = false, "a", true })
 		m.run(40 * s1)
 		m.deposed()
 		m.island, m.islandUntil, m.cloudAway = "a", m.in(100*s1), m.in(100*s1)
-		m.cancel(1)
+		m.cancelEvery(1)
 		m.run(120 * s1)
 	}},
-	{"jobs are cancelled while one controller's work changes hands", func(m *meeting) {
+	{"jobs are cancelled while one controller's work changes hands", func(m *scenario) {
 		for range 5 {
 			m.jobs(5, nil)
 			m.run(20 * s1)
-			m.cancel(4)
+			m.cancelEvery(4)
 			m.run(300 * time.Millisecond)
 			m.takeOver()
 			m.run(300 * time.Millisecond)
-			m.cancel(3)
+			m.cancelEvery(3)
 			m.run(15 * s1)
 		}
 	}},
-	{"reports are kept until a new leader begins, or has acted", func(m *meeting) {
+	{"reports are kept until a new leader begins, or has acted", func(m *scenario) {
 		m.copies = 0.8
 		m.jobs(14, nil)
 		for range 6 {
 			m.run(20 * s1)
 			m.some(3, func(w *simWorker) { w.cut = m.in(15 * s1) })
-			m.cancel(8)
+			m.cancelEvery(8)
 			m.takeOver()
 			m.run(8 * s1)
 		}
 	}},
-	{"jobs are cancelled through the new leader of one that goes on without state and peers", func(m *meeting) {
+	{"jobs are cancelled through the new leader of one that goes on without state and peers", func(m *scenario) {
 		m.jobs(12, func(sp *wire.Spec) { long(sp); sp.Tasks = 2 })
 		m.run(40 * s1)
 		m.deposed()
 		m.run(500 * time.Millisecond)
-		m.cancel(2)
+		m.cancelEvery(2)
 		m.run(60 * s1)
 	}},
-	{"a cancellation meets the end of a job's last task", func(m *meeting) {
+	{"a cancellation meets the end of a job's last task", func(m *scenario) {
 		m.cancelAtEnd = 0.7
 		for range 6 {
 			m.jobs(6, func(sp *wire.Spec) { array(sp); sp.Tasks = 1 + sp.Tasks%3 })
@@ -187,7 +187,7 @@
 		m.takeOver()
 		m.run(20 * s1)
 	}},
-	{"new machines are up at once and get work while writes lag, and the leader ends", func(m *meeting) {
+	{"new machines are up at once and get work while writes lag, and the leader ends", func(m *scenario) {
 		m.quickBoots = 1
 		for range 5 {
 			m.jobs(6, array)
@@ -198,7 +198,7 @@
 			m.run(25 * s1)
 		}
 	}},
-	{"all teams are at their limits while cancelled jobs' machines are cut off or hang, and the leader changes", func(m *meeting) {
+	{"all teams are at their limits while cancelled jobs' machines are cut off or hang, and the leader changes", func(m *scenario) {
 		m.capacity = 6
 		for range 4 {
 			m.jobs(14, func(sp *wire.Spec) { array(sp); sp.Tasks = 6 })
@@ -210,23 +210,23 @@
 			m.run(20 * s1)
 		}
 	}},
-	{"workers reach no controller, while commands reach them", func(m *meeting) {
+	{"workers reach no controller, while commands reach them", func(m *scenario) {
 		for range 4 {
 			m.jobs(5, nil)
 			m.run(15 * s1)
-			m.some(2, func(w *simWorker) { w.mute = m.in(40 * s1) })
-			m.cancel(3)
+			m.some(2, func(w *simWorker) { w.cannotReport = m.in(40 * s1) })
+			m.cancelEvery(3)
 			m.run(10 * s1)
 			m.takeOver()
 			m.run(30 * s1)
 		}
 	}},
-	{"one-task jobs come four a second, a quarter of them cancelled", func(m *meeting) {
+	{"one-task jobs come four a second, a quarter of them cancelled", func(m *scenario) {
 		m.capacity = 6
 		for i := range 240 {
 			m.jobs(1, func(sp *wire.Spec) { array(sp); sp.Tasks, sp.CPUs = 1, 1 })
 			if i%4 == 3 {
-				m.withdraw(m.all[m.rng.IntN(len(m.all))])
+				m.cancel(m.all[m.rng.IntN(len(m.all))])
 			}
 			if i == 100 || i == 180 {
 				m.takeOver()
@@ -234,26 +234,26 @@
 			m.run(250 * time.Millisecond)
 		}
 	}},
-	{"the gap: the leader refused alone, cancellations, and then no state service", func(m *meeting) {
+	{"the gap: the leader refused alone, cancellations, and then no state service", func(m *scenario) {
 		m.jobs(14, func(sp *wire.Spec) { long(sp); sp.Tasks = 2 })
 		m.run(40 * s1)
 		m.refusal = m.in(14 * s1)
 		m.run(1200 * time.Millisecond)
-		m.cancel(2)
+		m.cancelEvery(2)
 		m.run(time.Duration(300+m.rng.IntN(1500)) * time.Millisecond)
 		m.outage = m.in(64 * s1)
-		m.cancel(1)
+		m.cancelEvery(1)
 		m.run(90 * s1)
 	}},
-	{"cancelled through a node that still follows the old leader, and then no state service", func(m *meeting) {
+	{"cancelled through a node that still follows the old leader, and then no state service", func(m *scenario) {
 		m.jobs(14, func(sp *wire.Spec) { long(sp); sp.Tasks = 2 })
 		m.run(40 * s1)
 		m.deposed()
-		m.cancel(2)
+		m.cancelEvery(2)
 		m.outage = m.in(64 * s1) // before the new leader's watch brings it
 		m.run(90 * s1)
 	}},
-	{"jobs of a few tasks end far apart across a change of leader", func(m *meeting) {
+	{"jobs of a few tasks end far apart across a change of leader", func(m *scenario) {
 		for range 8 {
 			m.jobs(4, func(sp *wire.Spec) { array(sp); sp.Tasks = 2 + sp.Tasks%2 })
 			m.run(time.Duration(4+m.rng.IntN(14)) * s1)
@@ -261,61 +261,61 @@
 		}
 		m.run(20 * s1)
 	}},
-	{"controllers hand over and back, all end, and one returns at once", func(m *meeting) {
+	{"controllers hand over and back, all end, and one returns at once", func(m *scenario) {
 		m.jobs(14, nil)
 		for range 6 {
 			m.run(15 * s1)
 			m.takeOver()
 			m.run(300 * time.Millisecond)
 			m.takeOver()
-			m.away, m.old = m.in(time.Duration(100+m.rng.IntN(900))*time.Millisecond), nil
-			m.run(m.away.Sub(m.now))
+			m.controllersDown, m.old = m.in(time.Duration(100+m.rng.IntN(900))*time.Millisecond), nil
+			m.run(m.controllersDown.Sub(m.now))
 			m.takeOver()
-			m.cancel(6)
+			m.cancelEvery(6)
 		}
 	}},
-	{"transactions without an answer are carried out late", func(m *meeting) {
+	{"transactions without an answer are carried out late", func(m *scenario) {
 		for range 6 {
 			m.jobs(6, nil)
 			m.refusal = m.in(2500 * time.Millisecond) // all that was sent comes at once after it
 			m.run(3 * s1)
-			m.cancel(5)
+			m.cancelEvery(5)
 			m.run(15 * s1)
 		}
 	}},
-	{"all controllers are away for longer than a lease", func(m *meeting) {
+	{"all controllers are away for longer than a lease", func(m *scenario) {
 		m.jobs(14, nil)
 		for range 3 {
 			m.run(30 * s1)
-			m.cancel(5)
+			m.cancelEvery(5)
 			m.run(time.Second)
-			m.away, m.old = m.in(40*s1), nil
+			m.controllersDown, m.old = m.in(40*s1), nil
 			m.run(40 * s1)
 			m.takeOver()
 		}
 	}},
-	{"a command or its answer is held up, and the machine then goes on", func(m *meeting) {
+	{"a command or its answer is held up, and the machine then goes on", func(m *scenario) {
 		for range 6 {
 			m.jobs(5, nil)
 			m.run(time.Duration(500+m.rng.IntN(4000)) * time.Millisecond)
 			m.some(2, func(w *simWorker) { w.hung = m.in(time.Duration(2+m.rng.IntN(22)) * s1) })
-			m.cancel(5)
+			m.cancelEvery(5)
 			m.run(15 * s1)
 		}
 	}},
 }
 
-// TestMeetings brings each meeting about on several days, and then the quiet after it.
+// TestOverlappingTroubles brings each meeting about on several days, and then the quiet after it.
 // No rule breaks, whatever is cancelled goes in time, and all else comes to its end.
-func TestMeetings(t *testing.T) {
-	for _, c := range meetings {
+func TestOverlappingTroubles(t *testing.T) {
+	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
-				m := newMeeting(t, 1000+seed)
+				m := newScenario(t, 1000+seed)
 				c.bring(m)
-				if len(m.broken) > 0 {
-					t.Fatalf("day %d: rules broken: %v", seed, m.broken)
+				if len(m.violations) > 0 {
+					t.Fatalf("day %d: rules broken: %v", seed, m.violations)
 				}
 				m.toTheEnd(m.all, 20*time.Minute)
 				m.checkOrphans(m.all)
@@ -331,7 +331,7 @@
 // cancel_s; a placement beside it whose record waits for the state service used to
 // hold that back until the end of an outage.
 func TestReturnDoesNotWaitForARecord(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	spec := wire.Spec{Class: "c", Team: "red", Service: true, Tasks: 1, CPUs: 2, Image: "i"}
 	b.job("job-1", spec)
 	b.report("n-1", "a", 0)
--- a/scheduler/sim_cloud_test.go
+++ b/scheduler/sim_cloud_test.go
@@ -37,7 +37,7 @@
 		case s.chance(s.quickBoots):
 			boot = time.Duration(500+s.rng.IntN(1500)) * time.Millisecond
 		}
-		s.after(boot, func() { w.dead, w.tenure, w.sentAt = false, 1, s.now })
+		s.after(boot, func() { w.dead, w.session, w.sentAt = false, 1, s.now })
 	}
 	if out != nil {
 		s.rented[r.Request] = out
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -48,10 +48,10 @@
 		}
 	}
 	s.core.Begin(s.now)
-	for _, rep := range s.kept {
+	for _, rep := range s.keptReports {
 		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Report(s.now, rep, false) })
 	}
-	s.kept = nil
+	s.keptReports = nil
 }
 
 // deposed puts a new leader in place of one that goes on unseen: it lost the state
@@ -65,7 +65,7 @@
 func (s *sim) stepOf(core *Core, term int) {
 	current := func(f func()) func() {
 		return func() {
-			if s.now >= s.away && (s.term == term || s.old == core) {
+			if s.now >= s.controllersDown && (s.term == term || s.old == core) {
 				f()
 			}
 		}
@@ -91,7 +91,7 @@
 				s.after(w.hung.Sub(s.now), arrive) // a command is read when it goes on
 				return
 			}
-			if w == nil || w.dead || s.now < w.cut || s.now < w.deaf || !reached(w) {
+			if w == nil || w.dead || s.now < w.cut || s.now < w.unreachable || !reached(w) {
 				return
 			}
 			rep := s.direct(w, d)
@@ -118,7 +118,7 @@
 	for _, h := range e.Show {
 		s.after(s.latency(), current(func() {
 			w := s.workers[h]
-			if w != nil && !w.dead && s.now >= max(w.cut, w.deaf, w.hung) && reached(w) {
+			if w != nil && !w.dead && s.now >= max(w.cut, w.unreachable, w.hung) && reached(w) {
 				core.ShowResult(s.now, h, s.report(w))
 			} else {
 				core.ShowResult(s.now, h, nil)
@@ -147,7 +147,7 @@
 // change commits one change of a leader, as the committer does: without an
 // answer it is sent again until its outcome is clear.
 func (s *sim) change(core *Core, term int, ch ledger.Change, bounded bool) {
-	if s.now < max(s.outage, s.away) || s.now < s.refusal && s.term == term {
+	if s.now < max(s.outage, s.controllersDown) || s.now < s.refusal && s.term == term {
 		s.after(500*time.Millisecond, func() { s.change(core, term, ch, bounded) })
 		return
 	}
--- a/scheduler/sim_state_test.go
+++ b/scheduler/sim_state_test.go
@@ -38,7 +38,7 @@
 			id := ids.JobID(op.Write[len(ledger.JobPrefix):])
 			for i := range s.specs[id].Tasks {
 				if !s.completed[ids.TaskRef{Job: id, Index: i}] {
-					s.breaks("not_done: %s/%d", id, i)
+					s.violation("not_done: %s/%d", id, i)
 				}
 			}
 		}
@@ -81,11 +81,11 @@
 		}
 		for _, i := range tasks {
 			if other, twice := in[i]; twice && other != n {
-				s.breaks("%s/%d is recorded in slices %d and %d", id, i, other, n)
+				s.violation("%s/%d is recorded in slices %d and %d", id, i, other, n)
 			}
 			in[i] = n
 			if s.oldFormat && i/s.opt.SliceTasks != n {
-				s.breaks("%s/%d is recorded in slice %d before the upgrade", id, i, n)
+				s.violation("%s/%d is recorded in slice %d before the upgrade", id, i, n)
 			}
 		}
 	}
@@ -120,9 +120,9 @@
 // withdraw is what a user's cancellation comes to: it is repeated until it is
 // committed, and the user is told once a leader that surely held its key after that
 // has taken it in.
-func (s *sim) withdraw(id ids.JobID) {
+func (s *sim) cancel(id ids.JobID) {
 	if s.now < s.outage {
-		s.after(time.Second, func() { s.withdraw(id) })
+		s.after(time.Second, func() { s.cancel(id) })
 		return
 	}
 	key := ledger.JobKey(id)
@@ -135,12 +135,12 @@
 	s.commit(c.Guards, c.Apply)
 	s.cancelled[id] = true
 	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
-	s.tell(id)
+	s.tellUser(id)
 }
 
-func (s *sim) tell(id ids.JobID) {
+func (s *sim) tellUser(id ids.JobID) {
 	s.after(min(s.latency(), time.Second), func() {
-		if s.now >= s.away && !s.chance(0.2) {
+		if s.now >= s.controllersDown && !s.chance(0.2) {
 			core, holds := s.core, s.now < s.sure
 			if s.old != nil && s.chance(0.5) {
 				// The node that was asked still follows the old leader. What that one
@@ -149,11 +149,11 @@
 			}
 			s.bring(core, id)
 			if holds && core.CanAcknowledgeCancel(s.now, id) {
-				s.withdrawn[id] = s.now
+				s.toldCancelled[id] = s.now
 				return
 			}
 		}
-		s.after(time.Second, func() { s.tell(id) })
+		s.after(time.Second, func() { s.tellUser(id) })
 	})
 }
 
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -65,9 +65,9 @@
 	outage ids.Instant // the state service is away for everybody until then
 	// refusal: the state service refuses the leader alone until then. sure is until
 	// when its key is surely held.
-	refusal, sure ids.Instant
-	cloudAway     ids.Instant // the cloud carries nothing out until then
-	away          ids.Instant // no controller runs until then
+	refusal, sure   ids.Instant
+	cloudAway       ids.Instant // the cloud carries nothing out until then
+	controllersDown ids.Instant // no controller runs until then
 	// island is a zone that until islandUntil is reached by the old leader alone.
 	island      ids.Zone
 	islandUntil ids.Instant
@@ -88,14 +88,14 @@
 	sent      map[ids.JobID][]simPlace // where tasks were ever told to run
 	completed map[ids.TaskRef]bool
 	// cancelled are the jobs whose users asked for it, cancelled when they were told.
-	cancelled map[ids.JobID]bool
-	withdrawn map[ids.JobID]ids.Instant
-	lateStart int            // starts after that
-	kept      []*wire.Report // copies of reports that come to the next leader
-	broken    []string
-	starts    int
-	faults    bool
-	capacity  int // machines of each site
+	cancelled     map[ids.JobID]bool
+	toldCancelled map[ids.JobID]ids.Instant
+	lateStart     int            // starts after that
+	keptReports   []*wire.Report // copies of reports that come to the next leader
+	violations    []string
+	starts        int
+	faults        bool
+	capacity      int // machines of each site
 	// slow is added to every message; copies, cancelAtEnd and quickBoots are chances.
 	slow                            time.Duration
 	copies, cancelAtEnd, quickBoots float64
@@ -111,7 +111,7 @@
 func newSim(t *testing.T, seed uint64) *sim {
 	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: ids.Instant(time.Hour), store: map[string]simEntry{},
 		workers: map[ids.Host]*simWorker{}, rented: map[string][]ids.Host{}, specs: map[ids.JobID]*wire.Spec{}, sent: map[ids.JobID][]simPlace{},
-		completed: map[ids.TaskRef]bool{}, cancelled: map[ids.JobID]bool{}, withdrawn: map[ids.JobID]ids.Instant{}, faults: true, capacity: 2,
+		completed: map[ids.TaskRef]bool{}, cancelled: map[ids.JobID]bool{}, toldCancelled: map[ids.JobID]ids.Instant{}, faults: true, capacity: 2,
 		copies: 0.1, cancelAtEnd: 0.03, quickBoots: 0.1, digest: newEffectDigest()}
 	s.types = []wire.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: []ids.Zone{"a", "b"}},
@@ -149,8 +149,8 @@
 	return time.Duration(1+s.rng.IntN(20)) * time.Millisecond
 }
 
-func (s *sim) breaks(format string, args ...any) {
-	s.broken = append(s.broken, fmt.Sprintf("%.1f s: ", time.Duration(s.now-ids.Instant(time.Hour)).Seconds())+fmt.Sprintf(format, args...))
+func (s *sim) violation(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf("%.1f s: ", time.Duration(s.now-ids.Instant(time.Hour)).Seconds())+fmt.Sprintf(format, args...))
 }
 
 func (s *sim) must(err error) {
@@ -178,7 +178,7 @@
 		for _, h := range s.sortedHosts() {
 			s.workerStep(s.workers[h])
 		}
-		for id, when := range s.withdrawn {
+		for id, when := range s.toldCancelled {
 			if s.now > when.Add(simCancel) && s.now <= when.Add(simCancel+150*time.Millisecond) {
 				s.checkGone(id)
 			}
@@ -186,7 +186,7 @@
 		if tick%20 == 0 {
 			list, asked := s.list(), s.now
 			s.after(3*time.Second, func() {
-				if s.now >= max(s.cloudAway, s.away) {
+				if s.now >= max(s.cloudAway, s.controllersDown) {
 					s.core.MachineList(s.now, asked, list)
 				}
 			})
@@ -197,7 +197,7 @@
 
 // step runs the core and carries its decisions out.
 func (s *sim) step() {
-	if s.now < s.away {
+	if s.now < s.controllersDown {
 		return
 	}
 	if s.watched() {
--- a/scheduler/sim_troubles_test.go
+++ b/scheduler/sim_troubles_test.go
@@ -23,22 +23,22 @@
 	}},
 	{"machine sick, or well again", 3, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
 		if w := s.someWorker(); w != nil {
-			w.sick = !w.sick
+			w.unhealthy = !w.unhealthy
 		}
 	}},
 	{"machine dies", 3, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
-		if w := s.someWorker(); w != nil && w.tenure > 0 {
+		if w := s.someWorker(); w != nil && w.session > 0 {
 			w.dead = true
 		}
 	}},
 	{"machine hears nothing", 3, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
 		if w := s.someWorker(); w != nil {
-			w.deaf = d(5, 95)
+			w.unreachable = d(5, 95)
 		}
 	}},
 	{"machine says nothing", 3, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
 		if w := s.someWorker(); w != nil {
-			w.mute = d(5, 95)
+			w.cannotReport = d(5, 95)
 		}
 	}},
 	{"machine hangs", 3, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
@@ -47,9 +47,9 @@
 		}
 	}},
 	{"machine back at once", 2, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
-		if w := s.someWorker(); w != nil && w.tenure > 0 && !w.dead {
-			w.tasks, w.tick, w.sentAt = nil, 0, s.now
-			w.tenure++
+		if w := s.someWorker(); w != nil && w.session > 0 && !w.dead {
+			w.tasks, w.sequence, w.sentAt = nil, 0, s.now
+			w.session++
 		}
 	}},
 	{"another leader", 4, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) { s.takeOver() }},
@@ -65,9 +65,9 @@
 		s.island, s.islandUntil = ids.Zone([]string{"a", "b", "c"}[s.rng.IntN(3)]), d(5, 60)
 	}},
 	{"no controller", 1, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
-		s.away = d(1, 40)
+		s.controllersDown = d(1, 40)
 		s.old = nil
-		s.after(s.away.Sub(s.now), s.takeOver)
+		s.after(s.controllersDown.Sub(s.now), s.takeOver)
 	}},
 	{"no cloud", 1, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) { s.cloudAway = d(5, 40) }},
 	{"slow links", 1, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
@@ -116,7 +116,7 @@
 			continue
 		}
 		count--
-		s.after(time.Duration(s.rng.IntN(200))*time.Millisecond, func() { s.withdraw(id) })
+		s.after(time.Duration(s.rng.IntN(200))*time.Millisecond, func() { s.cancel(id) })
 		s.after(time.Duration(s.rng.IntN(200))*time.Millisecond, func() {
 			for h := range hosts {
 				if w := s.workers[h]; w != nil {
@@ -169,14 +169,14 @@
 			all = append(all, id)
 		}
 		if len(all) > 0 && s.rng.IntN(5) == 0 {
-			s.withdraw(all[s.rng.IntN(len(all))])
+			s.cancel(all[s.rng.IntN(len(all))])
 		}
 		for range 1 + s.rng.IntN(2) {
 			s.trouble(all)
 		}
 		s.run(time.Duration(2+s.rng.IntN(12)) * time.Second)
-		if len(s.broken) > 0 {
-			s.t.Fatalf("rules broken: %v", s.broken)
+		if len(s.violations) > 0 {
+			s.t.Fatalf("rules broken: %v", s.violations)
 		}
 	}
 	return all
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -16,25 +16,25 @@
 }
 
 type simWorker struct {
-	host   ids.Host
-	typ    ids.MachineType
-	zone   ids.Zone
-	spot   bool
-	tenure ids.Session
-	tick   ids.Sequence
-	token  ids.Token
-	tasks  []*simTask
-	sentAt ids.Instant // of the last answered report, or the session's start
-	cut    ids.Instant // unreachable until then
-	hung   ids.Instant // executes and says nothing until then, but is reachable
-	deaf   ids.Instant // its reports arrive, but nothing reaches it, until then
-	mute   ids.Instant // its reports do not arrive, but commands reach it, until then
-	loyal  int         // the term to whose leader it reports
-	dead   bool
-	sick   bool
-	asking bool
-	last   ids.Instant
-	soon   bool
+	host         ids.Host
+	typ          ids.MachineType
+	zone         ids.Zone
+	spot         bool
+	session      ids.Session
+	sequence     ids.Sequence
+	token        ids.Token
+	tasks        []*simTask
+	sentAt       ids.Instant // of the last answered report, or the session's start
+	cut          ids.Instant // unreachable until then
+	hung         ids.Instant // executes and says nothing until then, but is reachable
+	unreachable  ids.Instant // its reports arrive, but nothing reaches it, until then
+	cannotReport ids.Instant // its reports do not arrive, but commands reach it, until then
+	followsTerm  int         // the term to whose leader it reports
+	dead         bool
+	unhealthy    bool
+	asking       bool
+	last         ids.Instant
+	reportSoon   bool
 }
 
 type simPlace struct {
@@ -43,9 +43,9 @@
 }
 
 func (s *sim) report(w *simWorker) *wire.Report {
-	w.tick++
+	w.sequence++
 	r := &wire.Report{Host: w.host, Endpoint: string(w.host), Type: w.typ, Zone: w.zone, Spot: w.spot,
-		Session: w.tenure, Sequence: w.tick, Token: w.token}
+		Session: w.session, Sequence: w.sequence, Token: w.token}
 	for _, t := range w.tasks {
 		r.Tasks = append(r.Tasks, wire.Task{Name: t.ref.String(), Attempt: t.attempt, State: t.state, Cause: t.cause})
 	}
@@ -53,7 +53,7 @@
 }
 
 func (s *sim) direct(w *simWorker, d wire.DirectCommand) *wire.Report {
-	if d.Token >= w.token && d.Session == w.tenure {
+	if d.Token >= w.token && d.Session == w.session {
 		w.token = d.Token
 		s.execute(w, d.Commands)
 	}
@@ -96,7 +96,7 @@
 				w.tasks = slices.Delete(w.tasks, i, i+1)
 			}
 		}
-		w.soon = true
+		w.reportSoon = true
 	}
 }
 
@@ -115,17 +115,17 @@
 	}
 	s.starts++
 	t.state = wire.TaskRunning
-	w.soon = true
+	w.reportSoon = true
 	spec := s.specs[t.ref.Job]
-	if when, ok := s.withdrawn[t.ref.Job]; ok {
+	if when, ok := s.toldCancelled[t.ref.Job]; ok {
 		s.lateStart++
 		if s.now > when.Add(simCancel) {
-			s.breaks("ran_cancelled: %s started", t.ref)
+			s.violation("ran_cancelled: %s started", t.ref)
 		}
 	}
 	for _, n := range spec.DependsOn {
 		if s.status(n) != wire.StatusDone {
-			s.breaks("too_early: %s started while %s is %s", t.ref, n, s.status(n))
+			s.violation("too_early: %s started while %s is %s", t.ref, n, s.status(n))
 		}
 	}
 	zones := map[ids.Zone]int{}
@@ -135,7 +135,7 @@
 		}
 		zones[p.w.zone]++
 		if p.t != t && p.t.ref == t.ref {
-			s.breaks("ran_twice: %s on %s and %s", t.ref, w.host, p.w.host)
+			s.violation("ran_twice: %s on %s and %s", t.ref, w.host, p.w.host)
 		}
 	}
 	if s.starts%max(1, len(s.workers)/20) == 0 { // it looks at every task there is
@@ -144,7 +144,7 @@
 	if w.spot && !spec.Spot || spec.Zone != "" && spec.Zone != w.zone ||
 		spec.Spread && zones[w.zone] > (spec.Tasks+1)/2 || spec.OneZone && len(zones) > 1 ||
 		len(spec.Types) > 0 && !slices.Contains(spec.Types, w.typ) {
-		s.breaks("wrong_place: %s on %s in %s, zones %v", t.ref, w.host, w.zone, zones)
+		s.violation("wrong_place: %s on %s in %s, zones %v", t.ref, w.host, w.zone, zones)
 	}
 	if spec.Service {
 		return
@@ -153,7 +153,7 @@
 	if s.completed[t.ref] {
 		run = 0
 	}
-	fails := w.sick || s.chance(0.1)
+	fails := w.unhealthy || s.chance(0.1)
 	var end func()
 	end = func() {
 		if s.now < w.hung {
@@ -169,10 +169,10 @@
 		} else {
 			s.completed[t.ref] = true
 			if s.chance(s.cancelAtEnd) {
-				s.after(time.Duration(s.rng.IntN(100))*time.Millisecond, func() { s.withdraw(t.ref.Job) })
+				s.after(time.Duration(s.rng.IntN(100))*time.Millisecond, func() { s.cancel(t.ref.Job) })
 			}
 		}
-		w.soon = true
+		w.reportSoon = true
 	}
 	s.after(run, end)
 }
@@ -188,7 +188,7 @@
 	}
 	for _, team := range s.opt.Teams {
 		if used[team.Name] > team.Limit.CPUs+1e-9 {
-			s.breaks("quota: %s uses %v", team.Name, used[team.Name])
+			s.violation("quota: %s uses %v", team.Name, used[team.Name])
 		}
 	}
 }
@@ -203,15 +203,15 @@
 	}
 	if s.now > w.sentAt.Add(simLease) {
 		w.tasks = nil
-		w.tenure++
+		w.session++
 		w.sentAt = s.now
 	}
-	due := s.now > w.last.Add(simReport) || w.soon && s.now > w.last.Add(500*time.Millisecond)
+	due := s.now > w.last.Add(simReport) || w.reportSoon && s.now > w.last.Add(500*time.Millisecond)
 	if w.asking || !due {
 		return
 	}
-	w.asking, w.last, w.soon = true, s.now, false
-	sent, tenure, answered := s.now, w.tenure, false
+	w.asking, w.last, w.reportSoon = true, s.now, false
+	sent, tenure, answered := s.now, w.session, false
 	rep := s.report(w)
 	finish := func() { w.asking = false }
 	s.after(4*time.Second, func() {
@@ -220,43 +220,43 @@
 			finish()
 		}
 	})
-	if s.now < max(w.cut, w.mute, s.away) || s.apart(w) && s.old == nil {
+	if s.now < max(w.cut, w.cannotReport, s.controllersDown) || s.apart(w) && s.old == nil {
 		return
 	}
 	core := s.core
-	if s.old != nil && (w.loyal == s.oldTerm && s.now >= s.islandUntil || s.apart(w)) {
+	if s.old != nil && (w.followsTerm == s.oldTerm && s.now >= s.islandUntil || s.apart(w)) {
 		core = s.old
 	} else {
-		w.loyal = s.term
+		w.followsTerm = s.term
 	}
 	if s.chance(s.copies) { // a copy, from seconds to well over a lease later
 		s.after(time.Duration(2+s.rng.IntN(90))*time.Second, func() { s.core.Report(s.now, rep, false) })
 	}
-	if s.chance(s.copies) && len(s.kept) < 50 {
-		s.kept = append(s.kept, rep)
+	if s.chance(s.copies) && len(s.keptReports) < 50 {
+		s.keptReports = append(s.keptReports, rep)
 	}
 	s.after(s.latency(), func() {
 		if core != s.core && core != s.old {
 			core = s.core
 		}
-		if s.now < s.away || core == s.core && (s.apart(w) || s.now >= s.sure.Add(simGrace)) {
+		if s.now < s.controllersDown || core == s.core && (s.apart(w) || s.now >= s.sure.Add(simGrace)) {
 			return
 		}
 		orders, ok := core.Report(s.now, rep, false)
 		s.digest.add("answer", orders)
 		if !ok {
-			w.loyal = s.term
+			w.followsTerm = s.term
 		}
 		if !ok || s.chance(0.02) {
 			return
 		}
 		s.after(s.latency(), func() {
-			if answered || s.now < w.cut || s.now < w.deaf || s.now < w.hung || w.dead {
+			if answered || s.now < w.cut || s.now < w.unreachable || s.now < w.hung || w.dead {
 				return
 			}
 			answered = true
 			finish()
-			if tenure != w.tenure || orders.Token < w.token {
+			if tenure != w.session || orders.Token < w.token {
 				return
 			}
 			w.token, w.sentAt = orders.Token, sent
@@ -272,7 +272,7 @@
 	for _, w := range s.workers {
 		for _, t := range w.tasks {
 			if t.ref.Job == id && t.state == wire.TaskRunning && !s.expired(w) {
-				s.breaks("ran_cancelled: %s is still on %s", t.ref, w.host)
+				s.violation("ran_cancelled: %s is still on %s", t.ref, w.host)
 			}
 		}
 	}
--- a/scheduler/succession_test.go
+++ b/scheduler/succession_test.go
@@ -16,7 +16,7 @@
 // tasks to no zone.
 func TestSuccessorKeepsSpreadBeforeItHearsFromMachines(t *testing.T) {
 	for _, zones := range [][]ids.Zone{{"a", "a"}, nil} {
-		b := newBench(t, Options{Predecessor: true, Grace: time.Minute})
+		b := newHarness(t, Options{Predecessor: true, Grace: time.Minute})
 		b.inherit(wire.Spec{Service: true, Spread: true, Tasks: 3},
 			ledger.Slice{Hosts: []ids.Host{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
 		b.c.Begin(b.now)
@@ -36,7 +36,7 @@
 // A predecessor cut off from the state service may go on answering workers;
 // until its grace and a lease are over, its tasks may run.
 func TestPredecessorsGraceCounts(t *testing.T) {
-	b := newBench(t, Options{Predecessor: true, Grace: time.Minute})
+	b := newHarness(t, Options{Predecessor: true, Grace: time.Minute})
 	b.inherit(wire.Spec{Tasks: 1}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for _, step := range []struct {
@@ -55,7 +55,7 @@
 // what a dead machine holds need not wait for the grace. A lease it does wait:
 // a report sent just before may have been answered.
 func TestOnceAllFollowThereIsNoGrace(t *testing.T) {
-	b := newBench(t, Options{Predecessor: true, Grace: 10 * time.Minute})
+	b := newHarness(t, Options{Predecessor: true, Grace: 10 * time.Minute})
 	b.inherit(wire.Spec{Tasks: 1}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	followed := 5 * time.Second
@@ -74,7 +74,7 @@
 
 // A late record of a submission must not bring back a job that is over.
 func TestOlderRecordDoesNotReviveAJob(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	spec := wire.Spec{Team: "red", Tasks: 1, CPUs: 1}
 	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusCancelled, Tasks: 1, Spec: &spec}, 9)
@@ -89,7 +89,7 @@
 // A machine died around a takeover. The successor never heard of it, never saw
 // it listed, and held its tasks for two minutes.
 func TestMachineThatDiedAtTheTakeoverIsNoticed(t *testing.T) {
-	b := newBench(t, Options{Predecessor: true, Grace: 90 * time.Second, ListLag: 3 * time.Second})
+	b := newHarness(t, Options{Predecessor: true, Grace: 90 * time.Second, ListLag: 3 * time.Second})
 	b.inherit(wire.Spec{Tasks: 1}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for s := range 20 {
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -63,7 +63,7 @@
 						all = append(all, id)
 					}
 					if s.rng.IntN(8) == 0 {
-						s.withdraw(all[s.rng.IntN(len(all))])
+						s.cancel(all[s.rng.IntN(len(all))])
 					}
 					s.run(time.Duration(1+s.rng.IntN(6)) * time.Second)
 				}
@@ -85,7 +85,7 @@
 // The limits fall below what was said: the change that is too large is refused for
 // good. Its job must wait for it alone, take less, and not ask for ever.
 func TestRefusedChangeHoldsUpNobodyElse(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	b.job("job-1", wire.Spec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
 	b.report("n-1", "a", 0)
 	sent := func(e Effects, job ids.JobID) (out []ledger.Change) {
@@ -127,7 +127,7 @@
 // stopped for the other must not come back to stop it in turn, and a job that lost
 // those that needed it counts as what it is.
 func TestPriorityReachesBack(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newHarness(t, Options{})
 	low := wire.Spec{Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1}
 	last := low
 	last.Priority, last.DependsOn = wire.High, []ids.JobID{"job-1"}
@@ -158,7 +158,7 @@
 // While a split is on its way its tasks go on: what is placed then belongs to one of
 // the parts, and would wait for ever if that part were not written for it.
 func TestPlacedWhileTheRecordIsSplit(t *testing.T) {
-	b := newBench(t, Options{ValueBytes: 50, SplitRecords: true})
+	b := newHarness(t, Options{ValueBytes: 50, SplitRecords: true})
 	b.job("job-1", wire.Spec{Tasks: 4, CPUs: 4, MemoryGB: 1})
 	b.report("n-1", "a", 0)
 	split := b.c.Step(b.now).Changes
@@ -182,7 +182,7 @@
 // A record that was too large when it could not be split is split once it may be,
 // though nothing happens to its tasks.
 func TestLargeRecordsAreSplitOnceAllAreNew(t *testing.T) {
-	b := newBench(t, Options{ValueBytes: 50})
+	b := newHarness(t, Options{ValueBytes: 50})
 	b.job("job-1", wire.Spec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
 	b.report("n-1", "a", 0)
 	if e := b.step(); len(e.Changes) != 1 || len(e.Changes[0].Apply) != 1 {
@@ -199,7 +199,7 @@
 // tasks are all done must not wait behind them: its user, and the jobs that need it,
 // do.
 func TestEndsGoFirstWhileWritesAreScarce(t *testing.T) {
-	b := newBench(t, Options{WriteRate: 4, Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4096}, Limit: quota.Amount{CPUs: 4096}}}})
+	b := newHarness(t, Options{WriteRate: 4, Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4096}, Limit: quota.Amount{CPUs: 4096}}}})
 	b.job("job-0", wire.Spec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Normal})
 	b.report("n-0", "a", 0)
 	b.step()
