--- a/ledger/records.go
+++ b/ledger/records.go
@@ -50,10 +50,10 @@
 // whether tasks run is not kept here.
 type Job struct {
 	// Nonce names this very write, as in Slice.
-	Nonce  uint64     `msgpack:"w"`
-	Status string     `msgpack:"s"`
-	Tasks  int        `msgpack:"n"`
-	Spec   *wire.Spec `msgpack:"p,omitempty"`
+	Nonce  uint64        `msgpack:"w"`
+	Status wire.JobState `msgpack:"s"`
+	Tasks  int           `msgpack:"n"`
+	Spec   *wire.Spec    `msgpack:"p,omitempty"`
 	// SubmittedMS is the time of day of the submission; jobs go by it.
 	SubmittedMS int64 `msgpack:"t,omitempty"`
 	// DoneMS is the time of day when the job was done: those that need it are
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -29,7 +29,7 @@
 // frame is one request or answer.
 type frame struct {
 	ID     uint64          `cbor:"1,keyasint"`
-	Op     string          `cbor:"2,keyasint,omitempty"`
+	Op     Operation       `cbor:"2,keyasint,omitempty"`
 	Answer bool            `cbor:"3,keyasint,omitempty"`
 	Err    string          `cbor:"4,keyasint,omitempty"`
 	Body   cbor.RawMessage `cbor:"5,keyasint,omitempty"`
@@ -44,8 +44,11 @@
 	ErrRefused = errors.New("refused by the peer")
 )
 
+// Operation names what a request asks for.
+type Operation string
+
 // Handler answers one request.
-type Handler func(ctx context.Context, op string, body []byte) (any, error)
+type Handler func(ctx context.Context, op Operation, body []byte) (any, error)
 
 // Decode reads a request's body.
 func Decode(b []byte, v any) error { return cbor.Unmarshal(b, v) }
@@ -232,7 +235,7 @@
 // Call sends a request and waits for its answer within the context's time. A
 // cut shows no error: who finds that a peer lets requests time out calls
 // Close, and the next call makes a new connection.
-func (p *Peer) Call(ctx context.Context, op string, in, out any) error {
+func (p *Peer) Call(ctx context.Context, op Operation, in, out any) error {
 	body, err := cbor.Marshal(in)
 	if err != nil {
 		return fmt.Errorf("mesh %s: %w", op, err)
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -20,7 +20,7 @@
 	served := make(chan error, 1)
 	release := make(chan struct{})
 	go func() {
-		served <- Serve(ctx, ln, func(ctx context.Context, op string, body []byte) (any, error) {
+		served <- Serve(ctx, ln, func(ctx context.Context, op Operation, body []byte) (any, error) {
 			switch op {
 			case "double":
 				var n int
--- a/node/cancellations.go
+++ b/node/cancellations.go
@@ -103,8 +103,8 @@
 		return false
 	}
 	var held bool
-	if err := p.Call(ctx, "job", newJobNotice(id, rec, stamp), &held); err != nil {
-		n.log.Debug("withdrawal not taken in", "job", id, "err", err)
+	if err := p.Call(ctx, opJob, newJobNotice(id, rec, stamp), &held); err != nil {
+		n.log.Debug("cancellation not acknowledged", "job", id, "err", err)
 		return false
 	}
 	return held
--- a/node/cancellations_test.go
+++ b/node/cancellations_test.go
@@ -186,7 +186,7 @@
 // read what it wrote, and write on. Whoever asks after an answer gets nothing older,
 // from any node, and the node that waited for its answer least of all.
 func TestNothingOlderAfterLostAnswers(t *testing.T) {
-	rank := map[string]int{wire.StatusQueued: 1, wire.StatusCancelled: 2}
+	rank := map[wire.JobState]int{wire.StatusQueued: 1, wire.StatusCancelled: 2}
 	state := newSmallState(t)
 	a := state.started(t)
 	seed := config.Peer{Name: "n-0", Address: state.leads(t, a)}
--- a/node/job_notice.go
+++ b/node/job_notice.go
@@ -34,8 +34,8 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			if err := p.Call(ctx, "job", a, nil); err != nil {
-				n.log.Debug("not announced", "job", id, "err", err)
+			if err := p.Call(ctx, opJob, a, nil); err != nil {
+				n.log.Debug("leader not notified", "job", id, "err", err)
 			}
 		}()
 	}
--- a/node/job_replica.go
+++ b/node/job_replica.go
@@ -20,7 +20,7 @@
 
 // jobSnapshot is what a replica holds of a job.
 type jobSnapshot struct {
-	Status   string
+	Status   wire.JobState
 	Tasks    int
 	revision ids.Revision
 	// orphan tells that it is cancelled with a job that it depends on, and so never had a task,
--- a/node/job_status.go
+++ b/node/job_status.go
@@ -92,7 +92,7 @@
 		return t.progress(ctx, list)
 	}
 	var ans []progress
-	if p := n.leaderPeer(); p != nil && p.Call(ctx, "progress", list, &ans) == nil {
+	if p := n.leaderPeer(); p != nil && p.Call(ctx, opProgress, list, &ans) == nil {
 		return ans
 	}
 	return nil
--- a/node/mesh_handler.go
+++ b/node/mesh_handler.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
@@ -12,61 +13,87 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
+// The operations between controllers, as the version in production names them.
+const (
+	// opPing exchanges pings.
+	opPing mesh.Operation = "ping"
+	// opState sends a stateCall to the state service by way of a peer, and answers with a
+	// stateAnswer.
+	opState mesh.Operation = "state"
+	// opProgress asks the leader for the progress of a list of jobs.
+	opProgress mesh.Operation = "progress"
+	// opJob hands a jobNotice to the leader, and answers whether it is acknowledged.
+	opJob mesh.Operation = "job"
+	// opReports passes workers' reports on to the leader, and answers with a
+	// relayedAnswer for each.
+	opReports mesh.Operation = "reports"
+)
+
+// errUnknownOperation refuses an operation that this version does not know.
+var errUnknownOperation = errors.New("unknown operation")
+
 // handle answers the other controllers.
-func (n *Node) handle(ctx context.Context, op string, body []byte) (any, error) {
+func (n *Node) handle(ctx context.Context, op mesh.Operation, body []byte) (any, error) {
 	switch op {
-	case "ping":
-		var p ping
-		if err := mesh.Decode(body, &p); err != nil {
-			return nil, err
-		}
-		n.observePing(p)
-		if from := n.peerNamed(p.From); from != nil {
-			from.observeVersion(p)
-		}
-		return n.ping(), nil
-	case "state":
-		var c stateCall
-		if err := mesh.Decode(body, &c); err != nil {
-			return nil, err
-		}
-		status, ans, err := (&directRoute{n}).Do(ctx, c.Method, c.Path, c.Body, time.Duration(c.TimeoutMS)*time.Millisecond)
-		if err != nil {
-			return stateAnswer{NotSent: statestore.NotSent(err), Unknown: !statestore.NotSent(err)}, nil
-		}
-		return stateAnswer{Status: status, Body: ans}, nil
+	case opPing:
+		return handleBody(body, n.handlePing)
+	case opState:
+		return handleBody(body, func(call stateCall) (any, error) { return n.handleStateCall(ctx, call) })
 	}
 	t := n.term.Load()
 	if t == nil || !t.key.MayAnswer() {
 		return nil, errNotLeading
 	}
 	switch op {
-	case "progress":
-		var list []ids.JobID
-		if err := mesh.Decode(body, &list); err != nil {
-			return nil, err
-		}
-		ans := t.progress(ctx, list)
-		if ans == nil {
-			return nil, errNotLeading
-		}
-		return ans, nil
-	case "job":
-		var a jobNotice
-		if err := mesh.Decode(body, &a); err != nil {
-			return nil, err
-		}
-		rec := new(ledger.Job)
-		if err := wire.Decode(a.Record, rec); err != nil {
-			return nil, err
-		}
-		return t.acknowledge(ctx, a.ID, rec, a.Revision), nil
-	case "reports":
-		var raws [][]byte
-		if err := mesh.Decode(body, &raws); err != nil {
-			return nil, err
-		}
-		return n.relayedReports(ctx, t, raws)
+	case opProgress:
+		return handleBody(body, func(jobs []ids.JobID) (any, error) { return t.handleProgress(ctx, jobs) })
+	case opJob:
+		return handleBody(body, func(notice jobNotice) (any, error) { return t.handleJobNotice(ctx, notice) })
+	case opReports:
+		return handleBody(body, func(reports [][]byte) (any, error) { return n.relayedReports(ctx, t, reports) })
+	}
+	return nil, fmt.Errorf("%w: %s", errUnknownOperation, op)
+}
+
+// handleBody decodes a request's body and hands it to its handler.
+func handleBody[T any](body []byte, handler func(T) (any, error)) (any, error) {
+	var request T
+	if err := mesh.Decode(body, &request); err != nil {
+		return nil, err
+	}
+	return handler(request)
+}
+
+func (n *Node) handlePing(p ping) (any, error) {
+	n.observePing(p)
+	if from := n.peerNamed(p.From); from != nil {
+		from.observeVersion(p)
+	}
+	return n.ping(), nil
+}
+
+// handleStateCall sends a peer's request to the state service, directly.
+func (n *Node) handleStateCall(ctx context.Context, call stateCall) (any, error) {
+	timeout := time.Duration(call.TimeoutMS) * time.Millisecond
+	status, body, err := (&directRoute{n}).Do(ctx, call.Method, call.Path, call.Body, timeout)
+	if err != nil {
+		return stateAnswer{NotSent: statestore.NotSent(err), Unknown: !statestore.NotSent(err)}, nil
+	}
+	return stateAnswer{Status: status, Body: body}, nil
+}
+
+func (t *term) handleProgress(ctx context.Context, jobs []ids.JobID) (any, error) {
+	answer := t.progress(ctx, jobs)
+	if answer == nil {
+		return nil, errNotLeading
+	}
+	return answer, nil
+}
+
+func (t *term) handleJobNotice(ctx context.Context, notice jobNotice) (any, error) {
+	record := new(ledger.Job)
+	if err := wire.Decode(notice.Record, record); err != nil {
+		return nil, err
 	}
-	return nil, errors.New("unknown request " + op)
+	return t.acknowledge(ctx, notice.ID, record, notice.Revision), nil
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -70,7 +70,7 @@
 		call, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
 		var ans ping
 		asked := n.clock.Now()
-		err := p.Call(call, "ping", n.ping(), &ans)
+		err := p.Call(call, opPing, n.ping(), &ans)
 		cancel()
 		if err == nil {
 			p.lastHeard.Store(int64(n.clock.Now()))
--- a/node/report_relay.go
+++ b/node/report_relay.go
@@ -112,7 +112,7 @@
 		for i := range batch {
 			raws[i] = batch[i].raw
 		}
-		if err := p.Call(ctx, "reports", raws, &answers); err != nil {
+		if err := p.Call(ctx, opReports, raws, &answers); err != nil {
 			e.n.log.Debug("reports not passed on", "count", len(batch), "err", err)
 		}
 	}
--- a/node/state_routes.go
+++ b/node/state_routes.go
@@ -87,7 +87,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout+200*time.Millisecond)
 	defer cancel()
 	var ans stateAnswer
-	err := p.Call(ctx, "state", stateCall{method, path, body, timeout.Milliseconds()}, &ans)
+	err := p.Call(ctx, opState, stateCall{method, path, body, timeout.Milliseconds()}, &ans)
 	switch {
 	case errors.Is(err, mesh.ErrNotSent):
 		return 0, nil, errors.Join(httpc.ErrNotSent, err)
--- a/node/status_reader_test.go
+++ b/node/status_reader_test.go
@@ -89,7 +89,7 @@
 // also when the other node's answer came just before the question. And the
 // calls to the state service do not grow with the questions.
 func TestAnswersOfTwoNodesNeverGoBack(t *testing.T) {
-	rank := map[string]int{"": 0, wire.StatusQueued: 1, wire.StatusCancelled: 2, wire.StatusDone: 2}
+	rank := map[wire.JobState]int{"": 0, wire.StatusQueued: 1, wire.StatusCancelled: 2, wire.StatusDone: 2}
 	synctest.Test(t, func(t *testing.T) {
 		r := &records{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
 		nodes := []*statusReader{pollsOf(r), pollsOf(r)}
@@ -131,7 +131,7 @@
 			rng := rand.New(rand.NewPCG(77, 3))
 			for n := range 60 {
 				id := ids.JobID(fmt.Sprintf("job-%d", n))
-				for i, status := range []string{wire.StatusQueued, []string{wire.StatusDone, wire.StatusCancelled}[n%2]} {
+				for i, status := range []wire.JobState{wire.StatusQueued, []wire.JobState{wire.StatusDone, wire.StatusCancelled}[n%2]} {
 					r.write(id, ledger.Job{Status: status, Tasks: 2})
 					mu.Lock()
 					told[id] = max(told[id], i+1)
--- a/node/upgrade_test.go
+++ b/node/upgrade_test.go
@@ -196,14 +196,14 @@
 	follow(b, a)
 	a.upgrade.durable.Store(true)
 	b.upgrade.durable.Store(true)
-	submit := func(n *Node, id ids.JobID, code int, status string, needs ...ids.JobID) {
+	submit := func(n *Node, id ids.JobID, code int, status wire.JobState, needs ...ids.JobID) {
 		t.Helper()
 		ans := n.Submit(t.Context(), id, waiting(needs...))
 		if s, _ := ans.Body.(wire.JobStatus); ans.Code != code || s.Status != status || code == 503 && ans.RetryAfter == 0 {
 			t.Errorf("%s after %v: %+v, want %d %s", id, needs, ans, code, status)
 		}
 	}
-	says := func(id ids.JobID, status string) {
+	says := func(id ids.JobID, status wire.JobState) {
 		t.Helper()
 		for _, n := range []*Node{a, b} {
 			ans := n.Status(t.Context(), id)
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -36,7 +36,7 @@
 
 // Record is what a job's record says that matters here.
 type Record struct {
-	Status    string
+	Status    wire.JobState
 	DependsOn []ids.JobID
 	Priority  wire.Priority
 	// SubmittedMS and DoneMS are times of day; 0: not known.
--- a/scheduler/assignment.go
+++ b/scheduler/assignment.go
@@ -40,7 +40,7 @@
 	sentAt       ids.Instant // first, since it was last known not to be there
 	sent         bool
 	seen         bool
-	phase        string
+	phase        wire.TaskState
 	phaseSince   ids.Instant   // when the phase began, as far as known
 	pausedBefore time.Duration // Core.totalPause at that time
 	stopReason   stopReason
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -74,7 +74,7 @@
 // that was told of us makes it give up.
 func (q *commandQueue) needsReportRequest(m *machine) bool {
 	return !m.reported && !m.reportRequested && q.core.now >= m.requestReportAt && !m.returning && m.endpoint != "" &&
-		(len(m.tasks) > 0 || m.listedStatus == "running" && !m.rentedThisTerm)
+		(len(m.tasks) > 0 || m.listedStatus == wire.MachineRunning && !m.rentedThisTerm)
 }
 
 // needsFencing tells whether a machine has yet to show a token of this leader. The
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -96,7 +96,7 @@
 	return e
 }
 
-func verbs(orders []wire.Command, verb string) []string {
+func verbs(orders []wire.Command, verb wire.Verb) []string {
 	var out []string
 	for _, o := range orders {
 		if o.Verb == verb {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		switch {
-		case m.listedStatus == "failed":
+		case m.listedStatus == wire.MachineFailed:
 			hm.core.registry.returnMachine(m, "failed")
 		case m.missingLists >= 2 && hm.silentFor(m, 2*hm.core.opt.Report):
 			// It was listed and is not any more: it was taken. Returning what
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -54,7 +54,7 @@
 	// orderMS orders jobs of a priority: readyMS, or for a pipeline that is late, when
 	// this job should have started for the last one to be done in time.
 	orderMS int64
-	status  string
+	status  wire.JobState
 	// priority is the job's own or that of one that depends on it.
 	priority wire.Priority
 	// ready tells that all that the job depends on is done.
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -13,8 +13,8 @@
 type reportedTask struct {
 	ref     ids.TaskRef
 	attempt ids.Attempt
-	state   string
-	cause   string
+	state   wire.TaskState
+	cause   wire.Cause
 }
 
 // cachedImage is an image in a machine's cache.
@@ -78,7 +78,7 @@
 	images        map[ids.Image]*cachedImage
 
 	takenBy        ids.Instant // 0: no notice
-	listedStatus   string
+	listedStatus   wire.MachineStatus
 	missingLists   int // machine lists in a row without it, after it was listed
 	returning      bool
 	returnInFlight bool // a return call is on its way
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -141,7 +141,7 @@
 }
 
 // handleEndedTask handles a recorded task that the newest report shows as ended.
-func (c *Core) handleEndedTask(a *assignment, cause string) {
+func (c *Core) handleEndedTask(a *assignment, cause wire.Cause) {
 	m, j := a.machine, a.job
 	if im := m.images[j.spec.Image]; im != nil {
 		im.usedAt = c.now
--- a/scheduler/sim_state_test.go
+++ b/scheduler/sim_state_test.go
@@ -158,7 +158,7 @@
 }
 
 // status is a job's own record.
-func (s *sim) status(id ids.JobID) string {
+func (s *sim) status(id ids.JobID) wire.JobState {
 	var rec ledger.Job
 	s.must(wire.Decode(s.store[ledger.JobKey(id)].raw, &rec))
 	return rec.Status
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -11,8 +11,8 @@
 type simTask struct {
 	ref     ids.TaskRef
 	attempt ids.Attempt
-	state   string
-	cause   string
+	state   wire.TaskState
+	cause   wire.Cause
 }
 
 type simWorker struct {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -82,37 +82,64 @@
 	return nil
 }
 
-// Job states as told to users.
+// JobState is a job's state, as users are told and as its record holds it.
+type JobState string
+
+// The states of a job. Records never say that a job is running.
+const (
+	StatusQueued    JobState = "queued"
+	StatusRunning   JobState = "running"
+	StatusDone      JobState = "done"
+	StatusCancelled JobState = "withdrawn"
+)
+
+// TaskState is the state of a task in a worker's report.
+type TaskState string
+
+// The states of a task.
+const (
+	TaskFetching TaskState = "pulling"
+	TaskRunning  TaskState = "running"
+	TaskSaving   TaskState = "flushing"
+	TaskEnded    TaskState = "ended"
+)
+
+// Cause tells why a task ended.
+type Cause string
+
+// The causes of a task's end.
 const (
-	StatusQueued    = "queued"
-	StatusRunning   = "running"
-	StatusDone      = "done"
-	StatusCancelled = "withdrawn"
+	CauseDone    Cause = "done"
+	CauseStopped Cause = "stopped"
+	CauseError   Cause = "error"
+	CauseFull    Cause = "full"
+	CauseInUse   Cause = "in_use"
+	CauseNoSuch  Cause = "no_such"
 )
 
-// Task states and causes in workers' reports, and the verbs of commands.
+// Verb tells what a command asks of a worker.
+type Verb string
+
+// The verbs of commands.
+const (
+	VerbRun  Verb = "run"
+	VerbKill Verb = "kill"
+	VerbReap Verb = "reap"
+)
+
+// MachineStatus is the status of a machine in the cloud's list.
+type MachineStatus string
+
+// The statuses of a machine that decisions depend on.
 const (
-	TaskFetching = "pulling"
-	TaskRunning  = "running"
-	TaskSaving   = "flushing"
-	TaskEnded    = "ended"
-
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CauseError   = "error"
-	CauseFull    = "full"
-	CauseInUse   = "in_use"
-	CauseNoSuch  = "no_such"
-
-	VerbRun  = "run"
-	VerbKill = "kill"
-	VerbReap = "reap"
+	MachineRunning MachineStatus = "running"
+	MachineFailed  MachineStatus = "failed"
 )
 
 // JobStatus is the answer about a job.
 type JobStatus struct {
 	ID      ids.JobID `msgpack:"nameId"`
-	Status  string    `msgpack:"status"`
+	Status  JobState  `msgpack:"status"`
 	Done    int       `msgpack:"done"`
 	Running int       `msgpack:"running"`
 }
@@ -121,8 +148,8 @@
 type Task struct {
 	Name         string      `msgpack:"leg"`
 	Attempt      ids.Attempt `msgpack:"try"`
-	State        string      `msgpack:"status"`
-	Cause        string      `msgpack:"cause"`
+	State        TaskState   `msgpack:"status"`
+	Cause        Cause       `msgpack:"cause"`
 	Checkpointed bool        `msgpack:"stored"`
 }
 
@@ -148,7 +175,7 @@
 
 // Command is one command to a worker.
 type Command struct {
-	Verb    string      `msgpack:"verb" cbor:"1,keyasint"`
+	Verb    Verb        `msgpack:"verb" cbor:"1,keyasint"`
 	Name    string      `msgpack:"leg" cbor:"2,keyasint"`
 	Attempt ids.Attempt `msgpack:"try" cbor:"3,keyasint"`
 	GraceS  float64     `msgpack:"leewayS" cbor:"4,keyasint"`
@@ -212,7 +239,7 @@
 	Type     ids.MachineType `msgpack:"frame"`
 	Zone     ids.Zone        `msgpack:"hall"`
 	Spot     bool            `msgpack:"loaner"`
-	Status   string          `msgpack:"status"`
+	Status   MachineStatus   `msgpack:"status"`
 	AgeS     float64         `msgpack:"ageS"`
 }
 
