--- a/election/election.go
+++ b/election/election.go
@@ -67,9 +67,10 @@
 	// the state service is away.
 	Grace time.Duration
 	// Isolated is the same, counted from the last moment at which all Peers were
-	// known to follow no later leader. A later one counts on it: what that has told
-	// users, as that a job is cancelled, this one does not know.
-	Isolated time.Duration
+	// known to follow no later leader, for workers without replicas, and
+	// IsolatedReplicas for the others. A later leader counts on both: what that has
+	// told users, as that a job is cancelled, this one does not know.
+	Isolated, IsolatedReplicas time.Duration
 	// Peers are the other controllers.
 	Peers []ids.NodeName
 }
@@ -95,7 +96,13 @@
 	}
 	valid := ids.Instant(t.heldUntil.Load())
 	return now < valid || now < valid.Add(t.bounds.Grace) && now < ids.Instant(t.renewalAskedAt.Load()).Add(renewalWindow) &&
-		(len(t.bounds.Peers) == 0 || now < t.unchallengedAt(valid).Add(t.bounds.Isolated))
+		(len(t.bounds.Peers) == 0 || now < t.unchallengedAt(valid).Add(max(t.bounds.Isolated, t.bounds.IsolatedReplicas)))
+}
+
+// ReplicasOnly tells whether no worker may be answered any more but those with replicas.
+func (t *Term) ReplicasOnly() bool {
+	valid := ids.Instant(t.heldUntil.Load())
+	return len(t.bounds.Peers) > 0 && t.clock.Now() >= t.unchallengedAt(valid).Add(t.bounds.Isolated)
 }
 
 // Confirm takes a peer's word that it knew of no later leader when it was asked. It
--- a/node/node.go
+++ b/node/node.go
@@ -82,7 +82,7 @@
 	n.userState = statestore.New(&userRoute{n, direct}, rps*0.65/nodes)
 	n.intake = ledger.NewCommitter(n.userState, n.limits(), nil, log)
 	self := election.Holder{Name: cfg.HostName, Mesh: cfg.MeshAddr, Incarnation: ids.Incarnation(rand.Uint64())}
-	bounds := election.Bounds{TTL: op.LeaseTTL(), Grace: op.Grace(), Isolated: n.isolatedBound()}
+	bounds := election.Bounds{TTL: op.LeaseTTL(), Grace: op.Grace(), Isolated: n.isolatedBound(), IsolatedReplicas: n.isolatedReplicasBound()}
 	for _, p := range cfg.Seeds {
 		bounds.Peers = append(bounds.Peers, p.Name)
 	}
@@ -102,14 +102,23 @@
 const cancelHold = 45 * time.Second
 
 // isolatedBound is for how long a leader that cannot rule out a later one may go on
-// answering workers. A zone that is cut off together with its leader keeps its tasks for
-// that long and a lease. The later leader counts on this bound: until it is over but for
-// scheduler.CancelMargin, no user is told that a job is cancelled whose tasks the earlier
-// leader may keep.
+// answering workers without replicas: users may be told at any time that a job is
+// cancelled, and the lease that is renewed last ends within cancel_s of that.
 func (n *Node) isolatedBound() time.Duration {
 	w := &n.cfg.Settings.Workers
-	margin := scheduler.CancelMargin(ids.Seconds(w.CancelS), ids.Seconds(w.LeaseS))
-	return min(n.op.Grace(), margin+cancelHold)
+	return min(n.op.Grace(), scheduler.CancelMargin(ids.Seconds(w.CancelS), ids.Seconds(w.LeaseS)))
+}
+
+// isolatedReplicasBound is the same for workers with replicas, so that a zone that is cut
+// off together with its leader keeps its services for that long and a lease. The later
+// leader counts on this bound: until it is over but for scheduler.CancelMargin, no user is
+// told that a job is cancelled whose tasks the earlier leader may keep.
+func (n *Node) isolatedReplicasBound() time.Duration {
+	isolated := n.isolatedBound()
+	if isolated == 0 { // cancel_s leaves no room for it
+		return 0
+	}
+	return min(n.op.Grace(), isolated+cancelHold)
 }
 
 // limits are those of one transaction.
--- a/node/report_relay.go
+++ b/node/report_relay.go
@@ -137,13 +137,13 @@
 			reps[i] = rep
 		}
 	}
-	if !t.ask(ctx, func() {
+	if !t.askReports(ctx, func() {
 		for i, rep := range reps {
 			if rep != nil {
 				answers[i].Orders, answers[i].OK = t.core.Report(n.clock.Now(), rep, false)
 			}
 		}
-	}) || !t.key.MayAnswer() {
+	}) {
 		return nil, errNotLeading
 	}
 	return answers, nil
--- a/node/reports.go
+++ b/node/reports.go
@@ -31,12 +31,23 @@
 func (n *Node) reportToCore(ctx context.Context, t *term, rep *wire.Report) server.Answer {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	var orders wire.ReportAnswer
+	var answer wire.ReportAnswer
 	var ok bool
-	if !t.ask(ctx, func() { orders, ok = t.core.Report(n.clock.Now(), rep, false) }) || !ok || !t.key.MayAnswer() {
+	if !t.askReports(ctx, func() { answer, ok = t.core.Report(n.clock.Now(), rep, false) }) || !ok {
 		return server.Answer{Code: 503}
 	}
-	return server.Answer{Code: 200, Body: orders}
+	return server.Answer{Code: 200, Body: answer}
+}
+
+// askReports runs f in the loop, which gives reports to the core, and tells whether their
+// answers may be sent: the right to answer is the same after it as before.
+func (t *term) askReports(ctx context.Context, f func()) bool {
+	replicasOnly := false
+	return t.ask(ctx, func() {
+		replicasOnly = t.key.ReplicasOnly()
+		t.core.AnswerReplicasOnly(replicasOnly)
+		f()
+	}) && t.key.MayAnswer() && (replicasOnly || !t.key.ReplicasOnly())
 }
 
 // errNotLeading refuses what only a leader may do.
--- a/node/term_options.go
+++ b/node/term_options.go
@@ -25,39 +25,41 @@
 func (n *Node) options(stamp ids.Revision, predecessor bool) scheduler.Options {
 	s, op := &n.cfg.Settings, n.op
 	// What an earlier leader may do follows from its version.
-	grace := op.Grace()
+	grace, graceWithoutReplicas := op.Grace(), op.Grace()
 	if n.upgrade.done() {
-		grace = min(grace, n.isolatedBound())
+		grace, graceWithoutReplicas = n.isolatedReplicasBound(), n.isolatedBound()
 	}
 	o := scheduler.Options{
-		Revision:            stamp,
-		Predecessor:         predecessor,
-		Report:              ids.Seconds(s.Workers.ReportS),
-		Lease:               ids.Seconds(s.Workers.LeaseS),
-		Cancel:              ids.Seconds(s.Workers.CancelS),
-		Grace:               grace,
-		ListLag:             ids.Seconds(s.Cloud.ListLagS),
-		TxnOps:              n.limits().Ops,
-		ValueBytes:          n.valueBytes(),
-		SplitRecords:        n.upgrade.done(),
-		SliceTasks:          op.Quota.SliceTasks,
-		MaxSkippedJobs:      op.Quota.PassOver,
-		ReclaimHold:         ids.Seconds(op.Quota.ReclaimHoldS),
-		Idle:                ids.Seconds(op.Fleet.IdleS),
-		SpotIdleFactor:      op.Fleet.SpotIdle,
-		HeadroomIdle:        ids.Seconds(op.Fleet.HeadroomIdle),
-		Headroom:            op.Fleet.Headroom,
-		BootFactor:          op.Fleet.BootFactor,
-		CapacityBackoff:     ids.Seconds(op.Fleet.CapacityBack),
-		MaxMachines:         op.Fleet.MaxMachines,
-		LatencySensitive:    map[string]time.Duration{},
-		ReserveAfter:        ids.Seconds(op.Quota.KeepAfterS),
-		ReserveFor:          ids.Seconds(op.Quota.KeepForS),
-		RoundInterval:       roundInterval,
-		RoundCostPerMachine: time.Duration(float64(roundCostPerMachine) / s.Resources.CPUShare),
-		LazyWriteDelay:      lazyWriteDelay,
-		WriteRate:           0.7 * s.State.Planned().WriteRPS,
-		MaxDirectCalls:      min(maxDirectCalls, max(8, s.Resources.Sockets/16)),
+		Revision:    stamp,
+		Predecessor: predecessor,
+		Report:      ids.Seconds(s.Workers.ReportS),
+		Lease:       ids.Seconds(s.Workers.LeaseS),
+		Cancel:      ids.Seconds(s.Workers.CancelS),
+		Grace:       grace,
+
+		GraceWithoutReplicas: graceWithoutReplicas,
+		ListLag:              ids.Seconds(s.Cloud.ListLagS),
+		TxnOps:               n.limits().Ops,
+		ValueBytes:           n.valueBytes(),
+		SplitRecords:         n.upgrade.done(),
+		SliceTasks:           op.Quota.SliceTasks,
+		MaxSkippedJobs:       op.Quota.PassOver,
+		ReclaimHold:          ids.Seconds(op.Quota.ReclaimHoldS),
+		Idle:                 ids.Seconds(op.Fleet.IdleS),
+		SpotIdleFactor:       op.Fleet.SpotIdle,
+		HeadroomIdle:         ids.Seconds(op.Fleet.HeadroomIdle),
+		Headroom:             op.Fleet.Headroom,
+		BootFactor:           op.Fleet.BootFactor,
+		CapacityBackoff:      ids.Seconds(op.Fleet.CapacityBack),
+		MaxMachines:          op.Fleet.MaxMachines,
+		LatencySensitive:     map[string]time.Duration{},
+		ReserveAfter:         ids.Seconds(op.Quota.KeepAfterS),
+		ReserveFor:           ids.Seconds(op.Quota.KeepForS),
+		RoundInterval:        roundInterval,
+		RoundCostPerMachine:  time.Duration(float64(roundCostPerMachine) / s.Resources.CPUShare),
+		LazyWriteDelay:       lazyWriteDelay,
+		WriteRate:            0.7 * s.State.Planned().WriteRPS,
+		MaxDirectCalls:       min(maxDirectCalls, max(8, s.Resources.Sockets/16)),
 	}
 	for _, t := range s.Teams {
 		nominal := quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs}
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -26,11 +26,12 @@
 	lastStep  ids.Instant
 	// resumedAt is when steps went on after the process was paused, and totalPause
 	// how long all pauses together took.
-	resumedAt  ids.Instant
-	totalPause time.Duration
-	// predecessorUntil is the latest time at which an earlier leader can have
-	// received a report that it then answered.
-	predecessorUntil ids.Instant
+	resumedAt    ids.Instant
+	totalPause   time.Duration
+	predecessors predecessors
+	// answerReplicasOnly tells that no machine may be answered but those with replicas;
+	// see AnswerReplicasOnly.
+	answerReplicasOnly bool
 
 	// types is the cloud's catalog, and typeList the same by name.
 	types    map[ids.MachineType]*wire.MachineType
@@ -115,10 +116,7 @@
 // Begin ends the loading of records.
 func (c *Core) Begin(now ids.Instant) {
 	c.termBegan, c.now = now, now
-	c.predecessorUntil = now
-	if c.opt.Predecessor {
-		c.predecessorUntil = now.Add(c.opt.Grace)
-	}
+	c.beginPredecessors()
 	c.autoscaler.plannedAt = now
 	c.records.budgetRefilledAt = now
 	// In order: it decides what is stopped, sent and written first.
@@ -158,7 +156,7 @@
 // need not wait for the predecessor's grace.
 func (c *Core) AllFollow(now ids.Instant) {
 	c.now = now
-	c.predecessorUntil = min(c.predecessorUntil, now)
+	c.predecessors.end(now)
 }
 
 // Step runs what time and events call for and hands out the decisions.
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -32,6 +32,9 @@
 	opt.Report, opt.Lease, opt.Cancel = simReport, simLease, simCancel
 	opt.TxnOps, opt.SliceTasks, opt.MaxSkippedJobs, opt.BootFactor, opt.MaxMachines = 8, 4, 100, 4, 100
 	opt.Idle, opt.HeadroomIdle = time.Hour, time.Hour
+	if opt.GraceWithoutReplicas == 0 {
+		opt.GraceWithoutReplicas = opt.Grace
+	}
 	if types == nil {
 		types = []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: []ids.Zone{"a", "b"}}}
 	}
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -152,7 +152,7 @@
 // gone on answering for its grace, until the worker was fenced or the
 // predecessor followed this leader.
 func (hm *healthMonitor) leaseExpired(m *machine) bool {
-	last := hm.core.predecessorUntil
+	last := hm.core.predecessors.until(m)
 	if m.fenced {
 		last = max(m.fencedAt, m.answeredAt)
 	} else if m.answeredAt > last {
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -23,7 +23,10 @@
 // LoadUnreadableJob notes a job whose own record cannot be read. Its admission
 // records are left as they are: they say where its tasks may be, for the time when
 // its record is repaired.
-func (c *Core) LoadUnreadableJob(id ids.JobID) { c.unreadable[id] = true }
+func (c *Core) LoadUnreadableJob(id ids.JobID) {
+	c.unreadable[id] = true
+	c.predecessors.unclear = true
+}
 
 // LoadSlice takes an admission record at the start of the term.
 func (c *Core) LoadSlice(id ids.JobID, n int, rec *ledger.Slice, stamp ids.Revision) error {
@@ -82,6 +85,7 @@
 // Suspend keeps a job from being placed, because it is not known where all
 // its tasks may be. It stays known, and the others go on.
 func (c *Core) Suspend(id ids.JobID) {
+	c.predecessors.unclear = true
 	if j := c.jobs[id]; j != nil {
 		j.suspended = true
 	}
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -46,6 +46,8 @@
 	fencedAt   ids.Instant
 	counter    uint64
 
+	// hadReplicas tells that a replica was recorded on it when this term began.
+	hadReplicas bool
 	// rentedThisTerm tells that it cannot have been returned before, and answeredCall
 	// that it answered a call of this leader.
 	rentedThisTerm, answeredCall bool
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -17,9 +17,11 @@
 	// Report and Lease are the workers' settings, Cancel is the time in
 	// which a cancelled job's tasks must be gone.
 	Report, Lease, Cancel time.Duration
-	// Grace is how long a predecessor without the state service may have
-	// gone on answering workers after this term began.
-	Grace   time.Duration
+	// Grace is how long a predecessor without the state service may have gone on
+	// answering workers after this term began, and GraceWithoutReplicas the same for
+	// machines on which no replica of a service is recorded.
+	Grace, GraceWithoutReplicas time.Duration
+
 	ListLag time.Duration
 	// TxnOps bounds the writes of one change, and ValueBytes each value, in
 	// its JSON form; 0: no bound.
--- a/scheduler/predecessors.go
+++ b/scheduler/predecessors.go
@@ -6,11 +6,16 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// A leader that lost the state service and its peers, but not its workers, goes on
-// answering them for a while (election.Bounds.Isolated). It does not know of jobs that
-// are cancelled through its successor meanwhile, and renews the leases of their tasks.
-// So a successor acknowledges the cancellation of a job only once no earlier leader can
-// keep one of its tasks for longer than cancel_s from then.
+// A leader that lost the state service and its peers, but not its workers, cannot tell
+// an outage from a successor. It goes on answering workers for a while, so that a zone
+// which is cut off together with its leader keeps its services. Machines without a replica
+// are answered for CancelMargin only, as their tasks may as well run elsewhere; the others
+// for longer (election.Bounds).
+//
+// Such a leader does not know of jobs that are cancelled through its successor meanwhile,
+// and renews the leases of their tasks. So a successor acknowledges the cancellation of a
+// job only once no earlier leader can keep one of its tasks for longer than cancel_s from
+// then.
 
 // CancelMargin is for how long an earlier leader may go on answering workers after a user
 // was told that a job is cancelled: the lease that it renews last must have ended within
@@ -19,10 +24,67 @@
 	return max(0, cancel-cancel/500-ids.Drift(lease)-time.Second)
 }
 
+// predecessors is until when earlier leaders can have received reports that they then
+// answered: from machines on which a replica was recorded when this term began, and from
+// all others.
+type predecessors struct {
+	withReplicas, others ids.Instant
+	// unclear tells that some records could not be read: any machine may have replicas.
+	unclear bool
+}
+
+// end notes that there is no earlier leader any more.
+func (p *predecessors) end(now ids.Instant) {
+	p.withReplicas, p.others = min(p.withReplicas, now), min(p.others, now)
+}
+
+// until is the latest time at which an earlier leader answered a machine.
+func (p *predecessors) until(m *machine) ids.Instant {
+	if m.hadReplicas || p.unclear {
+		return p.withReplicas
+	}
+	return p.others
+}
+
+// beginPredecessors is called once the records are loaded.
+func (c *Core) beginPredecessors() {
+	c.predecessors.withReplicas, c.predecessors.others = c.now, c.now
+	if c.opt.Predecessor {
+		c.predecessors.withReplicas = c.now.Add(c.opt.Grace)
+		c.predecessors.others = c.now.Add(min(c.opt.Grace, c.opt.GraceWithoutReplicas))
+	}
+	for _, m := range c.registry.machineList {
+		m.hadReplicas = m.hasRecordedReplica()
+	}
+}
+
+// hasRecordedReplica tells whether the records place a replica on the machine. What a
+// leader without the state service takes for one is also in the records that its successor
+// reads: nothing that it decided since is recorded, and neither is what it has found gone.
+func (m *machine) hasRecordedReplica() bool {
+	for _, a := range m.taskList {
+		if a.job.spec.Service && a.recorded {
+			return true
+		}
+	}
+	return false
+}
+
+// AnswerReplicasOnly sets whether this leader, which cannot rule out a later one, has to
+// leave all reports unanswered but those of machines with recorded replicas.
+func (c *Core) AnswerReplicasOnly(only bool) { c.answerReplicasOnly = only }
+
+// mayAnswer tells whether a machine's report may be answered.
+func (c *Core) mayAnswer(m *machine) bool { return !c.answerReplicasOnly || m.hasRecordedReplica() }
+
 // PredecessorsHarmless tells whether no earlier leader answers workers any more, or for no
 // longer than CancelMargin: then every cancellation may be acknowledged.
 func (c *Core) PredecessorsHarmless(now ids.Instant) bool {
-	return now.Add(CancelMargin(c.opt.Cancel, c.opt.Lease)) >= c.predecessorUntil
+	return c.harmless(now, max(c.predecessors.withReplicas, c.predecessors.others))
+}
+
+func (c *Core) harmless(now, until ids.Instant) bool {
+	return now.Add(CancelMargin(c.opt.Cancel, c.opt.Lease)) >= until
 }
 
 // CanAcknowledgeCancel tells whether the cancellation of a job, which the core has taken
@@ -39,7 +101,7 @@
 		return !c.unreadable[id]
 	}
 	for _, a := range j.active {
-		if !a.machine.fenced {
+		if !a.machine.fenced && !c.harmless(now, c.predecessors.until(a.machine)) {
 			return false
 		}
 	}
--- /dev/null
+++ b/scheduler/predecessors_test.go
@@ -0,0 +1,126 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// While an earlier leader may go on answering workers, a cancellation is acknowledged
+// only once that one cannot keep a task of the job: its machine was heard with a token of
+// this leader, or was returned; the earlier leader is gone; or it will be soon enough.
+func TestCancellationWaitsForEarlierLeaders(t *testing.T) {
+	const grace = simCancel // well beyond the margin
+	margin := CancelMargin(simCancel, simLease)
+	for _, c := range []struct {
+		name         string
+		bring        func(b *harness)
+		acknowledged bool
+	}{
+		{"its machine was not heard", func(*harness) {}, false},
+		{"one of its machines was heard", func(b *harness) { b.report("n-1", "a", ids.NewToken(5, 0)) }, false},
+		{"its machines were heard", func(b *harness) {
+			b.report("n-1", "a", ids.NewToken(5, 0))
+			b.report("n-2", "a", ids.NewToken(5, 0))
+		}, true},
+		{"they have yet to show this leader's token", func(b *harness) {
+			b.report("n-1", "a", ids.NewToken(4, 0))
+			b.report("n-2", "a", ids.NewToken(4, 0))
+		}, false},
+		{"its machines were returned", func(b *harness) { b.c.ReturnResult(b.now, []ids.Host{"n-1", "n-2"}, true) }, true},
+		{"all controllers follow", func(b *harness) { b.c.AllFollow(b.now) }, true},
+		{"just before the margin", func(b *harness) { b.now = b.now.Add(grace - margin - time.Second) }, false},
+		{"within the margin", func(b *harness) { b.now = b.now.Add(grace - margin) }, true},
+	} {
+		b := newHarness(t, Options{Predecessor: true, Grace: grace})
+		b.inherit(wire.Spec{Service: true, Tasks: 2}, ledger.Slice{Hosts: []ids.Host{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
+		b.c.Begin(b.now)
+		spec := wire.Spec{Service: true, Tasks: 2, Class: "c", Team: "red", CPUs: 2, Image: "i"}
+		b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusCancelled, Tasks: 2, Spec: &spec}, 50)
+		c.bring(b)
+		if got := b.c.CanAcknowledgeCancel(b.now, "job-1"); got != c.acknowledged {
+			t.Errorf("%s: acknowledged: %v", c.name, got)
+		}
+		if !b.c.CanAcknowledgeCancel(b.now, "job-2") {
+			t.Errorf("%s: a job without tasks is held back", c.name)
+		}
+	}
+	b := newHarness(t, Options{})
+	b.c.Begin(b.now)
+	if !b.c.PredecessorsHarmless(b.now) {
+		t.Error("the first leader waits for earlier ones")
+	}
+}
+
+// An earlier leader answers machines without replicas for the margin alone, so what is on
+// them holds no cancellation back, and moves on sooner.
+func TestMachinesWithoutReplicasAreFreeSooner(t *testing.T) {
+	margin := CancelMargin(simCancel, simLease)
+	for _, c := range []struct {
+		name    string
+		service bool
+		unclear bool
+		free    time.Duration // after the term began, give or take two seconds
+	}{
+		{"an array", false, false, margin + simLease},
+		{"a service", true, false, margin + 45*time.Second + simLease},
+		{"an array beside a record that cannot be read", false, true, margin + 45*time.Second + simLease},
+	} {
+		b := newHarness(t, Options{Predecessor: true, Grace: margin + 45*time.Second, GraceWithoutReplicas: margin})
+		if c.unclear {
+			b.c.LoadUnreadableJob("job-9")
+		}
+		b.inherit(wire.Spec{Service: c.service, Tasks: 1}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+		b.c.Begin(b.now)
+		began, held := b.now, c.service || c.unclear
+		if got := b.c.CanAcknowledgeCancel(b.now, "job-1"); got == held {
+			t.Errorf("%s: its cancellation is acknowledged: %v", c.name, got)
+		}
+		for len(b.c.jobs["job-1"].active) > 0 && b.now < began.Add(3*time.Minute) {
+			b.now = b.now.Add(500 * time.Millisecond)
+			b.step()
+		}
+		if free := b.now.Sub(began); free < c.free || free > c.free+2*time.Second {
+			t.Errorf("%s: free after %v, want %v", c.name, free, c.free)
+		}
+	}
+}
+
+// A leader that cannot rule out a later one answers machines with recorded replicas alone
+// once it may not answer all: later copies of their reports included.
+func TestOnlyMachinesWithReplicasAreAnswered(t *testing.T) {
+	b := newHarness(t, Options{})
+	b.report("n-1", "a", 0)
+	b.job("job-1", wire.Spec{Service: true, Tasks: 1})
+	b.c.Step(b.now) // the replica is placed, and its record on its way
+	report := func(host ids.Host, sequence ids.Sequence) bool {
+		_, ok := b.c.Report(b.now, newReport(host, 1, sequence, 0), false)
+		return ok
+	}
+	b.c.AnswerReplicasOnly(true)
+	if report("n-1", 100) {
+		t.Error("answered for a replica that is not recorded")
+	}
+	b.c.AnswerReplicasOnly(false)
+	b.step()
+	b.c.ChangeResult(b.now, ledger.Outcome{Change: ledger.Change{ID: 1}, Applied: true, Revision: 900})
+	report("n-2", 1)
+	b.c.AnswerReplicasOnly(true)
+	if !report("n-1", 101) {
+		t.Error("a machine with a recorded replica is not answered")
+	}
+	if report("n-2", 2) || report("n-2", 1) || report("n-3", 1) {
+		t.Error("a machine without one is answered")
+	}
+	b.c.ReturnResult(b.now, []ids.Host{"n-2"}, true)
+	if report("n-2", 3) {
+		t.Error("a machine that was returned is answered")
+	}
+	b.c.AnswerReplicasOnly(false)
+	if !report("n-3", 2) {
+		t.Error("not answered although all may be")
+	}
+}
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -21,7 +21,7 @@
 	}
 	if c.registry.returnedHosts[rep.Host] {
 		// A message that was held back; the machine was given back since.
-		return wire.ReportAnswer{Token: ids.NewToken(c.opt.Revision, 0), Commands: []wire.Command{}}, true
+		return wire.ReportAnswer{Token: ids.NewToken(c.opt.Revision, 0), Commands: []wire.Command{}}, !c.answerReplicasOnly
 	}
 	m := c.registry.ensureMachine(rep.Host)
 	if m.reported && !rep.Newer(m.session, m.sequence) {
@@ -29,6 +29,9 @@
 		// is no sign of life and tells nothing. Its worker may still wait for
 		// the answer: that renews the lease from when the message was sent,
 		// which is before the newest came.
+		if !direct && !c.mayAnswer(m) {
+			return wire.ReportAnswer{}, false
+		}
 		if !direct {
 			m.answeredAt = max(m.answeredAt, m.lastHeard)
 		}
@@ -54,6 +57,9 @@
 		m.answeredCall = true
 		return wire.ReportAnswer{}, true
 	}
+	if !c.mayAnswer(m) {
+		return wire.ReportAnswer{}, false
+	}
 	m.answeredAt = now
 	return c.commands.answerReport(m), true
 }
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -242,6 +242,9 @@
 		if s.now < s.controllersDown || core == s.core && (s.apart(w) || s.now >= s.sure.Add(simGrace)) {
 			return
 		}
+		if core == s.old {
+			core.AnswerReplicasOnly(s.now > s.oldUntil.Add(simIsolated-simIsolatedReplicas))
+		}
 		orders, ok := core.Report(s.now, rep, false)
 		s.digest.add("answer", orders)
 		if !ok {
