--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -147,6 +147,17 @@
 		m.cancelEvery(1)
 		m.run(120 * s1)
 	}},
+	{"arrays that run for long in a zone that is cut off with its leader", func(m *scenario) {
+		m.runFactor = 8
+		m.jobs(10, func(sp *wire.Spec) { array(sp); sp.Zone = "a" })
+		m.jobs(6, array)
+		m.jobs(3, func(sp *wire.Spec) { long(sp); sp.Spread = false })
+		m.run(30 * s1)
+		m.deposed()
+		m.island, m.islandUntil = "a", m.in(100*s1)
+		m.cancelEvery(3)
+		m.run(130 * s1)
+	}},
 	{"jobs are cancelled while one controller's work changes hands", func(m *scenario) {
 		for range 5 {
 			m.jobs(5, nil)
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -100,6 +100,8 @@
 	// slow is added to every message; copies, cancelAtEnd and quickBoots are chances.
 	slow                            time.Duration
 	copies, cancelAtEnd, quickBoots float64
+	// runFactor is how many times as long array tasks run; 0: once.
+	runFactor int
 	// valueBytes and txnOps are the limits of the state service, 0: none, and
 	// refused counts the changes beyond them that were decided since all were new.
 	valueBytes, txnOps int
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -149,7 +149,7 @@
 	if spec.Service {
 		return
 	}
-	run := time.Duration(1+s.rng.IntN(25)) * time.Second
+	run := time.Duration(1+s.rng.IntN(25)) * time.Second * time.Duration(max(1, s.runFactor))
 	if s.completed[t.ref] {
 		run = 0
 	}
