--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -63,10 +63,19 @@
 	if as.core.opt.Predecessor && as.core.now < as.core.termBegan.Add(2*as.core.opt.ListLag) {
 		return
 	}
-	p := &fleet.Planner{Types: as.core.typeList, Held: map[placement.Site]int{}, Budget: math.MaxInt32,
-		Blocked: func(s placement.Site) bool {
-			return as.core.health.zonePartitioned(s.Zone) || as.backoff.Blocked(s, as.core.now)
-		}}
+	p := as.newPlanner()
+	as.addDemand(p)
+	as.addHeadroom(p)
+	as.addReplacements(p) // last, as it counts free room that the others have used
+	for _, purchase := range p.Purchases() {
+		as.rent(purchase)
+	}
+	as.returnIdle()
+}
+
+// newPlanner makes a planner that counts the machines that are coming.
+func (as *autoscaler) newPlanner() *fleet.Planner {
+	p := &fleet.Planner{Types: as.core.typeList, Held: map[placement.Site]int{}, Budget: math.MaxInt32, Blocked: as.blocked}
 	if as.core.opt.MaxMachines > 0 {
 		p.Budget = as.core.opt.MaxMachines - len(as.core.registry.machineList)
 		for _, n := range as.machinesRequested {
@@ -87,22 +96,26 @@
 			}
 		}
 	}
-	as.addDemand(p)
-	as.addHeadroom(p)
-	as.addReplacements(p) // last, as it counts free room that the others have used
-	for _, b := range p.Purchases() {
-		for left := b.Count; left > 0 && as.canRent(b.Site); left -= maxRentalSize {
-			n := min(left, maxRentalSize)
-			as.nextBooking++
-			as.machinesRequested[b.Site] += n
-			as.rentalsInFlight[b.Site]++
-			as.core.effects.Rent = append(as.core.effects.Rent, wire.Rental{
-				Request: fmt.Sprintf("r-%d-%d", as.core.opt.Revision, as.nextBooking),
-				Type:    b.Type, Zone: b.Zone, Spot: b.Spot, Count: n,
-			})
-		}
+	return p
+}
+
+// blocked tells whether nothing should be rented at a site now.
+func (as *autoscaler) blocked(s placement.Site) bool {
+	return as.core.health.zonePartitioned(s.Zone) || as.backoff.Blocked(s, as.core.now)
+}
+
+// rent books the machines of a purchase, as many rentals as are allowed.
+func (as *autoscaler) rent(purchase fleet.Purchase) {
+	for left := purchase.Count; left > 0 && as.canRent(purchase.Site); left -= maxRentalSize {
+		n := min(left, maxRentalSize)
+		as.nextBooking++
+		as.machinesRequested[purchase.Site] += n
+		as.rentalsInFlight[purchase.Site]++
+		as.core.effects.Rent = append(as.core.effects.Rent, wire.Rental{
+			Request: fmt.Sprintf("r-%d-%d", as.core.opt.Revision, as.nextBooking),
+			Type:    purchase.Type, Zone: purchase.Zone, Spot: purchase.Spot, Count: n,
+		})
 	}
-	as.returnIdle()
 }
 
 const (
--- a/scheduler/fleet_demand.go
+++ b/scheduler/fleet_demand.go
@@ -16,59 +16,73 @@
 
 // addDemand adds the waiting tasks that quota would admit.
 func (as *autoscaler) addDemand(p *fleet.Planner) {
-	type taken struct {
-		t ids.Team
-		m quota.Amount
+	urgent, later := as.admissibleDemand()
+	for _, d := range urgent {
+		p.Add(d)
 	}
-	var all []taken
-	counted := map[*job]int{}
-	// Machines for borrowers may be rented up to the teams' limits.
-	as.core.quotas.SetSurplus(quota.Amount{CPUs: math.MaxInt32, GPUs: math.MaxInt32})
+	if len(later) == 0 {
+		return
+	}
+	// What need not start sooner than a machine boots can as well have the
+	// room of tasks that end before one would be up. What has waited for that
+	// long already has seen others take it.
+	for _, m := range as.core.registry.machineList {
+		if as.core.health.takesTasks(m) && m.replicas < len(m.taskList) {
+			p.AddCapacity(m.Site, as.freeSoon(m))
+		}
+	}
+	for _, d := range later {
+		p.Add(d)
+	}
+}
+
+// admissibleDemand lists the waiting tasks that quota would admit: those that machines are
+// rented for at once, and those that may wait for room on others. Machines for borrowers
+// may be rented up to the teams' limits.
+func (as *autoscaler) admissibleDemand() (urgent, later []fleet.Demand) {
+	quotas := as.core.quotas
+	quotas.SetSurplus(quota.Amount{CPUs: math.MaxInt32, GPUs: math.MaxInt32})
 	defer as.core.updateSurplus()
-	var later []fleet.Demand
+	counted := map[*job]int{}
+	var order []*job // of the counted jobs
 	waiting := as.core.waitingJobs()
 	for _, nominal := range []bool{true, false} {
 		for _, j := range waiting {
-			if j.needsAllTasks() && !as.core.fitsQuota(j, nominal, len(j.pending)) {
-				continue
-			}
-			// The most that fit; that more fit whenever fewer do makes the
-			// search by halves right.
-			n := sort.Search(len(j.pending)-counted[j], func(n int) bool { return !as.core.fitsQuota(j, nominal, n+1) })
-			if j.probing() {
-				n = min(n, 1-counted[j])
-			}
+			n := as.admissibleTasks(j, nominal, counted[j])
 			if n <= 0 {
 				continue
 			}
-			as.core.quotas.Take(j.spec.Team, j.amount().Times(n))
-			all = append(all, taken{j.spec.Team, j.amount().Times(n)})
+			quotas.Take(j.spec.Team, j.amount().Times(n))
+			if counted[j] == 0 {
+				order = append(order, j)
+			}
 			counted[j] += n
 			d := fleet.Demand{Spec: j.spec, Count: n, Zones: j.zones}
 			if j.needsAllTasks() || as.core.latencySensitive(j) || as.core.now > j.waitingSince.Add(as.fastestBoot(j.spec)) {
-				p.Add(d)
+				urgent = append(urgent, d)
 			} else {
 				later = append(later, d)
 			}
 		}
 	}
-	for _, t := range all {
-		as.core.quotas.Free(t.t, t.m)
-	}
-	if len(later) == 0 {
-		return
+	for _, j := range order {
+		quotas.Free(j.spec.Team, j.amount().Times(counted[j]))
 	}
-	// What need not start sooner than a machine boots can as well have the
-	// room of tasks that end before one would be up. What has waited for that
-	// long already has seen others take it.
-	for _, m := range as.core.registry.machineList {
-		if as.core.health.takesTasks(m) && m.replicas < len(m.taskList) {
-			p.AddCapacity(m.Site, as.freeSoon(m))
-		}
+	return urgent, later
+}
+
+// admissibleTasks is how many more of a job's waiting tasks quota would admit, beside those
+// counted already.
+func (as *autoscaler) admissibleTasks(j *job, nominal bool, counted int) int {
+	if j.needsAllTasks() && !as.core.fitsQuota(j, nominal, len(j.pending)) {
+		return 0
 	}
-	for _, d := range later {
-		p.Add(d)
+	// That more fit whenever fewer do makes the search by halves right.
+	n := sort.Search(len(j.pending)-counted, func(n int) bool { return !as.core.fitsQuota(j, nominal, n+1) })
+	if j.probing() {
+		n = min(n, 1-counted)
 	}
+	return n
 }
 
 // freeSoon is the room that a machine will have when one like it could have
@@ -197,7 +211,7 @@
 					}
 				}
 			}
-			as.core.registry.returnMachine(m, "idle")
+			as.core.registry.returnMachine(m, returnIdleMachine)
 		}
 	}
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -33,76 +33,94 @@
 func (hm *healthMonitor) checkMachines() {
 	hm.drainNoticed()
 	hm.updateZones()
-	// When most machines fall silent at once, it is more likely this node's
-	// network than the machines: they are not given back for that.
-	heard, silent := 0, 0
-	for _, m := range hm.core.registry.machineList {
-		if m.reported {
-			heard++
-			if hm.silentFor(m, hm.core.opt.Lease/2) {
-				silent++
-			}
-		}
-	}
-	mass := silent >= 3 && 2*silent > heard
-	// A predecessor's machines are up already, and have yet to find their way
-	// here: that is no boot which takes too long.
-	heardBy := ids.Instant(0)
-	if hm.core.opt.Predecessor {
-		heardBy = hm.core.termBegan.Add(hm.core.opt.Lease)
-	}
-	var gone []*machine // forgetting one takes it out of the order
+	mostSilent := hm.mostMachinesSilent()
+	var gone []*machine // removing one takes it out of the list
 	for _, m := range hm.core.registry.machineList {
 		if m.quarantinedUntil != 0 && hm.core.now >= m.quarantinedUntil {
 			m.quarantinedUntil, hm.core.schedulingDue = 0, true
 		}
-		if m.returnInFlight {
+		switch {
+		case m.returnInFlight:
+			continue
+		case m.returning && m.returned:
+			gone = append(gone, m)
 			continue
 		}
 		if hm.core.commands.needsReportRequest(m) {
 			hm.core.commands.queueCommands(m)
 		}
-		keep := mass || hm.zonePartitioned(m.Zone)
 		if m.returning {
-			if m.returned {
-				gone = append(gone, m)
-			} else {
-				hm.core.registry.returnMachine(m, "")
-			}
+			hm.core.registry.returnAgain(m)
 			continue
 		}
-		switch {
-		case m.listedStatus == wire.MachineFailed:
-			hm.core.registry.returnMachine(m, "failed")
-		case m.missingLists >= 2 && hm.silentFor(m, 2*hm.core.opt.Report):
-			// It was listed and is not any more: it was taken. Returning what
-			// is gone does nothing, and the answer proves that it is gone.
-			if m.Spot && m.takenBy == 0 {
-				hm.core.autoscaler.spotLosses++
+		hm.checkMachine(m, mostSilent)
+	}
+	for _, m := range gone {
+		hm.core.registry.removeMachine(m)
+	}
+}
+
+// mostMachinesSilent tells whether most machines fell silent at once. It is then more
+// likely this node's network than the machines: they are not returned for that.
+func (hm *healthMonitor) mostMachinesSilent() bool {
+	heard, silent := 0, 0
+	for _, m := range hm.core.registry.machineList {
+		if m.reported {
+			heard++
+			if hm.silentFor(m, hm.core.opt.Lease/2) {
+				silent++
 			}
-			hm.core.registry.returnMachine(m, "missing")
-		case !m.reported && m.bootDeadline != 0 && hm.core.now > max(m.bootDeadline, heardBy, hm.core.resumedAt.Add(2*hm.core.opt.Report)) && len(m.tasks) == 0:
-			hm.core.registry.returnMachine(m, "boot")
-		case len(m.tasks) > 0 && hm.leaseExpired(m) && hm.silentFor(m, ids.Drift(hm.core.opt.Lease)):
-			for _, a := range m.tasksSnapshot() {
-				if !a.recordInFlight {
-					hm.core.release(a)
-				}
+		}
+	}
+	return silent >= 3 && 2*silent > heard
+}
+
+// checkMachine returns a machine that is of no use any more, and releases the tasks of one
+// that has surely lost its lease.
+func (hm *healthMonitor) checkMachine(m *machine, mostSilent bool) {
+	registry := hm.core.registry
+	switch {
+	case m.listedStatus == wire.MachineFailed:
+		registry.returnMachine(m, returnFailed)
+	case m.missingLists >= 2 && hm.silentFor(m, 2*hm.core.opt.Report):
+		// It was listed and is not any more: it was taken. Returning what
+		// is gone does nothing, and the answer proves that it is gone.
+		if m.Spot && m.takenBy == 0 {
+			hm.core.autoscaler.spotLosses++
+		}
+		registry.returnMachine(m, returnMissing)
+	case hm.bootFailed(m):
+		registry.returnMachine(m, returnBootFailed)
+	case len(m.tasks) > 0 && hm.leaseExpired(m) && hm.silentFor(m, ids.Drift(hm.core.opt.Lease)):
+		for _, a := range m.tasksSnapshot() {
+			if !a.recordInFlight {
+				hm.core.release(a)
 			}
-			hm.core.commands.queueCommands(m)
-		case m.reported && len(m.tasks) == 0 && !keep && hm.silentFor(m, silentLeases*hm.core.opt.Lease):
-			hm.core.registry.returnMachine(m, "silent")
-		case hm.cancelOverdue(m):
-			hm.core.registry.returnMachine(m, "withdrawn")
-		case m.unreachable && hm.core.now > m.unreachableSince.Add(hm.acknowledgeWithin()):
-			// Nobody else can tell it anything either. Given back, its tasks
-			// are surely gone and may go elsewhere.
-			hm.core.registry.returnMachine(m, "deaf")
 		}
+		hm.core.commands.queueCommands(m)
+	case m.reported && len(m.tasks) == 0 && !mostSilent && !hm.zonePartitioned(m.Zone) && hm.silentFor(m, silentLeases*hm.core.opt.Lease):
+		registry.returnMachine(m, returnSilent)
+	case hm.cancelOverdue(m):
+		registry.returnMachine(m, returnCancelled)
+	case m.unreachable && hm.core.now > m.unreachableSince.Add(hm.acknowledgeWithin()):
+		// Nobody else can tell it anything either. Once returned, its tasks
+		// are surely gone and may go elsewhere.
+		registry.returnMachine(m, returnUnreachable)
 	}
-	for _, m := range gone {
-		hm.core.registry.removeMachine(m)
+}
+
+// bootFailed tells whether a machine takes too long to boot. A predecessor's machines are
+// up already and have yet to find their way here, and during a pause of this process
+// nobody could report.
+func (hm *healthMonitor) bootFailed(m *machine) bool {
+	if m.reported || m.bootDeadline == 0 || len(m.tasks) > 0 {
+		return false
+	}
+	heardBy := ids.Instant(0)
+	if hm.core.opt.Predecessor {
+		heardBy = hm.core.termBegan.Add(hm.core.opt.Lease)
 	}
+	return hm.core.now > max(m.bootDeadline, heardBy, hm.core.resumedAt.Add(2*hm.core.opt.Report))
 }
 
 // drainNoticed stops what will not complete before a machine is taken.
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -20,7 +20,7 @@
 	// returnedHosts are machines that were returned in this term.
 	returnedHosts map[ids.Host]bool
 	// returnCounts counts returned machines by reason, for the log.
-	returnCounts map[string]int
+	returnCounts map[returnReason]int
 }
 
 // newMachineRegistry makes an empty registry.
@@ -29,7 +29,7 @@
 		core:          c,
 		machines:      map[ids.Host]*machine{},
 		returnedHosts: map[ids.Host]bool{},
-		returnCounts:  map[string]int{},
+		returnCounts:  map[returnReason]int{},
 	}
 }
 
@@ -117,14 +117,30 @@
 	}
 }
 
-// returnMachine returns a machine; why is for the log, and empty when it was begun
-// before.
-func (r *machineRegistry) returnMachine(m *machine, why string) {
-	if why != "" {
-		r.returnCounts[why]++
-	}
-	// What is still being recorded was never sent, so nothing has to wait for the
-	// state service here: a cancelled job's task beside it must be gone in time.
+// returnReason tells why a machine is returned, for the log.
+type returnReason string
+
+// The reasons for returning a machine.
+const (
+	returnFailed      returnReason = "failed"
+	returnMissing     returnReason = "missing"
+	returnBootFailed  returnReason = "boot-failed"
+	returnSilent      returnReason = "silent"
+	returnCancelled   returnReason = "cancelled"
+	returnUnreachable returnReason = "unreachable"
+	returnIdleMachine returnReason = "idle"
+)
+
+// returnMachine decides to return a machine. What is still being recorded was never sent,
+// so nothing has to wait for the state service here: a cancelled job's task beside it must
+// be gone in time.
+func (r *machineRegistry) returnMachine(m *machine, why returnReason) {
+	r.returnCounts[why]++
+	r.returnAgain(m)
+}
+
+// returnAgain calls the cloud to return a machine.
+func (r *machineRegistry) returnAgain(m *machine) {
 	m.returning, m.returnInFlight = true, true
 	r.core.effects.Return = append(r.core.effects.Return, m.host)
 	r.core.schedulingDue = true
