--- a/ledger/committer.go
+++ b/ledger/committer.go
@@ -130,69 +130,79 @@
 func (c *Committer) commit(ctx context.Context, batch []item, unknown bool) error {
 	for len(batch) > 0 {
 		out, rest, unsure, err := c.send(ctx, batch, unknown)
-		if errors.Is(err, statestore.ErrRefused) {
-			if len(rest) == 1 {
-				c.log.Warn("change refused", "err", err)
-				rest[0].done(Outcome{Change: rest[0].change, Refused: true}, nil)
-				return nil
-			}
-			for i, it := range rest {
-				if err := c.commit(ctx, []item{it}, unsure); err != nil {
-					for _, it := range rest[i+1:] {
-						it.done(Outcome{Change: it.change}, err)
-					}
-					return err
-				}
-			}
-			return nil
-		}
-		if err != nil {
-			for _, it := range rest {
-				it.done(Outcome{Change: it.change}, err)
-			}
-			if ctx.Err() != nil {
-				return ctx.Err()
-			}
-			return nil
-		}
-		if out.Applied {
+		switch {
+		case errors.Is(err, statestore.ErrRefused):
+			return c.commitSingly(ctx, rest, unsure, err)
+		case err != nil:
+			fail(rest, err)
+			return ctx.Err()
+		case out.Applied:
 			for _, it := range rest {
 				it.done(Outcome{Change: it.change, Applied: true, Revision: out.Revision}, nil)
 			}
 			return nil
-		}
-		if c.fence != nil && slices.Contains(out.Failed, c.fence.Key) {
-			for _, it := range rest {
-				it.done(Outcome{Change: it.change}, ErrFenced)
-			}
+		case c.fence != nil && slices.Contains(out.Failed, c.fence.Key):
+			fail(rest, ErrFenced)
 			return ErrFenced
 		}
-		var again []item
-		for _, it := range rest {
-			var failed []string
-			for _, g := range it.change.Guards {
-				if slices.Contains(out.Failed, g.Key) {
-					failed = append(failed, g.Key)
-				}
-			}
-			if failed == nil {
-				again = append(again, it)
-				continue
-			}
-			it.done(Outcome{Change: it.change, Failed: failed}, nil)
-		}
-		if len(again) == len(rest) {
+		batch = rejectFailed(rest, out.Failed)
+		if len(batch) == len(rest) {
 			// A refusal that names no guard of ours cannot be acted on.
 			c.log.Warn("transaction refused without a known key", "failed", out.Failed)
-			if !ids.Pause(ctx, 200*time.Millisecond) {
+			if !ids.Pause(ctx, unknownKeyDelay) {
 				return ctx.Err()
 			}
 		}
-		batch = again
 	}
 	return nil
 }
 
+// unknownKeyDelay is the wait before a transaction is sent again that was refused for a
+// key which is not known.
+const unknownKeyDelay = 200 * time.Millisecond
+
+// commitSingly commits the changes of a batch that the service refused as a whole one by
+// one, so that the one that it will not take fails alone.
+func (c *Committer) commitSingly(ctx context.Context, batch []item, unknown bool, refusal error) error {
+	if len(batch) == 1 {
+		c.log.Warn("change refused", "err", refusal)
+		batch[0].done(Outcome{Change: batch[0].change, Refused: true}, nil)
+		return nil
+	}
+	for i, it := range batch {
+		if err := c.commit(ctx, []item{it}, unknown); err != nil {
+			fail(batch[i+1:], err)
+			return err
+		}
+	}
+	return nil
+}
+
+// fail ends changes without an outcome.
+func fail(batch []item, err error) {
+	for _, it := range batch {
+		it.done(Outcome{Change: it.change}, err)
+	}
+}
+
+// rejectFailed ends the changes with failed guards, and returns the others.
+func rejectFailed(batch []item, failedKeys []string) (others []item) {
+	for _, it := range batch {
+		var failed []string
+		for _, g := range it.change.Guards {
+			if slices.Contains(failedKeys, g.Key) {
+				failed = append(failed, g.Key)
+			}
+		}
+		if failed == nil {
+			others = append(others, it)
+			continue
+		}
+		it.done(Outcome{Change: it.change, Failed: failed}, nil)
+	}
+	return others
+}
+
 // send repeats a transaction until its outcome is definite. An answer that
 // was lost leaves it open whether the transaction was applied, or will be
 // later. The same transaction again settles that: its guards let it through
--- a/node/submissions.go
+++ b/node/submissions.go
@@ -62,11 +62,7 @@
 	ctx, cancel := context.WithTimeout(ctx, userRequestTimeout)
 	defer cancel()
 	if !n.canRun(spec, *types) {
-		// A job that was accepted stays so, whatever has changed since.
-		if a := n.Status(ctx, id); a.Code != 404 {
-			return a
-		}
-		return server.Answer{Code: 422}
+		return n.refuseUnlessKnown(ctx, id)
 	}
 	// Names that no machine type has would only make the record larger.
 	spec.Types = slices.DeleteFunc(spec.Types, func(name ids.MachineType) bool {
@@ -75,35 +71,45 @@
 	if n.intake.Waiting() >= maxIntake {
 		return server.RetryLater(retryDelay)
 	}
-	rec := ledger.Job{Nonce: rand.Uint64(), Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: spec,
+	record := ledger.Job{Nonce: rand.Uint64(), Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: spec,
 		SubmittedMS: time.Now().UnixMilli()}
 	if len(spec.DependsOn) > 0 {
-		doomed, a := n.checkDependencies(ctx, id, spec.DependsOn)
-		if a.Code != 0 {
-			return a
+		dependencyCancelled, answer := n.checkDependencies(ctx, id, spec.DependsOn)
+		if answer.Code != 0 {
+			return answer
 		}
-		if doomed {
-			rec.Status = wire.StatusCancelled
+		if dependencyCancelled {
+			record.Status = wire.StatusCancelled
 		}
 	}
 	// With room for what a cancellation changes. A list that is too long to be kept
 	// is refused whole.
-	if wire.Exceeds(rec, n.valueBytes()-recordSlack) {
-		if a := n.Status(ctx, id); a.Code != 404 {
-			return a
-		}
-		return server.Answer{Code: 422}
+	if wire.Exceeds(record, n.valueBytes()-recordSlack) {
+		return n.refuseUnlessKnown(ctx, id)
+	}
+	return n.recordSubmission(ctx, id, &record)
+}
+
+// refuseUnlessKnown answers a submission that can never run. A job that was accepted stays
+// so, whatever has changed since.
+func (n *Node) refuseUnlessKnown(ctx context.Context, id ids.JobID) server.Answer {
+	if a := n.Status(ctx, id); a.Code != 404 {
+		return a
 	}
-	out, err := n.commit(ctx, ledger.SubmitChange(id, rec))
-	if err != nil {
+	return server.Answer{Code: 422}
+}
+
+// recordSubmission commits a job's record, unless the job is known already.
+func (n *Node) recordSubmission(ctx context.Context, id ids.JobID, record *ledger.Job) server.Answer {
+	out, err := n.commit(ctx, ledger.SubmitChange(id, *record))
+	switch {
+	case err != nil:
 		n.log.Debug("submission not taken", "job", id, "err", err)
 		return server.RetryLater(retryDelay)
-	}
-	if out.Applied {
-		n.notifyLeader(id, &rec, out.Revision)
-		return server.Answer{Code: 201, Body: wire.JobStatus{ID: id, Status: rec.Status}}
-	}
-	if out.Refused {
+	case out.Applied:
+		n.notifyLeader(id, record, out.Revision)
+		return server.Answer{Code: 201, Body: wire.JobStatus{ID: id, Status: record.Status}}
+	case out.Refused:
 		return server.RetryLater(refusedLater)
 	}
 	return n.Status(ctx, id)
--- a/node/term.go
+++ b/node/term.go
@@ -155,56 +155,74 @@
 	}
 }
 
+// directCallTimeout is how long a call to a worker may take.
+const directCallTimeout = 2 * time.Second
+
 // dispatch sends the core's decisions on their way. It never waits.
 func (t *term) dispatch(e scheduler.Effects) {
-	for _, ch := range e.Changes {
-		t.ledger.Submit(ch, time.Time{}, func(o ledger.Outcome, err error) {
-			if err != nil {
-				if t.ctx.Err() == nil {
-					t.n.log.Warn("change not committed", "err", err)
-					t.key.End(err)
-				}
-				return
-			}
-			t.post(t.ctx, func() { t.core.ChangeResult(t.n.clock.Now(), o) })
-		})
+	for _, change := range e.Changes {
+		t.commit(change)
 	}
-	for _, h := range e.Direct {
-		d, addr, ok := t.core.TakeDirect(t.n.clock.Now(), h)
-		if !ok {
-			continue
-		}
-		t.tasks.Go(func() error {
-			rep, err := t.n.workers.Do(t.ctx, addr, d, 2*time.Second)
-			if err != nil {
-				t.n.log.Debug("direct command unanswered", "host", h, "err", err)
-				rep = nil
-			}
-			t.post(t.ctx, func() { t.core.DirectResult(t.n.clock.Now(), h, rep) })
-			return nil
-		})
-	}
-	for _, h := range e.Show {
-		addr := t.core.Endpoint(h)
-		t.tasks.Go(func() error {
-			rep, err := t.n.workers.Show(t.ctx, addr, 2*time.Second)
-			if err != nil {
-				rep = nil
-			}
-			t.post(t.ctx, func() { t.core.ShowResult(t.n.clock.Now(), h, rep) })
-			return nil
-		})
+	for _, host := range e.Direct {
+		t.callWorker(host)
+	}
+	for _, host := range e.Show {
+		t.requestReport(host)
 	}
 	for _, id := range e.Refresh {
 		t.tasks.Go(func() error { t.refresh(id); return nil })
 	}
-	for _, r := range e.Rent {
-		t.tasks.Go(func() error { t.rent(r); return nil })
+	for _, rental := range e.Rent {
+		t.tasks.Go(func() error { t.rent(rental); return nil })
 	}
 	if len(e.Return) > 0 {
 		t.returns.add(e.Return)
 	}
-	for _, addr := range e.Forget {
-		t.n.workers.Forget(addr)
+	for _, address := range e.Forget {
+		t.n.workers.Forget(address)
+	}
+}
+
+// commit submits one change. If its outcome cannot be known the term ends, and the next
+// one reads the records again.
+func (t *term) commit(change ledger.Change) {
+	t.ledger.Submit(change, time.Time{}, func(outcome ledger.Outcome, err error) {
+		switch {
+		case err == nil:
+			t.post(t.ctx, func() { t.core.ChangeResult(t.n.clock.Now(), outcome) })
+		case t.ctx.Err() == nil:
+			t.n.log.Warn("change not committed", "err", err)
+			t.key.End(err)
+		}
+	})
+}
+
+// callWorker sends a worker its commands.
+func (t *term) callWorker(host ids.Host) {
+	command, address, ok := t.core.TakeDirect(t.n.clock.Now(), host)
+	if !ok {
+		return
 	}
+	t.tasks.Go(func() error {
+		report, err := t.n.workers.Do(t.ctx, address, command, directCallTimeout)
+		if err != nil {
+			t.n.log.Debug("direct command unanswered", "host", host, "err", err)
+			report = nil
+		}
+		t.post(t.ctx, func() { t.core.DirectResult(t.n.clock.Now(), host, report) })
+		return nil
+	})
+}
+
+// requestReport asks a worker for its report.
+func (t *term) requestReport(host ids.Host) {
+	address := t.core.Endpoint(host)
+	t.tasks.Go(func() error {
+		report, err := t.n.workers.Show(t.ctx, address, directCallTimeout)
+		if err != nil {
+			report = nil
+		}
+		t.post(t.ctx, func() { t.core.ShowResult(t.n.clock.Now(), host, report) })
+		return nil
+	})
 }
--- a/node/term_load.go
+++ b/node/term_load.go
@@ -11,74 +11,99 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// load reads the records, which nobody else can change any more, and the jobs.
+// catalogRetryDelay is how often a new leader looks for the catalog.
+const catalogRetryDelay = 100 * time.Millisecond
+
+// load reads the records, which nobody else can change any more, and the jobs. The
+// leader's commits are fenced by its revision from here on, so the admissions stay as they
+// are; jobs go on changing and are watched from the revision that it returns.
 func (t *term) load() (ids.Revision, error) {
 	n := t.n
-	// The leader's commits are fenced by its revision from here on, so the
-	// admissions are paused; jobs go on changing and are watched.
-	types := n.catalog.Load()
-	for types == nil {
-		if !ids.Pause(t.ctx, 100*time.Millisecond) {
-			return 0, t.ctx.Err()
-		}
-		types = n.catalog.Load()
+	types, err := t.awaitCatalog()
+	if err != nil {
+		return 0, err
 	}
 	if err := n.readUpgrade(t.ctx, n.leaderState); err != nil {
 		return 0, err
 	}
-	_, before, err := n.leaderState.Get(t.ctx, ledger.FleetKey)
+	predecessor, err := t.claimFleet()
 	if err != nil {
 		return 0, err
 	}
-	if !before {
-		out, err := n.leaderState.Commit(t.ctx, statestore.Txn{
-			Guards: []statestore.Guard{{Key: ledger.LeaderKey, Revision: t.key.Revision}},
-			Apply:  []statestore.Op{{Write: ledger.FleetKey, Value: map[string]uint64{"first": uint64(t.key.Revision)}}},
-		})
-		if err != nil {
-			return 0, err
-		}
-		if !out.Applied {
-			return 0, ledger.ErrFenced
-		}
-	}
-	opt := n.options(t.key.Revision, before)
-	opt.WallClockMS = time.Now().UnixMilli()
-	t.core = scheduler.New(opt, *types)
-	since, err := n.leaderState.List(t.ctx, ledger.JobPrefix, func(e statestore.Entry) error {
-		var rec ledger.Job
-		if err := wire.Decode(e.Value, &rec); err != nil {
-			n.unreadable(e.Key, err)
-			t.core.LoadUnreadableJob(ids.JobID(e.Key[len(ledger.JobPrefix):]))
-			return nil
-		}
-		t.core.LoadJob(ids.JobID(e.Key[len(ledger.JobPrefix):]), &rec, e.Revision)
-		return nil
-	})
+	options := n.options(t.key.Revision, predecessor)
+	options.WallClockMS = time.Now().UnixMilli()
+	t.core = scheduler.New(options, types)
+	since, err := n.leaderState.List(t.ctx, ledger.JobPrefix, t.loadJob)
 	if err != nil {
 		return 0, err
 	}
-	_, err = n.leaderState.List(t.ctx, ledger.AdmissionPrefix, func(e statestore.Entry) error {
-		id, num, ok := ledger.ParseAdmissionKey(e.Key)
-		if !ok {
-			return fmt.Errorf("record %s: malformed key", e.Key)
-		}
-		var rec ledger.Slice
-		err := wire.Decode(e.Value, &rec)
-		if err == nil {
-			err = t.core.LoadSlice(id, num, &rec, e.Revision)
+	if _, err := n.leaderState.List(t.ctx, ledger.AdmissionPrefix, t.loadAdmission); err != nil {
+		return 0, err
+	}
+	t.core.Begin(n.clock.Now())
+	return since, nil
+}
+
+// awaitCatalog waits until the cloud's catalog was read.
+func (t *term) awaitCatalog() ([]wire.MachineType, error) {
+	for {
+		if types := t.n.catalog.Load(); types != nil {
+			return *types, nil
 		}
-		if err != nil {
-			n.unreadable(e.Key, err)
-			t.core.Suspend(id)
+		if !ids.Pause(t.ctx, catalogRetryDelay) {
+			return nil, t.ctx.Err()
 		}
-		return nil
+	}
+}
+
+// claimFleet tells whether somebody led before, and records that from now on somebody has.
+func (t *term) claimFleet() (predecessor bool, err error) {
+	state := t.n.leaderState
+	if _, found, err := state.Get(t.ctx, ledger.FleetKey); found || err != nil {
+		return found, err
+	}
+	out, err := state.Commit(t.ctx, statestore.Txn{
+		Guards: []statestore.Guard{{Key: ledger.LeaderKey, Revision: t.key.Revision}},
+		Apply:  []statestore.Op{{Write: ledger.FleetKey, Value: map[string]uint64{"first": uint64(t.key.Revision)}}},
 	})
+	switch {
+	case err != nil:
+		return false, err
+	case !out.Applied:
+		return false, ledger.ErrFenced
+	}
+	return false, nil
+}
+
+// loadJob takes in a job's record.
+func (t *term) loadJob(e statestore.Entry) error {
+	id := ids.JobID(e.Key[len(ledger.JobPrefix):])
+	var record ledger.Job
+	if err := wire.Decode(e.Value, &record); err != nil {
+		t.n.unreadable(e.Key, err)
+		t.core.LoadUnreadableJob(id)
+		return nil
+	}
+	t.core.LoadJob(id, &record, e.Revision)
+	return nil
+}
+
+// loadAdmission takes in a record of where tasks are.
+func (t *term) loadAdmission(e statestore.Entry) error {
+	id, number, ok := ledger.ParseAdmissionKey(e.Key)
+	if !ok {
+		return fmt.Errorf("record %s: malformed key", e.Key)
+	}
+	var record ledger.Slice
+	err := wire.Decode(e.Value, &record)
+	if err == nil {
+		err = t.core.LoadSlice(id, number, &record, e.Revision)
+	}
 	if err != nil {
-		return 0, err
+		t.n.unreadable(e.Key, err)
+		t.core.Suspend(id)
 	}
-	t.core.Begin(n.clock.Now())
-	return since, nil
+	return nil
 }
 
 // unreadable reports a record that makes no sense. It is never taken for absent.
--- a/node/term_options.go
+++ b/node/term_options.go
@@ -17,8 +17,14 @@
 	// lazyWriteDelay is how long the record of a task that ended may wait. Were its
 	// machine lost together with the leader, the task would run again.
 	lazyWriteDelay = 3 * time.Second
-	// maxDirectCalls bounds the calls to workers under way.
-	maxDirectCalls = 64
+	// maxDirectCalls and minDirectCalls bound the calls to workers under way; in
+	// between it is one for so many sockets.
+	maxDirectCalls       = 64
+	minDirectCalls       = 8
+	socketsPerDirectCall = 16
+	// recordWriteShare is the part of the state service's write rate that the leader's
+	// records may take; users' submissions and cancellations need the rest.
+	recordWriteShare = 0.7
 )
 
 // options are the core's settings for a term.
@@ -30,13 +36,12 @@
 		grace, graceWithoutReplicas = n.isolatedReplicasBound(), n.isolatedBound()
 	}
 	o := scheduler.Options{
-		Revision:    stamp,
-		Predecessor: predecessor,
-		Report:      ids.Seconds(s.Workers.ReportS),
-		Lease:       ids.Seconds(s.Workers.LeaseS),
-		Cancel:      ids.Seconds(s.Workers.CancelS),
-		Grace:       grace,
-
+		Revision:             stamp,
+		Predecessor:          predecessor,
+		Report:               ids.Seconds(s.Workers.ReportS),
+		Lease:                ids.Seconds(s.Workers.LeaseS),
+		Cancel:               ids.Seconds(s.Workers.CancelS),
+		Grace:                grace,
 		GraceWithoutReplicas: graceWithoutReplicas,
 		ListLag:              ids.Seconds(s.Cloud.ListLagS),
 		TxnOps:               n.limits().Ops,
@@ -52,31 +57,47 @@
 		BootFactor:           op.Fleet.BootFactor,
 		CapacityBackoff:      ids.Seconds(op.Fleet.CapacityBack),
 		MaxMachines:          op.Fleet.MaxMachines,
-		LatencySensitive:     map[string]time.Duration{},
+		LatencySensitive:     latencySensitive(s.Objectives),
 		ReserveAfter:         ids.Seconds(op.Quota.KeepAfterS),
 		ReserveFor:           ids.Seconds(op.Quota.KeepForS),
 		RoundInterval:        roundInterval,
 		RoundCostPerMachine:  time.Duration(float64(roundCostPerMachine) / s.Resources.CPUShare),
 		LazyWriteDelay:       lazyWriteDelay,
-		WriteRate:            0.7 * s.State.Planned().WriteRPS,
-		MaxDirectCalls:       min(maxDirectCalls, max(8, s.Resources.Sockets/16)),
+		WriteRate:            recordWriteShare * s.State.Planned().WriteRPS,
+		MaxDirectCalls:       min(maxDirectCalls, max(minDirectCalls, s.Resources.Sockets/socketsPerDirectCall)),
 	}
-	for _, t := range s.Teams {
-		nominal := quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs}
-		lend := nominal
-		if l, ok := op.Quota.LendingLimits[t.Name]; ok {
-			lend.CPUs = min(l, lend.CPUs)
-		}
-		o.Teams = append(o.Teams, quota.Team{Name: t.Name, Nominal: nominal,
-			Limit: limitOf(t), Lend: lend})
+	for _, team := range s.Teams {
+		o.Teams = append(o.Teams, quotaOf(team, op.Quota.LendingLimits))
 	}
-	for _, a := range s.Objectives {
-		// No machine boots within a few seconds, whatever the catalog says.
-		if a.Kind == "wait" && a.WithinS <= 10 {
-			o.LatencySensitive[a.Class] = ids.Seconds(a.WithinS)
+	return o
+}
+
+// objectiveWait is the kind of objective that bounds how long tasks wait to start.
+const objectiveWait = "wait"
+
+// fastestBootS is below any machine's boot time, whatever the catalog says: what must
+// start sooner cannot wait for a machine to boot.
+const fastestBootS = 10
+
+// latencySensitive finds the classes whose tasks must start sooner than a machine boots.
+func latencySensitive(objectives []config.Objective) map[string]time.Duration {
+	classes := map[string]time.Duration{}
+	for _, objective := range objectives {
+		if objective.Kind == objectiveWait && objective.WithinS <= fastestBootS {
+			classes[objective.Class] = ids.Seconds(objective.WithinS)
 		}
 	}
-	return o
+	return classes
+}
+
+// quotaOf is a team's quota. Without a lending limit all that is idle is lent.
+func quotaOf(team config.Team, lendingLimits map[ids.Team]float64) quota.Team {
+	nominal := quota.Amount{CPUs: team.CPUs, GPUs: team.GPUs}
+	lend := nominal
+	if limit, ok := lendingLimits[team.Name]; ok {
+		lend.CPUs = min(limit, lend.CPUs)
+	}
+	return quota.Team{Name: team.Name, Nominal: nominal, Limit: limitOf(team), Lend: lend}
 }
 
 // limitOf is the most that a team's tasks may use at any time.
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -51,9 +51,17 @@
 		return nil
 	}
 	s.oversized = wire.Exceeds(rec, c.opt.ValueBytes)
-	for _, i := range rec.Done {
+	if err := j.loadDone(s, rec.Done); err != nil {
+		return err
+	}
+	return c.loadPlacements(j, s, rec)
+}
+
+// loadDone takes in which tasks of a slice are done.
+func (j *job) loadDone(s *admissionSlice, done []int) error {
+	for _, i := range done {
 		if i < 0 || i >= len(j.tasks) {
-			return fmt.Errorf("admission record %s/%d names task %d", id, n, i)
+			return fmt.Errorf("admission record %s/%d names task %d", j.id, s.number, i)
 		}
 		j.tasks[i].slice = s
 		if j.tasks[i].state != taskDone {
@@ -61,23 +69,27 @@
 			j.done++
 		}
 	}
+	return nil
+}
+
+// loadPlacements takes in where the tasks of a slice were placed by a predecessor.
+func (c *Core) loadPlacements(j *job, s *admissionSlice, rec *ledger.Slice) error {
 	for k := 0; k+2 < len(rec.Tasks); k += 3 {
-		i, attempt, h := rec.Tasks[k], ids.Attempt(rec.Tasks[k+1]), rec.Tasks[k+2]
-		if i < 0 || i >= len(j.tasks) || h >= len(rec.Hosts) {
-			return fmt.Errorf("admission record %s/%d names task %d on place %d", id, n, i, h)
+		i, attempt, place := rec.Tasks[k], ids.Attempt(rec.Tasks[k+1]), rec.Tasks[k+2]
+		if i < 0 || i >= len(j.tasks) || place >= len(rec.Hosts) {
+			return fmt.Errorf("admission record %s/%d names task %d on place %d", j.id, s.number, i, place)
 		}
 		t := &j.tasks[i]
 		t.attempt, t.slice = attempt, s
-		if h < 0 || t.state == taskDone {
+		if place < 0 || t.state == taskDone {
 			continue
 		}
-		m := c.registry.ensureMachine(rec.Hosts[h])
-		if m.Zone == "" && h < len(rec.Zones) {
-			c.registry.setSite(m, placement.Site{Zone: rec.Zones[h]}, "")
+		m := c.registry.ensureMachine(rec.Hosts[place])
+		if m.Zone == "" && place < len(rec.Zones) {
+			c.registry.setSite(m, placement.Site{Zone: rec.Zones[place]}, "")
 		}
-		a := &assignment{job: j, index: i, attempt: attempt, machine: m, recorded: true, inherited: true,
-			sentToken: ids.NewToken(c.opt.Revision, 0) - 1}
-		c.attach(a)
+		c.attach(&assignment{job: j, index: i, attempt: attempt, machine: m, recorded: true, inherited: true,
+			sentToken: ids.NewToken(c.opt.Revision, 0) - 1})
 	}
 	return nil
 }
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -23,53 +23,59 @@
 	}
 	delete(w.pendingChanges, o.Change.ID)
 	w.core.schedulingDue = true
-	j := p.job
 	if p.slice != nil {
 		p.slice.inFlight = false
 	}
 	for _, s := range p.dropped {
 		s.inFlight = false
 	}
-	if !o.Applied {
-		if o.Refused {
-			w.postpone(p)
-		} else {
-			w.changeRejected(p, o.Failed)
-		}
-		return
+	switch {
+	case o.Applied:
+		p.job.refusals = 0
+		w.changeApplied(p, o.Revision)
+	case o.Refused:
+		w.postpone(p)
+	default:
+		w.changeRejected(p, o.Failed)
 	}
-	j.refusals = 0
+}
+
+// changeApplied takes note of what is recorded now.
+func (w *recordWriter) changeApplied(p *pendingChange, revision ids.Revision) {
+	j := p.job
 	switch {
 	case p.orphanCancel:
-		j.revision = o.Revision
+		j.revision = revision
 		w.cancelRecorded(j)
+		return
+	case p.slice != nil:
+		w.sliceRecorded(p, revision)
+		return
 	case p.completes:
 		j.completing = false
-		j.status, j.revision = wire.StatusDone, o.Revision
-		// Only now may those that need it start: a successor would find it done.
+		j.status, j.revision = wire.StatusDone, revision
+		// Only now may those that depend on it start: a successor would find it done.
 		w.core.applyJobRecord(j.id, &ledger.Job{Status: wire.StatusDone, DoneMS: p.doneMS})
-		for _, s := range p.dropped {
-			s.revision = 0
-		}
-		w.droppable[j] = true
-	case p.slice != nil:
-		p.slice.revision = o.Revision
-		w.applySplit(p, o.Revision)
-		for _, a := range p.placed {
-			a.recorded, a.recordInFlight = true, false
-			w.core.commands.queueCommands(a.machine)
-			if a.stopReason != stopNone && a.machine.tasks[a.ref()] == a {
-				w.core.release(a) // never sent
-			}
-		}
-		if j.terminal() {
-			w.droppable[j] = true
-		}
-	default:
-		for _, s := range p.dropped {
-			s.revision = 0
+	}
+	for _, s := range p.dropped {
+		s.revision = 0
+	}
+	w.droppable[j] = true
+}
+
+// sliceRecorded takes note that placements are recorded and may be sent.
+func (w *recordWriter) sliceRecorded(p *pendingChange, revision ids.Revision) {
+	p.slice.revision = revision
+	w.applySplit(p, revision)
+	for _, a := range p.placed {
+		a.recorded, a.recordInFlight = true, false
+		w.core.commands.queueCommands(a.machine)
+		if a.stopReason != stopNone && a.machine.tasks[a.ref()] == a {
+			w.core.release(a) // never sent
 		}
-		w.droppable[j] = true
+	}
+	if p.job.terminal() {
+		w.droppable[p.job] = true
 	}
 }
 
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -9,27 +9,11 @@
 	"ospreystile.example/ospreystile/scheduler/placement"
 )
 
-// Summary is one line about the state of things, for the log.
+// Summary is one line about the state of the core, for the log.
 func (c *Core) Summary() string {
 	var b strings.Builder
-	var pend, act, up, boot, starving int
-	for _, j := range c.jobs {
-		if j.ready && !j.terminal() && c.starving(j) {
-			starving++
-		}
-		pend += len(j.pending)
-		act += len(j.active)
-	}
-	for _, m := range c.registry.machineList {
-		if c.health.usable(m) {
-			up++
-		} else if !m.reported {
-			boot++
-		}
-	}
-	fmt.Fprintf(&b, "jobs=%d waiting=%d starving=%d placed=%d machines=%d usable=%d booting=%d",
-		len(c.jobs), pend, starving, act, len(c.registry.machineList), up, boot)
-	for i, name := range []string{stopNone: "lost", stopCancelled: "withdrawn", stopPreempted: "preempted", stopDrained: "drained"} {
+	c.summarizeJobs(&b)
+	for i, name := range []string{stopNone: "lost", stopCancelled: "cancelled", stopPreempted: "preempted", stopDrained: "drained"} {
 		fmt.Fprintf(&b, " %s=%d/%.0f", name, c.lostWork[i].tasks, c.lostWork[i].cpuS)
 	}
 	for _, t := range c.opt.Teams {
@@ -37,38 +21,62 @@
 	}
 	for _, zone := range slices.Sorted(maps.Keys(c.health.zoneStates)) {
 		if c.health.zonePartitioned(zone) {
-			fmt.Fprintf(&b, " cut-off=%s", zone)
+			fmt.Fprintf(&b, " partitioned=%s", zone)
 		}
 	}
 	for _, why := range slices.Sorted(maps.Keys(c.registry.returnCounts)) {
 		fmt.Fprintf(&b, " returned-%s=%d", why, c.registry.returnCounts[why])
 	}
-	// By type and kind: machines, those without a task, and the part of their
-	// CPUs in use.
-	type held struct {
+	c.summarizeMachines(&b)
+	return b.String()
+}
+
+func (c *Core) summarizeJobs(b *strings.Builder) {
+	var pending, placed, usable, booting, starving int
+	for _, j := range c.jobs {
+		if j.ready && !j.terminal() && c.starving(j) {
+			starving++
+		}
+		pending += len(j.pending)
+		placed += len(j.active)
+	}
+	for _, m := range c.registry.machineList {
+		if c.health.usable(m) {
+			usable++
+		} else if !m.reported {
+			booting++
+		}
+	}
+	fmt.Fprintf(b, "jobs=%d waiting=%d starving=%d placed=%d machines=%d usable=%d booting=%d",
+		len(c.jobs), pending, starving, placed, len(c.registry.machineList), usable, booting)
+}
+
+// summarizeMachines tells by type and kind how many machines there are, how many have no
+// task, and the part of their CPUs that is in use.
+func (c *Core) summarizeMachines(b *strings.Builder) {
+	type tally struct {
 		count, idle int
 		used, total float64
 	}
-	kinds := map[placement.Site]*held{}
+	kinds := map[placement.Site]*tally{}
 	for _, m := range c.registry.machineList {
-		k := placement.Site{Type: m.Type, Spot: m.Spot}
-		if kinds[k] == nil {
-			kinds[k] = &held{}
+		kind := placement.Site{Type: m.Type, Spot: m.Spot}
+		if kinds[kind] == nil {
+			kinds[kind] = &tally{}
 		}
-		h := kinds[k]
-		h.count++
+		held := kinds[kind]
+		held.count++
 		if len(m.tasks) == 0 {
-			h.idle++
+			held.idle++
 		}
-		h.used += m.used.CPUs
-		h.total += m.total.CPUs
+		held.used += m.used.CPUs
+		held.total += m.total.CPUs
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(kinds), placement.Site.Compare) {
-		kind, h := "", kinds[k]
-		if k.Spot {
-			kind = "/spot"
+	for _, kind := range slices.SortedFunc(maps.Keys(kinds), placement.Site.Compare) {
+		suffix, held := "", kinds[kind]
+		if kind.Spot {
+			suffix = "/spot"
 		}
-		fmt.Fprintf(&b, " %s%s=%d/%d/%.2f", k.Type, kind, h.count, h.idle, h.used/max(1, h.total))
+		fmt.Fprintf(b, " %s%s=%d/%d/%.2f", kind.Type, suffix, held.count, held.idle, held.used/max(1, held.total))
 	}
-	return b.String()
 }
