--- a/cmd/ospreystile/main.go
+++ b/cmd/ospreystile/main.go
@@ -28,53 +28,78 @@
 	}
 }
 
-func command() *cobra.Command {
-	var platform, operator string
-	load := func() (*config.Platform, *config.Operator, error) {
-		if platform == "" {
-			return nil, nil, fmt.Errorf("--config: missing")
-		}
-		p, err := config.LoadPlatform(platform)
-		if err != nil {
-			return nil, nil, err
-		}
-		o, err := config.LoadOperator(operator)
-		return p, o, err
+// settingsFiles are the paths of the two settings files, as given by flags.
+type settingsFiles struct{ platform, operator string }
+
+// load reads and checks both files.
+func (f *settingsFiles) load() (*config.Platform, *config.Operator, error) {
+	if f.platform == "" {
+		return nil, nil, fmt.Errorf("--config: missing")
+	}
+	platform, err := config.LoadPlatform(f.platform)
+	if err != nil {
+		return nil, nil, err
 	}
+	operator, err := config.LoadOperator(f.operator)
+	return platform, operator, err
+}
+
+func command() *cobra.Command {
+	var files settingsFiles
 	root := &cobra.Command{
 		Use:           "ospreystile --config FILE",
 		Short:         "A cluster scheduler with guaranteed, lent and reclaimed team quotas",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			p, o, err := load()
-			if err != nil {
-				return err
-			}
-			log, err := logger(os.Getenv("LOG_LEVEL"))
-			if err != nil {
-				return err
-			}
-			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			return node.New(p, o, log).Run(ctx)
-		},
+		RunE:          func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context(), &files) },
 	}
-	root.PersistentFlags().StringVar(&platform, "config", "", "the platform's settings file (TOML)")
-	root.PersistentFlags().StringVar(&operator, "operator", "", "the operators' settings file (JSON)")
-	root.AddCommand(&cobra.Command{
+	root.PersistentFlags().StringVar(&files.platform, "config", "", "the platform's settings file (TOML)")
+	root.PersistentFlags().StringVar(&files.operator, "operator", "", "the operators' settings file (JSON)")
+	root.AddCommand(checkCommand(&files), versionCommand())
+	root.SetContext(context.Background())
+	return root
+}
+
+// serve runs the controller until a signal ends it.
+func serve(ctx context.Context, files *settingsFiles) error {
+	platform, operator, err := files.load()
+	if err != nil {
+		return err
+	}
+	log, err := logger(os.Getenv("LOG_LEVEL"))
+	if err != nil {
+		return err
+	}
+	for _, warning := range operator.Warnings {
+		log.Warn("operator settings: " + warning)
+	}
+	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	return node.New(platform, operator, log).Run(ctx)
+}
+
+func checkCommand(files *settingsFiles) *cobra.Command {
+	return &cobra.Command{
 		Use:   "check",
 		Short: "Check the settings without serving",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if _, _, err := load(); err != nil {
+			_, operator, err := files.load()
+			if err != nil {
 				return err
 			}
+			for _, warning := range operator.Warnings {
+				fmt.Fprintln(cmd.ErrOrStderr(), "warning:", warning)
+			}
 			fmt.Fprintln(cmd.OutOrStdout(), "settings are in order")
 			return nil
 		},
-	}, &cobra.Command{
+	}
+}
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
@@ -85,9 +110,7 @@
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "ospreystile", v)
 		},
-	})
-	root.SetContext(context.Background())
-	return root
+	}
 }
 
 // logger writes to standard error as much as LOG_LEVEL says.
--- a/config/config.go
+++ b/config/config.go
@@ -3,19 +3,15 @@
 package config
 
 import (
-	"bytes"
 	_ "embed"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math"
 	"net"
 	"os"
 	"strings"
-	"time"
 
 	"github.com/pelletier/go-toml/v2"
-	"github.com/santhosh-tekuri/jsonschema/v6"
 
 	"ospreystile.example/ospreystile/ids"
 )
@@ -178,12 +174,20 @@
 
 // check names the first setting that makes no sense, and fills in defaults.
 func (p *Platform) check() error {
-	addr := func(field, v string) error {
-		if _, _, err := net.SplitHostPort(v); err != nil {
-			return fmt.Errorf("%s: not an address with a port: %q", field, v)
+	if p.Settings.Resources.CPUShare == 0 {
+		p.Settings.Resources.CPUShare = 1
+	}
+	for _, check := range []func() error{p.checkAddresses, p.Settings.checkTeams, p.Settings.State.check, p.Settings.checkAmounts} {
+		if err := check(); err != nil {
+			return err
 		}
-		return nil
 	}
+	return nil
+}
+
+// checkAddresses checks the names and addresses of this controller, its peers and the
+// services that it uses.
+func (p *Platform) checkAddresses() error {
 	if p.HostName == "" {
 		return errors.New("host_name: missing")
 	}
@@ -191,7 +195,7 @@
 		{"api_addr", p.APIAddr}, {"mesh_addr", p.MeshAddr},
 		{"external.cloud", p.External.Cloud}, {"external.state", p.External.State},
 	} {
-		if err := addr(a.field, a.v); err != nil {
+		if err := checkAddress(a.field, a.v); err != nil {
 			return err
 		}
 	}
@@ -199,14 +203,22 @@
 		if s.Name == "" {
 			return fmt.Errorf("seeds[%d].host_name: missing", i)
 		}
-		if err := addr(fmt.Sprintf("seeds[%d].address", i), s.Address); err != nil {
+		if err := checkAddress(fmt.Sprintf("seeds[%d].address", i), s.Address); err != nil {
 			return err
 		}
 	}
-	s := &p.Settings
-	if s.Resources.CPUShare == 0 {
-		s.Resources.CPUShare = 1
+	return nil
+}
+
+func checkAddress(field, address string) error {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return fmt.Errorf("%s: not an address with a port: %q", field, address)
 	}
+	return nil
+}
+
+// checkTeams checks that teams have different names and quotas that make sense.
+func (s *Settings) checkTeams() error {
 	seen := map[ids.Team]bool{}
 	for i, t := range s.Teams {
 		switch {
@@ -221,9 +233,11 @@
 		}
 		seen[t.Name] = true
 	}
-	if err := s.State.check(); err != nil {
-		return err
-	}
+	return nil
+}
+
+// checkAmounts checks the settings that must be above 0.
+func (s *Settings) checkAmounts() error {
 	for _, f := range []struct {
 		field string
 		v     float64
@@ -249,129 +263,3 @@
 
 // amount tells whether a setting is a finite number that is not negative.
 func amount(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
-
-// Operator is the operators' own settings.
-type Operator struct {
-	Leadership struct {
-		LeaseMS int `json:"lease_ms"`
-		GraceS  int `json:"grace_s"`
-	} `json:"leadership"`
-	Quota struct {
-		// LendingLimits holds, by team, how many guaranteed CPUs others may
-		// borrow. A team without an entry lends all that is idle.
-		LendingLimits map[ids.Team]float64 `json:"lending_limits"`
-		ReclaimHoldS  float64              `json:"reclaim_hold_s"`
-		SliceTasks    int                  `json:"slice_tasks"`
-		PassOver      int                  `json:"pass_over"`
-		// KeepAfterS is how long a job waits to begin until room is kept for
-		// it, KeepForS how long it is kept at a time.
-		KeepAfterS float64 `json:"keep_after_s"`
-		KeepForS   float64 `json:"keep_for_s"`
-	} `json:"quota"`
-	Fleet struct {
-		IdleS        float64 `json:"idle_s"`
-		SpotIdle     float64 `json:"spot_idle"`
-		HeadroomIdle float64 `json:"headroom_idle_s"`
-		Headroom     float64 `json:"headroom"`
-		BootFactor   float64 `json:"boot_factor"`
-		CapacityBack float64 `json:"capacity_backoff_s"`
-		MaxMachines  int     `json:"max_machines"`
-	} `json:"fleet"`
-}
-
-//go:embed operator.schema.json
-var operatorSchema []byte
-
-//go:embed operator.default.json
-var operatorDefault []byte
-
-// LoadOperator reads the operators' settings over the built-in defaults. An
-// empty path gives the defaults.
-func LoadOperator(path string) (*Operator, error) {
-	var raw []byte
-	if path != "" {
-		var err error
-		if raw, err = os.ReadFile(path); err != nil {
-			return nil, fmt.Errorf("operator settings: %w", err)
-		}
-	}
-	op, err := ParseOperator(raw)
-	if err != nil {
-		return nil, fmt.Errorf("operator settings %s: %w", path, err)
-	}
-	return op, nil
-}
-
-// ParseOperator checks operators' settings against the schema and lays them
-// over the defaults. Nil gives the defaults.
-func ParseOperator(raw []byte) (*Operator, error) {
-	var op Operator
-	if err := json.Unmarshal(operatorDefault, &op); err != nil {
-		return nil, fmt.Errorf("built-in defaults: %w", err)
-	}
-	if raw == nil {
-		return &op, nil
-	}
-	schema, err := jsonschema.UnmarshalJSON(bytes.NewReader(operatorSchema))
-	if err != nil {
-		return nil, fmt.Errorf("built-in schema: %w", err)
-	}
-	c := jsonschema.NewCompiler()
-	if err := c.AddResource("operator.schema.json", schema); err != nil {
-		return nil, fmt.Errorf("built-in schema: %w", err)
-	}
-	sch, err := c.Compile("operator.schema.json")
-	if err != nil {
-		return nil, fmt.Errorf("built-in schema: %w", err)
-	}
-	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
-	if err != nil {
-		return nil, fmt.Errorf("not JSON: %w", err)
-	}
-	if err := sch.Validate(doc); err != nil {
-		return nil, oneLine(err)
-	}
-	if err := json.Unmarshal(raw, &op); err != nil {
-		return nil, err
-	}
-	return &op, nil
-}
-
-// oneLine names the first field that a schema check found wrong.
-func oneLine(err error) error {
-	var ve *jsonschema.ValidationError
-	if !errors.As(err, &ve) {
-		return err
-	}
-	for len(ve.Causes) > 0 {
-		ve = ve.Causes[0]
-	}
-	field := "(top)"
-	if len(ve.InstanceLocation) > 0 {
-		field = ""
-		for i, part := range ve.InstanceLocation {
-			if i > 0 {
-				field += "."
-			}
-			field += part
-		}
-	}
-	out := ve.BasicOutput()
-	msg := ve.Error()
-	if out != nil && out.Error != nil {
-		msg = out.Error.String()
-	} else if out != nil && len(out.Errors) > 0 && out.Errors[0].Error != nil {
-		msg = out.Errors[0].Error.String()
-	}
-	return fmt.Errorf("%s: %s", field, msg)
-}
-
-// LeaseTTL is how long a leader's key outlives its last renewal.
-func (o *Operator) LeaseTTL() time.Duration {
-	return time.Duration(o.Leadership.LeaseMS) * time.Millisecond
-}
-
-// Grace bounds how long a leader without the state service answers reports.
-func (o *Operator) Grace() time.Duration {
-	return time.Duration(o.Leadership.GraceS) * time.Second
-}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -126,12 +126,21 @@
 	if err != nil || op.Quota.LendingLimits["red"] != 2 || op.Leadership != base.Leadership || op.Quota.SliceTasks != base.Quota.SliceTasks {
 		t.Errorf("read %+v, %v", op, err)
 	}
+	op, err = ParseOperator([]byte(`{"quota":{"keep_after_s":7,"keep_for_s":8,"pass_over":9}}`))
+	if err != nil || op.Quota.ReserveAfterS != 7 || op.Quota.ReserveForS != 8 || op.Quota.MaxSkippedJobs != 9 || len(op.Warnings) != 3 {
+		t.Errorf("by former names: %+v, %v", op, err)
+	}
+	if len(base.Warnings) > 0 {
+		t.Errorf("the defaults warn: %v", base.Warnings)
+	}
 	for doc, field := range map[string]string{
-		`{"leadership":{"lease_ms":5}}`:             "leadership.lease_ms",
-		`{"leadership":{"lease_ms":"x"}}`:           "leadership.lease_ms",
-		`{"quota":{"lending_limits":{"red":-1}}}`:   "quota.lending_limits.red",
-		`{"surprise":1}`:                            "surprise",
-		`{"fleet":{"idle_s":30,"max_machines":-1}}`: "fleet.max_machines",
+		`{"quota":{"keep_for_s":8,"reserve_for_s":8}}`: "quota.keep_for_s",
+		`{"quota":{"keep_for_s":"long"}}`:              "quota.reserve_for_s",
+		`{"leadership":{"lease_ms":5}}`:                "leadership.lease_ms",
+		`{"leadership":{"lease_ms":"x"}}`:              "leadership.lease_ms",
+		`{"quota":{"lending_limits":{"red":-1}}}`:      "quota.lending_limits.red",
+		`{"surprise":1}`:                               "surprise",
+		`{"fleet":{"idle_s":30,"max_machines":-1}}`:    "fleet.max_machines",
 		`{`: "JSON",
 	} {
 		if _, err := ParseOperator([]byte(doc)); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
--- a/server/server.go
+++ b/server/server.go
@@ -2,11 +2,13 @@
 package server
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"log/slog"
 	"net"
 	"strconv"
+	"strings"
 	"time"
 
 	"github.com/gofiber/fiber/v3"
@@ -58,81 +60,111 @@
 
 // New makes the HTTP application.
 func New(svc Service, limits Limits, log *slog.Logger) *fiber.App {
+	h := &handlers{svc: svc, limits: limits, log: log}
 	app := fiber.New(fiber.Config{
 		BodyLimit:         wire.MaxBody,
 		Concurrency:       limits.MaxConnections,
-		ReadTimeout:       20 * time.Second,
-		WriteTimeout:      10 * time.Second,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
 		IdleTimeout:       limits.IdleTimeout,
 		ReduceMemoryUsage: true,
 		CaseSensitive:     true,
 		StrictRouting:     true,
-		ErrorHandler: func(c fiber.Ctx, err error) error {
-			code := 500
-			var fe *fiber.Error
-			if errors.As(err, &fe) {
-				code = fe.Code
-			}
-			switch code {
-			case fiber.StatusRequestEntityTooLarge:
-				code = 400 // the protocol's word for a body above the limit
-			case fiber.StatusMethodNotAllowed:
-				code = 404
-			case 500:
-				log.Error("request failed", "path", c.Path(), "err", err)
-			}
-			return send(c, Answer{Code: code})
-		},
+		ErrorHandler:      h.failed,
 	})
-	app.Use(func(c fiber.Ctx) (err error) {
-		defer func() {
-			if p := recover(); p != nil {
-				log.Error("handler panicked", "path", c.Path(), "panic", p)
-				err = send(c, Answer{Code: 500})
-			}
-		}()
-		return c.Next()
-	})
-	app.Get("/up", func(c fiber.Ctx) error {
-		if svc.Healthy() {
-			return send(c, Answer{Code: 200})
-		}
-		return send(c, RetryLater(time.Second))
-	})
-	app.Post("/api/jobs", func(c fiber.Ctx) error {
-		id, spec, err := wire.ParseSubmission(c.Body())
-		if err != nil {
-			log.Debug("submission refused", "err", err)
-			return send(c, Answer{Code: 400})
-		}
-		return send(c, svc.Submit(c.Context(), id, spec))
-	})
-	app.Get("/api/jobs/:id", func(c fiber.Ctx) error {
-		id := ids.JobID(string([]byte(c.Params("id"))))
-		if !wire.ValidID(id) {
-			return send(c, Answer{Code: 404})
+	app.Use(h.recoverPanic)
+	app.Get("/up", h.health)
+	app.Post("/api/jobs", h.submit)
+	app.Get("/api/jobs/:id", h.aboutJob(svc.Status))
+	app.Post("/api/jobs/:id/withdraw", h.aboutJob(svc.Cancel))
+	app.Post("/hello", h.report)
+	return app
+}
+
+const (
+	// readTimeout bounds the time in which a request must have come, and writeTimeout
+	// that in which its answer must have gone.
+	readTimeout  = 20 * time.Second
+	writeTimeout = 10 * time.Second
+	// healthRetryDelay is after what time an unhealthy node should be asked again.
+	healthRetryDelay = time.Second
+)
+
+// handlers turn requests into calls of the service.
+type handlers struct {
+	svc    Service
+	limits Limits
+	log    *slog.Logger
+}
+
+// failed answers requests that no handler answered.
+func (h *handlers) failed(c fiber.Ctx, err error) error {
+	code := fiber.StatusInternalServerError
+	var refusal *fiber.Error
+	if errors.As(err, &refusal) {
+		code = refusal.Code
+	}
+	switch code {
+	case fiber.StatusRequestEntityTooLarge:
+		code = fiber.StatusBadRequest // the protocol's word for a body above the limit
+	case fiber.StatusMethodNotAllowed:
+		code = fiber.StatusNotFound
+	case fiber.StatusInternalServerError:
+		h.log.Error("request failed", "path", c.Path(), "err", err)
+	}
+	return send(c, Answer{Code: code})
+}
+
+// recoverPanic answers requests whose handler panicked.
+func (h *handlers) recoverPanic(c fiber.Ctx) (err error) {
+	defer func() {
+		if p := recover(); p != nil {
+			h.log.Error("handler panicked", "path", c.Path(), "panic", p)
+			err = send(c, Answer{Code: fiber.StatusInternalServerError})
 		}
-		return send(c, svc.Status(c.Context(), id))
-	})
-	app.Post("/api/jobs/:id/withdraw", func(c fiber.Ctx) error {
-		id := ids.JobID(string([]byte(c.Params("id"))))
+	}()
+	return c.Next()
+}
+
+func (h *handlers) health(c fiber.Ctx) error {
+	if h.svc.Healthy() {
+		return send(c, Answer{Code: fiber.StatusOK})
+	}
+	return send(c, RetryLater(healthRetryDelay))
+}
+
+func (h *handlers) submit(c fiber.Ctx) error {
+	id, spec, err := wire.ParseSubmission(c.Body())
+	if err != nil {
+		h.log.Debug("submission refused", "err", err)
+		return send(c, Answer{Code: fiber.StatusBadRequest})
+	}
+	return send(c, h.svc.Submit(c.Context(), id, spec))
+}
+
+// aboutJob handles requests about the job that their path names. An id that no job can
+// have was never accepted.
+func (h *handlers) aboutJob(call func(context.Context, ids.JobID) Answer) fiber.Handler {
+	return func(c fiber.Ctx) error {
+		id := ids.JobID(strings.Clone(c.Params("id")))
 		if !wire.ValidID(id) {
-			return send(c, Answer{Code: 404})
-		}
-		return send(c, svc.Cancel(c.Context(), id))
-	})
-	app.Post("/hello", func(c fiber.Ctx) error {
-		raw := append([]byte(nil), c.Body()...)
-		rep := new(wire.Report)
-		if err := wire.Decode(raw, rep); err != nil || rep.Host == "" || rep.Session == 0 {
-			return send(c, Answer{Code: 400})
+			return send(c, Answer{Code: fiber.StatusNotFound})
 		}
-		if float64(app.Server().GetOpenConnectionsCount()) > workerConnectionShare*float64(limits.MaxConnections) {
-			c.RequestCtx().SetConnectionClose()
-		}
-		return send(c, svc.Report(c.Context(), raw, rep))
-	})
-	return app
+		return send(c, call(c.Context(), id))
+	}
+}
+
+func (h *handlers) report(c fiber.Ctx) error {
+	raw := bytes.Clone(c.Body())
+	report := new(wire.Report)
+	if err := wire.Decode(raw, report); err != nil || report.Host == "" || report.Session == 0 {
+		return send(c, Answer{Code: fiber.StatusBadRequest})
+	}
+	open := c.App().Server().GetOpenConnectionsCount()
+	if float64(open) > workerConnectionShare*float64(h.limits.MaxConnections) {
+		c.RequestCtx().SetConnectionClose()
+	}
+	return send(c, h.svc.Report(c.Context(), raw, report))
 }
 
 // send writes an answer.
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"bufio"
 	"bytes"
 	"context"
 	"fmt"
@@ -123,3 +124,33 @@
 		tr.CloseIdleConnections()
 	}
 }
+
+// A body beyond the limit is refused before it has come, and no more of it is read than
+// was under way already.
+func TestTooLargeBodyIsRefusedUnread(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	served := make(chan error, 1)
+	app := New(&fakeService{}, Limits{MaxConnections: 10, IdleTimeout: time.Minute}, slog.New(slog.DiscardHandler))
+	go func() { served <- Serve(ctx, app, listener) }()
+	connection, err := net.Dial("tcp4", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer connection.Close()
+	// The head alone: a server that waits for the body never answers.
+	fmt.Fprintf(connection, "POST /api/jobs HTTP/1.1\r\nHost: n\r\nContent-Type: application/msgpack\r\nContent-Length: %d\r\n\r\n", wire.MaxBody+1)
+	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	response.Body.Close()
+	if response.StatusCode != http.StatusBadRequest {
+		t.Errorf("answered %d", response.StatusCode)
+	}
+	cancel()
+	<-served
+}
--- a/wire/spec.go
+++ b/wire/spec.go
@@ -197,6 +197,22 @@
 		CheckpointEveryS: f.amount("snapshotEveryS", false),
 		CheckpointS:      f.amount("snapshotS", false),
 	}
+	f.shape(s)
+	s.Priority = f.priority()
+	s.Tasks = f.taskCount()
+	s.Types = f.machineTypes()
+	s.DependsOn = f.dependencies()
+	if m["dueS"] != nil {
+		s.DeadlineS = f.amount("dueS", false)
+	}
+	if f.err != nil {
+		return "", nil, f.err
+	}
+	return id, s, nil
+}
+
+// shape reads the kind of job.
+func (f *fields) shape(s *Spec) {
 	switch f.text("shape", 50) {
 	case "batch":
 	case "standing":
@@ -206,54 +222,67 @@
 	default:
 		f.fail("shape", "is not a shape of jobs")
 	}
+}
+
+// priority reads the job's priority.
+func (f *fields) priority() Priority {
 	p, ok := priorities[f.text("urgency", 50)]
 	if !ok {
 		f.fail("urgency", "is not a priority")
 	}
-	s.Priority = p
-	n, ok := integer(m["legs"])
+	return p
+}
+
+// taskCount reads the number of tasks.
+func (f *fields) taskCount() int {
+	n, ok := integer(f.m["legs"])
 	if !ok || n < 1 || n > maxTasks {
 		f.fail("legs", "must be a count from 1 to 100000")
 	}
-	s.Tasks = int(n)
-	switch types := m["frames"].(type) {
-	case nil:
-	case []any:
-		for _, t := range types {
-			name, ok := t.(string)
-			if !ok || name == "" {
-				f.fail("frames", "must be a list of names")
-				break
-			}
-			s.Types = append(s.Types, ids.MachineType(name))
+	return int(n)
+}
+
+// machineTypes reads the allowed machine types; none: any.
+func (f *fields) machineTypes() []ids.MachineType {
+	list, given := f.list("frames", "must be a list of names")
+	if given && len(list) == 0 {
+		f.fail("frames", "must name a machine type or be null")
+	}
+	var types []ids.MachineType
+	for _, v := range list {
+		name, ok := v.(string)
+		if !ok || name == "" {
+			f.fail("frames", "must be a list of names")
+			break
 		}
-		if len(types) == 0 {
-			f.fail("frames", "must name a machine type or be null")
+		types = append(types, ids.MachineType(name))
+	}
+	return unique(types)
+}
+
+// dependencies reads the jobs that must be done before this one starts.
+func (f *fields) dependencies() []ids.JobID {
+	list, _ := f.list("waitsOn", "must be a list of job ids")
+	var jobs []ids.JobID
+	for _, v := range list {
+		name, _ := v.(string)
+		if !ValidID(ids.JobID(name)) {
+			f.fail("waitsOn", "must be a list of job ids")
+			break
 		}
-	default:
-		f.fail("frames", "must be a list of names")
+		jobs = append(jobs, ids.JobID(name))
 	}
-	s.Types = unique(s.Types)
-	switch list := m["waitsOn"].(type) {
+	return unique(jobs)
+}
+
+// list reads a list that may be null or left out.
+func (f *fields) list(key, want string) (list []any, given bool) {
+	switch v := f.m[key].(type) {
 	case nil:
+		return nil, false
 	case []any:
-		for _, v := range list {
-			name, _ := v.(string)
-			if !ValidID(ids.JobID(name)) {
-				f.fail("waitsOn", "must be a list of job ids")
-				break
-			}
-			s.DependsOn = append(s.DependsOn, ids.JobID(name))
-		}
-		s.DependsOn = unique(s.DependsOn)
-	default:
-		f.fail("waitsOn", "must be a list of job ids")
-	}
-	if m["dueS"] != nil {
-		s.DeadlineS = f.amount("dueS", false)
+		return v, true
 	}
-	if f.err != nil {
-		return "", nil, f.err
-	}
-	return id, s, nil
+	f.fail(key, want)
+	return nil, false
 }
