--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -94,13 +94,14 @@
 func (s *sim) toTheEnd(all []ids.JobID, within time.Duration) {
 	s.t.Helper()
 	s.faults = false
+	s.pausedUntil = min(s.pausedUntil, s.now)
 	s.outage, s.refusal, s.cloudAway, s.islandUntil = min(s.outage, s.now), min(s.refusal, s.now), min(s.cloudAway, s.now), 0
 	for _, w := range s.workers {
 		w.unhealthy = false
 		w.cut, w.unreachable, w.cannotReport, w.hung = min(w.cut, s.now), min(w.unreachable, s.now), min(w.cannotReport, s.now), min(w.hung, s.now)
 	}
 	for _, id := range all {
-		if s.specs[id].Service {
+		if s.specs[id].Service || s.failing[id] {
 			s.cancel(id)
 		}
 	}
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -62,12 +62,23 @@
 	s.old, s.oldTerm, s.oldUntil = old, term, s.now.Add(simIsolatedReplicas)
 }
 
+// afterPause does something at once, or when a leader's process goes on.
+func (s *sim) afterPause(core *Core, do func()) {
+	if left := s.pauseLeft(core); left > 0 {
+		s.after(left, func() { s.afterPause(core, do) })
+		return
+	}
+	do()
+}
+
 func (s *sim) stepOf(core *Core, term int) {
 	current := func(f func()) func() {
 		return func() {
-			if s.now >= s.controllersDown && (s.term == term || s.old == core) {
-				f()
-			}
+			s.afterPause(core, func() {
+				if s.now >= s.controllersDown && (s.term == term || s.old == core) {
+					f()
+				}
+			})
 		}
 	}
 	reached := func(w *simWorker) bool { return s.now >= s.islandUntil || s.apart(w) == (s.old == core) }
@@ -179,8 +190,10 @@
 		wait = time.Duration(1+s.rng.IntN(4)) * time.Second
 	}
 	s.after(wait, func() {
-		if s.term == term {
-			core.ChangeResult(s.now, o)
-		}
+		s.afterPause(core, func() {
+			if s.term == term {
+				core.ChangeResult(s.now, o)
+			}
+		})
 	})
 }
--- a/scheduler/sim_state_test.go
+++ b/scheduler/sim_state_test.go
@@ -100,7 +100,8 @@
 		s.after(max(s.outage, s.refusal).Sub(s.now), func() { s.seen(id) })
 		return
 	}
-	s.bring(s.core, id)
+	core := s.core
+	s.afterPause(core, func() { s.bring(core, id) })
 }
 
 func (s *sim) bring(core *Core, id ids.JobID) {
@@ -147,6 +148,10 @@
 				// takes in it acts on, but it has lost its key.
 				core, holds = s.old, false
 			}
+			if s.pauseLeft(core) > 0 {
+				s.tellUser(id) // nobody answers
+				return
+			}
 			s.bring(core, id)
 			if holds && core.CanAcknowledgeCancel(s.now, id) {
 				s.toldCancelled[id] = s.now
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -100,6 +100,12 @@
 	// slow is added to every message; copies, cancelAtEnd and quickBoots are chances.
 	slow                            time.Duration
 	copies, cancelAtEnd, quickBoots float64
+	// pausedCore is a leader whose process does not run until pausedUntil; what comes
+	// for it meanwhile waits.
+	pausedCore  *Core
+	pausedUntil ids.Instant
+	// failing are the jobs that fail on every machine.
+	failing map[ids.JobID]bool
 	// runFactor is how many times as long array tasks run; 0: once.
 	runFactor int
 	// valueBytes and txnOps are the limits of the state service, 0: none, and
@@ -115,7 +121,7 @@
 	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: ids.Instant(time.Hour), store: map[string]simEntry{},
 		workers: map[ids.Host]*simWorker{}, rented: map[string][]ids.Host{}, specs: map[ids.JobID]*wire.Spec{}, sent: map[ids.JobID][]simPlace{},
 		completed: map[ids.TaskRef]bool{}, cancelled: map[ids.JobID]bool{}, toldCancelled: map[ids.JobID]ids.Instant{}, faults: true, capacity: 2,
-		copies: 0.1, cancelAtEnd: 0.03, quickBoots: 0.1, digest: newEffectDigest()}
+		copies: 0.1, cancelAtEnd: 0.03, quickBoots: 0.1, digest: newEffectDigest(), failing: map[ids.JobID]bool{}}
 	s.types = []wire.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: []ids.Zone{"a", "b"}},
 		{Name: "big", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchGBps: 1, Price: 4, SpotPrice: 1.2, BootS: 10, Zones: []ids.Zone{"a", "b", "c"}},
@@ -189,7 +195,7 @@
 		if tick%20 == 0 {
 			list, asked := s.list(), s.now
 			s.after(3*time.Second, func() {
-				if s.now >= max(s.cloudAway, s.controllersDown) {
+				if s.now >= max(s.cloudAway, s.controllersDown) && s.pauseLeft(s.core) == 0 {
 					s.core.MachineList(s.now, asked, list)
 				}
 			})
@@ -198,9 +204,33 @@
 	}
 }
 
+// pause stops the leader's process for a time while its clocks run on. If its key is gone
+// meanwhile another leads, and it ends its term when it finds out.
+func (s *sim) pause(d time.Duration) {
+	paused := s.core
+	s.pausedCore, s.pausedUntil = paused, s.now.Add(d)
+	if d < simKey {
+		return
+	}
+	s.after(simKey+time.Duration(s.rng.IntN(500))*time.Millisecond, func() {
+		if s.core == paused {
+			s.takeOver()
+			s.old = nil
+		}
+	})
+}
+
+// pauseLeft is for how long a leader's process is still paused.
+func (s *sim) pauseLeft(core *Core) time.Duration {
+	if core != s.pausedCore {
+		return 0
+	}
+	return max(0, s.pausedUntil.Sub(s.now))
+}
+
 // step runs the core and carries its decisions out.
 func (s *sim) step() {
-	if s.now < s.controllersDown {
+	if s.now < s.controllersDown || s.pauseLeft(s.core) > 0 {
 		return
 	}
 	if s.watched() {
--- a/scheduler/sim_troubles_test.go
+++ b/scheduler/sim_troubles_test.go
@@ -21,7 +21,7 @@
 			w.cut = d(5, 65)
 		}
 	}},
-	{"machine sick, or well again", 3, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
+	{"machine unhealthy, or healthy again", 3, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
 		if w := s.someWorker(); w != nil {
 			w.unhealthy = !w.unhealthy
 		}
@@ -31,12 +31,12 @@
 			w.dead = true
 		}
 	}},
-	{"machine hears nothing", 3, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+	{"machine unreachable, though it reports", 3, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
 		if w := s.someWorker(); w != nil {
 			w.unreachable = d(5, 95)
 		}
 	}},
-	{"machine says nothing", 3, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+	{"machine cannot report, though it is reached", 3, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
 		if w := s.someWorker(); w != nil {
 			w.cannotReport = d(5, 95)
 		}
@@ -64,6 +64,9 @@
 		s.deposed()
 		s.island, s.islandUntil = ids.Zone([]string{"a", "b", "c"}[s.rng.IntN(3)]), d(5, 60)
 	}},
+	{"leader is paused", 3, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
+		s.pause(time.Duration(500+s.rng.IntN(11_500)) * time.Millisecond)
+	}},
 	{"no controller", 1, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
 		s.controllersDown = d(1, 40)
 		s.old = nil
@@ -166,6 +169,7 @@
 		for range s.rng.IntN(3) {
 			id := ids.JobID(fmt.Sprintf("job-%03d", len(all)))
 			s.submit(id, s.waitingSpec(all))
+			s.failing[id] = s.chance(0.05)
 			all = append(all, id)
 		}
 		if len(all) > 0 && s.rng.IntN(5) == 0 {
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -153,7 +153,7 @@
 	if s.completed[t.ref] {
 		run = 0
 	}
-	fails := w.unhealthy || s.chance(0.1)
+	fails := w.unhealthy || s.failing[t.ref.Job] || s.chance(0.1)
 	var end func()
 	end = func() {
 		if s.now < w.hung {
@@ -235,10 +235,15 @@
 	if s.chance(s.copies) && len(s.keptReports) < 50 {
 		s.keptReports = append(s.keptReports, rep)
 	}
-	s.after(s.latency(), func() {
+	var arrive func()
+	arrive = func() {
 		if core != s.core && core != s.old {
 			core = s.core
 		}
+		if left := s.pauseLeft(core); left > 0 {
+			s.after(left, arrive)
+			return
+		}
 		if s.now < s.controllersDown || core == s.core && (s.apart(w) || s.now >= s.sure.Add(simGrace)) {
 			return
 		}
@@ -265,7 +270,8 @@
 			w.token, w.sentAt = orders.Token, sent
 			s.execute(w, orders.Commands)
 		})
-	})
+	}
+	s.after(s.latency(), arrive)
 }
 
 // apart tells whether only an old leader reaches a machine.
