--- a/election/election.go
+++ b/election/election.go
@@ -203,10 +203,10 @@
 }
 
 // dropLeader forgets a leader whose key is gone.
-func (e *Election) dropLeader(stamp ids.Revision) {
+func (e *Election) dropLeader(revision ids.Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.leader.Revision <= stamp {
+	if e.leader.Revision <= revision {
 		e.leader = Leader{Revision: e.leader.Revision}
 	}
 }
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -18,16 +18,16 @@
 // service is a stand-in for the state service: one key under leases, an
 // outage for all, and a refusal of single nodes.
 type service struct {
-	mu     sync.Mutex
-	epoch  ids.Revision
-	value  []byte
-	stamp  ids.Revision
-	lease  ids.LeaseID
-	leases map[ids.LeaseID]time.Time
-	ttl    time.Duration
-	next   ids.LeaseID
-	down   bool
-	change chan struct{}
+	mu       sync.Mutex
+	epoch    ids.Revision
+	value    []byte
+	revision ids.Revision
+	lease    ids.LeaseID
+	leases   map[ids.LeaseID]time.Time
+	ttl      time.Duration
+	next     ids.LeaseID
+	down     bool
+	change   chan struct{}
 	// oldest is the revision before which changes are not kept; calls counts the
 	// requests of all nodes.
 	oldest ids.Revision
@@ -54,9 +54,9 @@
 
 func (s *service) end(id ids.LeaseID) {
 	delete(s.leases, id)
-	if s.lease == id && s.stamp != 0 {
+	if s.lease == id && s.revision != 0 {
 		s.epoch++
-		s.stamp, s.value, s.lease = 0, nil, 0
+		s.revision, s.value, s.lease = 0, nil, 0
 		s.touched()
 	}
 }
@@ -107,7 +107,7 @@
 		return statestore.Entry{}, false, err
 	}
 	defer c.s.mu.Unlock()
-	return statestore.Entry{Key: ledger.LeaderKey, Value: c.s.value, Revision: c.s.stamp}, c.s.stamp != 0, nil
+	return statestore.Entry{Key: ledger.LeaderKey, Value: c.s.value, Revision: c.s.revision}, c.s.revision != 0, nil
 }
 
 func (c *client) Commit(_ context.Context, t statestore.Txn) (statestore.Outcome, error) {
@@ -116,7 +116,7 @@
 	}
 	defer c.s.mu.Unlock()
 	s := c.s
-	if t.Guards[0].Revision != s.stamp {
+	if t.Guards[0].Revision != s.revision {
 		return statestore.Outcome{Failed: []string{ledger.LeaderKey}}, nil
 	}
 	if len(t.Apply) == 0 {
@@ -126,7 +126,7 @@
 		return statestore.Outcome{}, statestore.ErrNoLease
 	}
 	s.epoch++
-	s.stamp, s.value, s.lease = s.epoch, wire.Encode(t.Apply[0].Value), t.Apply[0].Lease
+	s.revision, s.value, s.lease = s.epoch, wire.Encode(t.Apply[0].Value), t.Apply[0].Lease
 	s.touched()
 	return statestore.Outcome{Applied: true, Revision: s.epoch}, nil
 }
@@ -175,10 +175,10 @@
 	for time.Now().Before(end) && ctx.Err() == nil {
 		c.s.sweep()
 		if c.s.epoch > since {
-			if c.s.stamp == 0 {
+			if c.s.revision == 0 {
 				return c.s.epoch, []statestore.Event{{Drop: ledger.LeaderKey, Revision: c.s.epoch}}, nil
 			}
-			return c.s.epoch, []statestore.Event{{Write: ledger.LeaderKey, Revision: c.s.stamp}}, nil
+			return c.s.epoch, []statestore.Event{{Write: ledger.LeaderKey, Revision: c.s.revision}}, nil
 		}
 		c.s.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
@@ -337,7 +337,7 @@
 		s.ttl = time.Hour
 		s.leases[77] = time.Now().Add(time.Hour)
 		s.next = 100
-		s.epoch, s.stamp, s.lease = 4, 4, 77
+		s.epoch, s.revision, s.lease = 4, 4, 77
 		s.value = wire.Encode(Holder{Name: "n0", Incarnation: 1})
 		m := w.start(t, s, "n0", 2)
 		time.Sleep(time.Second)
--- a/ledger/changes.go
+++ b/ledger/changes.go
@@ -15,8 +15,8 @@
 // SliceChange writes admission records: one, or all parts of one that is split, so
 // that no task is ever without its record or in two. The job's version is guarded
 // too, so that nothing is admitted for a job that was cancelled.
-func SliceChange(id ids.JobID, jobStamp ids.Revision, at []SliceVersion, recs []Slice) Change {
-	c := Change{Guards: []statestore.Guard{{Key: JobKey(id), Revision: jobStamp}}}
+func SliceChange(id ids.JobID, jobRevision ids.Revision, at []SliceVersion, recs []Slice) Change {
+	c := Change{Guards: []statestore.Guard{{Key: JobKey(id), Revision: jobRevision}}}
 	for i, v := range at {
 		key := AdmissionKey(id, v.N)
 		c.Guards = append(c.Guards, statestore.Guard{Key: key, Revision: v.Revision})
@@ -26,10 +26,10 @@
 }
 
 // DoneChange makes a job done for good and drops admission records.
-func DoneChange(id ids.JobID, jobStamp ids.Revision, rec Job, drops []SliceVersion) Change {
+func DoneChange(id ids.JobID, jobRevision ids.Revision, rec Job, drops []SliceVersion) Change {
 	rec.Status = wire.StatusDone
 	c := DropChange(id, drops)
-	c.Guards = append(c.Guards, statestore.Guard{Key: JobKey(id), Revision: jobStamp})
+	c.Guards = append(c.Guards, statestore.Guard{Key: JobKey(id), Revision: jobRevision})
 	c.Apply = append(c.Apply, statestore.Op{Write: JobKey(id), Value: rec})
 	return c
 }
@@ -58,7 +58,7 @@
 // quota counts its tasks until they are gone; but of one that is larger than the
 // limit in bytes only what that takes: the record may be from before the limits
 // of the state service fell.
-func CancelChange(id ids.JobID, stamp ids.Revision, nonce uint64, rec Job, limit int) Change {
+func CancelChange(id ids.JobID, revision ids.Revision, nonce uint64, rec Job, limit int) Change {
 	rec.Nonce, rec.Status = nonce, wire.StatusCancelled
 	if s := rec.Spec; s != nil && wire.Exceeds(rec, limit) {
 		rec.Spec = &wire.Spec{Team: s.Team, Service: s.Service, Gang: s.Gang, Priority: s.Priority, Tasks: s.Tasks,
@@ -66,7 +66,7 @@
 	}
 	key := JobKey(id)
 	return Change{
-		Guards: []statestore.Guard{{Key: key, Revision: stamp}},
+		Guards: []statestore.Guard{{Key: key, Revision: revision}},
 		Apply:  []statestore.Op{{Write: key, Value: rec}},
 	}
 }
--- a/ledger/committer.go
+++ b/ledger/committer.go
@@ -217,10 +217,10 @@
 		refused := errors.Is(err, statestore.ErrRefused)
 		switch {
 		case (err == nil && !out.Applied || refused) && unknown:
-			applied, stamp, rerr := c.settle(ctx, txn)
+			applied, revision, rerr := c.settle(ctx, txn)
 			if rerr == nil {
 				if applied {
-					return statestore.Outcome{Applied: true, Revision: stamp}, batch, false, nil
+					return statestore.Outcome{Applied: true, Revision: revision}, batch, false, nil
 				}
 				return out, batch, refused, err
 			}
--- a/ledger/committer_test.go
+++ b/ledger/committer_test.go
@@ -131,12 +131,12 @@
 			}
 			results := make([]told, 30)
 			for i := range results {
-				stamp := ids.Revision(0)
+				revision := ids.Revision(0)
 				if i%7 == 3 {
-					stamp = 99 // a guard that fails
+					revision = 99 // a guard that fails
 				}
 				ch := SubmitChange(ids.JobID(fmt.Sprintf("job-%d", i)), Job{Nonce: uint64(i + 1), Status: wire.StatusQueued, Tasks: 1})
-				ch.Guards[0].Revision = stamp
+				ch.Guards[0].Revision = revision
 				ch.ID = uint64(i)
 				c.Submit(ch, time.Time{}, func(o Outcome, err error) { results[i] = told{o, err} })
 			}
--- a/node/cancellations.go
+++ b/node/cancellations.go
@@ -20,7 +20,7 @@
 	ctx, cancel := context.WithTimeout(ctx, userRequestTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		rec, stamp, found, err := n.readJob(ctx, id)
+		rec, revision, found, err := n.readJob(ctx, id)
 		if err != nil {
 			return server.RetryLater(retryDelay)
 		}
@@ -28,9 +28,9 @@
 			return server.Answer{Code: 404}
 		}
 		if rec.Over() {
-			return n.terminalAnswer(ctx, id, snapshotOf(rec, stamp))
+			return n.terminalAnswer(ctx, id, snapshotOf(rec, revision))
 		}
-		out, err := n.commit(ctx, ledger.CancelChange(id, stamp, rand.Uint64(), *rec, n.valueBytes()))
+		out, err := n.commit(ctx, ledger.CancelChange(id, revision, rand.Uint64(), *rec, n.valueBytes()))
 		if err != nil {
 			return server.RetryLater(retryDelay)
 		}
@@ -88,22 +88,22 @@
 // cancelVisible tells whether a cancellation may be told, and has the leader take it in if
 // that is not known. Without a leader that answers it may not, for now: the next
 // request asks again, and the pings bring what a leader has read by itself.
-func (n *Node) cancelVisible(ctx context.Context, id ids.JobID, rec *ledger.Job, stamp ids.Revision) bool {
-	if stamp <= n.acknowledgedUpTo() {
+func (n *Node) cancelVisible(ctx context.Context, id ids.JobID, rec *ledger.Job, revision ids.Revision) bool {
+	if revision <= n.acknowledgedUpTo() {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
 	defer cancel()
 	l, _ := n.election.Leader()
 	if t := n.term.Load(); t != nil && l.Revision == t.key.Revision {
-		return t.acknowledge(ctx, id, rec, stamp)
+		return t.acknowledge(ctx, id, rec, revision)
 	}
 	p := n.peerNamed(l.Name)
 	if p == nil {
 		return false
 	}
 	var held bool
-	if err := p.Call(ctx, opJob, newJobNotice(id, rec, stamp), &held); err != nil {
+	if err := p.Call(ctx, opJob, newJobNotice(id, rec, revision), &held); err != nil {
 		n.log.Debug("cancellation not acknowledged", "job", id, "err", err)
 		return false
 	}
--- a/node/job_notice.go
+++ b/node/job_notice.go
@@ -19,18 +19,18 @@
 }
 
 // newJobNotice makes the notice of a record.
-func newJobNotice(id ids.JobID, rec *ledger.Job, stamp ids.Revision) jobNotice {
-	return jobNotice{id, wire.Encode(rec), stamp}
+func newJobNotice(id ids.JobID, rec *ledger.Job, revision ids.Revision) jobNotice {
+	return jobNotice{id, wire.Encode(rec), revision}
 }
 
 // notifyLeader tells the leader of a submission. Nothing depends on its being heard.
-func (n *Node) notifyLeader(id ids.JobID, rec *ledger.Job, stamp ids.Revision) {
+func (n *Node) notifyLeader(id ids.JobID, rec *ledger.Job, revision ids.Revision) {
 	if t := n.term.Load(); t != nil {
-		go t.post(t.ctx, func() { t.core.ObserveJob(n.clock.Now(), id, rec, stamp) })
+		go t.post(t.ctx, func() { t.core.ObserveJob(n.clock.Now(), id, rec, revision) })
 		return
 	}
 	if p := n.leaderPeer(); p != nil {
-		a := newJobNotice(id, rec, stamp)
+		a := newJobNotice(id, rec, revision)
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
--- a/node/job_replica.go
+++ b/node/job_replica.go
@@ -73,13 +73,13 @@
 
 // put takes a record in. One that can't be read is still that of a job which
 // was accepted: its user must never be told that it is unknown.
-func (c *jobReplica) put(key string, raw []byte, stamp ids.Revision) {
+func (c *jobReplica) put(key string, raw []byte, revision ids.Revision) {
 	var rec ledger.Job
 	if err := wire.Decode(raw, &rec); err != nil || rec.Status == "" {
 		rec = ledger.Job{Status: wire.StatusQueued}
 	}
 	id := ids.JobID(key[len(ledger.JobPrefix):])
-	c.jobs[id] = snapshotOf(&rec, stamp)
+	c.jobs[id] = snapshotOf(&rec, revision)
 	c.graph.Put(id, rec.Dependencies())
 }
 
--- a/node/job_status.go
+++ b/node/job_status.go
@@ -58,9 +58,9 @@
 }
 
 // snapshotOf is what a job's own record tells.
-func snapshotOf(rec *ledger.Job, stamp ids.Revision) jobSnapshot {
+func snapshotOf(rec *ledger.Job, revision ids.Revision) jobSnapshot {
 	// Only the leader cancels without the description: what never had a task.
-	return jobSnapshot{Status: rec.Status, Tasks: rec.Tasks, revision: stamp,
+	return jobSnapshot{Status: rec.Status, Tasks: rec.Tasks, revision: revision,
 		orphan: rec.Status == wire.StatusCancelled && rec.Spec == nil}
 }
 
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -154,7 +154,7 @@
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
-func testTerm(stamp ids.Revision) *election.Term { return &election.Term{Revision: stamp} }
+func testTerm(revision ids.Revision) *election.Term { return &election.Term{Revision: revision} }
 
 // A node that the state service refuses alone reads through a peer; without
 // one it says at once that it does not know.
--- a/node/term_options.go
+++ b/node/term_options.go
@@ -28,7 +28,7 @@
 )
 
 // options are the core's settings for a term.
-func (n *Node) options(stamp ids.Revision, predecessor bool) scheduler.Options {
+func (n *Node) options(revision ids.Revision, predecessor bool) scheduler.Options {
 	s, op := &n.cfg.Settings, n.op
 	// What an earlier leader may do follows from its version.
 	grace, graceWithoutReplicas := op.Grace(), op.Grace()
@@ -36,7 +36,7 @@
 		grace, graceWithoutReplicas = n.isolatedReplicasBound(), n.isolatedBound()
 	}
 	o := scheduler.Options{
-		Revision:             stamp,
+		Revision:             revision,
 		Predecessor:          predecessor,
 		Report:               ids.Seconds(s.Workers.ReportS),
 		Lease:                ids.Seconds(s.Workers.LeaseS),
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -21,18 +21,18 @@
 
 // longDay is a fleet that works without faults.
 type longDay struct {
-	rng     *rand.Rand
-	c       *Core
-	now     ids.Instant
-	queue   simQueue
-	seq     int
-	workers map[ids.Host]*longWorker
-	hosts   int
-	held    int
-	jobs    int
-	done    int
-	specs   map[ids.JobID]*wire.Spec
-	stamp   ids.Revision
+	rng      *rand.Rand
+	c        *Core
+	now      ids.Instant
+	queue    simQueue
+	seq      int
+	workers  map[ids.Host]*longWorker
+	hosts    int
+	held     int
+	jobs     int
+	done     int
+	specs    map[ids.JobID]*wire.Spec
+	revision ids.Revision
 }
 
 type longWorker struct {
@@ -46,7 +46,7 @@
 
 func newLongDay() *longDay {
 	d := &longDay{rng: rand.New(rand.NewPCG(3, 5)), now: ids.Instant(time.Hour), workers: map[ids.Host]*longWorker{},
-		specs: map[ids.JobID]*wire.Spec{}, stamp: 100}
+		specs: map[ids.JobID]*wire.Spec{}, revision: 100}
 	team := func(name ids.Team, nominal, limit float64) quota.Team {
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, Lend: quota.Amount{CPUs: nominal}}
 	}
@@ -143,8 +143,8 @@
 	spec.Image = ids.Image(fmt.Sprintf("i-%s-%d", spec.Class, d.rng.IntN(8)))
 	spec.ImageGB = 1
 	d.specs[id] = &spec
-	d.stamp++
-	d.c.ObserveJob(d.now, id, &ledger.Job{Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(d.jobs)}, d.stamp)
+	d.revision++
+	d.c.ObserveJob(d.now, id, &ledger.Job{Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(d.jobs)}, d.revision)
 }
 
 func (d *longDay) arrive() {
@@ -164,8 +164,8 @@
 	e := d.c.Step(d.now)
 	for _, ch := range e.Changes {
 		d.after(5*time.Millisecond, func() {
-			d.stamp++
-			d.c.ChangeResult(d.now, ledger.Outcome{Change: ch, Applied: true, Revision: d.stamp})
+			d.revision++
+			d.c.ChangeResult(d.now, ledger.Outcome{Change: ch, Applied: true, Revision: d.revision})
 			d.step()
 		})
 	}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -13,7 +13,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// bench is a core with machines that are up, driven by hand.
+// harness drives a core with machines that are up by hand.
 type harness struct {
 	t    *testing.T
 	c    *Core
@@ -21,6 +21,7 @@
 	tick ids.Sequence
 }
 
+// newHarness makes a core with one team and one machine type, unless others are given.
 func newHarness(t *testing.T, opt Options, types ...wire.MachineType) *harness {
 	t.Helper()
 	if opt.Teams == nil {
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -136,8 +136,8 @@
 }
 
 // newJob makes a job from its record.
-func (c *Core) newJob(id ids.JobID, rec *ledger.Job, stamp ids.Revision) *job {
-	j := &job{id: id, spec: rec.Spec, revision: stamp, readyMS: rec.SubmittedMS, orderMS: rec.SubmittedMS, status: rec.Status,
+func (c *Core) newJob(id ids.JobID, rec *ledger.Job, revision ids.Revision) *job {
+	j := &job{id: id, spec: rec.Spec, revision: revision, readyMS: rec.SubmittedMS, orderMS: rec.SubmittedMS, status: rec.Status,
 		active: map[int]*assignment{}, zones: placement.Zones{}, readyAt: c.now, waitingSince: c.now}
 	if j.spec == nil {
 		j.spec = &wire.Spec{Tasks: rec.Tasks}
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -12,12 +12,12 @@
 
 // LoadJob takes a job's record at the start of the term. Jobs come before
 // slices.
-func (c *Core) LoadJob(id ids.JobID, rec *ledger.Job, stamp ids.Revision) {
+func (c *Core) LoadJob(id ids.JobID, rec *ledger.Job, revision ids.Revision) {
 	c.graph.Put(id, rec.Dependencies())
 	if rec.Status == wire.StatusDone || rec.Spec == nil {
 		return
 	}
-	c.jobs[id] = c.newJob(id, rec, stamp)
+	c.jobs[id] = c.newJob(id, rec, revision)
 }
 
 // LoadUnreadableJob notes a job whose own record cannot be read. Its admission
@@ -29,7 +29,7 @@
 }
 
 // LoadSlice takes an admission record at the start of the term.
-func (c *Core) LoadSlice(id ids.JobID, n int, rec *ledger.Slice, stamp ids.Revision) error {
+func (c *Core) LoadSlice(id ids.JobID, n int, rec *ledger.Slice, revision ids.Revision) error {
 	if c.unreadable[id] {
 		return nil
 	}
@@ -46,7 +46,7 @@
 	}
 	j.growSlices(n + 1)
 	s := j.slices[n]
-	s.revision = stamp
+	s.revision = revision
 	if j.status == wire.StatusDone {
 		return nil
 	}
@@ -105,10 +105,10 @@
 
 // ObserveJob takes a job's record as found in state: new, cancelled or with a
 // version that this leader did not know.
-func (c *Core) ObserveJob(now ids.Instant, id ids.JobID, rec *ledger.Job, stamp ids.Revision) {
+func (c *Core) ObserveJob(now ids.Instant, id ids.JobID, rec *ledger.Job, revision ids.Revision) {
 	c.now = now
 	j := c.jobs[id]
-	if j != nil && stamp <= j.revision {
+	if j != nil && revision <= j.revision {
 		return
 	}
 	if j == nil {
@@ -116,13 +116,13 @@
 			c.applyJobRecord(id, rec) // or an older record, delivered late
 			return
 		}
-		j = c.newJob(id, rec, stamp)
+		j = c.newJob(id, rec, revision)
 		c.jobs[id] = j
 		c.rebuildPending(j)
 		c.applyJobRecord(id, rec)
 		return
 	}
-	j.revision = stamp
+	j.revision = revision
 	if rec.Over() {
 		if !j.terminal() {
 			j.status = rec.Status
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -86,9 +86,9 @@
 
 // applySplit makes the slices of a split that is recorded. What happened to their tasks
 // since belongs to the parts.
-func (w *recordWriter) applySplit(p *pendingChange, stamp ids.Revision) {
+func (w *recordWriter) applySplit(p *pendingChange, revision ids.Revision) {
 	for k, part := range p.parts {
-		part.revision, part.tasks = stamp, p.split[k]
+		part.revision, part.tasks = revision, p.split[k]
 		for _, i := range part.tasks {
 			p.job.tasks[i].slice = part
 		}
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -10,7 +10,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// meeting is a day on which certain troubles are made to meet.
+// scenario is a day on which certain troubles are made to overlap.
 type scenario struct {
 	*sim
 	all []ids.JobID
@@ -44,6 +44,7 @@
 		Spot: sp.Spot, EstimateS: 10}
 }
 
+// in is the time after a while.
 func (m *scenario) in(d time.Duration) ids.Instant { return m.now.Add(d) }
 
 // some does something to every nth machine.
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -39,11 +39,11 @@
 			case ok && admissions:
 				var rec ledger.Slice
 				s.must(wire.Decode(s.store[k].raw, &rec))
-				s.must(s.core.LoadSlice(id, n, &rec, s.store[k].stamp))
+				s.must(s.core.LoadSlice(id, n, &rec, s.store[k].revision))
 			case !ok && !admissions && k != ledger.LeaderKey:
 				var rec ledger.Job
 				s.must(wire.Decode(s.store[k].raw, &rec))
-				s.core.LoadJob(ids.JobID(k[len(ledger.JobPrefix):]), &rec, s.store[k].stamp)
+				s.core.LoadJob(ids.JobID(k[len(ledger.JobPrefix):]), &rec, s.store[k].revision)
 			}
 		}
 	}
@@ -71,6 +71,7 @@
 	do()
 }
 
+// stepOf runs one leader's core and carries its decisions out.
 func (s *sim) stepOf(core *Core, term int) {
 	current := func(f func()) func() {
 		return func() {
--- a/scheduler/sim_state_test.go
+++ b/scheduler/sim_state_test.go
@@ -11,15 +11,15 @@
 )
 
 type simEntry struct {
-	stamp ids.Revision
-	raw   []byte
+	revision ids.Revision
+	raw      []byte
 }
 
 // commit applies a transaction as the state service would.
 func (s *sim) commit(guards []statestore.Guard, ops []statestore.Op) (bool, []string) {
 	var failed []string
 	for _, g := range guards {
-		if s.store[g.Key].stamp != g.Revision {
+		if s.store[g.Key].revision != g.Revision {
 			failed = append(failed, g.Key)
 		}
 	}
@@ -104,11 +104,12 @@
 	s.afterPause(core, func() { s.bring(core, id) })
 }
 
+// bring has a leader take a job's record in.
 func (s *sim) bring(core *Core, id ids.JobID) {
 	e := s.store[ledger.JobKey(id)]
 	var rec ledger.Job
 	s.must(wire.Decode(e.raw, &rec))
-	core.ObserveJob(s.now, id, &rec, e.stamp)
+	core.ObserveJob(s.now, id, &rec, e.revision)
 }
 
 func (s *sim) submit(id ids.JobID, spec *wire.Spec) {
@@ -118,9 +119,8 @@
 	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
 }
 
-// withdraw is what a user's cancellation comes to: it is repeated until it is
-// committed, and the user is told once a leader that surely held its key after that
-// has taken it in.
+// cancel is what a user's cancellation comes to: it is repeated until it is committed, and the
+// user is told once a leader that surely held its key after that acknowledges it.
 func (s *sim) cancel(id ids.JobID) {
 	if s.now < s.outage {
 		s.after(time.Second, func() { s.cancel(id) })
@@ -132,13 +132,14 @@
 	if rec.Over() {
 		return
 	}
-	c := ledger.CancelChange(id, s.store[key].stamp, s.rng.Uint64(), rec, s.opt.ValueBytes)
+	c := ledger.CancelChange(id, s.store[key].revision, s.rng.Uint64(), rec, s.opt.ValueBytes)
 	s.commit(c.Guards, c.Apply)
 	s.cancelled[id] = true
 	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
 	s.tellUser(id)
 }
 
+// tellUser asks until the cancellation may be told.
 func (s *sim) tellUser(id ids.JobID) {
 	s.after(min(s.latency(), time.Second), func() {
 		if s.now >= s.controllersDown && !s.chance(0.2) {
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -158,6 +158,7 @@
 	return time.Duration(1+s.rng.IntN(20)) * time.Millisecond
 }
 
+// violation notes a broken rule.
 func (s *sim) violation(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("%.1f s: ", time.Duration(s.now-ids.Instant(time.Hour)).Seconds())+fmt.Sprintf(format, args...))
 }
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -197,6 +197,7 @@
 // got round to ending its tasks.
 func (s *sim) expired(w *simWorker) bool { return w.dead || s.now > w.sentAt.Add(simLease) }
 
+// workerStep has a worker do what is due: end its session or report.
 func (s *sim) workerStep(w *simWorker) {
 	if w.dead || s.now < w.hung {
 		return
