--- a/election/election_test.go
+++ b/election/election_test.go
@@ -1,192 +1,20 @@
 package election
 
 import (
+	"bytes"
 	"context"
 	"fmt"
 	"log/slog"
+	"strings"
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// service is a stand-in for the state service: one key under leases, an
-// outage for all, and a refusal of single nodes.
-type service struct {
-	mu       sync.Mutex
-	epoch    ids.Revision
-	value    []byte
-	revision ids.Revision
-	lease    ids.LeaseID
-	leases   map[ids.LeaseID]time.Time
-	ttl      time.Duration
-	next     ids.LeaseID
-	down     bool
-	change   chan struct{}
-	// oldest is the revision before which changes are not kept; calls counts the
-	// requests of all nodes.
-	oldest ids.Revision
-	calls  int
-}
-
-func newService() *service {
-	return &service{leases: map[ids.LeaseID]time.Time{}, change: make(chan struct{})}
-}
-
-func (s *service) touched() { close(s.change); s.change = make(chan struct{}) }
-
-// sweep ends leases that ran out; it is called under the lock.
-func (s *service) sweep() {
-	if s.down {
-		return
-	}
-	for id, end := range s.leases {
-		if time.Now().After(end) {
-			s.end(id)
-		}
-	}
-}
-
-func (s *service) end(id ids.LeaseID) {
-	delete(s.leases, id)
-	if s.lease == id && s.revision != 0 {
-		s.epoch++
-		s.revision, s.value, s.lease = 0, nil, 0
-		s.touched()
-	}
-}
-
-func (s *service) outage(down bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.sweep()
-	s.down = down
-	for id := range s.leases { // after an outage every lease has its full time
-		s.leases[id] = time.Now().Add(s.ttl)
-	}
-}
-
-// client is one node's way to the service.
-type client struct {
-	s       *service
-	mu      sync.Mutex
-	refused bool
-	held    time.Time // requests wait until then
-}
-
-// hold keeps requests from their answers for a time.
-func (c *client) hold(d time.Duration) { c.mu.Lock(); c.held = time.Now().Add(d); c.mu.Unlock() }
-
-func (c *client) refuse(v bool) { c.mu.Lock(); c.refused = v; c.mu.Unlock() }
-
-func (c *client) enter() error {
-	time.Sleep(2 * time.Millisecond)
-	c.mu.Lock()
-	held := time.Until(c.held)
-	c.mu.Unlock()
-	time.Sleep(held)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.s.mu.Lock()
-	c.s.sweep()
-	c.s.calls++
-	if c.s.down || c.refused {
-		c.s.mu.Unlock()
-		return statestore.ErrUnavailable
-	}
-	return nil
-}
-
-func (c *client) Get(context.Context, string) (statestore.Entry, bool, error) {
-	if err := c.enter(); err != nil {
-		return statestore.Entry{}, false, err
-	}
-	defer c.s.mu.Unlock()
-	return statestore.Entry{Key: ledger.LeaderKey, Value: c.s.value, Revision: c.s.revision}, c.s.revision != 0, nil
-}
-
-func (c *client) Commit(_ context.Context, t statestore.Txn) (statestore.Outcome, error) {
-	if err := c.enter(); err != nil {
-		return statestore.Outcome{}, err
-	}
-	defer c.s.mu.Unlock()
-	s := c.s
-	if t.Guards[0].Revision != s.revision {
-		return statestore.Outcome{Failed: []string{ledger.LeaderKey}}, nil
-	}
-	if len(t.Apply) == 0 {
-		return statestore.Outcome{Applied: true, Revision: s.epoch}, nil
-	}
-	if _, ok := s.leases[t.Apply[0].Lease]; !ok {
-		return statestore.Outcome{}, statestore.ErrNoLease
-	}
-	s.epoch++
-	s.revision, s.value, s.lease = s.epoch, wire.Encode(t.Apply[0].Value), t.Apply[0].Lease
-	s.touched()
-	return statestore.Outcome{Applied: true, Revision: s.epoch}, nil
-}
-
-func (c *client) Grant(_ context.Context, ttl time.Duration) (ids.LeaseID, error) {
-	if err := c.enter(); err != nil {
-		return 0, err
-	}
-	defer c.s.mu.Unlock()
-	c.s.next++
-	c.s.ttl = ttl
-	c.s.leases[c.s.next] = time.Now().Add(ttl)
-	return c.s.next, nil
-}
-
-func (c *client) Touch(_ context.Context, id ids.LeaseID) error {
-	if err := c.enter(); err != nil {
-		return err
-	}
-	defer c.s.mu.Unlock()
-	if _, ok := c.s.leases[id]; !ok {
-		return statestore.ErrNoLease
-	}
-	c.s.leases[id] = time.Now().Add(c.s.ttl)
-	return nil
-}
-
-func (c *client) Revoke(_ context.Context, id ids.LeaseID) error {
-	if err := c.enter(); err != nil {
-		return err
-	}
-	defer c.s.mu.Unlock()
-	c.s.end(id)
-	return nil
-}
-
-func (c *client) Watch(ctx context.Context, _ string, since ids.Revision, hold time.Duration) (ids.Revision, []statestore.Event, error) {
-	if err := c.enter(); err != nil {
-		return 0, nil, err
-	}
-	defer c.s.mu.Unlock()
-	if since < c.s.oldest {
-		return 0, nil, statestore.ErrTooOld
-	}
-	end := time.Now().Add(hold)
-	for time.Now().Before(end) && ctx.Err() == nil {
-		c.s.sweep()
-		if c.s.epoch > since {
-			if c.s.revision == 0 {
-				return c.s.epoch, []statestore.Event{{Drop: ledger.LeaderKey, Revision: c.s.epoch}}, nil
-			}
-			return c.s.epoch, []statestore.Event{{Write: ledger.LeaderKey, Revision: c.s.revision}}, nil
-		}
-		c.s.mu.Unlock()
-		time.Sleep(50 * time.Millisecond)
-		c.s.mu.Lock()
-	}
-	return c.s.epoch, nil, nil
-}
-
 // watcher notes who leads, and that no two nodes ever hold the key at once.
 type watcher struct {
 	mu      sync.Mutex
@@ -530,3 +358,37 @@
 		})
 	}
 }
+
+// A leader's key that cannot be read is reported once, and taken for held until its lease
+// ends: never for absent.
+func TestUnreadableKeyIsHeld(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := newService()
+		s.epoch, s.revision, s.value, s.lease = 5, 5, wire.Encode("nonsense"), 99
+		s.leases[99] = time.Now().Add(2 * time.Second)
+		var logged bytes.Buffer
+		led := make(chan ids.Revision, 9)
+		e := New(&client{s: s}, Holder{Name: "n0"}, Bounds{TTL: 3 * time.Second, Grace: 20 * time.Second}, ids.Steady(),
+			slog.New(slog.NewTextHandler(&logged, nil)), func(ctx context.Context, term *Term) error {
+				led <- term.Revision
+				<-ctx.Done()
+				return context.Cause(ctx)
+			})
+		ctx, cancel := context.WithCancel(t.Context())
+		done := make(chan error, 1)
+		go func() { done <- e.Run(ctx) }()
+		time.Sleep(1900 * time.Millisecond)
+		if _, known := e.Leader(); known || len(led) > 0 {
+			t.Error("the key was taken for absent, or for somebody's")
+		}
+		time.Sleep(3 * time.Second)
+		if len(led) != 1 {
+			t.Errorf("led %d times once its lease was over", len(led))
+		}
+		cancel()
+		<-done
+		if n := strings.Count(logged.String(), "key=leader"); n != 1 {
+			t.Errorf("reported %d times: %s", n, logged.String())
+		}
+	})
+}
