--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -91,6 +91,20 @@
 	return o
 }
 
+// runTask begins the term with job-1 and has its only task run on n-1. It returns the
+// token that n-1 was shown, and the task as it is reported.
+func (b *harness) runTask() (ids.Token, wire.Task) {
+	b.t.Helper()
+	b.c.Begin(b.now)
+	answer := b.report("n-1", "a", 0)
+	b.job("job-1", wire.Spec{Tasks: 1})
+	b.step()
+	answer = b.report("n-1", "a", answer.Token)
+	running := wire.Task{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
+	b.report("n-1", "a", answer.Token, running)
+	return answer.Token, running
+}
+
 // step runs the core and commits whatever it decides, at once.
 func (b *harness) step() Effects {
 	e := b.c.Step(b.now)
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -104,17 +104,11 @@
 // must be gone in time as well.
 func TestCancelledTaskOnAnUnreachableMachine(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.c.Begin(b.now)
-	o := b.report("n-1", "a", 0)
-	b.job("job-1", wire.Spec{Tasks: 1})
-	b.step()
-	o = b.report("n-1", "a", o.Token)
-	running := wire.Task{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
-	b.report("n-1", "a", o.Token, running)
+	token, running := b.runTask()
 	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusCancelled, Tasks: 1, Spec: b.c.jobs["job-1"].spec}, 500)
 	for s := range 52 {
 		b.now = b.now.Add(time.Second)
-		b.report("n-1", "a", o.Token, running)
+		b.report("n-1", "a", token, running)
 		if slices.Contains(b.step().Return, "n-1") {
 			if s < 10 {
 				t.Fatalf("returned after %d s, before it could end the task", s)
@@ -191,13 +185,7 @@
 // next report ends the old leader's term.
 func TestSuccessorTakesWorkersFromALeaderThatKeepsThem(t *testing.T) {
 	old := newHarness(t, Options{Revision: 5})
-	old.c.Begin(old.now)
-	o := old.report("n-1", "a", 0)
-	old.job("job-1", wire.Spec{Tasks: 1})
-	old.step()
-	o = old.report("n-1", "a", o.Token)
-	run := wire.Task{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
-	old.report("n-1", "a", o.Token, run)
+	oldToken, run := old.runTask()
 
 	next := newHarness(t, Options{Revision: 9, Predecessor: true, Grace: time.Minute})
 	next.inherit(wire.Spec{Tasks: 1}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
@@ -207,7 +195,7 @@
 	list := []wire.Machine{{Host: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Status: "running", AgeS: 60},
 		{Host: "n-2", Endpoint: "n-2", Type: "m", Zone: "a", Status: "running", AgeS: 60}}
 	next.c.MachineList(next.now, next.now, list)
-	token := map[ids.Host]ids.Token{"n-1": o.Token, "n-2": o.Token}
+	token := map[ids.Host]ids.Token{"n-1": oldToken, "n-2": oldToken}
 	tick := ids.Sequence(50)
 	for range 10 {
 		next.now = next.now.Add(time.Second)
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -205,6 +205,12 @@
 	}
 }
 
+// restrictOld has the old leader answer workers with replicas alone once its time for all
+// others is over.
+func (s *sim) restrictOld() {
+	s.old.AnswerReplicasOnly(s.now > s.oldUntil.Add(simIsolated-simIsolatedReplicas))
+}
+
 // pause stops the leader's process for a time while its clocks run on. If its key is gone
 // meanwhile another leads, and it ends its term when it finds out.
 func (s *sim) pause(d time.Duration) {
@@ -246,7 +252,7 @@
 		s.old = nil
 	}
 	if s.old != nil {
-		s.old.AnswerReplicasOnly(s.now > s.oldUntil.Add(simIsolated-simIsolatedReplicas))
+		s.restrictOld()
 		s.stepOf(s.old, s.oldTerm)
 	} else {
 		s.core.AllFollow(s.now)
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -249,7 +249,7 @@
 			return
 		}
 		if core == s.old {
-			core.AnswerReplicasOnly(s.now > s.oldUntil.Add(simIsolated-simIsolatedReplicas))
+			s.restrictOld()
 		}
 		orders, ok := core.Report(s.now, rep, false)
 		s.digest.add("answer", orders)
