--- /dev/null
+++ b/election/golden_test.go
@@ -0,0 +1,16 @@
+package election
+
+import (
+	"testing"
+
+	"ospreystile.example/ospreystile/internal/golden"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// The leader lease's value keeps its bytes in the key-value store.
+func TestLeaderLeaseKeepsItsBytes(t *testing.T) {
+	codec := golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
+	golden.Check(t, "records.json", codec, []golden.Case{
+		{Name: "leader lease", Value: Holder{Name: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3}},
+	})
+}
--- /dev/null
+++ b/wire/golden_test.go
@@ -0,0 +1,111 @@
+package wire
+
+import (
+	"bytes"
+	"fmt"
+	"testing"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/golden"
+)
+
+var bodies = golden.Codec{Encode: func(v any) ([]byte, error) { return Encode(v), nil }, Decode: Decode}
+
+func goldenCommand() Command {
+	return Command{Verb: VerbKill, Name: "job-1/3", Attempt: 4, GraceS: 5.5}
+}
+
+func goldenSpec() Spec {
+	return Spec{Class: "train", Team: "vision", Service: true, Gang: true, Priority: High, Tasks: 70, CPUs: 8.5, GPUs: 1.5,
+		MemoryGB: 64.5, Image: "img-07", ImageGB: 6.25, Types: []ids.MachineType{"g8", "g4"}, Zone: "zone-a", OneZone: true,
+		Spread: true, Spot: true, EstimateS: 240.5, CheckpointEveryS: 30.5, CheckpointS: 4.5, DeadlineS: 900.5,
+		DependsOn: []ids.JobID{"job-2", "job-3"}}
+}
+
+// Every body of the protocol with workers, users and the cloud keeps its bytes.
+func TestBodiesKeepTheirBytes(t *testing.T) {
+	machine := Machine{Host: "n-000231", Endpoint: "10.0.0.9:9000", Type: "g8", Zone: "zone-a", Spot: true, Status: MachineRunning, AgeS: 71.5}
+	notice := 25.5
+	golden.Check(t, "bodies.json", bodies, []golden.Case{
+		{Name: "job status", Value: JobStatus{ID: "job-1", Status: StatusRunning, Done: 3, Running: 13}},
+		{Name: "heartbeat", Value: Report{Host: "n-000231", Endpoint: "10.0.0.9:9000", Type: "g8", Zone: "zone-a", Spot: true,
+			Session: 6, Sequence: 1 << 33, Token: ids.NewToken(412, 3), SpotNoticeS: &notice, Tasks: []Task{
+				{Name: "job-1/3", Attempt: 2, State: TaskEnded, Cause: CauseDone, Checkpointed: true},
+				{Name: "job-1/4", Attempt: 300, State: TaskSaving, Cause: CauseError, Checkpointed: true}}}},
+		{Name: "heartbeat without tasks or spot notice", Partial: true, Value: Report{Host: "n-000231", Endpoint: "10.0.0.9:9000",
+			Type: "g8", Zone: "zone-a", Session: 6, Sequence: 8, Token: 9, Tasks: []Task{}}},
+		{Name: "heartbeat answer", Value: ReportAnswer{Token: ids.NewToken(412, 4), Commands: []Command{goldenCommand(),
+			{Verb: VerbRun, Name: "job-4/7", Attempt: 70000, GraceS: 0.25}}}},
+		{Name: "direct command", Value: DirectCommand{Token: ids.NewToken(412, 5), Session: 6, Commands: []Command{goldenCommand()}}},
+		{Name: "redirect", Value: Redirect{Leader: "perch-1"}},
+		{Name: "redirect to nobody", Value: Redirect{}, Partial: true},
+		{Name: "catalog", Value: Catalog{Types: []MachineType{{Name: "g8", CPUs: 8.5, GPUs: 1.5, MemoryGB: 64.5, CacheGB: 200.5, FetchGBps: 0.75,
+			Price: 3.25, SpotPrice: 1.25, BootS: 40.5, Zones: []ids.Zone{"zone-a", "zone-b"}}}}},
+		{Name: "rental", Value: Rental{Request: "r-412-7", Type: "g8", Zone: "zone-a", Spot: true, Count: 12}},
+		{Name: "hosts", Value: Hosts{Hosts: []ids.Host{"n-000231", "n-000007"}}},
+		{Name: "machine list", Value: MachinePage{Hosts: []Machine{machine}, More: true}},
+		{Name: "job description", Value: goldenSpec()},
+		{Name: "smallest job description", Value: Spec{Class: "c", Team: "red"}, Partial: true},
+	})
+}
+
+// goldenSubmission is what a submitted job's body holds.
+type goldenSubmission struct {
+	ID   ids.JobID
+	Spec Spec
+}
+
+// submissionBody is the body in the protocol's words, which only users write.
+func submissionBody(shape string) ([]byte, error) {
+	var buf bytes.Buffer
+	enc := msgpack.NewEncoder(&buf)
+	enc.SetSortMapKeys(true)
+	err := enc.Encode(map[string]any{"nameId": "job-1", "workclass": "train", "crew": "vision", "shape": shape, "urgency": "high",
+		"legs": 70, "cpus": 8.5, "accelerators": 1.5, "memoryGb": 64.5, "bundle": "img-07", "pullGb": 6.25,
+		"frames": []string{"g8", "g4"}, "hall": "zone-a", "oneZone": true, "spread": true, "loaner": true, "expectS": 240.5,
+		"snapshotEveryS": 30.5, "snapshotS": 4.5, "dueS": 900.5, "waitsOn": []string{"job-2", "job-3"}})
+	return buf.Bytes(), err
+}
+
+func TestSubmissionsKeepTheirBytes(t *testing.T) {
+	submitted := func(service, gang bool) goldenSubmission {
+		s := goldenSpec()
+		s.Service, s.Gang = service, gang
+		return goldenSubmission{"job-1", s}
+	}
+	decode := func(raw []byte, v any) error {
+		id, spec, err := ParseSubmission(raw)
+		if err == nil {
+			*v.(*goldenSubmission) = goldenSubmission{id, *spec}
+		}
+		return err
+	}
+	encode := func(v any) ([]byte, error) {
+		switch s := v.(goldenSubmission).Spec; {
+		case s.Service:
+			return submissionBody("standing")
+		case s.Gang:
+			return submissionBody("ensemble")
+		}
+		return submissionBody("batch")
+	}
+	golden.Check(t, "submissions.json", golden.Codec{Encode: encode, Decode: decode}, []golden.Case{
+		{Name: "batch job", Value: submitted(false, false), Partial: true},
+		{Name: "service", Value: submitted(true, false), Partial: true},
+		{Name: "gang", Value: submitted(false, true), Partial: true},
+	})
+}
+
+// The words that the protocol and the records share stay.
+func TestWordsOfTheProtocol(t *testing.T) {
+	got := fmt.Sprintln(StatusQueued, StatusRunning, StatusDone, StatusCancelled, ";", TaskFetching, TaskRunning, TaskSaving, TaskEnded, ";",
+		CauseDone, CauseStopped, CauseError, CauseFull, CauseInUse, CauseNoSuch, ";", VerbRun, VerbKill, VerbReap, ";", MachineRunning, MachineFailed, ";",
+		int(BestEffort), int(Normal), int(High), int(Critical), ";",
+		priorities["best_effort"], priorities["normal"], priorities["high"], priorities["critical"], len(priorities))
+	const want = "queued running done withdrawn ; pulling running flushing ended ; done stopped error full in_use no_such ; run kill reap ; running failed ; 0 1 2 3 ; 0 1 2 3 4\n"
+	if got != want {
+		t.Errorf("got  %s\nwant %s", got, want)
+	}
+}
