--- /dev/null
+++ b/cloud/golden_test.go
@@ -0,0 +1,74 @@
+package cloud
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/golden"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// cloudAnswers are the cloud's answers by path, in the protocol's words.
+func cloudAnswers(w http.ResponseWriter, r *http.Request) {
+	machine := func(host string) map[string]any {
+		return map[string]any{"nameId": host, "endpoint": "10.0.0.9:9000", "frame": "g8", "hall": "zone-a", "loaner": true, "status": "running", "ageS": 71.5}
+	}
+	answers := map[string]any{
+		"GET /catalog": map[string]any{"frames": []any{map[string]any{"label": "g8", "cpus": 8.5, "accelerators": 1.5, "memoryGb": 64.5,
+			"localGb": 200.5, "pullGbPerS": 0.75, "hourly": 3.25, "marketPrice": 1.25, "readyS": 40.5, "halls": []string{"zone-a", "zone-b"}}}},
+		"POST /hosts":        map[string]any{"hosts": []string{"n-1", "n-2"}},
+		"POST /hosts/return": map[string]any{},
+		"GET /hosts":         map[string]any{"hosts": []any{machine("n 1"), machine("n-2")}, "hasNext": true},
+	}
+	if r.URL.Query().Get("since") == "n-2" {
+		answers["GET /hosts"] = map[string]any{"hosts": []any{machine("n-3")}, "hasNext": false}
+	}
+	_, _ = w.Write(wire.Encode(answers[r.Method+" "+r.URL.Path]))
+}
+
+// Paths, methods, words of queries, bodies, and what answers are taken for.
+func TestRequestsToTheCloud(t *testing.T) {
+	rec := golden.Record(t, cloudAnswers)
+	c := New(rec.Address, 1000)
+	ctx := t.Context()
+	var text strings.Builder
+	note := func(name string, values ...any) { fmt.Fprintf(&text, "%s: %v\n", name, values) }
+	types, err := c.Catalog(ctx)
+	note("catalog", types, err)
+	hosts, err := c.Rent(ctx, wire.Rental{Request: "r-412-7", Type: "g8", Zone: "zone-a", Spot: true, Count: 12})
+	note("rental", hosts, err)
+	note("return", c.Return(ctx, []ids.Host{"n-1", "n-2"}))
+	machines, err := c.List(ctx)
+	note("machine list", machines, err)
+	golden.Text(t, "requests.txt", rec.Text()+"\n"+text.String())
+}
+
+// The cloud's refusals are told apart by their status and by one text.
+func TestErrorsOfTheCloud(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		status int
+		body   any
+		want   error
+	}{
+		{"no capacity", 503, map[string]string{"error": "no capacity"}, ErrNoCapacity},
+		{"away", 503, map[string]string{"error": "other"}, ErrTrouble},
+		{"too many", 429, nil, ErrTrouble},
+		{"refused", 400, map[string]string{"error": "malformed"}, ErrRefused},
+		{"fault", 500, nil, ErrUnknown},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+				w.WriteHeader(c.status)
+				_, _ = w.Write(wire.Encode(c.body))
+			})
+			if err := New(rec.Address, 1000).Return(t.Context(), []ids.Host{"n-1"}); !errors.Is(err, c.want) {
+				t.Errorf("%v, want %v", err, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/server/golden_test.go
@@ -0,0 +1,122 @@
+package server
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http/httptest"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/golden"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// scripted notes what it is called with, and gives the same answer to all.
+type scripted struct {
+	calls   strings.Builder
+	answer  Answer
+	healthy bool
+}
+
+func (s *scripted) note(call string, values ...any) Answer {
+	fmt.Fprintf(&s.calls, "  -> %s %v\n", call, values)
+	return s.answer
+}
+func (s *scripted) Submit(_ context.Context, id ids.JobID, spec *wire.Spec) Answer {
+	return s.note("submit", id, *spec)
+}
+func (s *scripted) Status(_ context.Context, id ids.JobID) Answer { return s.note("status", id) }
+func (s *scripted) Cancel(_ context.Context, id ids.JobID) Answer { return s.note("cancel", id) }
+func (s *scripted) Report(_ context.Context, raw []byte, r *wire.Report) Answer {
+	return s.note("heartbeat", fmt.Sprintf("%x", raw), r.Host, r.Session)
+}
+func (s *scripted) Healthy() bool { return s.healthy }
+
+// Methods and paths that are served stay.
+func TestRoutesStay(t *testing.T) {
+	app := New(&scripted{}, Limits{MaxConnections: 100}, slog.New(slog.DiscardHandler))
+	var got []string
+	for _, r := range app.GetRoutes(true) {
+		got = append(got, r.Method+" "+r.Path)
+	}
+	slices.Sort(got)
+	golden.Text(t, "routes.txt", strings.Join(got, "\n")+"\n")
+}
+
+// exchange is a request, and what the service answers if it is asked.
+type exchange struct {
+	name, method, path string
+	body               []byte
+	answer             Answer
+}
+
+func goldenExchanges(t *testing.T) []exchange {
+	t.Helper()
+	job := sorted(t, map[string]any{"nameId": "job-1", "workclass": "train", "crew": "vision", "shape": "ensemble", "urgency": "critical",
+		"legs": 70, "cpus": 8.5, "accelerators": 1.5, "memoryGb": 64.5, "bundle": "img-07", "pullGb": 6.25, "frames": []string{"g8"},
+		"hall": "zone-a", "oneZone": true, "spread": false, "loaner": true, "expectS": 240.5, "snapshotEveryS": 30.5, "snapshotS": 4.5,
+		"dueS": 900.5, "waitsOn": []string{"job-2"}})
+	heartbeat := sorted(t, map[string]any{"host": "n-1", "tenure": 6})
+	status := Answer{Code: 201, Body: wire.JobStatus{ID: "job-1", Status: wire.StatusRunning, Done: 3, Running: 13}}
+	return []exchange{
+		{"healthy", "GET", "/up", nil, Answer{Code: 200}},
+		{"unhealthy", "GET", "/up", nil, Answer{}},
+		{"submitted", "POST", "/api/jobs", job, status},
+		{"submission of unknown dependencies", "POST", "/api/jobs", job, Answer{Code: 422}},
+		{"submission malformed", "POST", "/api/jobs", []byte("{}"), status},
+		{"status", "GET", "/api/jobs/job-1", nil, status},
+		{"status of no job", "GET", "/api/jobs/job-1", nil, Answer{Code: 404}},
+		{"status of no job id", "GET", "/api/jobs/nonsense", nil, status},
+		{"cancelled", "POST", "/api/jobs/job-1/withdraw", nil, status},
+		{"cancellation to be retried elsewhere", "POST", "/api/jobs/job-1/withdraw", nil, Answer{Code: 503, RetryAfter: 1500 * time.Millisecond, Close: true}},
+		{"heartbeat answered", "POST", "/hello", heartbeat, Answer{Code: 200, Body: wire.ReportAnswer{Token: 9,
+			Commands: []wire.Command{{Verb: wire.VerbKill, Name: "job-1/3", Attempt: 4, GraceS: 5.5}}}}},
+		{"heartbeat redirected", "POST", "/hello", heartbeat, Answer{Code: 421, Body: wire.Redirect{Leader: "n-1"}}},
+		{"heartbeat redirected to nobody", "POST", "/hello", heartbeat, Answer{Code: 421, Body: wire.Redirect{}}},
+		{"heartbeat without leader", "POST", "/hello", heartbeat, Answer{Code: 503}},
+		{"heartbeat malformed", "POST", "/hello", []byte{0xc1}, status},
+		{"no such method", "DELETE", "/api/jobs/job-1", nil, status},
+		{"no such path", "GET", "/nowhere", nil, status},
+	}
+}
+
+// Users and workers get the same status, headers and bytes for the same requests, which
+// mean the same calls.
+func TestAnswersKeepTheirBytes(t *testing.T) {
+	var text strings.Builder
+	for _, c := range goldenExchanges(t) {
+		svc := &scripted{answer: c.answer, healthy: c.name == "healthy"}
+		app := New(svc, Limits{MaxConnections: 100}, slog.New(slog.DiscardHandler))
+		res, err := app.Test(httptest.NewRequest(c.method, c.path, bytes.NewReader(c.body)))
+		if err != nil {
+			t.Fatalf("%s: %v", c.name, err)
+		}
+		raw, err := io.ReadAll(res.Body)
+		if err != nil {
+			t.Fatalf("%s: %v", c.name, err)
+		}
+		fmt.Fprintf(&text, "%s: %s %s [%x]\n%s  <- %d type %q retry after %q close %v [%x]\n", c.name, c.method, c.path, c.body, svc.calls.String(),
+			res.StatusCode, res.Header.Get("Content-Type"), res.Header.Get("Retry-After"), res.Close, raw)
+	}
+	golden.Text(t, "answers.txt", text.String())
+}
+
+// sorted writes a body whose bytes do not depend on the order of a map.
+func sorted(t *testing.T, words map[string]any) []byte {
+	t.Helper()
+	var buf bytes.Buffer
+	enc := msgpack.NewEncoder(&buf)
+	enc.SetSortMapKeys(true)
+	if err := enc.Encode(words); err != nil {
+		t.Fatal(err)
+	}
+	return buf.Bytes()
+}
--- /dev/null
+++ b/statestore/golden_test.go
@@ -0,0 +1,118 @@
+package statestore
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/httpc"
+	"ospreystile.example/ospreystile/internal/golden"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// Requests to the key-value store and the parts of its answers keep their bytes.
+func TestBodiesKeepTheirBytes(t *testing.T) {
+	codec := golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
+	golden.Check(t, "bodies.json", codec, []golden.Case{
+		{Name: "entry", Value: Entry{Key: "jobs/job-1", Value: []byte{0xa1, 'x'}, Revision: 412, Lease: 1 << 40}},
+		{Name: "change", Value: Event{Write: "jobs/job-1", Drop: "jobs/job-2", Value: []byte{0xa1, 'y'}, Revision: 413}},
+		{Name: "transaction", Value: Txn{Guards: []Guard{{Key: "leader", Revision: 414}, {Key: "jobs/job-1", Revision: 1 << 33}},
+			Apply: []Op{{Write: "jobs/job-1", Value: "value", Lease: 7, Drop: "jobs/job-2"}}}},
+		{Name: "transaction without lease", Value: Txn{Guards: []Guard{{Key: "leader"}},
+			Apply: []Op{{Write: "jobs/job-1", Value: "value"}, {Drop: "jobs/job-2"}}}, Partial: true},
+		{Name: "transaction of guards alone", Value: Txn{Guards: []Guard{{Key: "leader", Revision: 414}}}, Partial: true},
+	})
+}
+
+// storeAnswers are the store's answers by path, in the protocol's words.
+func storeAnswers(w http.ResponseWriter, r *http.Request) {
+	entry := func(key string) map[string]any {
+		return map[string]any{"key": key, "v": "x", "stamp": 412, "hold": 7}
+	}
+	answers := map[string]any{
+		"GET /store/leader":     entry("leader"),
+		"GET /store/absent":     nil,
+		"POST /grants":          map[string]any{"hold": 77},
+		"POST /grants/77/touch": map[string]any{},
+		"DELETE /grants/77":     map[string]any{},
+		"POST /grants/78/touch": map[string]any{"error": "no such lease"},
+		"POST /commit":          map[string]any{"epoch": 415, "failed": []string{"jobs/job-1", "leader"}},
+		"GET /changes": map[string]any{"epoch": 420, "events": []any{
+			map[string]any{"write": "jobs/job-1", "v": "y", "stamp": 416}, map[string]any{"drop": "jobs/job-2", "stamp": 417}}},
+		"GET /store": map[string]any{"epoch": 418, "hasNext": true, "entries": []any{entry("jobs/job 1"), entry("jobs/job-2")}},
+	}
+	if r.URL.Query().Get("since") == "jobs/job-2" {
+		answers["GET /store"] = map[string]any{"epoch": 419, "hasNext": false, "entries": []any{entry("jobs/job-3")}}
+	}
+	switch r.URL.Path {
+	case "/store/absent":
+		w.WriteHeader(404)
+	case "/grants/78/touch":
+		w.WriteHeader(400)
+	case "/commit":
+		if r.ContentLength > 60 {
+			w.WriteHeader(409)
+		}
+	}
+	_, _ = w.Write(wire.Encode(answers[r.Method+" "+r.URL.Path]))
+}
+
+// Paths, methods, words of queries, bodies, and what answers are taken for.
+func TestRequestsToTheKeyValueStore(t *testing.T) {
+	rec := golden.Record(t, storeAnswers)
+	c := New(httpc.New(rec.Address, 2, 1<<20), 1000)
+	ctx := t.Context()
+	var text strings.Builder
+	note := func(name string, values ...any) { fmt.Fprintf(&text, "%s: %v\n", name, values) }
+	entry, found, err := c.Get(ctx, "leader")
+	note("get", entry, found, err)
+	entry, found, err = c.Get(ctx, "absent")
+	note("get absent", entry, found, err)
+	var listed []Entry
+	revision, err := c.List(ctx, "jobs/", func(e Entry) error { listed = append(listed, e); return nil })
+	note("list", revision, listed, err)
+	revision, events, err := c.Watch(ctx, "jobs/", 412, 10*time.Second)
+	note("changes", revision, events, err)
+	out, err := c.Commit(ctx, Txn{Guards: []Guard{{Key: "leader", Revision: 4}}, Apply: []Op{{Drop: "format"}}})
+	note("commit", out, err)
+	out, err = c.Commit(ctx, Txn{Guards: []Guard{{Key: "leader", Revision: 414}}, Apply: []Op{{Write: "jobs/job-1", Value: "value", Lease: 77}, {Drop: "jobs/job-2"}}})
+	note("commit failed", out, err)
+	lease, err := c.Grant(ctx, 3*time.Second)
+	note("grant", lease, err)
+	note("touch", c.Touch(ctx, lease))
+	note("touch ended", c.Touch(ctx, 78))
+	note("revoke", c.Revoke(ctx, lease))
+	golden.Text(t, "requests.txt", rec.Text()+"\n"+text.String())
+}
+
+// The service's refusals are told apart by their status and by one text.
+func TestErrorsOfTheKeyValueStore(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		status int
+		body   any
+		want   error
+	}{
+		{"too many", 429, nil, ErrUnavailable},
+		{"away", 503, nil, ErrUnavailable},
+		{"too old", 410, nil, ErrTooOld},
+		{"lease ended", 400, map[string]string{"error": "no such lease"}, ErrNoLease},
+		{"refused", 400, map[string]string{"error": "too large"}, ErrRefused},
+		{"fault", 500, nil, ErrUnknown},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+				w.WriteHeader(c.status)
+				_, _ = w.Write(wire.Encode(c.body))
+			})
+			err := New(httpc.New(rec.Address, 1, 1<<20), 1000).Touch(context.Background(), 1)
+			if !errors.Is(err, c.want) {
+				t.Errorf("%v, want %v", err, c.want)
+			}
+		})
+	}
+}
