--- /dev/null
+++ b/cmd/ospreystile/golden_test.go
@@ -0,0 +1,55 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+
+	"ospreystile.example/ospreystile/internal/golden"
+)
+
+// Operators' tools read what check prints.
+func TestCheckPrintsTheSame(t *testing.T) {
+	var text strings.Builder
+	for _, c := range []struct {
+		name string
+		args []string
+	}{
+		{"in order", []string{"--config", "testdata/platform.toml", "--operator", "testdata/operator.json"}},
+		{"defaults for operators", []string{"--config", "testdata/platform.toml"}},
+		{"former names", []string{"--config", "testdata/platform.toml", "--operator", "testdata/former-names.json"}},
+		{"unknown name", []string{"--config", "testdata/platform.toml", "--operator", "testdata/unknown-name.json"}},
+		{"unknown zone", []string{"--config", "testdata/platform.toml", "--operator", "testdata/unknown-zone.json"}},
+		{"malformed", []string{"--config", "testdata/malformed.toml"}},
+		{"incomplete", []string{"--config", "testdata/incomplete.toml"}},
+		{"no file", []string{"--config", "testdata/none.toml"}},
+		{"no flag", nil},
+	} {
+		root := command()
+		var out, errs bytes.Buffer
+		root.SetOut(&out)
+		root.SetErr(&errs)
+		root.SetArgs(append([]string{"check"}, c.args...))
+		err := root.Execute()
+		fmt.Fprintf(&text, "%s:\n  stdout %q\n  stderr %q\n  error  %v\n", c.name, out.String(), errs.String(), err)
+	}
+	golden.Text(t, "check.txt", text.String())
+}
+
+// Commands and flags stay, since operators' scripts name them.
+func TestCommandsStay(t *testing.T) {
+	var text strings.Builder
+	for _, args := range [][]string{nil, {"check"}, {"version"}, {"zones"}, {"zone"}, {"zone", "hold"}, {"zone", "release"}, {"zone", "auto"},
+		{"zone", "incidents"}, {"zone", "windows"}} {
+		root := command()
+		var out bytes.Buffer
+		root.SetOut(&out)
+		root.SetArgs(append(args, "--help"))
+		if err := root.Execute(); err != nil {
+			t.Errorf("%v: %v", args, err)
+		}
+		fmt.Fprintf(&text, "# %s\n%s\n", strings.Join(append([]string{"ospreystile"}, args...), " "), out.String())
+	}
+	golden.Text(t, "help.txt", text.String())
+}
--- /dev/null
+++ b/config/golden_test.go
@@ -0,0 +1,150 @@
+package config
+
+import (
+	"encoding/json"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/golden"
+	"ospreystile.example/ospreystile/zonereturn"
+)
+
+// goldenPlatform fills every setting of the platform with a value of its own.
+func goldenPlatform() Platform {
+	p := Platform{HostName: "c-0", Location: "zone-a", APIAddr: "127.0.0.1:1", MeshAddr: "127.0.0.1:2",
+		Seeds: []Peer{{Name: "c-1", Zone: "zone-b", Address: "127.0.0.1:5"}}}
+	p.External.Cloud, p.External.State = "127.0.0.1:3", "127.0.0.1:4"
+	s := &p.Settings
+	s.InitialSize, s.Zones, s.SkewMS = 11, []ids.Zone{"zone-a", "zone-b"}, 12.5
+	s.Teams = []Team{{Name: "vision", CPUs: 13.5, CPUsMax: 14.5, GPUs: 15.5, GPUsMax: 16.5}}
+	s.Objectives = []Objective{{Kind: "start", Class: "train", WithinS: 17.5, Times: 18.5, Share: 0.95}}
+	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 19.5, 20.5, 21.5
+	s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 22.5, 23.5, 24.5, 25
+	s.State.Next.RPS, s.State.Next.WriteRPS, s.State.Next.ValueKB, s.State.Next.TxnOps = new(26.5), new(27.5), new(28.5), new(29)
+	s.Cloud.RPS, s.Cloud.ListLagS = 30.5, 31.5
+	s.Resources.CPUShare, s.Resources.RAMMB, s.Resources.Sockets = 0.5, 32.5, 33
+	return p
+}
+
+// goldenOperator fills every setting of the operators with a value of its own.
+func goldenOperator() Operator {
+	var o Operator
+	o.Leadership.LeaseMS, o.Leadership.GraceS = 3001, 91
+	o.Quota.LendingLimits, o.Quota.ReclaimHoldS, o.Quota.SliceTasks = map[ids.Team]float64{"vision": 4.5}, 5.5, 65
+	o.Quota.MaxSkippedJobs, o.Quota.ReserveAfterS, o.Quota.ReserveForS = 2001, 61.5, 92.5
+	o.Fleet.IdleS, o.Fleet.SpotIdle, o.Fleet.HeadroomIdle, o.Fleet.Headroom = 31.5, 1.75, 901.5, 0.35
+	o.Fleet.BootFactor, o.Fleet.CapacityBack, o.Fleet.MaxMachines = 4.5, 10.5, 7
+	o.ZoneReturn = zonereturn.Settings{Enabled: true, SuspectShare: 0.51, DarkShare: 0.81, DarkAfterS: 6.5, RecoverS: 2.5, MinMachines: 5,
+		HeardShare: 0.26, RetryS: 181.5, HoldDownS: 4.25, HoldDownFactor: 3.5, HoldDownMaxS: 30.5, QuietS: 601.5, ProbeTasks: 4,
+		ProbeMaxRunS: 182.5, Steps: []float64{0.15, 0.35}, StepS: 4.75, StepSuccesses: 6, FailureTolerance: 0.27, SlowStartFactor: 4.5,
+		StartsPerMachine: 1.5, FetchesPerMachine: 0.55, ReturnMaxS: 45.5, HoldLimitS: 81.5, MoveBudget: 2, PatienceS: 60.5,
+		RestorePerMinute: 1.25, RestoreAfterS: 62.5, RestoreBudget: 3, Windows: []zonereturn.WindowSettings{{Name: "bulletins",
+			TimeZone: "Europe/Warsaw", From: "05:00", To: "07:00", Days: []string{"mon"}, Calendar: "pl", On: "workdays", Zones: []ids.Zone{"zone-a"}}}}
+	return o
+}
+
+// The settings keep their names: files of today are read as they were meant.
+func TestSettingsKeepTheirNames(t *testing.T) {
+	parse := func(raw []byte, v any) error {
+		p, err := ParsePlatform(raw)
+		if err == nil {
+			*v.(*Platform) = *p
+		}
+		return err
+	}
+	golden.Check(t, "platform.json", golden.Codec{Encode: toml.Marshal, Decode: parse}, []golden.Case{
+		{Name: "platform settings", Value: goldenPlatform()},
+	})
+	raw, err := toml.Marshal(goldenPlatform())
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Text(t, "platform.toml", string(raw))
+	want := goldenOperator()
+	for name, section := range map[string]any{"leadership": want.Leadership, "quota": want.Quota, "fleet": want.Fleet, "zone_return": want.ZoneReturn} {
+		golden.Filled(t, name, section)
+	}
+	if raw, err = json.MarshalIndent(want, "", "  "); err != nil {
+		t.Fatal(err)
+	}
+	golden.Text(t, "operator.json", string(raw)+"\n")
+	got, err := ParseOperator(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got.ZonePolicy = nil // made of the settings, and not in the file
+	if !reflect.DeepEqual(*got, want) {
+		t.Errorf("read %+v, want %+v", *got, want)
+	}
+}
+
+// Every name that the schema takes is a setting, and every setting is in the schema and
+// has a default.
+func TestSchemaKeepsItsNames(t *testing.T) {
+	var schema, settings, defaults any
+	written, err := json.Marshal(goldenOperator())
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, raw := range [][]byte{operatorSchema, written, operatorDefault} {
+		if err := json.Unmarshal(raw, []any{&schema, &settings, &defaults}[i]); err != nil {
+			t.Fatal(err)
+		}
+	}
+	inSchema := schemaNames("", schema)
+	slices.Sort(inSchema)
+	golden.Text(t, "schema.txt", strings.Join(inSchema, "\n")+"\n")
+	inSettings := settingNames("", settings)
+	slices.Sort(inSettings)
+	if !slices.Equal(inSchema, inSettings) {
+		t.Errorf("the schema names %v, the settings are %v", inSchema, inSettings)
+	}
+	for _, name := range settingNames("", defaults) {
+		if !slices.Contains(inSettings, name) {
+			t.Errorf("the default of %s is of no setting", name)
+		}
+	}
+	for _, name := range renamedSettings {
+		if !slices.Contains(inSettings, name.section+"."+name.name) {
+			t.Errorf("%v stands for no setting", name)
+		}
+	}
+}
+
+// schemaNames lists the properties of a schema by their path.
+func schemaNames(path string, schema any) (names []string) {
+	node, _ := schema.(map[string]any)
+	if node == nil {
+		return nil
+	}
+	properties, _ := node["properties"].(map[string]any)
+	for name, below := range properties {
+		names = append(names, path+name)
+		names = append(names, schemaNames(path+name+".", below)...)
+	}
+	return append(names, schemaNames(path, node["items"])...)
+}
+
+// settingNames lists the settings of a file by their path. What lending_limits holds are
+// names of teams.
+func settingNames(path string, file any) (names []string) {
+	switch v := file.(type) {
+	case map[string]any:
+		for name, below := range v {
+			names = append(names, path+name)
+			if name != "lending_limits" {
+				names = append(names, settingNames(path+name+".", below)...)
+			}
+		}
+	case []any:
+		for _, below := range v {
+			names = append(names, settingNames(path, below)...)
+		}
+	}
+	return names
+}
