--- a/scheduler/digest_test.go
+++ b/scheduler/digest_test.go
@@ -100,9 +100,11 @@
 
 // TestDigestOfRandomDays compares two versions of the code between which no decision
 // was meant to change: the digest that one prints is handed to the other. There is no
-// expected value to be kept up to date.
+// expected value to be kept up to date, so without the flag it is skipped: the version
+// before prints its value, and the version after fails if its own is another.
 //
 //	go test ./scheduler -run TestDigestOfRandomDays -v -args -digest print
+//	go test ./scheduler -run TestDigestOfRandomDays -args -digest VALUE
 func TestDigestOfRandomDays(t *testing.T) {
 	if *otherDigest == "" {
 		t.Skip("compares two versions; see -digest")
