--- a/node/status_reader_test.go
+++ b/node/status_reader_test.go
@@ -20,9 +20,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// records is a stand-in for the state service's jobs. Each request takes effect
+// jobRecordLog is a stand-in for the state service's jobs. Each request takes effect
 // at some moment between its start and its answer.
-type records struct {
+type jobRecordLog struct {
 	mu     sync.Mutex
 	rng    *rand.Rand
 	epoch  ids.Revision
@@ -32,21 +32,21 @@
 	failed bool
 }
 
-func (r *records) delay() {
+func (r *jobRecordLog) delay() {
 	r.mu.Lock()
 	d := time.Duration(1+r.rng.IntN(30)) * time.Millisecond
 	r.mu.Unlock()
 	time.Sleep(d)
 }
 
-func (r *records) write(id ids.JobID, rec any) {
+func (r *jobRecordLog) write(id ids.JobID, rec any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.epoch++
 	r.log = append(r.log, statestore.Event{Write: ledger.JobKey(id), Value: wire.Encode(rec), Revision: r.epoch})
 }
 
-func (r *records) List(_ context.Context, _ string, each func(statestore.Entry) error) (ids.Revision, error) {
+func (r *jobRecordLog) List(_ context.Context, _ string, each func(statestore.Entry) error) (ids.Revision, error) {
 	r.delay()
 	r.mu.Lock()
 	r.calls++
@@ -65,7 +65,7 @@
 	return epoch, nil
 }
 
-func (r *records) Watch(_ context.Context, _ string, since ids.Revision, _ time.Duration) (ids.Revision, []statestore.Event, error) {
+func (r *jobRecordLog) Watch(_ context.Context, _ string, since ids.Revision, _ time.Duration) (ids.Revision, []statestore.Event, error) {
 	r.delay()
 	r.mu.Lock()
 	r.calls++
@@ -91,7 +91,7 @@
 func TestAnswersOfTwoNodesNeverGoBack(t *testing.T) {
 	rank := map[wire.JobState]int{"": 0, wire.StatusQueued: 1, wire.StatusCancelled: 2, wire.StatusDone: 2}
 	synctest.Test(t, func(t *testing.T) {
-		r := &records{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
+		r := &jobRecordLog{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
 		nodes := []*statusReader{pollsOf(r), pollsOf(r)}
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
@@ -163,7 +163,7 @@
 // must not keep answers from the others.
 func TestUnreadableRecordIsNotForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &records{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
+		r := &jobRecordLog{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
 		r.write("job-1", "nonsense")
 		r.write("job-2", ledger.Job{Status: wire.StatusDone, Tasks: 2})
 		p := pollsOf(r)
@@ -256,7 +256,7 @@
 // what others may have told meanwhile.
 func TestAnswersFromBeforeAPauseAreNotGiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &records{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
+		r := &jobRecordLog{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
 		r.write("job-1", ledger.Job{Status: wire.StatusQueued, Tasks: 2})
 		p := pollsOf(r)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -86,15 +86,15 @@
 	for n := range largeFleetJobs {
 		b.job(ids.JobID(fmt.Sprintf("job-%06d", n)), wire.Spec{Tasks: largeFleetTasks / largeFleetJobs, CPUs: 2})
 	}
-	records := map[string]ledger.Slice{}
-	b.placeAll(records)
+	latest := map[string]ledger.Slice{}
+	b.placeAll(latest)
 	placed := uint64(largeFleetTasks)
 	// The first search of a job looks at all machines, each task at one a zone.
 	if most := uint64(largeFleetJobs+16)*largeFleet*2 + placed*largeFleetZones; b.c.admission.MachinesExamined > most {
 		t.Errorf("looked at machines %d times to place %d tasks, at most %d expected", b.c.admission.MachinesExamined, placed, most)
 	}
-	if len(records) != largeFleetJobs {
-		t.Errorf("%d records written, want one for each of %d jobs", len(records), largeFleetJobs)
+	if len(latest) != largeFleetJobs {
+		t.Errorf("%d records written, want one for each of %d jobs", len(latest), largeFleetJobs)
 	}
 	b.now = b.now.Add(time.Second)
 	b.reportAll("")
@@ -103,19 +103,19 @@
 	if perMachine > 12<<10 {
 		t.Errorf("a machine takes %d bytes: too much for a node of 100 MB", perMachine)
 	}
-	b.takeOverLargeFleet(records)
+	b.takeOverLargeFleet(latest)
 	b.cutZoneOfLargeFleet()
 }
 
 // placeAll steps until all tasks are placed, and keeps the newest record of each slice.
-func (b *harness) placeAll(records map[string]ledger.Slice) {
+func (b *harness) placeAll(latest map[string]ledger.Slice) {
 	b.t.Helper()
 	for range 10 {
 		b.now = b.now.Add(time.Second)
 		for _, change := range b.step().Changes {
 			for _, op := range change.Apply {
 				if record, ok := op.Value.(ledger.Slice); ok {
-					records[op.Write] = record
+					latest[op.Write] = record
 				}
 			}
 		}
@@ -128,7 +128,7 @@
 }
 
 // takeOverLargeFleet has a successor read the records and meet all machines.
-func (b *harness) takeOverLargeFleet(records map[string]ledger.Slice) {
+func (b *harness) takeOverLargeFleet(latest map[string]ledger.Slice) {
 	b.t.Helper()
 	predecessor := b.c
 	opt := predecessor.opt
@@ -137,7 +137,7 @@
 	for id, j := range predecessor.jobs {
 		b.c.LoadJob(id, &ledger.Job{Status: wire.StatusQueued, Tasks: len(j.tasks), Spec: j.spec}, j.revision)
 	}
-	for key, record := range records {
+	for key, record := range latest {
 		id, number, _ := ledger.ParseAdmissionKey(key)
 		if err := b.c.LoadSlice(id, number, &record, 2000); err != nil {
 			b.t.Fatal(err)
