--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -108,7 +108,7 @@
 
 // Rent asks for machines. The same request may be repeated until it is
 // answered; once it succeeded, its name must not serve another.
-func (c *Client) Rent(ctx context.Context, r wire.Rental) ([]ids.Host, error) {
+func (c *Client) Rent(ctx context.Context, r wire.Rental) ([]ids.MachineID, error) {
 	var ans wire.Hosts
 	err := c.do(ctx, "POST", "/hosts", r, &ans)
 	return ans.Hosts, err
@@ -118,7 +118,7 @@
 const MaxReturn = 100
 
 // Return gives machines back. When it succeeds, they are gone.
-func (c *Client) Return(ctx context.Context, hosts []ids.Host) error {
+func (c *Client) Return(ctx context.Context, hosts []ids.MachineID) error {
 	return c.do(ctx, "POST", "/hosts/return", wire.Hosts{Hosts: hosts}, nil)
 }
 
@@ -128,7 +128,7 @@
 // List reads the whole machine list.
 func (c *Client) List(ctx context.Context) ([]wire.Machine, error) {
 	var all []wire.Machine
-	since := ids.Host("")
+	since := ids.MachineID("")
 	for {
 		path := fmt.Sprintf("/hosts?page=%d", PageSize)
 		if since != "" {
--- a/cloud/golden_test.go
+++ b/cloud/golden_test.go
@@ -41,7 +41,7 @@
 	note("catalog", types, err)
 	hosts, err := c.Rent(ctx, wire.Rental{Request: "r-412-7", Type: "g8", Zone: "zone-a", Spot: true, Count: 12})
 	note("rental", hosts, err)
-	note("return", c.Return(ctx, []ids.Host{"n-1", "n-2"}))
+	note("return", c.Return(ctx, []ids.MachineID{"n-1", "n-2"}))
 	machines, err := c.List(ctx)
 	note("machine list", machines, err)
 	golden.Text(t, "requests.txt", rec.Text()+"\n"+text.String())
@@ -66,7 +66,7 @@
 				w.WriteHeader(c.status)
 				_, _ = w.Write(wire.Encode(c.body))
 			})
-			if err := New(rec.Address, 1000).Return(t.Context(), []ids.Host{"n-1"}); !errors.Is(err, c.want) {
+			if err := New(rec.Address, 1000).Return(t.Context(), []ids.MachineID{"n-1"}); !errors.Is(err, c.want) {
 				t.Errorf("%v, want %v", err, c.want)
 			}
 		})
--- a/cmd/ospreystile/zones.go
+++ b/cmd/ospreystile/zones.go
@@ -18,7 +18,7 @@
 
 // operatorClient makes a client of the controllers that the platform's file names.
 func operatorClient(platform *config.Platform) *node.OperatorClient {
-	seeds := map[ids.NodeName]string{}
+	seeds := map[ids.ControllerName]string{}
 	for _, seed := range platform.Seeds {
 		seeds[seed.Name] = seed.Address
 	}
--- a/config/config.go
+++ b/config/config.go
@@ -18,9 +18,9 @@
 
 // Peer is another controller.
 type Peer struct {
-	Name    ids.NodeName `toml:"host_name"`
-	Zone    ids.Zone     `toml:"location"`
-	Address string       `toml:"address"`
+	Name    ids.ControllerName `toml:"host_name"`
+	Zone    ids.Zone           `toml:"location"`
+	Address string             `toml:"address"`
 }
 
 // Team is a team's guarantee and limit; see Limited.
@@ -128,11 +128,11 @@
 
 // Platform is the settings file that the platform hands over.
 type Platform struct {
-	HostName ids.NodeName `toml:"host_name"`
-	Location ids.Zone     `toml:"location"`
-	APIAddr  string       `toml:"api_addr"`
-	MeshAddr string       `toml:"mesh_addr"`
-	Seeds    []Peer       `toml:"seeds"`
+	HostName ids.ControllerName `toml:"host_name"`
+	Location ids.Zone           `toml:"location"`
+	APIAddr  string             `toml:"api_addr"`
+	MeshAddr string             `toml:"mesh_addr"`
+	Seeds    []Peer             `toml:"seeds"`
 	External struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
--- a/election/election.go
+++ b/election/election.go
@@ -20,9 +20,9 @@
 
 // Holder is the value of the leader's key.
 type Holder struct {
-	Name        ids.NodeName    `msgpack:"n"`
-	Mesh        string          `msgpack:"m"`
-	Incarnation ids.Incarnation `msgpack:"i"`
+	Name        ids.ControllerName        `msgpack:"n"`
+	Mesh        string                    `msgpack:"m"`
+	Incarnation ids.ControllerIncarnation `msgpack:"i"`
 }
 
 // Leader is a holder and the revision of its key. A larger revision is a later
@@ -56,7 +56,7 @@
 	mu sync.Mutex
 	// confirmedBy is when each peer was last asked that then knew of no later leader;
 	// see Confirm.
-	confirmedBy map[ids.NodeName]ids.Instant
+	confirmedBy map[ids.ControllerName]ids.Instant
 }
 
 // Bounds are how long a leader may go on.
@@ -72,7 +72,7 @@
 	// told users, as that a job is cancelled, this one does not know.
 	Isolated, IsolatedReplicas time.Duration
 	// Peers are the other controllers.
-	Peers []ids.NodeName
+	Peers []ids.ControllerName
 }
 
 // Holds tells whether the key is surely held now.
@@ -108,14 +108,14 @@
 // Confirm takes a peer's word that it knew of no later leader when it was asked. It
 // counts only if the peer's process was running while the key was still surely
 // held: one that was started since may have led before, and not know it.
-func (t *Term) Confirm(peer ids.NodeName, asked, started ids.Instant) {
+func (t *Term) Confirm(peer ids.ControllerName, asked, started ids.Instant) {
 	if started >= ids.Instant(t.heldUntil.Load()) {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.confirmedBy == nil {
-		t.confirmedBy = map[ids.NodeName]ids.Instant{}
+		t.confirmedBy = map[ids.ControllerName]ids.Instant{}
 	}
 	t.confirmedBy[peer] = max(t.confirmedBy[peer], asked)
 }
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -18,7 +18,7 @@
 // watcher notes who leads, and that no two nodes ever hold the key at once.
 type watcher struct {
 	mu      sync.Mutex
-	holding map[ids.NodeName]*Term
+	holding map[ids.ControllerName]*Term
 	stamps  map[ids.Revision]string // whose term it was, if asked for
 	clashes []string
 }
@@ -30,13 +30,13 @@
 	gone   chan struct{}
 }
 
-func (w *watcher) start(t *testing.T, s *service, name ids.NodeName, inc ids.Incarnation) *member {
+func (w *watcher) start(t *testing.T, s *service, name ids.ControllerName, inc ids.ControllerIncarnation) *member {
 	c := &client{s: s}
 	return w.startOver(t, c, c, name, inc)
 }
 
 // kill ends a process without giving it the time to say so.
-func (w *watcher) kill(name ids.NodeName, m *member) {
+func (w *watcher) kill(name ids.ControllerName, m *member) {
 	m.c.refuse(true)
 	w.mu.Lock()
 	delete(w.holding, name)
@@ -45,7 +45,7 @@
 	<-m.gone
 }
 
-func (w *watcher) startOver(t *testing.T, c *client, over Store, name ids.NodeName, inc ids.Incarnation) *member {
+func (w *watcher) startOver(t *testing.T, c *client, over Store, name ids.ControllerName, inc ids.ControllerIncarnation) *member {
 	m := &member{c: c, gone: make(chan struct{})}
 	m.e = New(over, Holder{Name: name, Incarnation: inc}, Bounds{TTL: 3 * time.Second, Grace: 20 * time.Second}, ids.Steady(), slog.New(slog.DiscardHandler),
 		func(ctx context.Context, term *Term) error {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (w *watcher) leader() (ids.NodeName, *Term) {
+func (w *watcher) leader() (ids.ControllerName, *Term) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for n, term := range w.holding {
@@ -98,9 +98,9 @@
 
 func TestSuccessionAndOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newService(), &watcher{holding: map[ids.NodeName]*Term{}}
-		nodes := map[ids.NodeName]*member{}
-		for _, n := range []ids.NodeName{"n0", "n1", "n2"} {
+		s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
+		nodes := map[ids.ControllerName]*member{}
+		for _, n := range []ids.ControllerName{"n0", "n1", "n2"} {
 			nodes[n] = w.start(t, s, n, 1)
 		}
 		time.Sleep(2 * time.Second)
@@ -161,7 +161,7 @@
 // A node that finds its own earlier process in the key replaces it at once.
 func TestOwnEarlierProcessIsReplacedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newService(), &watcher{holding: map[ids.NodeName]*Term{}}
+		s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
 		s.ttl = time.Hour
 		s.leases[77] = time.Now().Add(time.Hour)
 		s.next = 100
@@ -183,7 +183,7 @@
 // key goes.
 func TestNodeThatComesLongAfterTheElection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newService(), &watcher{holding: map[ids.NodeName]*Term{}}
+		s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
 		first := w.start(t, s, "n0", 1)
 		time.Sleep(time.Second)
 		s.mu.Lock()
@@ -211,7 +211,7 @@
 // A later leader heard of from a peer ends the term.
 func TestLaterLeaderEndsTheTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newService(), &watcher{holding: map[ids.NodeName]*Term{}}
+		s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
 		m := w.start(t, s, "n0", 1)
 		time.Sleep(time.Second)
 		term := m.e.Term()
@@ -239,7 +239,7 @@
 // this is one; nor may work that has not noticed the end of its term.
 func TestNoAnswersAfterAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newService(), &watcher{holding: map[ids.NodeName]*Term{}}
+		s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
 		m := w.start(t, s, "n0", 1)
 		time.Sleep(time.Second)
 		_, term := w.leader()
@@ -266,7 +266,7 @@
 // peers may have been told already that this node follows that leader.
 func TestLateClaimBeginsNoTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newService(), &watcher{holding: map[ids.NodeName]*Term{}}
+		s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
 		c := &client{s: s}
 		c.hold(time.Second)
 		m := w.startOver(t, c, c, "n0", 1)
@@ -313,7 +313,7 @@
 				s := newService()
 				terms := make(chan *Term, 9)
 				bounds := Bounds{TTL: 3 * time.Second, Grace: 20 * time.Second, Isolated: isolated - 3*time.Second, IsolatedReplicas: isolated,
-					Peers: []ids.NodeName{"n1", "n2"}}
+					Peers: []ids.ControllerName{"n1", "n2"}}
 				e := New(&client{s: s}, Holder{Name: "n0"}, bounds, ids.Steady(), slog.New(slog.DiscardHandler), func(ctx context.Context, term *Term) error {
 					terms <- term
 					<-ctx.Done()
--- a/election/restart_test.go
+++ b/election/restart_test.go
@@ -73,14 +73,14 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rng := rand.New(rand.NewPCG(seed, 5))
-				s, w := newService(), &watcher{holding: map[ids.NodeName]*Term{}}
+				s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
 				s.ttl = 3 * time.Second
 				w.stamps = map[ids.Revision]string{}
-				names := []ids.NodeName{"n0", "n1", "n2"}
-				nodes := map[ids.NodeName]*member{}
-				inc := ids.Incarnation(0)
+				names := []ids.ControllerName{"n0", "n1", "n2"}
+				nodes := map[ids.ControllerName]*member{}
+				inc := ids.ControllerIncarnation(0)
 				var ways []*late
-				start := func(n ids.NodeName) {
+				start := func(n ids.ControllerName) {
 					inc++
 					l := &late{client: &client{s: s}, wire: &client{s: s}, rng: rand.New(rand.NewPCG(seed, uint64(inc)))}
 					ways = append(ways, l)
--- a/ids/ids.go
+++ b/ids/ids.go
@@ -12,10 +12,10 @@
 type (
 	// JobID is a user's name for a job.
 	JobID string
-	// Host is the cloud's name for a machine.
-	Host string
-	// NodeName is a controller's host name.
-	NodeName string
+	// MachineID is the cloud's name for a machine.
+	MachineID string
+	// ControllerName is a controller's host name.
+	ControllerName string
 	// Team is the name of a team that owns quota.
 	Team string
 	// Zone is the name of a zone.
@@ -30,27 +30,27 @@
 	Revision uint64
 	// LeaseID names a lease of the state service.
 	LeaseID uint64
-	// Session counts a worker's sessions.
-	Session uint64
+	// AgentIncarnation counts a worker's sessions.
+	AgentIncarnation uint64
 	// Sequence counts a worker's messages.
 	Sequence uint64
-	// Incarnation tells one process of a controller from the next.
-	Incarnation uint64
+	// ControllerIncarnation tells one process of a controller from the next.
+	ControllerIncarnation uint64
 )
 
-// Token is the fencing token that workers compare: the leader's revision in the
+// FencingToken is the fencing token that workers compare: the leader's revision in the
 // high bits and a per-worker counter in the low ones.
-type Token uint64
+type FencingToken uint64
 
 const counterBits = 20
 
-// NewToken makes the token of a leader's revision and a worker's counter.
-func NewToken(s Revision, counter uint64) Token {
-	return Token(uint64(s)<<counterBits | counter&(1<<counterBits-1))
+// NewFencingToken makes the token of a leader's revision and a worker's counter.
+func NewFencingToken(s Revision, counter uint64) FencingToken {
+	return FencingToken(uint64(s)<<counterBits | counter&(1<<counterBits-1))
 }
 
 // Revision returns the leader's revision inside the token.
-func (t Token) Revision() Revision { return Revision(t >> counterBits) }
+func (t FencingToken) Revision() Revision { return Revision(t >> counterBits) }
 
 // TaskRef names one task of a job.
 type TaskRef struct {
--- a/internal/drill/cloud.go
+++ b/internal/drill/cloud.go
@@ -22,8 +22,8 @@
 
 	mu       sync.Mutex
 	zones    []ids.Zone
-	machines map[ids.Host]*cloudMachine
-	bookings map[string][]ids.Host
+	machines map[ids.MachineID]*cloudMachine
+	bookings map[string][]ids.MachineID
 	next     int
 }
 
@@ -43,7 +43,7 @@
 
 // NewCloud starts a cloud on loopback; start brings up a machine's worker.
 func NewCloud(zones []ids.Zone, capacity int, boot time.Duration, start func(wire.Machine) *Worker) *Cloud {
-	c := &Cloud{boot: boot, capacity: capacity, start: start, zones: zones, machines: map[ids.Host]*cloudMachine{}, bookings: map[string][]ids.Host{}}
+	c := &Cloud{boot: boot, capacity: capacity, start: start, zones: zones, machines: map[ids.MachineID]*cloudMachine{}, bookings: map[string][]ids.MachineID{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog", c.catalog)
 	mux.HandleFunc("POST /hosts", c.rent)
@@ -110,10 +110,10 @@
 			held++
 		}
 	}
-	var hosts []ids.Host
+	var hosts []ids.MachineID
 	for range min(rental.Count, c.capacity-held) {
 		c.next++
-		m := &cloudMachine{rented: time.Now(), Machine: wire.Machine{Host: ids.Host(fmt.Sprintf("n-%06d", c.next)),
+		m := &cloudMachine{rented: time.Now(), Machine: wire.Machine{Host: ids.MachineID(fmt.Sprintf("n-%06d", c.next)),
 			Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot, Status: "starting"}}
 		c.machines[m.Host] = m
 		hosts = append(hosts, m.Host)
@@ -154,7 +154,7 @@
 }
 
 func (c *Cloud) list(w http.ResponseWriter, r *http.Request) {
-	since := ids.Host(r.URL.Query().Get("since"))
+	since := ids.MachineID(r.URL.Query().Get("since"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	page := wire.MachinePage{Hosts: []wire.Machine{}}
--- a/internal/drill/history.go
+++ b/internal/drill/history.go
@@ -13,7 +13,7 @@
 	At      time.Time
 	Task    ids.TaskRef
 	Attempt ids.Attempt
-	Host    ids.Host
+	Host    ids.MachineID
 	Zone    ids.Zone
 	Kind    ActKind
 }
@@ -50,7 +50,7 @@
 type attemptKey struct {
 	task    ids.TaskRef
 	attempt ids.Attempt
-	host    ids.Host
+	host    ids.MachineID
 }
 
 // NewHistory makes an empty history.
--- a/internal/drill/worker.go
+++ b/internal/drill/worker.go
@@ -25,9 +25,9 @@
 	wake    chan struct{}
 
 	mu       sync.Mutex
-	session  ids.Session
+	session  ids.AgentIncarnation
 	sequence ids.Sequence
-	token    ids.Token
+	token    ids.FencingToken
 	tasks    []*workerTask
 	images   map[ids.Image]bool
 	renewed  time.Time // when the last answered report was sent
--- a/internal/drill/zone_return_test.go
+++ b/internal/drill/zone_return_test.go
@@ -119,7 +119,7 @@
 }
 
 // zone is one zone's condition.
-func (d *zoneDrill) zone(name ids.Zone) (st zonereturn.Status, leader ids.NodeName, ok bool) {
+func (d *zoneDrill) zone(name ids.Zone) (st zonereturn.Status, leader ids.ControllerName, ok bool) {
 	answer, ok := d.zones()
 	for _, z := range answer.Zones {
 		if z.Zone == name {
@@ -269,10 +269,10 @@
 }
 
 // replaceController kills a controller and starts it again.
-func (d *zoneDrill) replaceController(name ids.NodeName) {
+func (d *zoneDrill) replaceController(name ids.ControllerName) {
 	d.t.Helper()
 	for _, n := range d.Nodes {
-		if ids.NodeName(n.Name) == name {
+		if ids.ControllerName(n.Name) == name {
 			n.Kill()
 			d.must(d.Start(n, d.program))
 		}
@@ -320,7 +320,7 @@
 // The history's checker finds a task that runs twice, and one that is started again.
 func TestHistoryFindsPlantedFaults(t *testing.T) {
 	task := ids.TaskRef{Job: "job-1"}
-	act := func(kind ActKind, host ids.Host, attempt ids.Attempt) Act {
+	act := func(kind ActKind, host ids.MachineID, attempt ids.Attempt) Act {
 		return Act{Task: task, Attempt: attempt, Host: host, Zone: "a", Kind: kind}
 	}
 	for name, c := range map[string]struct {
--- a/ledger/golden_test.go
+++ b/ledger/golden_test.go
@@ -37,11 +37,11 @@
 		{Name: "job cancelled without description", Value: Job{Nonce: 7, Status: wire.StatusCancelled, Tasks: 70}, Partial: true},
 		{Name: "job done", Value: Job{Nonce: 8, Status: wire.StatusDone, Tasks: 70, DoneMS: 1764640000456}, Partial: true},
 		{Name: "job done by an older version", Value: Job{Nonce: 9, Status: wire.StatusDone, Tasks: 70}, Partial: true},
-		{Name: "admission slice", Value: Slice{Nonce: 97, Hosts: []ids.Host{"n-000231", "n-000007"}, Zones: []ids.Zone{"zone-a", "zone-b"},
+		{Name: "admission slice", Value: Slice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"zone-a", "zone-b"},
 			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 300, -1}, Done: []int{67, 69}}},
-		{Name: "admission slice, split, first part", Value: Slice{Nonce: 98, Hosts: []ids.Host{"n-000231"}, Zones: []ids.Zone{"zone-a"},
+		{Name: "admission slice, split, first part", Value: Slice{Nonce: 98, Hosts: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"},
 			Tasks: []int{64, 2, 0}, Done: []int{67}}},
-		{Name: "admission slice, split, last part", Value: Slice{Nonce: 98, Hosts: []ids.Host{"n-000007"}, Zones: []ids.Zone{"zone-b"},
+		{Name: "admission slice, split, last part", Value: Slice{Nonce: 98, Hosts: []ids.MachineID{"n-000007"}, Zones: []ids.Zone{"zone-b"},
 			Tasks: []int{65, 1, 0, 66, 300, -1}, Done: []int{69}}},
 	})
 }
@@ -71,7 +71,7 @@
 // Transactions that change records keep their bytes, guards and operations in order.
 func TestTransactionsKeepTheirBytes(t *testing.T) {
 	at := []SliceVersion{{N: 2, Revision: 501}, {N: 42}}
-	slice := Slice{Nonce: 97, Hosts: []ids.Host{"n-000231"}, Zones: []ids.Zone{"zone-a"}, Tasks: []int{64, 2, 0}}
+	slice := Slice{Nonce: 97, Hosts: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"}, Tasks: []int{64, 2, 0}}
 	job := Job{Nonce: 5, Status: wire.StatusQueued, Tasks: 70, Spec: goldenSpec("job-0"), SubmittedMS: 6, DoneMS: 7}
 	text := ""
 	for _, c := range []struct {
--- a/ledger/records.go
+++ b/ledger/records.go
@@ -91,8 +91,8 @@
 type Slice struct {
 	// Nonce names this very write, so that one whose answer was lost is
 	// recognised.
-	Nonce uint64     `msgpack:"w"`
-	Hosts []ids.Host `msgpack:"h"`
+	Nonce uint64          `msgpack:"w"`
+	Hosts []ids.MachineID `msgpack:"h"`
 	// Zones holds the zone of each host, so that a successor can keep
 	// oneZone and spread before it hears from the host.
 	Zones []ids.Zone `msgpack:"z"`
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -153,7 +153,7 @@
 // Peer is the way to one other controller. It keeps one connection, made when
 // it is needed.
 type Peer struct {
-	Name ids.NodeName
+	Name ids.ControllerName
 	addr string
 
 	mu   sync.Mutex
@@ -161,7 +161,7 @@
 }
 
 // NewPeer makes the way to a peer.
-func NewPeer(name ids.NodeName, addr string) *Peer { return &Peer{Name: name, addr: addr} }
+func NewPeer(name ids.ControllerName, addr string) *Peer { return &Peer{Name: name, addr: addr} }
 
 // conn is a connection to a peer with the requests that wait for their answers.
 type conn struct {
--- a/node/connection_balancer.go
+++ b/node/connection_balancer.go
@@ -11,7 +11,7 @@
 // when they are too many: after a restart they would all stay where they went.
 type connectionBalancer struct {
 	mu      sync.Mutex
-	seen    map[ids.Host]ids.Instant
+	seen    map[ids.MachineID]ids.Instant
 	movedAt ids.Instant
 }
 
@@ -24,7 +24,7 @@
 )
 
 // reported takes note of a worker's report.
-func (c *connectionBalancer) reported(h ids.Host, now ids.Instant) {
+func (c *connectionBalancer) reported(h ids.MachineID, now ids.Instant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seen[h] = now
@@ -45,13 +45,13 @@
 // nodeLoad is how many workers a node has, and how many it should have for each one that
 // another has.
 type nodeLoad struct {
-	name    ids.NodeName
+	name    ids.ControllerName
 	workers int
 	weight  float64
 }
 
 // chooseTarget tells where a worker should go, if this node has too many of them.
-func (c *connectionBalancer) chooseTarget(self nodeLoad, others []nodeLoad, now ids.Instant) (ids.NodeName, bool) {
+func (c *connectionBalancer) chooseTarget(self nodeLoad, others []nodeLoad, now ids.Instant) (ids.ControllerName, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now < c.movedAt.Add(moveInterval) || len(others) == 0 {
@@ -66,7 +66,7 @@
 	if float64(self.workers) <= 1.2*share*self.weight+balanceSlack {
 		return "", false
 	}
-	best, room := ids.NodeName(""), 0.0
+	best, room := ids.ControllerName(""), 0.0
 	for _, o := range others {
 		if r := share*o.weight - float64(o.workers); r > room {
 			best, room = o.name, r
@@ -89,7 +89,7 @@
 }
 
 // redirectTarget tells to which node a worker should go, if this one has too many.
-func (n *Node) redirectTarget(now ids.Instant, leading bool) (ids.NodeName, bool) {
+func (n *Node) redirectTarget(now ids.Instant, leading bool) (ids.ControllerName, bool) {
 	weigh := func(leads bool) float64 {
 		if leads {
 			return leaderWeight
--- a/node/node.go
+++ b/node/node.go
@@ -81,14 +81,14 @@
 	n.leaderState = statestore.New(direct, rps*0.25)
 	n.userState = statestore.New(&userRoute{n, direct}, rps*0.65/nodes)
 	n.intake = ledger.NewCommitter(n.userState, n.limits(), nil, log)
-	self := election.Holder{Name: cfg.HostName, Mesh: cfg.MeshAddr, Incarnation: ids.Incarnation(rand.Uint64())}
+	self := election.Holder{Name: cfg.HostName, Mesh: cfg.MeshAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
 	bounds := election.Bounds{TTL: op.LeaseTTL(), Grace: op.Grace(), Isolated: n.isolatedBound(), IsolatedReplicas: n.isolatedReplicasBound()}
 	for _, p := range cfg.Seeds {
 		bounds.Peers = append(bounds.Peers, p.Name)
 	}
 	n.election = election.New(n.leaderState.Urgent(), self, bounds, n.clock, log, n.lead)
 	n.terminalJobs.jobs = map[ids.JobID]wire.JobStatus{}
-	n.balancer.seen = map[ids.Host]ids.Instant{}
+	n.balancer.seen = map[ids.MachineID]ids.Instant{}
 	n.relay = &reportRelay{n: n, wake: make(chan struct{}, 1)}
 	// A fifth of the requests is for polls, by all nodes together.
 	gap := ids.Seconds(nodes / (0.2 * rps))
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -45,9 +45,9 @@
 // one node at last. They are sent back, one at a time, and no more than needed.
 func TestWorkersSpreadOverNodes(t *testing.T) {
 	at := func(s float64) ids.Instant { return ids.Instant(time.Hour).Add(ids.Seconds(s)) }
-	names := []ids.NodeName{"n-0", "n-1", "n-2"}
-	have := map[ids.NodeName]int{"n-0": 900, "n-1": 0, "n-2": 0}
-	weight := map[ids.NodeName]float64{"n-0": leaderWeight, "n-1": 1, "n-2": 1}
+	names := []ids.ControllerName{"n-0", "n-1", "n-2"}
+	have := map[ids.ControllerName]int{"n-0": 900, "n-1": 0, "n-2": 0}
+	weight := map[ids.ControllerName]float64{"n-0": leaderWeight, "n-1": 1, "n-2": 1}
 	var crowds [3]connectionBalancer
 	moves := 0
 	for step := range 4000 {
@@ -144,7 +144,7 @@
 				map[string]any{"key": "jobs/job-2", "v": good, "stamp": 8}, map[string]any{"key": "jobs/job-3", "v": good, "stamp": 8},
 				map[string]any{"key": "jobs/job-4", "v": "nonsense", "stamp": 8}}}
 		case r.URL.Query().Get("prefix") == "admissions/":
-			placed := ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}}
+			placed := ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}}
 			body = map[string]any{"epoch": 9, "entries": []any{map[string]any{"key": "admissions/job-3/00000", "v": "nonsense", "stamp": 7},
 				map[string]any{"key": "admissions/job-4/00000", "v": placed, "stamp": 7}}}
 		}
@@ -264,11 +264,11 @@
 	may := new(atomic.Bool)
 	may.Store(true)
 	c := cloud.New(strings.TrimPrefix(srv.URL, "http://"), 1).While(may.Load)
-	if err := c.Return(t.Context(), []ids.Host{"n-1"}); err != nil || calls.Load() != 1 {
+	if err := c.Return(t.Context(), []ids.MachineID{"n-1"}); err != nil || calls.Load() != 1 {
 		t.Fatalf("%d calls, %v", calls.Load(), err)
 	}
 	time.AfterFunc(50*time.Millisecond, func() { may.Store(false) }) // while the next waits for the budget
-	if err := c.Return(t.Context(), []ids.Host{"n-1"}); err == nil || calls.Load() != 1 {
+	if err := c.Return(t.Context(), []ids.MachineID{"n-1"}); err == nil || calls.Load() != 1 {
 		t.Errorf("%d calls, %v", calls.Load(), err)
 	}
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -24,13 +24,13 @@
 
 // ping is what controllers tell each other twice a second.
 type ping struct {
-	From        ids.NodeName    `cbor:"1,keyasint"`
-	Leader      ids.NodeName    `cbor:"2,keyasint"`
-	Mesh        string          `cbor:"3,keyasint"`
-	Incarnation ids.Incarnation `cbor:"4,keyasint"`
-	Revision    ids.Revision    `cbor:"5,keyasint"`
-	StateOK     bool            `cbor:"6,keyasint"`
-	Workers     int             `cbor:"7,keyasint"`
+	From        ids.ControllerName        `cbor:"1,keyasint"`
+	Leader      ids.ControllerName        `cbor:"2,keyasint"`
+	Mesh        string                    `cbor:"3,keyasint"`
+	Incarnation ids.ControllerIncarnation `cbor:"4,keyasint"`
+	Revision    ids.Revision              `cbor:"5,keyasint"`
+	StateOK     bool                      `cbor:"6,keyasint"`
+	Workers     int                       `cbor:"7,keyasint"`
 	// Up is for how long the process has run, and Acked a revision up to which
 	// cancellations may be told; see acknowledgedRevision. Older controllers lack both.
 	Up    time.Duration `cbor:"11,keyasint,omitempty"`
@@ -96,7 +96,7 @@
 }
 
 // peerNamed finds a peer.
-func (n *Node) peerNamed(name ids.NodeName) *peer {
+func (n *Node) peerNamed(name ids.ControllerName) *peer {
 	for _, p := range n.peers {
 		if p.Name == name {
 			return p
--- a/node/status_reader_test.go
+++ b/node/status_reader_test.go
@@ -203,7 +203,7 @@
 	}
 	// Of job-3 it is not known where it runs: it is not started elsewhere.
 	now := n.clock.Now()
-	rep := &wire.Report{Host: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Session: 1, Sequence: 1, Token: ids.NewToken(5, 0)}
+	rep := &wire.Report{Host: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Session: 1, Sequence: 1, Token: ids.NewFencingToken(5, 0)}
 	if _, ok := tm.core.Report(now, rep, true); !ok {
 		t.Fatal("report refused")
 	}
--- a/node/term.go
+++ b/node/term.go
@@ -200,7 +200,7 @@
 }
 
 // callWorker sends a worker its commands.
-func (t *term) callWorker(host ids.Host) {
+func (t *term) callWorker(host ids.MachineID) {
 	command, address, ok := t.core.TakeDirect(t.n.clock.Now(), host)
 	if !ok {
 		return
@@ -217,7 +217,7 @@
 }
 
 // requestReport asks a worker for its report.
-func (t *term) requestReport(host ids.Host) {
+func (t *term) requestReport(host ids.MachineID) {
 	address := t.core.Endpoint(host)
 	t.tasks.Go(func() error {
 		report, err := t.n.workers.Show(t.ctx, address, directCallTimeout)
--- a/node/term_cloud.go
+++ b/node/term_cloud.go
@@ -30,12 +30,12 @@
 // one by one share a call: rentals need the others.
 type returnQueue struct {
 	mu    sync.Mutex
-	hosts []ids.Host
+	hosts []ids.MachineID
 	wake  chan struct{}
 }
 
 // add queues machines and wakes the goroutine that returns them.
-func (q *returnQueue) add(hosts []ids.Host) {
+func (q *returnQueue) add(hosts []ids.MachineID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.hosts = append(q.hosts, hosts...)
@@ -46,7 +46,7 @@
 }
 
 // take removes as many machines as one call may return.
-func (q *returnQueue) take() []ids.Host {
+func (q *returnQueue) take() []ids.MachineID {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n := min(len(q.hosts), cloud.MaxReturn)
--- a/node/term_zones.go
+++ b/node/term_zones.go
@@ -37,7 +37,7 @@
 // them watched.
 type ZonesAnswer struct {
 	Enabled bool                `cbor:"1,keyasint" json:"enabled"`
-	Leader  ids.NodeName        `cbor:"2,keyasint" json:"leader"`
+	Leader  ids.ControllerName  `cbor:"2,keyasint" json:"leader"`
 	Zones   []zonereturn.Status `cbor:"3,keyasint" json:"zones"`
 }
 
@@ -140,7 +140,7 @@
 type OperatorClient struct{ peers []*mesh.Peer }
 
 // NewOperatorClient makes a client of the controllers that the platform's settings name.
-func NewOperatorClient(self ids.NodeName, selfAddress string, seeds map[ids.NodeName]string) *OperatorClient {
+func NewOperatorClient(self ids.ControllerName, selfAddress string, seeds map[ids.ControllerName]string) *OperatorClient {
 	c := &OperatorClient{peers: []*mesh.Peer{mesh.NewPeer(self, selfAddress)}}
 	for _, name := range sortedNames(seeds) {
 		c.peers = append(c.peers, mesh.NewPeer(name, seeds[name]))
@@ -149,8 +149,8 @@
 }
 
 // sortedNames lists controllers by name.
-func sortedNames(seeds map[ids.NodeName]string) []ids.NodeName {
-	names := make([]ids.NodeName, 0, len(seeds))
+func sortedNames(seeds map[ids.ControllerName]string) []ids.ControllerName {
+	names := make([]ids.ControllerName, 0, len(seeds))
 	for name := range seeds {
 		names = append(names, name)
 	}
--- a/node/upgrade.go
+++ b/node/upgrade.go
@@ -32,7 +32,7 @@
 	Format int `cbor:"8,keyasint,omitempty"`
 	// Seen names the controllers whose own pings told formatNew or more: two that
 	// cannot reach each other learn of each other from a third.
-	Seen []ids.NodeName `cbor:"9,keyasint,omitempty"`
+	Seen []ids.ControllerName `cbor:"9,keyasint,omitempty"`
 	// Durable tells that ledger.FormatKey is known to be written.
 	Durable bool `cbor:"10,keyasint,omitempty"`
 }
--- a/node/upgrade_test.go
+++ b/node/upgrade_test.go
@@ -260,7 +260,7 @@
 // is then made durable, and a node that finds it so need hear nobody.
 func TestAllControllersAreNew(t *testing.T) {
 	peers := []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}, {Name: "n-2", Address: "127.0.0.1:6"}}
-	fresh := func(seen ...ids.NodeName) ping { return ping{versions: versions{Format: formatNew, Seen: seen}} }
+	fresh := func(seen ...ids.ControllerName) ping { return ping{versions: versions{Format: formatNew, Seen: seen}} }
 	for _, c := range []struct {
 		name          string
 		first, second *ping
@@ -271,7 +271,7 @@
 		{"both heard", new(fresh()), new(fresh()), true},
 		{"one is old", new(fresh()), new(ping{From: "n-2"}), false},
 		{"one heard by the other", new(fresh("n-0", "n-2")), nil, true},
-		{"heard by one that is old again", new(ping{versions: versions{Format: 1, Seen: []ids.NodeName{"n-2"}}}), nil, false},
+		{"heard by one that is old again", new(ping{versions: versions{Format: 1, Seen: []ids.ControllerName{"n-2"}}}), nil, false},
 	} {
 		cfg := testConfig("127.0.0.1:4")
 		cfg.Seeds = peers
@@ -336,14 +336,14 @@
 		"job queued":    queued,
 		"job withdrawn": withdrawn,
 		"job done":      ledger.Job{Nonce: 98, Status: wire.StatusDone, Tasks: 70},
-		"slice": ledger.Slice{Nonce: 97, Hosts: []ids.Host{"n-000231", "n-000007"}, Zones: []ids.Zone{"a", "b"},
+		"slice": ledger.Slice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"a", "b"},
 			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 3, -1}, Done: []int{67, 69}},
 		"leader":       election.Holder{Name: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3},
 		"ping":         ping{From: "perch-1", Leader: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StateOK: true, Workers: 231},
 		"state call":   stateCall{"POST", "/commit", []byte{1, 2}, 1000},
 		"state answer": stateAnswer{200, []byte{3}, false, true},
 		"announcement": jobNotice{"job-1", old["job queued"], 412},
-		"report answer": []relayedAnswer{{true, wire.ReportAnswer{Token: ids.NewToken(412, 3), Commands: []wire.Command{
+		"report answer": []relayedAnswer{{true, wire.ReportAnswer{Token: ids.NewFencingToken(412, 3), Commands: []wire.Command{
 			{Verb: "run", Name: "job-1/3", Attempt: 2}, {Verb: "kill", Name: "job-2/1", Attempt: 1, GraceS: 5.5}}}}},
 		"progress": []progress{{3, 13}},
 	} {
--- a/scheduler/assignment.go
+++ b/scheduler/assignment.go
@@ -35,8 +35,8 @@
 	inherited bool
 	// sentToken is the highest token under which run may have been sent. A
 	// worker that shows a higher one and not the attempt will never start it.
-	sentToken    ids.Token
-	sentSession  ids.Session
+	sentToken    ids.FencingToken
+	sentSession  ids.AgentIncarnation
 	sentAt       ids.Instant // first, since it was last known not to be there
 	sent         bool
 	seen         bool
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -170,13 +170,13 @@
 
 // RentResult takes the answer to a rental; ok is false if the cloud had none
 // or would not rent.
-func (c *Core) RentResult(now ids.Instant, r wire.Rental, hosts []ids.Host, ok bool) {
+func (c *Core) RentResult(now ids.Instant, r wire.Rental, hosts []ids.MachineID, ok bool) {
 	c.now = now
 	c.autoscaler.rentResult(r, hosts, ok)
 }
 
 // rentResult ends a rental.
-func (as *autoscaler) rentResult(r wire.Rental, hosts []ids.Host, ok bool) {
+func (as *autoscaler) rentResult(r wire.Rental, hosts []ids.MachineID, ok bool) {
 	site := placement.Site{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	if as.machinesRequested[site] -= r.Count; as.machinesRequested[site] <= 0 {
 		delete(as.machinesRequested, site)
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -26,7 +26,7 @@
 	now      ids.Instant
 	queue    simQueue
 	seq      int
-	workers  map[ids.Host]*longWorker
+	workers  map[ids.MachineID]*longWorker
 	hosts    int
 	held     int
 	jobs     int
@@ -36,16 +36,16 @@
 }
 
 type longWorker struct {
-	host       ids.Host
+	host       ids.MachineID
 	site       wire.Rental
 	sequence   ids.Sequence
-	token      ids.Token
+	token      ids.FencingToken
 	tasks      []wire.Task
 	reportSoon bool
 }
 
 func newLongDay() *longDay {
-	d := &longDay{rng: rand.New(rand.NewPCG(3, 5)), now: ids.Instant(time.Hour), workers: map[ids.Host]*longWorker{},
+	d := &longDay{rng: rand.New(rand.NewPCG(3, 5)), now: ids.Instant(time.Hour), workers: map[ids.MachineID]*longWorker{},
 		specs: map[ids.JobID]*wire.Spec{}, revision: 100}
 	team := func(name ids.Team, nominal, limit float64) quota.Team {
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, Lend: quota.Amount{CPUs: nominal}}
@@ -70,10 +70,10 @@
 	heap.Push(&d.queue, simEvent{d.now.Add(t), d.seq, f})
 }
 
-func (d *longDay) boot(r wire.Rental, in time.Duration) ids.Host {
+func (d *longDay) boot(r wire.Rental, in time.Duration) ids.MachineID {
 	d.hosts++
 	d.held++
-	w := &longWorker{host: ids.Host(fmt.Sprintf("n-%06d", d.hosts)), site: r}
+	w := &longWorker{host: ids.MachineID(fmt.Sprintf("n-%06d", d.hosts)), site: r}
 	d.after(in, func() { d.workers[w.host] = w; d.report(w) })
 	return w.host
 }
@@ -185,7 +185,7 @@
 	}
 	for _, r := range e.Rent {
 		d.after(250*time.Millisecond, func() {
-			var hosts []ids.Host
+			var hosts []ids.MachineID
 			for range r.Count {
 				if d.held < 1900 {
 					hosts = append(hosts, d.boot(r, time.Duration(15+d.rng.IntN(22))*time.Second))
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -19,8 +19,8 @@
 const maxCommands = 300
 
 // tokenOf is the token that commands to a worker carry now.
-func (q *commandQueue) tokenOf(m *machine) ids.Token {
-	return ids.NewToken(q.core.opt.Revision, m.counter)
+func (q *commandQueue) tokenOf(m *machine) ids.FencingToken {
+	return ids.NewFencingToken(q.core.opt.Revision, m.counter)
 }
 
 // answerReport makes the answer to a report: what to end, what to reap, what to start.
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -226,11 +226,11 @@
 type Effects struct {
 	Changes []ledger.Change
 	// Direct lists workers to which commands should go now; see TakeDirect.
-	Direct []ids.Host
+	Direct []ids.MachineID
 	// Show lists workers that should be asked for a report.
-	Show    []ids.Host
+	Show    []ids.MachineID
 	Rent    []wire.Rental
-	Return  []ids.Host
+	Return  []ids.MachineID
 	Refresh []ids.JobID
 	// Forget lists addresses of machines that are gone.
 	Forget []string
--- a/scheduler/digest_test.go
+++ b/scheduler/digest_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func (d *effectDigest) list(kind string, hosts []ids.Host) {
+func (d *effectDigest) list(kind string, hosts []ids.MachineID) {
 	for _, h := range hosts {
 		d.add(kind, h)
 	}
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -100,13 +100,13 @@
 
 // TakeDirect hands out the command that should go to a worker now. It must be
 // followed by DirectResult.
-func (c *Core) TakeDirect(now ids.Instant, h ids.Host) (d wire.DirectCommand, endpoint string, ok bool) {
+func (c *Core) TakeDirect(now ids.Instant, h ids.MachineID) (d wire.DirectCommand, endpoint string, ok bool) {
 	c.now = now
 	return c.commands.takeDirect(h)
 }
 
 // takeDirect makes the command for a worker and counts the call as under way.
-func (q *commandQueue) takeDirect(h ids.Host) (d wire.DirectCommand, endpoint string, ok bool) {
+func (q *commandQueue) takeDirect(h ids.MachineID) (d wire.DirectCommand, endpoint string, ok bool) {
 	m := q.core.registry.machines[h]
 	if m == nil || m.callInFlight || !m.reported || m.returning {
 		return wire.DirectCommand{}, "", false
@@ -124,13 +124,13 @@
 
 // DirectResult takes the answer to a direct command, or its absence. Without
 // one, the command may still be carried out; the tokens see to that.
-func (c *Core) DirectResult(now ids.Instant, h ids.Host, rep *wire.Report) {
+func (c *Core) DirectResult(now ids.Instant, h ids.MachineID, rep *wire.Report) {
 	c.now = now
 	c.commands.directResult(h, rep)
 }
 
 // directResult ends a call to a worker; rep is nil if it was not answered.
-func (q *commandQueue) directResult(h ids.Host, rep *wire.Report) {
+func (q *commandQueue) directResult(h ids.MachineID, rep *wire.Report) {
 	m := q.endCall(h)
 	if m == nil {
 		return
@@ -146,7 +146,7 @@
 
 // endCall counts a call to a worker as ended, and looks at its machine again. It returns nil
 // if the machine is gone.
-func (q *commandQueue) endCall(h ids.Host) *machine {
+func (q *commandQueue) endCall(h ids.MachineID) *machine {
 	q.callsInFlight--
 	m := q.core.registry.machines[h]
 	if m != nil {
@@ -164,13 +164,13 @@
 }
 
 // ShowResult takes the answer to a request for a report, or nil.
-func (c *Core) ShowResult(now ids.Instant, h ids.Host, rep *wire.Report) {
+func (c *Core) ShowResult(now ids.Instant, h ids.MachineID, rep *wire.Report) {
 	c.now = now
 	c.commands.showResult(h, rep)
 }
 
 // showResult ends a request for a report; rep is nil if it was not answered.
-func (q *commandQueue) showResult(h ids.Host, rep *wire.Report) {
+func (q *commandQueue) showResult(h ids.MachineID, rep *wire.Report) {
 	m := q.endCall(h)
 	if m == nil {
 		return
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -67,7 +67,7 @@
 // addAntiAffinity keeps a job off a machine for a while.
 func (c *Core) addAntiAffinity(j *job, m *machine) {
 	if j.antiAffinity == nil {
-		j.antiAffinity = map[ids.Host]ids.Instant{}
+		j.antiAffinity = map[ids.MachineID]ids.Instant{}
 	}
 	j.antiAffinity[m.host] = c.now
 	c.scheduleAt(c.now.Add(antiAffinityPeriod))
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -19,10 +19,10 @@
 func TestPermanentlyFailingJobsQuarantineNoMachine(t *testing.T) {
 	b := newHarness(t, Options{})
 	const machines = 6
-	hosts := make([]ids.Host, machines)
-	running := map[ids.Host][]wire.Task{}
+	hosts := make([]ids.MachineID, machines)
+	running := map[ids.MachineID][]wire.Task{}
 	for i := range hosts {
-		hosts[i] = ids.Host(fmt.Sprintf("n-%d", i))
+		hosts[i] = ids.MachineID(fmt.Sprintf("n-%d", i))
 		b.report(hosts[i], "a", 0)
 	}
 	for i := range 3 {
@@ -46,7 +46,7 @@
 			}
 		}
 		for _, h := range hosts {
-			orders := b.report(h, "a", ids.NewToken(5, b.c.registry.machines[h].counter), running[h]...)
+			orders := b.report(h, "a", ids.NewFencingToken(5, b.c.registry.machines[h].counter), running[h]...)
 			running[h] = nil
 			for _, o := range orders.Commands {
 				if o.Verb == wire.VerbRun {
@@ -69,7 +69,7 @@
 		b.now = b.now.Add(500 * time.Millisecond)
 		b.step()
 		for _, h := range hosts {
-			orders := b.report(h, "a", ids.NewToken(5, b.c.registry.machines[h].counter), running[h]...)
+			orders := b.report(h, "a", ids.NewFencingToken(5, b.c.registry.machines[h].counter), running[h]...)
 			running[h] = nil
 			for _, o := range orders.Commands {
 				if o.Verb == wire.VerbRun {
@@ -136,9 +136,9 @@
 			b.now = b.now.Add(500 * time.Millisecond)
 			for _, r := range b.step().Rent {
 				asked = append(asked, r)
-				var hosts []ids.Host
+				var hosts []ids.MachineID
 				for i := range r.Count {
-					hosts = append(hosts, ids.Host(fmt.Sprintf("%s-%d", r.Request, i)))
+					hosts = append(hosts, ids.MachineID(fmt.Sprintf("%s-%d", r.Request, i)))
 				}
 				b.c.RentResult(b.now, r, hosts, true)
 			}
@@ -149,7 +149,7 @@
 	}
 	// One that never comes is returned in the end, and pays no more.
 	b := newHarness(t, Options{})
-	b.c.RentResult(b.now, wire.Rental{Type: "m", Zone: "a", Count: 1}, []ids.Host{"n-9"}, true)
+	b.c.RentResult(b.now, wire.Rental{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"}, true)
 	b.c.registry.machines["n-9"].Site = placement.Site{Type: "m", Zone: "a"}
 	gone := false
 	for range 120 {
@@ -180,7 +180,7 @@
 		return wire.Task{}
 	}
 	task := run()
-	b.c.RentResult(b.now, wire.Rental{Type: "m", Zone: "a", Count: 1}, []ids.Host{"n-1"}, true)
+	b.c.RentResult(b.now, wire.Rental{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-1"}, true)
 	b.c.registry.machines["n-1"].Site = placement.Site{Type: "m", Zone: "a"}
 	b.c.registry.machines["n-1"].bootDeadline = b.now.Add(10 * time.Second)
 
@@ -219,7 +219,7 @@
 			{Name: "guest", Limit: quota.Unlimited}}})
 		b.c.Begin(b.now)
 		start := b.now
-		on := map[ids.Host][]wire.Task{}
+		on := map[ids.MachineID][]wire.Task{}
 		until := map[string]ids.Instant{}
 		var first ids.Instant
 		for s := range 420 {
@@ -233,7 +233,7 @@
 			b.step()
 			guests := 0
 			for h := range 6 {
-				host := ids.Host(fmt.Sprintf("n-%d", h))
+				host := ids.MachineID(fmt.Sprintf("n-%d", h))
 				for i, tk := range on[host] {
 					if strings.HasPrefix(tk.Name, "job-guest") {
 						guests++
@@ -241,7 +241,7 @@
 						on[host][i].State, on[host][i].Cause = wire.TaskEnded, wire.CauseDone
 					}
 				}
-				o := b.report(host, "a", ids.NewToken(5, 900), on[host]...)
+				o := b.report(host, "a", ids.NewFencingToken(5, 900), on[host]...)
 				for _, order := range o.Commands {
 					name := order.Name
 					switch order.Verb {
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -79,11 +79,11 @@
 // randomMachines brings machines up in random zones.
 func (b *harness) randomMachines(rng *rand.Rand, count int) {
 	for n := range count {
-		b.report(ids.Host(fmt.Sprintf("n-%d", n)), []ids.Zone{"a", "b", "c"}[rng.IntN(3)], 0)
+		b.report(ids.MachineID(fmt.Sprintf("n-%d", n)), []ids.Zone{"a", "b", "c"}[rng.IntN(3)], 0)
 	}
 }
 
-func (b *harness) report(host ids.Host, zone ids.Zone, token ids.Token, tasks ...wire.Task) wire.ReportAnswer {
+func (b *harness) report(host ids.MachineID, zone ids.Zone, token ids.FencingToken, tasks ...wire.Task) wire.ReportAnswer {
 	b.tick++
 	o, ok := b.c.Report(b.now, &wire.Report{Host: host, Endpoint: string(host), Type: "m", Zone: zone, Session: 1, Sequence: b.tick,
 		Token: token, Tasks: tasks}, false)
@@ -95,7 +95,7 @@
 
 // runTask begins the term with job-1 and has its only task run on n-1. It returns the
 // token that n-1 was shown, and the task as it is reported.
-func (b *harness) runTask() (ids.Token, wire.Task) {
+func (b *harness) runTask() (ids.FencingToken, wire.Task) {
 	b.t.Helper()
 	b.c.Begin(b.now)
 	answer := b.report("n-1", "a", 0)
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -73,10 +73,10 @@
 	} {
 		b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 999}, Limit: quota.Amount{CPUs: 999}}}})
 		b.c.Begin(b.now)
-		hosts := map[ids.Zone][]ids.Host{}
+		hosts := map[ids.Zone][]ids.MachineID{}
 		for n := range 60 {
 			zone := []ids.Zone{"a", "b"}[n%2]
-			hosts[zone] = append(hosts[zone], ids.Host(fmt.Sprintf("n-%02d", n)))
+			hosts[zone] = append(hosts[zone], ids.MachineID(fmt.Sprintf("n-%02d", n)))
 			b.report(hosts[zone][n/2], zone, 0)
 		}
 		b.job("job-1", wire.Spec{Tasks: 60, Service: true, CPUs: 8}) // no room is left
@@ -112,8 +112,8 @@
 func TestSlowMachinesAreTakenLast(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 640}, Limit: quota.Amount{CPUs: 640}}}})
 	b.c.Begin(b.now)
-	hosts := []ids.Host{"n-1", "n-2", "n-3"}
-	token := ids.NewToken(5, 0)
+	hosts := []ids.MachineID{"n-1", "n-2", "n-3"}
+	token := ids.NewFencingToken(5, 0)
 	for round := range 8 {
 		id := ids.JobID(fmt.Sprintf("job-%d", round))
 		for _, h := range hosts {
@@ -121,7 +121,7 @@
 		}
 		b.job(id, wire.Spec{Tasks: 12})
 		b.step()
-		on := map[ids.Host][]wire.Task{}
+		on := map[ids.MachineID][]wire.Task{}
 		for i, tk := range b.c.jobs[id].tasks {
 			if tk.assignment == nil {
 				continue
@@ -138,7 +138,7 @@
 			b.report(h, "a", token)
 			b.report(h, "a", token, on[h]...)
 		}
-		end := func(h ids.Host) {
+		end := func(h ids.MachineID) {
 			for i := range on[h] {
 				on[h][i].State, on[h][i].Cause = wire.TaskEnded, wire.CauseDone
 			}
@@ -170,11 +170,11 @@
 func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	on := map[ids.Host][]wire.Task{}
+	on := map[ids.MachineID][]wire.Task{}
 	up := func(zone ids.Zone) {
 		for n := range 5 {
-			h := ids.Host(fmt.Sprintf("n-%s%d", zone, n))
-			for _, o := range b.report(h, zone, ids.NewToken(5, 0), on[h]...).Commands {
+			h := ids.MachineID(fmt.Sprintf("n-%s%d", zone, n))
+			for _, o := range b.report(h, zone, ids.NewFencingToken(5, 0), on[h]...).Commands {
 				on[h] = append(on[h], wire.Task{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning})
 			}
 		}
@@ -219,7 +219,7 @@
 func TestMachinesOfAReturningZoneHaveTimeToReport(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	hosts := map[ids.Zone][]ids.Host{"a": {"a-1", "a-2", "a-3", "a-4"}, "b": {"b-1", "b-2", "b-3", "b-4", "b-5"}}
+	hosts := map[ids.Zone][]ids.MachineID{"a": {"a-1", "a-2", "a-3", "a-4"}, "b": {"b-1", "b-2", "b-3", "b-4", "b-5"}}
 	tell := func(zone ids.Zone) {
 		for _, host := range hosts[zone] {
 			b.report(host, zone, 0)
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -92,10 +92,10 @@
 	// preferredUntil.
 	preferredZone  ids.Zone
 	preferredUntil ids.Instant
-	antiAffinity   map[ids.Host]ids.Instant // where it failed, and when last
+	antiAffinity   map[ids.MachineID]ids.Instant // where it failed, and when last
 	succeeded      int
-	failureRounds  int                          // in which it failed everywhere, since it last succeeded
-	runTimes       map[ids.Host][]time.Duration // tasks that were seen from start to end
+	failureRounds  int                               // in which it failed everywhere, since it last succeeded
+	runTimes       map[ids.MachineID][]time.Duration // tasks that were seen from start to end
 }
 
 // terminal tells whether the job is done or cancelled, for good.
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -89,7 +89,7 @@
 			c.registry.setSite(m, placement.Site{Zone: rec.Zones[place]}, "")
 		}
 		c.attach(&assignment{job: j, index: i, attempt: attempt, machine: m, recorded: true, inherited: true,
-			sentToken: ids.NewToken(c.opt.Revision, 0) - 1})
+			sentToken: ids.NewFencingToken(c.opt.Revision, 0) - 1})
 	}
 	return nil
 }
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -33,7 +33,7 @@
 	return b
 }
 
-func largeFleetHost(n int) ids.Host { return ids.Host(fmt.Sprintf("n-%06d", n)) }
+func largeFleetHost(n int) ids.MachineID { return ids.MachineID(fmt.Sprintf("n-%06d", n)) }
 
 func largeFleetZone(n int) ids.Zone { return ids.Zone(rune('a' + n%largeFleetZones)) }
 
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -26,7 +26,7 @@
 // machine is what the core knows of one machine.
 type machine struct {
 	placement.Site
-	host           ids.Host
+	host           ids.MachineID
 	endpoint       string
 	machineType    *wire.MachineType
 	total          placement.Resources
@@ -37,9 +37,9 @@
 	bootDeadline   ids.Instant
 
 	reported   bool
-	session    ids.Session
+	session    ids.AgentIncarnation
 	sequence   ids.Sequence
-	token      ids.Token // highest that the worker has shown
+	token      ids.FencingToken // highest that the worker has shown
 	lastHeard  ids.Instant
 	answeredAt ids.Instant
 	fenced     bool
@@ -60,8 +60,8 @@
 	queued          bool // in Core.hot
 	callInFlight    bool
 	callRetryAt     ids.Instant
-	callFailed      bool      // nothing heard since a direct command failed
-	directRunToken  ids.Token // highest under which a direct run was sent
+	callFailed      bool             // nothing heard since a direct command failed
+	directRunToken  ids.FencingToken // highest under which a direct run was sent
 	reportRequested bool
 	requestReportAt ids.Instant
 
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -14,11 +14,11 @@
 // cloud has said that they are gone.
 type machineRegistry struct {
 	core     *Core
-	machines map[ids.Host]*machine
+	machines map[ids.MachineID]*machine
 	// machineList holds the same machines by host.
 	machineList []*machine
 	// returnedHosts are machines that were returned in this term.
-	returnedHosts map[ids.Host]bool
+	returnedHosts map[ids.MachineID]bool
 	// returnCounts counts returned machines by reason, for the log.
 	returnCounts map[returnReason]int
 }
@@ -27,20 +27,20 @@
 func newMachineRegistry(c *Core) *machineRegistry {
 	return &machineRegistry{
 		core:          c,
-		machines:      map[ids.Host]*machine{},
-		returnedHosts: map[ids.Host]bool{},
+		machines:      map[ids.MachineID]*machine{},
+		returnedHosts: map[ids.MachineID]bool{},
 		returnCounts:  map[returnReason]int{},
 	}
 }
 
 // ensureMachine finds the entry of a host, or makes one.
-func (r *machineRegistry) ensureMachine(h ids.Host) *machine {
+func (r *machineRegistry) ensureMachine(h ids.MachineID) *machine {
 	m := r.machines[h]
 	if m == nil {
 		m = &machine{host: h, knownSince: r.core.now, idleSince: r.core.now, tasks: map[ids.TaskRef]*assignment{},
 			images: map[ids.Image]*cachedImage{}, fetches: map[ids.Image]int{}, failuresByJob: map[ids.JobID]int{}}
 		r.machines[h] = m
-		i, _ := slices.BinarySearchFunc(r.machineList, h, func(o *machine, h ids.Host) int {
+		i, _ := slices.BinarySearchFunc(r.machineList, h, func(o *machine, h ids.MachineID) int {
 			return strings.Compare(string(o.host), string(h))
 		})
 		r.machineList = slices.Insert(r.machineList, i, m)
@@ -89,7 +89,7 @@
 
 // observeList takes the cloud's list into account.
 func (r *machineRegistry) observeList(asked ids.Instant, list []wire.Machine) {
-	listed := map[ids.Host]bool{}
+	listed := map[ids.MachineID]bool{}
 	for _, w := range list {
 		listed[w.Host] = true
 		if r.returnedHosts[w.Host] {
@@ -148,13 +148,13 @@
 
 // ReturnResult takes the outcome of giving machines back. Once it succeeded,
 // the machines and all on them are gone.
-func (c *Core) ReturnResult(now ids.Instant, hosts []ids.Host, ok bool) {
+func (c *Core) ReturnResult(now ids.Instant, hosts []ids.MachineID, ok bool) {
 	c.now = now
 	c.registry.returnResult(hosts, ok)
 }
 
 // returnResult takes the outcome of a return call.
-func (r *machineRegistry) returnResult(hosts []ids.Host, ok bool) {
+func (r *machineRegistry) returnResult(hosts []ids.MachineID, ok bool) {
 	for _, h := range hosts {
 		m := r.machines[h]
 		if m == nil {
@@ -193,7 +193,7 @@
 }
 
 // Endpoint is a worker's address.
-func (c *Core) Endpoint(h ids.Host) string {
+func (c *Core) Endpoint(h ids.MachineID) string {
 	if m := c.registry.machines[h]; m != nil {
 		return m.endpoint
 	}
--- a/scheduler/plain_model_test.go
+++ b/scheduler/plain_model_test.go
@@ -22,7 +22,7 @@
 func plainPass(c *Core) []string {
 	type spot struct{ free, total placement.Resources }
 	used := map[ids.Team]quota.Amount{}
-	room := map[ids.Host]*spot{}
+	room := map[ids.MachineID]*spot{}
 	var total quota.Amount
 	for _, m := range c.registry.machines {
 		room[m.host] = &spot{m.total.Minus(m.used), m.total}
--- a/scheduler/predecessors_test.go
+++ b/scheduler/predecessors_test.go
@@ -21,22 +21,22 @@
 		acknowledged bool
 	}{
 		{"its machine was not heard", func(*harness) {}, false},
-		{"one of its machines was heard", func(b *harness) { b.report("n-1", "a", ids.NewToken(5, 0)) }, false},
+		{"one of its machines was heard", func(b *harness) { b.report("n-1", "a", ids.NewFencingToken(5, 0)) }, false},
 		{"its machines were heard", func(b *harness) {
-			b.report("n-1", "a", ids.NewToken(5, 0))
-			b.report("n-2", "a", ids.NewToken(5, 0))
+			b.report("n-1", "a", ids.NewFencingToken(5, 0))
+			b.report("n-2", "a", ids.NewFencingToken(5, 0))
 		}, true},
 		{"they have yet to show this leader's token", func(b *harness) {
-			b.report("n-1", "a", ids.NewToken(4, 0))
-			b.report("n-2", "a", ids.NewToken(4, 0))
+			b.report("n-1", "a", ids.NewFencingToken(4, 0))
+			b.report("n-2", "a", ids.NewFencingToken(4, 0))
 		}, false},
-		{"its machines were returned", func(b *harness) { b.c.ReturnResult(b.now, []ids.Host{"n-1", "n-2"}, true) }, true},
+		{"its machines were returned", func(b *harness) { b.c.ReturnResult(b.now, []ids.MachineID{"n-1", "n-2"}, true) }, true},
 		{"all controllers follow", func(b *harness) { b.c.AllFollow(b.now) }, true},
 		{"just before the margin", func(b *harness) { b.now = b.now.Add(grace - margin - time.Second) }, false},
 		{"within the margin", func(b *harness) { b.now = b.now.Add(grace - margin) }, true},
 	} {
 		b := newHarness(t, Options{Predecessor: true, Grace: grace})
-		b.inherit(wire.Spec{Service: true, Tasks: 2}, ledger.Slice{Hosts: []ids.Host{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
+		b.inherit(wire.Spec{Service: true, Tasks: 2}, ledger.Slice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
 		b.c.Begin(b.now)
 		spec := wire.Spec{Service: true, Tasks: 2, Class: "c", Team: "red", CPUs: 2, Image: "i"}
 		b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusCancelled, Tasks: 2, Spec: &spec}, 50)
@@ -73,7 +73,7 @@
 		if c.unclear {
 			b.c.LoadUnreadableJob("job-9")
 		}
-		b.inherit(wire.Spec{Service: c.service, Tasks: 1}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+		b.inherit(wire.Spec{Service: c.service, Tasks: 1}, ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 		b.c.Begin(b.now)
 		began, held := b.now, c.service || c.unclear
 		if got := b.c.CanAcknowledgeCancel(b.now, "job-1"); got == held {
@@ -96,7 +96,7 @@
 	b.report("n-1", "a", 0)
 	b.job("job-1", wire.Spec{Service: true, Tasks: 1})
 	b.c.Step(b.now) // the replica is placed, and its record on its way
-	report := func(host ids.Host, sequence ids.Sequence) bool {
+	report := func(host ids.MachineID, sequence ids.Sequence) bool {
 		_, ok := b.c.Report(b.now, newReport(host, 1, sequence, 0), false)
 		return ok
 	}
@@ -115,7 +115,7 @@
 	if report("n-2", 2) || report("n-2", 1) || report("n-3", 1) {
 		t.Error("a machine without one is answered")
 	}
-	b.c.ReturnResult(b.now, []ids.Host{"n-2"}, true)
+	b.c.ReturnResult(b.now, []ids.MachineID{"n-2"}, true)
 	if report("n-2", 3) {
 		t.Error("a machine that was returned is answered")
 	}
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -14,7 +14,7 @@
 )
 
 // said is a report as a worker would make it, for messages out of order.
-func newReport(host ids.Host, tenure ids.Session, tick ids.Sequence, token ids.Token, tasks ...wire.Task) *wire.Report {
+func newReport(host ids.MachineID, tenure ids.AgentIncarnation, tick ids.Sequence, token ids.FencingToken, tasks ...wire.Task) *wire.Report {
 	return &wire.Report{Host: host, Endpoint: string(host), Type: "m", Zone: "a", Session: tenure, Sequence: tick, Token: token, Tasks: tasks}
 }
 
@@ -57,7 +57,7 @@
 		t.Fatal("never returned")
 	}
 	b.report("n-2", "a", 0)
-	b.c.ReturnResult(b.now, []ids.Host{"n-1"}, true)
+	b.c.ReturnResult(b.now, []ids.MachineID{"n-1"}, true)
 	b.step()
 	if a := b.c.jobs["job-1"].tasks[0].assignment; a == nil || a.machine.host != "n-2" {
 		t.Fatal("its task did not move")
@@ -89,7 +89,7 @@
 			b.tick++
 			token := o.Token
 			if hears {
-				token = ids.NewToken(5, 1)
+				token = ids.NewFencingToken(5, 1)
 			}
 			b.c.Report(b.now, newReport("n-1", 2, b.tick, token), false)
 			returned = returned || slices.Contains(b.step().Return, "n-1")
@@ -158,7 +158,7 @@
 	b.report("n-1", "a", 0)
 	b.c.registry.returnMachine(b.c.registry.machines["n-1"], "test")
 	b.step()
-	b.c.ReturnResult(b.now, []ids.Host{"n-1"}, true)
+	b.c.ReturnResult(b.now, []ids.MachineID{"n-1"}, true)
 	b.report("n-1", "a", 0)
 	if b.c.registry.machines["n-1"] != nil {
 		t.Fatal("it came back at the leader that returned it")
@@ -166,13 +166,13 @@
 
 	b = newHarness(t, Options{Predecessor: true, Grace: time.Minute})
 	b.c.Begin(b.now)
-	b.report("n-1", "a", ids.NewToken(4, 7))
+	b.report("n-1", "a", ids.NewFencingToken(4, 7))
 	b.job("job-1", wire.Spec{Tasks: 1})
 	b.step()
 	if b.c.jobs["job-1"].tasks[0].assignment != nil {
 		t.Fatal("a successor placed work on a machine that it only has an old report of")
 	}
-	b.report("n-1", "a", ids.NewToken(5, 0))
+	b.report("n-1", "a", ids.NewFencingToken(5, 0))
 	b.c.schedulingDue = true
 	b.step()
 	if b.c.jobs["job-1"].tasks[0].assignment == nil {
@@ -188,14 +188,14 @@
 	oldToken, run := old.runTask()
 
 	next := newHarness(t, Options{Revision: 9, Predecessor: true, Grace: time.Minute})
-	next.inherit(wire.Spec{Tasks: 1}, ledger.Slice{Hosts: []ids.Host{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	next.inherit(wire.Spec{Tasks: 1}, ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	next.c.Begin(next.now)
 	// It knows the address from the list, and has no report: all of them go
 	// to the old leader. The same holds of a machine without tasks.
 	list := []wire.Machine{{Host: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Status: "running", AgeS: 60},
 		{Host: "n-2", Endpoint: "n-2", Type: "m", Zone: "a", Status: "running", AgeS: 60}}
 	next.c.MachineList(next.now, next.now, list)
-	token := map[ids.Host]ids.Token{"n-1": oldToken, "n-2": oldToken}
+	token := map[ids.MachineID]ids.FencingToken{"n-1": oldToken, "n-2": oldToken}
 	tick := ids.Sequence(50)
 	for range 10 {
 		next.now = next.now.Add(time.Second)
@@ -230,10 +230,10 @@
 		b := newHarness(t, Options{ReserveAfter: keep, ReserveFor: time.Minute})
 		b.c.Begin(b.now)
 		start := b.now
-		on := map[ids.Host][]wire.Task{}
+		on := map[ids.MachineID][]wire.Task{}
 		until := map[string]ids.Instant{}
-		hosts := []ids.Host{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
-		token := ids.NewToken(5, 0)
+		hosts := []ids.MachineID{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
+		token := ids.NewFencingToken(5, 0)
 		for s := range 300 {
 			b.now = b.now.Add(time.Second)
 			b.job(ids.JobID(fmt.Sprintf("job-s%d", s)), wire.Spec{Tasks: 4, CPUs: 2})
@@ -288,7 +288,7 @@
 func TestEveryJobStartsThoughOlderOnesGoOn(t *testing.T) {
 	begins := func(keep time.Duration, quotaShort, takeover bool) time.Duration {
 		opt := Options{ReserveAfter: keep, ReserveFor: time.Minute}
-		on := map[ids.Host][]wire.Task{"n-1": nil}
+		on := map[ids.MachineID][]wire.Task{"n-1": nil}
 		if quotaShort { // room there is
 			eight := quota.Amount{CPUs: 8}
 			opt.Teams = []quota.Team{{Name: "red", Nominal: eight, Limit: eight, Lend: eight}}
@@ -328,7 +328,7 @@
 						tasks[i].State, tasks[i].Cause = wire.TaskEnded, wire.CauseDone
 					}
 				}
-				o := b.report(h, "a", ids.NewToken(b.c.opt.Revision, 900), tasks...)
+				o := b.report(h, "a", ids.NewFencingToken(b.c.opt.Revision, 900), tasks...)
 				reaped := verbs(o.Commands, wire.VerbReap)
 				on[h] = slices.DeleteFunc(tasks, func(tk wire.Task) bool {
 					return slices.Contains(reaped, fmt.Sprintf("%s#%d", tk.Name, tk.Attempt))
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -58,7 +58,7 @@
 // sliceRecord is the record of some of a job's tasks.
 func (w *recordWriter) sliceRecord(j *job, tasks []int) ledger.Slice {
 	rec := ledger.Slice{Nonce: w.nextNonce()}
-	place := map[ids.Host]int{}
+	place := map[ids.MachineID]int{}
 	for _, i := range tasks {
 		t := &j.tasks[i]
 		if t.state == taskDone {
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -265,5 +265,5 @@
 // nextNonce names the next change. No two leaders share a revision, so no two changes
 // share a nonce.
 func (w *recordWriter) nextNonce() uint64 {
-	return uint64(ids.NewToken(w.core.opt.Revision, w.nextChange+1))
+	return uint64(ids.NewFencingToken(w.core.opt.Revision, w.nextChange+1))
 }
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -21,7 +21,7 @@
 	}
 	if c.registry.returnedHosts[rep.Host] {
 		// A message that was held back; the machine was given back since.
-		return wire.ReportAnswer{Token: ids.NewToken(c.opt.Revision, 0), Commands: []wire.Command{}}, !c.answerReplicasOnly
+		return wire.ReportAnswer{Token: ids.NewFencingToken(c.opt.Revision, 0), Commands: []wire.Command{}}, !c.answerReplicasOnly
 	}
 	m := c.registry.ensureMachine(rep.Host)
 	if m.reported && !rep.Newer(m.session, m.sequence) {
@@ -74,7 +74,7 @@
 	}
 	m.session, m.sequence = rep.Session, rep.Sequence
 	m.token = max(m.token, rep.Token)
-	if !m.fenced && rep.Token >= ids.NewToken(c.opt.Revision, 0) {
+	if !m.fenced && rep.Token >= ids.NewFencingToken(c.opt.Revision, 0) {
 		m.fenced, m.fencedAt = true, c.now
 	}
 	if rep.SpotNoticeS != nil {
--- a/scheduler/sim_cloud_test.go
+++ b/scheduler/sim_cloud_test.go
@@ -11,11 +11,11 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-func (s *sim) rent(r wire.Rental) []ids.Host {
+func (s *sim) rent(r wire.Rental) []ids.MachineID {
 	if h, ok := s.rented[r.Request]; ok {
 		return h
 	}
-	var out []ids.Host
+	var out []ids.MachineID
 	for range r.Count {
 		held := 0
 		for _, w := range s.workers {
@@ -27,7 +27,7 @@
 			break
 		}
 		s.hosts++
-		w := &simWorker{host: ids.Host(fmt.Sprintf("n-%06d", s.hosts)), typ: r.Type, zone: r.Zone, spot: r.Spot, dead: true}
+		w := &simWorker{host: ids.MachineID(fmt.Sprintf("n-%06d", s.hosts)), typ: r.Type, zone: r.Zone, spot: r.Spot, dead: true}
 		w.cut = s.zones.cutUntil[w.zone]
 		s.workers[w.host] = w
 		out = append(out, w.host)
@@ -59,8 +59,8 @@
 	return out
 }
 
-func (s *sim) sortedHosts() []ids.Host {
-	out := make([]ids.Host, 0, len(s.workers))
+func (s *sim) sortedHosts() []ids.MachineID {
+	out := make([]ids.MachineID, 0, len(s.workers))
 	for h := range s.workers {
 		out = append(out, h)
 	}
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -81,8 +81,8 @@
 	oldUntil ids.Instant
 	opt      Options
 	types    []wire.MachineType
-	workers  map[ids.Host]*simWorker
-	rented   map[string][]ids.Host
+	workers  map[ids.MachineID]*simWorker
+	rented   map[string][]ids.MachineID
 	hosts    int
 
 	specs     map[ids.JobID]*wire.Spec
@@ -121,7 +121,7 @@
 
 func newSim(t *testing.T, seed uint64) *sim {
 	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: ids.Instant(time.Hour), store: map[string]simEntry{},
-		workers: map[ids.Host]*simWorker{}, rented: map[string][]ids.Host{}, specs: map[ids.JobID]*wire.Spec{}, sent: map[ids.JobID][]simPlace{},
+		workers: map[ids.MachineID]*simWorker{}, rented: map[string][]ids.MachineID{}, specs: map[ids.JobID]*wire.Spec{}, sent: map[ids.JobID][]simPlace{},
 		completed: map[ids.TaskRef]bool{}, cancelled: map[ids.JobID]bool{}, toldCancelled: map[ids.JobID]ids.Instant{}, faults: true, capacity: 2,
 		copies: 0.1, cancelAtEnd: 0.03, quickBoots: 0.1, digest: newEffectDigest(), failing: map[ids.JobID]bool{}}
 	s.types = []wire.MachineType{
--- a/scheduler/sim_troubles_test.go
+++ b/scheduler/sim_troubles_test.go
@@ -109,7 +109,7 @@
 		if s.cancelled[id] {
 			continue
 		}
-		hosts := map[ids.Host]bool{}
+		hosts := map[ids.MachineID]bool{}
 		for _, p := range s.sent[id] {
 			if p.t.state == wire.TaskRunning && s.here(p.w, p.t) && !s.expired(p.w) {
 				hosts[p.w.host] = true
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -16,13 +16,13 @@
 }
 
 type simWorker struct {
-	host         ids.Host
+	host         ids.MachineID
 	typ          ids.MachineType
 	zone         ids.Zone
 	spot         bool
-	session      ids.Session
+	session      ids.AgentIncarnation
 	sequence     ids.Sequence
-	token        ids.Token
+	token        ids.FencingToken
 	tasks        []*simTask
 	sentAt       ids.Instant // of the last answered report, or the session's start
 	cut          ids.Instant // unreachable until then
--- a/scheduler/slow_machines.go
+++ b/scheduler/slow_machines.go
@@ -25,7 +25,7 @@
 		return
 	}
 	if j.runTimes == nil {
-		j.runTimes = map[ids.Host][]time.Duration{}
+		j.runTimes = map[ids.MachineID][]time.Duration{}
 	}
 	j.runTimes[a.machine.host] = append(j.runTimes[a.machine.host], max(c.runTime(a), 100*time.Millisecond))
 	if j.done+1 < len(j.tasks) {
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -170,7 +170,7 @@
 	b.step()
 	b.c.ChangeResult(b.now, ledger.Outcome{Change: split[0], Applied: true, Revision: 500})
 	var runs []string
-	for _, h := range []ids.Host{"n-1", "n-2"} {
+	for _, h := range []ids.MachineID{"n-1", "n-2"} {
 		b.step()
 		runs = append(runs, verbs(b.report(h, "a", 0).Commands, wire.VerbRun)...)
 	}
@@ -206,7 +206,7 @@
 	b.now = b.now.Add(time.Second)
 	for n := range 60 {
 		b.job(ids.JobID(fmt.Sprintf("job-1%02d", n)), wire.Spec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Critical})
-		b.report(ids.Host(fmt.Sprintf("n-1%02d", n)), "a", 0)
+		b.report(ids.MachineID(fmt.Sprintf("n-1%02d", n)), "a", 0)
 	}
 	b.step()
 	b.report("n-0", "a", 0, wire.Task{Name: "job-0/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseDone})
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -107,7 +107,7 @@
 	url := "http://" + ln.Addr().String()
 	for round := range 3 {
 		for i, w := range workers {
-			body := wire.Encode(wire.Report{Host: ids.Host(fmt.Sprintf("n-%d", i)), Session: 1})
+			body := wire.Encode(wire.Report{Host: ids.MachineID(fmt.Sprintf("n-%d", i)), Session: 1})
 			res, err := w.Post(url+"/hello", contentType, bytes.NewReader(body))
 			if err != nil || res.StatusCode != 421 {
 				t.Fatalf("round %d, worker %d: %v %v", round, i, res, err)
--- a/wire/spec_test.go
+++ b/wire/spec_test.go
@@ -154,7 +154,7 @@
 func TestNewerMessages(t *testing.T) {
 	r := Report{Session: 2, Sequence: 5}
 	for _, c := range []struct {
-		tenure ids.Session
+		tenure ids.AgentIncarnation
 		tick   ids.Sequence
 		newer  bool
 	}{{1, 9, true}, {2, 4, true}, {2, 5, false}, {2, 6, false}, {3, 1, false}} {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -155,21 +155,21 @@
 
 // Report is what a worker says about itself.
 type Report struct {
-	Host        ids.Host        `msgpack:"host"`
-	Endpoint    string          `msgpack:"endpoint"`
-	Type        ids.MachineType `msgpack:"frame"`
-	Zone        ids.Zone        `msgpack:"hall"`
-	Spot        bool            `msgpack:"loaner"`
-	Session     ids.Session     `msgpack:"tenure"`
-	Sequence    ids.Sequence    `msgpack:"tick"`
-	Token       ids.Token       `msgpack:"baton"`
-	SpotNoticeS *float64        `msgpack:"warningS"`
-	Tasks       []Task          `msgpack:"legs"`
+	Host        ids.MachineID        `msgpack:"host"`
+	Endpoint    string               `msgpack:"endpoint"`
+	Type        ids.MachineType      `msgpack:"frame"`
+	Zone        ids.Zone             `msgpack:"hall"`
+	Spot        bool                 `msgpack:"loaner"`
+	Session     ids.AgentIncarnation `msgpack:"tenure"`
+	Sequence    ids.Sequence         `msgpack:"tick"`
+	Token       ids.FencingToken     `msgpack:"baton"`
+	SpotNoticeS *float64             `msgpack:"warningS"`
+	Tasks       []Task               `msgpack:"legs"`
 }
 
 // Newer tells whether r was made after the message with the given tenure and
 // tick.
-func (r *Report) Newer(t ids.Session, k ids.Sequence) bool {
+func (r *Report) Newer(t ids.AgentIncarnation, k ids.Sequence) bool {
 	return r.Session > t || r.Session == t && r.Sequence > k
 }
 
@@ -183,20 +183,20 @@
 
 // ReportAnswer is the answer to a worker's report.
 type ReportAnswer struct {
-	Token    ids.Token `msgpack:"baton" cbor:"1,keyasint"`
-	Commands []Command `msgpack:"orders" cbor:"2,keyasint"`
+	Token    ids.FencingToken `msgpack:"baton" cbor:"1,keyasint"`
+	Commands []Command        `msgpack:"orders" cbor:"2,keyasint"`
 }
 
 // DirectCommand holds commands that are sent straight to a worker.
 type DirectCommand struct {
-	Token    ids.Token   `msgpack:"baton"`
-	Session  ids.Session `msgpack:"tenure"`
-	Commands []Command   `msgpack:"orders"`
+	Token    ids.FencingToken     `msgpack:"baton"`
+	Session  ids.AgentIncarnation `msgpack:"tenure"`
+	Commands []Command            `msgpack:"orders"`
 }
 
 // Redirect names the node that a worker should report to.
 type Redirect struct {
-	Leader ids.NodeName `msgpack:"steward,omitempty"`
+	Leader ids.ControllerName `msgpack:"steward,omitempty"`
 }
 
 // MachineType is one entry of the cloud's catalog.
@@ -229,12 +229,12 @@
 
 // Hosts names machines.
 type Hosts struct {
-	Hosts []ids.Host `msgpack:"hosts"`
+	Hosts []ids.MachineID `msgpack:"hosts"`
 }
 
 // Machine is one entry of the cloud's machine list.
 type Machine struct {
-	Host     ids.Host        `msgpack:"nameId"`
+	Host     ids.MachineID   `msgpack:"nameId"`
 	Endpoint string          `msgpack:"endpoint"`
 	Type     ids.MachineType `msgpack:"frame"`
 	Zone     ids.Zone        `msgpack:"hall"`
--- a/worker/golden_test.go
+++ b/worker/golden_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	command := wire.Command{Verb: wire.VerbKill, Name: "job-1/3", Attempt: 4, GraceS: 5.5}
-	full := wire.DirectCommand{Token: ids.NewToken(412, 5), Session: 6, Commands: []wire.Command{command}}
+	full := wire.DirectCommand{Token: ids.NewFencingToken(412, 5), Session: 6, Commands: []wire.Command{command}}
 	got, err := c.Do(t.Context(), rec.Address, full, time.Second)
 	check("commands", got, err)
 	status = 409
--- a/zonereturn/manager_test.go
+++ b/zonereturn/manager_test.go
@@ -66,7 +66,7 @@
 	b.tasks++
 	s.Task = ids.TaskRef{Job: s.Task.Job, Index: b.tasks}
 	if s.Host == "" {
-		s.Host = ids.Host(fmt.Sprintf("n-%d", b.tasks))
+		s.Host = ids.MachineID(fmt.Sprintf("n-%d", b.tasks))
 	}
 	denial := b.m.Admit("z", &s)
 	if denial == Admitted {
--- a/zonereturn/ramp_test.go
+++ b/zonereturn/ramp_test.go
@@ -133,12 +133,12 @@
 	b := newBench(t)
 	b.returning()
 	b.pass(5*time.Second, 10) // the first share: 0.2 of 10 machines, 0.3 fetches each
-	fetch := func(host ids.Host, image ids.Image, sharing bool) Denial {
+	fetch := func(host ids.MachineID, image ids.Image, sharing bool) Denial {
 		_, denial := b.start(Start{Task: ids.TaskRef{Job: "job-1"}, Small: true, Fetch: true, Host: host, Image: image, Sharing: sharing})
 		return denial
 	}
 	for _, c := range []struct {
-		host    ids.Host
+		host    ids.MachineID
 		image   ids.Image
 		sharing bool
 		want    Denial
--- a/zonereturn/starts.go
+++ b/zonereturn/starts.go
@@ -16,7 +16,7 @@
 	// Fetch tells that the machine would have to fetch the image, and Sharing that it
 	// fetches another one meanwhile, whose time that would cost.
 	Fetch, Sharing bool
-	Host           ids.Host
+	Host           ids.MachineID
 	Image          ids.Image
 	// Bound tells that the job may go nowhere else: its earlier moves do not count.
 	Bound bool
@@ -24,7 +24,7 @@
 
 // fetchKey names the fetch of one image by one machine.
 type fetchKey struct {
-	host  ids.Host
+	host  ids.MachineID
 	image ids.Image
 }
 
