--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -108,10 +108,10 @@
 
 // Rent asks for machines. The same request may be repeated until it is
 // answered; once it succeeded, its name must not serve another.
-func (c *Client) Rent(ctx context.Context, r wire.Rental) ([]ids.MachineID, error) {
-	var ans wire.Hosts
+func (c *Client) Rent(ctx context.Context, r wire.ProvisionRequest) ([]ids.MachineID, error) {
+	var ans wire.MachineIDs
 	err := c.do(ctx, "POST", "/hosts", r, &ans)
-	return ans.Hosts, err
+	return ans.IDs, err
 }
 
 // MaxReturn is the most machines that one call gives back.
@@ -119,7 +119,7 @@
 
 // Return gives machines back. When it succeeds, they are gone.
 func (c *Client) Return(ctx context.Context, hosts []ids.MachineID) error {
-	return c.do(ctx, "POST", "/hosts/return", wire.Hosts{Hosts: hosts}, nil)
+	return c.do(ctx, "POST", "/hosts/return", wire.MachineIDs{IDs: hosts}, nil)
 }
 
 // PageSize is how many machines a page of the list holds.
@@ -138,10 +138,10 @@
 		if err := c.do(ctx, "GET", path, nil, &page); err != nil {
 			return nil, err
 		}
-		all = append(all, page.Hosts...)
-		if !page.More || len(page.Hosts) == 0 {
+		all = append(all, page.Machines...)
+		if !page.More || len(page.Machines) == 0 {
 			return all, nil
 		}
-		since = page.Hosts[len(page.Hosts)-1].Host
+		since = page.Machines[len(page.Machines)-1].ID
 	}
 }
--- a/cloud/golden_test.go
+++ b/cloud/golden_test.go
@@ -39,7 +39,7 @@
 	note := func(name string, values ...any) { fmt.Fprintf(&text, "%s: %v\n", name, values) }
 	types, err := c.Catalog(ctx)
 	note("catalog", types, err)
-	hosts, err := c.Rent(ctx, wire.Rental{Request: "r-412-7", Type: "g8", Zone: "zone-a", Spot: true, Count: 12})
+	hosts, err := c.Rent(ctx, wire.ProvisionRequest{RequestID: "r-412-7", Type: "g8", Zone: "zone-a", Spot: true, Count: 12})
 	note("rental", hosts, err)
 	note("return", c.Return(ctx, []ids.MachineID{"n-1", "n-2"}))
 	machines, err := c.List(ctx)
--- a/internal/drill/cloud.go
+++ b/internal/drill/cloud.go
@@ -94,14 +94,14 @@
 }
 
 func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
-	rental, ok := read[wire.Rental](w, r)
+	rental, ok := read[wire.ProvisionRequest](w, r)
 	if !ok {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if hosts, known := c.bookings[rental.Request]; known {
-		reply(w, http.StatusOK, wire.Hosts{Hosts: hosts})
+	if hosts, known := c.bookings[rental.RequestID]; known {
+		reply(w, http.StatusOK, wire.MachineIDs{IDs: hosts})
 		return
 	}
 	held := 0
@@ -113,18 +113,18 @@
 	var hosts []ids.MachineID
 	for range min(rental.Count, c.capacity-held) {
 		c.next++
-		m := &cloudMachine{rented: time.Now(), Machine: wire.Machine{Host: ids.MachineID(fmt.Sprintf("n-%06d", c.next)),
+		m := &cloudMachine{rented: time.Now(), Machine: wire.Machine{ID: ids.MachineID(fmt.Sprintf("n-%06d", c.next)),
 			Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot, Status: "starting"}}
-		c.machines[m.Host] = m
-		hosts = append(hosts, m.Host)
+		c.machines[m.ID] = m
+		hosts = append(hosts, m.ID)
 		time.AfterFunc(c.boot, func() { c.bootEnds(m) })
 	}
 	if len(hosts) == 0 {
 		reply(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 		return
 	}
-	c.bookings[rental.Request] = hosts
-	reply(w, http.StatusOK, wire.Hosts{Hosts: hosts})
+	c.bookings[rental.RequestID] = hosts
+	reply(w, http.StatusOK, wire.MachineIDs{IDs: hosts})
 }
 
 // bootEnds brings a machine's worker up.
@@ -139,13 +139,13 @@
 }
 
 func (c *Cloud) giveBack(w http.ResponseWriter, r *http.Request) {
-	body, ok := read[wire.Hosts](w, r)
+	body, ok := read[wire.MachineIDs](w, r)
 	if !ok {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, host := range body.Hosts {
+	for _, host := range body.IDs {
 		if m := c.machines[host]; m != nil && !m.gone {
 			c.end(m)
 		}
@@ -157,14 +157,14 @@
 	since := ids.MachineID(r.URL.Query().Get("since"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	page := wire.MachinePage{Hosts: []wire.Machine{}}
+	page := wire.MachinePage{Machines: []wire.Machine{}}
 	for host, m := range c.machines {
 		if !m.gone && host > since {
 			listed := m.Machine
 			listed.AgeS = time.Since(m.rented).Seconds()
-			page.Hosts = append(page.Hosts, listed)
+			page.Machines = append(page.Machines, listed)
 		}
 	}
-	slices.SortFunc(page.Hosts, func(a, b wire.Machine) int { return strings.Compare(string(a.Host), string(b.Host)) })
+	slices.SortFunc(page.Machines, func(a, b wire.Machine) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	reply(w, http.StatusOK, page)
 }
--- a/internal/drill/worker.go
+++ b/internal/drill/worker.go
@@ -38,7 +38,7 @@
 
 // workerTask is an attempt on the machine.
 type workerTask struct {
-	wire.Task
+	wire.TaskStatus
 	ref   ids.TaskRef
 	timer *time.Timer
 }
@@ -144,16 +144,16 @@
 
 // note adds an act to the history.
 func (w *Worker) note(t *workerTask, kind ActKind) {
-	w.world.History.Add(Act{Task: t.ref, Attempt: t.Attempt, Host: w.machine.Host, Zone: w.machine.Zone, Kind: kind})
+	w.world.History.Add(Act{Task: t.ref, Attempt: t.Attempt, Host: w.machine.ID, Zone: w.machine.Zone, Kind: kind})
 }
 
 // report makes the next report.
-func (w *Worker) report() wire.Report {
+func (w *Worker) report() wire.Heartbeat {
 	w.sequence++
-	r := wire.Report{Host: w.machine.Host, Endpoint: w.machine.Endpoint, Type: w.machine.Type, Zone: w.machine.Zone, Spot: w.machine.Spot,
-		Session: w.session, Sequence: w.sequence, Token: w.token, Tasks: []wire.Task{}}
+	r := wire.Heartbeat{Machine: w.machine.ID, Endpoint: w.machine.Endpoint, Type: w.machine.Type, Zone: w.machine.Zone, Spot: w.machine.Spot,
+		Incarnation: w.session, Sequence: w.sequence, FencingToken: w.token, Tasks: []wire.TaskStatus{}}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, t.Task)
+		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
 	return r
 }
@@ -175,11 +175,11 @@
 		w.node++
 		return
 	}
-	var answer wire.ReportAnswer
-	if w.cut || w.stopped || session != w.session || wire.Decode(body, &answer) != nil || answer.Token < w.token {
+	var answer wire.HeartbeatResponse
+	if w.cut || w.stopped || session != w.session || wire.Decode(body, &answer) != nil || answer.FencingToken < w.token {
 		return
 	}
-	w.token, w.renewed = answer.Token, sent
+	w.token, w.renewed = answer.FencingToken, sent
 	w.execute(answer.Commands)
 }
 
@@ -203,15 +203,15 @@
 	if !w.reached(rw) {
 		return
 	}
-	command, ok := read[wire.DirectCommand](rw, r)
+	command, ok := read[wire.CommandBatch](rw, r)
 	if !ok {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	status := http.StatusConflict
-	if command.Token >= w.token && command.Session == w.session && !w.stopped {
-		status, w.token = http.StatusOK, command.Token
+	if command.FencingToken >= w.token && command.Incarnation == w.session && !w.stopped {
+		status, w.token = http.StatusOK, command.FencingToken
 		w.execute(command.Commands)
 	}
 	reply(rw, status, w.report())
@@ -237,7 +237,7 @@
 // begin fetches a task's image and then runs it.
 func (w *Worker) begin(ref ids.TaskRef, c wire.Command) {
 	job, known := w.world.Job(ref.Job)
-	t := &workerTask{Task: wire.Task{Name: c.Name, Attempt: c.Attempt, State: wire.TaskFetching}, ref: ref}
+	t := &workerTask{TaskStatus: wire.TaskStatus{Name: c.Name, Attempt: c.Attempt, State: wire.TaskFetching}, ref: ref}
 	w.tasks = append(w.tasks, t)
 	if !known {
 		t.State, t.Cause = wire.TaskEnded, wire.CauseNoSuch
@@ -274,7 +274,7 @@
 }
 
 // finish ends a task, under the lock.
-func (w *Worker) finish(t *workerTask, cause wire.Cause) {
+func (w *Worker) finish(t *workerTask, cause wire.ExitCause) {
 	t.State, t.Cause = wire.TaskEnded, cause
 	if t.timer != nil {
 		t.timer.Stop()
--- a/internal/drill/zone_return_test.go
+++ b/internal/drill/zone_return_test.go
@@ -172,14 +172,14 @@
 	d.watchReturn(dark, query.ID)
 
 	for _, job := range []Job{rebuild, reprocess} {
-		d.awaitAtAllNodes(job.ID, wire.StatusDone)
+		d.awaitAtAllNodes(job.ID, wire.JobDone)
 	}
 	answer, err := d.Cancel(d.ctx, query.ID)
 	d.must(err)
-	if answer.Status != wire.StatusCancelled {
+	if answer.Status != wire.JobCancelled {
 		t.Errorf("the service is %s", answer.Status)
 	}
-	d.awaitAtAllNodes(query.ID, wire.StatusCancelled)
+	d.awaitAtAllNodes(query.ID, wire.JobCancelled)
 	d.await("the service's tasks are gone", func() bool { return d.runs(query.ID, "") == 0 })
 	if broken := d.History.Violations(); len(broken) > 0 {
 		t.Errorf("rules broken: %v", broken)
@@ -227,7 +227,7 @@
 	}
 	d.State.SetAway(false)
 	d.awaitCondition(dark, zonereturn.Serving)
-	d.awaitAtAllNodes(rebuild.ID, wire.StatusDone)
+	d.awaitAtAllNodes(rebuild.ID, wire.JobDone)
 	if st, _, ok := d.zone(dark); !ok || st.Flaps != 1 {
 		t.Errorf("%d flaps counted: %+v", st.Flaps, st)
 	}
@@ -285,7 +285,7 @@
 	for n := range d.Nodes {
 		d.await(string(id)+" "+string(want), func() bool {
 			status, err := d.StatusAt(d.ctx, n, id)
-			if err == nil && status.Status != want && (status.Status == wire.StatusDone || status.Status == wire.StatusCancelled) {
+			if err == nil && status.Status != want && (status.Status == wire.JobDone || status.Status == wire.JobCancelled) {
 				d.t.Fatalf("%s is %s", id, status.Status)
 			}
 			return err == nil && status.Status == want
--- a/ledger/changes.go
+++ b/ledger/changes.go
@@ -28,7 +28,7 @@
 
 // DoneChange makes a job done for good and drops admission records.
 func DoneChange(id ids.JobID, jobRevision ids.Revision, rec Job, drops []SliceVersion) Change {
-	rec.Status = wire.StatusDone
+	rec.Status = wire.JobDone
 	c := DropChange(id, drops)
 	c.Guards = append(c.Guards, statestore.Guard{Key: JobKey(id), Revision: jobRevision})
 	c.Apply = append(c.Apply, statestore.Op{Write: JobKey(id), Value: rec})
@@ -60,9 +60,9 @@
 // limit in bytes only what that takes: the record may be from before the limits
 // of the state service fell.
 func CancelChange(id ids.JobID, revision ids.Revision, nonce uint64, rec Job, limit int) Change {
-	rec.Nonce, rec.Status = nonce, wire.StatusCancelled
-	if s := rec.Spec; s != nil && wire.Exceeds(rec, limit) {
-		rec.Spec = &wire.Spec{Team: s.Team, Service: s.Service, Gang: s.Gang, Priority: s.Priority, Tasks: s.Tasks,
+	rec.Nonce, rec.Status = nonce, wire.JobCancelled
+	if s := rec.Spec; s != nil && wire.ExceedsJSONSize(rec, limit) {
+		rec.Spec = &wire.JobSpec{Team: s.Team, Service: s.Service, Gang: s.Gang, Priority: s.Priority, Tasks: s.Tasks,
 			CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot}
 	}
 	key := JobKey(id)
--- a/ledger/committer_test.go
+++ b/ledger/committer_test.go
@@ -135,7 +135,7 @@
 				if i%7 == 3 {
 					revision = 99 // a guard that fails
 				}
-				ch := SubmitChange(ids.JobID(fmt.Sprintf("job-%d", i)), Job{Nonce: uint64(i + 1), Status: wire.StatusQueued, Tasks: 1})
+				ch := SubmitChange(ids.JobID(fmt.Sprintf("job-%d", i)), Job{Nonce: uint64(i + 1), Status: wire.JobQueued, Tasks: 1})
 				ch.Guards[0].Revision = revision
 				ch.ID = uint64(i)
 				c.Submit(ch, time.Time{}, func(o Outcome, err error) { results[i] = told{o, err} })
--- a/ledger/golden_test.go
+++ b/ledger/golden_test.go
@@ -13,19 +13,19 @@
 
 var records = golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
 
-func goldenSpec(dependencies ...ids.JobID) *wire.Spec {
-	return &wire.Spec{Class: "train", Team: "vision", Service: true, Gang: true, Priority: wire.High, Tasks: 70, CPUs: 8.5, GPUs: 1.5,
+func goldenSpec(dependencies ...ids.JobID) *wire.JobSpec {
+	return &wire.JobSpec{Class: "train", Team: "vision", Service: true, Gang: true, Priority: wire.High, Tasks: 70, CPUs: 8.5, GPUs: 1.5,
 		MemoryGB: 64.5, Image: "img-07", ImageGB: 6.25, Types: []ids.MachineType{"g8"}, Zone: "zone-a", OneZone: true, Spread: true,
 		Spot: true, EstimateS: 240.5, CheckpointEveryS: 30.5, CheckpointS: 4.5, DeadlineS: 900.5, DependsOn: dependencies}
 }
 
 // Jobs and admission slices keep their bytes in the key-value store.
 func TestRecordsKeepTheirBytes(t *testing.T) {
-	job := Job{Nonce: 1<<63 + 5, Status: wire.StatusQueued, Tasks: 70, Spec: goldenSpec(), SubmittedMS: 1764640000123}
+	job := Job{Nonce: 1<<63 + 5, Status: wire.JobQueued, Tasks: 70, Spec: goldenSpec(), SubmittedMS: 1764640000123}
 	dependent, cancelled, cancelledDependent := job, job, job
 	dependent.Spec = goldenSpec("job-1", "job-2")
-	cancelled.Status = wire.StatusCancelled
-	cancelledDependent.Status, cancelledDependent.Spec = wire.StatusCancelled, dependent.Spec
+	cancelled.Status = wire.JobCancelled
+	cancelledDependent.Status, cancelledDependent.Spec = wire.JobCancelled, dependent.Spec
 	every := dependent
 	every.DoneMS = 1764640000456
 	golden.Check(t, "records.json", records, []golden.Case{
@@ -34,9 +34,9 @@
 		{Name: "job queued with dependencies", Value: dependent, Partial: true},
 		{Name: "job cancelled", Value: cancelled, Partial: true},
 		{Name: "job cancelled with dependencies", Value: cancelledDependent, Partial: true},
-		{Name: "job cancelled without description", Value: Job{Nonce: 7, Status: wire.StatusCancelled, Tasks: 70}, Partial: true},
-		{Name: "job done", Value: Job{Nonce: 8, Status: wire.StatusDone, Tasks: 70, DoneMS: 1764640000456}, Partial: true},
-		{Name: "job done by an older version", Value: Job{Nonce: 9, Status: wire.StatusDone, Tasks: 70}, Partial: true},
+		{Name: "job cancelled without description", Value: Job{Nonce: 7, Status: wire.JobCancelled, Tasks: 70}, Partial: true},
+		{Name: "job done", Value: Job{Nonce: 8, Status: wire.JobDone, Tasks: 70, DoneMS: 1764640000456}, Partial: true},
+		{Name: "job done by an older version", Value: Job{Nonce: 9, Status: wire.JobDone, Tasks: 70}, Partial: true},
 		{Name: "admission slice", Value: Slice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"zone-a", "zone-b"},
 			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 300, -1}, Done: []int{67, 69}}},
 		{Name: "admission slice, split, first part", Value: Slice{Nonce: 98, Hosts: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"},
@@ -72,7 +72,7 @@
 func TestTransactionsKeepTheirBytes(t *testing.T) {
 	at := []SliceVersion{{N: 2, Revision: 501}, {N: 42}}
 	slice := Slice{Nonce: 97, Hosts: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"}, Tasks: []int{64, 2, 0}}
-	job := Job{Nonce: 5, Status: wire.StatusQueued, Tasks: 70, Spec: goldenSpec("job-0"), SubmittedMS: 6, DoneMS: 7}
+	job := Job{Nonce: 5, Status: wire.JobQueued, Tasks: 70, Spec: goldenSpec("job-0"), SubmittedMS: 6, DoneMS: 7}
 	text := ""
 	for _, c := range []struct {
 		name   string
--- a/ledger/records.go
+++ b/ledger/records.go
@@ -59,7 +59,7 @@
 	Nonce  uint64        `msgpack:"w"`
 	Status wire.JobState `msgpack:"s"`
 	Tasks  int           `msgpack:"n"`
-	Spec   *wire.Spec    `msgpack:"p,omitempty"`
+	Spec   *wire.JobSpec `msgpack:"p,omitempty"`
 	// SubmittedMS is the time of day of the submission; jobs go by it.
 	SubmittedMS int64 `msgpack:"t,omitempty"`
 	// DoneMS is the time of day when the job was done: those that need it are
@@ -81,7 +81,7 @@
 }
 
 // Over tells whether the job is done or cancelled, for good.
-func (j *Job) Over() bool { return j.Status == wire.StatusDone || j.Status == wire.StatusCancelled }
+func (j *Job) Over() bool { return j.Status == wire.JobDone || j.Status == wire.JobCancelled }
 
 // Slice is the durable record of some of a job's tasks: where each was
 // admitted and with which attempt. It is committed before any task of it is
--- a/node/cancellations.go
+++ b/node/cancellations.go
@@ -38,7 +38,7 @@
 			return server.RetryLater(refusedLater)
 		}
 		if out.Applied {
-			return n.terminalAnswer(ctx, id, jobSnapshot{Status: wire.StatusCancelled, Tasks: rec.Tasks, revision: out.Revision})
+			return n.terminalAnswer(ctx, id, jobSnapshot{Status: wire.JobCancelled, Tasks: rec.Tasks, revision: out.Revision})
 		}
 	}
 	return server.RetryLater(retryDelay)
--- a/node/cancellations_test.go
+++ b/node/cancellations_test.go
@@ -78,7 +78,7 @@
 			for _, way := range ways {
 				a := way.ask(n, id)
 				s, _ := a.Body.(wire.JobStatus)
-				if told && (a.Code != 200 || s.Status != wire.StatusCancelled) || !told && (a.Code != 503 || a.RetryAfter == 0) {
+				if told && (a.Code != 200 || s.Status != wire.JobCancelled) || !told && (a.Code != 503 || a.RetryAfter == 0) {
 					t.Errorf("%s, %s: %s: %+v", when, way.name, id, a)
 				}
 			}
@@ -190,7 +190,7 @@
 // read what it wrote, and write on. Whoever asks after an answer gets nothing older,
 // from any node, and the node that waited for its answer least of all.
 func TestNothingOlderAfterLostAnswers(t *testing.T) {
-	rank := map[wire.JobState]int{wire.StatusQueued: 1, wire.StatusCancelled: 2}
+	rank := map[wire.JobState]int{wire.JobQueued: 1, wire.JobCancelled: 2}
 	state := newSmallState(t)
 	a := state.started(t)
 	seed := config.Peer{Name: "n-0", Address: state.leads(t, a)}
--- a/node/golden_test.go
+++ b/node/golden_test.go
@@ -31,7 +31,7 @@
 		Workers: 231, Up: 90 * time.Second, Acked: 411, versions: versions{Format: formatNew, Seen: []ids.ControllerName{"perch-0", "perch-2"}, Durable: true}}
 	old := every
 	old.Up, old.Acked, old.versions = 0, 0, versions{}
-	record := ledger.Job{Nonce: 98, Status: wire.StatusDone, Tasks: 70, DoneMS: 1764640000456}
+	record := ledger.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70, DoneMS: 1764640000456}
 	golden.Check(t, "messages.json", golden.Codec{Encode: cbor.Marshal, Decode: mesh.Decode}, []golden.Case{
 		{Name: "ping", Value: every},
 		{Name: "ping of an older version", Value: old, Partial: true},
@@ -44,7 +44,7 @@
 		{Name: "job notice", Value: newJobNotice("job-1", &record, 412)},
 		{Name: "job notice answer", Value: true},
 		{Name: "heartbeats request", Value: [][]byte{{1, 2, 3}, {4}}},
-		{Name: "heartbeats answer", Value: []relayedAnswer{{OK: true, Orders: wire.ReportAnswer{Token: ids.NewFencingToken(412, 3), Commands: []wire.Command{
+		{Name: "heartbeats answer", Value: []relayedAnswer{{OK: true, Orders: wire.HeartbeatResponse{FencingToken: ids.NewFencingToken(412, 3), Commands: []wire.Command{
 			{Verb: wire.VerbRun, Name: "job-1/3", Attempt: 2, GraceS: 5.5}}}}}},
 		{Name: "heartbeats answer, refused", Value: []relayedAnswer{{}}, Partial: true},
 		{Name: "zones request", Value: struct{}{}},
--- a/node/job_replica.go
+++ b/node/job_replica.go
@@ -30,7 +30,7 @@
 
 // terminal tells whether the job is done or cancelled, for good.
 func (k jobSnapshot) terminal() bool {
-	return k.Status == wire.StatusDone || k.Status == wire.StatusCancelled
+	return k.Status == wire.JobDone || k.Status == wire.JobCancelled
 }
 
 // jobReplica is a node's copy of all jobs. One goroutine alone uses it.
@@ -76,7 +76,7 @@
 func (c *jobReplica) put(key string, raw []byte, revision ids.Revision) {
 	var rec ledger.Job
 	if err := wire.Decode(raw, &rec); err != nil || rec.Status == "" {
-		rec = ledger.Job{Status: wire.StatusQueued}
+		rec = ledger.Job{Status: wire.JobQueued}
 	}
 	id := ids.JobID(key[len(ledger.JobPrefix):])
 	c.jobs[id] = snapshotOf(&rec, revision)
@@ -88,7 +88,7 @@
 func (c *jobReplica) get(id ids.JobID) (jobSnapshot, bool) {
 	k, found := c.jobs[id]
 	if found && !k.terminal() && c.graph.Of(id).State == pipeline.Cancelled {
-		k.Status, k.orphan = wire.StatusCancelled, true
+		k.Status, k.orphan = wire.JobCancelled, true
 	}
 	return k, found
 }
@@ -100,7 +100,7 @@
 	for _, id := range list {
 		k, found := c.get(id)
 		all = all && found
-		withdrawn = withdrawn || k.Status == wire.StatusCancelled
+		withdrawn = withdrawn || k.Status == wire.JobCancelled
 	}
 	return all, withdrawn
 }
--- a/node/job_status.go
+++ b/node/job_status.go
@@ -36,7 +36,7 @@
 	}
 	s := wire.JobStatus{ID: id, Status: a.job.Status, Done: a.Done, Running: a.Running}
 	if s.Running > 0 {
-		s.Status = wire.StatusRunning
+		s.Status = wire.JobRunning
 	}
 	return server.Answer{Code: 200, Body: s}
 }
@@ -46,7 +46,7 @@
 func (n *Node) terminalAnswer(ctx context.Context, id ids.JobID, job jobSnapshot) server.Answer {
 	s := wire.JobStatus{ID: id, Status: job.Status}
 	switch {
-	case job.Status == wire.StatusDone:
+	case job.Status == wire.JobDone:
 		s.Done = job.Tasks
 	case !job.orphan && !n.cancelVisible(ctx, id, &ledger.Job{Status: job.Status, Tasks: job.Tasks}, job.revision):
 		a := server.RetryLater(retryDelay)
@@ -61,7 +61,7 @@
 func snapshotOf(rec *ledger.Job, revision ids.Revision) jobSnapshot {
 	// Only the leader cancels without the description: what never had a task.
 	return jobSnapshot{Status: rec.Status, Tasks: rec.Tasks, revision: revision,
-		orphan: rec.Status == wire.StatusCancelled && rec.Spec == nil}
+		orphan: rec.Status == wire.JobCancelled && rec.Spec == nil}
 }
 
 // readJob reads a job's record from the state service.
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -80,21 +80,21 @@
 func TestWhatCanNeverRun(t *testing.T) {
 	n := testNode(t, testConfig("127.0.0.1:4"))
 	types := []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}}
-	base := wire.Spec{Team: "red", Tasks: 3, CPUs: 8, MemoryGB: 1}
+	base := wire.JobSpec{Team: "red", Tasks: 3, CPUs: 8, MemoryGB: 1}
 	for name, c := range map[string]struct {
-		change func(*wire.Spec)
+		change func(*wire.JobSpec)
 		can    bool
 	}{
-		"an array may wait for its limit": {func(*wire.Spec) {}, true},
-		"a service needs all at once":     {func(s *wire.Spec) { s.Service = true }, false},
-		"so does a gang":                  {func(s *wire.Spec) { s.Gang = true }, false},
-		"a service that fits":             {func(s *wire.Spec) { s.Service, s.Tasks = true, 2 }, true},
-		"unknown team":                    {func(s *wire.Spec) { s.Team = "green" }, false},
-		"too large for any type":          {func(s *wire.Spec) { s.CPUs = 9 }, false},
-		"too much memory":                 {func(s *wire.Spec) { s.MemoryGB = 17 }, false},
-		"no such type":                    {func(s *wire.Spec) { s.Types = []ids.MachineType{"x"} }, false},
-		"no such zone":                    {func(s *wire.Spec) { s.Zone = "z" }, false},
-		"no gpus for anybody":             {func(s *wire.Spec) { s.GPUs = 1 }, false},
+		"an array may wait for its limit": {func(*wire.JobSpec) {}, true},
+		"a service needs all at once":     {func(s *wire.JobSpec) { s.Service = true }, false},
+		"so does a gang":                  {func(s *wire.JobSpec) { s.Gang = true }, false},
+		"a service that fits":             {func(s *wire.JobSpec) { s.Service, s.Tasks = true, 2 }, true},
+		"unknown team":                    {func(s *wire.JobSpec) { s.Team = "green" }, false},
+		"too large for any type":          {func(s *wire.JobSpec) { s.CPUs = 9 }, false},
+		"too much memory":                 {func(s *wire.JobSpec) { s.MemoryGB = 17 }, false},
+		"no such type":                    {func(s *wire.JobSpec) { s.Types = []ids.MachineType{"x"} }, false},
+		"no such zone":                    {func(s *wire.JobSpec) { s.Zone = "z" }, false},
+		"no gpus for anybody":             {func(s *wire.JobSpec) { s.GPUs = 1 }, false},
 	} {
 		s := base
 		c.change(&s)
@@ -138,7 +138,7 @@
 		case r.URL.Path == "/store/fleet":
 			body = map[string]any{"v": 1, "stamp": 2}
 		case r.URL.Query().Get("prefix") == "jobs/":
-			good := ledger.Job{Status: wire.StatusQueued, Tasks: 1, Spec: &wire.Spec{Team: "red", Tasks: 1, CPUs: 1}}
+			good := ledger.Job{Status: wire.JobQueued, Tasks: 1, Spec: &wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1}}
 			body = map[string]any{"epoch": 9, "entries": []any{
 				map[string]any{"key": "jobs/job-1", "v": "nonsense", "stamp": 7},
 				map[string]any{"key": "jobs/job-2", "v": good, "stamp": 8}, map[string]any{"key": "jobs/job-3", "v": good, "stamp": 8},
@@ -186,7 +186,7 @@
 	}
 	n.observePing(ping{Acked: 7})
 	a := n.Status(ctx, "job-1")
-	if s, ok := a.Body.(wire.JobStatus); a.Code != 200 || !ok || s.Status != wire.StatusCancelled {
+	if s, ok := a.Body.(wire.JobStatus); a.Code != 200 || !ok || s.Status != wire.JobCancelled {
 		t.Fatalf("through the peer: %+v", a)
 	}
 	// What is over stays over, whoever can be reached.
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -28,7 +28,7 @@
 		synctest.Wait()
 		began := time.Now()
 		for name, answer := range map[string]server.Answer{
-			"submission": n.Submit(t.Context(), "job-2", &wire.Spec{Class: "c", Team: "red", Tasks: 1, CPUs: 1}),
+			"submission": n.Submit(t.Context(), "job-2", &wire.JobSpec{Class: "c", Team: "red", Tasks: 1, CPUs: 1}),
 			"poll":       n.Status(t.Context(), "job-2"),
 		} {
 			if answer.Code != 503 || answer.RetryAfter <= 0 {
--- a/node/report_relay.go
+++ b/node/report_relay.go
@@ -46,8 +46,8 @@
 
 // relayedAnswer is the leader's answer to one report of a batch.
 type relayedAnswer struct {
-	OK     bool              `cbor:"1,keyasint"`
-	Orders wire.ReportAnswer `cbor:"2,keyasint"`
+	OK     bool                   `cbor:"1,keyasint"`
+	Orders wire.HeartbeatResponse `cbor:"2,keyasint"`
 }
 
 // relay hands a report to the leader and waits for the answer.
@@ -135,10 +135,10 @@
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	answers := make([]relayedAnswer, len(raws))
-	reps := make([]*wire.Report, len(raws))
+	reps := make([]*wire.Heartbeat, len(raws))
 	for i, raw := range raws {
-		rep := new(wire.Report)
-		if err := wire.Decode(raw, rep); err == nil && rep.Host != "" && rep.Session != 0 {
+		rep := new(wire.Heartbeat)
+		if err := wire.Decode(raw, rep); err == nil && rep.Machine != "" && rep.Incarnation != 0 {
 			reps[i] = rep
 		}
 	}
--- a/node/report_relay_test.go
+++ b/node/report_relay_test.go
@@ -33,7 +33,7 @@
 	g.Go(func() error { _ = follower.relay.run(ctx); return nil })
 	defer func() { cancel(); _ = g.Wait() }()
 
-	rep := &wire.Report{Host: "m-1", Endpoint: "127.0.0.1:5", Type: "m", Zone: "a", Session: 1, Sequence: 1}
+	rep := &wire.Heartbeat{Machine: "m-1", Endpoint: "127.0.0.1:5", Type: "m", Zone: "a", Incarnation: 1, Sequence: 1}
 	hello := func() server.Answer { return follower.Report(ctx, wire.Encode(rep), rep) }
 	if a := hello(); a.Code != 503 {
 		t.Fatalf("without a leader: %+v", a)
@@ -45,7 +45,7 @@
 	g.Go(func() error { _ = leader.election.Run(ctx); return nil })
 	until(t, "somebody leads", func() bool { return leader.term.Load() != nil })
 	a := hello()
-	if o, ok := a.Body.(wire.ReportAnswer); a.Code != 200 || !ok || o.Token.Revision() != 7 {
+	if o, ok := a.Body.(wire.HeartbeatResponse); a.Code != 200 || !ok || o.FencingToken.Revision() != 7 {
 		t.Fatalf("through the follower: %+v", a)
 	}
 	if n := follower.balancer.count(follower.clock.Now(), time.Minute); n != 1 {
--- a/node/reports.go
+++ b/node/reports.go
@@ -10,14 +10,14 @@
 )
 
 // Report implements server.Service.
-func (n *Node) Report(ctx context.Context, raw []byte, rep *wire.Report) server.Answer {
+func (n *Node) Report(ctx context.Context, raw []byte, rep *wire.Heartbeat) server.Answer {
 	now := n.clock.Now()
 	t := n.term.Load()
 	leading := t != nil && t.key.MayAnswer()
 	if l, ok := n.election.Leader(); !leading && (!ok || l.Name == n.cfg.HostName) {
 		return server.Answer{Code: 503}
 	}
-	n.balancer.reported(rep.Host, now)
+	n.balancer.reported(rep.Machine, now)
 	if to, ok := n.redirectTarget(now, leading); ok {
 		return server.Answer{Code: 421, Body: wire.Redirect{Leader: to}}
 	}
@@ -28,10 +28,10 @@
 }
 
 // reportToCore gives a worker's report to the leader's core.
-func (n *Node) reportToCore(ctx context.Context, t *term, rep *wire.Report) server.Answer {
+func (n *Node) reportToCore(ctx context.Context, t *term, rep *wire.Heartbeat) server.Answer {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	var answer wire.ReportAnswer
+	var answer wire.HeartbeatResponse
 	var ok bool
 	if !t.askReports(ctx, func() { answer, ok = t.core.Report(n.clock.Now(), rep, false) }) || !ok {
 		return server.Answer{Code: 503}
--- a/node/status_reader_test.go
+++ b/node/status_reader_test.go
@@ -89,7 +89,7 @@
 // also when the other node's answer came just before the question. And the
 // calls to the state service do not grow with the questions.
 func TestAnswersOfTwoNodesNeverGoBack(t *testing.T) {
-	rank := map[wire.JobState]int{"": 0, wire.StatusQueued: 1, wire.StatusCancelled: 2, wire.StatusDone: 2}
+	rank := map[wire.JobState]int{"": 0, wire.JobQueued: 1, wire.JobCancelled: 2, wire.JobDone: 2}
 	synctest.Test(t, func(t *testing.T) {
 		r := &jobRecordLog{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
 		nodes := []*statusReader{pollsOf(r), pollsOf(r)}
@@ -131,7 +131,7 @@
 			rng := rand.New(rand.NewPCG(77, 3))
 			for n := range 60 {
 				id := ids.JobID(fmt.Sprintf("job-%d", n))
-				for i, status := range []wire.JobState{wire.StatusQueued, []wire.JobState{wire.StatusDone, wire.StatusCancelled}[n%2]} {
+				for i, status := range []wire.JobState{wire.JobQueued, []wire.JobState{wire.JobDone, wire.JobCancelled}[n%2]} {
 					r.write(id, ledger.Job{Status: status, Tasks: 2})
 					mu.Lock()
 					told[id] = max(told[id], i+1)
@@ -165,15 +165,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := &jobRecordLog{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
 		r.write("job-1", "nonsense")
-		r.write("job-2", ledger.Job{Status: wire.StatusDone, Tasks: 2})
+		r.write("job-2", ledger.Job{Status: wire.JobDone, Tasks: 2})
 		p := pollsOf(r)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- p.run(ctx) }()
-		if a := p.ask(ctx, "job-1", nil); a.err != nil || !a.found || a.job.Status != wire.StatusQueued {
+		if a := p.ask(ctx, "job-1", nil); a.err != nil || !a.found || a.job.Status != wire.JobQueued {
 			t.Errorf("unreadable: %+v", a)
 		}
-		if a := p.ask(ctx, "job-2", nil); a.err != nil || a.job.Status != wire.StatusDone {
+		if a := p.ask(ctx, "job-2", nil); a.err != nil || a.job.Status != wire.JobDone {
 			t.Errorf("its neighbour: %+v", a)
 		}
 		if a := p.ask(ctx, "job-3", nil); a.err != nil || a.found {
@@ -203,7 +203,7 @@
 	}
 	// Of job-3 it is not known where it runs: it is not started elsewhere.
 	now := n.clock.Now()
-	rep := &wire.Report{Host: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Session: 1, Sequence: 1, Token: ids.NewFencingToken(5, 0)}
+	rep := &wire.Heartbeat{Machine: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: ids.NewFencingToken(5, 0)}
 	if _, ok := tm.core.Report(now, rep, true); !ok {
 		t.Fatal("report refused")
 	}
@@ -257,7 +257,7 @@
 func TestAnswersFromBeforeAPauseAreNotGiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &jobRecordLog{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
-		r.write("job-1", ledger.Job{Status: wire.StatusQueued, Tasks: 2})
+		r.write("job-1", ledger.Job{Status: wire.JobQueued, Tasks: 2})
 		p := pollsOf(r)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
--- a/node/submissions.go
+++ b/node/submissions.go
@@ -30,7 +30,7 @@
 func (n *Node) Healthy() bool { return n.catalog.Load() != nil }
 
 // canRun tells whether a job could ever run here.
-func (n *Node) canRun(s *wire.Spec, types []wire.MachineType) bool {
+func (n *Node) canRun(s *wire.JobSpec, types []wire.MachineType) bool {
 	for i := range n.cfg.Settings.Teams {
 		t := &n.cfg.Settings.Teams[i]
 		if t.Name != s.Team {
@@ -51,7 +51,7 @@
 }
 
 // Submit implements server.Service.
-func (n *Node) Submit(ctx context.Context, id ids.JobID, spec *wire.Spec) server.Answer {
+func (n *Node) Submit(ctx context.Context, id ids.JobID, spec *wire.JobSpec) server.Answer {
 	if s, ok := n.terminalJobs.get(id); ok {
 		return server.Answer{Code: 200, Body: s}
 	}
@@ -71,7 +71,7 @@
 	if n.intake.Waiting() >= maxIntake {
 		return server.RetryLater(retryDelay)
 	}
-	record := ledger.Job{Nonce: rand.Uint64(), Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: spec,
+	record := ledger.Job{Nonce: rand.Uint64(), Status: wire.JobQueued, Tasks: spec.Tasks, Spec: spec,
 		SubmittedMS: time.Now().UnixMilli()}
 	if len(spec.DependsOn) > 0 {
 		dependencyCancelled, answer := n.checkDependencies(ctx, id, spec.DependsOn)
@@ -79,12 +79,12 @@
 			return answer
 		}
 		if dependencyCancelled {
-			record.Status = wire.StatusCancelled
+			record.Status = wire.JobCancelled
 		}
 	}
 	// With room for what a cancellation changes. A list that is too long to be kept
 	// is refused whole.
-	if wire.Exceeds(record, n.valueBytes()-recordSlack) {
+	if wire.ExceedsJSONSize(record, n.valueBytes()-recordSlack) {
 		return n.refuseUnlessKnown(ctx, id)
 	}
 	return n.recordSubmission(ctx, id, &record)
--- a/node/term_cloud.go
+++ b/node/term_cloud.go
@@ -12,7 +12,7 @@
 
 // rent brings one rental to its end. Without an answer it is repeated under
 // the same name, which rents nothing twice.
-func (t *term) rent(r wire.Rental) {
+func (t *term) rent(r wire.ProvisionRequest) {
 	for t.ctx.Err() == nil {
 		hosts, err := t.cloud.Rent(t.ctx, r)
 		switch {
@@ -21,7 +21,7 @@
 			t.post(t.ctx, func() { t.core.RentResult(t.n.clock.Now(), r, hosts, err == nil) })
 			return
 		}
-		t.n.log.Info("rental unanswered", "booking", r.Request, "err", err)
+		t.n.log.Info("rental unanswered", "booking", r.RequestID, "err", err)
 		ids.Pause(t.ctx, time.Second)
 	}
 }
--- a/node/upgrade_test.go
+++ b/node/upgrade_test.go
@@ -180,8 +180,8 @@
 	return ln.Addr().String()
 }
 
-func waiting(needs ...ids.JobID) *wire.Spec {
-	return &wire.Spec{Class: "c", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", DependsOn: needs}
+func waiting(needs ...ids.JobID) *wire.JobSpec {
+	return &wire.JobSpec{Class: "c", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", DependsOn: needs}
 }
 
 // Submissions that name others, at two nodes. What is refused as never accepted is
@@ -239,11 +239,11 @@
 	if ans := a.Cancel(t.Context(), "job-1"); ans.Code != 200 {
 		t.Fatalf("withdrawal: %+v", ans)
 	}
-	says("job-2", wire.StatusCancelled)
-	says("job-3", wire.StatusCancelled)
-	submit(b, "job-9", 201, wire.StatusCancelled, "job-3")
-	says("job-9", wire.StatusCancelled)
-	submit(a, "job-3", 200, wire.StatusCancelled, "job-2")
+	says("job-2", wire.JobCancelled)
+	says("job-3", wire.JobCancelled)
+	submit(b, "job-9", 201, wire.JobCancelled, "job-3")
+	says("job-9", wire.JobCancelled)
+	submit(a, "job-3", 200, wire.JobCancelled, "job-2")
 	says("job-7", "queued")
 
 	// While some controller may be old, nothing that names others is taken, and
@@ -252,7 +252,7 @@
 	follow(old, a)
 	submit(old, "job-10", 503, "", "job-7")
 	submit(old, "job-10", 422, "", "job-none")
-	submit(old, "job-3", 200, wire.StatusCancelled, "job-2")
+	submit(old, "job-3", 200, wire.JobCancelled, "job-2")
 	submit(old, "job-11", 201, "queued")
 }
 
@@ -321,21 +321,21 @@
 	return out
 }
 
-func prodSpec() *wire.Spec {
-	return &wire.Spec{Class: "train", Team: "vision", Priority: wire.High, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
+func prodSpec() *wire.JobSpec {
+	return &wire.JobSpec{Class: "train", Team: "vision", Priority: wire.High, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
 		ImageGB: 6.2, Types: []ids.MachineType{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, CheckpointEveryS: 30, CheckpointS: 4, DeadlineS: 900}
 }
 
 // Every record and frame of the version in production means the same here.
 func TestReadsWhatProductionWrote(t *testing.T) {
-	queued := ledger.Job{Nonce: 1<<63 + 5, Status: wire.StatusQueued, Tasks: 70, Spec: prodSpec(), SubmittedMS: 1764640000123}
+	queued := ledger.Job{Nonce: 1<<63 + 5, Status: wire.JobQueued, Tasks: 70, Spec: prodSpec(), SubmittedMS: 1764640000123}
 	withdrawn := queued
-	withdrawn.Nonce, withdrawn.Status = 99, wire.StatusCancelled
+	withdrawn.Nonce, withdrawn.Status = 99, wire.JobCancelled
 	old := production(t)
 	for name, want := range map[string]any{
 		"job queued":    queued,
 		"job withdrawn": withdrawn,
-		"job done":      ledger.Job{Nonce: 98, Status: wire.StatusDone, Tasks: 70},
+		"job done":      ledger.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70},
 		"slice": ledger.Slice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"a", "b"},
 			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 3, -1}, Done: []int{67, 69}},
 		"leader":       election.Holder{Name: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3},
@@ -343,7 +343,7 @@
 		"state call":   stateCall{"POST", "/commit", []byte{1, 2}, 1000},
 		"state answer": stateAnswer{200, []byte{3}, false, true},
 		"announcement": jobNotice{"job-1", old["job queued"], 412},
-		"report answer": []relayedAnswer{{true, wire.ReportAnswer{Token: ids.NewFencingToken(412, 3), Commands: []wire.Command{
+		"report answer": []relayedAnswer{{true, wire.HeartbeatResponse{FencingToken: ids.NewFencingToken(412, 3), Commands: []wire.Command{
 			{Verb: "run", Name: "job-1/3", Attempt: 2}, {Verb: "kill", Name: "job-2/1", Attempt: 1, GraceS: 5.5}}}}},
 		"progress": []progress{{3, 13}},
 	} {
@@ -412,7 +412,7 @@
 	spec := oldSpec{Class: "train", Team: "vision", Priority: 2, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
 		ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, SaveEvery: 30, SaveS: 4, DeadlineS: 900}
 	short := oldSpec{Team: "vision", Priority: 2, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, OneZone: true, Spot: true}
-	rec := ledger.Job{Nonce: 4, Status: wire.StatusQueued, Tasks: 70, Spec: prodSpec(), SubmittedMS: 5}
+	rec := ledger.Job{Nonce: 4, Status: wire.JobQueued, Tasks: 70, Spec: prodSpec(), SubmittedMS: 5}
 	for _, c := range []struct {
 		name    string
 		written any
@@ -429,7 +429,7 @@
 		if err := wire.Decode(wire.Encode(c.written), &got); err != nil || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: read as %+v %+v, %v", c.name, got, got.Spec, err)
 		}
-		if c.name == "withdrawn, and too large" && wire.Exceeds(c.written, 150) {
+		if c.name == "withdrawn, and too large" && wire.ExceedsJSONSize(c.written, 150) {
 			t.Errorf("%s: it still is", c.name)
 		}
 	}
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -126,11 +126,11 @@
 	}
 	w := &update{}
 	switch {
-	case r.Status == wire.StatusDone:
+	case r.Status == wire.JobDone:
 		n.doneMS = r.DoneMS
 		w.markChanged(n)
 		w.finish(n)
-	case r.Status == wire.StatusCancelled:
+	case r.Status == wire.JobCancelled:
 		w.cancel(n)
 	case n.state == Unknown:
 		w.accept(g, n, r)
--- a/pipeline/pipeline_test.go
+++ b/pipeline/pipeline_test.go
@@ -20,9 +20,9 @@
 	switch {
 	case !ok:
 		return Unknown
-	case r.Status == wire.StatusDone:
+	case r.Status == wire.JobDone:
 		return Done
-	case r.Status == wire.StatusCancelled:
+	case r.Status == wire.JobCancelled:
 		return Cancelled
 	}
 	s := Ready
@@ -74,7 +74,7 @@
 			id := ids.JobID(fmt.Sprintf("job-%d", step))
 			switch pick := rng.IntN(4); {
 			case pick < 2 || len(order) == 0:
-				r := Record{Status: wire.StatusQueued, Priority: wire.Priority(rng.IntN(4)), SubmittedMS: int64(10 * step)}
+				r := Record{Status: wire.JobQueued, Priority: wire.Priority(rng.IntN(4)), SubmittedMS: int64(10 * step)}
 				for range min(len(order), rng.IntN(4)) {
 					r.DependsOn = append(r.DependsOn, order[len(order)-1-rng.IntN(min(len(order), 12))])
 				}
@@ -84,11 +84,11 @@
 				id = order[rng.IntN(len(order))]
 				r := real[id]
 				switch s := real.state(id); {
-				case r.Status != wire.StatusQueued:
+				case r.Status != wire.JobQueued:
 				case pick == 2 && s == Ready: // only what is ready can run
-					real[id] = Record{Status: wire.StatusDone, DoneMS: int64(10*step + 5)}
+					real[id] = Record{Status: wire.JobDone, DoneMS: int64(10*step + 5)}
 				case pick == 3 || s == Cancelled: // a user's, or the leader's for an orphan
-					real[id] = Record{Status: wire.StatusCancelled}
+					real[id] = Record{Status: wire.JobCancelled}
 				}
 			}
 			for _, c := range copies {
@@ -101,7 +101,7 @@
 						before[other] = c.g.Of(other)
 					}
 					changed := c.g.Put(id, real[id])
-					if r, ok := c.seen[id]; !ok || r.Status == wire.StatusQueued {
+					if r, ok := c.seen[id]; !ok || r.Status == wire.JobQueued {
 						c.seen[id] = real[id]
 					}
 					for other := range real {
@@ -138,12 +138,12 @@
 // are heard of: each must start early enough for what comes after it.
 func TestDeadlinesReachBack(t *testing.T) {
 	records := map[ids.JobID]Record{
-		"job-1": {Status: wire.StatusQueued, ExpectedRun: 5 * time.Second},
-		"job-2": {Status: wire.StatusQueued, ExpectedRun: 20 * time.Second, DependsOn: []ids.JobID{"job-1"}},
-		"job-3": {Status: wire.StatusQueued, ExpectedRun: 10 * time.Second, DependsOn: []ids.JobID{"job-1"}},
-		"job-4": {Status: wire.StatusQueued, ExpectedRun: 2 * time.Second, DependsOn: []ids.JobID{"job-2", "job-3"}, DueMS: 100_000},
-		"job-5": {Status: wire.StatusQueued, ExpectedRun: time.Second, DependsOn: []ids.JobID{"job-3"}, DueMS: 80_000},
-		"job-6": {Status: wire.StatusQueued, ExpectedRun: time.Second},
+		"job-1": {Status: wire.JobQueued, ExpectedRun: 5 * time.Second},
+		"job-2": {Status: wire.JobQueued, ExpectedRun: 20 * time.Second, DependsOn: []ids.JobID{"job-1"}},
+		"job-3": {Status: wire.JobQueued, ExpectedRun: 10 * time.Second, DependsOn: []ids.JobID{"job-1"}},
+		"job-4": {Status: wire.JobQueued, ExpectedRun: 2 * time.Second, DependsOn: []ids.JobID{"job-2", "job-3"}, DueMS: 100_000},
+		"job-5": {Status: wire.JobQueued, ExpectedRun: time.Second, DependsOn: []ids.JobID{"job-3"}, DueMS: 80_000},
+		"job-6": {Status: wire.JobQueued, ExpectedRun: time.Second},
 	}
 	want := map[ids.JobID]int64{"job-1": 64_000, "job-2": 78_000, "job-3": 69_000, "job-4": 98_000, "job-5": 79_000, "job-6": 0}
 	for seed := range uint64(50) {
@@ -168,7 +168,7 @@
 	name := func(i int) ids.JobID { return ids.JobID(fmt.Sprintf("job-%d", i)) }
 	chain, fan := New(), New()
 	for i := range n {
-		r := Record{Status: wire.StatusQueued}
+		r := Record{Status: wire.JobQueued}
 		if i == n-1 {
 			r.Priority = wire.Critical
 		}
@@ -183,7 +183,7 @@
 		if p := g.Of(name(0)).Priority; p != wire.Critical {
 			t.Errorf("%s: the first job has priority %d", kind, p)
 		}
-		if changed := g.Put(name(0), Record{Status: wire.StatusCancelled}); len(changed) != n || g.Of(name(n-1)).State != Cancelled {
+		if changed := g.Put(name(0), Record{Status: wire.JobCancelled}); len(changed) != n || g.Of(name(n-1)).State != Cancelled {
 			t.Errorf("%s: %d of %d jobs are withdrawn", kind, len(changed), n)
 		}
 	}
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -29,7 +29,7 @@
 	jobs, placed := 0, 0
 	for range 3 {
 		for range 5 {
-			spec := wire.Spec{Class: "c", Team: teams[rng.IntN(2)].Name, Priority: wire.Priority(rng.IntN(2)), Tasks: 10 + rng.IntN(12),
+			spec := wire.JobSpec{Class: "c", Team: teams[rng.IntN(2)].Name, Priority: wire.Priority(rng.IntN(2)), Tasks: 10 + rng.IntN(12),
 				CPUs: float64(1 + rng.IntN(5)), Spread: rng.IntN(3) == 0, Service: rng.IntN(3) == 0}
 			b.job(ids.JobID(fmt.Sprintf("job-%d", jobs)), spec)
 			jobs++
@@ -47,7 +47,7 @@
 	// Work that finds no room costs no more than a look around, however many
 	// wait: those alike are not tried twice.
 	for n := range 300 {
-		b.job(ids.JobID(fmt.Sprintf("job-w%d", n)), wire.Spec{Class: "c", Team: "t0", Tasks: 200, CPUs: 7})
+		b.job(ids.JobID(fmt.Sprintf("job-w%d", n)), wire.JobSpec{Class: "c", Team: "t0", Tasks: 200, CPUs: 7})
 	}
 	b.c.admission.scheduleRound()
 	before := b.c.admission.MachinesExamined
@@ -63,24 +63,24 @@
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4}, Limit: quota.Amount{CPUs: 4}}}})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
-	b.job("job-low", wire.Spec{Tasks: 2, Priority: wire.Normal})
+	b.job("job-low", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
 	b.step()
 	o := b.report("n-1", "a", 0)
-	var shown []wire.Task
+	var shown []wire.TaskStatus
 	for i := range 2 {
-		shown = append(shown, wire.Task{Name: fmt.Sprintf("job-low/%d", i), Attempt: 1, State: wire.TaskRunning})
+		shown = append(shown, wire.TaskStatus{Name: fmt.Sprintf("job-low/%d", i), Attempt: 1, State: wire.TaskRunning})
 	}
-	b.report("n-1", "a", o.Token, shown...)
-	b.job("job-high", wire.Spec{Tasks: 1, Priority: wire.High})
+	b.report("n-1", "a", o.FencingToken, shown...)
+	b.job("job-high", wire.JobSpec{Tasks: 1, Priority: wire.High})
 	b.step()
-	o = b.report("n-1", "a", o.Token, shown...)
+	o = b.report("n-1", "a", o.FencingToken, shown...)
 	kills := verbs(o.Commands, wire.VerbKill)
 	if len(kills) != 1 {
 		t.Fatalf("killed: %v", kills)
 	}
-	i := slices.IndexFunc(shown, func(s wire.Task) bool { return s.Name+"#1" == kills[0] })
+	i := slices.IndexFunc(shown, func(s wire.TaskStatus) bool { return s.Name+"#1" == kills[0] })
 	shown[i].State, shown[i].Cause = wire.TaskEnded, wire.CauseStopped
-	b.report("n-1", "a", o.Token, shown...)
+	b.report("n-1", "a", o.FencingToken, shown...)
 	b.step()
 	if b.c.jobs["job-high"].tasks[0].assignment == nil {
 		t.Fatal("the higher job did not get the room")
@@ -101,7 +101,7 @@
 		b.randomMachines(rng, 1+rng.IntN(5))
 		for round := range 4 {
 			for n := range rng.IntN(5) {
-				spec := wire.Spec{Class: []string{"hasty", "calm"}[rng.IntN(2)], Team: teams[rng.IntN(3)].Name, Priority: wire.Priority(rng.IntN(4)),
+				spec := wire.JobSpec{Class: []string{"hasty", "calm"}[rng.IntN(2)], Team: teams[rng.IntN(3)].Name, Priority: wire.Priority(rng.IntN(4)),
 					Tasks: 1 + rng.IntN(5), CPUs: float64(1 + rng.IntN(5)), Spread: rng.IntN(3) == 0, OneZone: rng.IntN(5) == 0}
 				spec.Service = rng.IntN(3) == 0
 				spec.Gang = !spec.Service && rng.IntN(4) == 0
@@ -147,9 +147,9 @@
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	for n := range 300 { // more than pass_over; there is no machine in zone b
-		b.job(ids.JobID(fmt.Sprintf("job-s%d", n)), wire.Spec{Tasks: 1 + n%3, Service: true, Zone: "b", Priority: wire.Critical})
+		b.job(ids.JobID(fmt.Sprintf("job-s%d", n)), wire.JobSpec{Tasks: 1 + n%3, Service: true, Zone: "b", Priority: wire.Critical})
 	}
-	b.job("job-array", wire.Spec{Tasks: 2, Priority: wire.Normal})
+	b.job("job-array", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
 	b.step()
 	if n := len(b.c.jobs["job-array"].active); n != 2 {
 		t.Fatalf("%d tasks of the array were placed", n)
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -144,9 +144,9 @@
 		as.nextBooking++
 		as.machinesRequested[purchase.Site] += n
 		as.rentalsInFlight[purchase.Site]++
-		as.core.effects.Rent = append(as.core.effects.Rent, wire.Rental{
-			Request: fmt.Sprintf("r-%d-%d", as.core.opt.Revision, as.nextBooking),
-			Type:    purchase.Type, Zone: purchase.Zone, Spot: purchase.Spot, Count: n,
+		as.core.effects.Rent = append(as.core.effects.Rent, wire.ProvisionRequest{
+			RequestID: fmt.Sprintf("r-%d-%d", as.core.opt.Revision, as.nextBooking),
+			Type:      purchase.Type, Zone: purchase.Zone, Spot: purchase.Spot, Count: n,
 		})
 	}
 }
@@ -170,13 +170,13 @@
 
 // RentResult takes the answer to a rental; ok is false if the cloud had none
 // or would not rent.
-func (c *Core) RentResult(now ids.Instant, r wire.Rental, hosts []ids.MachineID, ok bool) {
+func (c *Core) RentResult(now ids.Instant, r wire.ProvisionRequest, hosts []ids.MachineID, ok bool) {
 	c.now = now
 	c.autoscaler.rentResult(r, hosts, ok)
 }
 
 // rentResult ends a rental.
-func (as *autoscaler) rentResult(r wire.Rental, hosts []ids.MachineID, ok bool) {
+func (as *autoscaler) rentResult(r wire.ProvisionRequest, hosts []ids.MachineID, ok bool) {
 	site := placement.Site{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	if as.machinesRequested[site] -= r.Count; as.machinesRequested[site] <= 0 {
 		delete(as.machinesRequested, site)
@@ -230,7 +230,7 @@
 }
 
 // fastestBoot is how long the quickest type that would do takes to boot.
-func (as *autoscaler) fastestBoot(s *wire.Spec) time.Duration {
+func (as *autoscaler) fastestBoot(s *wire.JobSpec) time.Duration {
 	boot := time.Duration(0)
 	for i := range as.core.typeList {
 		if t := &as.core.typeList[i]; placement.Fits(s, t) && (boot == 0 || ids.Seconds(t.BootS) < boot) {
--- a/scheduler/autoscaler_test.go
+++ b/scheduler/autoscaler_test.go
@@ -17,12 +17,12 @@
 	for _, inherited := range []bool{false, true} {
 		b := newHarness(t, Options{Predecessor: inherited})
 		if inherited {
-			b.inherit(wire.Spec{Tasks: 1, Service: true}, ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+			b.inherit(wire.JobSpec{Tasks: 1, Service: true}, ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 			b.c.Begin(b.now)
 		} else {
 			b.c.Begin(b.now)
 			b.report("n-1", "a", 0)
-			b.job("job-1", wire.Spec{Tasks: 1, Service: true})
+			b.job("job-1", wire.JobSpec{Tasks: 1, Service: true})
 			b.step()
 		}
 		rented := time.Duration(0)
@@ -46,7 +46,7 @@
 	b := newHarness(t, Options{Headroom: 3, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
-	b.job("job-1", wire.Spec{Class: "hasty", Tasks: 2, CPUs: 2})
+	b.job("job-1", wire.JobSpec{Class: "hasty", Tasks: 2, CPUs: 2})
 	b.step()
 	b.now = b.now.Add(2 * time.Second)
 	b.report("n-1", "a", 0)
@@ -68,18 +68,18 @@
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	o := b.report("n-1", "a", 0)
-	b.job("job-1", wire.Spec{Tasks: 4, CPUs: 2, EstimateS: 3})
+	b.job("job-1", wire.JobSpec{Tasks: 4, CPUs: 2, EstimateS: 3})
 	b.step()
-	o = b.report("n-1", "a", o.Token)
-	var on []wire.Task
+	o = b.report("n-1", "a", o.FencingToken)
+	var on []wire.TaskStatus
 	for _, order := range o.Commands {
-		on = append(on, wire.Task{Name: order.Name, Attempt: order.Attempt, State: wire.TaskRunning})
+		on = append(on, wire.TaskStatus{Name: order.Name, Attempt: order.Attempt, State: wire.TaskRunning})
 	}
-	b.report("n-1", "a", o.Token, on...)
-	b.job("job-2", wire.Spec{Tasks: 4, CPUs: 2, EstimateS: 3})
+	b.report("n-1", "a", o.FencingToken, on...)
+	b.job("job-2", wire.JobSpec{Tasks: 4, CPUs: 2, EstimateS: 3})
 	for s := range 15 { // the type boots in 10 s
 		b.now = b.now.Add(time.Second)
-		b.report("n-1", "a", o.Token, on...)
+		b.report("n-1", "a", o.FencingToken, on...)
 		if e := b.step(); len(e.Rent) > 0 {
 			if s < 9 {
 				t.Fatalf("rented after %d s, although room was about to come", s+1)
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -31,22 +31,22 @@
 	held     int
 	jobs     int
 	done     int
-	specs    map[ids.JobID]*wire.Spec
+	specs    map[ids.JobID]*wire.JobSpec
 	revision ids.Revision
 }
 
 type longWorker struct {
 	host       ids.MachineID
-	site       wire.Rental
+	site       wire.ProvisionRequest
 	sequence   ids.Sequence
 	token      ids.FencingToken
-	tasks      []wire.Task
+	tasks      []wire.TaskStatus
 	reportSoon bool
 }
 
 func newLongDay() *longDay {
 	d := &longDay{rng: rand.New(rand.NewPCG(3, 5)), now: ids.Instant(time.Hour), workers: map[ids.MachineID]*longWorker{},
-		specs: map[ids.JobID]*wire.Spec{}, revision: 100}
+		specs: map[ids.JobID]*wire.JobSpec{}, revision: 100}
 	team := func(name ids.Team, nominal, limit float64) quota.Team {
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, Lend: quota.Amount{CPUs: nominal}}
 	}
@@ -60,7 +60,7 @@
 	d.c = New(opt, types)
 	d.c.Begin(d.now)
 	for range 630 {
-		d.boot(wire.Rental{Type: "m", Zone: types[0].Zones[d.hosts%3]}, 0)
+		d.boot(wire.ProvisionRequest{Type: "m", Zone: types[0].Zones[d.hosts%3]}, 0)
 	}
 	return d
 }
@@ -70,7 +70,7 @@
 	heap.Push(&d.queue, simEvent{d.now.Add(t), d.seq, f})
 }
 
-func (d *longDay) boot(r wire.Rental, in time.Duration) ids.MachineID {
+func (d *longDay) boot(r wire.ProvisionRequest, in time.Duration) ids.MachineID {
 	d.hosts++
 	d.held++
 	w := &longWorker{host: ids.MachineID(fmt.Sprintf("n-%06d", d.hosts)), site: r}
@@ -78,10 +78,10 @@
 	return w.host
 }
 
-func (d *longDay) newReport(w *longWorker) *wire.Report {
+func (d *longDay) newReport(w *longWorker) *wire.Heartbeat {
 	w.sequence++
-	return &wire.Report{Host: w.host, Endpoint: string(w.host), Type: w.site.Type, Zone: w.site.Zone, Spot: w.site.Spot, Session: 1, Sequence: w.sequence,
-		Token: w.token, Tasks: slices.Clone(w.tasks)}
+	return &wire.Heartbeat{Machine: w.host, Endpoint: string(w.host), Type: w.site.Type, Zone: w.site.Zone, Spot: w.site.Spot, Incarnation: 1, Sequence: w.sequence,
+		FencingToken: w.token, Tasks: slices.Clone(w.tasks)}
 }
 
 func (d *longDay) report(w *longWorker) {
@@ -90,7 +90,7 @@
 	}
 	w.reportSoon = false
 	o, _ := d.c.Report(d.now, d.newReport(w), false)
-	w.token = max(w.token, o.Token)
+	w.token = max(w.token, o.FencingToken)
 	d.execute(w, o.Commands)
 	tick := w.sequence
 	d.after(5*time.Second, func() {
@@ -109,12 +109,12 @@
 
 func (d *longDay) execute(w *longWorker, orders []wire.Command) {
 	for _, o := range orders {
-		i := slices.IndexFunc(w.tasks, func(t wire.Task) bool { return t.Name == o.Name && t.Attempt == o.Attempt })
+		i := slices.IndexFunc(w.tasks, func(t wire.TaskStatus) bool { return t.Name == o.Name && t.Attempt == o.Attempt })
 		switch {
 		case o.Verb == wire.VerbRun && i < 0:
 			ref, _ := ids.ParseTask(o.Name)
 			spec := d.specs[ref.Job]
-			w.tasks = append(w.tasks, wire.Task{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning})
+			w.tasks = append(w.tasks, wire.TaskStatus{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning})
 			if !spec.Service {
 				d.after(ids.Seconds(spec.EstimateS*(0.7+0.6*d.rng.Float64())), func() { d.end(w, o) })
 			}
@@ -128,7 +128,7 @@
 }
 
 func (d *longDay) end(w *longWorker, o wire.Command) {
-	i := slices.IndexFunc(w.tasks, func(t wire.Task) bool { return t.Name == o.Name && t.Attempt == o.Attempt })
+	i := slices.IndexFunc(w.tasks, func(t wire.TaskStatus) bool { return t.Name == o.Name && t.Attempt == o.Attempt })
 	if i >= 0 && w.tasks[i].State == wire.TaskRunning {
 		w.tasks[i].State, w.tasks[i].Cause = wire.TaskEnded, wire.CauseDone
 		d.done++
@@ -136,7 +136,7 @@
 	}
 }
 
-func (d *longDay) submit(spec wire.Spec) {
+func (d *longDay) submit(spec wire.JobSpec) {
 	d.jobs++
 	id := ids.JobID(fmt.Sprintf("job-%05d", d.jobs))
 	spec.Team = []ids.Team{"red", "blue", "blue", "gold", "lime"}[d.rng.IntN(5)]
@@ -144,19 +144,19 @@
 	spec.ImageGB = 1
 	d.specs[id] = &spec
 	d.revision++
-	d.c.ObserveJob(d.now, id, &ledger.Job{Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(d.jobs)}, d.revision)
+	d.c.ObserveJob(d.now, id, &ledger.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(d.jobs)}, d.revision)
 }
 
 func (d *longDay) arrive() {
 	size := func(most int) int { return 20 + d.rng.IntN(most-20) }
 	for range 1 + d.rng.IntN(2) {
-		d.submit(wire.Spec{Class: "render", Priority: wire.Normal, Tasks: size(200), CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60})
+		d.submit(wire.JobSpec{Class: "render", Priority: wire.Normal, Tasks: size(200), CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60})
 	}
 	for range 1 + d.rng.IntN(3) {
-		d.submit(wire.Spec{Class: "push", Priority: wire.High, Tasks: size(120), CPUs: 2, MemoryGB: 2.3, Spot: true, EstimateS: 20})
+		d.submit(wire.JobSpec{Class: "push", Priority: wire.High, Tasks: size(120), CPUs: 2, MemoryGB: 2.3, Spot: true, EstimateS: 20})
 	}
 	if d.rng.IntN(3) == 0 {
-		d.submit(wire.Spec{Class: "map", Priority: wire.Critical, Service: true, Spread: true, Tasks: 12, CPUs: 2, MemoryGB: 3.3})
+		d.submit(wire.JobSpec{Class: "map", Priority: wire.Critical, Service: true, Spread: true, Tasks: 12, CPUs: 2, MemoryGB: 3.3})
 	}
 }
 
@@ -172,9 +172,9 @@
 	for _, h := range e.Direct {
 		if x, _, ok := d.c.TakeDirect(d.now, h); ok {
 			d.after(3*time.Millisecond, func() {
-				var rep *wire.Report
+				var rep *wire.Heartbeat
 				if w := d.workers[h]; w != nil {
-					w.token = max(w.token, x.Token)
+					w.token = max(w.token, x.FencingToken)
 					d.execute(w, x.Commands)
 					rep = d.newReport(w)
 				}
--- a/scheduler/class_demand.go
+++ b/scheduler/class_demand.go
@@ -13,7 +13,7 @@
 
 // classDemand is the recent demand of one class of jobs.
 type classDemand struct {
-	spec    *wire.Spec
+	spec    *wire.JobSpec
 	current int
 	peaks   [4]int // by half minute
 	slot    int
@@ -60,7 +60,7 @@
 }
 
 // recordArrival takes note of a job that became ready.
-func (as *autoscaler) recordArrival(s *wire.Spec) {
+func (as *autoscaler) recordArrival(s *wire.JobSpec) {
 	if p := as.demandByClass[s.Class]; p != nil {
 		p.advance(as.core.now)
 		p.jobs[p.slot%4]++
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -24,7 +24,7 @@
 }
 
 // answerReport makes the answer to a report: what to end, what to reap, what to start.
-func (q *commandQueue) answerReport(m *machine) wire.ReportAnswer {
+func (q *commandQueue) answerReport(m *machine) wire.HeartbeatResponse {
 	orders := q.killCommands(m)
 	if !m.callInFlight {
 		var reaps []wire.Command
@@ -42,7 +42,7 @@
 		orders = append(orders, reaps...)
 	}
 	runs := q.runCommands(m, true, maxCommands-len(orders))
-	return wire.ReportAnswer{Token: q.tokenOf(m), Commands: append(orders, runs...)}
+	return wire.HeartbeatResponse{FencingToken: q.tokenOf(m), Commands: append(orders, runs...)}
 }
 
 // killCommands lists what must end on a machine. It also raises the token's counter if
@@ -113,7 +113,7 @@
 		return false
 	}
 	j := q.core.jobs[s.ref.Job]
-	if j == nil || j.status != wire.StatusQueued {
+	if j == nil || j.status != wire.JobQueued {
 		return true
 	}
 	if j.completing || q.core.records.completable[j] || s.ref.Index >= len(j.tasks) {
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -137,7 +137,7 @@
 			c.records.markOversized(j, s)
 		}
 		switch j.status {
-		case wire.StatusQueued:
+		case wire.JobQueued:
 			c.rebuildPending(j)
 			if j.done == len(j.tasks) {
 				c.records.completable[j] = true
@@ -229,7 +229,7 @@
 	Direct []ids.MachineID
 	// Show lists workers that should be asked for a report.
 	Show    []ids.MachineID
-	Rent    []wire.Rental
+	Rent    []wire.ProvisionRequest
 	Return  []ids.MachineID
 	Refresh []ids.JobID
 	// Forget lists addresses of machines that are gone.
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -100,16 +100,16 @@
 
 // TakeDirect hands out the command that should go to a worker now. It must be
 // followed by DirectResult.
-func (c *Core) TakeDirect(now ids.Instant, h ids.MachineID) (d wire.DirectCommand, endpoint string, ok bool) {
+func (c *Core) TakeDirect(now ids.Instant, h ids.MachineID) (d wire.CommandBatch, endpoint string, ok bool) {
 	c.now = now
 	return c.commands.takeDirect(h)
 }
 
 // takeDirect makes the command for a worker and counts the call as under way.
-func (q *commandQueue) takeDirect(h ids.MachineID) (d wire.DirectCommand, endpoint string, ok bool) {
+func (q *commandQueue) takeDirect(h ids.MachineID) (d wire.CommandBatch, endpoint string, ok bool) {
 	m := q.core.registry.machines[h]
 	if m == nil || m.callInFlight || !m.reported || m.returning {
-		return wire.DirectCommand{}, "", false
+		return wire.CommandBatch{}, "", false
 	}
 	orders := q.killCommands(m)
 	token := q.tokenOf(m)
@@ -119,18 +119,18 @@
 	}
 	m.callInFlight = true
 	q.callsInFlight++
-	return wire.DirectCommand{Token: token, Session: m.session, Commands: orders}, m.endpoint, true
+	return wire.CommandBatch{FencingToken: token, Incarnation: m.session, Commands: orders}, m.endpoint, true
 }
 
 // DirectResult takes the answer to a direct command, or its absence. Without
 // one, the command may still be carried out; the tokens see to that.
-func (c *Core) DirectResult(now ids.Instant, h ids.MachineID, rep *wire.Report) {
+func (c *Core) DirectResult(now ids.Instant, h ids.MachineID, rep *wire.Heartbeat) {
 	c.now = now
 	c.commands.directResult(h, rep)
 }
 
 // directResult ends a call to a worker; rep is nil if it was not answered.
-func (q *commandQueue) directResult(h ids.MachineID, rep *wire.Report) {
+func (q *commandQueue) directResult(h ids.MachineID, rep *wire.Heartbeat) {
 	m := q.endCall(h)
 	if m == nil {
 		return
@@ -157,20 +157,20 @@
 
 // takeAnswer takes in the report with which a worker answered a call, unless another machine
 // has its address now.
-func (q *commandQueue) takeAnswer(m *machine, rep *wire.Report) {
-	if rep.Host == m.host {
+func (q *commandQueue) takeAnswer(m *machine, rep *wire.Heartbeat) {
+	if rep.Machine == m.host {
 		q.core.Report(q.core.now, rep, true)
 	}
 }
 
 // ShowResult takes the answer to a request for a report, or nil.
-func (c *Core) ShowResult(now ids.Instant, h ids.MachineID, rep *wire.Report) {
+func (c *Core) ShowResult(now ids.Instant, h ids.MachineID, rep *wire.Heartbeat) {
 	c.now = now
 	c.commands.showResult(h, rep)
 }
 
 // showResult ends a request for a report; rep is nil if it was not answered.
-func (q *commandQueue) showResult(h ids.MachineID, rep *wire.Report) {
+func (q *commandQueue) showResult(h ids.MachineID, rep *wire.Heartbeat) {
 	m := q.endCall(h)
 	if m == nil {
 		return
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -17,7 +17,7 @@
 
 // expectedRun is how long a task should run. Owners' estimates for a class are mostly too
 // high or mostly too low on some days, which recordRun learns.
-func (e *runEstimates) expectedRun(s *wire.Spec) time.Duration {
+func (e *runEstimates) expectedRun(s *wire.JobSpec) time.Duration {
 	factor := 1.0
 	if r := e.estimateFactors[s.Class]; r > 0 {
 		factor = r
@@ -26,7 +26,7 @@
 }
 
 // recordRun takes in how long a task of a class ran against its estimate.
-func (e *runEstimates) recordRun(s *wire.Spec, ran time.Duration) {
+func (e *runEstimates) recordRun(s *wire.JobSpec, ran time.Duration) {
 	if s.EstimateS <= 0 {
 		return
 	}
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -20,13 +20,13 @@
 	b := newHarness(t, Options{})
 	const machines = 6
 	hosts := make([]ids.MachineID, machines)
-	running := map[ids.MachineID][]wire.Task{}
+	running := map[ids.MachineID][]wire.TaskStatus{}
 	for i := range hosts {
 		hosts[i] = ids.MachineID(fmt.Sprintf("n-%d", i))
 		b.report(hosts[i], "a", 0)
 	}
 	for i := range 3 {
-		b.job(ids.JobID(fmt.Sprintf("job-bad%d", i)), wire.Spec{Class: "c", Tasks: 5, CPUs: 1, EstimateS: 10})
+		b.job(ids.JobID(fmt.Sprintf("job-bad%d", i)), wire.JobSpec{Class: "c", Tasks: 5, CPUs: 1, EstimateS: 10})
 	}
 	tried, most, condemned := 0, 0, 0
 	began := b.now
@@ -51,7 +51,7 @@
 			for _, o := range orders.Commands {
 				if o.Verb == wire.VerbRun {
 					tried++
-					running[h] = append(running[h], wire.Task{Name: o.Name, Attempt: o.Attempt, State: wire.TaskEnded, Cause: wire.CauseError})
+					running[h] = append(running[h], wire.TaskStatus{Name: o.Name, Attempt: o.Attempt, State: wire.TaskEnded, Cause: wire.CauseError})
 				}
 			}
 		}
@@ -74,7 +74,7 @@
 			for _, o := range orders.Commands {
 				if o.Verb == wire.VerbRun {
 					done = true
-					running[h] = append(running[h], wire.Task{Name: o.Name, Attempt: o.Attempt, State: wire.TaskEnded, Cause: wire.CauseDone})
+					running[h] = append(running[h], wire.TaskStatus{Name: o.Name, Attempt: o.Attempt, State: wire.TaskEnded, Cause: wire.CauseDone})
 				}
 			}
 		}
@@ -94,9 +94,9 @@
 		a := &assignment{job: j, machine: m, attempt: 1}
 		b.c.recordFailure(a)
 	}
-	b.job("job-bad", wire.Spec{Class: "c", Tasks: 1})
-	b.job("job-1", wire.Spec{Class: "c", Tasks: 4})
-	b.job("job-2", wire.Spec{Class: "c", Tasks: 4})
+	b.job("job-bad", wire.JobSpec{Class: "c", Tasks: 1})
+	b.job("job-1", wire.JobSpec{Class: "c", Tasks: 4})
+	b.job("job-2", wire.JobSpec{Class: "c", Tasks: 4})
 	b.c.jobs["job-bad"].failureRounds = 1
 	fail("job-bad", b.c.jobs["job-bad"])
 	fail("job-1", b.c.jobs["job-1"])
@@ -129,8 +129,8 @@
 	} {
 		b := newHarness(t, Options{})
 		b.c.autoscaler.bootFactors["m"] = c.boots
-		b.job("job-1", wire.Spec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
-		var asked []wire.Rental
+		b.job("job-1", wire.JobSpec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
+		var asked []wire.ProvisionRequest
 		began := b.now
 		for b.now < began.Add(c.at) {
 			b.now = b.now.Add(500 * time.Millisecond)
@@ -138,7 +138,7 @@
 				asked = append(asked, r)
 				var hosts []ids.MachineID
 				for i := range r.Count {
-					hosts = append(hosts, ids.MachineID(fmt.Sprintf("%s-%d", r.Request, i)))
+					hosts = append(hosts, ids.MachineID(fmt.Sprintf("%s-%d", r.RequestID, i)))
 				}
 				b.c.RentResult(b.now, r, hosts, true)
 			}
@@ -149,7 +149,7 @@
 	}
 	// One that never comes is returned in the end, and pays no more.
 	b := newHarness(t, Options{})
-	b.c.RentResult(b.now, wire.Rental{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"}, true)
+	b.c.RentResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"}, true)
 	b.c.registry.machines["n-9"].Site = placement.Site{Type: "m", Zone: "a"}
 	gone := false
 	for range 120 {
@@ -168,19 +168,19 @@
 func TestProcessPauseCountsAgainstNobody(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.report("n-0", "a", 0)
-	b.job("job-1", wire.Spec{Class: "c", Tasks: 1, EstimateS: 5})
+	b.job("job-1", wire.JobSpec{Class: "c", Tasks: 1, EstimateS: 5})
 	b.step()
-	run := func() wire.Task {
+	run := func() wire.TaskStatus {
 		for _, o := range b.report("n-0", "a", 0).Commands {
 			if o.Verb == wire.VerbRun {
-				return wire.Task{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning}
+				return wire.TaskStatus{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning}
 			}
 		}
 		t.Fatal("nothing started")
-		return wire.Task{}
+		return wire.TaskStatus{}
 	}
 	task := run()
-	b.c.RentResult(b.now, wire.Rental{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-1"}, true)
+	b.c.RentResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-1"}, true)
 	b.c.registry.machines["n-1"].Site = placement.Site{Type: "m", Zone: "a"}
 	b.c.registry.machines["n-1"].bootDeadline = b.now.Add(10 * time.Second)
 
@@ -219,16 +219,16 @@
 			{Name: "guest", Limit: quota.Unlimited}}})
 		b.c.Begin(b.now)
 		start := b.now
-		on := map[ids.MachineID][]wire.Task{}
+		on := map[ids.MachineID][]wire.TaskStatus{}
 		until := map[string]ids.Instant{}
 		var first ids.Instant
 		for s := range 420 {
 			b.now = b.now.Add(time.Second)
 			if s%2 == 0 {
-				b.job(ids.JobID(fmt.Sprintf("job-s%d", s)), wire.Spec{Class: "c", Tasks: 4, CPUs: 2, Priority: wire.Normal})
+				b.job(ids.JobID(fmt.Sprintf("job-s%d", s)), wire.JobSpec{Class: "c", Tasks: 4, CPUs: 2, Priority: wire.Normal})
 			}
 			if s == 20 {
-				b.job("job-guest", wire.Spec{Class: "g", Team: "guest", Tasks: 9, CPUs: 8})
+				b.job("job-guest", wire.JobSpec{Class: "g", Team: "guest", Tasks: 9, CPUs: 8})
 			}
 			b.step()
 			guests := 0
@@ -246,7 +246,7 @@
 					name := order.Name
 					switch order.Verb {
 					case wire.VerbRun:
-						on[host] = append(on[host], wire.Task{Name: name, Attempt: order.Attempt, State: wire.TaskRunning})
+						on[host] = append(on[host], wire.TaskStatus{Name: name, Attempt: order.Attempt, State: wire.TaskRunning})
 						until[name] = b.now.Add(time.Duration(5+(s*7+len(on[host])*3)%11) * time.Second)
 						if first == 0 && strings.HasPrefix(name, "job-guest") {
 							first, began = b.now, b.now.Sub(start)-20*time.Second
@@ -261,7 +261,7 @@
 							}
 						}
 					case wire.VerbReap:
-						on[host] = slices.DeleteFunc(on[host], func(tk wire.Task) bool { return tk.Name == name && tk.Attempt == order.Attempt })
+						on[host] = slices.DeleteFunc(on[host], func(tk wire.TaskStatus) bool { return tk.Name == name && tk.Attempt == order.Attempt })
 					}
 				}
 			}
--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -13,7 +13,7 @@
 
 // Demand is some tasks of one job that found no place.
 type Demand struct {
-	Spec  *wire.Spec
+	Spec  *wire.JobSpec
 	Count int
 	Zones placement.Zones // the job's tasks by zone so far
 }
@@ -97,7 +97,7 @@
 }
 
 // requestOf is the request of a job's tasks.
-func requestOf(s *wire.Spec) request {
+func requestOf(s *wire.JobSpec) request {
 	var types strings.Builder
 	for _, name := range s.Types {
 		types.WriteString(string(name))
@@ -145,7 +145,7 @@
 }
 
 // skipFull finds the first machine that may have room for a task.
-func (p *Planner) skipFull(s *wire.Spec, need placement.Resources) int {
+func (p *Planner) skipFull(s *wire.JobSpec, need placement.Resources) int {
 	key := requestOf(s)
 	first := p.firstBin[key]
 	for first < len(p.bins) && !p.bins[first].mayHold(s, need) {
@@ -157,12 +157,12 @@
 }
 
 // mayHold tells whether a task fits and its job allows the site.
-func (b *bin) mayHold(s *wire.Spec, need placement.Resources) bool {
+func (b *bin) mayHold(s *wire.JobSpec, need placement.Resources) bool {
 	return need.Within(b.free) && placement.Allowed(s, b.Site)
 }
 
 // fill puts as many tasks as fit into a machine, and tells how many.
-func (b *bin) fill(s *wire.Spec, need placement.Resources, zones placement.Zones, most int) int {
+func (b *bin) fill(s *wire.JobSpec, need placement.Resources, zones placement.Zones, most int) int {
 	if !b.mayHold(s, need) {
 		return 0
 	}
@@ -213,12 +213,12 @@
 }
 
 // perMachine is how many tasks of a job an empty machine holds, and at least one.
-func perMachine(s *wire.Spec, t *wire.MachineType) int {
+func perMachine(s *wire.JobSpec, t *wire.MachineType) int {
 	return max(1, Holds(s, placement.OfType(t)))
 }
 
 // Holds tells how many tasks of a job some room holds.
-func Holds(s *wire.Spec, room placement.Resources) int {
+func Holds(s *wire.JobSpec, room placement.Resources) int {
 	n := 1 << 20
 	for _, r := range [][2]float64{{s.CPUs, room.CPUs}, {s.GPUs, room.GPUs}, {s.MemoryGB, room.MemoryGB}} {
 		if r[0] > 0 {
--- a/scheduler/fleet/fleet_test.go
+++ b/scheduler/fleet/fleet_test.go
@@ -28,20 +28,20 @@
 		budget  int
 		want    []Purchase
 	}{
-		{"a single task goes to the cheapest machine that holds it", Demand{Spec: &wire.Spec{CPUs: 2, Spot: true}, Count: 1}, never, nil, 10,
+		{"a single task goes to the cheapest machine that holds it", Demand{Spec: &wire.JobSpec{CPUs: 2, Spot: true}, Count: 1}, never, nil, 10,
 			[]Purchase{{site("small", "a", true), 1}}},
-		{"many tasks go where each is cheapest", Demand{Spec: &wire.Spec{CPUs: 2, Spot: true}, Count: 16}, never, nil, 10,
+		{"many tasks go where each is cheapest", Demand{Spec: &wire.JobSpec{CPUs: 2, Spot: true}, Count: 16}, never, nil, 10,
 			[]Purchase{{site("large", "a", true), 1}}},
-		{"who may not use spot pays the price", Demand{Spec: &wire.Spec{CPUs: 4}, Count: 1}, never, nil, 10, []Purchase{{site("small", "a", false), 1}}},
-		{"large tasks fit large machines alone", Demand{Spec: &wire.Spec{CPUs: 8}, Count: 5}, never, nil, 10, []Purchase{{site("large", "a", false), 2}}},
-		{"what is coming is used first", Demand{Spec: &wire.Spec{CPUs: 2}, Count: 3}, never, []placement.Resources{{CPUs: 4, MemoryGB: 16}}, 10,
+		{"who may not use spot pays the price", Demand{Spec: &wire.JobSpec{CPUs: 4}, Count: 1}, never, nil, 10, []Purchase{{site("small", "a", false), 1}}},
+		{"large tasks fit large machines alone", Demand{Spec: &wire.JobSpec{CPUs: 8}, Count: 5}, never, nil, 10, []Purchase{{site("large", "a", false), 2}}},
+		{"what is coming is used first", Demand{Spec: &wire.JobSpec{CPUs: 2}, Count: 3}, never, []placement.Resources{{CPUs: 4, MemoryGB: 16}}, 10,
 			[]Purchase{{site("small", "a", false), 1}}},
-		{"nothing is bought beyond the budget", Demand{Spec: &wire.Spec{CPUs: 4}, Count: 5}, never, nil, 0, nil},
-		{"nor where it is blocked", Demand{Spec: &wire.Spec{CPUs: 4}, Count: 1}, func(s placement.Site) bool { return s.Zone == "a" }, nil, 10,
+		{"nothing is bought beyond the budget", Demand{Spec: &wire.JobSpec{CPUs: 4}, Count: 5}, never, nil, 0, nil},
+		{"nor where it is blocked", Demand{Spec: &wire.JobSpec{CPUs: 4}, Count: 1}, func(s placement.Site) bool { return s.Zone == "a" }, nil, 10,
 			[]Purchase{{site("small", "b", false), 1}}},
-		{"a spread job goes to two zones", Demand{Spec: &wire.Spec{CPUs: 4, Spread: true, Tasks: 2}, Count: 2}, never, nil, 10,
+		{"a spread job goes to two zones", Demand{Spec: &wire.JobSpec{CPUs: 4, Spread: true, Tasks: 2}, Count: 2}, never, nil, 10,
 			[]Purchase{{site("small", "a", false), 1}, {site("small", "b", false), 1}}},
-		{"what fits no machine buys none", Demand{Spec: &wire.Spec{CPUs: 64}, Count: 1}, never, nil, 10, nil},
+		{"what fits no machine buys none", Demand{Spec: &wire.JobSpec{CPUs: 64}, Count: 1}, never, nil, 10, nil},
 	} {
 		p := &Planner{Types: types, Blocked: c.blocked, Held: map[placement.Site]int{}, Budget: c.budget}
 		for _, room := range c.coming {
@@ -84,7 +84,7 @@
 	for range machines {
 		p.AddCapacity(placement.Site{Type: "small", Zone: "a"}, placement.Resources{CPUs: 4, MemoryGB: 16})
 	}
-	spec := &wire.Spec{CPUs: 2, MemoryGB: 1}
+	spec := &wire.JobSpec{CPUs: 2, MemoryGB: 1}
 	for range jobs {
 		p.Add(Demand{Spec: spec, Count: 10})
 	}
--- a/scheduler/fleet_demand.go
+++ b/scheduler/fleet_demand.go
@@ -163,7 +163,7 @@
 }
 
 // freeSlots counts how many more tasks the machines have room for, up to most.
-func (as *autoscaler) freeSlots(s *wire.Spec, most int) int {
+func (as *autoscaler) freeSlots(s *wire.JobSpec, most int) int {
 	n := 0
 	for _, m := range as.core.registry.machineList {
 		if n >= most {
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -44,7 +44,7 @@
 	return &harness{t: t, c: New(opt, types), now: ids.Instant(time.Hour)}
 }
 
-func (b *harness) job(id ids.JobID, spec wire.Spec) {
+func (b *harness) job(id ids.JobID, spec wire.JobSpec) {
 	if spec.CPUs == 0 {
 		spec.CPUs = 2
 	}
@@ -52,14 +52,14 @@
 		spec.Team = "red"
 	}
 	spec.Image = "i"
-	b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(len(b.c.jobs))}, ids.Revision(100+len(b.c.jobs)))
+	b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(len(b.c.jobs))}, ids.Revision(100+len(b.c.jobs)))
 }
 
 // inherit loads job-1 and its admission record as a predecessor left them.
-func (b *harness) inherit(spec wire.Spec, rec ledger.Slice) {
+func (b *harness) inherit(spec wire.JobSpec, rec ledger.Slice) {
 	b.t.Helper()
 	spec.Class, spec.Team, spec.CPUs, spec.Image = "c", "red", 2, "i"
-	b.c.LoadJob("job-1", &ledger.Job{Status: wire.StatusQueued, Tasks: spec.Tasks, Spec: &spec}, 3)
+	b.c.LoadJob("job-1", &ledger.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec}, 3)
 	if err := b.c.LoadSlice("job-1", 0, &rec, 4); err != nil {
 		b.t.Fatal(err)
 	}
@@ -83,10 +83,10 @@
 	}
 }
 
-func (b *harness) report(host ids.MachineID, zone ids.Zone, token ids.FencingToken, tasks ...wire.Task) wire.ReportAnswer {
+func (b *harness) report(host ids.MachineID, zone ids.Zone, token ids.FencingToken, tasks ...wire.TaskStatus) wire.HeartbeatResponse {
 	b.tick++
-	o, ok := b.c.Report(b.now, &wire.Report{Host: host, Endpoint: string(host), Type: "m", Zone: zone, Session: 1, Sequence: b.tick,
-		Token: token, Tasks: tasks}, false)
+	o, ok := b.c.Report(b.now, &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: zone, Incarnation: 1, Sequence: b.tick,
+		FencingToken: token, Tasks: tasks}, false)
 	if !ok {
 		b.t.Fatalf("report of %s not answered", host)
 	}
@@ -95,16 +95,16 @@
 
 // runTask begins the term with job-1 and has its only task run on n-1. It returns the
 // token that n-1 was shown, and the task as it is reported.
-func (b *harness) runTask() (ids.FencingToken, wire.Task) {
+func (b *harness) runTask() (ids.FencingToken, wire.TaskStatus) {
 	b.t.Helper()
 	b.c.Begin(b.now)
 	answer := b.report("n-1", "a", 0)
-	b.job("job-1", wire.Spec{Tasks: 1})
+	b.job("job-1", wire.JobSpec{Tasks: 1})
 	b.step()
-	answer = b.report("n-1", "a", answer.Token)
-	running := wire.Task{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
-	b.report("n-1", "a", answer.Token, running)
-	return answer.Token, running
+	answer = b.report("n-1", "a", answer.FencingToken)
+	running := wire.TaskStatus{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
+	b.report("n-1", "a", answer.FencingToken, running)
+	return answer.FencingToken, running
 }
 
 // step runs the core and commits whatever it decides, at once.
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -20,19 +20,19 @@
 	b.report("n-1", "a", 0)
 	for n := range 2 {
 		id := ids.JobID(fmt.Sprintf("job-%d", n))
-		b.job(id, wire.Spec{Tasks: 1})
+		b.job(id, wire.JobSpec{Tasks: 1})
 		b.step()
 		o := b.report("n-1", "a", 0)
 		run := verbs(o.Commands, wire.VerbRun)
 		if len(run) != 1 {
 			t.Fatalf("job %d: runs %v", n, run)
 		}
-		b.report("n-1", "a", o.Token, wire.Task{Name: string(id) + "/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseError})
-		b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.StatusCancelled, Tasks: 1, Spec: b.c.jobs[id].spec}, 900)
+		b.report("n-1", "a", o.FencingToken, wire.TaskStatus{Name: string(id) + "/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseError})
+		b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.jobs[id].spec}, 900)
 		b.step()
-		b.report("n-1", "a", o.Token)
+		b.report("n-1", "a", o.FencingToken)
 	}
-	b.job("job-9", wire.Spec{Tasks: 1})
+	b.job("job-9", wire.JobSpec{Tasks: 1})
 	b.step()
 	if a := b.c.jobs["job-9"].tasks[0].assignment; a != nil {
 		t.Fatalf("placed on %s, which fails everything", a.machine.host)
@@ -79,7 +79,7 @@
 			hosts[zone] = append(hosts[zone], ids.MachineID(fmt.Sprintf("n-%02d", n)))
 			b.report(hosts[zone][n/2], zone, 0)
 		}
-		b.job("job-1", wire.Spec{Tasks: 60, Service: true, CPUs: 8}) // no room is left
+		b.job("job-1", wire.JobSpec{Tasks: 60, Service: true, CPUs: 8}) // no room is left
 		b.step()
 		rented := 0
 		start := b.now
@@ -119,14 +119,14 @@
 		for _, h := range hosts {
 			b.report(h, "a", token)
 		}
-		b.job(id, wire.Spec{Tasks: 12})
+		b.job(id, wire.JobSpec{Tasks: 12})
 		b.step()
-		on := map[ids.MachineID][]wire.Task{}
+		on := map[ids.MachineID][]wire.TaskStatus{}
 		for i, tk := range b.c.jobs[id].tasks {
 			if tk.assignment == nil {
 				continue
 			}
-			on[tk.assignment.machine.host] = append(on[tk.assignment.machine.host], wire.Task{Name: fmt.Sprintf("%s/%d", id, i), Attempt: tk.attempt, State: wire.TaskRunning})
+			on[tk.assignment.machine.host] = append(on[tk.assignment.machine.host], wire.TaskStatus{Name: fmt.Sprintf("%s/%d", id, i), Attempt: tk.attempt, State: wire.TaskRunning})
 		}
 		if m := b.c.registry.machines["n-3"]; m.slowStreak >= slowStreakLimit {
 			if len(on["n-3"]) > 0 {
@@ -170,19 +170,19 @@
 func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	on := map[ids.MachineID][]wire.Task{}
+	on := map[ids.MachineID][]wire.TaskStatus{}
 	up := func(zone ids.Zone) {
 		for n := range 5 {
 			h := ids.MachineID(fmt.Sprintf("n-%s%d", zone, n))
 			for _, o := range b.report(h, zone, ids.NewFencingToken(5, 0), on[h]...).Commands {
-				on[h] = append(on[h], wire.Task{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning})
+				on[h] = append(on[h], wire.TaskStatus{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning})
 			}
 		}
 	}
 	up("a")
 	up("b")
 	wants := func(at int) {
-		b.job(ids.JobID(fmt.Sprintf("job-%d", at)), wire.Spec{Tasks: 30, CPUs: 2, EstimateS: 1000})
+		b.job(ids.JobID(fmt.Sprintf("job-%d", at)), wire.JobSpec{Tasks: 30, CPUs: 2, EstimateS: 1000})
 	}
 	rented := map[ids.Zone]int{}
 	for s := range 240 {
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -47,7 +47,7 @@
 // job is what the core knows of one job.
 type job struct {
 	id       ids.JobID
-	spec     *wire.Spec
+	spec     *wire.JobSpec
 	revision ids.Revision
 	// readyMS is the time of day when the job was ready to run.
 	readyMS int64
@@ -99,7 +99,7 @@
 }
 
 // terminal tells whether the job is done or cancelled, for good.
-func (j *job) terminal() bool { return j.status != wire.StatusQueued }
+func (j *job) terminal() bool { return j.status != wire.JobQueued }
 
 // amount is what one task takes of its team's quota.
 func (j *job) amount() quota.Amount { return quota.Amount{CPUs: j.spec.CPUs, GPUs: j.spec.GPUs} }
@@ -144,7 +144,7 @@
 	j := &job{id: id, spec: rec.Spec, revision: revision, readyMS: rec.SubmittedMS, orderMS: rec.SubmittedMS, status: rec.Status,
 		active: map[int]*assignment{}, zones: placement.Zones{}, readyAt: c.now, waitingSince: c.now}
 	if j.spec == nil {
-		j.spec = &wire.Spec{Tasks: rec.Tasks}
+		j.spec = &wire.JobSpec{Tasks: rec.Tasks}
 	}
 	j.priority = j.spec.Priority
 	j.tasks = make([]task, j.spec.Tasks)
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -14,7 +14,7 @@
 // slices.
 func (c *Core) LoadJob(id ids.JobID, rec *ledger.Job, revision ids.Revision) {
 	c.graph.Put(id, rec.Dependencies())
-	if rec.Status == wire.StatusDone || rec.Spec == nil {
+	if rec.Status == wire.JobDone || rec.Spec == nil {
 		return
 	}
 	c.jobs[id] = c.newJob(id, rec, revision)
@@ -36,7 +36,7 @@
 	j := c.jobs[id]
 	if j == nil {
 		// What is left of a done job; it only has to be dropped.
-		j = c.newJob(id, &ledger.Job{Status: wire.StatusDone}, 0)
+		j = c.newJob(id, &ledger.Job{Status: wire.JobDone}, 0)
 		c.jobs[id] = j
 	}
 	// Splits make a slice for each task at most, beside those there are, and leave
@@ -47,10 +47,10 @@
 	j.growSlices(n + 1)
 	s := j.slices[n]
 	s.revision = revision
-	if j.status == wire.StatusDone {
+	if j.status == wire.JobDone {
 		return nil
 	}
-	s.oversized = wire.Exceeds(rec, c.opt.ValueBytes)
+	s.oversized = wire.ExceedsJSONSize(rec, c.opt.ValueBytes)
 	if err := j.loadDone(s, rec.Done); err != nil {
 		return err
 	}
@@ -158,7 +158,7 @@
 	}
 	switch {
 	case s.State == pipeline.Cancelled:
-		j.status, j.cancelUnrecorded = wire.StatusCancelled, true
+		j.status, j.cancelUnrecorded = wire.JobCancelled, true
 		c.records.orphanCancels = append(c.records.orphanCancels, j)
 		c.stopAllTasks(j)
 	case s.State == pipeline.Ready && !j.ready:
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -43,11 +43,11 @@
 		if largeFleetZone(n) == cut {
 			continue
 		}
-		var tasks []wire.Task
+		var tasks []wire.TaskStatus
 		if m := b.c.registry.machines[largeFleetHost(n)]; m != nil {
 			for _, a := range m.taskList {
 				if a.sent || a.inherited {
-					tasks = append(tasks, wire.Task{Name: a.ref().String(), Attempt: a.attempt, State: wire.TaskRunning})
+					tasks = append(tasks, wire.TaskStatus{Name: a.ref().String(), Attempt: a.attempt, State: wire.TaskRunning})
 				}
 			}
 		}
@@ -84,7 +84,7 @@
 	b.c.Begin(b.now)
 	b.reportAll("")
 	for n := range largeFleetJobs {
-		b.job(ids.JobID(fmt.Sprintf("job-%06d", n)), wire.Spec{Tasks: largeFleetTasks / largeFleetJobs, CPUs: 2})
+		b.job(ids.JobID(fmt.Sprintf("job-%06d", n)), wire.JobSpec{Tasks: largeFleetTasks / largeFleetJobs, CPUs: 2})
 	}
 	latest := map[string]ledger.Slice{}
 	b.placeAll(latest)
@@ -135,7 +135,7 @@
 	opt.Revision, opt.Predecessor = opt.Revision+1, true
 	b.c = New(opt, predecessor.typeList)
 	for id, j := range predecessor.jobs {
-		b.c.LoadJob(id, &ledger.Job{Status: wire.StatusQueued, Tasks: len(j.tasks), Spec: j.spec}, j.revision)
+		b.c.LoadJob(id, &ledger.Job{Status: wire.JobQueued, Tasks: len(j.tasks), Spec: j.spec}, j.revision)
 	}
 	for key, record := range latest {
 		id, number, _ := ledger.ParseAdmissionKey(key)
@@ -200,7 +200,7 @@
 		for _, op := range change.Apply {
 			if record, ok := op.Value.(*zonereturn.Record); ok {
 				b.zoneWrites++
-				if wire.Exceeds(record, b.c.opt.ValueBytes) {
+				if wire.ExceedsJSONSize(record, b.c.opt.ValueBytes) {
 					b.t.Errorf("a zone's record with %d jobs is too large", len(record.Jobs))
 				}
 			}
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -14,7 +14,7 @@
 	ref     ids.TaskRef
 	attempt ids.Attempt
 	state   wire.TaskState
-	cause   wire.Cause
+	cause   wire.ExitCause
 }
 
 // cachedImage is an image in a machine's cache.
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -91,13 +91,13 @@
 func (r *machineRegistry) observeList(asked ids.Instant, list []wire.Machine) {
 	listed := map[ids.MachineID]bool{}
 	for _, w := range list {
-		listed[w.Host] = true
-		if r.returnedHosts[w.Host] {
+		listed[w.ID] = true
+		if r.returnedHosts[w.ID] {
 			continue
 		}
-		m := r.machines[w.Host]
+		m := r.machines[w.ID]
 		if m == nil {
-			m = r.ensureMachine(w.Host)
+			m = r.ensureMachine(w.ID)
 			m.knownSince = asked.Add(-ids.Seconds(w.AgeS))
 		}
 		r.setSite(m, placement.Site{Type: w.Type, Zone: w.Zone, Spot: w.Spot}, w.Endpoint)
--- a/scheduler/parts_test.go
+++ b/scheduler/parts_test.go
@@ -12,7 +12,7 @@
 
 func TestEstimatesFollowWhatTasksTook(t *testing.T) {
 	e := &runEstimates{estimateFactors: map[string]float64{}}
-	spec := &wire.Spec{Class: "c", EstimateS: 10}
+	spec := &wire.JobSpec{Class: "c", EstimateS: 10}
 	if got := e.expectedRun(spec); got != 10*time.Second {
 		t.Errorf("nothing seen: %v", got)
 	}
@@ -26,8 +26,8 @@
 	if got := e.expectedRun(spec); got < 5*time.Second || got > 5500*time.Millisecond {
 		t.Errorf("most took half: %v", got)
 	}
-	e.recordRun(&wire.Spec{Class: "d"}, time.Hour) // no estimate, nothing to learn
-	if got := e.expectedRun(&wire.Spec{Class: "d", EstimateS: 10}); got != 10*time.Second {
+	e.recordRun(&wire.JobSpec{Class: "d"}, time.Hour) // no estimate, nothing to learn
+	if got := e.expectedRun(&wire.JobSpec{Class: "d", EstimateS: 10}); got != 10*time.Second {
 		t.Errorf("another class: %v", got)
 	}
 }
@@ -91,7 +91,7 @@
 func TestWaitingJobsAreOrdered(t *testing.T) {
 	b := newHarness(t, Options{ReserveAfter: time.Minute})
 	add := func(id ids.JobID, priority wire.Priority, orderMS int64, age time.Duration) *job {
-		b.job(id, wire.Spec{Class: "c", Tasks: 1, Priority: priority})
+		b.job(id, wire.JobSpec{Class: "c", Tasks: 1, Priority: priority})
 		j := b.c.jobs[id]
 		j.orderMS, j.readyAt = orderMS, b.now.Add(-age)
 		return j
@@ -121,7 +121,7 @@
 
 // Who may stop whom follows from who is admitted first.
 func TestWhoMayStopWhom(t *testing.T) {
-	j := &job{spec: &wire.Spec{Team: "red"}, priority: wire.High}
+	j := &job{spec: &wire.JobSpec{Team: "red"}, priority: wire.High}
 	for _, c := range []struct {
 		name             string
 		by               claim
--- a/scheduler/placement/placement.go
+++ b/scheduler/placement/placement.go
@@ -16,7 +16,7 @@
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
 // Of is what one task of a job takes.
-func Of(s *wire.Spec) Resources { return Resources{s.CPUs, s.GPUs, s.MemoryGB} }
+func Of(s *wire.JobSpec) Resources { return Resources{s.CPUs, s.GPUs, s.MemoryGB} }
 
 // OfType is what a machine of a type offers.
 func OfType(t *wire.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
@@ -59,7 +59,7 @@
 }
 
 // Allowed tells whether a job may use a site at all.
-func Allowed(s *wire.Spec, at Site) bool {
+func Allowed(s *wire.JobSpec, at Site) bool {
 	if at.Spot && !s.Spot {
 		return false
 	}
@@ -70,7 +70,7 @@
 }
 
 // Fits tells whether a task of the job fits an empty machine of a type.
-func Fits(s *wire.Spec, t *wire.MachineType) bool {
+func Fits(s *wire.JobSpec, t *wire.MachineType) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) && Of(s).Within(OfType(t))
 }
 
@@ -79,7 +79,7 @@
 type Zones map[ids.Zone]int
 
 // Admits tells whether one more task in a zone keeps oneZone and spread.
-func (z Zones) Admits(s *wire.Spec, zone ids.Zone) bool {
+func (z Zones) Admits(s *wire.JobSpec, zone ids.Zone) bool {
 	if s.OneZone {
 		for other, n := range z {
 			if other != zone && n > 0 {
@@ -119,7 +119,7 @@
 // Score ranks offers for a job; the largest goes first. Kind of machine weighs
 // most, since spot work on ordinary machines takes room from work that has no
 // choice, and for classes that must start within seconds the image does.
-func Score(s *wire.Spec, o *Offer) float64 {
+func Score(s *wire.JobSpec, o *Offer) float64 {
 	score := 0.0
 	image := 25.0
 	if o.LatencySensitive {
--- a/scheduler/placement/placement_test.go
+++ b/scheduler/placement/placement_test.go
@@ -11,15 +11,15 @@
 	at := Site{Type: "big", Zone: "a", Spot: true}
 	for _, c := range []struct {
 		name    string
-		spec    wire.Spec
+		spec    wire.JobSpec
 		allowed bool
 	}{
-		{"spot for who may use it", wire.Spec{Spot: true}, true},
-		{"spot for who may not", wire.Spec{}, false},
-		{"its zone", wire.Spec{Spot: true, Zone: "a"}, true},
-		{"another zone", wire.Spec{Spot: true, Zone: "b"}, false},
-		{"its type among others", wire.Spec{Spot: true, Types: []ids.MachineType{"small", "big"}}, true},
-		{"another type", wire.Spec{Spot: true, Types: []ids.MachineType{"small"}}, false},
+		{"spot for who may use it", wire.JobSpec{Spot: true}, true},
+		{"spot for who may not", wire.JobSpec{}, false},
+		{"its zone", wire.JobSpec{Spot: true, Zone: "a"}, true},
+		{"another zone", wire.JobSpec{Spot: true, Zone: "b"}, false},
+		{"its type among others", wire.JobSpec{Spot: true, Types: []ids.MachineType{"small", "big"}}, true},
+		{"another type", wire.JobSpec{Spot: true, Types: []ids.MachineType{"small"}}, false},
 	} {
 		if got := Allowed(&c.spec, at); got != c.allowed {
 			t.Errorf("%s: %v", c.name, got)
@@ -31,20 +31,20 @@
 func TestZonesAdmit(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		spec  wire.Spec
+		spec  wire.JobSpec
 		there Zones
 		admit bool // one more in zone a
 	}{
-		{"one zone, the first task", wire.Spec{OneZone: true}, Zones{}, true},
-		{"one zone, the others are there", wire.Spec{OneZone: true}, Zones{"a": 3}, true},
-		{"one zone, the others are elsewhere", wire.Spec{OneZone: true}, Zones{"b": 1}, false},
-		{"one zone, one is not known where", wire.Spec{OneZone: true}, Zones{"": 1}, false},
-		{"spread, the first of 9", wire.Spec{Spread: true, Tasks: 9}, Zones{}, true},
-		{"spread, the fifth of 9 in one zone", wire.Spec{Spread: true, Tasks: 9}, Zones{"a": 4}, true},
-		{"spread, the sixth of 9 in one zone", wire.Spec{Spread: true, Tasks: 9}, Zones{"a": 5}, false},
-		{"spread, one is not known where", wire.Spec{Spread: true, Tasks: 9}, Zones{"a": 4, "": 1}, false},
-		{"spread, a single task", wire.Spec{Spread: true, Tasks: 1}, Zones{}, true},
-		{"neither", wire.Spec{Tasks: 2}, Zones{"a": 7, "b": 1}, true},
+		{"one zone, the first task", wire.JobSpec{OneZone: true}, Zones{}, true},
+		{"one zone, the others are there", wire.JobSpec{OneZone: true}, Zones{"a": 3}, true},
+		{"one zone, the others are elsewhere", wire.JobSpec{OneZone: true}, Zones{"b": 1}, false},
+		{"one zone, one is not known where", wire.JobSpec{OneZone: true}, Zones{"": 1}, false},
+		{"spread, the first of 9", wire.JobSpec{Spread: true, Tasks: 9}, Zones{}, true},
+		{"spread, the fifth of 9 in one zone", wire.JobSpec{Spread: true, Tasks: 9}, Zones{"a": 4}, true},
+		{"spread, the sixth of 9 in one zone", wire.JobSpec{Spread: true, Tasks: 9}, Zones{"a": 5}, false},
+		{"spread, one is not known where", wire.JobSpec{Spread: true, Tasks: 9}, Zones{"a": 4, "": 1}, false},
+		{"spread, a single task", wire.JobSpec{Spread: true, Tasks: 1}, Zones{}, true},
+		{"neither", wire.JobSpec{Tasks: 2}, Zones{"a": 7, "b": 1}, true},
 	} {
 		if got := c.there.Admits(&c.spec, "a"); got != c.admit {
 			t.Errorf("%s: %v", c.name, got)
@@ -63,18 +63,18 @@
 	plain := func(*Offer) {}
 	for _, c := range []struct {
 		name          string
-		spec          wire.Spec
+		spec          wire.JobSpec
 		better, worse func(*Offer)
 	}{
-		{"the image is there", wire.Spec{CPUs: 1}, func(o *Offer) { o.Cached = true }, plain},
-		{"the image is on its way", wire.Spec{CPUs: 1}, func(o *Offer) { o.Fetching = true }, plain},
-		{"spot for who may use it", wire.Spec{CPUs: 1, Spot: true}, func(o *Offer) { o.Spot = true }, plain},
-		{"but not where it is likely to be taken", wire.Spec{CPUs: 1, Spot: true}, plain, func(o *Offer) { o.Spot, o.SpotRisk = true, 0.2 }},
-		{"a machine that failed goes last", wire.Spec{CPUs: 1}, plain, func(o *Offer) { o.Suspect, o.Cached = true, true }},
-		{"replicas of a service stand apart", wire.Spec{CPUs: 1, Service: true}, plain, func(o *Offer) { o.SameJob = 1 }},
-		{"the fuller machine of two", wire.Spec{CPUs: 1}, func(o *Offer) { o.Free.CPUs = 2 }, plain},
-		{"where services stay already", wire.Spec{CPUs: 1}, func(o *Offer) { o.HostsServices = true }, plain},
-		{"the image before the kind, in a hurry", wire.Spec{CPUs: 1, Spot: true}, func(o *Offer) { o.Cached, o.LatencySensitive = true, true },
+		{"the image is there", wire.JobSpec{CPUs: 1}, func(o *Offer) { o.Cached = true }, plain},
+		{"the image is on its way", wire.JobSpec{CPUs: 1}, func(o *Offer) { o.Fetching = true }, plain},
+		{"spot for who may use it", wire.JobSpec{CPUs: 1, Spot: true}, func(o *Offer) { o.Spot = true }, plain},
+		{"but not where it is likely to be taken", wire.JobSpec{CPUs: 1, Spot: true}, plain, func(o *Offer) { o.Spot, o.SpotRisk = true, 0.2 }},
+		{"a machine that failed goes last", wire.JobSpec{CPUs: 1}, plain, func(o *Offer) { o.Suspect, o.Cached = true, true }},
+		{"replicas of a service stand apart", wire.JobSpec{CPUs: 1, Service: true}, plain, func(o *Offer) { o.SameJob = 1 }},
+		{"the fuller machine of two", wire.JobSpec{CPUs: 1}, func(o *Offer) { o.Free.CPUs = 2 }, plain},
+		{"where services stay already", wire.JobSpec{CPUs: 1}, func(o *Offer) { o.HostsServices = true }, plain},
+		{"the image before the kind, in a hurry", wire.JobSpec{CPUs: 1, Spot: true}, func(o *Offer) { o.Cached, o.LatencySensitive = true, true },
 			func(o *Offer) { o.Spot, o.LatencySensitive = true, true }},
 	} {
 		if better, worse := Score(&c.spec, offer(c.better)), Score(&c.spec, offer(c.worse)); better <= worse {
--- a/scheduler/plain_model_test.go
+++ b/scheduler/plain_model_test.go
@@ -251,7 +251,7 @@
 		b.randomMachines(rng, 1+rng.IntN(6))
 		for round := range 4 {
 			for n := range rng.IntN(6) {
-				spec := wire.Spec{Class: "c", Team: teams[rng.IntN(3)].Name, Priority: wire.Priority(rng.IntN(2)), Tasks: 1 + rng.IntN(7),
+				spec := wire.JobSpec{Class: "c", Team: teams[rng.IntN(3)].Name, Priority: wire.Priority(rng.IntN(2)), Tasks: 1 + rng.IntN(7),
 					CPUs: float64(1 + rng.IntN(5)), MemoryGB: float64(rng.IntN(12)), Spread: rng.IntN(4) == 0, OneZone: rng.IntN(5) == 0}
 				spec.Service = rng.IntN(4) == 0
 				spec.Gang = !spec.Service && rng.IntN(4) == 0
--- a/scheduler/predecessors_test.go
+++ b/scheduler/predecessors_test.go
@@ -36,10 +36,10 @@
 		{"within the margin", func(b *harness) { b.now = b.now.Add(grace - margin) }, true},
 	} {
 		b := newHarness(t, Options{Predecessor: true, Grace: grace})
-		b.inherit(wire.Spec{Service: true, Tasks: 2}, ledger.Slice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
+		b.inherit(wire.JobSpec{Service: true, Tasks: 2}, ledger.Slice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
 		b.c.Begin(b.now)
-		spec := wire.Spec{Service: true, Tasks: 2, Class: "c", Team: "red", CPUs: 2, Image: "i"}
-		b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusCancelled, Tasks: 2, Spec: &spec}, 50)
+		spec := wire.JobSpec{Service: true, Tasks: 2, Class: "c", Team: "red", CPUs: 2, Image: "i"}
+		b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.JobCancelled, Tasks: 2, Spec: &spec}, 50)
 		c.bring(b)
 		if got := b.c.CanAcknowledgeCancel(b.now, "job-1"); got != c.acknowledged {
 			t.Errorf("%s: acknowledged: %v", c.name, got)
@@ -73,7 +73,7 @@
 		if c.unclear {
 			b.c.LoadUnreadableJob("job-9")
 		}
-		b.inherit(wire.Spec{Service: c.service, Tasks: 1}, ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+		b.inherit(wire.JobSpec{Service: c.service, Tasks: 1}, ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 		b.c.Begin(b.now)
 		began, held := b.now, c.service || c.unclear
 		if got := b.c.CanAcknowledgeCancel(b.now, "job-1"); got == held {
@@ -94,7 +94,7 @@
 func TestOnlyMachinesWithReplicasAreAnswered(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.report("n-1", "a", 0)
-	b.job("job-1", wire.Spec{Service: true, Tasks: 1})
+	b.job("job-1", wire.JobSpec{Service: true, Tasks: 1})
 	b.c.Step(b.now) // the replica is placed, and its record on its way
 	report := func(host ids.MachineID, sequence ids.Sequence) bool {
 		_, ok := b.c.Report(b.now, newReport(host, 1, sequence, 0), false)
--- a/scheduler/reachability.go
+++ b/scheduler/reachability.go
@@ -11,14 +11,14 @@
 // nothing that it is told reaches it looks healthy, takes work for ever and does none: its
 // lease runs out although every report was answered, and what it was told to start never
 // shows.
-func (hm *healthMonitor) updateReachability(m *machine, rep *wire.Report, direct bool) {
+func (hm *healthMonitor) updateReachability(m *machine, rep *wire.Heartbeat, direct bool) {
 	switch {
-	case direct || m.unreachable && rep.Token >= hm.core.commands.tokenOf(m):
+	case direct || m.unreachable && rep.FencingToken >= hm.core.commands.tokenOf(m):
 		// It carried out a call, or shows the token that it was given since.
 		hm.core.schedulingDue = hm.core.schedulingDue || m.unreachable
 		m.unreachable = false
 	case m.unreachable || !m.reported:
-	case rep.Session > m.session && hm.core.now < m.answeredAt.Add(hm.core.opt.Lease*2/3), hm.startUnacknowledged(m, rep):
+	case rep.Incarnation > m.session && hm.core.now < m.answeredAt.Add(hm.core.opt.Lease*2/3), hm.startUnacknowledged(m, rep):
 		m.unreachable, m.unreachableSince = true, hm.core.now
 		// A machine that does hear shows this soon.
 		m.counter++
@@ -33,10 +33,10 @@
 
 // startUnacknowledged tells whether a report still lacks something that its machine was
 // told long ago to start.
-func (hm *healthMonitor) startUnacknowledged(m *machine, rep *wire.Report) bool {
+func (hm *healthMonitor) startUnacknowledged(m *machine, rep *wire.Heartbeat) bool {
 	for _, a := range m.taskList {
 		if a.sent && !a.seen && a.stopReason == stopNone && hm.core.now > max(a.sentAt, hm.core.resumedAt).Add(hm.acknowledgeWithin()) &&
-			!slices.ContainsFunc(rep.Tasks, func(t wire.Task) bool { return t.Attempt == a.attempt && t.Name == a.ref().String() }) {
+			!slices.ContainsFunc(rep.Tasks, func(t wire.TaskStatus) bool { return t.Attempt == a.attempt && t.Name == a.ref().String() }) {
 			return true
 		}
 	}
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -14,8 +14,8 @@
 )
 
 // said is a report as a worker would make it, for messages out of order.
-func newReport(host ids.MachineID, tenure ids.AgentIncarnation, tick ids.Sequence, token ids.FencingToken, tasks ...wire.Task) *wire.Report {
-	return &wire.Report{Host: host, Endpoint: string(host), Type: "m", Zone: "a", Session: tenure, Sequence: tick, Token: token, Tasks: tasks}
+func newReport(host ids.MachineID, tenure ids.AgentIncarnation, tick ids.Sequence, token ids.FencingToken, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: "a", Incarnation: tenure, Sequence: tick, FencingToken: token, Tasks: tasks}
 }
 
 // A machine whose reports arrive, but which hears nothing, takes work for ever
@@ -24,7 +24,7 @@
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
-	b.job("job-1", wire.Spec{Tasks: 1})
+	b.job("job-1", wire.JobSpec{Tasks: 1})
 	b.step()
 	b.step()
 	returned := false
@@ -40,7 +40,7 @@
 			b.report("n-1", "a", 0)
 		}
 		if s == 16 {
-			b.job("job-2", wire.Spec{Tasks: 1})
+			b.job("job-2", wire.JobSpec{Tasks: 1})
 		}
 		if j := b.c.jobs["job-2"]; j != nil && j.tasks[0].assignment != nil {
 			t.Fatalf("after %d s: new work went to it", s)
@@ -71,11 +71,11 @@
 		b := newHarness(t, Options{})
 		b.c.Begin(b.now)
 		o := b.report("n-1", "a", 0)
-		b.report("n-1", "a", o.Token)
+		b.report("n-1", "a", o.FencingToken)
 		b.now = b.now.Add(simReport)
 		b.tick++
-		b.c.Report(b.now, newReport("n-1", 2, b.tick, o.Token), false)
-		b.job("job-1", wire.Spec{Tasks: 1})
+		b.c.Report(b.now, newReport("n-1", 2, b.tick, o.FencingToken), false)
+		b.job("job-1", wire.JobSpec{Tasks: 1})
 		b.step()
 		if b.c.jobs["job-1"].tasks[0].assignment != nil {
 			t.Fatal("work went to a machine that may hear nothing")
@@ -87,7 +87,7 @@
 			}
 			b.now = b.now.Add(time.Second)
 			b.tick++
-			token := o.Token
+			token := o.FencingToken
 			if hears {
 				token = ids.NewFencingToken(5, 1)
 			}
@@ -105,7 +105,7 @@
 func TestCancelledTaskOnAnUnreachableMachine(t *testing.T) {
 	b := newHarness(t, Options{})
 	token, running := b.runTask()
-	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusCancelled, Tasks: 1, Spec: b.c.jobs["job-1"].spec}, 500)
+	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.jobs["job-1"].spec}, 500)
 	for s := range 52 {
 		b.now = b.now.Add(time.Second)
 		b.report("n-1", "a", token, running)
@@ -125,16 +125,16 @@
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	o := b.report("n-1", "a", 0)
-	b.job("job-1", wire.Spec{Tasks: 1, Service: true})
+	b.job("job-1", wire.JobSpec{Tasks: 1, Service: true})
 	b.step()
-	o = b.report("n-1", "a", o.Token)
-	run := wire.Task{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
-	b.report("n-1", "a", o.Token, run)
+	o = b.report("n-1", "a", o.FencingToken)
+	run := wire.TaskStatus{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
+	b.report("n-1", "a", o.FencingToken, run)
 	last := b.tick
 	for s := range 60 {
 		b.now = b.now.Add(time.Second)
 		for tick := last - 1; tick <= last; tick++ { // older ones, and the newest once more
-			b.c.Report(b.now, newReport("n-1", 1, tick, o.Token, run), false)
+			b.c.Report(b.now, newReport("n-1", 1, tick, o.FencingToken, run), false)
 		}
 		b.step()
 		if m := b.c.registry.machines["n-1"]; m == nil || len(m.tasks) == 0 {
@@ -167,7 +167,7 @@
 	b = newHarness(t, Options{Predecessor: true, Grace: time.Minute})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", ids.NewFencingToken(4, 7))
-	b.job("job-1", wire.Spec{Tasks: 1})
+	b.job("job-1", wire.JobSpec{Tasks: 1})
 	b.step()
 	if b.c.jobs["job-1"].tasks[0].assignment != nil {
 		t.Fatal("a successor placed work on a machine that it only has an old report of")
@@ -188,12 +188,12 @@
 	oldToken, run := old.runTask()
 
 	next := newHarness(t, Options{Revision: 9, Predecessor: true, Grace: time.Minute})
-	next.inherit(wire.Spec{Tasks: 1}, ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	next.inherit(wire.JobSpec{Tasks: 1}, ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	next.c.Begin(next.now)
 	// It knows the address from the list, and has no report: all of them go
 	// to the old leader. The same holds of a machine without tasks.
-	list := []wire.Machine{{Host: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Status: "running", AgeS: 60},
-		{Host: "n-2", Endpoint: "n-2", Type: "m", Zone: "a", Status: "running", AgeS: 60}}
+	list := []wire.Machine{{ID: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Status: "running", AgeS: 60},
+		{ID: "n-2", Endpoint: "n-2", Type: "m", Zone: "a", Status: "running", AgeS: 60}}
 	next.c.MachineList(next.now, next.now, list)
 	token := map[ids.MachineID]ids.FencingToken{"n-1": oldToken, "n-2": oldToken}
 	tick := ids.Sequence(50)
@@ -206,7 +206,7 @@
 		}
 		for _, h := range e.Direct {
 			if d, _, ok := next.c.TakeDirect(next.now, h); ok {
-				token[h] = max(token[h], d.Token)
+				token[h] = max(token[h], d.FencingToken)
 				tick++
 				next.c.DirectResult(next.now, h, newReport(h, 1, tick, token[h]))
 			}
@@ -230,19 +230,19 @@
 		b := newHarness(t, Options{ReserveAfter: keep, ReserveFor: time.Minute})
 		b.c.Begin(b.now)
 		start := b.now
-		on := map[ids.MachineID][]wire.Task{}
+		on := map[ids.MachineID][]wire.TaskStatus{}
 		until := map[string]ids.Instant{}
 		hosts := []ids.MachineID{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
 		token := ids.NewFencingToken(5, 0)
 		for s := range 300 {
 			b.now = b.now.Add(time.Second)
-			b.job(ids.JobID(fmt.Sprintf("job-s%d", s)), wire.Spec{Tasks: 4, CPUs: 2})
+			b.job(ids.JobID(fmt.Sprintf("job-s%d", s)), wire.JobSpec{Tasks: 4, CPUs: 2})
 			if s == 20 {
-				b.job("job-large", wire.Spec{Tasks: 3, CPUs: 8})
+				b.job("job-large", wire.JobSpec{Tasks: 3, CPUs: 8})
 			}
 			b.step()
 			for _, h := range hosts {
-				var tasks []wire.Task
+				var tasks []wire.TaskStatus
 				for _, tk := range on[h] {
 					if b.now > until[tk.Name] {
 						tk.State, tk.Cause = wire.TaskEnded, wire.CauseDone
@@ -250,8 +250,8 @@
 					tasks = append(tasks, tk)
 				}
 				o := b.report(h, "a", token, tasks...)
-				token = max(token, o.Token)
-				var left []wire.Task
+				token = max(token, o.FencingToken)
+				var left []wire.TaskStatus
 				for _, tk := range tasks {
 					if !slices.Contains(verbs(o.Commands, wire.VerbReap), fmt.Sprintf("%s#%d", tk.Name, tk.Attempt)) {
 						left = append(left, tk)
@@ -259,7 +259,7 @@
 				}
 				for _, order := range o.Commands {
 					if order.Verb == wire.VerbRun {
-						left = append(left, wire.Task{Name: order.Name, Attempt: order.Attempt, State: wire.TaskRunning})
+						left = append(left, wire.TaskStatus{Name: order.Name, Attempt: order.Attempt, State: wire.TaskRunning})
 						// The gaps open one at a time.
 						until[order.Name] = b.now.Add(time.Duration(5+(s*7+len(left)*3)%11) * time.Second)
 					}
@@ -288,7 +288,7 @@
 func TestEveryJobStartsThoughOlderOnesGoOn(t *testing.T) {
 	begins := func(keep time.Duration, quotaShort, takeover bool) time.Duration {
 		opt := Options{ReserveAfter: keep, ReserveFor: time.Minute}
-		on := map[ids.MachineID][]wire.Task{"n-1": nil}
+		on := map[ids.MachineID][]wire.TaskStatus{"n-1": nil}
 		if quotaShort { // room there is
 			eight := quota.Amount{CPUs: 8}
 			opt.Teams = []quota.Team{{Name: "red", Nominal: eight, Limit: eight, Lend: eight}}
@@ -299,8 +299,8 @@
 		start := b.now
 		wall := func() int64 { return int64(b.now.Sub(start) / time.Millisecond) }
 		submit := func(id ids.JobID, tasks int) {
-			b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.StatusQueued, Tasks: tasks, SubmittedMS: wall(),
-				Spec: &wire.Spec{Team: "red", Tasks: tasks, CPUs: 2}}, ids.Revision(100+len(b.c.jobs)))
+			b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.JobQueued, Tasks: tasks, SubmittedMS: wall(),
+				Spec: &wire.JobSpec{Team: "red", Tasks: tasks, CPUs: 2}}, ids.Revision(100+len(b.c.jobs)))
 		}
 		submit("job-old", 200)
 		until := map[string]ids.Instant{}
@@ -314,7 +314,7 @@
 				next := newHarness(t, opt)
 				next.now, next.tick = b.now, b.tick
 				for id, j := range b.c.jobs {
-					next.c.LoadJob(id, &ledger.Job{Status: wire.StatusQueued, Tasks: j.spec.Tasks, Spec: j.spec, SubmittedMS: j.readyMS}, j.revision)
+					next.c.LoadJob(id, &ledger.Job{Status: wire.JobQueued, Tasks: j.spec.Tasks, Spec: j.spec, SubmittedMS: j.readyMS}, j.revision)
 				}
 				next.c.Begin(next.now)
 				b = next
@@ -330,12 +330,12 @@
 				}
 				o := b.report(h, "a", ids.NewFencingToken(b.c.opt.Revision, 900), tasks...)
 				reaped := verbs(o.Commands, wire.VerbReap)
-				on[h] = slices.DeleteFunc(tasks, func(tk wire.Task) bool {
+				on[h] = slices.DeleteFunc(tasks, func(tk wire.TaskStatus) bool {
 					return slices.Contains(reaped, fmt.Sprintf("%s#%d", tk.Name, tk.Attempt))
 				})
 				for _, order := range o.Commands {
 					if order.Verb == wire.VerbRun {
-						on[h] = append(on[h], wire.Task{Name: order.Name, Attempt: order.Attempt, State: wire.TaskRunning})
+						on[h] = append(on[h], wire.TaskStatus{Name: order.Name, Attempt: order.Attempt, State: wire.TaskRunning})
 						until[order.Name] = b.now.Add(10 * time.Second)
 					}
 				}
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -56,9 +56,9 @@
 		return
 	case p.completes:
 		j.completing = false
-		j.status, j.revision = wire.StatusDone, revision
+		j.status, j.revision = wire.JobDone, revision
 		// Only now may those that depend on it start: a successor would find it done.
-		w.core.applyJobRecord(j.id, &ledger.Job{Status: wire.StatusDone, DoneMS: p.doneMS})
+		w.core.applyJobRecord(j.id, &ledger.Job{Status: wire.JobDone, DoneMS: p.doneMS})
 	}
 	for _, s := range p.dropped {
 		s.revision = 0
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -22,7 +22,7 @@
 	at := []ledger.SliceVersion{{N: s.number, Revision: s.revision}}
 	recs := []ledger.Slice{w.sliceRecord(j, s.tasks)}
 	limit := w.core.opt.ValueBytes >> j.refusals
-	s.oversized = wire.Exceeds(recs[0], limit)
+	s.oversized = wire.ExceedsJSONSize(recs[0], limit)
 	if s.oversized && w.core.opt.SplitRecords {
 		s.oversized = false
 		p.split, recs = w.splitTasks(j, s.tasks, limit)
@@ -44,7 +44,7 @@
 	for k := 0; k < len(parts); {
 		list := parts[k]
 		rec := w.sliceRecord(j, list)
-		if len(list) < 2 || len(parts) >= w.core.opt.TxnOps || !wire.Exceeds(rec, limit) {
+		if len(list) < 2 || len(parts) >= w.core.opt.TxnOps || !wire.ExceedsJSONSize(rec, limit) {
 			recs = append(recs, rec)
 			k++
 			continue
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -13,29 +13,29 @@
 // Report takes a worker's report and returns the answer. Direct marks reports
 // that came as answers to direct commands: they renew no lease. ok is false if
 // this leader must not answer.
-func (c *Core) Report(now ids.Instant, rep *wire.Report, direct bool) (answer wire.ReportAnswer, ok bool) {
+func (c *Core) Report(now ids.Instant, rep *wire.Heartbeat, direct bool) (answer wire.HeartbeatResponse, ok bool) {
 	c.advance(now)
-	if rep.Token.Revision() > c.opt.Revision {
+	if rep.FencingToken.Revision() > c.opt.Revision {
 		c.deposed = true
-		return wire.ReportAnswer{}, false
+		return wire.HeartbeatResponse{}, false
 	}
-	if c.registry.returnedHosts[rep.Host] {
+	if c.registry.returnedHosts[rep.Machine] {
 		// A message that was held back; the machine was given back since.
-		return wire.ReportAnswer{Token: ids.NewFencingToken(c.opt.Revision, 0), Commands: []wire.Command{}}, !c.answerReplicasOnly
+		return wire.HeartbeatResponse{FencingToken: ids.NewFencingToken(c.opt.Revision, 0), Commands: []wire.Command{}}, !c.answerReplicasOnly
 	}
-	m := c.registry.ensureMachine(rep.Host)
+	m := c.registry.ensureMachine(rep.Machine)
 	if m.reported && !rep.Newer(m.session, m.sequence) {
 		// A copy of what was seen, or a message that a newer one overtook. It
 		// is no sign of life and tells nothing. Its worker may still wait for
 		// the answer: that renews the lease from when the message was sent,
 		// which is before the newest came.
 		if !direct && !c.mayAnswer(m) {
-			return wire.ReportAnswer{}, false
+			return wire.HeartbeatResponse{}, false
 		}
 		if !direct {
 			m.answeredAt = max(m.answeredAt, m.lastHeard)
 		}
-		return wire.ReportAnswer{Token: c.commands.tokenOf(m), Commands: []wire.Command{}}, true
+		return wire.HeartbeatResponse{FencingToken: c.commands.tokenOf(m), Commands: []wire.Command{}}, true
 	}
 	c.registry.setSite(m, placement.Site{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot}, rep.Endpoint)
 	c.health.updateReachability(m, rep, direct)
@@ -55,26 +55,26 @@
 	c.commands.queueCommands(m)
 	if direct {
 		m.answeredCall = true
-		return wire.ReportAnswer{}, true
+		return wire.HeartbeatResponse{}, true
 	}
 	if !c.mayAnswer(m) {
-		return wire.ReportAnswer{}, false
+		return wire.HeartbeatResponse{}, false
 	}
 	m.answeredAt = now
 	return c.commands.answerReport(m), true
 }
 
 // applyReport takes in a report that is newer than all before it.
-func (c *Core) applyReport(m *machine, rep *wire.Report) {
+func (c *Core) applyReport(m *machine, rep *wire.Heartbeat) {
 	if !m.reported {
 		m.reported = true
 		m.idleSince = c.now
 		c.autoscaler.recordBoot(m)
 		c.schedulingDue = true
 	}
-	m.session, m.sequence = rep.Session, rep.Sequence
-	m.token = max(m.token, rep.Token)
-	if !m.fenced && rep.Token >= ids.NewFencingToken(c.opt.Revision, 0) {
+	m.session, m.sequence = rep.Incarnation, rep.Sequence
+	m.token = max(m.token, rep.FencingToken)
+	if !m.fenced && rep.FencingToken >= ids.NewFencingToken(c.opt.Revision, 0) {
 		m.fenced, m.fencedAt = true, c.now
 	}
 	if rep.SpotNoticeS != nil {
@@ -149,7 +149,7 @@
 }
 
 // handleEndedTask handles a recorded task that the newest report shows as ended.
-func (c *Core) handleEndedTask(a *assignment, cause wire.Cause) {
+func (c *Core) handleEndedTask(a *assignment, cause wire.ExitCause) {
 	m, j := a.machine, a.job
 	if im := m.images[j.spec.Image]; im != nil {
 		im.usedAt = c.now
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -151,9 +151,9 @@
 				(len(sp.Types) == 0 || slices.Contains(sp.Types, w.typ))
 		}
 		begun := slices.ContainsFunc(s.sent[id], func(p simPlace) bool { return s.here(p.w, p.t) && p.t.state != wire.TaskEnded })
-		ready := !slices.ContainsFunc(sp.DependsOn, func(n ids.JobID) bool { return s.status(n) != wire.StatusDone })
+		ready := !slices.ContainsFunc(sp.DependsOn, func(n ids.JobID) bool { return s.status(n) != wire.JobDone })
 		i := slices.IndexFunc(s.opt.Teams, func(t quota.Team) bool { return t.Name == sp.Team })
-		if begun || !room || !ready || s.status(id) != wire.StatusQueued || used[sp.Team]+need > s.opt.Teams[i].Limit.CPUs ||
+		if begun || !room || !ready || s.status(id) != wire.JobQueued || used[sp.Team]+need > s.opt.Teams[i].Limit.CPUs ||
 			(sp.Gang || sp.Service) && sp.Tasks > 1 {
 			delete(beside, id)
 			continue
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -23,7 +23,7 @@
 }
 
 // jobs submits some, changed by shape.
-func (m *scenario) jobs(count int, shape func(*wire.Spec)) {
+func (m *scenario) jobs(count int, shape func(*wire.JobSpec)) {
 	for range count {
 		sp := m.randomSpec()
 		if shape != nil {
@@ -35,12 +35,12 @@
 	}
 }
 
-func long(sp *wire.Spec) {
+func long(sp *wire.JobSpec) {
 	sp.Service, sp.Gang, sp.OneZone, sp.Zone, sp.EstimateS = true, false, false, "", 0
 }
 
-func array(sp *wire.Spec) {
-	*sp = wire.Spec{Class: "c", Team: sp.Team, Priority: sp.Priority, Tasks: sp.Tasks, CPUs: sp.CPUs, MemoryGB: 2, Image: "i", ImageGB: 1,
+func array(sp *wire.JobSpec) {
+	*sp = wire.JobSpec{Class: "c", Team: sp.Team, Priority: sp.Priority, Tasks: sp.Tasks, CPUs: sp.CPUs, MemoryGB: 2, Image: "i", ImageGB: 1,
 		Spot: sp.Spot, EstimateS: 10}
 }
 
@@ -85,9 +85,9 @@
 	}},
 	{"jobs bound to one zone lose machines", func(m *scenario) {
 		for range 5 {
-			m.jobs(4, func(sp *wire.Spec) { array(sp); sp.OneZone = true })
-			m.jobs(2, func(sp *wire.Spec) { array(sp); sp.Zone = "b" })
-			m.jobs(2, func(sp *wire.Spec) { long(sp); sp.Tasks, sp.OneZone = 3, true })
+			m.jobs(4, func(sp *wire.JobSpec) { array(sp); sp.OneZone = true })
+			m.jobs(2, func(sp *wire.JobSpec) { array(sp); sp.Zone = "b" })
+			m.jobs(2, func(sp *wire.JobSpec) { long(sp); sp.Tasks, sp.OneZone = 3, true })
 			m.run(15 * s1)
 			m.some(3, func(w *simWorker) { w.dead = w.session > 0 })
 			m.some(4, func(w *simWorker) { w.cut = m.in(40 * s1) })
@@ -96,7 +96,7 @@
 		}
 	}},
 	{"a leader ends while long tasks can't be reached, or don't hear the new one", func(m *scenario) {
-		m.jobs(10, func(sp *wire.Spec) { long(sp); sp.Tasks = 2 })
+		m.jobs(10, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
 		for range 4 {
 			m.run(25 * s1)
 			m.some(2, func(w *simWorker) { w.cut = m.in(35 * s1) })
@@ -127,7 +127,7 @@
 		}
 	}},
 	{"a zone with workers and a controller is cut off for longer than a lease", func(m *scenario) {
-		m.jobs(14, func(sp *wire.Spec) {
+		m.jobs(14, func(sp *wire.JobSpec) {
 			if sp.Tasks%2 == 0 {
 				long(sp)
 				sp.Spread = false
@@ -141,7 +141,7 @@
 		m.run(90 * s1)
 	}},
 	{"the same, and the cloud is away: only the old leader's own bound is left", func(m *scenario) {
-		m.jobs(14, func(sp *wire.Spec) { long(sp); sp.Spread, sp.Zone, sp.OneZone = false, "a", true })
+		m.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Spread, sp.Zone, sp.OneZone = false, "a", true })
 		m.run(40 * s1)
 		m.deposed()
 		m.island, m.islandUntil, m.cloudAway = "a", m.in(100*s1), m.in(100*s1)
@@ -150,9 +150,9 @@
 	}},
 	{"arrays that run for long in a zone that is cut off with its leader", func(m *scenario) {
 		m.runFactor = 8
-		m.jobs(10, func(sp *wire.Spec) { array(sp); sp.Zone = "a" })
+		m.jobs(10, func(sp *wire.JobSpec) { array(sp); sp.Zone = "a" })
 		m.jobs(6, array)
-		m.jobs(3, func(sp *wire.Spec) { long(sp); sp.Spread = false })
+		m.jobs(3, func(sp *wire.JobSpec) { long(sp); sp.Spread = false })
 		m.run(30 * s1)
 		m.deposed()
 		m.island, m.islandUntil = "a", m.in(100*s1)
@@ -183,7 +183,7 @@
 		}
 	}},
 	{"jobs are cancelled through the new leader of one that goes on without state and peers", func(m *scenario) {
-		m.jobs(12, func(sp *wire.Spec) { long(sp); sp.Tasks = 2 })
+		m.jobs(12, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
 		m.run(40 * s1)
 		m.deposed()
 		m.run(500 * time.Millisecond)
@@ -193,7 +193,7 @@
 	{"a cancellation meets the end of a job's last task", func(m *scenario) {
 		m.cancelAtEnd = 0.7
 		for range 6 {
-			m.jobs(6, func(sp *wire.Spec) { array(sp); sp.Tasks = 1 + sp.Tasks%3 })
+			m.jobs(6, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 1 + sp.Tasks%3 })
 			m.run(20 * s1)
 		}
 		m.takeOver()
@@ -213,7 +213,7 @@
 	{"all teams are at their limits while cancelled jobs' machines are cut off or hang, and the leader changes", func(m *scenario) {
 		m.capacity = 6
 		for range 4 {
-			m.jobs(14, func(sp *wire.Spec) { array(sp); sp.Tasks = 6 })
+			m.jobs(14, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 6 })
 			m.run(30 * s1)
 			m.cancelRunning(m.all, 6, m.in(45*s1))
 			m.some(3, func(w *simWorker) { w.cut = m.in(40 * s1) })
@@ -236,7 +236,7 @@
 	{"one-task jobs come four a second, a quarter of them cancelled", func(m *scenario) {
 		m.capacity = 6
 		for i := range 240 {
-			m.jobs(1, func(sp *wire.Spec) { array(sp); sp.Tasks, sp.CPUs = 1, 1 })
+			m.jobs(1, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs = 1, 1 })
 			if i%4 == 3 {
 				m.cancel(m.all[m.rng.IntN(len(m.all))])
 			}
@@ -247,7 +247,7 @@
 		}
 	}},
 	{"the gap: the leader refused alone, cancellations, and then no state service", func(m *scenario) {
-		m.jobs(14, func(sp *wire.Spec) { long(sp); sp.Tasks = 2 })
+		m.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
 		m.run(40 * s1)
 		m.refusal = m.in(14 * s1)
 		m.run(1200 * time.Millisecond)
@@ -258,7 +258,7 @@
 		m.run(90 * s1)
 	}},
 	{"cancelled through a node that still follows the old leader, and then no state service", func(m *scenario) {
-		m.jobs(14, func(sp *wire.Spec) { long(sp); sp.Tasks = 2 })
+		m.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
 		m.run(40 * s1)
 		m.deposed()
 		m.cancelEvery(2)
@@ -267,7 +267,7 @@
 	}},
 	{"jobs of a few tasks end far apart across a change of leader", func(m *scenario) {
 		for range 8 {
-			m.jobs(4, func(sp *wire.Spec) { array(sp); sp.Tasks = 2 + sp.Tasks%2 })
+			m.jobs(4, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 2 + sp.Tasks%2 })
 			m.run(time.Duration(4+m.rng.IntN(14)) * s1)
 			m.takeOver()
 		}
@@ -344,7 +344,7 @@
 // hold that back until the end of an outage.
 func TestReturnDoesNotWaitForARecord(t *testing.T) {
 	b := newHarness(t, Options{})
-	spec := wire.Spec{Class: "c", Team: "red", Service: true, Tasks: 1, CPUs: 2, Image: "i"}
+	spec := wire.JobSpec{Class: "c", Team: "red", Service: true, Tasks: 1, CPUs: 2, Image: "i"}
 	b.job("job-1", spec)
 	b.report("n-1", "a", 0)
 	b.step()
@@ -357,7 +357,7 @@
 	if len(placed) != 1 {
 		t.Fatal("job-2 was not placed beside job-1")
 	}
-	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.StatusCancelled, Tasks: 1, Spec: &spec}, 900)
+	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.JobCancelled, Tasks: 1, Spec: &spec}, 900)
 	told := b.now
 	for returned := false; !returned; {
 		b.now = b.now.Add(200 * time.Millisecond)
--- a/scheduler/sim_cloud_test.go
+++ b/scheduler/sim_cloud_test.go
@@ -11,8 +11,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-func (s *sim) rent(r wire.Rental) []ids.MachineID {
-	if h, ok := s.rented[r.Request]; ok {
+func (s *sim) rent(r wire.ProvisionRequest) []ids.MachineID {
+	if h, ok := s.rented[r.RequestID]; ok {
 		return h
 	}
 	var out []ids.MachineID
@@ -41,7 +41,7 @@
 		s.after(boot, func() { w.dead, w.session, w.sentAt = false, 1, s.now })
 	}
 	if out != nil {
-		s.rented[r.Request] = out
+		s.rented[r.RequestID] = out
 	}
 	return out
 }
@@ -53,9 +53,9 @@
 func (s *sim) list() []wire.Machine {
 	var out []wire.Machine
 	for h, w := range s.workers {
-		out = append(out, wire.Machine{Host: h, Endpoint: string(h), Type: w.typ, Zone: w.zone, Spot: w.spot, Status: "running"})
+		out = append(out, wire.Machine{ID: h, Endpoint: string(h), Type: w.typ, Zone: w.zone, Spot: w.spot, Status: "running"})
 	}
-	sort.Slice(out, func(i, k int) bool { return out[i].Host < out[k].Host })
+	sort.Slice(out, func(i, k int) bool { return out[i].ID < out[k].ID })
 	return out
 }
 
--- a/scheduler/sim_state_test.go
+++ b/scheduler/sim_state_test.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		s.store[op.Write] = simEntry{s.epoch, wire.Encode(op.Value)}
-		if rec, ok := op.Value.(ledger.Job); ok && rec.Status == wire.StatusDone {
+		if rec, ok := op.Value.(ledger.Job); ok && rec.Status == wire.JobDone {
 			id := ids.JobID(op.Write[len(ledger.JobPrefix):])
 			for i := range s.specs[id].Tasks {
 				if !s.completed[ids.TaskRef{Job: id, Index: i}] {
@@ -51,7 +51,7 @@
 	if s.txnOps > 0 && len(ops) > s.txnOps {
 		return false
 	}
-	return !slices.ContainsFunc(ops, func(op statestore.Op) bool { return op.Write != "" && wire.Exceeds(op.Value, s.valueBytes) })
+	return !slices.ContainsFunc(ops, func(op statestore.Op) bool { return op.Write != "" && wire.ExceedsJSONSize(op.Value, s.valueBytes) })
 }
 
 // checkSlices looks at the admission records of a job that was written to: no task
@@ -112,9 +112,9 @@
 	core.ObserveJob(s.now, id, &rec, e.revision)
 }
 
-func (s *sim) submit(id ids.JobID, spec *wire.Spec) {
+func (s *sim) submit(id ids.JobID, spec *wire.JobSpec) {
 	s.specs[id] = spec
-	s.commit(nil, []statestore.Op{{Write: ledger.JobKey(id), Value: ledger.Job{Nonce: s.rng.Uint64(), Status: wire.StatusQueued,
+	s.commit(nil, []statestore.Op{{Write: ledger.JobKey(id), Value: ledger.Job{Nonce: s.rng.Uint64(), Status: wire.JobQueued,
 		Tasks: spec.Tasks, Spec: spec, SubmittedMS: int64(time.Duration(s.now) / time.Millisecond)}}})
 	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
 }
@@ -173,7 +173,7 @@
 // orphan tells by the records alone whether a job needs one that is cancelled.
 func (s *sim) orphan(id ids.JobID) bool {
 	return slices.ContainsFunc(s.specs[id].DependsOn, func(n ids.JobID) bool {
-		return s.status(n) == wire.StatusCancelled || s.orphan(n)
+		return s.status(n) == wire.JobCancelled || s.orphan(n)
 	})
 }
 
@@ -183,7 +183,7 @@
 	s.t.Helper()
 	for _, id := range all {
 		byUser := s.cancelled[id]
-		if got := s.status(id) == wire.StatusCancelled; got != (byUser || s.orphan(id)) {
+		if got := s.status(id) == wire.JobCancelled; got != (byUser || s.orphan(id)) {
 			s.t.Errorf("%s is %s; withdrawn by its user: %v, an orphan: %v", id, s.status(id), byUser, s.orphan(id))
 		}
 	}
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -85,14 +85,14 @@
 	rented   map[string][]ids.MachineID
 	hosts    int
 
-	specs     map[ids.JobID]*wire.Spec
+	specs     map[ids.JobID]*wire.JobSpec
 	sent      map[ids.JobID][]simPlace // where tasks were ever told to run
 	completed map[ids.TaskRef]bool
 	// cancelled are the jobs whose users asked for it, cancelled when they were told.
 	cancelled     map[ids.JobID]bool
 	toldCancelled map[ids.JobID]ids.Instant
-	lateStart     int            // starts after that
-	keptReports   []*wire.Report // copies of reports that come to the next leader
+	lateStart     int               // starts after that
+	keptReports   []*wire.Heartbeat // copies of reports that come to the next leader
 	violations    []string
 	starts        int
 	faults        bool
@@ -121,7 +121,7 @@
 
 func newSim(t *testing.T, seed uint64) *sim {
 	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: ids.Instant(time.Hour), store: map[string]simEntry{},
-		workers: map[ids.MachineID]*simWorker{}, rented: map[string][]ids.MachineID{}, specs: map[ids.JobID]*wire.Spec{}, sent: map[ids.JobID][]simPlace{},
+		workers: map[ids.MachineID]*simWorker{}, rented: map[string][]ids.MachineID{}, specs: map[ids.JobID]*wire.JobSpec{}, sent: map[ids.JobID][]simPlace{},
 		completed: map[ids.TaskRef]bool{}, cancelled: map[ids.JobID]bool{}, toldCancelled: map[ids.JobID]ids.Instant{}, faults: true, capacity: 2,
 		copies: 0.1, cancelAtEnd: 0.03, quickBoots: 0.1, digest: newEffectDigest(), failing: map[ids.JobID]bool{}}
 	s.types = []wire.MachineType{
--- a/scheduler/sim_troubles_test.go
+++ b/scheduler/sim_troubles_test.go
@@ -130,9 +130,9 @@
 	}
 }
 
-func (s *sim) randomSpec() *wire.Spec {
+func (s *sim) randomSpec() *wire.JobSpec {
 	teams := []ids.Team{"red", "blue", "gold"}
-	sp := &wire.Spec{Class: "c", Team: teams[s.rng.IntN(3)], Priority: wire.Priority(s.rng.IntN(4)), Tasks: 1 + s.rng.IntN(9),
+	sp := &wire.JobSpec{Class: "c", Team: teams[s.rng.IntN(3)], Priority: wire.Priority(s.rng.IntN(4)), Tasks: 1 + s.rng.IntN(9),
 		CPUs: float64(1 + s.rng.IntN(4)), MemoryGB: 2, Image: "i", ImageGB: 1, Spot: s.rng.IntN(2) == 0, EstimateS: 10}
 	switch s.rng.IntN(5) {
 	case 0:
@@ -149,7 +149,7 @@
 
 // waitingSpec is a random job that may wait for some that were submitted before,
 // over or not.
-func (s *sim) waitingSpec(all []ids.JobID) *wire.Spec {
+func (s *sim) waitingSpec(all []ids.JobID) *wire.JobSpec {
 	sp := s.randomSpec()
 	for range min(len(all), s.rng.IntN(4)) {
 		id := all[len(all)-1-s.rng.IntN(min(len(all), 8))]
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -12,7 +12,7 @@
 	ref     ids.TaskRef
 	attempt ids.Attempt
 	state   wire.TaskState
-	cause   wire.Cause
+	cause   wire.ExitCause
 }
 
 type simWorker struct {
@@ -42,19 +42,19 @@
 	t *simTask
 }
 
-func (s *sim) report(w *simWorker) *wire.Report {
+func (s *sim) report(w *simWorker) *wire.Heartbeat {
 	w.sequence++
-	r := &wire.Report{Host: w.host, Endpoint: string(w.host), Type: w.typ, Zone: w.zone, Spot: w.spot,
-		Session: w.session, Sequence: w.sequence, Token: w.token}
+	r := &wire.Heartbeat{Machine: w.host, Endpoint: string(w.host), Type: w.typ, Zone: w.zone, Spot: w.spot,
+		Incarnation: w.session, Sequence: w.sequence, FencingToken: w.token}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, wire.Task{Name: t.ref.String(), Attempt: t.attempt, State: t.state, Cause: t.cause})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Name: t.ref.String(), Attempt: t.attempt, State: t.state, Cause: t.cause})
 	}
 	return r
 }
 
-func (s *sim) direct(w *simWorker, d wire.DirectCommand) *wire.Report {
-	if d.Token >= w.token && d.Session == w.session {
-		w.token = d.Token
+func (s *sim) direct(w *simWorker, d wire.CommandBatch) *wire.Heartbeat {
+	if d.FencingToken >= w.token && d.Incarnation == w.session {
+		w.token = d.FencingToken
 		s.execute(w, d.Commands)
 	}
 	return s.report(w)
@@ -133,7 +133,7 @@
 		}
 	}
 	for _, n := range spec.DependsOn {
-		if s.status(n) != wire.StatusDone {
+		if s.status(n) != wire.JobDone {
 			s.violation("too_early: %s started while %s is %s", t.ref, n, s.status(n))
 		}
 	}
@@ -274,10 +274,10 @@
 			}
 			answered = true
 			finish()
-			if tenure != w.session || orders.Token < w.token {
+			if tenure != w.session || orders.FencingToken < w.token {
 				return
 			}
-			w.token, w.sentAt = orders.Token, sent
+			w.token, w.sentAt = orders.FencingToken, sent
 			s.execute(w, orders.Commands)
 		})
 	}
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -86,7 +86,7 @@
 // good. Its job must wait for it alone, take less, and not ask for ever.
 func TestRefusedChangeHoldsUpNobodyElse(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.job("job-1", wire.Spec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
+	b.job("job-1", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
 	b.report("n-1", "a", 0)
 	sent := func(e Effects, job ids.JobID) (out []ledger.Change) {
 		for _, ch := range e.Changes {
@@ -108,7 +108,7 @@
 	if tries < 2 || tries > maxRefusals {
 		t.Errorf("the change was sent %d times in 25 minutes", tries)
 	}
-	b.job("job-2", wire.Spec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
+	b.job("job-2", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
 	if got := sent(b.c.Step(b.now), "job-2"); len(got) != 1 {
 		t.Errorf("the next job wrote %d changes", len(got))
 	}
@@ -128,7 +128,7 @@
 // those that needed it counts as what it is.
 func TestPriorityReachesBack(t *testing.T) {
 	b := newHarness(t, Options{})
-	low := wire.Spec{Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1}
+	low := wire.JobSpec{Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1}
 	last := low
 	last.Priority, last.DependsOn = wire.High, []ids.JobID{"job-1"}
 	other := low
@@ -149,7 +149,7 @@
 	if on.staying != 1 {
 		t.Errorf("counted %+v", on)
 	}
-	b.c.ObserveJob(b.now, "job-2", &ledger.Job{Status: wire.StatusCancelled, Tasks: 1}, 999)
+	b.c.ObserveJob(b.now, "job-2", &ledger.Job{Status: wire.JobCancelled, Tasks: 1}, 999)
 	if first.priority != wire.BestEffort || b.c.preemption.workloads[workload{"red", wire.High}].staying != 0 || b.c.preemption.workloads[workload{"red", wire.BestEffort}].staying != 1 {
 		t.Errorf("after the last job is gone the first has priority %d, counted %+v", first.priority, b.c.preemption.workloads)
 	}
@@ -159,7 +159,7 @@
 // the parts, and would wait for ever if that part were not written for it.
 func TestPlacedWhileTheRecordIsSplit(t *testing.T) {
 	b := newHarness(t, Options{ValueBytes: 50, SplitRecords: true})
-	b.job("job-1", wire.Spec{Tasks: 4, CPUs: 4, MemoryGB: 1})
+	b.job("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
 	b.report("n-1", "a", 0)
 	split := b.c.Step(b.now).Changes
 	if len(split) != 1 || len(split[0].Apply) < 2 {
@@ -183,7 +183,7 @@
 // though nothing happens to its tasks.
 func TestLargeRecordsAreSplitOnceAllAreNew(t *testing.T) {
 	b := newHarness(t, Options{ValueBytes: 50})
-	b.job("job-1", wire.Spec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
+	b.job("job-1", wire.JobSpec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
 	b.report("n-1", "a", 0)
 	if e := b.step(); len(e.Changes) != 1 || len(e.Changes[0].Apply) != 1 {
 		t.Fatalf("changes %+v", e.Changes)
@@ -200,16 +200,16 @@
 // do.
 func TestEndsGoFirstWhileWritesAreScarce(t *testing.T) {
 	b := newHarness(t, Options{WriteRate: 4, Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4096}, Limit: quota.Amount{CPUs: 4096}}}})
-	b.job("job-0", wire.Spec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Normal})
+	b.job("job-0", wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Normal})
 	b.report("n-0", "a", 0)
 	b.step()
 	b.now = b.now.Add(time.Second)
 	for n := range 60 {
-		b.job(ids.JobID(fmt.Sprintf("job-1%02d", n)), wire.Spec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Critical})
+		b.job(ids.JobID(fmt.Sprintf("job-1%02d", n)), wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Critical})
 		b.report(ids.MachineID(fmt.Sprintf("n-1%02d", n)), "a", 0)
 	}
 	b.step()
-	b.report("n-0", "a", 0, wire.Task{Name: "job-0/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseDone})
+	b.report("n-0", "a", 0, wire.TaskStatus{Name: "job-0/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseDone})
 	for range 8 {
 		b.now = b.now.Add(250 * time.Millisecond)
 		b.step()
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -159,7 +159,7 @@
 func TestLateReportsDoNotBringAZoneBack(t *testing.T) {
 	m := calmZones(t, 8, 4)
 	m.fillZones()
-	var late []*wire.Report
+	var late []*wire.Heartbeat
 	for _, h := range m.sortedHosts() {
 		if w := m.workers[h]; w.zone == "b" {
 			rep := m.report(w)
@@ -281,7 +281,7 @@
 	m.await("b", zonereturn.Dark, 30*s1)
 	m.core.opt.WriteRate, m.opt.WriteRate = 3, 3
 	m.runFactor = 1
-	m.jobs(40, func(sp *wire.Spec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
+	m.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
 	m.run(m.zones.cutUntil["b"].Sub(m.now))
 	m.await("b", zonereturn.Returning, 30*s1)
 	m.await("b", zonereturn.Serving, m.opt.ZoneReturn.ReturnMax+10*s1)
--- a/scheduler/zone_return.go
+++ b/scheduler/zone_return.go
@@ -334,7 +334,7 @@
 		return
 	}
 	w := g.core.records
-	fits := func(record *zonereturn.Record) bool { return !wire.Exceeds(record, g.core.opt.ValueBytes) }
+	fits := func(record *zonereturn.Record) bool { return !wire.ExceedsJSONSize(record, g.core.opt.ValueBytes) }
 	for w.mayWrite() {
 		write, ok := g.manager.NextWrite(g.core.moment(), w.nextNonce(), fits)
 		if !ok {
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -43,8 +43,8 @@
 }
 
 // array64 is an ordinary array for the tests of zones.
-func zoneArray(tasks int) *wire.Spec {
-	return &wire.Spec{Class: "c", Team: "gold", Priority: wire.Normal, Tasks: tasks, CPUs: 2, MemoryGB: 2, Image: "i", ImageGB: 1, EstimateS: 10}
+func zoneArray(tasks int) *wire.JobSpec {
+	return &wire.JobSpec{Class: "c", Team: "gold", Priority: wire.Normal, Tasks: tasks, CPUs: 2, MemoryGB: 2, Image: "i", ImageGB: 1, EstimateS: 10}
 }
 
 // calmZones is a day without other faults: zones a, b and c with machines for all work.
@@ -60,7 +60,7 @@
 }
 
 // submitJob submits one job.
-func (m *scenario) submitJob(spec *wire.Spec) ids.JobID {
+func (m *scenario) submitJob(spec *wire.JobSpec) ids.JobID {
 	id := ids.JobID(fmt.Sprintf("job-%03d", len(m.all)))
 	m.submit(id, spec)
 	m.all = append(m.all, id)
--- a/server/golden_test.go
+++ b/server/golden_test.go
@@ -30,13 +30,13 @@
 	fmt.Fprintf(&s.calls, "  -> %s %v\n", call, values)
 	return s.answer
 }
-func (s *scripted) Submit(_ context.Context, id ids.JobID, spec *wire.Spec) Answer {
+func (s *scripted) Submit(_ context.Context, id ids.JobID, spec *wire.JobSpec) Answer {
 	return s.note("submit", id, *spec)
 }
 func (s *scripted) Status(_ context.Context, id ids.JobID) Answer { return s.note("status", id) }
 func (s *scripted) Cancel(_ context.Context, id ids.JobID) Answer { return s.note("cancel", id) }
-func (s *scripted) Report(_ context.Context, raw []byte, r *wire.Report) Answer {
-	return s.note("heartbeat", fmt.Sprintf("%x", raw), r.Host, r.Session)
+func (s *scripted) Report(_ context.Context, raw []byte, r *wire.Heartbeat) Answer {
+	return s.note("heartbeat", fmt.Sprintf("%x", raw), r.Machine, r.Incarnation)
 }
 func (s *scripted) Healthy() bool { return s.healthy }
 
@@ -65,7 +65,7 @@
 		"hall": "zone-a", "oneZone": true, "spread": false, "loaner": true, "expectS": 240.5, "snapshotEveryS": 30.5, "snapshotS": 4.5,
 		"dueS": 900.5, "waitsOn": []string{"job-2"}})
 	heartbeat := sorted(t, map[string]any{"host": "n-1", "tenure": 6})
-	status := Answer{Code: 201, Body: wire.JobStatus{ID: "job-1", Status: wire.StatusRunning, Done: 3, Running: 13}}
+	status := Answer{Code: 201, Body: wire.JobStatus{ID: "job-1", Status: wire.JobRunning, Done: 3, Running: 13}}
 	return []exchange{
 		{"healthy", "GET", "/up", nil, Answer{Code: 200}},
 		{"unhealthy", "GET", "/up", nil, Answer{}},
@@ -77,7 +77,7 @@
 		{"status of no job id", "GET", "/api/jobs/nonsense", nil, status},
 		{"cancelled", "POST", "/api/jobs/job-1/withdraw", nil, status},
 		{"cancellation to be retried elsewhere", "POST", "/api/jobs/job-1/withdraw", nil, Answer{Code: 503, RetryAfter: 1500 * time.Millisecond, Close: true}},
-		{"heartbeat answered", "POST", "/hello", heartbeat, Answer{Code: 200, Body: wire.ReportAnswer{Token: 9,
+		{"heartbeat answered", "POST", "/hello", heartbeat, Answer{Code: 200, Body: wire.HeartbeatResponse{FencingToken: 9,
 			Commands: []wire.Command{{Verb: wire.VerbKill, Name: "job-1/3", Attempt: 4, GraceS: 5.5}}}}},
 		{"heartbeat redirected", "POST", "/hello", heartbeat, Answer{Code: 421, Body: wire.Redirect{Leader: "n-1"}}},
 		{"heartbeat redirected to nobody", "POST", "/hello", heartbeat, Answer{Code: 421, Body: wire.Redirect{}}},
--- a/server/server.go
+++ b/server/server.go
@@ -33,10 +33,10 @@
 
 // Service is what stands behind the endpoints.
 type Service interface {
-	Submit(ctx context.Context, id ids.JobID, spec *wire.Spec) Answer
+	Submit(ctx context.Context, id ids.JobID, spec *wire.JobSpec) Answer
 	Status(ctx context.Context, id ids.JobID) Answer
 	Cancel(ctx context.Context, id ids.JobID) Answer
-	Report(ctx context.Context, raw []byte, rep *wire.Report) Answer
+	Report(ctx context.Context, raw []byte, rep *wire.Heartbeat) Answer
 	Healthy() bool
 }
 
@@ -156,8 +156,8 @@
 
 func (h *handlers) report(c fiber.Ctx) error {
 	raw := bytes.Clone(c.Body())
-	report := new(wire.Report)
-	if err := wire.Decode(raw, report); err != nil || report.Host == "" || report.Session == 0 {
+	report := new(wire.Heartbeat)
+	if err := wire.Decode(raw, report); err != nil || report.Machine == "" || report.Incarnation == 0 {
 		return send(c, Answer{Code: fiber.StatusBadRequest})
 	}
 	open := c.App().Server().GetOpenConnectionsCount()
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -20,19 +20,19 @@
 
 type fakeService struct{ healthy bool }
 
-func (f *fakeService) Submit(_ context.Context, id ids.JobID, _ *wire.Spec) Answer {
-	return Answer{Code: 201, Body: wire.JobStatus{ID: id, Status: wire.StatusQueued}}
+func (f *fakeService) Submit(_ context.Context, id ids.JobID, _ *wire.JobSpec) Answer {
+	return Answer{Code: 201, Body: wire.JobStatus{ID: id, Status: wire.JobQueued}}
 }
 func (f *fakeService) Status(_ context.Context, id ids.JobID) Answer {
 	if id == "job-panic" {
 		panic("a fault")
 	}
-	return Answer{Code: 200, Body: wire.JobStatus{ID: id, Status: wire.StatusRunning, Running: 2}}
+	return Answer{Code: 200, Body: wire.JobStatus{ID: id, Status: wire.JobRunning, Running: 2}}
 }
 func (f *fakeService) Cancel(context.Context, ids.JobID) Answer {
 	return RetryLater(1500 * time.Millisecond)
 }
-func (f *fakeService) Report(_ context.Context, _ []byte, _ *wire.Report) Answer {
+func (f *fakeService) Report(_ context.Context, _ []byte, _ *wire.Heartbeat) Answer {
 	return Answer{Code: 421, Body: wire.Redirect{Leader: "n-1"}}
 }
 func (f *fakeService) Healthy() bool { return f.healthy }
@@ -43,7 +43,7 @@
 	job := wire.Encode(map[string]any{"nameId": "job-1", "workclass": "c", "crew": "t", "shape": "batch", "urgency": "high", "legs": 1,
 		"cpus": 1, "accelerators": 0, "memoryGb": 1, "bundle": "i", "pullGb": 1, "oneZone": false, "spread": false, "loaner": true,
 		"expectS": 1, "snapshotEveryS": 0, "snapshotS": 0})
-	report := wire.Encode(wire.Report{Host: "n-1", Session: 1})
+	report := wire.Encode(wire.Heartbeat{Machine: "n-1", Incarnation: 1})
 	for _, c := range []struct {
 		method, path string
 		body         []byte
@@ -107,7 +107,7 @@
 	url := "http://" + ln.Addr().String()
 	for round := range 3 {
 		for i, w := range workers {
-			body := wire.Encode(wire.Report{Host: ids.MachineID(fmt.Sprintf("n-%d", i)), Session: 1})
+			body := wire.Encode(wire.Heartbeat{Machine: ids.MachineID(fmt.Sprintf("n-%d", i)), Incarnation: 1})
 			res, err := w.Post(url+"/hello", contentType, bytes.NewReader(body))
 			if err != nil || res.StatusCode != 421 {
 				t.Fatalf("round %d, worker %d: %v %v", round, i, res, err)
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -17,8 +17,8 @@
 	return Command{Verb: VerbKill, Name: "job-1/3", Attempt: 4, GraceS: 5.5}
 }
 
-func goldenSpec() Spec {
-	return Spec{Class: "train", Team: "vision", Service: true, Gang: true, Priority: High, Tasks: 70, CPUs: 8.5, GPUs: 1.5,
+func goldenSpec() JobSpec {
+	return JobSpec{Class: "train", Team: "vision", Service: true, Gang: true, Priority: High, Tasks: 70, CPUs: 8.5, GPUs: 1.5,
 		MemoryGB: 64.5, Image: "img-07", ImageGB: 6.25, Types: []ids.MachineType{"g8", "g4"}, Zone: "zone-a", OneZone: true,
 		Spread: true, Spot: true, EstimateS: 240.5, CheckpointEveryS: 30.5, CheckpointS: 4.5, DeadlineS: 900.5,
 		DependsOn: []ids.JobID{"job-2", "job-3"}}
@@ -26,35 +26,35 @@
 
 // Every body of the protocol with workers, users and the cloud keeps its bytes.
 func TestBodiesKeepTheirBytes(t *testing.T) {
-	machine := Machine{Host: "n-000231", Endpoint: "10.0.0.9:9000", Type: "g8", Zone: "zone-a", Spot: true, Status: MachineRunning, AgeS: 71.5}
+	machine := Machine{ID: "n-000231", Endpoint: "10.0.0.9:9000", Type: "g8", Zone: "zone-a", Spot: true, Status: MachineRunning, AgeS: 71.5}
 	notice := 25.5
 	golden.Check(t, "bodies.json", bodies, []golden.Case{
-		{Name: "job status", Value: JobStatus{ID: "job-1", Status: StatusRunning, Done: 3, Running: 13}},
-		{Name: "heartbeat", Value: Report{Host: "n-000231", Endpoint: "10.0.0.9:9000", Type: "g8", Zone: "zone-a", Spot: true,
-			Session: 6, Sequence: 1 << 33, Token: ids.NewFencingToken(412, 3), SpotNoticeS: &notice, Tasks: []Task{
+		{Name: "job status", Value: JobStatus{ID: "job-1", Status: JobRunning, Done: 3, Running: 13}},
+		{Name: "heartbeat", Value: Heartbeat{Machine: "n-000231", Endpoint: "10.0.0.9:9000", Type: "g8", Zone: "zone-a", Spot: true,
+			Incarnation: 6, Sequence: 1 << 33, FencingToken: ids.NewFencingToken(412, 3), SpotNoticeS: &notice, Tasks: []TaskStatus{
 				{Name: "job-1/3", Attempt: 2, State: TaskEnded, Cause: CauseDone, Checkpointed: true},
 				{Name: "job-1/4", Attempt: 300, State: TaskSaving, Cause: CauseError, Checkpointed: true}}}},
-		{Name: "heartbeat without tasks or spot notice", Partial: true, Value: Report{Host: "n-000231", Endpoint: "10.0.0.9:9000",
-			Type: "g8", Zone: "zone-a", Session: 6, Sequence: 8, Token: 9, Tasks: []Task{}}},
-		{Name: "heartbeat answer", Value: ReportAnswer{Token: ids.NewFencingToken(412, 4), Commands: []Command{goldenCommand(),
+		{Name: "heartbeat without tasks or spot notice", Partial: true, Value: Heartbeat{Machine: "n-000231", Endpoint: "10.0.0.9:9000",
+			Type: "g8", Zone: "zone-a", Incarnation: 6, Sequence: 8, FencingToken: 9, Tasks: []TaskStatus{}}},
+		{Name: "heartbeat answer", Value: HeartbeatResponse{FencingToken: ids.NewFencingToken(412, 4), Commands: []Command{goldenCommand(),
 			{Verb: VerbRun, Name: "job-4/7", Attempt: 70000, GraceS: 0.25}}}},
-		{Name: "direct command", Value: DirectCommand{Token: ids.NewFencingToken(412, 5), Session: 6, Commands: []Command{goldenCommand()}}},
+		{Name: "direct command", Value: CommandBatch{FencingToken: ids.NewFencingToken(412, 5), Incarnation: 6, Commands: []Command{goldenCommand()}}},
 		{Name: "redirect", Value: Redirect{Leader: "perch-1"}},
 		{Name: "redirect to nobody", Value: Redirect{}, Partial: true},
 		{Name: "catalog", Value: Catalog{Types: []MachineType{{Name: "g8", CPUs: 8.5, GPUs: 1.5, MemoryGB: 64.5, CacheGB: 200.5, FetchGBps: 0.75,
 			Price: 3.25, SpotPrice: 1.25, BootS: 40.5, Zones: []ids.Zone{"zone-a", "zone-b"}}}}},
-		{Name: "rental", Value: Rental{Request: "r-412-7", Type: "g8", Zone: "zone-a", Spot: true, Count: 12}},
-		{Name: "hosts", Value: Hosts{Hosts: []ids.MachineID{"n-000231", "n-000007"}}},
-		{Name: "machine list", Value: MachinePage{Hosts: []Machine{machine}, More: true}},
+		{Name: "rental", Value: ProvisionRequest{RequestID: "r-412-7", Type: "g8", Zone: "zone-a", Spot: true, Count: 12}},
+		{Name: "hosts", Value: MachineIDs{IDs: []ids.MachineID{"n-000231", "n-000007"}}},
+		{Name: "machine list", Value: MachinePage{Machines: []Machine{machine}, More: true}},
 		{Name: "job description", Value: goldenSpec()},
-		{Name: "smallest job description", Value: Spec{Class: "c", Team: "red"}, Partial: true},
+		{Name: "smallest job description", Value: JobSpec{Class: "c", Team: "red"}, Partial: true},
 	})
 }
 
 // goldenSubmission is what a submitted job's body holds.
 type goldenSubmission struct {
 	ID   ids.JobID
-	Spec Spec
+	Spec JobSpec
 }
 
 // submissionBody is the body in the protocol's words, which only users write.
@@ -100,7 +100,7 @@
 
 // The words that the protocol and the records share stay.
 func TestWordsOfTheProtocol(t *testing.T) {
-	got := fmt.Sprintln(StatusQueued, StatusRunning, StatusDone, StatusCancelled, ";", TaskFetching, TaskRunning, TaskSaving, TaskEnded, ";",
+	got := fmt.Sprintln(JobQueued, JobRunning, JobDone, JobCancelled, ";", TaskFetching, TaskRunning, TaskSaving, TaskEnded, ";",
 		CauseDone, CauseStopped, CauseError, CauseFull, CauseInUse, CauseNoSuch, ";", VerbRun, VerbKill, VerbReap, ";", MachineRunning, MachineFailed, ";",
 		int(BestEffort), int(Normal), int(High), int(Critical), ";",
 		priorities["best_effort"], priorities["normal"], priorities["high"], priorities["critical"], len(priorities))
--- a/wire/spec.go
+++ b/wire/spec.go
@@ -22,9 +22,9 @@
 // priorities holds the protocol's words.
 var priorities = map[string]Priority{"best_effort": BestEffort, "normal": Normal, "high": High, "critical": Critical}
 
-// Spec is a job as its user described it. The tags are those of our own
+// JobSpec is a job as its user described it. The tags are those of our own
 // records in the state service.
-type Spec struct {
+type JobSpec struct {
 	Class            string            `msgpack:"c"`
 	Team             ids.Team          `msgpack:"g"`
 	Service          bool              `msgpack:"s,omitempty"`
@@ -165,7 +165,7 @@
 }
 
 // ParseSubmission decodes and checks a submitted job.
-func ParseSubmission(body []byte) (ids.JobID, *Spec, error) {
+func ParseSubmission(body []byte) (ids.JobID, *JobSpec, error) {
 	if len(body) > MaxBody {
 		return "", nil, fmt.Errorf("body is larger than %d bytes", MaxBody)
 	}
@@ -181,7 +181,7 @@
 	if f.err == nil && !ValidID(id) {
 		f.fail("nameId", "is not a job id")
 	}
-	s := &Spec{
+	s := &JobSpec{
 		Class:            f.text("workclass", 200),
 		Team:             ids.Team(f.text("crew", 200)),
 		CPUs:             f.amount("cpus", true),
@@ -212,7 +212,7 @@
 }
 
 // shape reads the kind of job.
-func (f *fields) shape(s *Spec) {
+func (f *fields) shape(s *JobSpec) {
 	switch f.text("shape", 50) {
 	case "batch":
 	case "standing":
--- a/wire/spec_test.go
+++ b/wire/spec_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Spec{Class: "train", Team: "vision", Priority: High, Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
+	want := JobSpec{Class: "train", Team: "vision", Priority: High, Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
 		ImageGB: 6.2, OneZone: true, Spot: true, EstimateS: 240, CheckpointEveryS: 30, CheckpointS: 4, DeadlineS: 900}
 	got := *s
 	if len(got.Types) != 1 || got.Types[0] != "g8" {
@@ -54,10 +54,10 @@
 func TestSizeIsThatOfJSON(t *testing.T) {
 	v := map[string]any{"w": uint64(1 << 63), "h": []string{"n-000231"}, "t": []int{1, 20, -1}, "s": true}
 	const text = `{"h":["n-000231"],"s":true,"t":[1,20,-1],"w":9223372036854775808}`
-	if n, err := Size(Encode(v)); err != nil || n != len(text) {
+	if n, err := JSONSize(Encode(v)); err != nil || n != len(text) {
 		t.Errorf("size %d, %v, want %d", n, err, len(text))
 	}
-	if Exceeds(v, len(text)) || !Exceeds(v, len(text)-1) || Exceeds(v, 0) {
+	if ExceedsJSONSize(v, len(text)) || !ExceedsJSONSize(v, len(text)-1) || ExceedsJSONSize(v, 0) {
 		t.Error("the limit is not where it should be")
 	}
 }
@@ -137,7 +137,7 @@
 		if _, _, err := ParseSubmission(b); err == nil {
 			t.Errorf("% x… was taken for a job", b[:min(len(b), 16)])
 		}
-		var rep Report
+		var rep Heartbeat
 		_ = Decode(b, &rep) // must not panic
 	}
 }
@@ -152,7 +152,7 @@
 }
 
 func TestNewerMessages(t *testing.T) {
-	r := Report{Session: 2, Sequence: 5}
+	r := Heartbeat{Incarnation: 2, Sequence: 5}
 	for _, c := range []struct {
 		tenure ids.AgentIncarnation
 		tick   ids.Sequence
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -28,9 +28,9 @@
 	return buf.Bytes()
 }
 
-// Size is how large a value is for the limits of the state service, which are
+// JSONSize is how large a value is for the limits of the state service, which are
 // measured in the JSON form. raw is its MessagePack form.
-func Size(raw []byte) (int, error) {
+func JSONSize(raw []byte) (int, error) {
 	var v any
 	if err := Decode(raw, &v); err != nil {
 		return 0, err
@@ -42,10 +42,10 @@
 	return len(text), nil
 }
 
-// Exceeds tells whether a value is larger than a limit in bytes; 0: no limit. One
+// ExceedsJSONSize tells whether a value is larger than a limit in bytes; 0: no limit. One
 // byte of MessagePack never becomes more than six of JSON, so most values need
 // not be written out to know.
-func Exceeds(v any, limit int) bool {
+func ExceedsJSONSize(v any, limit int) bool {
 	if limit <= 0 {
 		return false
 	}
@@ -53,7 +53,7 @@
 	if 6*len(raw) <= limit {
 		return false
 	}
-	n, err := Size(raw)
+	n, err := JSONSize(raw)
 	return err != nil || n > limit
 }
 
@@ -87,10 +87,10 @@
 
 // The states of a job. Records never say that a job is running.
 const (
-	StatusQueued    JobState = "queued"
-	StatusRunning   JobState = "running"
-	StatusDone      JobState = "done"
-	StatusCancelled JobState = "withdrawn"
+	JobQueued    JobState = "queued"
+	JobRunning   JobState = "running"
+	JobDone      JobState = "done"
+	JobCancelled JobState = "withdrawn"
 )
 
 // TaskState is the state of a task in a worker's report.
@@ -104,17 +104,17 @@
 	TaskEnded    TaskState = "ended"
 )
 
-// Cause tells why a task ended.
-type Cause string
+// ExitCause tells why a task ended.
+type ExitCause string
 
 // The causes of a task's end.
 const (
-	CauseDone    Cause = "done"
-	CauseStopped Cause = "stopped"
-	CauseError   Cause = "error"
-	CauseFull    Cause = "full"
-	CauseInUse   Cause = "in_use"
-	CauseNoSuch  Cause = "no_such"
+	CauseDone    ExitCause = "done"
+	CauseStopped ExitCause = "stopped"
+	CauseError   ExitCause = "error"
+	CauseFull    ExitCause = "full"
+	CauseInUse   ExitCause = "in_use"
+	CauseNoSuch  ExitCause = "no_such"
 )
 
 // Verb tells what a command asks of a worker.
@@ -144,33 +144,33 @@
 	Running int       `msgpack:"running"`
 }
 
-// Task is one task of a worker's report.
-type Task struct {
+// TaskStatus is one task of a worker's report.
+type TaskStatus struct {
 	Name         string      `msgpack:"leg"`
 	Attempt      ids.Attempt `msgpack:"try"`
 	State        TaskState   `msgpack:"status"`
-	Cause        Cause       `msgpack:"cause"`
+	Cause        ExitCause   `msgpack:"cause"`
 	Checkpointed bool        `msgpack:"stored"`
 }
 
-// Report is what a worker says about itself.
-type Report struct {
-	Host        ids.MachineID        `msgpack:"host"`
-	Endpoint    string               `msgpack:"endpoint"`
-	Type        ids.MachineType      `msgpack:"frame"`
-	Zone        ids.Zone             `msgpack:"hall"`
-	Spot        bool                 `msgpack:"loaner"`
-	Session     ids.AgentIncarnation `msgpack:"tenure"`
-	Sequence    ids.Sequence         `msgpack:"tick"`
-	Token       ids.FencingToken     `msgpack:"baton"`
-	SpotNoticeS *float64             `msgpack:"warningS"`
-	Tasks       []Task               `msgpack:"legs"`
+// Heartbeat is what a worker says about itself.
+type Heartbeat struct {
+	Machine      ids.MachineID        `msgpack:"host"`
+	Endpoint     string               `msgpack:"endpoint"`
+	Type         ids.MachineType      `msgpack:"frame"`
+	Zone         ids.Zone             `msgpack:"hall"`
+	Spot         bool                 `msgpack:"loaner"`
+	Incarnation  ids.AgentIncarnation `msgpack:"tenure"`
+	Sequence     ids.Sequence         `msgpack:"tick"`
+	FencingToken ids.FencingToken     `msgpack:"baton"`
+	SpotNoticeS  *float64             `msgpack:"warningS"`
+	Tasks        []TaskStatus         `msgpack:"legs"`
 }
 
 // Newer tells whether r was made after the message with the given tenure and
 // tick.
-func (r *Report) Newer(t ids.AgentIncarnation, k ids.Sequence) bool {
-	return r.Session > t || r.Session == t && r.Sequence > k
+func (r *Heartbeat) Newer(t ids.AgentIncarnation, k ids.Sequence) bool {
+	return r.Incarnation > t || r.Incarnation == t && r.Sequence > k
 }
 
 // Command is one command to a worker.
@@ -181,17 +181,17 @@
 	GraceS  float64     `msgpack:"leewayS" cbor:"4,keyasint"`
 }
 
-// ReportAnswer is the answer to a worker's report.
-type ReportAnswer struct {
-	Token    ids.FencingToken `msgpack:"baton" cbor:"1,keyasint"`
-	Commands []Command        `msgpack:"orders" cbor:"2,keyasint"`
+// HeartbeatResponse is the answer to a worker's report.
+type HeartbeatResponse struct {
+	FencingToken ids.FencingToken `msgpack:"baton" cbor:"1,keyasint"`
+	Commands     []Command        `msgpack:"orders" cbor:"2,keyasint"`
 }
 
-// DirectCommand holds commands that are sent straight to a worker.
-type DirectCommand struct {
-	Token    ids.FencingToken     `msgpack:"baton"`
-	Session  ids.AgentIncarnation `msgpack:"tenure"`
-	Commands []Command            `msgpack:"orders"`
+// CommandBatch holds commands that are sent straight to a worker.
+type CommandBatch struct {
+	FencingToken ids.FencingToken     `msgpack:"baton"`
+	Incarnation  ids.AgentIncarnation `msgpack:"tenure"`
+	Commands     []Command            `msgpack:"orders"`
 }
 
 // Redirect names the node that a worker should report to.
@@ -218,23 +218,23 @@
 	Types []MachineType `msgpack:"frames"`
 }
 
-// Rental asks the cloud for machines.
-type Rental struct {
-	Request string          `msgpack:"booking"`
-	Type    ids.MachineType `msgpack:"frame"`
-	Zone    ids.Zone        `msgpack:"hall"`
-	Spot    bool            `msgpack:"loaner"`
-	Count   int             `msgpack:"number"`
+// ProvisionRequest asks the cloud for machines.
+type ProvisionRequest struct {
+	RequestID string          `msgpack:"booking"`
+	Type      ids.MachineType `msgpack:"frame"`
+	Zone      ids.Zone        `msgpack:"hall"`
+	Spot      bool            `msgpack:"loaner"`
+	Count     int             `msgpack:"number"`
 }
 
-// Hosts names machines.
-type Hosts struct {
-	Hosts []ids.MachineID `msgpack:"hosts"`
+// IDs names machines.
+type MachineIDs struct {
+	IDs []ids.MachineID `msgpack:"hosts"`
 }
 
 // Machine is one entry of the cloud's machine list.
 type Machine struct {
-	Host     ids.MachineID   `msgpack:"nameId"`
+	ID       ids.MachineID   `msgpack:"nameId"`
 	Endpoint string          `msgpack:"endpoint"`
 	Type     ids.MachineType `msgpack:"frame"`
 	Zone     ids.Zone        `msgpack:"hall"`
@@ -245,6 +245,6 @@
 
 // MachinePage is a page of the cloud's machine list.
 type MachinePage struct {
-	Hosts []Machine `msgpack:"hosts"`
-	More  bool      `msgpack:"hasNext"`
+	Machines []Machine `msgpack:"hosts"`
+	More     bool      `msgpack:"hasNext"`
 }
--- a/worker/golden_test.go
+++ b/worker/golden_test.go
@@ -19,26 +19,26 @@
 	answer := map[string]any{"host": "n-1", "endpoint": "10.0.0.9:9000", "frame": "g8", "hall": "zone-a", "loaner": true, "tenure": 6, "tick": 7,
 		"baton": 8, "warningS": 25.5, "legs": []any{map[string]any{"leg": "job-1/3", "try": 2, "status": "ended", "cause": "done", "stored": true}}}
 	notice := 25.5
-	want := wire.Report{Host: "n-1", Endpoint: "10.0.0.9:9000", Type: "g8", Zone: "zone-a", Spot: true, Session: 6, Sequence: 7, Token: 8,
-		SpotNoticeS: &notice, Tasks: []wire.Task{{Name: "job-1/3", Attempt: 2, State: wire.TaskEnded, Cause: wire.CauseDone, Checkpointed: true}}}
+	want := wire.Heartbeat{Machine: "n-1", Endpoint: "10.0.0.9:9000", Type: "g8", Zone: "zone-a", Spot: true, Incarnation: 6, Sequence: 7, FencingToken: 8,
+		SpotNoticeS: &notice, Tasks: []wire.TaskStatus{{Name: "job-1/3", Attempt: 2, State: wire.TaskEnded, Cause: wire.CauseDone, Checkpointed: true}}}
 	status := 200
 	rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = w.Write(wire.Encode(answer))
 	})
 	c := New()
-	check := func(name string, got *wire.Report, err error) {
+	check := func(name string, got *wire.Heartbeat, err error) {
 		t.Helper()
 		if err != nil || !reflect.DeepEqual(*got, want) {
 			t.Errorf("%s: %+v, %v", name, got, err)
 		}
 	}
 	command := wire.Command{Verb: wire.VerbKill, Name: "job-1/3", Attempt: 4, GraceS: 5.5}
-	full := wire.DirectCommand{Token: ids.NewFencingToken(412, 5), Session: 6, Commands: []wire.Command{command}}
+	full := wire.CommandBatch{FencingToken: ids.NewFencingToken(412, 5), Incarnation: 6, Commands: []wire.Command{command}}
 	got, err := c.Do(t.Context(), rec.Address, full, time.Second)
 	check("commands", got, err)
 	status = 409
-	got, err = c.Do(t.Context(), rec.Address, wire.DirectCommand{Token: 9, Session: 6}, time.Second)
+	got, err = c.Do(t.Context(), rec.Address, wire.CommandBatch{FencingToken: 9, Incarnation: 6}, time.Second)
 	check("no commands, refused", got, err)
 	status = 200
 	got, err = c.Show(t.Context(), rec.Address, time.Second)
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -51,7 +51,7 @@
 // Do sends commands. Whether they were executed or refused, the report is the
 // worker's after it, and tells. Any error leaves the outcome unknown unless it wraps
 // httpc.ErrNotSent.
-func (c *Client) Do(ctx context.Context, addr string, d wire.DirectCommand, timeout time.Duration) (*wire.Report, error) {
+func (c *Client) Do(ctx context.Context, addr string, d wire.CommandBatch, timeout time.Duration) (*wire.Heartbeat, error) {
 	if d.Commands == nil {
 		d.Commands = []wire.Command{}
 	}
@@ -59,12 +59,12 @@
 }
 
 // Show asks for the worker's report.
-func (c *Client) Show(ctx context.Context, addr string, timeout time.Duration) (*wire.Report, error) {
+func (c *Client) Show(ctx context.Context, addr string, timeout time.Duration) (*wire.Heartbeat, error) {
 	return c.call(ctx, addr, "GET", "/show", nil, timeout)
 }
 
 // call sends one request and reads the worker's report from the answer.
-func (c *Client) call(ctx context.Context, addr, method, path string, body []byte, timeout time.Duration) (*wire.Report, error) {
+func (c *Client) call(ctx context.Context, addr, method, path string, body []byte, timeout time.Duration) (*wire.Heartbeat, error) {
 	status, ans, err := c.to(addr).Do(ctx, method, path, body, timeout)
 	if err != nil {
 		return nil, fmt.Errorf("worker %s%s: %w", addr, path, err)
@@ -72,7 +72,7 @@
 	if status != 200 && status != 409 {
 		return nil, fmt.Errorf("worker %s%s: %w: status %d", addr, path, httpc.ErrNoAnswer, status)
 	}
-	rep := new(wire.Report)
+	rep := new(wire.Heartbeat)
 	if err := wire.Decode(ans, rep); err != nil {
 		return nil, fmt.Errorf("worker %s%s: %w: %w", addr, path, httpc.ErrNoAnswer, err)
 	}
