--- a/election/election.go
+++ b/election/election.go
@@ -35,10 +35,10 @@
 // Store is what an election needs of the state service.
 type Store interface {
 	Get(ctx context.Context, key string) (statestore.Entry, bool, error)
-	Commit(ctx context.Context, t statestore.Txn) (statestore.Outcome, error)
-	Grant(ctx context.Context, ttl time.Duration) (ids.LeaseID, error)
-	Touch(ctx context.Context, id ids.LeaseID) error
-	Revoke(ctx context.Context, id ids.LeaseID) error
+	Commit(ctx context.Context, t statestore.Txn) (statestore.TxnResult, error)
+	GrantLease(ctx context.Context, ttl time.Duration) (ids.LeaseID, error)
+	RenewLease(ctx context.Context, id ids.LeaseID) error
+	RevokeLease(ctx context.Context, id ids.LeaseID) error
 	Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []statestore.Event, error)
 }
 
@@ -256,11 +256,11 @@
 	since := held
 	for ctx.Err() == nil {
 		epoch, events, err := e.store.Watch(ctx, ledger.LeaderKey, since, 10*time.Second)
-		if errors.Is(err, statestore.ErrTooOld) {
+		if errors.Is(err, statestore.ErrCompacted) {
 			// The leader has held the key for longer than the service keeps
 			// changes. Reading the key again would give the same revision, at once
 			// and for ever; that it still has it tells from where to watch.
-			out, err := e.store.Commit(ctx, statestore.Txn{Guards: []statestore.Guard{{Key: ledger.LeaderKey, Revision: held}}})
+			out, err := e.store.Commit(ctx, statestore.Txn{Preconditions: []statestore.Precondition{{Key: ledger.LeaderKey, Revision: held}}})
 			if err != nil || !out.Applied {
 				return err
 			}
@@ -271,10 +271,10 @@
 			return err
 		}
 		for _, ev := range events {
-			if ev.Drop == ledger.LeaderKey {
+			if ev.DeletedKey == ledger.LeaderKey {
 				e.dropLeader(ev.Revision)
 			}
-			if ev.Drop == ledger.LeaderKey || ev.Write == ledger.LeaderKey {
+			if ev.DeletedKey == ledger.LeaderKey || ev.PutKey == ledger.LeaderKey {
 				return nil
 			}
 		}
@@ -286,7 +286,7 @@
 // campaign tries to take the key. guard is its expected revision; 0: it is absent.
 func (e *Election) campaign(ctx context.Context, guard ids.Revision) error {
 	asked := e.clock.Now()
-	lease, err := e.store.Grant(ctx, e.bounds.TTL)
+	lease, err := e.store.GrantLease(ctx, e.bounds.TTL)
 	if err != nil {
 		return err
 	}
@@ -294,8 +294,8 @@
 	t.heldUntil.Store(int64(e.validity(asked)))
 	t.renewalAskedAt.Store(int64(asked))
 	txn := statestore.Txn{
-		Guards: []statestore.Guard{{Key: ledger.LeaderKey, Revision: guard}},
-		Apply:  []statestore.Op{{Write: ledger.LeaderKey, Value: e.self, Lease: lease}},
+		Preconditions: []statestore.Precondition{{Key: ledger.LeaderKey, Revision: guard}},
+		Operations:    []statestore.Operation{{PutKey: ledger.LeaderKey, Value: e.self, Lease: lease}},
 	}
 	out, err := e.store.Commit(ctx, txn)
 	if err != nil || !out.Applied {
@@ -303,7 +303,7 @@
 		// for it to change, so give the lease up: then it surely goes.
 		revoke, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 		defer cancel()
-		_ = e.store.Revoke(revoke, lease)
+		_ = e.store.RevokeLease(revoke, lease)
 		return err
 	}
 	t.Revision = out.Revision
@@ -354,7 +354,7 @@
 	e.mu.Unlock()
 	revoke, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
-	_ = e.store.Revoke(revoke, lease)
+	_ = e.store.RevokeLease(revoke, lease)
 	ids.Pause(ctx, 100*time.Millisecond)
 	return nil
 }
@@ -363,12 +363,12 @@
 func (e *Election) renew(ctx context.Context, t *Term, lease ids.LeaseID) {
 	for ctx.Err() == nil {
 		asked := e.clock.Now()
-		err := e.store.Touch(ctx, lease)
+		err := e.store.RenewLease(ctx, lease)
 		t.renewalAskedAt.Store(int64(asked))
 		switch {
 		case err == nil:
 			t.heldUntil.Store(int64(e.validity(asked)))
-		case errors.Is(err, statestore.ErrNoLease):
+		case errors.Is(err, statestore.ErrLeaseExpired):
 			t.End(errLost)
 			return
 		case e.clock.Now() >= ids.Instant(t.heldUntil.Load()).Add(t.bounds.Grace):
--- a/election/fake_state_test.go
+++ b/election/fake_state_test.go
@@ -106,28 +106,28 @@
 	return statestore.Entry{Key: ledger.LeaderKey, Value: c.s.value, Revision: c.s.revision}, c.s.revision != 0, nil
 }
 
-func (c *client) Commit(_ context.Context, t statestore.Txn) (statestore.Outcome, error) {
+func (c *client) Commit(_ context.Context, t statestore.Txn) (statestore.TxnResult, error) {
 	if err := c.enter(); err != nil {
-		return statestore.Outcome{}, err
+		return statestore.TxnResult{}, err
 	}
 	defer c.s.mu.Unlock()
 	s := c.s
-	if t.Guards[0].Revision != s.revision {
-		return statestore.Outcome{Failed: []string{ledger.LeaderKey}}, nil
+	if t.Preconditions[0].Revision != s.revision {
+		return statestore.TxnResult{FailedKeys: []string{ledger.LeaderKey}}, nil
 	}
-	if len(t.Apply) == 0 {
-		return statestore.Outcome{Applied: true, Revision: s.epoch}, nil
+	if len(t.Operations) == 0 {
+		return statestore.TxnResult{Applied: true, Revision: s.epoch}, nil
 	}
-	if _, ok := s.leases[t.Apply[0].Lease]; !ok {
-		return statestore.Outcome{}, statestore.ErrNoLease
+	if _, ok := s.leases[t.Operations[0].Lease]; !ok {
+		return statestore.TxnResult{}, statestore.ErrLeaseExpired
 	}
 	s.epoch++
-	s.revision, s.value, s.lease = s.epoch, wire.Encode(t.Apply[0].Value), t.Apply[0].Lease
+	s.revision, s.value, s.lease = s.epoch, wire.Encode(t.Operations[0].Value), t.Operations[0].Lease
 	s.touched()
-	return statestore.Outcome{Applied: true, Revision: s.epoch}, nil
+	return statestore.TxnResult{Applied: true, Revision: s.epoch}, nil
 }
 
-func (c *client) Grant(_ context.Context, ttl time.Duration) (ids.LeaseID, error) {
+func (c *client) GrantLease(_ context.Context, ttl time.Duration) (ids.LeaseID, error) {
 	if err := c.enter(); err != nil {
 		return 0, err
 	}
@@ -138,19 +138,19 @@
 	return c.s.next, nil
 }
 
-func (c *client) Touch(_ context.Context, id ids.LeaseID) error {
+func (c *client) RenewLease(_ context.Context, id ids.LeaseID) error {
 	if err := c.enter(); err != nil {
 		return err
 	}
 	defer c.s.mu.Unlock()
 	if _, ok := c.s.leases[id]; !ok {
-		return statestore.ErrNoLease
+		return statestore.ErrLeaseExpired
 	}
 	c.s.leases[id] = time.Now().Add(c.s.ttl)
 	return nil
 }
 
-func (c *client) Revoke(_ context.Context, id ids.LeaseID) error {
+func (c *client) RevokeLease(_ context.Context, id ids.LeaseID) error {
 	if err := c.enter(); err != nil {
 		return err
 	}
@@ -165,16 +165,16 @@
 	}
 	defer c.s.mu.Unlock()
 	if since < c.s.oldest {
-		return 0, nil, statestore.ErrTooOld
+		return 0, nil, statestore.ErrCompacted
 	}
 	end := time.Now().Add(hold)
 	for time.Now().Before(end) && ctx.Err() == nil {
 		c.s.sweep()
 		if c.s.epoch > since {
 			if c.s.revision == 0 {
-				return c.s.epoch, []statestore.Event{{Drop: ledger.LeaderKey, Revision: c.s.epoch}}, nil
+				return c.s.epoch, []statestore.Event{{DeletedKey: ledger.LeaderKey, Revision: c.s.epoch}}, nil
 			}
-			return c.s.epoch, []statestore.Event{{Write: ledger.LeaderKey, Revision: c.s.revision}}, nil
+			return c.s.epoch, []statestore.Event{{PutKey: ledger.LeaderKey, Revision: c.s.revision}}, nil
 		}
 		c.s.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
--- a/election/restart_test.go
+++ b/election/restart_test.go
@@ -39,28 +39,28 @@
 	l.copies.Go(func() { time.Sleep(d); f() })
 }
 
-func (l *late) Commit(ctx context.Context, t statestore.Txn) (statestore.Outcome, error) {
+func (l *late) Commit(ctx context.Context, t statestore.Txn) (statestore.TxnResult, error) {
 	l.again(func() { _, _ = l.wire.Commit(context.Background(), t) })
 	out, err := l.client.Commit(ctx, t)
 	if l.chance(4) {
-		return statestore.Outcome{}, statestore.ErrUnknown
+		return statestore.TxnResult{}, statestore.ErrIndeterminate
 	}
 	return out, err
 }
 
-func (l *late) Touch(ctx context.Context, id ids.LeaseID) error {
+func (l *late) RenewLease(ctx context.Context, id ids.LeaseID) error {
 	if l.chance(8) {
-		l.again(func() { _ = l.wire.Touch(context.Background(), id) })
+		l.again(func() { _ = l.wire.RenewLease(context.Background(), id) })
 	}
-	return l.client.Touch(ctx, id)
+	return l.client.RenewLease(ctx, id)
 }
 
-func (l *late) Revoke(ctx context.Context, id ids.LeaseID) error {
-	l.again(func() { _ = l.wire.Revoke(context.Background(), id) })
+func (l *late) RevokeLease(ctx context.Context, id ids.LeaseID) error {
+	l.again(func() { _ = l.wire.RevokeLease(context.Background(), id) })
 	if l.chance(3) {
-		return statestore.ErrUnknown // it never arrived
+		return statestore.ErrIndeterminate // it never arrived
 	}
-	return l.client.Revoke(ctx, id)
+	return l.client.RevokeLease(ctx, id)
 }
 
 // Processes that are back within a fraction of a second, also in the middle of
--- a/ledger/changes.go
+++ b/ledger/changes.go
@@ -17,11 +17,11 @@
 // that no task is ever without its record or in two. The job's version is guarded
 // too, so that nothing is admitted for a job that was cancelled.
 func SliceChange(id ids.JobID, jobRevision ids.Revision, at []SliceVersion, recs []Slice) Change {
-	c := Change{Guards: []statestore.Guard{{Key: JobKey(id), Revision: jobRevision}}}
+	c := Change{Guards: []statestore.Precondition{{Key: JobKey(id), Revision: jobRevision}}}
 	for i, v := range at {
 		key := AdmissionKey(id, v.N)
-		c.Guards = append(c.Guards, statestore.Guard{Key: key, Revision: v.Revision})
-		c.Apply = append(c.Apply, statestore.Op{Write: key, Value: recs[i]})
+		c.Guards = append(c.Guards, statestore.Precondition{Key: key, Revision: v.Revision})
+		c.Apply = append(c.Apply, statestore.Operation{PutKey: key, Value: recs[i]})
 	}
 	return c
 }
@@ -30,8 +30,8 @@
 func DoneChange(id ids.JobID, jobRevision ids.Revision, rec Job, drops []SliceVersion) Change {
 	rec.Status = wire.JobDone
 	c := DropChange(id, drops)
-	c.Guards = append(c.Guards, statestore.Guard{Key: JobKey(id), Revision: jobRevision})
-	c.Apply = append(c.Apply, statestore.Op{Write: JobKey(id), Value: rec})
+	c.Guards = append(c.Guards, statestore.Precondition{Key: JobKey(id), Revision: jobRevision})
+	c.Apply = append(c.Apply, statestore.Operation{PutKey: JobKey(id), Value: rec})
 	return c
 }
 
@@ -40,8 +40,8 @@
 	var c Change
 	for _, d := range drops {
 		key := AdmissionKey(id, d.N)
-		c.Guards = append(c.Guards, statestore.Guard{Key: key, Revision: d.Revision})
-		c.Apply = append(c.Apply, statestore.Op{Drop: key})
+		c.Guards = append(c.Guards, statestore.Precondition{Key: key, Revision: d.Revision})
+		c.Apply = append(c.Apply, statestore.Operation{DeleteKey: key})
 	}
 	return c
 }
@@ -50,8 +50,8 @@
 func SubmitChange(id ids.JobID, rec Job) Change {
 	key := JobKey(id)
 	return Change{
-		Guards: []statestore.Guard{{Key: key}},
-		Apply:  []statestore.Op{{Write: key, Value: rec}},
+		Guards: []statestore.Precondition{{Key: key}},
+		Apply:  []statestore.Operation{{PutKey: key, Value: rec}},
 	}
 }
 
@@ -67,8 +67,8 @@
 	}
 	key := JobKey(id)
 	return Change{
-		Guards: []statestore.Guard{{Key: key, Revision: revision}},
-		Apply:  []statestore.Op{{Write: key, Value: rec}},
+		Guards: []statestore.Precondition{{Key: key, Revision: revision}},
+		Apply:  []statestore.Operation{{PutKey: key, Value: rec}},
 	}
 }
 
@@ -76,8 +76,8 @@
 func ZoneChange(zone ids.Zone, revision ids.Revision, record *zonereturn.Record) Change {
 	key := ZoneKey(zone)
 	return Change{
-		Guards: []statestore.Guard{{Key: key, Revision: revision}},
-		Apply:  []statestore.Op{{Write: key, Value: record}},
+		Guards: []statestore.Precondition{{Key: key, Revision: revision}},
+		Apply:  []statestore.Operation{{PutKey: key, Value: record}},
 	}
 }
 
@@ -85,7 +85,7 @@
 func ZoneDropChange(zone ids.Zone, revision ids.Revision) Change {
 	key := ZoneKey(zone)
 	return Change{
-		Guards: []statestore.Guard{{Key: key, Revision: revision}},
-		Apply:  []statestore.Op{{Drop: key}},
+		Guards: []statestore.Precondition{{Key: key, Revision: revision}},
+		Apply:  []statestore.Operation{{DeleteKey: key}},
 	}
 }
--- a/ledger/committer.go
+++ b/ledger/committer.go
@@ -15,7 +15,7 @@
 
 // Store is what the committer needs of the state service.
 type Store interface {
-	Commit(ctx context.Context, t statestore.Txn) (statestore.Outcome, error)
+	Commit(ctx context.Context, t statestore.Txn) (statestore.TxnResult, error)
 	Get(ctx context.Context, key string) (statestore.Entry, bool, error)
 }
 
@@ -38,7 +38,7 @@
 type Committer struct {
 	store  Store
 	limits Limits
-	fence  *statestore.Guard
+	fence  *statestore.Precondition
 	log    *slog.Logger
 
 	mu    sync.Mutex
@@ -47,7 +47,7 @@
 }
 
 // NewCommitter makes a committer; fence may be nil.
-func NewCommitter(store Store, limits Limits, fence *statestore.Guard, log *slog.Logger) *Committer {
+func NewCommitter(store Store, limits Limits, fence *statestore.Precondition, log *slog.Logger) *Committer {
 	return &Committer{store: store, limits: limits, fence: fence, log: log, wake: make(chan struct{}, 1)}
 }
 
@@ -60,7 +60,7 @@
 func (c *Committer) Submit(ch Change, until time.Time, done func(Outcome, error)) {
 	size := 0
 	for _, op := range ch.Apply {
-		size += len(op.Write) + len(op.Drop) + 40
+		size += len(op.PutKey) + len(op.DeleteKey) + 40
 		if op.Value != nil {
 			size += 3 * len(wire.Encode(op.Value)) / 2
 		}
@@ -131,7 +131,7 @@
 	for len(batch) > 0 {
 		out, rest, unsure, err := c.send(ctx, batch, unknown)
 		switch {
-		case errors.Is(err, statestore.ErrRefused):
+		case errors.Is(err, statestore.ErrRejected):
 			return c.commitSingly(ctx, rest, unsure, err)
 		case err != nil:
 			fail(rest, err)
@@ -141,14 +141,14 @@
 				it.done(Outcome{Change: it.change, Applied: true, Revision: out.Revision}, nil)
 			}
 			return nil
-		case c.fence != nil && slices.Contains(out.Failed, c.fence.Key):
+		case c.fence != nil && slices.Contains(out.FailedKeys, c.fence.Key):
 			fail(rest, ErrFenced)
 			return ErrFenced
 		}
-		batch = rejectFailed(rest, out.Failed)
+		batch = rejectFailed(rest, out.FailedKeys)
 		if len(batch) == len(rest) {
 			// A refusal that names no guard of ours cannot be acted on.
-			c.log.Warn("transaction refused without a known key", "failed", out.Failed)
+			c.log.Warn("transaction refused without a known key", "failed", out.FailedKeys)
 			if !ids.Pause(ctx, unknownKeyDelay) {
 				return ctx.Err()
 			}
@@ -210,24 +210,24 @@
 // it was this very transaction that moved them.
 //
 // It also tells whether an earlier sending may have been applied.
-func (c *Committer) send(ctx context.Context, batch []item, unknown bool) (statestore.Outcome, []item, bool, error) {
+func (c *Committer) send(ctx context.Context, batch []item, unknown bool) (statestore.TxnResult, []item, bool, error) {
 	txn := transaction(c.fence, batch)
 	for wait := 50 * time.Millisecond; ; wait = min(2*wait, 500*time.Millisecond) {
 		out, err := c.store.Commit(ctx, txn)
-		refused := errors.Is(err, statestore.ErrRefused)
+		refused := errors.Is(err, statestore.ErrRejected)
 		switch {
 		case (err == nil && !out.Applied || refused) && unknown:
 			applied, revision, rerr := c.settle(ctx, txn)
 			if rerr == nil {
 				if applied {
-					return statestore.Outcome{Applied: true, Revision: revision}, batch, false, nil
+					return statestore.TxnResult{Applied: true, Revision: revision}, batch, false, nil
 				}
 				return out, batch, refused, err
 			}
 			err = rerr
-		case err == nil, refused, errors.Is(err, statestore.ErrBadAnswer):
+		case err == nil, refused, errors.Is(err, statestore.ErrMalformedResponse):
 			return out, batch, false, err
-		case errors.Is(err, statestore.ErrUnknown):
+		case errors.Is(err, statestore.ErrIndeterminate):
 			unknown = true
 		}
 		if ctx.Err() != nil {
@@ -260,14 +260,14 @@
 }
 
 // transaction puts the changes of a batch together.
-func transaction(fence *statestore.Guard, batch []item) statestore.Txn {
+func transaction(fence *statestore.Precondition, batch []item) statestore.Txn {
 	var txn statestore.Txn
 	if fence != nil {
-		txn.Guards = append(txn.Guards, *fence)
+		txn.Preconditions = append(txn.Preconditions, *fence)
 	}
 	for _, it := range batch {
-		txn.Guards = append(txn.Guards, it.change.Guards...)
-		txn.Apply = append(txn.Apply, it.change.Apply...)
+		txn.Preconditions = append(txn.Preconditions, it.change.Guards...)
+		txn.Operations = append(txn.Operations, it.change.Apply...)
 	}
 	return txn
 }
@@ -275,11 +275,11 @@
 // settle tells whether a transaction of unknown outcome was applied, once a
 // repeat of it has been refused.
 func (c *Committer) settle(ctx context.Context, txn statestore.Txn) (bool, ids.Revision, error) {
-	for _, op := range txn.Apply {
-		if op.Write == "" {
+	for _, op := range txn.Operations {
+		if op.PutKey == "" {
 			continue
 		}
-		e, found, err := c.store.Get(ctx, op.Write)
+		e, found, err := c.store.Get(ctx, op.PutKey)
 		if err != nil {
 			return false, 0, err
 		}
@@ -296,6 +296,6 @@
 	}
 	// Only drops: what they drop is gone if they were applied, and nobody
 	// else drops it.
-	e, found, err := c.store.Get(ctx, txn.Apply[0].Drop)
+	e, found, err := c.store.Get(ctx, txn.Operations[0].DeleteKey)
 	return err == nil && !found, e.Revision, err
 }
--- a/ledger/committer_test.go
+++ b/ledger/committer_test.go
@@ -43,43 +43,43 @@
 	tooLarge
 )
 
-func (s *fakeStore) apply(t statestore.Txn) statestore.Outcome {
+func (s *fakeStore) apply(t statestore.Txn) statestore.TxnResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var failed []string
-	for _, g := range t.Guards {
+	for _, g := range t.Preconditions {
 		if s.keys[g.Key].Revision != g.Revision {
 			failed = append(failed, g.Key)
 		}
 	}
 	if failed != nil {
-		return statestore.Outcome{Revision: s.epoch, Failed: failed}
+		return statestore.TxnResult{Revision: s.epoch, FailedKeys: failed}
 	}
 	s.epoch++
-	for _, op := range t.Apply {
-		if op.Write == "" {
-			delete(s.keys, op.Drop)
+	for _, op := range t.Operations {
+		if op.PutKey == "" {
+			delete(s.keys, op.DeleteKey)
 			continue
 		}
-		s.keys[op.Write] = statestore.Entry{Key: op.Write, Value: wire.Encode(op.Value), Revision: s.epoch}
+		s.keys[op.PutKey] = statestore.Entry{Key: op.PutKey, Value: wire.Encode(op.Value), Revision: s.epoch}
 	}
-	return statestore.Outcome{Applied: true, Revision: s.epoch}
+	return statestore.TxnResult{Applied: true, Revision: s.epoch}
 }
 
-func (s *fakeStore) Commit(ctx context.Context, t statestore.Txn) (statestore.Outcome, error) {
+func (s *fakeStore) Commit(ctx context.Context, t statestore.Txn) (statestore.TxnResult, error) {
 	s.mu.Lock()
 	s.txns++
-	s.most = max(s.most, len(t.Apply))
+	s.most = max(s.most, len(t.Operations))
 	f := answered
 	if s.fate != nil {
 		f = s.fate()
 	}
-	if s.mostOps > 0 && len(t.Apply) > s.mostOps {
+	if s.mostOps > 0 && len(t.Operations) > s.mostOps {
 		f = tooLarge
 	}
-	for _, op := range t.Apply {
-		if _, is := s.tooBig[op.Write]; is {
-			s.tooBig[op.Write]++
+	for _, op := range t.Operations {
+		if _, is := s.tooBig[op.PutKey]; is {
+			s.tooBig[op.PutKey]++
 			f = tooLarge
 		}
 	}
@@ -87,17 +87,17 @@
 	time.Sleep(5 * time.Millisecond)
 	switch f {
 	case tooLarge:
-		return statestore.Outcome{}, statestore.ErrRefused
+		return statestore.TxnResult{}, statestore.ErrRejected
 	case answerLost:
 		s.apply(t)
 		time.Sleep(time.Second)
-		return statestore.Outcome{}, statestore.ErrUnknown
+		return statestore.TxnResult{}, statestore.ErrIndeterminate
 	case late:
 		time.AfterFunc(7*time.Second, func() { s.apply(t) })
 		time.Sleep(time.Second)
-		return statestore.Outcome{}, statestore.ErrUnknown
+		return statestore.TxnResult{}, statestore.ErrIndeterminate
 	case refused503:
-		return statestore.Outcome{}, statestore.ErrUnavailable
+		return statestore.TxnResult{}, statestore.ErrUnavailable
 	}
 	return s.apply(t), nil
 }
@@ -119,9 +119,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
 			store := &fakeStore{keys: map[string]statestore.Entry{}}
-			store.apply(statestore.Txn{Apply: []statestore.Op{{Write: LeaderKey, Value: "a"}}})
+			store.apply(statestore.Txn{Operations: []statestore.Operation{{PutKey: LeaderKey, Value: "a"}}})
 			store.fate = func() fate { return fate(rng.IntN(4)) }
-			c := NewCommitter(store, Limits{Ops: 4, Bytes: 4096}, &statestore.Guard{Key: LeaderKey, Revision: store.epoch}, quiet())
+			c := NewCommitter(store, Limits{Ops: 4, Bytes: 4096}, &statestore.Precondition{Key: LeaderKey, Revision: store.epoch}, quiet())
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan error, 1)
 			go func() { done <- c.Run(ctx) }()
@@ -214,9 +214,9 @@
 func TestFenceEndsTheCommitter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakeStore{keys: map[string]statestore.Entry{}}
-		store.apply(statestore.Txn{Apply: []statestore.Op{{Write: LeaderKey, Value: "a"}}})
-		c := NewCommitter(store, Limits{Ops: 4, Bytes: 4096}, &statestore.Guard{Key: LeaderKey, Revision: store.epoch}, quiet())
-		store.apply(statestore.Txn{Apply: []statestore.Op{{Write: LeaderKey, Value: "b"}}})
+		store.apply(statestore.Txn{Operations: []statestore.Operation{{PutKey: LeaderKey, Value: "a"}}})
+		c := NewCommitter(store, Limits{Ops: 4, Bytes: 4096}, &statestore.Precondition{Key: LeaderKey, Revision: store.epoch}, quiet())
+		store.apply(statestore.Txn{Operations: []statestore.Operation{{PutKey: LeaderKey, Value: "b"}}})
 		var got error
 		c.Submit(SubmitChange("job-1", Job{Nonce: 1}), time.Time{}, func(_ Outcome, err error) { got = err })
 		if err := c.Run(t.Context()); !errors.Is(err, ErrFenced) || !errors.Is(got, ErrFenced) {
--- a/ledger/golden_test.go
+++ b/ledger/golden_test.go
@@ -87,7 +87,7 @@
 		{"zone", ZoneChange("zone-a", 500, &zonereturn.Record{Nonce: 9, SinceMS: 10})},
 		{"zone dropped", ZoneDropChange("zone-a", 500)},
 	} {
-		text += c.name + " " + hexOf(statestore.Txn{Guards: c.change.Guards, Apply: c.change.Apply}) + "\n"
+		text += c.name + " " + hexOf(statestore.Txn{Preconditions: c.change.Guards, Operations: c.change.Apply}) + "\n"
 	}
 	golden.Text(t, "transactions.txt", text)
 }
--- a/ledger/records.go
+++ b/ledger/records.go
@@ -105,8 +105,8 @@
 // Change is one indivisible change to the records.
 type Change struct {
 	ID     uint64
-	Guards []statestore.Guard
-	Apply  []statestore.Op
+	Guards []statestore.Precondition
+	Apply  []statestore.Operation
 }
 
 // Outcome tells what became of a change. A change that was not applied names
--- a/node/job_replica.go
+++ b/node/job_replica.go
@@ -56,15 +56,15 @@
 		c.revision, c.loaded = epoch, true
 	}
 	epoch, events, err := c.read.Watch(ctx, ledger.JobPrefix, c.revision, 0)
-	if errors.Is(err, statestore.ErrTooOld) {
+	if errors.Is(err, statestore.ErrCompacted) {
 		c.loaded = false
 	}
 	if err != nil {
 		return err
 	}
 	for _, ev := range events {
-		if ev.Write != "" {
-			c.put(ev.Write, ev.Value, ev.Revision)
+		if ev.PutKey != "" {
+			c.put(ev.PutKey, ev.Value, ev.Revision)
 		}
 	}
 	c.revision = max(c.revision, epoch)
--- a/node/mesh_handler.go
+++ b/node/mesh_handler.go
@@ -81,7 +81,7 @@
 	timeout := time.Duration(call.TimeoutMS) * time.Millisecond
 	status, body, err := (&directRoute{n}).Do(ctx, call.Method, call.Path, call.Body, timeout)
 	if err != nil {
-		return stateAnswer{NotSent: statestore.NotSent(err), Unknown: !statestore.NotSent(err)}, nil
+		return stateAnswer{NotSent: statestore.IsNotSent(err), Unknown: !statestore.IsNotSent(err)}, nil
 	}
 	return stateAnswer{Status: status, Body: body}, nil
 }
--- a/node/node.go
+++ b/node/node.go
@@ -86,7 +86,7 @@
 	for _, p := range cfg.Seeds {
 		bounds.Peers = append(bounds.Peers, p.Name)
 	}
-	n.election = election.New(n.leaderState.Urgent(), self, bounds, n.clock, log, n.lead)
+	n.election = election.New(n.leaderState.Unthrottled(), self, bounds, n.clock, log, n.lead)
 	n.terminalJobs.jobs = map[ids.JobID]wire.JobStatus{}
 	n.balancer.seen = map[ids.MachineID]ids.Instant{}
 	n.relay = &reportRelay{n: n, wake: make(chan struct{}, 1)}
--- a/node/status_reader_test.go
+++ b/node/status_reader_test.go
@@ -43,7 +43,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.epoch++
-	r.log = append(r.log, statestore.Event{Write: ledger.JobKey(id), Value: wire.Encode(rec), Revision: r.epoch})
+	r.log = append(r.log, statestore.Event{PutKey: ledger.JobKey(id), Value: wire.Encode(rec), Revision: r.epoch})
 }
 
 func (r *jobRecordLog) List(_ context.Context, _ string, each func(statestore.Entry) error) (ids.Revision, error) {
@@ -57,7 +57,7 @@
 	epoch, log := r.epoch, slices.Clone(r.log)
 	r.mu.Unlock()
 	for _, e := range log {
-		if err := each(statestore.Entry{Key: e.Write, Value: e.Value, Revision: e.Revision}); err != nil {
+		if err := each(statestore.Entry{Key: e.PutKey, Value: e.Value, Revision: e.Revision}); err != nil {
 			return 0, err
 		}
 	}
@@ -74,7 +74,7 @@
 	case r.failed:
 		return 0, nil, statestore.ErrUnavailable
 	case int(r.epoch-since) > r.kept:
-		return 0, nil, statestore.ErrTooOld
+		return 0, nil, statestore.ErrCompacted
 	}
 	return r.epoch, slices.Clone(r.log[since:]), nil
 }
@@ -210,7 +210,7 @@
 	var written []string
 	for _, ch := range tm.core.Step(now).Changes {
 		for _, op := range ch.Apply {
-			written = append(written, op.Write)
+			written = append(written, op.PutKey)
 		}
 	}
 	if !slices.Equal(written, []string{"admissions/job-2/00000"}) {
@@ -238,7 +238,7 @@
 		now = now.Add(time.Second)
 		for _, ch := range tm.core.Step(now).Changes {
 			for _, op := range ch.Apply {
-				if strings.Contains(op.Drop+op.Write, "job-4") {
+				if strings.Contains(op.DeleteKey+op.PutKey, "job-4") {
 					t.Fatalf("changed %+v", op)
 				}
 			}
--- a/node/term.go
+++ b/node/term.go
@@ -66,7 +66,7 @@
 
 // newTerm prepares the work of one term.
 func newTerm(n *Node, key *election.Term) *term {
-	fence := &statestore.Guard{Key: ledger.LeaderKey, Revision: key.Revision}
+	fence := &statestore.Precondition{Key: ledger.LeaderKey, Revision: key.Revision}
 	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.While(key.MayAnswer),
 		returns: returnQueue{wake: make(chan struct{}, 1)},
 		ledger:  ledger.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
--- a/node/term_load.go
+++ b/node/term_load.go
@@ -66,8 +66,8 @@
 		return found, err
 	}
 	out, err := state.Commit(t.ctx, statestore.Txn{
-		Guards: []statestore.Guard{{Key: ledger.LeaderKey, Revision: t.key.Revision}},
-		Apply:  []statestore.Op{{Write: ledger.FleetKey, Value: map[string]uint64{"first": uint64(t.key.Revision)}}},
+		Preconditions: []statestore.Precondition{{Key: ledger.LeaderKey, Revision: t.key.Revision}},
+		Operations:    []statestore.Operation{{PutKey: ledger.FleetKey, Value: map[string]uint64{"first": uint64(t.key.Revision)}}},
 	})
 	switch {
 	case err != nil:
--- a/node/term_watch.go
+++ b/node/term_watch.go
@@ -34,7 +34,7 @@
 func (t *term) watchJobs(since ids.Revision) error {
 	for {
 		epoch, events, err := t.n.leaderState.Watch(t.ctx, ledger.JobPrefix, since, 10*time.Second)
-		if errors.Is(err, statestore.ErrTooOld) {
+		if errors.Is(err, statestore.ErrCompacted) {
 			return fmt.Errorf("watch on jobs: %w", err)
 		}
 		if err != nil {
@@ -44,15 +44,15 @@
 			continue
 		}
 		for _, ev := range events {
-			if ev.Write == "" {
+			if ev.PutKey == "" {
 				continue
 			}
 			var rec ledger.Job
 			if err := wire.Decode(ev.Value, &rec); err != nil {
-				t.n.unreadable(ev.Write, err)
+				t.n.unreadable(ev.PutKey, err)
 				continue
 			}
-			id := ids.JobID(ev.Write[len(ledger.JobPrefix):])
+			id := ids.JobID(ev.PutKey[len(ledger.JobPrefix):])
 			t.post(t.ctx, func() { t.core.ObserveJob(t.n.clock.Now(), id, &rec, ev.Revision) })
 		}
 		since = max(since, epoch)
--- a/node/upgrade.go
+++ b/node/upgrade.go
@@ -104,8 +104,8 @@
 			continue
 		case all:
 			_, err = n.userState.Commit(ctx, statestore.Txn{
-				Guards: []statestore.Guard{{Key: ledger.FormatKey}},
-				Apply:  []statestore.Op{{Write: ledger.FormatKey, Value: map[string]int{"v": formatNew}}},
+				Preconditions: []statestore.Precondition{{Key: ledger.FormatKey}},
+				Operations:    []statestore.Operation{{PutKey: ledger.FormatKey, Value: map[string]int{"v": formatNew}}},
 			})
 			if err == nil { // written now, or there already
 				n.upgrade.durable.Store(true)
--- a/node/upgrade_test.go
+++ b/node/upgrade_test.go
@@ -70,7 +70,7 @@
 		ans["hold"] = 1
 	case r.URL.Path == "/commit":
 		var txn struct {
-			Guards []statestore.Guard `msgpack:"guards"`
+			Guards []statestore.Precondition `msgpack:"guards"`
 			Apply  []struct {
 				Write string             `msgpack:"write"`
 				Value msgpack.RawMessage `msgpack:"v"`
@@ -97,7 +97,7 @@
 				continue
 			}
 			s.keys[op.Write] = statestore.Entry{Key: op.Write, Value: op.Value, Revision: s.epoch}
-			s.log = append(s.log, statestore.Event{Write: op.Write, Value: op.Value, Revision: s.epoch})
+			s.log = append(s.log, statestore.Event{PutKey: op.Write, Value: op.Value, Revision: s.epoch})
 		}
 		if s.lose > 0 {
 			s.lose--
@@ -115,8 +115,8 @@
 		since, _ := strconv.Atoi(r.URL.Query().Get("since"))
 		list := []any{}
 		for _, e := range s.log {
-			if int(e.Revision) > since && strings.HasPrefix(e.Write, prefix) {
-				list = append(list, map[string]any{"write": e.Write, "v": e.Value, "stamp": e.Revision})
+			if int(e.Revision) > since && strings.HasPrefix(e.PutKey, prefix) {
+				list = append(list, map[string]any{"write": e.PutKey, "v": e.Value, "stamp": e.Revision})
 			}
 		}
 		ans["events"] = list
--- a/scheduler/digest_test.go
+++ b/scheduler/digest_test.go
@@ -35,8 +35,8 @@
 			d.add("guard", g)
 		}
 		for _, op := range ch.Apply {
-			d.add("write "+op.Write, wire.Encode(op.Value))
-			d.add("drop", op.Drop)
+			d.add("write "+op.PutKey, wire.Encode(op.Value))
+			d.add("drop", op.DeleteKey)
 		}
 	}
 	for _, r := range e.Rent {
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -115,7 +115,7 @@
 		for _, change := range b.step().Changes {
 			for _, op := range change.Apply {
 				if record, ok := op.Value.(ledger.Slice); ok {
-					latest[op.Write] = record
+					latest[op.PutKey] = record
 				}
 			}
 		}
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -20,7 +20,7 @@
 		s.old, s.oldTerm, s.oldUntil = s.core, s.term, s.now.Add(simIsolatedReplicas)
 	}
 	s.refusal, s.sure = 0, s.now.Add(simKey)
-	s.commit(nil, []statestore.Op{{Write: ledger.LeaderKey, Value: "x"}})
+	s.commit(nil, []statestore.Operation{{PutKey: ledger.LeaderKey, Value: "x"}})
 	s.leader = s.epoch
 	s.term++
 	opt := s.opt
@@ -187,7 +187,7 @@
 		return
 	}
 	ok, failed := s.commit(ch.Guards, ch.Apply)
-	if ok && len(ch.Apply) > 1 && strings.HasPrefix(ch.Apply[1].Write, ledger.AdmissionPrefix) {
+	if ok && len(ch.Apply) > 1 && strings.HasPrefix(ch.Apply[1].PutKey, ledger.AdmissionPrefix) {
 		s.splits++
 	}
 	o := ledger.Outcome{Change: ch, Applied: ok, Revision: s.epoch, Failed: failed}
--- a/scheduler/sim_state_test.go
+++ b/scheduler/sim_state_test.go
@@ -16,7 +16,7 @@
 }
 
 // commit applies a transaction as the state service would.
-func (s *sim) commit(guards []statestore.Guard, ops []statestore.Op) (bool, []string) {
+func (s *sim) commit(guards []statestore.Precondition, ops []statestore.Operation) (bool, []string) {
 	var failed []string
 	for _, g := range guards {
 		if s.store[g.Key].revision != g.Revision {
@@ -29,13 +29,13 @@
 	s.epoch++
 	defer s.checkSlices(ops)
 	for _, op := range ops {
-		if op.Write == "" {
-			delete(s.store, op.Drop)
+		if op.PutKey == "" {
+			delete(s.store, op.DeleteKey)
 			continue
 		}
-		s.store[op.Write] = simEntry{s.epoch, wire.Encode(op.Value)}
+		s.store[op.PutKey] = simEntry{s.epoch, wire.Encode(op.Value)}
 		if rec, ok := op.Value.(ledger.Job); ok && rec.Status == wire.JobDone {
-			id := ids.JobID(op.Write[len(ledger.JobPrefix):])
+			id := ids.JobID(op.PutKey[len(ledger.JobPrefix):])
 			for i := range s.specs[id].Tasks {
 				if !s.completed[ids.TaskRef{Job: id, Index: i}] {
 					s.violation("not_done: %s/%d", id, i)
@@ -47,20 +47,22 @@
 }
 
 // fits tells whether the state service would take a change.
-func (s *sim) fits(ops []statestore.Op) bool {
+func (s *sim) fits(ops []statestore.Operation) bool {
 	if s.txnOps > 0 && len(ops) > s.txnOps {
 		return false
 	}
-	return !slices.ContainsFunc(ops, func(op statestore.Op) bool { return op.Write != "" && wire.ExceedsJSONSize(op.Value, s.valueBytes) })
+	return !slices.ContainsFunc(ops, func(op statestore.Operation) bool {
+		return op.PutKey != "" && wire.ExceedsJSONSize(op.Value, s.valueBytes)
+	})
 }
 
 // checkSlices looks at the admission records of a job that was written to: no task
 // may be in two, and before the upgrade each slice must hold the tasks that its
 // number tells.
-func (s *sim) checkSlices(ops []statestore.Op) {
+func (s *sim) checkSlices(ops []statestore.Operation) {
 	var job ids.JobID
 	for _, op := range ops {
-		if id, _, ok := ledger.ParseAdmissionKey(op.Write); ok {
+		if id, _, ok := ledger.ParseAdmissionKey(op.PutKey); ok {
 			job = id
 		}
 	}
@@ -114,7 +116,7 @@
 
 func (s *sim) submit(id ids.JobID, spec *wire.JobSpec) {
 	s.specs[id] = spec
-	s.commit(nil, []statestore.Op{{Write: ledger.JobKey(id), Value: ledger.Job{Nonce: s.rng.Uint64(), Status: wire.JobQueued,
+	s.commit(nil, []statestore.Operation{{PutKey: ledger.JobKey(id), Value: ledger.Job{Nonce: s.rng.Uint64(), Status: wire.JobQueued,
 		Tasks: spec.Tasks, Spec: spec, SubmittedMS: int64(time.Duration(s.now) / time.Millisecond)}}})
 	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
 }
--- a/statestore/golden_test.go
+++ b/statestore/golden_test.go
@@ -19,12 +19,12 @@
 	codec := golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
 	golden.Check(t, "bodies.json", codec, []golden.Case{
 		{Name: "entry", Value: Entry{Key: "jobs/job-1", Value: []byte{0xa1, 'x'}, Revision: 412, Lease: 1 << 40}},
-		{Name: "change", Value: Event{Write: "jobs/job-1", Drop: "jobs/job-2", Value: []byte{0xa1, 'y'}, Revision: 413}},
-		{Name: "transaction", Value: Txn{Guards: []Guard{{Key: "leader", Revision: 414}, {Key: "jobs/job-1", Revision: 1 << 33}},
-			Apply: []Op{{Write: "jobs/job-1", Value: "value", Lease: 7, Drop: "jobs/job-2"}}}},
-		{Name: "transaction without lease", Value: Txn{Guards: []Guard{{Key: "leader"}},
-			Apply: []Op{{Write: "jobs/job-1", Value: "value"}, {Drop: "jobs/job-2"}}}, Partial: true},
-		{Name: "transaction of guards alone", Value: Txn{Guards: []Guard{{Key: "leader", Revision: 414}}}, Partial: true},
+		{Name: "change", Value: Event{PutKey: "jobs/job-1", DeletedKey: "jobs/job-2", Value: []byte{0xa1, 'y'}, Revision: 413}},
+		{Name: "transaction", Value: Txn{Preconditions: []Precondition{{Key: "leader", Revision: 414}, {Key: "jobs/job-1", Revision: 1 << 33}},
+			Operations: []Operation{{PutKey: "jobs/job-1", Value: "value", Lease: 7, DeleteKey: "jobs/job-2"}}}},
+		{Name: "transaction without lease", Value: Txn{Preconditions: []Precondition{{Key: "leader"}},
+			Operations: []Operation{{PutKey: "jobs/job-1", Value: "value"}, {DeleteKey: "jobs/job-2"}}}, Partial: true},
+		{Name: "transaction of guards alone", Value: Txn{Preconditions: []Precondition{{Key: "leader", Revision: 414}}}, Partial: true},
 	})
 }
 
@@ -77,15 +77,15 @@
 	note("list", revision, listed, err)
 	revision, events, err := c.Watch(ctx, "jobs/", 412, 10*time.Second)
 	note("changes", revision, events, err)
-	out, err := c.Commit(ctx, Txn{Guards: []Guard{{Key: "leader", Revision: 4}}, Apply: []Op{{Drop: "format"}}})
+	out, err := c.Commit(ctx, Txn{Preconditions: []Precondition{{Key: "leader", Revision: 4}}, Operations: []Operation{{DeleteKey: "format"}}})
 	note("commit", out, err)
-	out, err = c.Commit(ctx, Txn{Guards: []Guard{{Key: "leader", Revision: 414}}, Apply: []Op{{Write: "jobs/job-1", Value: "value", Lease: 77}, {Drop: "jobs/job-2"}}})
+	out, err = c.Commit(ctx, Txn{Preconditions: []Precondition{{Key: "leader", Revision: 414}}, Operations: []Operation{{PutKey: "jobs/job-1", Value: "value", Lease: 77}, {DeleteKey: "jobs/job-2"}}})
 	note("commit failed", out, err)
-	lease, err := c.Grant(ctx, 3*time.Second)
+	lease, err := c.GrantLease(ctx, 3*time.Second)
 	note("grant", lease, err)
-	note("touch", c.Touch(ctx, lease))
-	note("touch ended", c.Touch(ctx, 78))
-	note("revoke", c.Revoke(ctx, lease))
+	note("touch", c.RenewLease(ctx, lease))
+	note("touch ended", c.RenewLease(ctx, 78))
+	note("revoke", c.RevokeLease(ctx, lease))
 	golden.Text(t, "requests.txt", rec.Text()+"\n"+text.String())
 }
 
@@ -99,17 +99,17 @@
 	}{
 		{"too many", 429, nil, ErrUnavailable},
 		{"away", 503, nil, ErrUnavailable},
-		{"too old", 410, nil, ErrTooOld},
-		{"lease ended", 400, map[string]string{"error": "no such lease"}, ErrNoLease},
-		{"refused", 400, map[string]string{"error": "too large"}, ErrRefused},
-		{"fault", 500, nil, ErrUnknown},
+		{"too old", 410, nil, ErrCompacted},
+		{"lease ended", 400, map[string]string{"error": "no such lease"}, ErrLeaseExpired},
+		{"refused", 400, map[string]string{"error": "too large"}, ErrRejected},
+		{"fault", 500, nil, ErrIndeterminate},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
 				_, _ = w.Write(wire.Encode(c.body))
 			})
-			err := New(httpc.New(rec.Address, 1, 1<<20), 1000).Touch(context.Background(), 1)
+			err := New(httpc.New(rec.Address, 1, 1<<20), 1000).RenewLease(context.Background(), 1)
 			if !errors.Is(err, c.want) {
 				t.Errorf("%v, want %v", err, c.want)
 			}
--- a/statestore/statestore.go
+++ b/statestore/statestore.go
@@ -20,17 +20,17 @@
 var (
 	// ErrUnavailable means that the service did not execute the request.
 	ErrUnavailable = errors.New("state service unavailable")
-	// ErrUnknown means that the request may have been executed, or may yet be.
-	ErrUnknown = errors.New("state service gave no answer")
-	// ErrNoLease means that a lease has ended.
-	ErrNoLease = errors.New("no such lease")
-	// ErrTooOld means that a watch must start again from a full read.
-	ErrTooOld = errors.New("watch revision too old")
-	// ErrRefused means that the service will not take the request as it is, for
+	// ErrIndeterminate means that the request may have been executed, or may yet be.
+	ErrIndeterminate = errors.New("state service gave no answer")
+	// ErrLeaseExpired means that a lease has ended.
+	ErrLeaseExpired = errors.New("no such lease")
+	// ErrCompacted means that a watch must start again from a full read.
+	ErrCompacted = errors.New("watch revision too old")
+	// ErrRejected means that the service will not take the request as it is, for
 	// its size or form. The same again is refused again.
-	ErrRefused = errors.New("state service refused the request")
-	// ErrBadAnswer means that the service answered with something malformed.
-	ErrBadAnswer = errors.New("malformed answer from the state service")
+	ErrRejected = errors.New("state service refused the request")
+	// ErrMalformedResponse means that the service answered with something malformed.
+	ErrMalformedResponse = errors.New("malformed answer from the state service")
 )
 
 // Entry is a key with its value and version.
@@ -41,69 +41,69 @@
 	Lease    ids.LeaseID        `msgpack:"hold"`
 }
 
-// Guard is a condition of a transaction; revision 0 means the key is absent.
-type Guard struct {
+// Precondition is a condition of a transaction; revision 0 means the key is absent.
+type Precondition struct {
 	Key      string       `msgpack:"key"`
 	Revision ids.Revision `msgpack:"stamp"`
 }
 
-// Op is one change of a transaction: a write, or else a drop.
-type Op struct {
-	Write string      `msgpack:"write,omitempty"`
-	Value any         `msgpack:"v,omitempty"`
-	Lease ids.LeaseID `msgpack:"hold,omitempty"`
-	Drop  string      `msgpack:"drop,omitempty"`
+// Operation is one change of a transaction: a write, or else a drop.
+type Operation struct {
+	PutKey    string      `msgpack:"write,omitempty"`
+	Value     any         `msgpack:"v,omitempty"`
+	Lease     ids.LeaseID `msgpack:"hold,omitempty"`
+	DeleteKey string      `msgpack:"drop,omitempty"`
 }
 
 // Txn is a guarded transaction.
 type Txn struct {
-	Guards []Guard `msgpack:"guards"`
-	Apply  []Op    `msgpack:"apply,omitempty"`
+	Preconditions []Precondition `msgpack:"guards"`
+	Operations    []Operation    `msgpack:"apply,omitempty"`
 }
 
-// Outcome is the definite answer to a transaction.
-type Outcome struct {
-	Applied  bool
-	Revision ids.Revision
-	Failed   []string
+// TxnResult is the definite answer to a transaction.
+type TxnResult struct {
+	Applied    bool
+	Revision   ids.Revision
+	FailedKeys []string
 }
 
 // Event is one change seen by a watch.
 type Event struct {
-	Write    string             `msgpack:"write"`
-	Drop     string             `msgpack:"drop"`
-	Value    msgpack.RawMessage `msgpack:"v"`
-	Revision ids.Revision       `msgpack:"stamp"`
+	PutKey     string             `msgpack:"write"`
+	DeletedKey string             `msgpack:"drop"`
+	Value      msgpack.RawMessage `msgpack:"v"`
+	Revision   ids.Revision       `msgpack:"stamp"`
 }
 
-// Caller carries one request to the service. It is the direct connection, or
+// Transport carries one request to the service. It is the direct connection, or
 // a way through a peer.
-type Caller interface {
+type Transport interface {
 	Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error)
 }
 
 // Client talks to the state service and keeps to a request budget.
 type Client struct {
-	call    Caller
-	budget  *rate.Limiter
-	Timeout time.Duration
+	transport Transport
+	budget    *rate.Limiter
+	Timeout   time.Duration
 }
 
 // New makes a client that sends at most rps requests a second.
-func New(call Caller, rps float64) *Client {
-	return &Client{call: call, budget: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))), Timeout: time.Second}
+func New(call Transport, rps float64) *Client {
+	return &Client{transport: call, budget: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))), Timeout: time.Second}
 }
 
-// WithCaller is the same client, budget included, by another way.
-func (c *Client) WithCaller(call Caller) *Client {
+// WithTransport is the same client, budget included, by another way.
+func (c *Client) WithTransport(call Transport) *Client {
 	cp := *c
-	cp.call = call
+	cp.transport = call
 	return &cp
 }
 
-// Urgent is the same service without the budget, for the few requests that
+// Unthrottled is the same service without the budget, for the few requests that
 // leadership hangs on.
-func (c *Client) Urgent() *Client {
+func (c *Client) Unthrottled() *Client {
 	cp := *c
 	cp.budget = rate.NewLimiter(rate.Inf, 1)
 	return &cp
@@ -118,35 +118,35 @@
 	if body != nil {
 		raw = wire.Encode(body)
 	}
-	status, ans, err := c.call.Do(ctx, method, path, raw, timeout)
+	status, ans, err := c.transport.Do(ctx, method, path, raw, timeout)
 	switch {
 	case errors.Is(err, httpc.ErrNotSent):
 		return 0, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	case err != nil:
-		return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, fmt.Errorf("%w: %w", ErrIndeterminate, err)
 	}
 	switch status {
 	case 200, 404, 409:
 		if out != nil && len(ans) > 0 {
 			if err := wire.Decode(ans, out); err != nil {
-				return status, fmt.Errorf("%w: %s %s: %w", ErrBadAnswer, method, path, err)
+				return status, fmt.Errorf("%w: %s %s: %w", ErrMalformedResponse, method, path, err)
 			}
 		}
 		return status, nil
 	case 429, 503:
 		return status, fmt.Errorf("%w: status %d", ErrUnavailable, status)
 	case 410:
-		return status, ErrTooOld
+		return status, ErrCompacted
 	case 400:
 		var e struct {
 			Error string `msgpack:"error"`
 		}
 		if wire.Decode(ans, &e) == nil && e.Error == "no such lease" {
-			return status, ErrNoLease
+			return status, ErrLeaseExpired
 		}
-		return status, fmt.Errorf("%w: %s %s: %s", ErrRefused, method, path, e.Error)
+		return status, fmt.Errorf("%w: %s %s: %s", ErrRejected, method, path, e.Error)
 	}
-	return status, fmt.Errorf("%w: status %d", ErrUnknown, status)
+	return status, fmt.Errorf("%w: status %d", ErrIndeterminate, status)
 }
 
 // Get reads one key; found is false if it does not exist.
@@ -159,7 +159,7 @@
 		return Entry{}, false, nil
 	}
 	if status != 200 || e.Revision == 0 {
-		return Entry{}, false, fmt.Errorf("%w: GET %s", ErrBadAnswer, key)
+		return Entry{}, false, fmt.Errorf("%w: GET %s", ErrMalformedResponse, key)
 	}
 	e.Key = key
 	return e, true, nil
@@ -185,7 +185,7 @@
 			return 0, err
 		}
 		if status != 200 {
-			return 0, fmt.Errorf("%w: list status %d", ErrBadAnswer, status)
+			return 0, fmt.Errorf("%w: list status %d", ErrMalformedResponse, status)
 		}
 		if first == 0 {
 			first = page.Epoch
@@ -203,26 +203,26 @@
 }
 
 // Commit sends one transaction once.
-func (c *Client) Commit(ctx context.Context, t Txn) (Outcome, error) {
+func (c *Client) Commit(ctx context.Context, t Txn) (TxnResult, error) {
 	var ans struct {
 		Epoch  ids.Revision `msgpack:"epoch"`
 		Failed []string     `msgpack:"failed"`
 	}
 	status, err := c.do(ctx, "POST", "/commit", t, c.Timeout, &ans)
 	if err != nil {
-		return Outcome{}, err
+		return TxnResult{}, err
 	}
 	switch status {
 	case 200:
-		return Outcome{Applied: true, Revision: ans.Epoch}, nil
+		return TxnResult{Applied: true, Revision: ans.Epoch}, nil
 	case 409:
-		return Outcome{Revision: ans.Epoch, Failed: ans.Failed}, nil
+		return TxnResult{Revision: ans.Epoch, FailedKeys: ans.Failed}, nil
 	}
-	return Outcome{}, fmt.Errorf("%w: commit status %d", ErrBadAnswer, status)
+	return TxnResult{}, fmt.Errorf("%w: commit status %d", ErrMalformedResponse, status)
 }
 
-// Grant takes a lease.
-func (c *Client) Grant(ctx context.Context, ttl time.Duration) (ids.LeaseID, error) {
+// GrantLease takes a lease.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (ids.LeaseID, error) {
 	var ans struct {
 		Lease ids.LeaseID `msgpack:"hold"`
 	}
@@ -231,22 +231,22 @@
 		return 0, err
 	}
 	if status != 200 {
-		return 0, fmt.Errorf("%w: grant status %d", ErrBadAnswer, status)
+		return 0, fmt.Errorf("%w: grant status %d", ErrMalformedResponse, status)
 	}
 	return ans.Lease, nil
 }
 
-// Touch renews a lease.
-func (c *Client) Touch(ctx context.Context, id ids.LeaseID) error {
+// RenewLease renews a lease.
+func (c *Client) RenewLease(ctx context.Context, id ids.LeaseID) error {
 	status, err := c.do(ctx, "POST", "/grants/"+strconv.FormatUint(uint64(id), 10)+"/touch", nil, c.Timeout, nil)
 	if err == nil && status != 200 {
-		return ErrNoLease
+		return ErrLeaseExpired
 	}
 	return err
 }
 
-// Revoke ends a lease at once.
-func (c *Client) Revoke(ctx context.Context, id ids.LeaseID) error {
+// RevokeLease ends a lease at once.
+func (c *Client) RevokeLease(ctx context.Context, id ids.LeaseID) error {
 	_, err := c.do(ctx, "DELETE", "/grants/"+strconv.FormatUint(uint64(id), 10), nil, c.Timeout, nil)
 	return err
 }
@@ -263,10 +263,10 @@
 		return 0, nil, err
 	}
 	if status != 200 {
-		return 0, nil, fmt.Errorf("%w: watch status %d", ErrBadAnswer, status)
+		return 0, nil, fmt.Errorf("%w: watch status %d", ErrMalformedResponse, status)
 	}
 	return ans.Epoch, ans.Events, nil
 }
 
-// NotSent tells whether a call's error shows that the request never left.
-func NotSent(err error) bool { return errors.Is(err, httpc.ErrNotSent) }
+// IsNotSent tells whether a call's error shows that the request never left.
+func IsNotSent(err error) bool { return errors.Is(err, httpc.ErrNotSent) }
