--- a/ledger/committer.go
+++ b/ledger/committer.go
@@ -21,15 +21,15 @@
 
 // Limits are the state service's limits for one transaction.
 type Limits struct {
-	Ops   int
-	Bytes int
+	Operations int
+	Bytes      int
 }
 
 // item is a change that waits.
 type item struct {
 	change Change
 	size   int
-	done   func(Outcome, error)
+	done   func(CommitResult, error)
 	until  time.Time // zero: as long as the committer runs
 }
 
@@ -57,15 +57,15 @@
 // Submit queues a change. done is called from the committer's goroutine with
 // the definite outcome, or with an error if it is not known by the time
 // given, by the end of the committer, or because the service did not take it.
-func (c *Committer) Submit(ch Change, until time.Time, done func(Outcome, error)) {
+func (c *Committer) Submit(ch Change, until time.Time, done func(CommitResult, error)) {
 	size := 0
-	for _, op := range ch.Apply {
+	for _, op := range ch.Operations {
 		size += len(op.PutKey) + len(op.DeleteKey) + 40
 		if op.Value != nil {
 			size += 3 * len(wire.Encode(op.Value)) / 2
 		}
 	}
-	for _, g := range ch.Guards {
+	for _, g := range ch.Preconditions {
 		size += len(g.Key) + 40
 	}
 	c.mu.Lock()
@@ -77,8 +77,8 @@
 	}
 }
 
-// Waiting is the number of queued changes.
-func (c *Committer) Waiting() int {
+// QueueLength is the number of queued changes.
+func (c *Committer) QueueLength() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.queue)
@@ -90,10 +90,10 @@
 	defer c.mu.Unlock()
 	ops, bytes, n, guards := 0, 0, 0, 1
 	for _, it := range c.queue {
-		ops += len(it.change.Apply)
+		ops += len(it.change.Operations)
 		bytes += it.size
-		guards += len(it.change.Guards)
-		if n > 0 && (ops > c.limits.Ops || bytes > c.limits.Bytes || guards > 4*c.limits.Ops) {
+		guards += len(it.change.Preconditions)
+		if n > 0 && (ops > c.limits.Operations || bytes > c.limits.Bytes || guards > 4*c.limits.Operations) {
 			break
 		}
 		n++
@@ -138,7 +138,7 @@
 			return ctx.Err()
 		case out.Applied:
 			for _, it := range rest {
-				it.done(Outcome{Change: it.change, Applied: true, Revision: out.Revision}, nil)
+				it.done(CommitResult{Change: it.change, Applied: true, Revision: out.Revision}, nil)
 			}
 			return nil
 		case c.fence != nil && slices.Contains(out.FailedKeys, c.fence.Key):
@@ -166,7 +166,7 @@
 func (c *Committer) commitSingly(ctx context.Context, batch []item, unknown bool, refusal error) error {
 	if len(batch) == 1 {
 		c.log.Warn("change refused", "err", refusal)
-		batch[0].done(Outcome{Change: batch[0].change, Refused: true}, nil)
+		batch[0].done(CommitResult{Change: batch[0].change, Rejected: true}, nil)
 		return nil
 	}
 	for i, it := range batch {
@@ -181,7 +181,7 @@
 // fail ends changes without an outcome.
 func fail(batch []item, err error) {
 	for _, it := range batch {
-		it.done(Outcome{Change: it.change}, err)
+		it.done(CommitResult{Change: it.change}, err)
 	}
 }
 
@@ -189,7 +189,7 @@
 func rejectFailed(batch []item, failedKeys []string) (others []item) {
 	for _, it := range batch {
 		var failed []string
-		for _, g := range it.change.Guards {
+		for _, g := range it.change.Preconditions {
 			if slices.Contains(failedKeys, g.Key) {
 				failed = append(failed, g.Key)
 			}
@@ -198,7 +198,7 @@
 			others = append(others, it)
 			continue
 		}
-		it.done(Outcome{Change: it.change, Failed: failed}, nil)
+		it.done(CommitResult{Change: it.change, FailedKeys: failed}, nil)
 	}
 	return others
 }
@@ -240,7 +240,7 @@
 				if it.until.IsZero() {
 					rest = append(rest, it)
 				} else {
-					it.done(Outcome{Change: it.change}, err)
+					it.done(CommitResult{Change: it.change}, err)
 				}
 			}
 			if len(rest) < len(batch) {
@@ -266,8 +266,8 @@
 		txn.Preconditions = append(txn.Preconditions, *fence)
 	}
 	for _, it := range batch {
-		txn.Preconditions = append(txn.Preconditions, it.change.Guards...)
-		txn.Operations = append(txn.Operations, it.change.Apply...)
+		txn.Preconditions = append(txn.Preconditions, it.change.Preconditions...)
+		txn.Operations = append(txn.Operations, it.change.Operations...)
 	}
 	return txn
 }
--- a/ledger/committer_test.go
+++ b/ledger/committer_test.go
@@ -121,12 +121,12 @@
 			store := &fakeStore{keys: map[string]statestore.Entry{}}
 			store.apply(statestore.Txn{Operations: []statestore.Operation{{PutKey: LeaderKey, Value: "a"}}})
 			store.fate = func() fate { return fate(rng.IntN(4)) }
-			c := NewCommitter(store, Limits{Ops: 4, Bytes: 4096}, &statestore.Precondition{Key: LeaderKey, Revision: store.epoch}, quiet())
+			c := NewCommitter(store, Limits{Operations: 4, Bytes: 4096}, &statestore.Precondition{Key: LeaderKey, Revision: store.epoch}, quiet())
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan error, 1)
 			go func() { done <- c.Run(ctx) }()
 			type told struct {
-				o   Outcome
+				o   CommitResult
 				err error
 			}
 			results := make([]told, 30)
@@ -135,10 +135,10 @@
 				if i%7 == 3 {
 					revision = 99 // a guard that fails
 				}
-				ch := SubmitChange(ids.JobID(fmt.Sprintf("job-%d", i)), Job{Nonce: uint64(i + 1), Status: wire.JobQueued, Tasks: 1})
-				ch.Guards[0].Revision = revision
+				ch := CreateJobChange(ids.JobID(fmt.Sprintf("job-%d", i)), Job{Nonce: uint64(i + 1), Status: wire.JobQueued, Tasks: 1})
+				ch.Preconditions[0].Revision = revision
 				ch.ID = uint64(i)
-				c.Submit(ch, time.Time{}, func(o Outcome, err error) { results[i] = told{o, err} })
+				c.Submit(ch, time.Time{}, func(o CommitResult, err error) { results[i] = told{o, err} })
 			}
 			time.Sleep(10 * time.Minute)
 			synctest.Wait()
@@ -174,11 +174,11 @@
 			}
 			return f
 		}
-		c := NewCommitter(store, Limits{Ops: 8, Bytes: 48 << 10}, nil, quiet())
-		outcomes := map[ids.JobID]Outcome{}
+		c := NewCommitter(store, Limits{Operations: 8, Bytes: 48 << 10}, nil, quiet())
+		outcomes := map[ids.JobID]CommitResult{}
 		submit := func(n int) {
 			id := ids.JobID(fmt.Sprintf("job-%d", n))
-			c.Submit(SubmitChange(id, Job{Nonce: uint64(n)}), time.Time{}, func(o Outcome, err error) {
+			c.Submit(CreateJobChange(id, Job{Nonce: uint64(n)}), time.Time{}, func(o CommitResult, err error) {
 				if _, twice := outcomes[id]; twice || err != nil {
 					t.Errorf("%s: told again: %v, error %v", id, twice, err)
 				}
@@ -201,7 +201,7 @@
 		<-done
 		for n := range 8 {
 			id := ids.JobID(fmt.Sprintf("job-%d", n))
-			if o, told := outcomes[id]; !told || o.Applied == (n == 4) || o.Refused != (n == 4) {
+			if o, told := outcomes[id]; !told || o.Applied == (n == 4) || o.Rejected != (n == 4) {
 				t.Errorf("%s: told %v, %+v", id, told, o)
 			}
 		}
@@ -215,10 +215,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakeStore{keys: map[string]statestore.Entry{}}
 		store.apply(statestore.Txn{Operations: []statestore.Operation{{PutKey: LeaderKey, Value: "a"}}})
-		c := NewCommitter(store, Limits{Ops: 4, Bytes: 4096}, &statestore.Precondition{Key: LeaderKey, Revision: store.epoch}, quiet())
+		c := NewCommitter(store, Limits{Operations: 4, Bytes: 4096}, &statestore.Precondition{Key: LeaderKey, Revision: store.epoch}, quiet())
 		store.apply(statestore.Txn{Operations: []statestore.Operation{{PutKey: LeaderKey, Value: "b"}}})
 		var got error
-		c.Submit(SubmitChange("job-1", Job{Nonce: 1}), time.Time{}, func(_ Outcome, err error) { got = err })
+		c.Submit(CreateJobChange("job-1", Job{Nonce: 1}), time.Time{}, func(_ CommitResult, err error) { got = err })
 		if err := c.Run(t.Context()); !errors.Is(err, ErrFenced) || !errors.Is(got, ErrFenced) {
 			t.Fatalf("ended with %v, told %v", err, got)
 		}
@@ -233,12 +233,12 @@
 func TestUsersAreToldAtOnceOfAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &fakeStore{keys: map[string]statestore.Entry{}, fate: func() fate { return refused503 }}
-		c := NewCommitter(store, Limits{Ops: 4, Bytes: 4096}, nil, quiet())
+		c := NewCommitter(store, Limits{Operations: 4, Bytes: 4096}, nil, quiet())
 		ctx, cancel := context.WithCancel(t.Context())
 		go c.Run(ctx) //nolint:errcheck // ended by cancel
 		start := time.Now()
 		done := make(chan error, 1)
-		c.Submit(SubmitChange("job-1", Job{Nonce: 1}), time.Now().Add(4*time.Second), func(_ Outcome, err error) { done <- err })
+		c.Submit(CreateJobChange("job-1", Job{Nonce: 1}), time.Now().Add(4*time.Second), func(_ CommitResult, err error) { done <- err })
 		if err := <-done; !errors.Is(err, statestore.ErrUnavailable) {
 			t.Fatalf("told %v", err)
 		}
--- a/ledger/golden_test.go
+++ b/ledger/golden_test.go
@@ -37,11 +37,11 @@
 		{Name: "job cancelled without description", Value: Job{Nonce: 7, Status: wire.JobCancelled, Tasks: 70}, Partial: true},
 		{Name: "job done", Value: Job{Nonce: 8, Status: wire.JobDone, Tasks: 70, DoneMS: 1764640000456}, Partial: true},
 		{Name: "job done by an older version", Value: Job{Nonce: 9, Status: wire.JobDone, Tasks: 70}, Partial: true},
-		{Name: "admission slice", Value: Slice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"zone-a", "zone-b"},
+		{Name: "admission slice", Value: AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"zone-a", "zone-b"},
 			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 300, -1}, Done: []int{67, 69}}},
-		{Name: "admission slice, split, first part", Value: Slice{Nonce: 98, Hosts: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"},
+		{Name: "admission slice, split, first part", Value: AdmissionSlice{Nonce: 98, Hosts: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"},
 			Tasks: []int{64, 2, 0}, Done: []int{67}}},
-		{Name: "admission slice, split, last part", Value: Slice{Nonce: 98, Hosts: []ids.MachineID{"n-000007"}, Zones: []ids.Zone{"zone-b"},
+		{Name: "admission slice, split, last part", Value: AdmissionSlice{Nonce: 98, Hosts: []ids.MachineID{"n-000007"}, Zones: []ids.Zone{"zone-b"},
 			Tasks: []int{65, 1, 0, 66, 300, -1}, Done: []int{69}}},
 	})
 }
@@ -70,24 +70,24 @@
 
 // Transactions that change records keep their bytes, guards and operations in order.
 func TestTransactionsKeepTheirBytes(t *testing.T) {
-	at := []SliceVersion{{N: 2, Revision: 501}, {N: 42}}
-	slice := Slice{Nonce: 97, Hosts: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"}, Tasks: []int{64, 2, 0}}
+	at := []SliceVersion{{Number: 2, Revision: 501}, {Number: 42}}
+	slice := AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"}, Tasks: []int{64, 2, 0}}
 	job := Job{Nonce: 5, Status: wire.JobQueued, Tasks: 70, Spec: goldenSpec("job-0"), SubmittedMS: 6, DoneMS: 7}
 	text := ""
 	for _, c := range []struct {
 		name   string
 		change Change
 	}{
-		{"admission slices", SliceChange("job-1", 500, at, []Slice{slice, slice})},
-		{"job done", DoneChange("job-1", 500, job, at)},
-		{"admission slices dropped", DropChange("job-1", at)},
-		{"job submitted", SubmitChange("job-1", job)},
-		{"job cancelled", CancelChange("job-1", 500, 8, job, 8000)},
-		{"job cancelled, too large", CancelChange("job-1", 500, 8, job, 200)},
-		{"zone", ZoneChange("zone-a", 500, &zonereturn.Record{Nonce: 9, SinceMS: 10})},
-		{"zone dropped", ZoneDropChange("zone-a", 500)},
+		{"admission slices", PutSlicesChange("job-1", 500, at, []AdmissionSlice{slice, slice})},
+		{"job done", CompleteJobChange("job-1", 500, job, at)},
+		{"admission slices dropped", DeleteSlicesChange("job-1", at)},
+		{"job submitted", CreateJobChange("job-1", job)},
+		{"job cancelled", CancelJobChange("job-1", 500, 8, job, 8000)},
+		{"job cancelled, too large", CancelJobChange("job-1", 500, 8, job, 200)},
+		{"zone", PutZoneChange("zone-a", 500, &zonereturn.Record{Nonce: 9, SinceMS: 10})},
+		{"zone dropped", DeleteZoneChange("zone-a", 500)},
 	} {
-		text += c.name + " " + hexOf(statestore.Txn{Preconditions: c.change.Guards, Operations: c.change.Apply}) + "\n"
+		text += c.name + " " + hexOf(statestore.Txn{Preconditions: c.change.Preconditions, Operations: c.change.Operations}) + "\n"
 	}
 	golden.Text(t, "transactions.txt", text)
 }
--- a/ledger/records.go
+++ b/ledger/records.go
@@ -80,15 +80,15 @@
 	return r
 }
 
-// Over tells whether the job is done or cancelled, for good.
-func (j *Job) Over() bool { return j.Status == wire.JobDone || j.Status == wire.JobCancelled }
+// Terminal tells whether the job is done or cancelled, for good.
+func (j *Job) Terminal() bool { return j.Status == wire.JobDone || j.Status == wire.JobCancelled }
 
-// Slice is the durable record of some of a job's tasks: where each was
+// AdmissionSlice is the durable record of some of a job's tasks: where each was
 // admitted and with which attempt. It is committed before any task of it is
 // started, so a task can be only where its record says. Which tasks it is for
 // follows from those that it lists: its number says nothing but which record it
 // is, since slices are split when they grow too large, and slice_tasks may change.
-type Slice struct {
+type AdmissionSlice struct {
 	// Nonce names this very write, so that one whose answer was lost is
 	// recognised.
 	Nonce uint64          `msgpack:"w"`
@@ -104,18 +104,18 @@
 
 // Change is one indivisible change to the records.
 type Change struct {
-	ID     uint64
-	Guards []statestore.Precondition
-	Apply  []statestore.Operation
+	ID            uint64
+	Preconditions []statestore.Precondition
+	Operations    []statestore.Operation
 }
 
-// Outcome tells what became of a change. A change that was not applied names
+// CommitResult tells what became of a change. A change that was not applied names
 // the keys whose versions had moved on, or was refused: the state service would
 // not take it as it is, whatever the versions.
-type Outcome struct {
-	Change   Change
-	Applied  bool
-	Refused  bool
-	Revision ids.Revision
-	Failed   []string
+type CommitResult struct {
+	Change     Change
+	Applied    bool
+	Rejected   bool
+	Revision   ids.Revision
+	FailedKeys []string
 }
--- a/node/cancellations.go
+++ b/node/cancellations.go
@@ -27,14 +27,14 @@
 		if !found {
 			return server.Answer{Code: 404}
 		}
-		if rec.Over() {
+		if rec.Terminal() {
 			return n.terminalAnswer(ctx, id, snapshotOf(rec, revision))
 		}
-		out, err := n.commit(ctx, ledger.CancelChange(id, revision, rand.Uint64(), *rec, n.valueBytes()))
+		out, err := n.commit(ctx, ledger.CancelJobChange(id, revision, rand.Uint64(), *rec, n.valueBytes()))
 		if err != nil {
 			return server.RetryLater(retryDelay)
 		}
-		if out.Refused {
+		if out.Rejected {
 			return server.RetryLater(refusedLater)
 		}
 		if out.Applied {
--- a/node/node.go
+++ b/node/node.go
@@ -125,7 +125,7 @@
 func (n *Node) limits() ledger.Limits {
 	s := n.cfg.Settings.State.Planned()
 	// A transaction beyond one second's worth of changes never passes the rate.
-	return ledger.Limits{Ops: max(1, min(s.TxnOps, int(s.WriteRPS))), Bytes: 48 << 10}
+	return ledger.Limits{Operations: max(1, min(s.TxnOps, int(s.WriteRPS))), Bytes: 48 << 10}
 }
 
 // valueBytes is how large a value may be, with a margin for how the service counts.
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -144,7 +144,7 @@
 				map[string]any{"key": "jobs/job-2", "v": good, "stamp": 8}, map[string]any{"key": "jobs/job-3", "v": good, "stamp": 8},
 				map[string]any{"key": "jobs/job-4", "v": "nonsense", "stamp": 8}}}
 		case r.URL.Query().Get("prefix") == "admissions/":
-			placed := ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}}
+			placed := ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}}
 			body = map[string]any{"epoch": 9, "entries": []any{map[string]any{"key": "admissions/job-3/00000", "v": "nonsense", "stamp": 7},
 				map[string]any{"key": "admissions/job-4/00000", "v": placed, "stamp": 7}}}
 		}
--- a/node/status_reader_test.go
+++ b/node/status_reader_test.go
@@ -209,7 +209,7 @@
 	}
 	var written []string
 	for _, ch := range tm.core.Step(now).Changes {
-		for _, op := range ch.Apply {
+		for _, op := range ch.Operations {
 			written = append(written, op.PutKey)
 		}
 	}
@@ -237,7 +237,7 @@
 	for range 20 {
 		now = now.Add(time.Second)
 		for _, ch := range tm.core.Step(now).Changes {
-			for _, op := range ch.Apply {
+			for _, op := range ch.Operations {
 				if strings.Contains(op.DeleteKey+op.PutKey, "job-4") {
 					t.Fatalf("changed %+v", op)
 				}
--- a/node/submissions.go
+++ b/node/submissions.go
@@ -68,7 +68,7 @@
 	spec.Types = slices.DeleteFunc(spec.Types, func(name ids.MachineType) bool {
 		return !slices.ContainsFunc(*types, func(t wire.MachineType) bool { return t.Name == name })
 	})
-	if n.intake.Waiting() >= maxIntake {
+	if n.intake.QueueLength() >= maxIntake {
 		return server.RetryLater(retryDelay)
 	}
 	record := ledger.Job{Nonce: rand.Uint64(), Status: wire.JobQueued, Tasks: spec.Tasks, Spec: spec,
@@ -101,7 +101,7 @@
 
 // recordSubmission commits a job's record, unless the job is known already.
 func (n *Node) recordSubmission(ctx context.Context, id ids.JobID, record *ledger.Job) server.Answer {
-	out, err := n.commit(ctx, ledger.SubmitChange(id, *record))
+	out, err := n.commit(ctx, ledger.CreateJobChange(id, *record))
 	switch {
 	case err != nil:
 		n.log.Debug("submission not taken", "job", id, "err", err)
@@ -109,7 +109,7 @@
 	case out.Applied:
 		n.notifyLeader(id, record, out.Revision)
 		return server.Answer{Code: 201, Body: wire.JobStatus{ID: id, Status: record.Status}}
-	case out.Refused:
+	case out.Rejected:
 		return server.RetryLater(refusedLater)
 	}
 	return n.Status(ctx, id)
@@ -148,18 +148,18 @@
 
 // commit brings one user's change to its outcome, or to an error after which
 // the user must ask again.
-func (n *Node) commit(ctx context.Context, ch ledger.Change) (ledger.Outcome, error) {
+func (n *Node) commit(ctx context.Context, ch ledger.Change) (ledger.CommitResult, error) {
 	type result struct {
-		out ledger.Outcome
+		out ledger.CommitResult
 		err error
 	}
 	done := make(chan result, 1)
 	until, _ := ctx.Deadline()
-	n.intake.Submit(ch, until, func(o ledger.Outcome, err error) { done <- result{o, err} })
+	n.intake.Submit(ch, until, func(o ledger.CommitResult, err error) { done <- result{o, err} })
 	select {
 	case r := <-done:
 		return r.out, r.err
 	case <-ctx.Done():
-		return ledger.Outcome{}, ctx.Err()
+		return ledger.CommitResult{}, ctx.Err()
 	}
 }
--- a/node/term.go
+++ b/node/term.go
@@ -188,7 +188,7 @@
 // commit submits one change. If its outcome cannot be known the term ends, and the next
 // one reads the records again.
 func (t *term) commit(change ledger.Change) {
-	t.ledger.Submit(change, time.Time{}, func(outcome ledger.Outcome, err error) {
+	t.ledger.Submit(change, time.Time{}, func(outcome ledger.CommitResult, err error) {
 		switch {
 		case err == nil:
 			t.post(t.ctx, func() { t.core.ChangeResult(t.n.clock.Now(), outcome) })
--- a/node/term_load.go
+++ b/node/term_load.go
@@ -97,7 +97,7 @@
 	if !ok {
 		return fmt.Errorf("record %s: malformed key", e.Key)
 	}
-	var record ledger.Slice
+	var record ledger.AdmissionSlice
 	err := wire.Decode(e.Value, &record)
 	if err == nil {
 		err = t.core.LoadSlice(id, number, &record, e.Revision)
--- a/node/term_options.go
+++ b/node/term_options.go
@@ -44,7 +44,7 @@
 		Grace:                grace,
 		GraceWithoutReplicas: graceWithoutReplicas,
 		ListLag:              ids.Seconds(s.Cloud.ListLagS),
-		TxnOps:               n.limits().Ops,
+		TxnOps:               n.limits().Operations,
 		ValueBytes:           n.valueBytes(),
 		SplitRecords:         n.upgrade.done(),
 		SliceTasks:           op.Quota.SliceTasks,
--- a/node/upgrade_test.go
+++ b/node/upgrade_test.go
@@ -336,7 +336,7 @@
 		"job queued":    queued,
 		"job withdrawn": withdrawn,
 		"job done":      ledger.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70},
-		"slice": ledger.Slice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"a", "b"},
+		"slice": ledger.AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"a", "b"},
 			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 3, -1}, Done: []int{67, 69}},
 		"leader":       election.Holder{Name: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3},
 		"ping":         ping{From: "perch-1", Leader: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StateOK: true, Workers: 231},
@@ -418,11 +418,11 @@
 		written any
 		want    oldJob
 	}{
-		{"done, with the time", ledger.DoneChange("job-1", 7, ledger.Job{Nonce: 6, Tasks: 70, DoneMS: 1764640000123}, nil).Apply[0].Value,
+		{"done, with the time", ledger.CompleteJobChange("job-1", 7, ledger.Job{Nonce: 6, Tasks: 70, DoneMS: 1764640000123}, nil).Operations[0].Value,
 			oldJob{Nonce: 6, Status: "done", Tasks: 70}},
-		{"withdrawn", ledger.CancelChange("job-1", 7, 6, rec, 2000).Apply[0].Value,
+		{"withdrawn", ledger.CancelJobChange("job-1", 7, 6, rec, 2000).Operations[0].Value,
 			oldJob{Nonce: 6, Status: "withdrawn", Tasks: 70, Spec: &spec, SubmittedMS: 5}},
-		{"withdrawn, and too large", ledger.CancelChange("job-1", 7, 6, rec, 150).Apply[0].Value,
+		{"withdrawn, and too large", ledger.CancelJobChange("job-1", 7, 6, rec, 150).Operations[0].Value,
 			oldJob{Nonce: 6, Status: "withdrawn", Tasks: 70, Spec: &short, SubmittedMS: 5}},
 	} {
 		var got oldJob
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -165,7 +165,7 @@
 	for _, ch := range e.Changes {
 		d.after(5*time.Millisecond, func() {
 			d.revision++
-			d.c.ChangeResult(d.now, ledger.Outcome{Change: ch, Applied: true, Revision: d.revision})
+			d.c.ChangeResult(d.now, ledger.CommitResult{Change: ch, Applied: true, Revision: d.revision})
 			d.step()
 		})
 	}
--- a/scheduler/digest_test.go
+++ b/scheduler/digest_test.go
@@ -31,10 +31,10 @@
 func (d *effectDigest) effects(e Effects) {
 	for _, ch := range e.Changes {
 		d.add("change", ch.ID)
-		for _, g := range ch.Guards {
+		for _, g := range ch.Preconditions {
 			d.add("guard", g)
 		}
-		for _, op := range ch.Apply {
+		for _, op := range ch.Operations {
 			d.add("write "+op.PutKey, wire.Encode(op.Value))
 			d.add("drop", op.DeleteKey)
 		}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -56,7 +56,7 @@
 }
 
 // inherit loads job-1 and its admission record as a predecessor left them.
-func (b *harness) inherit(spec wire.JobSpec, rec ledger.Slice) {
+func (b *harness) inherit(spec wire.JobSpec, rec ledger.AdmissionSlice) {
 	b.t.Helper()
 	spec.Class, spec.Team, spec.CPUs, spec.Image = "c", "red", 2, "i"
 	b.c.LoadJob("job-1", &ledger.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec}, 3)
@@ -111,7 +111,7 @@
 func (b *harness) step() Effects {
 	e := b.c.Step(b.now)
 	for _, ch := range e.Changes {
-		b.c.ChangeResult(b.now, ledger.Outcome{Change: ch, Applied: true, Revision: ids.Revision(1000 + ch.ID)})
+		b.c.ChangeResult(b.now, ledger.CommitResult{Change: ch, Applied: true, Revision: ids.Revision(1000 + ch.ID)})
 	}
 	return e
 }
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -29,7 +29,7 @@
 }
 
 // LoadSlice takes an admission record at the start of the term.
-func (c *Core) LoadSlice(id ids.JobID, n int, rec *ledger.Slice, revision ids.Revision) error {
+func (c *Core) LoadSlice(id ids.JobID, n int, rec *ledger.AdmissionSlice, revision ids.Revision) error {
 	if c.unreadable[id] {
 		return nil
 	}
@@ -73,7 +73,7 @@
 }
 
 // loadPlacements takes in where the tasks of a slice were placed by a predecessor.
-func (c *Core) loadPlacements(j *job, s *admissionSlice, rec *ledger.Slice) error {
+func (c *Core) loadPlacements(j *job, s *admissionSlice, rec *ledger.AdmissionSlice) error {
 	for k := 0; k+2 < len(rec.Tasks); k += 3 {
 		i, attempt, place := rec.Tasks[k], ids.Attempt(rec.Tasks[k+1]), rec.Tasks[k+2]
 		if i < 0 || i >= len(j.tasks) || place >= len(rec.Hosts) {
@@ -112,7 +112,7 @@
 		return
 	}
 	if j == nil {
-		if s := c.graph.Of(id).State; rec.Over() || s == pipeline.Done || s == pipeline.Cancelled {
+		if s := c.graph.Of(id).State; rec.Terminal() || s == pipeline.Done || s == pipeline.Cancelled {
 			c.applyJobRecord(id, rec) // or an older record, delivered late
 			return
 		}
@@ -123,7 +123,7 @@
 		return
 	}
 	j.revision = revision
-	if rec.Over() {
+	if rec.Terminal() {
 		if !j.terminal() {
 			j.status = rec.Status
 			c.stopAllTasks(j)
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -86,7 +86,7 @@
 	for n := range largeFleetJobs {
 		b.job(ids.JobID(fmt.Sprintf("job-%06d", n)), wire.JobSpec{Tasks: largeFleetTasks / largeFleetJobs, CPUs: 2})
 	}
-	latest := map[string]ledger.Slice{}
+	latest := map[string]ledger.AdmissionSlice{}
 	b.placeAll(latest)
 	placed := uint64(largeFleetTasks)
 	// The first search of a job looks at all machines, each task at one a zone.
@@ -108,13 +108,13 @@
 }
 
 // placeAll steps until all tasks are placed, and keeps the newest record of each slice.
-func (b *harness) placeAll(latest map[string]ledger.Slice) {
+func (b *harness) placeAll(latest map[string]ledger.AdmissionSlice) {
 	b.t.Helper()
 	for range 10 {
 		b.now = b.now.Add(time.Second)
 		for _, change := range b.step().Changes {
-			for _, op := range change.Apply {
-				if record, ok := op.Value.(ledger.Slice); ok {
+			for _, op := range change.Operations {
+				if record, ok := op.Value.(ledger.AdmissionSlice); ok {
 					latest[op.PutKey] = record
 				}
 			}
@@ -128,7 +128,7 @@
 }
 
 // takeOverLargeFleet has a successor read the records and meet all machines.
-func (b *harness) takeOverLargeFleet(latest map[string]ledger.Slice) {
+func (b *harness) takeOverLargeFleet(latest map[string]ledger.AdmissionSlice) {
 	b.t.Helper()
 	predecessor := b.c
 	opt := predecessor.opt
@@ -197,7 +197,7 @@
 func (b *harness) countZoneRecords(e Effects) {
 	b.t.Helper()
 	for _, change := range e.Changes {
-		for _, op := range change.Apply {
+		for _, op := range change.Operations {
 			if record, ok := op.Value.(*zonereturn.Record); ok {
 				b.zoneWrites++
 				if wire.ExceedsJSONSize(record, b.c.opt.ValueBytes) {
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -188,7 +188,7 @@
 	oldToken, run := old.runTask()
 
 	next := newHarness(t, Options{Revision: 9, Predecessor: true, Grace: time.Minute})
-	next.inherit(wire.JobSpec{Tasks: 1}, ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	next.inherit(wire.JobSpec{Tasks: 1}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	next.c.Begin(next.now)
 	// It knows the address from the list, and has no report: all of them go
 	// to the old leader. The same holds of a machine without tasks.
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -10,13 +10,13 @@
 )
 
 // ChangeResult takes the definite outcome of a change.
-func (c *Core) ChangeResult(now ids.Instant, o ledger.Outcome) {
+func (c *Core) ChangeResult(now ids.Instant, o ledger.CommitResult) {
 	c.now = now
 	c.records.settleChange(o)
 }
 
 // settleChange takes the definite outcome of a change into account.
-func (w *recordWriter) settleChange(o ledger.Outcome) {
+func (w *recordWriter) settleChange(o ledger.CommitResult) {
 	if w.core.zones.settle(o) {
 		return
 	}
@@ -36,10 +36,10 @@
 	case o.Applied:
 		p.job.refusals = 0
 		w.changeApplied(p, o.Revision)
-	case o.Refused:
+	case o.Rejected:
 		w.postpone(p)
 	default:
-		w.changeRejected(p, o.Failed)
+		w.changeRejected(p, o.FailedKeys)
 	}
 }
 
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -188,11 +188,11 @@
 		if s.revision != 0 && len(drops) < most {
 			s.inFlight = true
 			p.dropped = append(p.dropped, s)
-			drops = append(drops, ledger.SliceVersion{N: s.number, Revision: s.revision})
+			drops = append(drops, ledger.SliceVersion{Number: s.number, Revision: s.revision})
 		}
 	}
 	rec := ledger.Job{Nonce: w.nextNonce(), Tasks: len(j.tasks), DoneMS: p.doneMS}
-	w.submitChange(p, ledger.DoneChange(j.id, j.revision, rec, drops))
+	w.submitChange(p, ledger.CompleteJobChange(j.id, j.revision, rec, drops))
 }
 
 // recordOrphanCancels writes that jobs are cancelled with one that they need. They never
@@ -211,7 +211,7 @@
 			w.orphanCancels = append(w.orphanCancels, j)
 		default:
 			rec := ledger.Job{Tasks: len(j.tasks), SubmittedMS: j.readyMS}
-			w.submitChange(&pendingChange{job: j, orphanCancel: true}, ledger.CancelChange(j.id, j.revision, w.nextNonce(), rec, 0))
+			w.submitChange(&pendingChange{job: j, orphanCancel: true}, ledger.CancelJobChange(j.id, j.revision, w.nextNonce(), rec, 0))
 		}
 	}
 	return true
@@ -235,7 +235,7 @@
 		}
 		if s.revision != 0 && len(drops) < max(1, w.core.opt.TxnOps>>j.refusals-1) {
 			p.dropped = append(p.dropped, s)
-			drops = append(drops, ledger.SliceVersion{N: s.number, Revision: s.revision})
+			drops = append(drops, ledger.SliceVersion{Number: s.number, Revision: s.revision})
 		}
 	}
 	if len(drops) == 0 {
@@ -245,7 +245,7 @@
 	for _, s := range p.dropped {
 		s.inFlight = true
 	}
-	w.submitChange(p, ledger.DropChange(j.id, drops))
+	w.submitChange(p, ledger.DeleteSlicesChange(j.id, drops))
 }
 
 // submitChange hands a change out with the step's effects.
@@ -257,7 +257,7 @@
 func (w *recordWriter) submitOther(ch ledger.Change) (id uint64) {
 	w.nextChange++
 	ch.ID = w.nextChange
-	w.writeBudget -= float64(len(ch.Apply))
+	w.writeBudget -= float64(len(ch.Operations))
 	w.core.effects.Changes = append(w.core.effects.Changes, ch)
 	return ch.ID
 }
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -170,7 +170,7 @@
 	for _, id := range all {
 		var rec ledger.Job
 		s.must(wire.Decode(s.store[ledger.JobKey(id)].raw, &rec))
-		if !rec.Over() {
+		if !rec.Terminal() {
 			out = append(out, fmt.Sprintf("%s %+v", id, *s.specs[id]))
 		}
 	}
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -37,7 +37,7 @@
 			id, n, ok := ledger.ParseAdmissionKey(k)
 			switch {
 			case ok && admissions:
-				var rec ledger.Slice
+				var rec ledger.AdmissionSlice
 				s.must(wire.Decode(s.store[k].raw, &rec))
 				s.must(s.core.LoadSlice(id, n, &rec, s.store[k].revision))
 			case strings.HasPrefix(k, ledger.ZonePrefix):
@@ -175,22 +175,22 @@
 	if leader == 0 {
 		return
 	}
-	if !s.fits(ch.Apply) {
+	if !s.fits(ch.Operations) {
 		if bounded {
 			s.refused++
 		}
 		s.after(0, func() {
 			if s.term == term {
-				core.ChangeResult(s.now, ledger.Outcome{Change: ch, Refused: true})
+				core.ChangeResult(s.now, ledger.CommitResult{Change: ch, Rejected: true})
 			}
 		})
 		return
 	}
-	ok, failed := s.commit(ch.Guards, ch.Apply)
-	if ok && len(ch.Apply) > 1 && strings.HasPrefix(ch.Apply[1].PutKey, ledger.AdmissionPrefix) {
+	ok, failed := s.commit(ch.Preconditions, ch.Operations)
+	if ok && len(ch.Operations) > 1 && strings.HasPrefix(ch.Operations[1].PutKey, ledger.AdmissionPrefix) {
 		s.splits++
 	}
-	o := ledger.Outcome{Change: ch, Applied: ok, Revision: s.epoch, Failed: failed}
+	o := ledger.CommitResult{Change: ch, Applied: ok, Revision: s.epoch, FailedKeys: failed}
 	wait := time.Duration(0)
 	if s.chance(0.05) {
 		wait = time.Duration(1+s.rng.IntN(4)) * time.Second
--- a/scheduler/sim_state_test.go
+++ b/scheduler/sim_state_test.go
@@ -75,7 +75,7 @@
 		if !ok || id != job {
 			continue
 		}
-		var rec ledger.Slice
+		var rec ledger.AdmissionSlice
 		s.must(wire.Decode(e.raw, &rec))
 		tasks := slices.Clone(rec.Done)
 		for k := 0; k < len(rec.Tasks); k += 3 {
@@ -131,11 +131,11 @@
 	key := ledger.JobKey(id)
 	var rec ledger.Job
 	s.must(wire.Decode(s.store[key].raw, &rec))
-	if rec.Over() {
+	if rec.Terminal() {
 		return
 	}
-	c := ledger.CancelChange(id, s.store[key].revision, s.rng.Uint64(), rec, s.opt.ValueBytes)
-	s.commit(c.Guards, c.Apply)
+	c := ledger.CancelJobChange(id, s.store[key].revision, s.rng.Uint64(), rec, s.opt.ValueBytes)
+	s.commit(c.Preconditions, c.Operations)
 	s.cancelled[id] = true
 	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
 	s.tellUser(id)
--- a/scheduler/succession_test.go
+++ b/scheduler/succession_test.go
@@ -18,7 +18,7 @@
 	for _, zones := range [][]ids.Zone{{"a", "a"}, nil} {
 		b := newHarness(t, Options{Predecessor: true, Grace: time.Minute})
 		b.inherit(wire.JobSpec{Service: true, Spread: true, Tasks: 3},
-			ledger.Slice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
+			ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
 		b.c.Begin(b.now)
 		b.report("n-3", "a", ids.NewFencingToken(5, 0))
 		b.step()
@@ -37,7 +37,7 @@
 // until its grace and a lease are over, its tasks may run.
 func TestPredecessorsGraceCounts(t *testing.T) {
 	b := newHarness(t, Options{Predecessor: true, Grace: time.Minute})
-	b.inherit(wire.JobSpec{Tasks: 1}, ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	b.inherit(wire.JobSpec{Tasks: 1}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for _, step := range []struct {
 		after time.Duration
@@ -56,7 +56,7 @@
 // a report sent just before may have been answered.
 func TestOnceAllFollowThereIsNoGrace(t *testing.T) {
 	b := newHarness(t, Options{Predecessor: true, Grace: 10 * time.Minute})
-	b.inherit(wire.JobSpec{Tasks: 1}, ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	b.inherit(wire.JobSpec{Tasks: 1}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	followed := 5 * time.Second
 	b.c.AllFollow(b.now.Add(followed))
@@ -90,7 +90,7 @@
 // it listed, and held its tasks for two minutes.
 func TestMachineThatDiedAtTheTakeoverIsNoticed(t *testing.T) {
 	b := newHarness(t, Options{Predecessor: true, Grace: 90 * time.Second, ListLag: 3 * time.Second})
-	b.inherit(wire.JobSpec{Tasks: 1}, ledger.Slice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	b.inherit(wire.JobSpec{Tasks: 1}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for s := range 20 {
 		b.now = b.now.Add(time.Second)
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -90,7 +90,7 @@
 	b.report("n-1", "a", 0)
 	sent := func(e Effects, job ids.JobID) (out []ledger.Change) {
 		for _, ch := range e.Changes {
-			if len(ch.Apply) > 0 && ch.Guards[0].Key == ledger.JobKey(job) {
+			if len(ch.Operations) > 0 && ch.Preconditions[0].Key == ledger.JobKey(job) {
 				out = append(out, ch)
 			}
 		}
@@ -100,7 +100,7 @@
 	for range 3000 {
 		for _, ch := range sent(b.c.Step(b.now), "job-1") {
 			tries++
-			b.c.ChangeResult(b.now, ledger.Outcome{Change: ch, Refused: true})
+			b.c.ChangeResult(b.now, ledger.CommitResult{Change: ch, Rejected: true})
 		}
 		b.now = b.now.Add(500 * time.Millisecond)
 		b.report("n-1", "a", 0)
@@ -162,13 +162,13 @@
 	b.job("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
 	b.report("n-1", "a", 0)
 	split := b.c.Step(b.now).Changes
-	if len(split) != 1 || len(split[0].Apply) < 2 {
+	if len(split) != 1 || len(split[0].Operations) < 2 {
 		t.Fatalf("changes %+v", split)
 	}
 	b.now = b.now.Add(time.Second)
 	b.report("n-2", "a", 0)
 	b.step()
-	b.c.ChangeResult(b.now, ledger.Outcome{Change: split[0], Applied: true, Revision: 500})
+	b.c.ChangeResult(b.now, ledger.CommitResult{Change: split[0], Applied: true, Revision: 500})
 	var runs []string
 	for _, h := range []ids.MachineID{"n-1", "n-2"} {
 		b.step()
@@ -185,12 +185,12 @@
 	b := newHarness(t, Options{ValueBytes: 50})
 	b.job("job-1", wire.JobSpec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
 	b.report("n-1", "a", 0)
-	if e := b.step(); len(e.Changes) != 1 || len(e.Changes[0].Apply) != 1 {
+	if e := b.step(); len(e.Changes) != 1 || len(e.Changes[0].Operations) != 1 {
 		t.Fatalf("changes %+v", e.Changes)
 	}
 	b.c.EnableSplitRecords(b.now)
 	b.now = b.now.Add(simLease / 2)
-	if e := b.step(); len(e.Changes) != 1 || len(e.Changes[0].Apply) != 2 {
+	if e := b.step(); len(e.Changes) != 1 || len(e.Changes[0].Operations) != 2 {
 		t.Errorf("changes %+v", e.Changes)
 	}
 }
--- a/scheduler/zone_return.go
+++ b/scheduler/zone_return.go
@@ -340,16 +340,16 @@
 		if !ok {
 			return
 		}
-		change := ledger.ZoneDropChange(write.Zone, write.Revision)
+		change := ledger.DeleteZoneChange(write.Zone, write.Revision)
 		if write.Record != nil {
-			change = ledger.ZoneChange(write.Zone, write.Revision, write.Record)
+			change = ledger.PutZoneChange(write.Zone, write.Revision, write.Record)
 		}
 		g.writes[w.submitOther(change)] = zoneWrite{zone: write.Zone, dropped: write.Record == nil}
 	}
 }
 
 // settle takes the outcome of a change into account if it is a zone's record.
-func (g *zoneGate) settle(o ledger.Outcome) (ours bool) {
+func (g *zoneGate) settle(o ledger.CommitResult) (ours bool) {
 	if g == nil {
 		return false
 	}
@@ -367,10 +367,10 @@
 		if g.manager.Written(write.zone, revision) {
 			g.core.schedulingDue = true
 		}
-	case o.Refused:
+	case o.Rejected:
 		g.manager.Refused(write.zone)
 	default:
-		g.core.recordsErr = fmt.Errorf("record of zone %s moved without this leader: %v", write.zone, o.Failed)
+		g.core.recordsErr = fmt.Errorf("record of zone %s moved without this leader: %v", write.zone, o.FailedKeys)
 	}
 	return true
 }
