--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -18,19 +18,19 @@
 var (
 	// ErrNoCapacity means that the cloud has no such machine now.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrTrouble means that the request was not carried out.
-	ErrTrouble = errors.New("cloud unavailable")
-	// ErrUnknown means that the request may have been carried out, or may yet be.
-	ErrUnknown = errors.New("cloud gave no answer")
-	// ErrRefused means that the cloud found the request malformed.
-	ErrRefused = errors.New("cloud refused the request")
+	// ErrUnavailable means that the request was not carried out.
+	ErrUnavailable = errors.New("cloud unavailable")
+	// ErrIndeterminate means that the request may have been carried out, or may yet be.
+	ErrIndeterminate = errors.New("cloud gave no answer")
+	// ErrRejected means that the cloud found the request malformed.
+	ErrRejected = errors.New("cloud refused the request")
 )
 
 // Client talks to the cloud and keeps to its call rate.
 type Client struct {
-	http   *httpc.Client
-	budget *rate.Limiter
-	may    func() bool
+	http       *httpc.Client
+	budget     *rate.Limiter
+	authorized func() bool
 }
 
 // New makes a client for an address with a budget of rps calls a second.
@@ -38,23 +38,23 @@
 	return &Client{http: httpc.New(addr, 8, 4<<20), budget: rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps)))}
 }
 
-// While is the same client, budget included, for as long as may says so. It
+// AuthorizedBy is the same client, budget included, for as long as may says so. It
 // asks just before each call: the cloud knows no fencing, and a call that
 // waited for its turn may have waited for longer than its caller had the right
 // to make it.
-func (c *Client) While(may func() bool) *Client {
+func (c *Client) AuthorizedBy(may func() bool) *Client {
 	cp := *c
-	cp.may = may
+	cp.authorized = may
 	return &cp
 }
 
 // do sends one call within the budget.
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
 	if err := c.budget.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: budget: %w", ErrTrouble, err)
+		return fmt.Errorf("%w: budget: %w", ErrUnavailable, err)
 	}
-	if c.may != nil && !c.may() {
-		return fmt.Errorf("%w: the right to call it is over", ErrTrouble)
+	if c.authorized != nil && !c.authorized() {
+		return fmt.Errorf("%w: the right to call it is over", ErrUnavailable)
 	}
 	var raw []byte
 	if in != nil {
@@ -62,10 +62,10 @@
 	}
 	status, body, err := c.http.Do(ctx, method, path, raw, 5*time.Second)
 	if errors.Is(err, httpc.ErrNotSent) {
-		return fmt.Errorf("%w: %w", ErrTrouble, err)
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrIndeterminate, err)
 	}
 	switch status {
 	case 200:
@@ -73,7 +73,7 @@
 			return nil
 		}
 		if err := wire.Decode(body, out); err != nil {
-			return fmt.Errorf("%w: %w", ErrUnknown, err)
+			return fmt.Errorf("%w: %w", ErrIndeterminate, err)
 		}
 		return nil
 	case 503:
@@ -83,13 +83,13 @@
 		if wire.Decode(body, &e) == nil && e.Error == "no capacity" {
 			return ErrNoCapacity
 		}
-		return fmt.Errorf("%w: status 503", ErrTrouble)
+		return fmt.Errorf("%w: status 503", ErrUnavailable)
 	case 429:
-		return fmt.Errorf("%w: status 429", ErrTrouble)
+		return fmt.Errorf("%w: status 429", ErrUnavailable)
 	case 400:
-		return ErrRefused
+		return ErrRejected
 	}
-	return fmt.Errorf("%w: status %d", ErrUnknown, status)
+	return fmt.Errorf("%w: status %d", ErrIndeterminate, status)
 }
 
 // Catalog reads the machine types and their current prices.
@@ -100,25 +100,25 @@
 	}
 	for _, t := range cat.Types {
 		if t.Name == "" || t.CPUs <= 0 || t.MemoryGB < 0 || t.Price < 0 || t.SpotPrice < 0 || t.BootS < 0 {
-			return nil, fmt.Errorf("%w: malformed machine type %q", ErrUnknown, t.Name)
+			return nil, fmt.Errorf("%w: malformed machine type %q", ErrIndeterminate, t.Name)
 		}
 	}
 	return cat.Types, nil
 }
 
-// Rent asks for machines. The same request may be repeated until it is
+// Provision asks for machines. The same request may be repeated until it is
 // answered; once it succeeded, its name must not serve another.
-func (c *Client) Rent(ctx context.Context, r wire.ProvisionRequest) ([]ids.MachineID, error) {
+func (c *Client) Provision(ctx context.Context, r wire.ProvisionRequest) ([]ids.MachineID, error) {
 	var ans wire.MachineIDs
 	err := c.do(ctx, "POST", "/hosts", r, &ans)
 	return ans.IDs, err
 }
 
-// MaxReturn is the most machines that one call gives back.
-const MaxReturn = 100
+// MaxTerminateBatch is the most machines that one call gives back.
+const MaxTerminateBatch = 100
 
-// Return gives machines back. When it succeeds, they are gone.
-func (c *Client) Return(ctx context.Context, hosts []ids.MachineID) error {
+// Terminate gives machines back. When it succeeds, they are gone.
+func (c *Client) Terminate(ctx context.Context, hosts []ids.MachineID) error {
 	return c.do(ctx, "POST", "/hosts/return", wire.MachineIDs{IDs: hosts}, nil)
 }
 
--- a/cloud/golden_test.go
+++ b/cloud/golden_test.go
@@ -39,9 +39,9 @@
 	note := func(name string, values ...any) { fmt.Fprintf(&text, "%s: %v\n", name, values) }
 	types, err := c.Catalog(ctx)
 	note("catalog", types, err)
-	hosts, err := c.Rent(ctx, wire.ProvisionRequest{RequestID: "r-412-7", Type: "g8", Zone: "zone-a", Spot: true, Count: 12})
+	hosts, err := c.Provision(ctx, wire.ProvisionRequest{RequestID: "r-412-7", Type: "g8", Zone: "zone-a", Spot: true, Count: 12})
 	note("rental", hosts, err)
-	note("return", c.Return(ctx, []ids.MachineID{"n-1", "n-2"}))
+	note("return", c.Terminate(ctx, []ids.MachineID{"n-1", "n-2"}))
 	machines, err := c.List(ctx)
 	note("machine list", machines, err)
 	golden.Text(t, "requests.txt", rec.Text()+"\n"+text.String())
@@ -56,17 +56,17 @@
 		want   error
 	}{
 		{"no capacity", 503, map[string]string{"error": "no capacity"}, ErrNoCapacity},
-		{"away", 503, map[string]string{"error": "other"}, ErrTrouble},
-		{"too many", 429, nil, ErrTrouble},
-		{"refused", 400, map[string]string{"error": "malformed"}, ErrRefused},
-		{"fault", 500, nil, ErrUnknown},
+		{"away", 503, map[string]string{"error": "other"}, ErrUnavailable},
+		{"too many", 429, nil, ErrUnavailable},
+		{"refused", 400, map[string]string{"error": "malformed"}, ErrRejected},
+		{"fault", 500, nil, ErrIndeterminate},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
 				_, _ = w.Write(wire.Encode(c.body))
 			})
-			if err := New(rec.Address, 1000).Return(t.Context(), []ids.MachineID{"n-1"}); !errors.Is(err, c.want) {
+			if err := New(rec.Address, 1000).Terminate(t.Context(), []ids.MachineID{"n-1"}); !errors.Is(err, c.want) {
 				t.Errorf("%v, want %v", err, c.want)
 			}
 		})
--- a/httpc/httpc.go
+++ b/httpc/httpc.go
@@ -12,8 +12,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ErrNoAnswer means that the request may have been carried out, or may yet be.
-var ErrNoAnswer = errors.New("no answer")
+// ErrNoResponse means that the request may have been carried out, or may yet be.
+var ErrNoResponse = errors.New("no answer")
 
 // ErrNotSent means that the request surely never left.
 var ErrNotSent = errors.New("not sent")
@@ -49,9 +49,9 @@
 	}}
 }
 
-// Idle sets how long a connection is kept without use. It goes before the
+// SetIdleTimeout sets how long a connection is kept without use. It goes before the
 // first call.
-func (c *Client) Idle(d time.Duration) { c.hc.MaxIdleConnDuration = d }
+func (c *Client) SetIdleTimeout(d time.Duration) { c.hc.MaxIdleConnDuration = d }
 
 // Do sends one request and returns the status and a copy of the body.
 func (c *Client) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
@@ -75,7 +75,7 @@
 		if errors.Is(err, ErrNotSent) || errors.Is(err, fasthttp.ErrNoFreeConns) {
 			return 0, nil, fmt.Errorf("%w: %v", ErrNotSent, err)
 		}
-		return 0, nil, fmt.Errorf("%w: %v", ErrNoAnswer, err)
+		return 0, nil, fmt.Errorf("%w: %v", ErrNoResponse, err)
 	}
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), nil
 }
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -38,10 +38,10 @@
 var (
 	// ErrNotSent means that the peer surely did not get the request.
 	ErrNotSent = errors.New("peer not reached")
-	// ErrNoAnswer means that the peer may have got the request.
-	ErrNoAnswer = errors.New("no answer from the peer")
-	// ErrRefused means that the peer answered with an error.
-	ErrRefused = errors.New("refused by the peer")
+	// ErrNoResponse means that the peer may have got the request.
+	ErrNoResponse = errors.New("no answer from the peer")
+	// ErrRemote means that the peer answered with an error.
+	ErrRemote = errors.New("refused by the peer")
 )
 
 // Operation names what a request asks for.
@@ -260,28 +260,28 @@
 	cn.mu.Unlock()
 	if err != nil {
 		cn.close()
-		return fmt.Errorf("%w: %s: %w", ErrNoAnswer, p.Name, err)
+		return fmt.Errorf("%w: %s: %w", ErrNoResponse, p.Name, err)
 	}
 	select {
 	case f, ok := <-ch:
 		if !ok {
-			return fmt.Errorf("%w: %s: connection ended", ErrNoAnswer, p.Name)
+			return fmt.Errorf("%w: %s: connection ended", ErrNoResponse, p.Name)
 		}
 		if f.Err != "" {
-			return fmt.Errorf("%w: %s: %s", ErrRefused, p.Name, f.Err)
+			return fmt.Errorf("%w: %s: %s", ErrRemote, p.Name, f.Err)
 		}
 		if out == nil {
 			return nil
 		}
 		if err := cbor.Unmarshal(f.Body, out); err != nil {
-			return fmt.Errorf("%w: %s: %w", ErrNoAnswer, p.Name, err)
+			return fmt.Errorf("%w: %s: %w", ErrNoResponse, p.Name, err)
 		}
 		return nil
 	case <-ctx.Done():
 		cn.mu.Lock()
 		delete(cn.waiting, id)
 		cn.mu.Unlock()
-		return fmt.Errorf("%w: %s: %w", ErrNoAnswer, p.Name, ctx.Err())
+		return fmt.Errorf("%w: %s: %w", ErrNoResponse, p.Name, ctx.Err())
 	}
 }
 
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -54,13 +54,13 @@
 	for err := range errs {
 		t.Error(err)
 	}
-	if err := p.Call(ctx, "nonsense", 1, nil); !errors.Is(err, ErrRefused) {
+	if err := p.Call(ctx, "nonsense", 1, nil); !errors.Is(err, ErrRemote) {
 		t.Errorf("an unknown request gave %v", err)
 	}
 	// A cut shows no error: the call ends with its time, and may have been
 	// carried out.
 	short, stop := context.WithTimeout(ctx, 20*time.Millisecond)
-	if err := p.Call(short, "hang", 1, nil); !errors.Is(err, ErrNoAnswer) {
+	if err := p.Call(short, "hang", 1, nil); !errors.Is(err, ErrNoResponse) {
 		t.Errorf("a hanging peer gave %v", err)
 	}
 	stop()
--- a/node/cancellations.go
+++ b/node/cancellations.go
@@ -13,9 +13,9 @@
 )
 
 // Cancel implements server.Service.
-func (n *Node) Cancel(ctx context.Context, id ids.JobID) server.Answer {
+func (n *Node) Cancel(ctx context.Context, id ids.JobID) server.Response {
 	if s, ok := n.terminalJobs.get(id); ok {
-		return server.Answer{Code: 200, Body: s}
+		return server.Response{Status: 200, Body: s}
 	}
 	ctx, cancel := context.WithTimeout(ctx, userRequestTimeout)
 	defer cancel()
@@ -25,7 +25,7 @@
 			return server.RetryLater(retryDelay)
 		}
 		if !found {
-			return server.Answer{Code: 404}
+			return server.Response{Status: 404}
 		}
 		if rec.Terminal() {
 			return n.terminalAnswer(ctx, id, snapshotOf(rec, revision))
--- a/node/cancellations_test.go
+++ b/node/cancellations_test.go
@@ -65,12 +65,12 @@
 	follow(other, leader)
 	ways := []struct { // in this order: before the first, there is nothing to tell
 		name string
-		ask  func(n *Node, id ids.JobID) server.Answer
+		ask  func(n *Node, id ids.JobID) server.Response
 	}{
-		{"withdraw", func(n *Node, id ids.JobID) server.Answer { return n.Cancel(t.Context(), id) }},
-		{"poll", func(n *Node, id ids.JobID) server.Answer { return n.Status(t.Context(), id) }},
-		{"submit", func(n *Node, id ids.JobID) server.Answer { return n.Submit(t.Context(), id, waiting()) }},
-		{"withdraw again", func(n *Node, id ids.JobID) server.Answer { return n.Cancel(t.Context(), id) }},
+		{"withdraw", func(n *Node, id ids.JobID) server.Response { return n.Cancel(t.Context(), id) }},
+		{"poll", func(n *Node, id ids.JobID) server.Response { return n.Status(t.Context(), id) }},
+		{"submit", func(n *Node, id ids.JobID) server.Response { return n.Submit(t.Context(), id, waiting()) }},
+		{"withdraw again", func(n *Node, id ids.JobID) server.Response { return n.Cancel(t.Context(), id) }},
 	}
 	check := func(id ids.JobID, told bool, when string) {
 		t.Helper()
@@ -78,7 +78,7 @@
 			for _, way := range ways {
 				a := way.ask(n, id)
 				s, _ := a.Body.(wire.JobStatus)
-				if told && (a.Code != 200 || s.Status != wire.JobCancelled) || !told && (a.Code != 503 || a.RetryAfter == 0) {
+				if told && (a.Status != 200 || s.Status != wire.JobCancelled) || !told && (a.Status != 503 || a.RetryAfter == 0) {
 					t.Errorf("%s, %s: %s: %+v", when, way.name, id, a)
 				}
 			}
@@ -89,12 +89,12 @@
 		return ok
 	}
 	for _, id := range []ids.JobID{"job-1", "job-2", "job-3"} {
-		if a := asked.Submit(t.Context(), id, waiting()); a.Code != 201 {
+		if a := asked.Submit(t.Context(), id, waiting()); a.Status != 201 {
 			t.Fatalf("%s: %+v", id, a)
 		}
 		until(t, "the leader knows the job", func() bool { return known(id) })
 	}
-	if a := asked.Cancel(t.Context(), "job-1"); a.Code != 200 {
+	if a := asked.Cancel(t.Context(), "job-1"); a.Status != 200 {
 		t.Errorf("the leader holds its key: %+v", a)
 	}
 	if known("job-1") {
@@ -111,13 +111,13 @@
 	check("job-1", true, "the leader is refused alone")
 	// Nor while nobody leads, as far as this node knows.
 	asked.election.Observe(election.Leader{Holder: election.Holder{Name: "n-9"}, Revision: term.key.Revision + 1})
-	if a := asked.Cancel(t.Context(), "job-3"); a.Code != 503 {
+	if a := asked.Cancel(t.Context(), "job-3"); a.Status != 503 {
 		t.Errorf("nobody leads: %+v", a)
 	}
 
 	refuse.Store(false)
 	until(t, "the leader holds its key again", func() bool { return term.key.Holds() })
-	if a := asked.Status(t.Context(), "job-2"); a.Code != 503 {
+	if a := asked.Status(t.Context(), "job-2"); a.Status != 503 {
 		t.Errorf("nobody leads: %+v", a)
 	}
 	// The leader reads the record by itself, and pings bring word of it.
@@ -202,7 +202,7 @@
 		var mu sync.Mutex
 		newest := 0
 		// ask asks a node, and checks against what was told before it was asked.
-		ask := func(what string, f func(context.Context) server.Answer) {
+		ask := func(what string, f func(context.Context) server.Response) {
 			mu.Lock()
 			before := newest
 			mu.Unlock()
@@ -210,7 +210,7 @@
 			s, _ := ans.Body.(wire.JobStatus)
 			mu.Lock()
 			defer mu.Unlock()
-			if ans.Code == 503 {
+			if ans.Status == 503 {
 				return
 			}
 			if now := rank[s.Status]; now < before {
@@ -225,21 +225,21 @@
 		var users sync.WaitGroup
 		for i, n := range nodes {
 			users.Go(func() {
-				ask("submitted", func(ctx context.Context) server.Answer { return n.Submit(ctx, id, waiting()) })
+				ask("submitted", func(ctx context.Context) server.Response { return n.Submit(ctx, id, waiting()) })
 				for range 5 {
-					ask("polled", func(ctx context.Context) server.Answer { return n.Status(ctx, id) })
+					ask("polled", func(ctx context.Context) server.Response { return n.Status(ctx, id) })
 				}
 				if i == round%3 {
-					ask("cancelled", func(ctx context.Context) server.Answer { return n.Cancel(ctx, id) })
+					ask("cancelled", func(ctx context.Context) server.Response { return n.Cancel(ctx, id) })
 				}
 				for range 5 {
-					ask("polled", func(ctx context.Context) server.Answer { return n.Status(ctx, id) })
-					ask("submitted again", func(ctx context.Context) server.Answer { return n.Submit(ctx, id, waiting()) })
+					ask("polled", func(ctx context.Context) server.Response { return n.Status(ctx, id) })
+					ask("submitted again", func(ctx context.Context) server.Response { return n.Submit(ctx, id, waiting()) })
 				}
 			})
 		}
 		users.Wait()
-		ask("cancelled again", func(ctx context.Context) server.Answer { return nodes[round%3].Cancel(ctx, id) })
+		ask("cancelled again", func(ctx context.Context) server.Response { return nodes[round%3].Cancel(ctx, id) })
 		if newest != 2 {
 			t.Errorf("%s: told %d", id, newest)
 		}
--- a/node/job_status.go
+++ b/node/job_status.go
@@ -12,9 +12,9 @@
 
 // Status implements server.Service. What is over may be told from memory;
 // everything else is read, since another node may have told something newer.
-func (n *Node) Status(ctx context.Context, id ids.JobID) server.Answer {
+func (n *Node) Status(ctx context.Context, id ids.JobID) server.Response {
 	if s, ok := n.terminalJobs.get(id); ok {
-		return server.Answer{Code: 200, Body: s}
+		return server.Response{Status: 200, Body: s}
 	}
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -24,13 +24,13 @@
 		return server.RetryLater(retryDelay)
 	}
 	if !a.found {
-		return server.Answer{Code: 404}
+		return server.Response{Status: 404}
 	}
 	return n.jobAnswer(ctx, id, a)
 }
 
 // jobAnswer is the answer about a job that was found.
-func (n *Node) jobAnswer(ctx context.Context, id ids.JobID, a queryAnswer) server.Answer {
+func (n *Node) jobAnswer(ctx context.Context, id ids.JobID, a queryAnswer) server.Response {
 	if a.job.terminal() {
 		return n.terminalAnswer(ctx, id, a.job)
 	}
@@ -38,12 +38,12 @@
 	if s.Running > 0 {
 		s.Status = wire.JobRunning
 	}
-	return server.Answer{Code: 200, Body: s}
+	return server.Response{Status: 200, Body: s}
 }
 
 // terminalAnswer is the answer about a job that is done or cancelled, if that may be told
 // yet.
-func (n *Node) terminalAnswer(ctx context.Context, id ids.JobID, job jobSnapshot) server.Answer {
+func (n *Node) terminalAnswer(ctx context.Context, id ids.JobID, job jobSnapshot) server.Response {
 	s := wire.JobStatus{ID: id, Status: job.Status}
 	switch {
 	case job.Status == wire.JobDone:
@@ -54,7 +54,7 @@
 		return a
 	}
 	n.terminalJobs.put(s)
-	return server.Answer{Code: 200, Body: s}
+	return server.Response{Status: 200, Body: s}
 }
 
 // snapshotOf is what a job's own record tells.
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -171,27 +171,27 @@
 	answering := make(chan error, 1)
 	go func() { answering <- n.statusReads.run(ctx) }()
 	defer func() { cancel(); <-answering }()
-	if a := n.Status(ctx, "job-1"); a.Code != 503 || a.RetryAfter == 0 {
+	if a := n.Status(ctx, "job-1"); a.Status != 503 || a.RetryAfter == 0 {
 		t.Fatalf("refused, and no peer known to be better: %+v", a)
 	}
 	n.health.failures.Store(2)
 	n.peers[0].stateOK.Store(true)
 	n.peers[0].lastHeard.Store(int64(n.clock.Now()))
-	if a := n.Status(ctx, "job-2"); a.Code != 404 {
+	if a := n.Status(ctx, "job-2"); a.Status != 404 {
 		t.Errorf("an unknown job: %+v", a)
 	}
 	// The cancellation is told only since a leader is known to have taken it in.
-	if a := n.Status(ctx, "job-1"); a.Code != 503 || a.RetryAfter == 0 {
+	if a := n.Status(ctx, "job-1"); a.Status != 503 || a.RetryAfter == 0 {
 		t.Errorf("a withdrawal that no leader may know of: %+v", a)
 	}
 	n.observePing(ping{Acked: 7})
 	a := n.Status(ctx, "job-1")
-	if s, ok := a.Body.(wire.JobStatus); a.Code != 200 || !ok || s.Status != wire.JobCancelled {
+	if s, ok := a.Body.(wire.JobStatus); a.Status != 200 || !ok || s.Status != wire.JobCancelled {
 		t.Fatalf("through the peer: %+v", a)
 	}
 	// What is over stays over, whoever can be reached.
 	n.peers[0].stateOK.Store(false)
-	if a := n.Status(ctx, "job-1"); a.Code != 200 {
+	if a := n.Status(ctx, "job-1"); a.Status != 200 {
 		t.Errorf("a job known to be over: %+v", a)
 	}
 }
@@ -209,7 +209,7 @@
 			c.Close() // after the request has arrived
 		}
 	}()
-	if _, _, err := httpc.New(ln.Addr().String(), 1, 1000).Do(t.Context(), "POST", "/commit", []byte{1}, time.Minute); !errors.Is(err, httpc.ErrNoAnswer) {
+	if _, _, err := httpc.New(ln.Addr().String(), 1, 1000).Do(t.Context(), "POST", "/commit", []byte{1}, time.Minute); !errors.Is(err, httpc.ErrNoResponse) {
 		t.Errorf("a request that arrived and was not answered: %v", err)
 	}
 	ln.Close()
@@ -263,12 +263,12 @@
 	defer srv.Close()
 	may := new(atomic.Bool)
 	may.Store(true)
-	c := cloud.New(strings.TrimPrefix(srv.URL, "http://"), 1).While(may.Load)
-	if err := c.Return(t.Context(), []ids.MachineID{"n-1"}); err != nil || calls.Load() != 1 {
+	c := cloud.New(strings.TrimPrefix(srv.URL, "http://"), 1).AuthorizedBy(may.Load)
+	if err := c.Terminate(t.Context(), []ids.MachineID{"n-1"}); err != nil || calls.Load() != 1 {
 		t.Fatalf("%d calls, %v", calls.Load(), err)
 	}
 	time.AfterFunc(50*time.Millisecond, func() { may.Store(false) }) // while the next waits for the budget
-	if err := c.Return(t.Context(), []ids.MachineID{"n-1"}); err == nil || calls.Load() != 1 {
+	if err := c.Terminate(t.Context(), []ids.MachineID{"n-1"}); err == nil || calls.Load() != 1 {
 		t.Errorf("%d calls, %v", calls.Load(), err)
 	}
 }
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -27,11 +27,11 @@
 		}
 		synctest.Wait()
 		began := time.Now()
-		for name, answer := range map[string]server.Answer{
+		for name, answer := range map[string]server.Response{
 			"submission": n.Submit(t.Context(), "job-2", &wire.JobSpec{Class: "c", Team: "red", Tasks: 1, CPUs: 1}),
 			"poll":       n.Status(t.Context(), "job-2"),
 		} {
-			if answer.Code != 503 || answer.RetryAfter <= 0 {
+			if answer.Status != 503 || answer.RetryAfter <= 0 {
 				t.Errorf("%s: %+v", name, answer)
 			}
 		}
@@ -43,7 +43,7 @@
 		}
 		synctest.Wait()
 		began = time.Now()
-		if answer := n.relay.relay(t.Context(), nil); answer.Code != 503 || time.Since(began) > 0 {
+		if answer := n.relay.relay(t.Context(), nil); answer.Status != 503 || time.Since(began) > 0 {
 			t.Errorf("report: %+v after %v", answer, time.Since(began))
 		}
 		stop()
--- a/node/report_relay.go
+++ b/node/report_relay.go
@@ -12,7 +12,7 @@
 // relayedReport is one report on its way to the leader.
 type relayedReport struct {
 	raw  []byte
-	done chan<- server.Answer
+	done chan<- server.Response
 }
 
 // reportRelay passes workers' reports on to the leader. Every node takes reports, so that
@@ -51,14 +51,14 @@
 }
 
 // relay hands a report to the leader and waits for the answer.
-func (e *reportRelay) relay(ctx context.Context, raw []byte) server.Answer {
+func (e *reportRelay) relay(ctx context.Context, raw []byte) server.Response {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	done := make(chan server.Answer, 1)
+	done := make(chan server.Response, 1)
 	e.mu.Lock()
 	if len(e.waiting) >= maxWaitingReports(e.n.cfg.Settings.Resources.Sockets) {
 		e.mu.Unlock()
-		return server.Answer{Code: 503}
+		return server.Response{Status: 503}
 	}
 	e.waiting = append(e.waiting, relayedReport{raw, done})
 	e.mu.Unlock()
@@ -70,7 +70,7 @@
 	case a := <-done:
 		return a
 	case <-ctx.Done():
-		return server.Answer{Code: 503}
+		return server.Response{Status: 503}
 	}
 }
 
@@ -122,9 +122,9 @@
 		}
 	}
 	for i, b := range batch {
-		a := server.Answer{Code: 503}
+		a := server.Response{Status: 503}
 		if i < len(answers) && answers[i].OK {
-			a = server.Answer{Code: 200, Body: answers[i].Orders}
+			a = server.Response{Status: 200, Body: answers[i].Orders}
 		}
 		b.done <- a
 	}
--- a/node/report_relay_test.go
+++ b/node/report_relay_test.go
@@ -34,18 +34,18 @@
 	defer func() { cancel(); _ = g.Wait() }()
 
 	rep := &wire.Heartbeat{Machine: "m-1", Endpoint: "127.0.0.1:5", Type: "m", Zone: "a", Incarnation: 1, Sequence: 1}
-	hello := func() server.Answer { return follower.Report(ctx, wire.Encode(rep), rep) }
-	if a := hello(); a.Code != 503 {
+	hello := func() server.Response { return follower.Heartbeat(ctx, wire.Encode(rep), rep) }
+	if a := hello(); a.Status != 503 {
 		t.Fatalf("without a leader: %+v", a)
 	}
 	follower.election.Observe(election.Leader{Holder: election.Holder{Name: "n-0"}, Revision: 7})
-	if a := hello(); a.Code != 503 {
+	if a := hello(); a.Status != 503 {
 		t.Fatalf("before the leader leads: %+v", a)
 	}
 	g.Go(func() error { _ = leader.election.Run(ctx); return nil })
 	until(t, "somebody leads", func() bool { return leader.term.Load() != nil })
 	a := hello()
-	if o, ok := a.Body.(wire.HeartbeatResponse); a.Code != 200 || !ok || o.FencingToken.Revision() != 7 {
+	if o, ok := a.Body.(wire.HeartbeatResponse); a.Status != 200 || !ok || o.FencingToken.Revision() != 7 {
 		t.Fatalf("through the follower: %+v", a)
 	}
 	if n := follower.balancer.count(follower.clock.Now(), time.Minute); n != 1 {
@@ -54,7 +54,7 @@
 	// A later leader is known: this one has nothing to say any more.
 	leader.election.Observe(election.Leader{Holder: election.Holder{Name: "n-2"}, Revision: 9})
 	until(t, "the term is over", func() bool { return leader.term.Load() == nil })
-	if a := hello(); a.Code != 503 {
+	if a := hello(); a.Status != 503 {
 		t.Errorf("from a leader that was replaced: %+v", a)
 	}
 }
--- a/node/reports.go
+++ b/node/reports.go
@@ -9,17 +9,17 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Report implements server.Service.
-func (n *Node) Report(ctx context.Context, raw []byte, rep *wire.Heartbeat) server.Answer {
+// Heartbeat implements server.Service.
+func (n *Node) Heartbeat(ctx context.Context, raw []byte, rep *wire.Heartbeat) server.Response {
 	now := n.clock.Now()
 	t := n.term.Load()
 	leading := t != nil && t.key.MayAnswer()
 	if l, ok := n.election.Leader(); !leading && (!ok || l.Name == n.cfg.HostName) {
-		return server.Answer{Code: 503}
+		return server.Response{Status: 503}
 	}
 	n.balancer.reported(rep.Machine, now)
 	if to, ok := n.redirectTarget(now, leading); ok {
-		return server.Answer{Code: 421, Body: wire.Redirect{Leader: to}}
+		return server.Response{Status: 421, Body: wire.Redirect{Leader: to}}
 	}
 	if leading {
 		return n.reportToCore(ctx, t, rep)
@@ -28,15 +28,15 @@
 }
 
 // reportToCore gives a worker's report to the leader's core.
-func (n *Node) reportToCore(ctx context.Context, t *term, rep *wire.Heartbeat) server.Answer {
+func (n *Node) reportToCore(ctx context.Context, t *term, rep *wire.Heartbeat) server.Response {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	var answer wire.HeartbeatResponse
 	var ok bool
 	if !t.askReports(ctx, func() { answer, ok = t.core.Report(n.clock.Now(), rep, false) }) || !ok {
-		return server.Answer{Code: 503}
+		return server.Response{Status: 503}
 	}
-	return server.Answer{Code: 200, Body: answer}
+	return server.Response{Status: 200, Body: answer}
 }
 
 // askReports runs f in the loop, which gives reports to the core, and tells whether their
--- a/node/state_routes.go
+++ b/node/state_routes.go
@@ -92,11 +92,11 @@
 	case errors.Is(err, mesh.ErrNotSent):
 		return 0, nil, errors.Join(httpc.ErrNotSent, err)
 	case err != nil:
-		return 0, nil, errors.Join(httpc.ErrNoAnswer, err)
+		return 0, nil, errors.Join(httpc.ErrNoResponse, err)
 	case ans.NotSent:
 		return 0, nil, httpc.ErrNotSent
 	case ans.Unknown:
-		return 0, nil, httpc.ErrNoAnswer
+		return 0, nil, httpc.ErrNoResponse
 	}
 	return ans.Status, ans.Body, nil
 }
--- a/node/submissions.go
+++ b/node/submissions.go
@@ -51,9 +51,9 @@
 }
 
 // Submit implements server.Service.
-func (n *Node) Submit(ctx context.Context, id ids.JobID, spec *wire.JobSpec) server.Answer {
+func (n *Node) Submit(ctx context.Context, id ids.JobID, spec *wire.JobSpec) server.Response {
 	if s, ok := n.terminalJobs.get(id); ok {
-		return server.Answer{Code: 200, Body: s}
+		return server.Response{Status: 200, Body: s}
 	}
 	types := n.catalog.Load()
 	if types == nil {
@@ -75,7 +75,7 @@
 		SubmittedMS: time.Now().UnixMilli()}
 	if len(spec.DependsOn) > 0 {
 		dependencyCancelled, answer := n.checkDependencies(ctx, id, spec.DependsOn)
-		if answer.Code != 0 {
+		if answer.Status != 0 {
 			return answer
 		}
 		if dependencyCancelled {
@@ -92,15 +92,15 @@
 
 // refuseUnlessKnown answers a submission that can never run. A job that was accepted stays
 // so, whatever has changed since.
-func (n *Node) refuseUnlessKnown(ctx context.Context, id ids.JobID) server.Answer {
-	if a := n.Status(ctx, id); a.Code != 404 {
+func (n *Node) refuseUnlessKnown(ctx context.Context, id ids.JobID) server.Response {
+	if a := n.Status(ctx, id); a.Status != 404 {
 		return a
 	}
-	return server.Answer{Code: 422}
+	return server.Response{Status: 422}
 }
 
 // recordSubmission commits a job's record, unless the job is known already.
-func (n *Node) recordSubmission(ctx context.Context, id ids.JobID, record *ledger.Job) server.Answer {
+func (n *Node) recordSubmission(ctx context.Context, id ids.JobID, record *ledger.Job) server.Response {
 	out, err := n.commit(ctx, ledger.CreateJobChange(id, *record))
 	switch {
 	case err != nil:
@@ -108,7 +108,7 @@
 		return server.RetryLater(retryDelay)
 	case out.Applied:
 		n.notifyLeader(id, record, out.Revision)
-		return server.Answer{Code: 201, Body: wire.JobStatus{ID: id, Status: record.Status}}
+		return server.Response{Status: 201, Body: wire.JobStatus{ID: id, Status: record.Status}}
 	case out.Rejected:
 		return server.RetryLater(refusedLater)
 	}
@@ -127,7 +127,7 @@
 // it may be accepted (code 0), and whether it is then cancelled at once. What has been
 // accepted before is answered from its record, whatever it names. That a named job was
 // never accepted is said only on the strength of a replica that is as new as the question.
-func (n *Node) checkDependencies(ctx context.Context, id ids.JobID, needs []ids.JobID) (doomed bool, _ server.Answer) {
+func (n *Node) checkDependencies(ctx context.Context, id ids.JobID, needs []ids.JobID) (doomed bool, _ server.Response) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	a := n.statusReads.ask(ctx, id, needs)
@@ -138,12 +138,12 @@
 	case a.found:
 		return false, n.jobAnswer(ctx, id, a)
 	case !a.accepted:
-		return false, server.Answer{Code: 422}
+		return false, server.Response{Status: 422}
 	case !n.upgrade.done():
 		// An older leader would not wait for them.
 		return false, server.RetryLater(retryDelay)
 	}
-	return a.dependencyCancelled, server.Answer{}
+	return a.dependencyCancelled, server.Response{}
 }
 
 // commit brings one user's change to its outcome, or to an error after which
--- a/node/term.go
+++ b/node/term.go
@@ -67,7 +67,7 @@
 // newTerm prepares the work of one term.
 func newTerm(n *Node, key *election.Term) *term {
 	fence := &statestore.Precondition{Key: ledger.LeaderKey, Revision: key.Revision}
-	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.While(key.MayAnswer),
+	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.AuthorizedBy(key.MayAnswer),
 		returns: returnQueue{wake: make(chan struct{}, 1)},
 		ledger:  ledger.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
 }
@@ -206,7 +206,7 @@
 		return
 	}
 	t.tasks.Go(func() error {
-		report, err := t.n.workers.Do(t.ctx, address, command, directCallTimeout)
+		report, err := t.n.workers.SendCommands(t.ctx, address, command, directCallTimeout)
 		if err != nil {
 			t.n.log.Debug("direct command unanswered", "host", host, "err", err)
 			report = nil
@@ -220,7 +220,7 @@
 func (t *term) requestReport(host ids.MachineID) {
 	address := t.core.Endpoint(host)
 	t.tasks.Go(func() error {
-		report, err := t.n.workers.Show(t.ctx, address, directCallTimeout)
+		report, err := t.n.workers.RequestHeartbeat(t.ctx, address, directCallTimeout)
 		if err != nil {
 			report = nil
 		}
--- a/node/term_cloud.go
+++ b/node/term_cloud.go
@@ -14,9 +14,9 @@
 // the same name, which rents nothing twice.
 func (t *term) rent(r wire.ProvisionRequest) {
 	for t.ctx.Err() == nil {
-		hosts, err := t.cloud.Rent(t.ctx, r)
+		hosts, err := t.cloud.Provision(t.ctx, r)
 		switch {
-		case err == nil, errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrRefused):
+		case err == nil, errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrRejected):
 			t.n.log.Info("rental", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(hosts))
 			t.post(t.ctx, func() { t.core.RentResult(t.n.clock.Now(), r, hosts, err == nil) })
 			return
@@ -49,7 +49,7 @@
 func (q *returnQueue) take() []ids.MachineID {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	n := min(len(q.hosts), cloud.MaxReturn)
+	n := min(len(q.hosts), cloud.MaxTerminateBatch)
 	part := q.hosts[:n:n]
 	q.hosts = q.hosts[n:]
 	return part
@@ -68,7 +68,7 @@
 		}
 		for hosts := t.returns.take(); len(hosts) > 0; hosts = t.returns.take() {
 			for {
-				err := t.cloud.Return(t.ctx, hosts)
+				err := t.cloud.Terminate(t.ctx, hosts)
 				if err == nil {
 					break
 				}
--- a/node/term_zones.go
+++ b/node/term_zones.go
@@ -180,7 +180,7 @@
 			return answer, nil
 		}
 		failures = append(failures, err)
-		if errors.Is(err, mesh.ErrRefused) && !strings.Contains(err.Error(), errNotLeading.Error()) {
+		if errors.Is(err, mesh.ErrRemote) && !strings.Contains(err.Error(), errNotLeading.Error()) {
 			return answer, err // the leader's word
 		}
 	}
--- a/node/upgrade_test.go
+++ b/node/upgrade_test.go
@@ -199,7 +199,7 @@
 	submit := func(n *Node, id ids.JobID, code int, status wire.JobState, needs ...ids.JobID) {
 		t.Helper()
 		ans := n.Submit(t.Context(), id, waiting(needs...))
-		if s, _ := ans.Body.(wire.JobStatus); ans.Code != code || s.Status != status || code == 503 && ans.RetryAfter == 0 {
+		if s, _ := ans.Body.(wire.JobStatus); ans.Status != code || s.Status != status || code == 503 && ans.RetryAfter == 0 {
 			t.Errorf("%s after %v: %+v, want %d %s", id, needs, ans, code, status)
 		}
 	}
@@ -236,7 +236,7 @@
 	state.outage(true)
 	submit(b, "job-8", 503, "", "job-none") // unknown is not never accepted
 	state.outage(false)
-	if ans := a.Cancel(t.Context(), "job-1"); ans.Code != 200 {
+	if ans := a.Cancel(t.Context(), "job-1"); ans.Status != 200 {
 		t.Fatalf("withdrawal: %+v", ans)
 	}
 	says("job-2", wire.JobCancelled)
--- a/server/golden_test.go
+++ b/server/golden_test.go
@@ -22,20 +22,20 @@
 // scripted notes what it is called with, and gives the same answer to all.
 type scripted struct {
 	calls   strings.Builder
-	answer  Answer
+	answer  Response
 	healthy bool
 }
 
-func (s *scripted) note(call string, values ...any) Answer {
+func (s *scripted) note(call string, values ...any) Response {
 	fmt.Fprintf(&s.calls, "  -> %s %v\n", call, values)
 	return s.answer
 }
-func (s *scripted) Submit(_ context.Context, id ids.JobID, spec *wire.JobSpec) Answer {
+func (s *scripted) Submit(_ context.Context, id ids.JobID, spec *wire.JobSpec) Response {
 	return s.note("submit", id, *spec)
 }
-func (s *scripted) Status(_ context.Context, id ids.JobID) Answer { return s.note("status", id) }
-func (s *scripted) Cancel(_ context.Context, id ids.JobID) Answer { return s.note("cancel", id) }
-func (s *scripted) Report(_ context.Context, raw []byte, r *wire.Heartbeat) Answer {
+func (s *scripted) Status(_ context.Context, id ids.JobID) Response { return s.note("status", id) }
+func (s *scripted) Cancel(_ context.Context, id ids.JobID) Response { return s.note("cancel", id) }
+func (s *scripted) Heartbeat(_ context.Context, raw []byte, r *wire.Heartbeat) Response {
 	return s.note("heartbeat", fmt.Sprintf("%x", raw), r.Machine, r.Incarnation)
 }
 func (s *scripted) Healthy() bool { return s.healthy }
@@ -55,7 +55,7 @@
 type exchange struct {
 	name, method, path string
 	body               []byte
-	answer             Answer
+	answer             Response
 }
 
 func goldenExchanges(t *testing.T) []exchange {
@@ -65,23 +65,23 @@
 		"hall": "zone-a", "oneZone": true, "spread": false, "loaner": true, "expectS": 240.5, "snapshotEveryS": 30.5, "snapshotS": 4.5,
 		"dueS": 900.5, "waitsOn": []string{"job-2"}})
 	heartbeat := sorted(t, map[string]any{"host": "n-1", "tenure": 6})
-	status := Answer{Code: 201, Body: wire.JobStatus{ID: "job-1", Status: wire.JobRunning, Done: 3, Running: 13}}
+	status := Response{Status: 201, Body: wire.JobStatus{ID: "job-1", Status: wire.JobRunning, Done: 3, Running: 13}}
 	return []exchange{
-		{"healthy", "GET", "/up", nil, Answer{Code: 200}},
-		{"unhealthy", "GET", "/up", nil, Answer{}},
+		{"healthy", "GET", "/up", nil, Response{Status: 200}},
+		{"unhealthy", "GET", "/up", nil, Response{}},
 		{"submitted", "POST", "/api/jobs", job, status},
-		{"submission of unknown dependencies", "POST", "/api/jobs", job, Answer{Code: 422}},
+		{"submission of unknown dependencies", "POST", "/api/jobs", job, Response{Status: 422}},
 		{"submission malformed", "POST", "/api/jobs", []byte("{}"), status},
 		{"status", "GET", "/api/jobs/job-1", nil, status},
-		{"status of no job", "GET", "/api/jobs/job-1", nil, Answer{Code: 404}},
+		{"status of no job", "GET", "/api/jobs/job-1", nil, Response{Status: 404}},
 		{"status of no job id", "GET", "/api/jobs/nonsense", nil, status},
 		{"cancelled", "POST", "/api/jobs/job-1/withdraw", nil, status},
-		{"cancellation to be retried elsewhere", "POST", "/api/jobs/job-1/withdraw", nil, Answer{Code: 503, RetryAfter: 1500 * time.Millisecond, Close: true}},
-		{"heartbeat answered", "POST", "/hello", heartbeat, Answer{Code: 200, Body: wire.HeartbeatResponse{FencingToken: 9,
+		{"cancellation to be retried elsewhere", "POST", "/api/jobs/job-1/withdraw", nil, Response{Status: 503, RetryAfter: 1500 * time.Millisecond, Close: true}},
+		{"heartbeat answered", "POST", "/hello", heartbeat, Response{Status: 200, Body: wire.HeartbeatResponse{FencingToken: 9,
 			Commands: []wire.Command{{Verb: wire.VerbKill, Name: "job-1/3", Attempt: 4, GraceS: 5.5}}}}},
-		{"heartbeat redirected", "POST", "/hello", heartbeat, Answer{Code: 421, Body: wire.Redirect{Leader: "n-1"}}},
-		{"heartbeat redirected to nobody", "POST", "/hello", heartbeat, Answer{Code: 421, Body: wire.Redirect{}}},
-		{"heartbeat without leader", "POST", "/hello", heartbeat, Answer{Code: 503}},
+		{"heartbeat redirected", "POST", "/hello", heartbeat, Response{Status: 421, Body: wire.Redirect{Leader: "n-1"}}},
+		{"heartbeat redirected to nobody", "POST", "/hello", heartbeat, Response{Status: 421, Body: wire.Redirect{}}},
+		{"heartbeat without leader", "POST", "/hello", heartbeat, Response{Status: 503}},
 		{"heartbeat malformed", "POST", "/hello", []byte{0xc1}, status},
 		{"no such method", "DELETE", "/api/jobs/job-1", nil, status},
 		{"no such path", "GET", "/nowhere", nil, status},
--- a/server/server.go
+++ b/server/server.go
@@ -17,11 +17,11 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Answer is a status, a body (nil: none), and how long to wait before asking
+// Response is a status, a body (nil: none), and how long to wait before asking
 // again (0: not said). Close ends the connection, so that the load balancer may
 // choose another node for the next request.
-type Answer struct {
-	Code       int
+type Response struct {
+	Status     int
 	Body       any
 	RetryAfter time.Duration
 	Close      bool
@@ -29,14 +29,14 @@
 
 // RetryLater is the answer when a request can't be served now: at once, with the
 // time after which asking again makes sense.
-func RetryLater(after time.Duration) Answer { return Answer{Code: 503, RetryAfter: after} }
+func RetryLater(after time.Duration) Response { return Response{Status: 503, RetryAfter: after} }
 
 // Service is what stands behind the endpoints.
 type Service interface {
-	Submit(ctx context.Context, id ids.JobID, spec *wire.JobSpec) Answer
-	Status(ctx context.Context, id ids.JobID) Answer
-	Cancel(ctx context.Context, id ids.JobID) Answer
-	Report(ctx context.Context, raw []byte, rep *wire.Heartbeat) Answer
+	Submit(ctx context.Context, id ids.JobID, spec *wire.JobSpec) Response
+	Status(ctx context.Context, id ids.JobID) Response
+	Cancel(ctx context.Context, id ids.JobID) Response
+	Heartbeat(ctx context.Context, raw []byte, rep *wire.Heartbeat) Response
 	Healthy() bool
 }
 
@@ -112,7 +112,7 @@
 	case fiber.StatusInternalServerError:
 		h.log.Error("request failed", "path", c.Path(), "err", err)
 	}
-	return send(c, Answer{Code: code})
+	return send(c, Response{Status: code})
 }
 
 // recoverPanic answers requests whose handler panicked.
@@ -120,7 +120,7 @@
 	defer func() {
 		if p := recover(); p != nil {
 			h.log.Error("handler panicked", "path", c.Path(), "panic", p)
-			err = send(c, Answer{Code: fiber.StatusInternalServerError})
+			err = send(c, Response{Status: fiber.StatusInternalServerError})
 		}
 	}()
 	return c.Next()
@@ -128,7 +128,7 @@
 
 func (h *handlers) health(c fiber.Ctx) error {
 	if h.svc.Healthy() {
-		return send(c, Answer{Code: fiber.StatusOK})
+		return send(c, Response{Status: fiber.StatusOK})
 	}
 	return send(c, RetryLater(healthRetryDelay))
 }
@@ -137,18 +137,18 @@
 	id, spec, err := wire.ParseSubmission(c.Body())
 	if err != nil {
 		h.log.Debug("submission refused", "err", err)
-		return send(c, Answer{Code: fiber.StatusBadRequest})
+		return send(c, Response{Status: fiber.StatusBadRequest})
 	}
 	return send(c, h.svc.Submit(c.Context(), id, spec))
 }
 
 // aboutJob handles requests about the job that their path names. An id that no job can
 // have was never accepted.
-func (h *handlers) aboutJob(call func(context.Context, ids.JobID) Answer) fiber.Handler {
+func (h *handlers) aboutJob(call func(context.Context, ids.JobID) Response) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		id := ids.JobID(strings.Clone(c.Params("id")))
 		if !wire.ValidID(id) {
-			return send(c, Answer{Code: fiber.StatusNotFound})
+			return send(c, Response{Status: fiber.StatusNotFound})
 		}
 		return send(c, call(c.Context(), id))
 	}
@@ -158,18 +158,18 @@
 	raw := bytes.Clone(c.Body())
 	report := new(wire.Heartbeat)
 	if err := wire.Decode(raw, report); err != nil || report.Machine == "" || report.Incarnation == 0 {
-		return send(c, Answer{Code: fiber.StatusBadRequest})
+		return send(c, Response{Status: fiber.StatusBadRequest})
 	}
 	open := c.App().Server().GetOpenConnectionsCount()
 	if float64(open) > workerConnectionShare*float64(h.limits.MaxConnections) {
 		c.RequestCtx().SetConnectionClose()
 	}
-	return send(c, h.svc.Report(c.Context(), raw, report))
+	return send(c, h.svc.Heartbeat(c.Context(), raw, report))
 }
 
 // send writes an answer.
-func send(c fiber.Ctx, a Answer) error {
-	c.Status(a.Code)
+func send(c fiber.Ctx, a Response) error {
+	c.Status(a.Status)
 	if a.RetryAfter > 0 {
 		secs := int((a.RetryAfter + time.Second - 1) / time.Second)
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(secs))
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -20,20 +20,20 @@
 
 type fakeService struct{ healthy bool }
 
-func (f *fakeService) Submit(_ context.Context, id ids.JobID, _ *wire.JobSpec) Answer {
-	return Answer{Code: 201, Body: wire.JobStatus{ID: id, Status: wire.JobQueued}}
+func (f *fakeService) Submit(_ context.Context, id ids.JobID, _ *wire.JobSpec) Response {
+	return Response{Status: 201, Body: wire.JobStatus{ID: id, Status: wire.JobQueued}}
 }
-func (f *fakeService) Status(_ context.Context, id ids.JobID) Answer {
+func (f *fakeService) Status(_ context.Context, id ids.JobID) Response {
 	if id == "job-panic" {
 		panic("a fault")
 	}
-	return Answer{Code: 200, Body: wire.JobStatus{ID: id, Status: wire.JobRunning, Running: 2}}
+	return Response{Status: 200, Body: wire.JobStatus{ID: id, Status: wire.JobRunning, Running: 2}}
 }
-func (f *fakeService) Cancel(context.Context, ids.JobID) Answer {
+func (f *fakeService) Cancel(context.Context, ids.JobID) Response {
 	return RetryLater(1500 * time.Millisecond)
 }
-func (f *fakeService) Report(_ context.Context, _ []byte, _ *wire.Heartbeat) Answer {
-	return Answer{Code: 421, Body: wire.Redirect{Leader: "n-1"}}
+func (f *fakeService) Heartbeat(_ context.Context, _ []byte, _ *wire.Heartbeat) Response {
+	return Response{Status: 421, Body: wire.Redirect{Leader: "n-1"}}
 }
 func (f *fakeService) Healthy() bool { return f.healthy }
 
--- a/worker/golden_test.go
+++ b/worker/golden_test.go
@@ -35,16 +35,16 @@
 	}
 	command := wire.Command{Verb: wire.VerbKill, Name: "job-1/3", Attempt: 4, GraceS: 5.5}
 	full := wire.CommandBatch{FencingToken: ids.NewFencingToken(412, 5), Incarnation: 6, Commands: []wire.Command{command}}
-	got, err := c.Do(t.Context(), rec.Address, full, time.Second)
+	got, err := c.SendCommands(t.Context(), rec.Address, full, time.Second)
 	check("commands", got, err)
 	status = 409
-	got, err = c.Do(t.Context(), rec.Address, wire.CommandBatch{FencingToken: 9, Incarnation: 6}, time.Second)
+	got, err = c.SendCommands(t.Context(), rec.Address, wire.CommandBatch{FencingToken: 9, Incarnation: 6}, time.Second)
 	check("no commands, refused", got, err)
 	status = 200
-	got, err = c.Show(t.Context(), rec.Address, time.Second)
+	got, err = c.RequestHeartbeat(t.Context(), rec.Address, time.Second)
 	check("show", got, err)
 	status = 500
-	if _, err := c.Show(t.Context(), rec.Address, time.Second); !errors.Is(err, httpc.ErrNoAnswer) {
+	if _, err := c.RequestHeartbeat(t.Context(), rec.Address, time.Second); !errors.Is(err, httpc.ErrNoResponse) {
 		t.Errorf("a fault is taken for %v", err)
 	}
 	golden.Text(t, "requests.txt", rec.Text())
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -32,7 +32,7 @@
 	h := c.conns[addr]
 	if h == nil {
 		h = httpc.New(addr, 2, 1<<20)
-		h.Idle(keepIdle)
+		h.SetIdleTimeout(keepIdle)
 		c.conns[addr] = h
 	}
 	return h
@@ -48,18 +48,18 @@
 	}
 }
 
-// Do sends commands. Whether they were executed or refused, the report is the
+// SendCommands sends commands. Whether they were executed or refused, the report is the
 // worker's after it, and tells. Any error leaves the outcome unknown unless it wraps
 // httpc.ErrNotSent.
-func (c *Client) Do(ctx context.Context, addr string, d wire.CommandBatch, timeout time.Duration) (*wire.Heartbeat, error) {
+func (c *Client) SendCommands(ctx context.Context, addr string, d wire.CommandBatch, timeout time.Duration) (*wire.Heartbeat, error) {
 	if d.Commands == nil {
 		d.Commands = []wire.Command{}
 	}
 	return c.call(ctx, addr, "POST", "/do", wire.Encode(d), timeout)
 }
 
-// Show asks for the worker's report.
-func (c *Client) Show(ctx context.Context, addr string, timeout time.Duration) (*wire.Heartbeat, error) {
+// RequestHeartbeat asks for the worker's report.
+func (c *Client) RequestHeartbeat(ctx context.Context, addr string, timeout time.Duration) (*wire.Heartbeat, error) {
 	return c.call(ctx, addr, "GET", "/show", nil, timeout)
 }
 
@@ -70,11 +70,11 @@
 		return nil, fmt.Errorf("worker %s%s: %w", addr, path, err)
 	}
 	if status != 200 && status != 409 {
-		return nil, fmt.Errorf("worker %s%s: %w: status %d", addr, path, httpc.ErrNoAnswer, status)
+		return nil, fmt.Errorf("worker %s%s: %w: status %d", addr, path, httpc.ErrNoResponse, status)
 	}
 	rep := new(wire.Heartbeat)
 	if err := wire.Decode(ans, rep); err != nil {
-		return nil, fmt.Errorf("worker %s%s: %w: %w", addr, path, httpc.ErrNoAnswer, err)
+		return nil, fmt.Errorf("worker %s%s: %w: %w", addr, path, httpc.ErrNoResponse, err)
 	}
 	return rep, nil
 }
