--- a/election/election.go
+++ b/election/election.go
@@ -18,17 +18,17 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Holder is the value of the leader's key.
-type Holder struct {
+// Identity is the value of the leader's key.
+type Identity struct {
 	Name        ids.ControllerName        `msgpack:"n"`
-	Mesh        string                    `msgpack:"m"`
+	MeshAddress string                    `msgpack:"m"`
 	Incarnation ids.ControllerIncarnation `msgpack:"i"`
 }
 
 // Leader is a holder and the revision of its key. A larger revision is a later
 // leader.
 type Leader struct {
-	Holder
+	Identity
 	Revision ids.Revision
 }
 
@@ -50,7 +50,7 @@
 	heldUntil      atomic.Int64 // ids.Instant until which the key is surely held
 	renewalAskedAt atomic.Int64 // ids.Instant when the last renewal that ended was begun
 	over           atomic.Bool
-	bounds         Bounds
+	bounds         LeaseBounds
 	end            context.CancelCauseFunc
 
 	mu sync.Mutex
@@ -59,56 +59,56 @@
 	confirmedBy map[ids.ControllerName]ids.Instant
 }
 
-// Bounds are how long a leader may go on.
-type Bounds struct {
+// LeaseBounds are how long a leader may go on.
+type LeaseBounds struct {
 	// TTL is how long the leader's key outlives its last renewal.
 	TTL time.Duration
-	// Grace is how long after that a leader may answer workers at most, while
+	// OutageGrace is how long after that a leader may answer workers at most, while
 	// the state service is away.
-	Grace time.Duration
-	// Isolated is the same, counted from the last moment at which all Peers were
+	OutageGrace time.Duration
+	// IsolatedGrace is the same, counted from the last moment at which all Peers were
 	// known to follow no later leader, for workers without replicas, and
-	// IsolatedReplicas for the others. A later leader counts on both: what that has
+	// IsolatedReplicaGrace for the others. A later leader counts on both: what that has
 	// told users, as that a job is cancelled, this one does not know.
-	Isolated, IsolatedReplicas time.Duration
+	IsolatedGrace, IsolatedReplicaGrace time.Duration
 	// Peers are the other controllers.
 	Peers []ids.ControllerName
 }
 
-// Holds tells whether the key is surely held now.
-func (t *Term) Holds() bool { return t.clock.Now() < ids.Instant(t.heldUntil.Load()) }
+// HoldsLease tells whether the key is surely held now.
+func (t *Term) HoldsLease() bool { return t.clock.Now() < ids.Instant(t.heldUntil.Load()) }
 
 // renewalWindow is how lately a renewal must have been tried, whatever came of
 // it, by who acts without holding the key. It is longer than one takes that
 // gets no answer.
 const renewalWindow = 5 * time.Second
 
-// MayAnswer tells whether workers may be answered: while the key is held, and
+// MayAnswerHeartbeats tells whether workers may be answered: while the key is held, and
 // for a bounded grace after it, in which the state service may be away for
 // everyone. It is shorter while a later leader cannot be ruled out. A successor
 // counts on these bounds. A process that was paused while
 // its clocks ran on finds its key expired, and does not know yet whether the
 // state service was away or somebody else leads: it must ask first.
-func (t *Term) MayAnswer() bool {
+func (t *Term) MayAnswerHeartbeats() bool {
 	now := t.clock.Now()
 	if t.over.Load() {
 		return false
 	}
 	valid := ids.Instant(t.heldUntil.Load())
-	return now < valid || now < valid.Add(t.bounds.Grace) && now < ids.Instant(t.renewalAskedAt.Load()).Add(renewalWindow) &&
-		(len(t.bounds.Peers) == 0 || now < t.unchallengedAt(valid).Add(max(t.bounds.Isolated, t.bounds.IsolatedReplicas)))
+	return now < valid || now < valid.Add(t.bounds.OutageGrace) && now < ids.Instant(t.renewalAskedAt.Load()).Add(renewalWindow) &&
+		(len(t.bounds.Peers) == 0 || now < t.unchallengedAt(valid).Add(max(t.bounds.IsolatedGrace, t.bounds.IsolatedReplicaGrace)))
 }
 
-// ReplicasOnly tells whether no worker may be answered any more but those with replicas.
-func (t *Term) ReplicasOnly() bool {
+// MayAnswerReplicasOnly tells whether no worker may be answered any more but those with replicas.
+func (t *Term) MayAnswerReplicasOnly() bool {
 	valid := ids.Instant(t.heldUntil.Load())
-	return len(t.bounds.Peers) > 0 && t.clock.Now() >= t.unchallengedAt(valid).Add(t.bounds.Isolated)
+	return len(t.bounds.Peers) > 0 && t.clock.Now() >= t.unchallengedAt(valid).Add(t.bounds.IsolatedGrace)
 }
 
-// Confirm takes a peer's word that it knew of no later leader when it was asked. It
+// RecordPeerAck takes a peer's word that it knew of no later leader when it was asked. It
 // counts only if the peer's process was running while the key was still surely
 // held: one that was started since may have led before, and not know it.
-func (t *Term) Confirm(peer ids.ControllerName, asked, started ids.Instant) {
+func (t *Term) RecordPeerAck(peer ids.ControllerName, asked, started ids.Instant) {
 	if started >= ids.Instant(t.heldUntil.Load()) {
 		return
 	}
@@ -142,17 +142,17 @@
 }
 
 var (
-	// ErrReplaced ends a term when a later leader is known.
-	ErrReplaced = errors.New("a later leader is known")
-	errLost     = errors.New("the leader's lease ended")
-	errGrace    = errors.New("no contact with the state service for the whole grace")
+	// ErrSuperseded ends a term when a later leader is known.
+	ErrSuperseded = errors.New("a later leader is known")
+	errLost       = errors.New("the leader's lease ended")
+	errGrace      = errors.New("no contact with the state service for the whole grace")
 )
 
 // Election takes part for one node.
 type Election struct {
 	store  Store
-	self   Holder
-	bounds Bounds
+	self   Identity
+	bounds LeaseBounds
 	clock  ids.Clock
 	log    *slog.Logger
 	lead   func(ctx context.Context, t *Term) error
@@ -166,7 +166,7 @@
 }
 
 // New prepares an election. lead is run for each term, until its context ends.
-func New(store Store, self Holder, bounds Bounds, clock ids.Clock, log *slog.Logger,
+func New(store Store, self Identity, bounds LeaseBounds, clock ids.Clock, log *slog.Logger,
 	lead func(context.Context, *Term) error) *Election {
 	return &Election{store: store, self: self, bounds: bounds, clock: clock, log: log, lead: lead}
 }
@@ -198,7 +198,7 @@
 		e.leader = l
 	}
 	if e.term != nil && l.Revision > e.term.Revision {
-		e.term.End(ErrReplaced)
+		e.term.End(ErrSuperseded)
 	}
 }
 
@@ -231,7 +231,7 @@
 	}
 	var guard ids.Revision
 	if found {
-		var h Holder
+		var h Identity
 		if err := wire.Decode(entry.Value, &h); err != nil {
 			// Whoever holds it leads all the same; it goes with its lease.
 			if e.unreadable != entry.Revision {
@@ -325,7 +325,7 @@
 		// Somebody leads since: the answer to our claim was late, or this
 		// process was paused. Peers may have been told so already.
 		e.mu.Unlock()
-		return ErrReplaced
+		return ErrSuperseded
 	}
 	e.term = t
 	e.leader = Leader{e.self, t.Revision}
@@ -371,7 +371,7 @@
 		case errors.Is(err, statestore.ErrLeaseExpired):
 			t.End(errLost)
 			return
-		case e.clock.Now() >= ids.Instant(t.heldUntil.Load()).Add(t.bounds.Grace):
+		case e.clock.Now() >= ids.Instant(t.heldUntil.Load()).Add(t.bounds.OutageGrace):
 			t.End(errGrace)
 			return
 		}
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -47,7 +47,7 @@
 
 func (w *watcher) startOver(t *testing.T, c *client, over Store, name ids.ControllerName, inc ids.ControllerIncarnation) *member {
 	m := &member{c: c, gone: make(chan struct{})}
-	m.e = New(over, Holder{Name: name, Incarnation: inc}, Bounds{TTL: 3 * time.Second, Grace: 20 * time.Second}, ids.Steady(), slog.New(slog.DiscardHandler),
+	m.e = New(over, Identity{Name: name, Incarnation: inc}, LeaseBounds{TTL: 3 * time.Second, OutageGrace: 20 * time.Second}, ids.Steady(), slog.New(slog.DiscardHandler),
 		func(ctx context.Context, term *Term) error {
 			w.mu.Lock()
 			w.holding[name] = term
@@ -76,7 +76,7 @@
 	defer w.mu.Unlock()
 	var held []string
 	for n, term := range w.holding {
-		if term.Holds() {
+		if term.HoldsLease() {
 			held = append(held, fmt.Sprintf("%s@%d", n, term.Revision))
 		}
 	}
@@ -89,7 +89,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for n, term := range w.holding {
-		if term.Holds() {
+		if term.HoldsLease() {
 			return n, term
 		}
 	}
@@ -117,10 +117,10 @@
 		// In an outage for all nobody else can lead; afterwards the leader goes on.
 		s.outage(true)
 		time.Sleep(10 * time.Second)
-		if term.Holds() {
+		if term.HoldsLease() {
 			t.Error("the key counts as held without the state service")
 		}
-		if !term.MayAnswer() {
+		if !term.MayAnswerHeartbeats() {
 			t.Error("workers are left alone within the grace")
 		}
 		s.outage(false)
@@ -166,7 +166,7 @@
 		s.leases[77] = time.Now().Add(time.Hour)
 		s.next = 100
 		s.epoch, s.revision, s.lease = 4, 4, 77
-		s.value = wire.Encode(Holder{Name: "n0", Incarnation: 1})
+		s.value = wire.Encode(Identity{Name: "n0", Incarnation: 1})
 		m := w.start(t, s, "n0", 2)
 		time.Sleep(time.Second)
 		if l, term := w.leader(); l != "n0" || term.Revision <= 4 {
@@ -224,7 +224,7 @@
 		if m.e.Term() != nil {
 			t.Error("the term goes on")
 		}
-		m.e.Observe(Leader{Holder{Name: "n1"}, term.Revision + 5})
+		m.e.Observe(Leader{Identity{Name: "n1"}, term.Revision + 5})
 		if l, _ := m.e.Leader(); l.Name != "n1" {
 			t.Errorf("takes %q for the leader", l.Name)
 		}
@@ -245,16 +245,16 @@
 		_, term := w.leader()
 		m.c.hold(12 * time.Second)
 		time.Sleep(11 * time.Second)
-		if term.MayAnswer() {
+		if term.MayAnswerHeartbeats() {
 			t.Error("answers workers, though nothing tells that there is an outage")
 		}
 		time.Sleep(5 * time.Second)
-		if term.MayAnswer() || m.e.Term() == term {
+		if term.MayAnswerHeartbeats() || m.e.Term() == term {
 			t.Error("the term that was lost goes on")
 		}
 		_, term = w.leader()
-		term.End(ErrReplaced)
-		if term.MayAnswer() {
+		term.End(ErrSuperseded)
+		if term.MayAnswerHeartbeats() {
 			t.Error("answers workers in the name of a term that was ended")
 		}
 		m.cancel()
@@ -270,7 +270,7 @@
 		c := &client{s: s}
 		c.hold(time.Second)
 		m := w.startOver(t, c, c, "n0", 1)
-		m.e.Observe(Leader{Holder{Name: "n1"}, 50})
+		m.e.Observe(Leader{Identity{Name: "n1"}, 50})
 		time.Sleep(5 * time.Second)
 		if m.e.Term() != nil {
 			t.Error("it leads all the same")
@@ -292,19 +292,19 @@
 		until time.Duration // after the key was surely held last, give or take
 	}{
 		{"nobody heard", func(*Term, ids.Instant, ids.Instant) {}, isolated},
-		{"one is heard", func(t *Term, now, began ids.Instant) { t.Confirm("n1", now, began) }, isolated},
+		{"one is heard", func(t *Term, now, began ids.Instant) { t.RecordPeerAck("n1", now, began) }, isolated},
 		{"one was started since", func(t *Term, now, began ids.Instant) {
-			t.Confirm("n1", now, began)
-			t.Confirm("n2", now, ids.Instant(t.heldUntil.Load()))
+			t.RecordPeerAck("n1", now, began)
+			t.RecordPeerAck("n2", now, ids.Instant(t.heldUntil.Load()))
 		}, isolated},
 		{"both are heard", func(t *Term, now, began ids.Instant) {
-			t.Confirm("n1", now, began)
-			t.Confirm("n2", now, began)
+			t.RecordPeerAck("n1", now, began)
+			t.RecordPeerAck("n2", now, began)
 		}, 20 * time.Second},
 		{"one is heard for 5 s", func(t *Term, now, began ids.Instant) {
-			t.Confirm("n1", now, began)
+			t.RecordPeerAck("n1", now, began)
 			if now < ids.Instant(t.heldUntil.Load()).Add(5*time.Second) {
-				t.Confirm("n2", now, began)
+				t.RecordPeerAck("n2", now, began)
 			}
 		}, 5*time.Second + isolated},
 	} {
@@ -312,9 +312,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newService()
 				terms := make(chan *Term, 9)
-				bounds := Bounds{TTL: 3 * time.Second, Grace: 20 * time.Second, Isolated: isolated - 3*time.Second, IsolatedReplicas: isolated,
+				bounds := LeaseBounds{TTL: 3 * time.Second, OutageGrace: 20 * time.Second, IsolatedGrace: isolated - 3*time.Second, IsolatedReplicaGrace: isolated,
 					Peers: []ids.ControllerName{"n1", "n2"}}
-				e := New(&client{s: s}, Holder{Name: "n0"}, bounds, ids.Steady(), slog.New(slog.DiscardHandler), func(ctx context.Context, term *Term) error {
+				e := New(&client{s: s}, Identity{Name: "n0"}, bounds, ids.Steady(), slog.New(slog.DiscardHandler), func(ctx context.Context, term *Term) error {
 					terms <- term
 					<-ctx.Done()
 					return context.Cause(ctx)
@@ -334,9 +334,9 @@
 					if now >= valid && now < valid.Add(25*time.Second) {
 						c.vouch(term, now, began)
 					}
-					if term.MayAnswer() {
+					if term.MayAnswerHeartbeats() {
 						last = now
-						if !term.ReplicasOnly() {
+						if !term.MayAnswerReplicasOnly() {
 							lastForAll = now
 						}
 					}
@@ -346,8 +346,8 @@
 					t.Errorf("answers for %v after its key, want %v", got, c.until)
 				}
 				want := c.until
-				if want != bounds.Grace {
-					want -= bounds.IsolatedReplicas - bounds.Isolated
+				if want != bounds.OutageGrace {
+					want -= bounds.IsolatedReplicaGrace - bounds.IsolatedGrace
 				}
 				if got := lastForAll.Sub(valid); got < want-300*time.Millisecond || got > want+300*time.Millisecond {
 					t.Errorf("answers workers without replicas for %v after its key, want %v", got, want)
@@ -368,7 +368,7 @@
 		s.leases[99] = time.Now().Add(2 * time.Second)
 		var logged bytes.Buffer
 		led := make(chan ids.Revision, 9)
-		e := New(&client{s: s}, Holder{Name: "n0"}, Bounds{TTL: 3 * time.Second, Grace: 20 * time.Second}, ids.Steady(),
+		e := New(&client{s: s}, Identity{Name: "n0"}, LeaseBounds{TTL: 3 * time.Second, OutageGrace: 20 * time.Second}, ids.Steady(),
 			slog.New(slog.NewTextHandler(&logged, nil)), func(ctx context.Context, term *Term) error {
 				led <- term.Revision
 				<-ctx.Done()
--- a/node/cancellations.go
+++ b/node/cancellations.go
@@ -75,7 +75,7 @@
 // asked after what the own term has taken in.
 func (n *Node) acknowledgedUpTo() ids.Revision {
 	if t := n.term.Load(); t != nil {
-		if applied := ids.Revision(t.applied.Load()); t.key.Holds() {
+		if applied := ids.Revision(t.applied.Load()); t.key.HoldsLease() {
 			n.acknowledged.advanceTo(applied)
 		}
 	}
@@ -119,5 +119,5 @@
 		now := t.n.clock.Now()
 		t.core.ObserveJob(now, id, rec, revision)
 		harmless = t.core.CanAcknowledgeCancel(now, id)
-	}) && harmless && t.key.Holds()
+	}) && harmless && t.key.HoldsLease()
 }
--- a/node/cancellations_test.go
+++ b/node/cancellations_test.go
@@ -103,20 +103,20 @@
 	check("job-1", true, "told before")
 
 	refuse.Store(true)
-	until(t, "the leader's key is not surely held", func() bool { return !term.key.Holds() })
+	until(t, "the leader's key is not surely held", func() bool { return !term.key.HoldsLease() })
 	check("job-2", false, "the leader is refused alone")
-	if known("job-2") || !term.key.MayAnswer() {
+	if known("job-2") || !term.key.MayAnswerHeartbeats() {
 		t.Error("the leader goes on, and did not take in what it was told")
 	}
 	check("job-1", true, "the leader is refused alone")
 	// Nor while nobody leads, as far as this node knows.
-	asked.election.Observe(election.Leader{Holder: election.Holder{Name: "n-9"}, Revision: term.key.Revision + 1})
+	asked.election.Observe(election.Leader{Identity: election.Identity{Name: "n-9"}, Revision: term.key.Revision + 1})
 	if a := asked.Cancel(t.Context(), "job-3"); a.Status != 503 {
 		t.Errorf("nobody leads: %+v", a)
 	}
 
 	refuse.Store(false)
-	until(t, "the leader holds its key again", func() bool { return term.key.Holds() })
+	until(t, "the leader holds its key again", func() bool { return term.key.HoldsLease() })
 	if a := asked.Status(t.Context(), "job-2"); a.Status != 503 {
 		t.Errorf("nobody leads: %+v", a)
 	}
@@ -145,7 +145,7 @@
 	state.mu.Unlock()
 	until(t, "all is acknowledged", func() bool { return n.ping().Acked >= 40 })
 	refuse.Store(true)
-	until(t, "the key is not surely held", func() bool { return !tm.key.Holds() })
+	until(t, "the key is not surely held", func() bool { return !tm.key.HoldsLease() })
 	tm.applied.Store(50)
 	if got := n.ping().Acked; got >= 50 {
 		t.Errorf("acknowledged up to %d without the key", got)
@@ -181,7 +181,7 @@
 	// leads now.
 	n.observePing(ping{From: "n-1", Revision: key.Revision + 1})
 	until(t, "the term is over", func() bool { return n.election.Term() != key })
-	if key.MayAnswer() {
+	if key.MayAnswerHeartbeats() {
 		t.Error("answers in the name of an earlier term")
 	}
 }
--- a/node/mesh_handler.go
+++ b/node/mesh_handler.go
@@ -41,7 +41,7 @@
 		return handleBody(body, func(call stateCall) (any, error) { return n.handleStateCall(ctx, call) })
 	}
 	t := n.term.Load()
-	if t == nil || !t.key.MayAnswer() {
+	if t == nil || !t.key.MayAnswerHeartbeats() {
 		return nil, errNotLeading
 	}
 	switch op {
--- a/node/node.go
+++ b/node/node.go
@@ -81,8 +81,8 @@
 	n.leaderState = statestore.New(direct, rps*0.25)
 	n.userState = statestore.New(&userRoute{n, direct}, rps*0.65/nodes)
 	n.intake = ledger.NewCommitter(n.userState, n.limits(), nil, log)
-	self := election.Holder{Name: cfg.HostName, Mesh: cfg.MeshAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
-	bounds := election.Bounds{TTL: op.LeaseTTL(), Grace: op.Grace(), Isolated: n.isolatedBound(), IsolatedReplicas: n.isolatedReplicasBound()}
+	self := election.Identity{Name: cfg.HostName, MeshAddress: cfg.MeshAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
+	bounds := election.LeaseBounds{TTL: op.LeaseTTL(), OutageGrace: op.Grace(), IsolatedGrace: n.isolatedBound(), IsolatedReplicaGrace: n.isolatedReplicasBound()}
 	for _, p := range cfg.Seeds {
 		bounds.Peers = append(bounds.Peers, p.Name)
 	}
--- a/node/peers.go
+++ b/node/peers.go
@@ -41,14 +41,14 @@
 // ping is what this node tells the others now.
 func (n *Node) ping() ping {
 	l, _ := n.election.Leader()
-	return ping{n.cfg.HostName, l.Name, l.Mesh, l.Incarnation, l.Revision, n.stateOK(), int(n.workerCount.Load()),
+	return ping{n.cfg.HostName, l.Name, l.MeshAddress, l.Incarnation, l.Revision, n.stateOK(), int(n.workerCount.Load()),
 		n.clock.Now().Sub(n.startedAt), n.acknowledgedUpTo(), n.versions()}
 }
 
 // observePing takes in what a peer tells. A leader that it knows only by its revision,
 // since that one's key is gone already, ends earlier terms as well.
 func (n *Node) observePing(p ping) {
-	n.election.Observe(election.Leader{Holder: election.Holder{Name: p.Leader, Mesh: p.Mesh, Incarnation: p.Incarnation}, Revision: p.Revision})
+	n.election.Observe(election.Leader{Identity: election.Identity{Name: p.Leader, MeshAddress: p.Mesh, Incarnation: p.Incarnation}, Revision: p.Revision})
 	n.acknowledged.advanceTo(p.Acked)
 }
 
@@ -60,7 +60,7 @@
 		return
 	}
 	// The peer's clock may run fast.
-	t.Confirm(ans.From, asked, n.clock.Now().Add(ans.Up/500-ans.Up))
+	t.RecordPeerAck(ans.From, asked, n.clock.Now().Add(ans.Up/500-ans.Up))
 }
 
 // pingLoop keeps in touch with a peer until the context ends.
--- a/node/report_relay_test.go
+++ b/node/report_relay_test.go
@@ -38,7 +38,7 @@
 	if a := hello(); a.Status != 503 {
 		t.Fatalf("without a leader: %+v", a)
 	}
-	follower.election.Observe(election.Leader{Holder: election.Holder{Name: "n-0"}, Revision: 7})
+	follower.election.Observe(election.Leader{Identity: election.Identity{Name: "n-0"}, Revision: 7})
 	if a := hello(); a.Status != 503 {
 		t.Fatalf("before the leader leads: %+v", a)
 	}
@@ -52,7 +52,7 @@
 		t.Errorf("%d workers counted", n)
 	}
 	// A later leader is known: this one has nothing to say any more.
-	leader.election.Observe(election.Leader{Holder: election.Holder{Name: "n-2"}, Revision: 9})
+	leader.election.Observe(election.Leader{Identity: election.Identity{Name: "n-2"}, Revision: 9})
 	until(t, "the term is over", func() bool { return leader.term.Load() == nil })
 	if a := hello(); a.Status != 503 {
 		t.Errorf("from a leader that was replaced: %+v", a)
--- a/node/reports.go
+++ b/node/reports.go
@@ -13,7 +13,7 @@
 func (n *Node) Heartbeat(ctx context.Context, raw []byte, rep *wire.Heartbeat) server.Response {
 	now := n.clock.Now()
 	t := n.term.Load()
-	leading := t != nil && t.key.MayAnswer()
+	leading := t != nil && t.key.MayAnswerHeartbeats()
 	if l, ok := n.election.Leader(); !leading && (!ok || l.Name == n.cfg.HostName) {
 		return server.Response{Status: 503}
 	}
@@ -44,10 +44,10 @@
 func (t *term) askReports(ctx context.Context, f func()) bool {
 	replicasOnly := false
 	return t.ask(ctx, func() {
-		replicasOnly = t.key.ReplicasOnly()
+		replicasOnly = t.key.MayAnswerReplicasOnly()
 		t.core.AnswerReplicasOnly(replicasOnly)
 		f()
-	}) && t.key.MayAnswer() && (replicasOnly || !t.key.ReplicasOnly())
+	}) && t.key.MayAnswerHeartbeats() && (replicasOnly || !t.key.MayAnswerReplicasOnly())
 }
 
 // errNotLeading refuses what only a leader may do.
--- a/node/term.go
+++ b/node/term.go
@@ -67,7 +67,7 @@
 // newTerm prepares the work of one term.
 func newTerm(n *Node, key *election.Term) *term {
 	fence := &statestore.Precondition{Key: ledger.LeaderKey, Revision: key.Revision}
-	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.AuthorizedBy(key.MayAnswer),
+	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.AuthorizedBy(key.MayAnswerHeartbeats),
 		returns: returnQueue{wake: make(chan struct{}, 1)},
 		ledger:  ledger.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
 }
@@ -132,9 +132,9 @@
 			return err
 		}
 		if t.core.Deposed() {
-			return election.ErrReplaced
+			return election.ErrSuperseded
 		}
-		if !t.key.MayAnswer() {
+		if !t.key.MayAnswerHeartbeats() {
 			continue
 		}
 		t.core.ObserveView(t.view())
--- a/node/term_zones.go
+++ b/node/term_zones.go
@@ -74,7 +74,7 @@
 
 // view is what this leader knows of its own place among the controllers.
 func (t *term) view() zonereturn.View {
-	view := zonereturn.View{StateSure: t.key.Holds(), Peers: len(t.n.peers)}
+	view := zonereturn.View{StateSure: t.key.HoldsLease(), Peers: len(t.n.peers)}
 	now := t.n.clock.Now()
 	for _, p := range t.n.peers {
 		if heard := ids.Instant(p.lastHeard.Load()); heard != 0 && now < heard.Add(peerSilence) {
--- a/node/upgrade_test.go
+++ b/node/upgrade_test.go
@@ -338,7 +338,7 @@
 		"job done":      ledger.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70},
 		"slice": ledger.AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"a", "b"},
 			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 3, -1}, Done: []int{67, 69}},
-		"leader":       election.Holder{Name: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3},
+		"leader":       election.Identity{Name: "perch-0", MeshAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3},
 		"ping":         ping{From: "perch-1", Leader: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StateOK: true, Workers: 231},
 		"state call":   stateCall{"POST", "/commit", []byte{1, 2}, 1000},
 		"state answer": stateAnswer{200, []byte{3}, false, true},
