--- a/node/job_replica.go
+++ b/node/job_replica.go
@@ -87,7 +87,7 @@
 // needs is, whether or not its own record says so yet.
 func (c *jobReplica) get(id ids.JobID) (jobSnapshot, bool) {
 	k, found := c.jobs[id]
-	if found && !k.terminal() && c.graph.Of(id).State == pipeline.Cancelled {
+	if found && !k.terminal() && c.graph.ReadinessOf(id).State == pipeline.Cancelled {
 		k.Status, k.orphan = wire.JobCancelled, true
 	}
 	return k, found
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -47,8 +47,8 @@
 	ExpectedRun time.Duration
 }
 
-// Standing is what follows for a job from all records.
-type Standing struct {
+// Readiness is what follows for a job from all records.
+type Readiness struct {
 	State State
 	// Priority is the highest of the job's own and of those that need it,
 	// directly or through others, cancelled ones aside.
@@ -98,13 +98,13 @@
 // New makes an empty graph.
 func New() *Graph { return &Graph{nodes: map[ids.JobID]*node{}} }
 
-// Of tells where a job stands.
-func (g *Graph) Of(id ids.JobID) Standing {
+// ReadinessOf tells where a job stands.
+func (g *Graph) ReadinessOf(id ids.JobID) Readiness {
 	n := g.nodes[id]
 	if n == nil {
-		return Standing{}
+		return Readiness{}
 	}
-	return Standing{State: n.state, Priority: n.priority, ReadyMS: n.readyMS, StartByMS: n.startByMS()}
+	return Readiness{State: n.state, Priority: n.priority, ReadyMS: n.readyMS, StartByMS: n.startByMS()}
 }
 
 // node finds a job, or makes one that is unknown.
--- a/pipeline/pipeline_test.go
+++ b/pipeline/pipeline_test.go
@@ -96,16 +96,16 @@
 					if rng.IntN(3) > 0 && step < 79 {
 						continue
 					}
-					before := map[ids.JobID]Standing{}
+					before := map[ids.JobID]Readiness{}
 					for other := range real {
-						before[other] = c.g.Of(other)
+						before[other] = c.g.ReadinessOf(other)
 					}
 					changed := c.g.Put(id, real[id])
 					if r, ok := c.seen[id]; !ok || r.Status == wire.JobQueued {
 						c.seen[id] = real[id]
 					}
 					for other := range real {
-						got := c.g.Of(other)
+						got := c.g.ReadinessOf(other)
 						if got.State != before[other].State && !slices.Contains(changed, other) {
 							t.Fatalf("seed %d: %s went from %v to %v unsaid", seed, other, before[other], got)
 						}
@@ -116,7 +116,7 @@
 					}
 				}
 				for id := range c.seen {
-					got, state := c.g.Of(id), c.seen.state(id)
+					got, state := c.g.ReadinessOf(id), c.seen.state(id)
 					if got.State != state {
 						t.Fatalf("seed %d step %d: %s is %d, the model says %d", seed, step, id, got.State, state)
 					}
@@ -154,7 +154,7 @@
 			g.Put(id, records[id])
 		}
 		for id, by := range want {
-			if got := g.Of(id).StartByMS; got != by {
+			if got := g.ReadinessOf(id).StartByMS; got != by {
 				t.Errorf("in order %v: %s must start by %d, want %d", order, id, got, by)
 			}
 		}
@@ -180,10 +180,10 @@
 		fan.Put(name(i), first)
 	}
 	for kind, g := range map[string]*Graph{"chain": chain, "fan": fan} {
-		if p := g.Of(name(0)).Priority; p != wire.Critical {
+		if p := g.ReadinessOf(name(0)).Priority; p != wire.Critical {
 			t.Errorf("%s: the first job has priority %d", kind, p)
 		}
-		if changed := g.Put(name(0), Record{Status: wire.JobCancelled}); len(changed) != n || g.Of(name(n-1)).State != Cancelled {
+		if changed := g.Put(name(0), Record{Status: wire.JobCancelled}); len(changed) != n || g.ReadinessOf(name(n-1)).State != Cancelled {
 			t.Errorf("%s: %d of %d jobs are withdrawn", kind, len(changed), n)
 		}
 	}
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -112,7 +112,7 @@
 		return
 	}
 	if j == nil {
-		if s := c.graph.Of(id).State; rec.Terminal() || s == pipeline.Done || s == pipeline.Cancelled {
+		if s := c.graph.ReadinessOf(id).State; rec.Terminal() || s == pipeline.Done || s == pipeline.Cancelled {
 			c.applyJobRecord(id, rec) // or an older record, delivered late
 			return
 		}
@@ -151,7 +151,7 @@
 	if j.terminal() {
 		return
 	}
-	s := c.graph.Of(j.id)
+	s := c.graph.ReadinessOf(j.id)
 	c.setPriority(j, s.Priority)
 	if j.orderMS = s.ReadyMS; s.StartByMS != 0 {
 		j.orderMS = min(j.orderMS, s.StartByMS)
