--- a/node/cancellations_test.go
+++ b/node/cancellations_test.go
@@ -85,7 +85,7 @@
 		}
 	}
 	known := func(id ids.JobID) (ok bool) {
-		term.ask(t.Context(), func() { _, ok = term.core.Status(id) })
+		term.ask(t.Context(), func() { _, ok = term.core.Progress(id) })
 		return ok
 	}
 	for _, id := range []ids.JobID{"job-1", "job-2", "job-3"} {
@@ -167,8 +167,8 @@
 		t.Errorf("isolated with replicas for %v", d)
 	}
 	n.upgrade.durable.Store(true)
-	if o := n.options(5, true); o.Grace != n.isolatedReplicasBound() || o.GraceWithoutReplicas != n.isolatedBound() {
-		t.Errorf("a successor counts on %v and %v", o.Grace, o.GraceWithoutReplicas)
+	if o := n.options(5, true); o.PreviousLeaderGrace != n.isolatedReplicasBound() || o.PreviousLeaderGraceWithoutReplicas != n.isolatedBound() {
+		t.Errorf("a successor counts on %v and %v", o.PreviousLeaderGrace, o.PreviousLeaderGraceWithoutReplicas)
 	}
 	n.upgrade.durable.Store(false)
 	n.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
@@ -252,7 +252,7 @@
 	n := testNode(t, testConfig("127.0.0.1:1"))
 	tm := newTerm(n, testTerm(5))
 	opt := n.options(5, true)
-	opt.Cancel, opt.Lease, opt.Grace, opt.GraceWithoutReplicas = 52*time.Second, 27*time.Second, time.Minute, time.Second
+	opt.CancelDeadline, opt.AgentLease, opt.PreviousLeaderGrace, opt.PreviousLeaderGraceWithoutReplicas = 52*time.Second, 27*time.Second, time.Minute, time.Second
 	tm.core = scheduler.New(opt, nil)
 	tm.core.Begin(n.clock.Now())
 	tm.observed = 50
@@ -260,7 +260,7 @@
 	if got := tm.applied.Load(); got != 0 {
 		t.Errorf("published %d beside an earlier leader", got)
 	}
-	tm.core.AllFollow(n.clock.Now())
+	tm.core.AllControllersFollow(n.clock.Now())
 	tm.publishApplied()
 	if got := tm.applied.Load(); got != 50 {
 		t.Errorf("published %d once all follow", got)
--- a/node/job_status.go
+++ b/node/job_status.go
@@ -103,7 +103,7 @@
 	out := make([]progress, len(list))
 	if !t.ask(ctx, func() {
 		for i, id := range list {
-			s, _ := t.core.Status(id)
+			s, _ := t.core.Progress(id)
 			out[i] = progress{s.Done, s.Running}
 		}
 	}) {
--- a/node/reports.go
+++ b/node/reports.go
@@ -33,7 +33,7 @@
 	defer cancel()
 	var answer wire.HeartbeatResponse
 	var ok bool
-	if !t.askReports(ctx, func() { answer, ok = t.core.Report(n.clock.Now(), rep, false) }) || !ok {
+	if !t.askReports(ctx, func() { answer, ok = t.core.Heartbeat(n.clock.Now(), rep, false) }) || !ok {
 		return server.Response{Status: 503}
 	}
 	return server.Response{Status: 200, Body: answer}
@@ -45,7 +45,7 @@
 	replicasOnly := false
 	return t.ask(ctx, func() {
 		replicasOnly = t.key.MayAnswerReplicasOnly()
-		t.core.AnswerReplicasOnly(replicasOnly)
+		t.core.RestrictToReplicas(replicasOnly)
 		f()
 	}) && t.key.MayAnswerHeartbeats() && (replicasOnly || !t.key.MayAnswerReplicasOnly())
 }
--- a/node/status_reader_test.go
+++ b/node/status_reader_test.go
@@ -198,17 +198,17 @@
 	if _, err := tm.load(); err != nil {
 		t.Fatalf("taking over: %v", err)
 	}
-	if _, ok := tm.core.Status("job-2"); !ok {
+	if _, ok := tm.core.Progress("job-2"); !ok {
 		t.Error("the job beside it was lost")
 	}
 	// Of job-3 it is not known where it runs: it is not started elsewhere.
 	now := n.clock.Now()
 	rep := &wire.Heartbeat{Machine: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: ids.NewFencingToken(5, 0)}
-	if _, ok := tm.core.Report(now, rep, true); !ok {
+	if _, ok := tm.core.Heartbeat(now, rep, true); !ok {
 		t.Fatal("report refused")
 	}
 	var written []string
-	for _, ch := range tm.core.Step(now).Changes {
+	for _, ch := range tm.core.Step(now).RecordChanges {
 		for _, op := range ch.Operations {
 			written = append(written, op.PutKey)
 		}
@@ -236,7 +236,7 @@
 	now := n.clock.Now()
 	for range 20 {
 		now = now.Add(time.Second)
-		for _, ch := range tm.core.Step(now).Changes {
+		for _, ch := range tm.core.Step(now).RecordChanges {
 			for _, op := range ch.Operations {
 				if strings.Contains(op.DeleteKey+op.PutKey, "job-4") {
 					t.Fatalf("changed %+v", op)
--- a/node/term.go
+++ b/node/term.go
@@ -128,16 +128,16 @@
 				break
 			}
 		}
-		if err := t.core.Broken(); err != nil {
+		if err := t.core.RecordsError(); err != nil {
 			return err
 		}
-		if t.core.Deposed() {
+		if t.core.Superseded() {
 			return election.ErrSuperseded
 		}
 		if !t.key.MayAnswerHeartbeats() {
 			continue
 		}
-		t.core.ObserveView(t.view())
+		t.core.ObserveConnectivity(t.view())
 		t.dispatch(t.core.Step(t.n.clock.Now()))
 		t.publishApplied()
 		if now := t.n.clock.Now(); now > lastLog.Add(5*time.Second) {
@@ -151,7 +151,7 @@
 // once no earlier leader stands in the way. Until then each of them is asked for on its
 // own; see acknowledge.
 func (t *term) publishApplied() {
-	if observed := uint64(t.observed); observed > t.applied.Load() && t.core.PredecessorsHarmless(t.n.clock.Now()) {
+	if observed := uint64(t.observed); observed > t.applied.Load() && t.core.PreviousLeadersHarmless(t.n.clock.Now()) {
 		t.applied.Store(observed)
 	}
 }
@@ -160,27 +160,27 @@
 const directCallTimeout = 2 * time.Second
 
 // dispatch sends the core's decisions on their way. It never waits.
-func (t *term) dispatch(e scheduler.Effects) {
-	for _, change := range e.Changes {
+func (t *term) dispatch(e scheduler.Decisions) {
+	for _, change := range e.RecordChanges {
 		t.commit(change)
 	}
-	for _, host := range e.Direct {
+	for _, host := range e.SendCommands {
 		t.callWorker(host)
 	}
-	for _, host := range e.Show {
+	for _, host := range e.RequestHeartbeats {
 		t.requestReport(host)
 	}
-	for _, id := range e.Refresh {
+	for _, id := range e.RereadJobs {
 		t.tasks.Go(func() error { t.refresh(id); return nil })
 	}
-	for _, rental := range e.Rent {
+	for _, rental := range e.Provision {
 		t.tasks.Go(func() error { t.rent(rental); return nil })
 	}
-	if len(e.Return) > 0 {
-		t.returns.add(e.Return)
+	if len(e.Terminate) > 0 {
+		t.returns.add(e.Terminate)
 	}
 	t.logZoneEvents(e.ZoneEvents)
-	for _, address := range e.Forget {
+	for _, address := range e.ForgetAddresses {
 		t.n.workers.Forget(address)
 	}
 }
@@ -191,7 +191,7 @@
 	t.ledger.Submit(change, time.Time{}, func(outcome ledger.CommitResult, err error) {
 		switch {
 		case err == nil:
-			t.post(t.ctx, func() { t.core.ChangeResult(t.n.clock.Now(), outcome) })
+			t.post(t.ctx, func() { t.core.CommitResult(t.n.clock.Now(), outcome) })
 		case t.ctx.Err() == nil:
 			t.n.log.Warn("change not committed", "err", err)
 			t.key.End(err)
@@ -201,7 +201,7 @@
 
 // callWorker sends a worker its commands.
 func (t *term) callWorker(host ids.MachineID) {
-	command, address, ok := t.core.TakeDirect(t.n.clock.Now(), host)
+	command, address, ok := t.core.TakeCommands(t.n.clock.Now(), host)
 	if !ok {
 		return
 	}
@@ -211,7 +211,7 @@
 			t.n.log.Debug("direct command unanswered", "host", host, "err", err)
 			report = nil
 		}
-		t.post(t.ctx, func() { t.core.DirectResult(t.n.clock.Now(), host, report) })
+		t.post(t.ctx, func() { t.core.CommandsResult(t.n.clock.Now(), host, report) })
 		return nil
 	})
 }
@@ -224,7 +224,7 @@
 		if err != nil {
 			report = nil
 		}
-		t.post(t.ctx, func() { t.core.ShowResult(t.n.clock.Now(), host, report) })
+		t.post(t.ctx, func() { t.core.HeartbeatRequestResult(t.n.clock.Now(), host, report) })
 		return nil
 	})
 }
--- a/node/term_cloud.go
+++ b/node/term_cloud.go
@@ -18,7 +18,7 @@
 		switch {
 		case err == nil, errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrRejected):
 			t.n.log.Info("rental", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(hosts))
-			t.post(t.ctx, func() { t.core.RentResult(t.n.clock.Now(), r, hosts, err == nil) })
+			t.post(t.ctx, func() { t.core.ProvisionResult(t.n.clock.Now(), r, hosts, err == nil) })
 			return
 		}
 		t.n.log.Info("rental unanswered", "booking", r.RequestID, "err", err)
@@ -78,7 +78,7 @@
 				}
 			}
 			t.n.log.Info("returned", "hosts", hosts)
-			t.post(t.ctx, func() { t.core.ReturnResult(t.n.clock.Now(), hosts, true) })
+			t.post(t.ctx, func() { t.core.TerminateResult(t.n.clock.Now(), hosts, true) })
 			if !ids.Pause(t.ctx, returnInterval) {
 				return t.ctx.Err()
 			}
--- a/node/term_watch.go
+++ b/node/term_watch.go
@@ -72,6 +72,6 @@
 			}
 		}
 	}
-	t.post(t.ctx, func() { t.core.AllFollow(t.n.clock.Now()) })
+	t.post(t.ctx, func() { t.core.AllControllersFollow(t.n.clock.Now()) })
 	return nil
 }
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -60,7 +60,7 @@
 	as.updateDemand()
 	// A predecessor's machines may not be listed yet; rented again, they
 	// would be there twice.
-	if as.core.opt.Predecessor && as.core.now < as.core.termBegan.Add(2*as.core.opt.ListLag) {
+	if as.core.opt.PreviousLeader && as.core.now < as.core.termBegan.Add(2*as.core.opt.ListLag) {
 		return
 	}
 	p := as.newPlanner()
@@ -144,7 +144,7 @@
 		as.nextBooking++
 		as.machinesRequested[purchase.Site] += n
 		as.rentalsInFlight[purchase.Site]++
-		as.core.effects.Rent = append(as.core.effects.Rent, wire.ProvisionRequest{
+		as.core.decisions.Provision = append(as.core.decisions.Provision, wire.ProvisionRequest{
 			RequestID: fmt.Sprintf("r-%d-%d", as.core.opt.Revision, as.nextBooking),
 			Type:      purchase.Type, Zone: purchase.Zone, Spot: purchase.Spot, Count: n,
 		})
@@ -168,9 +168,9 @@
 	return as.rentalsInFlight[s] < maxRentalsPerSite
 }
 
-// RentResult takes the answer to a rental; ok is false if the cloud had none
+// ProvisionResult takes the answer to a rental; ok is false if the cloud had none
 // or would not rent.
-func (c *Core) RentResult(now ids.Instant, r wire.ProvisionRequest, hosts []ids.MachineID, ok bool) {
+func (c *Core) ProvisionResult(now ids.Instant, r wire.ProvisionRequest, hosts []ids.MachineID, ok bool) {
 	c.now = now
 	c.autoscaler.rentResult(r, hosts, ok)
 }
@@ -214,7 +214,7 @@
 		return false
 	}
 	usual := max(1, as.bootFactors[m.Type])
-	return as.core.now > m.knownSince.Add(ids.Seconds(lateBootFactor*usual*m.machineType.BootS)+as.core.opt.Report)
+	return as.core.now > m.knownSince.Add(ids.Seconds(lateBootFactor*usual*m.machineType.BootS)+as.core.opt.HeartbeatInterval)
 }
 
 // recordBoot takes in how long a machine took to come up, as a part of its type's time.
--- a/scheduler/autoscaler_test.go
+++ b/scheduler/autoscaler_test.go
@@ -15,7 +15,7 @@
 // have heard of the machine.
 func TestRentsAheadForServicesOnSilentMachines(t *testing.T) {
 	for _, inherited := range []bool{false, true} {
-		b := newHarness(t, Options{Predecessor: inherited})
+		b := newHarness(t, Options{PreviousLeader: inherited})
 		if inherited {
 			b.inherit(wire.JobSpec{Tasks: 1, Service: true}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 			b.c.Begin(b.now)
@@ -27,10 +27,10 @@
 		}
 		rented := time.Duration(0)
 		for start := b.now; b.now < start.Add(simLease) && rented == 0; b.now = b.now.Add(500 * time.Millisecond) {
-			if e := b.step(); len(e.Rent) > 0 {
+			if e := b.step(); len(e.Provision) > 0 {
 				rented = b.now.Sub(start)
-				if e.Rent[0].Count != 1 || e.Rent[0].Spot {
-					t.Errorf("rented %+v", e.Rent)
+				if e.Provision[0].Count != 1 || e.Provision[0].Spot {
+					t.Errorf("rented %+v", e.Provision)
 				}
 			}
 		}
@@ -52,12 +52,12 @@
 	b.report("n-1", "a", 0)
 	e := b.step()
 	rented := 0
-	for _, r := range e.Rent {
+	for _, r := range e.Provision {
 		rented += r.Count
 	}
 	// The peak of 2 asks for 8 more tasks of 2 CPUs; 4 CPUs are free.
 	if rented != 2 {
-		t.Fatalf("rented %d machines of 8 CPUs: %+v", rented, e.Rent)
+		t.Fatalf("rented %d machines of 8 CPUs: %+v", rented, e.Provision)
 	}
 }
 
@@ -80,7 +80,7 @@
 	for s := range 15 { // the type boots in 10 s
 		b.now = b.now.Add(time.Second)
 		b.report("n-1", "a", o.FencingToken, on...)
-		if e := b.step(); len(e.Rent) > 0 {
+		if e := b.step(); len(e.Provision) > 0 {
 			if s < 9 {
 				t.Fatalf("rented after %d s, although room was about to come", s+1)
 			}
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -51,10 +51,10 @@
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, Lend: quota.Amount{CPUs: nominal}}
 	}
 	opt := Options{Revision: 5, Teams: []quota.Team{team("red", 9000, 27000), team("blue", 27000, 60000), team("gold", 10500, 45000), team("lime", 10500, 37500)},
-		Report: 5 * time.Second, Lease: 27 * time.Second, Cancel: simCancel, ListLag: 3 * time.Second, TxnOps: 24, SliceTasks: 64,
-		MaxSkippedJobs: 2000, ReclaimHold: 5 * time.Second, Idle: 30 * time.Second, SpotIdleFactor: 1.5, HeadroomIdle: 15 * time.Minute, Headroom: 0.3,
+		HeartbeatInterval: 5 * time.Second, AgentLease: 27 * time.Second, CancelDeadline: simCancel, ListLag: 3 * time.Second, TxnOps: 24, SliceTasks: 64,
+		MaxSkippedJobs: 2000, LendingSuspension: 5 * time.Second, IdleTimeout: 30 * time.Second, SpotIdleFactor: 1.5, HeadroomIdleTimeout: 15 * time.Minute, Headroom: 0.3,
 		BootFactor: 4, CapacityBackoff: 10 * time.Second, RoundInterval: 50 * time.Millisecond, RoundCostPerMachine: 900 * time.Nanosecond,
-		LazyWriteDelay: 3 * time.Second, WriteRate: 63, MaxDirectCalls: 64, ReserveAfter: time.Minute, ReserveFor: 90 * time.Second,
+		LazyWriteDelay: 3 * time.Second, WriteRate: 63, MaxWorkerCalls: 64, ReserveAfter: time.Minute, ReserveFor: 90 * time.Second,
 		LatencySensitive: map[string]time.Duration{"map": time.Second, "push": 5 * time.Second}}
 	types := []wire.MachineType{{Name: "m", CPUs: 32, MemoryGB: 64, CacheGB: 80, FetchGBps: 0.25, Price: 2, SpotPrice: 0.5, BootS: 25, Zones: []ids.Zone{"a", "b", "c"}}}
 	d.c = New(opt, types)
@@ -89,7 +89,7 @@
 		return
 	}
 	w.reportSoon = false
-	o, _ := d.c.Report(d.now, d.newReport(w), false)
+	o, _ := d.c.Heartbeat(d.now, d.newReport(w), false)
 	w.token = max(w.token, o.FencingToken)
 	d.execute(w, o.Commands)
 	tick := w.sequence
@@ -162,15 +162,15 @@
 
 func (d *longDay) step() {
 	e := d.c.Step(d.now)
-	for _, ch := range e.Changes {
+	for _, ch := range e.RecordChanges {
 		d.after(5*time.Millisecond, func() {
 			d.revision++
-			d.c.ChangeResult(d.now, ledger.CommitResult{Change: ch, Applied: true, Revision: d.revision})
+			d.c.CommitResult(d.now, ledger.CommitResult{Change: ch, Applied: true, Revision: d.revision})
 			d.step()
 		})
 	}
-	for _, h := range e.Direct {
-		if x, _, ok := d.c.TakeDirect(d.now, h); ok {
+	for _, h := range e.SendCommands {
+		if x, _, ok := d.c.TakeCommands(d.now, h); ok {
 			d.after(3*time.Millisecond, func() {
 				var rep *wire.Heartbeat
 				if w := d.workers[h]; w != nil {
@@ -178,12 +178,12 @@
 					d.execute(w, x.Commands)
 					rep = d.newReport(w)
 				}
-				d.c.DirectResult(d.now, h, rep)
+				d.c.CommandsResult(d.now, h, rep)
 				d.step()
 			})
 		}
 	}
-	for _, r := range e.Rent {
+	for _, r := range e.Provision {
 		d.after(250*time.Millisecond, func() {
 			var hosts []ids.MachineID
 			for range r.Count {
@@ -191,16 +191,16 @@
 					hosts = append(hosts, d.boot(r, time.Duration(15+d.rng.IntN(22))*time.Second))
 				}
 			}
-			d.c.RentResult(d.now, r, hosts, len(hosts) > 0)
+			d.c.ProvisionResult(d.now, r, hosts, len(hosts) > 0)
 		})
 	}
-	if hosts := e.Return; len(hosts) > 0 {
+	if hosts := e.Terminate; len(hosts) > 0 {
 		d.after(250*time.Millisecond, func() {
 			for _, h := range hosts {
 				delete(d.workers, h)
 				d.held--
 			}
-			d.c.ReturnResult(d.now, hosts, true)
+			d.c.TerminateResult(d.now, hosts, true)
 		})
 	}
 }
--- a/scheduler/commands_test.go
+++ b/scheduler/commands_test.go
@@ -18,14 +18,14 @@
 	b.job("job-1", wire.JobSpec{Tasks: 2})
 	b.step()
 	e := b.step()
-	if !slices.Contains(e.Direct, "n-1") {
+	if !slices.Contains(e.SendCommands, "n-1") {
 		t.Fatalf("nothing goes to the worker at once: %+v", e)
 	}
-	d, _, _ := b.c.TakeDirect(b.now, "n-1")
+	d, _, _ := b.c.TakeCommands(b.now, "n-1")
 	if got := verbs(d.Commands, wire.VerbRun); len(got) != 2 {
 		t.Fatalf("runs sent: %v", got)
 	}
-	b.c.DirectResult(b.now, "n-1", nil)
+	b.c.CommandsResult(b.now, "n-1", nil)
 	ended := wire.TaskStatus{Name: "job-1/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseError}
 	if o := b.report("n-1", "a", d.FencingToken, ended); len(verbs(o.Commands, wire.VerbReap)) != 0 {
 		t.Fatalf("reaped before the end is recorded: %+v", o)
@@ -49,8 +49,8 @@
 	b.job("job-1", wire.JobSpec{Tasks: 1})
 	b.step()
 	b.step()
-	d, _, _ := b.c.TakeDirect(b.now, "n-1")
-	b.c.DirectResult(b.now, "n-1", nil)
+	d, _, _ := b.c.TakeCommands(b.now, "n-1")
+	b.c.CommandsResult(b.now, "n-1", nil)
 	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.jobs["job-1"].spec}, 500)
 	b.step()
 	o := b.report("n-1", "a", d.FencingToken)
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -27,12 +27,12 @@
 	lastStep  ids.Instant
 	// resumedAt is when steps went on after the process was paused, and totalPause
 	// how long all pauses together took.
-	resumedAt    ids.Instant
-	totalPause   time.Duration
-	predecessors predecessors
-	// answerReplicasOnly tells that no machine may be answered but those with replicas;
-	// see AnswerReplicasOnly.
-	answerReplicasOnly bool
+	resumedAt       ids.Instant
+	totalPause      time.Duration
+	previousLeaders previousLeaders
+	// restrictedToReplicas tells that no machine may be answered but those with replicas;
+	// see RestrictToReplicas.
+	restrictedToReplicas bool
 
 	// types is the cloud's catalog, and typeList the same by name.
 	types    map[ids.MachineType]*wire.MachineType
@@ -66,9 +66,9 @@
 	// zones watches zones that fall silent and return; nil: it is turned off.
 	zones *zoneGate
 
-	effects Effects
-	// deposed is set when a worker shows a later leader's token.
-	deposed bool
+	decisions Decisions
+	// superseded is set when a worker shows a later leader's token.
+	superseded bool
 	// recordsErr is set when the records are not as this leader left them.
 	recordsErr error
 }
@@ -91,7 +91,7 @@
 	c.admission = &admitter{core: c}
 	c.preemption = &evictor{core: c, workloads: map[workload]workloadCount{}}
 	c.autoscaler = newAutoscaler(c)
-	c.zones = newZoneGate(c, opt.ZoneReturn)
+	c.zones = newZoneGate(c, opt.ZoneRecovery)
 	c.SetCatalog(types)
 	return c
 }
@@ -110,17 +110,17 @@
 	c.schedulingDue = true
 }
 
-// Deposed tells that a worker has seen a later leader.
-func (c *Core) Deposed() bool { return c.deposed }
+// Superseded tells that a worker has seen a later leader.
+func (c *Core) Superseded() bool { return c.superseded }
 
-// Broken is set when the records are not as this leader left them. The term
+// RecordsError is set when the records are not as this leader left them. The term
 // must then end and the records be read again.
-func (c *Core) Broken() error { return c.recordsErr }
+func (c *Core) RecordsError() error { return c.recordsErr }
 
 // Begin ends the loading of records.
 func (c *Core) Begin(now ids.Instant) {
 	c.termBegan, c.now = now, now
-	c.beginPredecessors()
+	c.beginPreviousLeaders()
 	c.autoscaler.plannedAt = now
 	c.records.budgetRefilledAt = now
 	// In order: it decides what is stopped, sent and written first.
@@ -154,18 +154,18 @@
 	c.schedulingDue = true
 }
 
-// AllFollow is called once every other controller has said, since this term began, that
+// AllControllersFollow is called once every other controller has said, since this term began, that
 // it follows this leader. A process that knows of a later leader answers no report in the
 // name of an earlier one, nor does one that was started since. So no worker's lease can
 // be renewed by anybody else for a report sent after now, and what silent workers hold
 // need not wait for the predecessor's grace.
-func (c *Core) AllFollow(now ids.Instant) {
+func (c *Core) AllControllersFollow(now ids.Instant) {
 	c.now = now
-	c.predecessors.end(now)
+	c.previousLeaders.end(now)
 }
 
 // Step runs what time and events call for and hands out the decisions.
-func (c *Core) Step(now ids.Instant) Effects {
+func (c *Core) Step(now ids.Instant) Decisions {
 	c.advance(now)
 	if c.health.healthCheckDue || now >= c.health.healthCheckedAt.Add(healthCheckInterval) {
 		c.health.healthCheckDue, c.health.healthCheckedAt = false, now
@@ -184,15 +184,15 @@
 	c.zones.writeRecords()
 	c.records.writeRecords()
 	c.commands.dispatchCommands()
-	out := c.effects
-	c.effects = Effects{}
+	out := c.decisions
+	c.decisions = Decisions{}
 	return out
 }
 
 // advance moves the clock on and detects pauses of the process.
 func (c *Core) advance(now ids.Instant) {
 	c.now = now
-	if gap := now.Sub(c.lastStep); gap > pauseThreshold {
+	if gap := now.Sub(c.lastStep); gap > processPauseThreshold {
 		c.resumedAt = now
 		if c.lastStep != 0 {
 			c.totalPause += gap
@@ -217,34 +217,34 @@
 	return c.opt.WallClockMS + c.now.Sub(c.termBegan).Milliseconds()
 }
 
-// pauseThreshold is how long a time without a step tells that the leader did not
+// processPauseThreshold is how long a time without a step tells that the leader did not
 // run, rather than that its machines were silent: what they said meanwhile is
 // still to be read.
-const pauseThreshold = time.Second
+const processPauseThreshold = time.Second
 
-// Effects are the decisions since the last Step.
-type Effects struct {
-	Changes []ledger.Change
-	// Direct lists workers to which commands should go now; see TakeDirect.
-	Direct []ids.MachineID
-	// Show lists workers that should be asked for a report.
-	Show    []ids.MachineID
-	Rent    []wire.ProvisionRequest
-	Return  []ids.MachineID
-	Refresh []ids.JobID
-	// Forget lists addresses of machines that are gone.
-	Forget []string
+// Decisions are the decisions since the last Step.
+type Decisions struct {
+	RecordChanges []ledger.Change
+	// SendCommands lists workers to which commands should go now; see TakeCommands.
+	SendCommands []ids.MachineID
+	// RequestHeartbeats lists workers that should be asked for a report.
+	RequestHeartbeats []ids.MachineID
+	Provision         []wire.ProvisionRequest
+	Terminate         []ids.MachineID
+	RereadJobs        []ids.JobID
+	// ForgetAddresses lists addresses of machines that are gone.
+	ForgetAddresses []string
 	// ZoneEvents are changes of zones' conditions, for the log.
 	ZoneEvents []zonereturn.Event
 }
 
-// Status tells a job's progress for display.
-func (c *Core) Status(id ids.JobID) (Status, bool) {
+// Progress tells a job's progress for display.
+func (c *Core) Progress(id ids.JobID) (Progress, bool) {
 	j := c.jobs[id]
 	if j == nil {
-		return Status{}, false
+		return Progress{}, false
 	}
-	s := Status{Done: j.done}
+	s := Progress{Done: j.done}
 	for _, a := range j.active {
 		if a.phase == wire.TaskRunning || a.phase == wire.TaskSaving {
 			s.Running++
@@ -253,7 +253,7 @@
 	return s, true
 }
 
-// Status is what the leader can say about a job's progress.
-type Status struct {
+// Progress is what the leader can say about a job's progress.
+type Progress struct {
 	Done, Running int
 }
--- a/scheduler/digest_test.go
+++ b/scheduler/digest_test.go
@@ -27,9 +27,9 @@
 	fmt.Fprintf(d.hash, "%s %v\n", kind, value) // without names of fields, which may change
 }
 
-// effects takes in the decisions of one step.
-func (d *effectDigest) effects(e Effects) {
-	for _, ch := range e.Changes {
+// decisions takes in the decisions of one step.
+func (d *effectDigest) effects(e Decisions) {
+	for _, ch := range e.RecordChanges {
 		d.add("change", ch.ID)
 		for _, g := range ch.Preconditions {
 			d.add("guard", g)
@@ -39,16 +39,16 @@
 			d.add("drop", op.DeleteKey)
 		}
 	}
-	for _, r := range e.Rent {
+	for _, r := range e.Provision {
 		d.add("rent", r)
 	}
-	d.list("direct", e.Direct)
-	d.list("show", e.Show)
-	d.list("return", e.Return)
-	for _, id := range e.Refresh {
+	d.list("direct", e.SendCommands)
+	d.list("show", e.RequestHeartbeats)
+	d.list("return", e.Terminate)
+	for _, id := range e.RereadJobs {
 		d.add("refresh", id)
 	}
-	for _, address := range e.Forget {
+	for _, address := range e.ForgetAddresses {
 		d.add("forget", address)
 	}
 }
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -21,8 +21,8 @@
 // longest first. After a takeover or a partition hundreds wait while events keep coming,
 // so a step does little work here.
 func (q *commandQueue) dispatchCommands() {
-	room := q.core.opt.MaxDirectCalls - q.callsInFlight
-	if q.core.opt.MaxDirectCalls <= 0 {
+	room := q.core.opt.MaxWorkerCalls - q.callsInFlight
+	if q.core.opt.MaxWorkerCalls <= 0 {
 		room = len(q.queuedMachines)
 	}
 	left := q.queuedMachines[:0]
@@ -51,7 +51,7 @@
 		m.reportRequested, m.requestReportAt = true, q.core.now.Add(2*time.Second)
 		q.callsInFlight++
 		*room--
-		q.core.effects.Show = append(q.core.effects.Show, m.host)
+		q.core.decisions.RequestHeartbeats = append(q.core.decisions.RequestHeartbeats, m.host)
 		return false
 	case m.callInFlight || m.callFailed:
 		return false
@@ -63,7 +63,7 @@
 		return true
 	}
 	*room--
-	q.core.effects.Direct = append(q.core.effects.Direct, m.host)
+	q.core.decisions.SendCommands = append(q.core.decisions.SendCommands, m.host)
 	return false
 }
 
@@ -84,7 +84,7 @@
 // needsDirectCommand tells whether a machine must be told something before its next
 // report.
 func (q *commandQueue) needsDirectCommand(m *machine) bool {
-	if q.needsFencing(m) && (m.answeredAt == 0 || q.core.now > m.answeredAt.Add(q.core.opt.Report)) {
+	if q.needsFencing(m) && (m.answeredAt == 0 || q.core.now > m.answeredAt.Add(q.core.opt.HeartbeatInterval)) {
 		return true
 	}
 	for _, a := range m.taskList {
@@ -98,9 +98,9 @@
 	return false
 }
 
-// TakeDirect hands out the command that should go to a worker now. It must be
-// followed by DirectResult.
-func (c *Core) TakeDirect(now ids.Instant, h ids.MachineID) (d wire.CommandBatch, endpoint string, ok bool) {
+// TakeCommands hands out the command that should go to a worker now. It must be
+// followed by CommandsResult.
+func (c *Core) TakeCommands(now ids.Instant, h ids.MachineID) (d wire.CommandBatch, endpoint string, ok bool) {
 	c.now = now
 	return c.commands.takeDirect(h)
 }
@@ -122,9 +122,9 @@
 	return wire.CommandBatch{FencingToken: token, Incarnation: m.session, Commands: orders}, m.endpoint, true
 }
 
-// DirectResult takes the answer to a direct command, or its absence. Without
+// CommandsResult takes the answer to a direct command, or its absence. Without
 // one, the command may still be carried out; the tokens see to that.
-func (c *Core) DirectResult(now ids.Instant, h ids.MachineID, rep *wire.Heartbeat) {
+func (c *Core) CommandsResult(now ids.Instant, h ids.MachineID, rep *wire.Heartbeat) {
 	c.now = now
 	c.commands.directResult(h, rep)
 }
@@ -159,12 +159,12 @@
 // has its address now.
 func (q *commandQueue) takeAnswer(m *machine, rep *wire.Heartbeat) {
 	if rep.Machine == m.host {
-		q.core.Report(q.core.now, rep, true)
+		q.core.Heartbeat(q.core.now, rep, true)
 	}
 }
 
-// ShowResult takes the answer to a request for a report, or nil.
-func (c *Core) ShowResult(now ids.Instant, h ids.MachineID, rep *wire.Heartbeat) {
+// HeartbeatRequestResult takes the answer to a request for a report, or nil.
+func (c *Core) HeartbeatRequestResult(now ids.Instant, h ids.MachineID, rep *wire.Heartbeat) {
 	c.now = now
 	c.commands.showResult(h, rep)
 }
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -134,13 +134,13 @@
 		began := b.now
 		for b.now < began.Add(c.at) {
 			b.now = b.now.Add(500 * time.Millisecond)
-			for _, r := range b.step().Rent {
+			for _, r := range b.step().Provision {
 				asked = append(asked, r)
 				var hosts []ids.MachineID
 				for i := range r.Count {
 					hosts = append(hosts, ids.MachineID(fmt.Sprintf("%s-%d", r.RequestID, i)))
 				}
-				b.c.RentResult(b.now, r, hosts, true)
+				b.c.ProvisionResult(b.now, r, hosts, true)
 			}
 		}
 		if len(asked) != 1+c.rented {
@@ -149,13 +149,13 @@
 	}
 	// One that never comes is returned in the end, and pays no more.
 	b := newHarness(t, Options{})
-	b.c.RentResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"}, true)
+	b.c.ProvisionResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"}, true)
 	b.c.registry.machines["n-9"].Site = placement.Site{Type: "m", Zone: "a"}
 	gone := false
 	for range 120 {
 		b.now = b.now.Add(500 * time.Millisecond)
 		e := b.step()
-		gone = gone || len(e.Return) > 0
+		gone = gone || len(e.Terminate) > 0
 	}
 	if !gone {
 		t.Error("never returned")
@@ -180,7 +180,7 @@
 		return wire.TaskStatus{}
 	}
 	task := run()
-	b.c.RentResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-1"}, true)
+	b.c.ProvisionResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-1"}, true)
 	b.c.registry.machines["n-1"].Site = placement.Site{Type: "m", Zone: "a"}
 	b.c.registry.machines["n-1"].bootDeadline = b.now.Add(10 * time.Second)
 
@@ -189,8 +189,8 @@
 	if b.c.registry.machines["n-0"].unreachable {
 		t.Error("a machine counts as deaf for what the leader slept through")
 	}
-	if e := b.step(); len(e.Return) > 0 {
-		t.Errorf("returned %v before they could report", e.Return)
+	if e := b.step(); len(e.Terminate) > 0 {
+		t.Errorf("returned %v before they could report", e.Terminate)
 	}
 	b.report("n-0", "a", 0, task)
 	a := b.c.jobs["job-1"].active[0]
--- a/scheduler/fleet_demand.go
+++ b/scheduler/fleet_demand.go
@@ -109,9 +109,9 @@
 // machines come back, the new one is idle and is returned.
 func (as *autoscaler) addReplacements(p *fleet.Planner) {
 	var silent []*machine
-	late := as.core.now > as.core.resumedAt.Add(as.core.opt.Report*3/2) // all have had their turn
+	late := as.core.now > as.core.resumedAt.Add(as.core.opt.HeartbeatInterval*3/2) // all have had their turn
 	for _, m := range as.core.registry.machineList {
-		if m.replicas > 0 && !as.core.health.takesTasks(m) && (as.core.health.zonePartitioned(m.Zone) || late && as.core.health.silentFor(m, silentReports*as.core.opt.Report) || m.takenBy != 0) {
+		if m.replicas > 0 && !as.core.health.takesTasks(m) && (as.core.health.zonePartitioned(m.Zone) || late && as.core.health.silentFor(m, silentReports*as.core.opt.HeartbeatInterval) || m.takenBy != 0) {
 			silent = append(silent, m)
 		}
 	}
@@ -190,14 +190,14 @@
 		if m.returning || !m.reported || len(m.tasks) > 0 || m.unrecorded.CPUs > 0 {
 			continue
 		}
-		wait := as.core.opt.Idle
+		wait := as.core.opt.IdleTimeout
 		if m.Spot && len(over) > 0 {
 			// They cost little, and hold images for work in a hurry.
-			wait = as.core.opt.HeadroomIdle
+			wait = as.core.opt.HeadroomIdleTimeout
 		}
 		for pk, n := range over {
 			if placement.Allowed(pk.spec, m.Site) && fleet.Holds(pk.spec, m.free()) > n {
-				wait = as.core.opt.HeadroomIdle
+				wait = as.core.opt.HeadroomIdleTimeout
 			}
 		}
 		if m.Spot {
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -32,11 +32,11 @@
 	if opt.Revision == 0 {
 		opt.Revision = 5
 	}
-	opt.Report, opt.Lease, opt.Cancel = simReport, simLease, simCancel
+	opt.HeartbeatInterval, opt.AgentLease, opt.CancelDeadline = simReport, simLease, simCancel
 	opt.TxnOps, opt.SliceTasks, opt.MaxSkippedJobs, opt.BootFactor, opt.MaxMachines = 8, 4, 100, 4, 100
-	opt.Idle, opt.HeadroomIdle = time.Hour, time.Hour
-	if opt.GraceWithoutReplicas == 0 {
-		opt.GraceWithoutReplicas = opt.Grace
+	opt.IdleTimeout, opt.HeadroomIdleTimeout = time.Hour, time.Hour
+	if opt.PreviousLeaderGraceWithoutReplicas == 0 {
+		opt.PreviousLeaderGraceWithoutReplicas = opt.PreviousLeaderGrace
 	}
 	if types == nil {
 		types = []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: []ids.Zone{"a", "b"}}}
@@ -85,7 +85,7 @@
 
 func (b *harness) report(host ids.MachineID, zone ids.Zone, token ids.FencingToken, tasks ...wire.TaskStatus) wire.HeartbeatResponse {
 	b.tick++
-	o, ok := b.c.Report(b.now, &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: zone, Incarnation: 1, Sequence: b.tick,
+	o, ok := b.c.Heartbeat(b.now, &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: zone, Incarnation: 1, Sequence: b.tick,
 		FencingToken: token, Tasks: tasks}, false)
 	if !ok {
 		b.t.Fatalf("report of %s not answered", host)
@@ -108,10 +108,10 @@
 }
 
 // step runs the core and commits whatever it decides, at once.
-func (b *harness) step() Effects {
+func (b *harness) step() Decisions {
 	e := b.c.Step(b.now)
-	for _, ch := range e.Changes {
-		b.c.ChangeResult(b.now, ledger.CommitResult{Change: ch, Applied: true, Revision: ids.Revision(1000 + ch.ID)})
+	for _, ch := range e.RecordChanges {
+		b.c.CommitResult(b.now, ledger.CommitResult{Change: ch, Applied: true, Revision: ids.Revision(1000 + ch.ID)})
 	}
 	return e
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -67,7 +67,7 @@
 	for _, m := range hm.core.registry.machineList {
 		if m.reported {
 			heard++
-			if hm.silentFor(m, hm.core.opt.Lease/2) {
+			if hm.silentFor(m, hm.core.opt.AgentLease/2) {
 				silent++
 			}
 		}
@@ -82,7 +82,7 @@
 	switch {
 	case m.listedStatus == wire.MachineFailed:
 		registry.returnMachine(m, returnFailed)
-	case m.missingLists >= 2 && hm.silentFor(m, 2*hm.core.opt.Report):
+	case m.missingLists >= 2 && hm.silentFor(m, 2*hm.core.opt.HeartbeatInterval):
 		// It was listed and is not any more: it was taken. Returning what
 		// is gone does nothing, and the answer proves that it is gone.
 		if m.Spot && m.takenBy == 0 {
@@ -91,7 +91,7 @@
 		registry.returnMachine(m, returnMissing)
 	case hm.bootFailed(m):
 		registry.returnMachine(m, returnBootFailed)
-	case len(m.tasks) > 0 && hm.leaseExpired(m) && hm.silentFor(m, ids.Drift(hm.core.opt.Lease)):
+	case len(m.tasks) > 0 && hm.leaseExpired(m) && hm.silentFor(m, ids.Drift(hm.core.opt.AgentLease)):
 		for _, a := range m.tasksSnapshot() {
 			if !a.recordInFlight {
 				hm.core.zones.lost(a)
@@ -99,7 +99,7 @@
 			}
 		}
 		hm.core.commands.queueCommands(m)
-	case m.reported && len(m.tasks) == 0 && !mostSilent && !hm.zonePartitionedLately(m.Zone) && hm.silentFor(m, silentLeases*hm.core.opt.Lease):
+	case m.reported && len(m.tasks) == 0 && !mostSilent && !hm.zonePartitionedLately(m.Zone) && hm.silentFor(m, silentLeases*hm.core.opt.AgentLease):
 		registry.returnMachine(m, returnSilent)
 	case hm.cancelOverdue(m):
 		registry.returnMachine(m, returnCancelled)
@@ -118,10 +118,10 @@
 		return false
 	}
 	heardBy := ids.Instant(0)
-	if hm.core.opt.Predecessor {
-		heardBy = hm.core.termBegan.Add(hm.core.opt.Lease)
+	if hm.core.opt.PreviousLeader {
+		heardBy = hm.core.termBegan.Add(hm.core.opt.AgentLease)
 	}
-	return hm.core.now > max(m.bootDeadline, heardBy, hm.core.resumedAt.Add(2*hm.core.opt.Report))
+	return hm.core.now > max(m.bootDeadline, heardBy, hm.core.resumedAt.Add(2*hm.core.opt.HeartbeatInterval))
 }
 
 // drainNoticed stops what will not complete before a machine is taken.
@@ -159,7 +159,7 @@
 		return false
 	}
 	for _, a := range m.taskList {
-		if a.stopReason == stopCancelled && hm.core.now > a.job.cancelledAt.Add(hm.core.opt.Cancel*45/100) {
+		if a.stopReason == stopCancelled && hm.core.now > a.job.cancelledAt.Add(hm.core.opt.CancelDeadline*45/100) {
 			return true
 		}
 	}
@@ -171,20 +171,20 @@
 // gone on answering for its grace, until the worker was fenced or the
 // predecessor followed this leader.
 func (hm *healthMonitor) leaseExpired(m *machine) bool {
-	last := hm.core.predecessors.until(m)
+	last := hm.core.previousLeaders.until(m)
 	if m.fenced {
 		last = max(m.fencedAt, m.answeredAt)
 	} else if m.answeredAt > last {
 		last = m.answeredAt
 	}
-	return hm.core.now > last.Add(ids.Drift(hm.core.opt.Lease)+time.Second)
+	return hm.core.now > last.Add(ids.Drift(hm.core.opt.AgentLease)+time.Second)
 }
 
 // trusted tells whether a machine's messages are surely no late copies: what
 // this leader did not rent may have been returned by a predecessor, and then
 // only an answer, or a token of ours, shows that it is there.
 func (hm *healthMonitor) trusted(m *machine) bool {
-	return m.rentedThisTerm || m.answeredCall || m.fenced || !hm.core.opt.Predecessor
+	return m.rentedThisTerm || m.answeredCall || m.fenced || !hm.core.opt.PreviousLeader
 }
 
 // usable tells whether new tasks may go to a machine.
@@ -196,7 +196,7 @@
 // reportOverdue is how long a machine may leave between two reports until nothing new is
 // placed there, and until it counts as silent for its zone.
 func (hm *healthMonitor) reportOverdue() time.Duration {
-	return hm.core.opt.Report*3/2 + 1500*time.Millisecond
+	return hm.core.opt.HeartbeatInterval*3/2 + 1500*time.Millisecond
 }
 
 // takesTasks tells whether a usable machine is not set aside either.
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -47,7 +47,7 @@
 	b.report("n-1", "a", 0)
 	start := b.now
 	for ; b.now < start.Add(3*simLease); b.now = b.now.Add(time.Second) {
-		if e := b.step(); len(e.Return) > 0 {
+		if e := b.step(); len(e.Terminate) > 0 {
 			if silent := b.now.Sub(start); silent < silentLeases*simLease {
 				t.Errorf("returned after %v", silent)
 			}
@@ -97,7 +97,7 @@
 				// Of what came meanwhile only one zone's has been read yet.
 				b.c.health.zoneStates["a"].lastHeard = start
 			}
-			for _, r := range b.step().Rent {
+			for _, r := range b.step().Provision {
 				rented += r.Count
 			}
 		}
@@ -194,16 +194,16 @@
 			wants(s)
 		}
 		e := b.step()
-		if s < 170 && len(e.Return) > 0 {
-			t.Fatalf("after %d s: returned %v", s, e.Return)
+		if s < 170 && len(e.Terminate) > 0 {
+			t.Fatalf("after %d s: returned %v", s, e.Terminate)
 		}
-		for _, r := range e.Rent {
+		for _, r := range e.Provision {
 			if s < 170 {
 				rented[r.Zone] += r.Count
 			} else {
 				rented[r.Zone+" again"] += r.Count
 			}
-			b.c.RentResult(b.now, r, nil, false)
+			b.c.ProvisionResult(b.now, r, nil, false)
 		}
 	}
 	if rented["a"] == 0 || rented["b"] != 0 {
@@ -228,22 +228,22 @@
 	tell("b")
 	for start := b.now; b.now < start.Add(silentLeases*simLease+10*time.Second); b.now = b.now.Add(500 * time.Millisecond) {
 		tell("a")
-		if e := b.step(); len(e.Return) > 0 {
-			t.Fatalf("returned %v in the partition", e.Return)
+		if e := b.step(); len(e.Terminate) > 0 {
+			t.Fatalf("returned %v in the partition", e.Terminate)
 		}
 	}
 	b.report("b-1", "b", 0)
 	for start := b.now; b.now < start.Add(simReport); b.now = b.now.Add(200 * time.Millisecond) {
 		tell("a")
-		if e := b.step(); len(e.Return) > 0 {
-			t.Fatalf("returned %v before they could report", e.Return)
+		if e := b.step(); len(e.Terminate) > 0 {
+			t.Fatalf("returned %v before they could report", e.Terminate)
 		}
 	}
 	returned := 0
 	for start := b.now; b.now < start.Add(4*simReport); b.now = b.now.Add(200 * time.Millisecond) {
 		tell("a")
 		b.report("b-1", "b", 0)
-		returned += len(b.step().Return)
+		returned += len(b.step().Terminate)
 	}
 	if returned != 4 {
 		t.Errorf("%d machines returned that stayed silent, want 4", returned)
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -25,7 +25,7 @@
 // its record is repaired.
 func (c *Core) LoadUnreadableJob(id ids.JobID) {
 	c.unreadable[id] = true
-	c.predecessors.unclear = true
+	c.previousLeaders.unclear = true
 }
 
 // LoadSlice takes an admission record at the start of the term.
@@ -97,7 +97,7 @@
 // Suspend keeps a job from being placed, because it is not known where all
 // its tasks may be. It stays known, and the others go on.
 func (c *Core) Suspend(id ids.JobID) {
-	c.predecessors.unclear = true
+	c.previousLeaders.unclear = true
 	if j := c.jobs[id]; j != nil {
 		j.suspended = true
 	}
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -29,7 +29,7 @@
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: enough, Limit: enough, Lend: enough}}},
 		wire.MachineType{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: zones})
 	b.c.opt.MaxMachines, b.c.opt.SliceTasks, b.c.opt.TxnOps = 0, 64, 24
-	b.c.opt.MaxSkippedJobs, b.c.opt.MaxDirectCalls = 2000, 64
+	b.c.opt.MaxSkippedJobs, b.c.opt.MaxWorkerCalls = 2000, 64
 	return b
 }
 
@@ -69,8 +69,8 @@
 	t.Run("zones not watched", func(t *testing.T) { playLargeFleet(largeFleetHarness(t)) })
 	t.Run("zones watched", func(t *testing.T) {
 		b := largeFleetHarness(t)
-		b.c.opt.ZoneReturn, b.c.opt.ValueBytes = simZonePolicy(), 4<<10
-		b.c.zones = newZoneGate(b.c, b.c.opt.ZoneReturn)
+		b.c.opt.ZoneRecovery, b.c.opt.ValueBytes = simZonePolicy(), 4<<10
+		b.c.zones = newZoneGate(b.c, b.c.opt.ZoneRecovery)
 		playLargeFleet(b)
 		b.checkZoneRecords()
 	})
@@ -112,7 +112,7 @@
 	b.t.Helper()
 	for range 10 {
 		b.now = b.now.Add(time.Second)
-		for _, change := range b.step().Changes {
+		for _, change := range b.step().RecordChanges {
 			for _, op := range change.Operations {
 				if record, ok := op.Value.(ledger.AdmissionSlice); ok {
 					latest[op.PutKey] = record
@@ -132,7 +132,7 @@
 	b.t.Helper()
 	predecessor := b.c
 	opt := predecessor.opt
-	opt.Revision, opt.Predecessor = opt.Revision+1, true
+	opt.Revision, opt.PreviousLeader = opt.Revision+1, true
 	b.c = New(opt, predecessor.typeList)
 	for id, j := range predecessor.jobs {
 		b.c.LoadJob(id, &ledger.Job{Status: wire.JobQueued, Tasks: len(j.tasks), Spec: j.spec}, j.revision)
@@ -146,8 +146,8 @@
 	b.c.Begin(b.now)
 	b.reportAll("")
 	e := b.step()
-	if len(e.Changes) > 0 || len(e.Return) > 0 || len(e.Rent) > 0 {
-		b.t.Errorf("a takeover without news wrote %d changes, returned %d and rented %d", len(e.Changes), len(e.Return), len(e.Rent))
+	if len(e.RecordChanges) > 0 || len(e.Terminate) > 0 || len(e.Provision) > 0 {
+		b.t.Errorf("a takeover without news wrote %d changes, returned %d and rented %d", len(e.RecordChanges), len(e.Terminate), len(e.Provision))
 	}
 	for _, m := range b.c.registry.machineList {
 		if !b.c.health.usable(m) {
@@ -161,22 +161,22 @@
 func (b *harness) cutZoneOfLargeFleet() {
 	b.t.Helper()
 	examined, calls := b.c.admission.MachinesExamined, 0
-	b.c.ObserveView(zonereturn.View{StateSure: true})
+	b.c.ObserveConnectivity(zonereturn.View{StateSure: true})
 	const step, steps = time.Second, 36
 	for range steps {
 		b.now = b.now.Add(step)
 		b.reportAll("d")
 		e := b.step()
 		b.countZoneRecords(e)
-		calls = max(calls, len(e.Direct)+len(e.Show))
-		if len(e.Return) > 0 {
-			b.t.Fatalf("returned %d machines of a zone that is cut off", len(e.Return))
+		calls = max(calls, len(e.SendCommands)+len(e.RequestHeartbeats))
+		if len(e.Terminate) > 0 {
+			b.t.Fatalf("returned %d machines of a zone that is cut off", len(e.Terminate))
 		}
 	}
 	if !b.c.health.zonePartitioned("d") {
 		b.t.Error("the zone is not known to be cut off")
 	}
-	if calls > b.c.opt.MaxDirectCalls {
+	if calls > b.c.opt.MaxWorkerCalls {
 		b.t.Errorf("%d calls in a step", calls)
 	}
 	waiting := 0
@@ -194,9 +194,9 @@
 }
 
 // countZoneRecords counts the records of zones that were written, and checks their size.
-func (b *harness) countZoneRecords(e Effects) {
+func (b *harness) countZoneRecords(e Decisions) {
 	b.t.Helper()
-	for _, change := range e.Changes {
+	for _, change := range e.RecordChanges {
 		for _, op := range change.Operations {
 			if record, ok := op.Value.(*zonereturn.Record); ok {
 				b.zoneWrites++
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -101,7 +101,7 @@
 			m.knownSince = asked.Add(-ids.Seconds(w.AgeS))
 		}
 		r.setSite(m, placement.Site{Type: w.Type, Zone: w.Zone, Spot: w.Spot}, w.Endpoint)
-		if m.listedStatus != w.Status && !m.reported && r.core.opt.Predecessor {
+		if m.listedStatus != w.Status && !m.reported && r.core.opt.PreviousLeader {
 			r.core.commands.queueCommands(m)
 		}
 		m.listedStatus, m.missingLists = w.Status, 0
@@ -142,13 +142,13 @@
 // returnAgain calls the cloud to return a machine.
 func (r *machineRegistry) returnAgain(m *machine) {
 	m.returning, m.returnInFlight = true, true
-	r.core.effects.Return = append(r.core.effects.Return, m.host)
+	r.core.decisions.Terminate = append(r.core.decisions.Terminate, m.host)
 	r.core.schedulingDue = true
 }
 
-// ReturnResult takes the outcome of giving machines back. Once it succeeded,
+// TerminateResult takes the outcome of giving machines back. Once it succeeded,
 // the machines and all on them are gone.
-func (c *Core) ReturnResult(now ids.Instant, hosts []ids.MachineID, ok bool) {
+func (c *Core) TerminateResult(now ids.Instant, hosts []ids.MachineID, ok bool) {
 	c.now = now
 	c.registry.returnResult(hosts, ok)
 }
@@ -187,7 +187,7 @@
 	i := slices.Index(r.machineList, m)
 	r.machineList = slices.Delete(r.machineList, i, i+1)
 	if m.endpoint != "" {
-		r.core.effects.Forget = append(r.core.effects.Forget, m.endpoint)
+		r.core.decisions.ForgetAddresses = append(r.core.decisions.ForgetAddresses, m.endpoint)
 	}
 	r.core.schedulingDue = true
 }
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -12,16 +12,16 @@
 type Options struct {
 	// Revision is the revision of the leader's key; tokens are made of it.
 	Revision ids.Revision
-	// Predecessor tells that another leader may have acted before.
-	Predecessor bool
-	Teams       []quota.Team
-	// Report and Lease are the workers' settings, Cancel is the time in
+	// PreviousLeader tells that another leader may have acted before.
+	PreviousLeader bool
+	Teams          []quota.Team
+	// Heartbeat and Lease are the workers' settings, Cancel is the time in
 	// which a cancelled job's tasks must be gone.
-	Report, Lease, Cancel time.Duration
-	// Grace is how long a predecessor without the state service may have gone on
-	// answering workers after this term began, and GraceWithoutReplicas the same for
+	HeartbeatInterval, AgentLease, CancelDeadline time.Duration
+	// PreviousLeaderGrace is how long a predecessor without the state service may have gone on
+	// answering workers after this term began, and PreviousLeaderGraceWithoutReplicas the same for
 	// machines on which no replica of a service is recorded.
-	Grace, GraceWithoutReplicas time.Duration
+	PreviousLeaderGrace, PreviousLeaderGraceWithoutReplicas time.Duration
 
 	ListLag time.Duration
 	// TxnOps bounds the writes of one change, and ValueBytes each value, in
@@ -35,15 +35,15 @@
 	MaxSkippedJobs int
 	// LatencySensitive names the classes whose tasks must start sooner than a
 	// machine boots.
-	LatencySensitive map[string]time.Duration
-	ReclaimHold      time.Duration
-	Idle             time.Duration
+	LatencySensitive  map[string]time.Duration
+	LendingSuspension time.Duration
+	IdleTimeout       time.Duration
 	// SpotIdleFactor is how many times as long spot machines may stand idle.
-	SpotIdleFactor  float64
-	HeadroomIdle    time.Duration
-	Headroom        float64
-	BootFactor      float64
-	CapacityBackoff time.Duration
+	SpotIdleFactor      float64
+	HeadroomIdleTimeout time.Duration
+	Headroom            float64
+	BootFactor          float64
+	CapacityBackoff     time.Duration
 	// MaxMachines bounds the machines held; 0: no bound.
 	MaxMachines int
 	// RoundInterval is the least time between two rounds of admission, and
@@ -57,8 +57,8 @@
 	// WriteRate is how many writes and drops a second the records may take;
 	// 0: no bound.
 	WriteRate float64
-	// MaxDirectCalls bounds the calls to workers under way; 0: no bound.
-	MaxDirectCalls int
+	// MaxWorkerCalls bounds the calls to workers under way; 0: no bound.
+	MaxWorkerCalls int
 	// ReserveAfter is how long a job waits to start until machines are reserved for it;
 	// 0: never. ReserveFor is how long a reservation lasts. After twice ReserveAfter a
 	// job starts before others go on.
@@ -66,6 +66,6 @@
 	// WallClockMS is the time of day when the term begins, to tell how long jobs
 	// have waited already; 0: not known.
 	WallClockMS int64
-	// ZoneReturn is how zones that fall silent are watched and return; nil: they are not.
-	ZoneReturn *zonereturn.Policy
+	// ZoneRecovery is how zones that fall silent are watched and return; nil: they are not.
+	ZoneRecovery *zonereturn.Policy
 }
--- a/scheduler/predecessors.go
+++ b/scheduler/predecessors.go
@@ -24,34 +24,34 @@
 	return max(0, cancel-cancel/500-ids.Drift(lease)-time.Second)
 }
 
-// predecessors is until when earlier leaders can have received reports that they then
+// previousLeaders is until when earlier leaders can have received reports that they then
 // answered: from machines on which a replica was recorded when this term began, and from
 // all others.
-type predecessors struct {
+type previousLeaders struct {
 	withReplicas, others ids.Instant
 	// unclear tells that some records could not be read: any machine may have replicas.
 	unclear bool
 }
 
 // end notes that there is no earlier leader any more.
-func (p *predecessors) end(now ids.Instant) {
+func (p *previousLeaders) end(now ids.Instant) {
 	p.withReplicas, p.others = min(p.withReplicas, now), min(p.others, now)
 }
 
 // until is the latest time at which an earlier leader answered a machine.
-func (p *predecessors) until(m *machine) ids.Instant {
+func (p *previousLeaders) until(m *machine) ids.Instant {
 	if m.hadReplicas || p.unclear {
 		return p.withReplicas
 	}
 	return p.others
 }
 
-// beginPredecessors is called once the records are loaded.
-func (c *Core) beginPredecessors() {
-	c.predecessors.withReplicas, c.predecessors.others = c.now, c.now
-	if c.opt.Predecessor {
-		c.predecessors.withReplicas = c.now.Add(c.opt.Grace)
-		c.predecessors.others = c.now.Add(min(c.opt.Grace, c.opt.GraceWithoutReplicas))
+// beginPreviousLeaders is called once the records are loaded.
+func (c *Core) beginPreviousLeaders() {
+	c.previousLeaders.withReplicas, c.previousLeaders.others = c.now, c.now
+	if c.opt.PreviousLeader {
+		c.previousLeaders.withReplicas = c.now.Add(c.opt.PreviousLeaderGrace)
+		c.previousLeaders.others = c.now.Add(min(c.opt.PreviousLeaderGrace, c.opt.PreviousLeaderGraceWithoutReplicas))
 	}
 	for _, m := range c.registry.machineList {
 		m.hadReplicas = m.hasRecordedReplica()
@@ -70,21 +70,21 @@
 	return false
 }
 
-// AnswerReplicasOnly sets whether this leader, which cannot rule out a later one, has to
+// RestrictToReplicas sets whether this leader, which cannot rule out a later one, has to
 // leave all reports unanswered but those of machines with recorded replicas.
-func (c *Core) AnswerReplicasOnly(only bool) { c.answerReplicasOnly = only }
+func (c *Core) RestrictToReplicas(only bool) { c.restrictedToReplicas = only }
 
 // mayAnswer tells whether a machine's report may be answered.
-func (c *Core) mayAnswer(m *machine) bool { return !c.answerReplicasOnly || m.hasRecordedReplica() }
+func (c *Core) mayAnswer(m *machine) bool { return !c.restrictedToReplicas || m.hasRecordedReplica() }
 
-// PredecessorsHarmless tells whether no earlier leader answers workers any more, or for no
+// PreviousLeadersHarmless tells whether no earlier leader answers workers any more, or for no
 // longer than CancelMargin: then every cancellation may be acknowledged.
-func (c *Core) PredecessorsHarmless(now ids.Instant) bool {
-	return c.harmless(now, max(c.predecessors.withReplicas, c.predecessors.others))
+func (c *Core) PreviousLeadersHarmless(now ids.Instant) bool {
+	return c.harmless(now, max(c.previousLeaders.withReplicas, c.previousLeaders.others))
 }
 
 func (c *Core) harmless(now, until ids.Instant) bool {
-	return now.Add(CancelMargin(c.opt.Cancel, c.opt.Lease)) >= until
+	return now.Add(CancelMargin(c.opt.CancelDeadline, c.opt.AgentLease)) >= until
 }
 
 // CanAcknowledgeCancel tells whether the cancellation of a job, which the core has taken
@@ -93,7 +93,7 @@
 // that earlier ones answer, and one that was returned has no tasks. What is not recorded
 // was never started, so the recorded tasks are all there are.
 func (c *Core) CanAcknowledgeCancel(now ids.Instant, id ids.JobID) bool {
-	if c.PredecessorsHarmless(now) {
+	if c.PreviousLeadersHarmless(now) {
 		return true
 	}
 	j := c.jobs[id]
@@ -101,7 +101,7 @@
 		return !c.unreadable[id]
 	}
 	for _, a := range j.active {
-		if !a.machine.fenced && !c.harmless(now, c.predecessors.until(a.machine)) {
+		if !a.machine.fenced && !c.harmless(now, c.previousLeaders.until(a.machine)) {
 			return false
 		}
 	}
--- a/scheduler/predecessors_test.go
+++ b/scheduler/predecessors_test.go
@@ -30,12 +30,12 @@
 			b.report("n-1", "a", ids.NewFencingToken(4, 0))
 			b.report("n-2", "a", ids.NewFencingToken(4, 0))
 		}, false},
-		{"its machines were returned", func(b *harness) { b.c.ReturnResult(b.now, []ids.MachineID{"n-1", "n-2"}, true) }, true},
-		{"all controllers follow", func(b *harness) { b.c.AllFollow(b.now) }, true},
+		{"its machines were returned", func(b *harness) { b.c.TerminateResult(b.now, []ids.MachineID{"n-1", "n-2"}, true) }, true},
+		{"all controllers follow", func(b *harness) { b.c.AllControllersFollow(b.now) }, true},
 		{"just before the margin", func(b *harness) { b.now = b.now.Add(grace - margin - time.Second) }, false},
 		{"within the margin", func(b *harness) { b.now = b.now.Add(grace - margin) }, true},
 	} {
-		b := newHarness(t, Options{Predecessor: true, Grace: grace})
+		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: grace})
 		b.inherit(wire.JobSpec{Service: true, Tasks: 2}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
 		b.c.Begin(b.now)
 		spec := wire.JobSpec{Service: true, Tasks: 2, Class: "c", Team: "red", CPUs: 2, Image: "i"}
@@ -50,7 +50,7 @@
 	}
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	if !b.c.PredecessorsHarmless(b.now) {
+	if !b.c.PreviousLeadersHarmless(b.now) {
 		t.Error("the first leader waits for earlier ones")
 	}
 }
@@ -69,7 +69,7 @@
 		{"a service", true, false, margin + 45*time.Second + simLease},
 		{"an array beside a record that cannot be read", false, true, margin + 45*time.Second + simLease},
 	} {
-		b := newHarness(t, Options{Predecessor: true, Grace: margin + 45*time.Second, GraceWithoutReplicas: margin})
+		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: margin + 45*time.Second, PreviousLeaderGraceWithoutReplicas: margin})
 		if c.unclear {
 			b.c.LoadUnreadableJob("job-9")
 		}
@@ -97,29 +97,29 @@
 	b.job("job-1", wire.JobSpec{Service: true, Tasks: 1})
 	b.c.Step(b.now) // the replica is placed, and its record on its way
 	report := func(host ids.MachineID, sequence ids.Sequence) bool {
-		_, ok := b.c.Report(b.now, newReport(host, 1, sequence, 0), false)
+		_, ok := b.c.Heartbeat(b.now, newReport(host, 1, sequence, 0), false)
 		return ok
 	}
-	b.c.AnswerReplicasOnly(true)
+	b.c.RestrictToReplicas(true)
 	if report("n-1", 100) {
 		t.Error("answered for a replica that is not recorded")
 	}
-	b.c.AnswerReplicasOnly(false)
+	b.c.RestrictToReplicas(false)
 	b.step()
-	b.c.ChangeResult(b.now, ledger.CommitResult{Change: ledger.Change{ID: 1}, Applied: true, Revision: 900})
+	b.c.CommitResult(b.now, ledger.CommitResult{Change: ledger.Change{ID: 1}, Applied: true, Revision: 900})
 	report("n-2", 1)
-	b.c.AnswerReplicasOnly(true)
+	b.c.RestrictToReplicas(true)
 	if !report("n-1", 101) {
 		t.Error("a machine with a recorded replica is not answered")
 	}
 	if report("n-2", 2) || report("n-2", 1) || report("n-3", 1) {
 		t.Error("a machine without one is answered")
 	}
-	b.c.ReturnResult(b.now, []ids.MachineID{"n-2"}, true)
+	b.c.TerminateResult(b.now, []ids.MachineID{"n-2"}, true)
 	if report("n-2", 3) {
 		t.Error("a machine that was returned is answered")
 	}
-	b.c.AnswerReplicasOnly(false)
+	b.c.RestrictToReplicas(false)
 	if !report("n-3", 2) {
 		t.Error("not answered although all may be")
 	}
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -95,7 +95,7 @@
 func (r *preemptor) evict(j *job, victims []*assignment) {
 	for _, a := range victims {
 		if a.job.spec.Team != j.spec.Team {
-			r.core.quotas.SuspendLending(j.spec.Team, r.core.now.Add(r.core.opt.ReclaimHold))
+			r.core.quotas.SuspendLending(j.spec.Team, r.core.now.Add(r.core.opt.LendingSuspension))
 		}
 		// Evicted work waits a moment, so that the room goes to the work that
 		// it was made for.
--- a/scheduler/reachability.go
+++ b/scheduler/reachability.go
@@ -18,7 +18,7 @@
 		hm.core.schedulingDue = hm.core.schedulingDue || m.unreachable
 		m.unreachable = false
 	case m.unreachable || !m.reported:
-	case rep.Incarnation > m.session && hm.core.now < m.answeredAt.Add(hm.core.opt.Lease*2/3), hm.startUnacknowledged(m, rep):
+	case rep.Incarnation > m.session && hm.core.now < m.answeredAt.Add(hm.core.opt.AgentLease*2/3), hm.startUnacknowledged(m, rep):
 		m.unreachable, m.unreachableSince = true, hm.core.now
 		// A machine that does hear shows this soon.
 		m.counter++
@@ -28,7 +28,7 @@
 
 // acknowledgeWithin is how long a machine has to show that something reached it.
 func (hm *healthMonitor) acknowledgeWithin() time.Duration {
-	return 2*hm.core.opt.Report + 2*time.Second
+	return 2*hm.core.opt.HeartbeatInterval + 2*time.Second
 }
 
 // startUnacknowledged tells whether a report still lacks something that its machine was
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -31,9 +31,9 @@
 	for s := range 40 {
 		b.now = b.now.Add(time.Second)
 		e := b.step()
-		for _, h := range e.Direct {
-			if _, _, ok := b.c.TakeDirect(b.now, h); ok {
-				b.c.DirectResult(b.now, h, nil)
+		for _, h := range e.SendCommands {
+			if _, _, ok := b.c.TakeCommands(b.now, h); ok {
+				b.c.CommandsResult(b.now, h, nil)
 			}
 		}
 		if s%3 == 0 {
@@ -48,7 +48,7 @@
 		if a := b.c.jobs["job-1"].tasks[0].assignment; a == nil {
 			t.Fatalf("after %d s: its task counts as gone before it was returned", s)
 		}
-		if slices.Contains(e.Return, "n-1") {
+		if slices.Contains(e.Terminate, "n-1") {
 			returned = true
 			break
 		}
@@ -57,7 +57,7 @@
 		t.Fatal("never returned")
 	}
 	b.report("n-2", "a", 0)
-	b.c.ReturnResult(b.now, []ids.MachineID{"n-1"}, true)
+	b.c.TerminateResult(b.now, []ids.MachineID{"n-1"}, true)
 	b.step()
 	if a := b.c.jobs["job-1"].tasks[0].assignment; a == nil || a.machine.host != "n-2" {
 		t.Fatal("its task did not move")
@@ -74,7 +74,7 @@
 		b.report("n-1", "a", o.FencingToken)
 		b.now = b.now.Add(simReport)
 		b.tick++
-		b.c.Report(b.now, newReport("n-1", 2, b.tick, o.FencingToken), false)
+		b.c.Heartbeat(b.now, newReport("n-1", 2, b.tick, o.FencingToken), false)
 		b.job("job-1", wire.JobSpec{Tasks: 1})
 		b.step()
 		if b.c.jobs["job-1"].tasks[0].assignment != nil {
@@ -91,8 +91,8 @@
 			if hears {
 				token = ids.NewFencingToken(5, 1)
 			}
-			b.c.Report(b.now, newReport("n-1", 2, b.tick, token), false)
-			returned = returned || slices.Contains(b.step().Return, "n-1")
+			b.c.Heartbeat(b.now, newReport("n-1", 2, b.tick, token), false)
+			returned = returned || slices.Contains(b.step().Terminate, "n-1")
 		}
 		if placed := b.c.jobs["job-1"].tasks[0].assignment != nil; returned == hears || placed != hears {
 			t.Errorf("hears %v: returned %v, work placed %v", hears, returned, placed)
@@ -109,7 +109,7 @@
 	for s := range 52 {
 		b.now = b.now.Add(time.Second)
 		b.report("n-1", "a", token, running)
-		if slices.Contains(b.step().Return, "n-1") {
+		if slices.Contains(b.step().Terminate, "n-1") {
 			if s < 10 {
 				t.Fatalf("returned after %d s, before it could end the task", s)
 			}
@@ -134,7 +134,7 @@
 	for s := range 60 {
 		b.now = b.now.Add(time.Second)
 		for tick := last - 1; tick <= last; tick++ { // older ones, and the newest once more
-			b.c.Report(b.now, newReport("n-1", 1, tick, o.FencingToken, run), false)
+			b.c.Heartbeat(b.now, newReport("n-1", 1, tick, o.FencingToken, run), false)
 		}
 		b.step()
 		if m := b.c.registry.machines["n-1"]; m == nil || len(m.tasks) == 0 {
@@ -158,13 +158,13 @@
 	b.report("n-1", "a", 0)
 	b.c.registry.returnMachine(b.c.registry.machines["n-1"], "test")
 	b.step()
-	b.c.ReturnResult(b.now, []ids.MachineID{"n-1"}, true)
+	b.c.TerminateResult(b.now, []ids.MachineID{"n-1"}, true)
 	b.report("n-1", "a", 0)
 	if b.c.registry.machines["n-1"] != nil {
 		t.Fatal("it came back at the leader that returned it")
 	}
 
-	b = newHarness(t, Options{Predecessor: true, Grace: time.Minute})
+	b = newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", ids.NewFencingToken(4, 7))
 	b.job("job-1", wire.JobSpec{Tasks: 1})
@@ -187,7 +187,7 @@
 	old := newHarness(t, Options{Revision: 5})
 	oldToken, run := old.runTask()
 
-	next := newHarness(t, Options{Revision: 9, Predecessor: true, Grace: time.Minute})
+	next := newHarness(t, Options{Revision: 9, PreviousLeader: true, PreviousLeaderGrace: time.Minute})
 	next.inherit(wire.JobSpec{Tasks: 1}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	next.c.Begin(next.now)
 	// It knows the address from the list, and has no report: all of them go
@@ -200,15 +200,15 @@
 	for range 10 {
 		next.now = next.now.Add(time.Second)
 		e := next.step()
-		for _, h := range e.Show {
+		for _, h := range e.RequestHeartbeats {
 			tick++
-			next.c.ShowResult(next.now, h, newReport(h, 1, tick, token[h]))
+			next.c.HeartbeatRequestResult(next.now, h, newReport(h, 1, tick, token[h]))
 		}
-		for _, h := range e.Direct {
-			if d, _, ok := next.c.TakeDirect(next.now, h); ok {
+		for _, h := range e.SendCommands {
+			if d, _, ok := next.c.TakeCommands(next.now, h); ok {
 				token[h] = max(token[h], d.FencingToken)
 				tick++
-				next.c.DirectResult(next.now, h, newReport(h, 1, tick, token[h]))
+				next.c.CommandsResult(next.now, h, newReport(h, 1, tick, token[h]))
 			}
 		}
 	}
@@ -218,7 +218,7 @@
 	if token["n-1"].Revision() != 9 || !next.c.registry.machines["n-1"].fenced {
 		t.Fatalf("n-1 was not told of the successor: token %d", token["n-1"])
 	}
-	if _, ok := old.c.Report(old.now, newReport("n-1", 1, tick+1, token["n-1"], run), false); ok || !old.c.Deposed() {
+	if _, ok := old.c.Heartbeat(old.now, newReport("n-1", 1, tick+1, token["n-1"], run), false); ok || !old.c.Superseded() {
 		t.Fatal("the old leader goes on")
 	}
 }
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -9,8 +9,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// ChangeResult takes the definite outcome of a change.
-func (c *Core) ChangeResult(now ids.Instant, o ledger.CommitResult) {
+// CommitResult takes the definite outcome of a change.
+func (c *Core) CommitResult(now ids.Instant, o ledger.CommitResult) {
 	c.now = now
 	c.records.settleChange(o)
 }
@@ -95,7 +95,7 @@
 	w.rollBack(p)
 	if p.orphanCancel || !j.terminal() {
 		j.rereadAt = w.core.now.Add(500 * time.Millisecond)
-		w.core.effects.Refresh = append(w.core.effects.Refresh, j.id)
+		w.core.decisions.RereadJobs = append(w.core.decisions.RereadJobs, j.id)
 	}
 }
 
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -258,7 +258,7 @@
 	w.nextChange++
 	ch.ID = w.nextChange
 	w.writeBudget -= float64(len(ch.Operations))
-	w.core.effects.Changes = append(w.core.effects.Changes, ch)
+	w.core.decisions.RecordChanges = append(w.core.decisions.RecordChanges, ch)
 	return ch.ID
 }
 
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -10,18 +10,18 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Report takes a worker's report and returns the answer. Direct marks reports
+// Heartbeat takes a worker's report and returns the answer. Direct marks reports
 // that came as answers to direct commands: they renew no lease. ok is false if
 // this leader must not answer.
-func (c *Core) Report(now ids.Instant, rep *wire.Heartbeat, direct bool) (answer wire.HeartbeatResponse, ok bool) {
+func (c *Core) Heartbeat(now ids.Instant, rep *wire.Heartbeat, direct bool) (answer wire.HeartbeatResponse, ok bool) {
 	c.advance(now)
 	if rep.FencingToken.Revision() > c.opt.Revision {
-		c.deposed = true
+		c.superseded = true
 		return wire.HeartbeatResponse{}, false
 	}
 	if c.registry.returnedHosts[rep.Machine] {
 		// A message that was held back; the machine was given back since.
-		return wire.HeartbeatResponse{FencingToken: ids.NewFencingToken(c.opt.Revision, 0), Commands: []wire.Command{}}, !c.answerReplicasOnly
+		return wire.HeartbeatResponse{FencingToken: ids.NewFencingToken(c.opt.Revision, 0), Commands: []wire.Command{}}, !c.restrictedToReplicas
 	}
 	m := c.registry.ensureMachine(rep.Machine)
 	if m.reported && !rep.Newer(m.session, m.sequence) {
@@ -39,7 +39,7 @@
 	}
 	c.registry.setSite(m, placement.Site{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot}, rep.Endpoint)
 	c.health.updateReachability(m, rep, direct)
-	if now > m.lastHeard.Add(c.opt.Report) {
+	if now > m.lastHeard.Add(c.opt.HeartbeatInterval) {
 		c.schedulingDue = c.schedulingDue || !c.health.usable(m) // it may be from here on
 	}
 	m.lastHeard = now
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -41,7 +41,7 @@
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, Lend: quota.Amount{CPUs: nominal}}
 	}
 	s.opt.Teams = []quota.Team{team("red", 3000, 7000), team("blue", 2500, 8000), team("gold", 1000, 6000)}
-	s.opt.MaxMachines, s.opt.SliceTasks, s.opt.TxnOps, s.opt.WriteRate, s.opt.MaxDirectCalls = 0, 64, 32, 56, 64
+	s.opt.MaxMachines, s.opt.SliceTasks, s.opt.TxnOps, s.opt.WriteRate, s.opt.MaxWorkerCalls = 0, 64, 32, 56, 64
 	s.takeOver()
 	var all []ids.JobID
 	most, work := 0, uint64(0)
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -353,7 +353,7 @@
 	}
 	b.job("job-2", spec)
 	b.now = b.now.Add(time.Second)
-	placed := b.c.Step(b.now).Changes
+	placed := b.c.Step(b.now).RecordChanges
 	if len(placed) != 1 {
 		t.Fatal("job-2 was not placed beside job-1")
 	}
@@ -364,8 +364,8 @@
 		if b.now > told.Add(simCancel*3/4) {
 			t.Fatal("not returned in time")
 		}
-		if e := b.c.Step(b.now); len(e.Return) > 0 {
-			b.c.ReturnResult(b.now, e.Return, true)
+		if e := b.c.Step(b.now); len(e.Terminate) > 0 {
+			b.c.TerminateResult(b.now, e.Terminate, true)
 			returned = true
 		}
 	}
@@ -373,11 +373,11 @@
 		t.Error("what surely went with the machine still counts")
 	}
 	// The record comes through after all: its task was never sent, and waits again.
-	b.c.ChangeResult(b.now, ledger.CommitResult{Change: placed[0], Applied: true, Revision: 901})
+	b.c.CommitResult(b.now, ledger.CommitResult{Change: placed[0], Applied: true, Revision: 901})
 	for range 10 {
 		b.now = b.now.Add(200 * time.Millisecond)
-		if e := b.step(); len(e.Return) > 0 {
-			t.Errorf("returned again: %v", e.Return)
+		if e := b.step(); len(e.Terminate) > 0 {
+			t.Errorf("returned again: %v", e.Terminate)
 		}
 	}
 	if j := b.c.jobs["job-2"]; len(j.pending) != 1 || b.c.registry.machines["n-1"] != nil {
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -24,7 +24,7 @@
 	s.leader = s.epoch
 	s.term++
 	opt := s.opt
-	opt.Revision, opt.Predecessor = s.leader, before
+	opt.Revision, opt.PreviousLeader = s.leader, before
 	opt.WallClockMS = int64(time.Duration(s.now) / time.Millisecond)
 	s.core = New(opt, s.types)
 	keys := make([]string, 0, len(s.store))
@@ -53,12 +53,12 @@
 	}
 	s.core.Begin(s.now)
 	for _, rep := range s.keptReports {
-		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Report(s.now, rep, false) })
+		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Heartbeat(s.now, rep, false) })
 	}
 	s.keptReports = nil
 }
 
-// deposed puts a new leader in place of one that goes on unseen: it lost the state
+// superseded puts a new leader in place of one that goes on unseen: it lost the state
 // service and its peers, but not its workers.
 func (s *sim) deposed() {
 	old, term := s.core, s.term
@@ -87,15 +87,15 @@
 		}
 	}
 	reached := func(w *simWorker) bool { return s.now >= s.islandUntil || s.apart(w) == (s.old == core) }
-	core.ObserveView(s.viewOf(core))
+	core.ObserveConnectivity(s.viewOf(core))
 	e := core.Step(s.now)
 	s.digest.effects(e)
-	for _, ch := range e.Changes {
+	for _, ch := range e.RecordChanges {
 		bounded := core.opt.SplitRecords // what was decided before may come after the limits fell
 		s.after(s.latency(), func() { s.change(core, term, ch, bounded) })
 	}
-	for _, h := range e.Direct {
-		d, _, ok := core.TakeDirect(s.now, h)
+	for _, h := range e.SendCommands {
+		d, _, ok := core.TakeCommands(s.now, h)
 		if !ok {
 			continue
 		}
@@ -116,7 +116,7 @@
 				s.after(2*time.Millisecond, func() {
 					if !answered {
 						answered = true
-						current(func() { core.DirectResult(s.now, h, rep) })()
+						current(func() { core.CommandsResult(s.now, h, rep) })()
 					}
 				})
 			}
@@ -128,35 +128,35 @@
 		s.after(2*time.Second, func() {
 			if !answered {
 				answered = true
-				current(func() { core.DirectResult(s.now, h, nil) })()
+				current(func() { core.CommandsResult(s.now, h, nil) })()
 			}
 		})
 	}
-	for _, h := range e.Show {
+	for _, h := range e.RequestHeartbeats {
 		s.after(s.latency(), current(func() {
 			w := s.workers[h]
 			if w != nil && !w.dead && s.now >= max(w.cut, w.unreachable, w.hung) && reached(w) {
-				core.ShowResult(s.now, h, s.report(w))
+				core.HeartbeatRequestResult(s.now, h, s.report(w))
 			} else {
-				core.ShowResult(s.now, h, nil)
+				core.HeartbeatRequestResult(s.now, h, nil)
 			}
 		}))
 	}
-	for _, id := range e.Refresh {
+	for _, id := range e.RereadJobs {
 		s.after(s.latency(), current(func() { s.seen(id) }))
 	}
-	for _, r := range e.Rent {
+	for _, r := range e.Provision {
 		s.after(max(80*time.Millisecond, s.cloudAway.Sub(s.now)), func() {
 			hosts := s.rent(r)
-			current(func() { core.RentResult(s.now, r, hosts, len(hosts) > 0) })()
+			current(func() { core.ProvisionResult(s.now, r, hosts, len(hosts) > 0) })()
 		})
 	}
-	if hosts := e.Return; len(hosts) > 0 {
+	if hosts := e.Terminate; len(hosts) > 0 {
 		s.after(max(s.latency(), s.cloudAway.Sub(s.now)), func() {
 			for _, h := range hosts {
 				delete(s.workers, h)
 			}
-			current(func() { core.ReturnResult(s.now, hosts, true) })()
+			current(func() { core.TerminateResult(s.now, hosts, true) })()
 		})
 	}
 }
@@ -181,7 +181,7 @@
 		}
 		s.after(0, func() {
 			if s.term == term {
-				core.ChangeResult(s.now, ledger.CommitResult{Change: ch, Rejected: true})
+				core.CommitResult(s.now, ledger.CommitResult{Change: ch, Rejected: true})
 			}
 		})
 		return
@@ -198,7 +198,7 @@
 	s.after(wait, func() {
 		s.afterPause(core, func() {
 			if s.term == term {
-				core.ChangeResult(s.now, o)
+				core.CommitResult(s.now, o)
 			}
 		})
 	})
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -132,10 +132,10 @@
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, Lend: quota.Amount{CPUs: nominal}}
 	}
 	s.opt = Options{Teams: []quota.Team{team("red", 16, 40), team("blue", 24, 32), team("gold", 8, 60)},
-		Report: simReport, Lease: simLease, Cancel: simCancel, Grace: simIsolatedReplicas, GraceWithoutReplicas: simIsolated, ListLag: 3 * time.Second, TxnOps: 8,
-		SliceTasks: 4, MaxSkippedJobs: 100, ReclaimHold: 5 * time.Second, Idle: 20 * time.Second, HeadroomIdle: time.Minute,
+		HeartbeatInterval: simReport, AgentLease: simLease, CancelDeadline: simCancel, PreviousLeaderGrace: simIsolatedReplicas, PreviousLeaderGraceWithoutReplicas: simIsolated, ListLag: 3 * time.Second, TxnOps: 8,
+		SliceTasks: 4, MaxSkippedJobs: 100, LendingSuspension: 5 * time.Second, IdleTimeout: 20 * time.Second, HeadroomIdleTimeout: time.Minute,
 		BootFactor: 4, CapacityBackoff: 5 * time.Second, MaxMachines: 20,
-		RoundInterval: 50 * time.Millisecond, RoundCostPerMachine: 10 * time.Microsecond, LazyWriteDelay: 2 * time.Second, WriteRate: 40, MaxDirectCalls: 6,
+		RoundInterval: 50 * time.Millisecond, RoundCostPerMachine: 10 * time.Microsecond, LazyWriteDelay: 2 * time.Second, WriteRate: 40, MaxWorkerCalls: 6,
 		ReserveAfter: 40 * time.Second, ReserveFor: 60 * time.Second}
 	s.epoch = 1
 	s.takeOver()
@@ -181,8 +181,8 @@
 			e := heap.Pop(&s.queue).(simEvent)
 			s.now = max(s.now, e.at)
 			e.do()
-			if s.core.Broken() != nil {
-				s.t.Fatalf("the core gave up: %v", s.core.Broken())
+			if s.core.RecordsError() != nil {
+				s.t.Fatalf("the core gave up: %v", s.core.RecordsError())
 			}
 			s.step()
 		}
@@ -211,7 +211,7 @@
 // restrictOld has the old leader answer workers with replicas alone once its time for all
 // others is over.
 func (s *sim) restrictOld() {
-	s.old.AnswerReplicasOnly(s.now > s.oldUntil.Add(simIsolated-simIsolatedReplicas))
+	s.old.RestrictToReplicas(s.now > s.oldUntil.Add(simIsolated-simIsolatedReplicas))
 }
 
 // pause stops the leader's process for a time while its clocks run on. If its key is gone
@@ -251,13 +251,13 @@
 	if s.now < s.sure.Add(simGrace) {
 		s.stepOf(s.core, s.term)
 	}
-	if s.old != nil && (s.old.Deposed() || s.now > s.oldUntil) {
+	if s.old != nil && (s.old.Superseded() || s.now > s.oldUntil) {
 		s.old = nil
 	}
 	if s.old != nil {
 		s.restrictOld()
 		s.stepOf(s.old, s.oldTerm)
 	} else {
-		s.core.AllFollow(s.now)
+		s.core.AllControllersFollow(s.now)
 	}
 }
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -48,7 +48,7 @@
 
 // watchZones turns the subsystem on from the next leader on, which is put in place.
 func (s *sim) watchZones() {
-	s.opt.ZoneReturn = simZonePolicy()
+	s.opt.ZoneRecovery = simZonePolicy()
 	s.zones.cutUntil, s.zones.limits = map[ids.Zone]ids.Instant{}, map[ids.Zone][]rampLimit{}
 	s.zones.seen = map[*Core]zonereturn.Stats{}
 	s.zones.conditions = map[ids.Zone][]zonereturn.Condition{}
@@ -90,7 +90,7 @@
 // checkZones sees on the machines that the return of a zone stays under its ramp, and takes
 // in what the leaders counted.
 func (s *sim) checkZones() {
-	if s.opt.ZoneReturn == nil || s.core.zones == nil {
+	if s.opt.ZoneRecovery == nil || s.core.zones == nil {
 		return
 	}
 	s.core.now = max(s.core.now, s.now)
--- a/scheduler/succession_test.go
+++ b/scheduler/succession_test.go
@@ -16,7 +16,7 @@
 // tasks to no zone.
 func TestSuccessorKeepsSpreadBeforeItHearsFromMachines(t *testing.T) {
 	for _, zones := range [][]ids.Zone{{"a", "a"}, nil} {
-		b := newHarness(t, Options{Predecessor: true, Grace: time.Minute})
+		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
 		b.inherit(wire.JobSpec{Service: true, Spread: true, Tasks: 3},
 			ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
 		b.c.Begin(b.now)
@@ -36,7 +36,7 @@
 // A predecessor cut off from the state service may go on answering workers;
 // until its grace and a lease are over, its tasks may run.
 func TestPredecessorsGraceCounts(t *testing.T) {
-	b := newHarness(t, Options{Predecessor: true, Grace: time.Minute})
+	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
 	b.inherit(wire.JobSpec{Tasks: 1}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for _, step := range []struct {
@@ -55,11 +55,11 @@
 // what a dead machine holds need not wait for the grace. A lease it does wait:
 // a report sent just before may have been answered.
 func TestOnceAllFollowThereIsNoGrace(t *testing.T) {
-	b := newHarness(t, Options{Predecessor: true, Grace: 10 * time.Minute})
+	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 10 * time.Minute})
 	b.inherit(wire.JobSpec{Tasks: 1}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	followed := 5 * time.Second
-	b.c.AllFollow(b.now.Add(followed))
+	b.c.AllControllersFollow(b.now.Add(followed))
 	for _, step := range []struct {
 		after time.Duration
 		held  bool
@@ -89,17 +89,17 @@
 // A machine died around a takeover. The successor never heard of it, never saw
 // it listed, and held its tasks for two minutes.
 func TestMachineThatDiedAtTheTakeoverIsNoticed(t *testing.T) {
-	b := newHarness(t, Options{Predecessor: true, Grace: 90 * time.Second, ListLag: 3 * time.Second})
+	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 90 * time.Second, ListLag: 3 * time.Second})
 	b.inherit(wire.JobSpec{Tasks: 1}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for s := range 20 {
 		b.now = b.now.Add(time.Second)
 		b.c.MachineList(b.now, b.now, nil)
-		if e := b.step(); slices.Contains(e.Return, "n-1") {
+		if e := b.step(); slices.Contains(e.Terminate, "n-1") {
 			if s < 7 {
 				t.Fatalf("given back after %d s, within the lag of the list", s+1)
 			}
-			b.c.ReturnResult(b.now, e.Return, true)
+			b.c.TerminateResult(b.now, e.Terminate, true)
 			if b.c.quotas.Used("red").CPUs != 0 {
 				t.Fatal("the task still counts")
 			}
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -88,8 +88,8 @@
 	b := newHarness(t, Options{})
 	b.job("job-1", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
 	b.report("n-1", "a", 0)
-	sent := func(e Effects, job ids.JobID) (out []ledger.Change) {
-		for _, ch := range e.Changes {
+	sent := func(e Decisions, job ids.JobID) (out []ledger.Change) {
+		for _, ch := range e.RecordChanges {
 			if len(ch.Operations) > 0 && ch.Preconditions[0].Key == ledger.JobKey(job) {
 				out = append(out, ch)
 			}
@@ -100,7 +100,7 @@
 	for range 3000 {
 		for _, ch := range sent(b.c.Step(b.now), "job-1") {
 			tries++
-			b.c.ChangeResult(b.now, ledger.CommitResult{Change: ch, Rejected: true})
+			b.c.CommitResult(b.now, ledger.CommitResult{Change: ch, Rejected: true})
 		}
 		b.now = b.now.Add(500 * time.Millisecond)
 		b.report("n-1", "a", 0)
@@ -112,7 +112,7 @@
 	if got := sent(b.c.Step(b.now), "job-2"); len(got) != 1 {
 		t.Errorf("the next job wrote %d changes", len(got))
 	}
-	if _, known := b.c.Status("job-1"); !known {
+	if _, known := b.c.Progress("job-1"); !known {
 		t.Error("the job is forgotten")
 	}
 	b.c.EnableSplitRecords(b.now)
@@ -161,14 +161,14 @@
 	b := newHarness(t, Options{ValueBytes: 50, SplitRecords: true})
 	b.job("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
 	b.report("n-1", "a", 0)
-	split := b.c.Step(b.now).Changes
+	split := b.c.Step(b.now).RecordChanges
 	if len(split) != 1 || len(split[0].Operations) < 2 {
 		t.Fatalf("changes %+v", split)
 	}
 	b.now = b.now.Add(time.Second)
 	b.report("n-2", "a", 0)
 	b.step()
-	b.c.ChangeResult(b.now, ledger.CommitResult{Change: split[0], Applied: true, Revision: 500})
+	b.c.CommitResult(b.now, ledger.CommitResult{Change: split[0], Applied: true, Revision: 500})
 	var runs []string
 	for _, h := range []ids.MachineID{"n-1", "n-2"} {
 		b.step()
@@ -185,13 +185,13 @@
 	b := newHarness(t, Options{ValueBytes: 50})
 	b.job("job-1", wire.JobSpec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
 	b.report("n-1", "a", 0)
-	if e := b.step(); len(e.Changes) != 1 || len(e.Changes[0].Operations) != 1 {
-		t.Fatalf("changes %+v", e.Changes)
+	if e := b.step(); len(e.RecordChanges) != 1 || len(e.RecordChanges[0].Operations) != 1 {
+		t.Fatalf("changes %+v", e.RecordChanges)
 	}
 	b.c.EnableSplitRecords(b.now)
 	b.now = b.now.Add(simLease / 2)
-	if e := b.step(); len(e.Changes) != 1 || len(e.Changes[0].Operations) != 2 {
-		t.Errorf("changes %+v", e.Changes)
+	if e := b.step(); len(e.RecordChanges) != 1 || len(e.RecordChanges[0].Operations) != 2 {
+		t.Errorf("changes %+v", e.RecordChanges)
 	}
 }
 
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -32,7 +32,7 @@
 	if held[1] < 2*held[0] || held[2] < 2*held[1] {
 		t.Errorf("held down for %v", held)
 	}
-	if held[2] > m.opt.ZoneReturn.HoldDownMax+5*s1 {
+	if held[2] > m.opt.ZoneRecovery.HoldDownMax+5*s1 {
 		t.Errorf("held down for %v, more than the longest", held[2])
 	}
 	if got := m.statusOf("b").Flaps; got != 3 {
@@ -172,7 +172,7 @@
 	m.await("b", zonereturn.Dark, 30*s1)
 	for range 10 {
 		for _, rep := range late {
-			m.core.Report(m.now, rep, false)
+			m.core.Heartbeat(m.now, rep, false)
 		}
 		m.run(s1)
 		if c := m.condition("b"); c != zonereturn.Dark {
@@ -284,7 +284,7 @@
 	m.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
 	m.run(m.zones.cutUntil["b"].Sub(m.now))
 	m.await("b", zonereturn.Returning, 30*s1)
-	m.await("b", zonereturn.Serving, m.opt.ZoneReturn.ReturnMax+10*s1)
+	m.await("b", zonereturn.Serving, m.opt.ZoneRecovery.ReturnMax+10*s1)
 	if waiting := len(m.core.records.dirty); waiting == 0 {
 		t.Error("no record waits for the write rate: the day shows nothing")
 	}
--- a/scheduler/zone_return.go
+++ b/scheduler/zone_return.go
@@ -73,8 +73,8 @@
 // beginClock sets the clock before the term has begun.
 func (c *Core) beginClock(now ids.Instant) { c.now, c.termBegan = now, now }
 
-// ObserveView takes in what the leader knows of its own place among the controllers.
-func (c *Core) ObserveView(view zonereturn.View) {
+// ObserveConnectivity takes in what the leader knows of its own place among the controllers.
+func (c *Core) ObserveConnectivity(view zonereturn.View) {
 	if c.zones != nil {
 		c.zones.view = view
 	}
@@ -145,7 +145,7 @@
 	if g.manager.Observe(g.core.moment(), zonereturn.Observation{Zones: g.evidence(), View: view}) {
 		g.core.schedulingDue = true
 	}
-	g.core.effects.ZoneEvents = append(g.core.effects.ZoneEvents, g.manager.TakeEvents()...)
+	g.core.decisions.ZoneEvents = append(g.core.decisions.ZoneEvents, g.manager.TakeEvents()...)
 }
 
 // evidence counts the machines of each zone.
--- a/scheduler/zone_return_benchmark_test.go
+++ b/scheduler/zone_return_benchmark_test.go
@@ -13,7 +13,7 @@
 // This file measures what a zone's return costs with the subsystem off and on, in the
 // simulation and scaled down to some 60 machines:
 //
-//	go test ./scheduler -run - -bench ZoneReturn -benchtime 1x
+//	go test ./scheduler -run - -bench ZoneRecovery -benchtime 1x
 
 // simCaches models images: a machine fetches each once, and the fetches of a zone share
 // its link.
@@ -66,7 +66,7 @@
 	for i := range m.opt.Teams {
 		m.opt.Teams[i].Limit.CPUs, m.opt.Teams[i].Nominal.CPUs = 2000, 1000
 	}
-	m.opt.MaxMachines, m.opt.Idle, m.opt.WriteRate = 70, 10*time.Minute, 400
+	m.opt.MaxMachines, m.opt.IdleTimeout, m.opt.WriteRate = 70, 10*time.Minute, 400
 	m.zones.cutUntil = map[ids.Zone]ids.Instant{}
 	if on {
 		m.watchZones()
--- a/scheduler/zone_return_test.go
+++ b/scheduler/zone_return_test.go
@@ -22,7 +22,7 @@
 			s.zones.cutUntil = map[ids.Zone]ids.Instant{}
 			s.toTheEnd(all, 20*time.Minute)
 			s.checkOrphans(all)
-			if s.zones.bounces > s.opt.ZoneReturn.MoveBudget {
+			if s.zones.bounces > s.opt.ZoneRecovery.MoveBudget {
 				t.Errorf("a job came back %d times to a zone that displaced it", s.zones.bounces)
 			}
 		})
@@ -195,7 +195,7 @@
 // service's budget, and arrays stay where they are.
 func TestSpreadOfServicesIsRestored(t *testing.T) {
 	m := calmZones(t, 14, 4)
-	m.opt.ZoneReturn.Restore = zonereturn.RestorePolicy{MovesPerMinute: 6, After: 20 * s1, Budget: 2}
+	m.opt.ZoneRecovery.Restore = zonereturn.RestorePolicy{MovesPerMinute: 6, After: 20 * s1, Budget: 2}
 	m.takeOver()
 	m.old = nil
 	m.fillZones()
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -54,7 +54,7 @@
 	for i := range m.opt.Teams {
 		m.opt.Teams[i].Limit.CPUs, m.opt.Teams[i].Nominal.CPUs = 400, 400
 	}
-	m.opt.MaxMachines, m.opt.Idle = 60, 10*time.Minute
+	m.opt.MaxMachines, m.opt.IdleTimeout = 60, 10*time.Minute
 	m.watchZones()
 	return m
 }
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -54,15 +54,15 @@
 // that its machines have not all had their turn to report.
 func (hm *healthMonitor) zonePartitionedLately(zone ids.Zone) bool {
 	z := hm.zoneStates[zone]
-	return z != nil && z.partitionedAt != 0 && hm.core.now < z.partitionedAt.Add(partitionEndReports*hm.core.opt.Report)
+	return z != nil && z.partitionedAt != 0 && hm.core.now < z.partitionedAt.Add(partitionEndReports*hm.core.opt.HeartbeatInterval)
 }
 
 // zoneSilent tells whether a zone has not been heard for longer than its machines would
 // leave between their reports by chance. With hundreds of machines that is seconds.
 func (hm *healthMonitor) zoneSilent(z *zoneState) bool {
-	by := hm.core.opt.Lease / 2
+	by := hm.core.opt.AgentLease / 2
 	if z.machinesUp > 0 && hm.core.now < hm.lastHeard.Add(zoneSilence/2) { // others are heard
-		by = min(by, zoneSilence+10*hm.core.opt.Report/time.Duration(z.machinesUp))
+		by = min(by, zoneSilence+10*hm.core.opt.HeartbeatInterval/time.Duration(z.machinesUp))
 	}
 	return hm.core.now > max(z.lastHeard, hm.core.resumedAt).Add(by)
 }
