--- a/node/submissions.go
+++ b/node/submissions.go
@@ -40,7 +40,7 @@
 		if s.Service || s.Gang {
 			need = need.Times(s.Tasks)
 		}
-		if !need.Within(limitOf(*t)) {
+		if !need.FitsIn(limitOf(*t)) {
 			return false
 		}
 		return slices.ContainsFunc(types, func(t wire.MachineType) bool {
--- a/node/term_options.go
+++ b/node/term_options.go
@@ -98,7 +98,7 @@
 	if limit, ok := lendingLimits[team.Name]; ok {
 		lend.CPUs = min(limit, lend.CPUs)
 	}
-	return quota.Team{Name: team.Name, Nominal: nominal, Limit: limitOf(team), Lend: lend}
+	return quota.Team{Name: team.Name, Nominal: nominal, Limit: limitOf(team), LendingLimit: lend}
 }
 
 // limitOf is the most that a team's tasks may use at any time.
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -100,7 +100,7 @@
 			have = have.Plus(quota.Amount{CPUs: m.total.CPUs, GPUs: m.total.GPUs})
 		}
 	}
-	c.quotas.SetSurplus(have.Minus(c.quotas.Nominal()))
+	c.quotas.SetCohortQuota(have.Minus(c.quotas.Nominal()))
 }
 
 // fitsQuota tells whether n more tasks of a job fit its team's quota: within the
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -20,8 +20,8 @@
 	const machines = 1100
 	rng := rand.New(rand.NewPCG(3, 1))
 	teams := []quota.Team{
-		{Name: "t0", Nominal: quota.Amount{CPUs: 2000}, Limit: quota.Amount{CPUs: 6000}, Lend: quota.Amount{CPUs: 2000}},
-		{Name: "t1", Nominal: quota.Amount{CPUs: 3000}, Limit: quota.Amount{CPUs: 9000}, Lend: quota.Amount{CPUs: 3000}},
+		{Name: "t0", Nominal: quota.Amount{CPUs: 2000}, Limit: quota.Amount{CPUs: 6000}, LendingLimit: quota.Amount{CPUs: 2000}},
+		{Name: "t1", Nominal: quota.Amount{CPUs: 3000}, Limit: quota.Amount{CPUs: 9000}, LendingLimit: quota.Amount{CPUs: 3000}},
 	}
 	b := newHarness(t, Options{Teams: teams})
 	b.c.Begin(b.now)
--- a/scheduler/assignment.go
+++ b/scheduler/assignment.go
@@ -64,8 +64,8 @@
 	a.job.active[a.index] = a
 	a.job.zones[a.machine.Zone]++
 	a.machine.addTask(a)
-	a.machine.used = a.machine.used.Plus(placement.Of(a.job.spec))
-	c.quotas.Take(a.job.spec.Team, a.job.amount())
+	a.machine.used = a.machine.used.Plus(placement.TaskResources(a.job.spec))
+	c.quotas.Charge(a.job.spec.Team, a.job.amount())
 	c.preemption.countTask(a, 1, 0)
 }
 
@@ -80,12 +80,12 @@
 		delete(a.job.zones, a.machine.Zone)
 	}
 	a.machine.removeTask(a)
-	a.machine.used = a.machine.used.Minus(placement.Of(a.job.spec))
+	a.machine.used = a.machine.used.Minus(placement.TaskResources(a.job.spec))
 	if len(a.machine.tasks) == 0 {
 		a.machine.used = placement.Resources{}
 		a.machine.idleSince = c.now
 	}
-	c.quotas.Free(a.job.spec.Team, a.job.amount())
+	c.quotas.Release(a.job.spec.Team, a.job.amount())
 	if a.stopReason == stopNone {
 		c.preemption.countTask(a, -1, 0)
 	} else {
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -67,7 +67,7 @@
 	as.addDemand(p)
 	as.addHeadroom(p)
 	as.addReplacements(p) // last, as it counts free room that the others have used
-	for _, purchase := range p.Purchases() {
+	for _, purchase := range p.MachineRequests() {
 		as.rent(purchase)
 	}
 	as.returnIdle()
@@ -75,25 +75,25 @@
 
 // newPlanner makes a planner that counts the machines that are coming.
 func (as *autoscaler) newPlanner() *fleet.Planner {
-	p := &fleet.Planner{Types: as.core.typeList, Held: map[placement.Site]int{}, Budget: math.MaxInt32, Blocked: as.blocked}
+	p := &fleet.Planner{Types: as.core.typeList, MachinesBySite: map[placement.Site]int{}, MaxMachines: math.MaxInt32, Blocked: as.blocked}
 	if as.core.opt.MaxMachines > 0 {
-		p.Budget = as.core.opt.MaxMachines - len(as.core.registry.machineList)
+		p.MaxMachines = as.core.opt.MaxMachines - len(as.core.registry.machineList)
 		for _, n := range as.machinesRequested {
-			p.Budget -= n
+			p.MaxMachines -= n
 		}
 	}
 	for _, m := range as.core.registry.machineList {
-		p.Held[m.Site]++
+		p.MachinesBySite[m.Site]++
 		if !m.reported && !m.returning && m.machineType != nil && !as.bootLate(m) {
 			p.AddCapacity(m.Site, m.free())
 		}
 	}
 	as.core.zones.addReturning(p.AddCapacity)
 	for _, s := range slices.SortedFunc(maps.Keys(as.machinesRequested), placement.Site.Compare) {
-		p.Held[s] += as.machinesRequested[s]
+		p.MachinesBySite[s] += as.machinesRequested[s]
 		if t := as.core.types[s.Type]; t != nil {
 			for range as.machinesRequested[s] {
-				p.AddCapacity(s, placement.OfType(t))
+				p.AddCapacity(s, placement.MachineResources(t))
 			}
 		}
 	}
@@ -102,7 +102,7 @@
 
 // blocked tells whether nothing should be rented at a site now.
 func (as *autoscaler) blocked(s placement.Site) bool {
-	return as.core.health.zonePartitioned(s.Zone) || as.core.zones.blocksRental(s.Zone) || as.backoff.Blocked(s, as.core.now)
+	return as.core.health.zonePartitioned(s.Zone) || as.core.zones.blocksRental(s.Zone) || as.backoff.Active(s, as.core.now)
 }
 
 // comingByZone counts the machines that were asked for or have yet to report.
@@ -129,7 +129,7 @@
 		}
 		offered = true
 		for _, spot := range []bool{false, true} {
-			if !as.backoff.Blocked(placement.Site{Type: t.Name, Zone: zone, Spot: spot}, as.core.now) {
+			if !as.backoff.Active(placement.Site{Type: t.Name, Zone: zone, Spot: spot}, as.core.now) {
 				return false
 			}
 		}
@@ -138,7 +138,7 @@
 }
 
 // rent books the machines of a purchase, as many rentals as are allowed.
-func (as *autoscaler) rent(purchase fleet.Purchase) {
+func (as *autoscaler) rent(purchase fleet.MachineRequest) {
 	for left := as.core.zones.limitRental(purchase.Zone, purchase.Count); left > 0 && as.canRent(purchase.Site); left -= maxRentalSize {
 		n := min(left, maxRentalSize)
 		as.nextBooking++
@@ -183,7 +183,7 @@
 	}
 	as.rentalsInFlight[site]--
 	if !ok {
-		as.backoff.Refused(site, as.core.now)
+		as.backoff.RecordRefusal(site, as.core.now)
 		return
 	}
 	for _, h := range hosts {
@@ -195,9 +195,9 @@
 		as.core.registry.setSite(m, site, "")
 	}
 	if len(hosts) < r.Count {
-		as.backoff.Refused(site, as.core.now)
+		as.backoff.RecordRefusal(site, as.core.now)
 	} else {
-		as.backoff.Granted(site)
+		as.backoff.RecordSuccess(site)
 	}
 	as.core.schedulingDue = true
 }
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -48,7 +48,7 @@
 	d := &longDay{rng: rand.New(rand.NewPCG(3, 5)), now: ids.Instant(time.Hour), workers: map[ids.MachineID]*longWorker{},
 		specs: map[ids.JobID]*wire.JobSpec{}, revision: 100}
 	team := func(name ids.Team, nominal, limit float64) quota.Team {
-		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, Lend: quota.Amount{CPUs: nominal}}
+		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, LendingLimit: quota.Amount{CPUs: nominal}}
 	}
 	opt := Options{Revision: 5, Teams: []quota.Team{team("red", 9000, 27000), team("blue", 27000, 60000), team("gold", 10500, 45000), team("lime", 10500, 37500)},
 		HeartbeatInterval: 5 * time.Second, AgentLease: 27 * time.Second, CancelDeadline: simCancel, ListLag: 3 * time.Second, TxnOps: 24, SliceTasks: 64,
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -44,7 +44,7 @@
 	graph *pipeline.Graph
 	// unreadable are the jobs whose own record cannot be read.
 	unreadable map[ids.JobID]bool
-	quotas     *quota.Book
+	quotas     *quota.Tracker
 	// lostWork counts tasks that were stopped or lost, by reason.
 	lostWork [stopDrained + 1]lostWorkTally
 
@@ -81,7 +81,7 @@
 		jobs:       map[ids.JobID]*job{},
 		unreadable: map[ids.JobID]bool{},
 		graph:      pipeline.New(),
-		quotas:     quota.NewBook(opt.Teams),
+		quotas:     quota.NewTracker(opt.Teams),
 		estimates:  &runEstimates{estimateFactors: map[string]float64{}},
 	}
 	c.records = newRecordWriter(c)
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -215,7 +215,7 @@
 	play := func(keep time.Duration) (began, ran time.Duration, most int) {
 		limit := quota.Amount{CPUs: 48}
 		b := newHarness(t, Options{ReserveAfter: keep, ReserveFor: 90 * time.Second, Teams: []quota.Team{
-			{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: limit, Lend: quota.Amount{CPUs: 40}},
+			{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: limit, LendingLimit: quota.Amount{CPUs: 40}},
 			{Name: "guest", Limit: quota.Unlimited}}})
 		b.c.Begin(b.now)
 		start := b.now
--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -15,11 +15,11 @@
 type Demand struct {
 	Spec  *wire.JobSpec
 	Count int
-	Zones placement.Zones // the job's tasks by zone so far
+	Zones placement.TasksByZone // the job's tasks by zone so far
 }
 
-// Purchase is a wish for machines of one site.
-type Purchase struct {
+// MachineRequest is a wish for machines of one site.
+type MachineRequest struct {
 	placement.Site
 	Count int
 }
@@ -41,8 +41,8 @@
 	return &Backoff{first, map[placement.Site]wait{}}
 }
 
-// Refused notes that a site had no capacity.
-func (b *Backoff) Refused(s placement.Site, now ids.Instant) {
+// RecordRefusal notes that a site had no capacity.
+func (b *Backoff) RecordRefusal(s placement.Site, now ids.Instant) {
 	w := b.sites[s]
 	if w.next == 0 {
 		w.next = b.first
@@ -52,14 +52,14 @@
 	b.sites[s] = w
 }
 
-// Granted clears a site.
-func (b *Backoff) Granted(s placement.Site) { delete(b.sites, s) }
+// RecordSuccess clears a site.
+func (b *Backoff) RecordSuccess(s placement.Site) { delete(b.sites, s) }
 
 // RecentlyRefused tells whether a site lacked capacity when it was last asked.
 func (b *Backoff) RecentlyRefused(s placement.Site) bool { return b.sites[s].next > 0 }
 
-// Blocked tells whether a site should not be asked yet.
-func (b *Backoff) Blocked(s placement.Site, now ids.Instant) bool { return now < b.sites[s].until }
+// Active tells whether a site should not be asked yet.
+func (b *Backoff) Active(s placement.Site, now ids.Instant) bool { return now < b.sites[s].until }
 
 // bin is a machine that is coming and has room left.
 type bin struct {
@@ -71,16 +71,16 @@
 type Planner struct {
 	Types   []wire.MachineType
 	Blocked func(placement.Site) bool
-	// Held counts the machines by site, so that purchases spread over zones.
-	Held map[placement.Site]int
-	// Budget is the most machines to buy.
-	Budget int
+	// MachinesBySite counts the machines by site, so that purchases spread over zones.
+	MachinesBySite map[placement.Site]int
+	// MaxMachines is the most machines to buy.
+	MaxMachines int
 
 	// BinsExamined counts the machines that were looked at, a measure of the work.
 	BinsExamined int
 
-	bins      []*bin
-	purchases map[placement.Site]int
+	bins     []*bin
+	requests map[placement.Site]int
 	// firstBin is, by request, the first machine that may still have room for it. Room
 	// only shrinks, so those before it need not be looked at again: with thousands of
 	// waiting jobs and starting machines that would be millions of comparisons.
@@ -103,7 +103,7 @@
 		types.WriteString(string(name))
 		types.WriteByte(0)
 	}
-	return request{placement.Of(s), s.Spot, s.Zone, types.String()}
+	return request{placement.TaskResources(s), s.Spot, s.Zone, types.String()}
 }
 
 // AddCapacity adds a machine that is starting, with the room that is left on it.
@@ -115,14 +115,14 @@
 // Cheapest per task that fits goes first; services and ordinary work are
 // spread over zones by taking the zone with the fewest machines.
 func (p *Planner) Add(d Demand) {
-	if p.purchases == nil {
-		p.purchases, p.firstBin = map[placement.Site]int{}, map[request]int{}
+	if p.requests == nil {
+		p.requests, p.firstBin = map[placement.Site]int{}, map[request]int{}
 	}
-	zones := placement.Zones{}
+	zones := placement.TasksByZone{}
 	for z, n := range d.Zones {
 		zones[z] = n
 	}
-	need := placement.Of(d.Spec)
+	need := placement.TaskResources(d.Spec)
 	left := d.Count
 	for _, b := range p.bins[p.skipFull(d.Spec, need):] {
 		if left == 0 {
@@ -136,9 +136,9 @@
 		if !ok {
 			return
 		}
-		p.purchases[site]++
-		p.Budget--
-		b := &bin{site, placement.OfType(t)}
+		p.requests[site]++
+		p.MaxMachines--
+		b := &bin{site, placement.MachineResources(t)}
 		p.bins = append(p.bins, b)
 		left -= b.fill(d.Spec, need, zones, left)
 	}
@@ -158,16 +158,16 @@
 
 // mayHold tells whether a task fits and its job allows the site.
 func (b *bin) mayHold(s *wire.JobSpec, need placement.Resources) bool {
-	return need.Within(b.free) && placement.Allowed(s, b.Site)
+	return need.FitsIn(b.free) && placement.Allowed(s, b.Site)
 }
 
 // fill puts as many tasks as fit into a machine, and tells how many.
-func (b *bin) fill(s *wire.JobSpec, need placement.Resources, zones placement.Zones, most int) int {
+func (b *bin) fill(s *wire.JobSpec, need placement.Resources, zones placement.TasksByZone, most int) int {
 	if !b.mayHold(s, need) {
 		return 0
 	}
 	n := 0
-	for n < most && need.Within(b.free) && zones.Admits(s, b.Zone) {
+	for n < most && need.FitsIn(b.free) && zones.Allows(s, b.Zone) {
 		b.free = b.free.Minus(need)
 		zones[b.Zone]++
 		n++
@@ -176,8 +176,8 @@
 }
 
 // pick chooses the site that is cheapest for a task.
-func (p *Planner) pick(d Demand, zones placement.Zones) (placement.Site, *wire.MachineType, bool) {
-	if p.Budget <= 0 {
+func (p *Planner) pick(d Demand, zones placement.TasksByZone) (placement.Site, *wire.MachineType, bool) {
+	if p.MaxMachines <= 0 {
 		return placement.Site{}, nil, false
 	}
 	var best placement.Site
@@ -193,7 +193,7 @@
 		for _, z := range t.Zones {
 			for _, spot := range []bool{false, true} {
 				site := placement.Site{Type: t.Name, Zone: z, Spot: spot}
-				if !placement.Allowed(d.Spec, site) || !zones.Admits(d.Spec, z) || p.Blocked(site) {
+				if !placement.Allowed(d.Spec, site) || !zones.Allows(d.Spec, z) || p.Blocked(site) {
 					continue
 				}
 				price := t.Price
@@ -202,7 +202,7 @@
 				}
 				used := min(n, max(1, d.Count))
 				cost := price / float64(used)
-				cost *= 1 + 0.02*float64(p.Held[site]+p.purchases[site])
+				cost *= 1 + 0.02*float64(p.MachinesBySite[site]+p.requests[site])
 				if bestType == nil || cost < bestCost || cost == bestCost && site.Compare(best) < 0 {
 					best, bestType, bestCost = site, t, cost
 				}
@@ -214,11 +214,11 @@
 
 // perMachine is how many tasks of a job an empty machine holds, and at least one.
 func perMachine(s *wire.JobSpec, t *wire.MachineType) int {
-	return max(1, Holds(s, placement.OfType(t)))
+	return max(1, TasksThatFit(s, placement.MachineResources(t)))
 }
 
-// Holds tells how many tasks of a job some room holds.
-func Holds(s *wire.JobSpec, room placement.Resources) int {
+// TasksThatFit tells how many tasks of a job some room holds.
+func TasksThatFit(s *wire.JobSpec, room placement.Resources) int {
 	n := 1 << 20
 	for _, r := range [][2]float64{{s.CPUs, room.CPUs}, {s.GPUs, room.GPUs}, {s.MemoryGB, room.MemoryGB}} {
 		if r[0] > 0 {
@@ -228,12 +228,12 @@
 	return max(0, n)
 }
 
-// Purchases lists the purchases in a fixed order.
-func (p *Planner) Purchases() []Purchase {
-	var out []Purchase
-	for s, n := range p.purchases {
-		out = append(out, Purchase{s, n})
+// MachineRequests lists the purchases in a fixed order.
+func (p *Planner) MachineRequests() []MachineRequest {
+	var out []MachineRequest
+	for s, n := range p.requests {
+		out = append(out, MachineRequest{s, n})
 	}
-	slices.SortFunc(out, func(a, b Purchase) int { return a.Site.Compare(b.Site) })
+	slices.SortFunc(out, func(a, b MachineRequest) int { return a.Site.Compare(b.Site) })
 	return out
 }
--- a/scheduler/fleet_demand.go
+++ b/scheduler/fleet_demand.go
@@ -41,7 +41,7 @@
 // may be rented up to the teams' limits.
 func (as *autoscaler) admissibleDemand() (urgent, later []fleet.Demand) {
 	quotas := as.core.quotas
-	quotas.SetSurplus(quota.Amount{CPUs: math.MaxInt32, GPUs: math.MaxInt32})
+	quotas.SetCohortQuota(quota.Amount{CPUs: math.MaxInt32, GPUs: math.MaxInt32})
 	defer as.core.updateSurplus()
 	counted := map[*job]int{}
 	var order []*job // of the counted jobs
@@ -52,7 +52,7 @@
 			if n <= 0 {
 				continue
 			}
-			quotas.Take(j.spec.Team, j.amount().Times(n))
+			quotas.Charge(j.spec.Team, j.amount().Times(n))
 			if counted[j] == 0 {
 				order = append(order, j)
 			}
@@ -66,7 +66,7 @@
 		}
 	}
 	for _, j := range order {
-		quotas.Free(j.spec.Team, j.amount().Times(counted[j]))
+		quotas.Release(j.spec.Team, j.amount().Times(counted[j]))
 	}
 	return urgent, later
 }
@@ -93,7 +93,7 @@
 	by := as.core.now.Add(ids.Seconds(0.8 * m.machineType.BootS))
 	for _, a := range m.taskList {
 		if !a.job.spec.Service && (a.stopReason != stopNone || a.phase == wire.TaskRunning && a.phaseSince.Add(as.core.estimates.expectedRun(a.job.spec)) < by) {
-			free = free.Plus(placement.Of(a.job.spec))
+			free = free.Plus(placement.TaskResources(a.job.spec))
 		}
 	}
 	return free
@@ -170,7 +170,7 @@
 			break
 		}
 		if as.core.health.usable(m) && placement.Allowed(s, m.Site) {
-			n += fleet.Holds(s, m.free())
+			n += fleet.TasksThatFit(s, m.free())
 		}
 	}
 	return n
@@ -196,7 +196,7 @@
 			wait = as.core.opt.HeadroomIdleTimeout
 		}
 		for pk, n := range over {
-			if placement.Allowed(pk.spec, m.Site) && fleet.Holds(pk.spec, m.free()) > n {
+			if placement.Allowed(pk.spec, m.Site) && fleet.TasksThatFit(pk.spec, m.free()) > n {
 				wait = as.core.opt.HeadroomIdleTimeout
 			}
 		}
@@ -207,7 +207,7 @@
 			if as.core.health.usable(m) {
 				for pk := range over {
 					if placement.Allowed(pk.spec, m.Site) {
-						over[pk] -= fleet.Holds(pk.spec, m.free())
+						over[pk] -= fleet.TasksThatFit(pk.spec, m.free())
 					}
 				}
 			}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -27,7 +27,7 @@
 func newHarness(t *testing.T, opt Options, types ...wire.MachineType) *harness {
 	t.Helper()
 	if opt.Teams == nil {
-		opt.Teams = []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 64}, Limit: quota.Amount{CPUs: 64}, Lend: quota.Amount{CPUs: 64}}}
+		opt.Teams = []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 64}, Limit: quota.Amount{CPUs: 64}, LendingLimit: quota.Amount{CPUs: 64}}}
 	}
 	if opt.Revision == 0 {
 		opt.Revision = 5
@@ -71,7 +71,7 @@
 	for n := range 3 {
 		nominal := float64(4 * rng.IntN(6))
 		teams = append(teams, quota.Team{Name: ids.Team(fmt.Sprintf("t%d", n)), Nominal: quota.Amount{CPUs: nominal},
-			Limit: quota.Amount{CPUs: nominal + float64(4*rng.IntN(8))}, Lend: quota.Amount{CPUs: nominal * lend()}})
+			Limit: quota.Amount{CPUs: nominal + float64(4*rng.IntN(8))}, LendingLimit: quota.Amount{CPUs: nominal * lend()}})
 	}
 	return teams
 }
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -68,7 +68,7 @@
 	pending          []int // descending, so that the lowest is popped first
 	done             int
 	active           map[int]*assignment
-	zones            placement.Zones
+	zones            placement.TasksByZone
 	// completing tells that the commit of done is on its way.
 	completing  bool
 	cancelledAt ids.Instant
@@ -142,7 +142,7 @@
 // newJob makes a job from its record.
 func (c *Core) newJob(id ids.JobID, rec *ledger.Job, revision ids.Revision) *job {
 	j := &job{id: id, spec: rec.Spec, revision: revision, readyMS: rec.SubmittedMS, orderMS: rec.SubmittedMS, status: rec.Status,
-		active: map[int]*assignment{}, zones: placement.Zones{}, readyAt: c.now, waitingSince: c.now}
+		active: map[int]*assignment{}, zones: placement.TasksByZone{}, readyAt: c.now, waitingSince: c.now}
 	if j.spec == nil {
 		j.spec = &wire.JobSpec{Tasks: rec.Tasks}
 	}
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -26,7 +26,7 @@
 func largeFleetHarness(t *testing.T) *harness {
 	zones := []ids.Zone{"a", "b", "c", "d"}
 	enough := quota.Amount{CPUs: 4 * largeFleetTasks}
-	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: enough, Limit: enough, Lend: enough}}},
+	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: enough, Limit: enough, LendingLimit: enough}}},
 		wire.MachineType{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: zones})
 	b.c.opt.MaxMachines, b.c.opt.SliceTasks, b.c.opt.TxnOps = 0, 64, 24
 	b.c.opt.MaxSkippedJobs, b.c.opt.MaxWorkerCalls = 2000, 64
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -73,7 +73,7 @@
 func (r *machineRegistry) applyType(m *machine) {
 	if t := r.core.types[m.Type]; t != nil {
 		m.machineType = t
-		m.total = placement.OfType(t)
+		m.total = placement.MachineResources(t)
 		if m.bootDeadline == 0 {
 			m.bootDeadline = m.knownSince.Add(ids.Seconds(t.BootS*r.core.opt.BootFactor) + r.core.opt.ListLag)
 		}
@@ -180,7 +180,7 @@
 		return // a record is being written; it is forgotten after that
 	}
 	for _, j := range m.unrecordedJobs {
-		r.core.quotas.Free(j.spec.Team, j.amount())
+		r.core.quotas.Release(j.spec.Team, j.amount())
 	}
 	r.returnedHosts[m.host] = true
 	delete(r.machines, m.host)
--- a/scheduler/placement/placement.go
+++ b/scheduler/placement/placement.go
@@ -15,11 +15,11 @@
 // Resources is what a task takes of a machine, or a machine offers.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// Of is what one task of a job takes.
-func Of(s *wire.JobSpec) Resources { return Resources{s.CPUs, s.GPUs, s.MemoryGB} }
+// TaskResources is what one task of a job takes.
+func TaskResources(s *wire.JobSpec) Resources { return Resources{s.CPUs, s.GPUs, s.MemoryGB} }
 
-// OfType is what a machine of a type offers.
-func OfType(t *wire.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
+// MachineResources is what a machine of a type offers.
+func MachineResources(t *wire.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
 // Plus adds.
 func (r Resources) Plus(o Resources) Resources {
@@ -31,8 +31,8 @@
 	return Resources{r.CPUs - o.CPUs, r.GPUs - o.GPUs, r.MemoryGB - o.MemoryGB}
 }
 
-// Within tells whether r fits into o.
-func (r Resources) Within(o Resources) bool {
+// FitsIn tells whether r fits into o.
+func (r Resources) FitsIn(o Resources) bool {
 	return r.CPUs <= o.CPUs+slack && r.GPUs <= o.GPUs+slack && r.MemoryGB <= o.MemoryGB+slack
 }
 
@@ -71,15 +71,15 @@
 
 // Fits tells whether a task of the job fits an empty machine of a type.
 func Fits(s *wire.JobSpec, t *wire.MachineType) bool {
-	return (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) && Of(s).Within(OfType(t))
+	return (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) && TaskResources(s).FitsIn(MachineResources(t))
 }
 
-// Zones counts a job's tasks by zone. What may still be on a machine counts.
+// TasksByZone counts a job's tasks by zone. What may still be on a machine counts.
 // Tasks whose zone is not known, under the empty name, may be in any.
-type Zones map[ids.Zone]int
+type TasksByZone map[ids.Zone]int
 
-// Admits tells whether one more task in a zone keeps oneZone and spread.
-func (z Zones) Admits(s *wire.JobSpec, zone ids.Zone) bool {
+// Allows tells whether one more task in a zone keeps oneZone and spread.
+func (z TasksByZone) Allows(s *wire.JobSpec, zone ids.Zone) bool {
 	if s.OneZone {
 		for other, n := range z {
 			if other != zone && n > 0 {
@@ -93,15 +93,15 @@
 	return true
 }
 
-// Offer is one machine as seen by a task that looks for a place.
-type Offer struct {
+// Candidate is one machine as seen by a task that looks for a place.
+type Candidate struct {
 	Site
 	Free, Total      Resources
 	Cached           bool    // the image is there
 	Fetching         bool    // the image is on its way
 	SameJob          int     // tasks of the same job on the machine
 	SameZone         int     // tasks of the same job in the zone
-	HostsServices    bool    // services keep the machine
+	RunsServices     bool    // services keep the machine
 	LatencySensitive bool    // the job's class must start within seconds
 	SpotRisk         float64 // chance that a spot machine is taken during the task
 	Suspect          bool    // the machine failed tasks or runs them slowly
@@ -119,7 +119,7 @@
 // Score ranks offers for a job; the largest goes first. Kind of machine weighs
 // most, since spot work on ordinary machines takes room from work that has no
 // choice, and for classes that must start within seconds the image does.
-func Score(s *wire.JobSpec, o *Offer) float64 {
+func Score(s *wire.JobSpec, o *Candidate) float64 {
 	score := 0.0
 	image := 25.0
 	if o.LatencySensitive {
@@ -133,7 +133,7 @@
 	}
 	// A service stays for long. Where one stays already, the next costs
 	// nothing more; elsewhere it keeps a machine from being returned.
-	if o.HostsServices && !o.Spot {
+	if o.RunsServices && !o.Spot {
 		score += 20
 	}
 	if s.Spot && o.Spot && !o.LatencySensitive {
--- a/scheduler/plain_model_test.go
+++ b/scheduler/plain_model_test.go
@@ -49,7 +49,7 @@
 				}
 			}
 			over += max(0, u-t.Nominal.CPUs)
-			idle += min(max(0, t.Nominal.CPUs-u), t.Lend.CPUs)
+			idle += min(max(0, t.Nominal.CPUs-u), t.LendingLimit.CPUs)
 			guaranteed += t.Nominal.CPUs
 		}
 		return nominal || over <= idle+max(0, total.CPUs-guaranteed)+1e-9
@@ -120,7 +120,7 @@
 						if only != "" && m.Zone != only {
 							continue
 						}
-						zones := placement.Zones{}
+						zones := placement.TasksByZone{}
 						same := 0
 						for _, a := range j.active {
 							zones[a.machine.Zone]++
@@ -140,20 +140,20 @@
 							(k.spec.Priority >= j.spec.Priority || j.spec.Priority < wire.Critical && waited(k, 2.5)) {
 							continue
 						}
-						if !placement.Allowed(j.spec, m.Site) || !placement.Of(j.spec).Within(room[m.host].free) || !zones.Admits(j.spec, m.Zone) {
+						if !placement.Allowed(j.spec, m.Site) || !placement.TaskResources(j.spec).FitsIn(room[m.host].free) || !zones.Allows(j.spec, m.Zone) {
 							continue
 						}
-						o := placement.Offer{Site: m.Site, Free: room[m.host].free, Total: m.total, SameZone: zones[m.Zone]}
+						o := placement.Candidate{Site: m.Site, Free: room[m.host].free, Total: m.total, SameZone: zones[m.Zone]}
 						if j.spec.Service {
 							o.SameJob = same
 						}
 						o.Fetching = len(m.tasks) > 0
 						for _, a := range m.tasks {
-							o.HostsServices = o.HostsServices || a.job.spec.Service
+							o.RunsServices = o.RunsServices || a.job.spec.Service
 						}
 						for ref, p := range placedAt {
 							o.Fetching = o.Fetching || p == m
-							o.HostsServices = o.HostsServices || p == m && c.jobs[ref.Job].spec.Service
+							o.RunsServices = o.RunsServices || p == m && c.jobs[ref.Job].spec.Service
 						}
 						if s := placement.Score(j.spec, &o); best == nil || s > bestScore {
 							best, bestScore = m, s
@@ -163,7 +163,7 @@
 						break
 					}
 					placedAt[ids.TaskRef{Job: j.id, Index: i}] = best
-					room[best.host].free = room[best.host].free.Minus(placement.Of(j.spec))
+					room[best.host].free = room[best.host].free.Minus(placement.TaskResources(j.spec))
 					used[j.spec.Team] = used[j.spec.Team].Plus(j.amount())
 					got = append(got, i)
 				}
@@ -172,7 +172,7 @@
 				for _, i := range got {
 					ref := ids.TaskRef{Job: j.id, Index: i}
 					m := placedAt[ref]
-					room[m.host].free = room[m.host].free.Plus(placement.Of(j.spec))
+					room[m.host].free = room[m.host].free.Plus(placement.TaskResources(j.spec))
 					used[j.spec.Team] = used[j.spec.Team].Minus(j.amount())
 					delete(placedAt, ref)
 				}
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -28,7 +28,7 @@
 	committedQuota map[ids.Team]quota.Amount // quota spoken for, less what is being freed
 	stopped        map[*assignment]bool
 	// zones counts a job's tasks with those that room is being made for.
-	zones            placement.Zones
+	zones            placement.TasksByZone
 	presentWorkloads []workload // whose work there is at all
 	// infeasible holds what no room could be made for in this round. Nothing gets
 	// easier during a round, so the like of it is not tried again.
@@ -181,7 +181,7 @@
 func (r *preemptor) anyStoppable(j *job, by claim) bool {
 	for _, w := range r.presentWorkloads {
 		free, asBorrower := mayStop(j, by, w.team, w.priority)
-		if free || asBorrower && !r.borrowed[w.team].Within(quota.Amount{}) {
+		if free || asBorrower && !r.borrowed[w.team].FitsIn(quota.Amount{}) {
 			return true
 		}
 	}
--- a/scheduler/preemption_plan.go
+++ b/scheduler/preemption_plan.go
@@ -75,11 +75,11 @@
 	for _, a := range victims {
 		s := a.job.spec
 		r.stopped[a] = true
-		free = free.Plus(placement.Of(s))
+		free = free.Plus(placement.TaskResources(s))
 		r.borrowed[s.Team] = r.borrowed[s.Team].Minus(a.job.amount())
 		r.committedQuota[s.Team] = r.committedQuota[s.Team].Minus(a.job.amount())
 	}
-	m.plannedFree = free.Minus(placement.Of(j.spec))
+	m.plannedFree = free.Minus(placement.TaskResources(j.spec))
 	if o, ok := r.planOn(j, m, by); ok {
 		*best = o
 	} else {
@@ -97,7 +97,7 @@
 		stoppable := r.anyStoppable(j, by)
 		r.core.admission.MachinesExamined += uint64(len(r.core.admission.candidates))
 		for _, m := range r.core.admission.candidates {
-			if !stoppable && !placement.Of(j.spec).Within(r.expectedFree(m)) {
+			if !stoppable && !placement.TaskResources(j.spec).FitsIn(r.expectedFree(m)) {
 				continue
 			}
 			if o, ok := r.planOn(j, m, by); ok {
@@ -108,7 +108,7 @@
 	for {
 		var best *preemptionPlan
 		for i := range r.plans {
-			if o := &r.plans[i]; o.machine != nil && (best == nil || o.cost < best.cost) && r.zones.Admits(j.spec, o.machine.Zone) {
+			if o := &r.plans[i]; o.machine != nil && (best == nil || o.cost < best.cost) && r.zones.Allows(j.spec, o.machine.Zone) {
 				best = o
 			}
 		}
@@ -136,11 +136,11 @@
 	if !placement.Allowed(j.spec, m.Site) || !r.core.zones.admits(j, j.pending[len(j.pending)-1], m) || r.core.hasAntiAffinity(j, m) || r.core.reservedForOther(m, j) && r.core.starving(m.reservedFor) {
 		return preemptionPlan{}, false
 	}
-	need, free := placement.Of(j.spec), r.expectedFree(m)
+	need, free := placement.TaskResources(j.spec), r.expectedFree(m)
 	warm, hasty := m.images[j.spec.Image] != nil, r.core.latencySensitive(j)
 	o := preemptionPlan{machine: m}
-	if by == claimOwn || !need.Within(free) {
-		if !need.Within(m.total) {
+	if by == claimOwn || !need.FitsIn(free) {
+		if !need.FitsIn(m.total) {
 			return o, false
 		}
 		var ok bool
@@ -164,7 +164,7 @@
 		m.plannedFree = m.free()
 		for _, a := range m.taskList {
 			if a.stopReason != stopNone {
-				m.plannedFree = m.plannedFree.Plus(placement.Of(a.job.spec))
+				m.plannedFree = m.plannedFree.Plus(placement.TaskResources(a.job.spec))
 			}
 		}
 	}
@@ -218,7 +218,7 @@
 			continue
 		}
 		if !free {
-			if !taken[s.Team].Plus(v.assignment.job.amount()).Within(r.borrowed[s.Team]) {
+			if !taken[s.Team].Plus(v.assignment.job.amount()).FitsIn(r.borrowed[s.Team]) {
 				continue
 			}
 			if taken == nil {
@@ -228,9 +228,9 @@
 		}
 		out = append(out, v.assignment)
 		cost += v.cost
-		room = room.Plus(placement.Of(s))
+		room = room.Plus(placement.TaskResources(s))
 		short = short.Minus(v.assignment.job.amount())
-		if need.Within(room) && short.Within(quota.Amount{}) {
+		if need.FitsIn(room) && short.FitsIn(quota.Amount{}) {
 			return out, cost, true
 		}
 	}
--- a/scheduler/quota/quota.go
+++ b/scheduler/quota/quota.go
@@ -28,8 +28,8 @@
 // Times multiplies.
 func (a Amount) Times(n int) Amount { return Amount{a.CPUs * float64(n), a.GPUs * float64(n)} }
 
-// Within tells whether a fits into b.
-func (a Amount) Within(b Amount) bool { return a.CPUs <= b.CPUs+slack && a.GPUs <= b.GPUs+slack }
+// FitsIn tells whether a fits into b.
+func (a Amount) FitsIn(b Amount) bool { return a.CPUs <= b.CPUs+slack && a.GPUs <= b.GPUs+slack }
 
 // positive replaces negative parts by 0.
 func (a Amount) positive() Amount { return Amount{max(0, a.CPUs), max(0, a.GPUs)} }
@@ -42,8 +42,8 @@
 	Name    ids.Team
 	Nominal Amount
 	Limit   Amount
-	// Lend bounds how much of the idle nominal quota others may use.
-	Lend Amount
+	// LendingLimit bounds how much of the idle nominal quota others may use.
+	LendingLimit Amount
 }
 
 // account is a team with what it uses.
@@ -53,17 +53,17 @@
 	lendingSuspendedUntil ids.Instant
 }
 
-// Book counts what every team uses. Whatever may be on a machine counts as
+// Tracker counts what every team uses. Whatever may be on a machine counts as
 // used; the caller subtracts only what is surely gone.
-type Book struct {
-	accounts map[ids.Team]*account
-	names    []ids.Team
-	surplus  Amount
+type Tracker struct {
+	accounts    map[ids.Team]*account
+	names       []ids.Team
+	cohortQuota Amount
 }
 
-// NewBook opens the books for the teams.
-func NewBook(teams []Team) *Book {
-	b := &Book{accounts: map[ids.Team]*account{}}
+// NewTracker opens the books for the teams.
+func NewTracker(teams []Team) *Tracker {
+	b := &Tracker{accounts: map[ids.Team]*account{}}
 	for _, t := range teams {
 		b.accounts[t.Name] = &account{Team: t}
 		b.names = append(b.names, t.Name)
@@ -72,12 +72,12 @@
 	return b
 }
 
-// SetSurplus sets the cohort's own quota, which any team may borrow: what
+// SetCohortQuota sets the cohort's own quota, which any team may borrow: what
 // there is beyond the sum of the guarantees.
-func (b *Book) SetSurplus(m Amount) { b.surplus = m.positive() }
+func (b *Tracker) SetCohortQuota(m Amount) { b.cohortQuota = m.positive() }
 
 // Nominal is the sum of all guarantees.
-func (b *Book) Nominal() Amount {
+func (b *Tracker) Nominal() Amount {
 	var sum Amount
 	for _, n := range b.names { // in order: the sum of decimals depends on it
 		sum = sum.Plus(b.accounts[n].Nominal)
@@ -85,11 +85,11 @@
 	return sum
 }
 
-// Known tells whether a team exists.
-func (b *Book) Known(t ids.Team) bool { return b.accounts[t] != nil }
+// HasTeam tells whether a team exists.
+func (b *Tracker) HasTeam(t ids.Team) bool { return b.accounts[t] != nil }
 
 // Limit is the most that a team may use at any time.
-func (b *Book) Limit(t ids.Team) Amount {
+func (b *Tracker) Limit(t ids.Team) Amount {
 	if a := b.accounts[t]; a != nil {
 		return a.Limit
 	}
@@ -97,43 +97,43 @@
 }
 
 // Used is what a team uses now.
-func (b *Book) Used(t ids.Team) Amount {
+func (b *Tracker) Used(t ids.Team) Amount {
 	if a := b.accounts[t]; a != nil {
 		return a.used
 	}
 	return Amount{}
 }
 
-// Take counts an amount as used, whatever the limits say: records that were
+// Charge counts an amount as used, whatever the limits say: records that were
 // found are counted even if a limit has been lowered since.
-func (b *Book) Take(t ids.Team, m Amount) {
+func (b *Tracker) Charge(t ids.Team, m Amount) {
 	if a := b.accounts[t]; a != nil {
 		a.used = a.used.Plus(m)
 	}
 }
 
-// Free gives an amount back.
-func (b *Book) Free(t ids.Team, m Amount) {
+// Release gives an amount back.
+func (b *Tracker) Release(t ids.Team, m Amount) {
 	if a := b.accounts[t]; a != nil {
 		a.used = a.used.Minus(m).positive()
 	}
 }
 
 // FitsNominal tells whether a team stays within its guarantee with m more.
-func (b *Book) FitsNominal(t ids.Team, m Amount) bool {
+func (b *Tracker) FitsNominal(t ids.Team, m Amount) bool {
 	a := b.accounts[t]
-	return a != nil && a.used.Plus(m).Within(a.Nominal) && a.used.Plus(m).Within(a.Limit)
+	return a != nil && a.used.Plus(m).FitsIn(a.Nominal) && a.used.Plus(m).FitsIn(a.Limit)
 }
 
 // FitsBorrowing tells whether a team may use m more, within its limit and
 // with what the others leave idle and lend.
-func (b *Book) FitsBorrowing(t ids.Team, m Amount, now ids.Instant) bool {
+func (b *Tracker) FitsBorrowing(t ids.Team, m Amount, now ids.Instant) bool {
 	a := b.accounts[t]
-	if a == nil || !a.used.Plus(m).Within(a.Limit) {
+	if a == nil || !a.used.Plus(m).FitsIn(a.Limit) {
 		return false
 	}
 	var over Amount
-	lent := b.surplus
+	lent := b.cohortQuota
 	for _, n := range b.names {
 		o := b.accounts[n]
 		used := o.used
@@ -144,13 +144,13 @@
 		if now < o.lendingSuspendedUntil {
 			continue
 		}
-		lent = lent.Plus(least(o.Nominal.Minus(used).positive(), o.Lend))
+		lent = lent.Plus(least(o.Nominal.Minus(used).positive(), o.LendingLimit))
 	}
-	return over.Within(lent)
+	return over.FitsIn(lent)
 }
 
 // Borrowed is how much a team uses beyond its guarantee.
-func (b *Book) Borrowed(t ids.Team) Amount {
+func (b *Tracker) Borrowed(t ids.Team) Amount {
 	a := b.accounts[t]
 	if a == nil {
 		return Amount{}
@@ -158,12 +158,12 @@
 	return a.used.Minus(a.Nominal).positive()
 }
 
-// Borrows tells whether a team uses more than its guarantee.
-func (b *Book) Borrows(t ids.Team) bool { return !b.Borrowed(t).Within(Amount{}) }
+// IsBorrowing tells whether a team uses more than its guarantee.
+func (b *Tracker) IsBorrowing(t ids.Team) bool { return !b.Borrowed(t).FitsIn(Amount{}) }
 
 // SuspendLending keeps a team's idle quota from being lent until a time, so that a team
 // that just reclaimed does not see it lent away at once.
-func (b *Book) SuspendLending(t ids.Team, until ids.Instant) {
+func (b *Tracker) SuspendLending(t ids.Team, until ids.Instant) {
 	if a := b.accounts[t]; a != nil && until > a.lendingSuspendedUntil {
 		a.lendingSuspendedUntil = until
 	}
--- a/scheduler/quota/quota_test.go
+++ b/scheduler/quota/quota_test.go
@@ -10,10 +10,10 @@
 func cpus(n float64) Amount { return Amount{CPUs: n} }
 
 // twoTeams is a cohort of two: red is guaranteed 8 of at most 16, blue 8 of at most 12.
-func twoTeams(lend float64) *Book {
-	return NewBook([]Team{
-		{Name: "red", Nominal: cpus(8), Limit: cpus(16), Lend: cpus(lend)},
-		{Name: "blue", Nominal: cpus(8), Limit: cpus(12), Lend: cpus(lend)},
+func twoTeams(lend float64) *Tracker {
+	return NewTracker([]Team{
+		{Name: "red", Nominal: cpus(8), Limit: cpus(16), LendingLimit: cpus(lend)},
+		{Name: "blue", Nominal: cpus(8), Limit: cpus(12), LendingLimit: cpus(lend)},
 	})
 }
 
@@ -36,9 +36,9 @@
 		{"decimals that add up", 8, 0, 7.9, 0, 0.1, true, true},
 	} {
 		b := twoTeams(c.lend)
-		b.SetSurplus(cpus(c.surplus))
-		b.Take("red", cpus(c.red))
-		b.Take("blue", cpus(c.blue))
+		b.SetCohortQuota(cpus(c.surplus))
+		b.Charge("red", cpus(c.red))
+		b.Charge("blue", cpus(c.blue))
 		if got := b.FitsNominal("red", cpus(c.more)); got != c.nominal {
 			t.Errorf("%s: fits the guarantee: %v", c.name, got)
 		}
@@ -53,7 +53,7 @@
 	until := ids.Instant(time.Hour)
 	b.SuspendLending("blue", until)
 	b.SuspendLending("blue", until.Add(-time.Minute)) // shortens nothing
-	b.Take("red", cpus(8))
+	b.Charge("red", cpus(8))
 	if b.FitsBorrowing("red", cpus(1), until.Add(-time.Second)) {
 		t.Error("lent while it was suspended")
 	}
@@ -64,16 +64,16 @@
 
 func TestWhatIsUsed(t *testing.T) {
 	b := twoTeams(8)
-	b.Take("red", cpus(11))
-	if got := b.Borrowed("red"); got != cpus(3) || !b.Borrows("red") || b.Borrows("blue") {
+	b.Charge("red", cpus(11))
+	if got := b.Borrowed("red"); got != cpus(3) || !b.IsBorrowing("red") || b.IsBorrowing("blue") {
 		t.Errorf("borrowed %v", got)
 	}
-	b.Free("red", cpus(20)) // never below nothing
+	b.Release("red", cpus(20)) // never below nothing
 	if got := b.Used("red"); got != cpus(0) {
 		t.Errorf("used %v", got)
 	}
-	b.Take("green", cpus(5))
-	if b.Known("green") || b.Used("green") != cpus(0) || b.FitsBorrowing("green", cpus(0), 0) {
+	b.Charge("green", cpus(5))
+	if b.HasTeam("green") || b.Used("green") != cpus(0) || b.FitsBorrowing("green", cpus(0), 0) {
 		t.Error("an unknown team has quota")
 	}
 	if got := b.Nominal(); got != cpus(16) {
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -291,7 +291,7 @@
 		on := map[ids.MachineID][]wire.TaskStatus{"n-1": nil}
 		if quotaShort { // room there is
 			eight := quota.Amount{CPUs: 8}
-			opt.Teams = []quota.Team{{Name: "red", Nominal: eight, Limit: eight, Lend: eight}}
+			opt.Teams = []quota.Team{{Name: "red", Nominal: eight, Limit: eight, LendingLimit: eight}}
 			on["n-2"] = nil
 		}
 		b := newHarness(t, opt)
--- a/scheduler/reports.go
+++ b/scheduler/reports.go
@@ -201,7 +201,7 @@
 // room on the machine and its team's quota.
 func (c *Core) countUnrecorded(m *machine) {
 	for _, j := range m.unrecordedJobs {
-		c.quotas.Free(j.spec.Team, j.amount())
+		c.quotas.Release(j.spec.Team, j.amount())
 	}
 	m.unrecordedJobs = m.unrecordedJobs[:0]
 	m.unrecorded = placement.Resources{}
@@ -214,9 +214,9 @@
 			continue
 		}
 		if j := c.jobs[s.ref.Job]; j != nil {
-			m.unrecorded = m.unrecorded.Plus(placement.Of(j.spec))
+			m.unrecorded = m.unrecorded.Plus(placement.TaskResources(j.spec))
 			m.unrecordedJobs = append(m.unrecordedJobs, j)
-			c.quotas.Take(j.spec.Team, j.amount())
+			c.quotas.Charge(j.spec.Team, j.amount())
 		}
 	}
 }
--- a/scheduler/reservations.go
+++ b/scheduler/reservations.go
@@ -71,10 +71,10 @@
 // most room go first. With hundreds of jobs waiting it must look at the machines
 // only for those that need more, and not at all once no more may be kept.
 func (c *Core) reserveMachines(j *job, n int, held []*machine, kept int) int {
-	need := placement.Of(j.spec)
-	zones := placement.Zones{}
+	need := placement.TaskResources(j.spec)
+	zones := placement.TasksByZone{}
 	hold := func(m *machine) {
-		for room := m.total; n > 0 && need.Within(room) && zones.Admits(j.spec, m.Zone); n-- {
+		for room := m.total; n > 0 && need.FitsIn(room) && zones.Allows(j.spec, m.Zone); n-- {
 			room = room.Minus(need)
 			zones[m.Zone]++
 		}
@@ -89,7 +89,7 @@
 	c.admission.MachinesExamined += uint64(len(c.admission.candidates))
 	var free []*machine
 	for _, m := range c.admission.candidates {
-		if m.reservedFor == nil && placement.Allowed(j.spec, m.Site) && need.Within(m.total) {
+		if m.reservedFor == nil && placement.Allowed(j.spec, m.Site) && need.FitsIn(m.total) {
 			free = append(free, m)
 		}
 	}
@@ -99,7 +99,7 @@
 		if n <= 0 || float64(kept+added) > most {
 			break
 		}
-		if !zones.Admits(j.spec, m.Zone) {
+		if !zones.Allows(j.spec, m.Zone) {
 			continue
 		}
 		m.reservedFor = j
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -38,7 +38,7 @@
 	s := newSim(t, 11)
 	s.capacity = 220
 	team := func(name ids.Team, nominal, limit float64) quota.Team {
-		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, Lend: quota.Amount{CPUs: nominal}}
+		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, LendingLimit: quota.Amount{CPUs: nominal}}
 	}
 	s.opt.Teams = []quota.Team{team("red", 3000, 7000), team("blue", 2500, 8000), team("gold", 1000, 6000)}
 	s.opt.MaxMachines, s.opt.SliceTasks, s.opt.TxnOps, s.opt.WriteRate, s.opt.MaxWorkerCalls = 0, 64, 32, 56, 64
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -25,14 +25,14 @@
 
 // requestOf is the shape of a job's next task, given where its others are; ok is
 // false for a job that is like no other.
-func (adm *admitter) requestOf(j *job, at placement.Zones) (sh placementRequest, ok bool) {
+func (adm *admitter) requestOf(j *job, at placement.TasksByZone) (sh placementRequest, ok bool) {
 	s := j.spec
 	if len(s.Types) > 0 || len(adm.candidateZones) > 64 || j.reservedSince != 0 {
 		// Machines that are reserved for a job are there for no other: one like it
 		// that found none must not keep the job from them.
 		return placementRequest{}, false
 	}
-	sh = placementRequest{resources: placement.Of(s), priority: j.priority, spot: s.Spot, zone: s.Zone}
+	sh = placementRequest{resources: placement.TaskResources(s), priority: j.priority, spot: s.Spot, zone: s.Zone}
 	if adm.core.latencySensitive(j) && !j.allowColdStart {
 		sh.image = s.Image
 	}
@@ -40,7 +40,7 @@
 		sh.tasksTogether = len(j.pending)
 	}
 	for i, z := range adm.candidateZones {
-		if at.Admits(s, z) {
+		if at.Allows(s, z) {
 			sh.openZones |= 1 << i
 		}
 	}
@@ -94,7 +94,7 @@
 
 // newSearch ranks the machines that may take a task of a job.
 func (adm *admitter) newSearch(j *job) *candidateSearch {
-	s := &candidateSearch{core: adm.core, job: j, need: placement.Of(j.spec)}
+	s := &candidateSearch{core: adm.core, job: j, need: placement.TaskResources(j.spec)}
 	if j.spec.Service {
 		s.replicasOn = map[*machine]int{}
 		for _, a := range j.active {
@@ -104,7 +104,7 @@
 	hasty := adm.core.latencySensitive(j) && !j.allowColdStart
 	adm.MachinesExamined += uint64(len(adm.candidates))
 	for at, m := range adm.candidates {
-		if !s.need.Within(m.free()) || !placement.Allowed(j.spec, m.Site) || j.onlyZone != "" && m.Zone != j.onlyZone {
+		if !s.need.FitsIn(m.free()) || !placement.Allowed(j.spec, m.Site) || j.onlyZone != "" && m.Zone != j.onlyZone {
 			continue
 		}
 		if adm.core.reservedForOther(m, j) {
@@ -147,7 +147,7 @@
 	ref := ids.TaskRef{Job: s.job.id, Index: index}
 	var best candidate
 	for _, z := range s.zones {
-		if !s.job.zones.Admits(s.job.spec, z.zone) {
+		if !s.job.zones.Allows(s.job.spec, z.zone) {
 			continue
 		}
 		var aside []candidate
@@ -176,7 +176,7 @@
 	}
 	z := s.zone(m.Zone)
 	i := slices.IndexFunc(z.list, func(c candidate) bool { return c.machine == m })
-	if !s.need.Within(m.free()) {
+	if !s.need.FitsIn(m.free()) {
 		heap.Remove(z, i)
 		return
 	}
@@ -185,8 +185,8 @@
 }
 
 // offer describes a machine to the scoring.
-func (adm *admitter) offer(j *job, m *machine) placement.Offer {
-	o := placement.Offer{Site: m.Site, Free: m.free(), Total: m.total,
+func (adm *admitter) offer(j *job, m *machine) placement.Candidate {
+	o := placement.Candidate{Site: m.Site, Free: m.free(), Total: m.total,
 		Cached:  m.images[j.spec.Image] != nil,
 		Suspect: j.antiAffinity[m.host] != 0 || adm.core.now < m.slowUntil || len(m.failuresByJob) > 0 && adm.core.now < m.lastFailure.Add(quarantinePeriod)}
 	if m.Spot {
@@ -195,7 +195,7 @@
 	o.LatencySensitive = adm.core.latencySensitive(j)
 	o.Unproven = adm.core.zones.unproven(m.Zone)
 	o.Preferred = adm.core.prefers(j, m.Zone)
-	o.HostsServices = m.replicas > 0
+	o.RunsServices = m.replicas > 0
 	o.Fetching = m.fetches[j.spec.Image] > 0
 	return o
 }
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -129,7 +129,7 @@
 		{Name: "big", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchGBps: 1, Price: 4, SpotPrice: 1.2, BootS: 10, Zones: []ids.Zone{"a", "b", "c"}},
 	}
 	team := func(name ids.Team, nominal, limit float64) quota.Team {
-		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, Lend: quota.Amount{CPUs: nominal}}
+		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, LendingLimit: quota.Amount{CPUs: nominal}}
 	}
 	s.opt = Options{Teams: []quota.Team{team("red", 16, 40), team("blue", 24, 32), team("gold", 8, 60)},
 		HeartbeatInterval: simReport, AgentLease: simLease, CancelDeadline: simCancel, PreviousLeaderGrace: simIsolatedReplicas, PreviousLeaderGraceWithoutReplicas: simIsolated, ListLag: 3 * time.Second, TxnOps: 8,
--- a/scheduler/zone_restore.go
+++ b/scheduler/zone_restore.go
@@ -70,9 +70,9 @@
 // hasWarmRoom tells whether a machine in a zone could run another replica of a job at once: it
 // has room and holds the image.
 func (g *zoneGate) hasWarmRoom(j *job, zone ids.Zone) bool {
-	need := placement.Of(j.spec)
+	need := placement.TaskResources(j.spec)
 	for _, m := range g.core.registry.machineList {
-		if m.Zone == zone && m.images[j.spec.Image] != nil && need.Within(m.free()) && placement.Allowed(j.spec, m.Site) &&
+		if m.Zone == zone && m.images[j.spec.Image] != nil && need.FitsIn(m.free()) && placement.Allowed(j.spec, m.Site) &&
 			g.core.health.takesTasks(m) && !g.core.reservedForOther(m, j) && !g.core.hasAntiAffinity(j, m) {
 			return true
 		}
