--- a/cmd/ospreystile/zones.go
+++ b/cmd/ospreystile/zones.go
@@ -206,7 +206,7 @@
 
 // stepOf is the progress of a return.
 func stepOf(z *zonereturn.Status) string {
-	if z.Condition != zonereturn.Returning {
+	if z.Condition != zonereturn.Recovering {
 		return "-"
 	}
 	return fmt.Sprintf("%d/%d", z.Step, z.Steps)
--- a/internal/drill/zone_return_test.go
+++ b/internal/drill/zone_return_test.go
@@ -164,7 +164,7 @@
 	d.await("the array runs in the zone", func() bool { return d.History.RunningOf(rebuild.ID)[dark] >= 15 })
 
 	d.Cut(dark, true)
-	d.awaitCondition(dark, zonereturn.Dark)
+	d.awaitCondition(dark, zonereturn.Outage)
 	d.await("all replicas run elsewhere", func() bool { return d.runs(query.ID, dark) == query.Tasks })
 	reprocess := Job{ID: "job-000003", Team: "maps", Class: "reprocess", Priority: "normal", Tasks: 200, CPUs: 2, Image: "reprocess", Run: 2 * time.Second}
 	d.must(d.Submit(d.ctx, reprocess))
@@ -205,23 +205,23 @@
 	d.must(d.Submit(d.ctx, rebuild))
 	d.await("the array runs in the zone", func() bool { return d.History.RunningOf(rebuild.ID)[dark] >= 10 })
 	d.Cut(dark, true)
-	d.awaitCondition(dark, zonereturn.Dark)
+	d.awaitCondition(dark, zonereturn.Outage)
 	d.await("its leases are over", func() bool { return d.History.RunningOf(rebuild.ID)[dark] == 0 })
 	d.State.SetAway(true)
 	time.Sleep(2 * d.Report) // what was recorded before may still be sent
 	since := time.Now()
 	for range 2 {
 		d.Cut(dark, false)
-		d.awaitCondition(dark, zonereturn.Returning)
+		d.awaitCondition(dark, zonereturn.Recovering)
 		time.Sleep(4 * time.Second) // eight steps' time, in which nothing can be proved
-		if st, _, ok := d.zone(dark); ok && (st.Condition != zonereturn.Returning || st.Step != 0) {
+		if st, _, ok := d.zone(dark); ok && (st.Condition != zonereturn.Recovering || st.Step != 0) {
 			t.Errorf("%s at step %d although nothing was proved", st.Condition, st.Step)
 		}
 		d.Cut(dark, true)
 		d.awaitCondition(dark, zonereturn.Suspect) // without the state service there is no verdict
 	}
 	d.Cut(dark, false)
-	d.awaitCondition(dark, zonereturn.Returning)
+	d.awaitCondition(dark, zonereturn.Recovering)
 	if sent := d.History.Sends(rebuild.ID, dark, since); sent > 0 {
 		t.Errorf("%d tasks were sent to the zone although nothing could be recorded", sent)
 	}
@@ -241,7 +241,7 @@
 // compares the starts under way on the machines with what the ramp allowed so far.
 func (d *zoneDrill) watchReturn(zone ids.Zone, critical ids.JobID) {
 	d.t.Helper()
-	d.awaitCondition(zone, zonereturn.Returning)
+	d.awaitCondition(zone, zonereturn.Recovering)
 	began, killed, most, flaps := time.Now(), false, 0, 0
 	notCritical := func(job ids.JobID) bool { return job != critical }
 	for end := time.Now().Add(waitLimit); ; time.Sleep(20 * time.Millisecond) {
--- a/node/term_zones.go
+++ b/node/term_zones.go
@@ -73,12 +73,12 @@
 const peerSilence = 5 * time.Second
 
 // view is what this leader knows of its own place among the controllers.
-func (t *term) view() zonereturn.View {
-	view := zonereturn.View{StateSure: t.key.HoldsLease(), Peers: len(t.n.peers)}
+func (t *term) view() zonereturn.Connectivity {
+	view := zonereturn.Connectivity{LeaseConfirmed: t.key.HoldsLease(), Peers: len(t.n.peers)}
 	now := t.n.clock.Now()
 	for _, p := range t.n.peers {
 		if heard := ids.Instant(p.lastHeard.Load()); heard != 0 && now < heard.Add(peerSilence) {
-			view.PeersHeard++
+			view.PeersReachable++
 		}
 	}
 	return view
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -161,7 +161,7 @@
 func (b *harness) cutZoneOfLargeFleet() {
 	b.t.Helper()
 	examined, calls := b.c.admission.MachinesExamined, 0
-	b.c.ObserveConnectivity(zonereturn.View{StateSure: true})
+	b.c.ObserveConnectivity(zonereturn.Connectivity{LeaseConfirmed: true})
 	const step, steps = time.Second, 36
 	for range steps {
 		b.now = b.now.Add(step)
@@ -212,7 +212,7 @@
 // in a few writes.
 func (b *harness) checkZoneRecords() {
 	b.t.Helper()
-	if c := b.c.zones.manager.Condition("d"); c != zonereturn.Dark {
+	if c := b.c.zones.manager.Condition("d"); c != zonereturn.Outage {
 		b.t.Errorf("the zone is %s", c)
 	}
 	if got := b.c.zones.manager.Stats().Displaced; got != largeFleetTasks/largeFleetZones {
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -65,11 +65,11 @@
 }
 
 // viewOf is what a leader knows of its own place.
-func (s *sim) viewOf(core *Core) zonereturn.View {
+func (s *sim) viewOf(core *Core) zonereturn.Connectivity {
 	if core == s.old || s.zones.isolatedView {
-		return zonereturn.View{Peers: 2}
+		return zonereturn.Connectivity{Peers: 2}
 	}
-	return zonereturn.View{StateSure: s.now < s.sure && s.now >= s.outage, PeersHeard: 2, Peers: 2}
+	return zonereturn.Connectivity{LeaseConfirmed: s.now < s.sure && s.now >= s.outage, PeersReachable: 2, Peers: 2}
 }
 
 // cutZone cuts all machines of a zone off for a time, those that are rented there too.
@@ -122,7 +122,7 @@
 // checkRamp counts the starts under way that were placed during a return, by the tasks on
 // the machines alone, and compares them with what the ramp allowed lately.
 func (s *sim) checkRamp(st zonereturn.Status) {
-	if st.Condition != zonereturn.Returning {
+	if st.Condition != zonereturn.Recovering {
 		delete(s.zones.limits, st.Zone)
 	} else {
 		limits := append(s.zones.limits[st.Zone], rampLimit{s.now, st.StartLimit})
@@ -142,9 +142,9 @@
 		for _, a := range m.taskList {
 			inReturn, known := s.zones.placedInReturn[a]
 			if !known {
-				inReturn = st.Condition == zonereturn.Returning && !a.inherited
+				inReturn = st.Condition == zonereturn.Recovering && !a.inherited
 				s.zones.placedInReturn[a] = inReturn
-				closed := st.Condition == zonereturn.Suspect || st.Condition == zonereturn.Dark
+				closed := st.Condition == zonereturn.Suspect || st.Condition == zonereturn.Outage
 				if closed && !a.inherited && !a.seen && a.phaseSince > s.core.moment().Now.Add(-s.sinceChange(st)) {
 					s.violation("ramp: %s was placed in %s, which is %s", a.ref(), st.Zone, st.Condition)
 				}
@@ -154,7 +154,7 @@
 			}
 		}
 	}
-	if st.Condition == zonereturn.Returning && underWay > most {
+	if st.Condition == zonereturn.Recovering && underWay > most {
 		s.violation("ramp: %d starts under way in %s, at most %d allowed", underWay, st.Zone, most)
 	}
 }
--- a/scheduler/zone_return.go
+++ b/scheduler/zone_return.go
@@ -17,7 +17,7 @@
 type zoneGate struct {
 	core    *Core
 	manager *zonereturn.Manager
-	view    zonereturn.View
+	view    zonereturn.Connectivity
 	// writes are the zones whose records are on their way, by change.
 	writes map[uint64]zoneWrite
 	// coming counts the machines on their way to each zone, as of comingAt.
@@ -43,12 +43,12 @@
 
 // moment is the present time. Where the time of day is not known, the steady clock stands
 // in: it serves to compare what one process wrote.
-func (c *Core) moment() zonereturn.Moment {
+func (c *Core) moment() zonereturn.ClockReading {
 	wall := c.wallClockMS()
 	if wall == 0 {
 		wall = time.Duration(c.now).Milliseconds()
 	}
-	return zonereturn.Moment{Now: c.now, Wall: time.UnixMilli(wall)}
+	return zonereturn.ClockReading{Now: c.now, Wall: time.UnixMilli(wall)}
 }
 
 // LoadZone takes in the record of a zone that a predecessor left. It does nothing where
@@ -74,7 +74,7 @@
 func (c *Core) beginClock(now ids.Instant) { c.now, c.termBegan = now, now }
 
 // ObserveConnectivity takes in what the leader knows of its own place among the controllers.
-func (c *Core) ObserveConnectivity(view zonereturn.View) {
+func (c *Core) ObserveConnectivity(view zonereturn.Connectivity) {
 	if c.zones != nil {
 		c.zones.view = view
 	}
@@ -130,7 +130,7 @@
 			continue // by a record of an older version; its report tells
 		}
 		for _, a := range m.taskList {
-			g.manager.Inherited(m.Zone, g.startOf(a.job, a.index, m), g.core.now)
+			g.manager.TaskInherited(m.Zone, g.startOf(a.job, a.index, m), g.core.now)
 		}
 	}
 }
@@ -142,7 +142,7 @@
 	}
 	view := g.view
 	view.ProcessResumed = g.core.resumedAt != 0 && g.core.now < g.core.resumedAt.Add(g.core.health.reportOverdue())
-	if g.manager.Observe(g.core.moment(), zonereturn.Observation{Zones: g.evidence(), View: view}) {
+	if g.manager.Observe(g.core.moment(), zonereturn.Observation{Zones: g.evidence(), Connectivity: view}) {
 		g.core.schedulingDue = true
 	}
 	g.core.decisions.ZoneEvents = append(g.core.decisions.ZoneEvents, g.manager.TakeEvents()...)
@@ -170,7 +170,7 @@
 		out[m.Zone] = e
 	}
 	for zone, e := range out {
-		e.RentalsRefused = g.core.autoscaler.zoneRefused(zone)
+		e.CapacityRefused = g.core.autoscaler.zoneRefused(zone)
 		out[zone] = e
 	}
 	return out
@@ -178,8 +178,8 @@
 
 // startOf describes a task that looks for a place on a machine. What only the ramp asks for
 // is left out unless the zone returns.
-func (g *zoneGate) startOf(j *job, index int, m *machine) *zonereturn.Start {
-	s := &zonereturn.Start{Task: ids.TaskRef{Job: j.id, Index: index}, Critical: g.critical(j), Bound: j.spec.Zone != ""}
+func (g *zoneGate) startOf(j *job, index int, m *machine) *zonereturn.StartRequest {
+	s := &zonereturn.StartRequest{Task: ids.TaskRef{Job: j.id, Index: index}, Critical: g.critical(j), Bound: j.spec.Zone != ""}
 	if !g.unproven(m.Zone) {
 		return s
 	}
@@ -187,7 +187,7 @@
 	// What the machine held before the zone was lost may be gone.
 	s.Fetch = cached == nil || cached.usedAt < g.manager.ColdSince(m.Zone)
 	s.Sharing = s.Fetch && m.fetchesAnother(j.spec.Image)
-	s.Small, s.Host, s.Image = g.small(j), m.host, j.spec.Image
+	s.Small, s.Machine, s.Image = g.small(j), m.host, j.spec.Image
 	return s
 }
 
@@ -210,7 +210,7 @@
 // small tells whether tasks of a job may prove a zone: each can run again by itself, and is
 // expected to end soon.
 func (g *zoneGate) small(j *job) bool {
-	return !j.spec.Service && !j.spec.Gang && g.core.estimates.expectedRun(j.spec) <= g.manager.SmallRun()
+	return !j.spec.Service && !j.spec.Gang && g.core.estimates.expectedRun(j.spec) <= g.manager.ProbeRunLimit()
 }
 
 // gated tells whether anything may be denied in a zone now.
@@ -229,7 +229,7 @@
 
 // unproven tells whether a zone returns and has yet to show that it works.
 func (g *zoneGate) unproven(zone ids.Zone) bool {
-	return g != nil && g.manager.Condition(zone) == zonereturn.Returning
+	return g != nil && g.manager.Condition(zone) == zonereturn.Recovering
 }
 
 // request adds to a placement request what the gate looks at; ok is false for a job that is
@@ -238,7 +238,7 @@
 	if g == nil || !g.manager.AnyGated() {
 		return true
 	}
-	if g.manager.AnyReturning() {
+	if g.manager.AnyRecovering() {
 		sh.image = j.spec.Image
 		sh.gate = gateClass{evaluated: true, critical: g.critical(j), small: g.small(j)}
 	}
@@ -251,20 +251,20 @@
 // started notes that a task was placed.
 func (g *zoneGate) started(a *assignment) {
 	if g != nil {
-		g.manager.Started(a.machine.Zone, g.startOf(a.job, a.index, a.machine), g.core.now)
+		g.manager.TaskStarted(a.machine.Zone, g.startOf(a.job, a.index, a.machine), g.core.now)
 	}
 }
 
 // running notes that a task was seen to run.
 func (g *zoneGate) running(a *assignment) {
-	if g != nil && g.manager.Running(a.machine.Zone, a.ref(), g.core.now) {
+	if g != nil && g.manager.TaskRunning(a.machine.Zone, a.ref(), g.core.now) {
 		g.core.schedulingDue = true
 	}
 }
 
 // detached notes that a task is off its machine.
 func (g *zoneGate) detached(a *assignment) {
-	if g != nil && g.manager.Ended(a.machine.Zone, a.ref(), g.core.now) {
+	if g != nil && g.manager.TaskEnded(a.machine.Zone, a.ref(), g.core.now) {
 		g.core.schedulingDue = true
 	}
 }
@@ -272,14 +272,14 @@
 // failed notes that a task failed. One whose job fails everywhere says nothing of the zone.
 func (g *zoneGate) failed(a *assignment) {
 	if g != nil && a.job.failureRounds == 0 {
-		g.manager.Failed(a.machine.Zone, a.job.id)
+		g.manager.TaskFailed(a.machine.Zone, a.job.id)
 	}
 }
 
 // lost notes that a task that should have gone on was lost with its machine.
 func (g *zoneGate) lost(a *assignment) {
 	if g != nil && a.stopReason == stopNone && !a.job.terminal() && a.mayRun() {
-		g.manager.Displaced(a.machine.Zone, a.job.id)
+		g.manager.TaskDisplaced(a.machine.Zone, a.job.id)
 	}
 }
 
@@ -294,7 +294,7 @@
 
 // rentalRoom is how many more machines may be rented in a zone now, if that is limited.
 func (g *zoneGate) rentalRoom(zone ids.Zone) (most int, limited bool) {
-	limit, limited := g.manager.RentalLimit(zone)
+	limit, limited := g.manager.ProvisioningLimit(zone)
 	if limit == 0 {
 		return 0, limited
 	}
@@ -364,11 +364,11 @@
 		if write.dropped {
 			revision = 0
 		}
-		if g.manager.Written(write.zone, revision) {
+		if g.manager.WriteCommitted(write.zone, revision) {
 			g.core.schedulingDue = true
 		}
 	case o.Rejected:
-		g.manager.Refused(write.zone)
+		g.manager.WriteRejected(write.zone)
 	default:
 		g.core.recordsErr = fmt.Errorf("record of zone %s moved without this leader: %v", write.zone, o.FailedKeys)
 	}
--- a/scheduler/zone_return_test.go
+++ b/scheduler/zone_return_test.go
@@ -64,7 +64,7 @@
 	m.run(60 * s1)
 	m.core.opt.MaxMachines = len(m.core.registry.machineList)
 	m.cutZone("b", 10*time.Minute)
-	m.await("b", zonereturn.Dark, 30*s1)
+	m.await("b", zonereturn.Outage, 30*s1)
 	for !m.leasesOver("b") {
 		m.run(100 * time.Millisecond)
 	}
@@ -205,7 +205,7 @@
 	m.run(20 * s1)
 	before := servicePlacement(m.core.jobs[id]).Running["b"]
 	m.cutZone("b", 40*s1)
-	m.await("b", zonereturn.Dark, 30*s1)
+	m.await("b", zonereturn.Outage, 30*s1)
 	m.await("b", zonereturn.Serving, 2*time.Minute)
 	down, moved := 0, 0
 	for end := m.now.Add(2 * time.Minute); m.now < end; m.run(100 * time.Millisecond) {
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -141,7 +141,7 @@
 		j := m.core.jobs[id]
 		wanted += len(j.tasks) - j.done
 		for _, a := range j.active {
-			if a.stopReason == stopNone && m.condition(a.machine.Zone) != zonereturn.Dark {
+			if a.stopReason == stopNone && m.condition(a.machine.Zone) != zonereturn.Outage {
 				placed++
 			}
 		}
--- a/zonereturn/condition.go
+++ b/zonereturn/condition.go
@@ -19,14 +19,14 @@
 	Serving Condition = iota
 	// Suspect: many of its machines fell silent. Nothing new starts there.
 	Suspect
-	// Dark: it is taken to be lost. Its work moves once that is surely gone, and nothing
+	// Outage: it is taken to be lost. Its work moves once that is surely gone, and nothing
 	// starts there until its machines have been heard for the hold-down.
-	Dark
-	// Returning: it is back, and its share of starts grows in steps.
-	Returning
+	Outage
+	// Recovering: it is back, and its share of starts grows in steps.
+	Recovering
 )
 
-var conditionNames = []string{Serving: "serving", Suspect: "suspect", Dark: "dark", Returning: "returning"}
+var conditionNames = []string{Serving: "serving", Suspect: "suspect", Outage: "dark", Recovering: "returning"}
 
 // String is the condition's name for operators.
 func (c Condition) String() string { return nameOf(conditionNames, "condition", c) }
@@ -40,19 +40,19 @@
 	return err
 }
 
-// Moment is a reading of the steady clock and of the time of day, taken together. Decisions
+// ClockReading is a reading of the steady clock and of the time of day, taken together. Decisions
 // go by the steady clock; records and operators' windows need the time of day.
-type Moment struct {
+type ClockReading struct {
 	Now  ids.Instant
 	Wall time.Time
 }
 
 // toInstant turns a recorded time of day into a reading of this process's steady clock.
 // What lies ahead, as clocks of two controllers may differ, counts as now.
-func (m Moment) toInstant(unixMS int64) ids.Instant {
+func (m ClockReading) toInstant(unixMS int64) ids.Instant {
 	age := m.Wall.Sub(time.UnixMilli(unixMS))
 	return m.Now.Add(-max(0, age))
 }
 
 // toWall turns a reading of the steady clock into the time of day.
-func (m Moment) toWall(at ids.Instant) time.Time { return m.Wall.Add(at.Sub(m.Now)) }
+func (m ClockReading) toWall(at ids.Instant) time.Time { return m.Wall.Add(at.Sub(m.Now)) }
--- a/zonereturn/evidence.go
+++ b/zonereturn/evidence.go
@@ -17,10 +17,10 @@
 	// Silent are those that were not heard for longer than a report may take. A machine
 	// that a new leader has yet to hear from is neither heard nor silent for a while.
 	Silent int
-	// Failed are those that the cloud lists as failed.
+	// TaskFailed are those that the cloud lists as failed.
 	Failed int
-	// RentalsRefused tells that the cloud lately refused every kind of machine there.
-	RentalsRefused bool
+	// CapacityRefused tells that the cloud lately refused every kind of machine there.
+	CapacityRefused bool
 }
 
 // lost is how many machines are of no use.
@@ -32,19 +32,19 @@
 	if e.Failed > 0 {
 		text += fmt.Sprintf(", %d listed as failed", e.Failed)
 	}
-	if e.RentalsRefused {
+	if e.CapacityRefused {
 		text += ", rentals refused"
 	}
 	return text
 }
 
-// View is what the leader knows of its own place: whether what it does not hear tells more
+// Connectivity is what the leader knows of its own place: whether what it does not hear tells more
 // of others than of itself.
-type View struct {
-	// StateSure tells that the state service confirmed the leader's key lately.
-	StateSure bool
-	// PeersHeard are the other controllers that answered lately, of so many.
-	PeersHeard, Peers int
+type Connectivity struct {
+	// LeaseConfirmed tells that the state service confirmed the leader's key lately.
+	LeaseConfirmed bool
+	// PeersReachable are the other controllers that answered lately, of so many.
+	PeersReachable, Peers int
 	// ProcessResumed tells that the leader's process was paused a moment ago: what
 	// machines said meanwhile is still to be read.
 	ProcessResumed bool
@@ -52,14 +52,14 @@
 
 // sound tells whether the leader may call a zone dark: it holds the state service, and a
 // majority of the controllers with itself. One that is cut off sees all other zones silent.
-func (v View) sound() bool {
-	return v.StateSure && !v.ProcessResumed && 2*(v.PeersHeard+1) > v.Peers+1
+func (v Connectivity) sound() bool {
+	return v.LeaseConfirmed && !v.ProcessResumed && 2*(v.PeersReachable+1) > v.Peers+1
 }
 
 // Observation is the evidence of all zones at a moment.
 type Observation struct {
-	Zones map[ids.Zone]Evidence
-	View  View
+	Zones        map[ids.Zone]Evidence
+	Connectivity Connectivity
 }
 
 // someZoneHeard tells whether some zone is mostly heard. Where all of them are in trouble at
--- a/zonereturn/gate.go
+++ b/zonereturn/gate.go
@@ -12,7 +12,7 @@
 	Admitted Denial = iota
 	DeniedHeld
 	DeniedSuspect
-	DeniedDark
+	DeniedOutage
 	DeniedUnrecorded
 	DeniedWindow
 	DeniedProbe
@@ -22,7 +22,7 @@
 )
 
 var denialNames = []string{
-	Admitted: "admitted", DeniedHeld: "held by an operator", DeniedSuspect: "suspect", DeniedDark: "dark",
+	Admitted: "admitted", DeniedHeld: "held by an operator", DeniedSuspect: "suspect", DeniedOutage: "dark",
 	DeniedUnrecorded: "the return is not recorded yet", DeniedWindow: "a window for critical work", DeniedProbe: "only probes",
 	DeniedStarts: "starts under way", DeniedFetches: "fetches under way", DeniedBudget: "came back before",
 }
@@ -31,14 +31,14 @@
 func (d Denial) String() string { return nameOf(denialNames, "denial", d) }
 
 // admit tells whether a task may start in the zone now.
-func (z *zone) admit(s *Start) Denial {
+func (z *zone) admit(s *StartRequest) Denial {
 	switch {
 	case z.override.Kind == OverrideHold:
 		return DeniedHeld
 	case z.condition == Suspect:
 		return DeniedSuspect
-	case z.condition == Dark:
-		return DeniedDark
+	case z.condition == Outage:
+		return DeniedOutage
 	case !z.record.allows(z.condition):
 		return DeniedUnrecorded
 	case !z.mayForce(s) && z.displaced.exhausted(s.Task.Job, z.policy.MoveBudget):
@@ -51,7 +51,7 @@
 
 // admitReturning tells whether a task that is not critical may start in a zone that
 // returns.
-func (z *zone) admitReturning(s *Start) Denial {
+func (z *zone) admitReturning(s *StartRequest) Denial {
 	step := z.record.allowedStep(z.ramp.step)
 	switch {
 	case z.window != nil:
@@ -60,7 +60,7 @@
 		return DeniedProbe
 	case z.starts.returning >= z.policy.startLimit(step, z.evidence.Heard):
 		return DeniedStarts
-	case !s.Fetch || z.starts.fetches[fetchKey{s.Host, s.Image}] > 0:
+	case !s.Fetch || z.starts.fetches[fetchKey{s.Machine, s.Image}] > 0:
 		return Admitted
 	case s.Sharing || len(z.starts.fetches) >= z.policy.fetchLimit(step, z.evidence.Heard):
 		return DeniedFetches
@@ -70,7 +70,7 @@
 
 // mayForce tells whether a job's earlier moves do not count any more: it may go nowhere else,
 // or has waited for long since it was displaced.
-func (z *zone) mayForce(s *Start) bool {
+func (z *zone) mayForce(s *StartRequest) bool {
 	return s.Bound || z.now >= z.displaced.patientUntil(s.Task.Job, z.policy.Patience)
 }
 
@@ -78,8 +78,8 @@
 func (d Denial) byRamp() bool { return d == DeniedProbe || d == DeniedStarts || d == DeniedFetches }
 
 // started notes that a task was placed in the zone.
-func (z *zone) started(s *Start, now ids.Instant) (bounced, forced bool) {
-	ramped := z.condition == Returning
+func (z *zone) started(s *StartRequest, now ids.Instant) (bounced, forced bool) {
+	ramped := z.condition == Recovering
 	z.starts.add(s, now, ramped)
 	if ramped && !s.Critical {
 		z.ramp.started++
@@ -100,7 +100,7 @@
 		return
 	}
 	took := now.Sub(p.since)
-	if z.condition != Returning {
+	if z.condition != Recovering {
 		z.usual.record(took)
 		return
 	}
--- a/zonereturn/golden_test.go
+++ b/zonereturn/golden_test.go
@@ -20,7 +20,7 @@
 func TestZoneRecordsKeepTheirBytes(t *testing.T) {
 	codec := golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
 	golden.Check(t, "records.json", codec, []golden.Case{
-		{Name: "zone", Value: Record{Nonce: 1<<63 + 5, Condition: uint8(Returning), SinceMS: 1764640000003, BeganMS: 1764640000004,
+		{Name: "zone", Value: Record{Nonce: 1<<63 + 5, Condition: uint8(Recovering), SinceMS: 1764640000003, BeganMS: 1764640000004,
 			Step: 2, Flaps: 3, Spell: 4, Machines: 231, Jobs: []ids.JobID{"job-1", "job-2"}, Counts: []int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10},
 			Omitted: 5, Incidents: []Incident{goldenIncident()}, Override: uint8(OverrideHold), OverrideReason: "power work",
 			OverrideUntilMS: 1764640000005}},
@@ -30,7 +30,7 @@
 
 // What operators are told of a zone keeps its bytes between controllers and as JSON.
 func TestZoneStatusKeepsItsBytes(t *testing.T) {
-	cases := []golden.Case{{Name: "zone status", Value: Status{Zone: "zone-a", Condition: Dark, SinceMS: 1764640000006, Reason: "silent",
+	cases := []golden.Case{{Name: "zone status", Value: Status{Zone: "zone-a", Condition: Outage, SinceMS: 1764640000006, Reason: "silent",
 		Known: 31, Heard: 32, Flaps: 33, Step: 34, Steps: 35, Starts: 36, StartLimit: 37, Fetches: 38, FetchLimit: 39, DisplacedIDs: 40,
 		Holding: "all new work", UntilMS: 1764640000007, Override: OverrideRelease, Recorded: true, StartP90MS: 4100, UsualP90MS: 4200,
 		Incidents: []Incident{goldenIncident()}}}}
@@ -46,7 +46,7 @@
 			t.Errorf("override %d is %s, want %s", i, got, want)
 		}
 	}
-	if Serving != 0 || Suspect != 1 || Dark != 2 || Returning != 3 || OverrideNone != 0 || OverrideHold != 1 || OverrideRelease != 2 {
+	if Serving != 0 || Suspect != 1 || Outage != 2 || Recovering != 3 || OverrideNone != 0 || OverrideHold != 1 || OverrideRelease != 2 {
 		t.Error("a number that records hold has changed")
 	}
 }
--- a/zonereturn/incident.go
+++ b/zonereturn/incident.go
@@ -43,7 +43,7 @@
 }
 
 // begin notes that the zone got dark: another spell, or a new incident.
-func (l *incidentLog) begin(at Moment, machines int) {
+func (l *incidentLog) begin(at ClockReading, machines int) {
 	if l.present == nil {
 		l.present = &Incident{BeganMS: at.Wall.UnixMilli(), Machines: machines}
 	}
@@ -57,15 +57,15 @@
 		return
 	}
 	switch c {
-	case Dark:
+	case Outage:
 		l.present.DarkMS += took.Milliseconds()
-	case Returning:
+	case Recovering:
 		l.present.ReturnMS += took.Milliseconds()
 	}
 }
 
 // serve notes that the zone serves again.
-func (l *incidentLog) serve(at Moment) {
+func (l *incidentLog) serve(at ClockReading) {
 	if l.present != nil {
 		l.present.ServedMS = at.Wall.UnixMilli()
 	}
--- a/zonereturn/manager.go
+++ b/zonereturn/manager.go
@@ -16,12 +16,12 @@
 	usualStarts *latencies
 	restorer    *restorer
 	stats       Stats
-	view        View
+	view        Connectivity
 }
 
 // Stats counts what the subsystem did, for logs and measurements.
 type Stats struct {
-	// Displaced counts tasks that were lost with a dark zone, and Bounces the jobs that
+	// TaskDisplaced counts tasks that were lost with a dark zone, and Bounces the jobs that
 	// came back to a zone which displaced them.
 	Displaced, Bounces int
 	// Forced counts the bounces beyond the budget, of jobs that had waited for so long that
@@ -50,18 +50,18 @@
 func (m *Manager) sortedZones() []ids.Zone { return slices.Sorted(maps.Keys(m.zones)) }
 
 // Load takes in the record of a zone that a predecessor left.
-func (m *Manager) Load(name ids.Zone, rec *Record, revision ids.Revision, at Moment) {
+func (m *Manager) Load(name ids.Zone, rec *Record, revision ids.Revision, at ClockReading) {
 	m.zone(name, at.Now).load(rec, revision, at)
 }
 
 // LoadUnreadable takes note of a record that makes no sense.
-func (m *Manager) LoadUnreadable(name ids.Zone, revision ids.Revision, at Moment) {
+func (m *Manager) LoadUnreadable(name ids.Zone, revision ids.Revision, at ClockReading) {
 	m.zone(name, at.Now).loadUnreadable(revision, at)
 }
 
 // Observe takes in what is known of all zones. It tells whether more may start than before.
-func (m *Manager) Observe(at Moment, o Observation) (opened bool) {
-	m.view = o.View
+func (m *Manager) Observe(at ClockReading, o Observation) (opened bool) {
+	m.view = o.Connectivity
 	someZoneHeard := o.someZoneHeard(m.policy)
 	for _, name := range slices.Sorted(maps.Keys(o.Zones)) {
 		m.zone(name, at.Now)
@@ -69,14 +69,14 @@
 	for _, name := range m.sortedZones() {
 		z := m.zones[name]
 		condition, step, window := z.condition, z.ramp.step, z.window
-		z.observe(at, o.Zones[name], o.View, someZoneHeard)
+		z.observe(at, o.Zones[name], o.Connectivity, someZoneHeard)
 		opened = opened || z.condition != condition || z.ramp.step != step || z.window != window
 	}
 	return opened
 }
 
 // Admit tells whether a task may start in a zone now.
-func (m *Manager) Admit(name ids.Zone, s *Start) Denial {
+func (m *Manager) Admit(name ids.Zone, s *StartRequest) Denial {
 	z := m.zones[name]
 	if z == nil {
 		return Admitted
@@ -88,8 +88,8 @@
 	return denial
 }
 
-// Started notes that a task was placed in a zone.
-func (m *Manager) Started(name ids.Zone, s *Start, now ids.Instant) {
+// TaskStarted notes that a task was placed in a zone.
+func (m *Manager) TaskStarted(name ids.Zone, s *StartRequest, now ids.Instant) {
 	z := m.zone(name, now)
 	bounced, forced := z.started(s, now)
 	switch {
@@ -103,19 +103,19 @@
 	}
 }
 
-// Inherited notes that a predecessor placed a task in a zone. It counts as under way until
+// TaskInherited notes that a predecessor placed a task in a zone. It counts as under way until
 // it is seen to run.
-func (m *Manager) Inherited(name ids.Zone, s *Start, now ids.Instant) {
+func (m *Manager) TaskInherited(name ids.Zone, s *StartRequest, now ids.Instant) {
 	m.zone(name, now).starts.add(s, now, false)
 }
 
-// Running notes that a task runs. It tells whether that may let others start.
-func (m *Manager) Running(name ids.Zone, task ids.TaskRef, now ids.Instant) (opened bool) {
+// TaskRunning notes that a task runs. It tells whether that may let others start.
+func (m *Manager) TaskRunning(name ids.Zone, task ids.TaskRef, now ids.Instant) (opened bool) {
 	return m.startEnded(name, task, true, now)
 }
 
-// Ended notes that a task is off its machine, whether or not it ran.
-func (m *Manager) Ended(name ids.Zone, task ids.TaskRef, now ids.Instant) (opened bool) {
+// TaskEnded notes that a task is off its machine, whether or not it ran.
+func (m *Manager) TaskEnded(name ids.Zone, task ids.TaskRef, now ids.Instant) (opened bool) {
 	return m.startEnded(name, task, false, now)
 }
 
@@ -125,19 +125,19 @@
 		return false
 	}
 	z.startEnded(task, ran, now)
-	return z.condition == Returning
+	return z.condition == Recovering
 }
 
-// Failed notes that a task failed in a zone.
-func (m *Manager) Failed(name ids.Zone, job ids.JobID) {
-	if z := m.zones[name]; z != nil && z.condition == Returning {
+// TaskFailed notes that a task failed in a zone.
+func (m *Manager) TaskFailed(name ids.Zone, job ids.JobID) {
+	if z := m.zones[name]; z != nil && z.condition == Recovering {
 		z.ramp.fail(job)
 	}
 }
 
-// Displaced notes that a task was lost with its machine. It counts while the zone is in
+// TaskDisplaced notes that a task was lost with its machine. It counts while the zone is in
 // trouble, also during its return: not all machines come back.
-func (m *Manager) Displaced(name ids.Zone, job ids.JobID) {
+func (m *Manager) TaskDisplaced(name ids.Zone, job ids.JobID) {
 	z := m.zones[name]
 	if z == nil || z.condition == Serving {
 		return
@@ -184,26 +184,26 @@
 	return false
 }
 
-// AnyReturning tells whether some zone returns.
-func (m *Manager) AnyReturning() bool {
+// AnyRecovering tells whether some zone returns.
+func (m *Manager) AnyRecovering() bool {
 	for _, z := range m.zones {
-		if z.condition == Returning {
+		if z.condition == Recovering {
 			return true
 		}
 	}
 	return false
 }
 
-// RentalLimit is how many machines may be on their way to a zone at once; limited is false
+// ProvisioningLimit is how many machines may be on their way to a zone at once; limited is false
 // where there is no limit.
-func (m *Manager) RentalLimit(name ids.Zone) (most int, limited bool) {
+func (m *Manager) ProvisioningLimit(name ids.Zone) (most int, limited bool) {
 	z := m.zones[name]
 	switch {
 	case z == nil:
 		return 0, false
-	case z.override.Kind == OverrideHold || z.condition == Suspect || z.condition == Dark:
+	case z.override.Kind == OverrideHold || z.condition == Suspect || z.condition == Outage:
 		return 0, true
-	case z.condition == Returning:
+	case z.condition == Recovering:
 		return z.policy.rentalLimit(z.record.allowedStep(z.ramp.step), z.machinesBefore), true
 	}
 	return 0, false
@@ -212,21 +212,21 @@
 // ColdSince is when a zone that returns was lost: what its machines held before that may be
 // gone. It is 0 for other zones.
 func (m *Manager) ColdSince(name ids.Zone) ids.Instant {
-	if z := m.zones[name]; z != nil && z.condition == Returning {
+	if z := m.zones[name]; z != nil && z.condition == Recovering {
 		return z.darkAt
 	}
 	return 0
 }
 
-// SmallRun is how long a task that proves a zone is expected to run at most.
-func (m *Manager) SmallRun() time.Duration { return m.policy.ProbeMaxRun }
+// ProbeRunLimit is how long a task that proves a zone is expected to run at most.
+func (m *Manager) ProbeRunLimit() time.Duration { return m.policy.ProbeMaxRun }
 
 // Stats tells what the subsystem did so far.
 func (m *Manager) Stats() Stats { return m.stats }
 
 // Override carries out an operator's decision about a zone. The number that it returns is
 // recorded once RecordedOverride has reached it.
-func (m *Manager) Override(name ids.Zone, o Override, at Moment) uint64 {
+func (m *Manager) Override(name ids.Zone, o Override, at ClockReading) uint64 {
 	if len(o.Reason) > maxReason {
 		o.Reason = o.Reason[:maxReason]
 	}
--- a/zonereturn/manager_test.go
+++ b/zonereturn/manager_test.go
@@ -12,7 +12,7 @@
 type bench struct {
 	t    *testing.T
 	m    *Manager
-	at   Moment
+	at   ClockReading
 	revs ids.Revision
 	// written are the records by zone, as the state service holds them.
 	written map[ids.Zone]Record
@@ -28,16 +28,16 @@
 
 func newBench(t *testing.T) *bench {
 	return &bench{t: t, m: NewManager(testPolicy()), written: map[ids.Zone]Record{},
-		at: Moment{Now: ids.Instant(time.Hour), Wall: time.Date(2026, 5, 4, 12, 0, 0, 0, time.UTC)}}
+		at: ClockReading{Now: ids.Instant(time.Hour), Wall: time.Date(2026, 5, 4, 12, 0, 0, 0, time.UTC)}}
 }
 
 // pass lets time pass with so many of ten machines heard, and writes what is due.
 func (b *bench) pass(d time.Duration, heard int) {
 	for end := b.at.Now.Add(d); b.at.Now < end; {
-		b.at = Moment{b.at.Now.Add(200 * time.Millisecond), b.at.Wall.Add(200 * time.Millisecond)}
+		b.at = ClockReading{b.at.Now.Add(200 * time.Millisecond), b.at.Wall.Add(200 * time.Millisecond)}
 		b.m.Observe(b.at, Observation{
-			Zones: map[ids.Zone]Evidence{"z": {Known: 10, Heard: heard, Silent: 10 - heard}, "other": {Known: 10, Heard: 10}},
-			View:  View{StateSure: true, PeersHeard: 2, Peers: 2},
+			Zones:        map[ids.Zone]Evidence{"z": {Known: 10, Heard: heard, Silent: 10 - heard}, "other": {Known: 10, Heard: 10}},
+			Connectivity: Connectivity{LeaseConfirmed: true, PeersReachable: 2, Peers: 2},
 		})
 		b.write()
 	}
@@ -53,24 +53,24 @@
 		b.revs++
 		if w.Record == nil {
 			delete(b.written, w.Zone)
-			b.m.Written(w.Zone, 0)
+			b.m.WriteCommitted(w.Zone, 0)
 			continue
 		}
 		b.written[w.Zone] = *w.Record
-		b.m.Written(w.Zone, b.revs)
+		b.m.WriteCommitted(w.Zone, b.revs)
 	}
 }
 
 // start places a task of a job if the gate admits it.
-func (b *bench) start(s Start) (ids.TaskRef, Denial) {
+func (b *bench) start(s StartRequest) (ids.TaskRef, Denial) {
 	b.tasks++
 	s.Task = ids.TaskRef{Job: s.Task.Job, Index: b.tasks}
-	if s.Host == "" {
-		s.Host = ids.MachineID(fmt.Sprintf("n-%d", b.tasks))
+	if s.Machine == "" {
+		s.Machine = ids.MachineID(fmt.Sprintf("n-%d", b.tasks))
 	}
 	denial := b.m.Admit("z", &s)
 	if denial == Admitted {
-		b.m.Started("z", &s, b.at.Now)
+		b.m.TaskStarted("z", &s, b.at.Now)
 	}
 	return s.Task, denial
 }
@@ -80,11 +80,11 @@
 	b.t.Helper()
 	b.pass(time.Second, 10)
 	b.pass(15*time.Second, 0)
-	if c := b.m.Condition("z"); c != Dark {
+	if c := b.m.Condition("z"); c != Outage {
 		b.t.Fatalf("%s after silence", c)
 	}
 	b.pass(5*time.Second, 10)
-	if c := b.m.Condition("z"); c != Returning {
+	if c := b.m.Condition("z"); c != Recovering {
 		b.t.Fatalf("%s after the hold-down", c)
 	}
 }
@@ -101,10 +101,10 @@
 		{"half are silent: suspect, never dark", []int{10, 5, 5, 5, 5}, Suspect},
 		{"it hovers: still suspect", []int{10, 5, 6, 5, 6}, Suspect},
 		{"most are heard again", []int{10, 5, 9}, Serving},
-		{"all are silent", []int{10, 0}, Dark},
-		{"one machine back is too few", []int{10, 0, 1}, Dark},
-		{"a quarter is enough", []int{10, 0, 3}, Returning},
-		{"silent again in the return", []int{10, 0, 10, 0}, Dark},
+		{"all are silent", []int{10, 0}, Outage},
+		{"one machine back is too few", []int{10, 0, 1}, Outage},
+		{"a quarter is enough", []int{10, 0, 3}, Recovering},
+		{"silent again in the return", []int{10, 0, 10, 0}, Outage},
 	} {
 		b := newBench(t)
 		for _, heard := range c.heard {
@@ -125,8 +125,8 @@
 		want   Condition
 	}{{5, Serving}, {10, Suspect}} {
 		for range 20 {
-			b.at = Moment{b.at.Now.Add(200 * time.Millisecond), b.at.Wall.Add(200 * time.Millisecond)}
-			b.m.Observe(b.at, Observation{View: View{StateSure: true}, Zones: map[ids.Zone]Evidence{
+			b.at = ClockReading{b.at.Now.Add(200 * time.Millisecond), b.at.Wall.Add(200 * time.Millisecond)}
+			b.m.Observe(b.at, Observation{Connectivity: Connectivity{LeaseConfirmed: true}, Zones: map[ids.Zone]Evidence{
 				"z": {Known: 10, Heard: 5, Silent: 5}, "other": {Known: 10, Heard: c.others, Silent: 10 - c.others}}})
 		}
 		if got := b.m.Condition("z"); got != c.want {
@@ -141,7 +141,7 @@
 	b.pass(time.Second, 10)
 	for _, resumed := range []bool{true, false} {
 		b.at.Now = b.at.Now.Add(20 * time.Second)
-		b.m.Observe(b.at, Observation{View: View{StateSure: true, ProcessResumed: resumed}, Zones: map[ids.Zone]Evidence{
+		b.m.Observe(b.at, Observation{Connectivity: Connectivity{LeaseConfirmed: true, ProcessResumed: resumed}, Zones: map[ids.Zone]Evidence{
 			"z": {Known: 10, Silent: 10}, "other": {Known: 10, Heard: 10}}})
 		if got, want := b.m.Condition("z"), map[bool]Condition{true: Serving, false: Suspect}[resumed]; got != want {
 			t.Errorf("resumed %v: %s", resumed, got)
--- a/zonereturn/override.go
+++ b/zonereturn/override.go
@@ -43,7 +43,7 @@
 
 // apply carries an operator's decision out. A hold counts at once; what allows more counts
 // once it is recorded.
-func (z *zone) apply(o Override, at Moment) {
+func (z *zone) apply(o Override, at ClockReading) {
 	z.override = o
 	z.record.dirty = true
 	z.events = append(z.events, Event{Zone: z.name, From: z.condition, To: z.condition, Step: z.ramp.step, Reason: "operator: " + o.Kind.String() + " " + o.Reason})
@@ -53,7 +53,7 @@
 	z.override = Override{}
 	z.absent = z.evidence.lost()
 	switch z.condition {
-	case Returning, Dark:
+	case Recovering, Outage:
 		z.serve(at, "released by an operator: "+o.Reason)
 	case Suspect:
 		z.resume = Serving
@@ -61,7 +61,7 @@
 }
 
 // expireOverride lifts a hold that is over.
-func (z *zone) expireOverride(at Moment) {
+func (z *zone) expireOverride(at ClockReading) {
 	if z.override.Kind == OverrideHold && z.override.UntilMS != 0 && !at.Wall.Before(time.UnixMilli(z.override.UntilMS)) {
 		z.apply(Override{Reason: "the hold is over"}, at)
 	}
--- a/zonereturn/ramp_test.go
+++ b/zonereturn/ramp_test.go
@@ -12,8 +12,8 @@
 func TestRampGrowsWithSuccess(t *testing.T) {
 	b := newBench(t)
 	b.returning()
-	small := Start{Task: ids.TaskRef{Job: "job-1"}, Small: true}
-	if _, denial := b.start(Start{Task: ids.TaskRef{Job: "job-2"}}); denial != DeniedProbe {
+	small := StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true}
+	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-2"}}); denial != DeniedProbe {
 		t.Errorf("a large task as a probe: %s", denial)
 	}
 	first, _ := b.start(small)
@@ -21,15 +21,15 @@
 	if _, denial := b.start(small); denial != DeniedStarts {
 		t.Errorf("a third probe: %s", denial)
 	}
-	if _, denial := b.start(Start{Task: ids.TaskRef{Job: "job-3"}, Critical: true}); denial != Admitted {
+	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-3"}, Critical: true}); denial != Admitted {
 		t.Errorf("critical work: %s", denial)
 	}
 	b.pass(6*time.Second, 10)
 	if st := b.m.Status(b.at)[1]; st.Step != 0 {
 		t.Errorf("step %d before anything succeeded", st.Step)
 	}
-	b.m.Running("z", first, b.at.Now)
-	b.m.Running("z", second, b.at.Now)
+	b.m.TaskRunning("z", first, b.at.Now)
+	b.m.TaskRunning("z", second, b.at.Now)
 	b.pass(time.Second, 10)
 	if st := b.m.Status(b.at)[1]; st.Step != 1 || b.written["z"].Step != 1 {
 		t.Errorf("step %d, %d recorded, after the probes succeeded", st.Step, b.written["z"].Step)
@@ -41,7 +41,7 @@
 func TestProbeWithoutSmallTasks(t *testing.T) {
 	b := newBench(t)
 	b.returning()
-	large := Start{Task: ids.TaskRef{Job: "job-2"}}
+	large := StartRequest{Task: ids.TaskRef{Job: "job-2"}}
 	if _, denial := b.start(large); denial != DeniedProbe {
 		t.Errorf("at once: %s", denial)
 	}
@@ -50,14 +50,14 @@
 	if denial != Admitted {
 		t.Fatalf("after a step's time: %s", denial)
 	}
-	b.m.Running("z", task, b.at.Now)
+	b.m.TaskRunning("z", task, b.at.Now)
 	b.pass(time.Second, 10)
 	if st := b.m.Status(b.at)[1]; st.Step != 1 {
 		t.Fatalf("step %d after the probe succeeded", st.Step)
 	}
 	z := b.m.zones["z"]
 	z.displaced.jobs["job-3"] = &displacedJob{losses: 2, lastSpell: 2, returns: 1, returnedSpell: 1, lostAt: b.at.Now}
-	if _, denial := b.start(Start{Task: ids.TaskRef{Job: "job-3"}, Small: true}); denial != DeniedBudget {
+	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-3"}, Small: true}); denial != DeniedBudget {
 		t.Errorf("a job that came back before: %s", denial)
 	}
 	b.pass(testPolicy().StepTime+time.Second, 10)
@@ -82,29 +82,29 @@
 		if st := b.m.Status(b.at)[1]; st.Step != 1 {
 			t.Fatalf("step %d without any work", st.Step)
 		}
-		held, _ := b.start(Start{Task: ids.TaskRef{Job: "job-9"}, Small: true})
+		held, _ := b.start(StartRequest{Task: ids.TaskRef{Job: "job-9"}, Small: true})
 		for _, job := range c.failed {
-			b.m.Failed("z", job)
+			b.m.TaskFailed("z", job)
 		}
 		b.pass(5*time.Second, 10)
 		if st := b.m.Status(b.at)[1]; st.Step != c.want {
 			t.Errorf("%s: step %d, want %d", c.name, st.Step, c.want)
 		}
-		b.m.Ended("z", held, b.at.Now)
+		b.m.TaskEnded("z", held, b.at.Now)
 	}
 }
 
 // Starts that take far longer than elsewhere take a step back.
 func TestRampShrinksOnSlowStarts(t *testing.T) {
 	b := newBench(t)
-	other := func(n int) Start { return Start{Task: ids.TaskRef{Job: "job-0", Index: n}, Host: "h"} }
+	other := func(n int) StartRequest { return StartRequest{Task: ids.TaskRef{Job: "job-0", Index: n}, Machine: "h"} }
 	for n := range 10 {
 		s := other(n)
-		b.m.Started("other", &s, b.at.Now)
+		b.m.TaskStarted("other", &s, b.at.Now)
 	}
 	b.pass(time.Second, 10)
 	for n := range 10 {
-		b.m.Running("other", other(n).Task, b.at.Now)
+		b.m.TaskRunning("other", other(n).Task, b.at.Now)
 	}
 	b.returning()
 	b.pass(5*time.Second, 10)
@@ -112,7 +112,7 @@
 	var tasks []ids.TaskRef
 	z.policy.ProbeTasks, z.policy.ReturnMax = 6, time.Hour
 	for range 6 {
-		task, denial := b.start(Start{Task: ids.TaskRef{Job: "job-1"}, Small: true})
+		task, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true})
 		if denial != Admitted {
 			t.Fatal(denial)
 		}
@@ -120,7 +120,7 @@
 	}
 	b.pass(30*time.Second, 10)
 	for _, task := range tasks {
-		b.m.Running("z", task, b.at.Now)
+		b.m.TaskRunning("z", task, b.at.Now)
 	}
 	b.pass(200*time.Millisecond, 10)
 	if st := b.m.Status(b.at)[1]; st.Step != 0 || z.ramp.setbacks != 1 {
@@ -134,7 +134,7 @@
 	b.returning()
 	b.pass(5*time.Second, 10) // the first share: 0.2 of 10 machines, 0.3 fetches each
 	fetch := func(host ids.MachineID, image ids.Image, sharing bool) Denial {
-		_, denial := b.start(Start{Task: ids.TaskRef{Job: "job-1"}, Small: true, Fetch: true, Host: host, Image: image, Sharing: sharing})
+		_, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true, Fetch: true, Machine: host, Image: image, Sharing: sharing})
 		return denial
 	}
 	for _, c := range []struct {
@@ -162,9 +162,9 @@
 func TestReturnEndsInTime(t *testing.T) {
 	b := newBench(t)
 	b.returning()
-	for passed := time.Duration(0); b.m.Condition("z") == Returning; passed += time.Second {
-		b.m.Failed("z", ids.JobID(fmt.Sprintf("job-%d", passed)))
-		b.start(Start{Task: ids.TaskRef{Job: "job-1"}, Small: true})
+	for passed := time.Duration(0); b.m.Condition("z") == Recovering; passed += time.Second {
+		b.m.TaskFailed("z", ids.JobID(fmt.Sprintf("job-%d", passed)))
+		b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true})
 		b.pass(time.Second, 10)
 		if passed > testPolicy().ReturnMax+time.Second {
 			t.Fatalf("still returning after %v", passed)
@@ -177,10 +177,10 @@
 	b := newBench(t)
 	b.m.policy.Windows = []*Window{mustWindow(t, WindowSettings{Name: "w", TimeZone: "UTC", From: "12:00", To: "12:10"})}
 	b.returning()
-	if _, denial := b.start(Start{Task: ids.TaskRef{Job: "job-1"}, Small: true}); denial != DeniedWindow {
+	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true}); denial != DeniedWindow {
 		t.Errorf("in the window: %s", denial)
 	}
-	if _, denial := b.start(Start{Task: ids.TaskRef{Job: "job-2"}, Critical: true}); denial != Admitted {
+	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-2"}, Critical: true}); denial != Admitted {
 		t.Errorf("critical work in the window: %s", denial)
 	}
 	st := b.m.Status(b.at)[1]
@@ -188,7 +188,7 @@
 		t.Errorf("held until %v", time.UnixMilli(st.UntilMS).UTC())
 	}
 	b.pass(9*time.Minute+50*time.Second, 10)
-	if _, denial := b.start(Start{Task: ids.TaskRef{Job: "job-1"}, Small: true}); denial != Admitted {
+	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true}); denial != Admitted {
 		t.Errorf("after the window: %s", denial)
 	}
 }
@@ -208,15 +208,15 @@
 		denial := Admitted
 		for denial == Admitted {
 			var task ids.TaskRef
-			if task, denial = b.start(Start{Task: ids.TaskRef{Job: "job-1"}}); denial == Admitted {
+			if task, denial = b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}}); denial == Admitted {
 				running = append(running, task)
 			}
 		}
 		for _, task := range running {
-			b.m.Running("z", task, b.at.Now)
+			b.m.TaskRunning("z", task, b.at.Now)
 		}
 		b.pass(3*time.Second, 10) // less than a step, so that work waits in each
-		if c := b.m.Condition("z"); c != Returning {
+		if c := b.m.Condition("z"); c != Recovering {
 			t.Fatalf("%s although work was turned away", c)
 		}
 	}
--- a/zonereturn/record.go
+++ b/zonereturn/record.go
@@ -65,8 +65,8 @@
 	switch c {
 	case Serving:
 		return r.condition == Serving
-	case Returning:
-		return r.condition == Returning || r.condition == Serving
+	case Recovering:
+		return r.condition == Recovering || r.condition == Serving
 	}
 	return true
 }
@@ -83,14 +83,14 @@
 }
 
 // export makes the record of a zone as it stands.
-func (z *zone) export(at Moment, nonce uint64) Record {
+func (z *zone) export(at ClockReading, nonce uint64) Record {
 	rec := Record{
 		Nonce: nonce, Condition: uint8(z.recordable()), SinceMS: at.toWall(z.since).UnixMilli(),
 		Flaps: z.flaps, Spell: z.displaced.spell, Machines: z.machinesBefore,
 		Incidents: z.incidents.all(),
 		Override:  uint8(z.override.Kind), OverrideReason: z.override.Reason, OverrideUntilMS: z.override.UntilMS,
 	}
-	if z.recordable() == Returning {
+	if z.recordable() == Recovering {
 		rec.Step, rec.BeganMS = z.ramp.step, at.toWall(z.ramp.began).UnixMilli()
 	}
 	jobs := z.displaced.mostReturned()
@@ -105,10 +105,10 @@
 }
 
 // load takes in the record that a predecessor left.
-func (z *zone) load(rec *Record, revision ids.Revision, at Moment) {
+func (z *zone) load(rec *Record, revision ids.Revision, at ClockReading) {
 	z.condition = Condition(rec.Condition)
-	if z.condition > Returning { // of a later version: the most careful that ends by itself
-		z.condition = Dark
+	if z.condition > Recovering { // of a later version: the most careful that ends by itself
+		z.condition = Outage
 	}
 	z.since = at.toInstant(rec.SinceMS)
 	z.reason = "recorded by an earlier leader"
@@ -123,7 +123,7 @@
 			z.displaced.jobs[job] = &displacedJob{losses: n[0], lastSpell: n[1], returns: n[2], returnedSpell: n[3], restored: n[4], lostAt: at.Now}
 		}
 	}
-	if z.condition == Returning {
+	if z.condition == Recovering {
 		// The step begins anew: what its starts came to was not recorded.
 		z.ramp.enter(min(rec.Step, z.policy.lastStep()), at.Now)
 		z.ramp.began = at.toInstant(rec.BeganMS)
@@ -134,13 +134,13 @@
 
 // loadUnreadable takes note of a record that makes no sense. It is never taken for absent:
 // the zone must show by itself that it is there.
-func (z *zone) loadUnreadable(revision ids.Revision, at Moment) {
-	z.condition, z.since, z.flaps = Dark, at.Now, 1
+func (z *zone) loadUnreadable(revision ids.Revision, at ClockReading) {
+	z.condition, z.since, z.flaps = Outage, at.Now, 1
 	z.displaced.spell = 1
 	z.incidents.begin(at, 0)
 	z.reason = "the record cannot be read"
 	z.record.revision = revision
-	z.record.condition, z.record.dirty = Dark, true
+	z.record.condition, z.record.dirty = Outage, true
 }
 
 // lazyDelay is how long the record may lag behind the list of displaced jobs.
--- a/zonereturn/record_test.go
+++ b/zonereturn/record_test.go
@@ -22,7 +22,7 @@
 	if !ok || len(w.Record.Jobs) > 60 || len(w.Record.Jobs) < 20 || w.Record.Jobs[0] != "job-000999" || w.Record.Omitted != 1000-len(w.Record.Jobs) {
 		t.Fatalf("%v %+v", ok, w.Record)
 	}
-	b.m.Refused("z")
+	b.m.WriteRejected("z")
 	if again, ok := b.m.NextWrite(b.at, 8, func(*Record) bool { return true }); !ok || len(again.Record.Jobs) >= len(w.Record.Jobs) {
 		t.Errorf("after a refusal: %v %d jobs", ok, len(again.Record.Jobs))
 	}
@@ -33,7 +33,7 @@
 func TestQuietZoneKeepsOnlyItsIncidents(t *testing.T) {
 	b := newBench(t)
 	b.returning()
-	b.m.Displaced("z", "job-1")
+	b.m.TaskDisplaced("z", "job-1")
 	b.pass(time.Minute, 10)
 	if rec, ok := b.written["z"]; !ok || len(rec.Jobs) != 1 || rec.Flaps != 1 {
 		t.Fatalf("while its flaps count: %+v", rec)
@@ -63,7 +63,7 @@
 // Incidents are bounded, and the present one goes on after a succession.
 func TestIncidentsAreBounded(t *testing.T) {
 	var log incidentLog
-	at := Moment{Wall: time.Date(2026, 5, 4, 12, 0, 0, 0, time.UTC)}
+	at := ClockReading{Wall: time.Date(2026, 5, 4, 12, 0, 0, 0, time.UTC)}
 	for n := range 3 * maxHistory {
 		log.begin(at, n)
 		log.begin(at, n)
@@ -85,11 +85,11 @@
 func TestUnreadableRecordClosesTheZone(t *testing.T) {
 	b := newBench(t)
 	b.m.LoadUnreadable("z", 9, b.at)
-	if _, denial := b.start(Start{Task: ids.TaskRef{Job: "job-1"}, Critical: true}); denial != DeniedDark {
+	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Critical: true}); denial != DeniedOutage {
 		t.Errorf("%s", denial)
 	}
 	b.pass(6*time.Second, 10)
-	if c := b.m.Condition("z"); c != Returning {
+	if c := b.m.Condition("z"); c != Recovering {
 		t.Errorf("%s once its machines are heard", c)
 	}
 }
@@ -105,7 +105,7 @@
 	b.pass(10*time.Second, 10)
 	old, rec := b.m.zones["z"], b.written["z"]
 	successor := NewManager(testPolicy())
-	later := Moment{Now: ids.Instant(7 * time.Hour), Wall: b.at.Wall.Add(3 * time.Second)}
+	later := ClockReading{Now: ids.Instant(7 * time.Hour), Wall: b.at.Wall.Add(3 * time.Second)}
 	successor.Load("z", &rec, 5, later)
 	z := successor.zones["z"]
 	if z.condition != old.condition || z.flaps != old.flaps || z.ramp.step > old.ramp.step || z.override != old.override || z.displaced.spell != old.displaced.spell {
@@ -128,7 +128,7 @@
 	z := b.m.zones["z"]
 	z.enterStep(2, b.at.Now, "")
 	admitted := func() (n int) {
-		for _, denial := b.start(Start{Task: ids.TaskRef{Job: "job-1"}, Small: true}); denial == Admitted; _, denial = b.start(Start{Task: ids.TaskRef{Job: "job-1"}, Small: true}) {
+		for _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true}); denial == Admitted; _, denial = b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true}) {
 			n++
 		}
 		return n
--- a/zonereturn/restore.go
+++ b/zonereturn/restore.go
@@ -27,7 +27,7 @@
 // ServicePlacement is where the replicas of a service run.
 type ServicePlacement struct {
 	Job ids.JobID
-	// Running counts the replicas that run, by zone; Wanted is how many there should be.
+	// TaskRunning counts the replicas that run, by zone; Wanted is how many there should be.
 	Running map[ids.Zone]int
 	Wanted  int
 }
@@ -74,7 +74,7 @@
 
 // PlanRestore chooses a replica that should be moved back now, if the rate allows one. hasRoom
 // tells whether a replica could run in a zone at once.
-func (m *Manager) PlanRestore(at Moment, services []ServicePlacement, hasRoom func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
+func (m *Manager) PlanRestore(at ClockReading, services []ServicePlacement, hasRoom func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
 	if m.restorer.limiter.TokensAt(at.Wall) < 1 {
 		return RestoreMove{}, false
 	}
--- a/zonereturn/restore_test.go
+++ b/zonereturn/restore_test.go
@@ -29,7 +29,7 @@
 		b.m.policy.Restore = RestorePolicy{MovesPerMinute: 0.5, After: time.Minute, Budget: 2}
 		b.m.restorer = newRestorer(b.m.policy.Restore)
 		b.returning()
-		b.m.Displaced("z", "job-1")
+		b.m.TaskDisplaced("z", "job-1")
 		b.pass(90*time.Second, 10)
 		wanted := 6
 		if c.name == "nearly even" {
@@ -37,7 +37,7 @@
 		}
 		moves := 0
 		for range c.minutes * 60 {
-			b.at = Moment{b.at.Now.Add(time.Second), b.at.Wall.Add(time.Second)}
+			b.at = ClockReading{b.at.Now.Add(time.Second), b.at.Wall.Add(time.Second)}
 			if len(b.m.RestoreCandidates(b.at.Now)) != 1 {
 				t.Fatalf("%s: no candidate", c.name)
 			}
--- a/zonereturn/starts.go
+++ b/zonereturn/starts.go
@@ -4,8 +4,8 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Start is a task that looks for a place, as far as it matters here.
-type Start struct {
+// StartRequest is a task that looks for a place, as far as it matters here.
+type StartRequest struct {
 	Task ids.TaskRef
 	// Critical work is what the ramp makes room for: replicas of services, and jobs of the
 	// highest priority.
@@ -16,7 +16,7 @@
 	// Fetch tells that the machine would have to fetch the image, and Sharing that it
 	// fetches another one meanwhile, whose time that would cost.
 	Fetch, Sharing bool
-	Host           ids.MachineID
+	Machine        ids.MachineID
 	Image          ids.Image
 	// Bound tells that the job may go nowhere else: its earlier moves do not count.
 	Bound bool
@@ -51,13 +51,13 @@
 }
 
 // add notes that a task was placed.
-func (t *startTracker) add(s *Start, now ids.Instant, ramped bool) {
+func (t *startTracker) add(s *StartRequest, now ids.Instant, ramped bool) {
 	t.remove(s.Task)
 	p := pendingStart{since: now, critical: s.Critical, ramped: ramped}
 	if !p.critical {
 		t.returning++
 		if s.Fetch {
-			p.fetch = fetchKey{s.Host, s.Image}
+			p.fetch = fetchKey{s.Machine, s.Image}
 			t.fetches[p.fetch]++
 		}
 	}
--- a/zonereturn/status.go
+++ b/zonereturn/status.go
@@ -40,7 +40,7 @@
 }
 
 // Status lists all zones by name.
-func (m *Manager) Status(at Moment) []Status {
+func (m *Manager) Status(at ClockReading) []Status {
 	out := make([]Status, 0, len(m.zones))
 	for _, name := range m.sortedZones() {
 		out = append(out, m.zones[name].status(at, m.view))
@@ -49,7 +49,7 @@
 }
 
 // status is what operators are told of the zone.
-func (z *zone) status(at Moment, view View) Status {
+func (z *zone) status(at ClockReading, view Connectivity) Status {
 	s := Status{
 		Zone: z.name, Condition: z.condition, SinceMS: at.toWall(z.since).UnixMilli(), Reason: z.reason,
 		Known: z.evidence.Known, Heard: z.evidence.Heard, Flaps: z.flaps, Steps: z.policy.lastStep(),
@@ -60,7 +60,7 @@
 	if usual, ok := z.usual.high(); ok {
 		s.UsualP90MS = usual.Milliseconds()
 	}
-	if z.condition == Returning {
+	if z.condition == Recovering {
 		if took, ok := z.ramp.startTimes.high(); ok {
 			s.StartP90MS = took.Milliseconds()
 		}
@@ -76,7 +76,7 @@
 }
 
 // holding tells what is held back, why, and until when at the latest.
-func (z *zone) holding(at Moment, view View) (what string, until time.Time) {
+func (z *zone) holding(at ClockReading, view Connectivity) (what string, until time.Time) {
 	switch {
 	case z.override.Kind == OverrideHold:
 		if z.override.UntilMS != 0 {
@@ -88,15 +88,15 @@
 			return "all new work; no verdict, since the state service or most controllers are not reached", until
 		}
 		return "all new work, until its machines are heard or it counts as dark", until
-	case z.condition == Dark && z.steadySince != 0:
+	case z.condition == Outage && z.steadySince != 0:
 		return "all new work, for the hold-down", at.toWall(z.steadySince.Add(z.policy.holdDown(z.flaps)))
-	case z.condition == Dark:
+	case z.condition == Outage:
 		return "all new work, until its machines are heard", at.toWall(z.since.Add(z.policy.Retry))
-	case z.condition == Returning && z.window != nil:
+	case z.condition == Recovering && z.window != nil:
 		return fmt.Sprintf("all but critical work, by window %s", z.window.Name), z.windowUntil
-	case z.condition == Returning && z.ramp.step == 0:
+	case z.condition == Recovering && z.ramp.step == 0:
 		return "all but critical work and probes", at.toWall(z.ramp.began.Add(z.policy.ReturnMax))
-	case z.condition == Returning:
+	case z.condition == Recovering:
 		return fmt.Sprintf("starts beyond step %d of %d", z.ramp.step, z.policy.lastStep()), at.toWall(z.ramp.began.Add(z.policy.ReturnMax))
 	}
 	return "", until
--- a/zonereturn/window.go
+++ b/zonereturn/window.go
@@ -184,17 +184,17 @@
 	return until, open
 }
 
-// Opening is one time at which a window is open.
-type Opening struct{ Begin, End time.Time }
+// Interval is one time at which a window is open.
+type Interval struct{ Begin, End time.Time }
 
 // Openings lists the next times at which the window is open, in its own time zone, the
 // present one included.
-func (w *Window) Openings(from time.Time, count int) []Opening {
-	var out []Opening
+func (w *Window) Openings(from time.Time, count int) []Interval {
+	var out []Interval
 	local := from.In(w.location)
 	for days := -1; days < searchDays && len(out) < count; days++ {
 		if begin, end, ok := w.onDay(local, days); ok && end.After(from) {
-			out = append(out, Opening{begin, end})
+			out = append(out, Interval{begin, end})
 		}
 	}
 	return out
--- a/zonereturn/write.go
+++ b/zonereturn/write.go
@@ -11,7 +11,7 @@
 
 // NextWrite hands out one record that must be written now. It counts as on its way until
 // Written or Refused is called. fits tells whether the state service would take it.
-func (m *Manager) NextWrite(at Moment, nonce uint64, fits func(*Record) bool) (w Write, ok bool) {
+func (m *Manager) NextWrite(at ClockReading, nonce uint64, fits func(*Record) bool) (w Write, ok bool) {
 	for _, name := range m.sortedZones() {
 		z := m.zones[name]
 		if !z.due(at.Now) {
@@ -30,7 +30,7 @@
 }
 
 // fittingRecord is the zone's record with as many displaced jobs as fit.
-func (z *zone) fittingRecord(at Moment, nonce uint64, fits func(*Record) bool) *Record {
+func (z *zone) fittingRecord(at ClockReading, nonce uint64, fits func(*Record) bool) *Record {
 	for {
 		rec := z.export(at, nonce)
 		if fits(&rec) || z.record.jobLimit == 0 {
@@ -40,9 +40,9 @@
 	}
 }
 
-// Written notes that a zone's record is committed; revision is that of the key, 0 if it was
+// WriteCommitted notes that a zone's record is committed; revision is that of the key, 0 if it was
 // dropped. It tells whether more may start now.
-func (m *Manager) Written(name ids.Zone, revision ids.Revision) (opened bool) {
+func (m *Manager) WriteCommitted(name ids.Zone, revision ids.Revision) (opened bool) {
 	z := m.zones[name]
 	if z == nil {
 		return false
@@ -54,9 +54,9 @@
 	return opened
 }
 
-// Refused notes that the state service would not take a zone's record for its size: the
+// WriteRejected notes that the state service would not take a zone's record for its size: the
 // next one holds half as many jobs.
-func (m *Manager) Refused(name ids.Zone) {
+func (m *Manager) WriteRejected(name ids.Zone) {
 	z := m.zones[name]
 	if z == nil {
 		return
--- a/zonereturn/zone.go
+++ b/zonereturn/zone.go
@@ -89,7 +89,7 @@
 }
 
 // observe takes in the evidence and moves on as time and evidence call for.
-func (z *zone) observe(at Moment, e Evidence, view View, someZoneHeard bool) {
+func (z *zone) observe(at ClockReading, e Evidence, view Connectivity, someZoneHeard bool) {
 	z.sinceObserved = max(0, at.Now.Sub(z.now))
 	z.evidence, z.now = e, at.Now
 	z.absent = min(z.absent, e.lost())
@@ -106,9 +106,9 @@
 		z.observeServing(at)
 	case Suspect:
 		z.observeSuspect(at)
-	case Dark:
+	case Outage:
 		z.observeDark(at)
-	case Returning:
+	case Recovering:
 		z.observeReturning(at)
 	}
 }
@@ -118,7 +118,7 @@
 	return z.someZoneHeard && z.evidence.Known >= z.policy.MinMachines && z.silentShare() >= z.policy.SuspectShare
 }
 
-func (z *zone) observeServing(at Moment) {
+func (z *zone) observeServing(at ClockReading) {
 	if z.becomesSuspect() {
 		z.resume = Serving
 		z.enter(Suspect, at.Now, z.evidence.String())
@@ -142,7 +142,7 @@
 	}
 }
 
-func (z *zone) observeSuspect(at Moment) {
+func (z *zone) observeSuspect(at ClockReading) {
 	share := z.silentShare()
 	if z.evidence.Known == 0 {
 		share = 1 // all that it had was given up
@@ -158,7 +158,7 @@
 	}
 	z.steadySince = 0
 	wait := z.policy.DarkAfter
-	if z.evidence.RentalsRefused {
+	if z.evidence.CapacityRefused {
 		wait /= 2 // the cloud has trouble there too
 	}
 	if z.soundSince != 0 && share >= z.policy.DarkShare && at.Now >= max(z.since, z.soundSince).Add(wait) {
@@ -168,16 +168,16 @@
 
 // endSuspicion goes back to what the zone was before. A return that was in trouble loses a
 // step.
-func (z *zone) endSuspicion(at Moment) {
+func (z *zone) endSuspicion(at ClockReading) {
 	resume := z.resume
 	z.enter(resume, at.Now, "heard again: "+z.evidence.String())
-	if resume == Returning {
+	if resume == Recovering {
 		z.setBack(at.Now, "machines fell silent")
 	}
 }
 
 // becomeDark begins a spell of the present incident, or a new incident.
-func (z *zone) becomeDark(at Moment) {
+func (z *zone) becomeDark(at ClockReading) {
 	z.flaps++
 	z.displaced.spell++
 	z.darkAt = at.Now
@@ -186,10 +186,10 @@
 	}
 	z.absent = 0
 	z.incidents.begin(at, z.machinesBefore)
-	z.enter(Dark, at.Now, z.evidence.String())
+	z.enter(Outage, at.Now, z.evidence.String())
 }
 
-func (z *zone) observeDark(at Moment) {
+func (z *zone) observeDark(at ClockReading) {
 	heard := z.evidence.Heard >= 1 && float64(z.evidence.Heard) >= z.policy.HeardShare*float64(z.evidence.Known)
 	switch {
 	case heard && z.steadySince == 0:
@@ -205,17 +205,17 @@
 }
 
 // beginReturn begins the ramp with the probe.
-func (z *zone) beginReturn(at Moment, reason string) {
+func (z *zone) beginReturn(at ClockReading, reason string) {
 	z.absent = z.evidence.lost()
 	z.ramp.began = at.Now
 	z.ramp.setbacks = 0
 	z.ramp.enter(0, at.Now)
-	z.enter(Returning, at.Now, reason)
+	z.enter(Recovering, at.Now, reason)
 }
 
-func (z *zone) observeReturning(at Moment) {
+func (z *zone) observeReturning(at ClockReading) {
 	if z.becomesSuspect() {
-		z.resume = Returning
+		z.resume = Recovering
 		z.enter(Suspect, at.Now, z.evidence.String())
 		return
 	}
@@ -225,7 +225,7 @@
 		z.ramp.began, z.ramp.stepSince = at.Now, at.Now
 		return
 	}
-	if !z.record.holds(Returning, z.ramp.step) {
+	if !z.record.holds(Recovering, z.ramp.step) {
 		// Nothing may be proved by a step that is not recorded. Without the state service
 		// the return stands still, or it would be over unproven once the service is back.
 		z.ramp.standStill(z.sinceObserved)
@@ -247,7 +247,7 @@
 }
 
 // serve ends the return.
-func (z *zone) serve(at Moment, reason string) {
+func (z *zone) serve(at ClockReading, reason string) {
 	z.enter(Serving, at.Now, reason)
 	z.incidents.serve(at)
 }
@@ -262,7 +262,7 @@
 // advance goes on to the next step, or ends the return after the last. In the last the zone
 // has its full share, still of starts and fetches under way: it ends once nothing had to be
 // turned away, or all that waited would come in one rush after all.
-func (z *zone) advance(at Moment) {
+func (z *zone) advance(at ClockReading) {
 	now := at.Now
 	last := z.ramp.step >= z.policy.lastStep()
 	switch {
@@ -277,7 +277,7 @@
 }
 
 // updateWindow notes the window that is open now.
-func (z *zone) updateWindow(at Moment) {
+func (z *zone) updateWindow(at ClockReading) {
 	was := z.window
 	z.window, z.windowUntil = z.policy.openWindow(z.name, at.Wall)
 	if z.window != nil && z.window != was {
