--- a/cmd/ospreystile/zones.go
+++ b/cmd/ospreystile/zones.go
@@ -31,7 +31,7 @@
 }
 
 // queryCommand asks the leader about all zones, and prints its answer as a table or as JSON.
-func queryCommand(files *settingsFiles, use, short string, printTable func(io.Writer, node.ZonesAnswer) error) *cobra.Command {
+func queryCommand(files *settingsFiles, use, short string, printTable func(io.Writer, node.ZonesResponse) error) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   use,
@@ -111,7 +111,7 @@
 }
 
 // printIncidents writes the incidents of all zones as a table.
-func printIncidents(out io.Writer, answer node.ZonesAnswer) error {
+func printIncidents(out io.Writer, answer node.ZonesResponse) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "ZONE\tBEGAN\tSERVES SINCE\tSPELLS\tDARK\tRETURN\tSETBACKS\tMACHINES\tTASKS\tJOBS\tBOUNCED\tFORCED\tRESTORED")
 	for _, z := range answer.Zones {
@@ -150,7 +150,7 @@
 					return fmt.Errorf("--at: %w", err)
 				}
 			}
-			policy, err := operator.ZoneReturn.Policy()
+			policy, err := operator.ZoneRecovery.Policy()
 			if err != nil {
 				return err
 			}
@@ -179,7 +179,7 @@
 }
 
 // printAnswer writes the leader's answer as a table or as JSON.
-func printAnswer(out io.Writer, answer node.ZonesAnswer, asJSON bool, printTable func(io.Writer, node.ZonesAnswer) error) error {
+func printAnswer(out io.Writer, answer node.ZonesResponse, asJSON bool, printTable func(io.Writer, node.ZonesResponse) error) error {
 	if !asJSON {
 		return printTable(out, answer)
 	}
@@ -189,7 +189,7 @@
 }
 
 // printZoneTable writes the conditions of all zones as a table.
-func printZoneTable(out io.Writer, answer node.ZonesAnswer) error {
+func printZoneTable(out io.Writer, answer node.ZonesResponse) error {
 	if !answer.Enabled {
 		_, err := fmt.Fprintln(out, "zones are not watched: zone_return.enabled is false in the operators' settings")
 		return err
--- a/config/config.go
+++ b/config/config.go
@@ -54,9 +54,9 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// State is the limits of the state service now, and those that it will have from
+// StateLimits is the limits of the state service now, and those that it will have from
 // a moment that nobody announces.
-type State struct {
+type StateLimits struct {
 	Limits
 	// Next holds what will change; what it does not name stays.
 	Next struct {
@@ -69,7 +69,7 @@
 
 // Planned is the smaller of what holds now and of what will: what fits it fits at
 // any moment.
-func (s *State) Planned() Limits {
+func (s *StateLimits) Planned() Limits {
 	return Limits{lesser(s.RPS, s.Next.RPS), lesser(s.WriteRPS, s.Next.WriteRPS),
 		lesser(s.ValueKB, s.Next.ValueKB), lesser(s.TxnOps, s.Next.TxnOps)}
 }
@@ -84,7 +84,7 @@
 
 // check names a limit below which no record of ours could be kept: a job's
 // description, or the two halves of a record that is split.
-func (s *State) check() error {
+func (s *StateLimits) check() error {
 	for _, f := range []struct {
 		field string
 		v     *float64
@@ -110,11 +110,11 @@
 	Teams       []Team      `toml:"teams"`
 	Objectives  []Objective `toml:"objectives"`
 	Workers     struct {
-		ReportS float64 `toml:"report_s"`
-		LeaseS  float64 `toml:"lease_s"`
-		CancelS float64 `toml:"cancel_s"`
+		HeartbeatIntervalS float64 `toml:"report_s"`
+		LeaseS             float64 `toml:"lease_s"`
+		CancelDeadlineS    float64 `toml:"cancel_s"`
 	} `toml:"workers"`
-	State State `toml:"state"`
+	State StateLimits `toml:"state"`
 	Cloud struct {
 		RPS      float64 `toml:"rps"`
 		ListLagS float64 `toml:"list_lag_s"`
@@ -242,9 +242,9 @@
 		field string
 		v     float64
 	}{
-		{"settings.workers.report_s", s.Workers.ReportS},
+		{"settings.workers.report_s", s.Workers.HeartbeatIntervalS},
 		{"settings.workers.lease_s", s.Workers.LeaseS},
-		{"settings.workers.cancel_s", s.Workers.CancelS},
+		{"settings.workers.cancel_s", s.Workers.CancelDeadlineS},
 		{"settings.state.rps", s.State.RPS},
 		{"settings.state.write_rps", s.State.WriteRPS},
 		{"settings.state.value_kb", s.State.ValueKB},
--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -23,7 +23,7 @@
 	s.InitialSize, s.Zones, s.SkewMS = 11, []ids.Zone{"zone-a", "zone-b"}, 12.5
 	s.Teams = []Team{{Name: "vision", CPUs: 13.5, CPUsMax: 14.5, GPUs: 15.5, GPUsMax: 16.5}}
 	s.Objectives = []Objective{{Kind: "start", Class: "train", WithinS: 17.5, Times: 18.5, Share: 0.95}}
-	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 19.5, 20.5, 21.5
+	s.Workers.HeartbeatIntervalS, s.Workers.LeaseS, s.Workers.CancelDeadlineS = 19.5, 20.5, 21.5
 	s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 22.5, 23.5, 24.5, 25
 	s.State.Next.RPS, s.State.Next.WriteRPS, s.State.Next.ValueKB, s.State.Next.TxnOps = new(26.5), new(27.5), new(28.5), new(29)
 	s.Cloud.RPS, s.Cloud.ListLagS = 30.5, 31.5
@@ -37,9 +37,9 @@
 	o.Leadership.LeaseMS, o.Leadership.GraceS = 3001, 91
 	o.Quota.LendingLimits, o.Quota.ReclaimHoldS, o.Quota.SliceTasks = map[ids.Team]float64{"vision": 4.5}, 5.5, 65
 	o.Quota.MaxSkippedJobs, o.Quota.ReserveAfterS, o.Quota.ReserveForS = 2001, 61.5, 92.5
-	o.Fleet.IdleS, o.Fleet.SpotIdle, o.Fleet.HeadroomIdle, o.Fleet.Headroom = 31.5, 1.75, 901.5, 0.35
-	o.Fleet.BootFactor, o.Fleet.CapacityBack, o.Fleet.MaxMachines = 4.5, 10.5, 7
-	o.ZoneReturn = zonereturn.Settings{Enabled: true, SuspectShare: 0.51, DarkShare: 0.81, DarkAfterS: 6.5, RecoverS: 2.5, MinMachines: 5,
+	o.Fleet.IdleTimeoutS, o.Fleet.SpotIdleFactor, o.Fleet.HeadroomIdleTimeoutS, o.Fleet.Headroom = 31.5, 1.75, 901.5, 0.35
+	o.Fleet.BootFactor, o.Fleet.CapacityBackoffS, o.Fleet.MaxMachines = 4.5, 10.5, 7
+	o.ZoneRecovery = zonereturn.Settings{Enabled: true, SuspectShare: 0.51, DarkShare: 0.81, DarkAfterS: 6.5, RecoverS: 2.5, MinMachines: 5,
 		HeardShare: 0.26, RetryS: 181.5, HoldDownS: 4.25, HoldDownFactor: 3.5, HoldDownMaxS: 30.5, QuietS: 601.5, ProbeTasks: 4,
 		ProbeMaxRunS: 182.5, Steps: []float64{0.15, 0.35}, StepS: 4.75, StepSuccesses: 6, FailureTolerance: 0.27, SlowStartFactor: 4.5,
 		StartsPerMachine: 1.5, FetchesPerMachine: 0.55, ReturnMaxS: 45.5, HoldLimitS: 81.5, MoveBudget: 2, PatienceS: 60.5,
@@ -66,7 +66,7 @@
 	}
 	golden.Text(t, "platform.toml", string(raw))
 	want := goldenOperator()
-	for name, section := range map[string]any{"leadership": want.Leadership, "quota": want.Quota, "fleet": want.Fleet, "zone_return": want.ZoneReturn} {
+	for name, section := range map[string]any{"leadership": want.Leadership, "quota": want.Quota, "fleet": want.Fleet, "zone_return": want.ZoneRecovery} {
 		golden.Filled(t, name, section)
 	}
 	if raw, err = json.MarshalIndent(want, "", "  "); err != nil {
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got.ZonePolicy = nil // made of the settings, and not in the file
+	got.ZoneRecoveryPolicy = nil // made of the settings, and not in the file
 	if !reflect.DeepEqual(*got, want) {
 		t.Errorf("read %+v, want %+v", *got, want)
 	}
--- a/config/operator.go
+++ b/config/operator.go
@@ -36,19 +36,19 @@
 		ReserveForS   float64 `json:"reserve_for_s"`
 	} `json:"quota"`
 	Fleet struct {
-		IdleS        float64 `json:"idle_s"`
-		SpotIdle     float64 `json:"spot_idle"`
-		HeadroomIdle float64 `json:"headroom_idle_s"`
-		Headroom     float64 `json:"headroom"`
-		BootFactor   float64 `json:"boot_factor"`
-		CapacityBack float64 `json:"capacity_backoff_s"`
-		MaxMachines  int     `json:"max_machines"`
+		IdleTimeoutS         float64 `json:"idle_s"`
+		SpotIdleFactor       float64 `json:"spot_idle"`
+		HeadroomIdleTimeoutS float64 `json:"headroom_idle_s"`
+		Headroom             float64 `json:"headroom"`
+		BootFactor           float64 `json:"boot_factor"`
+		CapacityBackoffS     float64 `json:"capacity_backoff_s"`
+		MaxMachines          int     `json:"max_machines"`
 	} `json:"fleet"`
 
-	// ZoneReturn is how zones that fall silent are watched and return, ZonePolicy what it
+	// ZoneRecovery is how zones that fall silent are watched and return, ZoneRecoveryPolicy what it
 	// comes to; nil: they are not watched.
-	ZoneReturn zonereturn.Settings `json:"zone_return"`
-	ZonePolicy *zonereturn.Policy  `json:"-"`
+	ZoneRecovery       zonereturn.Settings `json:"zone_return"`
+	ZoneRecoveryPolicy *zonereturn.Policy  `json:"-"`
 
 	// Warnings tell of settings with names that are out of date.
 	Warnings []string `json:"-"`
@@ -150,18 +150,20 @@
 // setZonePolicy checks what the settings of zones say together, whether or not they are
 // turned on.
 func (o *Operator) setZonePolicy() error {
-	policy, err := o.ZoneReturn.Policy()
+	policy, err := o.ZoneRecovery.Policy()
 	if err != nil {
 		return err
 	}
-	if o.ZoneReturn.Enabled {
-		o.ZonePolicy = policy
+	if o.ZoneRecovery.Enabled {
+		o.ZoneRecoveryPolicy = policy
 	}
 	return nil
 }
 
 // CheckAgainst finds operators' settings that do not go with the platform's.
-func (o *Operator) CheckAgainst(p *Platform) error { return o.ZoneReturn.CheckZones(p.Settings.Zones) }
+func (o *Operator) CheckAgainst(p *Platform) error {
+	return o.ZoneRecovery.CheckZones(p.Settings.Zones)
+}
 
 // oneLine names the first field that a schema check found wrong.
 func oneLine(err error) error {
--- a/node/cancellations.go
+++ b/node/cancellations.go
@@ -13,7 +13,7 @@
 )
 
 // Cancel implements server.Service.
-func (n *Node) Cancel(ctx context.Context, id ids.JobID) server.Response {
+func (n *Controller) Cancel(ctx context.Context, id ids.JobID) server.Response {
 	if s, ok := n.terminalJobs.get(id); ok {
 		return server.Response{Status: 200, Body: s}
 	}
@@ -56,7 +56,7 @@
 // cannot renew a lease for long enough, or have none of the job's tasks any more
 // (scheduler.Core.CanAcknowledgeCancel). Until then the answer is 503, never an older one.
 //
-// This holds for all ways to tell it: Node.terminalAnswer is the only one. A job that is
+// This holds for all ways to tell it: Controller.terminalAnswer is the only one. A job that is
 // cancelled because one that it depends on is never had a task, so nobody renews anything
 // for it.
 type acknowledgedRevision struct{ upTo atomic.Uint64 }
@@ -73,7 +73,7 @@
 
 // acknowledgedUpTo is the latest that this node knows of it. Whether the key is held is
 // asked after what the own term has taken in.
-func (n *Node) acknowledgedUpTo() ids.Revision {
+func (n *Controller) acknowledgedUpTo() ids.Revision {
 	if t := n.term.Load(); t != nil {
 		if applied := ids.Revision(t.applied.Load()); t.key.HoldsLease() {
 			n.acknowledged.advanceTo(applied)
@@ -88,7 +88,7 @@
 // cancelVisible tells whether a cancellation may be told, and has the leader take it in if
 // that is not known. Without a leader that answers it may not, for now: the next
 // request asks again, and the pings bring what a leader has read by itself.
-func (n *Node) cancelVisible(ctx context.Context, id ids.JobID, rec *ledger.Job, revision ids.Revision) bool {
+func (n *Controller) cancelVisible(ctx context.Context, id ids.JobID, rec *ledger.Job, revision ids.Revision) bool {
 	if revision <= n.acknowledgedUpTo() {
 		return true
 	}
--- a/node/cancellations_test.go
+++ b/node/cancellations_test.go
@@ -65,16 +65,16 @@
 	follow(other, leader)
 	ways := []struct { // in this order: before the first, there is nothing to tell
 		name string
-		ask  func(n *Node, id ids.JobID) server.Response
+		ask  func(n *Controller, id ids.JobID) server.Response
 	}{
-		{"withdraw", func(n *Node, id ids.JobID) server.Response { return n.Cancel(t.Context(), id) }},
-		{"poll", func(n *Node, id ids.JobID) server.Response { return n.Status(t.Context(), id) }},
-		{"submit", func(n *Node, id ids.JobID) server.Response { return n.Submit(t.Context(), id, waiting()) }},
-		{"withdraw again", func(n *Node, id ids.JobID) server.Response { return n.Cancel(t.Context(), id) }},
+		{"withdraw", func(n *Controller, id ids.JobID) server.Response { return n.Cancel(t.Context(), id) }},
+		{"poll", func(n *Controller, id ids.JobID) server.Response { return n.Status(t.Context(), id) }},
+		{"submit", func(n *Controller, id ids.JobID) server.Response { return n.Submit(t.Context(), id, waiting()) }},
+		{"withdraw again", func(n *Controller, id ids.JobID) server.Response { return n.Cancel(t.Context(), id) }},
 	}
 	check := func(id ids.JobID, told bool, when string) {
 		t.Helper()
-		for _, n := range []*Node{asked, other} {
+		for _, n := range []*Controller{asked, other} {
 			for _, way := range ways {
 				a := way.ask(n, id)
 				s, _ := a.Body.(wire.JobStatus)
@@ -158,7 +158,7 @@
 	state := newSmallState(t)
 	cfg := testConfig(state.addr)
 	cfg.Seeds = []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}}
-	cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS = 27, 52
+	cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelDeadlineS = 27, 52
 	n := testNode(t, cfg)
 	if d := n.isolatedBound(); d < 23*time.Second || d > 24*time.Second {
 		t.Errorf("isolated for %v", d)
@@ -194,7 +194,7 @@
 	state := newSmallState(t)
 	a := state.started(t)
 	seed := config.Peer{Name: "n-0", Address: state.leads(t, a)}
-	nodes := []*Node{a, state.started(t, seed), state.started(t, seed)}
+	nodes := []*Controller{a, state.started(t, seed), state.started(t, seed)}
 	follow(nodes[1], a)
 	follow(nodes[2], a)
 	for round := range 40 {
--- a/node/connection_balancer.go
+++ b/node/connection_balancer.go
@@ -84,12 +84,12 @@
 const leaderWeight = 0.5
 
 // balancerWindow is how long a worker counts as one of a node's after a report.
-func (n *Node) balancerWindow() time.Duration {
-	return ids.Seconds(2 * n.cfg.Settings.Workers.ReportS)
+func (n *Controller) balancerWindow() time.Duration {
+	return ids.Seconds(2 * n.cfg.Settings.Workers.HeartbeatIntervalS)
 }
 
 // redirectTarget tells to which node a worker should go, if this one has too many.
-func (n *Node) redirectTarget(now ids.Instant, leading bool) (ids.ControllerName, bool) {
+func (n *Controller) redirectTarget(now ids.Instant, leading bool) (ids.ControllerName, bool) {
 	weigh := func(leads bool) float64 {
 		if leads {
 			return leaderWeight
--- a/node/golden_test.go
+++ b/node/golden_test.go
@@ -16,8 +16,8 @@
 	"ospreystile.example/ospreystile/zonereturn"
 )
 
-func goldenZones() ZonesAnswer {
-	return ZonesAnswer{Enabled: true, Leader: "perch-0", Zones: []zonereturn.Status{{Zone: "zone-a", Condition: zonereturn.Outage,
+func goldenZones() ZonesResponse {
+	return ZonesResponse{Enabled: true, Leader: "perch-0", Zones: []zonereturn.Status{{Zone: "zone-a", Condition: zonereturn.Outage,
 		SinceMS: 1764640000006, Reason: "silent", Known: 31, Heard: 32, Flaps: 33, Step: 34, Steps: 35, Starts: 36, StartLimit: 37,
 		Fetches: 38, FetchLimit: 39, DisplacedIDs: 40, Holding: "all new work", UntilMS: 1764640000007,
 		Override: zonereturn.OverrideRelease, Recorded: true, StartP90MS: 4100, UsualP90MS: 4200,
--- a/node/job_notice.go
+++ b/node/job_notice.go
@@ -24,7 +24,7 @@
 }
 
 // notifyLeader tells the leader of a submission. Nothing depends on its being heard.
-func (n *Node) notifyLeader(id ids.JobID, rec *ledger.Job, revision ids.Revision) {
+func (n *Controller) notifyLeader(id ids.JobID, rec *ledger.Job, revision ids.Revision) {
 	if t := n.term.Load(); t != nil {
 		go t.post(t.ctx, func() { t.core.ObserveJob(n.clock.Now(), id, rec, revision) })
 		return
--- a/node/job_replica.go
+++ b/node/job_replica.go
@@ -23,9 +23,9 @@
 	Status   wire.JobState
 	Tasks    int
 	revision ids.Revision
-	// orphan tells that it is cancelled with a job that it depends on, and so never had a task,
+	// cancelledByDependency tells that it is cancelled with a job that it depends on, and so never had a task,
 	// whether or not its own record says so yet.
-	orphan bool
+	cancelledByDependency bool
 }
 
 // terminal tells whether the job is done or cancelled, for good.
@@ -88,7 +88,7 @@
 func (c *jobReplica) get(id ids.JobID) (jobSnapshot, bool) {
 	k, found := c.jobs[id]
 	if found && !k.terminal() && c.graph.ReadinessOf(id).State == pipeline.Cancelled {
-		k.Status, k.orphan = wire.JobCancelled, true
+		k.Status, k.cancelledByDependency = wire.JobCancelled, true
 	}
 	return k, found
 }
--- a/node/job_status.go
+++ b/node/job_status.go
@@ -12,7 +12,7 @@
 
 // Status implements server.Service. What is over may be told from memory;
 // everything else is read, since another node may have told something newer.
-func (n *Node) Status(ctx context.Context, id ids.JobID) server.Response {
+func (n *Controller) Status(ctx context.Context, id ids.JobID) server.Response {
 	if s, ok := n.terminalJobs.get(id); ok {
 		return server.Response{Status: 200, Body: s}
 	}
@@ -30,7 +30,7 @@
 }
 
 // jobAnswer is the answer about a job that was found.
-func (n *Node) jobAnswer(ctx context.Context, id ids.JobID, a queryAnswer) server.Response {
+func (n *Controller) jobAnswer(ctx context.Context, id ids.JobID, a queryAnswer) server.Response {
 	if a.job.terminal() {
 		return n.terminalAnswer(ctx, id, a.job)
 	}
@@ -43,12 +43,12 @@
 
 // terminalAnswer is the answer about a job that is done or cancelled, if that may be told
 // yet.
-func (n *Node) terminalAnswer(ctx context.Context, id ids.JobID, job jobSnapshot) server.Response {
+func (n *Controller) terminalAnswer(ctx context.Context, id ids.JobID, job jobSnapshot) server.Response {
 	s := wire.JobStatus{ID: id, Status: job.Status}
 	switch {
 	case job.Status == wire.JobDone:
 		s.Done = job.Tasks
-	case !job.orphan && !n.cancelVisible(ctx, id, &ledger.Job{Status: job.Status, Tasks: job.Tasks}, job.revision):
+	case !job.cancelledByDependency && !n.cancelVisible(ctx, id, &ledger.Job{Status: job.Status, Tasks: job.Tasks}, job.revision):
 		a := server.RetryLater(retryDelay)
 		a.Close = true // another node may reach the leader
 		return a
@@ -61,11 +61,11 @@
 func snapshotOf(rec *ledger.Job, revision ids.Revision) jobSnapshot {
 	// Only the leader cancels without the description: what never had a task.
 	return jobSnapshot{Status: rec.Status, Tasks: rec.Tasks, revision: revision,
-		orphan: rec.Status == wire.JobCancelled && rec.Spec == nil}
+		cancelledByDependency: rec.Status == wire.JobCancelled && rec.Spec == nil}
 }
 
 // readJob reads a job's record from the state service.
-func (n *Node) readJob(ctx context.Context, id ids.JobID) (*ledger.Job, ids.Revision, bool, error) {
+func (n *Controller) readJob(ctx context.Context, id ids.JobID) (*ledger.Job, ids.Revision, bool, error) {
 	e, found, err := n.userState.Get(ctx, ledger.JobKey(id))
 	if err != nil || !found {
 		return nil, 0, false, err
@@ -85,7 +85,7 @@
 
 // progress asks the leader how many tasks of each job are done and running. It
 // is for display; without an answer nothing is known to run.
-func (n *Node) progress(ctx context.Context, list []ids.JobID) []progress {
+func (n *Controller) progress(ctx context.Context, list []ids.JobID) []progress {
 	ctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 	defer cancel()
 	if t := n.term.Load(); t != nil {
--- a/node/mesh_handler.go
+++ b/node/mesh_handler.go
@@ -33,7 +33,7 @@
 var errUnknownOperation = errors.New("unknown operation")
 
 // handle answers the other controllers.
-func (n *Node) handle(ctx context.Context, op mesh.Operation, body []byte) (any, error) {
+func (n *Controller) handle(ctx context.Context, op mesh.Operation, body []byte) (any, error) {
 	switch op {
 	case opPing:
 		return handleBody(body, n.handlePing)
@@ -68,7 +68,7 @@
 	return handler(request)
 }
 
-func (n *Node) handlePing(p ping) (any, error) {
+func (n *Controller) handlePing(p ping) (any, error) {
 	n.observePing(p)
 	if from := n.peerNamed(p.From); from != nil {
 		from.observeVersion(p)
@@ -77,7 +77,7 @@
 }
 
 // handleStateCall sends a peer's request to the state service, directly.
-func (n *Node) handleStateCall(ctx context.Context, call stateCall) (any, error) {
+func (n *Controller) handleStateCall(ctx context.Context, call stateCall) (any, error) {
 	timeout := time.Duration(call.TimeoutMS) * time.Millisecond
 	status, body, err := (&directRoute{n}).Do(ctx, call.Method, call.Path, call.Body, timeout)
 	if err != nil {
--- a/node/node.go
+++ b/node/node.go
@@ -29,8 +29,8 @@
 	"ospreystile.example/ospreystile/worker"
 )
 
-// Node is one controller.
-type Node struct {
+// Controller is one controller.
+type Controller struct {
 	cfg   *config.Platform
 	op    *config.Operator
 	log   *slog.Logger
@@ -65,8 +65,8 @@
 }
 
 // New makes a controller from its settings.
-func New(cfg *config.Platform, op *config.Operator, log *slog.Logger) *Node {
-	n := &Node{cfg: cfg, op: op, log: log, clock: ids.Steady()}
+func New(cfg *config.Platform, op *config.Operator, log *slog.Logger) *Controller {
+	n := &Controller{cfg: cfg, op: op, log: log, clock: ids.Steady()}
 	n.startedAt = n.clock.Now()
 	s := &cfg.Settings
 	n.cloud = cloud.New(cfg.External.Cloud, s.Cloud.RPS)
@@ -104,16 +104,16 @@
 // isolatedBound is for how long a leader that cannot rule out a later one may go on
 // answering workers without replicas: users may be told at any time that a job is
 // cancelled, and the lease that is renewed last ends within cancel_s of that.
-func (n *Node) isolatedBound() time.Duration {
+func (n *Controller) isolatedBound() time.Duration {
 	w := &n.cfg.Settings.Workers
-	return min(n.op.Grace(), scheduler.CancelMargin(ids.Seconds(w.CancelS), ids.Seconds(w.LeaseS)))
+	return min(n.op.Grace(), scheduler.CancelMargin(ids.Seconds(w.CancelDeadlineS), ids.Seconds(w.LeaseS)))
 }
 
 // isolatedReplicasBound is the same for workers with replicas, so that a zone that is cut
 // off together with its leader keeps its services for that long and a lease. The later
 // leader counts on this bound: until it is over but for scheduler.CancelMargin, no user is
 // told that a job is cancelled whose tasks the earlier leader may keep.
-func (n *Node) isolatedReplicasBound() time.Duration {
+func (n *Controller) isolatedReplicasBound() time.Duration {
 	isolated := n.isolatedBound()
 	if isolated == 0 { // cancel_s leaves no room for it
 		return 0
@@ -122,19 +122,19 @@
 }
 
 // limits are those of one transaction.
-func (n *Node) limits() ledger.Limits {
+func (n *Controller) limits() ledger.Limits {
 	s := n.cfg.Settings.State.Planned()
 	// A transaction beyond one second's worth of changes never passes the rate.
 	return ledger.Limits{Operations: max(1, min(s.TxnOps, int(s.WriteRPS))), Bytes: 48 << 10}
 }
 
 // valueBytes is how large a value may be, with a margin for how the service counts.
-func (n *Node) valueBytes() int {
+func (n *Controller) valueBytes() int {
 	return int(n.cfg.Settings.State.Planned().ValueKB*1024*0.95) - 32
 }
 
 // Run serves until the context ends.
-func (n *Node) Run(ctx context.Context) error {
+func (n *Controller) Run(ctx context.Context) error {
 	// Two thirds of what the platform grants: stacks, buffers and the
 	// runtime's own take the rest.
 	// With that as the ceiling, the collector need not run at every doubling of
@@ -153,7 +153,7 @@
 	app := server.New(n, server.Limits{
 		// Outgoing connections, peers and the runtime need sockets too.
 		MaxConnections: max(16, s.Resources.Sockets*3/4),
-		IdleTimeout:    max(15*time.Second, 3*ids.Seconds(s.Workers.ReportS)),
+		IdleTimeout:    max(15*time.Second, 3*ids.Seconds(s.Workers.HeartbeatIntervalS)),
 	}, n.log)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return server.Serve(ctx, app, retryListener{api, n.log}) })
@@ -176,7 +176,7 @@
 }
 
 // readCatalog keeps the machine types and their prices.
-func (n *Node) readCatalog(ctx context.Context) error {
+func (n *Controller) readCatalog(ctx context.Context) error {
 	for {
 		wait := 30 * time.Second
 		types, err := n.cloud.Catalog(ctx)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -32,7 +32,7 @@
 	return p
 }
 
-func testNode(t *testing.T, cfg *config.Platform) *Node {
+func testNode(t *testing.T, cfg *config.Platform) *Controller {
 	t.Helper()
 	op, err := config.ParseOperator(nil)
 	if err != nil {
--- a/node/peers.go
+++ b/node/peers.go
@@ -39,7 +39,7 @@
 }
 
 // ping is what this node tells the others now.
-func (n *Node) ping() ping {
+func (n *Controller) ping() ping {
 	l, _ := n.election.Leader()
 	return ping{n.cfg.HostName, l.Name, l.MeshAddress, l.Incarnation, l.Revision, n.stateOK(), int(n.workerCount.Load()),
 		n.clock.Now().Sub(n.startedAt), n.acknowledgedUpTo(), n.versions()}
@@ -47,14 +47,14 @@
 
 // observePing takes in what a peer tells. A leader that it knows only by its revision,
 // since that one's key is gone already, ends earlier terms as well.
-func (n *Node) observePing(p ping) {
+func (n *Controller) observePing(p ping) {
 	n.election.Observe(election.Leader{Identity: election.Identity{Name: p.Leader, MeshAddress: p.Mesh, Incarnation: p.Incarnation}, Revision: p.Revision})
 	n.acknowledged.advanceTo(p.Acked)
 }
 
 // confirmTerm hands a peer's answer to a ping to the own term: what it knew of leaders when
 // it was asked.
-func (n *Node) confirmTerm(asked ids.Instant, ans ping) {
+func (n *Controller) confirmTerm(asked ids.Instant, ans ping) {
 	t := n.election.Term()
 	if t == nil || ans.Revision > t.Revision || ans.Up <= 0 {
 		return
@@ -64,7 +64,7 @@
 }
 
 // pingLoop keeps in touch with a peer until the context ends.
-func (n *Node) pingLoop(ctx context.Context, p *peer) error {
+func (n *Controller) pingLoop(ctx context.Context, p *peer) error {
 	for {
 		n.workerCount.Store(int32(n.balancer.count(n.clock.Now(), n.balancerWindow())))
 		call, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
@@ -90,13 +90,13 @@
 }
 
 // leaderPeer is the way to the leader; nil if none is known, or this node leads.
-func (n *Node) leaderPeer() *peer {
+func (n *Controller) leaderPeer() *peer {
 	l, _ := n.election.Leader()
 	return n.peerNamed(l.Name)
 }
 
 // peerNamed finds a peer.
-func (n *Node) peerNamed(name ids.ControllerName) *peer {
+func (n *Controller) peerNamed(name ids.ControllerName) *peer {
 	for _, p := range n.peers {
 		if p.Name == name {
 			return p
--- a/node/report_relay.go
+++ b/node/report_relay.go
@@ -20,7 +20,7 @@
 // batches, and each answer waits for the leader's: it alone decides, and nobody else
 // renews a worker's lease.
 type reportRelay struct {
-	n *Node
+	n *Controller
 
 	mu      sync.Mutex
 	waiting []relayedReport
@@ -131,7 +131,7 @@
 }
 
 // relayedReports gives a batch from a follower to the leader's core.
-func (n *Node) relayedReports(ctx context.Context, t *term, raws [][]byte) ([]relayedAnswer, error) {
+func (n *Controller) relayedReports(ctx context.Context, t *term, raws [][]byte) ([]relayedAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	answers := make([]relayedAnswer, len(raws))
--- a/node/reports.go
+++ b/node/reports.go
@@ -10,7 +10,7 @@
 )
 
 // Heartbeat implements server.Service.
-func (n *Node) Heartbeat(ctx context.Context, raw []byte, rep *wire.Heartbeat) server.Response {
+func (n *Controller) Heartbeat(ctx context.Context, raw []byte, rep *wire.Heartbeat) server.Response {
 	now := n.clock.Now()
 	t := n.term.Load()
 	leading := t != nil && t.key.MayAnswerHeartbeats()
@@ -28,7 +28,7 @@
 }
 
 // reportToCore gives a worker's report to the leader's core.
-func (n *Node) reportToCore(ctx context.Context, t *term, rep *wire.Heartbeat) server.Response {
+func (n *Controller) reportToCore(ctx context.Context, t *term, rep *wire.Heartbeat) server.Response {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	var answer wire.HeartbeatResponse
--- a/node/state_routes.go
+++ b/node/state_routes.go
@@ -18,7 +18,7 @@
 }
 
 // directRoute calls the state service itself.
-type directRoute struct{ n *Node }
+type directRoute struct{ n *Controller }
 
 // Do implements statestore.Caller.
 func (r *directRoute) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
@@ -34,13 +34,13 @@
 }
 
 // stateOK tells whether this node reaches the state service.
-func (n *Node) stateOK() bool { return n.health.failures.Load() < 2 }
+func (n *Controller) stateOK() bool { return n.health.failures.Load() < 2 }
 
 // userRoute calls the state service itself, or through a peer while the
 // service refuses this node and serves the peer. One call goes one way only,
 // so that its outcome stays as clear as it was.
 type userRoute struct {
-	n      *Node
+	n      *Controller
 	direct *directRoute
 }
 
@@ -72,7 +72,7 @@
 }
 
 // peerWithState finds a peer that reaches the state service, or returns nil.
-func (n *Node) peerWithState() *peer {
+func (n *Controller) peerWithState() *peer {
 	now := n.clock.Now()
 	for _, p := range n.peers {
 		if p.stateOK.Load() && now < ids.Instant(p.lastHeard.Load()).Add(2*time.Second) {
--- a/node/submissions.go
+++ b/node/submissions.go
@@ -27,10 +27,10 @@
 
 // Healthy implements server.Service. A node without the catalog cannot judge
 // submissions yet.
-func (n *Node) Healthy() bool { return n.catalog.Load() != nil }
+func (n *Controller) Healthy() bool { return n.catalog.Load() != nil }
 
 // canRun tells whether a job could ever run here.
-func (n *Node) canRun(s *wire.JobSpec, types []wire.MachineType) bool {
+func (n *Controller) canRun(s *wire.JobSpec, types []wire.MachineType) bool {
 	for i := range n.cfg.Settings.Teams {
 		t := &n.cfg.Settings.Teams[i]
 		if t.Name != s.Team {
@@ -51,7 +51,7 @@
 }
 
 // Submit implements server.Service.
-func (n *Node) Submit(ctx context.Context, id ids.JobID, spec *wire.JobSpec) server.Response {
+func (n *Controller) Submit(ctx context.Context, id ids.JobID, spec *wire.JobSpec) server.Response {
 	if s, ok := n.terminalJobs.get(id); ok {
 		return server.Response{Status: 200, Body: s}
 	}
@@ -92,7 +92,7 @@
 
 // refuseUnlessKnown answers a submission that can never run. A job that was accepted stays
 // so, whatever has changed since.
-func (n *Node) refuseUnlessKnown(ctx context.Context, id ids.JobID) server.Response {
+func (n *Controller) refuseUnlessKnown(ctx context.Context, id ids.JobID) server.Response {
 	if a := n.Status(ctx, id); a.Status != 404 {
 		return a
 	}
@@ -100,7 +100,7 @@
 }
 
 // recordSubmission commits a job's record, unless the job is known already.
-func (n *Node) recordSubmission(ctx context.Context, id ids.JobID, record *ledger.Job) server.Response {
+func (n *Controller) recordSubmission(ctx context.Context, id ids.JobID, record *ledger.Job) server.Response {
 	out, err := n.commit(ctx, ledger.CreateJobChange(id, *record))
 	switch {
 	case err != nil:
@@ -127,7 +127,7 @@
 // it may be accepted (code 0), and whether it is then cancelled at once. What has been
 // accepted before is answered from its record, whatever it names. That a named job was
 // never accepted is said only on the strength of a replica that is as new as the question.
-func (n *Node) checkDependencies(ctx context.Context, id ids.JobID, needs []ids.JobID) (doomed bool, _ server.Response) {
+func (n *Controller) checkDependencies(ctx context.Context, id ids.JobID, needs []ids.JobID) (doomed bool, _ server.Response) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	a := n.statusReads.ask(ctx, id, needs)
@@ -148,7 +148,7 @@
 
 // commit brings one user's change to its outcome, or to an error after which
 // the user must ask again.
-func (n *Node) commit(ctx context.Context, ch ledger.Change) (ledger.CommitResult, error) {
+func (n *Controller) commit(ctx context.Context, ch ledger.Change) (ledger.CommitResult, error) {
 	type result struct {
 		out ledger.CommitResult
 		err error
--- a/node/term.go
+++ b/node/term.go
@@ -20,7 +20,7 @@
 // term is the work of one time of leading. Its loop alone touches the core;
 // everyone else posts events to it.
 type term struct {
-	n      *Node
+	n      *Controller
 	key    *election.Term
 	core   *scheduler.Core
 	events chan func()
@@ -65,7 +65,7 @@
 }
 
 // newTerm prepares the work of one term.
-func newTerm(n *Node, key *election.Term) *term {
+func newTerm(n *Controller, key *election.Term) *term {
 	fence := &statestore.Precondition{Key: ledger.LeaderKey, Revision: key.Revision}
 	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.AuthorizedBy(key.MayAnswerHeartbeats),
 		returns: returnQueue{wake: make(chan struct{}, 1)},
@@ -73,7 +73,7 @@
 }
 
 // lead does the work of one term until its context ends.
-func (n *Node) lead(ctx context.Context, key *election.Term) error {
+func (n *Controller) lead(ctx context.Context, key *election.Term) error {
 	t := newTerm(n, key)
 	var g *errgroup.Group
 	g, t.ctx = errgroup.WithContext(ctx)
--- a/node/term_load.go
+++ b/node/term_load.go
@@ -112,6 +112,6 @@
 // unreadable reports a record that makes no sense. It is never taken for absent.
 // Ending the term for a job's record would end every later term too, and forget all
 // other jobs.
-func (n *Node) unreadable(key string, err error) {
+func (n *Controller) unreadable(key string, err error) {
 	n.log.Error("record unreadable, what it is about waits", "key", key, "err", err)
 }
--- a/node/term_options.go
+++ b/node/term_options.go
@@ -28,7 +28,7 @@
 )
 
 // options are the core's settings for a term.
-func (n *Node) options(revision ids.Revision, predecessor bool) scheduler.Options {
+func (n *Controller) options(revision ids.Revision, predecessor bool) scheduler.Options {
 	s, op := &n.cfg.Settings, n.op
 	// What an earlier leader may do follows from its version.
 	grace, graceWithoutReplicas := op.Grace(), op.Grace()
@@ -38,9 +38,9 @@
 	o := scheduler.Options{
 		Revision:                           revision,
 		PreviousLeader:                     predecessor,
-		HeartbeatInterval:                  ids.Seconds(s.Workers.ReportS),
+		HeartbeatInterval:                  ids.Seconds(s.Workers.HeartbeatIntervalS),
 		AgentLease:                         ids.Seconds(s.Workers.LeaseS),
-		CancelDeadline:                     ids.Seconds(s.Workers.CancelS),
+		CancelDeadline:                     ids.Seconds(s.Workers.CancelDeadlineS),
 		PreviousLeaderGrace:                grace,
 		PreviousLeaderGraceWithoutReplicas: graceWithoutReplicas,
 		ListLag:                            ids.Seconds(s.Cloud.ListLagS),
@@ -50,12 +50,12 @@
 		SliceTasks:                         op.Quota.SliceTasks,
 		MaxSkippedJobs:                     op.Quota.MaxSkippedJobs,
 		LendingSuspension:                  ids.Seconds(op.Quota.ReclaimHoldS),
-		IdleTimeout:                        ids.Seconds(op.Fleet.IdleS),
-		SpotIdleFactor:                     op.Fleet.SpotIdle,
-		HeadroomIdleTimeout:                ids.Seconds(op.Fleet.HeadroomIdle),
+		IdleTimeout:                        ids.Seconds(op.Fleet.IdleTimeoutS),
+		SpotIdleFactor:                     op.Fleet.SpotIdleFactor,
+		HeadroomIdleTimeout:                ids.Seconds(op.Fleet.HeadroomIdleTimeoutS),
 		Headroom:                           op.Fleet.Headroom,
 		BootFactor:                         op.Fleet.BootFactor,
-		CapacityBackoff:                    ids.Seconds(op.Fleet.CapacityBack),
+		CapacityBackoff:                    ids.Seconds(op.Fleet.CapacityBackoffS),
 		MaxMachines:                        op.Fleet.MaxMachines,
 		LatencySensitive:                   latencySensitive(s.Objectives),
 		ReserveAfter:                       ids.Seconds(op.Quota.ReserveAfterS),
@@ -64,7 +64,7 @@
 		RoundCostPerMachine:                time.Duration(float64(roundCostPerMachine) / s.Resources.CPUShare),
 		LazyWriteDelay:                     lazyWriteDelay,
 		WriteRate:                          recordWriteShare * s.State.Planned().WriteRPS,
-		ZoneRecovery:                       op.ZonePolicy,
+		ZoneRecovery:                       op.ZoneRecoveryPolicy,
 		MaxWorkerCalls:                     min(maxDirectCalls, max(minDirectCalls, s.Resources.Sockets/socketsPerDirectCall)),
 	}
 	for _, team := range s.Teams {
--- a/node/term_zones.go
+++ b/node/term_zones.go
@@ -33,9 +33,9 @@
 	UntilMS int64 `cbor:"4,keyasint"`
 }
 
-// ZonesAnswer is the conditions of all zones. Enabled is false where operators did not have
+// ZonesResponse is the conditions of all zones. Enabled is false where operators did not have
 // them watched.
-type ZonesAnswer struct {
+type ZonesResponse struct {
 	Enabled bool                `cbor:"1,keyasint" json:"enabled"`
 	Leader  ids.ControllerName  `cbor:"2,keyasint" json:"leader"`
 	Zones   []zonereturn.Status `cbor:"3,keyasint" json:"zones"`
@@ -51,7 +51,7 @@
 // loadZones reads the records of zones, where operators have them watched. It comes before
 // the admissions, so that their tasks count where they are.
 func (t *term) loadZones() error {
-	if t.n.op.ZonePolicy == nil {
+	if t.n.op.ZoneRecoveryPolicy == nil {
 		return nil
 	}
 	_, err := t.n.leaderState.List(t.ctx, ledger.ZonePrefix, func(e statestore.Entry) error {
@@ -93,7 +93,7 @@
 
 // handleZones answers with the conditions of all zones.
 func (t *term) handleZones(ctx context.Context) (any, error) {
-	answer := ZonesAnswer{Enabled: t.n.op.ZonePolicy != nil, Leader: t.n.cfg.HostName}
+	answer := ZonesResponse{Enabled: t.n.op.ZoneRecoveryPolicy != nil, Leader: t.n.cfg.HostName}
 	if !t.ask(ctx, func() { answer.Zones = t.core.ZoneStatus(t.n.clock.Now()) }) {
 		return nil, errNotLeading
 	}
@@ -159,17 +159,17 @@
 }
 
 // Zones asks for the conditions of all zones.
-func (c *OperatorClient) Zones(ctx context.Context) (ZonesAnswer, error) {
+func (c *OperatorClient) Zones(ctx context.Context) (ZonesResponse, error) {
 	return c.call(ctx, opZones, struct{}{})
 }
 
 // OverrideZone has the leader carry a decision out.
-func (c *OperatorClient) OverrideZone(ctx context.Context, o ZoneOverride) (ZonesAnswer, error) {
+func (c *OperatorClient) OverrideZone(ctx context.Context, o ZoneOverride) (ZonesResponse, error) {
 	return c.call(ctx, opZoneOverride, o)
 }
 
 // call asks one controller after the other until the leader answers.
-func (c *OperatorClient) call(ctx context.Context, op mesh.Operation, request any) (answer ZonesAnswer, err error) {
+func (c *OperatorClient) call(ctx context.Context, op mesh.Operation, request any) (answer ZonesResponse, err error) {
 	var failures []error
 	for _, p := range c.peers {
 		call, cancel := context.WithTimeout(ctx, overrideTimeout+time.Second)
--- a/node/upgrade.go
+++ b/node/upgrade.go
@@ -55,7 +55,7 @@
 func (u *upgrade) done() bool { return u.durable.Load() }
 
 // versions is what this node's pings tell of versions.
-func (n *Node) versions() versions {
+func (n *Controller) versions() versions {
 	v := versions{Format: formatNew, Durable: n.upgrade.done()}
 	if v.Durable {
 		return v
@@ -70,7 +70,7 @@
 
 // allControllersNew tells what the peers' pings show: that all controllers are new, or that
 // somebody has written so.
-func (n *Node) allControllersNew() (all, durable bool) {
+func (n *Controller) allControllersNew() (all, durable bool) {
 	all = true
 	for _, p := range n.peers {
 		known := p.version.Load() != nil
@@ -92,7 +92,7 @@
 
 // awaitUpgrade waits until every controller is known to be new, makes that durable,
 // so that a successor need not learn it again, and tells the leader's core.
-func (n *Node) awaitUpgrade(ctx context.Context) error {
+func (n *Controller) awaitUpgrade(ctx context.Context) error {
 	var readAt ids.Instant
 	for !n.upgrade.done() {
 		all, durable := n.allControllersNew()
@@ -130,7 +130,7 @@
 }
 
 // readUpgrade looks in the state service whether it is known already.
-func (n *Node) readUpgrade(ctx context.Context, state *statestore.Client) error {
+func (n *Controller) readUpgrade(ctx context.Context, state *statestore.Client) error {
 	if n.upgrade.done() {
 		return nil
 	}
--- a/node/upgrade_test.go
+++ b/node/upgrade_test.go
@@ -132,7 +132,7 @@
 }
 
 // started is a node of a deployment that can take submissions.
-func (s *smallState) started(t *testing.T, seeds ...config.Peer) *Node {
+func (s *smallState) started(t *testing.T, seeds ...config.Peer) *Controller {
 	t.Helper()
 	cfg := testConfig(s.addr)
 	cfg.Seeds = seeds
@@ -148,7 +148,7 @@
 }
 
 // leads has a node lead, and be reached by the others at the address returned.
-func (s *smallState) leads(t *testing.T, n *Node) (mesh string) {
+func (s *smallState) leads(t *testing.T, n *Controller) (mesh string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -160,14 +160,14 @@
 }
 
 // follow has a node know who leads.
-func follow(n, leader *Node) {
+func follow(n, leader *Controller) {
 	n.cfg.HostName = "n-1"
 	l, _ := leader.election.Leader()
 	n.election.Observe(l)
 }
 
 // meshOf serves a node's peers, and returns where.
-func meshOf(t *testing.T, n *Node) string {
+func meshOf(t *testing.T, n *Controller) string {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -196,7 +196,7 @@
 	follow(b, a)
 	a.upgrade.durable.Store(true)
 	b.upgrade.durable.Store(true)
-	submit := func(n *Node, id ids.JobID, code int, status wire.JobState, needs ...ids.JobID) {
+	submit := func(n *Controller, id ids.JobID, code int, status wire.JobState, needs ...ids.JobID) {
 		t.Helper()
 		ans := n.Submit(t.Context(), id, waiting(needs...))
 		if s, _ := ans.Body.(wire.JobStatus); ans.Status != code || s.Status != status || code == 503 && ans.RetryAfter == 0 {
@@ -205,7 +205,7 @@
 	}
 	says := func(id ids.JobID, status wire.JobState) {
 		t.Helper()
-		for _, n := range []*Node{a, b} {
+		for _, n := range []*Controller{a, b} {
 			ans := n.Status(t.Context(), id)
 			if s, _ := ans.Body.(wire.JobStatus); s.Status != status {
 				t.Errorf("%s: %+v, want %s", id, ans, status)
@@ -294,7 +294,7 @@
 	for i := range peers {
 		first.peers[i].observeVersion(fresh())
 	}
-	for _, n := range []*Node{first, second} {
+	for _, n := range []*Controller{first, second} {
 		if err := n.awaitUpgrade(ctx); err != nil || !n.upgrade.done() {
 			t.Fatalf("not durable: %v", err)
 		}
