--- a/election/election.go
+++ b/election/election.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -225,7 +225,7 @@
 // round looks at the key once: it waits for a change if someone else holds
 // it, and tries to take it if nobody does.
 func (e *Election) round(ctx context.Context) error {
-	entry, found, err := e.store.Get(ctx, ledger.LeaderKey)
+	entry, found, err := e.store.Get(ctx, records.LeaderKey)
 	if err != nil {
 		return err
 	}
@@ -236,7 +236,7 @@
 			// Whoever holds it leads all the same; it goes with its lease.
 			if e.unreadable != entry.Revision {
 				e.unreadable = entry.Revision
-				e.log.Error("record unreadable, nobody is followed", "key", ledger.LeaderKey, "err", err)
+				e.log.Error("record unreadable, nobody is followed", "key", records.LeaderKey, "err", err)
 			}
 			return fmt.Errorf("leader's key: %w", err)
 		}
@@ -255,12 +255,12 @@
 func (e *Election) await(ctx context.Context, held ids.Revision) error {
 	since := held
 	for ctx.Err() == nil {
-		epoch, events, err := e.store.Watch(ctx, ledger.LeaderKey, since, 10*time.Second)
+		epoch, events, err := e.store.Watch(ctx, records.LeaderKey, since, 10*time.Second)
 		if errors.Is(err, statestore.ErrCompacted) {
 			// The leader has held the key for longer than the service keeps
 			// changes. Reading the key again would give the same revision, at once
 			// and for ever; that it still has it tells from where to watch.
-			out, err := e.store.Commit(ctx, statestore.Txn{Preconditions: []statestore.Precondition{{Key: ledger.LeaderKey, Revision: held}}})
+			out, err := e.store.Commit(ctx, statestore.Txn{Preconditions: []statestore.Precondition{{Key: records.LeaderKey, Revision: held}}})
 			if err != nil || !out.Applied {
 				return err
 			}
@@ -271,10 +271,10 @@
 			return err
 		}
 		for _, ev := range events {
-			if ev.DeletedKey == ledger.LeaderKey {
+			if ev.DeletedKey == records.LeaderKey {
 				e.dropLeader(ev.Revision)
 			}
-			if ev.DeletedKey == ledger.LeaderKey || ev.PutKey == ledger.LeaderKey {
+			if ev.DeletedKey == records.LeaderKey || ev.PutKey == records.LeaderKey {
 				return nil
 			}
 		}
@@ -294,8 +294,8 @@
 	t.heldUntil.Store(int64(e.validity(asked)))
 	t.renewalAskedAt.Store(int64(asked))
 	txn := statestore.Txn{
-		Preconditions: []statestore.Precondition{{Key: ledger.LeaderKey, Revision: guard}},
-		Operations:    []statestore.Operation{{PutKey: ledger.LeaderKey, Value: e.self, Lease: lease}},
+		Preconditions: []statestore.Precondition{{Key: records.LeaderKey, Revision: guard}},
+		Operations:    []statestore.Operation{{PutKey: records.LeaderKey, Value: e.self, Lease: lease}},
 	}
 	out, err := e.store.Commit(ctx, txn)
 	if err != nil || !out.Applied {
--- a/election/fake_state_test.go
+++ b/election/fake_state_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -103,7 +103,7 @@
 		return statestore.Entry{}, false, err
 	}
 	defer c.s.mu.Unlock()
-	return statestore.Entry{Key: ledger.LeaderKey, Value: c.s.value, Revision: c.s.revision}, c.s.revision != 0, nil
+	return statestore.Entry{Key: records.LeaderKey, Value: c.s.value, Revision: c.s.revision}, c.s.revision != 0, nil
 }
 
 func (c *client) Commit(_ context.Context, t statestore.Txn) (statestore.TxnResult, error) {
@@ -113,7 +113,7 @@
 	defer c.s.mu.Unlock()
 	s := c.s
 	if t.Preconditions[0].Revision != s.revision {
-		return statestore.TxnResult{FailedKeys: []string{ledger.LeaderKey}}, nil
+		return statestore.TxnResult{FailedKeys: []string{records.LeaderKey}}, nil
 	}
 	if len(t.Operations) == 0 {
 		return statestore.TxnResult{Applied: true, Revision: s.epoch}, nil
@@ -172,9 +172,9 @@
 		c.s.sweep()
 		if c.s.epoch > since {
 			if c.s.revision == 0 {
-				return c.s.epoch, []statestore.Event{{DeletedKey: ledger.LeaderKey, Revision: c.s.epoch}}, nil
+				return c.s.epoch, []statestore.Event{{DeletedKey: records.LeaderKey, Revision: c.s.epoch}}, nil
 			}
-			return c.s.epoch, []statestore.Event{{PutKey: ledger.LeaderKey, Revision: c.s.revision}}, nil
+			return c.s.epoch, []statestore.Event{{PutKey: records.LeaderKey, Revision: c.s.revision}}, nil
 		}
 		c.s.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
--- a/node/cancellations.go
+++ b/node/cancellations.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -30,7 +30,7 @@
 		if rec.Terminal() {
 			return n.terminalAnswer(ctx, id, snapshotOf(rec, revision))
 		}
-		out, err := n.commit(ctx, ledger.CancelJobChange(id, revision, rand.Uint64(), *rec, n.valueBytes()))
+		out, err := n.commit(ctx, records.CancelJobChange(id, revision, rand.Uint64(), *rec, n.valueBytes()))
 		if err != nil {
 			return server.RetryLater(retryDelay)
 		}
@@ -88,7 +88,7 @@
 // cancelVisible tells whether a cancellation may be told, and has the leader take it in if
 // that is not known. Without a leader that answers it may not, for now: the next
 // request asks again, and the pings bring what a leader has read by itself.
-func (n *Controller) cancelVisible(ctx context.Context, id ids.JobID, rec *ledger.Job, revision ids.Revision) bool {
+func (n *Controller) cancelVisible(ctx context.Context, id ids.JobID, rec *records.Job, revision ids.Revision) bool {
 	if revision <= n.acknowledgedUpTo() {
 		return true
 	}
@@ -113,7 +113,7 @@
 // acknowledge has the core take a job's record in, and tells whether its cancellation may
 // be told: no earlier leader can keep its tasks for too long, and the key was surely held
 // after that.
-func (t *term) acknowledge(ctx context.Context, id ids.JobID, rec *ledger.Job, revision ids.Revision) bool {
+func (t *term) acknowledge(ctx context.Context, id ids.JobID, rec *records.Job, revision ids.Revision) bool {
 	harmless := false
 	return t.ask(ctx, func() {
 		now := t.n.clock.Now()
--- a/node/golden_test.go
+++ b/node/golden_test.go
@@ -10,8 +10,8 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/internal/golden"
-	"ospreystile.example/ospreystile/ledger"
 	"ospreystile.example/ospreystile/mesh"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonereturn"
 )
@@ -31,7 +31,7 @@
 		Workers: 231, Up: 90 * time.Second, Acked: 411, versions: versions{Format: formatNew, Seen: []ids.ControllerName{"perch-0", "perch-2"}, Durable: true}}
 	old := every
 	old.Up, old.Acked, old.versions = 0, 0, versions{}
-	record := ledger.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70, DoneMS: 1764640000456}
+	record := records.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70, DoneMS: 1764640000456}
 	golden.Check(t, "messages.json", golden.Codec{Encode: cbor.Marshal, Decode: mesh.Decode}, []golden.Case{
 		{Name: "ping", Value: every},
 		{Name: "ping of an older version", Value: old, Partial: true},
--- a/node/job_notice.go
+++ b/node/job_notice.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -19,12 +19,12 @@
 }
 
 // newJobNotice makes the notice of a record.
-func newJobNotice(id ids.JobID, rec *ledger.Job, revision ids.Revision) jobNotice {
+func newJobNotice(id ids.JobID, rec *records.Job, revision ids.Revision) jobNotice {
 	return jobNotice{id, wire.Encode(rec), revision}
 }
 
 // notifyLeader tells the leader of a submission. Nothing depends on its being heard.
-func (n *Controller) notifyLeader(id ids.JobID, rec *ledger.Job, revision ids.Revision) {
+func (n *Controller) notifyLeader(id ids.JobID, rec *records.Job, revision ids.Revision) {
 	if t := n.term.Load(); t != nil {
 		go t.post(t.ctx, func() { t.core.ObserveJob(n.clock.Now(), id, rec, revision) })
 		return
--- a/node/job_replica.go
+++ b/node/job_replica.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
 	"ospreystile.example/ospreystile/pipeline"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -46,7 +46,7 @@
 func (c *jobReplica) refresh(ctx context.Context) error {
 	if !c.loaded {
 		c.jobs, c.graph = map[ids.JobID]jobSnapshot{}, pipeline.New()
-		epoch, err := c.read.List(ctx, ledger.JobPrefix, func(e statestore.Entry) error {
+		epoch, err := c.read.List(ctx, records.JobPrefix, func(e statestore.Entry) error {
 			c.put(e.Key, e.Value, e.Revision)
 			return nil
 		})
@@ -55,7 +55,7 @@
 		}
 		c.revision, c.loaded = epoch, true
 	}
-	epoch, events, err := c.read.Watch(ctx, ledger.JobPrefix, c.revision, 0)
+	epoch, events, err := c.read.Watch(ctx, records.JobPrefix, c.revision, 0)
 	if errors.Is(err, statestore.ErrCompacted) {
 		c.loaded = false
 	}
@@ -74,11 +74,11 @@
 // put takes a record in. One that can't be read is still that of a job which
 // was accepted: its user must never be told that it is unknown.
 func (c *jobReplica) put(key string, raw []byte, revision ids.Revision) {
-	var rec ledger.Job
+	var rec records.Job
 	if err := wire.Decode(raw, &rec); err != nil || rec.Status == "" {
-		rec = ledger.Job{Status: wire.JobQueued}
+		rec = records.Job{Status: wire.JobQueued}
 	}
-	id := ids.JobID(key[len(ledger.JobPrefix):])
+	id := ids.JobID(key[len(records.JobPrefix):])
 	c.jobs[id] = snapshotOf(&rec, revision)
 	c.graph.Put(id, rec.Dependencies())
 }
--- a/node/job_status.go
+++ b/node/job_status.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -48,7 +48,7 @@
 	switch {
 	case job.Status == wire.JobDone:
 		s.Done = job.Tasks
-	case !job.cancelledByDependency && !n.cancelVisible(ctx, id, &ledger.Job{Status: job.Status, Tasks: job.Tasks}, job.revision):
+	case !job.cancelledByDependency && !n.cancelVisible(ctx, id, &records.Job{Status: job.Status, Tasks: job.Tasks}, job.revision):
 		a := server.RetryLater(retryDelay)
 		a.Close = true // another node may reach the leader
 		return a
@@ -58,19 +58,19 @@
 }
 
 // snapshotOf is what a job's own record tells.
-func snapshotOf(rec *ledger.Job, revision ids.Revision) jobSnapshot {
+func snapshotOf(rec *records.Job, revision ids.Revision) jobSnapshot {
 	// Only the leader cancels without the description: what never had a task.
 	return jobSnapshot{Status: rec.Status, Tasks: rec.Tasks, revision: revision,
 		cancelledByDependency: rec.Status == wire.JobCancelled && rec.Spec == nil}
 }
 
 // readJob reads a job's record from the state service.
-func (n *Controller) readJob(ctx context.Context, id ids.JobID) (*ledger.Job, ids.Revision, bool, error) {
-	e, found, err := n.userState.Get(ctx, ledger.JobKey(id))
+func (n *Controller) readJob(ctx context.Context, id ids.JobID) (*records.Job, ids.Revision, bool, error) {
+	e, found, err := n.userState.Get(ctx, records.JobKey(id))
 	if err != nil || !found {
 		return nil, 0, false, err
 	}
-	rec := new(ledger.Job)
+	rec := new(records.Job)
 	if err := wire.Decode(e.Value, rec); err != nil {
 		return nil, 0, false, err
 	}
--- a/node/mesh_handler.go
+++ b/node/mesh_handler.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
 	"ospreystile.example/ospreystile/mesh"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -95,7 +95,7 @@
 }
 
 func (t *term) handleJobNotice(ctx context.Context, notice jobNotice) (any, error) {
-	record := new(ledger.Job)
+	record := new(records.Job)
 	if err := wire.Decode(notice.Record, record); err != nil {
 		return nil, err
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -20,8 +20,8 @@
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/httpc"
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
 	"ospreystile.example/ospreystile/mesh"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/statestore"
@@ -46,7 +46,7 @@
 	// through a peer when that one refuses this node alone.
 	leaderState *statestore.Client
 	userState   *statestore.Client
-	intake      *ledger.Committer
+	intake      *records.Committer
 
 	election *election.Election
 	catalog  atomic.Pointer[[]wire.MachineType]
@@ -80,7 +80,7 @@
 	rps := s.State.Planned().RPS
 	n.leaderState = statestore.New(direct, rps*0.25)
 	n.userState = statestore.New(&userRoute{n, direct}, rps*0.65/nodes)
-	n.intake = ledger.NewCommitter(n.userState, n.limits(), nil, log)
+	n.intake = records.NewCommitter(n.userState, n.limits(), nil, log)
 	self := election.Identity{Name: cfg.HostName, MeshAddress: cfg.MeshAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
 	bounds := election.LeaseBounds{TTL: op.LeaseTTL(), OutageGrace: op.Grace(), IsolatedGrace: n.isolatedBound(), IsolatedReplicaGrace: n.isolatedReplicasBound()}
 	for _, p := range cfg.Seeds {
@@ -122,10 +122,10 @@
 }
 
 // limits are those of one transaction.
-func (n *Controller) limits() ledger.Limits {
+func (n *Controller) limits() records.Limits {
 	s := n.cfg.Settings.State.Planned()
 	// A transaction beyond one second's worth of changes never passes the rate.
-	return ledger.Limits{Operations: max(1, min(s.TxnOps, int(s.WriteRPS))), Bytes: 48 << 10}
+	return records.Limits{Operations: max(1, min(s.TxnOps, int(s.WriteRPS))), Bytes: 48 << 10}
 }
 
 // valueBytes is how large a value may be, with a margin for how the service counts.
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -19,7 +19,7 @@
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/httpc"
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -138,13 +138,13 @@
 		case r.URL.Path == "/store/fleet":
 			body = map[string]any{"v": 1, "stamp": 2}
 		case r.URL.Query().Get("prefix") == "jobs/":
-			good := ledger.Job{Status: wire.JobQueued, Tasks: 1, Spec: &wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1}}
+			good := records.Job{Status: wire.JobQueued, Tasks: 1, Spec: &wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1}}
 			body = map[string]any{"epoch": 9, "entries": []any{
 				map[string]any{"key": "jobs/job-1", "v": "nonsense", "stamp": 7},
 				map[string]any{"key": "jobs/job-2", "v": good, "stamp": 8}, map[string]any{"key": "jobs/job-3", "v": good, "stamp": 8},
 				map[string]any{"key": "jobs/job-4", "v": "nonsense", "stamp": 8}}}
 		case r.URL.Query().Get("prefix") == "admissions/":
-			placed := ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}}
+			placed := records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}}
 			body = map[string]any{"epoch": 9, "entries": []any{map[string]any{"key": "admissions/job-3/00000", "v": "nonsense", "stamp": 7},
 				map[string]any{"key": "admissions/job-4/00000", "v": placed, "stamp": 7}}}
 		}
--- a/node/status_reader_test.go
+++ b/node/status_reader_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -43,7 +43,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.epoch++
-	r.log = append(r.log, statestore.Event{PutKey: ledger.JobKey(id), Value: wire.Encode(rec), Revision: r.epoch})
+	r.log = append(r.log, statestore.Event{PutKey: records.JobKey(id), Value: wire.Encode(rec), Revision: r.epoch})
 }
 
 func (r *jobRecordLog) List(_ context.Context, _ string, each func(statestore.Entry) error) (ids.Revision, error) {
@@ -132,7 +132,7 @@
 			for n := range 60 {
 				id := ids.JobID(fmt.Sprintf("job-%d", n))
 				for i, status := range []wire.JobState{wire.JobQueued, []wire.JobState{wire.JobDone, wire.JobCancelled}[n%2]} {
-					r.write(id, ledger.Job{Status: status, Tasks: 2})
+					r.write(id, records.Job{Status: status, Tasks: 2})
 					mu.Lock()
 					told[id] = max(told[id], i+1)
 					mu.Unlock()
@@ -165,7 +165,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := &jobRecordLog{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
 		r.write("job-1", "nonsense")
-		r.write("job-2", ledger.Job{Status: wire.JobDone, Tasks: 2})
+		r.write("job-2", records.Job{Status: wire.JobDone, Tasks: 2})
 		p := pollsOf(r)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
@@ -257,7 +257,7 @@
 func TestAnswersFromBeforeAPauseAreNotGiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &jobRecordLog{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
-		r.write("job-1", ledger.Job{Status: wire.JobQueued, Tasks: 2})
+		r.write("job-1", records.Job{Status: wire.JobQueued, Tasks: 2})
 		p := pollsOf(r)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
--- a/node/submissions.go
+++ b/node/submissions.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/server"
@@ -71,7 +71,7 @@
 	if n.intake.QueueLength() >= maxIntake {
 		return server.RetryLater(retryDelay)
 	}
-	record := ledger.Job{Nonce: rand.Uint64(), Status: wire.JobQueued, Tasks: spec.Tasks, Spec: spec,
+	record := records.Job{Nonce: rand.Uint64(), Status: wire.JobQueued, Tasks: spec.Tasks, Spec: spec,
 		SubmittedMS: time.Now().UnixMilli()}
 	if len(spec.DependsOn) > 0 {
 		dependencyCancelled, answer := n.checkDependencies(ctx, id, spec.DependsOn)
@@ -100,8 +100,8 @@
 }
 
 // recordSubmission commits a job's record, unless the job is known already.
-func (n *Controller) recordSubmission(ctx context.Context, id ids.JobID, record *ledger.Job) server.Response {
-	out, err := n.commit(ctx, ledger.CreateJobChange(id, *record))
+func (n *Controller) recordSubmission(ctx context.Context, id ids.JobID, record *records.Job) server.Response {
+	out, err := n.commit(ctx, records.CreateJobChange(id, *record))
 	switch {
 	case err != nil:
 		n.log.Debug("submission not taken", "job", id, "err", err)
@@ -148,18 +148,18 @@
 
 // commit brings one user's change to its outcome, or to an error after which
 // the user must ask again.
-func (n *Controller) commit(ctx context.Context, ch ledger.Change) (ledger.CommitResult, error) {
+func (n *Controller) commit(ctx context.Context, ch records.Change) (records.CommitResult, error) {
 	type result struct {
-		out ledger.CommitResult
+		out records.CommitResult
 		err error
 	}
 	done := make(chan result, 1)
 	until, _ := ctx.Deadline()
-	n.intake.Submit(ch, until, func(o ledger.CommitResult, err error) { done <- result{o, err} })
+	n.intake.Submit(ch, until, func(o records.CommitResult, err error) { done <- result{o, err} })
 	select {
 	case r := <-done:
 		return r.out, r.err
 	case <-ctx.Done():
-		return ledger.CommitResult{}, ctx.Err()
+		return records.CommitResult{}, ctx.Err()
 	}
 }
--- a/node/term.go
+++ b/node/term.go
@@ -12,7 +12,7 @@
 	"ospreystile.example/ospreystile/cloud"
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/statestore"
 )
@@ -24,7 +24,7 @@
 	key    *election.Term
 	core   *scheduler.Core
 	events chan func()
-	ledger *ledger.Committer
+	ledger *records.Committer
 	cloud  *cloud.Client
 	// observed is the revision up to which the core has taken in the jobs' records;
 	// only the loop uses it. applied is the same once all cancellations up to it may
@@ -66,10 +66,10 @@
 
 // newTerm prepares the work of one term.
 func newTerm(n *Controller, key *election.Term) *term {
-	fence := &statestore.Precondition{Key: ledger.LeaderKey, Revision: key.Revision}
+	fence := &statestore.Precondition{Key: records.LeaderKey, Revision: key.Revision}
 	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.AuthorizedBy(key.MayAnswerHeartbeats),
 		returns: returnQueue{wake: make(chan struct{}, 1)},
-		ledger:  ledger.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
+		ledger:  records.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
 }
 
 // lead does the work of one term until its context ends.
@@ -187,8 +187,8 @@
 
 // commit submits one change. If its outcome cannot be known the term ends, and the next
 // one reads the records again.
-func (t *term) commit(change ledger.Change) {
-	t.ledger.Submit(change, time.Time{}, func(outcome ledger.CommitResult, err error) {
+func (t *term) commit(change records.Change) {
+	t.ledger.Submit(change, time.Time{}, func(outcome records.CommitResult, err error) {
 		switch {
 		case err == nil:
 			t.post(t.ctx, func() { t.core.CommitResult(t.n.clock.Now(), outcome) })
--- a/node/term_load.go
+++ b/node/term_load.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
@@ -33,14 +33,14 @@
 	options := n.options(t.key.Revision, predecessor)
 	options.WallClockMS = time.Now().UnixMilli()
 	t.core = scheduler.New(options, types)
-	since, err := n.leaderState.List(t.ctx, ledger.JobPrefix, t.loadJob)
+	since, err := n.leaderState.List(t.ctx, records.JobPrefix, t.loadJob)
 	if err != nil {
 		return 0, err
 	}
 	if err := t.loadZones(); err != nil {
 		return 0, err
 	}
-	if _, err := n.leaderState.List(t.ctx, ledger.AdmissionPrefix, t.loadAdmission); err != nil {
+	if _, err := n.leaderState.List(t.ctx, records.AdmissionPrefix, t.loadAdmission); err != nil {
 		return 0, err
 	}
 	t.core.Begin(n.clock.Now())
@@ -62,26 +62,26 @@
 // claimFleet tells whether somebody led before, and records that from now on somebody has.
 func (t *term) claimFleet() (predecessor bool, err error) {
 	state := t.n.leaderState
-	if _, found, err := state.Get(t.ctx, ledger.FleetKey); found || err != nil {
+	if _, found, err := state.Get(t.ctx, records.FleetKey); found || err != nil {
 		return found, err
 	}
 	out, err := state.Commit(t.ctx, statestore.Txn{
-		Preconditions: []statestore.Precondition{{Key: ledger.LeaderKey, Revision: t.key.Revision}},
-		Operations:    []statestore.Operation{{PutKey: ledger.FleetKey, Value: map[string]uint64{"first": uint64(t.key.Revision)}}},
+		Preconditions: []statestore.Precondition{{Key: records.LeaderKey, Revision: t.key.Revision}},
+		Operations:    []statestore.Operation{{PutKey: records.FleetKey, Value: map[string]uint64{"first": uint64(t.key.Revision)}}},
 	})
 	switch {
 	case err != nil:
 		return false, err
 	case !out.Applied:
-		return false, ledger.ErrFenced
+		return false, records.ErrFenced
 	}
 	return false, nil
 }
 
 // loadJob takes in a job's record.
 func (t *term) loadJob(e statestore.Entry) error {
-	id := ids.JobID(e.Key[len(ledger.JobPrefix):])
-	var record ledger.Job
+	id := ids.JobID(e.Key[len(records.JobPrefix):])
+	var record records.Job
 	if err := wire.Decode(e.Value, &record); err != nil {
 		t.n.unreadable(e.Key, err)
 		t.core.LoadUnreadableJob(id)
@@ -93,11 +93,11 @@
 
 // loadAdmission takes in a record of where tasks are.
 func (t *term) loadAdmission(e statestore.Entry) error {
-	id, number, ok := ledger.ParseAdmissionKey(e.Key)
+	id, number, ok := records.ParseAdmissionKey(e.Key)
 	if !ok {
 		return fmt.Errorf("record %s: malformed key", e.Key)
 	}
-	var record ledger.AdmissionSlice
+	var record records.AdmissionSlice
 	err := wire.Decode(e.Value, &record)
 	if err == nil {
 		err = t.core.LoadSlice(id, number, &record, e.Revision)
--- a/node/term_watch.go
+++ b/node/term_watch.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -14,8 +14,8 @@
 // refresh reads a job's record again.
 func (t *term) refresh(id ids.JobID) {
 	for t.ctx.Err() == nil {
-		e, found, err := t.n.leaderState.Get(t.ctx, ledger.JobKey(id))
-		var rec ledger.Job
+		e, found, err := t.n.leaderState.Get(t.ctx, records.JobKey(id))
+		var rec records.Job
 		if err == nil && found {
 			err = wire.Decode(e.Value, &rec)
 		}
@@ -33,7 +33,7 @@
 // watchJobs is the safety net under the peers' announcements.
 func (t *term) watchJobs(since ids.Revision) error {
 	for {
-		epoch, events, err := t.n.leaderState.Watch(t.ctx, ledger.JobPrefix, since, 10*time.Second)
+		epoch, events, err := t.n.leaderState.Watch(t.ctx, records.JobPrefix, since, 10*time.Second)
 		if errors.Is(err, statestore.ErrCompacted) {
 			return fmt.Errorf("watch on jobs: %w", err)
 		}
@@ -47,12 +47,12 @@
 			if ev.PutKey == "" {
 				continue
 			}
-			var rec ledger.Job
+			var rec records.Job
 			if err := wire.Decode(ev.Value, &rec); err != nil {
 				t.n.unreadable(ev.PutKey, err)
 				continue
 			}
-			id := ids.JobID(ev.PutKey[len(ledger.JobPrefix):])
+			id := ids.JobID(ev.PutKey[len(records.JobPrefix):])
 			t.post(t.ctx, func() { t.core.ObserveJob(t.n.clock.Now(), id, &rec, ev.Revision) })
 		}
 		since = max(since, epoch)
--- a/node/term_zones.go
+++ b/node/term_zones.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
 	"ospreystile.example/ospreystile/mesh"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonereturn"
@@ -54,8 +54,8 @@
 	if t.n.op.ZoneRecoveryPolicy == nil {
 		return nil
 	}
-	_, err := t.n.leaderState.List(t.ctx, ledger.ZonePrefix, func(e statestore.Entry) error {
-		zone := ids.Zone(strings.TrimPrefix(e.Key, ledger.ZonePrefix))
+	_, err := t.n.leaderState.List(t.ctx, records.ZonePrefix, func(e statestore.Entry) error {
+		zone := ids.Zone(strings.TrimPrefix(e.Key, records.ZonePrefix))
 		var record zonereturn.Record
 		if err := wire.Decode(e.Value, &record); err != nil {
 			t.n.unreadable(e.Key, err)
--- a/node/upgrade.go
+++ b/node/upgrade.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -19,7 +19,7 @@
 // goes on alone for the whole grace: term.options counts on that. And an older one
 // acknowledges cancellations without saying whether it holds its key: cancelVisible takes that,
 // as older followers do. The file can go, with scheduler's EnableSplitRecords and
-// Options.Split, once no deployment is left whose state lacks ledger.FormatKey; what
+// Options.Split, once no deployment is left whose state lacks records.FormatKey; what
 // asks done() then takes it for true.
 
 // formatNew is the version of the records that this program writes once it may. A
@@ -33,7 +33,7 @@
 	// Seen names the controllers whose own pings told formatNew or more: two that
 	// cannot reach each other learn of each other from a third.
 	Seen []ids.ControllerName `cbor:"9,keyasint,omitempty"`
-	// Durable tells that ledger.FormatKey is known to be written.
+	// Durable tells that records.FormatKey is known to be written.
 	Durable bool `cbor:"10,keyasint,omitempty"`
 }
 
@@ -104,8 +104,8 @@
 			continue
 		case all:
 			_, err = n.userState.Commit(ctx, statestore.Txn{
-				Preconditions: []statestore.Precondition{{Key: ledger.FormatKey}},
-				Operations:    []statestore.Operation{{PutKey: ledger.FormatKey, Value: map[string]int{"v": formatNew}}},
+				Preconditions: []statestore.Precondition{{Key: records.FormatKey}},
+				Operations:    []statestore.Operation{{PutKey: records.FormatKey, Value: map[string]int{"v": formatNew}}},
 			})
 			if err == nil { // written now, or there already
 				n.upgrade.durable.Store(true)
@@ -134,7 +134,7 @@
 	if n.upgrade.done() {
 		return nil
 	}
-	e, found, err := state.Get(ctx, ledger.FormatKey)
+	e, found, err := state.Get(ctx, records.FormatKey)
 	if err != nil || !found {
 		return err
 	}
@@ -143,7 +143,7 @@
 	}
 	if err := wire.Decode(e.Value, &rec); err != nil {
 		// Until the peers tell, only what the older format holds is written.
-		n.unreadable(ledger.FormatKey, err)
+		n.unreadable(records.FormatKey, err)
 		return nil
 	}
 	if rec.Format >= formatNew {
--- a/node/upgrade_test.go
+++ b/node/upgrade_test.go
@@ -23,8 +23,8 @@
 	"ospreystile.example/ospreystile/config"
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
 	"ospreystile.example/ospreystile/mesh"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -228,7 +228,7 @@
 	}
 	submit(a, "job-6", 422, "", long...) // cannot be kept whole
 	submit(a, "job-7", 201, "queued", long[:40]...)
-	var rec ledger.Job
+	var rec records.Job
 	if err := wire.Decode(state.keys["jobs/job-7"].Value, &rec); err != nil || !slices.Equal(rec.Spec.DependsOn, long[:40]) {
 		t.Errorf("kept %v, %v", rec.Spec, err)
 	}
@@ -328,15 +328,15 @@
 
 // Every record and frame of the version in production means the same here.
 func TestReadsWhatProductionWrote(t *testing.T) {
-	queued := ledger.Job{Nonce: 1<<63 + 5, Status: wire.JobQueued, Tasks: 70, Spec: prodSpec(), SubmittedMS: 1764640000123}
+	queued := records.Job{Nonce: 1<<63 + 5, Status: wire.JobQueued, Tasks: 70, Spec: prodSpec(), SubmittedMS: 1764640000123}
 	withdrawn := queued
 	withdrawn.Nonce, withdrawn.Status = 99, wire.JobCancelled
 	old := production(t)
 	for name, want := range map[string]any{
 		"job queued":    queued,
 		"job withdrawn": withdrawn,
-		"job done":      ledger.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70},
-		"slice": ledger.AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"a", "b"},
+		"job done":      records.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70},
+		"slice": records.AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"a", "b"},
 			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 3, -1}, Done: []int{67, 69}},
 		"leader":       election.Identity{Name: "perch-0", MeshAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3},
 		"ping":         ping{From: "perch-1", Leader: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StateOK: true, Workers: 231},
@@ -412,17 +412,17 @@
 	spec := oldSpec{Class: "train", Team: "vision", Priority: 2, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
 		ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, SaveEvery: 30, SaveS: 4, DeadlineS: 900}
 	short := oldSpec{Team: "vision", Priority: 2, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, OneZone: true, Spot: true}
-	rec := ledger.Job{Nonce: 4, Status: wire.JobQueued, Tasks: 70, Spec: prodSpec(), SubmittedMS: 5}
+	rec := records.Job{Nonce: 4, Status: wire.JobQueued, Tasks: 70, Spec: prodSpec(), SubmittedMS: 5}
 	for _, c := range []struct {
 		name    string
 		written any
 		want    oldJob
 	}{
-		{"done, with the time", ledger.CompleteJobChange("job-1", 7, ledger.Job{Nonce: 6, Tasks: 70, DoneMS: 1764640000123}, nil).Operations[0].Value,
+		{"done, with the time", records.CompleteJobChange("job-1", 7, records.Job{Nonce: 6, Tasks: 70, DoneMS: 1764640000123}, nil).Operations[0].Value,
 			oldJob{Nonce: 6, Status: "done", Tasks: 70}},
-		{"withdrawn", ledger.CancelJobChange("job-1", 7, 6, rec, 2000).Operations[0].Value,
+		{"withdrawn", records.CancelJobChange("job-1", 7, 6, rec, 2000).Operations[0].Value,
 			oldJob{Nonce: 6, Status: "withdrawn", Tasks: 70, Spec: &spec, SubmittedMS: 5}},
-		{"withdrawn, and too large", ledger.CancelJobChange("job-1", 7, 6, rec, 150).Operations[0].Value,
+		{"withdrawn, and too large", records.CancelJobChange("job-1", 7, 6, rec, 150).Operations[0].Value,
 			oldJob{Nonce: 6, Status: "withdrawn", Tasks: 70, Spec: &short, SubmittedMS: 5}},
 	} {
 		var got oldJob
--- a/ledger/changes.go
+++ b/records/changes.go
@@ -1,4 +1,4 @@
-package ledger
+package records
 
 import (
 	"ospreystile.example/ospreystile/ids"
--- a/ledger/records.go
+++ b/records/records.go
@@ -1,6 +1,6 @@
 // Package ledger holds the durable records in the state service and commits
 // changes to them: guarded, batched, and with unknown outcomes settled.
-package ledger
+package records
 
 import (
 	"fmt"
--- a/scheduler/autoscaler_test.go
+++ b/scheduler/autoscaler_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -17,7 +17,7 @@
 	for _, inherited := range []bool{false, true} {
 		b := newHarness(t, Options{PreviousLeader: inherited})
 		if inherited {
-			b.inherit(wire.JobSpec{Tasks: 1, Service: true}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+			b.inherit(wire.JobSpec{Tasks: 1, Service: true}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 			b.c.Begin(b.now)
 		} else {
 			b.c.Begin(b.now)
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -144,7 +144,7 @@
 	spec.ImageGB = 1
 	d.specs[id] = &spec
 	d.revision++
-	d.c.ObserveJob(d.now, id, &ledger.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(d.jobs)}, d.revision)
+	d.c.ObserveJob(d.now, id, &records.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(d.jobs)}, d.revision)
 }
 
 func (d *longDay) arrive() {
@@ -165,7 +165,7 @@
 	for _, ch := range e.RecordChanges {
 		d.after(5*time.Millisecond, func() {
 			d.revision++
-			d.c.CommitResult(d.now, ledger.CommitResult{Change: ch, Applied: true, Revision: d.revision})
+			d.c.CommitResult(d.now, records.CommitResult{Change: ch, Applied: true, Revision: d.revision})
 			d.step()
 		})
 	}
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
 	"ospreystile.example/ospreystile/pipeline"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonereturn"
@@ -224,7 +224,7 @@
 
 // Decisions are the decisions since the last Step.
 type Decisions struct {
-	RecordChanges []ledger.Change
+	RecordChanges []records.Change
 	// SendCommands lists workers to which commands should go now; see TakeCommands.
 	SendCommands []ids.MachineID
 	// RequestHeartbeats lists workers that should be asked for a report.
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -52,14 +52,14 @@
 		spec.Team = "red"
 	}
 	spec.Image = "i"
-	b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(len(b.c.jobs))}, ids.Revision(100+len(b.c.jobs)))
+	b.c.ObserveJob(b.now, id, &records.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(len(b.c.jobs))}, ids.Revision(100+len(b.c.jobs)))
 }
 
 // inherit loads job-1 and its admission record as a predecessor left them.
-func (b *harness) inherit(spec wire.JobSpec, rec ledger.AdmissionSlice) {
+func (b *harness) inherit(spec wire.JobSpec, rec records.AdmissionSlice) {
 	b.t.Helper()
 	spec.Class, spec.Team, spec.CPUs, spec.Image = "c", "red", 2, "i"
-	b.c.LoadJob("job-1", &ledger.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec}, 3)
+	b.c.LoadJob("job-1", &records.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec}, 3)
 	if err := b.c.LoadSlice("job-1", 0, &rec, 4); err != nil {
 		b.t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 func (b *harness) step() Decisions {
 	e := b.c.Step(b.now)
 	for _, ch := range e.RecordChanges {
-		b.c.CommitResult(b.now, ledger.CommitResult{Change: ch, Applied: true, Revision: ids.Revision(1000 + ch.ID)})
+		b.c.CommitResult(b.now, records.CommitResult{Change: ch, Applied: true, Revision: ids.Revision(1000 + ch.ID)})
 	}
 	return e
 }
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -28,7 +28,7 @@
 			t.Fatalf("job %d: runs %v", n, run)
 		}
 		b.report("n-1", "a", o.FencingToken, wire.TaskStatus{Name: string(id) + "/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseError})
-		b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.jobs[id].spec}, 900)
+		b.c.ObserveJob(b.now, id, &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.jobs[id].spec}, 900)
 		b.step()
 		b.report("n-1", "a", o.FencingToken)
 	}
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
@@ -140,7 +140,7 @@
 }
 
 // newJob makes a job from its record.
-func (c *Core) newJob(id ids.JobID, rec *ledger.Job, revision ids.Revision) *job {
+func (c *Core) newJob(id ids.JobID, rec *records.Job, revision ids.Revision) *job {
 	j := &job{id: id, spec: rec.Spec, revision: revision, readyMS: rec.SubmittedMS, orderMS: rec.SubmittedMS, status: rec.Status,
 		active: map[int]*assignment{}, zones: placement.TasksByZone{}, readyAt: c.now, waitingSince: c.now}
 	if j.spec == nil {
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -4,15 +4,15 @@
 	"fmt"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
 	"ospreystile.example/ospreystile/pipeline"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
 )
 
 // LoadJob takes a job's record at the start of the term. Jobs come before
 // slices.
-func (c *Core) LoadJob(id ids.JobID, rec *ledger.Job, revision ids.Revision) {
+func (c *Core) LoadJob(id ids.JobID, rec *records.Job, revision ids.Revision) {
 	c.graph.Put(id, rec.Dependencies())
 	if rec.Status == wire.JobDone || rec.Spec == nil {
 		return
@@ -29,14 +29,14 @@
 }
 
 // LoadSlice takes an admission record at the start of the term.
-func (c *Core) LoadSlice(id ids.JobID, n int, rec *ledger.AdmissionSlice, revision ids.Revision) error {
+func (c *Core) LoadSlice(id ids.JobID, n int, rec *records.AdmissionSlice, revision ids.Revision) error {
 	if c.unreadable[id] {
 		return nil
 	}
 	j := c.jobs[id]
 	if j == nil {
 		// What is left of a done job; it only has to be dropped.
-		j = c.newJob(id, &ledger.Job{Status: wire.JobDone}, 0)
+		j = c.newJob(id, &records.Job{Status: wire.JobDone}, 0)
 		c.jobs[id] = j
 	}
 	// Splits make a slice for each task at most, beside those there are, and leave
@@ -73,7 +73,7 @@
 }
 
 // loadPlacements takes in where the tasks of a slice were placed by a predecessor.
-func (c *Core) loadPlacements(j *job, s *admissionSlice, rec *ledger.AdmissionSlice) error {
+func (c *Core) loadPlacements(j *job, s *admissionSlice, rec *records.AdmissionSlice) error {
 	for k := 0; k+2 < len(rec.Tasks); k += 3 {
 		i, attempt, place := rec.Tasks[k], ids.Attempt(rec.Tasks[k+1]), rec.Tasks[k+2]
 		if i < 0 || i >= len(j.tasks) || place >= len(rec.Hosts) {
@@ -105,7 +105,7 @@
 
 // ObserveJob takes a job's record as found in state: new, cancelled or with a
 // version that this leader did not know.
-func (c *Core) ObserveJob(now ids.Instant, id ids.JobID, rec *ledger.Job, revision ids.Revision) {
+func (c *Core) ObserveJob(now ids.Instant, id ids.JobID, rec *records.Job, revision ids.Revision) {
 	c.now = now
 	j := c.jobs[id]
 	if j != nil && revision <= j.revision {
@@ -135,7 +135,7 @@
 
 // applyJobRecord takes a record into the dependency graph and updates all jobs whose
 // standing changes.
-func (c *Core) applyJobRecord(id ids.JobID, rec *ledger.Job) {
+func (c *Core) applyJobRecord(id ids.JobID, rec *records.Job) {
 	for _, other := range c.graph.Put(id, rec.Dependencies()) {
 		if j := c.jobs[other]; j != nil {
 			c.syncDependencies(j)
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonereturn"
@@ -86,7 +86,7 @@
 	for n := range largeFleetJobs {
 		b.job(ids.JobID(fmt.Sprintf("job-%06d", n)), wire.JobSpec{Tasks: largeFleetTasks / largeFleetJobs, CPUs: 2})
 	}
-	latest := map[string]ledger.AdmissionSlice{}
+	latest := map[string]records.AdmissionSlice{}
 	b.placeAll(latest)
 	placed := uint64(largeFleetTasks)
 	// The first search of a job looks at all machines, each task at one a zone.
@@ -108,13 +108,13 @@
 }
 
 // placeAll steps until all tasks are placed, and keeps the newest record of each slice.
-func (b *harness) placeAll(latest map[string]ledger.AdmissionSlice) {
+func (b *harness) placeAll(latest map[string]records.AdmissionSlice) {
 	b.t.Helper()
 	for range 10 {
 		b.now = b.now.Add(time.Second)
 		for _, change := range b.step().RecordChanges {
 			for _, op := range change.Operations {
-				if record, ok := op.Value.(ledger.AdmissionSlice); ok {
+				if record, ok := op.Value.(records.AdmissionSlice); ok {
 					latest[op.PutKey] = record
 				}
 			}
@@ -128,17 +128,17 @@
 }
 
 // takeOverLargeFleet has a successor read the records and meet all machines.
-func (b *harness) takeOverLargeFleet(latest map[string]ledger.AdmissionSlice) {
+func (b *harness) takeOverLargeFleet(latest map[string]records.AdmissionSlice) {
 	b.t.Helper()
 	predecessor := b.c
 	opt := predecessor.opt
 	opt.Revision, opt.PreviousLeader = opt.Revision+1, true
 	b.c = New(opt, predecessor.typeList)
 	for id, j := range predecessor.jobs {
-		b.c.LoadJob(id, &ledger.Job{Status: wire.JobQueued, Tasks: len(j.tasks), Spec: j.spec}, j.revision)
+		b.c.LoadJob(id, &records.Job{Status: wire.JobQueued, Tasks: len(j.tasks), Spec: j.spec}, j.revision)
 	}
 	for key, record := range latest {
-		id, number, _ := ledger.ParseAdmissionKey(key)
+		id, number, _ := records.ParseAdmissionKey(key)
 		if err := b.c.LoadSlice(id, number, &record, 2000); err != nil {
 			b.t.Fatal(err)
 		}
--- a/scheduler/predecessors_test.go
+++ b/scheduler/predecessors_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -36,10 +36,10 @@
 		{"within the margin", func(b *harness) { b.now = b.now.Add(grace - margin) }, true},
 	} {
 		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: grace})
-		b.inherit(wire.JobSpec{Service: true, Tasks: 2}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
+		b.inherit(wire.JobSpec{Service: true, Tasks: 2}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
 		b.c.Begin(b.now)
 		spec := wire.JobSpec{Service: true, Tasks: 2, Class: "c", Team: "red", CPUs: 2, Image: "i"}
-		b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.JobCancelled, Tasks: 2, Spec: &spec}, 50)
+		b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 2, Spec: &spec}, 50)
 		c.bring(b)
 		if got := b.c.CanAcknowledgeCancel(b.now, "job-1"); got != c.acknowledged {
 			t.Errorf("%s: acknowledged: %v", c.name, got)
@@ -73,7 +73,7 @@
 		if c.unclear {
 			b.c.LoadUnreadableJob("job-9")
 		}
-		b.inherit(wire.JobSpec{Service: c.service, Tasks: 1}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+		b.inherit(wire.JobSpec{Service: c.service, Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 		b.c.Begin(b.now)
 		began, held := b.now, c.service || c.unclear
 		if got := b.c.CanAcknowledgeCancel(b.now, "job-1"); got == held {
@@ -106,7 +106,7 @@
 	}
 	b.c.RestrictToReplicas(false)
 	b.step()
-	b.c.CommitResult(b.now, ledger.CommitResult{Change: ledger.Change{ID: 1}, Applied: true, Revision: 900})
+	b.c.CommitResult(b.now, records.CommitResult{Change: records.Change{ID: 1}, Applied: true, Revision: 900})
 	report("n-2", 1)
 	b.c.RestrictToReplicas(true)
 	if !report("n-1", 101) {
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -105,7 +105,7 @@
 func TestCancelledTaskOnAnUnreachableMachine(t *testing.T) {
 	b := newHarness(t, Options{})
 	token, running := b.runTask()
-	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.jobs["job-1"].spec}, 500)
+	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.jobs["job-1"].spec}, 500)
 	for s := range 52 {
 		b.now = b.now.Add(time.Second)
 		b.report("n-1", "a", token, running)
@@ -188,7 +188,7 @@
 	oldToken, run := old.runTask()
 
 	next := newHarness(t, Options{Revision: 9, PreviousLeader: true, PreviousLeaderGrace: time.Minute})
-	next.inherit(wire.JobSpec{Tasks: 1}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	next.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	next.c.Begin(next.now)
 	// It knows the address from the list, and has no report: all of them go
 	// to the old leader. The same holds of a machine without tasks.
@@ -299,7 +299,7 @@
 		start := b.now
 		wall := func() int64 { return int64(b.now.Sub(start) / time.Millisecond) }
 		submit := func(id ids.JobID, tasks int) {
-			b.c.ObserveJob(b.now, id, &ledger.Job{Status: wire.JobQueued, Tasks: tasks, SubmittedMS: wall(),
+			b.c.ObserveJob(b.now, id, &records.Job{Status: wire.JobQueued, Tasks: tasks, SubmittedMS: wall(),
 				Spec: &wire.JobSpec{Team: "red", Tasks: tasks, CPUs: 2}}, ids.Revision(100+len(b.c.jobs)))
 		}
 		submit("job-old", 200)
@@ -314,7 +314,7 @@
 				next := newHarness(t, opt)
 				next.now, next.tick = b.now, b.tick
 				for id, j := range b.c.jobs {
-					next.c.LoadJob(id, &ledger.Job{Status: wire.JobQueued, Tasks: j.spec.Tasks, Spec: j.spec, SubmittedMS: j.readyMS}, j.revision)
+					next.c.LoadJob(id, &records.Job{Status: wire.JobQueued, Tasks: j.spec.Tasks, Spec: j.spec, SubmittedMS: j.readyMS}, j.revision)
 				}
 				next.c.Begin(next.now)
 				b = next
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -5,18 +5,18 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
 // CommitResult takes the definite outcome of a change.
-func (c *Core) CommitResult(now ids.Instant, o ledger.CommitResult) {
+func (c *Core) CommitResult(now ids.Instant, o records.CommitResult) {
 	c.now = now
 	c.records.settleChange(o)
 }
 
 // settleChange takes the definite outcome of a change into account.
-func (w *recordWriter) settleChange(o ledger.CommitResult) {
+func (w *recordWriter) settleChange(o records.CommitResult) {
 	if w.core.zones.settle(o) {
 		return
 	}
@@ -58,7 +58,7 @@
 		j.completing = false
 		j.status, j.revision = wire.JobDone, revision
 		// Only now may those that depend on it start: a successor would find it done.
-		w.core.applyJobRecord(j.id, &ledger.Job{Status: wire.JobDone, DoneMS: p.doneMS})
+		w.core.applyJobRecord(j.id, &records.Job{Status: wire.JobDone, DoneMS: p.doneMS})
 	}
 	for _, s := range p.dropped {
 		s.revision = 0
@@ -88,7 +88,7 @@
 func (w *recordWriter) changeRejected(p *pendingChange, failed []string) {
 	j := p.job
 	j.completing = false
-	if len(failed) != 1 || failed[0] != ledger.JobKey(j.id) || j.revision == 0 {
+	if len(failed) != 1 || failed[0] != records.JobKey(j.id) || j.revision == 0 {
 		w.core.recordsErr = fmt.Errorf("records of %s moved without this leader: %v", j.id, failed)
 		return
 	}
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -19,8 +19,8 @@
 			p.placed = append(p.placed, a)
 		}
 	}
-	at := []ledger.SliceVersion{{Number: s.number, Revision: s.revision}}
-	recs := []ledger.AdmissionSlice{w.sliceRecord(j, s.tasks)}
+	at := []records.SliceVersion{{Number: s.number, Revision: s.revision}}
+	recs := []records.AdmissionSlice{w.sliceRecord(j, s.tasks)}
 	limit := w.core.opt.ValueBytes >> j.refusals
 	s.oversized = wire.ExceedsJSONSize(recs[0], limit)
 	if s.oversized && w.core.opt.SplitRecords {
@@ -31,15 +31,15 @@
 			j.growSlices(len(j.slices) + 1)
 			part := j.slices[len(j.slices)-1]
 			p.parts = append(p.parts, part)
-			at = append(at, ledger.SliceVersion{Number: part.number})
+			at = append(at, records.SliceVersion{Number: part.number})
 		}
 	}
-	w.submitChange(p, ledger.PutSlicesChange(j.id, j.revision, at, recs))
+	w.submitChange(p, records.PutSlicesChange(j.id, j.revision, at, recs))
 }
 
 // splitTasks divides the tasks of a record that is too large into parts whose records are
 // not, no more than one change may write.
-func (w *recordWriter) splitTasks(j *job, tasks []int, limit int) (parts [][]int, recs []ledger.AdmissionSlice) {
+func (w *recordWriter) splitTasks(j *job, tasks []int, limit int) (parts [][]int, recs []records.AdmissionSlice) {
 	parts = [][]int{tasks}
 	for k := 0; k < len(parts); {
 		list := parts[k]
@@ -56,8 +56,8 @@
 }
 
 // sliceRecord is the record of some of a job's tasks.
-func (w *recordWriter) sliceRecord(j *job, tasks []int) ledger.AdmissionSlice {
-	rec := ledger.AdmissionSlice{Nonce: w.nextNonce()}
+func (w *recordWriter) sliceRecord(j *job, tasks []int) records.AdmissionSlice {
+	rec := records.AdmissionSlice{Nonce: w.nextNonce()}
 	place := map[ids.MachineID]int{}
 	for _, i := range tasks {
 		t := &j.tasks[i]
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -4,7 +4,7 @@
 	"sort"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 )
 
 // recordWriter turns changes of tasks and jobs into guarded changes of the records in
@@ -181,18 +181,18 @@
 	// The rest of the records is dropped later, and less at once where a change
 	// was refused.
 	most >>= j.refusals
-	var drops []ledger.SliceVersion
+	var drops []records.SliceVersion
 	for _, s := range j.slices {
 		delete(w.dirty, s)
 		s.dirty = false
 		if s.revision != 0 && len(drops) < most {
 			s.inFlight = true
 			p.dropped = append(p.dropped, s)
-			drops = append(drops, ledger.SliceVersion{Number: s.number, Revision: s.revision})
+			drops = append(drops, records.SliceVersion{Number: s.number, Revision: s.revision})
 		}
 	}
-	rec := ledger.Job{Nonce: w.nextNonce(), Tasks: len(j.tasks), DoneMS: p.doneMS}
-	w.submitChange(p, ledger.CompleteJobChange(j.id, j.revision, rec, drops))
+	rec := records.Job{Nonce: w.nextNonce(), Tasks: len(j.tasks), DoneMS: p.doneMS}
+	w.submitChange(p, records.CompleteJobChange(j.id, j.revision, rec, drops))
 }
 
 // recordOrphanCancels writes that jobs are cancelled with one that they need. They never
@@ -210,8 +210,8 @@
 		case w.core.now < j.rereadAt:
 			w.orphanCancels = append(w.orphanCancels, j)
 		default:
-			rec := ledger.Job{Tasks: len(j.tasks), SubmittedMS: j.readyMS}
-			w.submitChange(&pendingChange{job: j, orphanCancel: true}, ledger.CancelJobChange(j.id, j.revision, w.nextNonce(), rec, 0))
+			rec := records.Job{Tasks: len(j.tasks), SubmittedMS: j.readyMS}
+			w.submitChange(&pendingChange{job: j, orphanCancel: true}, records.CancelJobChange(j.id, j.revision, w.nextNonce(), rec, 0))
 		}
 	}
 	return true
@@ -228,14 +228,14 @@
 		return // comes again with what is missing
 	}
 	p := &pendingChange{job: j}
-	var drops []ledger.SliceVersion
+	var drops []records.SliceVersion
 	for _, s := range j.slices {
 		if s.inFlight {
 			return // comes again with the outcome
 		}
 		if s.revision != 0 && len(drops) < max(1, w.core.opt.TxnOps>>j.refusals-1) {
 			p.dropped = append(p.dropped, s)
-			drops = append(drops, ledger.SliceVersion{Number: s.number, Revision: s.revision})
+			drops = append(drops, records.SliceVersion{Number: s.number, Revision: s.revision})
 		}
 	}
 	if len(drops) == 0 {
@@ -245,16 +245,16 @@
 	for _, s := range p.dropped {
 		s.inFlight = true
 	}
-	w.submitChange(p, ledger.DeleteSlicesChange(j.id, drops))
+	w.submitChange(p, records.DeleteSlicesChange(j.id, drops))
 }
 
 // submitChange hands a change out with the step's effects.
-func (w *recordWriter) submitChange(p *pendingChange, ch ledger.Change) {
+func (w *recordWriter) submitChange(p *pendingChange, ch records.Change) {
 	w.pendingChanges[w.submitOther(ch)] = p
 }
 
 // submitOther hands out a change whose outcome is for another part, and names it.
-func (w *recordWriter) submitOther(ch ledger.Change) (id uint64) {
+func (w *recordWriter) submitOther(ch records.Change) (id uint64) {
 	w.nextChange++
 	ch.ID = w.nextChange
 	w.writeBudget -= float64(len(ch.Operations))
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -168,8 +168,8 @@
 func (s *sim) unfinished(all []ids.JobID) []string {
 	var out []string
 	for _, id := range all {
-		var rec ledger.Job
-		s.must(wire.Decode(s.store[ledger.JobKey(id)].raw, &rec))
+		var rec records.Job
+		s.must(wire.Decode(s.store[records.JobKey(id)].raw, &rec))
 		if !rec.Terminal() {
 			out = append(out, fmt.Sprintf("%s %+v", id, *s.specs[id]))
 		}
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -357,7 +357,7 @@
 	if len(placed) != 1 {
 		t.Fatal("job-2 was not placed beside job-1")
 	}
-	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.JobCancelled, Tasks: 1, Spec: &spec}, 900)
+	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: &spec}, 900)
 	told := b.now
 	for returned := false; !returned; {
 		b.now = b.now.Add(200 * time.Millisecond)
@@ -373,7 +373,7 @@
 		t.Error("what surely went with the machine still counts")
 	}
 	// The record comes through after all: its task was never sent, and waits again.
-	b.c.CommitResult(b.now, ledger.CommitResult{Change: placed[0], Applied: true, Revision: 901})
+	b.c.CommitResult(b.now, records.CommitResult{Change: placed[0], Applied: true, Revision: 901})
 	for range 10 {
 		b.now = b.now.Add(200 * time.Millisecond)
 		if e := b.step(); len(e.Terminate) > 0 {
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -20,7 +20,7 @@
 		s.old, s.oldTerm, s.oldUntil = s.core, s.term, s.now.Add(simIsolatedReplicas)
 	}
 	s.refusal, s.sure = 0, s.now.Add(simKey)
-	s.commit(nil, []statestore.Operation{{PutKey: ledger.LeaderKey, Value: "x"}})
+	s.commit(nil, []statestore.Operation{{PutKey: records.LeaderKey, Value: "x"}})
 	s.leader = s.epoch
 	s.term++
 	opt := s.opt
@@ -34,20 +34,20 @@
 	sort.Strings(keys)
 	for _, admissions := range []bool{false, true} {
 		for _, k := range keys {
-			id, n, ok := ledger.ParseAdmissionKey(k)
+			id, n, ok := records.ParseAdmissionKey(k)
 			switch {
 			case ok && admissions:
-				var rec ledger.AdmissionSlice
+				var rec records.AdmissionSlice
 				s.must(wire.Decode(s.store[k].raw, &rec))
 				s.must(s.core.LoadSlice(id, n, &rec, s.store[k].revision))
-			case strings.HasPrefix(k, ledger.ZonePrefix):
+			case strings.HasPrefix(k, records.ZonePrefix):
 				if !admissions {
 					s.loadZone(k)
 				}
-			case !ok && !admissions && k != ledger.LeaderKey:
-				var rec ledger.Job
+			case !ok && !admissions && k != records.LeaderKey:
+				var rec records.Job
 				s.must(wire.Decode(s.store[k].raw, &rec))
-				s.core.LoadJob(ids.JobID(k[len(ledger.JobPrefix):]), &rec, s.store[k].revision)
+				s.core.LoadJob(ids.JobID(k[len(records.JobPrefix):]), &rec, s.store[k].revision)
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 
 // change commits one change of a leader, as the committer does: without an
 // answer it is sent again until its outcome is clear.
-func (s *sim) change(core *Core, term int, ch ledger.Change, bounded bool) {
+func (s *sim) change(core *Core, term int, ch records.Change, bounded bool) {
 	if s.now < max(s.outage, s.controllersDown) || s.now < s.refusal && s.term == term {
 		s.after(500*time.Millisecond, func() { s.change(core, term, ch, bounded) })
 		return
@@ -181,16 +181,16 @@
 		}
 		s.after(0, func() {
 			if s.term == term {
-				core.CommitResult(s.now, ledger.CommitResult{Change: ch, Rejected: true})
+				core.CommitResult(s.now, records.CommitResult{Change: ch, Rejected: true})
 			}
 		})
 		return
 	}
 	ok, failed := s.commit(ch.Preconditions, ch.Operations)
-	if ok && len(ch.Operations) > 1 && strings.HasPrefix(ch.Operations[1].PutKey, ledger.AdmissionPrefix) {
+	if ok && len(ch.Operations) > 1 && strings.HasPrefix(ch.Operations[1].PutKey, records.AdmissionPrefix) {
 		s.splits++
 	}
-	o := ledger.CommitResult{Change: ch, Applied: ok, Revision: s.epoch, FailedKeys: failed}
+	o := records.CommitResult{Change: ch, Applied: ok, Revision: s.epoch, FailedKeys: failed}
 	wait := time.Duration(0)
 	if s.chance(0.05) {
 		wait = time.Duration(1+s.rng.IntN(4)) * time.Second
--- a/scheduler/sim_state_test.go
+++ b/scheduler/sim_state_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -34,8 +34,8 @@
 			continue
 		}
 		s.store[op.PutKey] = simEntry{s.epoch, wire.Encode(op.Value)}
-		if rec, ok := op.Value.(ledger.Job); ok && rec.Status == wire.JobDone {
-			id := ids.JobID(op.PutKey[len(ledger.JobPrefix):])
+		if rec, ok := op.Value.(records.Job); ok && rec.Status == wire.JobDone {
+			id := ids.JobID(op.PutKey[len(records.JobPrefix):])
 			for i := range s.specs[id].Tasks {
 				if !s.completed[ids.TaskRef{Job: id, Index: i}] {
 					s.violation("not_done: %s/%d", id, i)
@@ -62,7 +62,7 @@
 func (s *sim) checkSlices(ops []statestore.Operation) {
 	var job ids.JobID
 	for _, op := range ops {
-		if id, _, ok := ledger.ParseAdmissionKey(op.PutKey); ok {
+		if id, _, ok := records.ParseAdmissionKey(op.PutKey); ok {
 			job = id
 		}
 	}
@@ -71,11 +71,11 @@
 	}
 	in := map[int]int{}
 	for key, e := range s.store {
-		id, n, ok := ledger.ParseAdmissionKey(key)
+		id, n, ok := records.ParseAdmissionKey(key)
 		if !ok || id != job {
 			continue
 		}
-		var rec ledger.AdmissionSlice
+		var rec records.AdmissionSlice
 		s.must(wire.Decode(e.raw, &rec))
 		tasks := slices.Clone(rec.Done)
 		for k := 0; k < len(rec.Tasks); k += 3 {
@@ -108,15 +108,15 @@
 
 // bring has a leader take a job's record in.
 func (s *sim) bring(core *Core, id ids.JobID) {
-	e := s.store[ledger.JobKey(id)]
-	var rec ledger.Job
+	e := s.store[records.JobKey(id)]
+	var rec records.Job
 	s.must(wire.Decode(e.raw, &rec))
 	core.ObserveJob(s.now, id, &rec, e.revision)
 }
 
 func (s *sim) submit(id ids.JobID, spec *wire.JobSpec) {
 	s.specs[id] = spec
-	s.commit(nil, []statestore.Operation{{PutKey: ledger.JobKey(id), Value: ledger.Job{Nonce: s.rng.Uint64(), Status: wire.JobQueued,
+	s.commit(nil, []statestore.Operation{{PutKey: records.JobKey(id), Value: records.Job{Nonce: s.rng.Uint64(), Status: wire.JobQueued,
 		Tasks: spec.Tasks, Spec: spec, SubmittedMS: int64(time.Duration(s.now) / time.Millisecond)}}})
 	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
 }
@@ -128,13 +128,13 @@
 		s.after(time.Second, func() { s.cancel(id) })
 		return
 	}
-	key := ledger.JobKey(id)
-	var rec ledger.Job
+	key := records.JobKey(id)
+	var rec records.Job
 	s.must(wire.Decode(s.store[key].raw, &rec))
 	if rec.Terminal() {
 		return
 	}
-	c := ledger.CancelJobChange(id, s.store[key].revision, s.rng.Uint64(), rec, s.opt.ValueBytes)
+	c := records.CancelJobChange(id, s.store[key].revision, s.rng.Uint64(), rec, s.opt.ValueBytes)
 	s.commit(c.Preconditions, c.Operations)
 	s.cancelled[id] = true
 	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
@@ -167,8 +167,8 @@
 
 // status is a job's own record.
 func (s *sim) status(id ids.JobID) wire.JobState {
-	var rec ledger.Job
-	s.must(wire.Decode(s.store[ledger.JobKey(id)].raw, &rec))
+	var rec records.Job
+	s.must(wire.Decode(s.store[records.JobKey(id)].raw, &rec))
 	return rec.Status
 }
 
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonereturn"
 )
@@ -61,7 +61,7 @@
 func (s *sim) loadZone(key string) {
 	var rec zonereturn.Record
 	s.must(wire.Decode(s.store[key].raw, &rec))
-	s.core.LoadZone(s.now, ids.Zone(strings.TrimPrefix(key, ledger.ZonePrefix)), &rec, s.store[key].revision)
+	s.core.LoadZone(s.now, ids.Zone(strings.TrimPrefix(key, records.ZonePrefix)), &rec, s.store[key].revision)
 }
 
 // viewOf is what a leader knows of its own place.
--- a/scheduler/succession_test.go
+++ b/scheduler/succession_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -18,7 +18,7 @@
 	for _, zones := range [][]ids.Zone{{"a", "a"}, nil} {
 		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
 		b.inherit(wire.JobSpec{Service: true, Spread: true, Tasks: 3},
-			ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
+			records.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
 		b.c.Begin(b.now)
 		b.report("n-3", "a", ids.NewFencingToken(5, 0))
 		b.step()
@@ -37,7 +37,7 @@
 // until its grace and a lease are over, its tasks may run.
 func TestPredecessorsGraceCounts(t *testing.T) {
 	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
-	b.inherit(wire.JobSpec{Tasks: 1}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for _, step := range []struct {
 		after time.Duration
@@ -56,7 +56,7 @@
 // a report sent just before may have been answered.
 func TestOnceAllFollowThereIsNoGrace(t *testing.T) {
 	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 10 * time.Minute})
-	b.inherit(wire.JobSpec{Tasks: 1}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	followed := 5 * time.Second
 	b.c.AllControllersFollow(b.now.Add(followed))
@@ -77,8 +77,8 @@
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	spec := wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1}
-	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.JobCancelled, Tasks: 1, Spec: &spec}, 9)
-	b.c.ObserveJob(b.now, "job-1", &ledger.Job{Status: wire.JobQueued, Tasks: 1, Spec: &spec}, 8)
+	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: &spec}, 9)
+	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobQueued, Tasks: 1, Spec: &spec}, 8)
 	b.report("n-1", "a", 0)
 	b.step()
 	if b.c.jobs["job-1"] != nil {
@@ -90,7 +90,7 @@
 // it listed, and held its tasks for two minutes.
 func TestMachineThatDiedAtTheTakeoverIsNoticed(t *testing.T) {
 	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 90 * time.Second, ListLag: 3 * time.Second})
-	b.inherit(wire.JobSpec{Tasks: 1}, ledger.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for s := range 20 {
 		b.now = b.now.Add(time.Second)
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
 	"ospreystile.example/ospreystile/pipeline"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -88,9 +88,9 @@
 	b := newHarness(t, Options{})
 	b.job("job-1", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
 	b.report("n-1", "a", 0)
-	sent := func(e Decisions, job ids.JobID) (out []ledger.Change) {
+	sent := func(e Decisions, job ids.JobID) (out []records.Change) {
 		for _, ch := range e.RecordChanges {
-			if len(ch.Operations) > 0 && ch.Preconditions[0].Key == ledger.JobKey(job) {
+			if len(ch.Operations) > 0 && ch.Preconditions[0].Key == records.JobKey(job) {
 				out = append(out, ch)
 			}
 		}
@@ -100,7 +100,7 @@
 	for range 3000 {
 		for _, ch := range sent(b.c.Step(b.now), "job-1") {
 			tries++
-			b.c.CommitResult(b.now, ledger.CommitResult{Change: ch, Rejected: true})
+			b.c.CommitResult(b.now, records.CommitResult{Change: ch, Rejected: true})
 		}
 		b.now = b.now.Add(500 * time.Millisecond)
 		b.report("n-1", "a", 0)
@@ -149,7 +149,7 @@
 	if on.staying != 1 {
 		t.Errorf("counted %+v", on)
 	}
-	b.c.ObserveJob(b.now, "job-2", &ledger.Job{Status: wire.JobCancelled, Tasks: 1}, 999)
+	b.c.ObserveJob(b.now, "job-2", &records.Job{Status: wire.JobCancelled, Tasks: 1}, 999)
 	if first.priority != wire.BestEffort || b.c.preemption.workloads[workload{"red", wire.High}].staying != 0 || b.c.preemption.workloads[workload{"red", wire.BestEffort}].staying != 1 {
 		t.Errorf("after the last job is gone the first has priority %d, counted %+v", first.priority, b.c.preemption.workloads)
 	}
@@ -168,7 +168,7 @@
 	b.now = b.now.Add(time.Second)
 	b.report("n-2", "a", 0)
 	b.step()
-	b.c.CommitResult(b.now, ledger.CommitResult{Change: split[0], Applied: true, Revision: 500})
+	b.c.CommitResult(b.now, records.CommitResult{Change: split[0], Applied: true, Revision: 500})
 	var runs []string
 	for _, h := range []ids.MachineID{"n-1", "n-2"} {
 		b.step()
--- a/scheduler/zone_return.go
+++ b/scheduler/zone_return.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/ledger"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonereturn"
@@ -340,16 +340,16 @@
 		if !ok {
 			return
 		}
-		change := ledger.DeleteZoneChange(write.Zone, write.Revision)
+		change := records.DeleteZoneChange(write.Zone, write.Revision)
 		if write.Record != nil {
-			change = ledger.PutZoneChange(write.Zone, write.Revision, write.Record)
+			change = records.PutZoneChange(write.Zone, write.Revision, write.Record)
 		}
 		g.writes[w.submitOther(change)] = zoneWrite{zone: write.Zone, dropped: write.Record == nil}
 	}
 }
 
 // settle takes the outcome of a change into account if it is a zone's record.
-func (g *zoneGate) settle(o ledger.CommitResult) (ours bool) {
+func (g *zoneGate) settle(o records.CommitResult) (ours bool) {
 	if g == nil {
 		return false
 	}
