--- a/election/election.go
+++ b/election/election.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -34,12 +34,12 @@
 
 // Store is what an election needs of the state service.
 type Store interface {
-	Get(ctx context.Context, key string) (statestore.Entry, bool, error)
-	Commit(ctx context.Context, t statestore.Txn) (statestore.TxnResult, error)
+	Get(ctx context.Context, key string) (kv.Entry, bool, error)
+	Commit(ctx context.Context, t kv.Txn) (kv.TxnResult, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (ids.LeaseID, error)
 	RenewLease(ctx context.Context, id ids.LeaseID) error
 	RevokeLease(ctx context.Context, id ids.LeaseID) error
-	Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []statestore.Event, error)
+	Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []kv.Event, error)
 }
 
 // Term is one time of leading. Its context ends when it is over.
@@ -256,11 +256,11 @@
 	since := held
 	for ctx.Err() == nil {
 		epoch, events, err := e.store.Watch(ctx, records.LeaderKey, since, 10*time.Second)
-		if errors.Is(err, statestore.ErrCompacted) {
+		if errors.Is(err, kv.ErrCompacted) {
 			// The leader has held the key for longer than the service keeps
 			// changes. Reading the key again would give the same revision, at once
 			// and for ever; that it still has it tells from where to watch.
-			out, err := e.store.Commit(ctx, statestore.Txn{Preconditions: []statestore.Precondition{{Key: records.LeaderKey, Revision: held}}})
+			out, err := e.store.Commit(ctx, kv.Txn{Preconditions: []kv.Precondition{{Key: records.LeaderKey, Revision: held}}})
 			if err != nil || !out.Applied {
 				return err
 			}
@@ -293,9 +293,9 @@
 	t := &Term{clock: e.clock, bounds: e.bounds}
 	t.heldUntil.Store(int64(e.validity(asked)))
 	t.renewalAskedAt.Store(int64(asked))
-	txn := statestore.Txn{
-		Preconditions: []statestore.Precondition{{Key: records.LeaderKey, Revision: guard}},
-		Operations:    []statestore.Operation{{PutKey: records.LeaderKey, Value: e.self, Lease: lease}},
+	txn := kv.Txn{
+		Preconditions: []kv.Precondition{{Key: records.LeaderKey, Revision: guard}},
+		Operations:    []kv.Operation{{PutKey: records.LeaderKey, Value: e.self, Lease: lease}},
 	}
 	out, err := e.store.Commit(ctx, txn)
 	if err != nil || !out.Applied {
@@ -368,7 +368,7 @@
 		switch {
 		case err == nil:
 			t.heldUntil.Store(int64(e.validity(asked)))
-		case errors.Is(err, statestore.ErrLeaseExpired):
+		case errors.Is(err, kv.ErrLeaseExpired):
 			t.End(errLost)
 			return
 		case e.clock.Now() >= ids.Instant(t.heldUntil.Load()).Add(t.bounds.OutageGrace):
--- a/election/fake_state_test.go
+++ b/election/fake_state_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -93,38 +93,38 @@
 	c.s.calls++
 	if c.s.down || c.refused {
 		c.s.mu.Unlock()
-		return statestore.ErrUnavailable
+		return kv.ErrUnavailable
 	}
 	return nil
 }
 
-func (c *client) Get(context.Context, string) (statestore.Entry, bool, error) {
+func (c *client) Get(context.Context, string) (kv.Entry, bool, error) {
 	if err := c.enter(); err != nil {
-		return statestore.Entry{}, false, err
+		return kv.Entry{}, false, err
 	}
 	defer c.s.mu.Unlock()
-	return statestore.Entry{Key: records.LeaderKey, Value: c.s.value, Revision: c.s.revision}, c.s.revision != 0, nil
+	return kv.Entry{Key: records.LeaderKey, Value: c.s.value, Revision: c.s.revision}, c.s.revision != 0, nil
 }
 
-func (c *client) Commit(_ context.Context, t statestore.Txn) (statestore.TxnResult, error) {
+func (c *client) Commit(_ context.Context, t kv.Txn) (kv.TxnResult, error) {
 	if err := c.enter(); err != nil {
-		return statestore.TxnResult{}, err
+		return kv.TxnResult{}, err
 	}
 	defer c.s.mu.Unlock()
 	s := c.s
 	if t.Preconditions[0].Revision != s.revision {
-		return statestore.TxnResult{FailedKeys: []string{records.LeaderKey}}, nil
+		return kv.TxnResult{FailedKeys: []string{records.LeaderKey}}, nil
 	}
 	if len(t.Operations) == 0 {
-		return statestore.TxnResult{Applied: true, Revision: s.epoch}, nil
+		return kv.TxnResult{Applied: true, Revision: s.epoch}, nil
 	}
 	if _, ok := s.leases[t.Operations[0].Lease]; !ok {
-		return statestore.TxnResult{}, statestore.ErrLeaseExpired
+		return kv.TxnResult{}, kv.ErrLeaseExpired
 	}
 	s.epoch++
 	s.revision, s.value, s.lease = s.epoch, wire.Encode(t.Operations[0].Value), t.Operations[0].Lease
 	s.touched()
-	return statestore.TxnResult{Applied: true, Revision: s.epoch}, nil
+	return kv.TxnResult{Applied: true, Revision: s.epoch}, nil
 }
 
 func (c *client) GrantLease(_ context.Context, ttl time.Duration) (ids.LeaseID, error) {
@@ -144,7 +144,7 @@
 	}
 	defer c.s.mu.Unlock()
 	if _, ok := c.s.leases[id]; !ok {
-		return statestore.ErrLeaseExpired
+		return kv.ErrLeaseExpired
 	}
 	c.s.leases[id] = time.Now().Add(c.s.ttl)
 	return nil
@@ -159,22 +159,22 @@
 	return nil
 }
 
-func (c *client) Watch(ctx context.Context, _ string, since ids.Revision, hold time.Duration) (ids.Revision, []statestore.Event, error) {
+func (c *client) Watch(ctx context.Context, _ string, since ids.Revision, hold time.Duration) (ids.Revision, []kv.Event, error) {
 	if err := c.enter(); err != nil {
 		return 0, nil, err
 	}
 	defer c.s.mu.Unlock()
 	if since < c.s.oldest {
-		return 0, nil, statestore.ErrCompacted
+		return 0, nil, kv.ErrCompacted
 	}
 	end := time.Now().Add(hold)
 	for time.Now().Before(end) && ctx.Err() == nil {
 		c.s.sweep()
 		if c.s.epoch > since {
 			if c.s.revision == 0 {
-				return c.s.epoch, []statestore.Event{{DeletedKey: records.LeaderKey, Revision: c.s.epoch}}, nil
+				return c.s.epoch, []kv.Event{{DeletedKey: records.LeaderKey, Revision: c.s.epoch}}, nil
 			}
-			return c.s.epoch, []statestore.Event{{PutKey: records.LeaderKey, Revision: c.s.revision}}, nil
+			return c.s.epoch, []kv.Event{{PutKey: records.LeaderKey, Revision: c.s.revision}}, nil
 		}
 		c.s.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
--- a/election/restart_test.go
+++ b/election/restart_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/statestore"
+	"ospreystile.example/ospreystile/kv"
 )
 
 // late is a client whose requests may arrive a second time, long after, and
@@ -39,11 +39,11 @@
 	l.copies.Go(func() { time.Sleep(d); f() })
 }
 
-func (l *late) Commit(ctx context.Context, t statestore.Txn) (statestore.TxnResult, error) {
+func (l *late) Commit(ctx context.Context, t kv.Txn) (kv.TxnResult, error) {
 	l.again(func() { _, _ = l.wire.Commit(context.Background(), t) })
 	out, err := l.client.Commit(ctx, t)
 	if l.chance(4) {
-		return statestore.TxnResult{}, statestore.ErrIndeterminate
+		return kv.TxnResult{}, kv.ErrIndeterminate
 	}
 	return out, err
 }
@@ -58,7 +58,7 @@
 func (l *late) RevokeLease(ctx context.Context, id ids.LeaseID) error {
 	l.again(func() { _ = l.wire.RevokeLease(context.Background(), id) })
 	if l.chance(3) {
-		return statestore.ErrIndeterminate // it never arrived
+		return kv.ErrIndeterminate // it never arrived
 	}
 	return l.client.RevokeLease(ctx, id)
 }
--- a/statestore/golden_test.go
+++ b/kv/golden_test.go
@@ -1,4 +1,4 @@
-package statestore
+package kv
 
 import (
 	"context"
--- a/statestore/statestore.go
+++ b/kv/statestore.go
@@ -1,5 +1,5 @@
 // Package statestore is the client of the state service.
-package statestore
+package kv
 
 import (
 	"context"
--- a/node/job_replica.go
+++ b/node/job_replica.go
@@ -6,16 +6,16 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/pipeline"
 	"ospreystile.example/ospreystile/records"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
 
 // jobReader is what the copy needs of the state service.
 type jobReader interface {
-	List(ctx context.Context, prefix string, each func(statestore.Entry) error) (ids.Revision, error)
-	Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []statestore.Event, error)
+	List(ctx context.Context, prefix string, each func(kv.Entry) error) (ids.Revision, error)
+	Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []kv.Event, error)
 }
 
 // jobSnapshot is what a replica holds of a job.
@@ -46,7 +46,7 @@
 func (c *jobReplica) refresh(ctx context.Context) error {
 	if !c.loaded {
 		c.jobs, c.graph = map[ids.JobID]jobSnapshot{}, pipeline.New()
-		epoch, err := c.read.List(ctx, records.JobPrefix, func(e statestore.Entry) error {
+		epoch, err := c.read.List(ctx, records.JobPrefix, func(e kv.Entry) error {
 			c.put(e.Key, e.Value, e.Revision)
 			return nil
 		})
@@ -56,7 +56,7 @@
 		c.revision, c.loaded = epoch, true
 	}
 	epoch, events, err := c.read.Watch(ctx, records.JobPrefix, c.revision, 0)
-	if errors.Is(err, statestore.ErrCompacted) {
+	if errors.Is(err, kv.ErrCompacted) {
 		c.loaded = false
 	}
 	if err != nil {
--- a/node/mesh_handler.go
+++ b/node/mesh_handler.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/mesh"
 	"ospreystile.example/ospreystile/records"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -81,7 +81,7 @@
 	timeout := time.Duration(call.TimeoutMS) * time.Millisecond
 	status, body, err := (&directRoute{n}).Do(ctx, call.Method, call.Path, call.Body, timeout)
 	if err != nil {
-		return stateAnswer{NotSent: statestore.IsNotSent(err), Unknown: !statestore.IsNotSent(err)}, nil
+		return stateAnswer{NotSent: kv.IsNotSent(err), Unknown: !kv.IsNotSent(err)}, nil
 	}
 	return stateAnswer{Status: status, Body: body}, nil
 }
--- a/node/node.go
+++ b/node/node.go
@@ -20,11 +20,11 @@
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/httpc"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/mesh"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/server"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/worker"
 )
@@ -44,8 +44,8 @@
 	health    stateHealth
 	// leaderState goes straight to the state service; userState takes the way
 	// through a peer when that one refuses this node alone.
-	leaderState *statestore.Client
-	userState   *statestore.Client
+	leaderState *kv.Client
+	userState   *kv.Client
 	intake      *records.Committer
 
 	election *election.Election
@@ -78,8 +78,8 @@
 	nodes := float64(len(cfg.Seeds) + 1)
 	direct := &directRoute{n}
 	rps := s.State.Planned().RPS
-	n.leaderState = statestore.New(direct, rps*0.25)
-	n.userState = statestore.New(&userRoute{n, direct}, rps*0.65/nodes)
+	n.leaderState = kv.New(direct, rps*0.25)
+	n.userState = kv.New(&userRoute{n, direct}, rps*0.65/nodes)
 	n.intake = records.NewCommitter(n.userState, n.limits(), nil, log)
 	self := election.Identity{Name: cfg.HostName, MeshAddress: cfg.MeshAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
 	bounds := election.LeaseBounds{TTL: op.LeaseTTL(), OutageGrace: op.Grace(), IsolatedGrace: n.isolatedBound(), IsolatedReplicaGrace: n.isolatedReplicasBound()}
--- a/node/state_routes.go
+++ b/node/state_routes.go
@@ -20,7 +20,7 @@
 // directRoute calls the state service itself.
 type directRoute struct{ n *Controller }
 
-// Do implements statestore.Caller.
+// Do implements kv.Caller.
 func (r *directRoute) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
 	status, ans, err := r.n.stateHTTP.Do(ctx, method, path, body, timeout)
 	switch {
@@ -61,7 +61,7 @@
 	Unknown bool   `cbor:"4,keyasint"`
 }
 
-// Do implements statestore.Caller.
+// Do implements kv.Caller.
 func (r *userRoute) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
 	if !r.n.stateOK() {
 		if p := r.n.peerWithState(); p != nil {
--- a/node/status_reader_test.go
+++ b/node/status_reader_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -26,7 +26,7 @@
 	mu     sync.Mutex
 	rng    *rand.Rand
 	epoch  ids.Revision
-	log    []statestore.Event
+	log    []kv.Event
 	kept   int // changes kept for watches
 	calls  int
 	failed bool
@@ -43,21 +43,21 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.epoch++
-	r.log = append(r.log, statestore.Event{PutKey: records.JobKey(id), Value: wire.Encode(rec), Revision: r.epoch})
+	r.log = append(r.log, kv.Event{PutKey: records.JobKey(id), Value: wire.Encode(rec), Revision: r.epoch})
 }
 
-func (r *jobRecordLog) List(_ context.Context, _ string, each func(statestore.Entry) error) (ids.Revision, error) {
+func (r *jobRecordLog) List(_ context.Context, _ string, each func(kv.Entry) error) (ids.Revision, error) {
 	r.delay()
 	r.mu.Lock()
 	r.calls++
 	if r.failed {
 		r.mu.Unlock()
-		return 0, statestore.ErrUnavailable
+		return 0, kv.ErrUnavailable
 	}
 	epoch, log := r.epoch, slices.Clone(r.log)
 	r.mu.Unlock()
 	for _, e := range log {
-		if err := each(statestore.Entry{Key: e.PutKey, Value: e.Value, Revision: e.Revision}); err != nil {
+		if err := each(kv.Entry{Key: e.PutKey, Value: e.Value, Revision: e.Revision}); err != nil {
 			return 0, err
 		}
 	}
@@ -65,16 +65,16 @@
 	return epoch, nil
 }
 
-func (r *jobRecordLog) Watch(_ context.Context, _ string, since ids.Revision, _ time.Duration) (ids.Revision, []statestore.Event, error) {
+func (r *jobRecordLog) Watch(_ context.Context, _ string, since ids.Revision, _ time.Duration) (ids.Revision, []kv.Event, error) {
 	r.delay()
 	r.mu.Lock()
 	r.calls++
 	defer func() { r.mu.Unlock(); r.delay() }()
 	switch {
 	case r.failed:
-		return 0, nil, statestore.ErrUnavailable
+		return 0, nil, kv.ErrUnavailable
 	case int(r.epoch-since) > r.kept:
-		return 0, nil, statestore.ErrCompacted
+		return 0, nil, kv.ErrCompacted
 	}
 	return r.epoch, slices.Clone(r.log[since:]), nil
 }
--- a/node/term.go
+++ b/node/term.go
@@ -12,9 +12,9 @@
 	"ospreystile.example/ospreystile/cloud"
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler"
-	"ospreystile.example/ospreystile/statestore"
 )
 
 // term is the work of one time of leading. Its loop alone touches the core;
@@ -66,7 +66,7 @@
 
 // newTerm prepares the work of one term.
 func newTerm(n *Controller, key *election.Term) *term {
-	fence := &statestore.Precondition{Key: records.LeaderKey, Revision: key.Revision}
+	fence := &kv.Precondition{Key: records.LeaderKey, Revision: key.Revision}
 	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.AuthorizedBy(key.MayAnswerHeartbeats),
 		returns: returnQueue{wake: make(chan struct{}, 1)},
 		ledger:  records.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
--- a/node/term_load.go
+++ b/node/term_load.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -65,9 +65,9 @@
 	if _, found, err := state.Get(t.ctx, records.FleetKey); found || err != nil {
 		return found, err
 	}
-	out, err := state.Commit(t.ctx, statestore.Txn{
-		Preconditions: []statestore.Precondition{{Key: records.LeaderKey, Revision: t.key.Revision}},
-		Operations:    []statestore.Operation{{PutKey: records.FleetKey, Value: map[string]uint64{"first": uint64(t.key.Revision)}}},
+	out, err := state.Commit(t.ctx, kv.Txn{
+		Preconditions: []kv.Precondition{{Key: records.LeaderKey, Revision: t.key.Revision}},
+		Operations:    []kv.Operation{{PutKey: records.FleetKey, Value: map[string]uint64{"first": uint64(t.key.Revision)}}},
 	})
 	switch {
 	case err != nil:
@@ -79,7 +79,7 @@
 }
 
 // loadJob takes in a job's record.
-func (t *term) loadJob(e statestore.Entry) error {
+func (t *term) loadJob(e kv.Entry) error {
 	id := ids.JobID(e.Key[len(records.JobPrefix):])
 	var record records.Job
 	if err := wire.Decode(e.Value, &record); err != nil {
@@ -92,7 +92,7 @@
 }
 
 // loadAdmission takes in a record of where tasks are.
-func (t *term) loadAdmission(e statestore.Entry) error {
+func (t *term) loadAdmission(e kv.Entry) error {
 	id, number, ok := records.ParseAdmissionKey(e.Key)
 	if !ok {
 		return fmt.Errorf("record %s: malformed key", e.Key)
--- a/node/term_watch.go
+++ b/node/term_watch.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -34,7 +34,7 @@
 func (t *term) watchJobs(since ids.Revision) error {
 	for {
 		epoch, events, err := t.n.leaderState.Watch(t.ctx, records.JobPrefix, since, 10*time.Second)
-		if errors.Is(err, statestore.ErrCompacted) {
+		if errors.Is(err, kv.ErrCompacted) {
 			return fmt.Errorf("watch on jobs: %w", err)
 		}
 		if err != nil {
--- a/node/term_zones.go
+++ b/node/term_zones.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/mesh"
 	"ospreystile.example/ospreystile/records"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonereturn"
 )
@@ -54,7 +54,7 @@
 	if t.n.op.ZoneRecoveryPolicy == nil {
 		return nil
 	}
-	_, err := t.n.leaderState.List(t.ctx, records.ZonePrefix, func(e statestore.Entry) error {
+	_, err := t.n.leaderState.List(t.ctx, records.ZonePrefix, func(e kv.Entry) error {
 		zone := ids.Zone(strings.TrimPrefix(e.Key, records.ZonePrefix))
 		var record zonereturn.Record
 		if err := wire.Decode(e.Value, &record); err != nil {
--- a/node/upgrade.go
+++ b/node/upgrade.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -103,9 +103,9 @@
 			n.upgrade.durable.Store(true)
 			continue
 		case all:
-			_, err = n.userState.Commit(ctx, statestore.Txn{
-				Preconditions: []statestore.Precondition{{Key: records.FormatKey}},
-				Operations:    []statestore.Operation{{PutKey: records.FormatKey, Value: map[string]int{"v": formatNew}}},
+			_, err = n.userState.Commit(ctx, kv.Txn{
+				Preconditions: []kv.Precondition{{Key: records.FormatKey}},
+				Operations:    []kv.Operation{{PutKey: records.FormatKey, Value: map[string]int{"v": formatNew}}},
 			})
 			if err == nil { // written now, or there already
 				n.upgrade.durable.Store(true)
@@ -130,7 +130,7 @@
 }
 
 // readUpgrade looks in the state service whether it is known already.
-func (n *Controller) readUpgrade(ctx context.Context, state *statestore.Client) error {
+func (n *Controller) readUpgrade(ctx context.Context, state *kv.Client) error {
 	if n.upgrade.done() {
 		return nil
 	}
--- a/node/upgrade_test.go
+++ b/node/upgrade_test.go
@@ -23,9 +23,9 @@
 	"ospreystile.example/ospreystile/config"
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/mesh"
 	"ospreystile.example/ospreystile/records"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -34,8 +34,8 @@
 type smallState struct {
 	mu    sync.Mutex
 	epoch ids.Revision
-	keys  map[string]statestore.Entry
-	log   []statestore.Event
+	keys  map[string]kv.Entry
+	log   []kv.Event
 	down  bool
 	lose  int // commits to come that are carried out and not answered
 	addr  string
@@ -43,7 +43,7 @@
 
 func newSmallState(t *testing.T) *smallState {
 	t.Helper()
-	s := &smallState{epoch: 1, keys: map[string]statestore.Entry{}}
+	s := &smallState{epoch: 1, keys: map[string]kv.Entry{}}
 	srv := httptest.NewServer(s)
 	t.Cleanup(srv.Close)
 	s.addr = strings.TrimPrefix(srv.URL, "http://")
@@ -70,7 +70,7 @@
 		ans["hold"] = 1
 	case r.URL.Path == "/commit":
 		var txn struct {
-			Guards []statestore.Precondition `msgpack:"guards"`
+			Guards []kv.Precondition `msgpack:"guards"`
 			Apply  []struct {
 				Write string             `msgpack:"write"`
 				Value msgpack.RawMessage `msgpack:"v"`
@@ -96,8 +96,8 @@
 				delete(s.keys, op.Drop)
 				continue
 			}
-			s.keys[op.Write] = statestore.Entry{Key: op.Write, Value: op.Value, Revision: s.epoch}
-			s.log = append(s.log, statestore.Event{PutKey: op.Write, Value: op.Value, Revision: s.epoch})
+			s.keys[op.Write] = kv.Entry{Key: op.Write, Value: op.Value, Revision: s.epoch}
+			s.log = append(s.log, kv.Event{PutKey: op.Write, Value: op.Value, Revision: s.epoch})
 		}
 		if s.lose > 0 {
 			s.lose--
--- a/records/changes.go
+++ b/records/changes.go
@@ -2,7 +2,7 @@
 
 import (
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/statestore"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonereturn"
 )
@@ -17,11 +17,11 @@
 // that no task is ever without its record or in two. The job's version is guarded
 // too, so that nothing is admitted for a job that was cancelled.
 func PutSlicesChange(id ids.JobID, jobRevision ids.Revision, at []SliceVersion, recs []AdmissionSlice) Change {
-	c := Change{Preconditions: []statestore.Precondition{{Key: JobKey(id), Revision: jobRevision}}}
+	c := Change{Preconditions: []kv.Precondition{{Key: JobKey(id), Revision: jobRevision}}}
 	for i, v := range at {
 		key := AdmissionKey(id, v.Number)
-		c.Preconditions = append(c.Preconditions, statestore.Precondition{Key: key, Revision: v.Revision})
-		c.Operations = append(c.Operations, statestore.Operation{PutKey: key, Value: recs[i]})
+		c.Preconditions = append(c.Preconditions, kv.Precondition{Key: key, Revision: v.Revision})
+		c.Operations = append(c.Operations, kv.Operation{PutKey: key, Value: recs[i]})
 	}
 	return c
 }
@@ -30,8 +30,8 @@
 func CompleteJobChange(id ids.JobID, jobRevision ids.Revision, rec Job, drops []SliceVersion) Change {
 	rec.Status = wire.JobDone
 	c := DeleteSlicesChange(id, drops)
-	c.Preconditions = append(c.Preconditions, statestore.Precondition{Key: JobKey(id), Revision: jobRevision})
-	c.Operations = append(c.Operations, statestore.Operation{PutKey: JobKey(id), Value: rec})
+	c.Preconditions = append(c.Preconditions, kv.Precondition{Key: JobKey(id), Revision: jobRevision})
+	c.Operations = append(c.Operations, kv.Operation{PutKey: JobKey(id), Value: rec})
 	return c
 }
 
@@ -40,8 +40,8 @@
 	var c Change
 	for _, d := range drops {
 		key := AdmissionKey(id, d.Number)
-		c.Preconditions = append(c.Preconditions, statestore.Precondition{Key: key, Revision: d.Revision})
-		c.Operations = append(c.Operations, statestore.Operation{DeleteKey: key})
+		c.Preconditions = append(c.Preconditions, kv.Precondition{Key: key, Revision: d.Revision})
+		c.Operations = append(c.Operations, kv.Operation{DeleteKey: key})
 	}
 	return c
 }
@@ -50,8 +50,8 @@
 func CreateJobChange(id ids.JobID, rec Job) Change {
 	key := JobKey(id)
 	return Change{
-		Preconditions: []statestore.Precondition{{Key: key}},
-		Operations:    []statestore.Operation{{PutKey: key, Value: rec}},
+		Preconditions: []kv.Precondition{{Key: key}},
+		Operations:    []kv.Operation{{PutKey: key, Value: rec}},
 	}
 }
 
@@ -67,8 +67,8 @@
 	}
 	key := JobKey(id)
 	return Change{
-		Preconditions: []statestore.Precondition{{Key: key, Revision: revision}},
-		Operations:    []statestore.Operation{{PutKey: key, Value: rec}},
+		Preconditions: []kv.Precondition{{Key: key, Revision: revision}},
+		Operations:    []kv.Operation{{PutKey: key, Value: rec}},
 	}
 }
 
@@ -76,8 +76,8 @@
 func PutZoneChange(zone ids.Zone, revision ids.Revision, record *zonereturn.Record) Change {
 	key := ZoneKey(zone)
 	return Change{
-		Preconditions: []statestore.Precondition{{Key: key, Revision: revision}},
-		Operations:    []statestore.Operation{{PutKey: key, Value: record}},
+		Preconditions: []kv.Precondition{{Key: key, Revision: revision}},
+		Operations:    []kv.Operation{{PutKey: key, Value: record}},
 	}
 }
 
@@ -85,7 +85,7 @@
 func DeleteZoneChange(zone ids.Zone, revision ids.Revision) Change {
 	key := ZoneKey(zone)
 	return Change{
-		Preconditions: []statestore.Precondition{{Key: key, Revision: revision}},
-		Operations:    []statestore.Operation{{DeleteKey: key}},
+		Preconditions: []kv.Precondition{{Key: key, Revision: revision}},
+		Operations:    []kv.Operation{{DeleteKey: key}},
 	}
 }
--- a/records/committer.go
+++ b/records/committer.go
@@ -9,14 +9,14 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/statestore"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/wire"
 )
 
 // Store is what the committer needs of the state service.
 type Store interface {
-	Commit(ctx context.Context, t statestore.Txn) (statestore.TxnResult, error)
-	Get(ctx context.Context, key string) (statestore.Entry, bool, error)
+	Commit(ctx context.Context, t kv.Txn) (kv.TxnResult, error)
+	Get(ctx context.Context, key string) (kv.Entry, bool, error)
 }
 
 // Limits are the state service's limits for one transaction.
@@ -38,7 +38,7 @@
 type Committer struct {
 	store  Store
 	limits Limits
-	fence  *statestore.Precondition
+	fence  *kv.Precondition
 	log    *slog.Logger
 
 	mu    sync.Mutex
@@ -47,7 +47,7 @@
 }
 
 // NewCommitter makes a committer; fence may be nil.
-func NewCommitter(store Store, limits Limits, fence *statestore.Precondition, log *slog.Logger) *Committer {
+func NewCommitter(store Store, limits Limits, fence *kv.Precondition, log *slog.Logger) *Committer {
 	return &Committer{store: store, limits: limits, fence: fence, log: log, wake: make(chan struct{}, 1)}
 }
 
@@ -131,7 +131,7 @@
 	for len(batch) > 0 {
 		out, rest, unsure, err := c.send(ctx, batch, unknown)
 		switch {
-		case errors.Is(err, statestore.ErrRejected):
+		case errors.Is(err, kv.ErrRejected):
 			return c.commitSingly(ctx, rest, unsure, err)
 		case err != nil:
 			fail(rest, err)
@@ -210,24 +210,24 @@
 // it was this very transaction that moved them.
 //
 // It also tells whether an earlier sending may have been applied.
-func (c *Committer) send(ctx context.Context, batch []item, unknown bool) (statestore.TxnResult, []item, bool, error) {
+func (c *Committer) send(ctx context.Context, batch []item, unknown bool) (kv.TxnResult, []item, bool, error) {
 	txn := transaction(c.fence, batch)
 	for wait := 50 * time.Millisecond; ; wait = min(2*wait, 500*time.Millisecond) {
 		out, err := c.store.Commit(ctx, txn)
-		refused := errors.Is(err, statestore.ErrRejected)
+		refused := errors.Is(err, kv.ErrRejected)
 		switch {
 		case (err == nil && !out.Applied || refused) && unknown:
 			applied, revision, rerr := c.settle(ctx, txn)
 			if rerr == nil {
 				if applied {
-					return statestore.TxnResult{Applied: true, Revision: revision}, batch, false, nil
+					return kv.TxnResult{Applied: true, Revision: revision}, batch, false, nil
 				}
 				return out, batch, refused, err
 			}
 			err = rerr
-		case err == nil, refused, errors.Is(err, statestore.ErrMalformedResponse):
+		case err == nil, refused, errors.Is(err, kv.ErrMalformedResponse):
 			return out, batch, false, err
-		case errors.Is(err, statestore.ErrIndeterminate):
+		case errors.Is(err, kv.ErrIndeterminate):
 			unknown = true
 		}
 		if ctx.Err() != nil {
@@ -260,8 +260,8 @@
 }
 
 // transaction puts the changes of a batch together.
-func transaction(fence *statestore.Precondition, batch []item) statestore.Txn {
-	var txn statestore.Txn
+func transaction(fence *kv.Precondition, batch []item) kv.Txn {
+	var txn kv.Txn
 	if fence != nil {
 		txn.Preconditions = append(txn.Preconditions, *fence)
 	}
@@ -274,7 +274,7 @@
 
 // settle tells whether a transaction of unknown outcome was applied, once a
 // repeat of it has been refused.
-func (c *Committer) settle(ctx context.Context, txn statestore.Txn) (bool, ids.Revision, error) {
+func (c *Committer) settle(ctx context.Context, txn kv.Txn) (bool, ids.Revision, error) {
 	for _, op := range txn.Operations {
 		if op.PutKey == "" {
 			continue
--- a/records/committer_test.go
+++ b/records/committer_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/statestore"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -21,7 +21,7 @@
 type fakeStore struct {
 	mu    sync.Mutex
 	epoch ids.Revision
-	keys  map[string]statestore.Entry
+	keys  map[string]kv.Entry
 	// fate decides about the next transaction.
 	fate func() fate
 	txns int
@@ -43,7 +43,7 @@
 	tooLarge
 )
 
-func (s *fakeStore) apply(t statestore.Txn) statestore.TxnResult {
+func (s *fakeStore) apply(t kv.Txn) kv.TxnResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var failed []string
@@ -53,7 +53,7 @@
 		}
 	}
 	if failed != nil {
-		return statestore.TxnResult{Revision: s.epoch, FailedKeys: failed}
+		return kv.TxnResult{Revision: s.epoch, FailedKeys: failed}
 	}
 	s.epoch++
 	for _, op := range t.Operations {
@@ -61,12 +61,12 @@
 			delete(s.keys, op.DeleteKey)
 			continue
 		}
-		s.keys[op.PutKey] = statestore.Entry{Key: op.PutKey, Value: wire.Encode(op.Value), Revision: s.epoch}
+		s.keys[op.PutKey] = kv.Entry{Key: op.PutKey, Value: wire.Encode(op.Value), Revision: s.epoch}
 	}
-	return statestore.TxnResult{Applied: true, Revision: s.epoch}
+	return kv.TxnResult{Applied: true, Revision: s.epoch}
 }
 
-func (s *fakeStore) Commit(ctx context.Context, t statestore.Txn) (statestore.TxnResult, error) {
+func (s *fakeStore) Commit(ctx context.Context, t kv.Txn) (kv.TxnResult, error) {
 	s.mu.Lock()
 	s.txns++
 	s.most = max(s.most, len(t.Operations))
@@ -87,22 +87,22 @@
 	time.Sleep(5 * time.Millisecond)
 	switch f {
 	case tooLarge:
-		return statestore.TxnResult{}, statestore.ErrRejected
+		return kv.TxnResult{}, kv.ErrRejected
 	case answerLost:
 		s.apply(t)
 		time.Sleep(time.Second)
-		return statestore.TxnResult{}, statestore.ErrIndeterminate
+		return kv.TxnResult{}, kv.ErrIndeterminate
 	case late:
 		time.AfterFunc(7*time.Second, func() { s.apply(t) })
 		time.Sleep(time.Second)
-		return statestore.TxnResult{}, statestore.ErrIndeterminate
+		return kv.TxnResult{}, kv.ErrIndeterminate
 	case refused503:
-		return statestore.TxnResult{}, statestore.ErrUnavailable
+		return kv.TxnResult{}, kv.ErrUnavailable
 	}
 	return s.apply(t), nil
 }
 
-func (s *fakeStore) Get(ctx context.Context, key string) (statestore.Entry, bool, error) {
+func (s *fakeStore) Get(ctx context.Context, key string) (kv.Entry, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.keys[key]
@@ -118,10 +118,10 @@
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
-			store := &fakeStore{keys: map[string]statestore.Entry{}}
-			store.apply(statestore.Txn{Operations: []statestore.Operation{{PutKey: LeaderKey, Value: "a"}}})
+			store := &fakeStore{keys: map[string]kv.Entry{}}
+			store.apply(kv.Txn{Operations: []kv.Operation{{PutKey: LeaderKey, Value: "a"}}})
 			store.fate = func() fate { return fate(rng.IntN(4)) }
-			c := NewCommitter(store, Limits{Operations: 4, Bytes: 4096}, &statestore.Precondition{Key: LeaderKey, Revision: store.epoch}, quiet())
+			c := NewCommitter(store, Limits{Operations: 4, Bytes: 4096}, &kv.Precondition{Key: LeaderKey, Revision: store.epoch}, quiet())
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan error, 1)
 			go func() { done <- c.Run(ctx) }()
@@ -166,7 +166,7 @@
 // and is not sent for ever.
 func TestRefusedChangeFailsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &fakeStore{keys: map[string]statestore.Entry{}, mostOps: 3, tooBig: map[string]int{JobKey("job-4"): 0}}
+		store := &fakeStore{keys: map[string]kv.Entry{}, mostOps: 3, tooBig: map[string]int{JobKey("job-4"): 0}}
 		fates := []fate{answerLost}
 		store.fate = func() (f fate) {
 			if len(fates) > 0 {
@@ -213,10 +213,10 @@
 
 func TestFenceEndsTheCommitter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &fakeStore{keys: map[string]statestore.Entry{}}
-		store.apply(statestore.Txn{Operations: []statestore.Operation{{PutKey: LeaderKey, Value: "a"}}})
-		c := NewCommitter(store, Limits{Operations: 4, Bytes: 4096}, &statestore.Precondition{Key: LeaderKey, Revision: store.epoch}, quiet())
-		store.apply(statestore.Txn{Operations: []statestore.Operation{{PutKey: LeaderKey, Value: "b"}}})
+		store := &fakeStore{keys: map[string]kv.Entry{}}
+		store.apply(kv.Txn{Operations: []kv.Operation{{PutKey: LeaderKey, Value: "a"}}})
+		c := NewCommitter(store, Limits{Operations: 4, Bytes: 4096}, &kv.Precondition{Key: LeaderKey, Revision: store.epoch}, quiet())
+		store.apply(kv.Txn{Operations: []kv.Operation{{PutKey: LeaderKey, Value: "b"}}})
 		var got error
 		c.Submit(CreateJobChange("job-1", Job{Nonce: 1}), time.Time{}, func(_ CommitResult, err error) { got = err })
 		if err := c.Run(t.Context()); !errors.Is(err, ErrFenced) || !errors.Is(got, ErrFenced) {
@@ -232,14 +232,14 @@
 // waits is told at once.
 func TestUsersAreToldAtOnceOfAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &fakeStore{keys: map[string]statestore.Entry{}, fate: func() fate { return refused503 }}
+		store := &fakeStore{keys: map[string]kv.Entry{}, fate: func() fate { return refused503 }}
 		c := NewCommitter(store, Limits{Operations: 4, Bytes: 4096}, nil, quiet())
 		ctx, cancel := context.WithCancel(t.Context())
 		go c.Run(ctx) //nolint:errcheck // ended by cancel
 		start := time.Now()
 		done := make(chan error, 1)
 		c.Submit(CreateJobChange("job-1", Job{Nonce: 1}), time.Now().Add(4*time.Second), func(_ CommitResult, err error) { done <- err })
-		if err := <-done; !errors.Is(err, statestore.ErrUnavailable) {
+		if err := <-done; !errors.Is(err, kv.ErrUnavailable) {
 			t.Fatalf("told %v", err)
 		}
 		if took := time.Since(start); took > 100*time.Millisecond {
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -6,7 +6,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/internal/golden"
-	"ospreystile.example/ospreystile/statestore"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonereturn"
 )
@@ -87,7 +87,7 @@
 		{"zone", PutZoneChange("zone-a", 500, &zonereturn.Record{Nonce: 9, SinceMS: 10})},
 		{"zone dropped", DeleteZoneChange("zone-a", 500)},
 	} {
-		text += c.name + " " + hexOf(statestore.Txn{Preconditions: c.change.Preconditions, Operations: c.change.Operations}) + "\n"
+		text += c.name + " " + hexOf(kv.Txn{Preconditions: c.change.Preconditions, Operations: c.change.Operations}) + "\n"
 	}
 	golden.Text(t, "transactions.txt", text)
 }
--- a/records/records.go
+++ b/records/records.go
@@ -7,8 +7,8 @@
 	"strings"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/pipeline"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -105,8 +105,8 @@
 // Change is one indivisible change to the records.
 type Change struct {
 	ID            uint64
-	Preconditions []statestore.Precondition
-	Operations    []statestore.Operation
+	Preconditions []kv.Precondition
+	Operations    []kv.Operation
 }
 
 // CommitResult tells what became of a change. A change that was not applied names
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -20,7 +20,7 @@
 		s.old, s.oldTerm, s.oldUntil = s.core, s.term, s.now.Add(simIsolatedReplicas)
 	}
 	s.refusal, s.sure = 0, s.now.Add(simKey)
-	s.commit(nil, []statestore.Operation{{PutKey: records.LeaderKey, Value: "x"}})
+	s.commit(nil, []kv.Operation{{PutKey: records.LeaderKey, Value: "x"}})
 	s.leader = s.epoch
 	s.term++
 	opt := s.opt
--- a/scheduler/sim_state_test.go
+++ b/scheduler/sim_state_test.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
-	"ospreystile.example/ospreystile/statestore"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -16,7 +16,7 @@
 }
 
 // commit applies a transaction as the state service would.
-func (s *sim) commit(guards []statestore.Precondition, ops []statestore.Operation) (bool, []string) {
+func (s *sim) commit(guards []kv.Precondition, ops []kv.Operation) (bool, []string) {
 	var failed []string
 	for _, g := range guards {
 		if s.store[g.Key].revision != g.Revision {
@@ -47,11 +47,11 @@
 }
 
 // fits tells whether the state service would take a change.
-func (s *sim) fits(ops []statestore.Operation) bool {
+func (s *sim) fits(ops []kv.Operation) bool {
 	if s.txnOps > 0 && len(ops) > s.txnOps {
 		return false
 	}
-	return !slices.ContainsFunc(ops, func(op statestore.Operation) bool {
+	return !slices.ContainsFunc(ops, func(op kv.Operation) bool {
 		return op.PutKey != "" && wire.ExceedsJSONSize(op.Value, s.valueBytes)
 	})
 }
@@ -59,7 +59,7 @@
 // checkSlices looks at the admission records of a job that was written to: no task
 // may be in two, and before the upgrade each slice must hold the tasks that its
 // number tells.
-func (s *sim) checkSlices(ops []statestore.Operation) {
+func (s *sim) checkSlices(ops []kv.Operation) {
 	var job ids.JobID
 	for _, op := range ops {
 		if id, _, ok := records.ParseAdmissionKey(op.PutKey); ok {
@@ -116,7 +116,7 @@
 
 func (s *sim) submit(id ids.JobID, spec *wire.JobSpec) {
 	s.specs[id] = spec
-	s.commit(nil, []statestore.Operation{{PutKey: records.JobKey(id), Value: records.Job{Nonce: s.rng.Uint64(), Status: wire.JobQueued,
+	s.commit(nil, []kv.Operation{{PutKey: records.JobKey(id), Value: records.Job{Nonce: s.rng.Uint64(), Status: wire.JobQueued,
 		Tasks: spec.Tasks, Spec: spec, SubmittedMS: int64(time.Duration(s.now) / time.Millisecond)}}})
 	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
 }
