--- a/node/golden_test.go
+++ b/node/golden_test.go
@@ -10,7 +10,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/internal/golden"
-	"ospreystile.example/ospreystile/mesh"
+	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonereturn"
@@ -32,7 +32,7 @@
 	old := every
 	old.Up, old.Acked, old.versions = 0, 0, versions{}
 	record := records.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70, DoneMS: 1764640000456}
-	golden.Check(t, "messages.json", golden.Codec{Encode: cbor.Marshal, Decode: mesh.Decode}, []golden.Case{
+	golden.Check(t, "messages.json", golden.Codec{Encode: cbor.Marshal, Decode: peerrpc.Decode}, []golden.Case{
 		{Name: "ping", Value: every},
 		{Name: "ping of an older version", Value: old, Partial: true},
 		{Name: "state request", Value: stateCall{Method: "POST", Path: "/commit", Body: []byte{1, 2}, TimeoutMS: 1000}},
@@ -59,7 +59,7 @@
 // The names of operations and the words of refusals stay: controllers of two versions
 // talk to each other during an upgrade.
 func TestOperationsKeepTheirNames(t *testing.T) {
-	for want, got := range map[mesh.Operation]mesh.Operation{"ping": opPing, "state": opState, "progress": opProgress, "job": opJob,
+	for want, got := range map[peerrpc.Operation]peerrpc.Operation{"ping": opPing, "state": opState, "progress": opProgress, "job": opJob,
 		"reports": opReports, "zones": opZones, "zone-override": opZoneOverride} {
 		if got != want {
 			t.Errorf("operation %q, want %q", got, want)
--- a/node/mesh_handler.go
+++ b/node/mesh_handler.go
@@ -8,7 +8,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
-	"ospreystile.example/ospreystile/mesh"
+	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -16,24 +16,24 @@
 // The operations between controllers, as the version in production names them.
 const (
 	// opPing exchanges pings.
-	opPing mesh.Operation = "ping"
+	opPing peerrpc.Operation = "ping"
 	// opState sends a stateCall to the state service by way of a peer, and answers with a
 	// stateAnswer.
-	opState mesh.Operation = "state"
+	opState peerrpc.Operation = "state"
 	// opProgress asks the leader for the progress of a list of jobs.
-	opProgress mesh.Operation = "progress"
+	opProgress peerrpc.Operation = "progress"
 	// opJob hands a jobNotice to the leader, and answers whether it is acknowledged.
-	opJob mesh.Operation = "job"
+	opJob peerrpc.Operation = "job"
 	// opReports passes workers' reports on to the leader, and answers with a
 	// relayedAnswer for each.
-	opReports mesh.Operation = "reports"
+	opReports peerrpc.Operation = "reports"
 )
 
 // errUnknownOperation refuses an operation that this version does not know.
 var errUnknownOperation = errors.New("unknown operation")
 
 // handle answers the other controllers.
-func (n *Controller) handle(ctx context.Context, op mesh.Operation, body []byte) (any, error) {
+func (n *Controller) handle(ctx context.Context, op peerrpc.Operation, body []byte) (any, error) {
 	switch op {
 	case opPing:
 		return handleBody(body, n.handlePing)
@@ -62,7 +62,7 @@
 // handleBody decodes a request's body and hands it to its handler.
 func handleBody[T any](body []byte, handler func(T) (any, error)) (any, error) {
 	var request T
-	if err := mesh.Decode(body, &request); err != nil {
+	if err := peerrpc.Decode(body, &request); err != nil {
 		return nil, err
 	}
 	return handler(request)
--- a/node/node.go
+++ b/node/node.go
@@ -21,7 +21,7 @@
 	"ospreystile.example/ospreystile/httpc"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
-	"ospreystile.example/ospreystile/mesh"
+	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/server"
@@ -73,7 +73,7 @@
 	n.workers = worker.New()
 	n.stateHTTP = httpc.New(cfg.External.State, 64, 16<<20)
 	for _, p := range cfg.Seeds {
-		n.peers = append(n.peers, &peer{Peer: mesh.NewPeer(p.Name, p.Address)})
+		n.peers = append(n.peers, &peer{Peer: peerrpc.NewPeer(p.Name, p.Address)})
 	}
 	nodes := float64(len(cfg.Seeds) + 1)
 	direct := &directRoute{n}
@@ -157,7 +157,7 @@
 	}, n.log)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return server.Serve(ctx, app, retryListener{api, n.log}) })
-	g.Go(func() error { return mesh.Serve(ctx, retryListener{meshLn, n.log}, n.handle, n.log) })
+	g.Go(func() error { return peerrpc.Serve(ctx, retryListener{meshLn, n.log}, n.handle, n.log) })
 	g.Go(func() error { return n.election.Run(ctx) })
 	g.Go(func() error { return n.intake.Run(ctx) })
 	g.Go(func() error { return n.statusReads.run(ctx) })
--- a/node/peers.go
+++ b/node/peers.go
@@ -7,12 +7,12 @@
 
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/mesh"
+	"ospreystile.example/ospreystile/peerrpc"
 )
 
 // peer is another controller and what is known of it.
 type peer struct {
-	*mesh.Peer
+	*peerrpc.Peer
 	lastHeard      atomic.Int64 // ids.Instant of the last answer
 	stateOK        atomic.Bool
 	leaderRevision atomic.Uint64 // of the leader that it follows
--- a/node/state_routes.go
+++ b/node/state_routes.go
@@ -8,7 +8,7 @@
 
 	"ospreystile.example/ospreystile/httpc"
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/mesh"
+	"ospreystile.example/ospreystile/peerrpc"
 )
 
 // stateHealth remembers how the last direct calls to the state service went.
@@ -89,7 +89,7 @@
 	var ans stateAnswer
 	err := p.Call(ctx, opState, stateCall{method, path, body, timeout.Milliseconds()}, &ans)
 	switch {
-	case errors.Is(err, mesh.ErrNotSent):
+	case errors.Is(err, peerrpc.ErrNotSent):
 		return 0, nil, errors.Join(httpc.ErrNotSent, err)
 	case err != nil:
 		return 0, nil, errors.Join(httpc.ErrNoResponse, err)
--- a/node/term_zones.go
+++ b/node/term_zones.go
@@ -10,7 +10,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
-	"ospreystile.example/ospreystile/mesh"
+	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonereturn"
@@ -19,9 +19,9 @@
 // The operations that operators' commands use.
 const (
 	// opZones asks the leader for the conditions of all zones.
-	opZones mesh.Operation = "zones"
+	opZones peerrpc.Operation = "zones"
 	// opZoneOverride hands a ZoneOverride to the leader, which answers once it is recorded.
-	opZoneOverride mesh.Operation = "zone-override"
+	opZoneOverride peerrpc.Operation = "zone-override"
 )
 
 // ZoneOverride is an operator's decision about a zone, as it is sent to the leader.
@@ -137,13 +137,13 @@
 }
 
 // OperatorClient asks the controllers of a deployment on an operator's behalf.
-type OperatorClient struct{ peers []*mesh.Peer }
+type OperatorClient struct{ peers []*peerrpc.Peer }
 
 // NewOperatorClient makes a client of the controllers that the platform's settings name.
 func NewOperatorClient(self ids.ControllerName, selfAddress string, seeds map[ids.ControllerName]string) *OperatorClient {
-	c := &OperatorClient{peers: []*mesh.Peer{mesh.NewPeer(self, selfAddress)}}
+	c := &OperatorClient{peers: []*peerrpc.Peer{peerrpc.NewPeer(self, selfAddress)}}
 	for _, name := range sortedNames(seeds) {
-		c.peers = append(c.peers, mesh.NewPeer(name, seeds[name]))
+		c.peers = append(c.peers, peerrpc.NewPeer(name, seeds[name]))
 	}
 	return c
 }
@@ -169,7 +169,7 @@
 }
 
 // call asks one controller after the other until the leader answers.
-func (c *OperatorClient) call(ctx context.Context, op mesh.Operation, request any) (answer ZonesResponse, err error) {
+func (c *OperatorClient) call(ctx context.Context, op peerrpc.Operation, request any) (answer ZonesResponse, err error) {
 	var failures []error
 	for _, p := range c.peers {
 		call, cancel := context.WithTimeout(ctx, overrideTimeout+time.Second)
@@ -180,7 +180,7 @@
 			return answer, nil
 		}
 		failures = append(failures, err)
-		if errors.Is(err, mesh.ErrRemote) && !strings.Contains(err.Error(), errNotLeading.Error()) {
+		if errors.Is(err, peerrpc.ErrRemote) && !strings.Contains(err.Error(), errNotLeading.Error()) {
 			return answer, err // the leader's word
 		}
 	}
--- a/node/upgrade_test.go
+++ b/node/upgrade_test.go
@@ -24,7 +24,7 @@
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
-	"ospreystile.example/ospreystile/mesh"
+	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -175,7 +175,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
-	wg.Go(func() { _ = mesh.Serve(ctx, ln, n.handle, n.log) })
+	wg.Go(func() { _ = peerrpc.Serve(ctx, ln, n.handle, n.log) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	return ln.Addr().String()
 }
@@ -351,7 +351,7 @@
 		decode, encode := wire.Decode, func(v any) ([]byte, error) { return wire.Encode(v), nil }
 		switch name {
 		case "ping", "state call", "state answer", "announcement", "report answer", "progress":
-			decode, encode = mesh.Decode, cbor.Marshal
+			decode, encode = peerrpc.Decode, cbor.Marshal
 		}
 		if err := decode(old[name], got.Interface()); err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
 			t.Errorf("%s: read %+v, %v, want %+v", name, got.Elem(), err, want)
@@ -443,7 +443,7 @@
 		t.Errorf("a ping is read as %+v, %v", got, err)
 	}
 	var full ping
-	if err := mesh.Decode(raw, &full); err != nil || full.Format != formatNew {
+	if err := peerrpc.Decode(raw, &full); err != nil || full.Format != formatNew {
 		t.Errorf("and by its own kind as %+v, %v", full, err)
 	}
 }
--- a/mesh/mesh.go
+++ b/peerrpc/mesh.go
@@ -1,5 +1,5 @@
 // Package mesh carries requests between controllers: CBOR frames over TCP.
-package mesh
+package peerrpc
 
 import (
 	"bufio"
