--- a/pipeline/pipeline.go
+++ b/dependency/pipeline.go
@@ -5,7 +5,7 @@
 // A job that waits never had a task, so it can be neither running nor done. Done
 // and cancelled are final. So the answer follows from the records alone, and
 // whoever has newer records never takes an answer back.
-package pipeline
+package dependency
 
 import (
 	"slices"
--- a/pipeline/pipeline_test.go
+++ b/dependency/pipeline_test.go
@@ -1,4 +1,4 @@
-package pipeline
+package dependency
 
 import (
 	"fmt"
--- a/node/job_replica.go
+++ b/node/job_replica.go
@@ -5,9 +5,9 @@
 	"errors"
 	"time"
 
+	"ospreystile.example/ospreystile/dependency"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
-	"ospreystile.example/ospreystile/pipeline"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -37,7 +37,7 @@
 type jobReplica struct {
 	read     jobReader
 	jobs     map[ids.JobID]jobSnapshot
-	graph    *pipeline.Graph
+	graph    *dependency.Graph
 	revision ids.Revision
 	loaded   bool
 }
@@ -45,7 +45,7 @@
 // refresh makes the copy at least as new as the moment of the call.
 func (c *jobReplica) refresh(ctx context.Context) error {
 	if !c.loaded {
-		c.jobs, c.graph = map[ids.JobID]jobSnapshot{}, pipeline.New()
+		c.jobs, c.graph = map[ids.JobID]jobSnapshot{}, dependency.New()
 		epoch, err := c.read.List(ctx, records.JobPrefix, func(e kv.Entry) error {
 			c.put(e.Key, e.Value, e.Revision)
 			return nil
@@ -87,7 +87,7 @@
 // needs is, whether or not its own record says so yet.
 func (c *jobReplica) get(id ids.JobID) (jobSnapshot, bool) {
 	k, found := c.jobs[id]
-	if found && !k.terminal() && c.graph.ReadinessOf(id).State == pipeline.Cancelled {
+	if found && !k.terminal() && c.graph.ReadinessOf(id).State == dependency.Cancelled {
 		k.Status, k.cancelledByDependency = wire.JobCancelled, true
 	}
 	return k, found
--- a/records/records.go
+++ b/records/records.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"strings"
 
+	"ospreystile.example/ospreystile/dependency"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
-	"ospreystile.example/ospreystile/pipeline"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -68,8 +68,8 @@
 }
 
 // Dependencies is what the record says about waiting for other jobs.
-func (j *Job) Dependencies() pipeline.Record {
-	r := pipeline.Record{Status: j.Status, SubmittedMS: j.SubmittedMS, DoneMS: j.DoneMS}
+func (j *Job) Dependencies() dependency.Record {
+	r := dependency.Record{Status: j.Status, SubmittedMS: j.SubmittedMS, DoneMS: j.DoneMS}
 	if s := j.Spec; s != nil {
 		r.DependsOn, r.Priority, r.ExpectedRun = s.DependsOn, s.Priority, ids.Seconds(s.EstimateS)
 		// Deadlines of jobs that wait for none decide nothing, as before.
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -10,8 +10,8 @@
 	"sort"
 	"time"
 
+	"ospreystile.example/ospreystile/dependency"
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/pipeline"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
@@ -41,7 +41,7 @@
 	// jobs are all that are not over, and cancelled ones with tasks.
 	jobs map[ids.JobID]*job
 	// graph holds all jobs with their dependencies.
-	graph *pipeline.Graph
+	graph *dependency.Graph
 	// unreadable are the jobs whose own record cannot be read.
 	unreadable map[ids.JobID]bool
 	quotas     *quota.Tracker
@@ -80,7 +80,7 @@
 		opt:        opt,
 		jobs:       map[ids.JobID]*job{},
 		unreadable: map[ids.JobID]bool{},
-		graph:      pipeline.New(),
+		graph:      dependency.New(),
 		quotas:     quota.NewTracker(opt.Teams),
 		estimates:  &runEstimates{estimateFactors: map[string]float64{}},
 	}
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
+	"ospreystile.example/ospreystile/dependency"
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/pipeline"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
@@ -112,7 +112,7 @@
 		return
 	}
 	if j == nil {
-		if s := c.graph.ReadinessOf(id).State; rec.Terminal() || s == pipeline.Done || s == pipeline.Cancelled {
+		if s := c.graph.ReadinessOf(id).State; rec.Terminal() || s == dependency.Done || s == dependency.Cancelled {
 			c.applyJobRecord(id, rec) // or an older record, delivered late
 			return
 		}
@@ -157,11 +157,11 @@
 		j.orderMS = min(j.orderMS, s.StartByMS)
 	}
 	switch {
-	case s.State == pipeline.Cancelled:
+	case s.State == dependency.Cancelled:
 		j.status, j.cancelUnrecorded = wire.JobCancelled, true
 		c.records.orphanCancels = append(c.records.orphanCancels, j)
 		c.stopAllTasks(j)
-	case s.State == pipeline.Ready && !j.ready:
+	case s.State == dependency.Ready && !j.ready:
 		j.ready, j.readyMS = true, s.ReadyMS
 		j.readyAt, j.waitingSince = c.now, c.now
 		c.autoscaler.recordArrival(j.spec)
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"ospreystile.example/ospreystile/dependency"
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/pipeline"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
@@ -214,7 +214,7 @@
 		b.now = b.now.Add(250 * time.Millisecond)
 		b.step()
 	}
-	if s := b.c.graph.ReadinessOf("job-0").State; s != pipeline.Done {
+	if s := b.c.graph.ReadinessOf("job-0").State; s != dependency.Done {
 		t.Errorf("after 2 s the job is %d", s)
 	}
 	if len(b.c.records.dirty) == 0 {
