--- a/cmd/ospreystile/zones.go
+++ b/cmd/ospreystile/zones.go
@@ -13,7 +13,7 @@
 	"ospreystile.example/ospreystile/config"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/node"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // operatorClient makes a client of the controllers that the platform's file names.
@@ -57,9 +57,9 @@
 func zoneCommand(files *settingsFiles) *cobra.Command {
 	cmd := &cobra.Command{Use: "zone", Short: "Hold a zone back, let it return at once, or leave it to itself"}
 	cmd.AddCommand(
-		overrideCommand(files, zonereturn.OverrideHold, "hold ZONE", "Start nothing new in a zone until this is lifted or over"),
-		overrideCommand(files, zonereturn.OverrideRelease, "release ZONE", "Lift a hold and end the return: the zone serves at once"),
-		overrideCommand(files, zonereturn.OverrideNone, "auto ZONE", "Lift a hold and leave the zone to its state machine"),
+		overrideCommand(files, zonerecovery.OverrideHold, "hold ZONE", "Start nothing new in a zone until this is lifted or over"),
+		overrideCommand(files, zonerecovery.OverrideRelease, "release ZONE", "Lift a hold and end the return: the zone serves at once"),
+		overrideCommand(files, zonerecovery.OverrideNone, "auto ZONE", "Lift a hold and leave the zone to its state machine"),
 		incidentsCommand(files),
 		windowsCommand(files),
 	)
@@ -67,7 +67,7 @@
 }
 
 // overrideCommand sends one decision to the leader.
-func overrideCommand(files *settingsFiles, kind zonereturn.OverrideKind, use, short string) *cobra.Command {
+func overrideCommand(files *settingsFiles, kind zonerecovery.OverrideKind, use, short string) *cobra.Command {
 	var asJSON bool
 	var reason string
 	var holdFor time.Duration
@@ -99,7 +99,7 @@
 	}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	cmd.Flags().StringVar(&reason, "reason", "", "why, for the record and the log")
-	if kind == zonereturn.OverrideHold {
+	if kind == zonerecovery.OverrideHold {
 		cmd.Flags().DurationVar(&holdFor, "for", 0, "how long, such as 30m; 0: until it is lifted")
 	}
 	return cmd
@@ -162,7 +162,7 @@
 }
 
 // printWindows writes the next openings of all windows as a table.
-func printWindows(out io.Writer, policy *zonereturn.Policy, from time.Time) error {
+func printWindows(out io.Writer, policy *zonerecovery.Policy, from time.Time) error {
 	const layout = "Mon 2006-01-02 15:04 MST"
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "WINDOW\tZONES\tBEGINS\tENDS\tLASTS")
@@ -205,15 +205,15 @@
 }
 
 // stepOf is the progress of a return.
-func stepOf(z *zonereturn.Status) string {
-	if z.Condition != zonereturn.Recovering {
+func stepOf(z *zonerecovery.Status) string {
+	if z.Condition != zonerecovery.Recovering {
 		return "-"
 	}
 	return fmt.Sprintf("%d/%d", z.Step, z.Steps)
 }
 
 // startTimes compares start times of the present step with those elsewhere.
-func startTimes(z *zonereturn.Status) string {
+func startTimes(z *zonerecovery.Status) string {
 	if z.StartP90MS == 0 {
 		return "-"
 	}
--- a/config/operator.go
+++ b/config/operator.go
@@ -12,7 +12,7 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // Operator is the operators' own settings.
@@ -47,8 +47,8 @@
 
 	// ZoneRecovery is how zones that fall silent are watched and return, ZoneRecoveryPolicy what it
 	// comes to; nil: they are not watched.
-	ZoneRecovery       zonereturn.Settings `json:"zone_return"`
-	ZoneRecoveryPolicy *zonereturn.Policy  `json:"-"`
+	ZoneRecovery       zonerecovery.Settings `json:"zone_return"`
+	ZoneRecoveryPolicy *zonerecovery.Policy  `json:"-"`
 
 	// Warnings tell of settings with names that are out of date.
 	Warnings []string `json:"-"`
--- a/internal/drill/zone_return_test.go
+++ b/internal/drill/zone_return_test.go
@@ -16,7 +16,7 @@
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/node"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // repository is the root of this repository.
@@ -119,7 +119,7 @@
 }
 
 // zone is one zone's condition.
-func (d *zoneDrill) zone(name ids.Zone) (st zonereturn.Status, leader ids.ControllerName, ok bool) {
+func (d *zoneDrill) zone(name ids.Zone) (st zonerecovery.Status, leader ids.ControllerName, ok bool) {
 	answer, ok := d.zones()
 	for _, z := range answer.Zones {
 		if z.Zone == name {
@@ -130,7 +130,7 @@
 }
 
 // awaitCondition waits for a zone's condition.
-func (d *zoneDrill) awaitCondition(name ids.Zone, want zonereturn.Condition) {
+func (d *zoneDrill) awaitCondition(name ids.Zone, want zonerecovery.Condition) {
 	d.t.Helper()
 	d.await(string(name)+" "+want.String(), func() bool {
 		st, _, ok := d.zone(name)
@@ -164,7 +164,7 @@
 	d.await("the array runs in the zone", func() bool { return d.History.RunningOf(rebuild.ID)[dark] >= 15 })
 
 	d.Cut(dark, true)
-	d.awaitCondition(dark, zonereturn.Outage)
+	d.awaitCondition(dark, zonerecovery.Outage)
 	d.await("all replicas run elsewhere", func() bool { return d.runs(query.ID, dark) == query.Tasks })
 	reprocess := Job{ID: "job-000003", Team: "maps", Class: "reprocess", Priority: "normal", Tasks: 200, CPUs: 2, Image: "reprocess", Run: 2 * time.Second}
 	d.must(d.Submit(d.ctx, reprocess))
@@ -205,28 +205,28 @@
 	d.must(d.Submit(d.ctx, rebuild))
 	d.await("the array runs in the zone", func() bool { return d.History.RunningOf(rebuild.ID)[dark] >= 10 })
 	d.Cut(dark, true)
-	d.awaitCondition(dark, zonereturn.Outage)
+	d.awaitCondition(dark, zonerecovery.Outage)
 	d.await("its leases are over", func() bool { return d.History.RunningOf(rebuild.ID)[dark] == 0 })
 	d.State.SetAway(true)
 	time.Sleep(2 * d.Report) // what was recorded before may still be sent
 	since := time.Now()
 	for range 2 {
 		d.Cut(dark, false)
-		d.awaitCondition(dark, zonereturn.Recovering)
+		d.awaitCondition(dark, zonerecovery.Recovering)
 		time.Sleep(4 * time.Second) // eight steps' time, in which nothing can be proved
-		if st, _, ok := d.zone(dark); ok && (st.Condition != zonereturn.Recovering || st.Step != 0) {
+		if st, _, ok := d.zone(dark); ok && (st.Condition != zonerecovery.Recovering || st.Step != 0) {
 			t.Errorf("%s at step %d although nothing was proved", st.Condition, st.Step)
 		}
 		d.Cut(dark, true)
-		d.awaitCondition(dark, zonereturn.Suspect) // without the state service there is no verdict
+		d.awaitCondition(dark, zonerecovery.Suspect) // without the state service there is no verdict
 	}
 	d.Cut(dark, false)
-	d.awaitCondition(dark, zonereturn.Recovering)
+	d.awaitCondition(dark, zonerecovery.Recovering)
 	if sent := d.History.Sends(rebuild.ID, dark, since); sent > 0 {
 		t.Errorf("%d tasks were sent to the zone although nothing could be recorded", sent)
 	}
 	d.State.SetAway(false)
-	d.awaitCondition(dark, zonereturn.Serving)
+	d.awaitCondition(dark, zonerecovery.Serving)
 	d.awaitAtAllNodes(rebuild.ID, wire.JobDone)
 	if st, _, ok := d.zone(dark); !ok || st.Flaps != 1 {
 		t.Errorf("%d flaps counted: %+v", st.Flaps, st)
@@ -241,12 +241,12 @@
 // compares the starts under way on the machines with what the ramp allowed so far.
 func (d *zoneDrill) watchReturn(zone ids.Zone, critical ids.JobID) {
 	d.t.Helper()
-	d.awaitCondition(zone, zonereturn.Recovering)
+	d.awaitCondition(zone, zonerecovery.Recovering)
 	began, killed, most, flaps := time.Now(), false, 0, 0
 	notCritical := func(job ids.JobID) bool { return job != critical }
 	for end := time.Now().Add(waitLimit); ; time.Sleep(20 * time.Millisecond) {
 		st, leader, ok := d.zone(zone)
-		if ok && st.Condition == zonereturn.Serving {
+		if ok && st.Condition == zonerecovery.Serving {
 			if flaps == 0 || st.Flaps != flaps {
 				d.t.Errorf("%d flaps before the leader was killed, %d after the return", flaps, st.Flaps)
 			}
@@ -300,13 +300,13 @@
 	if err != nil || !strings.Contains(out, "power works") {
 		d.t.Errorf("hold: %v: %s", err, out)
 	}
-	if st, _, ok := d.zone(zone); !ok || st.Override != zonereturn.OverrideHold || st.UntilMS == 0 {
+	if st, _, ok := d.zone(zone); !ok || st.Override != zonerecovery.OverrideHold || st.UntilMS == 0 {
 		d.t.Errorf("after the hold: %+v", st)
 	}
 	if out, err = d.command(d.Nodes[2], "zone", "release", string(zone)); err != nil {
 		d.t.Errorf("release: %v: %s", err, out)
 	}
-	if st, _, ok := d.zone(zone); !ok || st.Override != zonereturn.OverrideNone || st.Condition != zonereturn.Serving {
+	if st, _, ok := d.zone(zone); !ok || st.Override != zonerecovery.OverrideNone || st.Condition != zonerecovery.Serving {
 		d.t.Errorf("after the release: %+v", st)
 	}
 	if out, err = d.command(d.Nodes[0], "zone", "incidents"); err != nil || strings.Count(out, string(zone)) != 1 {
--- a/node/golden_test.go
+++ b/node/golden_test.go
@@ -13,15 +13,15 @@
 	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 func goldenZones() ZonesResponse {
-	return ZonesResponse{Enabled: true, Leader: "perch-0", Zones: []zonereturn.Status{{Zone: "zone-a", Condition: zonereturn.Outage,
+	return ZonesResponse{Enabled: true, Leader: "perch-0", Zones: []zonerecovery.Status{{Zone: "zone-a", Condition: zonerecovery.Outage,
 		SinceMS: 1764640000006, Reason: "silent", Known: 31, Heard: 32, Flaps: 33, Step: 34, Steps: 35, Starts: 36, StartLimit: 37,
 		Fetches: 38, FetchLimit: 39, DisplacedIDs: 40, Holding: "all new work", UntilMS: 1764640000007,
-		Override: zonereturn.OverrideRelease, Recorded: true, StartP90MS: 4100, UsualP90MS: 4200,
-		Incidents: []zonereturn.Incident{{BeganMS: 1764640000001, ServedMS: 1764640000002, Spells: 3, DarkMS: 4004, ReturnMS: 5005,
+		Override: zonerecovery.OverrideRelease, Recorded: true, StartP90MS: 4100, UsualP90MS: 4200,
+		Incidents: []zonerecovery.Incident{{BeganMS: 1764640000001, ServedMS: 1764640000002, Spells: 3, DarkMS: 4004, ReturnMS: 5005,
 			Setbacks: 6, Tasks: 7, Jobs: 8, Bounces: 9, Forced: 10, Restored: 11, Machines: 12}}}}}
 }
 
@@ -49,7 +49,7 @@
 		{Name: "heartbeats answer, refused", Value: []relayedAnswer{{}}, Partial: true},
 		{Name: "zones request", Value: struct{}{}},
 		{Name: "zones answer", Value: goldenZones()},
-		{Name: "zone override request", Value: ZoneOverride{Zone: "zone-a", Kind: zonereturn.OverrideHold, Reason: "power work", UntilMS: 1764640000007}},
+		{Name: "zone override request", Value: ZoneOverride{Zone: "zone-a", Kind: zonerecovery.OverrideHold, Reason: "power work", UntilMS: 1764640000007}},
 	})
 	golden.Check(t, "zones.json", golden.Codec{Encode: json.Marshal, Decode: json.Unmarshal}, []golden.Case{
 		{Name: "zones answer as JSON", Value: goldenZones()},
--- a/node/term_zones.go
+++ b/node/term_zones.go
@@ -13,7 +13,7 @@
 	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // The operations that operators' commands use.
@@ -26,9 +26,9 @@
 
 // ZoneOverride is an operator's decision about a zone, as it is sent to the leader.
 type ZoneOverride struct {
-	Zone   ids.Zone                `cbor:"1,keyasint"`
-	Kind   zonereturn.OverrideKind `cbor:"2,keyasint"`
-	Reason string                  `cbor:"3,keyasint"`
+	Zone   ids.Zone                  `cbor:"1,keyasint"`
+	Kind   zonerecovery.OverrideKind `cbor:"2,keyasint"`
+	Reason string                    `cbor:"3,keyasint"`
 	// UntilMS is the time of day when a hold is over; 0: when it is lifted.
 	UntilMS int64 `cbor:"4,keyasint"`
 }
@@ -36,9 +36,9 @@
 // ZonesResponse is the conditions of all zones. Enabled is false where operators did not have
 // them watched.
 type ZonesResponse struct {
-	Enabled bool                `cbor:"1,keyasint" json:"enabled"`
-	Leader  ids.ControllerName  `cbor:"2,keyasint" json:"leader"`
-	Zones   []zonereturn.Status `cbor:"3,keyasint" json:"zones"`
+	Enabled bool                  `cbor:"1,keyasint" json:"enabled"`
+	Leader  ids.ControllerName    `cbor:"2,keyasint" json:"leader"`
+	Zones   []zonerecovery.Status `cbor:"3,keyasint" json:"zones"`
 }
 
 var (
@@ -56,7 +56,7 @@
 	}
 	_, err := t.n.leaderState.List(t.ctx, records.ZonePrefix, func(e kv.Entry) error {
 		zone := ids.Zone(strings.TrimPrefix(e.Key, records.ZonePrefix))
-		var record zonereturn.Record
+		var record zonerecovery.Record
 		if err := wire.Decode(e.Value, &record); err != nil {
 			t.n.unreadable(e.Key, err)
 			t.core.LoadUnreadableZone(t.n.clock.Now(), zone, e.Revision)
@@ -73,8 +73,8 @@
 const peerSilence = 5 * time.Second
 
 // view is what this leader knows of its own place among the controllers.
-func (t *term) view() zonereturn.Connectivity {
-	view := zonereturn.Connectivity{LeaseConfirmed: t.key.HoldsLease(), Peers: len(t.n.peers)}
+func (t *term) view() zonerecovery.Connectivity {
+	view := zonerecovery.Connectivity{LeaseConfirmed: t.key.HoldsLease(), Peers: len(t.n.peers)}
 	now := t.n.clock.Now()
 	for _, p := range t.n.peers {
 		if heard := ids.Instant(p.lastHeard.Load()); heard != 0 && now < heard.Add(peerSilence) {
@@ -85,7 +85,7 @@
 }
 
 // logZoneEvents logs changes of zones' conditions.
-func (t *term) logZoneEvents(events []zonereturn.Event) {
+func (t *term) logZoneEvents(events []zonerecovery.Event) {
 	for _, e := range events {
 		t.n.log.Info("zone condition", "zone", e.Zone, "from", e.From, "to", e.To, "step", e.Step, "reason", e.Reason)
 	}
@@ -114,7 +114,7 @@
 	}
 	var number uint64
 	on := false
-	decision := zonereturn.Override{Kind: o.Kind, Reason: o.Reason, UntilMS: o.UntilMS}
+	decision := zonerecovery.Override{Kind: o.Kind, Reason: o.Reason, UntilMS: o.UntilMS}
 	if !t.ask(ctx, func() { number, on = t.core.OverrideZone(t.n.clock.Now(), o.Zone, decision) }) {
 		return nil, errNotLeading
 	}
--- a/records/changes.go
+++ b/records/changes.go
@@ -4,7 +4,7 @@
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // SliceVersion names a slice and the version that it should have.
@@ -73,7 +73,7 @@
 }
 
 // PutZoneChange writes the record of a zone's condition.
-func PutZoneChange(zone ids.Zone, revision ids.Revision, record *zonereturn.Record) Change {
+func PutZoneChange(zone ids.Zone, revision ids.Revision, record *zonerecovery.Record) Change {
 	key := ZoneKey(zone)
 	return Change{
 		Preconditions: []kv.Precondition{{Key: key, Revision: revision}},
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -8,7 +8,7 @@
 	"ospreystile.example/ospreystile/internal/golden"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 var records = golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
@@ -84,7 +84,7 @@
 		{"job submitted", CreateJobChange("job-1", job)},
 		{"job cancelled", CancelJobChange("job-1", 500, 8, job, 8000)},
 		{"job cancelled, too large", CancelJobChange("job-1", 500, 8, job, 200)},
-		{"zone", PutZoneChange("zone-a", 500, &zonereturn.Record{Nonce: 9, SinceMS: 10})},
+		{"zone", PutZoneChange("zone-a", 500, &zonerecovery.Record{Nonce: 9, SinceMS: 10})},
 		{"zone dropped", DeleteZoneChange("zone-a", 500)},
 	} {
 		text += c.name + " " + hexOf(kv.Txn{Preconditions: c.change.Preconditions, Operations: c.change.Operations}) + "\n"
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -15,7 +15,7 @@
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // Core is the scheduler of one term. It holds the clock, the jobs and the quotas, and
@@ -235,7 +235,7 @@
 	// ForgetAddresses lists addresses of machines that are gone.
 	ForgetAddresses []string
 	// ZoneEvents are changes of zones' conditions, for the log.
-	ZoneEvents []zonereturn.Event
+	ZoneEvents []zonerecovery.Event
 }
 
 // Progress tells a job's progress for display.
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -10,7 +10,7 @@
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 const (
@@ -161,7 +161,7 @@
 func (b *harness) cutZoneOfLargeFleet() {
 	b.t.Helper()
 	examined, calls := b.c.admission.MachinesExamined, 0
-	b.c.ObserveConnectivity(zonereturn.Connectivity{LeaseConfirmed: true})
+	b.c.ObserveConnectivity(zonerecovery.Connectivity{LeaseConfirmed: true})
 	const step, steps = time.Second, 36
 	for range steps {
 		b.now = b.now.Add(step)
@@ -198,7 +198,7 @@
 	b.t.Helper()
 	for _, change := range e.RecordChanges {
 		for _, op := range change.Operations {
-			if record, ok := op.Value.(*zonereturn.Record); ok {
+			if record, ok := op.Value.(*zonerecovery.Record); ok {
 				b.zoneWrites++
 				if wire.ExceedsJSONSize(record, b.c.opt.ValueBytes) {
 					b.t.Errorf("a zone's record with %d jobs is too large", len(record.Jobs))
@@ -212,7 +212,7 @@
 // in a few writes.
 func (b *harness) checkZoneRecords() {
 	b.t.Helper()
-	if c := b.c.zones.manager.Condition("d"); c != zonereturn.Outage {
+	if c := b.c.zones.manager.Condition("d"); c != zonerecovery.Outage {
 		b.t.Errorf("the zone is %s", c)
 	}
 	if got := b.c.zones.manager.Stats().Displaced; got != largeFleetTasks/largeFleetZones {
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -5,7 +5,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/scheduler/quota"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // Options are the settings of one term of leadership.
@@ -67,5 +67,5 @@
 	// have waited already; 0: not known.
 	WallClockMS int64
 	// ZoneRecovery is how zones that fall silent are watched and return; nil: they are not.
-	ZoneRecovery *zonereturn.Policy
+	ZoneRecovery *zonerecovery.Policy
 }
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // zoneChecks is what the simulation knows of zones by itself, beside the core.
@@ -19,13 +19,13 @@
 	// bounces are the most that any leader counted for a job in one incident, displaced
 	// and denied the sums over all leaders.
 	bounces, displaced, bounceCount, forced int
-	seen                                    map[*Core]zonereturn.Stats
+	seen                                    map[*Core]zonerecovery.Stats
 	// isolatedView has the leader see neither the state service nor its peers.
 	isolatedView bool
 	// placedInReturn tells of each placement whether its zone returned at that time.
 	placedInReturn map[*assignment]bool
 	// conditions are those that each zone went through.
-	conditions map[ids.Zone][]zonereturn.Condition
+	conditions map[ids.Zone][]zonerecovery.Condition
 }
 
 // rampLimit is what a zone's ramp allowed at a time.
@@ -38,8 +38,8 @@
 const rampMemory = 15 * time.Second
 
 // simZonePolicy is the default policy for a handful of machines in a zone.
-func simZonePolicy() *zonereturn.Policy {
-	return &zonereturn.Policy{SuspectShare: 0.5, DarkShare: 0.8, DarkAfter: 4 * time.Second, RecoverAfter: 2 * time.Second, MinMachines: 2,
+func simZonePolicy() *zonerecovery.Policy {
+	return &zonerecovery.Policy{SuspectShare: 0.5, DarkShare: 0.8, DarkAfter: 4 * time.Second, RecoverAfter: 2 * time.Second, MinMachines: 2,
 		HeardShare: 0.25, Retry: 3 * time.Minute, HoldDown: 4 * time.Second, HoldDownMax: 30 * time.Second, HoldDownFactor: 3, Quiet: 10 * time.Minute,
 		ProbeTasks: 2, ProbeMaxRun: 3 * time.Minute, Steps: []float64{0.1, 0.3, 0.6}, StepTime: 3 * time.Second, StepSuccesses: 3,
 		FailureTolerance: 0.3, SlowStartFactor: 4, StartsPerMachine: 1, FetchesPerMachine: 0.5,
@@ -50,8 +50,8 @@
 func (s *sim) watchZones() {
 	s.opt.ZoneRecovery = simZonePolicy()
 	s.zones.cutUntil, s.zones.limits = map[ids.Zone]ids.Instant{}, map[ids.Zone][]rampLimit{}
-	s.zones.seen = map[*Core]zonereturn.Stats{}
-	s.zones.conditions = map[ids.Zone][]zonereturn.Condition{}
+	s.zones.seen = map[*Core]zonerecovery.Stats{}
+	s.zones.conditions = map[ids.Zone][]zonerecovery.Condition{}
 	s.zones.placedInReturn = map[*assignment]bool{}
 	s.takeOver()
 	s.old = nil
@@ -59,17 +59,17 @@
 
 // loadZone hands a zone's record to the leader that takes over.
 func (s *sim) loadZone(key string) {
-	var rec zonereturn.Record
+	var rec zonerecovery.Record
 	s.must(wire.Decode(s.store[key].raw, &rec))
 	s.core.LoadZone(s.now, ids.Zone(strings.TrimPrefix(key, records.ZonePrefix)), &rec, s.store[key].revision)
 }
 
 // viewOf is what a leader knows of its own place.
-func (s *sim) viewOf(core *Core) zonereturn.Connectivity {
+func (s *sim) viewOf(core *Core) zonerecovery.Connectivity {
 	if core == s.old || s.zones.isolatedView {
-		return zonereturn.Connectivity{Peers: 2}
+		return zonerecovery.Connectivity{Peers: 2}
 	}
-	return zonereturn.Connectivity{LeaseConfirmed: s.now < s.sure && s.now >= s.outage, PeersReachable: 2, Peers: 2}
+	return zonerecovery.Connectivity{LeaseConfirmed: s.now < s.sure && s.now >= s.outage, PeersReachable: 2, Peers: 2}
 }
 
 // cutZone cuts all machines of a zone off for a time, those that are rented there too.
@@ -83,7 +83,7 @@
 }
 
 // condition is what the present leader takes a zone for.
-func (s *sim) condition(zone ids.Zone) zonereturn.Condition {
+func (s *sim) condition(zone ids.Zone) zonerecovery.Condition {
 	return s.core.zones.manager.Condition(zone)
 }
 
@@ -108,21 +108,21 @@
 }
 
 // noteCondition keeps the order of conditions that a zone went through.
-func (s *sim) noteCondition(zone ids.Zone, c zonereturn.Condition) {
+func (s *sim) noteCondition(zone ids.Zone, c zonerecovery.Condition) {
 	if was := s.zones.conditions[zone]; len(was) == 0 || was[len(was)-1] != c {
 		s.zones.conditions[zone] = append(was, c)
 	}
 }
 
 // sinceChange is for how long a zone has had its condition, less what one round may take.
-func (s *sim) sinceChange(st zonereturn.Status) time.Duration {
+func (s *sim) sinceChange(st zonerecovery.Status) time.Duration {
 	return s.core.moment().Wall.Sub(time.UnixMilli(st.SinceMS)) - 200*time.Millisecond
 }
 
 // checkRamp counts the starts under way that were placed during a return, by the tasks on
 // the machines alone, and compares them with what the ramp allowed lately.
-func (s *sim) checkRamp(st zonereturn.Status) {
-	if st.Condition != zonereturn.Recovering {
+func (s *sim) checkRamp(st zonerecovery.Status) {
+	if st.Condition != zonerecovery.Recovering {
 		delete(s.zones.limits, st.Zone)
 	} else {
 		limits := append(s.zones.limits[st.Zone], rampLimit{s.now, st.StartLimit})
@@ -142,9 +142,9 @@
 		for _, a := range m.taskList {
 			inReturn, known := s.zones.placedInReturn[a]
 			if !known {
-				inReturn = st.Condition == zonereturn.Recovering && !a.inherited
+				inReturn = st.Condition == zonerecovery.Recovering && !a.inherited
 				s.zones.placedInReturn[a] = inReturn
-				closed := st.Condition == zonereturn.Suspect || st.Condition == zonereturn.Outage
+				closed := st.Condition == zonerecovery.Suspect || st.Condition == zonerecovery.Outage
 				if closed && !a.inherited && !a.seen && a.phaseSince > s.core.moment().Now.Add(-s.sinceChange(st)) {
 					s.violation("ramp: %s was placed in %s, which is %s", a.ref(), st.Zone, st.Condition)
 				}
@@ -154,7 +154,7 @@
 			}
 		}
 	}
-	if st.Condition == zonereturn.Recovering && underWay > most {
+	if st.Condition == zonerecovery.Recovering && underWay > most {
 		s.violation("ramp: %d starts under way in %s, at most %d allowed", underWay, st.Zone, most)
 	}
 }
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -7,7 +7,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // A zone that flaps three times is held down longer each time, and no job comes back to it
@@ -21,12 +21,12 @@
 	var held []time.Duration
 	for range 3 {
 		m.cutZone("b", 45*s1)
-		m.await("b", zonereturn.Outage, 30*s1)
+		m.await("b", zonerecovery.Outage, 30*s1)
 		m.run(m.zones.cutUntil["b"].Sub(m.now))
 		back := m.now
-		m.await("b", zonereturn.Recovering, 60*s1)
+		m.await("b", zonerecovery.Recovering, 60*s1)
 		held = append(held, m.now.Sub(back))
-		m.await("b", zonereturn.Serving, 60*s1)
+		m.await("b", zonerecovery.Serving, 60*s1)
 		m.run(30 * s1)
 	}
 	if held[1] < 2*held[0] || held[2] < 2*held[1] {
@@ -50,14 +50,14 @@
 	m := calmZones(t, 4, 4)
 	m.fillZones()
 	m.cutZone("b", 40*s1)
-	m.await("b", zonereturn.Recovering, 90*s1)
+	m.await("b", zonerecovery.Recovering, 90*s1)
 	m.jobs(6, array)
 	for m.statusOf("b").Step < 1 {
 		m.run(100 * time.Millisecond)
 	}
 	m.cutZone("b", 40*s1)
-	m.await("b", zonereturn.Outage, 30*s1)
-	m.await("b", zonereturn.Recovering, 90*s1)
+	m.await("b", zonerecovery.Outage, 30*s1)
+	m.await("b", zonerecovery.Recovering, 90*s1)
 	if st := m.statusOf("b"); st.Step != 0 || st.Flaps != 2 {
 		t.Errorf("the second return began at step %d with %d flaps", st.Step, st.Flaps)
 	}
@@ -78,11 +78,11 @@
 			}
 		}
 	}
-	m.await("b", zonereturn.Outage, 30*s1)
-	m.await("b", zonereturn.Recovering, 60*s1)
-	m.await("b", zonereturn.Serving, 60*s1)
+	m.await("b", zonerecovery.Outage, 30*s1)
+	m.await("b", zonerecovery.Recovering, 60*s1)
+	m.await("b", zonerecovery.Serving, 60*s1)
 	m.run(60 * s1)
-	if c := m.condition("b"); c != zonereturn.Serving {
+	if c := m.condition("b"); c != zonerecovery.Serving {
 		t.Errorf("the zone is %s: %v", c, m.zones.conditions["b"])
 	}
 	m.endOfDay()
@@ -104,13 +104,13 @@
 				m := calmZones(t, 6, 4)
 				m.fillZones()
 				m.cutZone("b", 40*s1)
-				m.await("b", zonereturn.Outage, 30*s1)
+				m.await("b", zonerecovery.Outage, 30*s1)
 				if step >= -1 {
 					m.run(m.zones.cutUntil["b"].Sub(m.now) + time.Second) // in the hold-down
 				}
 				if step >= 0 {
-					m.await("b", zonereturn.Recovering, 60*s1)
-					for m.condition("b") == zonereturn.Recovering && m.statusOf("b").Step < step {
+					m.await("b", zonerecovery.Recovering, 60*s1)
+					for m.condition("b") == zonerecovery.Recovering && m.statusOf("b").Step < step {
 						m.run(100 * time.Millisecond)
 					}
 				}
@@ -122,10 +122,10 @@
 				if after.Flaps != before.Flaps || after.DisplacedIDs < before.DisplacedIDs {
 					t.Errorf("before %+v\nafter %+v", before, after)
 				}
-				if before.Condition == zonereturn.Outage && after.Condition == zonereturn.Serving || after.Step > before.Step+1 {
+				if before.Condition == zonerecovery.Outage && after.Condition == zonerecovery.Serving || after.Step > before.Step+1 {
 					t.Errorf("the successor allows more: before %+v\nafter %+v", before, after)
 				}
-				m.await("b", zonereturn.Serving, 3*time.Minute)
+				m.await("b", zonerecovery.Serving, 3*time.Minute)
 				m.endOfDay()
 			})
 		}
@@ -138,7 +138,7 @@
 	m := calmZones(t, 7, 4)
 	m.fillZones()
 	m.cutZone("b", 40*s1)
-	m.await("b", zonereturn.Outage, 30*s1)
+	m.await("b", zonerecovery.Outage, 30*s1)
 	m.run(500 * time.Millisecond)
 	m.outage = m.in(90 * s1)
 	m.jobs(4, array)
@@ -148,10 +148,10 @@
 			t.Fatalf("%d jobs came back although nothing could be recorded", got)
 		}
 	}
-	if st := m.statusOf("b"); st.Condition != zonereturn.Recovering || st.Step != 0 {
+	if st := m.statusOf("b"); st.Condition != zonerecovery.Recovering || st.Step != 0 {
 		t.Fatalf("the zone is %s at step %d although nothing was proved", st.Condition, st.Step)
 	}
-	m.await("b", zonereturn.Serving, 90*s1)
+	m.await("b", zonerecovery.Serving, 90*s1)
 	m.endOfDay()
 }
 
@@ -169,13 +169,13 @@
 	}
 	m.run(5 * s1)
 	m.cutZone("b", 60*s1)
-	m.await("b", zonereturn.Outage, 30*s1)
+	m.await("b", zonerecovery.Outage, 30*s1)
 	for range 10 {
 		for _, rep := range late {
 			m.core.Heartbeat(m.now, rep, false)
 		}
 		m.run(s1)
-		if c := m.condition("b"); c != zonereturn.Outage {
+		if c := m.condition("b"); c != zonerecovery.Outage {
 			t.Fatalf("late reports made the zone %s", c)
 		}
 		if st := m.statusOf("b"); st.Heard != 0 {
@@ -193,12 +193,12 @@
 	m.cutZone("a", 60*s1)
 	m.run(25 * s1)
 	m.cutZone("b", 60*s1)
-	m.await("b", zonereturn.Outage, 30*s1)
-	if c := m.condition("a"); c != zonereturn.Outage {
+	m.await("b", zonerecovery.Outage, 30*s1)
+	if c := m.condition("a"); c != zonerecovery.Outage {
 		t.Fatalf("zone a is %s", c)
 	}
-	m.await("a", zonereturn.Serving, 2*time.Minute)
-	m.await("b", zonereturn.Serving, 2*time.Minute)
+	m.await("a", zonerecovery.Serving, 2*time.Minute)
+	m.await("b", zonerecovery.Serving, 2*time.Minute)
 	m.endOfDay()
 }
 
@@ -209,18 +209,18 @@
 	services, _ := m.fillZones()
 	m.cutZone("a", 90*s1)
 	m.cutZone("b", 100*s1)
-	m.await("a", zonereturn.Outage, 30*s1)
-	m.await("b", zonereturn.Outage, 30*s1)
+	m.await("a", zonerecovery.Outage, 30*s1)
+	m.await("b", zonerecovery.Outage, 30*s1)
 	m.run(60 * s1)
-	if c := m.condition("c"); c != zonereturn.Serving {
+	if c := m.condition("c"); c != zonerecovery.Serving {
 		t.Errorf("the last zone is %s", c)
 	}
 	// By spread, half of the replicas may be in the zone that is left.
 	if up, wanted := m.placed(services); up < wanted/2 {
 		t.Errorf("%d of %d replicas are placed", up, wanted)
 	}
-	m.await("a", zonereturn.Serving, 2*time.Minute)
-	m.await("b", zonereturn.Serving, 2*time.Minute)
+	m.await("a", zonerecovery.Serving, 2*time.Minute)
+	m.await("b", zonerecovery.Serving, 2*time.Minute)
 	m.endOfDay()
 }
 
@@ -233,12 +233,12 @@
 	m.cutZone("b", 20*s1)
 	m.run(18 * s1)
 	for _, zone := range []ids.Zone{"a", "b"} {
-		if c := m.condition(zone); c != zonereturn.Suspect {
+		if c := m.condition(zone); c != zonerecovery.Suspect {
 			t.Errorf("zone %s is %s", zone, c)
 		}
 	}
 	m.zones.isolatedView = false
-	m.await("a", zonereturn.Serving, 30*s1)
+	m.await("a", zonerecovery.Serving, 30*s1)
 	if got := m.statusOf("a").Flaps; got != 0 {
 		t.Errorf("%d flaps counted", got)
 	}
@@ -256,8 +256,8 @@
 	m.core.opt.MaxMachines = len(m.core.registry.machineList)
 	for range 2 {
 		m.cutZone("b", 40*s1)
-		m.await("b", zonereturn.Outage, 30*s1)
-		m.await("b", zonereturn.Serving, 3*time.Minute)
+		m.await("b", zonerecovery.Outage, 30*s1)
+		m.await("b", zonerecovery.Serving, 3*time.Minute)
 	}
 	j := m.core.jobs[m.all[len(m.all)-1]]
 	if len(j.pending) == 0 || !m.core.zones.manager.Restricted(j.id) {
@@ -278,13 +278,13 @@
 	m := calmZones(t, 16, 6)
 	m.fillZones()
 	m.cutZone("b", 40*s1)
-	m.await("b", zonereturn.Outage, 30*s1)
+	m.await("b", zonerecovery.Outage, 30*s1)
 	m.core.opt.WriteRate, m.opt.WriteRate = 3, 3
 	m.runFactor = 1
 	m.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
 	m.run(m.zones.cutUntil["b"].Sub(m.now))
-	m.await("b", zonereturn.Recovering, 30*s1)
-	m.await("b", zonereturn.Serving, m.opt.ZoneRecovery.ReturnMax+10*s1)
+	m.await("b", zonerecovery.Recovering, 30*s1)
+	m.await("b", zonerecovery.Serving, m.opt.ZoneRecovery.ReturnMax+10*s1)
 	if waiting := len(m.core.records.dirty); waiting == 0 {
 		t.Error("no record waits for the write rate: the day shows nothing")
 	}
--- a/scheduler/zone_restore.go
+++ b/scheduler/zone_restore.go
@@ -6,7 +6,7 @@
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 const (
@@ -25,7 +25,7 @@
 		return
 	}
 	g.restoredAt = g.core.now
-	var services []zonereturn.ServicePlacement
+	var services []zonerecovery.ServicePlacement
 	for _, id := range g.manager.RestoreCandidates(g.core.now) {
 		if j := g.core.jobs[id]; j != nil && j.spec.Service && !j.terminal() && len(j.pending) == 0 {
 			services = append(services, servicePlacement(j))
@@ -46,8 +46,8 @@
 }
 
 // servicePlacement counts a service's running replicas by zone.
-func servicePlacement(j *job) zonereturn.ServicePlacement {
-	s := zonereturn.ServicePlacement{Job: j.id, Wanted: len(j.tasks), Running: map[ids.Zone]int{}}
+func servicePlacement(j *job) zonerecovery.ServicePlacement {
+	s := zonerecovery.ServicePlacement{Job: j.id, Wanted: len(j.tasks), Running: map[ids.Zone]int{}}
 	for _, a := range tasksByIndex(j.active) {
 		if a.phase == wire.TaskRunning && a.stopReason == stopNone {
 			s.Running[a.machine.Zone]++
--- a/scheduler/zone_return.go
+++ b/scheduler/zone_return.go
@@ -9,15 +9,15 @@
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // zoneGate connects the core with the state machines of zones that fall silent and return.
 // It is nil where the operators did not turn that on: its methods then change nothing.
 type zoneGate struct {
 	core    *Core
-	manager *zonereturn.Manager
-	view    zonereturn.Connectivity
+	manager *zonerecovery.Manager
+	view    zonerecovery.Connectivity
 	// writes are the zones whose records are on their way, by change.
 	writes map[uint64]zoneWrite
 	// coming counts the machines on their way to each zone, as of comingAt.
@@ -34,26 +34,26 @@
 }
 
 // newZoneGate makes the gate of a term; a nil policy turns it off.
-func newZoneGate(c *Core, policy *zonereturn.Policy) *zoneGate {
+func newZoneGate(c *Core, policy *zonerecovery.Policy) *zoneGate {
 	if policy == nil {
 		return nil
 	}
-	return &zoneGate{core: c, manager: zonereturn.NewManager(policy), writes: map[uint64]zoneWrite{}}
+	return &zoneGate{core: c, manager: zonerecovery.NewManager(policy), writes: map[uint64]zoneWrite{}}
 }
 
 // moment is the present time. Where the time of day is not known, the steady clock stands
 // in: it serves to compare what one process wrote.
-func (c *Core) moment() zonereturn.ClockReading {
+func (c *Core) moment() zonerecovery.ClockReading {
 	wall := c.wallClockMS()
 	if wall == 0 {
 		wall = time.Duration(c.now).Milliseconds()
 	}
-	return zonereturn.ClockReading{Now: c.now, Wall: time.UnixMilli(wall)}
+	return zonerecovery.ClockReading{Now: c.now, Wall: time.UnixMilli(wall)}
 }
 
 // LoadZone takes in the record of a zone that a predecessor left. It does nothing where
 // zones are not watched.
-func (c *Core) LoadZone(now ids.Instant, zone ids.Zone, record *zonereturn.Record, revision ids.Revision) {
+func (c *Core) LoadZone(now ids.Instant, zone ids.Zone, record *zonerecovery.Record, revision ids.Revision) {
 	if c.zones == nil {
 		return
 	}
@@ -74,7 +74,7 @@
 func (c *Core) beginClock(now ids.Instant) { c.now, c.termBegan = now, now }
 
 // ObserveConnectivity takes in what the leader knows of its own place among the controllers.
-func (c *Core) ObserveConnectivity(view zonereturn.Connectivity) {
+func (c *Core) ObserveConnectivity(view zonerecovery.Connectivity) {
 	if c.zones != nil {
 		c.zones.view = view
 	}
@@ -82,7 +82,7 @@
 
 // OverrideZone carries out an operator's decision. It returns a number that
 // ZoneOverrideRecorded compares; ok is false where zones are not watched.
-func (c *Core) OverrideZone(now ids.Instant, zone ids.Zone, o zonereturn.Override) (number uint64, ok bool) {
+func (c *Core) OverrideZone(now ids.Instant, zone ids.Zone, o zonerecovery.Override) (number uint64, ok bool) {
 	if c.zones == nil {
 		return 0, false
 	}
@@ -96,7 +96,7 @@
 }
 
 // ZoneStatus lists the zones for operators; nil where they are not watched.
-func (c *Core) ZoneStatus(now ids.Instant) []zonereturn.Status {
+func (c *Core) ZoneStatus(now ids.Instant) []zonerecovery.Status {
 	if c.zones == nil {
 		return nil
 	}
@@ -111,7 +111,7 @@
 		return
 	}
 	for _, st := range g.manager.Status(g.core.moment()) {
-		if st.Condition != zonereturn.Serving || st.Override != zonereturn.OverrideNone {
+		if st.Condition != zonerecovery.Serving || st.Override != zonerecovery.OverrideNone {
 			fmt.Fprintf(b, " zone-%s=%s/%d/%s", st.Zone, st.Condition, st.Step, st.Override)
 		}
 	}
@@ -142,15 +142,15 @@
 	}
 	view := g.view
 	view.ProcessResumed = g.core.resumedAt != 0 && g.core.now < g.core.resumedAt.Add(g.core.health.reportOverdue())
-	if g.manager.Observe(g.core.moment(), zonereturn.Observation{Zones: g.evidence(), Connectivity: view}) {
+	if g.manager.Observe(g.core.moment(), zonerecovery.Observation{Zones: g.evidence(), Connectivity: view}) {
 		g.core.schedulingDue = true
 	}
 	g.core.decisions.ZoneEvents = append(g.core.decisions.ZoneEvents, g.manager.TakeEvents()...)
 }
 
 // evidence counts the machines of each zone.
-func (g *zoneGate) evidence() map[ids.Zone]zonereturn.Evidence {
-	out := map[ids.Zone]zonereturn.Evidence{}
+func (g *zoneGate) evidence() map[ids.Zone]zonerecovery.Evidence {
+	out := map[ids.Zone]zonerecovery.Evidence{}
 	for _, m := range g.core.registry.machineList {
 		if m.Zone == "" || m.returning || !m.reported && len(m.tasks) == 0 {
 			continue
@@ -178,8 +178,8 @@
 
 // startOf describes a task that looks for a place on a machine. What only the ramp asks for
 // is left out unless the zone returns.
-func (g *zoneGate) startOf(j *job, index int, m *machine) *zonereturn.StartRequest {
-	s := &zonereturn.StartRequest{Task: ids.TaskRef{Job: j.id, Index: index}, Critical: g.critical(j), Bound: j.spec.Zone != ""}
+func (g *zoneGate) startOf(j *job, index int, m *machine) *zonerecovery.StartRequest {
+	s := &zonerecovery.StartRequest{Task: ids.TaskRef{Job: j.id, Index: index}, Critical: g.critical(j), Bound: j.spec.Zone != ""}
 	if !g.unproven(m.Zone) {
 		return s
 	}
@@ -221,7 +221,7 @@
 	if !g.gated(m.Zone) {
 		return true
 	}
-	return g.manager.Admit(m.Zone, g.startOf(j, index, m)) == zonereturn.Admitted
+	return g.manager.Admit(m.Zone, g.startOf(j, index, m)) == zonerecovery.Admitted
 }
 
 // evacuating tells whether work of some zone may have to find room elsewhere.
@@ -229,7 +229,7 @@
 
 // unproven tells whether a zone returns and has yet to show that it works.
 func (g *zoneGate) unproven(zone ids.Zone) bool {
-	return g != nil && g.manager.Condition(zone) == zonereturn.Recovering
+	return g != nil && g.manager.Condition(zone) == zonerecovery.Recovering
 }
 
 // request adds to a placement request what the gate looks at; ok is false for a job that is
@@ -334,7 +334,7 @@
 		return
 	}
 	w := g.core.records
-	fits := func(record *zonereturn.Record) bool { return !wire.ExceedsJSONSize(record, g.core.opt.ValueBytes) }
+	fits := func(record *zonerecovery.Record) bool { return !wire.ExceedsJSONSize(record, g.core.opt.ValueBytes) }
 	for w.mayWrite() {
 		write, ok := g.manager.NextWrite(g.core.moment(), w.nextNonce(), fits)
 		if !ok {
--- a/scheduler/zone_return_test.go
+++ b/scheduler/zone_return_test.go
@@ -7,7 +7,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // TestRulesWhileZonesReturn plays random days on which zones go dark and return among all
@@ -64,7 +64,7 @@
 	m.run(60 * s1)
 	m.core.opt.MaxMachines = len(m.core.registry.machineList)
 	m.cutZone("b", 10*time.Minute)
-	m.await("b", zonereturn.Outage, 30*s1)
+	m.await("b", zonerecovery.Outage, 30*s1)
 	for !m.leasesOver("b") {
 		m.run(100 * time.Millisecond)
 	}
@@ -113,7 +113,7 @@
 	if len(done) == 0 || len(done) == 60 || len(running) == 0 {
 		t.Fatalf("%d tasks done, %d running elsewhere: not half done", len(done), len(running))
 	}
-	m.await("b", zonereturn.Serving, 3*time.Minute)
+	m.await("b", zonerecovery.Serving, 3*time.Minute)
 	for ref, a := range running {
 		if now := m.core.jobs[id].tasks[ref.Index].assignment; now != nil && now.attempt != a {
 			t.Errorf("%s was moved although it ran elsewhere", ref)
@@ -135,7 +135,7 @@
 func TestOperatorsHoldSurvivesASuccession(t *testing.T) {
 	m := calmZones(t, 12, 4)
 	m.fillZones()
-	number, ok := m.core.OverrideZone(m.now, "b", zonereturn.Override{Kind: zonereturn.OverrideHold, Reason: "power works"})
+	number, ok := m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold, Reason: "power works"})
 	if !ok {
 		t.Fatal("not taken")
 	}
@@ -151,10 +151,10 @@
 	if got := m.startsIn("b"); got != before {
 		t.Errorf("%d tasks started in a zone that is held back", got-before)
 	}
-	if st := m.statusOf("b"); st.Override != zonereturn.OverrideHold {
+	if st := m.statusOf("b"); st.Override != zonerecovery.OverrideHold {
 		t.Errorf("after a succession: %+v", st)
 	}
-	m.core.OverrideZone(m.now, "b", zonereturn.Override{Kind: zonereturn.OverrideRelease})
+	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideRelease})
 	spec := zoneArray(2)
 	spec.Zone = "b"
 	m.submitJob(spec)
@@ -174,7 +174,7 @@
 	m.submitJob(low)
 	m.run(60 * s1)
 	m.core.opt.MaxMachines = len(m.core.registry.machineList)
-	m.core.OverrideZone(m.now, "b", zonereturn.Override{Kind: zonereturn.OverrideHold})
+	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold})
 	m.run(s1)
 	high := zoneArray(4)
 	high.Zone, high.Priority = "b", wire.High
@@ -183,7 +183,7 @@
 	if stopped := m.core.lostWork[stopPreempted].tasks; stopped > 0 {
 		t.Errorf("%d tasks were stopped for a zone that is held back", stopped)
 	}
-	m.core.OverrideZone(m.now, "b", zonereturn.Override{Kind: zonereturn.OverrideRelease})
+	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideRelease})
 	m.run(10 * s1)
 	if m.core.lostWork[stopPreempted].tasks == 0 {
 		t.Error("none was stopped after the release")
@@ -195,7 +195,7 @@
 // service's budget, and arrays stay where they are.
 func TestSpreadOfServicesIsRestored(t *testing.T) {
 	m := calmZones(t, 14, 4)
-	m.opt.ZoneRecovery.Restore = zonereturn.RestorePolicy{MovesPerMinute: 6, After: 20 * s1, Budget: 2}
+	m.opt.ZoneRecovery.Restore = zonerecovery.RestorePolicy{MovesPerMinute: 6, After: 20 * s1, Budget: 2}
 	m.takeOver()
 	m.old = nil
 	m.fillZones()
@@ -205,8 +205,8 @@
 	m.run(20 * s1)
 	before := servicePlacement(m.core.jobs[id]).Running["b"]
 	m.cutZone("b", 40*s1)
-	m.await("b", zonereturn.Outage, 30*s1)
-	m.await("b", zonereturn.Serving, 2*time.Minute)
+	m.await("b", zonerecovery.Outage, 30*s1)
+	m.await("b", zonerecovery.Serving, 2*time.Minute)
 	down, moved := 0, 0
 	for end := m.now.Add(2 * time.Minute); m.now < end; m.run(100 * time.Millisecond) {
 		down = max(down, len(m.core.jobs[id].tasks)-len(m.core.jobs[id].active))
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -7,7 +7,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonereturn"
+	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // zoneDay is a random day on which zones are cut off, among all other troubles.
@@ -101,7 +101,7 @@
 }
 
 // await runs until a zone has a condition.
-func (m *scenario) await(zone ids.Zone, want zonereturn.Condition, within time.Duration) {
+func (m *scenario) await(zone ids.Zone, want zonerecovery.Condition, within time.Duration) {
 	m.t.Helper()
 	for end := m.now.Add(within); m.condition(zone) != want; {
 		if m.now >= end {
@@ -112,7 +112,7 @@
 }
 
 // statusOf is what operators are told of a zone.
-func (m *scenario) statusOf(zone ids.Zone) zonereturn.Status {
+func (m *scenario) statusOf(zone ids.Zone) zonerecovery.Status {
 	m.t.Helper()
 	for _, st := range m.core.ZoneStatus(m.now) {
 		if st.Zone == zone {
@@ -120,7 +120,7 @@
 		}
 	}
 	m.t.Fatalf("no status of zone %s", zone)
-	return zonereturn.Status{}
+	return zonerecovery.Status{}
 }
 
 // endOfDay sees that every job comes to its end with no rule broken, and that none came
@@ -141,7 +141,7 @@
 		j := m.core.jobs[id]
 		wanted += len(j.tasks) - j.done
 		for _, a := range j.active {
-			if a.stopReason == stopNone && m.condition(a.machine.Zone) != zonereturn.Outage {
+			if a.stopReason == stopNone && m.condition(a.machine.Zone) != zonerecovery.Outage {
 				placed++
 			}
 		}
--- a/zonereturn/record.go
+++ b/zonerecovery/record.go
@@ -1,4 +1,4 @@
-package zonereturn
+package zonerecovery
 
 import (
 	"time"
