--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -10,8 +10,8 @@
 
 	"golang.org/x/time/rate"
 
-	"ospreystile.example/ospreystile/httpc"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/httpclient"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -28,14 +28,14 @@
 
 // Client talks to the cloud and keeps to its call rate.
 type Client struct {
-	http       *httpc.Client
+	http       *httpclient.Client
 	budget     *rate.Limiter
 	authorized func() bool
 }
 
 // New makes a client for an address with a budget of rps calls a second.
 func New(addr string, rps float64) *Client {
-	return &Client{http: httpc.New(addr, 8, 4<<20), budget: rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps)))}
+	return &Client{http: httpclient.New(addr, 8, 4<<20), budget: rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps)))}
 }
 
 // AuthorizedBy is the same client, budget included, for as long as may says so. It
@@ -61,7 +61,7 @@
 		raw = wire.Encode(in)
 	}
 	status, body, err := c.http.Do(ctx, method, path, raw, 5*time.Second)
-	if errors.Is(err, httpc.ErrNotSent) {
+	if errors.Is(err, httpclient.ErrNotSent) {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	if err != nil {
--- a/httpc/httpc.go
+++ b/internal/httpclient/httpc.go
@@ -1,6 +1,6 @@
 // Package httpc is the one HTTP client that all outside calls go through:
 // kept-open connections, a deadline on every call, and no repeat of its own.
-package httpc
+package httpclient
 
 import (
 	"context"
--- a/kv/golden_test.go
+++ b/kv/golden_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"ospreystile.example/ospreystile/httpc"
 	"ospreystile.example/ospreystile/internal/golden"
+	"ospreystile.example/ospreystile/internal/httpclient"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -64,7 +64,7 @@
 // Paths, methods, words of queries, bodies, and what answers are taken for.
 func TestRequestsToTheKeyValueStore(t *testing.T) {
 	rec := golden.Record(t, storeAnswers)
-	c := New(httpc.New(rec.Address, 2, 1<<20), 1000)
+	c := New(httpclient.New(rec.Address, 2, 1<<20), 1000)
 	ctx := t.Context()
 	var text strings.Builder
 	note := func(name string, values ...any) { fmt.Fprintf(&text, "%s: %v\n", name, values) }
@@ -109,7 +109,7 @@
 				w.WriteHeader(c.status)
 				_, _ = w.Write(wire.Encode(c.body))
 			})
-			err := New(httpc.New(rec.Address, 1, 1<<20), 1000).RenewLease(context.Background(), 1)
+			err := New(httpclient.New(rec.Address, 1, 1<<20), 1000).RenewLease(context.Background(), 1)
 			if !errors.Is(err, c.want) {
 				t.Errorf("%v, want %v", err, c.want)
 			}
--- a/kv/statestore.go
+++ b/kv/statestore.go
@@ -12,8 +12,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 
-	"ospreystile.example/ospreystile/httpc"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/httpclient"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -120,7 +120,7 @@
 	}
 	status, ans, err := c.transport.Do(ctx, method, path, raw, timeout)
 	switch {
-	case errors.Is(err, httpc.ErrNotSent):
+	case errors.Is(err, httpclient.ErrNotSent):
 		return 0, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	case err != nil:
 		return 0, fmt.Errorf("%w: %w", ErrIndeterminate, err)
@@ -269,4 +269,4 @@
 }
 
 // IsNotSent tells whether a call's error shows that the request never left.
-func IsNotSent(err error) bool { return errors.Is(err, httpc.ErrNotSent) }
+func IsNotSent(err error) bool { return errors.Is(err, httpclient.ErrNotSent) }
--- a/node/node.go
+++ b/node/node.go
@@ -18,8 +18,8 @@
 	"ospreystile.example/ospreystile/cloud"
 	"ospreystile.example/ospreystile/config"
 	"ospreystile.example/ospreystile/election"
-	"ospreystile.example/ospreystile/httpc"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/httpclient"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/records"
@@ -40,7 +40,7 @@
 	workers *worker.Client
 	peers   []*peer
 
-	stateHTTP *httpc.Client
+	stateHTTP *httpclient.Client
 	health    stateHealth
 	// leaderState goes straight to the state service; userState takes the way
 	// through a peer when that one refuses this node alone.
@@ -71,7 +71,7 @@
 	s := &cfg.Settings
 	n.cloud = cloud.New(cfg.External.Cloud, s.Cloud.RPS)
 	n.workers = worker.New()
-	n.stateHTTP = httpc.New(cfg.External.State, 64, 16<<20)
+	n.stateHTTP = httpclient.New(cfg.External.State, 64, 16<<20)
 	for _, p := range cfg.Seeds {
 		n.peers = append(n.peers, &peer{Peer: peerrpc.NewPeer(p.Name, p.Address)})
 	}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -17,8 +17,8 @@
 	"ospreystile.example/ospreystile/cloud"
 	"ospreystile.example/ospreystile/config"
 	"ospreystile.example/ospreystile/election"
-	"ospreystile.example/ospreystile/httpc"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/httpclient"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -209,11 +209,11 @@
 			c.Close() // after the request has arrived
 		}
 	}()
-	if _, _, err := httpc.New(ln.Addr().String(), 1, 1000).Do(t.Context(), "POST", "/commit", []byte{1}, time.Minute); !errors.Is(err, httpc.ErrNoResponse) {
+	if _, _, err := httpclient.New(ln.Addr().String(), 1, 1000).Do(t.Context(), "POST", "/commit", []byte{1}, time.Minute); !errors.Is(err, httpclient.ErrNoResponse) {
 		t.Errorf("a request that arrived and was not answered: %v", err)
 	}
 	ln.Close()
-	if _, _, err := httpc.New(ln.Addr().String(), 1, 1000).Do(t.Context(), "POST", "/commit", []byte{1}, time.Minute); !errors.Is(err, httpc.ErrNotSent) {
+	if _, _, err := httpclient.New(ln.Addr().String(), 1, 1000).Do(t.Context(), "POST", "/commit", []byte{1}, time.Minute); !errors.Is(err, httpclient.ErrNotSent) {
 		t.Errorf("a refused connection: %v", err)
 	}
 }
--- a/node/state_routes.go
+++ b/node/state_routes.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"ospreystile.example/ospreystile/httpc"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/httpclient"
 	"ospreystile.example/ospreystile/peerrpc"
 )
 
@@ -90,13 +90,13 @@
 	err := p.Call(ctx, opState, stateCall{method, path, body, timeout.Milliseconds()}, &ans)
 	switch {
 	case errors.Is(err, peerrpc.ErrNotSent):
-		return 0, nil, errors.Join(httpc.ErrNotSent, err)
+		return 0, nil, errors.Join(httpclient.ErrNotSent, err)
 	case err != nil:
-		return 0, nil, errors.Join(httpc.ErrNoResponse, err)
+		return 0, nil, errors.Join(httpclient.ErrNoResponse, err)
 	case ans.NotSent:
-		return 0, nil, httpc.ErrNotSent
+		return 0, nil, httpclient.ErrNotSent
 	case ans.Unknown:
-		return 0, nil, httpc.ErrNoResponse
+		return 0, nil, httpclient.ErrNoResponse
 	}
 	return ans.Status, ans.Body, nil
 }
--- a/worker/golden_test.go
+++ b/worker/golden_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"ospreystile.example/ospreystile/httpc"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/internal/golden"
+	"ospreystile.example/ospreystile/internal/httpclient"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -44,7 +44,7 @@
 	got, err = c.RequestHeartbeat(t.Context(), rec.Address, time.Second)
 	check("show", got, err)
 	status = 500
-	if _, err := c.RequestHeartbeat(t.Context(), rec.Address, time.Second); !errors.Is(err, httpc.ErrNoResponse) {
+	if _, err := c.RequestHeartbeat(t.Context(), rec.Address, time.Second); !errors.Is(err, httpclient.ErrNoResponse) {
 		t.Errorf("a fault is taken for %v", err)
 	}
 	golden.Text(t, "requests.txt", rec.Text())
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -7,14 +7,14 @@
 	"sync"
 	"time"
 
-	"ospreystile.example/ospreystile/httpc"
+	"ospreystile.example/ospreystile/internal/httpclient"
 	"ospreystile.example/ospreystile/wire"
 )
 
 // Client keeps one small client for each worker address.
 type Client struct {
 	mu    sync.Mutex
-	conns map[string]*httpc.Client
+	conns map[string]*httpclient.Client
 }
 
 // keepIdle is how long a connection to a worker is kept. There may be more
@@ -23,15 +23,15 @@
 const keepIdle = 500 * time.Millisecond
 
 // New makes an empty client.
-func New() *Client { return &Client{conns: map[string]*httpc.Client{}} }
+func New() *Client { return &Client{conns: map[string]*httpclient.Client{}} }
 
 // to finds the client of an address, or makes one.
-func (c *Client) to(addr string) *httpc.Client {
+func (c *Client) to(addr string) *httpclient.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.conns[addr]
 	if h == nil {
-		h = httpc.New(addr, 2, 1<<20)
+		h = httpclient.New(addr, 2, 1<<20)
 		h.SetIdleTimeout(keepIdle)
 		c.conns[addr] = h
 	}
@@ -50,7 +50,7 @@
 
 // SendCommands sends commands. Whether they were executed or refused, the report is the
 // worker's after it, and tells. Any error leaves the outcome unknown unless it wraps
-// httpc.ErrNotSent.
+// httpclient.ErrNotSent.
 func (c *Client) SendCommands(ctx context.Context, addr string, d wire.CommandBatch, timeout time.Duration) (*wire.Heartbeat, error) {
 	if d.Commands == nil {
 		d.Commands = []wire.Command{}
@@ -70,11 +70,11 @@
 		return nil, fmt.Errorf("worker %s%s: %w", addr, path, err)
 	}
 	if status != 200 && status != 409 {
-		return nil, fmt.Errorf("worker %s%s: %w: status %d", addr, path, httpc.ErrNoResponse, status)
+		return nil, fmt.Errorf("worker %s%s: %w: status %d", addr, path, httpclient.ErrNoResponse, status)
 	}
 	rep := new(wire.Heartbeat)
 	if err := wire.Decode(ans, rep); err != nil {
-		return nil, fmt.Errorf("worker %s%s: %w: %w", addr, path, httpc.ErrNoResponse, err)
+		return nil, fmt.Errorf("worker %s%s: %w: %w", addr, path, httpclient.ErrNoResponse, err)
 	}
 	return rep, nil
 }
