--- a/internal/drill/world.go
+++ b/internal/faulttest/world.go
@@ -1,4 +1,4 @@
-package drill
+package faulttest
 
 import (
 	"bytes"
