--- a/internal/knownred/citest/main.go
+++ b/internal/knownfailures/citest/main.go
@@ -13,7 +13,7 @@
 	"slices"
 	"strings"
 
-	"ospreystile.example/ospreystile/internal/knownred"
+	"ospreystile.example/ospreystile/internal/knownfailures"
 )
 
 // listFile names the list; without it no test is passed over.
@@ -31,10 +31,10 @@
 	if err != nil {
 		return err
 	}
-	return knownred.Run(entries, goTest{}, os.Stdout)
+	return knownfailures.Run(entries, goTest{}, os.Stdout)
 }
 
-func readList() ([]knownred.Entry, error) {
+func readList() ([]knownfailures.Entry, error) {
 	file, err := os.Open(listFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	defer file.Close()
-	entries, err := knownred.Parse(file)
+	entries, err := knownfailures.Parse(file)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", listFile, err)
 	}
@@ -55,7 +55,7 @@
 
 var testFlags = []string{"test", "-race", "-timeout", "10m"}
 
-// All implements knownred.Runner.
+// All implements knownfailures.Runner.
 func (goTest) All(skip string) error {
 	args := slices.Clone(testFlags)
 	if skip != "" {
@@ -66,7 +66,7 @@
 	return cmd.Run()
 }
 
-// Packages implements knownred.Runner.
+// Packages implements knownfailures.Runner.
 func (goTest) Packages(test string) ([]string, error) {
 	packages, err := exec.Command("go", "list", "./...").Output()
 	if err != nil {
@@ -85,7 +85,7 @@
 	return found, nil
 }
 
-// Passes implements knownred.Runner.
+// Passes implements knownfailures.Runner.
 func (goTest) Passes(pkg, test string) (bool, error) {
 	output, err := exec.Command("go", append(slices.Clone(testFlags), "-run", "^"+test+"$", pkg)...).CombinedOutput()
 	var exit *exec.ExitError
--- a/internal/knownred/knownred.go
+++ b/internal/knownfailures/knownred.go
@@ -2,7 +2,7 @@
 // not be mended yet, and over those alone. They are listed in KNOWN-RED.txt, one line
 // each. A listed test that passes, or that no longer exists, fails the run, so that the
 // list never outlives the fault.
-package knownred
+package knownfailures
 
 import (
 	"bufio"
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownfailures/knownred_test.go
@@ -1,4 +1,4 @@
-package knownred
+package knownfailures
 
 import (
 	"bytes"
