--- a/cmd/ospreystile/main.go
+++ b/cmd/ospreystile/main.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"ospreystile.example/ospreystile/config"
-	"ospreystile.example/ospreystile/node"
+	"ospreystile.example/ospreystile/controller"
 )
 
 func main() {
@@ -82,7 +82,7 @@
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return node.New(platform, operator, log).Run(ctx)
+	return controller.New(platform, operator, log).Run(ctx)
 }
 
 func checkCommand(files *settingsFiles) *cobra.Command {
--- a/cmd/ospreystile/zones.go
+++ b/cmd/ospreystile/zones.go
@@ -11,18 +11,18 @@
 	"github.com/spf13/cobra"
 
 	"ospreystile.example/ospreystile/config"
+	"ospreystile.example/ospreystile/controller"
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/node"
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // operatorClient makes a client of the controllers that the platform's file names.
-func operatorClient(platform *config.Platform) *node.OperatorClient {
+func operatorClient(platform *config.Platform) *controller.OperatorClient {
 	seeds := map[ids.ControllerName]string{}
 	for _, seed := range platform.Seeds {
 		seeds[seed.Name] = seed.Address
 	}
-	return node.NewOperatorClient(platform.HostName, platform.MeshAddr, seeds)
+	return controller.NewOperatorClient(platform.HostName, platform.MeshAddr, seeds)
 }
 
 // zonesCommand shows the conditions of all zones.
@@ -31,7 +31,7 @@
 }
 
 // queryCommand asks the leader about all zones, and prints its answer as a table or as JSON.
-func queryCommand(files *settingsFiles, use, short string, printTable func(io.Writer, node.ZonesResponse) error) *cobra.Command {
+func queryCommand(files *settingsFiles, use, short string, printTable func(io.Writer, controller.ZonesResponse) error) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   use,
@@ -80,7 +80,7 @@
 			if err != nil {
 				return err
 			}
-			o := node.ZoneOverride{Zone: ids.Zone(args[0]), Kind: kind, Reason: reason}
+			o := controller.ZoneOverride{Zone: ids.Zone(args[0]), Kind: kind, Reason: reason}
 			if !slices.Contains(platform.Settings.Zones, o.Zone) {
 				return fmt.Errorf("unknown zone %q, the zones are %v", o.Zone, platform.Settings.Zones)
 			}
@@ -111,7 +111,7 @@
 }
 
 // printIncidents writes the incidents of all zones as a table.
-func printIncidents(out io.Writer, answer node.ZonesResponse) error {
+func printIncidents(out io.Writer, answer controller.ZonesResponse) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "ZONE\tBEGAN\tSERVES SINCE\tSPELLS\tDARK\tRETURN\tSETBACKS\tMACHINES\tTASKS\tJOBS\tBOUNCED\tFORCED\tRESTORED")
 	for _, z := range answer.Zones {
@@ -179,7 +179,7 @@
 }
 
 // printAnswer writes the leader's answer as a table or as JSON.
-func printAnswer(out io.Writer, answer node.ZonesResponse, asJSON bool, printTable func(io.Writer, node.ZonesResponse) error) error {
+func printAnswer(out io.Writer, answer controller.ZonesResponse, asJSON bool, printTable func(io.Writer, controller.ZonesResponse) error) error {
 	if !asJSON {
 		return printTable(out, answer)
 	}
@@ -189,7 +189,7 @@
 }
 
 // printZoneTable writes the conditions of all zones as a table.
-func printZoneTable(out io.Writer, answer node.ZonesResponse) error {
+func printZoneTable(out io.Writer, answer controller.ZonesResponse) error {
 	if !answer.Enabled {
 		_, err := fmt.Fprintln(out, "zones are not watched: zone_return.enabled is false in the operators' settings")
 		return err
--- a/node/node.go
+++ b/controller/node.go
@@ -1,6 +1,6 @@
 // Package node wires one controller together and runs it: its answers to users, workers and
 // peers, and the work of a term while it leads.
-package node
+package controller
 
 import (
 	"context"
--- a/node/reports.go
+++ b/controller/reports.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
