--- a/controller/node.go
+++ b/controller/controller.go
@@ -1,4 +1,4 @@
-// Package node wires one controller together and runs it: its answers to users, workers and
+// Package controller wires one controller together and runs it: its answers to users, workers and
 // peers, and the work of a term while it leads.
 package controller
 
--- a/controller/term.go
+++ b/controller/term.go
@@ -24,7 +24,7 @@
 	key    *election.Term
 	core   *scheduler.Core
 	events chan func()
-	ledger *records.Committer
+	committer *records.Committer
 	cloud  *cloud.Client
 	// observed is the revision up to which the core has taken in the jobs' records;
 	// only the loop uses it. applied is the same once all cancellations up to it may
@@ -69,7 +69,7 @@
 	fence := &kv.Precondition{Key: records.LeaderKey, Revision: key.Revision}
 	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.AuthorizedBy(key.MayAnswerHeartbeats),
 		returns: returnQueue{wake: make(chan struct{}, 1)},
-		ledger:  records.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
+		committer:  records.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
 }
 
 // lead does the work of one term until its context ends.
@@ -89,7 +89,7 @@
 	}
 	defer n.term.CompareAndSwap(t, nil)
 	n.log.Info("records read", "stamp", key.Revision, "state", t.core.Summary())
-	g.Go(func() error { return t.ledger.Run(t.ctx) })
+	g.Go(func() error { return t.committer.Run(t.ctx) })
 	g.Go(func() error { return t.watchJobs(since) })
 	g.Go(t.listMachines)
 	g.Go(t.returnMachines)
@@ -188,7 +188,7 @@
 // commit submits one change. If its outcome cannot be known the term ends, and the next
 // one reads the records again.
 func (t *term) commit(change records.Change) {
-	t.ledger.Submit(change, time.Time{}, func(outcome records.CommitResult, err error) {
+	t.committer.Submit(change, time.Time{}, func(outcome records.CommitResult, err error) {
 		switch {
 		case err == nil:
 			t.post(t.ctx, func() { t.core.CommitResult(t.n.clock.Now(), outcome) })
--- a/dependency/pipeline.go
+++ b/dependency/graph.go
@@ -1,4 +1,4 @@
-// Package pipeline decides which jobs wait for others, which are ready and
+// Package dependency decides which jobs wait for others, which are ready and
 // which are cancelled because one that they need is. It is the only place that
 // does: the leader and every node's copy of the jobs ask it.
 //
--- a/internal/faulttest/state.go
+++ b/internal/faulttest/state.go
@@ -1,4 +1,4 @@
-// Package drill holds stand-ins for what surrounds the controllers (state service, cloud,
+// Package faulttest holds stand-ins for what surrounds the controllers (state service, cloud,
 // workers in zones, users) on loopback, and starts real controller processes against them.
 // Tests of whole failures use it. Only what such a test needs of each protocol is here.
 package faulttest
--- a/internal/httpclient/httpc.go
+++ b/internal/httpclient/client.go
@@ -1,4 +1,4 @@
-// Package httpc is the one HTTP client that all outside calls go through:
+// Package httpclient is the one HTTP client that all outside calls go through:
 // kept-open connections, a deadline on every call, and no repeat of its own.
 package httpclient
 
--- a/internal/knownfailures/knownred.go
+++ b/internal/knownfailures/list.go
@@ -1,4 +1,4 @@
-// Package knownred lets CI pass over tests that fail for a known fault which could
+// Package knownfailures lets CI pass over tests that fail for a known fault which could
 // not be mended yet, and over those alone. They are listed in KNOWN-RED.txt, one line
 // each. A listed test that passes, or that no longer exists, fails the run, so that the
 // list never outlives the fault.
--- a/kv/statestore.go
+++ b/kv/client.go
@@ -1,4 +1,4 @@
-// Package statestore is the client of the state service.
+// Package kv is the client of the consensus-backed key-value store.
 package kv
 
 import (
--- a/peerrpc/mesh.go
+++ b/peerrpc/peerrpc.go
@@ -1,4 +1,4 @@
-// Package mesh carries requests between controllers: CBOR frames over TCP.
+// Package peerrpc carries requests between controllers: CBOR frames over TCP.
 package peerrpc
 
 import (
@@ -57,7 +57,7 @@
 func writeFrame(w *bufio.Writer, f *frame) error {
 	b, err := cbor.Marshal(f)
 	if err != nil {
-		return fmt.Errorf("mesh frame: %w", err)
+		return fmt.Errorf("peer frame: %w", err)
 	}
 	var head [4]byte
 	binary.BigEndian.PutUint32(head[:], uint32(len(b)))
@@ -78,7 +78,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n == 0 || n > maxFrame {
-		return nil, fmt.Errorf("mesh frame of %d bytes", n)
+		return nil, fmt.Errorf("peer frame of %d bytes", n)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r, b); err != nil {
@@ -86,7 +86,7 @@
 	}
 	f := new(frame)
 	if err := cbor.Unmarshal(b, f); err != nil {
-		return nil, fmt.Errorf("mesh frame: %w", err)
+		return nil, fmt.Errorf("peer frame: %w", err)
 	}
 	return f, nil
 }
@@ -103,7 +103,7 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			return fmt.Errorf("mesh: %w", err)
+			return fmt.Errorf("peer listener: %w", err)
 		}
 		wg.Go(func() { serveConn(ctx, c, h, log) })
 	}
@@ -238,7 +238,7 @@
 func (p *Peer) Call(ctx context.Context, op Operation, in, out any) error {
 	body, err := cbor.Marshal(in)
 	if err != nil {
-		return fmt.Errorf("mesh %s: %w", op, err)
+		return fmt.Errorf("peer call %s: %w", op, err)
 	}
 	cn, err := p.connect(ctx)
 	if err != nil {
--- a/records/records.go
+++ b/records/records.go
@@ -1,4 +1,4 @@
-// Package ledger holds the durable records in the state service and commits
+// Package records holds the durable records in the state service and commits
 // changes to them: guarded, batched, and with unknown outcomes settled.
 package records
 
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -68,7 +68,7 @@
 const s1 = time.Second
 
 // meetings are those of the operators' list that concern what runs where; those that
-// concern answers alone are in packages node and ledger (docs/design.md has the table).
+// concern answers alone are in packages controller and records (docs/design.md has the table).
 var scenarios = []struct {
 	name  string
 	bring func(m *scenario)
--- a/zonerecovery/condition.go
+++ b/zonerecovery/condition.go
@@ -1,4 +1,4 @@
-// Package zonereturn decides when a zone counts as dark and how its work returns once its
+// Package zonerecovery decides when a zone counts as dark and how its work returns once its
 // machines are heard again. It is a state machine without I/O: the scheduler's core hands it
 // the time and what is known of the machines, asks it before it places a task, and writes
 // the records that it asks for. docs/zone-return.md gives the reasons.
