--- a/controller/connection_balancer.go
+++ b/controller/connection_balancer.go
@@ -5,14 +5,15 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // connectionBalancer counts the workers that report here, and sends some to other nodes
 // when they are too many: after a restart they would all stay where they went.
 type connectionBalancer struct {
 	mu      sync.Mutex
-	seen    map[ids.MachineID]ids.Instant
-	movedAt ids.Instant
+	seen    map[ids.MachineID]monotonic.Instant
+	movedAt monotonic.Instant
 }
 
 const (
@@ -24,14 +25,14 @@
 )
 
 // reported takes note of a worker's report.
-func (c *connectionBalancer) reported(h ids.MachineID, now ids.Instant) {
+func (c *connectionBalancer) reported(h ids.MachineID, now monotonic.Instant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seen[h] = now
 }
 
 // count is the number of workers heard within a time.
-func (c *connectionBalancer) count(now ids.Instant, within time.Duration) int {
+func (c *connectionBalancer) count(now monotonic.Instant, within time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for h, at := range c.seen {
@@ -51,7 +52,7 @@
 }
 
 // chooseTarget tells where a worker should go, if this node has too many of them.
-func (c *connectionBalancer) chooseTarget(self nodeLoad, others []nodeLoad, now ids.Instant) (ids.ControllerName, bool) {
+func (c *connectionBalancer) chooseTarget(self nodeLoad, others []nodeLoad, now monotonic.Instant) (ids.ControllerName, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now < c.movedAt.Add(moveInterval) || len(others) == 0 {
@@ -85,11 +86,11 @@
 
 // balancerWindow is how long a worker counts as one of a node's after a report.
 func (n *Controller) balancerWindow() time.Duration {
-	return ids.Seconds(2 * n.cfg.Settings.Workers.HeartbeatIntervalS)
+	return monotonic.Seconds(2 * n.cfg.Settings.Workers.HeartbeatIntervalS)
 }
 
 // redirectTarget tells to which node a worker should go, if this one has too many.
-func (n *Controller) redirectTarget(now ids.Instant, leading bool) (ids.ControllerName, bool) {
+func (n *Controller) redirectTarget(now monotonic.Instant, leading bool) (ids.ControllerName, bool) {
 	weigh := func(leads bool) float64 {
 		if leads {
 			return leaderWeight
@@ -100,7 +101,7 @@
 	var others []nodeLoad
 	for _, p := range n.peers {
 		// Only nodes that can pass reports on to the same leader.
-		if now < ids.Instant(p.lastHeard.Load()).Add(1500*time.Millisecond) && p.leaderRevision.Load() == uint64(leader.Revision) {
+		if now < monotonic.Instant(p.lastHeard.Load()).Add(1500*time.Millisecond) && p.leaderRevision.Load() == uint64(leader.Revision) {
 			others = append(others, nodeLoad{p.Name, int(p.workers.Load()), weigh(p.Name == leader.Name)})
 		}
 	}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -21,6 +21,7 @@
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/internal/httpclient"
 	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler"
@@ -34,7 +35,7 @@
 	cfg   *config.Platform
 	op    *config.Operator
 	log   *slog.Logger
-	clock ids.Clock
+	clock monotonic.Clock
 
 	cloud   *cloud.Client
 	workers *worker.Client
@@ -52,7 +53,7 @@
 	catalog  atomic.Pointer[[]wire.MachineType]
 	term     atomic.Pointer[term]
 
-	startedAt    ids.Instant
+	startedAt    monotonic.Instant
 	terminalJobs terminalJobCache
 	acknowledged acknowledgedRevision
 	statusReads  *statusReader
@@ -66,7 +67,7 @@
 
 // New makes a controller from its settings.
 func New(cfg *config.Platform, op *config.Operator, log *slog.Logger) *Controller {
-	n := &Controller{cfg: cfg, op: op, log: log, clock: ids.Steady()}
+	n := &Controller{cfg: cfg, op: op, log: log, clock: monotonic.SystemClock()}
 	n.startedAt = n.clock.Now()
 	s := &cfg.Settings
 	n.cloud = cloud.New(cfg.External.Cloud, s.Cloud.RPS)
@@ -88,10 +89,10 @@
 	}
 	n.election = election.New(n.leaderState.Unthrottled(), self, bounds, n.clock, log, n.lead)
 	n.terminalJobs.jobs = map[ids.JobID]wire.JobStatus{}
-	n.balancer.seen = map[ids.MachineID]ids.Instant{}
+	n.balancer.seen = map[ids.MachineID]monotonic.Instant{}
 	n.relay = &reportRelay{n: n, wake: make(chan struct{}, 1)}
 	// A fifth of the requests is for polls, by all nodes together.
-	gap := ids.Seconds(nodes / (0.2 * rps))
+	gap := monotonic.Seconds(nodes / (0.2 * rps))
 	n.statusReads = newStatusReader(n.userState, gap, n.progress)
 	return n
 }
@@ -106,7 +107,7 @@
 // cancelled, and the lease that is renewed last ends within cancel_s of that.
 func (n *Controller) isolatedBound() time.Duration {
 	w := &n.cfg.Settings.Workers
-	return min(n.op.Grace(), scheduler.CancelMargin(ids.Seconds(w.CancelDeadlineS), ids.Seconds(w.LeaseS)))
+	return min(n.op.Grace(), scheduler.CancelMargin(monotonic.Seconds(w.CancelDeadlineS), monotonic.Seconds(w.LeaseS)))
 }
 
 // isolatedReplicasBound is the same for workers with replicas, so that a zone that is cut
@@ -153,7 +154,7 @@
 	app := server.New(n, server.Limits{
 		// Outgoing connections, peers and the runtime need sockets too.
 		MaxConnections: max(16, s.Resources.Sockets*3/4),
-		IdleTimeout:    max(15*time.Second, 3*ids.Seconds(s.Workers.HeartbeatIntervalS)),
+		IdleTimeout:    max(15*time.Second, 3*monotonic.Seconds(s.Workers.HeartbeatIntervalS)),
 	}, n.log)
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return server.Serve(ctx, app, retryListener{api, n.log}) })
@@ -189,7 +190,7 @@
 				t.post(ctx, func() { t.core.SetCatalog(types) })
 			}
 		}
-		if !ids.Pause(ctx, wait) {
+		if !monotonic.Sleep(ctx, wait) {
 			return ctx.Err()
 		}
 	}
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -19,6 +19,7 @@
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/internal/httpclient"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -44,7 +45,7 @@
 // After a restart a node's workers would stay where they went, all of them on
 // one node at last. They are sent back, one at a time, and no more than needed.
 func TestWorkersSpreadOverNodes(t *testing.T) {
-	at := func(s float64) ids.Instant { return ids.Instant(time.Hour).Add(ids.Seconds(s)) }
+	at := func(s float64) monotonic.Instant { return monotonic.Instant(time.Hour).Add(monotonic.Seconds(s)) }
 	names := []ids.ControllerName{"n-0", "n-1", "n-2"}
 	have := map[ids.ControllerName]int{"n-0": 900, "n-1": 0, "n-2": 0}
 	weight := map[ids.ControllerName]float64{"n-0": leaderWeight, "n-1": 1, "n-2": 1}
--- a/controller/kv_routes.go
+++ b/controller/kv_routes.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/internal/httpclient"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/peerrpc"
 )
 
@@ -75,7 +75,7 @@
 func (n *Controller) peerWithState() *peer {
 	now := n.clock.Now()
 	for _, p := range n.peers {
-		if p.stateOK.Load() && now < ids.Instant(p.lastHeard.Load()).Add(2*time.Second) {
+		if p.stateOK.Load() && now < monotonic.Instant(p.lastHeard.Load()).Add(2*time.Second) {
 			return p
 		}
 	}
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -7,13 +7,14 @@
 
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/peerrpc"
 )
 
 // peer is another controller and what is known of it.
 type peer struct {
 	*peerrpc.Peer
-	lastHeard      atomic.Int64 // ids.Instant of the last answer
+	lastHeard      atomic.Int64 // monotonic.Instant of the last answer
 	stateOK        atomic.Bool
 	leaderRevision atomic.Uint64 // of the leader that it follows
 	workers        atomic.Int32
@@ -54,7 +55,7 @@
 
 // confirmTerm hands a peer's answer to a ping to the own term: what it knew of leaders when
 // it was asked.
-func (n *Controller) confirmTerm(asked ids.Instant, ans ping) {
+func (n *Controller) confirmTerm(asked monotonic.Instant, ans ping) {
 	t := n.election.Term()
 	if t == nil || ans.Revision > t.Revision || ans.Up <= 0 {
 		return
@@ -83,7 +84,7 @@
 		} else {
 			p.Close()
 		}
-		if !ids.Pause(ctx, 500*time.Millisecond) {
+		if !monotonic.Sleep(ctx, 500*time.Millisecond) {
 			return ctx.Err()
 		}
 	}
--- a/controller/status_reader.go
+++ b/controller/status_reader.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // statusQuery is one question that waits: about a job and, before it is accepted, about
@@ -101,7 +102,7 @@
 			continue
 		}
 		p.round(ctx, round)
-		if !ids.Pause(ctx, p.gap) {
+		if !monotonic.Sleep(ctx, p.gap) {
 			return ctx.Err()
 		}
 	}
--- a/controller/term_cloud.go
+++ b/controller/term_cloud.go
@@ -7,6 +7,7 @@
 
 	"ospreystile.example/ospreystile/cloud"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -22,7 +23,7 @@
 			return
 		}
 		t.n.log.Info("rental unanswered", "booking", r.RequestID, "err", err)
-		ids.Pause(t.ctx, time.Second)
+		monotonic.Sleep(t.ctx, time.Second)
 	}
 }
 
@@ -73,13 +74,13 @@
 					break
 				}
 				t.n.log.Info("return unanswered", "err", err)
-				if !ids.Pause(t.ctx, time.Second) {
+				if !monotonic.Sleep(t.ctx, time.Second) {
 					return t.ctx.Err()
 				}
 			}
 			t.n.log.Info("returned", "hosts", hosts)
 			t.post(t.ctx, func() { t.core.TerminateResult(t.n.clock.Now(), hosts, true) })
-			if !ids.Pause(t.ctx, returnInterval) {
+			if !monotonic.Sleep(t.ctx, returnInterval) {
 				return t.ctx.Err()
 			}
 		}
@@ -99,7 +100,7 @@
 		// Reading the list takes a fifth of the calls at most, however long
 		// it is: rentals and returns need the rest.
 		pages := float64(1 + len(list)/cloud.PageSize)
-		if !ids.Pause(t.ctx, max(2*time.Second, ids.Seconds(5*pages/t.n.cfg.Settings.Cloud.RPS))) {
+		if !monotonic.Sleep(t.ctx, max(2*time.Second, monotonic.Seconds(5*pages/t.n.cfg.Settings.Cloud.RPS))) {
 			return t.ctx.Err()
 		}
 	}
--- a/controller/term_load.go
+++ b/controller/term_load.go
@@ -6,6 +6,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/wire"
@@ -53,7 +54,7 @@
 		if types := t.n.catalog.Load(); types != nil {
 			return *types, nil
 		}
-		if !ids.Pause(t.ctx, catalogRetryDelay) {
+		if !monotonic.Sleep(t.ctx, catalogRetryDelay) {
 			return nil, t.ctx.Err()
 		}
 	}
--- a/controller/term_options.go
+++ b/controller/term_options.go
@@ -5,6 +5,7 @@
 
 	"ospreystile.example/ospreystile/config"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
@@ -38,28 +39,28 @@
 	o := scheduler.Options{
 		Revision:                           revision,
 		PreviousLeader:                     predecessor,
-		HeartbeatInterval:                  ids.Seconds(s.Workers.HeartbeatIntervalS),
-		AgentLease:                         ids.Seconds(s.Workers.LeaseS),
-		CancelDeadline:                     ids.Seconds(s.Workers.CancelDeadlineS),
+		HeartbeatInterval:                  monotonic.Seconds(s.Workers.HeartbeatIntervalS),
+		AgentLease:                         monotonic.Seconds(s.Workers.LeaseS),
+		CancelDeadline:                     monotonic.Seconds(s.Workers.CancelDeadlineS),
 		PreviousLeaderGrace:                grace,
 		PreviousLeaderGraceWithoutReplicas: graceWithoutReplicas,
-		ListLag:                            ids.Seconds(s.Cloud.ListLagS),
+		ListLag:                            monotonic.Seconds(s.Cloud.ListLagS),
 		TxnOps:                             n.limits().Operations,
 		ValueBytes:                         n.valueBytes(),
 		SplitRecords:                       n.upgrade.done(),
 		SliceTasks:                         op.Quota.SliceTasks,
 		MaxSkippedJobs:                     op.Quota.MaxSkippedJobs,
-		LendingSuspension:                  ids.Seconds(op.Quota.ReclaimHoldS),
-		IdleTimeout:                        ids.Seconds(op.Fleet.IdleTimeoutS),
+		LendingSuspension:                  monotonic.Seconds(op.Quota.ReclaimHoldS),
+		IdleTimeout:                        monotonic.Seconds(op.Fleet.IdleTimeoutS),
 		SpotIdleFactor:                     op.Fleet.SpotIdleFactor,
-		HeadroomIdleTimeout:                ids.Seconds(op.Fleet.HeadroomIdleTimeoutS),
+		HeadroomIdleTimeout:                monotonic.Seconds(op.Fleet.HeadroomIdleTimeoutS),
 		Headroom:                           op.Fleet.Headroom,
 		BootFactor:                         op.Fleet.BootFactor,
-		CapacityBackoff:                    ids.Seconds(op.Fleet.CapacityBackoffS),
+		CapacityBackoff:                    monotonic.Seconds(op.Fleet.CapacityBackoffS),
 		MaxMachines:                        op.Fleet.MaxMachines,
 		LatencySensitive:                   latencySensitive(s.Objectives),
-		ReserveAfter:                       ids.Seconds(op.Quota.ReserveAfterS),
-		ReserveFor:                         ids.Seconds(op.Quota.ReserveForS),
+		ReserveAfter:                       monotonic.Seconds(op.Quota.ReserveAfterS),
+		ReserveFor:                         monotonic.Seconds(op.Quota.ReserveForS),
 		RoundInterval:                      roundInterval,
 		RoundCostPerMachine:                time.Duration(float64(roundCostPerMachine) / s.Resources.CPUShare),
 		LazyWriteDelay:                     lazyWriteDelay,
@@ -85,7 +86,7 @@
 	classes := map[string]time.Duration{}
 	for _, objective := range objectives {
 		if objective.Kind == objectiveWait && objective.WithinS <= fastestBootS {
-			classes[objective.Class] = ids.Seconds(objective.WithinS)
+			classes[objective.Class] = monotonic.Seconds(objective.WithinS)
 		}
 	}
 	return classes
--- a/controller/term_watch.go
+++ b/controller/term_watch.go
@@ -7,6 +7,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -26,7 +27,7 @@
 			return
 		}
 		t.n.log.Debug("job not read", "job", id, "err", err)
-		ids.Pause(t.ctx, 300*time.Millisecond)
+		monotonic.Sleep(t.ctx, 300*time.Millisecond)
 	}
 }
 
@@ -38,7 +39,7 @@
 			return fmt.Errorf("watch on jobs: %w", err)
 		}
 		if err != nil {
-			if !ids.Pause(t.ctx, 200*time.Millisecond) {
+			if !monotonic.Sleep(t.ctx, 200*time.Millisecond) {
 				return t.ctx.Err()
 			}
 			continue
@@ -67,7 +68,7 @@
 	follows := func(p *peer) bool { return p.leaderRevision.Load() >= uint64(t.key.Revision) }
 	for _, p := range t.n.peers {
 		for !follows(p) {
-			if !ids.Pause(t.ctx, 200*time.Millisecond) {
+			if !monotonic.Sleep(t.ctx, 200*time.Millisecond) {
 				return t.ctx.Err()
 			}
 		}
--- a/controller/term_zones.go
+++ b/controller/term_zones.go
@@ -10,6 +10,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
@@ -77,7 +78,7 @@
 	view := zonerecovery.Connectivity{LeaseConfirmed: t.key.HoldsLease(), Peers: len(t.n.peers)}
 	now := t.n.clock.Now()
 	for _, p := range t.n.peers {
-		if heard := ids.Instant(p.lastHeard.Load()); heard != 0 && now < heard.Add(peerSilence) {
+		if heard := monotonic.Instant(p.lastHeard.Load()); heard != 0 && now < heard.Add(peerSilence) {
 			view.PeersReachable++
 		}
 	}
@@ -130,7 +131,7 @@
 		if recorded {
 			return t.handleZones(ctx)
 		}
-		if !ids.Pause(ctx, overridePoll) {
+		if !monotonic.Sleep(ctx, overridePoll) {
 			return nil, errNotRecorded
 		}
 	}
--- a/controller/version_gate.go
+++ b/controller/version_gate.go
@@ -8,6 +8,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -93,7 +94,7 @@
 // awaitUpgrade waits until every controller is known to be new, makes that durable,
 // so that a successor need not learn it again, and tells the leader's core.
 func (n *Controller) awaitUpgrade(ctx context.Context) error {
-	var readAt ids.Instant
+	var readAt monotonic.Instant
 	for !n.upgrade.done() {
 		all, durable := n.allControllersNew()
 		now := n.clock.Now()
@@ -118,7 +119,7 @@
 		if err != nil {
 			n.log.Debug("upgrade not settled", "err", err)
 		}
-		if !ids.Pause(ctx, upgradeCheckInterval) {
+		if !monotonic.Sleep(ctx, upgradeCheckInterval) {
 			return ctx.Err()
 		}
 	}
--- a/election/election.go
+++ b/election/election.go
@@ -14,6 +14,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -46,9 +47,9 @@
 type Term struct {
 	Revision ids.Revision
 
-	clock          ids.Clock
-	heldUntil      atomic.Int64 // ids.Instant until which the key is surely held
-	renewalAskedAt atomic.Int64 // ids.Instant when the last renewal that ended was begun
+	clock          monotonic.Clock
+	heldUntil      atomic.Int64 // monotonic.Instant until which the key is surely held
+	renewalAskedAt atomic.Int64 // monotonic.Instant when the last renewal that ended was begun
 	over           atomic.Bool
 	bounds         LeaseBounds
 	end            context.CancelCauseFunc
@@ -56,7 +57,7 @@
 	mu sync.Mutex
 	// confirmedBy is when each peer was last asked that then knew of no later leader;
 	// see Confirm.
-	confirmedBy map[ids.ControllerName]ids.Instant
+	confirmedBy map[ids.ControllerName]monotonic.Instant
 }
 
 // LeaseBounds are how long a leader may go on.
@@ -76,7 +77,7 @@
 }
 
 // HoldsLease tells whether the key is surely held now.
-func (t *Term) HoldsLease() bool { return t.clock.Now() < ids.Instant(t.heldUntil.Load()) }
+func (t *Term) HoldsLease() bool { return t.clock.Now() < monotonic.Instant(t.heldUntil.Load()) }
 
 // renewalWindow is how lately a renewal must have been tried, whatever came of
 // it, by who acts without holding the key. It is longer than one takes that
@@ -94,28 +95,28 @@
 	if t.over.Load() {
 		return false
 	}
-	valid := ids.Instant(t.heldUntil.Load())
-	return now < valid || now < valid.Add(t.bounds.OutageGrace) && now < ids.Instant(t.renewalAskedAt.Load()).Add(renewalWindow) &&
+	valid := monotonic.Instant(t.heldUntil.Load())
+	return now < valid || now < valid.Add(t.bounds.OutageGrace) && now < monotonic.Instant(t.renewalAskedAt.Load()).Add(renewalWindow) &&
 		(len(t.bounds.Peers) == 0 || now < t.unchallengedAt(valid).Add(max(t.bounds.IsolatedGrace, t.bounds.IsolatedReplicaGrace)))
 }
 
 // MayAnswerReplicasOnly tells whether no worker may be answered any more but those with replicas.
 func (t *Term) MayAnswerReplicasOnly() bool {
-	valid := ids.Instant(t.heldUntil.Load())
+	valid := monotonic.Instant(t.heldUntil.Load())
 	return len(t.bounds.Peers) > 0 && t.clock.Now() >= t.unchallengedAt(valid).Add(t.bounds.IsolatedGrace)
 }
 
 // RecordPeerAck takes a peer's word that it knew of no later leader when it was asked. It
 // counts only if the peer's process was running while the key was still surely
 // held: one that was started since may have led before, and not know it.
-func (t *Term) RecordPeerAck(peer ids.ControllerName, asked, started ids.Instant) {
-	if started >= ids.Instant(t.heldUntil.Load()) {
+func (t *Term) RecordPeerAck(peer ids.ControllerName, asked, started monotonic.Instant) {
+	if started >= monotonic.Instant(t.heldUntil.Load()) {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.confirmedBy == nil {
-		t.confirmedBy = map[ids.ControllerName]ids.Instant{}
+		t.confirmedBy = map[ids.ControllerName]monotonic.Instant{}
 	}
 	t.confirmedBy[peer] = max(t.confirmedBy[peer], asked)
 }
@@ -123,7 +124,7 @@
 // unchallengedAt is the latest moment at which there surely was no later leader: the
 // key was held until valid, and whoever led after that was one of the peers, none
 // of which knew of it when it was last asked.
-func (t *Term) unchallengedAt(valid ids.Instant) ids.Instant {
+func (t *Term) unchallengedAt(valid monotonic.Instant) monotonic.Instant {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := t.confirmedBy[t.bounds.Peers[0]]
@@ -153,7 +154,7 @@
 	store  Store
 	self   Identity
 	bounds LeaseBounds
-	clock  ids.Clock
+	clock  monotonic.Clock
 	log    *slog.Logger
 	lead   func(ctx context.Context, t *Term) error
 
@@ -166,7 +167,7 @@
 }
 
 // New prepares an election. lead is run for each term, until its context ends.
-func New(store Store, self Identity, bounds LeaseBounds, clock ids.Clock, log *slog.Logger,
+func New(store Store, self Identity, bounds LeaseBounds, clock monotonic.Clock, log *slog.Logger,
 	lead func(context.Context, *Term) error) *Election {
 	return &Election{store: store, self: self, bounds: bounds, clock: clock, log: log, lead: lead}
 }
@@ -216,7 +217,7 @@
 	for ctx.Err() == nil {
 		if err := e.round(ctx); err != nil && ctx.Err() == nil {
 			e.log.Debug("election round", "err", err)
-			ids.Pause(ctx, 200*time.Millisecond+time.Duration(rand.IntN(100))*time.Millisecond)
+			monotonic.Sleep(ctx, 200*time.Millisecond+time.Duration(rand.IntN(100))*time.Millisecond)
 		}
 	}
 	return ctx.Err()
@@ -311,7 +312,7 @@
 }
 
 // validity is until when a lease taken or renewed at a time is surely alive.
-func (e *Election) validity(asked ids.Instant) ids.Instant {
+func (e *Election) validity(asked monotonic.Instant) monotonic.Instant {
 	return asked.Add(e.bounds.TTL - e.bounds.TTL/500 - 50*time.Millisecond)
 }
 
@@ -355,7 +356,7 @@
 	revoke, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
 	_ = e.store.RevokeLease(revoke, lease)
-	ids.Pause(ctx, 100*time.Millisecond)
+	monotonic.Sleep(ctx, 100*time.Millisecond)
 	return nil
 }
 
@@ -371,7 +372,7 @@
 		case errors.Is(err, kv.ErrLeaseExpired):
 			t.End(errLost)
 			return
-		case e.clock.Now() >= ids.Instant(t.heldUntil.Load()).Add(t.bounds.OutageGrace):
+		case e.clock.Now() >= monotonic.Instant(t.heldUntil.Load()).Add(t.bounds.OutageGrace):
 			t.End(errGrace)
 			return
 		}
@@ -379,6 +380,6 @@
 		if err != nil {
 			wait = e.bounds.TTL / 10
 		}
-		ids.Pause(ctx, wait)
+		monotonic.Sleep(ctx, wait)
 	}
 }
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -47,7 +48,7 @@
 
 func (w *watcher) startOver(t *testing.T, c *client, over Store, name ids.ControllerName, inc ids.ControllerIncarnation) *member {
 	m := &member{c: c, gone: make(chan struct{})}
-	m.e = New(over, Identity{Name: name, Incarnation: inc}, LeaseBounds{TTL: 3 * time.Second, OutageGrace: 20 * time.Second}, ids.Steady(), slog.New(slog.DiscardHandler),
+	m.e = New(over, Identity{Name: name, Incarnation: inc}, LeaseBounds{TTL: 3 * time.Second, OutageGrace: 20 * time.Second}, monotonic.SystemClock(), slog.New(slog.DiscardHandler),
 		func(ctx context.Context, term *Term) error {
 			w.mu.Lock()
 			w.holding[name] = term
@@ -61,7 +62,7 @@
 			w.mu.Unlock()
 			for ctx.Err() == nil {
 				w.check()
-				ids.Pause(ctx, 20*time.Millisecond)
+				monotonic.Sleep(ctx, 20*time.Millisecond)
 			}
 			return context.Cause(ctx)
 		})
@@ -288,22 +289,22 @@
 	const isolated = 8 * time.Second
 	for _, c := range []struct {
 		name  string
-		vouch func(t *Term, now, began ids.Instant)
+		vouch func(t *Term, now, began monotonic.Instant)
 		until time.Duration // after the key was surely held last, give or take
 	}{
-		{"nobody heard", func(*Term, ids.Instant, ids.Instant) {}, isolated},
-		{"one is heard", func(t *Term, now, began ids.Instant) { t.RecordPeerAck("n1", now, began) }, isolated},
-		{"one was started since", func(t *Term, now, began ids.Instant) {
+		{"nobody heard", func(*Term, monotonic.Instant, monotonic.Instant) {}, isolated},
+		{"one is heard", func(t *Term, now, began monotonic.Instant) { t.RecordPeerAck("n1", now, began) }, isolated},
+		{"one was started since", func(t *Term, now, began monotonic.Instant) {
 			t.RecordPeerAck("n1", now, began)
-			t.RecordPeerAck("n2", now, ids.Instant(t.heldUntil.Load()))
+			t.RecordPeerAck("n2", now, monotonic.Instant(t.heldUntil.Load()))
 		}, isolated},
-		{"both are heard", func(t *Term, now, began ids.Instant) {
+		{"both are heard", func(t *Term, now, began monotonic.Instant) {
 			t.RecordPeerAck("n1", now, began)
 			t.RecordPeerAck("n2", now, began)
 		}, 20 * time.Second},
-		{"one is heard for 5 s", func(t *Term, now, began ids.Instant) {
+		{"one is heard for 5 s", func(t *Term, now, began monotonic.Instant) {
 			t.RecordPeerAck("n1", now, began)
-			if now < ids.Instant(t.heldUntil.Load()).Add(5*time.Second) {
+			if now < monotonic.Instant(t.heldUntil.Load()).Add(5*time.Second) {
 				t.RecordPeerAck("n2", now, began)
 			}
 		}, 5*time.Second + isolated},
@@ -314,7 +315,7 @@
 				terms := make(chan *Term, 9)
 				bounds := LeaseBounds{TTL: 3 * time.Second, OutageGrace: 20 * time.Second, IsolatedGrace: isolated - 3*time.Second, IsolatedReplicaGrace: isolated,
 					Peers: []ids.ControllerName{"n1", "n2"}}
-				e := New(&client{s: s}, Identity{Name: "n0"}, bounds, ids.Steady(), slog.New(slog.DiscardHandler), func(ctx context.Context, term *Term) error {
+				e := New(&client{s: s}, Identity{Name: "n0"}, bounds, monotonic.SystemClock(), slog.New(slog.DiscardHandler), func(ctx context.Context, term *Term) error {
 					terms <- term
 					<-ctx.Done()
 					return context.Cause(ctx)
@@ -327,8 +328,8 @@
 				began := term.clock.Now().Add(-time.Minute)
 				s.outage(true)
 				time.Sleep(time.Second)
-				valid := ids.Instant(term.heldUntil.Load())
-				var last, lastForAll ids.Instant
+				valid := monotonic.Instant(term.heldUntil.Load())
+				var last, lastForAll monotonic.Instant
 				for range 300 {
 					now := term.clock.Now()
 					if now >= valid && now < valid.Add(25*time.Second) {
@@ -368,7 +369,7 @@
 		s.leases[99] = time.Now().Add(2 * time.Second)
 		var logged bytes.Buffer
 		led := make(chan ids.Revision, 9)
-		e := New(&client{s: s}, Identity{Name: "n0"}, LeaseBounds{TTL: 3 * time.Second, OutageGrace: 20 * time.Second}, ids.Steady(),
+		e := New(&client{s: s}, Identity{Name: "n0"}, LeaseBounds{TTL: 3 * time.Second, OutageGrace: 20 * time.Second}, monotonic.SystemClock(),
 			slog.New(slog.NewTextHandler(&logged, nil)), func(ctx context.Context, term *Term) error {
 				led <- term.Revision
 				<-ctx.Done()
--- a/ids/ids.go
+++ b/ids/ids.go
@@ -1,12 +1,11 @@
-// Package ids holds the small types for ids, versions and times that the
-// rest of the program passes around.
+// Package ids holds the typed identifiers and version numbers that the packages pass
+// to each other, so that the compiler tells a job from a machine and a revision from
+// an attempt.
 package ids
 
 import (
-	"context"
 	"strconv"
 	"strings"
-	"time"
 )
 
 type (
@@ -73,42 +72,3 @@
 	}
 	return TaskRef{JobID(s[:i]), n}, true
 }
-
-// Instant is a reading of a steady clock.
-type Instant time.Duration
-
-// Add moves an instant.
-func (t Instant) Add(d time.Duration) Instant { return t + Instant(d) }
-
-// Sub is the time from u to t.
-func (t Instant) Sub(u Instant) time.Duration { return time.Duration(t - u) }
-
-// Clock tells steady time. Tests put their own in its place.
-type Clock interface{ Now() Instant }
-
-type steady struct{ start time.Time }
-
-// Steady returns the process's steady clock. It starts above zero so that the
-// zero Instant always lies in the past.
-func Steady() Clock { return steady{time.Now().Add(-time.Hour)} }
-
-func (s steady) Now() Instant { return Instant(time.Since(s.start)) }
-
-// Seconds turns a decimal count of seconds into a duration.
-func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// Drift widens a wait so that it has surely passed on another machine's
-// steady clock, which may differ by 0.05% from true time, as may ours.
-func Drift(d time.Duration) time.Duration { return d + d/500 + 10*time.Millisecond }
-
-// Pause waits for a time; it is false if the context ended first.
-func Pause(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-t.C:
-		return true
-	}
-}
--- a/internal/faulttest/world.go
+++ b/internal/faulttest/world.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -247,7 +248,7 @@
 		if status, err = w.askAt(ctx, n, method, path, body); err == nil {
 			return status, nil
 		}
-		ids.Pause(ctx, 100*time.Millisecond)
+		monotonic.Sleep(ctx, 100*time.Millisecond)
 	}
 	return status, errors.Join(errNotAnswered, err)
 }
--- a/records/committer.go
+++ b/records/committer.go
@@ -10,6 +10,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -149,7 +150,7 @@
 		if len(batch) == len(rest) {
 			// A refusal that names no guard of ours cannot be acted on.
 			c.log.Warn("transaction refused without a known key", "failed", out.FailedKeys)
-			if !ids.Pause(ctx, unknownKeyDelay) {
+			if !monotonic.Sleep(ctx, unknownKeyDelay) {
 				return ctx.Err()
 			}
 		}
@@ -253,7 +254,7 @@
 			return out, batch, unknown, err
 		}
 		c.log.Debug("commit not settled", "err", err, "changes", len(batch))
-		if !ids.Pause(ctx, wait) {
+		if !monotonic.Sleep(ctx, wait) {
 			return out, batch, unknown, ctx.Err()
 		}
 	}
--- a/records/records.go
+++ b/records/records.go
@@ -9,6 +9,7 @@
 	"ospreystile.example/ospreystile/dependency"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -71,10 +72,10 @@
 func (j *Job) Dependencies() dependency.Record {
 	r := dependency.Record{Status: j.Status, SubmittedMS: j.SubmittedMS, DoneMS: j.DoneMS}
 	if s := j.Spec; s != nil {
-		r.DependsOn, r.Priority, r.ExpectedRun = s.DependsOn, s.Priority, ids.Seconds(s.EstimateS)
+		r.DependsOn, r.Priority, r.ExpectedRun = s.DependsOn, s.Priority, monotonic.Seconds(s.EstimateS)
 		// Deadlines of jobs that wait for none decide nothing, as before.
 		if len(s.DependsOn) > 0 && s.DeadlineS > 0 {
-			r.DueMS = j.SubmittedMS + ids.Seconds(s.DeadlineS).Milliseconds()
+			r.DueMS = j.SubmittedMS + monotonic.Seconds(s.DeadlineS).Milliseconds()
 		}
 	}
 	return r
--- a/scheduler/assignment.go
+++ b/scheduler/assignment.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -37,17 +38,17 @@
 	// worker that shows a higher one and not the attempt will never start it.
 	sentToken    ids.FencingToken
 	sentSession  ids.AgentIncarnation
-	sentAt       ids.Instant // first, since it was last known not to be there
+	sentAt       monotonic.Instant // first, since it was last known not to be there
 	sent         bool
 	seen         bool
 	phase        wire.TaskState
-	phaseSince   ids.Instant   // when the phase began, as far as known
-	pausedBefore time.Duration // Core.totalPause at that time
+	phaseSince   monotonic.Instant // when the phase began, as far as known
+	pausedBefore time.Duration     // Core.totalPause at that time
 	stopReason   stopReason
 	protected    bool // see protectionPeriod
-	stoppedAt    ids.Instant
+	stoppedAt    monotonic.Instant
 	graceS       float64
-	killSentAt   ids.Instant
+	killSentAt   monotonic.Instant
 }
 
 // ref names the task.
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/fleet"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
@@ -17,7 +18,7 @@
 // returns those that stand idle.
 type autoscaler struct {
 	core        *Core
-	plannedAt   ids.Instant
+	plannedAt   monotonic.Instant
 	nextBooking int
 	// machinesRequested counts the machines asked for in rentals under way, and
 	// rentalsInFlight those rentals, by site.
@@ -170,7 +171,7 @@
 
 // ProvisionResult takes the answer to a rental; ok is false if the cloud had none
 // or would not rent.
-func (c *Core) ProvisionResult(now ids.Instant, r wire.ProvisionRequest, hosts []ids.MachineID, ok bool) {
+func (c *Core) ProvisionResult(now monotonic.Instant, r wire.ProvisionRequest, hosts []ids.MachineID, ok bool) {
 	c.now = now
 	c.autoscaler.rentResult(r, hosts, ok)
 }
@@ -214,7 +215,7 @@
 		return false
 	}
 	usual := max(1, as.bootFactors[m.Type])
-	return as.core.now > m.knownSince.Add(ids.Seconds(lateBootFactor*usual*m.machineType.BootS)+as.core.opt.HeartbeatInterval)
+	return as.core.now > m.knownSince.Add(monotonic.Seconds(lateBootFactor*usual*m.machineType.BootS)+as.core.opt.HeartbeatInterval)
 }
 
 // recordBoot takes in how long a machine took to come up, as a part of its type's time.
@@ -233,8 +234,8 @@
 func (as *autoscaler) fastestBoot(s *wire.JobSpec) time.Duration {
 	boot := time.Duration(0)
 	for i := range as.core.typeList {
-		if t := &as.core.typeList[i]; placement.Fits(s, t) && (boot == 0 || ids.Seconds(t.BootS) < boot) {
-			boot = ids.Seconds(t.BootS)
+		if t := &as.core.typeList[i]; placement.Fits(s, t) && (boot == 0 || monotonic.Seconds(t.BootS) < boot) {
+			boot = monotonic.Seconds(t.BootS)
 		}
 	}
 	return boot
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
@@ -23,7 +24,7 @@
 type longDay struct {
 	rng      *rand.Rand
 	c        *Core
-	now      ids.Instant
+	now      monotonic.Instant
 	queue    simQueue
 	seq      int
 	workers  map[ids.MachineID]*longWorker
@@ -45,7 +46,7 @@
 }
 
 func newLongDay() *longDay {
-	d := &longDay{rng: rand.New(rand.NewPCG(3, 5)), now: ids.Instant(time.Hour), workers: map[ids.MachineID]*longWorker{},
+	d := &longDay{rng: rand.New(rand.NewPCG(3, 5)), now: monotonic.Instant(time.Hour), workers: map[ids.MachineID]*longWorker{},
 		specs: map[ids.JobID]*wire.JobSpec{}, revision: 100}
 	team := func(name ids.Team, nominal, limit float64) quota.Team {
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, LendingLimit: quota.Amount{CPUs: nominal}}
@@ -116,7 +117,7 @@
 			spec := d.specs[ref.Job]
 			w.tasks = append(w.tasks, wire.TaskStatus{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning})
 			if !spec.Service {
-				d.after(ids.Seconds(spec.EstimateS*(0.7+0.6*d.rng.Float64())), func() { d.end(w, o) })
+				d.after(monotonic.Seconds(spec.EstimateS*(0.7+0.6*d.rng.Float64())), func() { d.end(w, o) })
 			}
 		case o.Verb == wire.VerbKill && i >= 0 && w.tasks[i].State != wire.TaskEnded:
 			w.tasks[i].State, w.tasks[i].Cause = wire.TaskEnded, wire.CauseStopped
--- a/scheduler/class_demand.go
+++ b/scheduler/class_demand.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -38,7 +38,7 @@
 }
 
 // advance moves on to the window's slot of the given time.
-func (p *classDemand) advance(now ids.Instant) {
+func (p *classDemand) advance(now monotonic.Instant) {
 	slot := int(time.Duration(now) / (demandWindow / 4))
 	for ; p.slot < slot; p.slot++ {
 		if slot-p.slot > 4 {
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -2,6 +2,7 @@
 
 import (
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -61,7 +62,7 @@
 			continue
 		}
 		grace := a.graceS
-		if a.killSentAt != 0 && q.core.now > a.killSentAt.Add(ids.Seconds(a.graceS)) {
+		if a.killSentAt != 0 && q.core.now > a.killSentAt.Add(monotonic.Seconds(a.graceS)) {
 			grace = 0
 		}
 		if a.killSentAt == 0 {
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -12,6 +12,7 @@
 
 	"ospreystile.example/ospreystile/dependency"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
@@ -22,12 +23,12 @@
 // the order of a step; each duty has a part of its own that holds the rest.
 type Core struct {
 	opt       Options
-	termBegan ids.Instant
-	now       ids.Instant
-	lastStep  ids.Instant
+	termBegan monotonic.Instant
+	now       monotonic.Instant
+	lastStep  monotonic.Instant
 	// resumedAt is when steps went on after the process was paused, and totalPause
 	// how long all pauses together took.
-	resumedAt       ids.Instant
+	resumedAt       monotonic.Instant
 	totalPause      time.Duration
 	previousLeaders previousLeaders
 	// restrictedToReplicas tells that no machine may be answered but those with replicas;
@@ -52,8 +53,8 @@
 	// round begins before nextRoundAt, and one is due at recheckAt although nothing
 	// happens; 0: none.
 	schedulingDue bool
-	nextRoundAt   ids.Instant
-	recheckAt     ids.Instant
+	nextRoundAt   monotonic.Instant
+	recheckAt     monotonic.Instant
 
 	records    *recordWriter
 	registry   *machineRegistry
@@ -118,7 +119,7 @@
 func (c *Core) RecordsError() error { return c.recordsErr }
 
 // Begin ends the loading of records.
-func (c *Core) Begin(now ids.Instant) {
+func (c *Core) Begin(now monotonic.Instant) {
 	c.termBegan, c.now = now, now
 	c.beginPreviousLeaders()
 	c.autoscaler.plannedAt = now
@@ -159,13 +160,13 @@
 // name of an earlier one, nor does one that was started since. So no worker's lease can
 // be renewed by anybody else for a report sent after now, and what silent workers hold
 // need not wait for the predecessor's grace.
-func (c *Core) AllControllersFollow(now ids.Instant) {
+func (c *Core) AllControllersFollow(now monotonic.Instant) {
 	c.now = now
 	c.previousLeaders.end(now)
 }
 
 // Step runs what time and events call for and hands out the decisions.
-func (c *Core) Step(now ids.Instant) Decisions {
+func (c *Core) Step(now monotonic.Instant) Decisions {
 	c.advance(now)
 	if c.health.healthCheckDue || now >= c.health.healthCheckedAt.Add(healthCheckInterval) {
 		c.health.healthCheckDue, c.health.healthCheckedAt = false, now
@@ -190,7 +191,7 @@
 }
 
 // advance moves the clock on and detects pauses of the process.
-func (c *Core) advance(now ids.Instant) {
+func (c *Core) advance(now monotonic.Instant) {
 	c.now = now
 	if gap := now.Sub(c.lastStep); gap > processPauseThreshold {
 		c.resumedAt = now
@@ -203,7 +204,7 @@
 
 // scheduleAt sees that a scheduling round comes by a time, whether or not anything
 // happens.
-func (c *Core) scheduleAt(at ids.Instant) {
+func (c *Core) scheduleAt(at monotonic.Instant) {
 	if c.recheckAt == 0 || at < c.recheckAt {
 		c.recheckAt = at
 	}
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -100,7 +101,7 @@
 
 // TakeCommands hands out the command that should go to a worker now. It must be
 // followed by CommandsResult.
-func (c *Core) TakeCommands(now ids.Instant, h ids.MachineID) (d wire.CommandBatch, endpoint string, ok bool) {
+func (c *Core) TakeCommands(now monotonic.Instant, h ids.MachineID) (d wire.CommandBatch, endpoint string, ok bool) {
 	c.now = now
 	return c.commands.takeDirect(h)
 }
@@ -124,7 +125,7 @@
 
 // CommandsResult takes the answer to a direct command, or its absence. Without
 // one, the command may still be carried out; the tokens see to that.
-func (c *Core) CommandsResult(now ids.Instant, h ids.MachineID, rep *wire.Heartbeat) {
+func (c *Core) CommandsResult(now monotonic.Instant, h ids.MachineID, rep *wire.Heartbeat) {
 	c.now = now
 	c.commands.directResult(h, rep)
 }
@@ -164,7 +165,7 @@
 }
 
 // HeartbeatRequestResult takes the answer to a request for a report, or nil.
-func (c *Core) HeartbeatRequestResult(now ids.Instant, h ids.MachineID, rep *wire.Heartbeat) {
+func (c *Core) HeartbeatRequestResult(now monotonic.Instant, h ids.MachineID, rep *wire.Heartbeat) {
 	c.now = now
 	c.commands.showResult(h, rep)
 }
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -22,7 +22,7 @@
 	if r := e.estimateFactors[s.Class]; r > 0 {
 		factor = r
 	}
-	return ids.Seconds(factor * s.EstimateS)
+	return monotonic.Seconds(factor * s.EstimateS)
 }
 
 // recordRun takes in how long a task of a class ran against its estimate.
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 const (
@@ -67,7 +68,7 @@
 // addAntiAffinity keeps a job off a machine for a while.
 func (c *Core) addAntiAffinity(j *job, m *machine) {
 	if j.antiAffinity == nil {
-		j.antiAffinity = map[ids.MachineID]ids.Instant{}
+		j.antiAffinity = map[ids.MachineID]monotonic.Instant{}
 	}
 	j.antiAffinity[m.host] = c.now
 	c.scheduleAt(c.now.Add(antiAffinityPeriod))
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
@@ -220,8 +221,8 @@
 		b.c.Begin(b.now)
 		start := b.now
 		on := map[ids.MachineID][]wire.TaskStatus{}
-		until := map[string]ids.Instant{}
-		var first ids.Instant
+		until := map[string]monotonic.Instant{}
+		var first monotonic.Instant
 		for s := range 420 {
 			b.now = b.now.Add(time.Second)
 			if s%2 == 0 {
--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -32,7 +33,7 @@
 
 // wait is until when a site is not asked, and how long the next wait is.
 type wait struct {
-	until ids.Instant
+	until monotonic.Instant
 	next  time.Duration
 }
 
@@ -42,7 +43,7 @@
 }
 
 // RecordRefusal notes that a site had no capacity.
-func (b *Backoff) RecordRefusal(s placement.Site, now ids.Instant) {
+func (b *Backoff) RecordRefusal(s placement.Site, now monotonic.Instant) {
 	w := b.sites[s]
 	if w.next == 0 {
 		w.next = b.first
@@ -59,7 +60,7 @@
 func (b *Backoff) RecentlyRefused(s placement.Site) bool { return b.sites[s].next > 0 }
 
 // Active tells whether a site should not be asked yet.
-func (b *Backoff) Active(s placement.Site, now ids.Instant) bool { return now < b.sites[s].until }
+func (b *Backoff) Active(s placement.Site, now monotonic.Instant) bool { return now < b.sites[s].until }
 
 // bin is a machine that is coming and has room left.
 type bin struct {
--- a/scheduler/fleet/fleet_test.go
+++ b/scheduler/fleet/fleet_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -57,7 +58,7 @@
 func TestBackoffGrowsAndEnds(t *testing.T) {
 	b := NewBackoff(10 * time.Second)
 	s := placement.Site{Type: "small", Zone: "a"}
-	now := ids.Instant(time.Hour)
+	now := monotonic.Instant(time.Hour)
 	if b.Active(s, now) || b.RecentlyRefused(s) {
 		t.Error("blocked before it was refused")
 	}
--- a/scheduler/fleet_demand.go
+++ b/scheduler/fleet_demand.go
@@ -7,7 +7,7 @@
 	"sort"
 	"time"
 
-	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/fleet"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/scheduler/quota"
@@ -90,7 +90,7 @@
 // their classes have run so far.
 func (as *autoscaler) freeSoon(m *machine) placement.Resources {
 	free := m.free()
-	by := as.core.now.Add(ids.Seconds(0.8 * m.machineType.BootS))
+	by := as.core.now.Add(monotonic.Seconds(0.8 * m.machineType.BootS))
 	for _, a := range m.taskList {
 		if !a.job.spec.Service && (a.stopReason != stopNone || a.phase == wire.TaskRunning && a.phaseSince.Add(as.core.estimates.expectedRun(a.job.spec)) < by) {
 			free = free.Plus(placement.TaskResources(a.job.spec))
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
@@ -17,7 +18,7 @@
 type harness struct {
 	t    *testing.T
 	c    *Core
-	now  ids.Instant
+	now  monotonic.Instant
 	tick ids.Sequence
 	// zoneWrites counts the records of zones that were written.
 	zoneWrites int
@@ -41,7 +42,7 @@
 	if types == nil {
 		types = []wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: []ids.Zone{"a", "b"}}}
 	}
-	return &harness{t: t, c: New(opt, types), now: ids.Instant(time.Hour)}
+	return &harness{t: t, c: New(opt, types), now: monotonic.Instant(time.Hour)}
 }
 
 func (b *harness) job(id ids.JobID, spec wire.JobSpec) {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -13,8 +14,8 @@
 	core       *Core
 	zoneStates map[ids.Zone]*zoneState
 	// lastHeard is when any machine was last heard.
-	lastHeard       ids.Instant
-	healthCheckedAt ids.Instant
+	lastHeard       monotonic.Instant
+	healthCheckedAt monotonic.Instant
 	// healthCheckDue asks for a check before its time.
 	healthCheckDue bool
 }
@@ -91,7 +92,7 @@
 		registry.returnMachine(m, returnMissing)
 	case hm.bootFailed(m):
 		registry.returnMachine(m, returnBootFailed)
-	case len(m.tasks) > 0 && hm.leaseExpired(m) && hm.silentFor(m, ids.Drift(hm.core.opt.AgentLease)):
+	case len(m.tasks) > 0 && hm.leaseExpired(m) && hm.silentFor(m, monotonic.AddDriftMargin(hm.core.opt.AgentLease)):
 		for _, a := range m.tasksSnapshot() {
 			if !a.recordInFlight {
 				hm.core.zones.lost(a)
@@ -117,7 +118,7 @@
 	if m.reported || m.bootDeadline == 0 || len(m.tasks) > 0 {
 		return false
 	}
-	heardBy := ids.Instant(0)
+	heardBy := monotonic.Instant(0)
 	if hm.core.opt.PreviousLeader {
 		heardBy = hm.core.termBegan.Add(hm.core.opt.AgentLease)
 	}
@@ -139,7 +140,7 @@
 }
 
 // completesBy guesses whether a task will be done by a time.
-func (hm *healthMonitor) completesBy(a *assignment, by ids.Instant) bool {
+func (hm *healthMonitor) completesBy(a *assignment, by monotonic.Instant) bool {
 	if a.job.spec.Service || a.phase != wire.TaskRunning {
 		return false
 	}
@@ -177,7 +178,7 @@
 	} else if m.answeredAt > last {
 		last = m.answeredAt
 	}
-	return hm.core.now > last.Add(ids.Drift(hm.core.opt.AgentLease)+time.Second)
+	return hm.core.now > last.Add(monotonic.AddDriftMargin(hm.core.opt.AgentLease)+time.Second)
 }
 
 // trusted tells whether a machine's messages are surely no late copies: what
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -13,7 +14,7 @@
 // Heartbeat takes a worker's report and returns the answer. Direct marks reports
 // that came as answers to direct commands: they renew no lease. ok is false if
 // this leader must not answer.
-func (c *Core) Heartbeat(now ids.Instant, rep *wire.Heartbeat, direct bool) (answer wire.HeartbeatResponse, ok bool) {
+func (c *Core) Heartbeat(now monotonic.Instant, rep *wire.Heartbeat, direct bool) (answer wire.HeartbeatResponse, ok bool) {
 	c.advance(now)
 	if rep.FencingToken.Revision() > c.opt.Revision {
 		c.superseded = true
@@ -82,7 +83,7 @@
 			c.schedulingDue, c.health.healthCheckDue = true, true
 			c.autoscaler.spotLosses++
 		}
-		m.takenBy = c.now.Add(ids.Seconds(*rep.SpotNoticeS))
+		m.takenBy = c.now.Add(monotonic.Seconds(*rep.SpotNoticeS))
 	}
 	m.reportedTasks = m.reportedTasks[:0]
 	for _, t := range rep.Tasks {
--- a/scheduler/job.go
+++ b/scheduler/job.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/scheduler/quota"
@@ -35,7 +36,7 @@
 	number     int
 	revision   ids.Revision // 0: no record
 	dirty      bool
-	dirtySince ids.Instant
+	dirtySince monotonic.Instant
 	urgent     bool // holds placements that are not recorded
 	inFlight   bool
 	tasks      []int // ascending
@@ -71,28 +72,28 @@
 	zones            placement.TasksByZone
 	// completing tells that the commit of done is on its way.
 	completing  bool
-	cancelledAt ids.Instant
-	retryAt     ids.Instant
-	rereadAt    ids.Instant // no change before, the record is being read again
+	cancelledAt monotonic.Instant
+	retryAt     monotonic.Instant
+	rereadAt    monotonic.Instant // no change before, the record is being read again
 	backoff     time.Duration
 	deferred    bool     // goes with the borrowers, behind higher work of its team
 	onlyZone    ids.Zone // while a zone is tried for a job that needs one
 	// started tells that one of its tasks was placed once.
 	started   bool
 	suspended bool // see Suspend
-	readyAt   ids.Instant
+	readyAt   monotonic.Instant
 	// waitingSince is since when it could not start; a reservation that did not
 	// suffice moves it.
-	waitingSince  ids.Instant
-	reservedSince ids.Instant // 0: no machine is reserved for it
+	waitingSince  monotonic.Instant
+	reservedSince monotonic.Instant // 0: no machine is reserved for it
 	// allowColdStart tells that no machine which holds the image can take the job's
 	// tasks, so others may.
 	allowColdStart bool
 	// preferredZone is where a replica that was stopped to be moved should go, until
 	// preferredUntil.
 	preferredZone  ids.Zone
-	preferredUntil ids.Instant
-	antiAffinity   map[ids.MachineID]ids.Instant // where it failed, and when last
+	preferredUntil monotonic.Instant
+	antiAffinity   map[ids.MachineID]monotonic.Instant // where it failed, and when last
 	succeeded      int
 	failureRounds  int                               // in which it failed everywhere, since it last succeeded
 	runTimes       map[ids.MachineID][]time.Duration // tasks that were seen from start to end
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -5,6 +5,7 @@
 
 	"ospreystile.example/ospreystile/dependency"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
@@ -105,7 +106,7 @@
 
 // ObserveJob takes a job's record as found in state: new, cancelled or with a
 // version that this leader did not know.
-func (c *Core) ObserveJob(now ids.Instant, id ids.JobID, rec *records.Job, revision ids.Revision) {
+func (c *Core) ObserveJob(now monotonic.Instant, id ids.JobID, rec *records.Job, revision ids.Revision) {
 	c.now = now
 	j := c.jobs[id]
 	if j != nil && revision <= j.revision {
@@ -201,7 +202,7 @@
 
 // EnableSplitRecords tells that every controller can read slices that were split. Records
 // beyond what the state service may take at any moment are split from now on.
-func (c *Core) EnableSplitRecords(now ids.Instant) {
+func (c *Core) EnableSplitRecords(now monotonic.Instant) {
 	c.now = now
 	if c.opt.SplitRecords {
 		return
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -5,6 +5,7 @@
 	"strings"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -20,7 +21,7 @@
 // cachedImage is an image in a machine's cache.
 type cachedImage struct {
 	sizeGB float64
-	usedAt ids.Instant
+	usedAt monotonic.Instant
 }
 
 // machine is what the core knows of one machine.
@@ -33,17 +34,17 @@
 	used           placement.Resources
 	unrecorded     placement.Resources
 	unrecordedJobs []*job // whose tasks the strays are, for the books
-	knownSince     ids.Instant
-	bootDeadline   ids.Instant
+	knownSince     monotonic.Instant
+	bootDeadline   monotonic.Instant
 
 	reported   bool
 	session    ids.AgentIncarnation
 	sequence   ids.Sequence
 	token      ids.FencingToken // highest that the worker has shown
-	lastHeard  ids.Instant
-	answeredAt ids.Instant
+	lastHeard  monotonic.Instant
+	answeredAt monotonic.Instant
 	fenced     bool
-	fencedAt   ids.Instant
+	fencedAt   monotonic.Instant
 	counter    uint64
 
 	// hadReplicas tells that a replica was recorded on it when this term began.
@@ -53,17 +54,17 @@
 	rentedThisTerm, answeredCall bool
 	// unreachable tells that it reports, but that what it is told does not reach it.
 	unreachable      bool
-	unreachableSince ids.Instant
+	unreachableSince monotonic.Instant
 	// reservedFor is the job that alone may use the machine's free room; nil: all.
 	reservedFor *job
 
 	queued          bool // in Core.hot
 	callInFlight    bool
-	callRetryAt     ids.Instant
+	callRetryAt     monotonic.Instant
 	callFailed      bool             // nothing heard since a direct command failed
 	directRunToken  ids.FencingToken // highest under which a direct run was sent
 	reportRequested bool
-	requestReportAt ids.Instant
+	requestReportAt monotonic.Instant
 
 	tasks map[ids.TaskRef]*assignment
 	// taskList holds the tasks by job and index; staying, replicas and fetches count
@@ -79,23 +80,23 @@
 	reportedTasks []reportedTask
 	images        map[ids.Image]*cachedImage
 
-	takenBy        ids.Instant // 0: no notice
+	takenBy        monotonic.Instant // 0: no notice
 	listedStatus   wire.MachineStatus
 	missingLists   int // machine lists in a row without it, after it was listed
 	returning      bool
 	returnInFlight bool // a return call is on its way
 	returned       bool // the cloud has said that it is gone
-	idleSince      ids.Instant
+	idleSince      monotonic.Instant
 
 	// failuresByJob counts failed tasks since the last that succeeded.
 	failuresByJob          map[ids.JobID]int
-	quarantinedUntil       ids.Instant
+	quarantinedUntil       monotonic.Instant
 	quarantinedForFailures bool // the quarantine is for its errors
-	lastFailure            ids.Instant
+	lastFailure            monotonic.Instant
 	// slowness is a running mean of how many times as long tasks took here as others
 	// of their jobs did, as a power of 2.
 	slowness   float64
-	slowUntil  ids.Instant
+	slowUntil  monotonic.Instant
 	slowStreak int // jobs in a row that found the machine slow
 }
 
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -75,20 +76,20 @@
 		m.machineType = t
 		m.total = placement.MachineResources(t)
 		if m.bootDeadline == 0 {
-			m.bootDeadline = m.knownSince.Add(ids.Seconds(t.BootS*r.core.opt.BootFactor) + r.core.opt.ListLag)
+			m.bootDeadline = m.knownSince.Add(monotonic.Seconds(t.BootS*r.core.opt.BootFactor) + r.core.opt.ListLag)
 		}
 	}
 }
 
 // MachineList takes the cloud's list. It lags and may be older than one
 // before, so absence proves nothing by itself. asked is when it was asked for.
-func (c *Core) MachineList(now, asked ids.Instant, list []wire.Machine) {
+func (c *Core) MachineList(now, asked monotonic.Instant, list []wire.Machine) {
 	c.now = now
 	c.registry.observeList(asked, list)
 }
 
 // observeList takes the cloud's list into account.
-func (r *machineRegistry) observeList(asked ids.Instant, list []wire.Machine) {
+func (r *machineRegistry) observeList(asked monotonic.Instant, list []wire.Machine) {
 	listed := map[ids.MachineID]bool{}
 	for _, w := range list {
 		listed[w.ID] = true
@@ -98,7 +99,7 @@
 		m := r.machines[w.ID]
 		if m == nil {
 			m = r.ensureMachine(w.ID)
-			m.knownSince = asked.Add(-ids.Seconds(w.AgeS))
+			m.knownSince = asked.Add(-monotonic.Seconds(w.AgeS))
 		}
 		r.setSite(m, placement.Site{Type: w.Type, Zone: w.Zone, Spot: w.Spot}, w.Endpoint)
 		if m.listedStatus != w.Status && !m.reported && r.core.opt.PreviousLeader {
@@ -148,7 +149,7 @@
 
 // TerminateResult takes the outcome of giving machines back. Once it succeeded,
 // the machines and all on them are gone.
-func (c *Core) TerminateResult(now ids.Instant, hosts []ids.MachineID, ok bool) {
+func (c *Core) TerminateResult(now monotonic.Instant, hosts []ids.MachineID, ok bool) {
 	c.now = now
 	c.registry.returnResult(hosts, ok)
 }
--- a/scheduler/parts_test.go
+++ b/scheduler/parts_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -35,7 +36,7 @@
 func TestClassDemandForgets(t *testing.T) {
 	const slot = demandWindow / 4
 	p := &classDemand{}
-	p.advance(ids.Instant(slot))
+	p.advance(monotonic.Instant(slot))
 	p.peaks[p.slot%4] = 7
 	p.jobs[p.slot%4], p.tasks[p.slot%4] = 4, 12
 	if got := p.expectedArrivals(demandWindow); got < 12 || got > 31 {
@@ -43,7 +44,7 @@
 	}
 	for after, peak := range map[time.Duration]int{slot: 7, 3 * slot: 7, 4 * slot: 0, 40 * slot: 0} {
 		later := *p
-		later.advance(ids.Instant(slot + after))
+		later.advance(monotonic.Instant(slot + after))
 		if got := later.peakTasks(); got != peak {
 			t.Errorf("%v later the peak is %d, want %d", after, got, peak)
 		}
@@ -56,7 +57,7 @@
 // The fewer machines a zone has, the longer it may be silent by chance; and while nobody
 // is heard at all it is rather this node's network.
 func TestZonesFallSilent(t *testing.T) {
-	now := ids.Instant(time.Hour)
+	now := monotonic.Instant(time.Hour)
 	for _, c := range []struct {
 		name        string
 		machines    int
--- a/scheduler/previous_leaders.go
+++ b/scheduler/previous_leaders.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // A leader that lost the state service and its peers, but not its workers, cannot tell
@@ -21,25 +22,25 @@
 // was told that a job is cancelled: the lease that it renews last must have ended within
 // cancel from then. It is 0 where cancel is no longer than a lease.
 func CancelMargin(cancel, lease time.Duration) time.Duration {
-	return max(0, cancel-cancel/500-ids.Drift(lease)-time.Second)
+	return max(0, cancel-cancel/500-monotonic.AddDriftMargin(lease)-time.Second)
 }
 
 // previousLeaders is until when earlier leaders can have received reports that they then
 // answered: from machines on which a replica was recorded when this term began, and from
 // all others.
 type previousLeaders struct {
-	withReplicas, others ids.Instant
+	withReplicas, others monotonic.Instant
 	// unclear tells that some records could not be read: any machine may have replicas.
 	unclear bool
 }
 
 // end notes that there is no earlier leader any more.
-func (p *previousLeaders) end(now ids.Instant) {
+func (p *previousLeaders) end(now monotonic.Instant) {
 	p.withReplicas, p.others = min(p.withReplicas, now), min(p.others, now)
 }
 
 // until is the latest time at which an earlier leader answered a machine.
-func (p *previousLeaders) until(m *machine) ids.Instant {
+func (p *previousLeaders) until(m *machine) monotonic.Instant {
 	if m.hadReplicas || p.unclear {
 		return p.withReplicas
 	}
@@ -79,11 +80,11 @@
 
 // PreviousLeadersHarmless tells whether no earlier leader answers workers any more, or for no
 // longer than CancelMargin: then every cancellation may be acknowledged.
-func (c *Core) PreviousLeadersHarmless(now ids.Instant) bool {
+func (c *Core) PreviousLeadersHarmless(now monotonic.Instant) bool {
 	return c.harmless(now, max(c.previousLeaders.withReplicas, c.previousLeaders.others))
 }
 
-func (c *Core) harmless(now, until ids.Instant) bool {
+func (c *Core) harmless(now, until monotonic.Instant) bool {
 	return now.Add(CancelMargin(c.opt.CancelDeadline, c.opt.AgentLease)) >= until
 }
 
@@ -92,7 +93,7 @@
 // the job's tasks for too long. A machine that has seen a token of this leader drops all
 // that earlier ones answer, and one that was returned has no tasks. What is not recorded
 // was never started, so the recorded tasks are all there are.
-func (c *Core) CanAcknowledgeCancel(now ids.Instant, id ids.JobID) bool {
+func (c *Core) CanAcknowledgeCancel(now monotonic.Instant, id ids.JobID) bool {
 	if c.PreviousLeadersHarmless(now) {
 		return true
 	}
--- a/scheduler/quota/quota.go
+++ b/scheduler/quota/quota.go
@@ -7,6 +7,7 @@
 	"sort"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // slack keeps sums of decimal amounts from failing a comparison by rounding.
@@ -50,7 +51,7 @@
 type account struct {
 	Team
 	used                  Amount
-	lendingSuspendedUntil ids.Instant
+	lendingSuspendedUntil monotonic.Instant
 }
 
 // Tracker counts what every team uses. Whatever may be on a machine counts as
@@ -127,7 +128,7 @@
 
 // FitsBorrowing tells whether a team may use m more, within its limit and
 // with what the others leave idle and lend.
-func (b *Tracker) FitsBorrowing(t ids.Team, m Amount, now ids.Instant) bool {
+func (b *Tracker) FitsBorrowing(t ids.Team, m Amount, now monotonic.Instant) bool {
 	a := b.accounts[t]
 	if a == nil || !a.used.Plus(m).FitsIn(a.Limit) {
 		return false
@@ -163,7 +164,7 @@
 
 // SuspendLending keeps a team's idle quota from being lent until a time, so that a team
 // that just reclaimed does not see it lent away at once.
-func (b *Tracker) SuspendLending(t ids.Team, until ids.Instant) {
+func (b *Tracker) SuspendLending(t ids.Team, until monotonic.Instant) {
 	if a := b.accounts[t]; a != nil && until > a.lendingSuspendedUntil {
 		a.lendingSuspendedUntil = until
 	}
--- a/scheduler/quota/quota_test.go
+++ b/scheduler/quota/quota_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 func cpus(n float64) Amount { return Amount{CPUs: n} }
@@ -50,7 +50,7 @@
 
 func TestLendingIsSuspendedForAWhile(t *testing.T) {
 	b := twoTeams(8)
-	until := ids.Instant(time.Hour)
+	until := monotonic.Instant(time.Hour)
 	b.SuspendLending("blue", until)
 	b.SuspendLending("blue", until.Add(-time.Minute)) // shortens nothing
 	b.Charge("red", cpus(8))
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
@@ -231,7 +232,7 @@
 		b.c.Begin(b.now)
 		start := b.now
 		on := map[ids.MachineID][]wire.TaskStatus{}
-		until := map[string]ids.Instant{}
+		until := map[string]monotonic.Instant{}
 		hosts := []ids.MachineID{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
 		token := ids.NewFencingToken(5, 0)
 		for s := range 300 {
@@ -303,7 +304,7 @@
 				Spec: &wire.JobSpec{Team: "red", Tasks: tasks, CPUs: 2}}, ids.Revision(100+len(b.c.jobs)))
 		}
 		submit("job-old", 200)
-		until := map[string]ids.Instant{}
+		until := map[string]monotonic.Instant{}
 		for s := range 300 {
 			b.now = b.now.Add(time.Second)
 			if s == 20 {
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -5,12 +5,13 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
 // CommitResult takes the definite outcome of a change.
-func (c *Core) CommitResult(now ids.Instant, o records.CommitResult) {
+func (c *Core) CommitResult(now monotonic.Instant, o records.CommitResult) {
 	c.now = now
 	c.records.settleChange(o)
 }
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -4,6 +4,7 @@
 	"sort"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 )
 
@@ -16,7 +17,7 @@
 	nextChange     uint64
 	// writeBudget is how many writes the rate still allows.
 	writeBudget      float64
-	budgetRefilledAt ids.Instant
+	budgetRefilledAt monotonic.Instant
 	// dirty are the slices whose records lag behind, with their jobs.
 	dirty map[*admissionSlice]*job
 	// completable are jobs whose tasks are all done, and droppable those that are
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -45,7 +46,7 @@
 }
 
 // in is the time after a while.
-func (m *scenario) in(d time.Duration) ids.Instant { return m.now.Add(d) }
+func (m *scenario) in(d time.Duration) monotonic.Instant { return m.now.Add(d) }
 
 // some does something to every nth machine.
 func (m *scenario) some(nth int, f func(w *simWorker)) {
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -29,7 +30,7 @@
 )
 
 type simEvent struct {
-	at  ids.Instant
+	at  monotonic.Instant
 	seq int
 	do  func()
 }
@@ -56,29 +57,29 @@
 type sim struct {
 	t     *testing.T
 	rng   *rand.Rand
-	now   ids.Instant
+	now   monotonic.Instant
 	seq   int
 	queue simQueue
 
 	epoch  ids.Revision
 	store  map[string]simEntry
 	leader ids.Revision
-	outage ids.Instant // the state service is away for everybody until then
+	outage monotonic.Instant // the state service is away for everybody until then
 	// refusal: the state service refuses the leader alone until then. sure is until
 	// when its key is surely held.
-	refusal, sure   ids.Instant
-	cloudAway       ids.Instant // the cloud carries nothing out until then
-	controllersDown ids.Instant // no controller runs until then
+	refusal, sure   monotonic.Instant
+	cloudAway       monotonic.Instant // the cloud carries nothing out until then
+	controllersDown monotonic.Instant // no controller runs until then
 	// island is a zone that until islandUntil is reached by the old leader alone.
 	island      ids.Zone
-	islandUntil ids.Instant
+	islandUntil monotonic.Instant
 	core        *Core
 	term        int
 	// old is an earlier leader that lost the state service and its peers, but
 	// not its workers: it goes on until it is deposed or its grace is over.
 	old      *Core
 	oldTerm  int
-	oldUntil ids.Instant
+	oldUntil monotonic.Instant
 	opt      Options
 	types    []wire.MachineType
 	workers  map[ids.MachineID]*simWorker
@@ -90,7 +91,7 @@
 	completed map[ids.TaskRef]bool
 	// cancelled are the jobs whose users asked for it, cancelled when they were told.
 	cancelled     map[ids.JobID]bool
-	toldCancelled map[ids.JobID]ids.Instant
+	toldCancelled map[ids.JobID]monotonic.Instant
 	lateStart     int               // starts after that
 	keptReports   []*wire.Heartbeat // copies of reports that come to the next leader
 	violations    []string
@@ -103,7 +104,7 @@
 	// pausedCore is a leader whose process does not run until pausedUntil; what comes
 	// for it meanwhile waits.
 	pausedCore  *Core
-	pausedUntil ids.Instant
+	pausedUntil monotonic.Instant
 	// failing are the jobs that fail on every machine.
 	failing map[ids.JobID]bool
 	// runFactor is how many times as long array tasks run; 0: once.
@@ -120,9 +121,9 @@
 }
 
 func newSim(t *testing.T, seed uint64) *sim {
-	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: ids.Instant(time.Hour), store: map[string]simEntry{},
+	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: monotonic.Instant(time.Hour), store: map[string]simEntry{},
 		workers: map[ids.MachineID]*simWorker{}, rented: map[string][]ids.MachineID{}, specs: map[ids.JobID]*wire.JobSpec{}, sent: map[ids.JobID][]simPlace{},
-		completed: map[ids.TaskRef]bool{}, cancelled: map[ids.JobID]bool{}, toldCancelled: map[ids.JobID]ids.Instant{}, faults: true, capacity: 2,
+		completed: map[ids.TaskRef]bool{}, cancelled: map[ids.JobID]bool{}, toldCancelled: map[ids.JobID]monotonic.Instant{}, faults: true, capacity: 2,
 		copies: 0.1, cancelAtEnd: 0.03, quickBoots: 0.1, digest: newEffectDigest(), failing: map[ids.JobID]bool{}}
 	s.types = []wire.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: []ids.Zone{"a", "b"}},
@@ -162,7 +163,7 @@
 
 // violation notes a broken rule.
 func (s *sim) violation(format string, args ...any) {
-	s.violations = append(s.violations, fmt.Sprintf("%.1f s: ", time.Duration(s.now-ids.Instant(time.Hour)).Seconds())+fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf("%.1f s: ", time.Duration(s.now-monotonic.Instant(time.Hour)).Seconds())+fmt.Sprintf(format, args...))
 }
 
 func (s *sim) must(err error) {
--- a/scheduler/sim_troubles_test.go
+++ b/scheduler/sim_troubles_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -14,70 +15,70 @@
 var troubles = []struct {
 	name  string
 	weigh int
-	bring func(s *sim, all []ids.JobID, d func(from, to int) ids.Instant)
+	bring func(s *sim, all []ids.JobID, d func(from, to int) monotonic.Instant)
 }{
-	{"machine cut", 4, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+	{"machine cut", 4, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
 		if w := s.someWorker(); w != nil {
 			w.cut = d(5, 65)
 		}
 	}},
-	{"machine unhealthy, or healthy again", 3, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
+	{"machine unhealthy, or healthy again", 3, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
 		if w := s.someWorker(); w != nil {
 			w.unhealthy = !w.unhealthy
 		}
 	}},
-	{"machine dies", 3, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
+	{"machine dies", 3, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
 		if w := s.someWorker(); w != nil && w.session > 0 {
 			w.dead = true
 		}
 	}},
-	{"machine unreachable, though it reports", 3, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+	{"machine unreachable, though it reports", 3, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
 		if w := s.someWorker(); w != nil {
 			w.unreachable = d(5, 95)
 		}
 	}},
-	{"machine cannot report, though it is reached", 3, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+	{"machine cannot report, though it is reached", 3, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
 		if w := s.someWorker(); w != nil {
 			w.cannotReport = d(5, 95)
 		}
 	}},
-	{"machine hangs", 3, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+	{"machine hangs", 3, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
 		if w := s.someWorker(); w != nil {
 			w.hung = d(5, 65)
 		}
 	}},
-	{"machine back at once", 2, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
+	{"machine back at once", 2, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
 		if w := s.someWorker(); w != nil && w.session > 0 && !w.dead {
 			w.tasks, w.sequence, w.sentAt = nil, 0, s.now
 			w.session++
 		}
 	}},
-	{"another leader", 4, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) { s.takeOver() }},
-	{"leaders in a row", 1, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
+	{"another leader", 4, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) { s.takeOver() }},
+	{"leaders in a row", 1, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
 		for i := range 3 {
 			s.after(time.Duration(i)*700*time.Millisecond, s.takeOver)
 		}
 	}},
-	{"no state service", 2, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) { s.outage = d(5, 65) }},
-	{"leader refused alone", 2, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) { s.refusal = d(1, 20) }},
-	{"leader goes on unseen", 2, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+	{"no state service", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.outage = d(5, 65) }},
+	{"leader refused alone", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.refusal = d(1, 20) }},
+	{"leader goes on unseen", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
 		s.deposed()
 		s.island, s.islandUntil = ids.Zone([]string{"a", "b", "c"}[s.rng.IntN(3)]), d(5, 60)
 	}},
-	{"leader is paused", 3, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
+	{"leader is paused", 3, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
 		s.pause(time.Duration(500+s.rng.IntN(11_500)) * time.Millisecond)
 	}},
-	{"no controller", 1, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) {
+	{"no controller", 1, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
 		s.controllersDown = d(1, 40)
 		s.old = nil
 		s.after(s.controllersDown.Sub(s.now), s.takeOver)
 	}},
-	{"no cloud", 1, func(s *sim, _ []ids.JobID, d func(int, int) ids.Instant) { s.cloudAway = d(5, 40) }},
-	{"slow links", 1, func(s *sim, _ []ids.JobID, _ func(int, int) ids.Instant) {
+	{"no cloud", 1, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.cloudAway = d(5, 40) }},
+	{"slow links", 1, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
 		s.slow = time.Duration(s.rng.IntN(800)) * time.Millisecond
 		s.after(20*time.Second, func() { s.slow = 0 })
 	}},
-	{"jobs that run are cancelled, and their machines hang", 2, func(s *sim, all []ids.JobID, d func(int, int) ids.Instant) {
+	{"jobs that run are cancelled, and their machines hang", 2, func(s *sim, all []ids.JobID, d func(int, int) monotonic.Instant) {
 		s.cancelRunning(all, 2, d(5, 60))
 	}},
 }
@@ -91,7 +92,7 @@
 	n := s.rng.IntN(sum)
 	for _, t := range troubles {
 		if n -= t.weigh; n < 0 {
-			t.bring(s, all, func(from, to int) ids.Instant {
+			t.bring(s, all, func(from, to int) monotonic.Instant {
 				return s.now.Add(time.Duration(from+s.rng.IntN(to-from)) * time.Second)
 			})
 			return
@@ -101,7 +102,7 @@
 
 // cancelRunning has users call off some jobs that run, and hangs their machines until
 // a time: before, while or after they are told.
-func (s *sim) cancelRunning(all []ids.JobID, count int, hang ids.Instant) {
+func (s *sim) cancelRunning(all []ids.JobID, count int, hang monotonic.Instant) {
 	for _, id := range all {
 		if count == 0 {
 			return
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -24,16 +25,16 @@
 	sequence     ids.Sequence
 	token        ids.FencingToken
 	tasks        []*simTask
-	sentAt       ids.Instant // of the last answered report, or the session's start
-	cut          ids.Instant // unreachable until then
-	hung         ids.Instant // executes and says nothing until then, but is reachable
-	unreachable  ids.Instant // its reports arrive, but nothing reaches it, until then
-	cannotReport ids.Instant // its reports do not arrive, but commands reach it, until then
-	followsTerm  int         // the term to whose leader it reports
+	sentAt       monotonic.Instant // of the last answered report, or the session's start
+	cut          monotonic.Instant // unreachable until then
+	hung         monotonic.Instant // executes and says nothing until then, but is reachable
+	unreachable  monotonic.Instant // its reports arrive, but nothing reaches it, until then
+	cannotReport monotonic.Instant // its reports do not arrive, but commands reach it, until then
+	followsTerm  int               // the term to whose leader it reports
 	dead         bool
 	unhealthy    bool
 	asking       bool
-	last         ids.Instant
+	last         monotonic.Instant
 	reportSoon   bool
 }
 
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonerecovery"
@@ -12,7 +13,7 @@
 
 // zoneChecks is what the simulation knows of zones by itself, beside the core.
 type zoneChecks struct {
-	cutUntil map[ids.Zone]ids.Instant
+	cutUntil map[ids.Zone]monotonic.Instant
 	// limits are the ramp's limits of the last seconds, by zone: a step that was taken back
 	// leaves what was under way.
 	limits map[ids.Zone][]rampLimit
@@ -30,7 +31,7 @@
 
 // rampLimit is what a zone's ramp allowed at a time.
 type rampLimit struct {
-	at    ids.Instant
+	at    monotonic.Instant
 	limit int
 }
 
@@ -49,7 +50,7 @@
 // watchZones turns the subsystem on from the next leader on, which is put in place.
 func (s *sim) watchZones() {
 	s.opt.ZoneRecovery = simZonePolicy()
-	s.zones.cutUntil, s.zones.limits = map[ids.Zone]ids.Instant{}, map[ids.Zone][]rampLimit{}
+	s.zones.cutUntil, s.zones.limits = map[ids.Zone]monotonic.Instant{}, map[ids.Zone][]rampLimit{}
 	s.zones.seen = map[*Core]zonerecovery.Stats{}
 	s.zones.conditions = map[ids.Zone][]zonerecovery.Condition{}
 	s.zones.placedInReturn = map[*assignment]bool{}
--- a/scheduler/succession_test.go
+++ b/scheduler/succession_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -43,7 +44,7 @@
 		after time.Duration
 		held  bool
 	}{{simLease + 5*time.Second, true}, {time.Minute + simLease - time.Second, true}, {time.Minute + simLease + 5*time.Second, false}} {
-		b.now = ids.Instant(time.Hour).Add(step.after)
+		b.now = monotonic.Instant(time.Hour).Add(step.after)
 		b.step()
 		if held := b.c.quotas.Used("red").CPUs > 0; held != step.held {
 			t.Errorf("after %v: still counted %v, want %v", step.after, held, step.held)
@@ -64,7 +65,7 @@
 		after time.Duration
 		held  bool
 	}{{followed + simLease, true}, {followed + simLease + 2*time.Second, false}} {
-		b.now = ids.Instant(time.Hour).Add(step.after)
+		b.now = monotonic.Instant(time.Hour).Add(step.after)
 		b.step()
 		if held := b.c.quotas.Used("red").CPUs > 0; held != step.held {
 			t.Errorf("after %v: still counted %v, want %v", step.after, held, step.held)
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
@@ -22,9 +23,9 @@
 	writes map[uint64]zoneWrite
 	// coming counts the machines on their way to each zone, as of comingAt.
 	coming   map[ids.Zone]int
-	comingAt ids.Instant
+	comingAt monotonic.Instant
 	// restoredAt is when moves back were last planned.
-	restoredAt ids.Instant
+	restoredAt monotonic.Instant
 }
 
 // zoneWrite is a zone's record on its way to the state service.
@@ -53,7 +54,7 @@
 
 // LoadZone takes in the record of a zone that a predecessor left. It does nothing where
 // zones are not watched.
-func (c *Core) LoadZone(now ids.Instant, zone ids.Zone, record *zonerecovery.Record, revision ids.Revision) {
+func (c *Core) LoadZone(now monotonic.Instant, zone ids.Zone, record *zonerecovery.Record, revision ids.Revision) {
 	if c.zones == nil {
 		return
 	}
@@ -62,7 +63,7 @@
 }
 
 // LoadUnreadableZone takes note of a zone's record that makes no sense.
-func (c *Core) LoadUnreadableZone(now ids.Instant, zone ids.Zone, revision ids.Revision) {
+func (c *Core) LoadUnreadableZone(now monotonic.Instant, zone ids.Zone, revision ids.Revision) {
 	if c.zones == nil {
 		return
 	}
@@ -71,7 +72,7 @@
 }
 
 // beginClock sets the clock before the term has begun.
-func (c *Core) beginClock(now ids.Instant) { c.now, c.termBegan = now, now }
+func (c *Core) beginClock(now monotonic.Instant) { c.now, c.termBegan = now, now }
 
 // ObserveConnectivity takes in what the leader knows of its own place among the controllers.
 func (c *Core) ObserveConnectivity(view zonerecovery.Connectivity) {
@@ -82,7 +83,7 @@
 
 // OverrideZone carries out an operator's decision. It returns a number that
 // ZoneOverrideRecorded compares; ok is false where zones are not watched.
-func (c *Core) OverrideZone(now ids.Instant, zone ids.Zone, o zonerecovery.Override) (number uint64, ok bool) {
+func (c *Core) OverrideZone(now monotonic.Instant, zone ids.Zone, o zonerecovery.Override) (number uint64, ok bool) {
 	if c.zones == nil {
 		return 0, false
 	}
@@ -96,7 +97,7 @@
 }
 
 // ZoneStatus lists the zones for operators; nil where they are not watched.
-func (c *Core) ZoneStatus(now ids.Instant) []zonerecovery.Status {
+func (c *Core) ZoneStatus(now monotonic.Instant) []zonerecovery.Status {
 	if c.zones == nil {
 		return nil
 	}
--- a/scheduler/zone_gate_test.go
+++ b/scheduler/zone_gate_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonerecovery"
 )
@@ -19,7 +20,7 @@
 			t.Parallel()
 			s := zoneDay(t, seed)
 			all := s.playZoneDay(30)
-			s.zones.cutUntil = map[ids.Zone]ids.Instant{}
+			s.zones.cutUntil = map[ids.Zone]monotonic.Instant{}
 			s.toTheEnd(all, 20*time.Minute)
 			s.checkOrphans(all)
 			if s.zones.bounces > s.opt.ZoneRecovery.MoveBudget {
--- a/scheduler/zone_return_benchmark_test.go
+++ b/scheduler/zone_return_benchmark_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -67,7 +68,7 @@
 		m.opt.Teams[i].Limit.CPUs, m.opt.Teams[i].Nominal.CPUs = 2000, 1000
 	}
 	m.opt.MaxMachines, m.opt.IdleTimeout, m.opt.WriteRate = 70, 10*time.Minute, 400
-	m.zones.cutUntil = map[ids.Zone]ids.Instant{}
+	m.zones.cutUntil = map[ids.Zone]monotonic.Instant{}
 	if on {
 		m.watchZones()
 	} else {
@@ -106,7 +107,7 @@
 	}
 	m.caches.peak["b"], m.caches.total = 0, 0
 	back := m.now
-	asked := map[ids.JobID]ids.Instant{}
+	asked := map[ids.JobID]monotonic.Instant{}
 	for m.now < back.Add(90*s1) {
 		if m.now.Sub(back)%(3*s1) == 0 {
 			spec := zoneArray(1)
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonerecovery"
 )
@@ -128,7 +129,7 @@
 func (m *scenario) endOfDay() {
 	m.t.Helper()
 	m.runFactor = 1
-	m.zones.cutUntil = map[ids.Zone]ids.Instant{}
+	m.zones.cutUntil = map[ids.Zone]monotonic.Instant{}
 	m.toTheEnd(m.all, 30*time.Minute)
 	if m.zones.bounces > 1 {
 		m.t.Errorf("a job came back %d times", m.zones.bounces)
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -4,14 +4,15 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // zoneState is what is known of a zone as a whole.
 type zoneState struct {
-	lastHeard  ids.Instant // when any machine there was last heard
-	machinesUp int         // machines that reported while it was heard
+	lastHeard  monotonic.Instant // when any machine there was last heard
+	machinesUp int               // machines that reported while it was heard
 	// partitionedAt is when it was last found to be partitioned; 0: never.
-	partitionedAt ids.Instant
+	partitionedAt monotonic.Instant
 }
 
 const (
--- a/zonerecovery/condition.go
+++ b/zonerecovery/condition.go
@@ -7,7 +7,7 @@
 import (
 	"time"
 
-	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // Condition is what a zone is taken for.
@@ -43,16 +43,16 @@
 // ClockReading is a reading of the steady clock and of the time of day, taken together. Decisions
 // go by the steady clock; records and operators' windows need the time of day.
 type ClockReading struct {
-	Now  ids.Instant
+	Now  monotonic.Instant
 	Wall time.Time
 }
 
 // toInstant turns a recorded time of day into a reading of this process's steady clock.
 // What lies ahead, as clocks of two controllers may differ, counts as now.
-func (m ClockReading) toInstant(unixMS int64) ids.Instant {
+func (m ClockReading) toInstant(unixMS int64) monotonic.Instant {
 	age := m.Wall.Sub(time.UnixMilli(unixMS))
 	return m.Now.Add(-max(0, age))
 }
 
 // toWall turns a reading of the steady clock into the time of day.
-func (m ClockReading) toWall(at ids.Instant) time.Time { return m.Wall.Add(at.Sub(m.Now)) }
+func (m ClockReading) toWall(at monotonic.Instant) time.Time { return m.Wall.Add(at.Sub(m.Now)) }
--- a/zonerecovery/displacement.go
+++ b/zonerecovery/displacement.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // displacedJob is a job that lost tasks with a zone in the present incident.
@@ -19,7 +20,7 @@
 	// restored counts the replicas that were moved back.
 	restored int
 	// lostAt is when it last lost a task: its patience counts from then.
-	lostAt ids.Instant
+	lostAt monotonic.Instant
 	// returns counts the times that a task of the job was placed in the zone again after
 	// a loss, at most once for each; those that patience forced are not counted.
 	returns       int
@@ -34,7 +35,7 @@
 }
 
 // lose notes that the zone took a task of a job. It tells whether the record changed.
-func (d *displacements) lose(job ids.JobID, now ids.Instant) bool {
+func (d *displacements) lose(job ids.JobID, now monotonic.Instant) bool {
 	entry := d.jobs[job]
 	if entry == nil {
 		entry = &displacedJob{}
@@ -75,7 +76,7 @@
 }
 
 // patientUntil is until when a job that was displaced waits for room elsewhere.
-func (d *displacements) patientUntil(job ids.JobID, patience time.Duration) ids.Instant {
+func (d *displacements) patientUntil(job ids.JobID, patience time.Duration) monotonic.Instant {
 	if entry := d.jobs[job]; entry != nil {
 		return entry.lostAt.Add(patience)
 	}
--- a/zonerecovery/gate.go
+++ b/zonerecovery/gate.go
@@ -2,6 +2,7 @@
 
 import (
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // Denial is why a task may not start in a zone now.
@@ -78,7 +79,7 @@
 func (d Denial) byRamp() bool { return d == DeniedProbe || d == DeniedStarts || d == DeniedFetches }
 
 // started notes that a task was placed in the zone.
-func (z *zone) started(s *StartRequest, now ids.Instant) (bounced, forced bool) {
+func (z *zone) started(s *StartRequest, now monotonic.Instant) (bounced, forced bool) {
 	ramped := z.condition == Recovering
 	z.starts.add(s, now, ramped)
 	if ramped && !s.Critical {
@@ -91,7 +92,7 @@
 }
 
 // startEnded notes that a task runs, or is gone before it did.
-func (z *zone) startEnded(task ids.TaskRef, ran bool, now ids.Instant) {
+func (z *zone) startEnded(task ids.TaskRef, ran bool, now monotonic.Instant) {
 	p, ok := z.starts.remove(task)
 	if !ok || !ran {
 		if ok && p.ramped && !p.critical {
--- a/zonerecovery/manager.go
+++ b/zonerecovery/manager.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // Manager holds the state machines of all zones for one term of a leader.
@@ -37,7 +38,7 @@
 }
 
 // zone finds a zone, or makes one that serves.
-func (m *Manager) zone(name ids.Zone, now ids.Instant) *zone {
+func (m *Manager) zone(name ids.Zone, now monotonic.Instant) *zone {
 	z := m.zones[name]
 	if z == nil {
 		z = newZone(name, m.policy, m.usualStarts, now)
@@ -89,7 +90,7 @@
 }
 
 // TaskStarted notes that a task was placed in a zone.
-func (m *Manager) TaskStarted(name ids.Zone, s *StartRequest, now ids.Instant) {
+func (m *Manager) TaskStarted(name ids.Zone, s *StartRequest, now monotonic.Instant) {
 	z := m.zone(name, now)
 	bounced, forced := z.started(s, now)
 	switch {
@@ -105,21 +106,21 @@
 
 // TaskInherited notes that a predecessor placed a task in a zone. It counts as under way until
 // it is seen to run.
-func (m *Manager) TaskInherited(name ids.Zone, s *StartRequest, now ids.Instant) {
+func (m *Manager) TaskInherited(name ids.Zone, s *StartRequest, now monotonic.Instant) {
 	m.zone(name, now).starts.add(s, now, false)
 }
 
 // TaskRunning notes that a task runs. It tells whether that may let others start.
-func (m *Manager) TaskRunning(name ids.Zone, task ids.TaskRef, now ids.Instant) (opened bool) {
+func (m *Manager) TaskRunning(name ids.Zone, task ids.TaskRef, now monotonic.Instant) (opened bool) {
 	return m.startEnded(name, task, true, now)
 }
 
 // TaskEnded notes that a task is off its machine, whether or not it ran.
-func (m *Manager) TaskEnded(name ids.Zone, task ids.TaskRef, now ids.Instant) (opened bool) {
+func (m *Manager) TaskEnded(name ids.Zone, task ids.TaskRef, now monotonic.Instant) (opened bool) {
 	return m.startEnded(name, task, false, now)
 }
 
-func (m *Manager) startEnded(name ids.Zone, task ids.TaskRef, ran bool, now ids.Instant) bool {
+func (m *Manager) startEnded(name ids.Zone, task ids.TaskRef, ran bool, now monotonic.Instant) bool {
 	z := m.zones[name]
 	if z == nil {
 		return false
@@ -211,7 +212,7 @@
 
 // ColdSince is when a zone that returns was lost: what its machines held before that may be
 // gone. It is 0 for other zones.
-func (m *Manager) ColdSince(name ids.Zone) ids.Instant {
+func (m *Manager) ColdSince(name ids.Zone) monotonic.Instant {
 	if z := m.zones[name]; z != nil && z.condition == Recovering {
 		return z.darkAt
 	}
--- a/zonerecovery/manager_test.go
+++ b/zonerecovery/manager_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // bench drives a manager by hand: one zone of ten machines beside one that always serves.
@@ -28,7 +29,7 @@
 
 func newBench(t *testing.T) *bench {
 	return &bench{t: t, m: NewManager(testPolicy()), written: map[ids.Zone]Record{},
-		at: ClockReading{Now: ids.Instant(time.Hour), Wall: time.Date(2026, 5, 4, 12, 0, 0, 0, time.UTC)}}
+		at: ClockReading{Now: monotonic.Instant(time.Hour), Wall: time.Date(2026, 5, 4, 12, 0, 0, 0, time.UTC)}}
 }
 
 // pass lets time pass with so many of ten machines heard, and writes what is due.
--- a/zonerecovery/ramp.go
+++ b/zonerecovery/ramp.go
@@ -7,14 +7,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // ramp is the progress of a return.
 type ramp struct {
 	// step is 0 for the probe, then the number of the share.
 	step      int
-	stepSince ids.Instant
-	began     ids.Instant
+	stepSince monotonic.Instant
+	began     monotonic.Instant
 	// started, succeeded and failed count the starts of this step; failedJobs are whose
 	// starts failed, since one job that fails everywhere says nothing of the zone.
 	started, succeeded, failed int
@@ -29,7 +30,7 @@
 }
 
 // enter begins a step.
-func (r *ramp) enter(step int, now ids.Instant) {
+func (r *ramp) enter(step int, now monotonic.Instant) {
 	r.step, r.stepSince = max(0, step), now
 	r.started, r.succeeded, r.failed, r.denied, r.relaxed = 0, 0, 0, false, false
 	r.failedJobs = map[ids.JobID]bool{}
--- a/zonerecovery/record.go
+++ b/zonerecovery/record.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // Record is what a successor must know of a zone.
@@ -47,7 +48,7 @@
 	// dirty tells that the record lags behind and must be written, lazy that it may be
 	// written with a delay.
 	dirty, lazy bool
-	lazySince   ids.Instant
+	lazySince   monotonic.Instant
 	inFlight    bool
 	// condition and step are what is recorded, written what is on its way.
 	condition, writtenCondition Condition
@@ -147,7 +148,7 @@
 const lazyDelay = 2 * time.Second
 
 // due tells whether the record must be written now.
-func (z *zone) due(now ids.Instant) bool {
+func (z *zone) due(now monotonic.Instant) bool {
 	r := &z.record
 	if r.inFlight {
 		return false
--- a/zonerecovery/record_test.go
+++ b/zonerecovery/record_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // The record stays inside its bound, and keeps the jobs that came back most often.
@@ -105,7 +106,7 @@
 	b.pass(10*time.Second, 10)
 	old, rec := b.m.zones["z"], b.written["z"]
 	successor := NewManager(testPolicy())
-	later := ClockReading{Now: ids.Instant(7 * time.Hour), Wall: b.at.Wall.Add(3 * time.Second)}
+	later := ClockReading{Now: monotonic.Instant(7 * time.Hour), Wall: b.at.Wall.Add(3 * time.Second)}
 	successor.Load("z", &rec, 5, later)
 	z := successor.zones["z"]
 	if z.condition != old.condition || z.flaps != old.flaps || z.ramp.step > old.ramp.step || z.override != old.override || z.displaced.spell != old.displaced.spell {
--- a/zonerecovery/restore.go
+++ b/zonerecovery/restore.go
@@ -10,6 +10,7 @@
 	"golang.org/x/time/rate"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // RestorePolicy is how replicas of services are moved back to a zone that displaced them, so
@@ -51,7 +52,7 @@
 
 // RestoreCandidates lists the services' jobs of which a replica might be moved back, by id:
 // those displaced by a zone that has served for long enough, while no zone is in trouble.
-func (m *Manager) RestoreCandidates(now ids.Instant) []ids.JobID {
+func (m *Manager) RestoreCandidates(now monotonic.Instant) []ids.JobID {
 	if m.policy.Restore.MovesPerMinute <= 0 || m.Evacuating() {
 		return nil
 	}
@@ -67,7 +68,7 @@
 }
 
 // restorable tells whether replicas may be moved back to the zone.
-func (z *zone) restorable(now ids.Instant) bool {
+func (z *zone) restorable(now monotonic.Instant) bool {
 	return z.condition == Serving && z.flaps > 0 && z.override.Kind == OverrideNone && z.record.allows(Serving) &&
 		now >= z.since.Add(z.policy.Restore.After)
 }
--- a/zonerecovery/settings.go
+++ b/zonerecovery/settings.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // Settings are the operators' settings of the subsystem, the section zone_return of their
@@ -62,15 +63,15 @@
 	}
 	p := &Policy{
 		SuspectShare: s.SuspectShare, DarkShare: s.DarkShare,
-		DarkAfter: ids.Seconds(s.DarkAfterS), RecoverAfter: ids.Seconds(s.RecoverS), MinMachines: s.MinMachines,
-		HeardShare: s.HeardShare, Retry: ids.Seconds(s.RetryS),
-		HoldDown: ids.Seconds(s.HoldDownS), HoldDownMax: ids.Seconds(s.HoldDownMaxS), HoldDownFactor: s.HoldDownFactor,
-		Quiet: ids.Seconds(s.QuietS), ProbeTasks: s.ProbeTasks, ProbeMaxRun: ids.Seconds(s.ProbeMaxRunS),
-		Steps: slices.Clone(s.Steps), StepTime: ids.Seconds(s.StepS), StepSuccesses: s.StepSuccesses,
+		DarkAfter: monotonic.Seconds(s.DarkAfterS), RecoverAfter: monotonic.Seconds(s.RecoverS), MinMachines: s.MinMachines,
+		HeardShare: s.HeardShare, Retry: monotonic.Seconds(s.RetryS),
+		HoldDown: monotonic.Seconds(s.HoldDownS), HoldDownMax: monotonic.Seconds(s.HoldDownMaxS), HoldDownFactor: s.HoldDownFactor,
+		Quiet: monotonic.Seconds(s.QuietS), ProbeTasks: s.ProbeTasks, ProbeMaxRun: monotonic.Seconds(s.ProbeMaxRunS),
+		Steps: slices.Clone(s.Steps), StepTime: monotonic.Seconds(s.StepS), StepSuccesses: s.StepSuccesses,
 		FailureTolerance: s.FailureTolerance, SlowStartFactor: s.SlowStartFactor,
 		StartsPerMachine: s.StartsPerMachine, FetchesPerMachine: s.FetchesPerMachine,
-		ReturnMax: ids.Seconds(s.ReturnMaxS), MoveBudget: s.MoveBudget, Patience: ids.Seconds(s.PatienceS),
-		Restore: RestorePolicy{MovesPerMinute: s.RestorePerMinute, After: ids.Seconds(s.RestoreAfterS), Budget: s.RestoreBudget},
+		ReturnMax: monotonic.Seconds(s.ReturnMaxS), MoveBudget: s.MoveBudget, Patience: monotonic.Seconds(s.PatienceS),
+		Restore: RestorePolicy{MovesPerMinute: s.RestorePerMinute, After: monotonic.Seconds(s.RestoreAfterS), Budget: s.RestoreBudget},
 	}
 	for i := range s.Windows {
 		w, err := s.Windows[i].window(fmt.Sprintf("windows.%d", i))
--- a/zonerecovery/starts.go
+++ b/zonerecovery/starts.go
@@ -2,6 +2,7 @@
 
 import (
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // StartRequest is a task that looks for a place, as far as it matters here.
@@ -30,7 +31,7 @@
 
 // pendingStart is a task that was placed and does not run yet.
 type pendingStart struct {
-	since    ids.Instant
+	since    monotonic.Instant
 	fetch    fetchKey // empty: none
 	critical bool
 	// ramped tells that it was admitted in a return, and counts for its step.
@@ -51,7 +52,7 @@
 }
 
 // add notes that a task was placed.
-func (t *startTracker) add(s *StartRequest, now ids.Instant, ramped bool) {
+func (t *startTracker) add(s *StartRequest, now monotonic.Instant, ramped bool) {
 	t.remove(s.Task)
 	p := pendingStart{since: now, critical: s.Critical, ramped: ramped}
 	if !p.critical {
--- a/zonerecovery/zone.go
+++ b/zonerecovery/zone.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 )
 
 // zone is one zone's state machine.
@@ -15,10 +16,10 @@
 	usual *latencies
 
 	// now is when it was last observed, and sinceObserved how long after the time before.
-	now           ids.Instant
+	now           monotonic.Instant
 	sinceObserved time.Duration
 	condition     Condition
-	since         ids.Instant
+	since         monotonic.Instant
 	reason        string
 	// resume is the condition that a suspicion goes back to.
 	resume   Condition
@@ -30,15 +31,15 @@
 	machinesBefore int
 	// steadySince is since when a suspect zone is heard again, or a dark one, 0 if it is
 	// not: the time that hysteresis and hold-down count from.
-	steadySince ids.Instant
+	steadySince monotonic.Instant
 	// soundSince is since when the leader's view is sound, 0 if it is not: one that was cut
 	// off needs time to hear the machines again.
-	soundSince ids.Instant
+	soundSince monotonic.Instant
 	// someZoneHeard tells whether some zone is mostly heard.
 	someZoneHeard bool
 	flaps         int
 	// darkAt is when it last got dark.
-	darkAt    ids.Instant
+	darkAt    monotonic.Instant
 	ramp      ramp
 	incidents incidentLog
 	displaced displacements
@@ -52,7 +53,7 @@
 }
 
 // newZone makes a zone that serves.
-func newZone(name ids.Zone, policy *Policy, usual *latencies, now ids.Instant) *zone {
+func newZone(name ids.Zone, policy *Policy, usual *latencies, now monotonic.Instant) *zone {
 	z := &zone{name: name, policy: policy, usual: usual, now: now, since: now, starts: newStartTracker()}
 	z.record.jobLimit = maxRecordedJobs
 	z.displaced.clear()
@@ -60,7 +61,7 @@
 }
 
 // enter changes the condition.
-func (z *zone) enter(c Condition, now ids.Instant, reason string) {
+func (z *zone) enter(c Condition, now monotonic.Instant, reason string) {
 	z.events = append(z.events, Event{Zone: z.name, From: z.condition, To: c, Step: z.ramp.step, Reason: reason})
 	z.incidents.leave(z.condition, now.Sub(z.since))
 	// A suspicion is not recorded: a successor forms its own.
@@ -71,7 +72,7 @@
 }
 
 // enterStep changes the ramp's step.
-func (z *zone) enterStep(step int, now ids.Instant, reason string) {
+func (z *zone) enterStep(step int, now monotonic.Instant, reason string) {
 	z.ramp.enter(step, now)
 	z.reason = reason
 	z.events = append(z.events, Event{Zone: z.name, From: z.condition, To: z.condition, Step: z.ramp.step, Reason: reason})
@@ -133,7 +134,7 @@
 }
 
 // noteView notes whether the leader's view is sound.
-func (z *zone) noteView(now ids.Instant, sound bool) {
+func (z *zone) noteView(now monotonic.Instant, sound bool) {
 	switch {
 	case !sound:
 		z.soundSince = 0
@@ -253,7 +254,7 @@
 }
 
 // setBack takes a step back.
-func (z *zone) setBack(now ids.Instant, reason string) {
+func (z *zone) setBack(now monotonic.Instant, reason string) {
 	z.ramp.setbacks++
 	z.incidents.count(func(i *Incident) { i.Setbacks++ })
 	z.enterStep(z.ramp.step-1, now, reason)
