--- a/cmd/ospreystile/main.go
+++ b/cmd/ospreystile/main.go
@@ -78,7 +78,7 @@
 		return err
 	}
 	for _, warning := range operator.Warnings {
-		log.Warn("operator settings: " + warning)
+		log.Warn("operator settings", "warning", warning)
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -168,7 +168,7 @@
 	for _, p := range n.peers {
 		g.Go(func() error { return n.pingLoop(ctx, p) })
 	}
-	n.log.Info("serving", "host", n.cfg.HostName, "api", n.cfg.APIAddr, "mesh", n.cfg.MeshAddr)
+	n.log.Info("serving", "controller", n.cfg.HostName, "api_address", n.cfg.APIAddr, "mesh_address", n.cfg.MeshAddr)
 	err = g.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -182,7 +182,7 @@
 		wait := 30 * time.Second
 		types, err := n.cloud.Catalog(ctx)
 		if err != nil {
-			n.log.Info("catalog not read", "err", err)
+			n.log.Info("catalog read failed", "err", err)
 			wait = time.Second
 		} else {
 			n.catalog.Store(&types)
--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -118,7 +118,7 @@
 			raws[i] = batch[i].raw
 		}
 		if err := p.Call(ctx, opReports, raws, &answers); err != nil {
-			e.n.log.Debug("reports not passed on", "count", len(batch), "err", err)
+			e.n.log.Debug("heartbeat relay failed", "count", len(batch), "err", err)
 		}
 	}
 	for i, b := range batch {
--- a/controller/job_notice.go
+++ b/controller/job_notice.go
@@ -35,7 +35,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			if err := p.Call(ctx, opJob, a, nil); err != nil {
-				n.log.Debug("leader not notified", "job", id, "err", err)
+				n.log.Debug("leader notification failed", "job", id, "err", err)
 			}
 		}()
 	}
--- a/controller/job_status.go
+++ b/controller/job_status.go
@@ -20,7 +20,7 @@
 	defer cancel()
 	a := n.statusReads.ask(ctx, id, nil)
 	if a.err != nil {
-		n.log.Debug("job not read", "job", id, "err", a.err)
+		n.log.Debug("job read failed", "job", id, "err", a.err)
 		return server.RetryLater(retryDelay)
 	}
 	if !a.found {
--- a/controller/retry_listener.go
+++ b/controller/retry_listener.go
@@ -24,7 +24,7 @@
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return c, err
 		}
-		l.log.Warn("connection not accepted", "addr", l.Addr().String(), "err", err)
+		l.log.Warn("accept failed", "address", l.Addr().String(), "err", err)
 		time.Sleep(acceptRetryDelay)
 	}
 }
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -104,7 +104,7 @@
 	out, err := n.commit(ctx, records.CreateJobChange(id, *record))
 	switch {
 	case err != nil:
-		n.log.Debug("submission not taken", "job", id, "err", err)
+		n.log.Debug("submission commit failed", "job", id, "err", err)
 		return server.RetryLater(retryDelay)
 	case out.Applied:
 		n.notifyLeader(id, record, out.Revision)
@@ -133,7 +133,7 @@
 	a := n.statusReads.ask(ctx, id, needs)
 	switch {
 	case a.err != nil:
-		n.log.Debug("named jobs not read", "job", id, "err", a.err)
+		n.log.Debug("dependency read failed", "job", id, "err", a.err)
 		return false, server.RetryLater(retryDelay)
 	case a.found:
 		return false, n.jobAnswer(ctx, id, a)
--- a/controller/term.go
+++ b/controller/term.go
@@ -88,7 +88,7 @@
 		t.core.EnableSplitRecords(n.clock.Now())
 	}
 	defer n.term.CompareAndSwap(t, nil)
-	n.log.Info("records read", "stamp", key.Revision, "state", t.core.Summary())
+	n.log.Info("records loaded", "leader_revision", key.Revision, "summary", t.core.Summary())
 	g.Go(func() error { return t.committer.Run(t.ctx) })
 	g.Go(func() error { return t.watchJobs(since) })
 	g.Go(t.listMachines)
@@ -142,7 +142,7 @@
 		t.publishApplied()
 		if now := t.n.clock.Now(); now > lastLog.Add(5*time.Second) {
 			lastLog = now
-			t.n.log.Info("state of things", "sum", t.core.Summary())
+			t.n.log.Info("status summary", "summary", t.core.Summary())
 		}
 	}
 }
@@ -193,7 +193,7 @@
 		case err == nil:
 			t.post(t.ctx, func() { t.core.CommitResult(t.n.clock.Now(), outcome) })
 		case t.ctx.Err() == nil:
-			t.n.log.Warn("change not committed", "err", err)
+			t.n.log.Warn("commit failed", "err", err)
 			t.key.End(err)
 		}
 	})
@@ -208,7 +208,7 @@
 	t.tasks.Go(func() error {
 		report, err := t.n.workers.SendCommands(t.ctx, address, command, directCallTimeout)
 		if err != nil {
-			t.n.log.Debug("direct command unanswered", "host", host, "err", err)
+			t.n.log.Debug("worker call failed", "machine", host, "err", err)
 			report = nil
 		}
 		t.post(t.ctx, func() { t.core.CommandsResult(t.n.clock.Now(), host, report) })
--- a/controller/term_cloud.go
+++ b/controller/term_cloud.go
@@ -18,11 +18,11 @@
 		hosts, err := t.cloud.Provision(t.ctx, r)
 		switch {
 		case err == nil, errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrRejected):
-			t.n.log.Info("rental", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(hosts))
+			t.n.log.Info("machines provisioned", "machine_type", r.Type, "zone", r.Zone, "spot", r.Spot, "requested", r.Count, "granted", len(hosts))
 			t.post(t.ctx, func() { t.core.ProvisionResult(t.n.clock.Now(), r, hosts, err == nil) })
 			return
 		}
-		t.n.log.Info("rental unanswered", "booking", r.RequestID, "err", err)
+		t.n.log.Info("provisioning indeterminate", "request_id", r.RequestID, "err", err)
 		monotonic.Sleep(t.ctx, time.Second)
 	}
 }
@@ -73,12 +73,12 @@
 				if err == nil {
 					break
 				}
-				t.n.log.Info("return unanswered", "err", err)
+				t.n.log.Info("termination indeterminate", "err", err)
 				if !monotonic.Sleep(t.ctx, time.Second) {
 					return t.ctx.Err()
 				}
 			}
-			t.n.log.Info("returned", "hosts", hosts)
+			t.n.log.Info("machines terminated", "machines", hosts)
 			t.post(t.ctx, func() { t.core.TerminateResult(t.n.clock.Now(), hosts, true) })
 			if !monotonic.Sleep(t.ctx, returnInterval) {
 				return t.ctx.Err()
@@ -95,7 +95,7 @@
 		if err == nil {
 			t.post(t.ctx, func() { t.core.MachineList(t.n.clock.Now(), asked, list) })
 		} else {
-			t.n.log.Debug("machines not listed", "err", err)
+			t.n.log.Debug("machine list failed", "err", err)
 		}
 		// Reading the list takes a fifth of the calls at most, however long
 		// it is: rentals and returns need the rest.
--- a/controller/term_load.go
+++ b/controller/term_load.go
@@ -114,5 +114,5 @@
 // Ending the term for a job's record would end every later term too, and forget all
 // other jobs.
 func (n *Controller) unreadable(key string, err error) {
-	n.log.Error("record unreadable, what it is about waits", "key", key, "err", err)
+	n.log.Error("record unreadable", "key", key, "err", err)
 }
--- a/controller/term_watch.go
+++ b/controller/term_watch.go
@@ -26,7 +26,7 @@
 			}
 			return
 		}
-		t.n.log.Debug("job not read", "job", id, "err", err)
+		t.n.log.Debug("job read failed", "job", id, "err", err)
 		monotonic.Sleep(t.ctx, 300*time.Millisecond)
 	}
 }
--- a/controller/term_zones.go
+++ b/controller/term_zones.go
@@ -88,7 +88,7 @@
 // logZoneEvents logs changes of zones' conditions.
 func (t *term) logZoneEvents(events []zonerecovery.Event) {
 	for _, e := range events {
-		t.n.log.Info("zone condition", "zone", e.Zone, "from", e.From, "to", e.To, "step", e.Step, "reason", e.Reason)
+		t.n.log.Info("zone condition changed", "zone", e.Zone, "from", e.From, "to", e.To, "step", e.Step, "reason", e.Reason)
 	}
 }
 
--- a/controller/version_gate.go
+++ b/controller/version_gate.go
@@ -117,13 +117,13 @@
 			err = n.readUpgrade(ctx, n.userState)
 		}
 		if err != nil {
-			n.log.Debug("upgrade not settled", "err", err)
+			n.log.Debug("version gate check failed", "err", err)
 		}
 		if !monotonic.Sleep(ctx, upgradeCheckInterval) {
 			return ctx.Err()
 		}
 	}
-	n.log.Info("all controllers are of this version")
+	n.log.Info("version gate open")
 	if t := n.term.Load(); t != nil {
 		t.post(ctx, func() { t.core.EnableSplitRecords(n.clock.Now()) })
 	}
--- a/election/election.go
+++ b/election/election.go
@@ -216,7 +216,7 @@
 func (e *Election) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := e.round(ctx); err != nil && ctx.Err() == nil {
-			e.log.Debug("election round", "err", err)
+			e.log.Debug("election round failed", "err", err)
 			monotonic.Sleep(ctx, 200*time.Millisecond+time.Duration(rand.IntN(100))*time.Millisecond)
 		}
 	}
@@ -237,7 +237,7 @@
 			// Whoever holds it leads all the same; it goes with its lease.
 			if e.unreadable != entry.Revision {
 				e.unreadable = entry.Revision
-				e.log.Error("record unreadable, nobody is followed", "key", records.LeaderKey, "err", err)
+				e.log.Error("leader record unreadable", "key", records.LeaderKey, "err", err)
 			}
 			return fmt.Errorf("leader's key: %w", err)
 		}
@@ -331,7 +331,7 @@
 	e.term = t
 	e.leader = Leader{e.self, t.Revision}
 	e.mu.Unlock()
-	e.log.Info("leading", "stamp", t.Revision)
+	e.log.Info("leadership acquired", "leader_revision", t.Revision)
 
 	done := make(chan struct{})
 	go func() {
@@ -346,7 +346,7 @@
 	<-done
 
 	cause := context.Cause(tctx)
-	e.log.Info("no longer leading", "stamp", t.Revision, "cause", cause)
+	e.log.Info("leadership lost", "leader_revision", t.Revision, "cause", cause)
 	e.mu.Lock()
 	e.term = nil
 	if e.leader.Revision == t.Revision {
--- a/peerrpc/peerrpc.go
+++ b/peerrpc/peerrpc.go
@@ -126,7 +126,7 @@
 		f, err := readFrame(r)
 		if err != nil {
 			if !errors.Is(err, io.EOF) && ctx.Err() == nil {
-				log.Debug("mesh connection ended", "err", err)
+				log.Debug("peer connection closed", "err", err)
 			}
 			return
 		}
--- a/records/committer.go
+++ b/records/committer.go
@@ -149,7 +149,7 @@
 		batch = rejectFailed(rest, out.FailedKeys)
 		if len(batch) == len(rest) {
 			// A refusal that names no guard of ours cannot be acted on.
-			c.log.Warn("transaction refused without a known key", "failed", out.FailedKeys)
+			c.log.Warn("conflict names no known key", "failed_keys", out.FailedKeys)
 			if !monotonic.Sleep(ctx, unknownKeyDelay) {
 				return ctx.Err()
 			}
@@ -166,7 +166,7 @@
 // one, so that the one that it will not take fails alone.
 func (c *Committer) commitSingly(ctx context.Context, batch []item, unknown bool, refusal error) error {
 	if len(batch) == 1 {
-		c.log.Warn("change refused", "err", refusal)
+		c.log.Warn("change rejected", "err", refusal)
 		batch[0].done(CommitResult{Change: batch[0].change, Rejected: true}, nil)
 		return nil
 	}
@@ -253,7 +253,7 @@
 		} else if len(batch) > 0 && !batch[0].until.IsZero() && time.Now().After(batch[0].until) {
 			return out, batch, unknown, err
 		}
-		c.log.Debug("commit not settled", "err", err, "changes", len(batch))
+		c.log.Debug("commit retry", "err", err, "changes", len(batch))
 		if !monotonic.Sleep(ctx, wait) {
 			return out, batch, unknown, ctx.Err()
 		}
--- a/server/server.go
+++ b/server/server.go
@@ -136,7 +136,7 @@
 func (h *handlers) submit(c fiber.Ctx) error {
 	id, spec, err := wire.ParseSubmission(c.Body())
 	if err != nil {
-		h.log.Debug("submission refused", "err", err)
+		h.log.Debug("submission rejected", "err", err)
 		return send(c, Response{Status: fiber.StatusBadRequest})
 	}
 	return send(c, h.svc.Submit(c.Context(), id, spec))
