--- a/internal/knownfailures/citest/main.go
+++ b/internal/knownfailures/citest/main.go
@@ -73,7 +73,7 @@
 		return nil, fmt.Errorf("listing packages: %w", err)
 	}
 	var found []string
-	for _, pkg := range strings.Fields(string(packages)) {
+	for pkg := range strings.FieldsSeq(string(packages)) {
 		listed, err := exec.Command("go", "test", "-list", "^"+test+"$", pkg).Output()
 		if err != nil {
 			return nil, fmt.Errorf("listing the tests of %s: %w", pkg, err)
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 
 	"ospreystile.example/ospreystile/ids"
@@ -73,7 +74,7 @@
 	at := []SliceVersion{{Number: 2, Revision: 501}, {Number: 42}}
 	slice := AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"}, Tasks: []int{64, 2, 0}}
 	job := Job{Nonce: 5, Status: wire.JobQueued, Tasks: 70, Spec: goldenSpec("job-0"), SubmittedMS: 6, DoneMS: 7}
-	text := ""
+	var text strings.Builder
 	for _, c := range []struct {
 		name   string
 		change Change
@@ -87,9 +88,9 @@
 		{"zone", PutZoneChange("zone-a", 500, &zonerecovery.Record{Nonce: 9, SinceMS: 10})},
 		{"zone dropped", DeleteZoneChange("zone-a", 500)},
 	} {
-		text += c.name + " " + hexOf(kv.Txn{Preconditions: c.change.Preconditions, Operations: c.change.Operations}) + "\n"
+		text.WriteString(c.name + " " + hexOf(kv.Txn{Preconditions: c.change.Preconditions, Operations: c.change.Operations}) + "\n")
 	}
-	golden.Text(t, "transactions.txt", text)
+	golden.Text(t, "transactions.txt", text.String())
 }
 
 func hexOf(v any) string { return fmt.Sprintf("%x", wire.Encode(v)) }
--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -2,6 +2,7 @@
 package fleet
 
 import (
+	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -120,9 +121,7 @@
 		p.requests, p.firstBin = map[placement.Site]int{}, map[request]int{}
 	}
 	zones := placement.TasksByZone{}
-	for z, n := range d.Zones {
-		zones[z] = n
-	}
+	maps.Copy(zones, d.Zones)
 	need := placement.TaskResources(d.Spec)
 	left := d.Count
 	for _, b := range p.bins[p.skipFull(d.Spec, need):] {
--- a/scheduler/quota/quota.go
+++ b/scheduler/quota/quota.go
@@ -4,7 +4,7 @@
 
 import (
 	"math"
-	"sort"
+	"slices"
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
@@ -69,7 +69,7 @@
 		b.accounts[t.Name] = &account{Team: t}
 		b.names = append(b.names, t.Name)
 	}
-	sort.Slice(b.names, func(i, j int) bool { return b.names[i] < b.names[j] })
+	slices.Sort(b.names)
 	return b
 }
 
