--- a/wire/wire.go
+++ b/wire/wire.go
@@ -227,7 +227,7 @@
 	Count     int             `msgpack:"number"`
 }
 
-// IDs names machines.
+// MachineIDs names machines of the cloud.
 type MachineIDs struct {
 	IDs []ids.MachineID `msgpack:"hosts"`
 }
