--- a/election/election_test.go
+++ b/election/election_test.go
@@ -296,7 +296,7 @@
 		{"one is heard", func(t *Term, now, began monotonic.Instant) { t.RecordPeerAck("n1", now, began) }, isolated},
 		{"one was started since", func(t *Term, now, began monotonic.Instant) {
 			t.RecordPeerAck("n1", now, began)
-			t.RecordPeerAck("n2", now, monotonic.Instant(t.heldUntil.Load()))
+			t.RecordPeerAck("n2", now, t.leaseValidUntil.Load())
 		}, isolated},
 		{"both are heard", func(t *Term, now, began monotonic.Instant) {
 			t.RecordPeerAck("n1", now, began)
@@ -304,7 +304,7 @@
 		}, 20 * time.Second},
 		{"one is heard for 5 s", func(t *Term, now, began monotonic.Instant) {
 			t.RecordPeerAck("n1", now, began)
-			if now < monotonic.Instant(t.heldUntil.Load()).Add(5*time.Second) {
+			if now < t.leaseValidUntil.Load().Add(5*time.Second) {
 				t.RecordPeerAck("n2", now, began)
 			}
 		}, 5*time.Second + isolated},
@@ -328,7 +328,7 @@
 				began := term.clock.Now().Add(-time.Minute)
 				s.outage(true)
 				time.Sleep(time.Second)
-				valid := monotonic.Instant(term.heldUntil.Load())
+				valid := term.leaseValidUntil.Load()
 				var last, lastForAll monotonic.Instant
 				for range 300 {
 					now := term.clock.Now()
