--- /dev/null
+++ b/election/cluster_test.go
@@ -0,0 +1,179 @@
+package election
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
+)
+
+const (
+	testTTL         = 3 * time.Second
+	testOutageGrace = 20 * time.Second
+)
+
+// cluster is a store and the candidates that take part in its election. It checks that no two
+// of them ever hold the lease at once, and that no revision serves two terms.
+type cluster struct {
+	store *service
+
+	mu         sync.Mutex
+	terms      map[ids.ControllerName]*Term // the last term of each candidate that runs
+	processes  map[ids.Revision]string      // the process that led under each revision
+	violations []string
+}
+
+// withCluster runs a test in a synctest bubble, with a cluster that has no candidates yet.
+func withCluster(t *testing.T, test func(t *testing.T, c *cluster)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		c := &cluster{
+			store:     newService(),
+			terms:     map[ids.ControllerName]*Term{},
+			processes: map[ids.Revision]string{},
+		}
+		t.Cleanup(func() {
+			for _, violation := range c.violations {
+				t.Error(violation)
+			}
+		})
+		test(t, c)
+	})
+}
+
+// candidate is one process of a controller.
+type candidate struct {
+	cluster  *cluster
+	name     ids.ControllerName
+	election *Election
+	client   *client
+	stopRun  func()
+}
+
+// start starts a candidate with a client of its own. It is stopped when the test ends.
+func (c *cluster) start(t *testing.T, name ids.ControllerName, incarnation ids.ControllerIncarnation) *candidate {
+	t.Helper()
+	client := &client{s: c.store}
+	return c.startWith(t, Identity{Name: name, Incarnation: incarnation}, client, client)
+}
+
+// startWith starts a candidate that reaches the store through another layer over its client.
+func (c *cluster) startWith(t *testing.T, self Identity, client *client, store Store) *candidate {
+	t.Helper()
+	election := newElection(store, self, func(ctx context.Context, term *Term) error {
+		c.beginTerm(self, term)
+		for ctx.Err() == nil {
+			c.checkLeases()
+			monotonic.Sleep(ctx, 20*time.Millisecond)
+		}
+		return context.Cause(ctx)
+	})
+	return &candidate{
+		cluster:  c,
+		name:     self.Name,
+		election: election,
+		client:   client,
+		stopRun:  run(t, election),
+	}
+}
+
+// newElection returns an election without peers.
+func newElection(store Store, self Identity, work func(context.Context, *Term) error) *Election {
+	bounds := LeaseBounds{TTL: testTTL, OutageGrace: testOutageGrace}
+	return New(store, self, bounds, monotonic.SystemClock(), slog.New(slog.DiscardHandler), work)
+}
+
+// run runs an election until stop is called, at the latest when the test ends.
+func run(t *testing.T, e *Election) (stop func()) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		_ = e.Run(ctx)
+	}()
+	stop = func() {
+		cancel()
+		<-done
+	}
+	t.Cleanup(stop)
+	return stop
+}
+
+// stop ends the process, which revokes its lease if it can.
+func (m *candidate) stop() {
+	m.cluster.forgetTerm(m.name)
+	m.stopRun()
+}
+
+// kill ends the process without a chance to revoke its lease.
+func (m *candidate) kill() {
+	m.client.refuse(true)
+	m.stop()
+}
+
+func (c *cluster) beginTerm(self Identity, term *Term) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.terms[self.Name] = term
+	process := fmt.Sprintf("%s#%d", self.Name, self.Incarnation)
+	if earlier, found := c.processes[term.Revision]; found {
+		c.violations = append(c.violations, fmt.Sprintf("revision %d served %s and %s", term.Revision, earlier, process))
+	}
+	c.processes[term.Revision] = process
+}
+
+func (c *cluster) forgetTerm(name ids.ControllerName) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.terms, name)
+}
+
+func (c *cluster) checkLeases() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var holders []string
+	for name, term := range c.terms {
+		if term.HoldsLease() {
+			holders = append(holders, fmt.Sprintf("%s@%d", name, term.Revision))
+		}
+	}
+	if len(holders) > 1 {
+		c.violations = append(c.violations, fmt.Sprintf("several hold the lease: %v", holders))
+	}
+}
+
+// leader returns the candidate that holds the lease and its term, or none.
+func (c *cluster) leader() (ids.ControllerName, *Term) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for name, term := range c.terms {
+		if term.HoldsLease() {
+			return name, term
+		}
+	}
+	return "", nil
+}
+
+// mustLead returns the candidate that holds the lease and its term, and fails without one.
+func (c *cluster) mustLead(t *testing.T) (ids.ControllerName, *Term) {
+	t.Helper()
+	name, term := c.leader()
+	if term == nil {
+		t.Fatal("no candidate holds the lease")
+	}
+	return name, term
+}
+
+// termCount returns how many terms there have been.
+func (c *cluster) termCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.processes)
+}
--- a/election/restart_test.go
+++ b/election/restart_test.go
@@ -6,125 +6,166 @@
 	"math/rand/v2"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
 )
 
-// late is a client whose requests may arrive a second time, long after, and
-// whose answers may be lost: what a process sent goes on without it.
-type late struct {
+// lateClient is a client whose requests may arrive a second time, long after, and whose
+// responses may be lost. Copies arrive also after the process that sent them has ended.
+type lateClient struct {
 	*client
-	wire   *client // by which copies arrive, whatever became of the process
-	mu     sync.Mutex
-	rng    *rand.Rand
-	copies sync.WaitGroup
+	copyClient *client
+	copies     sync.WaitGroup
+
+	mu  sync.Mutex
+	rng *rand.Rand
 }
 
-func (l *late) chance(n int) bool {
+// oneIn reports true with a probability of 1/n.
+func (l *lateClient) oneIn(n int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rng.IntN(n) == 0
 }
 
-func (l *late) again(f func()) {
-	if !l.chance(2) {
+// maybeRepeat sends a copy of a request after up to 12 s, with a probability of 1/2.
+func (l *lateClient) maybeRepeat(request func()) {
+	if !l.oneIn(2) {
 		return
 	}
 	l.mu.Lock()
-	d := time.Duration(l.rng.IntN(12000)) * time.Millisecond
+	delay := time.Duration(l.rng.IntN(12000)) * time.Millisecond
 	l.mu.Unlock()
-	l.copies.Go(func() { time.Sleep(d); f() })
+	l.copies.Go(func() {
+		time.Sleep(delay)
+		request()
+	})
 }
 
-func (l *late) Commit(ctx context.Context, t kv.Txn) (kv.TxnResult, error) {
-	l.again(func() { _, _ = l.wire.Commit(context.Background(), t) })
-	out, err := l.client.Commit(ctx, t)
-	if l.chance(4) {
+func (l *lateClient) Commit(ctx context.Context, t kv.Txn) (kv.TxnResult, error) {
+	l.maybeRepeat(func() { _, _ = l.copyClient.Commit(context.Background(), t) })
+	result, err := l.client.Commit(ctx, t)
+	if l.oneIn(4) {
 		return kv.TxnResult{}, kv.ErrIndeterminate
 	}
-	return out, err
+	return result, err
 }
 
-func (l *late) RenewLease(ctx context.Context, id ids.LeaseID) error {
-	if l.chance(8) {
-		l.again(func() { _ = l.wire.RenewLease(context.Background(), id) })
+func (l *lateClient) RenewLease(ctx context.Context, id ids.LeaseID) error {
+	if l.oneIn(8) {
+		l.maybeRepeat(func() { _ = l.copyClient.RenewLease(context.Background(), id) })
 	}
 	return l.client.RenewLease(ctx, id)
 }
 
-func (l *late) RevokeLease(ctx context.Context, id ids.LeaseID) error {
-	l.again(func() { _ = l.wire.RevokeLease(context.Background(), id) })
-	if l.chance(3) {
-		return kv.ErrIndeterminate // it never arrived
+func (l *lateClient) RevokeLease(ctx context.Context, id ids.LeaseID) error {
+	l.maybeRepeat(func() { _ = l.copyClient.RevokeLease(context.Background(), id) })
+	if l.oneIn(3) {
+		return kv.ErrIndeterminate // the request never arrived
 	}
 	return l.client.RevokeLease(ctx, id)
 }
 
-// Processes that are back within a fraction of a second, also in the middle of
-// an election, while copies of what the earlier ones sent still arrive: claims,
-// renewals, and leases given up. No two may hold the key, no revision may serve
-// two terms, and when it all ends somebody leads.
+// restartTrial disturbs a cluster at random.
+type restartTrial struct {
+	cluster     *cluster
+	seed        uint64
+	rng         *rand.Rand
+	names       []ids.ControllerName
+	candidates  map[ids.ControllerName]*candidate
+	clients     []*lateClient
+	incarnation ids.ControllerIncarnation // of the process started last
+}
+
+func startRestartTrial(t *testing.T, c *cluster, seed uint64) *restartTrial {
+	t.Helper()
+	c.store.ttl = testTTL
+	r := &restartTrial{
+		cluster:    c,
+		seed:       seed,
+		rng:        rand.New(rand.NewPCG(seed, 5)),
+		names:      []ids.ControllerName{"n0", "n1", "n2"},
+		candidates: map[ids.ControllerName]*candidate{},
+	}
+	for _, name := range r.names {
+		r.start(t, name)
+	}
+	return r
+}
+
+func (r *restartTrial) start(t *testing.T, name ids.ControllerName) {
+	t.Helper()
+	r.incarnation++
+	late := &lateClient{
+		client:     &client{s: r.cluster.store},
+		copyClient: &client{s: r.cluster.store},
+		rng:        rand.New(rand.NewPCG(r.seed, uint64(r.incarnation))),
+	}
+	r.clients = append(r.clients, late)
+	self := Identity{Name: name, Incarnation: r.incarnation}
+	r.candidates[name] = r.cluster.startWith(t, self, late.client, late)
+}
+
+// sleepUpTo waits for a random number of milliseconds below the limit.
+func (r *restartTrial) sleepUpTo(limitMillis int) {
+	time.Sleep(time.Duration(r.rng.IntN(limitMillis)) * time.Millisecond)
+}
+
+// disturb waits a little, and then lets the store refuse one candidate for a time, or kills
+// one and starts it again. It prefers the leader.
+func (r *restartTrial) disturb(t *testing.T) {
+	t.Helper()
+	r.sleepUpTo(900)
+	name := r.names[r.rng.IntN(len(r.names))]
+	if leader, _ := r.cluster.leader(); leader != "" && r.rng.IntN(2) == 0 {
+		name = leader
+	}
+	disturbed := r.candidates[name]
+	if r.rng.IntN(4) == 0 {
+		disturbed.client.refuse(true)
+		r.sleepUpTo(9000)
+		disturbed.client.refuse(false)
+		return
+	}
+	disturbed.kill()
+	r.sleepUpTo(300)
+	r.start(t, name)
+}
+
+// stop kills all candidates and waits for the copies of their requests.
+func (r *restartTrial) stop() {
+	for _, candidate := range r.candidates {
+		candidate.kill()
+	}
+	for _, late := range r.clients {
+		late.copies.Wait()
+	}
+}
+
+// Processes restart within a fraction of a second, also during an election, while copies of
+// what the earlier ones sent still arrive: commits, renewals and revocations. The cluster
+// checks that no two hold the lease, and that no revision serves two terms.
 func TestQuickRestartsWithLateCopies(t *testing.T) {
 	terms := 0
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				rng := rand.New(rand.NewPCG(seed, 5))
-				s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
-				s.ttl = 3 * time.Second
-				w.stamps = map[ids.Revision]string{}
-				names := []ids.ControllerName{"n0", "n1", "n2"}
-				nodes := map[ids.ControllerName]*member{}
-				inc := ids.ControllerIncarnation(0)
-				var ways []*late
-				start := func(n ids.ControllerName) {
-					inc++
-					l := &late{client: &client{s: s}, wire: &client{s: s}, rng: rand.New(rand.NewPCG(seed, uint64(inc)))}
-					ways = append(ways, l)
-					nodes[n] = w.startOver(t, l.client, l, n, inc)
-				}
-				for _, n := range names {
-					start(n)
-				}
+			withCluster(t, func(t *testing.T, c *cluster) {
+				trial := startRestartTrial(t, c, seed)
 				for range 60 {
-					time.Sleep(time.Duration(rng.IntN(900)) * time.Millisecond)
-					n := names[rng.IntN(3)]
-					if lead, _ := w.leader(); lead != "" && rng.IntN(2) == 0 {
-						n = lead
-					}
-					if rng.IntN(4) == 0 { // the state service refuses it alone
-						m := nodes[n]
-						m.c.refuse(true)
-						time.Sleep(time.Duration(rng.IntN(9000)) * time.Millisecond)
-						m.c.refuse(false)
-						continue
-					}
-					// Killed: it no longer holds anything, and sends nothing more.
-					w.kill(n, nodes[n])
-					time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
-					start(n)
+					trial.disturb(t)
 				}
 				time.Sleep(10 * time.Second)
-				if lead, _ := w.leader(); lead == "" {
-					t.Error("nobody leads")
-				}
-				for n, m := range nodes {
-					w.kill(n, m)
-				}
-				for _, l := range ways {
-					l.copies.Wait()
-				}
-				if len(w.clashes) > 0 {
-					t.Errorf("%v", w.clashes)
+				if leader, _ := c.leader(); leader == "" {
+					t.Error("no candidate leads after the disturbances")
 				}
-				terms += len(w.stamps)
+				trial.stop()
+				terms += c.termCount()
 			})
 		})
 	}
 	if terms < 100 {
-		t.Errorf("only %d terms: too little was tried", terms)
+		t.Errorf("only %d terms: the trials show too little", terms)
 	}
 }
--- /dev/null
+++ b/election/watch_test.go
@@ -0,0 +1,76 @@
+package election
+
+import (
+	"bytes"
+	"context"
+	"log/slog"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// A leader may hold its key for longer than the store keeps changes. A controller that starts
+// then cannot watch from the key's revision. It must watch from a later one, rather than read
+// the key again without a pause, and must notice at once when the key is deleted.
+func TestWatchOfKeyOlderThanCompaction(t *testing.T) {
+	withCluster(t, func(t *testing.T, c *cluster) {
+		first := c.start(t, "n0", 1)
+		time.Sleep(time.Second)
+		c.store.mu.Lock()
+		c.store.epoch += 20_000
+		c.store.oldest, c.store.calls = c.store.epoch-10_000, 0
+		c.store.mu.Unlock()
+		c.start(t, "n1", 1)
+		time.Sleep(30 * time.Second)
+		c.store.mu.Lock()
+		calls := c.store.calls
+		c.store.mu.Unlock()
+		if calls > 100 {
+			t.Errorf("%d requests in 30 s", calls)
+		}
+		first.kill()
+		time.Sleep(4 * time.Second)
+		if leader, _ := c.leader(); leader != "n1" {
+			t.Errorf("%q leads", leader)
+		}
+	})
+}
+
+// A leader key that cannot be decoded is logged once. It counts as held until its lease
+// expires, never as absent.
+func TestUnreadableKeyCountsAsHeld(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := newService()
+		s.epoch, s.revision, s.value, s.lease = 5, 5, wire.Encode("nonsense"), 99
+		s.leases[99] = time.Now().Add(2 * time.Second)
+		var logged bytes.Buffer
+		terms := make(chan ids.Revision, 9)
+		bounds := LeaseBounds{TTL: testTTL, OutageGrace: testOutageGrace}
+		log := slog.New(slog.NewTextHandler(&logged, nil))
+		election := New(&client{s: s}, Identity{Name: "n0"}, bounds, monotonic.SystemClock(), log,
+			func(ctx context.Context, term *Term) error {
+				terms <- term.Revision
+				<-ctx.Done()
+				return context.Cause(ctx)
+			})
+		stop := run(t, election)
+
+		time.Sleep(1900 * time.Millisecond)
+		if leader, known := election.Leader(); known || len(terms) > 0 {
+			t.Errorf("follows %q and has led %d times while the lease is valid", leader.Name, len(terms))
+		}
+		time.Sleep(3 * time.Second)
+		if len(terms) != 1 {
+			t.Errorf("led %d times after the lease expired, want once", len(terms))
+		}
+		stop()
+		if n := strings.Count(logged.String(), "key=leader"); n != 1 {
+			t.Errorf("logged %d times: %s", n, logged.String())
+		}
+	})
+}
