--- a/election/acknowledgements_test.go
+++ b/election/acknowledgements_test.go
@@ -55,7 +55,7 @@
 // not hear. It may answer heartbeats for the whole outage grace only while every peer, running
 // since before the lease became invalid, acknowledges that it knows of none. Otherwise it
 // stops after the isolation bounds, which a later leader counts on.
-func TestIsolatedLeaderStopsAnsweringHeartbeats(t *testing.T) {
+func TestIsolatedLeaderStopsSooner(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		acknowledge acknowledgeFunc
--- a/election/authority.go
+++ b/election/authority.go
@@ -15,9 +15,11 @@
 	// AuthorityExpiredIsolated is the same, but a later leader could not be ruled out for
 	// IsolatedGrace or longer.
 	AuthorityExpiredIsolated
-	// AuthorityEnded means that the term has ended while its lease is still valid.
+	// AuthorityEnded means that the term has ended before its lease expires. The lease may
+	// have been revoked since.
 	AuthorityEnded
-	// AuthorityLeaseValid means that the leader holds the lease.
+	// AuthorityLeaseValid means that the leader holds the lease, so that no other controller
+	// leads.
 	AuthorityLeaseValid
 	// AuthorityOutage means that the store is unreachable and that a later leader was ruled
 	// out within IsolatedGrace, by the lease or by the acknowledgements of all peers.
@@ -30,7 +32,7 @@
 // authorityGrant is what one value of Authority permits.
 type authorityGrant struct {
 	name string
-	// holdsLease is set while no other controller can hold the leader key.
+	// holdsLease is set while the lease is valid by the time of its last renewal.
 	holdsLease bool
 	// answersHeartbeats is set while workers may be answered.
 	answersHeartbeats bool
@@ -50,7 +52,8 @@
 // String returns the name of the authority for logs and tests.
 func (a Authority) String() string { return authorityGrants[a].name }
 
-// HoldsLease reports whether the lease is valid, so that no other controller leads.
+// HoldsLease reports whether the lease is valid by the time of its last renewal. Until the
+// term ends this means that no other controller leads.
 func (a Authority) HoldsLease() bool { return authorityGrants[a].holdsLease }
 
 // MayAnswerHeartbeats reports whether workers may be answered.
--- a/election/doc.go
+++ b/election/doc.go
@@ -12,8 +12,9 @@
 //
 // Lease validity. The leader counts the lease from before it sent the grant or renewal that
 // succeeded, which is never later than the store does. It subtracts the clock drift between
-// the two machines and a safety margin ([LeaseBounds]). While [Term.HoldsLease] is true the
-// key therefore still exists, and no other controller has taken it.
+// the two machines and a safety margin ([LeaseBounds]). While the term goes on and
+// [Term.HoldsLease] is true, the key therefore still exists, and no other controller has taken
+// it. The leader revokes its lease only after the term has ended and its work has returned.
 //
 // Fencing token. The revision of the key grows with each leader and serves one term only.
 // Commits have the precondition that the key is at the leader's revision, and commands to
--- a/election/term.go
+++ b/election/term.go
@@ -26,8 +26,9 @@
 	acknowledgements   *peerAcknowledgements
 }
 
-// HoldsLease reports whether the lease is valid now, so that no other controller leads. It does
-// not report whether the term goes on.
+// HoldsLease reports whether the lease is valid now by the time of its last renewal. Until the
+// term ends this means that no other controller leads. It stays true for the rest of that time
+// if the term ends earlier, although the lease is revoked then.
 func (t *Term) HoldsLease() bool { return t.Authority().HoldsLease() }
 
 // MayAnswerHeartbeats reports whether workers may be answered now: while the lease is valid,
