--- a/scheduler/previous_leaders.go
+++ b/scheduler/previous_leaders.go
@@ -11,7 +11,7 @@
 // an outage from a successor. It goes on answering workers for a while, so that a zone
 // which is cut off together with its leader keeps its services. Machines without a replica
 // are answered for CancelMargin only, as their tasks may as well run elsewhere; the others
-// for longer (election.Bounds).
+// for longer (election.LeaseBounds).
 //
 // Such a leader does not know of jobs that are cancelled through its successor meanwhile,
 // and renews the leases of their tasks. So a successor acknowledges the cancellation of a
