--- /dev/null
+++ b/controller/status_benchmark_test.go
@@ -0,0 +1,69 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// memoryJobs is a jobReader over records in memory that never change.
+type memoryJobs []kv.Entry
+
+// newMemoryJobs holds so many queued jobs, named as benchmarkJob does.
+func newMemoryJobs(count int) memoryJobs {
+	value := wire.Encode(records.Job{Status: wire.JobQueued, Tasks: 2})
+	jobs := make(memoryJobs, count)
+	for i := range jobs {
+		jobs[i] = kv.Entry{Key: records.JobKey(benchmarkJob(i)), Value: value, Revision: 7}
+	}
+	return jobs
+}
+
+func (m memoryJobs) List(_ context.Context, _ string, each func(kv.Entry) error) (ids.Revision, error) {
+	for _, entry := range m {
+		if err := each(entry); err != nil {
+			return 0, err
+		}
+	}
+	return 7, nil
+}
+
+func (memoryJobs) Watch(context.Context, string, ids.Revision, time.Duration) (ids.Revision, []kv.Event, error) {
+	return 7, nil, nil
+}
+
+func benchmarkJob(i int) ids.JobID { return ids.JobID(fmt.Sprintf("job-%d", i)) }
+
+// BenchmarkStatusQueries measures concurrent status queries for jobs that are queued.
+func BenchmarkStatusQueries(b *testing.B) {
+	const jobs, queriesPerProcessor = 1000, 32
+	reader := newStatusReader(newMemoryJobs(jobs), 0, func(_ context.Context, list []ids.JobID) []progress {
+		return make([]progress, len(list))
+	})
+	ctx, cancel := context.WithCancel(b.Context())
+	var running errgroup.Group
+	running.Go(func() error { return reader.run(ctx) })
+	names := make([]ids.JobID, jobs)
+	for i := range names {
+		names[i] = benchmarkJob(i)
+	}
+	b.SetParallelism(queriesPerProcessor)
+	b.ReportAllocs()
+	b.RunParallel(func(pb *testing.PB) {
+		for i := 0; pb.Next(); i++ {
+			if answer := reader.ask(ctx, names[i%jobs], nil); answer.err != nil || !answer.found {
+				b.Errorf("answer %+v", answer)
+			}
+		}
+	})
+	cancel()
+	_ = running.Wait()
+}
