--- a/cmd/ospreystile/zones.go
+++ b/cmd/ospreystile/zones.go
@@ -11,18 +11,19 @@
 	"github.com/spf13/cobra"
 
 	"ospreystile.example/ospreystile/config"
-	"ospreystile.example/ospreystile/controller"
+	"ospreystile.example/ospreystile/controller/operatorclient"
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // operatorClient makes a client of the controllers that the platform's file names.
-func operatorClient(platform *config.Platform) *controller.OperatorClient {
+func operatorClient(platform *config.Platform) *operatorclient.Client {
 	seeds := map[ids.ControllerName]string{}
 	for _, seed := range platform.Seeds {
 		seeds[seed.Name] = seed.Address
 	}
-	return controller.NewOperatorClient(platform.HostName, platform.MeshAddr, seeds)
+	return operatorclient.New(platform.HostName, platform.MeshAddr, seeds)
 }
 
 // zonesCommand shows the conditions of all zones.
@@ -31,7 +32,7 @@
 }
 
 // queryCommand asks the leader about all zones, and prints its answer as a table or as JSON.
-func queryCommand(files *settingsFiles, use, short string, printTable func(io.Writer, controller.ZonesResponse) error) *cobra.Command {
+func queryCommand(files *settingsFiles, use, short string, printTable func(io.Writer, peerapi.ZonesResponse) error) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   use,
@@ -80,7 +81,7 @@
 			if err != nil {
 				return err
 			}
-			o := controller.ZoneOverride{Zone: ids.Zone(args[0]), Kind: kind, Reason: reason}
+			o := peerapi.ZoneOverride{Zone: ids.Zone(args[0]), Kind: kind, Reason: reason}
 			if !slices.Contains(platform.Settings.Zones, o.Zone) {
 				return fmt.Errorf("unknown zone %q, the zones are %v", o.Zone, platform.Settings.Zones)
 			}
@@ -111,7 +112,7 @@
 }
 
 // printIncidents writes the incidents of all zones as a table.
-func printIncidents(out io.Writer, answer controller.ZonesResponse) error {
+func printIncidents(out io.Writer, answer peerapi.ZonesResponse) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "ZONE\tBEGAN\tSERVES SINCE\tSPELLS\tDARK\tRETURN\tSETBACKS\tMACHINES\tTASKS\tJOBS\tBOUNCED\tFORCED\tRESTORED")
 	for _, z := range answer.Zones {
@@ -179,7 +180,7 @@
 }
 
 // printAnswer writes the leader's answer as a table or as JSON.
-func printAnswer(out io.Writer, answer controller.ZonesResponse, asJSON bool, printTable func(io.Writer, controller.ZonesResponse) error) error {
+func printAnswer(out io.Writer, answer peerapi.ZonesResponse, asJSON bool, printTable func(io.Writer, peerapi.ZonesResponse) error) error {
 	if !asJSON {
 		return printTable(out, answer)
 	}
@@ -189,7 +190,7 @@
 }
 
 // printZoneTable writes the conditions of all zones as a table.
-func printZoneTable(out io.Writer, answer controller.ZonesResponse) error {
+func printZoneTable(out io.Writer, answer peerapi.ZonesResponse) error {
 	if !answer.Enabled {
 		_, err := fmt.Fprintln(out, "zones are not watched: zone_return.enabled is false in the operators' settings")
 		return err
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -6,6 +6,7 @@
 	"sync/atomic"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/server"
@@ -103,7 +104,7 @@
 		return false
 	}
 	var held bool
-	if err := p.Call(ctx, opJob, newJobNotice(id, rec, revision), &held); err != nil {
+	if err := p.Call(ctx, peerapi.OpJob, peerapi.NewJobNotice(id, rec, revision), &held); err != nil {
 		n.log.Debug("cancellation not acknowledged", "job", id, "err", err)
 		return false
 	}
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/config"
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/scheduler"
@@ -179,7 +180,7 @@
 	key := n.election.Term()
 	// A peer that has seen a later leader ends the term, though it does not know who
 	// leads now.
-	n.observePing(ping{From: "n-1", Revision: key.Revision + 1})
+	n.observePing(peerapi.Ping{From: "n-1", Revision: key.Revision + 1})
 	until(t, "the term is over", func() bool { return n.election.Term() != key })
 	if key.MayAnswerHeartbeats() {
 		t.Error("answers in the name of an earlier term")
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -16,6 +16,7 @@
 
 	"ospreystile.example/ospreystile/cloud"
 	"ospreystile.example/ospreystile/config"
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/internal/httpclient"
@@ -185,7 +186,7 @@
 	if a := n.Status(ctx, "job-1"); a.Status != 503 || a.RetryAfter == 0 {
 		t.Errorf("a withdrawal that no leader may know of: %+v", a)
 	}
-	n.observePing(ping{Acked: 7})
+	n.observePing(peerapi.Ping{Acked: 7})
 	a := n.Status(ctx, "job-1")
 	if s, ok := a.Body.(wire.JobStatus); a.Status != 200 || !ok || s.Status != wire.JobCancelled {
 		t.Fatalf("through the peer: %+v", a)
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -1,82 +1,13 @@
 package controller
 
 import (
-	"encoding/json"
 	"net/http"
 	"testing"
-	"time"
 
-	"github.com/fxamacker/cbor/v2"
-
-	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/internal/golden"
-	"ospreystile.example/ospreystile/peerrpc"
-	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
-	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-func goldenZones() ZonesResponse {
-	return ZonesResponse{Enabled: true, Leader: "perch-0", Zones: []zonerecovery.Status{{Zone: "zone-a", Condition: zonerecovery.Outage,
-		SinceMS: 1764640000006, Reason: "silent", Known: 31, Heard: 32, Flaps: 33, Step: 34, Steps: 35, Starts: 36, StartLimit: 37,
-		Fetches: 38, FetchLimit: 39, DisplacedIDs: 40, Holding: "all new work", UntilMS: 1764640000007,
-		Override: zonerecovery.OverrideRelease, Recorded: true, StartP90MS: 4100, UsualP90MS: 4200,
-		Incidents: []zonerecovery.Incident{{BeganMS: 1764640000001, ServedMS: 1764640000002, Spells: 3, DarkMS: 4004, ReturnMS: 5005,
-			Setbacks: 6, Tasks: 7, Jobs: 8, Bounces: 9, Forced: 10, Restored: 11, Machines: 12}}}}}
-}
-
-// The request and the answer of each operation between controllers keep their bytes.
-func TestMessagesKeepTheirBytes(t *testing.T) {
-	every := ping{From: "perch-1", Leader: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StateOK: true,
-		Workers: 231, Up: 90 * time.Second, Acked: 411, versions: versions{Format: formatNew, Seen: []ids.ControllerName{"perch-0", "perch-2"}, Durable: true}}
-	old := every
-	old.Up, old.Acked, old.versions = 0, 0, versions{}
-	record := records.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70, DoneMS: 1764640000456}
-	golden.Check(t, "messages.json", golden.Codec{Encode: cbor.Marshal, Decode: peerrpc.Decode}, []golden.Case{
-		{Name: "ping", Value: every},
-		{Name: "ping of an older version", Value: old, Partial: true},
-		{Name: "state request", Value: stateCall{Method: "POST", Path: "/commit", Body: []byte{1, 2}, TimeoutMS: 1000}},
-		{Name: "state answer", Value: stateAnswer{Status: 200, Body: []byte{3}, NotSent: true, Unknown: true}},
-		{Name: "state answer, not sent", Value: stateAnswer{NotSent: true}, Partial: true},
-		{Name: "state answer, unknown", Value: stateAnswer{Unknown: true}, Partial: true},
-		{Name: "progress request", Value: []ids.JobID{"job-1", "job-2"}},
-		{Name: "progress answer", Value: []progress{{Done: 3, Running: 13}, {Done: 300, Running: 70000}}},
-		{Name: "job notice", Value: newJobNotice("job-1", &record, 412)},
-		{Name: "job notice answer", Value: true},
-		{Name: "heartbeats request", Value: [][]byte{{1, 2, 3}, {4}}},
-		{Name: "heartbeats answer", Value: []relayedAnswer{{OK: true, Orders: wire.HeartbeatResponse{FencingToken: ids.NewFencingToken(412, 3), Commands: []wire.Command{
-			{Verb: wire.VerbRun, Name: "job-1/3", Attempt: 2, GraceS: 5.5}}}}}},
-		{Name: "heartbeats answer, refused", Value: []relayedAnswer{{}}, Partial: true},
-		{Name: "zones request", Value: struct{}{}},
-		{Name: "zones answer", Value: goldenZones()},
-		{Name: "zone override request", Value: ZoneOverride{Zone: "zone-a", Kind: zonerecovery.OverrideHold, Reason: "power work", UntilMS: 1764640000007}},
-	})
-	golden.Check(t, "zones.json", golden.Codec{Encode: json.Marshal, Decode: json.Unmarshal}, []golden.Case{
-		{Name: "zones answer as JSON", Value: goldenZones()},
-	})
-}
-
-// The names of operations and the words of refusals stay: controllers of two versions
-// talk to each other during an upgrade.
-func TestOperationsKeepTheirNames(t *testing.T) {
-	for want, got := range map[peerrpc.Operation]peerrpc.Operation{"ping": opPing, "state": opState, "progress": opProgress, "job": opJob,
-		"reports": opReports, "zones": opZones, "zone-override": opZoneOverride} {
-		if got != want {
-			t.Errorf("operation %q, want %q", got, want)
-		}
-	}
-	for want, got := range map[string]error{"not leading": errNotLeading, "unknown operation": errUnknownOperation,
-		"zone_return.enabled is false in the operators' settings":   errZonesOff,
-		"not recorded in time: look at the zones, and decide again": errNotRecorded} {
-		if got.Error() != want {
-			t.Errorf("refusal %q, want %q", got, want)
-		}
-	}
-	if formatNew != 2 {
-		t.Errorf("format %d, want 2", formatNew)
-	}
-}
-
 // The records that are written as maps keep their bytes: those that say that every
 // controller is new, and since which leader the fleet is known.
 func TestFormatRecordKeepsItsBytes(t *testing.T) {
--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -44,12 +45,6 @@
 // maxWaitingReports bounds the reports that wait on a node with so many sockets.
 func maxWaitingReports(sockets int) int { return max(minWaitingReports, sockets) }
 
-// relayedAnswer is the leader's answer to one report of a batch.
-type relayedAnswer struct {
-	OK     bool                   `cbor:"1,keyasint"`
-	Orders wire.HeartbeatResponse `cbor:"2,keyasint"`
-}
-
 // relay hands a report to the leader and waits for the answer.
 func (e *reportRelay) relay(ctx context.Context, raw []byte) server.Response {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
@@ -111,13 +106,13 @@
 func (e *reportRelay) send(ctx context.Context, batch []relayedReport) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	var answers []relayedAnswer
+	var answers []peerapi.HeartbeatAnswer
 	if p := e.n.leaderPeer(); p != nil {
 		raws := make([][]byte, len(batch))
 		for i := range batch {
 			raws[i] = batch[i].raw
 		}
-		if err := p.Call(ctx, opReports, raws, &answers); err != nil {
+		if err := p.Call(ctx, peerapi.OpHeartbeats, raws, &answers); err != nil {
 			e.n.log.Debug("heartbeat relay failed", "count", len(batch), "err", err)
 		}
 	}
@@ -131,10 +126,10 @@
 }
 
 // relayedReports gives a batch from a follower to the leader's core.
-func (n *Controller) relayedReports(ctx context.Context, t *term, raws [][]byte) ([]relayedAnswer, error) {
+func (n *Controller) relayedReports(ctx context.Context, t *term, raws [][]byte) ([]peerapi.HeartbeatAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	answers := make([]relayedAnswer, len(raws))
+	answers := make([]peerapi.HeartbeatAnswer, len(raws))
 	reps := make([]*wire.Heartbeat, len(raws))
 	for i, raw := range raws {
 		rep := new(wire.Heartbeat)
@@ -149,7 +144,7 @@
 			}
 		}
 	}) {
-		return nil, errNotLeading
+		return nil, peerapi.ErrNotLeading
 	}
 	return answers, nil
 }
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"time"
 
 	"ospreystile.example/ospreystile/server"
@@ -49,6 +48,3 @@
 		f()
 	}) && t.key.MayAnswerHeartbeats() && (replicasOnly || !t.key.MayAnswerReplicasOnly())
 }
-
-// errNotLeading refuses what only a leader may do.
-var errNotLeading = errors.New("not leading")
--- a/controller/job_status.go
+++ b/controller/job_status.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/server"
@@ -34,7 +35,7 @@
 	if a.job.terminal() {
 		return n.terminalAnswer(ctx, id, a.job)
 	}
-	s := wire.JobStatus{ID: id, Status: a.job.Status, Done: a.Done, Running: a.Running}
+	s := wire.JobStatus{ID: id, Status: a.job.Status, Done: a.progress.Done, Running: a.progress.Running}
 	if s.Running > 0 {
 		s.Status = wire.JobRunning
 	}
@@ -77,34 +78,28 @@
 	return rec, e.Revision, true, nil
 }
 
-// progress is how many tasks of a job are done and running.
-type progress struct {
-	Done    int `cbor:"1,keyasint"`
-	Running int `cbor:"2,keyasint"`
-}
-
 // progress asks the leader how many tasks of each job are done and running. It
 // is for display; without an answer nothing is known to run.
-func (n *Controller) progress(ctx context.Context, list []ids.JobID) []progress {
+func (n *Controller) progress(ctx context.Context, list []ids.JobID) []peerapi.JobProgress {
 	ctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 	defer cancel()
 	if t := n.term.Load(); t != nil {
 		return t.progress(ctx, list)
 	}
-	var ans []progress
-	if p := n.leaderPeer(); p != nil && p.Call(ctx, opProgress, list, &ans) == nil {
+	var ans []peerapi.JobProgress
+	if p := n.leaderPeer(); p != nil && p.Call(ctx, peerapi.OpProgress, list, &ans) == nil {
 		return ans
 	}
 	return nil
 }
 
 // progress asks the core; nil means that the term is over.
-func (t *term) progress(ctx context.Context, list []ids.JobID) []progress {
-	out := make([]progress, len(list))
+func (t *term) progress(ctx context.Context, list []ids.JobID) []peerapi.JobProgress {
+	out := make([]peerapi.JobProgress, len(list))
 	if !t.ask(ctx, func() {
 		for i, id := range list {
 			s, _ := t.core.Progress(id)
-			out[i] = progress{s.Done, s.Running}
+			out[i] = peerapi.JobProgress{Done: s.Done, Running: s.Running}
 		}
 	}) {
 		return nil
--- a/controller/kv_routes.go
+++ b/controller/kv_routes.go
@@ -6,6 +6,7 @@
 	"sync/atomic"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/internal/httpclient"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/peerrpc"
@@ -44,23 +45,6 @@
 	direct *directRoute
 }
 
-// stateCall is a request to the state service by way of a peer.
-type stateCall struct {
-	Method    string `cbor:"1,keyasint"`
-	Path      string `cbor:"2,keyasint"`
-	Body      []byte `cbor:"3,keyasint"`
-	TimeoutMS int64  `cbor:"4,keyasint"`
-}
-
-// stateAnswer is the state service's answer by way of a peer. Unknown tells that the
-// request may have been carried out, or may yet be.
-type stateAnswer struct {
-	Status  int    `cbor:"1,keyasint"`
-	Body    []byte `cbor:"2,keyasint"`
-	NotSent bool   `cbor:"3,keyasint"`
-	Unknown bool   `cbor:"4,keyasint"`
-}
-
 // Do implements kv.Caller.
 func (r *userRoute) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
 	if !r.n.stateOK() {
@@ -86,8 +70,8 @@
 func (r *userRoute) through(ctx context.Context, p *peer, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout+200*time.Millisecond)
 	defer cancel()
-	var ans stateAnswer
-	err := p.Call(ctx, opState, stateCall{method, path, body, timeout.Milliseconds()}, &ans)
+	var ans peerapi.StoreAnswer
+	err := p.Call(ctx, peerapi.OpStore, peerapi.StoreCall{Method: method, Path: path, Body: body, TimeoutMS: timeout.Milliseconds()}, &ans)
 	switch {
 	case errors.Is(err, peerrpc.ErrNotSent):
 		return 0, nil, errors.Join(httpclient.ErrNotSent, err)
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -5,6 +5,7 @@
 	"sync/atomic"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
@@ -20,42 +21,27 @@
 	workers        atomic.Int32
 	// version is its own and what it knows of the others'; nil: older than this
 	// one, or not heard yet.
-	version atomic.Pointer[versions]
-}
-
-// ping is what controllers tell each other twice a second.
-type ping struct {
-	From        ids.ControllerName        `cbor:"1,keyasint"`
-	Leader      ids.ControllerName        `cbor:"2,keyasint"`
-	Mesh        string                    `cbor:"3,keyasint"`
-	Incarnation ids.ControllerIncarnation `cbor:"4,keyasint"`
-	Revision    ids.Revision              `cbor:"5,keyasint"`
-	StateOK     bool                      `cbor:"6,keyasint"`
-	Workers     int                       `cbor:"7,keyasint"`
-	// Up is for how long the process has run, and Acked a revision up to which
-	// cancellations may be told; see acknowledgedRevision. Older controllers lack both.
-	Up    time.Duration `cbor:"11,keyasint,omitempty"`
-	Acked ids.Revision  `cbor:"12,keyasint,omitempty"`
-	versions
+	version atomic.Pointer[peerapi.Versions]
 }
 
 // ping is what this node tells the others now.
-func (n *Controller) ping() ping {
+func (n *Controller) ping() peerapi.Ping {
 	l, _ := n.election.Leader()
-	return ping{n.cfg.HostName, l.Name, l.MeshAddress, l.Incarnation, l.Revision, n.stateOK(), int(n.workerCount.Load()),
-		n.clock.Now().Sub(n.startedAt), n.acknowledgedUpTo(), n.versions()}
+	return peerapi.Ping{From: n.cfg.HostName, Leader: l.Name, Mesh: l.MeshAddress, Incarnation: l.Incarnation, Revision: l.Revision,
+		StateOK: n.stateOK(), Workers: int(n.workerCount.Load()), Up: n.clock.Now().Sub(n.startedAt), Acked: n.acknowledgedUpTo(),
+		Versions: n.versions()}
 }
 
 // observePing takes in what a peer tells. A leader that it knows only by its revision,
 // since that one's key is gone already, ends earlier terms as well.
-func (n *Controller) observePing(p ping) {
+func (n *Controller) observePing(p peerapi.Ping) {
 	n.election.Observe(election.Leader{Identity: election.Identity{Name: p.Leader, MeshAddress: p.Mesh, Incarnation: p.Incarnation}, Revision: p.Revision})
 	n.acknowledged.advanceTo(p.Acked)
 }
 
 // confirmTerm hands a peer's answer to a ping to the own term: what it knew of leaders when
 // it was asked.
-func (n *Controller) confirmTerm(asked monotonic.Instant, ans ping) {
+func (n *Controller) confirmTerm(asked monotonic.Instant, ans peerapi.Ping) {
 	t := n.election.Term()
 	if t == nil || ans.Revision > t.Revision || ans.Up <= 0 {
 		return
@@ -69,9 +55,9 @@
 	for {
 		n.workerCount.Store(int32(n.balancer.count(n.clock.Now(), n.balancerWindow())))
 		call, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
-		var ans ping
+		var ans peerapi.Ping
 		asked := n.clock.Now()
-		err := p.Call(call, opPing, n.ping(), &ans)
+		err := p.Call(call, peerapi.OpPing, n.ping(), &ans)
 		cancel()
 		if err == nil {
 			p.lastHeard.Store(int64(n.clock.Now()))
--- /dev/null
+++ b/controller/pinger_test.go
@@ -0,0 +1,38 @@
+package controller
+
+import (
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"ospreystile.example/ospreystile/controller/peerapi"
+	"ospreystile.example/ospreystile/peerrpc"
+)
+
+// oldPing is the ping of the version in production.
+type oldPing struct {
+	From    string `cbor:"1,keyasint"`
+	Leader  string `cbor:"2,keyasint"`
+	Mesh    string `cbor:"3,keyasint"`
+	Inc     uint64 `cbor:"4,keyasint"`
+	Stamp   uint64 `cbor:"5,keyasint"`
+	StateOK bool   `cbor:"6,keyasint"`
+	Workers int    `cbor:"7,keyasint"`
+}
+
+// Old controllers read a ping as it was meant, and ignore what is new in it.
+func TestProductionReadsPings(t *testing.T) {
+	c := testNode(t, testConfig("127.0.0.1:4"))
+	raw, err := cbor.Marshal(c.ping())
+	if err != nil {
+		t.Fatal(err)
+	}
+	var old oldPing
+	if err := cbor.Unmarshal(raw, &old); err != nil || old != (oldPing{From: "n-0", StateOK: true}) {
+		t.Errorf("an old controller reads %+v, %v", old, err)
+	}
+	var full peerapi.Ping
+	if err := peerrpc.Decode(raw, &full); err != nil || full.Format != peerapi.RecordFormat {
+		t.Errorf("this version reads %+v, %v", full, err)
+	}
+}
--- a/controller/status_benchmark_test.go
+++ b/controller/status_benchmark_test.go
@@ -8,6 +8,7 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
@@ -45,8 +46,8 @@
 // BenchmarkStatusQueries measures concurrent status queries for jobs that are queued.
 func BenchmarkStatusQueries(b *testing.B) {
 	const jobs, queriesPerProcessor = 1000, 32
-	reader := newStatusReader(newMemoryJobs(jobs), 0, func(_ context.Context, list []ids.JobID) []progress {
-		return make([]progress, len(list))
+	reader := newStatusReader(newMemoryJobs(jobs), 0, func(_ context.Context, list []ids.JobID) []peerapi.JobProgress {
+		return make([]peerapi.JobProgress, len(list))
 	})
 	ctx, cancel := context.WithCancel(b.Context())
 	var running errgroup.Group
--- a/controller/status_reader.go
+++ b/controller/status_reader.go
@@ -6,6 +6,7 @@
 	"sync"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
 )
@@ -26,7 +27,7 @@
 	// accepted tells that all named jobs were, and dependencyCancelled that one of
 	// them is cancelled.
 	accepted, dependencyCancelled bool
-	progress
+	progress                      peerapi.JobProgress
 }
 
 // statusReader answers questions about jobs from a replica that is brought up to the
@@ -40,7 +41,7 @@
 	// leave the state service to those who change something.
 	gap time.Duration
 	// progress asks the leader how far jobs are.
-	progress func(ctx context.Context, list []ids.JobID) []progress
+	progress func(ctx context.Context, list []ids.JobID) []peerapi.JobProgress
 
 	mu      sync.Mutex
 	waiting []statusQuery
@@ -54,7 +55,7 @@
 var errBusy = errors.New("too many questions wait")
 
 // newStatusReader makes a reader whose calls are at least gap apart.
-func newStatusReader(read jobReader, gap time.Duration, ask func(context.Context, []ids.JobID) []progress) *statusReader {
+func newStatusReader(read jobReader, gap time.Duration, ask func(context.Context, []ids.JobID) []peerapi.JobProgress) *statusReader {
 	return &statusReader{replica: jobReplica{read: read}, gap: gap, progress: ask, wake: make(chan struct{}, 1)}
 }
 
--- a/controller/status_reader_test.go
+++ b/controller/status_reader_test.go
@@ -14,6 +14,7 @@
 	"testing/synctest"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
@@ -80,8 +81,8 @@
 }
 
 func pollsOf(r jobReader) *statusReader {
-	return newStatusReader(r, 50*time.Millisecond, func(_ context.Context, list []ids.JobID) []progress {
-		return make([]progress, len(list))
+	return newStatusReader(r, 50*time.Millisecond, func(_ context.Context, list []ids.JobID) []peerapi.JobProgress {
+		return make([]peerapi.JobProgress, len(list))
 	})
 }
 
--- a/controller/term.go
+++ b/controller/term.go
@@ -20,12 +20,12 @@
 // term is the work of one time of leading. Its loop alone touches the core;
 // everyone else posts events to it.
 type term struct {
-	n      *Controller
-	key    *election.Term
-	core   *scheduler.Core
-	events chan func()
+	n         *Controller
+	key       *election.Term
+	core      *scheduler.Core
+	events    chan func()
 	committer *records.Committer
-	cloud  *cloud.Client
+	cloud     *cloud.Client
 	// observed is the revision up to which the core has taken in the jobs' records;
 	// only the loop uses it. applied is the same once all cancellations up to it may
 	// be told to users.
@@ -68,8 +68,8 @@
 func newTerm(n *Controller, key *election.Term) *term {
 	fence := &kv.Precondition{Key: records.LeaderKey, Revision: key.Revision}
 	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.AuthorizedBy(key.MayAnswerHeartbeats),
-		returns: returnQueue{wake: make(chan struct{}, 1)},
-		committer:  records.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
+		returns:   returnQueue{wake: make(chan struct{}, 1)},
+		committer: records.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
 }
 
 // lead does the work of one term until its context ends.
--- a/controller/term_zones.go
+++ b/controller/term_zones.go
@@ -2,53 +2,20 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"slices"
 	"strings"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/monotonic"
-	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// The operations that operators' commands use.
-const (
-	// opZones asks the leader for the conditions of all zones.
-	opZones peerrpc.Operation = "zones"
-	// opZoneOverride hands a ZoneOverride to the leader, which answers once it is recorded.
-	opZoneOverride peerrpc.Operation = "zone-override"
-)
-
-// ZoneOverride is an operator's decision about a zone, as it is sent to the leader.
-type ZoneOverride struct {
-	Zone   ids.Zone                  `cbor:"1,keyasint"`
-	Kind   zonerecovery.OverrideKind `cbor:"2,keyasint"`
-	Reason string                    `cbor:"3,keyasint"`
-	// UntilMS is the time of day when a hold is over; 0: when it is lifted.
-	UntilMS int64 `cbor:"4,keyasint"`
-}
-
-// ZonesResponse is the conditions of all zones. Enabled is false where operators did not have
-// them watched.
-type ZonesResponse struct {
-	Enabled bool                  `cbor:"1,keyasint" json:"enabled"`
-	Leader  ids.ControllerName    `cbor:"2,keyasint" json:"leader"`
-	Zones   []zonerecovery.Status `cbor:"3,keyasint" json:"zones"`
-}
-
-var (
-	// errZonesOff refuses an operator's decision where zones are not watched.
-	errZonesOff = errors.New("zone_return.enabled is false in the operators' settings")
-	// errNotRecorded tells that an operator's decision may or may not count.
-	errNotRecorded = errors.New("not recorded in time: look at the zones, and decide again")
-)
-
 // loadZones reads the records of zones, where operators have them watched. It comes before
 // the admissions, so that their tasks count where they are.
 func (t *term) loadZones() error {
@@ -94,9 +61,9 @@
 
 // handleZones answers with the conditions of all zones.
 func (t *term) handleZones(ctx context.Context) (any, error) {
-	answer := ZonesResponse{Enabled: t.n.op.ZoneRecoveryPolicy != nil, Leader: t.n.cfg.HostName}
+	answer := peerapi.ZonesResponse{Enabled: t.n.op.ZoneRecoveryPolicy != nil, Leader: t.n.cfg.HostName}
 	if !t.ask(ctx, func() { answer.Zones = t.core.ZoneStatus(t.n.clock.Now()) }) {
-		return nil, errNotLeading
+		return nil, peerapi.ErrNotLeading
 	}
 	return answer, nil
 }
@@ -109,7 +76,7 @@
 )
 
 // handleZoneOverride carries an operator's decision out, and answers once it is recorded.
-func (t *term) handleZoneOverride(ctx context.Context, o ZoneOverride) (any, error) {
+func (t *term) handleZoneOverride(ctx context.Context, o peerapi.ZoneOverride) (any, error) {
 	if known := t.n.cfg.Settings.Zones; !slices.Contains(known, o.Zone) {
 		return nil, fmt.Errorf("unknown zone %q, the zones are %v", o.Zone, known)
 	}
@@ -117,73 +84,22 @@
 	on := false
 	decision := zonerecovery.Override{Kind: o.Kind, Reason: o.Reason, UntilMS: o.UntilMS}
 	if !t.ask(ctx, func() { number, on = t.core.OverrideZone(t.n.clock.Now(), o.Zone, decision) }) {
-		return nil, errNotLeading
+		return nil, peerapi.ErrNotLeading
 	}
 	if !on {
-		return nil, errZonesOff
+		return nil, peerapi.ErrZoneRecoveryDisabled
 	}
 	ctx, cancel := context.WithTimeout(ctx, overrideTimeout)
 	defer cancel()
 	for recorded := false; ; {
 		if !t.ask(ctx, func() { recorded = t.core.ZoneOverrideRecorded(o.Zone, number) }) {
-			return nil, errNotRecorded
+			return nil, peerapi.ErrOverrideNotRecorded
 		}
 		if recorded {
 			return t.handleZones(ctx)
 		}
 		if !monotonic.Sleep(ctx, overridePoll) {
-			return nil, errNotRecorded
-		}
-	}
-}
-
-// OperatorClient asks the controllers of a deployment on an operator's behalf.
-type OperatorClient struct{ peers []*peerrpc.Peer }
-
-// NewOperatorClient makes a client of the controllers that the platform's settings name.
-func NewOperatorClient(self ids.ControllerName, selfAddress string, seeds map[ids.ControllerName]string) *OperatorClient {
-	c := &OperatorClient{peers: []*peerrpc.Peer{peerrpc.NewPeer(self, selfAddress)}}
-	for _, name := range sortedNames(seeds) {
-		c.peers = append(c.peers, peerrpc.NewPeer(name, seeds[name]))
-	}
-	return c
-}
-
-// sortedNames lists controllers by name.
-func sortedNames(seeds map[ids.ControllerName]string) []ids.ControllerName {
-	names := make([]ids.ControllerName, 0, len(seeds))
-	for name := range seeds {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
-
-// Zones asks for the conditions of all zones.
-func (c *OperatorClient) Zones(ctx context.Context) (ZonesResponse, error) {
-	return c.call(ctx, opZones, struct{}{})
-}
-
-// OverrideZone has the leader carry a decision out.
-func (c *OperatorClient) OverrideZone(ctx context.Context, o ZoneOverride) (ZonesResponse, error) {
-	return c.call(ctx, opZoneOverride, o)
-}
-
-// call asks one controller after the other until the leader answers.
-func (c *OperatorClient) call(ctx context.Context, op peerrpc.Operation, request any) (answer ZonesResponse, err error) {
-	var failures []error
-	for _, p := range c.peers {
-		call, cancel := context.WithTimeout(ctx, overrideTimeout+time.Second)
-		err := p.Call(call, op, request, &answer)
-		cancel()
-		p.Close()
-		if err == nil {
-			return answer, nil
-		}
-		failures = append(failures, err)
-		if errors.Is(err, peerrpc.ErrRemote) && !strings.Contains(err.Error(), errNotLeading.Error()) {
-			return answer, err // the leader's word
+			return nil, peerapi.ErrOverrideNotRecorded
 		}
 	}
-	return answer, errors.Join(failures...)
 }
--- a/controller/version_gate.go
+++ b/controller/version_gate.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
@@ -23,28 +23,13 @@
 // Options.Split, once no deployment is left whose state lacks records.FormatKey; what
 // asks done() then takes it for true.
 
-// formatNew is the version of the records that this program writes once it may. A
-// controller that tells no version, or a lower one, is older.
-const formatNew = 2
-
-// versions is what a ping tells of versions. Older controllers pass over it, and
-// theirs lacks it.
-type versions struct {
-	Format int `cbor:"8,keyasint,omitempty"`
-	// Seen names the controllers whose own pings told formatNew or more: two that
-	// cannot reach each other learn of each other from a third.
-	Seen []ids.ControllerName `cbor:"9,keyasint,omitempty"`
-	// Durable tells that records.FormatKey is known to be written.
-	Durable bool `cbor:"10,keyasint,omitempty"`
-}
-
 // observeVersion takes note of the version that a peer's latest ping told.
-func (p *peer) observeVersion(ans ping) {
-	if ans.Format < formatNew {
+func (p *peer) observeVersion(ans peerapi.Ping) {
+	if ans.Format < peerapi.RecordFormat {
 		p.version.Store(nil)
 		return
 	}
-	v := ans.versions
+	v := ans.Versions
 	p.version.Store(&v)
 }
 
@@ -56,8 +41,8 @@
 func (u *upgrade) done() bool { return u.durable.Load() }
 
 // versions is what this node's pings tell of versions.
-func (n *Controller) versions() versions {
-	v := versions{Format: formatNew, Durable: n.upgrade.done()}
+func (n *Controller) versions() peerapi.Versions {
+	v := peerapi.Versions{Format: peerapi.RecordFormat, Durable: n.upgrade.done()}
 	if v.Durable {
 		return v
 	}
@@ -106,7 +91,7 @@
 		case all:
 			_, err = n.userState.Commit(ctx, kv.Txn{
 				Preconditions: []kv.Precondition{{Key: records.FormatKey}},
-				Operations:    []kv.Operation{{PutKey: records.FormatKey, Value: map[string]int{"v": formatNew}}},
+				Operations:    []kv.Operation{{PutKey: records.FormatKey, Value: map[string]int{"v": peerapi.RecordFormat}}},
 			})
 			if err == nil { // written now, or there already
 				n.upgrade.durable.Store(true)
@@ -147,7 +132,7 @@
 		n.unreadable(records.FormatKey, err)
 		return nil
 	}
-	if rec.Format >= formatNew {
+	if rec.Format >= peerapi.RecordFormat {
 		n.upgrade.durable.Store(true)
 	}
 	return nil
--- a/controller/version_gate_test.go
+++ b/controller/version_gate_test.go
@@ -2,14 +2,10 @@
 
 import (
 	"context"
-	"encoding/hex"
-	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"reflect"
 	"slices"
 	"strconv"
 	"strings"
@@ -17,11 +13,10 @@
 	"testing"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
 	"github.com/vmihailenco/msgpack/v5"
 
 	"ospreystile.example/ospreystile/config"
-	"ospreystile.example/ospreystile/election"
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/peerrpc"
@@ -260,23 +255,25 @@
 // is then made durable, and a node that finds it so need hear nobody.
 func TestAllControllersAreNew(t *testing.T) {
 	peers := []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}, {Name: "n-2", Address: "127.0.0.1:6"}}
-	fresh := func(seen ...ids.ControllerName) ping { return ping{versions: versions{Format: formatNew, Seen: seen}} }
+	fresh := func(seen ...ids.ControllerName) peerapi.Ping {
+		return peerapi.Ping{Versions: peerapi.Versions{Format: peerapi.RecordFormat, Seen: seen}}
+	}
 	for _, c := range []struct {
 		name          string
-		first, second *ping
+		first, second *peerapi.Ping
 		all           bool
 	}{
 		{"nobody heard", nil, nil, false},
 		{"one heard", new(fresh()), nil, false},
 		{"both heard", new(fresh()), new(fresh()), true},
-		{"one is old", new(fresh()), new(ping{From: "n-2"}), false},
+		{"one is old", new(fresh()), new(peerapi.Ping{From: "n-2"}), false},
 		{"one heard by the other", new(fresh("n-0", "n-2")), nil, true},
-		{"heard by one that is old again", new(ping{versions: versions{Format: 1, Seen: []ids.ControllerName{"n-2"}}}), nil, false},
+		{"heard by one that is old again", new(peerapi.Ping{Versions: peerapi.Versions{Format: 1, Seen: []ids.ControllerName{"n-2"}}}), nil, false},
 	} {
 		cfg := testConfig("127.0.0.1:4")
 		cfg.Seeds = peers
 		n := testNode(t, cfg)
-		for i, p := range []*ping{c.first, c.second} {
+		for i, p := range []*peerapi.Ping{c.first, c.second} {
 			if p != nil {
 				n.peers[i].observeVersion(fresh("n-1", "n-2"))
 				n.peers[i].observeVersion(*p)
@@ -300,150 +297,3 @@
 		}
 	}
 }
-
-// production holds bytes as the version named in deploy/service.toml writes them.
-func production(t *testing.T) map[string][]byte {
-	t.Helper()
-	raw, err := os.ReadFile("testdata/production.json")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var text map[string]string
-	if err := json.Unmarshal(raw, &text); err != nil {
-		t.Fatal(err)
-	}
-	out := map[string][]byte{}
-	for name, h := range text {
-		if out[name], err = hex.DecodeString(h); err != nil {
-			t.Fatal(err)
-		}
-	}
-	return out
-}
-
-func prodSpec() *wire.JobSpec {
-	return &wire.JobSpec{Class: "train", Team: "vision", Priority: wire.High, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
-		ImageGB: 6.2, Types: []ids.MachineType{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, CheckpointEveryS: 30, CheckpointS: 4, DeadlineS: 900}
-}
-
-// Every record and frame of the version in production means the same here.
-func TestReadsWhatProductionWrote(t *testing.T) {
-	queued := records.Job{Nonce: 1<<63 + 5, Status: wire.JobQueued, Tasks: 70, Spec: prodSpec(), SubmittedMS: 1764640000123}
-	withdrawn := queued
-	withdrawn.Nonce, withdrawn.Status = 99, wire.JobCancelled
-	old := production(t)
-	for name, want := range map[string]any{
-		"job queued":    queued,
-		"job withdrawn": withdrawn,
-		"job done":      records.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70},
-		"slice": records.AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"a", "b"},
-			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 3, -1}, Done: []int{67, 69}},
-		"leader":       election.Identity{Name: "perch-0", MeshAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3},
-		"ping":         ping{From: "perch-1", Leader: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StateOK: true, Workers: 231},
-		"state call":   stateCall{"POST", "/commit", []byte{1, 2}, 1000},
-		"state answer": stateAnswer{200, []byte{3}, false, true},
-		"announcement": jobNotice{"job-1", old["job queued"], 412},
-		"report answer": []relayedAnswer{{true, wire.HeartbeatResponse{FencingToken: ids.NewFencingToken(412, 3), Commands: []wire.Command{
-			{Verb: "run", Name: "job-1/3", Attempt: 2}, {Verb: "kill", Name: "job-2/1", Attempt: 1, GraceS: 5.5}}}}},
-		"progress": []progress{{3, 13}},
-	} {
-		got := reflect.New(reflect.TypeOf(want))
-		decode, encode := wire.Decode, func(v any) ([]byte, error) { return wire.Encode(v), nil }
-		switch name {
-		case "ping", "state call", "state answer", "announcement", "report answer", "progress":
-			decode, encode = peerrpc.Decode, cbor.Marshal
-		}
-		if err := decode(old[name], got.Interface()); err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
-			t.Errorf("%s: read %+v, %v, want %+v", name, got.Elem(), err, want)
-		}
-		// Until the upgrade is over the same is written byte by byte.
-		if raw, err := encode(want); err != nil || string(raw) != string(old[name]) {
-			t.Errorf("%s: written as %x, %v, production writes %x", name, raw, err, old[name])
-		}
-	}
-}
-
-// oldJob, oldSpec and oldPing are the structs of the version in production, as a
-// stand-in for it, and so is how it reads a job.
-type oldJob struct {
-	Nonce       uint64   `msgpack:"w"`
-	Status      string   `msgpack:"s"`
-	Tasks       int      `msgpack:"n"`
-	Spec        *oldSpec `msgpack:"p,omitempty"`
-	SubmittedMS int64    `msgpack:"t,omitempty"`
-}
-
-type oldSpec struct {
-	Class     string   `msgpack:"c"`
-	Team      string   `msgpack:"g"`
-	Service   bool     `msgpack:"s,omitempty"`
-	Gang      bool     `msgpack:"gg,omitempty"`
-	Priority  int      `msgpack:"p"`
-	Tasks     int      `msgpack:"n"`
-	CPUs      float64  `msgpack:"u"`
-	GPUs      float64  `msgpack:"a,omitempty"`
-	MemoryGB  float64  `msgpack:"m"`
-	Image     string   `msgpack:"i"`
-	ImageGB   float64  `msgpack:"ig"`
-	Types     []string `msgpack:"t,omitempty"`
-	Zone      string   `msgpack:"z,omitempty"`
-	OneZone   bool     `msgpack:"oz,omitempty"`
-	Spread    bool     `msgpack:"sp,omitempty"`
-	Spot      bool     `msgpack:"l,omitempty"`
-	EstimateS float64  `msgpack:"e,omitempty"`
-	SaveEvery float64  `msgpack:"ce,omitempty"`
-	SaveS     float64  `msgpack:"cs,omitempty"`
-	DeadlineS float64  `msgpack:"d,omitempty"`
-}
-
-type oldPing struct {
-	From    string `cbor:"1,keyasint"`
-	Leader  string `cbor:"2,keyasint"`
-	Mesh    string `cbor:"3,keyasint"`
-	Inc     uint64 `cbor:"4,keyasint"`
-	Stamp   uint64 `cbor:"5,keyasint"`
-	StateOK bool   `cbor:"6,keyasint"`
-	Workers int    `cbor:"7,keyasint"`
-}
-
-// What is written while old controllers serve is read by them as it was meant, what
-// is new in it passed over.
-func TestProductionReadsWhatIsWritten(t *testing.T) {
-	spec := oldSpec{Class: "train", Team: "vision", Priority: 2, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
-		ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, SaveEvery: 30, SaveS: 4, DeadlineS: 900}
-	short := oldSpec{Team: "vision", Priority: 2, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, OneZone: true, Spot: true}
-	rec := records.Job{Nonce: 4, Status: wire.JobQueued, Tasks: 70, Spec: prodSpec(), SubmittedMS: 5}
-	for _, c := range []struct {
-		name    string
-		written any
-		want    oldJob
-	}{
-		{"done, with the time", records.CompleteJobChange("job-1", 7, records.Job{Nonce: 6, Tasks: 70, DoneMS: 1764640000123}, nil).Operations[0].Value,
-			oldJob{Nonce: 6, Status: "done", Tasks: 70}},
-		{"withdrawn", records.CancelJobChange("job-1", 7, 6, rec, 2000).Operations[0].Value,
-			oldJob{Nonce: 6, Status: "withdrawn", Tasks: 70, Spec: &spec, SubmittedMS: 5}},
-		{"withdrawn, and too large", records.CancelJobChange("job-1", 7, 6, rec, 150).Operations[0].Value,
-			oldJob{Nonce: 6, Status: "withdrawn", Tasks: 70, Spec: &short, SubmittedMS: 5}},
-	} {
-		var got oldJob
-		if err := wire.Decode(wire.Encode(c.written), &got); err != nil || !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s: read as %+v %+v, %v", c.name, got, got.Spec, err)
-		}
-		if c.name == "withdrawn, and too large" && wire.ExceedsJSONSize(c.written, 150) {
-			t.Errorf("%s: it still is", c.name)
-		}
-	}
-	n := testNode(t, testConfig("127.0.0.1:4"))
-	raw, err := cbor.Marshal(n.ping())
-	if err != nil {
-		t.Fatal(err)
-	}
-	var got oldPing
-	if err := cbor.Unmarshal(raw, &got); err != nil || got != (oldPing{From: "n-0", StateOK: true}) {
-		t.Errorf("a ping is read as %+v, %v", got, err)
-	}
-	var full ping
-	if err := peerrpc.Decode(raw, &full); err != nil || full.Format != formatNew {
-		t.Errorf("and by its own kind as %+v, %v", full, err)
-	}
-}
--- a/internal/faulttest/zone_return_test.go
+++ b/internal/faulttest/zone_return_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"ospreystile.example/ospreystile/controller"
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonerecovery"
@@ -113,7 +113,7 @@
 }
 
 // zones asks for the conditions of all zones, as an operator does.
-func (d *zoneDrill) zones() (answer controller.ZonesResponse, ok bool) {
+func (d *zoneDrill) zones() (answer peerapi.ZonesResponse, ok bool) {
 	out, err := d.command(d.Nodes[0], "zones", "--json")
 	return answer, err == nil && json.Unmarshal([]byte(out), &answer) == nil
 }
