--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/controller/peerapi"
+	"ospreystile.example/ospreystile/controller/settings"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/server"
@@ -31,7 +32,7 @@
 		if rec.Terminal() {
 			return n.terminalAnswer(ctx, id, snapshotOf(rec, revision))
 		}
-		out, err := n.commit(ctx, records.CancelJobChange(id, revision, rand.Uint64(), *rec, n.valueBytes()))
+		out, err := n.commit(ctx, records.CancelJobChange(id, revision, rand.Uint64(), *rec, settings.MaxValueBytes(n.cfg)))
 		if err != nil {
 			return server.RetryLater(retryDelay)
 		}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -17,6 +17,7 @@
 
 	"ospreystile.example/ospreystile/cloud"
 	"ospreystile.example/ospreystile/config"
+	"ospreystile.example/ospreystile/controller/settings"
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/internal/httpclient"
@@ -24,7 +25,6 @@
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/records"
-	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/worker"
@@ -81,9 +81,9 @@
 	rps := s.State.Planned().RPS
 	n.leaderState = kv.New(direct, rps*0.25)
 	n.userState = kv.New(&userRoute{n, direct}, rps*0.65/nodes)
-	n.intake = records.NewCommitter(n.userState, n.limits(), nil, log)
+	n.intake = records.NewCommitter(n.userState, settings.TransactionLimits(n.cfg), nil, log)
 	self := election.Identity{Name: cfg.HostName, MeshAddress: cfg.MeshAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
-	bounds := election.LeaseBounds{TTL: op.LeaseTTL(), OutageGrace: op.Grace(), IsolatedGrace: n.isolatedBound(), IsolatedReplicaGrace: n.isolatedReplicasBound()}
+	bounds := election.LeaseBounds{TTL: op.LeaseTTL(), OutageGrace: op.Grace(), IsolatedGrace: settings.IsolatedGrace(n.cfg, n.op), IsolatedReplicaGrace: settings.IsolatedReplicaGrace(n.cfg, n.op)}
 	for _, p := range cfg.Seeds {
 		bounds.Peers = append(bounds.Peers, p.Name)
 	}
@@ -97,43 +97,6 @@
 	return n
 }
 
-// cancelHold is for how long after it began a leader may have to refuse to acknowledge
-// cancellations, because an earlier one may still keep tasks of the job. It is half of the
-// 90 s after which a job counts as forgotten about which no question is answered.
-const cancelHold = 45 * time.Second
-
-// isolatedBound is for how long a leader that cannot rule out a later one may go on
-// answering workers without replicas: users may be told at any time that a job is
-// cancelled, and the lease that is renewed last ends within cancel_s of that.
-func (n *Controller) isolatedBound() time.Duration {
-	w := &n.cfg.Settings.Workers
-	return min(n.op.Grace(), scheduler.CancelMargin(monotonic.Seconds(w.CancelDeadlineS), monotonic.Seconds(w.LeaseS)))
-}
-
-// isolatedReplicasBound is the same for workers with replicas, so that a zone that is cut
-// off together with its leader keeps its services for that long and a lease. The later
-// leader counts on this bound: until it is over but for scheduler.CancelMargin, no user is
-// told that a job is cancelled whose tasks the earlier leader may keep.
-func (n *Controller) isolatedReplicasBound() time.Duration {
-	isolated := n.isolatedBound()
-	if isolated == 0 { // cancel_s leaves no room for it
-		return 0
-	}
-	return min(n.op.Grace(), isolated+cancelHold)
-}
-
-// limits are those of one transaction.
-func (n *Controller) limits() records.Limits {
-	s := n.cfg.Settings.State.Planned()
-	// A transaction beyond one second's worth of changes never passes the rate.
-	return records.Limits{Operations: max(1, min(s.TxnOps, int(s.WriteRPS))), Bytes: 48 << 10}
-}
-
-// valueBytes is how large a value may be, with a margin for how the service counts.
-func (n *Controller) valueBytes() int {
-	return int(n.cfg.Settings.State.Planned().ValueKB*1024*0.95) - 32
-}
-
 // Run serves until the context ends.
 func (n *Controller) Run(ctx context.Context) error {
 	// Two thirds of what the platform grants: stacks, buffers and the
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/settings"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/placement"
@@ -40,7 +41,7 @@
 		if s.Service || s.Gang {
 			need = need.Times(s.Tasks)
 		}
-		if !need.FitsIn(limitOf(*t)) {
+		if !need.FitsIn(settings.TeamLimit(*t)) {
 			return false
 		}
 		return slices.ContainsFunc(types, func(t wire.MachineType) bool {
@@ -84,7 +85,7 @@
 	}
 	// With room for what a cancellation changes. A list that is too long to be kept
 	// is refused whole.
-	if wire.ExceedsJSONSize(record, n.valueBytes()-recordSlack) {
+	if wire.ExceedsJSONSize(record, settings.MaxValueBytes(n.cfg)-recordSlack) {
 		return n.refuseUnlessKnown(ctx, id)
 	}
 	return n.recordSubmission(ctx, id, &record)
--- a/controller/term.go
+++ b/controller/term.go
@@ -10,6 +10,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"ospreystile.example/ospreystile/cloud"
+	"ospreystile.example/ospreystile/controller/settings"
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
@@ -69,7 +70,7 @@
 	fence := &kv.Precondition{Key: records.LeaderKey, Revision: key.Revision}
 	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.AuthorizedBy(key.MayAnswerHeartbeats),
 		returns:   returnQueue{wake: make(chan struct{}, 1)},
-		committer: records.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
+		committer: records.NewCommitter(n.leaderState, settings.TransactionLimits(n.cfg), fence, n.log)}
 }
 
 // lead does the work of one term until its context ends.
--- a/controller/term_options.go
+++ b/controller/term_options.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/config"
+	"ospreystile.example/ospreystile/controller/settings"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler"
@@ -34,7 +35,7 @@
 	// What an earlier leader may do follows from its version.
 	grace, graceWithoutReplicas := op.Grace(), op.Grace()
 	if n.upgrade.done() {
-		grace, graceWithoutReplicas = n.isolatedReplicasBound(), n.isolatedBound()
+		grace, graceWithoutReplicas = settings.IsolatedReplicaGrace(n.cfg, n.op), settings.IsolatedGrace(n.cfg, n.op)
 	}
 	o := scheduler.Options{
 		Revision:                           revision,
@@ -45,8 +46,8 @@
 		PreviousLeaderGrace:                grace,
 		PreviousLeaderGraceWithoutReplicas: graceWithoutReplicas,
 		ListLag:                            monotonic.Seconds(s.Cloud.ListLagS),
-		TxnOps:                             n.limits().Operations,
-		ValueBytes:                         n.valueBytes(),
+		TxnOps:                             settings.TransactionLimits(n.cfg).Operations,
+		ValueBytes:                         settings.MaxValueBytes(n.cfg),
 		SplitRecords:                       n.upgrade.done(),
 		SliceTasks:                         op.Quota.SliceTasks,
 		MaxSkippedJobs:                     op.Quota.MaxSkippedJobs,
@@ -99,13 +100,5 @@
 	if limit, ok := lendingLimits[team.Name]; ok {
 		lend.CPUs = min(limit, lend.CPUs)
 	}
-	return quota.Team{Name: team.Name, Nominal: nominal, Limit: limitOf(team), LendingLimit: lend}
-}
-
-// limitOf is the most that a team's tasks may use at any time.
-func limitOf(t config.Team) quota.Amount {
-	if !t.Limited() {
-		return quota.Unlimited
-	}
-	return quota.Amount{CPUs: t.CPUsMax, GPUs: t.GPUsMax}
+	return quota.Team{Name: team.Name, Nominal: nominal, Limit: settings.TeamLimit(team), LendingLimit: lend}
 }
