--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -6,6 +6,7 @@
 	"sync/atomic"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/leader"
 	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/controller/settings"
 	"ospreystile.example/ospreystile/ids"
@@ -76,8 +77,8 @@
 // acknowledgedUpTo is the latest that this node knows of it. Whether the key is held is
 // asked after what the own term has taken in.
 func (n *Controller) acknowledgedUpTo() ids.Revision {
-	if t := n.term.Load(); t != nil {
-		if applied := ids.Revision(t.applied.Load()); t.key.HoldsLease() {
+	if t := n.leader.Load(); t != nil {
+		if applied, ok := t.AcknowledgedRevision(); ok {
 			n.acknowledged.advanceTo(applied)
 		}
 	}
@@ -97,8 +98,8 @@
 	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
 	defer cancel()
 	l, _ := n.election.Leader()
-	if t := n.term.Load(); t != nil && l.Revision == t.key.Revision {
-		return t.acknowledge(ctx, id, rec, revision)
+	if t := n.leader.Load(); t != nil && l.Revision == t.Revision() {
+		return t.AcknowledgeCancellation(ctx, leader.JobRecord{ID: id, Record: rec, Revision: revision})
 	}
 	p := n.peerNamed(l.Name)
 	if p == nil {
@@ -111,15 +112,3 @@
 	}
 	return held
 }
-
-// acknowledge has the core take a job's record in, and tells whether its cancellation may
-// be told: no earlier leader can keep its tasks for too long, and the key was surely held
-// after that.
-func (t *term) acknowledge(ctx context.Context, id ids.JobID, rec *records.Job, revision ids.Revision) bool {
-	harmless := false
-	return t.ask(ctx, func() {
-		now := t.n.clock.Now()
-		t.core.ObserveJob(now, id, rec, revision)
-		harmless = t.core.CanAcknowledgeCancel(now, id)
-	}) && harmless && t.key.HoldsLease()
-}
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -13,20 +13,19 @@
 
 	"ospreystile.example/ospreystile/config"
 	"ospreystile.example/ospreystile/controller/peerapi"
-	"ospreystile.example/ospreystile/controller/settings"
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// door is one node's way to the state service, which may refuse it alone.
-func (s *smallState) door(t *testing.T) (addr string, refuse *atomic.Bool) {
+// door is one controller's way to the key-value store. The store refuses that controller alone
+// the paths that begin with the prefix while refuse is set.
+func (s *smallState) door(t *testing.T, prefix string) (addr string, refuse *atomic.Bool) {
 	t.Helper()
 	refuse = new(atomic.Bool)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if refuse.Load() {
+		if refuse.Load() && strings.HasPrefix(r.URL.Path, prefix) {
 			w.WriteHeader(503)
 			return
 		}
@@ -36,152 +35,214 @@
 	return strings.TrimPrefix(srv.URL, "http://"), refuse
 }
 
-// until waits for what other goroutines are to bring about.
-func until(t *testing.T, what string, ok func() bool) {
+// acknowledgementTest is a leader that the key-value store can refuse, and two followers that
+// it always serves.
+type acknowledgementTest struct {
+	state        *smallState
+	refuse       *atomic.Bool
+	leader       *Controller
+	asked, other *Controller
+}
+
+func newAcknowledgementTest(t *testing.T) *acknowledgementTest {
 	t.Helper()
-	for range 4000 {
-		if ok() {
-			return
-		}
-		time.Sleep(5 * time.Millisecond)
+	a := &acknowledgementTest{state: newSmallState(t)}
+	var store string
+	store, a.refuse = a.state.door(t, "/")
+	platform := testConfig(store)
+	platform.Settings.State.RPS, platform.Settings.State.WriteRPS, platform.Settings.State.ValueKB = 20000, 80, 2
+	a.leader = testNode(t, platform)
+	a.leader.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
+	address := a.state.leads(t, a.leader)
+	a.asked = startFollower(t, a.state, a.leader, address)
+	a.other = startFollower(t, a.state, a.leader, address)
+	return a
+}
+
+// submit submits a job, and waits until the leader knows it.
+func (a *acknowledgementTest) submit(t *testing.T, id ids.JobID) {
+	t.Helper()
+	if answer := a.asked.Submit(t.Context(), id, waiting()); answer.Status != 201 {
+		t.Fatalf("%s: %+v", id, answer)
 	}
-	t.Fatalf("never: %s", what)
+	until(t, "the leader knows the job", func() bool { return knownToLeader(t, a.leader, id) })
 }
 
-// The gap: the state service refuses the leader alone, and jobs are cancelled through
-// another node. Were the user told, and the state service then away for everybody, the
-// leader would go on renewing the leases of the tasks for longer than cancel_s, knowing
-// of nothing. So nobody is told, in whatever way, before a leader that holds its key has
-// taken the cancellation in; and nobody is told anything older.
-func TestCancellationIsVisibleOnceALeaderAcknowledgedIt(t *testing.T) {
-	state := newSmallState(t)
-	addr, refuse := state.door(t)
-	cfg := testConfig(addr)
-	cfg.Settings.State.RPS, cfg.Settings.State.WriteRPS, cfg.Settings.State.ValueKB = 20000, 80, 2
-	leader := testNode(t, cfg)
-	leader.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
-	seed := config.Peer{Name: "n-0", Address: state.leads(t, leader)}
-	term := leader.term.Load()
-	asked, other := state.started(t, seed), state.started(t, seed)
-	follow(asked, leader)
-	follow(other, leader)
-	ways := []struct { // in this order: before the first, there is nothing to tell
-		name string
-		ask  func(n *Controller, id ids.JobID) server.Response
-	}{
-		{"withdraw", func(n *Controller, id ids.JobID) server.Response { return n.Cancel(t.Context(), id) }},
-		{"poll", func(n *Controller, id ids.JobID) server.Response { return n.Status(t.Context(), id) }},
-		{"submit", func(n *Controller, id ids.JobID) server.Response { return n.Submit(t.Context(), id, waiting()) }},
-		{"withdraw again", func(n *Controller, id ids.JobID) server.Response { return n.Cancel(t.Context(), id) }},
+// answers asks both followers about a job in every way. The cancellation comes first: before it
+// there is nothing to tell.
+func (a *acknowledgementTest) answers(t *testing.T, id ids.JobID) map[string]server.Response {
+	t.Helper()
+	answers := map[string]server.Response{}
+	for name, c := range map[string]*Controller{"asked": a.asked, "other": a.other} {
+		answers[name+": cancellation"] = c.Cancel(t.Context(), id)
+		answers[name+": status"] = c.Status(t.Context(), id)
+		answers[name+": submission"] = c.Submit(t.Context(), id, waiting())
+		answers[name+": repeated cancellation"] = c.Cancel(t.Context(), id)
 	}
-	check := func(id ids.JobID, told bool, when string) {
-		t.Helper()
-		for _, n := range []*Controller{asked, other} {
-			for _, way := range ways {
-				a := way.ask(n, id)
-				s, _ := a.Body.(wire.JobStatus)
-				if told && (a.Status != 200 || s.Status != wire.JobCancelled) || !told && (a.Status != 503 || a.RetryAfter == 0) {
-					t.Errorf("%s, %s: %s: %+v", when, way.name, id, a)
-				}
-			}
+	return answers
+}
+
+// checkTold checks that every answer tells of a job's cancellation.
+func (a *acknowledgementTest) checkTold(t *testing.T, id ids.JobID) {
+	t.Helper()
+	for way, answer := range a.answers(t, id) {
+		if s, _ := answer.Body.(wire.JobStatus); answer.Status != 200 || s.Status != wire.JobCancelled {
+			t.Errorf("%s: %s: %+v", way, id, answer)
 		}
 	}
-	known := func(id ids.JobID) (ok bool) {
-		term.ask(t.Context(), func() { _, ok = term.core.Progress(id) })
-		return ok
-	}
-	for _, id := range []ids.JobID{"job-1", "job-2", "job-3"} {
-		if a := asked.Submit(t.Context(), id, waiting()); a.Status != 201 {
-			t.Fatalf("%s: %+v", id, a)
+}
+
+// checkNotTold checks that every answer asks the user to come back.
+func (a *acknowledgementTest) checkNotTold(t *testing.T, id ids.JobID) {
+	t.Helper()
+	for way, answer := range a.answers(t, id) {
+		if answer.Status != 503 || answer.RetryAfter == 0 {
+			t.Errorf("%s: %s: %+v", way, id, answer)
 		}
-		until(t, "the leader knows the job", func() bool { return known(id) })
 	}
-	if a := asked.Cancel(t.Context(), "job-1"); a.Status != 200 {
-		t.Errorf("the leader holds its key: %+v", a)
+}
+
+// The key-value store refuses the leader alone, and jobs are cancelled at another controller. If
+// the user were told, and the store then failed for every controller, the leader would go on
+// renewing the leases of the tasks for longer than the cancel deadline. So no user is told, in
+// whatever way, before a leader that holds its lease has taken the cancellation in; and no user
+// is told anything older.
+func TestCancellationIsVisibleOnceALeaderAcknowledgedIt(t *testing.T) {
+	a := newAcknowledgementTest(t)
+	term := a.leader.election.Term()
+	a.submit(t, "job-1")
+	a.submit(t, "job-2")
+	a.submit(t, "job-3")
+	if answer := a.asked.Cancel(t.Context(), "job-1"); answer.Status != 200 {
+		t.Errorf("the leader holds its lease: %+v", answer)
 	}
-	if known("job-1") {
+	if knownToLeader(t, a.leader, "job-1") {
 		t.Error("told before the leader has taken it in")
 	}
-	check("job-1", true, "told before")
+	a.checkTold(t, "job-1")
 
-	refuse.Store(true)
-	until(t, "the leader's key is not surely held", func() bool { return !term.key.HoldsLease() })
-	check("job-2", false, "the leader is refused alone")
-	if known("job-2") || !term.key.MayAnswerHeartbeats() {
+	a.refuse.Store(true)
+	until(t, "the leader's lease may have expired", func() bool { return !term.HoldsLease() })
+	a.checkNotTold(t, "job-2")
+	if knownToLeader(t, a.leader, "job-2") || !term.MayAnswerHeartbeats() {
 		t.Error("the leader goes on, and did not take in what it was told")
 	}
-	check("job-1", true, "the leader is refused alone")
-	// Nor while nobody leads, as far as this node knows.
-	asked.election.Observe(election.Leader{Identity: election.Identity{Name: "n-9"}, Revision: term.key.Revision + 1})
-	if a := asked.Cancel(t.Context(), "job-3"); a.Status != 503 {
-		t.Errorf("nobody leads: %+v", a)
+	a.checkTold(t, "job-1")
+	// Nor while no controller leads, as far as this one knows.
+	a.asked.election.Observe(election.Leader{Identity: election.Identity{Name: "n-9"}, Revision: term.Revision + 1})
+	if answer := a.asked.Cancel(t.Context(), "job-3"); answer.Status != 503 {
+		t.Errorf("no known leader: %+v", answer)
 	}
 
-	refuse.Store(false)
-	until(t, "the leader holds its key again", func() bool { return term.key.HoldsLease() })
-	if a := asked.Status(t.Context(), "job-2"); a.Status != 503 {
-		t.Errorf("nobody leads: %+v", a)
+	a.refuse.Store(false)
+	until(t, "the leader holds its lease again", func() bool { return term.HoldsLease() })
+	if answer := a.asked.Status(t.Context(), "job-2"); answer.Status != 503 {
+		t.Errorf("no known leader: %+v", answer)
 	}
-	// The leader reads the record by itself, and pings bring word of it.
+	// The leader reads the record by itself, and pings tell of it.
 	until(t, "the leader has read all", func() bool {
-		state.mu.Lock()
-		defer state.mu.Unlock()
-		return ids.Revision(term.applied.Load()) >= state.keys["jobs/job-3"].Revision
+		a.state.mu.Lock()
+		defer a.state.mu.Unlock()
+		revision, ok := a.leader.leader.Load().AcknowledgedRevision()
+		return ok && revision >= a.state.keys["jobs/job-3"].Revision
 	})
-	asked.observePing(leader.ping())
-	check("job-2", true, "the leader holds its key again")
-	check("job-3", true, "the leader holds its key again")
+	a.asked.observePing(a.leader.ping())
+	a.checkTold(t, "job-2")
+	a.checkTold(t, "job-3")
 }
 
-// A leader's word counts only while it holds its key: a later one may not know then
-// what it has taken in.
-func TestLeaderWithoutItsKeyAcknowledgesNothing(t *testing.T) {
+// A leader acknowledges cancellations only while it holds its lease: a later leader may not know
+// what it takes in after that. Here the store refuses to renew the lease, and nothing else, so
+// the leader goes on reading changes of jobs.
+func TestLeaderWithoutItsLeaseAcknowledgesNothing(t *testing.T) {
 	state := newSmallState(t)
-	addr, refuse := state.door(t)
-	n := testNode(t, testConfig(addr))
-	n.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
-	state.leads(t, n)
-	tm := n.term.Load()
+	store, refuse := state.door(t, "/grants")
+	platform := testConfig(store)
+	platform.Settings.State.RPS, platform.Settings.State.WriteRPS, platform.Settings.State.ValueKB = 20000, 80, 2
+	c := testNode(t, platform)
+	c.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
+	address := state.leads(t, c)
+	term := c.election.Term()
 	state.mu.Lock()
 	state.epoch = 40
 	state.mu.Unlock()
-	until(t, "all is acknowledged", func() bool { return n.ping().Acked >= 40 })
+	until(t, "all is acknowledged", func() bool { return c.ping().Acked >= 40 })
 	refuse.Store(true)
-	until(t, "the key is not surely held", func() bool { return !tm.key.HoldsLease() })
-	tm.applied.Store(50)
-	if got := n.ping().Acked; got >= 50 {
-		t.Errorf("acknowledged up to %d without the key", got)
+	until(t, "the lease may have expired", func() bool { return !term.HoldsLease() })
+	state.mu.Lock()
+	state.epoch = 50
+	state.mu.Unlock()
+	follower := startFollower(t, state, c, address)
+	if answer := follower.Submit(t.Context(), "job-1", waiting()); answer.Status != 201 {
+		t.Fatalf("%+v", answer)
+	}
+	until(t, "the leader has read all", func() bool {
+		revision, _ := c.leader.Load().AcknowledgedRevision()
+		return revision >= 50
+	})
+	if got := c.ping().Acked; got >= 50 {
+		t.Errorf("acknowledged up to %d without the lease", got)
 	}
 }
 
-// A peer's answer speaks for what it knew when it was asked, and for no longer than
-// its process has run.
+// A peer's answer confirms what it knew when it was asked, and nothing from before its process
+// was started.
 func TestPeersConfirmTheTerm(t *testing.T) {
 	state := newSmallState(t)
-	cfg := testConfig(state.addr)
-	cfg.Seeds = []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}}
-	cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelDeadlineS = 27, 52
-	n := testNode(t, cfg)
-	n.upgrade.durable.Store(true)
-	if o := n.options(5, true); o.PreviousLeaderGrace != settings.IsolatedReplicaGrace(n.cfg, n.op) || o.PreviousLeaderGraceWithoutReplicas != settings.IsolatedGrace(n.cfg, n.op) {
-		t.Errorf("a successor counts on %v and %v", o.PreviousLeaderGrace, o.PreviousLeaderGraceWithoutReplicas)
-	}
-	n.upgrade.durable.Store(false)
-	n.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
-	state.leads(t, n)
-	if a := n.ping(); a.Up <= 0 {
-		t.Errorf("up for %v", a.Up)
+	platform := testConfig(state.addr)
+	platform.Seeds = []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}}
+	platform.Settings.Workers.LeaseS, platform.Settings.Workers.CancelDeadlineS = 27, 52
+	c := testNode(t, platform)
+	c.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
+	state.leads(t, c)
+	if ping := c.ping(); ping.Up <= 0 {
+		t.Errorf("up for %v", ping.Up)
 	}
-	key := n.election.Term()
-	// A peer that has seen a later leader ends the term, though it does not know who
-	// leads now.
-	n.observePing(peerapi.Ping{From: "n-1", Revision: key.Revision + 1})
-	until(t, "the term is over", func() bool { return n.election.Term() != key })
-	if key.MayAnswerHeartbeats() {
+	term := c.election.Term()
+	// A peer that has seen a later leader ends the term, though it does not know who leads
+	// now.
+	c.observePing(peerapi.Ping{From: "n-1", Revision: term.Revision + 1})
+	until(t, "the term has ended", func() bool { return c.election.Term() != term })
+	if term.MayAnswerHeartbeats() {
 		t.Error("answers in the name of an earlier term")
 	}
 }
 
+// startFollower starts a controller that follows another, which peers reach at an address.
+func startFollower(t *testing.T, state *smallState, leading *Controller, address string) *Controller {
+	t.Helper()
+	c := state.started(t, config.Peer{Name: "n-0", Address: address})
+	follow(c, leading)
+	return c
+}
+
+// until waits for what other goroutines are to bring about.
+func until(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for range 4000 {
+		if ok() {
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	t.Fatalf("never: %s", what)
+}
+
+// knownToLeader tells whether the leader in a controller's process knows a job.
+func knownToLeader(t *testing.T, c *Controller, id ids.JobID) bool {
+	t.Helper()
+	own := c.leader.Load()
+	if own == nil {
+		return false
+	}
+	progress, err := own.Progress(t.Context(), []ids.JobID{id})
+	if err != nil {
+		return false
+	}
+	_, known := progress[id]
+	return known
+}
+
 // A transaction is carried out at once and only its answer is lost, while other nodes
 // read what it wrote, and write on. Whoever asks after an answer gets nothing older,
 // from any node, and the node that waited for its answer least of all.
@@ -241,24 +302,3 @@
 		}
 	}
 }
-
-// Pings tell that all cancellations up to a revision may be told. A leader says so only
-// once no earlier one can keep tasks of jobs that are cancelled meanwhile.
-func TestNothingIsPublishedBesideAnEarlierLeader(t *testing.T) {
-	n := testNode(t, testConfig("127.0.0.1:1"))
-	tm := newTerm(n, testTerm(5))
-	opt := n.options(5, true)
-	opt.CancelDeadline, opt.AgentLease, opt.PreviousLeaderGrace, opt.PreviousLeaderGraceWithoutReplicas = 52*time.Second, 27*time.Second, time.Minute, time.Second
-	tm.core = scheduler.New(opt, nil)
-	tm.core.Begin(n.clock.Now())
-	tm.observed = 50
-	tm.publishApplied()
-	if got := tm.applied.Load(); got != 0 {
-		t.Errorf("published %d beside an earlier leader", got)
-	}
-	tm.core.AllControllersFollow(n.clock.Now())
-	tm.publishApplied()
-	if got := tm.applied.Load(); got != 50 {
-		t.Errorf("published %d once all follow", got)
-	}
-}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -17,6 +17,7 @@
 
 	"ospreystile.example/ospreystile/cloud"
 	"ospreystile.example/ospreystile/config"
+	"ospreystile.example/ospreystile/controller/leader"
 	"ospreystile.example/ospreystile/controller/settings"
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
@@ -51,7 +52,7 @@
 
 	election *election.Election
 	catalog  atomic.Pointer[[]wire.MachineType]
-	term     atomic.Pointer[term]
+	leader   atomic.Pointer[leader.Leader]
 
 	startedAt    monotonic.Instant
 	terminalJobs terminalJobCache
@@ -149,8 +150,8 @@
 			wait = time.Second
 		} else {
 			n.catalog.Store(&types)
-			if t := n.term.Load(); t != nil {
-				t.post(ctx, func() { t.core.SetCatalog(types) })
+			if t := n.leader.Load(); t != nil {
+				t.SetCatalog(ctx, types)
 			}
 		}
 		if !monotonic.Sleep(ctx, wait) {
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -11,17 +11,13 @@
 	"sync/atomic"
 	"syscall"
 	"testing"
-	"testing/synctest"
 	"time"
 
-	"ospreystile.example/ospreystile/cloud"
 	"ospreystile.example/ospreystile/config"
 	"ospreystile.example/ospreystile/controller/peerapi"
-	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/internal/httpclient"
 	"ospreystile.example/ospreystile/monotonic"
-	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -128,36 +124,6 @@
 	return strings.TrimPrefix(srv.URL, "http://"), refuse
 }
 
-// badRecords is a stand-in that lists records that make no sense: of job-1 and of
-// job-4, whose tasks are placed, of where tasks of job-3 are, and of the format.
-func badRecords(t *testing.T) string {
-	t.Helper()
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var body any = map[string]any{"epoch": 9, "entries": []any{}}
-		switch {
-		case r.URL.Path == "/store/format":
-			body = map[string]any{"v": "nonsense", "stamp": 3}
-		case r.URL.Path == "/store/fleet":
-			body = map[string]any{"v": 1, "stamp": 2}
-		case r.URL.Query().Get("prefix") == "jobs/":
-			good := records.Job{Status: wire.JobQueued, Tasks: 1, Spec: &wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1}}
-			body = map[string]any{"epoch": 9, "entries": []any{
-				map[string]any{"key": "jobs/job-1", "v": "nonsense", "stamp": 7},
-				map[string]any{"key": "jobs/job-2", "v": good, "stamp": 8}, map[string]any{"key": "jobs/job-3", "v": good, "stamp": 8},
-				map[string]any{"key": "jobs/job-4", "v": "nonsense", "stamp": 8}}}
-		case r.URL.Query().Get("prefix") == "admissions/":
-			placed := records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}}
-			body = map[string]any{"epoch": 9, "entries": []any{map[string]any{"key": "admissions/job-3/00000", "v": "nonsense", "stamp": 7},
-				map[string]any{"key": "admissions/job-4/00000", "v": placed, "stamp": 7}}}
-		}
-		_, _ = w.Write(wire.Encode(body))
-	}))
-	t.Cleanup(srv.Close)
-	return strings.TrimPrefix(srv.URL, "http://")
-}
-
-func testTerm(revision ids.Revision) *election.Term { return &election.Term{Revision: revision} }
-
 // A node that the state service refuses alone reads through a peer; without
 // one it says at once that it does not know.
 func TestReadsThroughAPeerWhenRefusedAlone(t *testing.T) {
@@ -256,49 +222,3 @@
 		t.Errorf("closed: %v", err)
 	}
 }
-
-// The cloud fences nobody: a call that waited for its turn while its leader was
-// replaced, or was paused, is not made any more.
-func TestCallsOfAnEndedTermAreNotMade(t *testing.T) {
-	var calls atomic.Int32
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { calls.Add(1) }))
-	defer srv.Close()
-	may := new(atomic.Bool)
-	may.Store(true)
-	c := cloud.New(strings.TrimPrefix(srv.URL, "http://"), 1).AuthorizedBy(may.Load)
-	if err := c.Terminate(t.Context(), []ids.MachineID{"n-1"}); err != nil || calls.Load() != 1 {
-		t.Fatalf("%d calls, %v", calls.Load(), err)
-	}
-	time.AfterFunc(50*time.Millisecond, func() { may.Store(false) }) // while the next waits for the budget
-	if err := c.Terminate(t.Context(), []ids.MachineID{"n-1"}); err == nil || calls.Load() != 1 {
-		t.Errorf("%d calls, %v", calls.Load(), err)
-	}
-}
-
-// The core is told that everybody follows only when every other controller has
-// said so: one that has not may be an earlier leader that goes on answering.
-func TestAllPeersMustFollow(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		cfg := testConfig("127.0.0.1:4")
-		cfg.Seeds = []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}, {Name: "n-2", Address: "127.0.0.1:6"}}
-		n := testNode(t, cfg)
-		tm := newTerm(n, testTerm(7))
-		ctx, cancel := context.WithCancel(t.Context())
-		tm.ctx = ctx
-		done := make(chan error, 1)
-		go func() { done <- tm.awaitPeers() }()
-		for _, step := range []struct {
-			first, second uint64
-			told          int
-		}{{0, 0, 0}, {9, 0, 0}, {9, 6, 0}, {9, 7, 1}} {
-			n.peers[0].leaderRevision.Store(step.first)
-			n.peers[1].leaderRevision.Store(step.second)
-			time.Sleep(time.Second)
-			if told := len(tm.events); told != step.told {
-				t.Errorf("%+v: told %d times", step, told)
-			}
-		}
-		cancel()
-		<-done
-	})
-}
--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/leader"
 	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/wire"
@@ -125,26 +126,16 @@
 	}
 }
 
-// relayedReports gives a batch from a follower to the leader's core.
-func (n *Controller) relayedReports(ctx context.Context, t *term, raws [][]byte) ([]peerapi.HeartbeatAnswer, error) {
+// relayedReports gives a batch from a follower to the leader in this process.
+func relayedReports(ctx context.Context, own *leader.Leader, raws [][]byte) ([]peerapi.HeartbeatAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	answers := make([]peerapi.HeartbeatAnswer, len(raws))
-	reps := make([]*wire.Heartbeat, len(raws))
+	heartbeats := make([]*wire.Heartbeat, len(raws))
 	for i, raw := range raws {
-		rep := new(wire.Heartbeat)
-		if err := wire.Decode(raw, rep); err == nil && rep.Machine != "" && rep.Incarnation != 0 {
-			reps[i] = rep
+		heartbeat := new(wire.Heartbeat)
+		if err := wire.Decode(raw, heartbeat); err == nil && heartbeat.Machine != "" && heartbeat.Incarnation != 0 {
+			heartbeats[i] = heartbeat
 		}
 	}
-	if !t.askReports(ctx, func() {
-		for i, rep := range reps {
-			if rep != nil {
-				answers[i].Orders, answers[i].OK = t.core.Heartbeat(n.clock.Now(), rep, false)
-			}
-		}
-	}) {
-		return nil, peerapi.ErrNotLeading
-	}
-	return answers, nil
+	return own.Heartbeats(ctx, heartbeats)
 }
--- a/controller/heartbeat_relay_test.go
+++ b/controller/heartbeat_relay_test.go
@@ -43,7 +43,7 @@
 		t.Fatalf("before the leader leads: %+v", a)
 	}
 	g.Go(func() error { _ = leader.election.Run(ctx); return nil })
-	until(t, "somebody leads", func() bool { return leader.term.Load() != nil })
+	until(t, "somebody leads", func() bool { return leader.leader.Load() != nil })
 	a := hello()
 	if o, ok := a.Body.(wire.HeartbeatResponse); a.Status != 200 || !ok || o.FencingToken.Revision() != 7 {
 		t.Fatalf("through the follower: %+v", a)
@@ -53,7 +53,7 @@
 	}
 	// A later leader is known: this one has nothing to say any more.
 	leader.election.Observe(election.Leader{Identity: election.Identity{Name: "n-2"}, Revision: 9})
-	until(t, "the term is over", func() bool { return leader.term.Load() == nil })
+	until(t, "the term is over", func() bool { return leader.leader.Load() == nil })
 	if a := hello(); a.Status != 503 {
 		t.Errorf("from a leader that was replaced: %+v", a)
 	}
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/leader"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -11,8 +12,8 @@
 // Heartbeat implements server.Service.
 func (n *Controller) Heartbeat(ctx context.Context, raw []byte, rep *wire.Heartbeat) server.Response {
 	now := n.clock.Now()
-	t := n.term.Load()
-	leading := t != nil && t.key.MayAnswerHeartbeats()
+	t := n.leader.Load()
+	leading := t != nil && t.MayAnswerHeartbeats()
 	if l, ok := n.election.Leader(); !leading && (!ok || l.Name == n.cfg.HostName) {
 		return server.Response{Status: 503}
 	}
@@ -27,24 +28,12 @@
 }
 
 // reportToCore gives a worker's report to the leader's core.
-func (n *Controller) reportToCore(ctx context.Context, t *term, rep *wire.Heartbeat) server.Response {
+func (n *Controller) reportToCore(ctx context.Context, t *leader.Leader, rep *wire.Heartbeat) server.Response {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	var answer wire.HeartbeatResponse
-	var ok bool
-	if !t.askReports(ctx, func() { answer, ok = t.core.Heartbeat(n.clock.Now(), rep, false) }) || !ok {
+	answers, err := t.Heartbeats(ctx, []*wire.Heartbeat{rep})
+	if err != nil || !answers[0].OK {
 		return server.Response{Status: 503}
 	}
-	return server.Response{Status: 200, Body: answer}
-}
-
-// askReports runs f in the loop, which gives reports to the core, and tells whether their
-// answers may be sent: the right to answer is the same after it as before.
-func (t *term) askReports(ctx context.Context, f func()) bool {
-	replicasOnly := false
-	return t.ask(ctx, func() {
-		replicasOnly = t.key.MayAnswerReplicasOnly()
-		t.core.RestrictToReplicas(replicasOnly)
-		f()
-	}) && t.key.MayAnswerHeartbeats() && (replicasOnly || !t.key.MayAnswerReplicasOnly())
+	return server.Response{Status: 200, Body: answers[0].Orders}
 }
--- a/controller/job_notice.go
+++ b/controller/job_notice.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/leader"
 	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/records"
@@ -11,8 +12,8 @@
 
 // notifyLeader tells the leader of a submission. Nothing depends on its being heard.
 func (n *Controller) notifyLeader(id ids.JobID, rec *records.Job, revision ids.Revision) {
-	if t := n.term.Load(); t != nil {
-		go t.post(t.ctx, func() { t.core.ObserveJob(n.clock.Now(), id, rec, revision) })
+	if t := n.leader.Load(); t != nil {
+		t.NotifyJob(leader.JobRecord{ID: id, Record: rec, Revision: revision})
 		return
 	}
 	if p := n.leaderPeer(); p != nil {
--- a/controller/job_status.go
+++ b/controller/job_status.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/leader"
 	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/records"
@@ -83,8 +84,8 @@
 func (n *Controller) progress(ctx context.Context, list []ids.JobID) []peerapi.JobProgress {
 	ctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 	defer cancel()
-	if t := n.term.Load(); t != nil {
-		return t.progress(ctx, list)
+	if t := n.leader.Load(); t != nil {
+		return progressAt(ctx, t, list)
 	}
 	var ans []peerapi.JobProgress
 	if p := n.leaderPeer(); p != nil && p.Call(ctx, peerapi.OpProgress, list, &ans) == nil {
@@ -93,16 +94,15 @@
 	return nil
 }
 
-// progress asks the core; nil means that the term is over.
-func (t *term) progress(ctx context.Context, list []ids.JobID) []peerapi.JobProgress {
-	out := make([]peerapi.JobProgress, len(list))
-	if !t.ask(ctx, func() {
-		for i, id := range list {
-			s, _ := t.core.Progress(id)
-			out[i] = peerapi.JobProgress{Done: s.Done, Running: s.Running}
-		}
-	}) {
+// progressAt asks the leader in this process; nil means that the term is over.
+func progressAt(ctx context.Context, own *leader.Leader, list []ids.JobID) []peerapi.JobProgress {
+	known, err := own.Progress(ctx, list)
+	if err != nil {
 		return nil
 	}
+	out := make([]peerapi.JobProgress, len(list))
+	for i, id := range list {
+		out[i] = peerapi.JobProgress{Done: known[id].Done, Running: known[id].Running}
+	}
 	return out
 }
--- /dev/null
+++ b/controller/leader/event_loop.go
@@ -0,0 +1,125 @@
+package leader
+
+import (
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"ospreystile.example/ospreystile/election"
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler"
+)
+
+const (
+	// stepInterval is how often the core takes a step while no event comes.
+	stepInterval = 200 * time.Millisecond
+	// summaryInterval is the least time between two status summaries in the log.
+	summaryInterval = 5 * time.Second
+)
+
+// eventLoop owns the scheduler core: only the goroutine of run, and the events that it
+// applies, touch the core. It blocks on nothing but its mailbox.
+type eventLoop struct {
+	core      *scheduler.Core
+	executors *executors
+	term      *election.Term
+	peers     []Peer
+	clock     monotonic.Clock
+	mailbox   *mailbox
+	log       *slog.Logger
+	// observed is the revision up to which the core has taken in the jobs' records.
+	observed ids.Revision
+	// applied is the same once every cancellation up to it may be told to users.
+	applied *atomic.Uint64
+	// summaryAt is when the last status summary was logged.
+	summaryAt monotonic.Instant
+}
+
+// run applies events and takes steps until the context or the term ends.
+func (l *eventLoop) run(ctx context.Context) error {
+	ticker := time.NewTicker(stepInterval)
+	defer ticker.Stop()
+	l.summaryAt = l.clock.Now()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-ticker.C:
+		case e := <-l.mailbox.events:
+			e.applyTo(l)
+			l.applyQueued()
+		}
+		if err := l.step(ctx); err != nil {
+			return err
+		}
+	}
+}
+
+// applyQueued applies the events that wait, but no more than the mailbox holds: steps have
+// their turn at any rate of events.
+func (l *eventLoop) applyQueued() {
+	for range cap(l.mailbox.events) {
+		select {
+		case e := <-l.mailbox.events:
+			e.applyTo(l)
+		default:
+			return
+		}
+	}
+}
+
+// step has the core decide, and hands its decisions to the executors. An error ends the term.
+func (l *eventLoop) step(ctx context.Context) error {
+	if err := l.core.RecordsError(); err != nil {
+		return err
+	}
+	if l.core.Superseded() {
+		return election.ErrSuperseded
+	}
+	if !l.term.MayAnswerHeartbeats() {
+		return nil
+	}
+	l.core.ObserveConnectivity(connectivity(l.term.HoldsLease(), l.peers, l.clock.Now()))
+	l.dispatch(ctx, l.core.Step(l.clock.Now()))
+	l.publishApplied()
+	l.logSummary()
+	return nil
+}
+
+// dispatch hands decisions to the executors. It never waits.
+func (l *eventLoop) dispatch(ctx context.Context, decisions scheduler.Decisions) {
+	for _, change := range decisions.RecordChanges {
+		l.executors.records.write(ctx, change)
+	}
+	for _, machine := range decisions.SendCommands {
+		if commands, endpoint, ok := l.core.TakeCommands(l.clock.Now(), machine); ok {
+			l.executors.workers.sendCommands(ctx, machine, endpoint, commands)
+		}
+	}
+	for _, machine := range decisions.RequestHeartbeats {
+		l.executors.workers.requestHeartbeat(ctx, machine, l.core.Endpoint(machine))
+	}
+	l.executors.execute(ctx, &decisions)
+}
+
+// publishApplied lets users be told of all cancellations that the core has taken in, once no
+// earlier leader can keep tasks of cancelled jobs. Until then each cancellation is asked for
+// on its own; see Leader.AcknowledgeCancellation.
+func (l *eventLoop) publishApplied() {
+	observed := uint64(l.observed)
+	if observed > l.applied.Load() && l.core.PreviousLeadersHarmless(l.clock.Now()) {
+		l.applied.Store(observed)
+	}
+}
+
+// logSummary logs the periodic status summary when it is due.
+func (l *eventLoop) logSummary() {
+	now := l.clock.Now()
+	if now <= l.summaryAt.Add(summaryInterval) {
+		return
+	}
+	l.summaryAt = now
+	l.log.Info("status summary", "summary", l.core.Summary())
+}
--- /dev/null
+++ b/controller/leader/events.go
@@ -0,0 +1,127 @@
+package leader
+
+import (
+	"ospreystile.example/ospreystile/controller/peerapi"
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// The events without an answer. Each is applied to the core at the time at which the event
+// loop takes it.
+
+// commitResolved tells the definite result of a change of records.
+type commitResolved struct{ result records.CommitResult }
+
+func (e commitResolved) applyTo(loop *eventLoop) {
+	loop.core.CommitResult(loop.clock.Now(), e.result)
+}
+
+// workerCallFinished brings the heartbeat with which a worker answered its commands; nil if
+// there was no answer.
+type workerCallFinished struct {
+	machine   ids.MachineID
+	heartbeat *wire.Heartbeat
+}
+
+func (e workerCallFinished) applyTo(loop *eventLoop) {
+	loop.core.CommandsResult(loop.clock.Now(), e.machine, e.heartbeat)
+}
+
+// heartbeatRequestFinished brings the heartbeat for which a worker was asked; nil if there was
+// no answer.
+type heartbeatRequestFinished struct {
+	machine   ids.MachineID
+	heartbeat *wire.Heartbeat
+}
+
+func (e heartbeatRequestFinished) applyTo(loop *eventLoop) {
+	loop.core.HeartbeatRequestResult(loop.clock.Now(), e.machine, e.heartbeat)
+}
+
+// provisioningFinished brings the machines that the cloud granted. Granted is false if it had
+// no capacity or rejected the request.
+type provisioningFinished struct {
+	request  wire.ProvisionRequest
+	machines []ids.MachineID
+	granted  bool
+}
+
+func (e provisioningFinished) applyTo(loop *eventLoop) {
+	loop.core.ProvisionResult(loop.clock.Now(), e.request, e.machines, e.granted)
+}
+
+// terminationFinished tells that the cloud confirmed the end of machines.
+type terminationFinished struct{ machines []ids.MachineID }
+
+func (e terminationFinished) applyTo(loop *eventLoop) {
+	loop.core.TerminateResult(loop.clock.Now(), e.machines, true)
+}
+
+// machineListRead brings the cloud's list of machines, and when it was asked for.
+type machineListRead struct {
+	asked    monotonic.Instant
+	machines []wire.Machine
+}
+
+func (e machineListRead) applyTo(loop *eventLoop) {
+	loop.core.MachineList(loop.clock.Now(), e.asked, e.machines)
+}
+
+// catalogRead brings the cloud's machine types and prices.
+type catalogRead struct{ types []wire.MachineType }
+
+func (e catalogRead) applyTo(loop *eventLoop) { loop.core.SetCatalog(e.types) }
+
+// jobRecordObserved brings a job's record: from a notice, from the watch, or read again. The
+// core compares revisions, so it treats all of them alike.
+type jobRecordObserved struct{ job JobRecord }
+
+func (e jobRecordObserved) applyTo(loop *eventLoop) {
+	loop.core.ObserveJob(loop.clock.Now(), e.job.ID, e.job.Record, e.job.Revision)
+}
+
+// watchAdvanced tells that all changes of jobs up to a revision were posted before.
+type watchAdvanced struct{ revision ids.Revision }
+
+func (e watchAdvanced) applyTo(loop *eventLoop) { loop.observed = e.revision }
+
+// followersConfirmed tells that every other controller follows this leader.
+type followersConfirmed struct{}
+
+func (followersConfirmed) applyTo(loop *eventLoop) {
+	loop.core.AllControllersFollow(loop.clock.Now())
+}
+
+// versionGateOpened tells that every controller can read split records.
+type versionGateOpened struct{}
+
+func (versionGateOpened) applyTo(loop *eventLoop) {
+	loop.core.EnableSplitRecords(loop.clock.Now())
+}
+
+// heartbeatAnswers are the answers to heartbeats, and whether only machines with replicas could
+// be answered when they were made.
+type heartbeatAnswers struct {
+	answers      []peerapi.HeartbeatAnswer
+	replicasOnly bool
+}
+
+// heartbeatsReceived brings heartbeats that workers sent; a nil one is left unanswered.
+type heartbeatsReceived struct {
+	heartbeats []*wire.Heartbeat
+	reply      chan<- heartbeatAnswers
+}
+
+func (e heartbeatsReceived) applyTo(loop *eventLoop) {
+	replicasOnly := loop.term.MayAnswerReplicasOnly()
+	loop.core.RestrictToReplicas(replicasOnly)
+	answers := make([]peerapi.HeartbeatAnswer, len(e.heartbeats))
+	for i, heartbeat := range e.heartbeats {
+		if heartbeat != nil {
+			answers[i].Orders, answers[i].OK = loop.core.Heartbeat(loop.clock.Now(), heartbeat, false)
+		}
+	}
+	e.reply <- heartbeatAnswers{answers: answers, replicasOnly: replicasOnly}
+}
--- /dev/null
+++ b/controller/leader/jobs.go
@@ -0,0 +1,108 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// JobRecord is a job's record as of a revision. The record must not be changed any more.
+type JobRecord struct {
+	ID       ids.JobID
+	Record   *records.Job
+	Revision ids.Revision
+}
+
+const (
+	// rereadRetryDelay is how long after a failure a job's record is read again.
+	rereadRetryDelay = 300 * time.Millisecond
+	// watchHold is how long the store may hold a watch without changes.
+	watchHold = 10 * time.Second
+	// watchRetryDelay is how long after a failure the jobs are watched again.
+	watchRetryDelay = 200 * time.Millisecond
+)
+
+// jobReader brings jobs' records from the store to the event loop.
+type jobReader struct {
+	store   *kv.Client
+	group   *errgroup.Group
+	mailbox *mailbox
+	log     *slog.Logger
+}
+
+// reread reads a job's record in a goroutine of the group, and posts it if there is one.
+func (r *jobReader) reread(ctx context.Context, id ids.JobID) {
+	r.group.Go(func() error {
+		for ctx.Err() == nil {
+			job, found, err := ReadJob(ctx, r.store, id)
+			if err == nil {
+				if found {
+					r.mailbox.post(ctx, jobRecordObserved{job})
+				}
+				return nil
+			}
+			r.log.Debug("job read failed", "job", id, "err", err)
+			monotonic.Sleep(ctx, rereadRetryDelay)
+		}
+		return nil
+	})
+}
+
+// ReadJob reads a job's record from the store. found is false if there is none.
+func ReadJob(ctx context.Context, store *kv.Client, id ids.JobID) (job JobRecord, found bool, err error) {
+	entry, found, err := store.Get(ctx, records.JobKey(id))
+	if err != nil || !found {
+		return JobRecord{}, false, err
+	}
+	record := new(records.Job)
+	if err := wire.Decode(entry.Value, record); err != nil {
+		return JobRecord{}, false, fmt.Errorf("record %s: %w", records.JobKey(id), err)
+	}
+	return JobRecord{ID: id, Record: record, Revision: entry.Revision}, true, nil
+}
+
+// watch posts every change of jobs after a revision until the context ends. Notices bring
+// most changes earlier; the watch misses none.
+func (r *jobReader) watch(ctx context.Context, since ids.Revision) error {
+	for {
+		revision, changes, err := r.store.Watch(ctx, records.JobPrefix, since, watchHold)
+		if errors.Is(err, kv.ErrCompacted) {
+			return fmt.Errorf("watch on jobs: %w", err)
+		}
+		if err != nil {
+			if !monotonic.Sleep(ctx, watchRetryDelay) {
+				return ctx.Err()
+			}
+			continue
+		}
+		for _, change := range changes {
+			r.postChange(ctx, change)
+		}
+		since = max(since, revision)
+		r.mailbox.post(ctx, watchAdvanced{since})
+	}
+}
+
+// postChange posts a job's new record. A deletion brings no record, so it is passed over.
+func (r *jobReader) postChange(ctx context.Context, change kv.Event) {
+	if change.PutKey == "" {
+		return
+	}
+	record := new(records.Job)
+	if err := wire.Decode(change.Value, record); err != nil {
+		logUnreadable(r.log, change.PutKey, err)
+		return
+	}
+	id := ids.JobID(change.PutKey[len(records.JobPrefix):])
+	r.mailbox.post(ctx, jobRecordObserved{JobRecord{ID: id, Record: record, Revision: change.Revision}})
+}
--- /dev/null
+++ b/controller/leader/leader_test.go
@@ -0,0 +1,63 @@
+package leader
+
+import (
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/cloud"
+	"ospreystile.example/ospreystile/config"
+	"ospreystile.example/ospreystile/election"
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/httpclient"
+	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/wire"
+	"ospreystile.example/ospreystile/worker"
+)
+
+// testCatalog is a Catalog that was read.
+type testCatalog []wire.MachineType
+
+func (c testCatalog) MachineTypes() ([]wire.MachineType, bool) { return c, true }
+
+// testGate is a VersionGate that the store cannot open.
+type testGate struct{ open bool }
+
+func (g *testGate) Open() bool                           { return g.open }
+func (*testGate) Load(context.Context, *kv.Client) error { return nil }
+
+// testPeer is a Peer that follows the leader of a revision and was never heard.
+type testPeer struct{ followed atomic.Uint64 }
+
+func (p *testPeer) FollowedRevision() ids.Revision                  { return ids.Revision(p.followed.Load()) }
+func (*testPeer) HeardWithin(monotonic.Instant, time.Duration) bool { return false }
+
+// testDependencies are those of controller n-0, whose key-value store is at an address.
+func testDependencies(t *testing.T, store string) Dependencies {
+	t.Helper()
+	operator, err := config.ParseOperator(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	platform := &config.Platform{HostName: "n-0"}
+	platform.Settings.Teams = []config.Team{{Name: "red", CPUs: 4, CPUsMax: 16}}
+	platform.Settings.Resources.CPUShare = 1
+	platform.Settings.State.RPS, platform.Settings.State.TxnOps, platform.Settings.Cloud.RPS = 200, 8, 4
+	return Dependencies{
+		Platform:    platform,
+		Operator:    operator,
+		Clock:       monotonic.SystemClock(),
+		Log:         slog.New(slog.DiscardHandler),
+		Store:       kv.New(httpclient.New(store, 4, 1<<20), platform.Settings.State.Planned().RPS),
+		Cloud:       cloud.New("127.0.0.1:3", platform.Settings.Cloud.RPS),
+		Workers:     worker.New(),
+		Catalog:     testCatalog{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}},
+		VersionGate: new(testGate),
+	}
+}
+
+// testTerm is a term without an election: nothing may be asked of it but its revision.
+func testTerm(revision ids.Revision) *election.Term { return &election.Term{Revision: revision} }
--- /dev/null
+++ b/controller/leader/load.go
@@ -0,0 +1,154 @@
+package leader
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"strings"
+	"time"
+
+	"ospreystile.example/ospreystile/election"
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/scheduler"
+	"ospreystile.example/ospreystile/wire"
+	"ospreystile.example/ospreystile/zonerecovery"
+)
+
+// catalogRetryDelay is how often a new leader looks for the catalog.
+const catalogRetryDelay = 100 * time.Millisecond
+
+// loader makes a scheduler core from the records. It is used once, by one goroutine, before
+// the event loop starts.
+type loader struct {
+	Dependencies
+	term *election.Term
+	core *scheduler.Core
+	// revision is that at which the jobs were listed. Users' requests go on changing jobs,
+	// so they are watched from there on.
+	revision ids.Revision
+}
+
+// load reads all records. This leader's commits are fenced by its revision, and so are those of
+// earlier leaders by theirs, so nothing but jobs changes meanwhile. Jobs come before
+// admissions, and zones too, so that tasks count where they are.
+func (l *loader) load(ctx context.Context) error {
+	types, err := l.awaitCatalog(ctx)
+	if err != nil {
+		return err
+	}
+	if err := l.VersionGate.Load(ctx, l.Store); err != nil {
+		return err
+	}
+	previousLeader, err := l.claimFleet(ctx)
+	if err != nil {
+		return err
+	}
+	options := l.schedulerOptions(l.term.Revision, previousLeader)
+	options.WallClockMS = time.Now().UnixMilli()
+	l.core = scheduler.New(options, types)
+	if l.revision, err = l.Store.List(ctx, records.JobPrefix, l.loadJob); err != nil {
+		return err
+	}
+	if err := l.loadZones(ctx); err != nil {
+		return err
+	}
+	if _, err := l.Store.List(ctx, records.AdmissionPrefix, l.loadAdmission); err != nil {
+		return err
+	}
+	l.core.Begin(l.Clock.Now())
+	return nil
+}
+
+// awaitCatalog waits until the cloud's catalog was read.
+func (l *loader) awaitCatalog(ctx context.Context) ([]wire.MachineType, error) {
+	for {
+		if types, ok := l.Catalog.MachineTypes(); ok {
+			return types, nil
+		}
+		if !monotonic.Sleep(ctx, catalogRetryDelay) {
+			return nil, ctx.Err()
+		}
+	}
+}
+
+// claimFleet tells whether another leader led before. If none did, it records that one has
+// from now on.
+func (l *loader) claimFleet(ctx context.Context) (previousLeader bool, err error) {
+	if _, found, err := l.Store.Get(ctx, records.FleetKey); found || err != nil {
+		return found, err
+	}
+	result, err := l.Store.Commit(ctx, kv.Txn{
+		Preconditions: []kv.Precondition{{Key: records.LeaderKey, Revision: l.term.Revision}},
+		Operations:    []kv.Operation{{PutKey: records.FleetKey, Value: map[string]uint64{"first": uint64(l.term.Revision)}}},
+	})
+	switch {
+	case err != nil:
+		return false, err
+	case !result.Applied:
+		return false, records.ErrFenced
+	}
+	return false, nil
+}
+
+// loadJob loads a job's record.
+func (l *loader) loadJob(entry kv.Entry) error {
+	id := ids.JobID(entry.Key[len(records.JobPrefix):])
+	var record records.Job
+	if err := wire.Decode(entry.Value, &record); err != nil {
+		logUnreadable(l.Log, entry.Key, err)
+		l.core.LoadUnreadableJob(id)
+		return nil
+	}
+	l.core.LoadJob(id, &record, entry.Revision)
+	return nil
+}
+
+// loadZones loads the records of zones, where the operators' settings have zones watched.
+func (l *loader) loadZones(ctx context.Context) error {
+	if l.Operator.ZoneRecoveryPolicy == nil {
+		return nil
+	}
+	_, err := l.Store.List(ctx, records.ZonePrefix, l.loadZone)
+	return err
+}
+
+// loadZone loads a zone's record.
+func (l *loader) loadZone(entry kv.Entry) error {
+	zone := ids.Zone(strings.TrimPrefix(entry.Key, records.ZonePrefix))
+	var record zonerecovery.Record
+	if err := wire.Decode(entry.Value, &record); err != nil {
+		logUnreadable(l.Log, entry.Key, err)
+		l.core.LoadUnreadableZone(l.Clock.Now(), zone, entry.Revision)
+		return nil
+	}
+	l.core.LoadZone(l.Clock.Now(), zone, &record, entry.Revision)
+	return nil
+}
+
+// loadAdmission loads a record of where tasks of a job are.
+func (l *loader) loadAdmission(entry kv.Entry) error {
+	id, number, ok := records.ParseAdmissionKey(entry.Key)
+	if !ok {
+		return fmt.Errorf("record %s: malformed key", entry.Key)
+	}
+	var record records.AdmissionSlice
+	err := wire.Decode(entry.Value, &record)
+	if err == nil {
+		err = l.core.LoadSlice(id, number, &record, entry.Revision)
+	}
+	if err != nil {
+		logUnreadable(l.Log, entry.Key, err)
+		l.core.Suspend(id)
+	}
+	return nil
+}
+
+// logUnreadable reports a record that cannot be decoded. Such a record is never treated as
+// absent, and never ends a term: it would end every later term too, and all other jobs would
+// be forgotten.
+func logUnreadable(log *slog.Logger, key string, err error) {
+	log.Error("record unreadable", "key", key, "err", err)
+}
--- /dev/null
+++ b/controller/leader/peers.go
@@ -0,0 +1,42 @@
+package leader
+
+import (
+	"context"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/zonerecovery"
+)
+
+const (
+	// peerTimeout is after how long without an answer to a ping a peer counts as unreachable.
+	peerTimeout = 5 * time.Second
+	// followerCheckInterval is how often it is looked whether a peer follows this leader.
+	followerCheckInterval = 200 * time.Millisecond
+)
+
+// connectivity is what the leader knows of its own place among the controllers.
+func connectivity(leaseConfirmed bool, peers []Peer, now monotonic.Instant) zonerecovery.Connectivity {
+	view := zonerecovery.Connectivity{LeaseConfirmed: leaseConfirmed, Peers: len(peers)}
+	for _, peer := range peers {
+		if peer.HeardWithin(now, peerTimeout) {
+			view.PeersReachable++
+		}
+	}
+	return view
+}
+
+// awaitFollowers waits until each peer has told that it follows this leader or a later one,
+// and posts followersConfirmed.
+func awaitFollowers(ctx context.Context, peers []Peer, revision ids.Revision, mailbox *mailbox) error {
+	for _, peer := range peers {
+		for peer.FollowedRevision() < revision {
+			if !monotonic.Sleep(ctx, followerCheckInterval) {
+				return ctx.Err()
+			}
+		}
+	}
+	mailbox.post(ctx, followersConfirmed{})
+	return nil
+}
--- a/controller/peer_handler.go
+++ b/controller/peer_handler.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/leader"
 	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
@@ -21,21 +22,21 @@
 	case peerapi.OpStore:
 		return handleBody(body, func(call peerapi.StoreCall) (any, error) { return n.handleStateCall(ctx, call) })
 	}
-	t := n.term.Load()
-	if t == nil || !t.key.MayAnswerHeartbeats() {
+	t := n.leader.Load()
+	if t == nil || !t.MayAnswerHeartbeats() {
 		return nil, peerapi.ErrNotLeading
 	}
 	switch op {
 	case peerapi.OpProgress:
-		return handleBody(body, func(jobs []ids.JobID) (any, error) { return t.handleProgress(ctx, jobs) })
+		return handleBody(body, func(jobs []ids.JobID) (any, error) { return handleProgress(ctx, t, jobs) })
 	case peerapi.OpJob:
-		return handleBody(body, func(notice peerapi.JobNotice) (any, error) { return t.handleJobNotice(ctx, notice) })
+		return handleBody(body, func(notice peerapi.JobNotice) (any, error) { return handleJobNotice(ctx, t, notice) })
 	case peerapi.OpZones:
-		return t.handleZones(ctx)
+		return t.Zones(ctx)
 	case peerapi.OpZoneOverride:
-		return handleBody(body, func(o peerapi.ZoneOverride) (any, error) { return t.handleZoneOverride(ctx, o) })
+		return handleBody(body, func(o peerapi.ZoneOverride) (any, error) { return t.OverrideZone(ctx, o) })
 	case peerapi.OpHeartbeats:
-		return handleBody(body, func(reports [][]byte) (any, error) { return n.relayedReports(ctx, t, reports) })
+		return handleBody(body, func(reports [][]byte) (any, error) { return relayedReports(ctx, t, reports) })
 	}
 	return nil, fmt.Errorf("%w: %s", peerapi.ErrUnknownOperation, op)
 }
@@ -67,18 +68,18 @@
 	return peerapi.StoreAnswer{Status: status, Body: body}, nil
 }
 
-func (t *term) handleProgress(ctx context.Context, jobs []ids.JobID) (any, error) {
-	answer := t.progress(ctx, jobs)
+func handleProgress(ctx context.Context, own *leader.Leader, jobs []ids.JobID) (any, error) {
+	answer := progressAt(ctx, own, jobs)
 	if answer == nil {
 		return nil, peerapi.ErrNotLeading
 	}
 	return answer, nil
 }
 
-func (t *term) handleJobNotice(ctx context.Context, notice peerapi.JobNotice) (any, error) {
+func handleJobNotice(ctx context.Context, own *leader.Leader, notice peerapi.JobNotice) (any, error) {
 	record := new(records.Job)
 	if err := wire.Decode(notice.Record, record); err != nil {
 		return nil, err
 	}
-	return t.acknowledge(ctx, notice.ID, record, notice.Revision), nil
+	return own.AcknowledgeCancellation(ctx, leader.JobRecord{ID: notice.ID, Record: record, Revision: notice.Revision}), nil
 }
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -24,6 +24,15 @@
 	version atomic.Pointer[peerapi.Versions]
 }
 
+// FollowedRevision implements leader.Peer.
+func (p *peer) FollowedRevision() ids.Revision { return ids.Revision(p.leaderRevision.Load()) }
+
+// HeardWithin implements leader.Peer.
+func (p *peer) HeardWithin(now monotonic.Instant, d time.Duration) bool {
+	heard := monotonic.Instant(p.lastHeard.Load())
+	return heard != 0 && now < heard.Add(d)
+}
+
 // ping is what this node tells the others now.
 func (n *Controller) ping() peerapi.Ping {
 	l, _ := n.election.Leader()
--- a/controller/status_reader_test.go
+++ b/controller/status_reader_test.go
@@ -1,14 +1,11 @@
 package controller
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
-	"log/slog"
 	"math/rand/v2"
 	"slices"
-	"strings"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -187,66 +184,6 @@
 	})
 }
 
-// A leader that ended its term for such a record would end every later one
-// too, and all jobs would be forgotten with it.
-func TestUnreadableRecordDoesNotEndTheTerm(t *testing.T) {
-	n := testNode(t, testConfig(badRecords(t)))
-	var logged bytes.Buffer
-	n.log = slog.New(slog.NewTextHandler(&logged, nil))
-	n.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
-	tm := newTerm(n, testTerm(5))
-	tm.ctx = t.Context()
-	if _, err := tm.load(); err != nil {
-		t.Fatalf("taking over: %v", err)
-	}
-	if _, ok := tm.core.Progress("job-2"); !ok {
-		t.Error("the job beside it was lost")
-	}
-	// Of job-3 it is not known where it runs: it is not started elsewhere.
-	now := n.clock.Now()
-	rep := &wire.Heartbeat{Machine: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: ids.NewFencingToken(5, 0)}
-	if _, ok := tm.core.Heartbeat(now, rep, true); !ok {
-		t.Fatal("report refused")
-	}
-	var written []string
-	for _, ch := range tm.core.Step(now).RecordChanges {
-		for _, op := range ch.Operations {
-			written = append(written, op.PutKey)
-		}
-	}
-	if !slices.Equal(written, []string{"admissions/job-2/00000"}) {
-		t.Errorf("placed %v", written)
-	}
-	for _, key := range []string{"jobs/job-1", "jobs/job-4", "admissions/job-3/00000", "format"} {
-		if !strings.Contains(logged.String(), "key="+key) {
-			t.Errorf("%s is not reported", key)
-		}
-	}
-}
-
-// What is recorded of where a job's tasks are must outlive a description of the job
-// that cannot be read: it used to be dropped like what is left of a job that is done.
-func TestPlacementsOfAnUnreadableJobAreKept(t *testing.T) {
-	n := testNode(t, testConfig(badRecords(t)))
-	n.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
-	tm := newTerm(n, testTerm(5))
-	tm.ctx = t.Context()
-	if _, err := tm.load(); err != nil {
-		t.Fatalf("taking over: %v", err)
-	}
-	now := n.clock.Now()
-	for range 20 {
-		now = now.Add(time.Second)
-		for _, ch := range tm.core.Step(now).RecordChanges {
-			for _, op := range ch.Operations {
-				if strings.Contains(op.DeleteKey+op.PutKey, "job-4") {
-					t.Fatalf("changed %+v", op)
-				}
-			}
-		}
-	}
-}
-
 // pauseThreshold is a context whose time is over although its timer has not fired:
 // so a process finds it that was paused while its clocks ran on.
 type stoodStill struct{ context.Context }
--- a/controller/version_gate.go
+++ b/controller/version_gate.go
@@ -17,7 +17,7 @@
 // waiting and of split records: until each of them is known to have been replaced,
 // no job that names others is accepted and no record is split. Everything else is
 // written as they write and read it. A leader before that may be an older one, which
-// goes on alone for the whole grace: term.options counts on that. And an older one
+// goes on alone for the whole grace: package leader counts on that. And an older one
 // acknowledges cancellations without saying whether it holds its key: cancelVisible takes that,
 // as older followers do. The file can go, with scheduler's EnableSplitRecords and
 // Options.Split, once no deployment is left whose state lacks records.FormatKey; what
@@ -109,8 +109,8 @@
 		}
 	}
 	n.log.Info("version gate open")
-	if t := n.term.Load(); t != nil {
-		t.post(ctx, func() { t.core.EnableSplitRecords(n.clock.Now()) })
+	if t := n.leader.Load(); t != nil {
+		t.OpenVersionGate(ctx)
 	}
 	return nil
 }
@@ -129,7 +129,7 @@
 	}
 	if err := wire.Decode(e.Value, &rec); err != nil {
 		// Until the peers tell, only what the older format holds is written.
-		n.unreadable(records.FormatKey, err)
+		n.log.Error("record unreadable", "key", records.FormatKey, "err", err)
 		return nil
 	}
 	if rec.Format >= peerapi.RecordFormat {
--- a/controller/version_gate_test.go
+++ b/controller/version_gate_test.go
@@ -1,8 +1,10 @@
 package controller
 
 import (
+	"bytes"
 	"context"
 	"fmt"
+	"log/slog"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -150,7 +152,7 @@
 	wg.Go(func() { _ = n.election.Run(ctx) })
 	mesh = meshOf(t, n)
 	t.Cleanup(func() { cancel(); wg.Wait() })
-	until(t, "somebody leads", func() bool { return n.term.Load() != nil })
+	until(t, "somebody leads", func() bool { return n.leader.Load() != nil })
 	return mesh
 }
 
@@ -297,3 +299,20 @@
 		}
 	}
 }
+
+// A format record that cannot be read is reported, and ends no term.
+func TestUnreadableFormatRecordIsReported(t *testing.T) {
+	store := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		_, _ = w.Write(wire.Encode(map[string]any{"v": "nonsense", "stamp": 3}))
+	}))
+	t.Cleanup(store.Close)
+	var logged bytes.Buffer
+	c := testNode(t, testConfig(strings.TrimPrefix(store.URL, "http://")))
+	c.log = slog.New(slog.NewTextHandler(&logged, nil))
+	if err := c.Load(t.Context(), c.userState); err != nil || c.Open() {
+		t.Errorf("open: %v, %v", c.Open(), err)
+	}
+	if !strings.Contains(logged.String(), "key=format") {
+		t.Errorf("not reported: %s", logged.String())
+	}
+}
