--- /dev/null
+++ b/controller/acknowledgements_test.go
@@ -0,0 +1,205 @@
+package controller
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"ospreystile.example/ospreystile/config"
+	"ospreystile.example/ospreystile/controller/peerapi"
+	"ospreystile.example/ospreystile/election"
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/server"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// door is one controller's way to the key-value store. The store refuses that controller alone
+// the paths that begin with the prefix while refuse is set.
+func (s *smallState) door(t *testing.T, prefix string) (addr string, refuse *atomic.Bool) {
+	t.Helper()
+	refuse = new(atomic.Bool)
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if refuse.Load() && strings.HasPrefix(r.URL.Path, prefix) {
+			w.WriteHeader(503)
+			return
+		}
+		s.ServeHTTP(w, r)
+	}))
+	t.Cleanup(srv.Close)
+	return strings.TrimPrefix(srv.URL, "http://"), refuse
+}
+
+// acknowledgementTest is a leader that the key-value store can refuse, and two followers that
+// it always serves.
+type acknowledgementTest struct {
+	state        *smallState
+	refuse       *atomic.Bool
+	leader       *Controller
+	asked, other *Controller
+}
+
+func newAcknowledgementTest(t *testing.T) *acknowledgementTest {
+	t.Helper()
+	a := &acknowledgementTest{state: newSmallState(t)}
+	var store string
+	store, a.refuse = a.state.door(t, "/")
+	platform := testConfig(store)
+	platform.Settings.State.RPS, platform.Settings.State.WriteRPS, platform.Settings.State.ValueKB = 20000, 80, 2
+	a.leader = newTestController(t, platform)
+	storeTestCatalog(a.leader)
+	address := startLeading(t, a.leader)
+	a.asked = startFollower(t, a.state.addr, a.leader, address)
+	a.other = startFollower(t, a.state.addr, a.leader, address)
+	return a
+}
+
+// submit submits a job, and waits until the leader knows it.
+func (a *acknowledgementTest) submit(t *testing.T, id ids.JobID) {
+	t.Helper()
+	if answer := a.asked.service.Submit(t.Context(), id, testSpec()); answer.Status != 201 {
+		t.Fatalf("%s: %+v", id, answer)
+	}
+	until(t, "the leader knows the job", func() bool { return knownToLeader(t, a.leader, id) })
+}
+
+// answers asks both followers about a job in every way. The cancellation comes first: before it
+// there is nothing to tell.
+func (a *acknowledgementTest) answers(t *testing.T, id ids.JobID) map[string]server.Response {
+	t.Helper()
+	answers := map[string]server.Response{}
+	for name, c := range map[string]*Controller{"asked": a.asked, "other": a.other} {
+		answers[name+": cancellation"] = c.service.Cancel(t.Context(), id)
+		answers[name+": status"] = c.service.Status(t.Context(), id)
+		answers[name+": submission"] = c.service.Submit(t.Context(), id, testSpec())
+		answers[name+": repeated cancellation"] = c.service.Cancel(t.Context(), id)
+	}
+	return answers
+}
+
+// checkTold checks that every answer tells of a job's cancellation.
+func (a *acknowledgementTest) checkTold(t *testing.T, id ids.JobID) {
+	t.Helper()
+	for way, answer := range a.answers(t, id) {
+		if s, _ := answer.Body.(wire.JobStatus); answer.Status != 200 || s.Status != wire.JobCancelled {
+			t.Errorf("%s: %s: %+v", way, id, answer)
+		}
+	}
+}
+
+// checkNotTold checks that every answer asks the user to come back.
+func (a *acknowledgementTest) checkNotTold(t *testing.T, id ids.JobID) {
+	t.Helper()
+	for way, answer := range a.answers(t, id) {
+		if answer.Status != 503 || answer.RetryAfter == 0 {
+			t.Errorf("%s: %s: %+v", way, id, answer)
+		}
+	}
+}
+
+// The key-value store refuses the leader alone, and jobs are cancelled at another controller. If
+// the user were told, and the store then failed for every controller, the leader would go on
+// renewing the leases of the tasks for longer than the cancel deadline. So no user is told, in
+// whatever way, before a leader that holds its lease has taken the cancellation in; and no user
+// is told anything older.
+func TestCancellationIsVisibleOnceALeaderAcknowledgedIt(t *testing.T) {
+	a := newAcknowledgementTest(t)
+	term := a.leader.election.Term()
+	a.submit(t, "job-1")
+	a.submit(t, "job-2")
+	a.submit(t, "job-3")
+	if answer := a.asked.service.Cancel(t.Context(), "job-1"); answer.Status != 200 {
+		t.Errorf("the leader holds its lease: %+v", answer)
+	}
+	if knownToLeader(t, a.leader, "job-1") {
+		t.Error("told before the leader has taken it in")
+	}
+	a.checkTold(t, "job-1")
+
+	a.refuse.Store(true)
+	until(t, "the leader's lease may have expired", func() bool { return !term.HoldsLease() })
+	a.checkNotTold(t, "job-2")
+	if knownToLeader(t, a.leader, "job-2") || !term.MayAnswerHeartbeats() {
+		t.Error("the leader goes on, and did not take in what it was told")
+	}
+	a.checkTold(t, "job-1")
+	// Nor while no controller leads, as far as this one knows.
+	a.asked.election.Observe(election.Leader{Identity: election.Identity{Name: "n-9"}, Revision: term.Revision + 1})
+	if answer := a.asked.service.Cancel(t.Context(), "job-3"); answer.Status != 503 {
+		t.Errorf("no known leader: %+v", answer)
+	}
+
+	a.refuse.Store(false)
+	until(t, "the leader holds its lease again", func() bool { return term.HoldsLease() })
+	if answer := a.asked.service.Status(t.Context(), "job-2"); answer.Status != 503 {
+		t.Errorf("no known leader: %+v", answer)
+	}
+	// The leader reads the record by itself, and pings tell of it.
+	until(t, "the leader has read all", func() bool {
+		a.state.mu.Lock()
+		defer a.state.mu.Unlock()
+		revision, ok := a.leader.ownLeader.get().AcknowledgedRevision()
+		return ok && revision >= a.state.keys["jobs/job-3"].Revision
+	})
+	a.asked.pinger.observe(a.leader.pinger.message())
+	a.checkTold(t, "job-2")
+	a.checkTold(t, "job-3")
+}
+
+// A leader acknowledges cancellations only while it holds its lease: a later leader may not know
+// what it takes in after that. Here the store refuses to renew the lease, and nothing else, so
+// the leader goes on reading changes of jobs.
+func TestLeaderWithoutItsLeaseAcknowledgesNothing(t *testing.T) {
+	state := newSmallState(t)
+	store, refuse := state.door(t, "/grants")
+	platform := testConfig(store)
+	platform.Settings.State.RPS, platform.Settings.State.WriteRPS, platform.Settings.State.ValueKB = 20000, 80, 2
+	c := newTestController(t, platform)
+	storeTestCatalog(c)
+	address := startLeading(t, c)
+	term := c.election.Term()
+	state.mu.Lock()
+	state.epoch = 40
+	state.mu.Unlock()
+	until(t, "all is acknowledged", func() bool { return c.pinger.message().Acked >= 40 })
+	refuse.Store(true)
+	until(t, "the lease may have expired", func() bool { return !term.HoldsLease() })
+	state.mu.Lock()
+	state.epoch = 50
+	state.mu.Unlock()
+	follower := startFollower(t, state.addr, c, address)
+	if answer := follower.service.Submit(t.Context(), "job-1", testSpec()); answer.Status != 201 {
+		t.Fatalf("%+v", answer)
+	}
+	until(t, "the leader has read all", func() bool {
+		revision, _ := c.ownLeader.get().AcknowledgedRevision()
+		return revision >= 50
+	})
+	if got := c.pinger.message().Acked; got >= 50 {
+		t.Errorf("acknowledged up to %d without the lease", got)
+	}
+}
+
+// A peer's answer confirms what it knew when it was asked, and nothing from before its process
+// was started.
+func TestPeersConfirmTheTerm(t *testing.T) {
+	state := newSmallState(t)
+	platform := testConfig(state.addr)
+	platform.Seeds = []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}}
+	platform.Settings.Workers.LeaseS, platform.Settings.Workers.CancelDeadlineS = 27, 52
+	c := newTestController(t, platform)
+	storeTestCatalog(c)
+	startLeading(t, c)
+	if ping := c.pinger.message(); ping.Up <= 0 {
+		t.Errorf("up for %v", ping.Up)
+	}
+	term := c.election.Term()
+	// A peer that has seen a later leader ends the term, though it does not know who leads
+	// now.
+	c.pinger.observe(peerapi.Ping{From: "n-1", Revision: term.Revision + 1})
+	until(t, "the term has ended", func() bool { return c.election.Term() != term })
+	if term.MayAnswerHeartbeats() {
+		t.Error("answers in the name of an earlier term")
+	}
+}
--- /dev/null
+++ b/controller/catalog.go
@@ -0,0 +1,65 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"ospreystile.example/ospreystile/cloud"
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/wire"
+)
+
+const (
+	// catalogInterval is the time between two reads of the cloud's catalog.
+	catalogInterval = 30 * time.Second
+	// catalogRetryDelay is how long after a failure the catalog is read again.
+	catalogRetryDelay = time.Second
+)
+
+// catalog keeps the cloud's machine types and prices. Its method run writes them; any goroutine
+// may read them.
+type catalog struct {
+	cloud     *cloud.Client
+	ownLeader *localLeader
+	log       *slog.Logger
+	// types is nil until the first read.
+	types atomic.Pointer[[]wire.MachineType]
+}
+
+// MachineTypes implements leader.Catalog.
+func (c *catalog) MachineTypes() (types []wire.MachineType, ok bool) {
+	stored := c.types.Load()
+	if stored == nil {
+		return nil, false
+	}
+	return *stored, true
+}
+
+// run reads the catalog again and again until the context ends.
+func (c *catalog) run(ctx context.Context) error {
+	for {
+		wait := catalogInterval
+		if err := c.read(ctx); err != nil {
+			c.log.Info("catalog read failed", "err", err)
+			wait = catalogRetryDelay
+		}
+		if !monotonic.Sleep(ctx, wait) {
+			return ctx.Err()
+		}
+	}
+}
+
+// read reads the catalog once, and hands it to the leader in this process.
+func (c *catalog) read(ctx context.Context) error {
+	types, err := c.cloud.Catalog(ctx)
+	if err != nil {
+		return err
+	}
+	c.types.Store(&types)
+	if own := c.ownLeader.get(); own != nil {
+		own.SetCatalog(ctx, types)
+	}
+	return nil
+}
--- a/controller/connection_balancer.go
+++ b/controller/connection_balancer.go
@@ -2,108 +2,110 @@
 
 import (
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// connectionBalancer counts the workers that report here, and sends some to other nodes
-// when they are too many: after a restart they would all stay where they went.
+const (
+	// redirectInterval is the least time between two workers that are sent elsewhere. Moving
+	// all at once would only overload the next controller.
+	redirectInterval = 100 * time.Millisecond
+	// overloadRatio and overloadReserve are by how much a controller's workers may exceed its
+	// share before it sends some elsewhere.
+	overloadRatio   = 1.2
+	overloadReserve = 16
+	// followerWeight and leaderWeight are the relative shares of workers. The leader takes
+	// fewer, since it decides for all of them.
+	followerWeight = 1
+	leaderWeight   = 0.5
+	// balancerWindowIntervals is for how many heartbeat intervals after a heartbeat a worker
+	// counts as one of the controller's.
+	balancerWindowIntervals = 2
+)
+
+// connectionBalancer counts the workers that send heartbeats to this controller, and sends some
+// to other controllers when they are too many: after a restart they would all stay where they
+// went. It is safe for concurrent use.
 type connectionBalancer struct {
-	mu      sync.Mutex
-	seen    map[ids.MachineID]monotonic.Instant
-	movedAt monotonic.Instant
+	// window is for how long after a heartbeat a worker is counted.
+	window time.Duration
+	// count is the number of workers as last counted.
+	count atomic.Int32
+
+	// mu guards the fields below.
+	mu sync.Mutex
+	// lastHeartbeat is when each worker last sent a heartbeat here.
+	lastHeartbeat map[ids.MachineID]monotonic.Instant
+	// redirectedAt is when a worker was last sent elsewhere.
+	redirectedAt monotonic.Instant
 }
 
-const (
-	// moveInterval paces the workers that are sent elsewhere. Moving all at once
-	// would only overload the next node.
-	moveInterval = 100 * time.Millisecond
-	// balanceSlack is how many more than its share a node keeps.
-	balanceSlack = 16
-)
+func newConnectionBalancer(window time.Duration) *connectionBalancer {
+	return &connectionBalancer{window: window, lastHeartbeat: map[ids.MachineID]monotonic.Instant{}}
+}
 
-// reported takes note of a worker's report.
-func (c *connectionBalancer) reported(h ids.MachineID, now monotonic.Instant) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.seen[h] = now
+// reported takes note of a worker's heartbeat.
+func (b *connectionBalancer) reported(machine ids.MachineID, now monotonic.Instant) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.lastHeartbeat[machine] = now
 }
 
-// count is the number of workers heard within a time.
-func (c *connectionBalancer) count(now monotonic.Instant, within time.Duration) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for h, at := range c.seen {
-		if now > at.Add(within) {
-			delete(c.seen, h)
+// recount counts the workers whose heartbeats are recent, and forgets the others.
+func (b *connectionBalancer) recount(now monotonic.Instant) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for machine, at := range b.lastHeartbeat {
+		if now > at.Add(b.window) {
+			delete(b.lastHeartbeat, machine)
 		}
 	}
-	return len(c.seen)
+	b.count.Store(int32(len(b.lastHeartbeat)))
 }
 
-// nodeLoad is how many workers a node has, and how many it should have for each one that
-// another has.
-type nodeLoad struct {
+// lastCount is the number of workers as of the last recount.
+func (b *connectionBalancer) lastCount() int { return int(b.count.Load()) }
+
+// controllerLoad is how many workers a controller has, and its relative share of workers.
+type controllerLoad struct {
 	name    ids.ControllerName
 	workers int
 	weight  float64
 }
 
-// chooseTarget tells where a worker should go, if this node has too many of them.
-func (c *connectionBalancer) chooseTarget(self nodeLoad, others []nodeLoad, now monotonic.Instant) (ids.ControllerName, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if now < c.movedAt.Add(moveInterval) || len(others) == 0 {
+// chooseTarget tells to which controller a worker should go; ok is false if it should stay.
+func (b *connectionBalancer) chooseTarget(self controllerLoad, others []controllerLoad, now monotonic.Instant) (target ids.ControllerName, ok bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if now < b.redirectedAt.Add(redirectInterval) || len(others) == 0 {
 		return "", false
 	}
-	sum, weights := float64(self.workers), self.weight
-	for _, o := range others {
-		sum += float64(o.workers)
-		weights += o.weight
-	}
-	share := sum / weights
-	if float64(self.workers) <= 1.2*share*self.weight+balanceSlack {
+	share := workersPerWeight(self, others)
+	if float64(self.workers) <= overloadRatio*share*self.weight+overloadReserve {
 		return "", false
 	}
-	best, room := ids.ControllerName(""), 0.0
-	for _, o := range others {
-		if r := share*o.weight - float64(o.workers); r > room {
-			best, room = o.name, r
+	largestRoom := 0.0
+	for _, other := range others {
+		if room := share*other.weight - float64(other.workers); room > largestRoom {
+			target, largestRoom = other.name, room
 		}
 	}
-	if best == "" {
+	if target == "" {
 		return "", false
 	}
-	c.movedAt = now
-	return best, true
-}
-
-// leaderWeight is how many workers the leader should have for each that
-// another node has: it decides for all of them.
-const leaderWeight = 0.5
-
-// balancerWindow is how long a worker counts as one of a node's after a report.
-func (n *Controller) balancerWindow() time.Duration {
-	return monotonic.Seconds(2 * n.cfg.Settings.Workers.HeartbeatIntervalS)
+	b.redirectedAt = now
+	return target, true
 }
 
-// redirectTarget tells to which node a worker should go, if this one has too many.
-func (n *Controller) redirectTarget(now monotonic.Instant, leading bool) (ids.ControllerName, bool) {
-	weigh := func(leads bool) float64 {
-		if leads {
-			return leaderWeight
-		}
-		return 1
-	}
-	leader, _ := n.election.Leader()
-	var others []nodeLoad
-	for _, p := range n.peers {
-		// Only nodes that can pass reports on to the same leader.
-		if now < monotonic.Instant(p.lastHeard.Load()).Add(1500*time.Millisecond) && p.leaderRevision.Load() == uint64(leader.Revision) {
-			others = append(others, nodeLoad{p.Name, int(p.workers.Load()), weigh(p.Name == leader.Name)})
-		}
+// workersPerWeight is how many workers a controller of weight 1 should have.
+func workersPerWeight(self controllerLoad, others []controllerLoad) float64 {
+	workers, weights := float64(self.workers), self.weight
+	for _, other := range others {
+		workers += float64(other.workers)
+		weights += other.weight
 	}
-	return n.balancer.chooseTarget(nodeLoad{n.cfg.HostName, int(n.workerCount.Load()), weigh(leading)}, others, now)
+	return workers / weights
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,5 +1,13 @@
-// Package controller wires one controller together and runs it: its answers to users, workers and
-// peers, and the work of a term while it leads.
+// Package controller wires one controller together and runs it. Every controller answers users,
+// workers and its peers; the one that is elected also leads, which is the work of package
+// leader. Requests go one way:
+//
+//	user -> service -> submissionHandler, statusHandler or cancellationHandler
+//	     -> userCommitter (changes) or statusReader (queries) -> key-value store
+//	worker -> service -> heartbeatHandler -> leader.Leader, or heartbeatRelay -> leading peer
+//	peer -> peerHandler -> pinger, leader.Leader or directRoute
+//
+// Nothing here decides where a task runs.
 package controller
 
 import (
@@ -10,7 +18,6 @@
 	"math/rand/v2"
 	"net"
 	"runtime/debug"
-	"sync/atomic"
 	"time"
 
 	"golang.org/x/sync/errgroup"
@@ -27,135 +34,180 @@
 	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/server"
-	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/worker"
 )
 
-// Controller is one controller.
+// Controller is one controller. It owns the parts below and runs their goroutines; the parts
+// hold only what they need of each other.
 type Controller struct {
-	cfg   *config.Platform
-	op    *config.Operator
-	log   *slog.Logger
-	clock monotonic.Clock
+	platform *config.Platform
+	log      *slog.Logger
 
-	cloud   *cloud.Client
-	workers *worker.Client
-	peers   []*peer
+	election    *election.Election
+	ownLeader   *localLeader
+	peers       peerSet
+	catalog     *catalog
+	gate        *versionGate
+	storeHealth *storeHealth
+	// userStore takes the route through a peer while the key-value store refuses this
+	// controller alone.
+	userStore        *kv.Client
+	acknowledgements *acknowledgements
+	statusReader     *statusReader
+	commits          *userCommitter
+	balancer         *connectionBalancer
+	relay            *heartbeatRelay
+	pinger           *pinger
+	service          service
+	peerHandler      *peerHandler
+}
 
-	stateHTTP *httpclient.Client
-	health    stateHealth
-	// leaderState goes straight to the state service; userState takes the way
-	// through a peer when that one refuses this node alone.
-	leaderState *kv.Client
-	userState   *kv.Client
-	intake      *records.Committer
+const (
+	// The shares of the key-value store's request rate: the leader's own requests, users'
+	// requests at all controllers together, and status reads at all controllers together.
+	leaderRequestShare = 0.25
+	userRequestShare   = 0.65
+	statusReadShare    = 0.2
+	// storeConnections bounds the connections to the key-value store.
+	storeConnections = 64
+	// maxStoreResponseBytes bounds one response of the key-value store.
+	maxStoreResponseBytes = 16 << 20
+)
 
-	election *election.Election
-	catalog  atomic.Pointer[[]wire.MachineType]
-	leader   atomic.Pointer[leader.Leader]
+// New makes a controller from its settings.
+func New(platform *config.Platform, operator *config.Operator, log *slog.Logger) *Controller {
+	clock := monotonic.SystemClock()
+	c := &Controller{platform: platform, log: log, ownLeader: new(localLeader), peers: newPeerSet(platform.Seeds),
+		storeHealth: new(storeHealth)}
+	store := httpclient.New(platform.External.State, storeConnections, maxStoreResponseBytes)
+	direct := &directRoute{store: store, health: c.storeHealth}
+	controllers := float64(len(platform.Seeds) + 1)
+	storeRPS := platform.Settings.State.Planned().RPS
+	leaderStore := kv.New(direct, storeRPS*leaderRequestShare)
+	c.userStore = kv.New(&userRoute{direct: direct, health: c.storeHealth, peers: c.peers, clock: clock}, storeRPS*userRequestShare/controllers)
+	cloudClient := cloud.New(platform.External.Cloud, platform.Settings.Cloud.RPS)
+	c.catalog = &catalog{cloud: cloudClient, ownLeader: c.ownLeader, log: log}
+	c.gate = &versionGate{peers: c.peers, store: c.userStore, clock: clock, ownLeader: c.ownLeader, log: log}
+	leadership := &leadership{ownLeader: c.ownLeader, dependencies: leader.Dependencies{Platform: platform, Operator: operator,
+		Clock: clock, Log: log, Store: leaderStore, Cloud: cloudClient, Workers: worker.New(), Catalog: c.catalog,
+		VersionGate: c.gate, Peers: c.peers.forLeader()}}
+	c.election = election.New(leaderStore.Unthrottled(), identity(platform), leaseBounds(platform, operator), clock, log, leadership.lead)
+	leaders := &leaderClient{ownLeader: c.ownLeader, election: c.election, peers: c.peers, log: log}
+	c.acknowledgements = &acknowledgements{ownLeader: c.ownLeader, leaders: leaders}
+	statusReadGap := monotonic.Seconds(controllers / (statusReadShare * storeRPS))
+	c.statusReader = newStatusReader(c.userStore, statusReadGap, leaders.progress)
+	c.wireRequests(leaders, clock)
+	c.wirePeers(direct, clock)
+	return c
+}
 
-	startedAt    monotonic.Instant
-	terminalJobs terminalJobCache
-	acknowledged acknowledgedRevision
-	statusReads  *statusReader
-	relay        *reportRelay
-	balancer     connectionBalancer
-	// upgrade tells whether all controllers are known to be of this version.
-	upgrade upgrade
-	// workerCount is how many workers report here, as last counted.
-	workerCount atomic.Int32
+// identity names this process in the leader's key.
+func identity(platform *config.Platform) election.Identity {
+	return election.Identity{Name: platform.HostName, MeshAddress: platform.MeshAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
 }
 
-// New makes a controller from its settings.
-func New(cfg *config.Platform, op *config.Operator, log *slog.Logger) *Controller {
-	n := &Controller{cfg: cfg, op: op, log: log, clock: monotonic.SystemClock()}
-	n.startedAt = n.clock.Now()
-	s := &cfg.Settings
-	n.cloud = cloud.New(cfg.External.Cloud, s.Cloud.RPS)
-	n.workers = worker.New()
-	n.stateHTTP = httpclient.New(cfg.External.State, 64, 16<<20)
-	for _, p := range cfg.Seeds {
-		n.peers = append(n.peers, &peer{Peer: peerrpc.NewPeer(p.Name, p.Address)})
+// leaseBounds are how long this controller may lead without renewing its lease.
+func leaseBounds(platform *config.Platform, operator *config.Operator) election.LeaseBounds {
+	bounds := election.LeaseBounds{
+		TTL:                  operator.LeaseTTL(),
+		OutageGrace:          operator.Grace(),
+		IsolatedGrace:        settings.IsolatedGrace(platform, operator),
+		IsolatedReplicaGrace: settings.IsolatedReplicaGrace(platform, operator),
 	}
-	nodes := float64(len(cfg.Seeds) + 1)
-	direct := &directRoute{n}
-	rps := s.State.Planned().RPS
-	n.leaderState = kv.New(direct, rps*0.25)
-	n.userState = kv.New(&userRoute{n, direct}, rps*0.65/nodes)
-	n.intake = records.NewCommitter(n.userState, settings.TransactionLimits(n.cfg), nil, log)
-	self := election.Identity{Name: cfg.HostName, MeshAddress: cfg.MeshAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
-	bounds := election.LeaseBounds{TTL: op.LeaseTTL(), OutageGrace: op.Grace(), IsolatedGrace: settings.IsolatedGrace(n.cfg, n.op), IsolatedReplicaGrace: settings.IsolatedReplicaGrace(n.cfg, n.op)}
-	for _, p := range cfg.Seeds {
-		bounds.Peers = append(bounds.Peers, p.Name)
+	for _, seed := range platform.Seeds {
+		bounds.Peers = append(bounds.Peers, seed.Name)
 	}
-	n.election = election.New(n.leaderState.Unthrottled(), self, bounds, n.clock, log, n.lead)
-	n.terminalJobs.jobs = map[ids.JobID]wire.JobStatus{}
-	n.balancer.seen = map[ids.MachineID]monotonic.Instant{}
-	n.relay = &reportRelay{n: n, wake: make(chan struct{}, 1)}
-	// A fifth of the requests is for polls, by all nodes together.
-	gap := monotonic.Seconds(nodes / (0.2 * rps))
-	n.statusReads = newStatusReader(n.userState, gap, n.progress)
-	return n
+	return bounds
+}
+
+// wireRequests makes the parts that answer users and workers.
+func (c *Controller) wireRequests(leaders *leaderClient, clock monotonic.Clock) {
+	terminal := newTerminalJobs(c.acknowledgements)
+	statuses := &statusHandler{reader: c.statusReader, terminal: terminal, log: c.log}
+	c.commits = &userCommitter{records.NewCommitter(c.userStore, settings.TransactionLimits(c.platform), nil, c.log)}
+	maxValueBytes := settings.MaxValueBytes(c.platform)
+	c.balancer = newConnectionBalancer(monotonic.Seconds(balancerWindowIntervals * c.platform.Settings.Workers.HeartbeatIntervalS))
+	c.relay = newHeartbeatRelay(leaders, c.platform.Settings.Resources.Sockets, c.log)
+	c.service = service{
+		submissionHandler: &submissionHandler{teams: c.platform.Settings.Teams, maxValueBytes: maxValueBytes, catalog: c.catalog,
+			statuses: statuses, terminal: terminal, gate: c.gate, commits: c.commits, leaders: leaders, log: c.log},
+		statusHandler:       statuses,
+		cancellationHandler: &cancellationHandler{store: c.userStore, maxValueBytes: maxValueBytes, terminal: terminal, commits: c.commits},
+		heartbeatHandler: &heartbeatHandler{self: c.platform.HostName, clock: clock, election: c.election, ownLeader: c.ownLeader,
+			peers: c.peers, balancer: c.balancer, relay: c.relay},
+	}
+}
+
+// wirePeers makes the parts that talk with the other controllers.
+func (c *Controller) wirePeers(direct *directRoute, clock monotonic.Clock) {
+	c.pinger = &pinger{self: c.platform.HostName, clock: clock, startedAt: clock.Now(), election: c.election, peers: c.peers,
+		health: c.storeHealth, balancer: c.balancer, acknowledgements: c.acknowledgements, gate: c.gate}
+	c.peerHandler = &peerHandler{pinger: c.pinger, ownLeader: c.ownLeader, direct: direct}
 }
 
-// Run serves until the context ends.
-func (n *Controller) Run(ctx context.Context) error {
-	// Two thirds of what the platform grants: stacks, buffers and the
-	// runtime's own take the rest.
-	// With that as the ceiling, the collector need not run at every doubling of
-	// a small heap: its work is a good part of a small share of a core.
-	debug.SetGCPercent(250)
-	debug.SetMemoryLimit(int64(n.cfg.Settings.Resources.RAMMB * 0.66 * (1 << 20)))
-	api, err := net.Listen("tcp4", n.cfg.APIAddr)
+const (
+	// memoryShare is the share of the granted memory that the heap may take: stacks, buffers
+	// and the runtime itself need the rest.
+	memoryShare = 0.66
+	// garbageCollectionPercent lets the heap grow further than by default between two
+	// collections. Their work is a good part of a small share of a core, and the memory
+	// limit is the ceiling.
+	garbageCollectionPercent = 250
+	// minAPIConnections is the least bound of connections of users and workers.
+	minAPIConnections = 16
+	// minIdleTimeout is the least time after which an idle connection is closed.
+	minIdleTimeout = 15 * time.Second
+	// idleHeartbeatIntervals is the same in heartbeat intervals.
+	idleHeartbeatIntervals = 3
+)
+
+// Run serves until the context ends, and then returns nil. It returns early with an error if an
+// address cannot be listened on, or if a part fails for good.
+func (c *Controller) Run(ctx context.Context) error {
+	debug.SetGCPercent(garbageCollectionPercent)
+	debug.SetMemoryLimit(int64(c.platform.Settings.Resources.RAMMB * memoryShare * (1 << 20)))
+	apiListener, err := net.Listen("tcp4", c.platform.APIAddr)
 	if err != nil {
 		return fmt.Errorf("api_addr: %w", err)
 	}
-	meshLn, err := net.Listen("tcp4", n.cfg.MeshAddr)
+	peerListener, err := net.Listen("tcp4", c.platform.MeshAddr)
 	if err != nil {
-		return fmt.Errorf("mesh_addr: %w", err)
-	}
-	s := &n.cfg.Settings
-	app := server.New(n, server.Limits{
-		// Outgoing connections, peers and the runtime need sockets too.
-		MaxConnections: max(16, s.Resources.Sockets*3/4),
-		IdleTimeout:    max(15*time.Second, 3*monotonic.Seconds(s.Workers.HeartbeatIntervalS)),
-	}, n.log)
-	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return server.Serve(ctx, app, retryListener{api, n.log}) })
-	g.Go(func() error { return peerrpc.Serve(ctx, retryListener{meshLn, n.log}, n.handle, n.log) })
-	g.Go(func() error { return n.election.Run(ctx) })
-	g.Go(func() error { return n.intake.Run(ctx) })
-	g.Go(func() error { return n.statusReads.run(ctx) })
-	g.Go(func() error { return n.relay.run(ctx) })
-	g.Go(func() error { return n.readCatalog(ctx) })
-	g.Go(func() error { return n.awaitUpgrade(ctx) })
-	for _, p := range n.peers {
-		g.Go(func() error { return n.pingLoop(ctx, p) })
+		return errors.Join(fmt.Errorf("mesh_addr: %w", err), apiListener.Close())
 	}
-	n.log.Info("serving", "controller", n.cfg.HostName, "api_address", n.cfg.APIAddr, "mesh_address", n.cfg.MeshAddr)
-	err = g.Wait()
+	group, ctx := errgroup.WithContext(ctx)
+	c.start(ctx, group, apiListener, peerListener)
+	c.log.Info("serving", "controller", c.platform.HostName, "api_address", c.platform.APIAddr, "mesh_address", c.platform.MeshAddr)
+	err = group.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
 	return err
 }
 
-// readCatalog keeps the machine types and their prices.
-func (n *Controller) readCatalog(ctx context.Context) error {
-	for {
-		wait := 30 * time.Second
-		types, err := n.cloud.Catalog(ctx)
-		if err != nil {
-			n.log.Info("catalog read failed", "err", err)
-			wait = time.Second
-		} else {
-			n.catalog.Store(&types)
-			if t := n.leader.Load(); t != nil {
-				t.SetCatalog(ctx, types)
-			}
-		}
-		if !monotonic.Sleep(ctx, wait) {
-			return ctx.Err()
-		}
+// start starts the goroutines of all parts in a group; they end with its context.
+func (c *Controller) start(ctx context.Context, group *errgroup.Group, apiListener, peerListener net.Listener) {
+	api := server.New(c.service, c.serverLimits(), c.log)
+	group.Go(func() error { return server.Serve(ctx, api, retryListener{apiListener, c.log}) })
+	group.Go(func() error {
+		return peerrpc.Serve(ctx, retryListener{peerListener, c.log}, c.peerHandler.handle, c.log)
+	})
+	group.Go(func() error { return c.election.Run(ctx) })
+	group.Go(func() error { return c.commits.run(ctx) })
+	group.Go(func() error { return c.statusReader.run(ctx) })
+	group.Go(func() error { return c.relay.run(ctx) })
+	group.Go(func() error { return c.catalog.run(ctx) })
+	group.Go(func() error { return c.gate.run(ctx) })
+	for _, p := range c.peers {
+		group.Go(func() error { return c.pinger.run(ctx, p) })
+	}
+}
+
+// serverLimits are the bounds of connections of users and workers.
+func (c *Controller) serverLimits() server.Limits {
+	s := &c.platform.Settings
+	return server.Limits{
+		// Outgoing connections, peers and the runtime need sockets too.
+		MaxConnections: max(minAPIConnections, s.Resources.Sockets*3/4),
+		IdleTimeout:    max(minIdleTimeout, idleHeartbeatIntervals*monotonic.Seconds(s.Workers.HeartbeatIntervalS)),
 	}
 }
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -8,15 +8,15 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// The records that are written as maps keep their bytes: those that say that every
-// controller is new, and since which leader the fleet is known.
+// Two records are written here rather than by package records, and keep their bytes: that every
+// controller is upgraded, and since which leader the fleet is known.
 func TestFormatRecordKeepsItsBytes(t *testing.T) {
 	state := newSmallState(t)
-	n := state.started(t)
-	if err := n.awaitUpgrade(t.Context()); err != nil {
+	c := startController(t, "n-0", state.addr)
+	if err := c.gate.run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	state.leads(t, n)
+	startLeading(t, c)
 	until(t, "the fleet's record", func() bool {
 		state.mu.Lock()
 		defer state.mu.Unlock()
@@ -36,13 +36,13 @@
 	}
 }
 
-// The format's record is read at the key and with the words that it is written with.
+// The format's record is read at the key and with the tags that it is written with.
 func TestFormatIsReadWhereItIsWritten(t *testing.T) {
 	rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(wire.Encode(map[string]any{"v": map[string]int{"v": 2}, "stamp": 5}))
 	})
-	n := testNode(t, testConfig(rec.Address))
-	if err := n.readUpgrade(t.Context(), n.userState); err != nil || !n.upgrade.done() {
+	c := newTestController(t, testConfig(rec.Address))
+	if err := c.gate.Load(t.Context(), c.userStore); err != nil || !c.gate.Open() {
 		t.Errorf("not read: %v", err)
 	}
 	if want := "GET /store/format \"\" -\n"; rec.Text() != want {
--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -2,140 +2,152 @@
 
 import (
 	"context"
+	"log/slog"
+	"net/http"
 	"sync"
 	"time"
 
-	"ospreystile.example/ospreystile/controller/leader"
 	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/server"
-	"ospreystile.example/ospreystile/wire"
 )
 
-// relayedReport is one report on its way to the leader.
-type relayedReport struct {
-	raw  []byte
-	done chan<- server.Response
-}
-
-// reportRelay passes workers' reports on to the leader. Every node takes reports, so that
-// one node's sockets and processor need not do for all workers. A follower sends them in
-// batches, and each answer waits for the leader's: it alone decides, and nobody else
-// renews a worker's lease.
-type reportRelay struct {
-	n *Controller
-
-	mu      sync.Mutex
-	waiting []relayedReport
-	wake    chan struct{}
-}
-
 const (
-	// maxBatch bounds the reports in one batch, and batches how many are on
-	// their way at once.
+	// maxBatch bounds the heartbeats in one batch, and maxBatchesInFlight the batches in
+	// flight.
 	maxBatch           = 48
 	maxBatchesInFlight = 4
-	// relayTimeout is how long a report may take here, of the 4 s that workers
-	// wait.
+	// relayTimeout is how long a heartbeat may take at the follower and at the leader, of the
+	// 4 s that workers wait.
 	relayTimeout = 2500 * time.Millisecond
-	// minWaitingReports is how many reports may wait on the smallest node. A larger one
-	// lets one wait for each socket: each holds one, so a fleet that comes back all at once
-	// is not refused for a limit below its connections.
-	minWaitingReports = 1000
+	// minWaitingHeartbeats is how many heartbeats may wait on the smallest controller. A
+	// larger one lets one wait for each socket: each holds one, so a fleet that comes back
+	// all at once is not refused for a limit below its connections.
+	minWaitingHeartbeats = 1000
 )
 
-// maxWaitingReports bounds the reports that wait on a node with so many sockets.
-func maxWaitingReports(sockets int) int { return max(minWaitingReports, sockets) }
+// relayedHeartbeat is one heartbeat that waits for the leader's answer.
+type relayedHeartbeat struct {
+	encoded []byte
+	// reply has a buffer of one.
+	reply chan<- server.Response
+}
+
+// heartbeatRelay passes heartbeats on to the leader, so that one controller's sockets and
+// processor need not do for all workers. Heartbeats are sent in batches, and each waits for the
+// leader's answer: the leader alone decides, and no other controller renews a worker's lease.
+// Its method run owns the goroutines that send batches.
+type heartbeatRelay struct {
+	leaders    *leaderClient
+	maxWaiting int
+	log        *slog.Logger
+	// wake tells run that a heartbeat waits.
+	wake chan struct{}
 
-// relay hands a report to the leader and waits for the answer.
-func (e *reportRelay) relay(ctx context.Context, raw []byte) server.Response {
+	// mu guards waiting, the heartbeats that are in no batch yet.
+	mu      sync.Mutex
+	waiting []relayedHeartbeat
+}
+
+// newHeartbeatRelay makes the relay of a controller with so many sockets.
+func newHeartbeatRelay(leaders *leaderClient, sockets int, log *slog.Logger) *heartbeatRelay {
+	return &heartbeatRelay{leaders: leaders, maxWaiting: max(minWaitingHeartbeats, sockets), log: log, wake: make(chan struct{}, 1)}
+}
+
+// relay hands a heartbeat to the leader and waits for its answer. It answers 503 at once if too
+// many wait, and when there is no answer in time.
+func (r *heartbeatRelay) relay(ctx context.Context, encoded []byte) server.Response {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	done := make(chan server.Response, 1)
-	e.mu.Lock()
-	if len(e.waiting) >= maxWaitingReports(e.n.cfg.Settings.Resources.Sockets) {
-		e.mu.Unlock()
-		return server.Response{Status: 503}
+	reply := make(chan server.Response, 1)
+	if !r.enqueue(relayedHeartbeat{encoded: encoded, reply: reply}) {
+		return server.Response{Status: http.StatusServiceUnavailable}
 	}
-	e.waiting = append(e.waiting, relayedReport{raw, done})
-	e.mu.Unlock()
 	select {
-	case e.wake <- struct{}{}:
-	default:
+	case response := <-reply:
+		return response
+	case <-ctx.Done():
+		return server.Response{Status: http.StatusServiceUnavailable}
 	}
+}
+
+// enqueue queues a heartbeat and wakes run. It refuses if too many wait.
+func (r *heartbeatRelay) enqueue(heartbeat relayedHeartbeat) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.waiting) >= r.maxWaiting {
+		return false
+	}
+	r.waiting = append(r.waiting, heartbeat)
 	select {
-	case a := <-done:
-		return a
-	case <-ctx.Done():
-		return server.Response{Status: 503}
+	case r.wake <- struct{}{}:
+	default:
 	}
+	return true
 }
 
 // take removes the next batch from the queue.
-func (e *reportRelay) take() []relayedReport {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	n := min(len(e.waiting), maxBatch)
-	batch := e.waiting[:n:n]
-	e.waiting = e.waiting[n:]
+func (r *heartbeatRelay) take() []relayedHeartbeat {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	n := min(len(r.waiting), maxBatch)
+	batch := r.waiting[:n:n]
+	r.waiting = r.waiting[n:]
 	return batch
 }
 
-// run sends batches until the context ends.
-func (e *reportRelay) run(ctx context.Context) error {
+// run sends batches until the context ends, and waits for those in flight.
+func (r *heartbeatRelay) run(ctx context.Context) error {
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	slots := make(chan struct{}, maxBatchesInFlight)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-e.wake:
+		case <-r.wake:
 		}
-		for batch := e.take(); len(batch) > 0; batch = e.take() {
+		for batch := r.take(); len(batch) > 0; batch = r.take() {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
 			case slots <- struct{}{}:
 			}
-			go func() {
+			inFlight.Go(func() {
 				defer func() { <-slots }()
-				e.send(ctx, batch)
-			}()
+				r.send(ctx, batch)
+			})
 		}
 	}
 }
 
-// send passes one batch on and answers its reports.
-func (e *reportRelay) send(ctx context.Context, batch []relayedReport) {
-	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
-	defer cancel()
-	var answers []peerapi.HeartbeatAnswer
-	if p := e.n.leaderPeer(); p != nil {
-		raws := make([][]byte, len(batch))
-		for i := range batch {
-			raws[i] = batch[i].raw
-		}
-		if err := p.Call(ctx, peerapi.OpHeartbeats, raws, &answers); err != nil {
-			e.n.log.Debug("heartbeat relay failed", "count", len(batch), "err", err)
-		}
-	}
-	for i, b := range batch {
-		a := server.Response{Status: 503}
+// send passes one batch on and answers its heartbeats.
+func (r *heartbeatRelay) send(ctx context.Context, batch []relayedHeartbeat) {
+	answers := r.callLeader(ctx, batch)
+	for i, heartbeat := range batch {
+		response := server.Response{Status: http.StatusServiceUnavailable}
 		if i < len(answers) && answers[i].OK {
-			a = server.Response{Status: 200, Body: answers[i].Orders}
+			response = server.Response{Status: http.StatusOK, Body: answers[i].Orders}
 		}
-		b.done <- a
+		heartbeat.reply <- response
 	}
 }
 
-// relayedReports gives a batch from a follower to the leader in this process.
-func relayedReports(ctx context.Context, own *leader.Leader, raws [][]byte) ([]peerapi.HeartbeatAnswer, error) {
+// callLeader returns the leader's answers to a batch; none if no leader answers in time.
+func (r *heartbeatRelay) callLeader(ctx context.Context, batch []relayedHeartbeat) []peerapi.HeartbeatAnswer {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	heartbeats := make([]*wire.Heartbeat, len(raws))
-	for i, raw := range raws {
-		heartbeat := new(wire.Heartbeat)
-		if err := wire.Decode(raw, heartbeat); err == nil && heartbeat.Machine != "" && heartbeat.Incarnation != 0 {
-			heartbeats[i] = heartbeat
-		}
+	p := r.leaders.peer()
+	if p == nil {
+		return nil
+	}
+	encoded := make([][]byte, len(batch))
+	for i := range batch {
+		encoded[i] = batch[i].encoded
+	}
+	var answers []peerapi.HeartbeatAnswer
+	if err := p.Call(ctx, peerapi.OpHeartbeats, encoded, &answers); err != nil {
+		r.log.Debug("heartbeat relay failed", "count", len(batch), "err", err)
+		return nil
 	}
-	return own.Heartbeats(ctx, heartbeats)
+	return answers
 }
--- a/controller/heartbeat_relay_test.go
+++ b/controller/heartbeat_relay_test.go
@@ -6,61 +6,79 @@
 	"net/http/httptest"
 	"strings"
 	"testing"
+	"testing/synctest"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"ospreystile.example/ospreystile/config"
 	"ospreystile.example/ospreystile/election"
-	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A follower passes reports on, and answers with what the leader says; it has
-// no answer of its own. When the leader must not answer, or is gone, the worker
-// is told at once to go elsewhere.
-func TestFollowerPassesReportsOn(t *testing.T) {
-	ctx, cancel := context.WithCancel(t.Context())
-	leader := testNode(t, testConfig(freshState(t)))
-	leader.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
-	var g errgroup.Group
-
-	cfg := testConfig("127.0.0.1:4")
-	cfg.HostName = "n-1"
-	cfg.Seeds = []config.Peer{{Name: "n-0", Address: meshOf(t, leader)}}
-	follower := testNode(t, cfg)
-	g.Go(func() error { _ = follower.relay.run(ctx); return nil })
-	defer func() { cancel(); _ = g.Wait() }()
+// A follower relays heartbeats, and answers with what the leader decides; it has no answer of
+// its own. When the leader must not answer, or there is none, the worker is told at once to go
+// elsewhere.
+func TestFollowerRelaysHeartbeats(t *testing.T) {
+	leading := newTestController(t, testConfig(emptyStore(t)))
+	storeTestCatalog(leading)
+	platform := testConfig("127.0.0.1:4")
+	platform.HostName = "n-1"
+	platform.Seeds = []config.Peer{{Name: "n-0", Address: servePeers(t, leading)}}
+	follower := newTestController(t, platform)
+	runUntilCleanup(t, func(ctx context.Context) { _ = follower.relay.run(ctx) })
+	sendHeartbeat := func() server.Response {
+		heartbeat := &wire.Heartbeat{Machine: "m-1", Endpoint: "127.0.0.1:5", Type: "m", Zone: "a", Incarnation: 1, Sequence: 1}
+		return follower.service.Heartbeat(t.Context(), wire.Encode(heartbeat), heartbeat)
+	}
 
-	rep := &wire.Heartbeat{Machine: "m-1", Endpoint: "127.0.0.1:5", Type: "m", Zone: "a", Incarnation: 1, Sequence: 1}
-	hello := func() server.Response { return follower.Heartbeat(ctx, wire.Encode(rep), rep) }
-	if a := hello(); a.Status != 503 {
+	if a := sendHeartbeat(); a.Status != 503 {
 		t.Fatalf("without a leader: %+v", a)
 	}
 	follower.election.Observe(election.Leader{Identity: election.Identity{Name: "n-0"}, Revision: 7})
-	if a := hello(); a.Status != 503 {
+	if a := sendHeartbeat(); a.Status != 503 {
 		t.Fatalf("before the leader leads: %+v", a)
 	}
-	g.Go(func() error { _ = leader.election.Run(ctx); return nil })
-	until(t, "somebody leads", func() bool { return leader.leader.Load() != nil })
-	a := hello()
+
+	runUntilCleanup(t, func(ctx context.Context) { _ = leading.election.Run(ctx) })
+	until(t, "the controller leads", func() bool { return leading.ownLeader.get() != nil })
+	a := sendHeartbeat()
 	if o, ok := a.Body.(wire.HeartbeatResponse); a.Status != 200 || !ok || o.FencingToken.Revision() != 7 {
 		t.Fatalf("through the follower: %+v", a)
 	}
-	if n := follower.balancer.count(follower.clock.Now(), time.Minute); n != 1 {
+	follower.balancer.window = time.Minute
+	follower.balancer.recount(follower.pinger.clock.Now())
+	if n := follower.balancer.lastCount(); n != 1 {
 		t.Errorf("%d workers counted", n)
 	}
-	// A later leader is known: this one has nothing to say any more.
-	leader.election.Observe(election.Leader{Identity: election.Identity{Name: "n-2"}, Revision: 9})
-	until(t, "the term is over", func() bool { return leader.leader.Load() == nil })
-	if a := hello(); a.Status != 503 {
+
+	// A later leader is known: this one may answer no more.
+	leading.election.Observe(election.Leader{Identity: election.Identity{Name: "n-2"}, Revision: 9})
+	until(t, "the term has ended", func() bool { return leading.ownLeader.get() == nil })
+	if a := sendHeartbeat(); a.Status != 503 {
 		t.Errorf("from a leader that was replaced: %+v", a)
 	}
 }
 
-// freshState is a stand-in for a state service in which nobody has led yet.
-func freshState(t *testing.T) string {
+// While too many heartbeats wait, another is refused at once.
+func TestOverloadedRelayRefusesAtOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := newTestController(t, testConfig("127.0.0.1:1"))
+		waiting, stop := context.WithCancel(t.Context())
+		for range c.relay.maxWaiting { // nothing answers here
+			go c.relay.relay(waiting, nil)
+		}
+		synctest.Wait()
+		began := time.Now()
+		if answer := c.relay.relay(t.Context(), nil); answer.Status != 503 || time.Since(began) > 0 {
+			t.Errorf("%+v after %v", answer, time.Since(began))
+		}
+		stop()
+		synctest.Wait()
+	})
+}
+
+// emptyStore is a stand-in for a key-value store in which no controller has led yet.
+func emptyStore(t *testing.T) string {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body := map[string]any{"epoch": 7, "hold": 1, "entries": []any{}}
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -2,38 +2,89 @@
 
 import (
 	"context"
+	"net/http"
 	"time"
 
 	"ospreystile.example/ospreystile/controller/leader"
+	"ospreystile.example/ospreystile/election"
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Heartbeat implements server.Service.
-func (n *Controller) Heartbeat(ctx context.Context, raw []byte, rep *wire.Heartbeat) server.Response {
-	now := n.clock.Now()
-	t := n.leader.Load()
-	leading := t != nil && t.MayAnswerHeartbeats()
-	if l, ok := n.election.Leader(); !leading && (!ok || l.Name == n.cfg.HostName) {
-		return server.Response{Status: 503}
+const (
+	// heartbeatTimeout is how long a heartbeat may take in this process, of the 4 s that
+	// workers wait.
+	heartbeatTimeout = 3 * time.Second
+	// redirectPeerTimeout is after how long without an answer to a ping no worker is sent to
+	// a peer.
+	redirectPeerTimeout = 1500 * time.Millisecond
+)
+
+// heartbeatHandler answers workers' heartbeats. Only the leader decides on an answer: in this
+// process if this controller leads, else the heartbeat is relayed.
+type heartbeatHandler struct {
+	self      ids.ControllerName
+	clock     monotonic.Clock
+	election  *election.Election
+	ownLeader *localLeader
+	peers     peerSet
+	balancer  *connectionBalancer
+	relay     *heartbeatRelay
+}
+
+// Heartbeat implements server.Service. encoded is the heartbeat as it was received, which is
+// what is relayed.
+func (h *heartbeatHandler) Heartbeat(ctx context.Context, encoded []byte, heartbeat *wire.Heartbeat) server.Response {
+	now := h.clock.Now()
+	own := h.ownLeader.answering()
+	known, ok := h.election.Leader()
+	if own == nil && (!ok || known.Name == h.self) {
+		return server.Response{Status: http.StatusServiceUnavailable}
 	}
-	n.balancer.reported(rep.Machine, now)
-	if to, ok := n.redirectTarget(now, leading); ok {
-		return server.Response{Status: 421, Body: wire.Redirect{Leader: to}}
+	h.balancer.reported(heartbeat.Machine, now)
+	if target, ok := h.balancer.chooseTarget(h.ownLoad(own), h.peerLoads(now, known), now); ok {
+		return server.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Leader: target}}
 	}
-	if leading {
-		return n.reportToCore(ctx, t, rep)
+	if own != nil {
+		return answerHeartbeat(ctx, own, heartbeat)
 	}
-	return n.relay.relay(ctx, raw)
+	return h.relay.relay(ctx, encoded)
 }
 
-// reportToCore gives a worker's report to the leader's core.
-func (n *Controller) reportToCore(ctx context.Context, t *leader.Leader, rep *wire.Heartbeat) server.Response {
-	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
+// answerHeartbeat has the leader in this process answer a heartbeat.
+func answerHeartbeat(ctx context.Context, own *leader.Leader, heartbeat *wire.Heartbeat) server.Response {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	answers, err := t.Heartbeats(ctx, []*wire.Heartbeat{rep})
+	answers, err := own.Heartbeats(ctx, []*wire.Heartbeat{heartbeat})
 	if err != nil || !answers[0].OK {
-		return server.Response{Status: 503}
+		return server.Response{Status: http.StatusServiceUnavailable}
+	}
+	return server.Response{Status: http.StatusOK, Body: answers[0].Orders}
+}
+
+// ownLoad is the load of this controller; own is the leader in this process, or nil.
+func (h *heartbeatHandler) ownLoad(own *leader.Leader) controllerLoad {
+	load := controllerLoad{name: h.self, workers: h.balancer.lastCount(), weight: followerWeight}
+	if own != nil {
+		load.weight = leaderWeight
+	}
+	return load
+}
+
+// peerLoads are the loads of the peers that can relay heartbeats to the same leader.
+func (h *heartbeatHandler) peerLoads(now monotonic.Instant, known election.Leader) []controllerLoad {
+	var loads []controllerLoad
+	for _, p := range h.peers {
+		if !p.HeardWithin(now, redirectPeerTimeout) || p.FollowedRevision() != known.Revision {
+			continue
+		}
+		load := controllerLoad{name: p.Name, workers: int(p.workers.Load()), weight: followerWeight}
+		if p.Name == known.Name {
+			load.weight = leaderWeight
+		}
+		loads = append(loads, load)
 	}
-	return server.Response{Status: 200, Body: answers[0].Orders}
+	return loads
 }
--- /dev/null
+++ b/controller/helpers_test.go
@@ -0,0 +1,134 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/config"
+	"ospreystile.example/ospreystile/controller/peerapi"
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/peerrpc"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// testConfig is the settings of controller n-0, whose key-value store is at an address.
+func testConfig(store string) *config.Platform {
+	p := &config.Platform{HostName: "n-0", APIAddr: "127.0.0.1:1", MeshAddr: "127.0.0.1:2"}
+	p.External.State, p.External.Cloud = store, "127.0.0.1:3"
+	p.Settings.Teams = []config.Team{{Name: "red", CPUs: 4, CPUsMax: 16}}
+	p.Settings.Resources.CPUShare = 1
+	p.Settings.State.RPS, p.Settings.State.TxnOps, p.Settings.Cloud.RPS = 200, 8, 4
+	return p
+}
+
+// newTestController makes a controller that logs nothing; none of its goroutines runs.
+func newTestController(t *testing.T, platform *config.Platform) *Controller {
+	t.Helper()
+	return newLoggingController(t, platform, slog.New(slog.DiscardHandler))
+}
+
+func newLoggingController(t *testing.T, platform *config.Platform, log *slog.Logger) *Controller {
+	t.Helper()
+	operator, err := config.ParseOperator(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return New(platform, operator, log)
+}
+
+// storeTestCatalog has a controller know a single machine type.
+func storeTestCatalog(c *Controller) {
+	c.catalog.types.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
+}
+
+// startController starts what a controller needs to take submissions.
+func startController(t *testing.T, name ids.ControllerName, store string, seeds ...config.Peer) *Controller {
+	t.Helper()
+	platform := testConfig(store)
+	platform.HostName, platform.Seeds = name, seeds
+	platform.Settings.State.RPS, platform.Settings.State.WriteRPS, platform.Settings.State.ValueKB = 20000, 80, 2
+	c := newTestController(t, platform)
+	storeTestCatalog(c)
+	runUntilCleanup(t, func(ctx context.Context) { _ = c.commits.run(ctx) })
+	runUntilCleanup(t, func(ctx context.Context) { _ = c.statusReader.run(ctx) })
+	return c
+}
+
+// startFollower starts controller n-1, which follows another that peers reach at an address.
+func startFollower(t *testing.T, store string, leading *Controller, address string) *Controller {
+	t.Helper()
+	c := startController(t, "n-1", store, config.Peer{Name: "n-0", Address: address})
+	known, _ := leading.election.Leader()
+	c.election.Observe(known)
+	return c
+}
+
+// startLeading has a controller lead, and be reached by the others at the address returned.
+func startLeading(t *testing.T, c *Controller) (address string) {
+	t.Helper()
+	runUntilCleanup(t, func(ctx context.Context) { _ = c.election.Run(ctx) })
+	address = servePeers(t, c)
+	until(t, "the controller leads", func() bool { return c.ownLeader.get() != nil })
+	return address
+}
+
+// servePeers serves a controller's peers, and returns at which address.
+func servePeers(t *testing.T, c *Controller) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	runUntilCleanup(t, func(ctx context.Context) { _ = peerrpc.Serve(ctx, listener, c.peerHandler.handle, c.log) })
+	return listener.Addr().String()
+}
+
+// runUntilCleanup runs a function in a goroutine that ends with the test.
+func runUntilCleanup(t *testing.T, run func(context.Context)) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	var running sync.WaitGroup
+	running.Go(func() { run(ctx) })
+	t.Cleanup(func() { cancel(); running.Wait() })
+}
+
+// until waits for what other goroutines are to bring about.
+func until(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for range 4000 {
+		if ok() {
+			return
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	t.Fatalf("never: %s", what)
+}
+
+// knownToLeader tells whether the leader in a controller's process knows a job.
+func knownToLeader(t *testing.T, c *Controller, id ids.JobID) bool {
+	t.Helper()
+	own := c.ownLeader.get()
+	if own == nil {
+		return false
+	}
+	progress, err := own.Progress(t.Context(), []ids.JobID{id})
+	if err != nil {
+		return false
+	}
+	_, known := progress[id]
+	return known
+}
+
+// noProgress is a progressSource of jobs that have not started.
+func noProgress(_ context.Context, jobs []ids.JobID) []peerapi.JobProgress {
+	return make([]peerapi.JobProgress, len(jobs))
+}
+
+// testSpec is the specification of a job of one task.
+func testSpec(dependsOn ...ids.JobID) *wire.JobSpec {
+	return &wire.JobSpec{Class: "c", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", DependsOn: dependsOn}
+}
--- a/controller/job_replica.go
+++ b/controller/job_replica.go
@@ -12,8 +12,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// jobReader is what the copy needs of the state service.
-type jobReader interface {
+// jobStore is what a replica needs of the key-value store; kv.Client implements it.
+type jobStore interface {
 	List(ctx context.Context, prefix string, each func(kv.Entry) error) (ids.Revision, error)
 	Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []kv.Event, error)
 }
@@ -23,84 +23,101 @@
 	Status   wire.JobState
 	Tasks    int
 	revision ids.Revision
-	// cancelledByDependency tells that it is cancelled with a job that it depends on, and so never had a task,
-	// whether or not its own record says so yet.
+	// cancelledByDependency tells that the job is cancelled together with a dependency, and
+	// so never had a task, whether or not its own record says so yet.
 	cancelledByDependency bool
 }
 
+// snapshotOf is what a job's own record tells.
+func snapshotOf(record *records.Job, revision ids.Revision) jobSnapshot {
+	// Only the leader cancels without the specification: jobs that never had a task.
+	return jobSnapshot{Status: record.Status, Tasks: record.Tasks, revision: revision,
+		cancelledByDependency: record.Status == wire.JobCancelled && record.Spec == nil}
+}
+
 // terminal tells whether the job is done or cancelled, for good.
-func (k jobSnapshot) terminal() bool {
-	return k.Status == wire.JobDone || k.Status == wire.JobCancelled
+func (s jobSnapshot) terminal() bool {
+	return s.Status == wire.JobDone || s.Status == wire.JobCancelled
 }
 
-// jobReplica is a node's copy of all jobs. One goroutine alone uses it.
+// jobReplica is a controller's replica of all jobs. One goroutine at a time may use it.
 type jobReplica struct {
-	read     jobReader
-	jobs     map[ids.JobID]jobSnapshot
-	graph    *dependency.Graph
+	store jobStore
+	jobs  map[ids.JobID]jobSnapshot
+	graph *dependency.Graph
+	// revision is that up to which the replica has every change.
 	revision ids.Revision
 	loaded   bool
 }
 
-// refresh makes the copy at least as new as the moment of the call.
-func (c *jobReplica) refresh(ctx context.Context) error {
-	if !c.loaded {
-		c.jobs, c.graph = map[ids.JobID]jobSnapshot{}, dependency.New()
-		epoch, err := c.read.List(ctx, records.JobPrefix, func(e kv.Entry) error {
-			c.put(e.Key, e.Value, e.Revision)
-			return nil
-		})
-		if err != nil {
+// refresh is a barrier read: it makes the replica at least as new as the moment of the call. It
+// returns the store's errors; the replica must not be read after one.
+func (r *jobReplica) refresh(ctx context.Context) error {
+	if !r.loaded {
+		if err := r.load(ctx); err != nil {
 			return err
 		}
-		c.revision, c.loaded = epoch, true
 	}
-	epoch, events, err := c.read.Watch(ctx, records.JobPrefix, c.revision, 0)
+	revision, changes, err := r.store.Watch(ctx, records.JobPrefix, r.revision, 0)
 	if errors.Is(err, kv.ErrCompacted) {
-		c.loaded = false
+		r.loaded = false
 	}
 	if err != nil {
 		return err
 	}
-	for _, ev := range events {
-		if ev.PutKey != "" {
-			c.put(ev.PutKey, ev.Value, ev.Revision)
+	for _, change := range changes {
+		if change.PutKey != "" {
+			r.put(change.PutKey, change.Value, change.Revision)
 		}
 	}
-	c.revision = max(c.revision, epoch)
+	r.revision = max(r.revision, revision)
+	return nil
+}
+
+// load reads all jobs anew.
+func (r *jobReplica) load(ctx context.Context) error {
+	r.jobs, r.graph = map[ids.JobID]jobSnapshot{}, dependency.New()
+	revision, err := r.store.List(ctx, records.JobPrefix, func(entry kv.Entry) error {
+		r.put(entry.Key, entry.Value, entry.Revision)
+		return nil
+	})
+	if err != nil {
+		return err
+	}
+	r.revision, r.loaded = revision, true
 	return nil
 }
 
-// put takes a record in. One that can't be read is still that of a job which
-// was accepted: its user must never be told that it is unknown.
-func (c *jobReplica) put(key string, raw []byte, revision ids.Revision) {
-	var rec records.Job
-	if err := wire.Decode(raw, &rec); err != nil || rec.Status == "" {
-		rec = records.Job{Status: wire.JobQueued}
+// put takes in a record. One that cannot be decoded is still that of a job that was accepted:
+// its user must never be told that it is unknown.
+func (r *jobReplica) put(key string, value []byte, revision ids.Revision) {
+	var record records.Job
+	if err := wire.Decode(value, &record); err != nil || record.Status == "" {
+		record = records.Job{Status: wire.JobQueued}
 	}
 	id := ids.JobID(key[len(records.JobPrefix):])
-	c.jobs[id] = snapshotOf(&rec, revision)
-	c.graph.Put(id, rec.Dependencies())
+	r.jobs[id] = snapshotOf(&record, revision)
+	r.graph.Put(id, record.Dependencies())
 }
 
-// get tells what is known of a job. One is cancelled as soon as a job that it
-// needs is, whether or not its own record says so yet.
-func (c *jobReplica) get(id ids.JobID) (jobSnapshot, bool) {
-	k, found := c.jobs[id]
-	if found && !k.terminal() && c.graph.ReadinessOf(id).State == dependency.Cancelled {
-		k.Status, k.cancelledByDependency = wire.JobCancelled, true
+// get tells what is known of a job. It is cancelled as soon as a dependency is, whether or not
+// its own record says so yet.
+func (r *jobReplica) get(id ids.JobID) (job jobSnapshot, found bool) {
+	job, found = r.jobs[id]
+	if found && !job.terminal() && r.graph.ReadinessOf(id).State == dependency.Cancelled {
+		job.Status, job.cancelledByDependency = wire.JobCancelled, true
 	}
-	return k, found
+	return job, found
 }
 
-// dependencyState tells whether all jobs of a list were accepted, and whether one of them
-// is cancelled.
-func (c *jobReplica) dependencyState(list []ids.JobID) (all, withdrawn bool) {
-	all = true
+// dependencyState tells whether all jobs of a list were accepted, and whether one of them is
+// cancelled.
+func (r *jobReplica) dependencyState(list []ids.JobID) (accepted, cancelled bool) {
+	accepted = true
 	for _, id := range list {
-		k, found := c.get(id)
-		all = all && found
-		withdrawn = withdrawn || k.Status == wire.JobCancelled
+		job, found := r.get(id)
+		accepted = accepted && found
+		cancelled = cancelled || job.Status == wire.JobCancelled
 	}
-	return all, withdrawn
+	return accepted, cancelled
 }
--- a/controller/kv_routes.go
+++ b/controller/kv_routes.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"net/http"
 	"sync/atomic"
 	"time"
 
@@ -12,75 +13,97 @@
 	"ospreystile.example/ospreystile/peerrpc"
 )
 
-// stateHealth remembers how the last direct calls to the state service went.
-type stateHealth struct {
+const (
+	// maxStoreFailures is how many direct calls to the key-value store may fail in a row
+	// before it counts as unreachable.
+	maxStoreFailures = 1
+	// routePeerTimeout is after how long without an answer to a ping no call takes the route
+	// through a peer.
+	routePeerTimeout = 2 * time.Second
+	// routeReserve is how much longer a call through a peer may take than a direct call.
+	routeReserve = 200 * time.Millisecond
+)
+
+// storeHealth remembers how the last direct calls to the key-value store went. It is safe for
+// concurrent use.
+type storeHealth struct {
+	// failures is how many calls in a row have failed.
 	failures atomic.Int32
-	lastOK   atomic.Int64
 }
 
-// directRoute calls the state service itself.
-type directRoute struct{ n *Controller }
-
-// Do implements kv.Caller.
-func (r *directRoute) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
-	status, ans, err := r.n.stateHTTP.Do(ctx, method, path, body, timeout)
+// observe takes in the result of a direct call.
+func (h *storeHealth) observe(ctx context.Context, status int, err error) {
 	switch {
-	case err != nil && ctx.Err() == nil || status == 503:
-		r.n.health.failures.Add(1)
-	case err == nil && status != 429:
-		r.n.health.failures.Store(0)
-		r.n.health.lastOK.Store(int64(r.n.clock.Now()))
+	case err != nil && ctx.Err() == nil || status == http.StatusServiceUnavailable:
+		h.failures.Add(1)
+	case err == nil && status != http.StatusTooManyRequests:
+		h.failures.Store(0)
 	}
-	return status, ans, err
 }
 
-// stateOK tells whether this node reaches the state service.
-func (n *Controller) stateOK() bool { return n.health.failures.Load() < 2 }
+// reachable tells whether this controller reaches the key-value store.
+func (h *storeHealth) reachable() bool { return h.failures.Load() <= maxStoreFailures }
+
+// directRoute calls the key-value store itself.
+type directRoute struct {
+	store  *httpclient.Client
+	health *storeHealth
+}
+
+// Do implements kv.Transport.
+func (r *directRoute) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
+	status, answer, err := r.store.Do(ctx, method, path, body, timeout)
+	r.health.observe(ctx, status, err)
+	return status, answer, err
+}
 
-// userRoute calls the state service itself, or through a peer while the
-// service refuses this node and serves the peer. One call goes one way only,
-// so that its outcome stays as clear as it was.
+// userRoute calls the key-value store itself, or through a peer while the store refuses this
+// controller and serves the peer. One call takes one route only, so that its outcome stays as
+// definite as it was.
 type userRoute struct {
-	n      *Controller
 	direct *directRoute
+	health *storeHealth
+	peers  peerSet
+	clock  monotonic.Clock
 }
 
-// Do implements kv.Caller.
+// Do implements kv.Transport.
 func (r *userRoute) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
-	if !r.n.stateOK() {
-		if p := r.n.peerWithState(); p != nil {
-			return r.through(ctx, p, method, path, body, timeout)
+	if !r.health.reachable() {
+		if p := r.peerWithStore(); p != nil {
+			return callThrough(ctx, p, peerapi.StoreCall{Method: method, Path: path, Body: body, TimeoutMS: timeout.Milliseconds()}, timeout)
 		}
 	}
 	return r.direct.Do(ctx, method, path, body, timeout)
 }
 
-// peerWithState finds a peer that reaches the state service, or returns nil.
-func (n *Controller) peerWithState() *peer {
-	now := n.clock.Now()
-	for _, p := range n.peers {
-		if p.stateOK.Load() && now < monotonic.Instant(p.lastHeard.Load()).Add(2*time.Second) {
+// peerWithStore finds a peer that reaches the key-value store, or returns nil.
+func (r *userRoute) peerWithStore() *peer {
+	now := r.clock.Now()
+	for _, p := range r.peers {
+		if p.storeReachable.Load() && p.HeardWithin(now, routePeerTimeout) {
 			return p
 		}
 	}
 	return nil
 }
 
-// through sends a request by way of a peer.
-func (r *userRoute) through(ctx context.Context, p *peer, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout+200*time.Millisecond)
+// callThrough has a peer forward a request. Its errors tell like those of a direct call whether
+// the request was sent.
+func callThrough(ctx context.Context, p *peer, call peerapi.StoreCall, timeout time.Duration) (int, []byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout+routeReserve)
 	defer cancel()
-	var ans peerapi.StoreAnswer
-	err := p.Call(ctx, peerapi.OpStore, peerapi.StoreCall{Method: method, Path: path, Body: body, TimeoutMS: timeout.Milliseconds()}, &ans)
+	var answer peerapi.StoreAnswer
+	err := p.Call(ctx, peerapi.OpStore, call, &answer)
 	switch {
 	case errors.Is(err, peerrpc.ErrNotSent):
 		return 0, nil, errors.Join(httpclient.ErrNotSent, err)
 	case err != nil:
 		return 0, nil, errors.Join(httpclient.ErrNoResponse, err)
-	case ans.NotSent:
+	case answer.NotSent:
 		return 0, nil, httpclient.ErrNotSent
-	case ans.Unknown:
+	case answer.Unknown:
 		return 0, nil, httpclient.ErrNoResponse
 	}
-	return ans.Status, ans.Body, nil
+	return answer.Status, answer.Body, nil
 }
--- /dev/null
+++ b/controller/leader_client.go
@@ -0,0 +1,113 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"ospreystile.example/ospreystile/controller/leader"
+	"ospreystile.example/ospreystile/controller/peerapi"
+	"ospreystile.example/ospreystile/election"
+	"ospreystile.example/ospreystile/ids"
+)
+
+const (
+	// progressTimeout is how long the leader may take to tell jobs' progress.
+	progressTimeout = 400 * time.Millisecond
+	// noticeTimeout is how long a notice of a submission may take to reach the leader.
+	noticeTimeout = time.Second
+	// acknowledgeTimeout is how long the leader may take to acknowledge a cancellation.
+	acknowledgeTimeout = 700 * time.Millisecond
+)
+
+// leaderClient reaches the leader: in this process if this controller leads, else at a peer.
+type leaderClient struct {
+	ownLeader *localLeader
+	election  *election.Election
+	peers     peerSet
+	log       *slog.Logger
+}
+
+// peer returns the peer that leads; nil if no leader is known, or this controller leads.
+func (c *leaderClient) peer() *peer {
+	known, _ := c.election.Leader()
+	return c.peers.named(known.Name)
+}
+
+// progress returns the progress of each of the jobs. It is for display: without an answer
+// nothing is known to run, and the result is nil.
+func (c *leaderClient) progress(ctx context.Context, jobs []ids.JobID) []peerapi.JobProgress {
+	ctx, cancel := context.WithTimeout(ctx, progressTimeout)
+	defer cancel()
+	if own := c.ownLeader.get(); own != nil {
+		answer, err := progressAt(ctx, own, jobs)
+		if err != nil {
+			return nil
+		}
+		return answer
+	}
+	var answer []peerapi.JobProgress
+	if p := c.peer(); p != nil && p.Call(ctx, peerapi.OpProgress, jobs, &answer) == nil {
+		return answer
+	}
+	return nil
+}
+
+// progressAt asks the leader in this process for the progress of each of the jobs. One that it
+// does not know has none.
+func progressAt(ctx context.Context, own *leader.Leader, jobs []ids.JobID) ([]peerapi.JobProgress, error) {
+	known, err := own.Progress(ctx, jobs)
+	if err != nil {
+		return nil, err
+	}
+	answer := make([]peerapi.JobProgress, len(jobs))
+	for i, id := range jobs {
+		answer[i] = peerapi.JobProgress{Done: known[id].Done, Running: known[id].Running}
+	}
+	return answer, nil
+}
+
+// notifyJob tells the leader of a submission without waiting. The leader's watch brings the
+// record too, so the notice may be lost.
+func (c *leaderClient) notifyJob(job leader.JobRecord) {
+	if own := c.ownLeader.get(); own != nil {
+		own.NotifyJob(job)
+		return
+	}
+	if p := c.peer(); p != nil {
+		notice := peerapi.NewJobNotice(job.ID, job.Record, job.Revision)
+		go c.sendNotice(p, notice) // ends within noticeTimeout
+	}
+}
+
+// sendNotice sends a notice to a peer. It outlives the user's request, so it has a time limit
+// of its own.
+func (c *leaderClient) sendNotice(p *peer, notice peerapi.JobNotice) {
+	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
+	defer cancel()
+	if err := p.Call(ctx, peerapi.OpJob, notice, nil); err != nil {
+		c.log.Debug("leader notification failed", "job", notice.ID, "err", err)
+	}
+}
+
+// acknowledgeCancellation has the leader take in the record of a cancelled job, and tells
+// whether users may be told. It is false without a leader that answers in time.
+func (c *leaderClient) acknowledgeCancellation(ctx context.Context, job leader.JobRecord) bool {
+	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
+	defer cancel()
+	known, _ := c.election.Leader()
+	if own := c.ownLeader.get(); own != nil && known.Revision == own.Revision() {
+		return own.AcknowledgeCancellation(ctx, job)
+	}
+	p := c.peers.named(known.Name)
+	if p == nil {
+		return false
+	}
+	var acknowledged bool
+	notice := peerapi.NewJobNotice(job.ID, job.Record, job.Revision)
+	if err := p.Call(ctx, peerapi.OpJob, notice, &acknowledged); err != nil {
+		c.log.Debug("cancellation not acknowledged", "job", job.ID, "err", err)
+		return false
+	}
+	return acknowledged
+}
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -2,41 +2,41 @@
 
 import (
 	"context"
+	"sync/atomic"
 
 	"ospreystile.example/ospreystile/controller/leader"
 	"ospreystile.example/ospreystile/election"
-	"ospreystile.example/ospreystile/kv"
-	"ospreystile.example/ospreystile/wire"
 )
 
-// MachineTypes implements leader.Catalog.
-func (n *Controller) MachineTypes() (types []wire.MachineType, ok bool) {
-	if stored := n.catalog.Load(); stored != nil {
-		return *stored, true
+// localLeader holds the leader in this process, while this controller leads. It is safe for
+// concurrent use.
+type localLeader struct{ current atomic.Pointer[leader.Leader] }
+
+// get returns the leader in this process, or nil.
+func (l *localLeader) get() *leader.Leader { return l.current.Load() }
+
+// answering returns the leader in this process if it may answer workers and peers, or nil.
+func (l *localLeader) answering() *leader.Leader {
+	if own := l.get(); own != nil && own.MayAnswerHeartbeats() {
+		return own
 	}
-	return nil, false
+	return nil
 }
 
-// Open implements leader.VersionGate.
-func (n *Controller) Open() bool { return n.upgrade.done() }
-
-// Load implements leader.VersionGate.
-func (n *Controller) Load(ctx context.Context, store *kv.Client) error {
-	return n.readUpgrade(ctx, store)
+// leadership makes a leader for each term that this controller wins.
+type leadership struct {
+	ownLeader    *localLeader
+	dependencies leader.Dependencies
 }
 
-// lead does the work of one term until its context ends.
-func (n *Controller) lead(ctx context.Context, term *election.Term) error {
-	peers := make([]leader.Peer, len(n.peers))
-	for i, p := range n.peers {
-		peers[i] = p
-	}
-	own, err := leader.Load(ctx, term, leader.Dependencies{Platform: n.cfg, Operator: n.op, Clock: n.clock, Log: n.log,
-		Store: n.leaderState, Cloud: n.cloud, Workers: n.workers, Catalog: n, VersionGate: n, Peers: peers})
+// lead does the work of one term until its context ends. The election calls it, one term at a
+// time.
+func (l *leadership) lead(ctx context.Context, term *election.Term) error {
+	own, err := leader.Load(ctx, term, l.dependencies)
 	if err != nil {
 		return err
 	}
-	n.leader.Store(own)
-	defer n.leader.CompareAndSwap(own, nil)
+	l.ownLeader.current.Store(own)
+	defer l.ownLeader.current.CompareAndSwap(own, nil)
 	return own.Run(ctx)
 }
--- /dev/null
+++ b/controller/operatorclient/client_test.go
@@ -0,0 +1,61 @@
+package operatorclient
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+
+	"ospreystile.example/ospreystile/controller/peerapi"
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/peerrpc"
+)
+
+// serve answers every operation with an answer or an error, and returns at which address.
+func serve(t *testing.T, answer any, refusal error) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	handler := func(context.Context, peerrpc.Operation, []byte) (any, error) { return answer, refusal }
+	ctx, cancel := context.WithCancel(t.Context())
+	var serving sync.WaitGroup
+	serving.Go(func() { _ = peerrpc.Serve(ctx, listener, handler, slog.New(slog.DiscardHandler)) })
+	t.Cleanup(func() { cancel(); serving.Wait() })
+	return listener.Addr().String()
+}
+
+// The client passes over followers, and takes the leader's answer.
+func TestClientFindsTheLeader(t *testing.T) {
+	follower := serve(t, nil, peerapi.ErrNotLeading)
+	leader := serve(t, peerapi.ZonesResponse{Enabled: true, Leader: "n-2"}, nil)
+	client := New("n-0", follower, map[ids.ControllerName]string{"n-2": leader, "n-1": follower})
+	if answer, err := client.Zones(t.Context()); err != nil || answer.Leader != "n-2" || !answer.Enabled {
+		t.Errorf("%+v, %v", answer, err)
+	}
+}
+
+// The leader's refusal ends the search: no other controller would carry the override out.
+func TestClientStopsAtTheLeadersRefusal(t *testing.T) {
+	refusing := serve(t, nil, peerapi.ErrZoneRecoveryDisabled)
+	willing := serve(t, peerapi.ZonesResponse{Leader: "n-1"}, nil)
+	client := New("n-0", refusing, map[ids.ControllerName]string{"n-1": willing})
+	_, err := client.OverrideZone(t.Context(), peerapi.ZoneOverride{Zone: "a"})
+	if !errors.Is(err, peerrpc.ErrRemote) || !strings.Contains(err.Error(), peerapi.ErrZoneRecoveryDisabled.Error()) {
+		t.Errorf("%v", err)
+	}
+}
+
+// Without a leader the error tells what each controller said.
+func TestClientWithoutALeader(t *testing.T) {
+	follower := serve(t, nil, peerapi.ErrNotLeading)
+	client := New("n-0", "127.0.0.1:1", map[ids.ControllerName]string{"n-1": follower})
+	_, err := client.Zones(t.Context())
+	if !errors.Is(err, peerrpc.ErrNotSent) || !errors.Is(err, peerrpc.ErrRemote) {
+		t.Errorf("%v", err)
+	}
+}
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -9,44 +9,45 @@
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/server"
-	"ospreystile.example/ospreystile/wire"
 )
 
-// What can't be taken because too much waits already is refused at once, with a time to
-// come back: it must not wait for its deadline first.
+// overload has so many changes and queries wait at a controller that it can take no more, until
+// the context ends.
+func overload(ctx context.Context, t *testing.T, c *Controller) {
+	t.Helper()
+	for range maxQueuedCommits { // nothing commits here
+		c.commits.committer.Submit(records.Change{}, time.Time{}, func(records.CommitResult, error) {})
+	}
+	for range maxWaitingQueries { // nor answers
+		go c.statusReader.ask(ctx, "job-1", nil)
+	}
+	synctest.Wait()
+}
+
+// A request that cannot be taken because too many wait is refused at once, with a time to come
+// back: it must not wait for its deadline first.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		n := testNode(t, testConfig("127.0.0.1:1"))
-		n.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
-		for range maxIntake { // nothing commits here
-			n.intake.Submit(records.Change{}, time.Time{}, func(records.CommitResult, error) {})
-		}
-		waiting, stop := context.WithCancel(t.Context())
-		for range maxWaitingQueries { // nor answers
-			go n.statusReads.ask(waiting, "job-1", nil)
-		}
-		synctest.Wait()
-		began := time.Now()
-		for name, answer := range map[string]server.Response{
-			"submission": n.Submit(t.Context(), "job-2", &wire.JobSpec{Class: "c", Team: "red", Tasks: 1, CPUs: 1}),
-			"poll":       n.Status(t.Context(), "job-2"),
-		} {
-			if answer.Status != 503 || answer.RetryAfter <= 0 {
-				t.Errorf("%s: %+v", name, answer)
-			}
-		}
-		if waited := time.Since(began); waited > 0 {
-			t.Errorf("refused after %v", waited)
-		}
-		for range maxWaitingReports(n.cfg.Settings.Resources.Sockets) {
-			go n.relay.relay(waiting, nil)
-		}
-		synctest.Wait()
-		began = time.Now()
-		if answer := n.relay.relay(t.Context(), nil); answer.Status != 503 || time.Since(began) > 0 {
-			t.Errorf("report: %+v after %v", answer, time.Since(began))
-		}
-		stop()
-		synctest.Wait()
-	})
+	const id ids.JobID = "job-2"
+	for name, request := range map[string]func(ctx context.Context, c *Controller) server.Response{
+		"submission":   func(ctx context.Context, c *Controller) server.Response { return c.service.Submit(ctx, id, testSpec()) },
+		"status query": func(ctx context.Context, c *Controller) server.Response { return c.service.Status(ctx, id) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				c := newTestController(t, testConfig("127.0.0.1:1"))
+				storeTestCatalog(c)
+				waiting, stop := context.WithCancel(t.Context())
+				overload(waiting, t, c)
+				began := time.Now()
+				if answer := request(t.Context(), c); answer.Status != 503 || answer.RetryAfter <= 0 {
+					t.Errorf("%+v", answer)
+				}
+				if waited := time.Since(began); waited > 0 {
+					t.Errorf("refused after %v", waited)
+				}
+				stop()
+				synctest.Wait()
+			})
+		})
+	}
 }
--- a/controller/peer_handler.go
+++ b/controller/peer_handler.go
@@ -14,29 +14,41 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// handle answers the other controllers.
-func (n *Controller) handle(ctx context.Context, op peerrpc.Operation, body []byte) (any, error) {
+// peerHandler answers the requests of other controllers, and those of operators' commands.
+type peerHandler struct {
+	pinger    *pinger
+	ownLeader *localLeader
+	direct    *directRoute
+}
+
+// handle implements peerrpc.Handler.
+func (h *peerHandler) handle(ctx context.Context, op peerrpc.Operation, body []byte) (any, error) {
 	switch op {
 	case peerapi.OpPing:
-		return handleBody(body, n.handlePing)
+		return handleBody(body, func(ping peerapi.Ping) (any, error) { return h.pinger.answer(ping), nil })
 	case peerapi.OpStore:
-		return handleBody(body, func(call peerapi.StoreCall) (any, error) { return n.handleStateCall(ctx, call) })
+		return handleBody(body, func(call peerapi.StoreCall) (any, error) { return h.forwardStoreCall(ctx, call), nil })
 	}
-	t := n.leader.Load()
-	if t == nil || !t.MayAnswerHeartbeats() {
+	own := h.ownLeader.answering()
+	if own == nil {
 		return nil, peerapi.ErrNotLeading
 	}
+	return handleAsLeader(ctx, own, op, body)
+}
+
+// handleAsLeader answers the operations that are the leader's.
+func handleAsLeader(ctx context.Context, own *leader.Leader, op peerrpc.Operation, body []byte) (any, error) {
 	switch op {
 	case peerapi.OpProgress:
-		return handleBody(body, func(jobs []ids.JobID) (any, error) { return handleProgress(ctx, t, jobs) })
+		return handleBody(body, func(jobs []ids.JobID) (any, error) { return progressAt(ctx, own, jobs) })
 	case peerapi.OpJob:
-		return handleBody(body, func(notice peerapi.JobNotice) (any, error) { return handleJobNotice(ctx, t, notice) })
+		return handleBody(body, func(notice peerapi.JobNotice) (any, error) { return acknowledgeNotice(ctx, own, notice) })
 	case peerapi.OpZones:
-		return t.Zones(ctx)
+		return own.Zones(ctx)
 	case peerapi.OpZoneOverride:
-		return handleBody(body, func(o peerapi.ZoneOverride) (any, error) { return t.OverrideZone(ctx, o) })
+		return handleBody(body, func(override peerapi.ZoneOverride) (any, error) { return own.OverrideZone(ctx, override) })
 	case peerapi.OpHeartbeats:
-		return handleBody(body, func(reports [][]byte) (any, error) { return relayedReports(ctx, t, reports) })
+		return handleBody(body, func(encoded [][]byte) (any, error) { return answerRelayed(ctx, own, encoded) })
 	}
 	return nil, fmt.Errorf("%w: %s", peerapi.ErrUnknownOperation, op)
 }
@@ -50,36 +62,36 @@
 	return handler(request)
 }
 
-func (n *Controller) handlePing(p peerapi.Ping) (any, error) {
-	n.observePing(p)
-	if from := n.peerNamed(p.From); from != nil {
-		from.observeVersion(p)
-	}
-	return n.ping(), nil
-}
-
-// handleStateCall sends a peer's request to the state service, directly.
-func (n *Controller) handleStateCall(ctx context.Context, call peerapi.StoreCall) (any, error) {
+// forwardStoreCall sends a peer's request to the key-value store, directly.
+func (h *peerHandler) forwardStoreCall(ctx context.Context, call peerapi.StoreCall) peerapi.StoreAnswer {
 	timeout := time.Duration(call.TimeoutMS) * time.Millisecond
-	status, body, err := (&directRoute{n}).Do(ctx, call.Method, call.Path, call.Body, timeout)
+	status, body, err := h.direct.Do(ctx, call.Method, call.Path, call.Body, timeout)
 	if err != nil {
-		return peerapi.StoreAnswer{NotSent: kv.IsNotSent(err), Unknown: !kv.IsNotSent(err)}, nil
+		return peerapi.StoreAnswer{NotSent: kv.IsNotSent(err), Unknown: !kv.IsNotSent(err)}
 	}
-	return peerapi.StoreAnswer{Status: status, Body: body}, nil
+	return peerapi.StoreAnswer{Status: status, Body: body}
 }
 
-func handleProgress(ctx context.Context, own *leader.Leader, jobs []ids.JobID) (any, error) {
-	answer := progressAt(ctx, own, jobs)
-	if answer == nil {
-		return nil, peerapi.ErrNotLeading
-	}
-	return answer, nil
-}
-
-func handleJobNotice(ctx context.Context, own *leader.Leader, notice peerapi.JobNotice) (any, error) {
+// acknowledgeNotice hands a follower's notice of a job to the leader in this process.
+func acknowledgeNotice(ctx context.Context, own *leader.Leader, notice peerapi.JobNotice) (bool, error) {
 	record := new(records.Job)
 	if err := wire.Decode(notice.Record, record); err != nil {
-		return nil, err
+		return false, err
 	}
 	return own.AcknowledgeCancellation(ctx, leader.JobRecord{ID: notice.ID, Record: record, Revision: notice.Revision}), nil
 }
+
+// answerRelayed has the leader in this process answer heartbeats that a follower relays. One
+// that cannot be decoded gets no answer.
+func answerRelayed(ctx context.Context, own *leader.Leader, encoded [][]byte) ([]peerapi.HeartbeatAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
+	defer cancel()
+	heartbeats := make([]*wire.Heartbeat, len(encoded))
+	for i := range encoded {
+		heartbeat := new(wire.Heartbeat)
+		if err := wire.Decode(encoded[i], heartbeat); err == nil && heartbeat.Machine != "" && heartbeat.Incarnation != 0 {
+			heartbeats[i] = heartbeat
+		}
+	}
+	return own.Heartbeats(ctx, heartbeats)
+}
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -1,27 +1,32 @@
 package controller
 
 import (
-	"context"
 	"sync/atomic"
 	"time"
 
+	"ospreystile.example/ospreystile/config"
+	"ospreystile.example/ospreystile/controller/leader"
 	"ospreystile.example/ospreystile/controller/peerapi"
-	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/peerrpc"
 )
 
-// peer is another controller and what is known of it.
+// peer is another controller and what its pings told. The pinger writes it; every field may be
+// read concurrently.
 type peer struct {
 	*peerrpc.Peer
-	lastHeard      atomic.Int64 // monotonic.Instant of the last answer
-	stateOK        atomic.Bool
-	leaderRevision atomic.Uint64 // of the leader that it follows
-	workers        atomic.Int32
-	// version is its own and what it knows of the others'; nil: older than this
-	// one, or not heard yet.
-	version atomic.Pointer[peerapi.Versions]
+	// lastHeard is the monotonic.Instant of the last answer to a ping; 0: none yet.
+	lastHeard atomic.Int64
+	// storeReachable tells that the peer reaches the key-value store.
+	storeReachable atomic.Bool
+	// leaderRevision is the revision of the leader that the peer follows.
+	leaderRevision atomic.Uint64
+	// workers is how many workers send their heartbeats to the peer.
+	workers atomic.Int32
+	// versions is what the peer told of versions; nil: it is older than this version, or was
+	// not heard yet.
+	versions atomic.Pointer[peerapi.Versions]
 }
 
 // FollowedRevision implements leader.Peer.
@@ -33,70 +38,51 @@
 	return heard != 0 && now < heard.Add(d)
 }
 
-// ping is what this node tells the others now.
-func (n *Controller) ping() peerapi.Ping {
-	l, _ := n.election.Leader()
-	return peerapi.Ping{From: n.cfg.HostName, Leader: l.Name, Mesh: l.MeshAddress, Incarnation: l.Incarnation, Revision: l.Revision,
-		StateOK: n.stateOK(), Workers: int(n.workerCount.Load()), Up: n.clock.Now().Sub(n.startedAt), Acked: n.acknowledgedUpTo(),
-		Versions: n.versions()}
+// observeAnswer takes in the answer to a ping.
+func (p *peer) observeAnswer(now monotonic.Instant, answer peerapi.Ping) {
+	p.lastHeard.Store(int64(now))
+	p.storeReachable.Store(answer.StateOK)
+	p.leaderRevision.Store(uint64(answer.Revision))
+	p.workers.Store(int32(answer.Workers))
+	p.observeVersions(answer.Versions)
 }
 
-// observePing takes in what a peer tells. A leader that it knows only by its revision,
-// since that one's key is gone already, ends earlier terms as well.
-func (n *Controller) observePing(p peerapi.Ping) {
-	n.election.Observe(election.Leader{Identity: election.Identity{Name: p.Leader, MeshAddress: p.Mesh, Incarnation: p.Incarnation}, Revision: p.Revision})
-	n.acknowledged.advanceTo(p.Acked)
-}
-
-// confirmTerm hands a peer's answer to a ping to the own term: what it knew of leaders when
-// it was asked.
-func (n *Controller) confirmTerm(asked monotonic.Instant, ans peerapi.Ping) {
-	t := n.election.Term()
-	if t == nil || ans.Revision > t.Revision || ans.Up <= 0 {
+// observeVersions takes in what the peer's latest ping told of versions.
+func (p *peer) observeVersions(versions peerapi.Versions) {
+	if versions.Format < peerapi.RecordFormat {
+		p.versions.Store(nil)
 		return
 	}
-	// The peer's clock may run fast.
-	t.RecordPeerAck(ans.From, asked, n.clock.Now().Add(ans.Up/500-ans.Up))
+	p.versions.Store(&versions)
 }
 
-// pingLoop keeps in touch with a peer until the context ends.
-func (n *Controller) pingLoop(ctx context.Context, p *peer) error {
-	for {
-		n.workerCount.Store(int32(n.balancer.count(n.clock.Now(), n.balancerWindow())))
-		call, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
-		var ans peerapi.Ping
-		asked := n.clock.Now()
-		err := p.Call(call, peerapi.OpPing, n.ping(), &ans)
-		cancel()
-		if err == nil {
-			p.lastHeard.Store(int64(n.clock.Now()))
-			p.stateOK.Store(ans.StateOK)
-			p.leaderRevision.Store(uint64(ans.Revision))
-			p.workers.Store(int32(ans.Workers))
-			p.observeVersion(ans)
-			n.observePing(ans)
-			n.confirmTerm(asked, ans)
-		} else {
-			p.Close()
-		}
-		if !monotonic.Sleep(ctx, 500*time.Millisecond) {
-			return ctx.Err()
-		}
-	}
-}
+// peerSet is all other controllers, in the order of the settings. It does not change.
+type peerSet []*peer
 
-// leaderPeer is the way to the leader; nil if none is known, or this node leads.
-func (n *Controller) leaderPeer() *peer {
-	l, _ := n.election.Leader()
-	return n.peerNamed(l.Name)
+// newPeerSet makes the peers that the settings name.
+func newPeerSet(seeds []config.Peer) peerSet {
+	var peers peerSet
+	for _, seed := range seeds {
+		peers = append(peers, &peer{Peer: peerrpc.NewPeer(seed.Name, seed.Address)})
+	}
+	return peers
 }
 
-// peerNamed finds a peer.
-func (n *Controller) peerNamed(name ids.ControllerName) *peer {
-	for _, p := range n.peers {
+// named finds a peer; nil if there is none of the name.
+func (s peerSet) named(name ids.ControllerName) *peer {
+	for _, p := range s {
 		if p.Name == name {
 			return p
 		}
 	}
 	return nil
 }
+
+// forLeader lists the peers as the leader sees them.
+func (s peerSet) forLeader() []leader.Peer {
+	peers := make([]leader.Peer, len(s))
+	for i, p := range s {
+		peers[i] = p
+	}
+	return peers
+}
--- a/controller/pinger_test.go
+++ b/controller/pinger_test.go
@@ -22,8 +22,8 @@
 
 // Old controllers read a ping as it was meant, and ignore what is new in it.
 func TestProductionReadsPings(t *testing.T) {
-	c := testNode(t, testConfig("127.0.0.1:4"))
-	raw, err := cbor.Marshal(c.ping())
+	c := newTestController(t, testConfig("127.0.0.1:4"))
+	raw, err := cbor.Marshal(c.pinger.message())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/controller/retry_listener.go
+++ b/controller/retry_listener.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// retryListener is a listener that goes on after errors. When a node is out of sockets,
+// retryListener is a listener that goes on after errors. While the process is out of sockets
 // accepting fails; that passes, and must not end the process.
 type retryListener struct {
 	net.Listener
--- a/controller/settings/settings.go
+++ b/controller/settings/settings.go
@@ -37,7 +37,7 @@
 
 // IsolatedReplicaGrace is the same for workers with replicas. It is longer, so that a zone
 // that is cut off together with its leader keeps its services for the grace and a lease. The
-// later leader counts on this bound: until it is over but for scheduler.CancelMargin, no user
+// later leader counts on this bound: until no more than scheduler.CancelMargin of it is left, no user
 // is told that a job is cancelled whose tasks the earlier leader may keep. The result is 0
 // where the cancel deadline leaves no room for it.
 func IsolatedReplicaGrace(platform *config.Platform, operator *config.Operator) time.Duration {
--- /dev/null
+++ b/controller/status.go
@@ -0,0 +1,49 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/server"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// statusHandler answers users' status queries.
+type statusHandler struct {
+	reader   *statusReader
+	terminal *terminalJobs
+	log      *slog.Logger
+}
+
+// Status implements server.Service. A final status may be told from memory; every other one is
+// read, since another controller may have told a newer one.
+func (h *statusHandler) Status(ctx context.Context, id ids.JobID) server.Response {
+	if response, ok := h.terminal.cached(id); ok {
+		return response
+	}
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	answer := h.reader.ask(ctx, id, nil)
+	if answer.err != nil {
+		h.log.Debug("job read failed", "job", id, "err", answer.err)
+		return server.RetryLater(retryDelay)
+	}
+	if !answer.found {
+		return server.Response{Status: http.StatusNotFound}
+	}
+	return h.respond(ctx, id, answer)
+}
+
+// respond is the response about a job that was found.
+func (h *statusHandler) respond(ctx context.Context, id ids.JobID, answer queryAnswer) server.Response {
+	if answer.job.terminal() {
+		return h.terminal.answer(ctx, id, answer.job)
+	}
+	status := wire.JobStatus{ID: id, Status: answer.job.Status, Done: answer.progress.Done, Running: answer.progress.Running}
+	if status.Running > 0 {
+		status.Status = wire.JobRunning
+	}
+	return server.Response{Status: http.StatusOK, Body: status}
+}
--- a/controller/status_benchmark_test.go
+++ b/controller/status_benchmark_test.go
@@ -8,14 +8,13 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// memoryJobs is a jobReader over records in memory that never change.
+// memoryJobs is a jobStore over records in memory that never change.
 type memoryJobs []kv.Entry
 
 // newMemoryJobs holds so many queued jobs, named as benchmarkJob does.
@@ -46,9 +45,7 @@
 // BenchmarkStatusQueries measures concurrent status queries for jobs that are queued.
 func BenchmarkStatusQueries(b *testing.B) {
 	const jobs, queriesPerProcessor = 1000, 32
-	reader := newStatusReader(newMemoryJobs(jobs), 0, func(_ context.Context, list []ids.JobID) []peerapi.JobProgress {
-		return make([]peerapi.JobProgress, len(list))
-	})
+	reader := newStatusReader(newMemoryJobs(jobs), 0, noProgress)
 	ctx, cancel := context.WithCancel(b.Context())
 	var running errgroup.Group
 	running.Go(func() error { return reader.run(ctx) })
--- a/controller/status_reader.go
+++ b/controller/status_reader.go
@@ -11,138 +11,175 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// statusQuery is one question that waits: about a job and, before it is accepted, about
-// those that it depends on.
+// maxWaitingQueries bounds the queries that wait.
+const maxWaitingQueries = 512
+
+// errOverloaded refuses a query when too many wait.
+var errOverloaded = errors.New("too many status queries wait")
+
+// statusQuery is one query that waits: about a job and, before the job is accepted, about its
+// dependencies.
 type statusQuery struct {
 	id        ids.JobID
 	dependsOn []ids.JobID
-	done      chan<- queryAnswer
+	// reply has a buffer of one.
+	reply chan<- queryAnswer
 }
 
-// queryAnswer is the answer to a statusQuery.
+// queryAnswer is the answer to a statusQuery. The other fields count only if err is nil.
 type queryAnswer struct {
 	job   jobSnapshot
 	found bool
 	err   error
-	// accepted tells that all named jobs were, and dependencyCancelled that one of
-	// them is cancelled.
+	// accepted tells that all dependencies were, and dependencyCancelled that one of them is
+	// cancelled.
 	accepted, dependencyCancelled bool
 	progress                      peerapi.JobProgress
 }
 
-// statusReader answers questions about jobs from a replica that is brought up to the
-// present first. One call to the state service does that for every question that came
-// before the call was sent, so the cost does not grow with the questions. Another node may
-// have told a user something newer just before: that was committed before this call was
-// sent, so the call brings it.
+// progressSource returns the progress of each of the jobs, or nil if it is not known.
+type progressSource func(ctx context.Context, jobs []ids.JobID) []peerapi.JobProgress
+
+// statusReader answers queries from a replica that is brought up to date first. One read of the
+// key-value store does that for every query that came before the read was sent, so the cost does
+// not grow with the queries. If another controller told a user something newer before a query
+// came, that was committed before this read was sent, so the read brings it.
+//
+// Its method run owns the replica and all goroutines; any goroutine may call ask.
 type statusReader struct {
 	replica jobReplica
-	// gap is the least time between two calls, so that all nodes together
-	// leave the state service to those who change something.
-	gap time.Duration
-	// progress asks the leader how far jobs are.
-	progress func(ctx context.Context, list []ids.JobID) []peerapi.JobProgress
+	// gap is the least time between two reads, so that all controllers together leave the
+	// key-value store to requests that change something.
+	gap      time.Duration
+	progress progressSource
+	// wake tells run that a query waits.
+	wake chan struct{}
 
+	// mu guards waiting, the queries that are in no round yet.
 	mu      sync.Mutex
 	waiting []statusQuery
-	wake    chan struct{}
 }
 
-// maxWaitingQueries bounds the questions that wait.
-const maxWaitingQueries = 512
-
-// errBusy refuses a question when too many wait.
-var errBusy = errors.New("too many questions wait")
-
-// newStatusReader makes a reader whose calls are at least gap apart.
-func newStatusReader(read jobReader, gap time.Duration, ask func(context.Context, []ids.JobID) []peerapi.JobProgress) *statusReader {
-	return &statusReader{replica: jobReplica{read: read}, gap: gap, progress: ask, wake: make(chan struct{}, 1)}
+// newStatusReader makes a reader whose reads are at least gap apart.
+func newStatusReader(store jobStore, gap time.Duration, progress progressSource) *statusReader {
+	return &statusReader{replica: jobReplica{store: store}, gap: gap, progress: progress, wake: make(chan struct{}, 1)}
 }
 
-// ask waits for the answer to one question.
-func (p *statusReader) ask(ctx context.Context, id ids.JobID, needs []ids.JobID) queryAnswer {
-	done := make(chan queryAnswer, 1)
-	p.mu.Lock()
-	if len(p.waiting) >= maxWaitingQueries {
-		p.mu.Unlock()
-		return queryAnswer{err: errBusy}
+// ask waits for the answer to one query. The error of the answer is errOverloaded, the
+// context's, or the store's.
+func (r *statusReader) ask(ctx context.Context, id ids.JobID, dependsOn []ids.JobID) queryAnswer {
+	reply := make(chan queryAnswer, 1)
+	if !r.enqueue(statusQuery{id: id, dependsOn: dependsOn, reply: reply}) {
+		return queryAnswer{err: errOverloaded}
 	}
-	p.waiting = append(p.waiting, statusQuery{id, needs, done})
-	p.mu.Unlock()
 	select {
-	case p.wake <- struct{}{}:
-	default:
-	}
-	select {
-	case a := <-done:
-		// Both may be ready at once after this process was paused. What was
-		// true before is then older than what others may have told since.
-		if d, ok := ctx.Deadline(); ok && time.Now().After(d) {
+	case answer := <-reply:
+		// After this process was paused, the answer and the deadline may both have come.
+		// The answer may then be older than what other controllers told meanwhile.
+		if deadline, ok := ctx.Deadline(); ok && time.Now().After(deadline) {
 			return queryAnswer{err: context.DeadlineExceeded}
 		}
-		return a
+		return answer
 	case <-ctx.Done():
 		return queryAnswer{err: ctx.Err()}
 	}
 }
 
-// run answers until the context ends. One call is under way at a time; what
-// comes meanwhile waits for the next.
-func (p *statusReader) run(ctx context.Context) error {
+// enqueue queues a query and wakes run. It refuses if too many wait.
+func (r *statusReader) enqueue(query statusQuery) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.waiting) >= maxWaitingQueries {
+		return false
+	}
+	r.waiting = append(r.waiting, query)
+	select {
+	case r.wake <- struct{}{}:
+	default:
+	}
+	return true
+}
+
+// takeAll removes all queries from the queue.
+func (r *statusReader) takeAll() []statusQuery {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	round := r.waiting
+	r.waiting = nil
+	return round
+}
+
+// run answers until the context ends. One read is in flight at a time; queries that come
+// meanwhile wait for the next.
+func (r *statusReader) run(ctx context.Context) error {
+	var answering sync.WaitGroup
+	defer answering.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-p.wake:
+		case <-r.wake:
 		}
-		p.mu.Lock()
-		round := p.waiting
-		p.waiting = nil
-		p.mu.Unlock()
+		round := r.takeAll()
 		if len(round) == 0 {
 			continue
 		}
-		p.round(ctx, round)
-		if !monotonic.Sleep(ctx, p.gap) {
+		if active := r.answerRound(ctx, round); len(active.queries) > 0 {
+			// The leader may be slow to answer; the next round need not wait for it.
+			answering.Go(func() { r.answerActive(ctx, active) })
+		}
+		if !monotonic.Sleep(ctx, r.gap) {
 			return ctx.Err()
 		}
 	}
 }
 
-// round answers all questions of one round.
-func (p *statusReader) round(ctx context.Context, round []statusQuery) {
-	call, cancel := context.WithTimeout(ctx, pollTimeout)
+// activeQueries are the queries of a round about jobs that are not done or cancelled, and their
+// answers as far as the replica knows them.
+type activeQueries struct {
+	queries []statusQuery
+	jobs    []ids.JobID
+	answers []queryAnswer
+}
+
+// answerRound refreshes the replica and answers the queries of a round, but for those about
+// active jobs, which it returns: the leader knows their progress.
+func (r *statusReader) answerRound(ctx context.Context, round []statusQuery) (active activeQueries) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	if err := p.replica.refresh(call); err != nil {
-		for _, q := range round {
-			q.done <- queryAnswer{err: err}
+	if err := r.replica.refresh(ctx); err != nil {
+		for _, query := range round {
+			query.reply <- queryAnswer{err: err}
 		}
-		return
+		return activeQueries{}
 	}
-	var open []statusQuery
-	var list []ids.JobID
-	var answers []queryAnswer
-	for _, q := range round {
-		k, found := p.replica.get(q.id)
-		a := queryAnswer{job: k, found: found}
-		a.accepted, a.dependencyCancelled = p.replica.dependencyState(q.dependsOn)
-		if !found || k.terminal() {
-			q.done <- a
+	for _, query := range round {
+		answer := r.lookUp(query)
+		if !answer.found || answer.job.terminal() {
+			query.reply <- answer
 			continue
 		}
-		open, list, answers = append(open, q), append(list, q.id), append(answers, a)
+		active.queries = append(active.queries, query)
+		active.jobs = append(active.jobs, query.id)
+		active.answers = append(active.answers, answer)
 	}
-	if len(open) == 0 {
-		return
-	}
-	// The leader may be slow to answer; the next round need not wait for it.
-	go func() {
-		far := p.progress(ctx, list)
-		for i, q := range open {
-			if i < len(far) {
-				answers[i].progress = far[i]
-			}
-			q.done <- answers[i]
+	return active
+}
+
+// lookUp is what the replica knows about a query.
+func (r *statusReader) lookUp(query statusQuery) (answer queryAnswer) {
+	answer.job, answer.found = r.replica.get(query.id)
+	answer.accepted, answer.dependencyCancelled = r.replica.dependencyState(query.dependsOn)
+	return answer
+}
+
+// answerActive adds the progress of active jobs, if it is known, and answers.
+func (r *statusReader) answerActive(ctx context.Context, active activeQueries) {
+	progress := r.progress(ctx, active.jobs)
+	for i, query := range active.queries {
+		if i < len(progress) {
+			active.answers[i].progress = progress[i]
 		}
-	}()
+		query.reply <- active.answers[i]
+	}
 }
--- a/controller/status_reader_test.go
+++ b/controller/status_reader_test.go
@@ -11,7 +11,6 @@
 	"testing/synctest"
 	"time"
 
-	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
@@ -77,94 +76,111 @@
 	return r.epoch, slices.Clone(r.log[since:]), nil
 }
 
-func pollsOf(r jobReader) *statusReader {
-	return newStatusReader(r, 50*time.Millisecond, func(_ context.Context, list []ids.JobID) []peerapi.JobProgress {
-		return make([]peerapi.JobProgress, len(list))
-	})
+func newTestReader(store jobStore) *statusReader {
+	return newStatusReader(store, 50*time.Millisecond, noProgress)
+}
+
+// freshnessTest is users of two controllers that share a store, and what they were told.
+type freshnessTest struct {
+	store   *jobRecordLog
+	readers [2]*statusReader
+
+	// mu guards the fields below.
+	mu sync.Mutex
+	// told is the rank of the newest status that any user was told of a job.
+	told            map[ids.JobID]int
+	asked, failures int
 }
 
-// Once any node has told a user something, no node may tell an older thing:
-// also when the other node's answer came just before the question. And the
-// calls to the state service do not grow with the questions.
-func TestAnswersOfTwoNodesNeverGoBack(t *testing.T) {
+// query asks a random controller about a job, and checks that the answer is not older than what
+// was told before.
+func (f *freshnessTest) query(ctx context.Context, t *testing.T, rng *rand.Rand) {
+	t.Helper()
 	rank := map[wire.JobState]int{"": 0, wire.JobQueued: 1, wire.JobCancelled: 2, wire.JobDone: 2}
+	id := ids.JobID(fmt.Sprintf("job-%d", rng.IntN(60)))
+	f.mu.Lock()
+	before := f.told[id]
+	f.asked++
+	f.mu.Unlock()
+	answer := f.readers[rng.IntN(2)].ask(ctx, id, nil)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if answer.err != nil {
+		f.failures++
+		return
+	}
+	now := rank[answer.job.Status]
+	if now < before {
+		t.Errorf("%s: told %d after %d", id, now, before)
+	}
+	f.told[id] = max(f.told[id], now)
+}
+
+// change submits and ends jobs, and tells their users so. From time to time the store fails.
+func (f *freshnessTest) change(rng *rand.Rand) {
+	for n := range 60 {
+		id := ids.JobID(fmt.Sprintf("job-%d", n))
+		for i, status := range []wire.JobState{wire.JobQueued, []wire.JobState{wire.JobDone, wire.JobCancelled}[n%2]} {
+			f.store.write(id, records.Job{Status: status, Tasks: 2})
+			f.mu.Lock()
+			f.told[id] = max(f.told[id], i+1)
+			f.mu.Unlock()
+			time.Sleep(time.Duration(rng.IntN(150)) * time.Millisecond)
+		}
+		f.setFailed(n%20 == 19)
+	}
+	f.setFailed(false)
+}
+
+// setFailed sets whether the store fails.
+func (f *freshnessTest) setFailed(failed bool) {
+	f.store.mu.Lock()
+	defer f.store.mu.Unlock()
+	f.store.failed = failed
+}
+
+// Once any controller has told a user something, no controller may tell an older thing, also
+// when the other controller's answer came just before the question. And the reads of the store
+// do not grow with the questions.
+func TestAnswersOfTwoControllersNeverGoBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &jobRecordLog{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
-		nodes := []*statusReader{pollsOf(r), pollsOf(r)}
+		store := &jobRecordLog{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
+		f := &freshnessTest{store: store, readers: [2]*statusReader{newTestReader(store), newTestReader(store)}, told: map[ids.JobID]int{}}
 		ctx, cancel := context.WithCancel(t.Context())
-		var running sync.WaitGroup
-		for _, p := range nodes {
-			running.Go(func() { _ = p.run(ctx) })
+		var running, users sync.WaitGroup
+		for _, reader := range f.readers {
+			running.Go(func() { _ = reader.run(ctx) })
 		}
-		var mu sync.Mutex
-		told := map[ids.JobID]int{} // the newest that any node has told
-		asked, failures := 0, 0
-		var users sync.WaitGroup
-		for u := range 40 {
+		for user := range 40 {
 			users.Go(func() {
-				rng := rand.New(rand.NewPCG(uint64(u), 3))
+				rng := rand.New(rand.NewPCG(uint64(user), 3))
 				for range 100 {
-					id := ids.JobID(fmt.Sprintf("job-%d", rng.IntN(60)))
-					mu.Lock()
-					before := told[id]
-					asked++
-					mu.Unlock()
-					a := nodes[rng.IntN(2)].ask(ctx, id, nil)
-					mu.Lock()
-					if a.err != nil {
-						failures++
-					} else {
-						now := rank[a.job.Status]
-						if now < before {
-							t.Errorf("%s: told %d after %d", id, now, before)
-						}
-						told[id] = max(told[id], now)
-					}
-					mu.Unlock()
+					f.query(ctx, t, rng)
 					time.Sleep(time.Duration(rng.IntN(200)) * time.Millisecond)
 				}
 			})
 		}
-		users.Go(func() { // who submits and ends jobs, and tells so
-			rng := rand.New(rand.NewPCG(77, 3))
-			for n := range 60 {
-				id := ids.JobID(fmt.Sprintf("job-%d", n))
-				for i, status := range []wire.JobState{wire.JobQueued, []wire.JobState{wire.JobDone, wire.JobCancelled}[n%2]} {
-					r.write(id, records.Job{Status: status, Tasks: 2})
-					mu.Lock()
-					told[id] = max(told[id], i+1)
-					mu.Unlock()
-					time.Sleep(time.Duration(rng.IntN(150)) * time.Millisecond)
-				}
-				r.mu.Lock()
-				r.failed = n%20 == 19
-				r.mu.Unlock()
-			}
-			r.mu.Lock()
-			r.failed = false
-			r.mu.Unlock()
-		})
+		users.Go(func() { f.change(rand.New(rand.NewPCG(77, 3))) })
 		users.Wait()
 		cancel()
 		running.Wait()
-		if failures == 0 || failures > asked/2 {
-			t.Errorf("%d of %d questions failed", failures, asked)
+		if f.failures == 0 || f.failures > f.asked/2 {
+			t.Errorf("%d of %d questions failed", f.failures, f.asked)
 		}
-		if 4*r.calls > asked {
-			t.Errorf("%d calls for %d questions", r.calls, asked)
+		if 4*store.calls > f.asked {
+			t.Errorf("%d calls for %d questions", store.calls, f.asked)
 		}
 	})
 }
 
-// A record that makes no sense is still that of an accepted job: its user must
-// not be told that it is unknown, nor be refused an answer for ever, and it
-// must not keep answers from the others.
+// A record that cannot be read is still that of an accepted job: its user must not be told that
+// it is unknown, nor be refused an answer for ever, and other jobs' users must get theirs.
 func TestUnreadableRecordIsNotForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &jobRecordLog{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
 		r.write("job-1", "nonsense")
 		r.write("job-2", records.Job{Status: wire.JobDone, Tasks: 2})
-		p := pollsOf(r)
+		p := newTestReader(r)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- p.run(ctx) }()
@@ -184,19 +200,19 @@
 	})
 }
 
-// pauseThreshold is a context whose time is over although its timer has not fired:
-// so a process finds it that was paused while its clocks ran on.
+// stoodStill is a context whose deadline has passed although its timer has not fired, as a process
+// finds it that was paused while its clocks ran on.
 type stoodStill struct{ context.Context }
 
 func (stoodStill) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
 
-// An answer that was ready before a process was paused is older by then than
-// what others may have told meanwhile.
+// An answer that was ready before a process was paused may be older than what other controllers
+// told meanwhile, so it is not given.
 func TestAnswersFromBeforeAPauseAreNotGiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &jobRecordLog{rng: rand.New(rand.NewPCG(1, 9)), kept: 40}
 		r.write("job-1", records.Job{Status: wire.JobQueued, Tasks: 2})
-		p := pollsOf(r)
+		p := newTestReader(r)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- p.run(ctx) }()
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -2,10 +2,14 @@
 
 import (
 	"context"
+	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"time"
 
+	"ospreystile.example/ospreystile/config"
+	"ospreystile.example/ospreystile/controller/leader"
 	"ospreystile.example/ospreystile/controller/settings"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/records"
@@ -15,152 +19,134 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-const (
-	retryDelay = time.Second
-	// userRequestTimeout is how long a user's request may take here, of the 5 s that
-	// users wait.
-	userRequestTimeout = 3500 * time.Millisecond
-	// pollTimeout is the same for polls, of 2 s.
-	pollTimeout = 1500 * time.Millisecond
-	// maxIntake bounds the submissions that wait for a commit.
-	maxIntake = 128
-)
+// recordReserveBytes is by how much rewriting a job's record, as for a cancellation, may
+// lengthen it.
+const recordReserveBytes = 64
 
-// Healthy implements server.Service. A node without the catalog cannot judge
-// submissions yet.
-func (n *Controller) Healthy() bool { return n.catalog.Load() != nil }
+// submissionHandler answers users' submissions.
+type submissionHandler struct {
+	teams         []config.Team
+	maxValueBytes int
+	catalog       *catalog
+	statuses      *statusHandler
+	terminal      *terminalJobs
+	gate          *versionGate
+	commits       *userCommitter
+	leaders       *leaderClient
+	log           *slog.Logger
+}
 
-// canRun tells whether a job could ever run here.
-func (n *Controller) canRun(s *wire.JobSpec, types []wire.MachineType) bool {
-	for i := range n.cfg.Settings.Teams {
-		t := &n.cfg.Settings.Teams[i]
-		if t.Name != s.Team {
-			continue
-		}
-		need := quota.Amount{CPUs: s.CPUs, GPUs: s.GPUs}
-		if s.Service || s.Gang {
-			need = need.Times(s.Tasks)
-		}
-		if !need.FitsIn(settings.TeamLimit(*t)) {
-			return false
-		}
-		return slices.ContainsFunc(types, func(t wire.MachineType) bool {
-			return placement.Fits(s, &t) && (s.Zone == "" || slices.Contains(t.Zones, s.Zone))
-		})
-	}
-	return false
+// Healthy implements server.Service. A controller without the catalog cannot judge submissions
+// yet.
+func (h *submissionHandler) Healthy() bool {
+	_, ok := h.catalog.MachineTypes()
+	return ok
 }
 
-// Submit implements server.Service.
-func (n *Controller) Submit(ctx context.Context, id ids.JobID, spec *wire.JobSpec) server.Response {
-	if s, ok := n.terminalJobs.get(id); ok {
-		return server.Response{Status: 200, Body: s}
+// Submit implements server.Service. It may change the specification, which it keeps.
+func (h *submissionHandler) Submit(ctx context.Context, id ids.JobID, spec *wire.JobSpec) server.Response {
+	if response, ok := h.terminal.cached(id); ok {
+		return response
 	}
-	types := n.catalog.Load()
-	if types == nil {
+	types, ok := h.catalog.MachineTypes()
+	if !ok {
 		return server.RetryLater(retryDelay)
 	}
-	ctx, cancel := context.WithTimeout(ctx, userRequestTimeout)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	if !n.canRun(spec, *types) {
-		return n.refuseUnlessKnown(ctx, id)
+	if !h.canRun(spec, types) {
+		return h.refuseUnlessKnown(ctx, id)
 	}
 	// Names that no machine type has would only make the record larger.
 	spec.Types = slices.DeleteFunc(spec.Types, func(name ids.MachineType) bool {
-		return !slices.ContainsFunc(*types, func(t wire.MachineType) bool { return t.Name == name })
+		return !slices.ContainsFunc(types, func(t wire.MachineType) bool { return t.Name == name })
 	})
-	if n.intake.QueueLength() >= maxIntake {
+	if h.commits.overloaded() {
 		return server.RetryLater(retryDelay)
 	}
 	record := records.Job{Nonce: rand.Uint64(), Status: wire.JobQueued, Tasks: spec.Tasks, Spec: spec,
 		SubmittedMS: time.Now().UnixMilli()}
 	if len(spec.DependsOn) > 0 {
-		dependencyCancelled, answer := n.checkDependencies(ctx, id, spec.DependsOn)
-		if answer.Status != 0 {
-			return answer
-		}
-		if dependencyCancelled {
-			record.Status = wire.JobCancelled
+		var refusal *server.Response
+		if record.Status, refusal = h.checkDependencies(ctx, id, spec.DependsOn); refusal != nil {
+			return *refusal
 		}
 	}
-	// With room for what a cancellation changes. A list that is too long to be kept
-	// is refused whole.
-	if wire.ExceedsJSONSize(record, settings.MaxValueBytes(n.cfg)-recordSlack) {
-		return n.refuseUnlessKnown(ctx, id)
+	// A list of dependencies that is too long to be stored is refused whole.
+	if wire.ExceedsJSONSize(record, h.maxValueBytes-recordReserveBytes) {
+		return h.refuseUnlessKnown(ctx, id)
 	}
-	return n.recordSubmission(ctx, id, &record)
+	return h.commitRecord(ctx, id, &record)
 }
 
-// refuseUnlessKnown answers a submission that can never run. A job that was accepted stays
-// so, whatever has changed since.
-func (n *Controller) refuseUnlessKnown(ctx context.Context, id ids.JobID) server.Response {
-	if a := n.Status(ctx, id); a.Status != 404 {
-		return a
+// canRun tells whether a job could ever run within its team's limit on one of the types.
+func (h *submissionHandler) canRun(spec *wire.JobSpec, types []wire.MachineType) bool {
+	team := slices.IndexFunc(h.teams, func(t config.Team) bool { return t.Name == spec.Team })
+	if team < 0 {
+		return false
+	}
+	need := quota.Amount{CPUs: spec.CPUs, GPUs: spec.GPUs}
+	if spec.Service || spec.Gang {
+		need = need.Times(spec.Tasks)
 	}
-	return server.Response{Status: 422}
+	if !need.FitsIn(settings.TeamLimit(h.teams[team])) {
+		return false
+	}
+	return slices.ContainsFunc(types, func(t wire.MachineType) bool {
+		return placement.Fits(spec, &t) && (spec.Zone == "" || slices.Contains(t.Zones, spec.Zone))
+	})
 }
 
-// recordSubmission commits a job's record, unless the job is known already.
-func (n *Controller) recordSubmission(ctx context.Context, id ids.JobID, record *records.Job) server.Response {
-	out, err := n.commit(ctx, records.CreateJobChange(id, *record))
-	switch {
-	case err != nil:
-		n.log.Debug("submission commit failed", "job", id, "err", err)
-		return server.RetryLater(retryDelay)
-	case out.Applied:
-		n.notifyLeader(id, record, out.Revision)
-		return server.Response{Status: 201, Body: wire.JobStatus{ID: id, Status: record.Status}}
-	case out.Rejected:
-		return server.RetryLater(refusedLater)
+// refuseUnlessKnown answers a submission that can never run. A job that was accepted before
+// stays accepted, whatever has changed since.
+func (h *submissionHandler) refuseUnlessKnown(ctx context.Context, id ids.JobID) server.Response {
+	if response := h.statuses.Status(ctx, id); response.Status != http.StatusNotFound {
+		return response
 	}
-	return n.Status(ctx, id)
+	return server.Response{Status: http.StatusUnprocessableEntity}
 }
 
-const (
-	// recordSlack is by how much rewriting a job's record may lengthen it.
-	recordSlack = 64
-	// refusedLater is when to come back with what the state service would not
-	// take although it keeps to all its limits that are known.
-	refusedLater = 5 * time.Second
-)
-
-// checkDependencies decides on a submission that depends on other jobs: the answer, or that
-// it may be accepted (code 0), and whether it is then cancelled at once. What has been
-// accepted before is answered from its record, whatever it names. That a named job was
-// never accepted is said only on the strength of a replica that is as new as the question.
-func (n *Controller) checkDependencies(ctx context.Context, id ids.JobID, needs []ids.JobID) (doomed bool, _ server.Response) {
-	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
+// checkDependencies returns the status in which a job with dependencies is accepted, or the
+// response with which the submission ends here. A job that was accepted before is answered from
+// its record, whatever dependencies are named now. That a dependency was never accepted is said
+// only by a replica that is as new as the question.
+func (h *submissionHandler) checkDependencies(ctx context.Context, id ids.JobID, dependsOn []ids.JobID) (wire.JobState, *server.Response) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	a := n.statusReads.ask(ctx, id, needs)
+	answer := h.statuses.reader.ask(ctx, id, dependsOn)
+	var refusal server.Response
 	switch {
-	case a.err != nil:
-		n.log.Debug("dependency read failed", "job", id, "err", a.err)
-		return false, server.RetryLater(retryDelay)
-	case a.found:
-		return false, n.jobAnswer(ctx, id, a)
-	case !a.accepted:
-		return false, server.Response{Status: 422}
-	case !n.upgrade.done():
-		// An older leader would not wait for them.
-		return false, server.RetryLater(retryDelay)
+	case answer.err != nil:
+		h.log.Debug("dependency read failed", "job", id, "err", answer.err)
+		refusal = server.RetryLater(retryDelay)
+	case answer.found:
+		refusal = h.statuses.respond(ctx, id, answer)
+	case !answer.accepted:
+		refusal = server.Response{Status: http.StatusUnprocessableEntity}
+	case !h.gate.Open():
+		// An older leader would not wait for the dependencies.
+		refusal = server.RetryLater(retryDelay)
+	case answer.dependencyCancelled:
+		return wire.JobCancelled, nil
+	default:
+		return wire.JobQueued, nil
 	}
-	return a.dependencyCancelled, server.Response{}
+	return "", &refusal
 }
 
-// commit brings one user's change to its outcome, or to an error after which
-// the user must ask again.
-func (n *Controller) commit(ctx context.Context, ch records.Change) (records.CommitResult, error) {
-	type result struct {
-		out records.CommitResult
-		err error
-	}
-	done := make(chan result, 1)
-	until, _ := ctx.Deadline()
-	n.intake.Submit(ch, until, func(o records.CommitResult, err error) { done <- result{o, err} })
-	select {
-	case r := <-done:
-		return r.out, r.err
-	case <-ctx.Done():
-		return records.CommitResult{}, ctx.Err()
+// commitRecord commits a new job's record. If the job has a record already, the request is a
+// repetition, and the response is the job's status.
+func (h *submissionHandler) commitRecord(ctx context.Context, id ids.JobID, record *records.Job) server.Response {
+	result, err := h.commits.commit(ctx, records.CreateJobChange(id, *record))
+	switch {
+	case err != nil:
+		h.log.Debug("submission commit failed", "job", id, "err", err)
+		return server.RetryLater(retryDelay)
+	case result.Applied:
+		h.leaders.notifyJob(leader.JobRecord{ID: id, Record: record, Revision: result.Revision})
+		return server.Response{Status: http.StatusCreated, Body: wire.JobStatus{ID: id, Status: record.Status}}
+	case result.Rejected:
+		return server.RetryLater(rejectedRetryDelay)
 	}
+	return h.statuses.Status(ctx, id)
 }
--- a/controller/version_gate.go
+++ b/controller/version_gate.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"log/slog"
 	"slices"
 	"sync/atomic"
 	"time"
@@ -13,127 +14,147 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// This file is all there is of compatibility with controllers that know nothing of
-// waiting and of split records: until each of them is known to have been replaced,
-// no job that names others is accepted and no record is split. Everything else is
-// written as they write and read it. A leader before that may be an older one, which
-// goes on alone for the whole grace: package leader counts on that. And an older one
-// acknowledges cancellations without saying whether it holds its key: cancelVisible takes that,
-// as older followers do. The file can go, with scheduler's EnableSplitRecords and
-// Options.Split, once no deployment is left whose state lacks records.FormatKey; what
-// asks done() then takes it for true.
+const (
+	// gateCheckInterval is how often it is looked whether the gate opens.
+	gateCheckInterval = 500 * time.Millisecond
+	// gateReadInterval is how often the key-value store is read meanwhile.
+	gateReadInterval = 10 * time.Second
+)
 
-// observeVersion takes note of the version that a peer's latest ping told.
-func (p *peer) observeVersion(ans peerapi.Ping) {
-	if ans.Format < peerapi.RecordFormat {
-		p.version.Store(nil)
-		return
-	}
-	v := ans.Versions
-	p.version.Store(&v)
+// versionGate is all there is of compatibility with controllers that know neither dependencies
+// of jobs nor split records. Until each of them is known to have been replaced, the gate is
+// closed: no job with dependencies is accepted and no record is split. Everything else is
+// written as those controllers write and read it. While the gate is closed an earlier leader may
+// be an older one, which goes on alone for the whole grace: package leader counts on that. An
+// older leader acknowledges cancellations without saying whether it holds its lease;
+// leaderClient takes that, as older followers do.
+//
+// The gate can go, with scheduler.Core.EnableSplitRecords and scheduler.Options.SplitRecords,
+// once no deployment is left whose store lacks records.FormatKey; what calls Open then takes it
+// for true.
+//
+// It is safe for concurrent use. It never closes again.
+type versionGate struct {
+	peers     peerSet
+	store     *kv.Client
+	clock     monotonic.Clock
+	ownLeader *localLeader
+	log       *slog.Logger
+	open      atomic.Bool
 }
 
-// upgrade remembers that every controller is known to be of this version. It never
-// goes back.
-type upgrade struct{ durable atomic.Bool }
+// formatRecord is the value of records.FormatKey.
+type formatRecord struct {
+	Format int `msgpack:"v"`
+}
 
-// done tells whether every controller is known to be of this version.
-func (u *upgrade) done() bool { return u.durable.Load() }
+// Open implements leader.VersionGate.
+func (g *versionGate) Open() bool { return g.open.Load() }
+
+// Load implements leader.VersionGate.
+func (g *versionGate) Load(ctx context.Context, store *kv.Client) error {
+	if g.Open() {
+		return nil
+	}
+	entry, found, err := store.Get(ctx, records.FormatKey)
+	if err != nil || !found {
+		return err
+	}
+	var record formatRecord
+	if err := wire.Decode(entry.Value, &record); err != nil {
+		// The gate stays closed until the peers' pings open it.
+		g.log.Error("record unreadable", "key", records.FormatKey, "err", err)
+		return nil
+	}
+	if record.Format >= peerapi.RecordFormat {
+		g.open.Store(true)
+	}
+	return nil
+}
 
-// versions is what this node's pings tell of versions.
-func (n *Controller) versions() peerapi.Versions {
-	v := peerapi.Versions{Format: peerapi.RecordFormat, Durable: n.upgrade.done()}
-	if v.Durable {
-		return v
+// versions is what this controller's pings tell of versions.
+func (g *versionGate) versions() peerapi.Versions {
+	versions := peerapi.Versions{Format: peerapi.RecordFormat, Durable: g.Open()}
+	if versions.Durable {
+		return versions
 	}
-	for _, p := range n.peers {
-		if p.version.Load() != nil {
-			v.Seen = append(v.Seen, p.Name)
+	for _, p := range g.peers {
+		if p.versions.Load() != nil {
+			versions.Seen = append(versions.Seen, p.Name)
 		}
 	}
-	return v
+	return versions
 }
 
-// allControllersNew tells what the peers' pings show: that all controllers are new, or that
-// somebody has written so.
-func (n *Controller) allControllersNew() (all, durable bool) {
-	all = true
-	for _, p := range n.peers {
-		known := p.version.Load() != nil
-		for _, q := range n.peers {
-			v := q.version.Load()
-			durable = durable || v != nil && v.Durable
-			known = known || v != nil && slices.Contains(v.Seen, p.Name)
+// allUpgraded tells whether each peer was heard with this version or a later one, by this
+// controller or by a peer that was.
+func (g *versionGate) allUpgraded() bool {
+	for _, p := range g.peers {
+		if p.versions.Load() == nil && !g.seenByPeer(p) {
+			return false
 		}
-		all = all && known
 	}
-	return all, durable
+	return true
 }
 
-const (
-	upgradeCheckInterval = 500 * time.Millisecond
-	// upgradeReadInterval is how often the state service is asked meanwhile.
-	upgradeReadInterval = 10 * time.Second
-)
+// seenByPeer tells whether a peer that was heard has heard the given one.
+func (g *versionGate) seenByPeer(sought *peer) bool {
+	return slices.ContainsFunc(g.peers, func(p *peer) bool {
+		versions := p.versions.Load()
+		return versions != nil && slices.Contains(versions.Seen, sought.Name)
+	})
+}
 
-// awaitUpgrade waits until every controller is known to be new, makes that durable,
-// so that a successor need not learn it again, and tells the leader's core.
-func (n *Controller) awaitUpgrade(ctx context.Context) error {
+// durable tells whether a peer knows that records.FormatKey is written.
+func (g *versionGate) durable() bool {
+	return slices.ContainsFunc(g.peers, func(p *peer) bool {
+		versions := p.versions.Load()
+		return versions != nil && versions.Durable
+	})
+}
+
+// run waits until the gate opens, and tells the leader in this process.
+func (g *versionGate) run(ctx context.Context) error {
 	var readAt monotonic.Instant
-	for !n.upgrade.done() {
-		all, durable := n.allControllersNew()
-		now := n.clock.Now()
+	for !g.Open() {
+		now := g.clock.Now()
 		var err error
 		switch {
-		case durable:
-			n.upgrade.durable.Store(true)
-			continue
-		case all:
-			_, err = n.userState.Commit(ctx, kv.Txn{
-				Preconditions: []kv.Precondition{{Key: records.FormatKey}},
-				Operations:    []kv.Operation{{PutKey: records.FormatKey, Value: map[string]int{"v": peerapi.RecordFormat}}},
-			})
-			if err == nil { // written now, or there already
-				n.upgrade.durable.Store(true)
-				continue
-			}
+		case g.durable():
+			g.open.Store(true)
+		case g.allUpgraded():
+			err = g.record(ctx)
 		case now >= readAt:
-			readAt = now.Add(upgradeReadInterval)
-			err = n.readUpgrade(ctx, n.userState)
+			readAt = now.Add(gateReadInterval)
+			err = g.Load(ctx, g.store)
+		}
+		if g.Open() {
+			break
 		}
 		if err != nil {
-			n.log.Debug("version gate check failed", "err", err)
+			g.log.Debug("version gate check failed", "err", err)
 		}
-		if !monotonic.Sleep(ctx, upgradeCheckInterval) {
+		if !monotonic.Sleep(ctx, gateCheckInterval) {
 			return ctx.Err()
 		}
 	}
-	n.log.Info("version gate open")
-	if t := n.leader.Load(); t != nil {
-		t.OpenVersionGate(ctx)
+	g.log.Info("version gate open")
+	if own := g.ownLeader.get(); own != nil {
+		own.OpenVersionGate(ctx)
 	}
 	return nil
 }
 
-// readUpgrade looks in the state service whether it is known already.
-func (n *Controller) readUpgrade(ctx context.Context, state *kv.Client) error {
-	if n.upgrade.done() {
-		return nil
-	}
-	e, found, err := state.Get(ctx, records.FormatKey)
-	if err != nil || !found {
+// record makes it durable that every controller is of this version, so that no later process
+// need learn it again, and opens the gate.
+func (g *versionGate) record(ctx context.Context) error {
+	_, err := g.store.Commit(ctx, kv.Txn{
+		Preconditions: []kv.Precondition{{Key: records.FormatKey}},
+		Operations:    []kv.Operation{{PutKey: records.FormatKey, Value: formatRecord{peerapi.RecordFormat}}},
+	})
+	if err != nil {
 		return err
 	}
-	var rec struct {
-		Format int `msgpack:"v"`
-	}
-	if err := wire.Decode(e.Value, &rec); err != nil {
-		// Until the peers tell, only what the older format holds is written.
-		n.log.Error("record unreadable", "key", records.FormatKey, "err", err)
-		return nil
-	}
-	if rec.Format >= peerapi.RecordFormat {
-		n.upgrade.durable.Store(true)
-	}
+	g.open.Store(true) // the record is written now, or was there already
 	return nil
 }
--- a/controller/version_gate_test.go
+++ b/controller/version_gate_test.go
@@ -3,12 +3,9 @@
 import (
 	"bytes"
 	"context"
-	"fmt"
 	"log/slog"
-	"net"
 	"net/http"
 	"net/http/httptest"
-	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -21,8 +18,6 @@
 	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
-	"ospreystile.example/ospreystile/peerrpc"
-	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -128,135 +123,8 @@
 	_, _ = w.Write(wire.Encode(ans))
 }
 
-// started is a node of a deployment that can take submissions.
-func (s *smallState) started(t *testing.T, seeds ...config.Peer) *Controller {
-	t.Helper()
-	cfg := testConfig(s.addr)
-	cfg.Seeds = seeds
-	cfg.Settings.State.RPS, cfg.Settings.State.WriteRPS, cfg.Settings.State.ValueKB = 20000, 80, 2
-	n := testNode(t, cfg)
-	n.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
-	ctx, cancel := context.WithCancel(t.Context())
-	var wg sync.WaitGroup
-	wg.Go(func() { _ = n.intake.Run(ctx) })
-	wg.Go(func() { _ = n.statusReads.run(ctx) })
-	t.Cleanup(func() { cancel(); wg.Wait() })
-	return n
-}
-
-// leads has a node lead, and be reached by the others at the address returned.
-func (s *smallState) leads(t *testing.T, n *Controller) (mesh string) {
-	t.Helper()
-	ctx, cancel := context.WithCancel(t.Context())
-	var wg sync.WaitGroup
-	wg.Go(func() { _ = n.election.Run(ctx) })
-	mesh = meshOf(t, n)
-	t.Cleanup(func() { cancel(); wg.Wait() })
-	until(t, "somebody leads", func() bool { return n.leader.Load() != nil })
-	return mesh
-}
-
-// follow has a node know who leads.
-func follow(n, leader *Controller) {
-	n.cfg.HostName = "n-1"
-	l, _ := leader.election.Leader()
-	n.election.Observe(l)
-}
-
-// meshOf serves a node's peers, and returns where.
-func meshOf(t *testing.T, n *Controller) string {
-	t.Helper()
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(t.Context())
-	var wg sync.WaitGroup
-	wg.Go(func() { _ = peerrpc.Serve(ctx, ln, n.handle, n.log) })
-	t.Cleanup(func() { cancel(); wg.Wait() })
-	return ln.Addr().String()
-}
-
-func waiting(needs ...ids.JobID) *wire.JobSpec {
-	return &wire.JobSpec{Class: "c", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", DependsOn: needs}
-}
-
-// Submissions that name others, at two nodes. What is refused as never accepted is
-// refused only when that is known, a retry of what was accepted is answered from
-// its record, and a cancellation takes along whatever needs the job, at any node and
-// whenever it came, whether or not the leader has written so.
-func TestSubmissionsThatWait(t *testing.T) {
-	state := newSmallState(t)
-	a := state.started(t)
-	seed := config.Peer{Name: "n-0", Address: state.leads(t, a)}
-	b := state.started(t, seed)
-	follow(b, a)
-	a.upgrade.durable.Store(true)
-	b.upgrade.durable.Store(true)
-	submit := func(n *Controller, id ids.JobID, code int, status wire.JobState, needs ...ids.JobID) {
-		t.Helper()
-		ans := n.Submit(t.Context(), id, waiting(needs...))
-		if s, _ := ans.Body.(wire.JobStatus); ans.Status != code || s.Status != status || code == 503 && ans.RetryAfter == 0 {
-			t.Errorf("%s after %v: %+v, want %d %s", id, needs, ans, code, status)
-		}
-	}
-	says := func(id ids.JobID, status wire.JobState) {
-		t.Helper()
-		for _, n := range []*Controller{a, b} {
-			ans := n.Status(t.Context(), id)
-			if s, _ := ans.Body.(wire.JobStatus); s.Status != status {
-				t.Errorf("%s: %+v, want %s", id, ans, status)
-			}
-		}
-	}
-	submit(a, "job-1", 201, "queued")
-	submit(b, "job-2", 201, "queued", "job-1")
-	submit(a, "job-3", 201, "queued", "job-2", "job-1")
-	submit(b, "job-4", 422, "", "job-1", "job-none")
-	submit(b, "job-5", 422, "", "job-5")
-	submit(a, "job-3", 200, "queued", "job-none") // accepted before, whatever it names now
-	submit(a, "job-3", 200, "queued", "job-3")
-	says("job-5", "")
-
-	var long []ids.JobID
-	for i := range 400 {
-		long = append(long, ids.JobID(fmt.Sprintf("job-l%d", i)))
-		submit(a, long[i], 201, "queued")
-	}
-	submit(a, "job-6", 422, "", long...) // cannot be kept whole
-	submit(a, "job-7", 201, "queued", long[:40]...)
-	var rec records.Job
-	if err := wire.Decode(state.keys["jobs/job-7"].Value, &rec); err != nil || !slices.Equal(rec.Spec.DependsOn, long[:40]) {
-		t.Errorf("kept %v, %v", rec.Spec, err)
-	}
-
-	state.outage(true)
-	submit(b, "job-8", 503, "", "job-none") // unknown is not never accepted
-	state.outage(false)
-	if ans := a.Cancel(t.Context(), "job-1"); ans.Status != 200 {
-		t.Fatalf("withdrawal: %+v", ans)
-	}
-	says("job-2", wire.JobCancelled)
-	says("job-3", wire.JobCancelled)
-	submit(b, "job-9", 201, wire.JobCancelled, "job-3")
-	says("job-9", wire.JobCancelled)
-	submit(a, "job-3", 200, wire.JobCancelled, "job-2")
-	says("job-7", "queued")
-
-	// While some controller may be old, nothing that names others is taken, and
-	// what was is still answered.
-	old := state.started(t, seed)
-	follow(old, a)
-	submit(old, "job-10", 503, "", "job-7")
-	submit(old, "job-10", 422, "", "job-none")
-	submit(old, "job-3", 200, wire.JobCancelled, "job-2")
-	submit(old, "job-11", 201, "queued")
-}
-
-// All controllers are new only once each was heard itself, or by one that was; it
-// is then made durable, and a node that finds it so need hear nobody.
-func TestAllControllersAreNew(t *testing.T) {
-	peers := []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}, {Name: "n-2", Address: "127.0.0.1:6"}}
+// All controllers are upgraded only once each was heard itself, or by one that was.
+func TestAllControllersAreUpgraded(t *testing.T) {
 	fresh := func(seen ...ids.ControllerName) peerapi.Ping {
 		return peerapi.Ping{Versions: peerapi.Versions{Format: peerapi.RecordFormat, Seen: seen}}
 	}
@@ -265,36 +133,43 @@
 		first, second *peerapi.Ping
 		all           bool
 	}{
-		{"nobody heard", nil, nil, false},
+		{"none heard", nil, nil, false},
 		{"one heard", new(fresh()), nil, false},
 		{"both heard", new(fresh()), new(fresh()), true},
 		{"one is old", new(fresh()), new(peerapi.Ping{From: "n-2"}), false},
 		{"one heard by the other", new(fresh("n-0", "n-2")), nil, true},
 		{"heard by one that is old again", new(peerapi.Ping{Versions: peerapi.Versions{Format: 1, Seen: []ids.ControllerName{"n-2"}}}), nil, false},
 	} {
-		cfg := testConfig("127.0.0.1:4")
-		cfg.Seeds = peers
-		n := testNode(t, cfg)
-		for i, p := range []*peerapi.Ping{c.first, c.second} {
-			if p != nil {
-				n.peers[i].observeVersion(fresh("n-1", "n-2"))
-				n.peers[i].observeVersion(*p)
+		t.Run(c.name, func(t *testing.T) {
+			platform := testConfig("127.0.0.1:4")
+			platform.Seeds = []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}, {Name: "n-2", Address: "127.0.0.1:6"}}
+			n := newTestController(t, platform)
+			for i, ping := range []*peerapi.Ping{c.first, c.second} {
+				if ping != nil {
+					n.peers[i].observeVersions(fresh("n-1", "n-2").Versions)
+					n.peers[i].observeVersions(ping.Versions)
+				}
 			}
-		}
-		if all, durable := n.allControllersNew(); all != c.all || durable {
-			t.Errorf("%s: all new: %v, durable: %v", c.name, all, durable)
-		}
+			if all, durable := n.gate.allUpgraded(), n.gate.durable(); all != c.all || durable {
+				t.Errorf("all upgraded: %v, durable: %v", all, durable)
+			}
+		})
 	}
+}
 
+// That all controllers are upgraded is made durable: a controller that finds it so need hear no
+// other.
+func TestOpenGateIsDurable(t *testing.T) {
+	peers := []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}, {Name: "n-2", Address: "127.0.0.1:6"}}
 	state := newSmallState(t)
-	first, second := state.started(t, peers...), state.started(t, peers...)
+	first, second := startController(t, "n-0", state.addr, peers...), startController(t, "n-0", state.addr, peers...)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	for i := range peers {
-		first.peers[i].observeVersion(fresh())
+		first.peers[i].observeVersions(peerapi.Versions{Format: peerapi.RecordFormat})
 	}
-	for _, n := range []*Controller{first, second} {
-		if err := n.awaitUpgrade(ctx); err != nil || !n.upgrade.done() {
+	for _, c := range []*Controller{first, second} {
+		if err := c.gate.run(ctx); err != nil || !c.gate.Open() {
 			t.Fatalf("not durable: %v", err)
 		}
 	}
@@ -307,10 +182,9 @@
 	}))
 	t.Cleanup(store.Close)
 	var logged bytes.Buffer
-	c := testNode(t, testConfig(strings.TrimPrefix(store.URL, "http://")))
-	c.log = slog.New(slog.NewTextHandler(&logged, nil))
-	if err := c.Load(t.Context(), c.userState); err != nil || c.Open() {
-		t.Errorf("open: %v, %v", c.Open(), err)
+	c := newLoggingController(t, testConfig(strings.TrimPrefix(store.URL, "http://")), slog.New(slog.NewTextHandler(&logged, nil)))
+	if err := c.gate.Load(t.Context(), c.userStore); err != nil || c.gate.Open() {
+		t.Errorf("open: %v, %v", c.gate.Open(), err)
 	}
 	if !strings.Contains(logged.String(), "key=format") {
 		t.Errorf("not reported: %s", logged.String())
