--- a/controller/peer_handler.go
+++ b/controller/peer_handler.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"time"
 
+	"ospreystile.example/ospreystile/controller/leader"
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/peerrpc"
@@ -13,50 +14,43 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// The operations between controllers, as the version in production names them.
-const (
-	// opPing exchanges pings.
-	opPing peerrpc.Operation = "ping"
-	// opState sends a stateCall to the state service by way of a peer, and answers with a
-	// stateAnswer.
-	opState peerrpc.Operation = "state"
-	// opProgress asks the leader for the progress of a list of jobs.
-	opProgress peerrpc.Operation = "progress"
-	// opJob hands a jobNotice to the leader, and answers whether it is acknowledged.
-	opJob peerrpc.Operation = "job"
-	// opReports passes workers' reports on to the leader, and answers with a
-	// relayedAnswer for each.
-	opReports peerrpc.Operation = "reports"
-)
-
-// errUnknownOperation refuses an operation that this version does not know.
-var errUnknownOperation = errors.New("unknown operation")
+// peerHandler answers the requests of other controllers, and those of operators' commands.
+type peerHandler struct {
+	pinger    *pinger
+	ownLeader *localLeader
+	direct    *directRoute
+}
 
-// handle answers the other controllers.
-func (n *Controller) handle(ctx context.Context, op peerrpc.Operation, body []byte) (any, error) {
+// handle implements peerrpc.Handler.
+func (h *peerHandler) handle(ctx context.Context, op peerrpc.Operation, body []byte) (any, error) {
 	switch op {
-	case opPing:
-		return handleBody(body, n.handlePing)
-	case opState:
-		return handleBody(body, func(call stateCall) (any, error) { return n.handleStateCall(ctx, call) })
+	case peerapi.OpPing:
+		return handleBody(body, func(ping peerapi.Ping) (any, error) { return h.pinger.answer(ping), nil })
+	case peerapi.OpStore:
+		return handleBody(body, func(call peerapi.StoreCall) (any, error) { return h.forwardStoreCall(ctx, call), nil })
 	}
-	t := n.term.Load()
-	if t == nil || !t.key.MayAnswerHeartbeats() {
-		return nil, errNotLeading
+	own := h.ownLeader.answering()
+	if own == nil {
+		return nil, peerapi.ErrNotLeading
 	}
+	return handleAsLeader(ctx, own, op, body)
+}
+
+// handleAsLeader answers the operations that are the leader's.
+func handleAsLeader(ctx context.Context, own *leader.Leader, op peerrpc.Operation, body []byte) (any, error) {
 	switch op {
-	case opProgress:
-		return handleBody(body, func(jobs []ids.JobID) (any, error) { return t.handleProgress(ctx, jobs) })
-	case opJob:
-		return handleBody(body, func(notice jobNotice) (any, error) { return t.handleJobNotice(ctx, notice) })
-	case opZones:
-		return t.handleZones(ctx)
-	case opZoneOverride:
-		return handleBody(body, func(o ZoneOverride) (any, error) { return t.handleZoneOverride(ctx, o) })
-	case opReports:
-		return handleBody(body, func(reports [][]byte) (any, error) { return n.relayedReports(ctx, t, reports) })
+	case peerapi.OpProgress:
+		return handleBody(body, func(jobs []ids.JobID) (any, error) { return progressAt(ctx, own, jobs) })
+	case peerapi.OpJob:
+		return handleBody(body, func(notice peerapi.JobNotice) (any, error) { return acknowledgeNotice(ctx, own, notice) })
+	case peerapi.OpZones:
+		return own.Zones(ctx)
+	case peerapi.OpZoneOverride:
+		return handleBody(body, func(override peerapi.ZoneOverride) (any, error) { return own.OverrideZone(ctx, override) })
+	case peerapi.OpHeartbeats:
+		return handleBody(body, func(encoded [][]byte) (any, error) { return answerRelayed(ctx, own, encoded) })
 	}
-	return nil, fmt.Errorf("%w: %s", errUnknownOperation, op)
+	return nil, fmt.Errorf("%w: %s", peerapi.ErrUnknownOperation, op)
 }
 
 // handleBody decodes a request's body and hands it to its handler.
@@ -68,36 +62,36 @@
 	return handler(request)
 }
 
-func (n *Controller) handlePing(p ping) (any, error) {
-	n.observePing(p)
-	if from := n.peerNamed(p.From); from != nil {
-		from.observeVersion(p)
-	}
-	return n.ping(), nil
-}
-
-// handleStateCall sends a peer's request to the state service, directly.
-func (n *Controller) handleStateCall(ctx context.Context, call stateCall) (any, error) {
+// forwardStoreCall sends a peer's request to the key-value store, directly.
+func (h *peerHandler) forwardStoreCall(ctx context.Context, call peerapi.StoreCall) peerapi.StoreAnswer {
 	timeout := time.Duration(call.TimeoutMS) * time.Millisecond
-	status, body, err := (&directRoute{n}).Do(ctx, call.Method, call.Path, call.Body, timeout)
+	status, body, err := h.direct.Do(ctx, call.Method, call.Path, call.Body, timeout)
 	if err != nil {
-		return stateAnswer{NotSent: kv.IsNotSent(err), Unknown: !kv.IsNotSent(err)}, nil
+		return peerapi.StoreAnswer{NotSent: kv.IsNotSent(err), Unknown: !kv.IsNotSent(err)}
 	}
-	return stateAnswer{Status: status, Body: body}, nil
+	return peerapi.StoreAnswer{Status: status, Body: body}
 }
 
-func (t *term) handleProgress(ctx context.Context, jobs []ids.JobID) (any, error) {
-	answer := t.progress(ctx, jobs)
-	if answer == nil {
-		return nil, errNotLeading
+// acknowledgeNotice hands a follower's notice of a job to the leader in this process.
+func acknowledgeNotice(ctx context.Context, own *leader.Leader, notice peerapi.JobNotice) (bool, error) {
+	record := new(records.Job)
+	if err := wire.Decode(notice.Record, record); err != nil {
+		return false, err
 	}
-	return answer, nil
+	return own.AcknowledgeCancellation(ctx, leader.JobRecord{ID: notice.ID, Record: record, Revision: notice.Revision}), nil
 }
 
-func (t *term) handleJobNotice(ctx context.Context, notice jobNotice) (any, error) {
-	record := new(records.Job)
-	if err := wire.Decode(notice.Record, record); err != nil {
-		return nil, err
+// answerRelayed has the leader in this process answer heartbeats that a follower relays. One
+// that cannot be decoded gets no answer.
+func answerRelayed(ctx context.Context, own *leader.Leader, encoded [][]byte) ([]peerapi.HeartbeatAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
+	defer cancel()
+	heartbeats := make([]*wire.Heartbeat, len(encoded))
+	for i := range encoded {
+		heartbeat := new(wire.Heartbeat)
+		if err := wire.Decode(encoded[i], heartbeat); err == nil && heartbeat.Machine != "" && heartbeat.Incarnation != 0 {
+			heartbeats[i] = heartbeat
+		}
 	}
-	return t.acknowledge(ctx, notice.ID, record, notice.Revision), nil
+	return own.Heartbeats(ctx, heartbeats)
 }
