--- a/cmd/ospreystile/zones.go
+++ b/cmd/ospreystile/zones.go
@@ -116,8 +116,8 @@
 	fmt.Fprintln(table, "ZONE\tBEGAN\tSERVES SINCE\tSPELLS\tDARK\tRETURN\tSETBACKS\tMACHINES\tTASKS\tJOBS\tBOUNCED\tFORCED\tRESTORED")
 	for _, z := range answer.Zones {
 		for _, i := range z.Incidents {
-			fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", z.Zone, timeOfDay(i.BeganMS), timeOfDay(i.ServedMS),
-				i.Spells, seconds(i.DarkMS), seconds(i.ReturnMS), i.Setbacks, i.Machines, i.Tasks, i.Jobs, i.Bounces, i.Forced, i.Restored)
+			fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", z.Zone, timeOfDay(i.BeganMS), timeOfDay(i.ServingSinceMS),
+				i.Outages, seconds(i.OutageMS), seconds(i.RecoveryMS), i.Setbacks, i.Machines, i.DisplacedTasks, i.DisplacedJobs, i.Failbacks, i.ForcedFailbacks, i.RestoredReplicas)
 		}
 	}
 	return table.Flush()
@@ -197,9 +197,9 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "ZONE\tCONDITION\tSINCE\tHEARD\tSTEP\tSTARTS\tFETCHES\tSTART P90\tFLAPS\tDISPLACED\tHELD BACK\tUNTIL\tREASON")
 	for _, z := range answer.Zones {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d/%d\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", z.Zone, z.Condition, timeOfDay(z.SinceMS), z.Heard, z.Known,
-			stepOf(&z), limited(z.Starts, z.StartLimit), limited(z.Fetches, z.FetchLimit), startTimes(&z), z.Flaps, z.DisplacedIDs,
-			orDash(z.Holding), timeOfDay(z.UntilMS), orDash(z.Reason))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d/%d\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", z.Zone, z.Condition, timeOfDay(z.SinceMS), z.Reachable, z.Machines,
+			stepOf(&z), limited(z.StartsInFlight, z.StartLimit), limited(z.FetchesInFlight, z.FetchLimit), startTimes(&z), z.Outages, z.DisplacedJobs,
+			orDash(z.Restriction), timeOfDay(z.RestrictedUntilMS), orDash(z.Reason))
 	}
 	return table.Flush()
 }
@@ -217,7 +217,7 @@
 	if z.StartP90MS == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%s (usual %s)", time.Duration(z.StartP90MS)*time.Millisecond, time.Duration(z.UsualP90MS)*time.Millisecond)
+	return fmt.Sprintf("%s (usual %s)", time.Duration(z.StartP90MS)*time.Millisecond, time.Duration(z.BaselineP90MS)*time.Millisecond)
 }
 
 // limited is a count beside its limit, if there is one.
--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -39,12 +39,12 @@
 	o.Quota.MaxSkippedJobs, o.Quota.ReserveAfterS, o.Quota.ReserveForS = 2001, 61.5, 92.5
 	o.Fleet.IdleTimeoutS, o.Fleet.SpotIdleFactor, o.Fleet.HeadroomIdleTimeoutS, o.Fleet.Headroom = 31.5, 1.75, 901.5, 0.35
 	o.Fleet.BootFactor, o.Fleet.CapacityBackoffS, o.Fleet.MaxMachines = 4.5, 10.5, 7
-	o.ZoneRecovery = zonerecovery.Settings{Enabled: true, SuspectShare: 0.51, DarkShare: 0.81, DarkAfterS: 6.5, RecoverS: 2.5, MinMachines: 5,
-		HeardShare: 0.26, RetryS: 181.5, HoldDownS: 4.25, HoldDownFactor: 3.5, HoldDownMaxS: 30.5, QuietS: 601.5, ProbeTasks: 4,
-		ProbeMaxRunS: 182.5, Steps: []float64{0.15, 0.35}, StepS: 4.75, StepSuccesses: 6, FailureTolerance: 0.27, SlowStartFactor: 4.5,
-		StartsPerMachine: 1.5, FetchesPerMachine: 0.55, ReturnMaxS: 45.5, HoldLimitS: 81.5, MoveBudget: 2, PatienceS: 60.5,
+	o.ZoneRecovery = zonerecovery.Settings{Enabled: true, SuspectShare: 0.51, OutageShare: 0.81, OutageAfterS: 6.5, ClearSuspicionAfterS: 2.5, MinMachines: 5,
+		ReachableShare: 0.26, RetryAfterS: 181.5, HoldDownS: 4.25, HoldDownFactor: 3.5, MaxHoldDownS: 30.5, QuietPeriodS: 601.5, ProbeTasks: 4,
+		MaxProbeRunS: 182.5, Steps: []float64{0.15, 0.35}, MinStepTimeS: 4.75, MinStepSuccesses: 6, FailureTolerance: 0.27, SlowStartFactor: 4.5,
+		StartsPerMachine: 1.5, FetchesPerMachine: 0.55, MaxRecoveryS: 45.5, MaxWaitS: 81.5, FailbackBudget: 2, ForceFailbackAfterS: 60.5,
 		RestorePerMinute: 1.25, RestoreAfterS: 62.5, RestoreBudget: 3, Windows: []zonerecovery.WindowSettings{{Name: "bulletins",
-			TimeZone: "Europe/Warsaw", From: "05:00", To: "07:00", Days: []string{"mon"}, Calendar: "pl", On: "workdays", Zones: []ids.Zone{"zone-a"}}}}
+			TimeZone: "Europe/Warsaw", From: "05:00", To: "07:00", Days: []string{"mon"}, Calendar: "pl", DayKind: "workdays", Zones: []ids.Zone{"zone-a"}}}}
 	return o
 }
 
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -18,11 +18,11 @@
 
 func goldenZones() ZonesResponse {
 	return ZonesResponse{Enabled: true, Leader: "perch-0", Zones: []zonerecovery.Status{{Zone: "zone-a", Condition: zonerecovery.Outage,
-		SinceMS: 1764640000006, Reason: "silent", Known: 31, Heard: 32, Flaps: 33, Step: 34, Steps: 35, Starts: 36, StartLimit: 37,
-		Fetches: 38, FetchLimit: 39, DisplacedIDs: 40, Holding: "all new work", UntilMS: 1764640000007,
-		Override: zonerecovery.OverrideRelease, Recorded: true, StartP90MS: 4100, UsualP90MS: 4200,
-		Incidents: []zonerecovery.Incident{{BeganMS: 1764640000001, ServedMS: 1764640000002, Spells: 3, DarkMS: 4004, ReturnMS: 5005,
-			Setbacks: 6, Tasks: 7, Jobs: 8, Bounces: 9, Forced: 10, Restored: 11, Machines: 12}}}}}
+		SinceMS: 1764640000006, Reason: "silent", Machines: 31, Reachable: 32, Outages: 33, Step: 34, Steps: 35, StartsInFlight: 36, StartLimit: 37,
+		FetchesInFlight: 38, FetchLimit: 39, DisplacedJobs: 40, Restriction: "all new work", RestrictedUntilMS: 1764640000007,
+		Override: zonerecovery.OverrideRelease, Recorded: true, StartP90MS: 4100, BaselineP90MS: 4200,
+		Incidents: []zonerecovery.Incident{{BeganMS: 1764640000001, ServingSinceMS: 1764640000002, Outages: 3, OutageMS: 4004, RecoveryMS: 5005,
+			Setbacks: 6, DisplacedTasks: 7, DisplacedJobs: 8, Failbacks: 9, ForcedFailbacks: 10, RestoredReplicas: 11, Machines: 12}}}}}
 }
 
 // The request and the answer of each operation between controllers keep their bytes.
--- a/controller/term_zones.go
+++ b/controller/term_zones.go
@@ -86,7 +86,7 @@
 }
 
 // logZoneEvents logs changes of zones' conditions.
-func (t *term) logZoneEvents(events []zonerecovery.Event) {
+func (t *term) logZoneEvents(events []zonerecovery.Transition) {
 	for _, e := range events {
 		t.n.log.Info("zone condition changed", "zone", e.Zone, "from", e.From, "to", e.To, "step", e.Step, "reason", e.Reason)
 	}
--- a/internal/faulttest/zone_return_test.go
+++ b/internal/faulttest/zone_return_test.go
@@ -228,8 +228,8 @@
 	d.State.SetAway(false)
 	d.awaitCondition(dark, zonerecovery.Serving)
 	d.awaitAtAllNodes(rebuild.ID, wire.JobDone)
-	if st, _, ok := d.zone(dark); !ok || st.Flaps != 1 {
-		t.Errorf("%d flaps counted: %+v", st.Flaps, st)
+	if st, _, ok := d.zone(dark); !ok || st.Outages != 1 {
+		t.Errorf("%d flaps counted: %+v", st.Outages, st)
 	}
 	if broken := d.History.Violations(); len(broken) > 0 {
 		t.Errorf("rules broken: %v", broken)
@@ -247,8 +247,8 @@
 	for end := time.Now().Add(waitLimit); ; time.Sleep(20 * time.Millisecond) {
 		st, leader, ok := d.zone(zone)
 		if ok && st.Condition == zonerecovery.Serving {
-			if flaps == 0 || st.Flaps != flaps {
-				d.t.Errorf("%d flaps before the leader was killed, %d after the return", flaps, st.Flaps)
+			if flaps == 0 || st.Outages != flaps {
+				d.t.Errorf("%d flaps before the leader was killed, %d after the return", flaps, st.Outages)
 			}
 			return
 		}
@@ -259,7 +259,7 @@
 			d.t.Errorf("%d starts under way in %s, at most %d allowed", underWay, zone, most)
 		}
 		if ok && !killed && st.Step >= 1 {
-			killed, flaps = true, st.Flaps
+			killed, flaps = true, st.Outages
 			d.replaceController(leader)
 		}
 		if time.Now().After(end) {
@@ -300,7 +300,7 @@
 	if err != nil || !strings.Contains(out, "power works") {
 		d.t.Errorf("hold: %v: %s", err, out)
 	}
-	if st, _, ok := d.zone(zone); !ok || st.Override != zonerecovery.OverrideHold || st.UntilMS == 0 {
+	if st, _, ok := d.zone(zone); !ok || st.Override != zonerecovery.OverrideHold || st.RestrictedUntilMS == 0 {
 		d.t.Errorf("after the hold: %+v", st)
 	}
 	if out, err = d.command(d.Nodes[2], "zone", "release", string(zone)); err != nil {
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -236,7 +236,7 @@
 	// ForgetAddresses lists addresses of machines that are gone.
 	ForgetAddresses []string
 	// ZoneEvents are changes of zones' conditions, for the log.
-	ZoneEvents []zonerecovery.Event
+	ZoneEvents []zonerecovery.Transition
 }
 
 // Progress tells a job's progress for display.
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -201,7 +201,7 @@
 			if record, ok := op.Value.(*zonerecovery.Record); ok {
 				b.zoneWrites++
 				if wire.ExceedsJSONSize(record, b.c.opt.ValueBytes) {
-					b.t.Errorf("a zone's record with %d jobs is too large", len(record.Jobs))
+					b.t.Errorf("a zone's record with %d jobs is too large", len(record.DisplacedJobs))
 				}
 			}
 		}
@@ -215,7 +215,7 @@
 	if c := b.c.zones.manager.Condition("d"); c != zonerecovery.Outage {
 		b.t.Errorf("the zone is %s", c)
 	}
-	if got := b.c.zones.manager.Stats().Displaced; got != largeFleetTasks/largeFleetZones {
+	if got := b.c.zones.manager.Stats().DisplacedTasks; got != largeFleetTasks/largeFleetZones {
 		b.t.Errorf("%d tasks displaced", got)
 	}
 	if b.zoneWrites < 1 || b.zoneWrites > 4 {
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -40,11 +40,11 @@
 
 // simZonePolicy is the default policy for a handful of machines in a zone.
 func simZonePolicy() *zonerecovery.Policy {
-	return &zonerecovery.Policy{SuspectShare: 0.5, DarkShare: 0.8, DarkAfter: 4 * time.Second, RecoverAfter: 2 * time.Second, MinMachines: 2,
-		HeardShare: 0.25, Retry: 3 * time.Minute, HoldDown: 4 * time.Second, HoldDownMax: 30 * time.Second, HoldDownFactor: 3, Quiet: 10 * time.Minute,
-		ProbeTasks: 2, ProbeMaxRun: 3 * time.Minute, Steps: []float64{0.1, 0.3, 0.6}, StepTime: 3 * time.Second, StepSuccesses: 3,
+	return &zonerecovery.Policy{SuspectShare: 0.5, OutageShare: 0.8, OutageAfter: 4 * time.Second, ClearSuspicionAfter: 2 * time.Second, MinMachines: 2,
+		ReachableShare: 0.25, RetryAfter: 3 * time.Minute, HoldDown: 4 * time.Second, MaxHoldDown: 30 * time.Second, HoldDownFactor: 3, QuietPeriod: 10 * time.Minute,
+		ProbeTasks: 2, MaxProbeRun: 3 * time.Minute, Steps: []float64{0.1, 0.3, 0.6}, MinStepTime: 3 * time.Second, MinStepSuccesses: 3,
 		FailureTolerance: 0.3, SlowStartFactor: 4, StartsPerMachine: 1, FetchesPerMachine: 0.5,
-		ReturnMax: 40 * time.Second, MoveBudget: 1, Patience: time.Minute}
+		MaxRecovery: 40 * time.Second, FailbackBudget: 1, ForceFailbackAfter: time.Minute}
 }
 
 // watchZones turns the subsystem on from the next leader on, which is put in place.
@@ -102,10 +102,10 @@
 	stats := s.core.zones.manager.Stats()
 	before := s.zones.seen[s.core]
 	s.zones.seen[s.core] = stats
-	s.zones.displaced += stats.Displaced - before.Displaced
-	s.zones.bounceCount += stats.Bounces - before.Bounces
-	s.zones.forced += stats.Forced - before.Forced
-	s.zones.bounces = max(s.zones.bounces, stats.WorstBounces)
+	s.zones.displaced += stats.DisplacedTasks - before.DisplacedTasks
+	s.zones.bounceCount += stats.Failbacks - before.Failbacks
+	s.zones.forced += stats.ForcedFailbacks - before.ForcedFailbacks
+	s.zones.bounces = max(s.zones.bounces, stats.MaxFailbacksPerJob)
 }
 
 // noteCondition keeps the order of conditions that a zone went through.
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -116,8 +116,8 @@
 			fmt.Fprintf(b, " zone-%s=%s/%d/%s", st.Zone, st.Condition, st.Step, st.Override)
 		}
 	}
-	if stats := g.manager.Stats(); stats.Displaced > 0 {
-		fmt.Fprintf(b, " displaced=%d bounced=%d forced=%d", stats.Displaced, stats.Bounces, stats.Forced)
+	if stats := g.manager.Stats(); stats.DisplacedTasks > 0 {
+		fmt.Fprintf(b, " displaced=%d bounced=%d forced=%d", stats.DisplacedTasks, stats.Failbacks, stats.ForcedFailbacks)
 	}
 }
 
@@ -146,24 +146,24 @@
 	if g.manager.Observe(g.core.moment(), zonerecovery.Observation{Zones: g.evidence(), Connectivity: view}) {
 		g.core.schedulingDue = true
 	}
-	g.core.decisions.ZoneEvents = append(g.core.decisions.ZoneEvents, g.manager.TakeEvents()...)
+	g.core.decisions.ZoneEvents = append(g.core.decisions.ZoneEvents, g.manager.TakeTransitions()...)
 }
 
 // evidence counts the machines of each zone.
-func (g *zoneGate) evidence() map[ids.Zone]zonerecovery.Evidence {
-	out := map[ids.Zone]zonerecovery.Evidence{}
+func (g *zoneGate) evidence() map[ids.Zone]zonerecovery.ZoneHealth {
+	out := map[ids.Zone]zonerecovery.ZoneHealth{}
 	for _, m := range g.core.registry.machineList {
 		if m.Zone == "" || m.returning || !m.reported && len(m.tasks) == 0 {
 			continue
 		}
 		e := out[m.Zone]
-		e.Known++
+		e.Machines++
 		silent := g.core.health.silentFor(m, g.core.health.reportOverdue())
 		switch {
 		case silent:
-			e.Silent++
+			e.Unreachable++
 		case m.reported:
-			e.Heard++
+			e.Reachable++
 		}
 		if m.listedStatus == wire.MachineFailed {
 			e.Failed++
@@ -180,15 +180,15 @@
 // startOf describes a task that looks for a place on a machine. What only the ramp asks for
 // is left out unless the zone returns.
 func (g *zoneGate) startOf(j *job, index int, m *machine) *zonerecovery.StartRequest {
-	s := &zonerecovery.StartRequest{Task: ids.TaskRef{Job: j.id, Index: index}, Critical: g.critical(j), Bound: j.spec.Zone != ""}
+	s := &zonerecovery.StartRequest{Task: ids.TaskRef{Job: j.id, Index: index}, Critical: g.critical(j), ZonePinned: j.spec.Zone != ""}
 	if !g.unproven(m.Zone) {
 		return s
 	}
 	cached := m.images[j.spec.Image]
 	// What the machine held before the zone was lost may be gone.
-	s.Fetch = cached == nil || cached.usedAt < g.manager.ColdSince(m.Zone)
-	s.Sharing = s.Fetch && m.fetchesAnother(j.spec.Image)
-	s.Small, s.Machine, s.Image = g.small(j), m.host, j.spec.Image
+	s.NeedsFetch = cached == nil || cached.usedAt < g.manager.CachesLostAt(m.Zone)
+	s.MachineFetching = s.NeedsFetch && m.fetchesAnother(j.spec.Image)
+	s.ProbeEligible, s.Machine, s.Image = g.small(j), m.host, j.spec.Image
 	return s
 }
 
@@ -243,7 +243,7 @@
 		sh.image = j.spec.Image
 		sh.gate = gateClass{evaluated: true, critical: g.critical(j), small: g.small(j)}
 	}
-	return !g.manager.Restricted(j.id)
+	return !g.manager.FailbackDenied(j.id)
 }
 
 // gateClass is what the gate looks at of a job, beside its image.
--- a/scheduler/zone_gate_test.go
+++ b/scheduler/zone_gate_test.go
@@ -23,7 +23,7 @@
 			s.zones.cutUntil = map[ids.Zone]monotonic.Instant{}
 			s.toTheEnd(all, 20*time.Minute)
 			s.checkOrphans(all)
-			if s.zones.bounces > s.opt.ZoneRecovery.MoveBudget {
+			if s.zones.bounces > s.opt.ZoneRecovery.FailbackBudget {
 				t.Errorf("a job came back %d times to a zone that displaced it", s.zones.bounces)
 			}
 		})
@@ -211,8 +211,8 @@
 	down, moved := 0, 0
 	for end := m.now.Add(2 * time.Minute); m.now < end; m.run(100 * time.Millisecond) {
 		down = max(down, len(m.core.jobs[id].tasks)-len(m.core.jobs[id].active))
-		for _, incident := range m.core.zones.manager.Incidents("b") {
-			moved = incident.Restored
+		for _, incident := range m.statusOf("b").Incidents {
+			moved = incident.RestoredReplicas
 		}
 	}
 	if before == 0 || moved == 0 {
@@ -221,7 +221,7 @@
 	if down > 1 {
 		t.Errorf("%d replicas were down at once", down)
 	}
-	if entry := m.statusOf("b").Incidents; entry[len(entry)-1].Restored > 2*4 {
+	if entry := m.statusOf("b").Incidents; entry[len(entry)-1].RestoredReplicas > 2*4 {
 		t.Errorf("%+v: more than two replicas of a service", entry[len(entry)-1])
 	}
 	if stopped := m.core.lostWork[stopDrained].tasks; stopped > 0 {
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -32,10 +32,10 @@
 	if held[1] < 2*held[0] || held[2] < 2*held[1] {
 		t.Errorf("held down for %v", held)
 	}
-	if held[2] > m.opt.ZoneRecovery.HoldDownMax+5*s1 {
+	if held[2] > m.opt.ZoneRecovery.MaxHoldDown+5*s1 {
 		t.Errorf("held down for %v, more than the longest", held[2])
 	}
-	if got := m.statusOf("b").Flaps; got != 3 {
+	if got := m.statusOf("b").Outages; got != 3 {
 		t.Errorf("%d flaps counted", got)
 	}
 	if m.zones.displaced == 0 || m.zones.bounceCount == 0 {
@@ -58,8 +58,8 @@
 	m.cutZone("b", 40*s1)
 	m.await("b", zonerecovery.Outage, 30*s1)
 	m.await("b", zonerecovery.Recovering, 90*s1)
-	if st := m.statusOf("b"); st.Step != 0 || st.Flaps != 2 {
-		t.Errorf("the second return began at step %d with %d flaps", st.Step, st.Flaps)
+	if st := m.statusOf("b"); st.Step != 0 || st.Outages != 2 {
+		t.Errorf("the second return began at step %d with %d flaps", st.Step, st.Outages)
 	}
 	m.endOfDay()
 }
@@ -119,7 +119,7 @@
 				change(m)
 				m.run(100 * time.Millisecond)
 				after := m.statusOf("b")
-				if after.Flaps != before.Flaps || after.DisplacedIDs < before.DisplacedIDs {
+				if after.Outages != before.Outages || after.DisplacedJobs < before.DisplacedJobs {
 					t.Errorf("before %+v\nafter %+v", before, after)
 				}
 				if before.Condition == zonerecovery.Outage && after.Condition == zonerecovery.Serving || after.Step > before.Step+1 {
@@ -144,7 +144,7 @@
 	m.jobs(4, array)
 	for m.now < m.outage {
 		m.run(s1)
-		if got := m.core.zones.manager.Stats().Bounces; got != 0 {
+		if got := m.core.zones.manager.Stats().Failbacks; got != 0 {
 			t.Fatalf("%d jobs came back although nothing could be recorded", got)
 		}
 	}
@@ -178,8 +178,8 @@
 		if c := m.condition("b"); c != zonerecovery.Outage {
 			t.Fatalf("late reports made the zone %s", c)
 		}
-		if st := m.statusOf("b"); st.Heard != 0 {
-			t.Fatalf("%d machines count as heard", st.Heard)
+		if st := m.statusOf("b"); st.Reachable != 0 {
+			t.Fatalf("%d machines count as heard", st.Reachable)
 		}
 	}
 	m.endOfDay()
@@ -239,7 +239,7 @@
 	}
 	m.zones.isolatedView = false
 	m.await("a", zonerecovery.Serving, 30*s1)
-	if got := m.statusOf("a").Flaps; got != 0 {
+	if got := m.statusOf("a").Outages; got != 0 {
 		t.Errorf("%d flaps counted", got)
 	}
 	m.endOfDay()
@@ -260,7 +260,7 @@
 		m.await("b", zonerecovery.Serving, 3*time.Minute)
 	}
 	j := m.core.jobs[m.all[len(m.all)-1]]
-	if len(j.pending) == 0 || !m.core.zones.manager.Restricted(j.id) {
+	if len(j.pending) == 0 || !m.core.zones.manager.FailbackDenied(j.id) {
 		t.Fatal("the day does not restrict the job")
 	}
 	id := m.submitJob(free)
@@ -284,7 +284,7 @@
 	m.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
 	m.run(m.zones.cutUntil["b"].Sub(m.now))
 	m.await("b", zonerecovery.Recovering, 30*s1)
-	m.await("b", zonerecovery.Serving, m.opt.ZoneRecovery.ReturnMax+10*s1)
+	m.await("b", zonerecovery.Serving, m.opt.ZoneRecovery.MaxRecovery+10*s1)
 	if waiting := len(m.core.records.dirty); waiting == 0 {
 		t.Error("no record waits for the write rate: the day shows nothing")
 	}
--- a/scheduler/zone_restore.go
+++ b/scheduler/zone_restore.go
@@ -47,7 +47,7 @@
 
 // servicePlacement counts a service's running replicas by zone.
 func servicePlacement(j *job) zonerecovery.ServicePlacement {
-	s := zonerecovery.ServicePlacement{Job: j.id, Wanted: len(j.tasks), Running: map[ids.Zone]int{}}
+	s := zonerecovery.ServicePlacement{Job: j.id, Replicas: len(j.tasks), Running: map[ids.Zone]int{}}
 	for _, a := range tasksByIndex(j.active) {
 		if a.phase == wire.TaskRunning && a.stopReason == stopNone {
 			s.Running[a.machine.Zone]++
--- a/zonerecovery/evidence.go
+++ b/zonerecovery/evidence.go
@@ -6,17 +6,17 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Evidence is what the leader knows of one zone's machines at a moment. It counts distinct
+// ZoneHealth is what the leader knows of one zone's machines at a moment. It counts distinct
 // machines, never reports.
-type Evidence struct {
-	// Known are the machines that reported to this leader or hold tasks by the records,
+type ZoneHealth struct {
+	// Machines are the machines that reported to this leader or hold tasks by the records,
 	// and were not returned.
-	Known int
-	// Heard are those that reported lately.
-	Heard int
-	// Silent are those that were not heard for longer than a report may take. A machine
+	Machines int
+	// Reachable are those that reported lately.
+	Reachable int
+	// Unreachable are those that were not heard for longer than a report may take. A machine
 	// that a new leader has yet to hear from is neither heard nor silent for a while.
-	Silent int
+	Unreachable int
 	// TaskFailed are those that the cloud lists as failed.
 	Failed int
 	// CapacityRefused tells that the cloud lately refused every kind of machine there.
@@ -24,11 +24,11 @@
 }
 
 // lost is how many machines are of no use.
-func (e Evidence) lost() int { return min(e.Known, max(e.Silent, e.Failed)) }
+func (e ZoneHealth) lost() int { return min(e.Machines, max(e.Unreachable, e.Failed)) }
 
 // String is the evidence in an operator's words.
-func (e Evidence) String() string {
-	text := fmt.Sprintf("%d of %d machines heard, %d silent", e.Heard, e.Known, e.Silent)
+func (e ZoneHealth) String() string {
+	text := fmt.Sprintf("%d of %d machines heard, %d silent", e.Reachable, e.Machines, e.Unreachable)
 	if e.Failed > 0 {
 		text += fmt.Sprintf(", %d listed as failed", e.Failed)
 	}
@@ -58,7 +58,7 @@
 
 // Observation is the evidence of all zones at a moment.
 type Observation struct {
-	Zones        map[ids.Zone]Evidence
+	Zones        map[ids.Zone]ZoneHealth
 	Connectivity Connectivity
 }
 
@@ -67,7 +67,7 @@
 // need seconds to find another.
 func (o *Observation) someZoneHeard(p *Policy) bool {
 	for _, e := range o.Zones {
-		if e.Heard >= p.MinMachines && float64(e.lost()) < p.SuspectShare/2*float64(e.Known) {
+		if e.Reachable >= p.MinMachines && float64(e.lost()) < p.SuspectShare/2*float64(e.Machines) {
 			return true
 		}
 	}
--- a/zonerecovery/gate.go
+++ b/zonerecovery/gate.go
@@ -5,45 +5,45 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// Denial is why a task may not start in a zone now.
-type Denial uint8
+// Admission is why a task may not start in a zone now.
+type Admission uint8
 
 // The reasons for a denial.
 const (
-	Admitted Denial = iota
-	DeniedHeld
+	Admitted Admission = iota
+	DeniedByOperator
 	DeniedSuspect
 	DeniedOutage
 	DeniedUnrecorded
 	DeniedWindow
-	DeniedProbe
-	DeniedStarts
-	DeniedFetches
-	DeniedBudget
+	DeniedProbeOnly
+	DeniedStartLimit
+	DeniedFetchLimit
+	DeniedFailbackBudget
 )
 
 var denialNames = []string{
-	Admitted: "admitted", DeniedHeld: "held by an operator", DeniedSuspect: "suspect", DeniedOutage: "dark",
-	DeniedUnrecorded: "the return is not recorded yet", DeniedWindow: "a window for critical work", DeniedProbe: "only probes",
-	DeniedStarts: "starts under way", DeniedFetches: "fetches under way", DeniedBudget: "came back before",
+	Admitted: "admitted", DeniedByOperator: "held by an operator", DeniedSuspect: "suspect", DeniedOutage: "dark",
+	DeniedUnrecorded: "the return is not recorded yet", DeniedWindow: "a window for critical work", DeniedProbeOnly: "only probes",
+	DeniedStartLimit: "starts under way", DeniedFetchLimit: "fetches under way", DeniedFailbackBudget: "came back before",
 }
 
 // String is the reason in words.
-func (d Denial) String() string { return nameOf(denialNames, "denial", d) }
+func (d Admission) String() string { return nameOf(denialNames, "denial", d) }
 
 // admit tells whether a task may start in the zone now.
-func (z *zone) admit(s *StartRequest) Denial {
+func (z *zone) admit(s *StartRequest) Admission {
 	switch {
 	case z.override.Kind == OverrideHold:
-		return DeniedHeld
+		return DeniedByOperator
 	case z.condition == Suspect:
 		return DeniedSuspect
 	case z.condition == Outage:
 		return DeniedOutage
 	case !z.record.allows(z.condition):
 		return DeniedUnrecorded
-	case !z.mayForce(s) && z.displaced.exhausted(s.Task.Job, z.policy.MoveBudget):
-		return DeniedBudget
+	case !z.mayForce(s) && z.displaced.exhausted(s.Task.Job, z.policy.FailbackBudget):
+		return DeniedFailbackBudget
 	case z.condition == Serving || s.Critical:
 		return Admitted
 	}
@@ -52,19 +52,19 @@
 
 // admitReturning tells whether a task that is not critical may start in a zone that
 // returns.
-func (z *zone) admitReturning(s *StartRequest) Denial {
+func (z *zone) admitReturning(s *StartRequest) Admission {
 	step := z.record.allowedStep(z.ramp.step)
 	switch {
 	case z.window != nil:
 		return DeniedWindow
-	case step == 0 && !s.Small && !z.ramp.relaxed:
-		return DeniedProbe
-	case z.starts.returning >= z.policy.startLimit(step, z.evidence.Heard):
-		return DeniedStarts
-	case !s.Fetch || z.starts.fetches[fetchKey{s.Machine, s.Image}] > 0:
+	case step == 0 && !s.ProbeEligible && !z.ramp.relaxed:
+		return DeniedProbeOnly
+	case z.starts.returning >= z.policy.startLimit(step, z.evidence.Reachable):
+		return DeniedStartLimit
+	case !s.NeedsFetch || z.starts.fetches[fetchKey{s.Machine, s.Image}] > 0:
 		return Admitted
-	case s.Sharing || len(z.starts.fetches) >= z.policy.fetchLimit(step, z.evidence.Heard):
-		return DeniedFetches
+	case s.MachineFetching || len(z.starts.fetches) >= z.policy.fetchLimit(step, z.evidence.Reachable):
+		return DeniedFetchLimit
 	}
 	return Admitted
 }
@@ -72,11 +72,13 @@
 // mayForce tells whether a job's earlier moves do not count any more: it may go nowhere else,
 // or has waited for long since it was displaced.
 func (z *zone) mayForce(s *StartRequest) bool {
-	return s.Bound || z.now >= z.displaced.patientUntil(s.Task.Job, z.policy.Patience)
+	return s.ZonePinned || z.now >= z.displaced.patientUntil(s.Task.Job, z.policy.ForceFailbackAfter)
 }
 
 // byRamp tells whether the ramp alone turned a task away: it may come with a later step.
-func (d Denial) byRamp() bool { return d == DeniedProbe || d == DeniedStarts || d == DeniedFetches }
+func (d Admission) byRamp() bool {
+	return d == DeniedProbeOnly || d == DeniedStartLimit || d == DeniedFetchLimit
+}
 
 // started notes that a task was placed in the zone.
 func (z *zone) started(s *StartRequest, now monotonic.Instant) (bounced, forced bool) {
@@ -85,7 +87,7 @@
 	if ramped && !s.Critical {
 		z.ramp.started++
 	}
-	if bounced, forced = z.displaced.comeBack(s.Task.Job, z.policy.MoveBudget, z.mayForce(s)); bounced {
+	if bounced, forced = z.displaced.comeBack(s.Task.Job, z.policy.FailbackBudget, z.mayForce(s)); bounced {
 		z.record.lazy = true
 	}
 	return bounced, forced
--- a/zonerecovery/golden_test.go
+++ b/zonerecovery/golden_test.go
@@ -12,17 +12,17 @@
 )
 
 func goldenIncident() Incident {
-	return Incident{BeganMS: 1764640000001, ServedMS: 1764640000002, Spells: 3, DarkMS: 4004, ReturnMS: 5005, Setbacks: 6,
-		Tasks: 7, Jobs: 8, Bounces: 9, Forced: 10, Restored: 11, Machines: 12}
+	return Incident{BeganMS: 1764640000001, ServingSinceMS: 1764640000002, Outages: 3, OutageMS: 4004, RecoveryMS: 5005, Setbacks: 6,
+		DisplacedTasks: 7, DisplacedJobs: 8, Failbacks: 9, ForcedFailbacks: 10, RestoredReplicas: 11, Machines: 12}
 }
 
 // The record of a zone keeps its bytes in the key-value store.
 func TestZoneRecordsKeepTheirBytes(t *testing.T) {
 	codec := golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
 	golden.Check(t, "records.json", codec, []golden.Case{
-		{Name: "zone", Value: Record{Nonce: 1<<63 + 5, Condition: uint8(Recovering), SinceMS: 1764640000003, BeganMS: 1764640000004,
-			Step: 2, Flaps: 3, Spell: 4, Machines: 231, Jobs: []ids.JobID{"job-1", "job-2"}, Counts: []int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10},
-			Omitted: 5, Incidents: []Incident{goldenIncident()}, Override: uint8(OverrideHold), OverrideReason: "power work",
+		{Name: "zone", Value: Record{Nonce: 1<<63 + 5, Condition: uint8(Recovering), SinceMS: 1764640000003, RecoveryBeganMS: 1764640000004,
+			Step: 2, Outages: 3, OutageNumber: 4, MachinesBefore: 231, DisplacedJobs: []ids.JobID{"job-1", "job-2"}, JobCounters: []int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10},
+			OmittedJobs: 5, Incidents: []Incident{goldenIncident()}, Override: uint8(OverrideHold), OverrideReason: "power work",
 			OverrideUntilMS: 1764640000005}},
 		{Name: "zone that serves", Value: Record{Nonce: 9, SinceMS: 8}, Partial: true},
 	})
@@ -31,8 +31,8 @@
 // What operators are told of a zone keeps its bytes between controllers and as JSON.
 func TestZoneStatusKeepsItsBytes(t *testing.T) {
 	cases := []golden.Case{{Name: "zone status", Value: Status{Zone: "zone-a", Condition: Outage, SinceMS: 1764640000006, Reason: "silent",
-		Known: 31, Heard: 32, Flaps: 33, Step: 34, Steps: 35, Starts: 36, StartLimit: 37, Fetches: 38, FetchLimit: 39, DisplacedIDs: 40,
-		Holding: "all new work", UntilMS: 1764640000007, Override: OverrideRelease, Recorded: true, StartP90MS: 4100, UsualP90MS: 4200,
+		Machines: 31, Reachable: 32, Outages: 33, Step: 34, Steps: 35, StartsInFlight: 36, StartLimit: 37, FetchesInFlight: 38, FetchLimit: 39, DisplacedJobs: 40,
+		Restriction: "all new work", RestrictedUntilMS: 1764640000007, Override: OverrideRelease, Recorded: true, StartP90MS: 4100, BaselineP90MS: 4200,
 		Incidents: []Incident{goldenIncident()}}}}
 	golden.Check(t, "status-cbor.json", golden.Codec{Encode: cbor.Marshal, Decode: cbor.Unmarshal}, cases)
 	golden.Check(t, "status-json.json", golden.Codec{Encode: json.Marshal, Decode: json.Unmarshal}, cases)
--- a/zonerecovery/incident.go
+++ b/zonerecovery/incident.go
@@ -3,33 +3,32 @@
 import (
 	"time"
 
-	"ospreystile.example/ospreystile/ids"
 )
 
 // Incident is what happened to a zone from the first time that it got dark until it had
 // served for long enough. Those that are over are kept, so that operators who were not
 // there can see them.
 type Incident struct {
-	// BeganMS is when the zone got dark, ServedMS when it last served again, 0 if it does
+	// RecoveryBeganMS is when the zone got dark, ServingSinceMS when it last served again, 0 if it does
 	// not yet.
-	BeganMS  int64 `msgpack:"b" cbor:"1,keyasint" json:"began_ms"`
-	ServedMS int64 `msgpack:"e,omitempty" cbor:"2,keyasint" json:"served_ms"`
-	// Spells counts the times that it got dark, DarkMS how long it was so all together, and
-	// ReturnMS how long its returns took.
-	Spells   int   `msgpack:"s" cbor:"3,keyasint" json:"spells"`
-	DarkMS   int64 `msgpack:"d,omitempty" cbor:"4,keyasint" json:"dark_ms"`
-	ReturnMS int64 `msgpack:"r,omitempty" cbor:"5,keyasint" json:"return_ms"`
+	BeganMS        int64 `msgpack:"b" cbor:"1,keyasint" json:"began_ms"`
+	ServingSinceMS int64 `msgpack:"e,omitempty" cbor:"2,keyasint" json:"served_ms"`
+	// Outages counts the times that it got dark, OutageMS how long it was so all together, and
+	// RecoveryMS how long its returns took.
+	Outages    int   `msgpack:"s" cbor:"3,keyasint" json:"spells"`
+	OutageMS   int64 `msgpack:"d,omitempty" cbor:"4,keyasint" json:"dark_ms"`
+	RecoveryMS int64 `msgpack:"r,omitempty" cbor:"5,keyasint" json:"return_ms"`
 	// Setbacks counts the steps that were taken back.
 	Setbacks int `msgpack:"k,omitempty" cbor:"6,keyasint" json:"setbacks"`
-	// Tasks were lost with the zone, of so many Jobs. Bounces counts the jobs that came
+	// DisplacedTasks were lost with the zone, of so many Jobs. Bounces counts the jobs that came
 	// back, Forced those beyond their budget, and Restored the replicas that were moved
 	// back.
-	Tasks    int `msgpack:"t,omitempty" cbor:"7,keyasint" json:"displaced_tasks"`
-	Jobs     int `msgpack:"j,omitempty" cbor:"8,keyasint" json:"displaced_jobs"`
-	Bounces  int `msgpack:"o,omitempty" cbor:"9,keyasint" json:"bounces"`
-	Forced   int `msgpack:"f,omitempty" cbor:"10,keyasint" json:"forced"`
-	Restored int `msgpack:"m,omitempty" cbor:"11,keyasint" json:"restored"`
-	// Machines is how many the zone had when it got dark.
+	DisplacedTasks   int `msgpack:"t,omitempty" cbor:"7,keyasint" json:"displaced_tasks"`
+	DisplacedJobs    int `msgpack:"j,omitempty" cbor:"8,keyasint" json:"displaced_jobs"`
+	Failbacks        int `msgpack:"o,omitempty" cbor:"9,keyasint" json:"bounces"`
+	ForcedFailbacks  int `msgpack:"f,omitempty" cbor:"10,keyasint" json:"forced"`
+	RestoredReplicas int `msgpack:"m,omitempty" cbor:"11,keyasint" json:"restored"`
+	// MachinesBefore is how many the zone had when it got dark.
 	Machines int `msgpack:"n,omitempty" cbor:"12,keyasint" json:"machines"`
 }
 
@@ -47,8 +46,8 @@
 	if l.present == nil {
 		l.present = &Incident{BeganMS: at.Wall.UnixMilli(), Machines: machines}
 	}
-	l.present.Spells++
-	l.present.ServedMS = 0
+	l.present.Outages++
+	l.present.ServingSinceMS = 0
 }
 
 // leave adds the time that the zone had a condition, once it has another.
@@ -58,16 +57,16 @@
 	}
 	switch c {
 	case Outage:
-		l.present.DarkMS += took.Milliseconds()
+		l.present.OutageMS += took.Milliseconds()
 	case Recovering:
-		l.present.ReturnMS += took.Milliseconds()
+		l.present.RecoveryMS += took.Milliseconds()
 	}
 }
 
 // serve notes that the zone serves again.
 func (l *incidentLog) serve(at ClockReading) {
 	if l.present != nil {
-		l.present.ServedMS = at.Wall.UnixMilli()
+		l.present.ServingSinceMS = at.Wall.UnixMilli()
 	}
 }
 
@@ -106,11 +105,3 @@
 		l.present, l.history = &last, l.history[:len(l.history)-1]
 	}
 }
-
-// Incidents lists the incidents of a zone, the newest last.
-func (m *Manager) Incidents(name ids.Zone) []Incident {
-	if z := m.zones[name]; z != nil {
-		return z.incidents.all()
-	}
-	return nil
-}
--- a/zonerecovery/manager.go
+++ b/zonerecovery/manager.go
@@ -24,12 +24,12 @@
 type Stats struct {
 	// TaskDisplaced counts tasks that were lost with a dark zone, and Bounces the jobs that
 	// came back to a zone which displaced them.
-	Displaced, Bounces int
-	// Forced counts the bounces beyond the budget, of jobs that had waited for so long that
+	DisplacedTasks, Failbacks int
+	// ForcedFailbacks counts the bounces beyond the budget, of jobs that had waited for so long that
 	// it no longer counted.
-	Forced int
-	// WorstBounces is how often the job that came back most often did so in one incident.
-	WorstBounces int
+	ForcedFailbacks int
+	// MaxFailbacksPerJob is how often the job that came back most often did so in one incident.
+	MaxFailbacksPerJob int
 }
 
 // NewManager makes a manager that knows no zone yet.
@@ -77,7 +77,7 @@
 }
 
 // Admit tells whether a task may start in a zone now.
-func (m *Manager) Admit(name ids.Zone, s *StartRequest) Denial {
+func (m *Manager) Admit(name ids.Zone, s *StartRequest) Admission {
 	z := m.zones[name]
 	if z == nil {
 		return Admitted
@@ -95,12 +95,12 @@
 	bounced, forced := z.started(s, now)
 	switch {
 	case forced:
-		m.stats.Forced++
-		z.incidents.count(func(i *Incident) { i.Forced++ })
+		m.stats.ForcedFailbacks++
+		z.incidents.count(func(i *Incident) { i.ForcedFailbacks++ })
 	case bounced:
-		m.stats.Bounces++
-		z.incidents.count(func(i *Incident) { i.Bounces++ })
-		m.stats.WorstBounces = max(m.stats.WorstBounces, z.displaced.worst())
+		m.stats.Failbacks++
+		z.incidents.count(func(i *Incident) { i.Failbacks++ })
+		m.stats.MaxFailbacksPerJob = max(m.stats.MaxFailbacksPerJob, z.displaced.worst())
 	}
 }
 
@@ -143,11 +143,11 @@
 	if z == nil || z.condition == Serving {
 		return
 	}
-	m.stats.Displaced++
-	z.incidents.count(func(i *Incident) { i.Tasks++ })
+	m.stats.DisplacedTasks++
+	z.incidents.count(func(i *Incident) { i.DisplacedTasks++ })
 	if z.displaced.lose(job, z.now) {
 		z.record.lazy = true
-		z.incidents.count(func(i *Incident) { i.Jobs = len(z.displaced.jobs) })
+		z.incidents.count(func(i *Incident) { i.DisplacedJobs = len(z.displaced.jobs) })
 	}
 }
 
@@ -210,9 +210,9 @@
 	return 0, false
 }
 
-// ColdSince is when a zone that returns was lost: what its machines held before that may be
+// CachesLostAt is when a zone that returns was lost: what its machines held before that may be
 // gone. It is 0 for other zones.
-func (m *Manager) ColdSince(name ids.Zone) monotonic.Instant {
+func (m *Manager) CachesLostAt(name ids.Zone) monotonic.Instant {
 	if z := m.zones[name]; z != nil && z.condition == Recovering {
 		return z.darkAt
 	}
@@ -220,7 +220,7 @@
 }
 
 // ProbeRunLimit is how long a task that proves a zone is expected to run at most.
-func (m *Manager) ProbeRunLimit() time.Duration { return m.policy.ProbeMaxRun }
+func (m *Manager) ProbeRunLimit() time.Duration { return m.policy.MaxProbeRun }
 
 // Stats tells what the subsystem did so far.
 func (m *Manager) Stats() Stats { return m.stats }
@@ -245,9 +245,9 @@
 	return 0
 }
 
-// TakeEvents hands out the changes of conditions since the last call.
-func (m *Manager) TakeEvents() []Event {
-	var out []Event
+// TakeTransitions hands out the changes of conditions since the last call.
+func (m *Manager) TakeTransitions() []Transition {
+	var out []Transition
 	for _, name := range m.sortedZones() {
 		z := m.zones[name]
 		out = append(out, z.events...)
@@ -256,11 +256,11 @@
 	return out
 }
 
-// Restricted tells whether some zone is closed to a job for its earlier moves: what it may
+// FailbackDenied tells whether some zone is closed to a job for its earlier moves: what it may
 // do differs from what others like it may.
-func (m *Manager) Restricted(job ids.JobID) bool {
+func (m *Manager) FailbackDenied(job ids.JobID) bool {
 	for _, z := range m.zones {
-		if z.displaced.exhausted(job, m.policy.MoveBudget) && z.now < z.displaced.patientUntil(job, m.policy.Patience) {
+		if z.displaced.exhausted(job, m.policy.FailbackBudget) && z.now < z.displaced.patientUntil(job, m.policy.ForceFailbackAfter) {
 			return true
 		}
 	}
--- a/zonerecovery/manager_test.go
+++ b/zonerecovery/manager_test.go
@@ -21,10 +21,10 @@
 }
 
 func testPolicy() *Policy {
-	return &Policy{SuspectShare: 0.5, DarkShare: 0.8, DarkAfter: 6 * time.Second, RecoverAfter: 2 * time.Second, MinMachines: 4, HeardShare: 0.25,
-		Retry: 3 * time.Minute, HoldDown: 4 * time.Second, HoldDownFactor: 3, HoldDownMax: 30 * time.Second, Quiet: 10 * time.Minute,
-		ProbeTasks: 2, ProbeMaxRun: time.Minute, Steps: []float64{0.2, 0.5}, StepTime: 4 * time.Second, StepSuccesses: 3,
-		FailureTolerance: 0.25, SlowStartFactor: 4, StartsPerMachine: 1, FetchesPerMachine: 0.3, ReturnMax: 45 * time.Second, MoveBudget: 1, Patience: time.Minute}
+	return &Policy{SuspectShare: 0.5, OutageShare: 0.8, OutageAfter: 6 * time.Second, ClearSuspicionAfter: 2 * time.Second, MinMachines: 4, ReachableShare: 0.25,
+		RetryAfter: 3 * time.Minute, HoldDown: 4 * time.Second, HoldDownFactor: 3, MaxHoldDown: 30 * time.Second, QuietPeriod: 10 * time.Minute,
+		ProbeTasks: 2, MaxProbeRun: time.Minute, Steps: []float64{0.2, 0.5}, MinStepTime: 4 * time.Second, MinStepSuccesses: 3,
+		FailureTolerance: 0.25, SlowStartFactor: 4, StartsPerMachine: 1, FetchesPerMachine: 0.3, MaxRecovery: 45 * time.Second, FailbackBudget: 1, ForceFailbackAfter: time.Minute}
 }
 
 func newBench(t *testing.T) *bench {
@@ -37,7 +37,7 @@
 	for end := b.at.Now.Add(d); b.at.Now < end; {
 		b.at = ClockReading{b.at.Now.Add(200 * time.Millisecond), b.at.Wall.Add(200 * time.Millisecond)}
 		b.m.Observe(b.at, Observation{
-			Zones:        map[ids.Zone]Evidence{"z": {Known: 10, Heard: heard, Silent: 10 - heard}, "other": {Known: 10, Heard: 10}},
+			Zones:        map[ids.Zone]ZoneHealth{"z": {Machines: 10, Reachable: heard, Unreachable: 10 - heard}, "other": {Machines: 10, Reachable: 10}},
 			Connectivity: Connectivity{LeaseConfirmed: true, PeersReachable: 2, Peers: 2},
 		})
 		b.write()
@@ -63,7 +63,7 @@
 }
 
 // start places a task of a job if the gate admits it.
-func (b *bench) start(s StartRequest) (ids.TaskRef, Denial) {
+func (b *bench) start(s StartRequest) (ids.TaskRef, Admission) {
 	b.tasks++
 	s.Task = ids.TaskRef{Job: s.Task.Job, Index: b.tasks}
 	if s.Machine == "" {
@@ -127,8 +127,8 @@
 	}{{5, Serving}, {10, Suspect}} {
 		for range 20 {
 			b.at = ClockReading{b.at.Now.Add(200 * time.Millisecond), b.at.Wall.Add(200 * time.Millisecond)}
-			b.m.Observe(b.at, Observation{Connectivity: Connectivity{LeaseConfirmed: true}, Zones: map[ids.Zone]Evidence{
-				"z": {Known: 10, Heard: 5, Silent: 5}, "other": {Known: 10, Heard: c.others, Silent: 10 - c.others}}})
+			b.m.Observe(b.at, Observation{Connectivity: Connectivity{LeaseConfirmed: true}, Zones: map[ids.Zone]ZoneHealth{
+				"z": {Machines: 10, Reachable: 5, Unreachable: 5}, "other": {Machines: 10, Reachable: c.others, Unreachable: 10 - c.others}}})
 		}
 		if got := b.m.Condition("z"); got != c.want {
 			t.Errorf("%s while %d of ten are heard elsewhere, want %s", got, c.others, c.want)
@@ -142,8 +142,8 @@
 	b.pass(time.Second, 10)
 	for _, resumed := range []bool{true, false} {
 		b.at.Now = b.at.Now.Add(20 * time.Second)
-		b.m.Observe(b.at, Observation{Connectivity: Connectivity{LeaseConfirmed: true, ProcessResumed: resumed}, Zones: map[ids.Zone]Evidence{
-			"z": {Known: 10, Silent: 10}, "other": {Known: 10, Heard: 10}}})
+		b.m.Observe(b.at, Observation{Connectivity: Connectivity{LeaseConfirmed: true, ProcessResumed: resumed}, Zones: map[ids.Zone]ZoneHealth{
+			"z": {Machines: 10, Unreachable: 10}, "other": {Machines: 10, Reachable: 10}}})
 		if got, want := b.m.Condition("z"), map[bool]Condition{true: Serving, false: Suspect}[resumed]; got != want {
 			t.Errorf("resumed %v: %s", resumed, got)
 		}
--- a/zonerecovery/override.go
+++ b/zonerecovery/override.go
@@ -37,7 +37,7 @@
 type Override struct {
 	Kind   OverrideKind
 	Reason string
-	// UntilMS is the time of day when a hold is over; 0: when it is lifted.
+	// RestrictedUntilMS is the time of day when a hold is over; 0: when it is lifted.
 	UntilMS int64
 }
 
@@ -46,7 +46,7 @@
 func (z *zone) apply(o Override, at ClockReading) {
 	z.override = o
 	z.record.dirty = true
-	z.events = append(z.events, Event{Zone: z.name, From: z.condition, To: z.condition, Step: z.ramp.step, Reason: "operator: " + o.Kind.String() + " " + o.Reason})
+	z.events = append(z.events, Transition{Zone: z.name, From: z.condition, To: z.condition, Step: z.ramp.step, Reason: "operator: " + o.Kind.String() + " " + o.Reason})
 	if o.Kind != OverrideRelease {
 		return
 	}
@@ -67,8 +67,8 @@
 	}
 }
 
-// Event is a change of a zone's condition, for the log.
-type Event struct {
+// Transition is a change of a zone's condition, for the log.
+type Transition struct {
 	Zone     ids.Zone
 	From, To Condition
 	Step     int
--- a/zonerecovery/policy.go
+++ b/zonerecovery/policy.go
@@ -9,44 +9,44 @@
 
 // Policy is what the operators' settings come to.
 type Policy struct {
-	// SuspectShare and DarkShare are the parts of a zone's machines whose silence makes it
-	// suspect, and dark once it has been suspect for DarkAfter. MinMachines is how many
+	// SuspectShare and OutageShare are the parts of a zone's machines whose silence makes it
+	// suspect, and dark once it has been suspect for OutageAfter. MinMachines is how many
 	// machines a zone must have for that.
-	SuspectShare, DarkShare float64
-	DarkAfter, RecoverAfter time.Duration
-	MinMachines             int
-	// HeardShare is the part of a dark zone's machines that must be heard for the
+	SuspectShare, OutageShare        float64
+	OutageAfter, ClearSuspicionAfter time.Duration
+	MinMachines                      int
+	// ReachableShare is the part of a dark zone's machines that must be heard for the
 	// hold-down to run, and Retry how long a dark zone without machines waits until a few
 	// are tried there.
-	HeardShare float64
-	Retry      time.Duration
+	ReachableShare float64
+	RetryAfter     time.Duration
 	// HoldDown is the first hold-down; each further time that the zone gets dark within
-	// Quiet multiplies it by HoldDownFactor, up to HoldDownMax.
-	HoldDown, HoldDownMax time.Duration
+	// Quiet multiplies it by HoldDownFactor, up to MaxHoldDown.
+	HoldDown, MaxHoldDown time.Duration
 	HoldDownFactor        float64
-	Quiet                 time.Duration
-	// ProbeTasks is how many small tasks prove a zone at a time, and ProbeMaxRun how long
+	QuietPeriod           time.Duration
+	// ProbeTasks is how many small tasks prove a zone at a time, and MaxProbeRun how long
 	// they are expected to run at most.
 	ProbeTasks  int
-	ProbeMaxRun time.Duration
-	// Steps are the shares of the ramp after the probe. StepTime is how long each lasts at
-	// least, and StepSuccesses how many starts must succeed in it, if there are so many.
-	Steps         []float64
-	StepTime      time.Duration
-	StepSuccesses int
+	MaxProbeRun time.Duration
+	// Steps are the shares of the ramp after the probe. MinStepTime is how long each lasts at
+	// least, and MinStepSuccesses how many starts must succeed in it, if there are so many.
+	Steps            []float64
+	MinStepTime      time.Duration
+	MinStepSuccesses int
 	// FailureTolerance is the part of a step's starts that may fail, and SlowStartFactor
 	// how many times as long as elsewhere starts may take.
 	FailureTolerance, SlowStartFactor float64
 	// StartsPerMachine and FetchesPerMachine are what a full share allows under way at
 	// once, for each machine that is heard.
 	StartsPerMachine, FetchesPerMachine float64
-	// ReturnMax is how long a return takes at most: after it the zone serves, so that
+	// MaxRecovery is how long a return takes at most: after it the zone serves, so that
 	// nothing waits for long beside its room.
-	ReturnMax time.Duration
-	// MoveBudget is how often a job may come back to a zone that it was displaced from in
+	MaxRecovery time.Duration
+	// FailbackBudget is how often a job may come back to a zone that it was displaced from in
 	// one incident. A job that has waited for Patience may come back in any case.
-	MoveBudget int
-	Patience   time.Duration
+	FailbackBudget     int
+	ForceFailbackAfter time.Duration
 	// Restore is how replicas are moved back once the zone serves.
 	Restore RestorePolicy
 	// Windows are the times in which only critical work returns.
@@ -56,7 +56,7 @@
 // holdDown is the hold-down of a zone that has been dark so many times.
 func (p *Policy) holdDown(flaps int) time.Duration {
 	grown := float64(p.HoldDown) * math.Pow(p.HoldDownFactor, float64(max(0, flaps-1)))
-	return time.Duration(min(grown, float64(p.HoldDownMax)))
+	return time.Duration(min(grown, float64(p.MaxHoldDown)))
 }
 
 // shareOf is the share of a step; the probe, step 0, has none.
--- a/zonerecovery/ramp_test.go
+++ b/zonerecovery/ramp_test.go
@@ -12,13 +12,13 @@
 func TestRampGrowsWithSuccess(t *testing.T) {
 	b := newBench(t)
 	b.returning()
-	small := StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true}
-	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-2"}}); denial != DeniedProbe {
+	small := StartRequest{Task: ids.TaskRef{Job: "job-1"}, ProbeEligible: true}
+	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-2"}}); denial != DeniedProbeOnly {
 		t.Errorf("a large task as a probe: %s", denial)
 	}
 	first, _ := b.start(small)
 	second, _ := b.start(small)
-	if _, denial := b.start(small); denial != DeniedStarts {
+	if _, denial := b.start(small); denial != DeniedStartLimit {
 		t.Errorf("a third probe: %s", denial)
 	}
 	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-3"}, Critical: true}); denial != Admitted {
@@ -42,10 +42,10 @@
 	b := newBench(t)
 	b.returning()
 	large := StartRequest{Task: ids.TaskRef{Job: "job-2"}}
-	if _, denial := b.start(large); denial != DeniedProbe {
+	if _, denial := b.start(large); denial != DeniedProbeOnly {
 		t.Errorf("at once: %s", denial)
 	}
-	b.pass(testPolicy().StepTime, 10)
+	b.pass(testPolicy().MinStepTime, 10)
 	task, denial := b.start(large)
 	if denial != Admitted {
 		t.Fatalf("after a step's time: %s", denial)
@@ -57,16 +57,16 @@
 	}
 	z := b.m.zones["z"]
 	z.displaced.jobs["job-3"] = &displacedJob{losses: 2, lastSpell: 2, returns: 1, returnedSpell: 1, lostAt: b.at.Now}
-	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-3"}, Small: true}); denial != DeniedBudget {
+	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-3"}, ProbeEligible: true}); denial != DeniedFailbackBudget {
 		t.Errorf("a job that came back before: %s", denial)
 	}
-	b.pass(testPolicy().StepTime+time.Second, 10)
+	b.pass(testPolicy().MinStepTime+time.Second, 10)
 	if st := b.m.Status(b.at)[1]; st.Step != 2 {
 		t.Errorf("step %d though nothing else waits", st.Step)
 	}
 }
 
-// Starts that fail, of more than one job, take a step back; those of one job do not.
+// StartsInFlight that fail, of more than one job, take a step back; those of one job do not.
 func TestRampShrinksOnTrouble(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -82,7 +82,7 @@
 		if st := b.m.Status(b.at)[1]; st.Step != 1 {
 			t.Fatalf("step %d without any work", st.Step)
 		}
-		held, _ := b.start(StartRequest{Task: ids.TaskRef{Job: "job-9"}, Small: true})
+		held, _ := b.start(StartRequest{Task: ids.TaskRef{Job: "job-9"}, ProbeEligible: true})
 		for _, job := range c.failed {
 			b.m.TaskFailed("z", job)
 		}
@@ -94,7 +94,7 @@
 	}
 }
 
-// Starts that take far longer than elsewhere take a step back.
+// StartsInFlight that take far longer than elsewhere take a step back.
 func TestRampShrinksOnSlowStarts(t *testing.T) {
 	b := newBench(t)
 	other := func(n int) StartRequest { return StartRequest{Task: ids.TaskRef{Job: "job-0", Index: n}, Machine: "h"} }
@@ -110,9 +110,9 @@
 	b.pass(5*time.Second, 10)
 	z := b.m.zones["z"]
 	var tasks []ids.TaskRef
-	z.policy.ProbeTasks, z.policy.ReturnMax = 6, time.Hour
+	z.policy.ProbeTasks, z.policy.MaxRecovery = 6, time.Hour
 	for range 6 {
-		task, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true})
+		task, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, ProbeEligible: true})
 		if denial != Admitted {
 			t.Fatal(denial)
 		}
@@ -128,32 +128,32 @@
 	}
 }
 
-// Fetches have their own limit, shared ones count once, and none slows another down.
+// FetchesInFlight have their own limit, shared ones count once, and none slows another down.
 func TestFetchLimit(t *testing.T) {
 	b := newBench(t)
 	b.returning()
 	b.pass(5*time.Second, 10) // the first share: 0.2 of 10 machines, 0.3 fetches each
-	fetch := func(host ids.MachineID, image ids.Image, sharing bool) Denial {
-		_, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true, Fetch: true, Machine: host, Image: image, Sharing: sharing})
+	fetch := func(host ids.MachineID, image ids.Image, sharing bool) Admission {
+		_, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, ProbeEligible: true, NeedsFetch: true, Machine: host, Image: image, MachineFetching: sharing})
 		return denial
 	}
 	for _, c := range []struct {
 		host    ids.MachineID
 		image   ids.Image
 		sharing bool
-		want    Denial
+		want    Admission
 	}{
-		{"n-a", "i", true, DeniedFetches},
+		{"n-a", "i", true, DeniedFetchLimit},
 		{"n-a", "i", false, Admitted},
 		{"n-a", "i", false, Admitted},
-		{"n-b", "i", false, DeniedStarts},
+		{"n-b", "i", false, DeniedStartLimit},
 	} {
 		if got := fetch(c.host, c.image, c.sharing); got != c.want {
 			t.Errorf("%s on %s: %s, want %s", c.image, c.host, got, c.want)
 		}
 	}
 	b.m.zones["z"].policy.StartsPerMachine = 10
-	if got := fetch("n-b", "i", false); got != DeniedFetches {
+	if got := fetch("n-b", "i", false); got != DeniedFetchLimit {
 		t.Errorf("a second fetch: %s", got)
 	}
 }
@@ -164,9 +164,9 @@
 	b.returning()
 	for passed := time.Duration(0); b.m.Condition("z") == Recovering; passed += time.Second {
 		b.m.TaskFailed("z", ids.JobID(fmt.Sprintf("job-%d", passed)))
-		b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true})
+		b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, ProbeEligible: true})
 		b.pass(time.Second, 10)
-		if passed > testPolicy().ReturnMax+time.Second {
+		if passed > testPolicy().MaxRecovery+time.Second {
 			t.Fatalf("still returning after %v", passed)
 		}
 	}
@@ -177,18 +177,18 @@
 	b := newBench(t)
 	b.m.policy.Windows = []*Window{mustWindow(t, WindowSettings{Name: "w", TimeZone: "UTC", From: "12:00", To: "12:10"})}
 	b.returning()
-	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true}); denial != DeniedWindow {
+	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, ProbeEligible: true}); denial != DeniedWindow {
 		t.Errorf("in the window: %s", denial)
 	}
 	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-2"}, Critical: true}); denial != Admitted {
 		t.Errorf("critical work in the window: %s", denial)
 	}
 	st := b.m.Status(b.at)[1]
-	if want := time.Date(2026, 5, 4, 12, 10, 0, 0, time.UTC).UnixMilli(); st.UntilMS != want {
-		t.Errorf("held until %v", time.UnixMilli(st.UntilMS).UTC())
+	if want := time.Date(2026, 5, 4, 12, 10, 0, 0, time.UTC).UnixMilli(); st.RestrictedUntilMS != want {
+		t.Errorf("held until %v", time.UnixMilli(st.RestrictedUntilMS).UTC())
 	}
 	b.pass(9*time.Minute+50*time.Second, 10)
-	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true}); denial != Admitted {
+	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, ProbeEligible: true}); denial != Admitted {
 		t.Errorf("after the window: %s", denial)
 	}
 }
@@ -197,7 +197,7 @@
 // come in one rush otherwise.
 func TestLastStepWaitsForTheBacklog(t *testing.T) {
 	b := newBench(t)
-	b.m.policy.ReturnMax = time.Hour
+	b.m.policy.MaxRecovery = time.Hour
 	b.returning()
 	b.pass(3*5*time.Second, 10) // nothing to prove: on to the full share
 	if st := b.m.Status(b.at)[1]; st.Step != 3 {
--- a/zonerecovery/record.go
+++ b/zonerecovery/record.go
@@ -13,18 +13,18 @@
 	Nonce     uint64 `msgpack:"w"`
 	Condition uint8  `msgpack:"c"`
 	SinceMS   int64  `msgpack:"s"`
-	// BeganMS is when the return began.
-	BeganMS  int64 `msgpack:"b,omitempty"`
-	Step     int   `msgpack:"p,omitempty"`
-	Flaps    int   `msgpack:"f,omitempty"`
-	Spell    int   `msgpack:"l,omitempty"`
-	Machines int   `msgpack:"m,omitempty"`
-	// Jobs are the displaced jobs, those that came back most often first. Counts holds
+	// RecoveryBeganMS is when the return began.
+	RecoveryBeganMS int64 `msgpack:"b,omitempty"`
+	Step            int   `msgpack:"p,omitempty"`
+	Outages         int   `msgpack:"f,omitempty"`
+	OutageNumber    int   `msgpack:"l,omitempty"`
+	MachinesBefore  int   `msgpack:"m,omitempty"`
+	// DisplacedJobs are the displaced jobs, those that came back most often first. Counts holds
 	// for each how often it lost tasks, in which spell last, how often it came back,
 	// in which spell last, and how many replicas were moved back. Omitted counts those that did not fit.
-	Jobs    []ids.JobID `msgpack:"j,omitempty"`
-	Counts  []int       `msgpack:"n,omitempty"`
-	Omitted int         `msgpack:"o,omitempty"`
+	DisplacedJobs []ids.JobID `msgpack:"j,omitempty"`
+	JobCounters   []int       `msgpack:"n,omitempty"`
+	OmittedJobs   int         `msgpack:"o,omitempty"`
 	// Incidents are those that are over, and the present one if Flaps is not 0.
 	Incidents []Incident `msgpack:"i,omitempty"`
 	// Override, OverrideReason and OverrideUntilMS are the operators' decision.
@@ -33,7 +33,7 @@
 	OverrideUntilMS int64  `msgpack:"t,omitempty"`
 }
 
-// countsPerJob is how many numbers Record.Counts holds for a job.
+// countsPerJob is how many numbers Record.JobCounters holds for a job.
 const countsPerJob = 5
 
 // maxRecordedJobs bounds the jobs in a record, and maxReason the operators' words.
@@ -87,20 +87,20 @@
 func (z *zone) export(at ClockReading, nonce uint64) Record {
 	rec := Record{
 		Nonce: nonce, Condition: uint8(z.recordable()), SinceMS: at.toWall(z.since).UnixMilli(),
-		Flaps: z.flaps, Spell: z.displaced.spell, Machines: z.machinesBefore,
+		Outages: z.flaps, OutageNumber: z.displaced.spell, MachinesBefore: z.machinesBefore,
 		Incidents: z.incidents.all(),
 		Override:  uint8(z.override.Kind), OverrideReason: z.override.Reason, OverrideUntilMS: z.override.UntilMS,
 	}
 	if z.recordable() == Recovering {
-		rec.Step, rec.BeganMS = z.ramp.step, at.toWall(z.ramp.began).UnixMilli()
+		rec.Step, rec.RecoveryBeganMS = z.ramp.step, at.toWall(z.ramp.began).UnixMilli()
 	}
 	jobs := z.displaced.mostReturned()
 	limit := min(len(jobs), z.record.jobLimit)
-	rec.Omitted = len(jobs) - limit
+	rec.OmittedJobs = len(jobs) - limit
 	for _, job := range jobs[:limit] {
 		entry := z.displaced.jobs[job]
-		rec.Jobs = append(rec.Jobs, job)
-		rec.Counts = append(rec.Counts, entry.losses, entry.lastSpell, entry.returns, entry.returnedSpell, entry.restored)
+		rec.DisplacedJobs = append(rec.DisplacedJobs, job)
+		rec.JobCounters = append(rec.JobCounters, entry.losses, entry.lastSpell, entry.returns, entry.returnedSpell, entry.restored)
 	}
 	return rec
 }
@@ -113,21 +113,21 @@
 	}
 	z.since = at.toInstant(rec.SinceMS)
 	z.reason = "recorded by an earlier leader"
-	z.flaps, z.machinesBefore = rec.Flaps, rec.Machines
-	z.incidents.load(rec.Incidents, rec.Flaps > 0)
+	z.flaps, z.machinesBefore = rec.Outages, rec.MachinesBefore
+	z.incidents.load(rec.Incidents, rec.Outages > 0)
 	z.darkAt = at.Now // nothing there has been used since, as far as this leader knows
 	z.override = Override{Kind: OverrideKind(rec.Override), Reason: rec.OverrideReason, UntilMS: rec.OverrideUntilMS}
-	z.displaced.spell = rec.Spell
-	for i, job := range rec.Jobs {
-		if k := i * countsPerJob; k+countsPerJob <= len(rec.Counts) {
-			n := rec.Counts[k : k+countsPerJob]
+	z.displaced.spell = rec.OutageNumber
+	for i, job := range rec.DisplacedJobs {
+		if k := i * countsPerJob; k+countsPerJob <= len(rec.JobCounters) {
+			n := rec.JobCounters[k : k+countsPerJob]
 			z.displaced.jobs[job] = &displacedJob{losses: n[0], lastSpell: n[1], returns: n[2], returnedSpell: n[3], restored: n[4], lostAt: at.Now}
 		}
 	}
 	if z.condition == Recovering {
 		// The step begins anew: what its starts came to was not recorded.
 		z.ramp.enter(min(rec.Step, z.policy.lastStep()), at.Now)
-		z.ramp.began = at.toInstant(rec.BeganMS)
+		z.ramp.began = at.toInstant(rec.RecoveryBeganMS)
 	}
 	z.record.revision = revision
 	z.record.condition, z.record.step = z.condition, z.ramp.step
--- a/zonerecovery/record_test.go
+++ b/zonerecovery/record_test.go
@@ -19,13 +19,13 @@
 	}
 	z.displaced.comeBack("job-000999", 1, false)
 	z.record.dirty = true
-	w, ok := b.m.NextWrite(b.at, 7, func(r *Record) bool { return len(r.Jobs) <= 60 })
-	if !ok || len(w.Record.Jobs) > 60 || len(w.Record.Jobs) < 20 || w.Record.Jobs[0] != "job-000999" || w.Record.Omitted != 1000-len(w.Record.Jobs) {
+	w, ok := b.m.NextWrite(b.at, 7, func(r *Record) bool { return len(r.DisplacedJobs) <= 60 })
+	if !ok || len(w.Record.DisplacedJobs) > 60 || len(w.Record.DisplacedJobs) < 20 || w.Record.DisplacedJobs[0] != "job-000999" || w.Record.OmittedJobs != 1000-len(w.Record.DisplacedJobs) {
 		t.Fatalf("%v %+v", ok, w.Record)
 	}
 	b.m.WriteRejected("z")
-	if again, ok := b.m.NextWrite(b.at, 8, func(*Record) bool { return true }); !ok || len(again.Record.Jobs) >= len(w.Record.Jobs) {
-		t.Errorf("after a refusal: %v %d jobs", ok, len(again.Record.Jobs))
+	if again, ok := b.m.NextWrite(b.at, 8, func(*Record) bool { return true }); !ok || len(again.Record.DisplacedJobs) >= len(w.Record.DisplacedJobs) {
+		t.Errorf("after a refusal: %v %d jobs", ok, len(again.Record.DisplacedJobs))
 	}
 }
 
@@ -36,15 +36,15 @@
 	b.returning()
 	b.m.TaskDisplaced("z", "job-1")
 	b.pass(time.Minute, 10)
-	if rec, ok := b.written["z"]; !ok || len(rec.Jobs) != 1 || rec.Flaps != 1 {
+	if rec, ok := b.written["z"]; !ok || len(rec.DisplacedJobs) != 1 || rec.Outages != 1 {
 		t.Fatalf("while its flaps count: %+v", rec)
 	}
-	b.pass(testPolicy().Quiet+time.Second, 10)
+	b.pass(testPolicy().QuietPeriod+time.Second, 10)
 	rec := b.written["z"]
-	if rec.Condition != uint8(Serving) || rec.Flaps != 0 || len(rec.Jobs) != 0 || len(rec.Incidents) != 1 {
+	if rec.Condition != uint8(Serving) || rec.Outages != 0 || len(rec.DisplacedJobs) != 0 || len(rec.Incidents) != 1 {
 		t.Errorf("left behind: %+v", rec)
 	}
-	if got := rec.Incidents[0]; got.Spells != 1 || got.Tasks != 1 || got.Jobs != 1 || got.Machines != 10 || got.ServedMS <= got.BeganMS || got.DarkMS < 9000 || got.ReturnMS <= 0 {
+	if got := rec.Incidents[0]; got.Outages != 1 || got.DisplacedTasks != 1 || got.DisplacedJobs != 1 || got.Machines != 10 || got.ServingSinceMS <= got.BeganMS || got.OutageMS < 9000 || got.RecoveryMS <= 0 {
 		t.Errorf("incident %+v", got)
 	}
 	writes := b.revs
@@ -70,14 +70,14 @@
 		log.begin(at, n)
 		log.close()
 	}
-	if got := log.all(); len(got) != maxHistory || got[maxHistory-1].Machines != 3*maxHistory-1 || got[0].Spells != 2 {
+	if got := log.all(); len(got) != maxHistory || got[maxHistory-1].Machines != 3*maxHistory-1 || got[0].Outages != 2 {
 		t.Errorf("%+v", got)
 	}
 	log.begin(at, 99)
 	var successor incidentLog
 	successor.load(log.all(), true)
 	successor.begin(at, 5)
-	if got := successor.all(); len(got) != maxHistory+1 || got[maxHistory].Spells != 2 || got[maxHistory].Machines != 99 {
+	if got := successor.all(); len(got) != maxHistory+1 || got[maxHistory].Outages != 2 || got[maxHistory].Machines != 99 {
 		t.Errorf("after a succession: %+v", got)
 	}
 }
@@ -129,7 +129,7 @@
 	z := b.m.zones["z"]
 	z.enterStep(2, b.at.Now, "")
 	admitted := func() (n int) {
-		for _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true}); denial == Admitted; _, denial = b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Small: true}) {
+		for _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, ProbeEligible: true}); denial == Admitted; _, denial = b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, ProbeEligible: true}) {
 			n++
 		}
 		return n
--- a/zonerecovery/restore.go
+++ b/zonerecovery/restore.go
@@ -29,8 +29,8 @@
 type ServicePlacement struct {
 	Job ids.JobID
 	// TaskRunning counts the replicas that run, by zone; Wanted is how many there should be.
-	Running map[ids.Zone]int
-	Wanted  int
+	Running  map[ids.Zone]int
+	Replicas int
 }
 
 // RestoreMove is a replica that should leave a zone for another.
@@ -100,14 +100,14 @@
 // mayRestore tells whether a job's budgets allow another replica to be moved back.
 func (z *zone) mayRestore(job ids.JobID) bool {
 	entry := z.displaced.jobs[job]
-	return entry != nil && entry.restored < z.policy.Restore.Budget && !z.displaced.exhausted(job, z.policy.MoveBudget)
+	return entry != nil && entry.restored < z.policy.Restore.Budget && !z.displaced.exhausted(job, z.policy.FailbackBudget)
 }
 
 // noteRestored counts a replica that is moved back.
 func (z *zone) noteRestored(job ids.JobID) {
 	z.displaced.jobs[job].restored++
 	z.record.lazy = true
-	z.incidents.count(func(i *Incident) { i.Restored++ })
+	z.incidents.count(func(i *Incident) { i.RestoredReplicas++ })
 }
 
 // fullest finds the zone with most replicas, if a move from there to another zone makes the
@@ -117,7 +117,7 @@
 	for _, n := range s.Running {
 		running += n
 	}
-	if running < s.Wanted {
+	if running < s.Replicas {
 		return "", false
 	}
 	zones := slices.SortedFunc(maps.Keys(s.Running), func(a, b ids.Zone) int {
--- a/zonerecovery/restore_test.go
+++ b/zonerecovery/restore_test.go
@@ -25,7 +25,7 @@
 		{"a replica is down", at(5, 0), true, 20, 0},
 	} {
 		b := newBench(t)
-		b.m.policy.Quiet = time.Hour
+		b.m.policy.QuietPeriod = time.Hour
 		b.m.policy.Restore = RestorePolicy{MovesPerMinute: 0.5, After: time.Minute, Budget: 2}
 		b.m.restorer = newRestorer(b.m.policy.Restore)
 		b.returning()
@@ -41,7 +41,7 @@
 			if len(b.m.RestoreCandidates(b.at.Now)) != 1 {
 				t.Fatalf("%s: no candidate", c.name)
 			}
-			services := []ServicePlacement{{Job: "job-1", Running: c.running, Wanted: wanted}}
+			services := []ServicePlacement{{Job: "job-1", Running: c.running, Replicas: wanted}}
 			if move, ok := b.m.PlanRestore(b.at, services, func(ids.JobID, ids.Zone) bool { return c.room }); ok {
 				moves++
 				if move.From != "other" || move.To != "z" {
--- a/zonerecovery/settings.go
+++ b/zonerecovery/settings.go
@@ -11,35 +11,35 @@
 // Settings are the operators' settings of the subsystem, the section zone_return of their
 // file. The schema checks each value by itself, Policy what they say together.
 type Settings struct {
-	Enabled           bool             `json:"enabled"`
-	SuspectShare      float64          `json:"suspect_share"`
-	DarkShare         float64          `json:"dark_share"`
-	DarkAfterS        float64          `json:"dark_after_s"`
-	RecoverS          float64          `json:"recover_s"`
-	MinMachines       int              `json:"min_machines"`
-	HeardShare        float64          `json:"heard_share"`
-	RetryS            float64          `json:"retry_s"`
-	HoldDownS         float64          `json:"hold_down_s"`
-	HoldDownFactor    float64          `json:"hold_down_factor"`
-	HoldDownMaxS      float64          `json:"hold_down_max_s"`
-	QuietS            float64          `json:"quiet_s"`
-	ProbeTasks        int              `json:"probe_tasks"`
-	ProbeMaxRunS      float64          `json:"probe_max_run_s"`
-	Steps             []float64        `json:"steps"`
-	StepS             float64          `json:"step_s"`
-	StepSuccesses     int              `json:"step_successes"`
-	FailureTolerance  float64          `json:"failure_tolerance"`
-	SlowStartFactor   float64          `json:"slow_start_factor"`
-	StartsPerMachine  float64          `json:"starts_per_machine"`
-	FetchesPerMachine float64          `json:"fetches_per_machine"`
-	ReturnMaxS        float64          `json:"return_max_s"`
-	HoldLimitS        float64          `json:"hold_limit_s"`
-	MoveBudget        int              `json:"move_budget"`
-	PatienceS         float64          `json:"patience_s"`
-	RestorePerMinute  float64          `json:"restore_moves_per_minute"`
-	RestoreAfterS     float64          `json:"restore_after_s"`
-	RestoreBudget     int              `json:"restore_budget"`
-	Windows           []WindowSettings `json:"windows"`
+	Enabled              bool             `json:"enabled"`
+	SuspectShare         float64          `json:"suspect_share"`
+	OutageShare          float64          `json:"dark_share"`
+	OutageAfterS         float64          `json:"dark_after_s"`
+	ClearSuspicionAfterS float64          `json:"recover_s"`
+	MinMachines          int              `json:"min_machines"`
+	ReachableShare       float64          `json:"heard_share"`
+	RetryAfterS          float64          `json:"retry_s"`
+	HoldDownS            float64          `json:"hold_down_s"`
+	HoldDownFactor       float64          `json:"hold_down_factor"`
+	MaxHoldDownS         float64          `json:"hold_down_max_s"`
+	QuietPeriodS         float64          `json:"quiet_s"`
+	ProbeTasks           int              `json:"probe_tasks"`
+	MaxProbeRunS         float64          `json:"probe_max_run_s"`
+	Steps                []float64        `json:"steps"`
+	MinStepTimeS         float64          `json:"step_s"`
+	MinStepSuccesses     int              `json:"step_successes"`
+	FailureTolerance     float64          `json:"failure_tolerance"`
+	SlowStartFactor      float64          `json:"slow_start_factor"`
+	StartsPerMachine     float64          `json:"starts_per_machine"`
+	FetchesPerMachine    float64          `json:"fetches_per_machine"`
+	MaxRecoveryS         float64          `json:"return_max_s"`
+	MaxWaitS             float64          `json:"hold_limit_s"`
+	FailbackBudget       int              `json:"move_budget"`
+	ForceFailbackAfterS  float64          `json:"patience_s"`
+	RestorePerMinute     float64          `json:"restore_moves_per_minute"`
+	RestoreAfterS        float64          `json:"restore_after_s"`
+	RestoreBudget        int              `json:"restore_budget"`
+	Windows              []WindowSettings `json:"windows"`
 }
 
 // SettingError is a setting that makes no sense, by itself or beside others.
@@ -62,15 +62,15 @@
 		return nil, err
 	}
 	p := &Policy{
-		SuspectShare: s.SuspectShare, DarkShare: s.DarkShare,
-		DarkAfter: monotonic.Seconds(s.DarkAfterS), RecoverAfter: monotonic.Seconds(s.RecoverS), MinMachines: s.MinMachines,
-		HeardShare: s.HeardShare, Retry: monotonic.Seconds(s.RetryS),
-		HoldDown: monotonic.Seconds(s.HoldDownS), HoldDownMax: monotonic.Seconds(s.HoldDownMaxS), HoldDownFactor: s.HoldDownFactor,
-		Quiet: monotonic.Seconds(s.QuietS), ProbeTasks: s.ProbeTasks, ProbeMaxRun: monotonic.Seconds(s.ProbeMaxRunS),
-		Steps: slices.Clone(s.Steps), StepTime: monotonic.Seconds(s.StepS), StepSuccesses: s.StepSuccesses,
+		SuspectShare: s.SuspectShare, OutageShare: s.OutageShare,
+		OutageAfter: monotonic.Seconds(s.OutageAfterS), ClearSuspicionAfter: monotonic.Seconds(s.ClearSuspicionAfterS), MinMachines: s.MinMachines,
+		ReachableShare: s.ReachableShare, RetryAfter: monotonic.Seconds(s.RetryAfterS),
+		HoldDown: monotonic.Seconds(s.HoldDownS), MaxHoldDown: monotonic.Seconds(s.MaxHoldDownS), HoldDownFactor: s.HoldDownFactor,
+		QuietPeriod: monotonic.Seconds(s.QuietPeriodS), ProbeTasks: s.ProbeTasks, MaxProbeRun: monotonic.Seconds(s.MaxProbeRunS),
+		Steps: slices.Clone(s.Steps), MinStepTime: monotonic.Seconds(s.MinStepTimeS), MinStepSuccesses: s.MinStepSuccesses,
 		FailureTolerance: s.FailureTolerance, SlowStartFactor: s.SlowStartFactor,
 		StartsPerMachine: s.StartsPerMachine, FetchesPerMachine: s.FetchesPerMachine,
-		ReturnMax: monotonic.Seconds(s.ReturnMaxS), MoveBudget: s.MoveBudget, Patience: monotonic.Seconds(s.PatienceS),
+		MaxRecovery: monotonic.Seconds(s.MaxRecoveryS), FailbackBudget: s.FailbackBudget, ForceFailbackAfter: monotonic.Seconds(s.ForceFailbackAfterS),
 		Restore: RestorePolicy{MovesPerMinute: s.RestorePerMinute, After: monotonic.Seconds(s.RestoreAfterS), Budget: s.RestoreBudget},
 	}
 	for i := range s.Windows {
@@ -86,24 +86,24 @@
 // check finds settings that contradict one another.
 func (s *Settings) check() error {
 	switch {
-	case s.DarkShare < s.SuspectShare:
-		return settingError("dark_share", "%g is below suspect_share, %g", s.DarkShare, s.SuspectShare)
-	case s.HoldDownMaxS < s.HoldDownS:
-		return settingError("hold_down_max_s", "%g is below hold_down_s, %g", s.HoldDownMaxS, s.HoldDownS)
-	case s.HoldDownMaxS+s.ReturnMaxS > s.HoldLimitS:
-		return settingError("return_max_s", "with hold_down_max_s it comes to %g s, more than hold_limit_s, %g: work would wait beside room for too long", s.HoldDownMaxS+s.ReturnMaxS, s.HoldLimitS)
-	case float64(len(s.Steps)+2)*s.StepS > s.ReturnMaxS:
-		return settingError("steps", "a probe, %d steps and the full share, each of %g s, do not fit into return_max_s, %g", len(s.Steps), s.StepS, s.ReturnMaxS)
-	case s.PatienceS > s.HoldLimitS:
-		return settingError("patience_s", "%g is above hold_limit_s, %g", s.PatienceS, s.HoldLimitS)
-	case s.QuietS < s.HoldLimitS:
-		return settingError("quiet_s", "%g is below hold_limit_s, %g: flaps would be forgotten before they are over", s.QuietS, s.HoldLimitS)
+	case s.OutageShare < s.SuspectShare:
+		return settingError("dark_share", "%g is below suspect_share, %g", s.OutageShare, s.SuspectShare)
+	case s.MaxHoldDownS < s.HoldDownS:
+		return settingError("hold_down_max_s", "%g is below hold_down_s, %g", s.MaxHoldDownS, s.HoldDownS)
+	case s.MaxHoldDownS+s.MaxRecoveryS > s.MaxWaitS:
+		return settingError("return_max_s", "with hold_down_max_s it comes to %g s, more than hold_limit_s, %g: work would wait beside room for too long", s.MaxHoldDownS+s.MaxRecoveryS, s.MaxWaitS)
+	case float64(len(s.Steps)+2)*s.MinStepTimeS > s.MaxRecoveryS:
+		return settingError("steps", "a probe, %d steps and the full share, each of %g s, do not fit into return_max_s, %g", len(s.Steps), s.MinStepTimeS, s.MaxRecoveryS)
+	case s.ForceFailbackAfterS > s.MaxWaitS:
+		return settingError("patience_s", "%g is above hold_limit_s, %g", s.ForceFailbackAfterS, s.MaxWaitS)
+	case s.QuietPeriodS < s.MaxWaitS:
+		return settingError("quiet_s", "%g is below hold_limit_s, %g: flaps would be forgotten before they are over", s.QuietPeriodS, s.MaxWaitS)
 	}
-	if s.RestorePerMinute > 0 && s.MoveBudget == 0 {
+	if s.RestorePerMinute > 0 && s.FailbackBudget == 0 {
 		return settingError("restore_moves_per_minute", "%g moves replicas back, which move_budget 0 forbids", s.RestorePerMinute)
 	}
-	if s.RestorePerMinute > 0 && s.RestoreAfterS >= s.QuietS {
-		return settingError("restore_after_s", "%g is not below quiet_s, %g: the incident would be over before", s.RestoreAfterS, s.QuietS)
+	if s.RestorePerMinute > 0 && s.RestoreAfterS >= s.QuietPeriodS {
+		return settingError("restore_after_s", "%g is not below quiet_s, %g: the incident would be over before", s.RestoreAfterS, s.QuietPeriodS)
 	}
 	for i := 1; i < len(s.Steps); i++ {
 		if s.Steps[i] <= s.Steps[i-1] {
--- a/zonerecovery/starts.go
+++ b/zonerecovery/starts.go
@@ -11,16 +11,16 @@
 	// Critical work is what the ramp makes room for: replicas of services, and jobs of the
 	// highest priority.
 	Critical bool
-	// Small tells that the task may prove a zone: it can be run again without loss to
+	// ProbeEligible tells that the task may prove a zone: it can be run again without loss to
 	// others, and is expected to end soon.
-	Small bool
-	// Fetch tells that the machine would have to fetch the image, and Sharing that it
+	ProbeEligible bool
+	// NeedsFetch tells that the machine would have to fetch the image, and Sharing that it
 	// fetches another one meanwhile, whose time that would cost.
-	Fetch, Sharing bool
-	Machine        ids.MachineID
-	Image          ids.Image
-	// Bound tells that the job may go nowhere else: its earlier moves do not count.
-	Bound bool
+	NeedsFetch, MachineFetching bool
+	Machine                     ids.MachineID
+	Image                       ids.Image
+	// ZonePinned tells that the job may go nowhere else: its earlier moves do not count.
+	ZonePinned bool
 }
 
 // fetchKey names the fetch of one image by one machine.
@@ -57,7 +57,7 @@
 	p := pendingStart{since: now, critical: s.Critical, ramped: ramped}
 	if !p.critical {
 		t.returning++
-		if s.Fetch {
+		if s.NeedsFetch {
 			p.fetch = fetchKey{s.Machine, s.Image}
 			t.fetches[p.fetch]++
 		}
--- a/zonerecovery/window.go
+++ b/zonerecovery/window.go
@@ -28,11 +28,11 @@
 	Days []string `json:"days"`
 	// Calendar names a country's holidays, and On on which days the window begins.
 	Calendar string     `json:"calendar"`
-	On       string     `json:"on"`
+	DayKind  string     `json:"on"`
 	Zones    []ids.Zone `json:"zones"`
 }
 
-// On which days of its calendar a window begins.
+// DayKind which days of its calendar a window begins.
 const (
 	onAllDays     = "all"
 	onWorkdays    = "workdays"
@@ -67,7 +67,7 @@
 
 // window checks the settings and makes the window.
 func (s *WindowSettings) window(key string) (*Window, error) {
-	w := &Window{Name: s.Name, on: s.On, zones: s.Zones}
+	w := &Window{Name: s.Name, on: s.DayKind, zones: s.Zones}
 	var err error
 	if s.TimeZone == "" || s.TimeZone == "Local" {
 		return nil, settingError(key+".time_zone", "a name such as Europe/Warsaw is needed")
--- a/zonerecovery/window_test.go
+++ b/zonerecovery/window_test.go
@@ -97,7 +97,7 @@
 		{"another zone", onWorkdays, "pl", day(time.November, 10), "b", false},
 	} {
 		s := base
-		s.On, s.Calendar = c.on, c.calendar
+		s.DayKind, s.Calendar = c.on, c.calendar
 		if _, open := mustWindow(t, s).OpenAt(c.zone, c.at); open != c.want {
 			t.Errorf("%s: open %v", c.name, open)
 		}
@@ -113,8 +113,8 @@
 		"to: the window never opens: it ends when":         func(s *WindowSettings) { s.To = "05:00" },
 		"days.1: unknown day \"tues\"":                     func(s *WindowSettings) { s.Days = []string{"mon", "tues"} },
 		"calendar: unknown calendar":                       func(s *WindowSettings) { s.Calendar = "xx" },
-		"calendar: on \"workdays\" needs a calendar":       func(s *WindowSettings) { s.On = onWorkdays },
-		"windows.0: the window never opens: no day of the": func(s *WindowSettings) { s.Calendar, s.On, s.Days = "pl", onWorkdays, []string{"sat", "sun"} },
+		"calendar: on \"workdays\" needs a calendar":       func(s *WindowSettings) { s.DayKind = onWorkdays },
+		"windows.0: the window never opens: no day of the": func(s *WindowSettings) { s.Calendar, s.DayKind, s.Days = "pl", onWorkdays, []string{"sat", "sun"} },
 	} {
 		s := good
 		change(&s)
--- a/zonerecovery/write.go
+++ b/zonerecovery/write.go
@@ -2,8 +2,8 @@
 
 import "ospreystile.example/ospreystile/ids"
 
-// Write is a record that must be written, or dropped where Record is nil.
-type Write struct {
+// RecordWrite is a record that must be written, or dropped where Record is nil.
+type RecordWrite struct {
 	Zone     ids.Zone
 	Revision ids.Revision // that the key has now; 0: none
 	Record   *Record
@@ -11,7 +11,7 @@
 
 // NextWrite hands out one record that must be written now. It counts as on its way until
 // Written or Refused is called. fits tells whether the state service would take it.
-func (m *Manager) NextWrite(at ClockReading, nonce uint64, fits func(*Record) bool) (w Write, ok bool) {
+func (m *Manager) NextWrite(at ClockReading, nonce uint64, fits func(*Record) bool) (w RecordWrite, ok bool) {
 	for _, name := range m.sortedZones() {
 		z := m.zones[name]
 		if !z.due(at.Now) {
@@ -20,13 +20,13 @@
 		r := &z.record
 		r.dirty, r.lazySince, r.inFlight = false, 0, true
 		r.writtenCondition, r.writtenStep, r.writtenSeq = z.recordable(), z.ramp.step, r.overrideSeq
-		w = Write{Zone: name, Revision: r.revision}
+		w = RecordWrite{Zone: name, Revision: r.revision}
 		if z.interesting() {
 			w.Record = z.fittingRecord(at, nonce, fits)
 		}
 		return w, true
 	}
-	return Write{}, false
+	return RecordWrite{}, false
 }
 
 // fittingRecord is the zone's record with as many displaced jobs as fit.
@@ -36,7 +36,7 @@
 		if fits(&rec) || z.record.jobLimit == 0 {
 			return &rec
 		}
-		z.record.jobLimit = min(z.record.jobLimit, len(rec.Jobs)) / 2
+		z.record.jobLimit = min(z.record.jobLimit, len(rec.DisplacedJobs)) / 2
 	}
 }
 
--- a/zonerecovery/zone.go
+++ b/zonerecovery/zone.go
@@ -23,7 +23,7 @@
 	reason        string
 	// resume is the condition that a suspicion goes back to.
 	resume   Condition
-	evidence Evidence
+	evidence ZoneHealth
 	// absent are machines that were silent when the return began: they are not its
 	// trouble.
 	absent int
@@ -49,7 +49,7 @@
 	// window is the window that is open while it returns, if any.
 	window      *Window
 	windowUntil time.Time
-	events      []Event
+	events      []Transition
 }
 
 // newZone makes a zone that serves.
@@ -62,7 +62,7 @@
 
 // enter changes the condition.
 func (z *zone) enter(c Condition, now monotonic.Instant, reason string) {
-	z.events = append(z.events, Event{Zone: z.name, From: z.condition, To: c, Step: z.ramp.step, Reason: reason})
+	z.events = append(z.events, Transition{Zone: z.name, From: z.condition, To: c, Step: z.ramp.step, Reason: reason})
 	z.incidents.leave(z.condition, now.Sub(z.since))
 	// A suspicion is not recorded: a successor forms its own.
 	if c != Suspect && (z.condition != Suspect || c != z.resume) {
@@ -75,14 +75,14 @@
 func (z *zone) enterStep(step int, now monotonic.Instant, reason string) {
 	z.ramp.enter(step, now)
 	z.reason = reason
-	z.events = append(z.events, Event{Zone: z.name, From: z.condition, To: z.condition, Step: z.ramp.step, Reason: reason})
+	z.events = append(z.events, Transition{Zone: z.name, From: z.condition, To: z.condition, Step: z.ramp.step, Reason: reason})
 	z.record.dirty = true
 }
 
 // silentShare is the part of the zone's machines that is lost, without those that were so
 // when the return began.
 func (z *zone) silentShare() float64 {
-	lost, known := z.evidence.lost()-z.absent, z.evidence.Known-z.absent
+	lost, known := z.evidence.lost()-z.absent, z.evidence.Machines-z.absent
 	if known <= 0 {
 		return 0
 	}
@@ -90,7 +90,7 @@
 }
 
 // observe takes in the evidence and moves on as time and evidence call for.
-func (z *zone) observe(at ClockReading, e Evidence, view Connectivity, someZoneHeard bool) {
+func (z *zone) observe(at ClockReading, e ZoneHealth, view Connectivity, someZoneHeard bool) {
 	z.sinceObserved = max(0, at.Now.Sub(z.now))
 	z.evidence, z.now = e, at.Now
 	z.absent = min(z.absent, e.lost())
@@ -116,7 +116,7 @@
 
 // becomesSuspect tells whether so many machines are silent that the zone is suspect.
 func (z *zone) becomesSuspect() bool {
-	return z.someZoneHeard && z.evidence.Known >= z.policy.MinMachines && z.silentShare() >= z.policy.SuspectShare
+	return z.someZoneHeard && z.evidence.Machines >= z.policy.MinMachines && z.silentShare() >= z.policy.SuspectShare
 }
 
 func (z *zone) observeServing(at ClockReading) {
@@ -125,7 +125,7 @@
 		z.enter(Suspect, at.Now, z.evidence.String())
 		return
 	}
-	if z.flaps > 0 && at.Now > z.since.Add(z.policy.Quiet) {
+	if z.flaps > 0 && at.Now > z.since.Add(z.policy.QuietPeriod) {
 		z.flaps = 0
 		z.displaced.clear()
 		z.incidents.close()
@@ -145,24 +145,24 @@
 
 func (z *zone) observeSuspect(at ClockReading) {
 	share := z.silentShare()
-	if z.evidence.Known == 0 {
+	if z.evidence.Machines == 0 {
 		share = 1 // all that it had was given up
 	}
 	if share < z.policy.SuspectShare/2 {
 		if z.steadySince == 0 {
 			z.steadySince = at.Now
 		}
-		if at.Now >= z.steadySince.Add(z.policy.RecoverAfter) {
+		if at.Now >= z.steadySince.Add(z.policy.ClearSuspicionAfter) {
 			z.endSuspicion(at)
 		}
 		return
 	}
 	z.steadySince = 0
-	wait := z.policy.DarkAfter
+	wait := z.policy.OutageAfter
 	if z.evidence.CapacityRefused {
 		wait /= 2 // the cloud has trouble there too
 	}
-	if z.soundSince != 0 && share >= z.policy.DarkShare && at.Now >= max(z.since, z.soundSince).Add(wait) {
+	if z.soundSince != 0 && share >= z.policy.OutageShare && at.Now >= max(z.since, z.soundSince).Add(wait) {
 		z.becomeDark(at)
 	}
 }
@@ -183,7 +183,7 @@
 	z.displaced.spell++
 	z.darkAt = at.Now
 	if z.resume == Serving {
-		z.machinesBefore = max(z.evidence.Known, 1)
+		z.machinesBefore = max(z.evidence.Machines, 1)
 	}
 	z.absent = 0
 	z.incidents.begin(at, z.machinesBefore)
@@ -191,7 +191,7 @@
 }
 
 func (z *zone) observeDark(at ClockReading) {
-	heard := z.evidence.Heard >= 1 && float64(z.evidence.Heard) >= z.policy.HeardShare*float64(z.evidence.Known)
+	heard := z.evidence.Reachable >= 1 && float64(z.evidence.Reachable) >= z.policy.ReachableShare*float64(z.evidence.Machines)
 	switch {
 	case heard && z.steadySince == 0:
 		z.steadySince = at.Now
@@ -199,7 +199,7 @@
 		z.beginReturn(at, "heard for the hold-down: "+z.evidence.String())
 	case !heard:
 		z.steadySince = 0
-		if at.Now >= z.since.Add(z.policy.Retry) {
+		if at.Now >= z.since.Add(z.policy.RetryAfter) {
 			z.beginReturn(at, "tried again: "+z.evidence.String())
 		}
 	}
@@ -233,16 +233,16 @@
 		return
 	}
 	switch {
-	case at.Now >= z.ramp.began.Add(z.policy.ReturnMax):
+	case at.Now >= z.ramp.began.Add(z.policy.MaxRecovery):
 		z.serve(at, "the return took its time")
 	case z.ramp.startTimes.slowerThan(z.usual, z.policy.SlowStartFactor):
 		z.setBack(at.Now, "starts are slow")
-	case at.Now < z.ramp.stepSince.Add(z.policy.StepTime):
+	case at.Now < z.ramp.stepSince.Add(z.policy.MinStepTime):
 	case z.ramp.lacksProbes():
 		z.ramp.relaxed = true
 	case z.ramp.failing(z.policy.FailureTolerance):
 		z.setBack(at.Now, fmt.Sprintf("%d of %d starts failed", z.ramp.failed, z.ramp.failed+z.ramp.succeeded))
-	case z.ramp.proven(z.policy.StepSuccesses, z.starts.returning):
+	case z.ramp.proven(z.policy.MinStepSuccesses, z.starts.returning):
 		z.advance(at)
 	}
 }
@@ -282,7 +282,7 @@
 	was := z.window
 	z.window, z.windowUntil = z.policy.openWindow(z.name, at.Wall)
 	if z.window != nil && z.window != was {
-		z.events = append(z.events, Event{Zone: z.name, From: z.condition, To: z.condition, Step: z.ramp.step,
+		z.events = append(z.events, Transition{Zone: z.name, From: z.condition, To: z.condition, Step: z.ramp.step,
 			Reason: fmt.Sprintf("window %s until %s", z.window.Name, z.windowUntil.Format("2006-01-02 15:04 MST"))})
 	}
 }
