--- a/zonerecovery/incident.go
+++ b/zonerecovery/incident.go
@@ -2,7 +2,6 @@
 
 import (
 	"time"
-
 )
 
 // Incident is what happened to a zone from the first time that it got dark until it had
--- a/zonerecovery/manager.go
+++ b/zonerecovery/manager.go
@@ -14,7 +14,7 @@
 	policy *Policy
 	zones  map[ids.Zone]*zone
 	// usualStarts are start times in zones that do not return, to compare with.
-	usualStarts *latencies
+	usualStarts *startLatencies
 	restorer    *restorer
 	stats       Stats
 	view        Connectivity
@@ -34,7 +34,7 @@
 
 // NewManager makes a manager that knows no zone yet.
 func NewManager(policy *Policy) *Manager {
-	return &Manager{policy: policy, zones: map[ids.Zone]*zone{}, usualStarts: newLatencies(), restorer: newRestorer(policy.Restore)}
+	return &Manager{policy: policy, zones: map[ids.Zone]*zone{}, usualStarts: newStartLatencies(), restorer: newRestorer(policy.Restore)}
 }
 
 // zone finds a zone, or makes one that serves.
@@ -63,7 +63,7 @@
 // Observe takes in what is known of all zones. It tells whether more may start than before.
 func (m *Manager) Observe(at ClockReading, o Observation) (opened bool) {
 	m.view = o.Connectivity
-	someZoneHeard := o.someZoneHeard(m.policy)
+	someZoneHeard := o.someZoneReachable(m.policy)
 	for _, name := range slices.Sorted(maps.Keys(o.Zones)) {
 		m.zone(name, at.Now)
 	}
@@ -205,7 +205,7 @@
 	case z.override.Kind == OverrideHold || z.condition == Suspect || z.condition == Outage:
 		return 0, true
 	case z.condition == Recovering:
-		return z.policy.rentalLimit(z.record.allowedStep(z.ramp.step), z.machinesBefore), true
+		return z.policy.provisioningLimit(z.record.allowedStep(z.ramp.step), z.machinesBefore), true
 	}
 	return 0, false
 }
--- a/zonerecovery/names.go
+++ b/zonerecovery/names.go
@@ -5,7 +5,17 @@
 	"slices"
 )
 
-// nameOf is the name of a small enumeration's value, for operators.
+// UnknownNameError is returned for a name that no value of an enumeration has.
+type UnknownNameError struct {
+	// Kind says which enumeration it is, such as "condition".
+	Kind, Name string
+}
+
+// Error returns the enumeration and the name.
+func (e *UnknownNameError) Error() string { return fmt.Sprintf("unknown %s %q", e.Kind, e.Name) }
+
+// nameOf returns the name of an enumeration's value. A value without a name, as a newer version
+// may send, is shown as its kind and number.
 func nameOf[T ~uint8](names []string, kind string, value T) string {
 	if int(value) < len(names) {
 		return names[value]
@@ -13,11 +23,11 @@
 	return fmt.Sprintf("%s-%d", kind, uint8(value))
 }
 
-// parseName finds the value with a name.
+// parseName returns the value with the given name, or an *UnknownNameError.
 func parseName[T ~uint8](names []string, kind string, text []byte) (T, error) {
-	at := slices.Index(names, string(text))
-	if at < 0 {
-		return 0, fmt.Errorf("unknown %s %q", kind, text)
+	value := slices.Index(names, string(text))
+	if value < 0 {
+		return 0, &UnknownNameError{Kind: kind, Name: string(text)}
 	}
-	return T(at), nil
+	return T(value), nil
 }
--- a/zonerecovery/override.go
+++ b/zonerecovery/override.go
@@ -2,8 +2,6 @@
 
 import (
 	"time"
-
-	"ospreystile.example/ospreystile/ids"
 )
 
 // OverrideKind is what operators may decide about a zone.
@@ -66,11 +64,3 @@
 		z.apply(Override{Reason: "the hold is over"}, at)
 	}
 }
-
-// Transition is a change of a zone's condition, for the log.
-type Transition struct {
-	Zone     ids.Zone
-	From, To Condition
-	Step     int
-	Reason   string
-}
--- a/zonerecovery/policy.go
+++ b/zonerecovery/policy.go
@@ -7,62 +7,85 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Policy is what the operators' settings come to.
+// Policy holds the operators' settings in the form that decisions use. It must not change while a
+// Manager uses it. Shares are fractions from 0 to 1.
 type Policy struct {
-	// SuspectShare and OutageShare are the parts of a zone's machines whose silence makes it
-	// suspect, and dark once it has been suspect for OutageAfter. MinMachines is how many
-	// machines a zone must have for that.
-	SuspectShare, OutageShare        float64
-	OutageAfter, ClearSuspicionAfter time.Duration
-	MinMachines                      int
-	// ReachableShare is the part of a dark zone's machines that must be heard for the
-	// hold-down to run, and Retry how long a dark zone without machines waits until a few
-	// are tried there.
+	// SuspectShare is the share of unreachable machines that makes a zone suspect. OutageShare
+	// is the share that makes it an outage, once the zone was suspect for OutageAfter.
+	SuspectShare, OutageShare float64
+	OutageAfter               time.Duration
+	// ClearSuspicionAfter is how long most machines of a suspect zone must be reachable until
+	// the suspicion ends.
+	ClearSuspicionAfter time.Duration
+	// MinMachines is how many machines a zone must have to become suspect.
+	MinMachines int
+	// ReachableShare is the share of machines that must be reachable for the hold-down of an
+	// outage to run. RetryAfter is how long an outage lasts without that until a recovery is
+	// tried all the same.
 	ReachableShare float64
 	RetryAfter     time.Duration
-	// HoldDown is the first hold-down; each further time that the zone gets dark within
-	// Quiet multiplies it by HoldDownFactor, up to MaxHoldDown.
+	// HoldDown is the first hold-down. Each further outage within QuietPeriod multiplies it by
+	// HoldDownFactor, up to MaxHoldDown.
 	HoldDown, MaxHoldDown time.Duration
 	HoldDownFactor        float64
-	QuietPeriod           time.Duration
-	// ProbeTasks is how many small tasks prove a zone at a time, and MaxProbeRun how long
-	// they are expected to run at most.
+	// QuietPeriod is how long a zone must serve until its incident is over.
+	QuietPeriod time.Duration
+	// ProbeTasks is how many small tasks may start at a time in the probe, the first step of a
+	// recovery. MaxProbeRun is how long they are expected to run at most.
 	ProbeTasks  int
 	MaxProbeRun time.Duration
-	// Steps are the shares of the ramp after the probe. MinStepTime is how long each lasts at
-	// least, and MinStepSuccesses how many starts must succeed in it, if there are so many.
+	// Steps are the shares of the ramp-up after the probe, in ascending order; the full share
+	// follows. MinStepTime is how long each step lasts at least, and MinStepSuccesses how many
+	// starts must succeed in it, if there are so many.
 	Steps            []float64
 	MinStepTime      time.Duration
 	MinStepSuccesses int
-	// FailureTolerance is the part of a step's starts that may fail, and SlowStartFactor
-	// how many times as long as elsewhere starts may take.
-	FailureTolerance, SlowStartFactor float64
-	// StartsPerMachine and FetchesPerMachine are what a full share allows under way at
-	// once, for each machine that is heard.
+	// FailureTolerance is the share of a step's starts that may fail.
+	FailureTolerance float64
+	// SlowStartFactor is how many times the baseline latency starts may take.
+	SlowStartFactor float64
+	// StartsPerMachine and FetchesPerMachine are how many starts and image fetches the full
+	// share allows in flight, for each reachable machine.
 	StartsPerMachine, FetchesPerMachine float64
-	// MaxRecovery is how long a return takes at most: after it the zone serves, so that
-	// nothing waits for long beside its room.
+	// MaxRecovery is how long a recovery takes at most. Afterwards the zone serves, so that no
+	// work waits for long while there is free capacity.
 	MaxRecovery time.Duration
-	// FailbackBudget is how often a job may come back to a zone that it was displaced from in
-	// one incident. A job that has waited for Patience may come back in any case.
+	// FailbackBudget is how often a job may return, in one incident, to a zone that displaced
+	// it. After ForceFailbackAfter it may return beyond the budget.
 	FailbackBudget     int
 	ForceFailbackAfter time.Duration
 	// Restore is how replicas are moved back once the zone serves.
 	Restore RestorePolicy
-	// Windows are the times in which only critical work returns.
+	// Windows are when only critical work starts in zones that recover.
 	Windows []*Window
 }
 
-// holdDown is the hold-down of a zone that has been dark so many times.
-func (p *Policy) holdDown(flaps int) time.Duration {
-	grown := float64(p.HoldDown) * math.Pow(p.HoldDownFactor, float64(max(0, flaps-1)))
+// RestorePolicy is how replicas of services are moved back to a zone that displaced them, so
+// that the next outage takes fewer of them. Tasks of job arrays are never moved: they finish
+// sooner where they are.
+type RestorePolicy struct {
+	// MovesPerMinute limits the moves of all services; 0 turns moves off.
+	MovesPerMinute float64
+	// After is how long a zone must have served since its recovery.
+	After time.Duration
+	// Budget is how many replicas of one service may be moved in one incident.
+	Budget int
+}
+
+// clearShare is the share of unreachable machines below which a zone is not in trouble. It is
+// lower than SuspectShare, so that a zone between the two does not change back and forth.
+func (p *Policy) clearShare() float64 { return p.SuspectShare / 2 }
+
+// holdDown returns the hold-down after the given number of outages in an incident.
+func (p *Policy) holdDown(outages int) time.Duration {
+	grown := float64(p.HoldDown) * math.Pow(p.HoldDownFactor, float64(max(0, outages-1)))
 	return time.Duration(min(grown, float64(p.MaxHoldDown)))
 }
 
-// shareOf is the share of a step; the probe, step 0, has none.
-func (p *Policy) shareOf(step int) float64 {
+// share returns the share of a step. The probe, step 0, has none.
+func (p *Policy) share(step int) float64 {
 	switch {
-	case step <= 0:
+	case step <= probeStep:
 		return 0
 	case step >= p.lastStep():
 		return 1
@@ -70,30 +93,32 @@
 	return p.Steps[step-1]
 }
 
-// lastStep is the step with the full share, after those of the settings.
+// lastStep is the step with the full share. It follows those of the settings.
 func (p *Policy) lastStep() int { return len(p.Steps) + 1 }
 
-// startLimit is how many starts may be under way in a step on so many machines.
-func (p *Policy) startLimit(step, machines int) int {
-	return max(p.ProbeTasks, int(math.Ceil(p.shareOf(step)*p.StartsPerMachine*float64(machines))))
+// startLimit is how many starts may be in flight in a step.
+func (p *Policy) startLimit(step, reachableMachines int) int {
+	return max(p.ProbeTasks, int(math.Ceil(p.share(step)*p.StartsPerMachine*float64(reachableMachines))))
 }
 
-// fetchLimit is how many image fetches may be under way in a step on so many machines.
-func (p *Policy) fetchLimit(step, machines int) int {
-	return max(1, int(math.Ceil(p.shareOf(step)*p.FetchesPerMachine*float64(machines))))
+// fetchLimit is how many image fetches may be in flight in a step.
+func (p *Policy) fetchLimit(step, reachableMachines int) int {
+	return max(1, int(math.Ceil(p.share(step)*p.FetchesPerMachine*float64(reachableMachines))))
 }
 
-// rentalLimit is how many machines may be on their way to a zone that had so many before.
-func (p *Policy) rentalLimit(step, machinesBefore int) int {
-	return max(p.ProbeTasks, int(math.Ceil(p.shareOf(step)*float64(machinesBefore))))
+// provisioningLimit is how many machines may be provisioned at once in a step, for a zone that
+// had the given number before its outage.
+func (p *Policy) provisioningLimit(step, machinesBefore int) int {
+	return max(p.ProbeTasks, int(math.Ceil(p.share(step)*float64(machinesBefore))))
 }
 
-// openWindow finds the window that is open in a zone, if any, and when it ends.
-func (p *Policy) openWindow(zone ids.Zone, at time.Time) (w *Window, until time.Time) {
+// openWindow returns the window that is open in a zone and ends last, and its end. The window is
+// nil if none is open.
+func (p *Policy) openWindow(zone ids.Zone, at time.Time) (window *Window, until time.Time) {
 	for _, candidate := range p.Windows {
 		if end, open := candidate.OpenAt(zone, at); open && end.After(until) {
-			w, until = candidate, end
+			window, until = candidate, end
 		}
 	}
-	return w, until
+	return window, until
 }
--- a/zonerecovery/ramp.go
+++ b/zonerecovery/ramp.go
@@ -1,15 +1,15 @@
 package zonerecovery
 
 import (
-	"math"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
 )
 
+// probeStep is the first step of a recovery: a few small tasks show that the zone works.
+const probeStep = 0
+
 // ramp is the progress of a return.
 type ramp struct {
 	// step is 0 for the probe, then the number of the share.
@@ -26,7 +26,7 @@
 	relaxed bool
 	// setbacks counts the steps that were taken back.
 	setbacks   int
-	startTimes *latencies
+	startTimes *startLatencies
 }
 
 // enter begins a step.
@@ -35,7 +35,7 @@
 	r.started, r.succeeded, r.failed, r.denied, r.relaxed = 0, 0, 0, false, false
 	r.failedJobs = map[ids.JobID]bool{}
 	if r.startTimes == nil {
-		r.startTimes = newLatencies()
+		r.startTimes = newStartLatencies()
 	}
 	r.startTimes.reset()
 }
@@ -72,50 +72,3 @@
 	}
 	return underWay == 0 && (r.started == 0 && !r.denied || r.started > 0 && r.succeeded+r.failed >= r.started && r.succeeded > 0)
 }
-
-// latencies is a histogram of start times, from placement to running.
-type latencies struct{ histogram *hdrhistogram.Histogram }
-
-// The histogram holds times from 1 ms to an hour, to two digits.
-const (
-	latencyFloorMS   = 1
-	latencyCeilingMS = int64(time.Hour / time.Millisecond)
-	latencyDigits    = 2
-	// minLatencies is how many starts a comparison needs.
-	minLatencies = 5
-	// latencyQuantile is what of the starts is compared, in percent.
-	latencyQuantile = 90
-)
-
-// newLatencies makes an empty histogram.
-func newLatencies() *latencies {
-	return &latencies{hdrhistogram.New(latencyFloorMS, latencyCeilingMS, latencyDigits)}
-}
-
-// record adds a start time. What lies outside the histogram counts as its end.
-func (l *latencies) record(took time.Duration) {
-	ms := min(max(took.Milliseconds(), latencyFloorMS), latencyCeilingMS)
-	_ = l.histogram.RecordValue(ms) // it is inside
-}
-
-// reset forgets all start times.
-func (l *latencies) reset() { l.histogram.Reset() }
-
-// high is the start time that nine in ten did not exceed; ok is false with too few.
-func (l *latencies) high() (took time.Duration, ok bool) {
-	if l.histogram.TotalCount() < minLatencies {
-		return 0, false
-	}
-	return time.Duration(l.histogram.ValueAtPercentile(latencyQuantile)) * time.Millisecond, true
-}
-
-// slowerThan tells whether starts took so many times as long as others.
-func (l *latencies) slowerThan(others *latencies, factor float64) bool {
-	mine, ok := l.high()
-	usual, known := others.high()
-	return ok && known && float64(mine) > math.Max(float64(usual), float64(minSlowStart))*factor
-}
-
-// minSlowStart is the least time that starts elsewhere are taken to need: where they take a
-// few milliseconds, a second is no trouble.
-const minSlowStart = 2 * time.Second
--- a/zonerecovery/restore.go
+++ b/zonerecovery/restore.go
@@ -13,18 +13,6 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// RestorePolicy is how replicas of services are moved back to a zone that displaced them, so
-// that the next loss of a zone takes fewer of them. Arrays are never moved: they are done
-// sooner where they are.
-type RestorePolicy struct {
-	// MovesPerMinute bounds the moves of all services; 0: none are moved.
-	MovesPerMinute float64
-	// After is how long a zone must have served since its return.
-	After time.Duration
-	// Budget is how many replicas of one service may be moved in one incident.
-	Budget int
-}
-
 // ServicePlacement is where the replicas of a service run.
 type ServicePlacement struct {
 	Job ids.JobID
--- a/zonerecovery/settings.go
+++ b/zonerecovery/settings.go
@@ -3,13 +3,15 @@
 import (
 	"fmt"
 	"slices"
+	"time"
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// Settings are the operators' settings of the subsystem, the section zone_return of their
-// file. The schema checks each value by itself, Policy what they say together.
+// Settings are the operators' settings, the section zone_return of their file. The suffix S
+// stands for seconds. The schema checks each value by itself, Policy checks them together. The
+// fields of Policy say what each is for.
 type Settings struct {
 	Enabled              bool             `json:"enabled"`
 	SuspectShare         float64          `json:"suspect_share"`
@@ -42,69 +44,117 @@
 	Windows              []WindowSettings `json:"windows"`
 }
 
-// SettingError is a setting that makes no sense, by itself or beside others.
+// SettingError is an invalid setting, or one that contradicts another.
 type SettingError struct {
-	// Key is the setting's place below zone_return.
+	// Key is the path of the setting below zone_return.
 	Key, Problem string
 }
 
-// Error names the setting and what is wrong with it.
+// Error returns the key and the problem.
 func (e *SettingError) Error() string { return fmt.Sprintf("zone_return.%s: %s", e.Key, e.Problem) }
 
-// settingError makes a SettingError.
+// settingError returns a *SettingError.
 func settingError(key, format string, args ...any) error {
 	return &SettingError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Policy checks what the settings say together, and turns them into a policy.
+// Policy checks the settings and converts them to a policy. The error is a *SettingError.
 func (s *Settings) Policy() (*Policy, error) {
-	if err := s.check(); err != nil {
-		return nil, err
-	}
-	p := &Policy{
-		SuspectShare: s.SuspectShare, OutageShare: s.OutageShare,
-		OutageAfter: monotonic.Seconds(s.OutageAfterS), ClearSuspicionAfter: monotonic.Seconds(s.ClearSuspicionAfterS), MinMachines: s.MinMachines,
-		ReachableShare: s.ReachableShare, RetryAfter: monotonic.Seconds(s.RetryAfterS),
-		HoldDown: monotonic.Seconds(s.HoldDownS), MaxHoldDown: monotonic.Seconds(s.MaxHoldDownS), HoldDownFactor: s.HoldDownFactor,
-		QuietPeriod: monotonic.Seconds(s.QuietPeriodS), ProbeTasks: s.ProbeTasks, MaxProbeRun: monotonic.Seconds(s.MaxProbeRunS),
-		Steps: slices.Clone(s.Steps), MinStepTime: monotonic.Seconds(s.MinStepTimeS), MinStepSuccesses: s.MinStepSuccesses,
-		FailureTolerance: s.FailureTolerance, SlowStartFactor: s.SlowStartFactor,
-		StartsPerMachine: s.StartsPerMachine, FetchesPerMachine: s.FetchesPerMachine,
-		MaxRecovery: monotonic.Seconds(s.MaxRecoveryS), FailbackBudget: s.FailbackBudget, ForceFailbackAfter: monotonic.Seconds(s.ForceFailbackAfterS),
-		Restore: RestorePolicy{MovesPerMinute: s.RestorePerMinute, After: monotonic.Seconds(s.RestoreAfterS), Budget: s.RestoreBudget},
+	for _, check := range []func() error{s.checkOutages, s.checkLimits, s.checkRestore, s.checkSteps} {
+		if err := check(); err != nil {
+			return nil, err
+		}
 	}
+	policy := s.policyWithoutWindows()
+	now := time.Now()
 	for i := range s.Windows {
-		w, err := s.Windows[i].window(fmt.Sprintf("windows.%d", i))
+		window, err := s.Windows[i].window(fmt.Sprintf("windows.%d", i), now)
 		if err != nil {
 			return nil, err
 		}
-		p.Windows = append(p.Windows, w)
+		policy.Windows = append(policy.Windows, window)
 	}
-	return p, nil
+	return policy, nil
 }
 
-// check finds settings that contradict one another.
-func (s *Settings) check() error {
-	switch {
-	case s.OutageShare < s.SuspectShare:
+// policyWithoutWindows converts all settings but the windows.
+func (s *Settings) policyWithoutWindows() *Policy {
+	return &Policy{
+		SuspectShare:        s.SuspectShare,
+		OutageShare:         s.OutageShare,
+		OutageAfter:         monotonic.Seconds(s.OutageAfterS),
+		ClearSuspicionAfter: monotonic.Seconds(s.ClearSuspicionAfterS),
+		MinMachines:         s.MinMachines,
+		ReachableShare:      s.ReachableShare,
+		RetryAfter:          monotonic.Seconds(s.RetryAfterS),
+		HoldDown:            monotonic.Seconds(s.HoldDownS),
+		MaxHoldDown:         monotonic.Seconds(s.MaxHoldDownS),
+		HoldDownFactor:      s.HoldDownFactor,
+		QuietPeriod:         monotonic.Seconds(s.QuietPeriodS),
+		ProbeTasks:          s.ProbeTasks,
+		MaxProbeRun:         monotonic.Seconds(s.MaxProbeRunS),
+		Steps:               slices.Clone(s.Steps),
+		MinStepTime:         monotonic.Seconds(s.MinStepTimeS),
+		MinStepSuccesses:    s.MinStepSuccesses,
+		FailureTolerance:    s.FailureTolerance,
+		SlowStartFactor:     s.SlowStartFactor,
+		StartsPerMachine:    s.StartsPerMachine,
+		FetchesPerMachine:   s.FetchesPerMachine,
+		MaxRecovery:         monotonic.Seconds(s.MaxRecoveryS),
+		FailbackBudget:      s.FailbackBudget,
+		ForceFailbackAfter:  monotonic.Seconds(s.ForceFailbackAfterS),
+		Restore: RestorePolicy{
+			MovesPerMinute: s.RestorePerMinute,
+			After:          monotonic.Seconds(s.RestoreAfterS),
+			Budget:         s.RestoreBudget,
+		},
+	}
+}
+
+// checkOutages checks what decides about outages and hold-downs.
+func (s *Settings) checkOutages() error {
+	if s.OutageShare < s.SuspectShare {
 		return settingError("dark_share", "%g is below suspect_share, %g", s.OutageShare, s.SuspectShare)
-	case s.MaxHoldDownS < s.HoldDownS:
+	}
+	if s.MaxHoldDownS < s.HoldDownS {
 		return settingError("hold_down_max_s", "%g is below hold_down_s, %g", s.MaxHoldDownS, s.HoldDownS)
+	}
+	return nil
+}
+
+// checkLimits checks that no work is held back for longer than hold_limit_s.
+func (s *Settings) checkLimits() error {
+	// The probe and the full share come on top of the steps of the settings.
+	steps := float64(len(s.Steps) + 2)
+	switch {
 	case s.MaxHoldDownS+s.MaxRecoveryS > s.MaxWaitS:
 		return settingError("return_max_s", "with hold_down_max_s it comes to %g s, more than hold_limit_s, %g: work would wait beside room for too long", s.MaxHoldDownS+s.MaxRecoveryS, s.MaxWaitS)
-	case float64(len(s.Steps)+2)*s.MinStepTimeS > s.MaxRecoveryS:
+	case steps*s.MinStepTimeS > s.MaxRecoveryS:
 		return settingError("steps", "a probe, %d steps and the full share, each of %g s, do not fit into return_max_s, %g", len(s.Steps), s.MinStepTimeS, s.MaxRecoveryS)
 	case s.ForceFailbackAfterS > s.MaxWaitS:
 		return settingError("patience_s", "%g is above hold_limit_s, %g", s.ForceFailbackAfterS, s.MaxWaitS)
 	case s.QuietPeriodS < s.MaxWaitS:
 		return settingError("quiet_s", "%g is below hold_limit_s, %g: flaps would be forgotten before they are over", s.QuietPeriodS, s.MaxWaitS)
 	}
-	if s.RestorePerMinute > 0 && s.FailbackBudget == 0 {
+	return nil
+}
+
+// checkRestore checks that replicas can be moved back at all where that is turned on.
+func (s *Settings) checkRestore() error {
+	if s.RestorePerMinute <= 0 {
+		return nil
+	}
+	if s.FailbackBudget == 0 {
 		return settingError("restore_moves_per_minute", "%g moves replicas back, which move_budget 0 forbids", s.RestorePerMinute)
 	}
-	if s.RestorePerMinute > 0 && s.RestoreAfterS >= s.QuietPeriodS {
+	if s.RestoreAfterS >= s.QuietPeriodS {
 		return settingError("restore_after_s", "%g is not below quiet_s, %g: the incident would be over before", s.RestoreAfterS, s.QuietPeriodS)
 	}
+	return nil
+}
+
+// checkSteps checks that the shares of the steps ascend.
+func (s *Settings) checkSteps() error {
 	for i := 1; i < len(s.Steps); i++ {
 		if s.Steps[i] <= s.Steps[i-1] {
 			return settingError(fmt.Sprintf("steps.%d", i), "%g is not above the step before, %g", s.Steps[i], s.Steps[i-1])
@@ -113,7 +163,8 @@
 	return nil
 }
 
-// CheckZones finds a window that names a zone which does not exist.
+// CheckZones checks that all zones that windows name are among the known ones. The error is a
+// *SettingError.
 func (s *Settings) CheckZones(known []ids.Zone) error {
 	for i := range s.Windows {
 		for k, zone := range s.Windows[i].Zones {
--- a/zonerecovery/status.go
+++ b/zonerecovery/status.go
@@ -57,11 +57,11 @@
 		Override: z.override.Kind, Recorded: !z.record.dirty && !z.record.inFlight,
 	}
 	s.Incidents = z.incidents.all()
-	if usual, ok := z.usual.high(); ok {
+	if usual, ok := z.usual.p90(); ok {
 		s.BaselineP90MS = usual.Milliseconds()
 	}
 	if z.condition == Recovering {
-		if took, ok := z.ramp.startTimes.high(); ok {
+		if took, ok := z.ramp.startTimes.p90(); ok {
 			s.StartP90MS = took.Milliseconds()
 		}
 		s.Step = z.ramp.step
@@ -84,7 +84,7 @@
 		}
 		return "all new work, by an operator: " + z.override.Reason, until
 	case z.condition == Suspect:
-		if !view.sound() {
+		if !view.reliable() {
 			return "all new work; no verdict, since the state service or most controllers are not reached", until
 		}
 		return "all new work, until its machines are heard or it counts as dark", until
--- a/zonerecovery/window_test.go
+++ b/zonerecovery/window_test.go
@@ -10,7 +10,7 @@
 
 func mustWindow(t *testing.T, s WindowSettings) *Window {
 	t.Helper()
-	w, err := s.window("windows.0")
+	w, err := s.window("windows.0", time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,12 +89,12 @@
 		zone               ids.Zone
 		want               bool
 	}{
-		{"a workday", onWorkdays, "pl", day(time.November, 10), "a", true},
-		{"Independence Day is none", onWorkdays, "pl", day(time.November, 11), "a", false},
-		{"but in Sweden it is", onWorkdays, "se", day(time.November, 11), "a", true},
-		{"Midsummer Eve's Saturday", onNonWorkdays, "se", day(time.June, 20), "a", true},
-		{"Easter Monday moves", onNonWorkdays, "pl", day(time.April, 6), "a", true},
-		{"another zone", onWorkdays, "pl", day(time.November, 10), "b", false},
+		{"a workday", workdays, "pl", day(time.November, 10), "a", true},
+		{"Independence Day is none", workdays, "pl", day(time.November, 11), "a", false},
+		{"but in Sweden it is", workdays, "se", day(time.November, 11), "a", true},
+		{"Midsummer Eve's Saturday", nonWorkdays, "se", day(time.June, 20), "a", true},
+		{"Easter Monday moves", nonWorkdays, "pl", day(time.April, 6), "a", true},
+		{"another zone", workdays, "pl", day(time.November, 10), "b", false},
 	} {
 		s := base
 		s.DayKind, s.Calendar = c.on, c.calendar
@@ -113,12 +113,12 @@
 		"to: the window never opens: it ends when":         func(s *WindowSettings) { s.To = "05:00" },
 		"days.1: unknown day \"tues\"":                     func(s *WindowSettings) { s.Days = []string{"mon", "tues"} },
 		"calendar: unknown calendar":                       func(s *WindowSettings) { s.Calendar = "xx" },
-		"calendar: on \"workdays\" needs a calendar":       func(s *WindowSettings) { s.DayKind = onWorkdays },
-		"windows.0: the window never opens: no day of the": func(s *WindowSettings) { s.Calendar, s.DayKind, s.Days = "pl", onWorkdays, []string{"sat", "sun"} },
+		"calendar: on \"workdays\" needs a calendar":       func(s *WindowSettings) { s.DayKind = workdays },
+		"windows.0: the window never opens: no day of the": func(s *WindowSettings) { s.Calendar, s.DayKind, s.Days = "pl", workdays, []string{"sat", "sun"} },
 	} {
 		s := good
 		change(&s)
-		if _, err := s.window("windows.0"); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if _, err := s.window("windows.0", time.Now()); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
--- a/zonerecovery/zone.go
+++ b/zonerecovery/zone.go
@@ -13,7 +13,7 @@
 	name   ids.Zone
 	policy *Policy
 	// usual are the start times in zones that do not return.
-	usual *latencies
+	usual *startLatencies
 
 	// now is when it was last observed, and sinceObserved how long after the time before.
 	now           monotonic.Instant
@@ -53,7 +53,7 @@
 }
 
 // newZone makes a zone that serves.
-func newZone(name ids.Zone, policy *Policy, usual *latencies, now monotonic.Instant) *zone {
+func newZone(name ids.Zone, policy *Policy, usual *startLatencies, now monotonic.Instant) *zone {
 	z := &zone{name: name, policy: policy, usual: usual, now: now, since: now, starts: newStartTracker()}
 	z.record.jobLimit = maxRecordedJobs
 	z.displaced.clear()
@@ -96,7 +96,7 @@
 	z.absent = min(z.absent, e.lost())
 	z.expireOverride(at)
 	z.someZoneHeard = someZoneHeard
-	z.noteView(at.Now, view.sound() && someZoneHeard)
+	z.noteView(at.Now, view.reliable() && someZoneHeard)
 	if view.ProcessResumed {
 		// What came meanwhile is still to be read, so no silence counts.
 		z.steadySince = 0
