--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -265,7 +265,7 @@
 
 // detached notes that a task is off its machine.
 func (g *zoneGate) detached(a *assignment) {
-	if g != nil && g.manager.TaskEnded(a.machine.Zone, a.ref(), g.core.now) {
+	if g != nil && g.manager.TaskEnded(a.machine.Zone, a.ref()) {
 		g.core.schedulingDue = true
 	}
 }
--- a/zonerecovery/gate.go
+++ b/zonerecovery/gate.go
@@ -42,7 +42,7 @@
 		return DeniedOutage
 	case !z.record.allows(z.condition):
 		return DeniedUnrecorded
-	case !z.mayForce(s) && z.displaced.exhausted(s.Task.Job, z.policy.FailbackBudget):
+	case z.displaced.denies(s, z.now):
 		return DeniedFailbackBudget
 	case z.condition == Serving || s.Critical:
 		return Admitted
@@ -59,9 +59,9 @@
 		return DeniedWindow
 	case step == 0 && !s.ProbeEligible && !z.ramp.relaxed:
 		return DeniedProbeOnly
-	case z.starts.returning >= z.policy.startLimit(step, z.evidence.Reachable):
+	case z.starts.limited >= z.policy.startLimit(step, z.evidence.Reachable):
 		return DeniedStartLimit
-	case !s.NeedsFetch || z.starts.fetches[fetchKey{s.Machine, s.Image}] > 0:
+	case !s.NeedsFetch || z.starts.fetches[s.fetch()] > 0:
 		return Admitted
 	case s.MachineFetching || len(z.starts.fetches) >= z.policy.fetchLimit(step, z.evidence.Reachable):
 		return DeniedFetchLimit
@@ -69,46 +69,48 @@
 	return Admitted
 }
 
-// mayForce tells whether a job's earlier moves do not count any more: it may go nowhere else,
-// or has waited for long since it was displaced.
-func (z *zone) mayForce(s *StartRequest) bool {
-	return s.ZonePinned || z.now >= z.displaced.patientUntil(s.Task.Job, z.policy.ForceFailbackAfter)
-}
-
 // byRamp tells whether the ramp alone turned a task away: it may come with a later step.
 func (d Admission) byRamp() bool {
 	return d == DeniedProbeOnly || d == DeniedStartLimit || d == DeniedFetchLimit
 }
 
 // started notes that a task was placed in the zone.
-func (z *zone) started(s *StartRequest, now monotonic.Instant) (bounced, forced bool) {
-	ramped := z.condition == Recovering
-	z.starts.add(s, now, ramped)
-	if ramped && !s.Critical {
-		z.ramp.started++
+func (z *zone) started(request *StartRequest, now monotonic.Instant) failback {
+	if z.condition == Recovering {
+		z.starts.addInRecovery(request, now)
+		if !request.Critical {
+			z.ramp.started++
+		}
+	} else {
+		z.starts.add(request, now)
 	}
-	if bounced, forced = z.displaced.comeBack(s.Task.Job, z.policy.FailbackBudget, z.mayForce(s)); bounced {
+	kind := z.displaced.recordPlacement(request, z.now)
+	if kind != noFailback {
 		z.record.lazy = true
 	}
-	return bounced, forced
+	z.incidents.addFailback(kind)
+	return kind
 }
 
-// startEnded notes that a task runs, or is gone before it did.
-func (z *zone) startEnded(task ids.TaskRef, ran bool, now monotonic.Instant) {
-	p, ok := z.starts.remove(task)
-	if !ok || !ran {
-		if ok && p.ramped && !p.critical {
-			z.ramp.started = max(0, z.ramp.started-1)
-		}
-		return
-	}
-	took := now.Sub(p.since)
-	if z.condition != Recovering {
-		z.usual.record(took)
+// startSucceeded notes that a task runs.
+func (z *zone) startSucceeded(task ids.TaskRef, now monotonic.Instant) {
+	start, ok := z.starts.remove(task)
+	if !ok {
 		return
 	}
-	if p.ramped && !p.critical {
+	latency := now.Sub(start.placedAt)
+	switch {
+	case z.condition != Recovering:
+		z.usual.record(latency)
+	case start.countsForStep():
 		z.ramp.succeeded++
-		z.ramp.startTimes.record(took)
+		z.ramp.startTimes.record(latency)
+	}
+}
+
+// startWithdrawn notes that a task is off its machine. It changes nothing if the task ran.
+func (z *zone) startWithdrawn(task ids.TaskRef) {
+	if start, ok := z.starts.remove(task); ok && start.countsForStep() {
+		z.ramp.started = max(0, z.ramp.started-1)
 	}
 }
--- a/zonerecovery/incident.go
+++ b/zonerecovery/incident.go
@@ -1,47 +1,50 @@
 package zonerecovery
 
 import (
+	"slices"
 	"time"
 )
 
-// Incident is what happened to a zone from the first time that it got dark until it had
-// served for long enough. Those that are over are kept, so that operators who were not
-// there can see them.
+// Incident is what happened to a zone from its first outage until it had served for the quiet
+// period. Times of day are in milliseconds since the epoch, durations in milliseconds.
 type Incident struct {
-	// RecoveryBeganMS is when the zone got dark, ServingSinceMS when it last served again, 0 if it does
-	// not yet.
+	// BeganMS is when the first outage began. ServingSinceMS is when the zone last began to
+	// serve again, 0 if it does not yet.
 	BeganMS        int64 `msgpack:"b" cbor:"1,keyasint" json:"began_ms"`
 	ServingSinceMS int64 `msgpack:"e,omitempty" cbor:"2,keyasint" json:"served_ms"`
-	// Outages counts the times that it got dark, OutageMS how long it was so all together, and
-	// RecoveryMS how long its returns took.
+	// Outages counts the outages. OutageMS is how long they lasted in total, and RecoveryMS how
+	// long the recoveries did.
 	Outages    int   `msgpack:"s" cbor:"3,keyasint" json:"spells"`
 	OutageMS   int64 `msgpack:"d,omitempty" cbor:"4,keyasint" json:"dark_ms"`
 	RecoveryMS int64 `msgpack:"r,omitempty" cbor:"5,keyasint" json:"return_ms"`
-	// Setbacks counts the steps that were taken back.
+	// Setbacks counts the steps of recoveries that were taken back.
 	Setbacks int `msgpack:"k,omitempty" cbor:"6,keyasint" json:"setbacks"`
-	// DisplacedTasks were lost with the zone, of so many Jobs. Bounces counts the jobs that came
-	// back, Forced those beyond their budget, and Restored the replicas that were moved
-	// back.
-	DisplacedTasks   int `msgpack:"t,omitempty" cbor:"7,keyasint" json:"displaced_tasks"`
-	DisplacedJobs    int `msgpack:"j,omitempty" cbor:"8,keyasint" json:"displaced_jobs"`
-	Failbacks        int `msgpack:"o,omitempty" cbor:"9,keyasint" json:"bounces"`
-	ForcedFailbacks  int `msgpack:"f,omitempty" cbor:"10,keyasint" json:"forced"`
+	// DisplacedTasks counts the tasks that were lost with the zone, DisplacedJobs their jobs.
+	DisplacedTasks int `msgpack:"t,omitempty" cbor:"7,keyasint" json:"displaced_tasks"`
+	DisplacedJobs  int `msgpack:"j,omitempty" cbor:"8,keyasint" json:"displaced_jobs"`
+	// Failbacks counts the jobs that returned to the zone within their budget, ForcedFailbacks
+	// those that returned beyond it.
+	Failbacks       int `msgpack:"o,omitempty" cbor:"9,keyasint" json:"bounces"`
+	ForcedFailbacks int `msgpack:"f,omitempty" cbor:"10,keyasint" json:"forced"`
+	// RestoredReplicas counts the replicas of services that were moved back.
 	RestoredReplicas int `msgpack:"m,omitempty" cbor:"11,keyasint" json:"restored"`
-	// MachinesBefore is how many the zone had when it got dark.
+	// Machines is how many the zone had before the first outage.
 	Machines int `msgpack:"n,omitempty" cbor:"12,keyasint" json:"machines"`
 }
 
-// maxHistory bounds the incidents that are kept for a zone.
-const maxHistory = 8
+// maxPastIncidents limits the past incidents that are kept for a zone.
+const maxPastIncidents = 8
 
-// incidentLog is a zone's present incident and those before it, the newest last.
+// incidentLog owns the present incident of a zone and the past ones. It is kept for operators,
+// and decides nothing.
 type incidentLog struct {
+	// present is nil while there is no incident.
 	present *Incident
-	history []Incident
+	past    []Incident
 }
 
-// begin notes that the zone got dark: another spell, or a new incident.
-func (l *incidentLog) begin(at ClockReading, machines int) {
+// beginOutage adds an outage to the present incident, or begins a new one.
+func (l *incidentLog) beginOutage(at ClockReading, machines int) {
 	if l.present == nil {
 		l.present = &Incident{BeganMS: at.Wall.UnixMilli(), Machines: machines}
 	}
@@ -49,58 +52,71 @@
 	l.present.ServingSinceMS = 0
 }
 
-// leave adds the time that the zone had a condition, once it has another.
-func (l *incidentLog) leave(c Condition, took time.Duration) {
-	if l.present == nil {
-		return
-	}
-	switch c {
-	case Outage:
-		l.present.OutageMS += took.Milliseconds()
-	case Recovering:
-		l.present.RecoveryMS += took.Milliseconds()
-	}
+// addTime adds how long the zone was in a condition that it has left.
+func (l *incidentLog) addTime(left Condition, duration time.Duration) {
+	l.update(func(incident *Incident) {
+		switch left {
+		case Outage:
+			incident.OutageMS += duration.Milliseconds()
+		case Recovering:
+			incident.RecoveryMS += duration.Milliseconds()
+		}
+	})
+}
+
+// beginServing notes that the zone serves again.
+func (l *incidentLog) beginServing(at ClockReading) {
+	l.update(func(incident *Incident) { incident.ServingSinceMS = at.Wall.UnixMilli() })
+}
+
+// addFailback counts a job that returned to the zone.
+func (l *incidentLog) addFailback(kind failback) {
+	l.update(func(incident *Incident) {
+		switch kind {
+		case failbackInBudget:
+			incident.Failbacks++
+		case failbackForced:
+			incident.ForcedFailbacks++
+		}
+	})
 }
 
-// serve notes that the zone serves again.
-func (l *incidentLog) serve(at ClockReading) {
+// update changes the present incident, if there is one.
+func (l *incidentLog) update(change func(*Incident)) {
 	if l.present != nil {
-		l.present.ServingSinceMS = at.Wall.UnixMilli()
+		change(l.present)
 	}
 }
 
-// close ends the present incident.
+// close ends the present incident, if there is one.
 func (l *incidentLog) close() {
 	if l.present == nil {
 		return
 	}
-	l.history = append(l.history, *l.present)
-	l.history = l.history[max(0, len(l.history)-maxHistory):]
+	l.past = append(l.past, *l.present)
+	l.past = l.past[max(0, len(l.past)-maxPastIncidents):]
 	l.present = nil
 }
 
-// count changes the present incident, if there is one.
-func (l *incidentLog) count(change func(*Incident)) {
+// all returns a copy of the incidents, the present one last; nil if there are none.
+func (l *incidentLog) all() []Incident {
+	incidents := append([]Incident(nil), l.past...)
 	if l.present != nil {
-		change(l.present)
+		incidents = append(incidents, *l.present)
 	}
+	return incidents
 }
 
-// all lists the incidents, the present one last.
-func (l *incidentLog) all() []Incident {
-	out := append([]Incident(nil), l.history...)
-	if l.present != nil {
-		out = append(out, *l.present)
-	}
-	return out
+// load replaces the log by recorded incidents, all of them past.
+func (l *incidentLog) load(recorded []Incident) {
+	l.past, l.present = slices.Clone(recorded), nil
 }
 
-// load takes in what a predecessor recorded. The last incident is the present one unless it
-// is over.
-func (l *incidentLog) load(recorded []Incident, open bool) {
-	l.history = append([]Incident(nil), recorded...)
-	if open && len(l.history) > 0 {
-		last := l.history[len(l.history)-1]
-		l.present, l.history = &last, l.history[:len(l.history)-1]
+// reopen makes the newest past incident, if there is one, the present one.
+func (l *incidentLog) reopen() {
+	if len(l.past) == 0 {
+		return
 	}
+	newest := l.past[len(l.past)-1]
+	l.present, l.past = &newest, l.past[:len(l.past)-1]
 }
--- a/zonerecovery/manager.go
+++ b/zonerecovery/manager.go
@@ -90,42 +90,41 @@
 }
 
 // TaskStarted notes that a task was placed in a zone.
-func (m *Manager) TaskStarted(name ids.Zone, s *StartRequest, now monotonic.Instant) {
+func (m *Manager) TaskStarted(name ids.Zone, request *StartRequest, now monotonic.Instant) {
 	z := m.zone(name, now)
-	bounced, forced := z.started(s, now)
-	switch {
-	case forced:
+	switch z.started(request, now) {
+	case failbackForced:
 		m.stats.ForcedFailbacks++
-		z.incidents.count(func(i *Incident) { i.ForcedFailbacks++ })
-	case bounced:
+	case failbackInBudget:
 		m.stats.Failbacks++
-		z.incidents.count(func(i *Incident) { i.Failbacks++ })
-		m.stats.MaxFailbacksPerJob = max(m.stats.MaxFailbacksPerJob, z.displaced.worst())
+		m.stats.MaxFailbacksPerJob = max(m.stats.MaxFailbacksPerJob, z.displaced.maxFailbacks())
 	}
 }
 
 // TaskInherited notes that a predecessor placed a task in a zone. It counts as under way until
 // it is seen to run.
 func (m *Manager) TaskInherited(name ids.Zone, s *StartRequest, now monotonic.Instant) {
-	m.zone(name, now).starts.add(s, now, false)
+	m.zone(name, now).starts.add(s, now)
 }
 
-// TaskRunning notes that a task runs. It tells whether that may let others start.
+// TaskRunning notes that a task runs. It reports whether more tasks may start than before.
 func (m *Manager) TaskRunning(name ids.Zone, task ids.TaskRef, now monotonic.Instant) (opened bool) {
-	return m.startEnded(name, task, true, now)
-}
-
-// TaskEnded notes that a task is off its machine, whether or not it ran.
-func (m *Manager) TaskEnded(name ids.Zone, task ids.TaskRef, now monotonic.Instant) (opened bool) {
-	return m.startEnded(name, task, false, now)
+	z := m.zones[name]
+	if z == nil {
+		return false
+	}
+	z.startSucceeded(task, now)
+	return z.condition == Recovering
 }
 
-func (m *Manager) startEnded(name ids.Zone, task ids.TaskRef, ran bool, now monotonic.Instant) bool {
+// TaskEnded notes that a task is off its machine, whether or not it ran. It reports whether more
+// tasks may start than before.
+func (m *Manager) TaskEnded(name ids.Zone, task ids.TaskRef) (opened bool) {
 	z := m.zones[name]
 	if z == nil {
 		return false
 	}
-	z.startEnded(task, ran, now)
+	z.startWithdrawn(task)
 	return z.condition == Recovering
 }
 
@@ -144,10 +143,10 @@
 		return
 	}
 	m.stats.DisplacedTasks++
-	z.incidents.count(func(i *Incident) { i.DisplacedTasks++ })
-	if z.displaced.lose(job, z.now) {
+	z.incidents.update(func(i *Incident) { i.DisplacedTasks++ })
+	if z.displaced.recordLoss(job, max(1, z.flaps), z.now) { // a suspicion may become the first outage
 		z.record.lazy = true
-		z.incidents.count(func(i *Incident) { i.DisplacedJobs = len(z.displaced.jobs) })
+		z.incidents.update(func(i *Incident) { i.DisplacedJobs = len(z.displaced.jobs) })
 	}
 }
 
@@ -260,7 +259,7 @@
 // do differs from what others like it may.
 func (m *Manager) FailbackDenied(job ids.JobID) bool {
 	for _, z := range m.zones {
-		if z.displaced.exhausted(job, m.policy.FailbackBudget) && z.now < z.displaced.patientUntil(job, m.policy.ForceFailbackAfter) {
+		if z.displaced.budgetExhausted(job) && z.displaced.waits(job, z.now) {
 			return true
 		}
 	}
--- a/zonerecovery/ramp_test.go
+++ b/zonerecovery/ramp_test.go
@@ -56,7 +56,7 @@
 		t.Fatalf("step %d after the probe succeeded", st.Step)
 	}
 	z := b.m.zones["z"]
-	z.displaced.jobs["job-3"] = &displacedJob{losses: 2, lastSpell: 2, returns: 1, returnedSpell: 1, lostAt: b.at.Now}
+	z.displaced.jobs["job-3"] = &displacedJob{losses: 2, lastLoss: 2, failbacks: 1, lastFailback: 1, lostAt: b.at.Now}
 	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-3"}, ProbeEligible: true}); denial != DeniedFailbackBudget {
 		t.Errorf("a job that came back before: %s", denial)
 	}
@@ -90,7 +90,7 @@
 		if st := b.m.Status(b.at)[1]; st.Step != c.want {
 			t.Errorf("%s: step %d, want %d", c.name, st.Step, c.want)
 		}
-		b.m.TaskEnded("z", held, b.at.Now)
+		b.m.TaskEnded("z", held)
 	}
 }
 
--- a/zonerecovery/record.go
+++ b/zonerecovery/record.go
@@ -87,20 +87,20 @@
 func (z *zone) export(at ClockReading, nonce uint64) Record {
 	rec := Record{
 		Nonce: nonce, Condition: uint8(z.recordable()), SinceMS: at.toWall(z.since).UnixMilli(),
-		Outages: z.flaps, OutageNumber: z.displaced.spell, MachinesBefore: z.machinesBefore,
+		Outages: z.flaps, OutageNumber: z.flaps, MachinesBefore: z.machinesBefore,
 		Incidents: z.incidents.all(),
 		Override:  uint8(z.override.Kind), OverrideReason: z.override.Reason, OverrideUntilMS: z.override.UntilMS,
 	}
 	if z.recordable() == Recovering {
 		rec.Step, rec.RecoveryBeganMS = z.ramp.step, at.toWall(z.ramp.began).UnixMilli()
 	}
-	jobs := z.displaced.mostReturned()
+	jobs := z.displaced.byRelevance()
 	limit := min(len(jobs), z.record.jobLimit)
 	rec.OmittedJobs = len(jobs) - limit
 	for _, job := range jobs[:limit] {
 		entry := z.displaced.jobs[job]
 		rec.DisplacedJobs = append(rec.DisplacedJobs, job)
-		rec.JobCounters = append(rec.JobCounters, entry.losses, entry.lastSpell, entry.returns, entry.returnedSpell, entry.restored)
+		rec.JobCounters = append(rec.JobCounters, entry.losses, entry.lastLoss, entry.failbacks, entry.lastFailback, entry.restored)
 	}
 	return rec
 }
@@ -114,14 +114,16 @@
 	z.since = at.toInstant(rec.SinceMS)
 	z.reason = "recorded by an earlier leader"
 	z.flaps, z.machinesBefore = rec.Outages, rec.MachinesBefore
-	z.incidents.load(rec.Incidents, rec.Outages > 0)
+	z.incidents.load(rec.Incidents)
+	if rec.Outages > 0 {
+		z.incidents.reopen()
+	}
 	z.darkAt = at.Now // nothing there has been used since, as far as this leader knows
 	z.override = Override{Kind: OverrideKind(rec.Override), Reason: rec.OverrideReason, UntilMS: rec.OverrideUntilMS}
-	z.displaced.spell = rec.OutageNumber
 	for i, job := range rec.DisplacedJobs {
 		if k := i * countsPerJob; k+countsPerJob <= len(rec.JobCounters) {
 			n := rec.JobCounters[k : k+countsPerJob]
-			z.displaced.jobs[job] = &displacedJob{losses: n[0], lastSpell: n[1], returns: n[2], returnedSpell: n[3], restored: n[4], lostAt: at.Now}
+			z.displaced.jobs[job] = &displacedJob{losses: n[0], lastLoss: n[1], failbacks: n[2], lastFailback: n[3], restored: n[4], lostAt: at.Now}
 		}
 	}
 	if z.condition == Recovering {
@@ -137,8 +139,7 @@
 // the zone must show by itself that it is there.
 func (z *zone) loadUnreadable(revision ids.Revision, at ClockReading) {
 	z.condition, z.since, z.flaps = Outage, at.Now, 1
-	z.displaced.spell = 1
-	z.incidents.begin(at, 0)
+	z.incidents.beginOutage(at, 0)
 	z.reason = "the record cannot be read"
 	z.record.revision = revision
 	z.record.condition, z.record.dirty = Outage, true
--- a/zonerecovery/record_test.go
+++ b/zonerecovery/record_test.go
@@ -15,9 +15,9 @@
 	b.returning()
 	z := b.m.zones["z"]
 	for n := range 1000 {
-		z.displaced.lose(ids.JobID(fmt.Sprintf("job-%06d", n)), b.at.Now)
+		z.displaced.recordLoss(ids.JobID(fmt.Sprintf("job-%06d", n)), z.flaps, b.at.Now)
 	}
-	z.displaced.comeBack("job-000999", 1, false)
+	z.displaced.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-000999"}}, b.at.Now)
 	z.record.dirty = true
 	w, ok := b.m.NextWrite(b.at, 7, func(r *Record) bool { return len(r.DisplacedJobs) <= 60 })
 	if !ok || len(w.Record.DisplacedJobs) > 60 || len(w.Record.DisplacedJobs) < 20 || w.Record.DisplacedJobs[0] != "job-000999" || w.Record.OmittedJobs != 1000-len(w.Record.DisplacedJobs) {
@@ -65,19 +65,20 @@
 func TestIncidentsAreBounded(t *testing.T) {
 	var log incidentLog
 	at := ClockReading{Wall: time.Date(2026, 5, 4, 12, 0, 0, 0, time.UTC)}
-	for n := range 3 * maxHistory {
-		log.begin(at, n)
-		log.begin(at, n)
+	for n := range 3 * maxPastIncidents {
+		log.beginOutage(at, n)
+		log.beginOutage(at, n)
 		log.close()
 	}
-	if got := log.all(); len(got) != maxHistory || got[maxHistory-1].Machines != 3*maxHistory-1 || got[0].Outages != 2 {
+	if got := log.all(); len(got) != maxPastIncidents || got[maxPastIncidents-1].Machines != 3*maxPastIncidents-1 || got[0].Outages != 2 {
 		t.Errorf("%+v", got)
 	}
-	log.begin(at, 99)
+	log.beginOutage(at, 99)
 	var successor incidentLog
-	successor.load(log.all(), true)
-	successor.begin(at, 5)
-	if got := successor.all(); len(got) != maxHistory+1 || got[maxHistory].Outages != 2 || got[maxHistory].Machines != 99 {
+	successor.load(log.all())
+	successor.reopen()
+	successor.beginOutage(at, 5)
+	if got := successor.all(); len(got) != maxPastIncidents+1 || got[maxPastIncidents].Outages != 2 || got[maxPastIncidents].Machines != 99 {
 		t.Errorf("after a succession: %+v", got)
 	}
 }
@@ -100,8 +101,8 @@
 func TestRecordRoundTrip(t *testing.T) {
 	b := newBench(t)
 	b.returning()
-	b.m.zones["z"].displaced.lose("job-1", b.at.Now)
-	b.m.zones["z"].displaced.comeBack("job-1", 1, false)
+	b.m.zones["z"].displaced.recordLoss("job-1", b.m.zones["z"].flaps, b.at.Now)
+	b.m.zones["z"].displaced.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-1"}}, b.at.Now)
 	b.m.Override("z", Override{Kind: OverrideHold, Reason: "works", UntilMS: b.at.Wall.Add(time.Hour).UnixMilli()}, b.at)
 	b.pass(10*time.Second, 10)
 	old, rec := b.m.zones["z"], b.written["z"]
@@ -109,7 +110,7 @@
 	later := ClockReading{Now: monotonic.Instant(7 * time.Hour), Wall: b.at.Wall.Add(3 * time.Second)}
 	successor.Load("z", &rec, 5, later)
 	z := successor.zones["z"]
-	if z.condition != old.condition || z.flaps != old.flaps || z.ramp.step > old.ramp.step || z.override != old.override || z.displaced.spell != old.displaced.spell {
+	if z.condition != old.condition || z.flaps != old.flaps || z.ramp.step > old.ramp.step || z.override != old.override || rec.OutageNumber != old.flaps {
 		t.Errorf("%+v\nwas %+v", z, old)
 	}
 	want := *old.displaced.jobs["job-1"]
--- a/zonerecovery/restore.go
+++ b/zonerecovery/restore.go
@@ -70,7 +70,7 @@
 	for _, s := range services {
 		for _, to := range m.sortedZones() {
 			z := m.zones[to]
-			if !z.restorable(at.Now) || !z.mayRestore(s.Job) {
+			if !z.restorable(at.Now) || !z.displaced.mayRestore(s.Job) {
 				continue
 			}
 			from, uneven := s.fullest(to)
@@ -85,17 +85,11 @@
 	return RestoreMove{}, false
 }
 
-// mayRestore tells whether a job's budgets allow another replica to be moved back.
-func (z *zone) mayRestore(job ids.JobID) bool {
-	entry := z.displaced.jobs[job]
-	return entry != nil && entry.restored < z.policy.Restore.Budget && !z.displaced.exhausted(job, z.policy.FailbackBudget)
-}
-
 // noteRestored counts a replica that is moved back.
 func (z *zone) noteRestored(job ids.JobID) {
-	z.displaced.jobs[job].restored++
+	z.displaced.recordRestore(job)
 	z.record.lazy = true
-	z.incidents.count(func(i *Incident) { i.RestoredReplicas++ })
+	z.incidents.update(func(i *Incident) { i.RestoredReplicas++ })
 }
 
 // fullest finds the zone with most replicas, if a move from there to another zone makes the
--- a/zonerecovery/starts.go
+++ b/zonerecovery/starts.go
@@ -5,79 +5,102 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// StartRequest is a task that looks for a place, as far as it matters here.
+// StartRequest is a task that the scheduler wants to start on a machine of a zone. Machine, Image,
+// NeedsFetch, MachineFetching and ProbeEligible need be set only while the zone recovers.
 type StartRequest struct {
 	Task ids.TaskRef
-	// Critical work is what the ramp makes room for: replicas of services, and jobs of the
-	// highest priority.
+	// Critical is set for work that the limits of a recovery do not apply to: replicas of
+	// services, and jobs of the highest priority.
 	Critical bool
-	// ProbeEligible tells that the task may prove a zone: it can be run again without loss to
-	// others, and is expected to end soon.
+	// ProbeEligible is set if the task may show that a zone works: it can be run again without
+	// loss to others, and is expected to end soon.
 	ProbeEligible bool
-	// NeedsFetch tells that the machine would have to fetch the image, and Sharing that it
-	// fetches another one meanwhile, whose time that would cost.
+	// NeedsFetch is set if the machine has to fetch the image. MachineFetching is set if it
+	// fetches another one already, which this fetch would slow down.
 	NeedsFetch, MachineFetching bool
 	Machine                     ids.MachineID
 	Image                       ids.Image
-	// ZonePinned tells that the job may go nowhere else: its earlier moves do not count.
+	// ZonePinned is set if the job may run in no other zone. Its failback budget is ignored.
 	ZonePinned bool
 }
 
-// fetchKey names the fetch of one image by one machine.
-type fetchKey struct {
-	host  ids.MachineID
-	image ids.Image
+// fetch returns what the start would fetch.
+func (r *StartRequest) fetch() imageFetch { return imageFetch{r.Machine, r.Image} }
+
+// imageFetch is the fetch of one image by one machine.
+type imageFetch struct {
+	machine ids.MachineID
+	image   ids.Image
 }
 
-// pendingStart is a task that was placed and does not run yet.
-type pendingStart struct {
-	since    monotonic.Instant
-	fetch    fetchKey // empty: none
+// startInFlight is a task that was placed and does not run yet.
+type startInFlight struct {
+	placedAt monotonic.Instant
+	// fetch is the zero value if there is none.
+	fetch    imageFetch
 	critical bool
-	// ramped tells that it was admitted in a return, and counts for its step.
-	ramped bool
+	// inRecovery is set if the task was placed while the zone recovered.
+	inRecovery bool
 }
 
-// startTracker counts the starts and fetches that are under way in a zone.
+// countsForStep reports whether the start is evidence for the step of a recovery.
+func (s *startInFlight) countsForStep() bool { return s.inRecovery && !s.critical }
+
+// startTracker owns the starts and fetches that are in flight in a zone. It limits nothing.
 type startTracker struct {
-	pending map[ids.TaskRef]pendingStart
-	// returning counts those that are not critical, and fetches by machine and image.
-	returning int
-	fetches   map[fetchKey]int
+	inFlight map[ids.TaskRef]startInFlight
+	// limited counts the starts that are not critical. fetches counts theirs, by machine and
+	// image; several starts share a fetch.
+	limited int
+	fetches map[imageFetch]int
 }
 
-// newStartTracker makes an empty tracker.
 func newStartTracker() startTracker {
-	return startTracker{pending: map[ids.TaskRef]pendingStart{}, fetches: map[fetchKey]int{}}
+	return startTracker{inFlight: map[ids.TaskRef]startInFlight{}, fetches: map[imageFetch]int{}}
+}
+
+// add notes that a task was placed while the zone did not recover, or by an earlier leader.
+func (t *startTracker) add(request *StartRequest, now monotonic.Instant) {
+	t.insert(request, startInFlight{placedAt: now, critical: request.Critical})
+}
+
+// addInRecovery notes that a task was placed while the zone recovered.
+func (t *startTracker) addInRecovery(request *StartRequest, now monotonic.Instant) {
+	t.insert(request, startInFlight{placedAt: now, critical: request.Critical, inRecovery: true})
 }
 
-// add notes that a task was placed.
-func (t *startTracker) add(s *StartRequest, now monotonic.Instant, ramped bool) {
-	t.remove(s.Task)
-	p := pendingStart{since: now, critical: s.Critical, ramped: ramped}
-	if !p.critical {
-		t.returning++
-		if s.NeedsFetch {
-			p.fetch = fetchKey{s.Machine, s.Image}
-			t.fetches[p.fetch]++
+func (t *startTracker) insert(request *StartRequest, start startInFlight) {
+	t.remove(request.Task)
+	if !start.critical {
+		t.limited++
+		if request.NeedsFetch {
+			start.fetch = request.fetch()
+			t.fetches[start.fetch]++
 		}
 	}
-	t.pending[s.Task] = p
+	t.inFlight[request.Task] = start
 }
 
-// remove notes that a task runs, or is gone before it did.
-func (t *startTracker) remove(task ids.TaskRef) (p pendingStart, ok bool) {
-	if p, ok = t.pending[task]; !ok {
-		return p, false
+// remove notes that a task runs, or was stopped before. ok is false if it was not in flight.
+func (t *startTracker) remove(task ids.TaskRef) (start startInFlight, ok bool) {
+	start, ok = t.inFlight[task]
+	if !ok {
+		return startInFlight{}, false
 	}
-	delete(t.pending, task)
-	if !p.critical {
-		t.returning--
-		if p.fetch != (fetchKey{}) {
-			if t.fetches[p.fetch]--; t.fetches[p.fetch] == 0 {
-				delete(t.fetches, p.fetch)
-			}
-		}
+	delete(t.inFlight, task)
+	if !start.critical {
+		t.limited--
+		t.removeFetch(start.fetch)
+	}
+	return start, true
+}
+
+func (t *startTracker) removeFetch(fetch imageFetch) {
+	if fetch == (imageFetch{}) {
+		return
+	}
+	t.fetches[fetch]--
+	if t.fetches[fetch] == 0 {
+		delete(t.fetches, fetch)
 	}
-	return p, true
 }
--- a/zonerecovery/status.go
+++ b/zonerecovery/status.go
@@ -53,7 +53,7 @@
 	s := Status{
 		Zone: z.name, Condition: z.condition, SinceMS: at.toWall(z.since).UnixMilli(), Reason: z.reason,
 		Machines: z.evidence.Machines, Reachable: z.evidence.Reachable, Outages: z.flaps, Steps: z.policy.lastStep(),
-		StartsInFlight: z.starts.returning, FetchesInFlight: len(z.starts.fetches), DisplacedJobs: len(z.displaced.jobs),
+		StartsInFlight: z.starts.limited, FetchesInFlight: len(z.starts.fetches), DisplacedJobs: len(z.displaced.jobs),
 		Override: z.override.Kind, Recorded: !z.record.dirty && !z.record.inFlight,
 	}
 	s.Incidents = z.incidents.all()
--- a/zonerecovery/zone.go
+++ b/zonerecovery/zone.go
@@ -54,16 +54,15 @@
 
 // newZone makes a zone that serves.
 func newZone(name ids.Zone, policy *Policy, usual *startLatencies, now monotonic.Instant) *zone {
-	z := &zone{name: name, policy: policy, usual: usual, now: now, since: now, starts: newStartTracker()}
+	z := &zone{name: name, policy: policy, usual: usual, now: now, since: now, starts: newStartTracker(), displaced: newDisplacements(policy)}
 	z.record.jobLimit = maxRecordedJobs
-	z.displaced.clear()
 	return z
 }
 
 // enter changes the condition.
 func (z *zone) enter(c Condition, now monotonic.Instant, reason string) {
 	z.events = append(z.events, Transition{Zone: z.name, From: z.condition, To: c, Step: z.ramp.step, Reason: reason})
-	z.incidents.leave(z.condition, now.Sub(z.since))
+	z.incidents.addTime(z.condition, now.Sub(z.since))
 	// A suspicion is not recorded: a successor forms its own.
 	if c != Suspect && (z.condition != Suspect || c != z.resume) {
 		z.record.dirty = true
@@ -180,13 +179,12 @@
 // becomeDark begins a spell of the present incident, or a new incident.
 func (z *zone) becomeDark(at ClockReading) {
 	z.flaps++
-	z.displaced.spell++
 	z.darkAt = at.Now
 	if z.resume == Serving {
 		z.machinesBefore = max(z.evidence.Machines, 1)
 	}
 	z.absent = 0
-	z.incidents.begin(at, z.machinesBefore)
+	z.incidents.beginOutage(at, z.machinesBefore)
 	z.enter(Outage, at.Now, z.evidence.String())
 }
 
@@ -242,7 +240,7 @@
 		z.ramp.relaxed = true
 	case z.ramp.failing(z.policy.FailureTolerance):
 		z.setBack(at.Now, fmt.Sprintf("%d of %d starts failed", z.ramp.failed, z.ramp.failed+z.ramp.succeeded))
-	case z.ramp.proven(z.policy.MinStepSuccesses, z.starts.returning):
+	case z.ramp.proven(z.policy.MinStepSuccesses, z.starts.limited):
 		z.advance(at)
 	}
 }
@@ -250,13 +248,13 @@
 // serve ends the return.
 func (z *zone) serve(at ClockReading, reason string) {
 	z.enter(Serving, at.Now, reason)
-	z.incidents.serve(at)
+	z.incidents.beginServing(at)
 }
 
 // setBack takes a step back.
 func (z *zone) setBack(now monotonic.Instant, reason string) {
 	z.ramp.setbacks++
-	z.incidents.count(func(i *Incident) { i.Setbacks++ })
+	z.incidents.update(func(i *Incident) { i.Setbacks++ })
 	z.enterStep(z.ramp.step-1, now, reason)
 }
 
@@ -289,7 +287,7 @@
 
 // interesting tells whether there is anything about the zone that a successor must know.
 func (z *zone) interesting() bool {
-	return z.recordable() != Serving || z.flaps > 0 || z.override.Kind != OverrideNone || len(z.incidents.history) > 0
+	return z.recordable() != Serving || z.flaps > 0 || z.override.Kind != OverrideNone || len(z.incidents.past) > 0
 }
 
 // recordable is the condition that is recorded: a suspect zone's is the one before.
