--- a/zonerecovery/condition.go
+++ b/zonerecovery/condition.go
@@ -1,6 +1,9 @@
 package zonerecovery
 
-import "ospreystile.example/ospreystile/ids"
+import (
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
+)
 
 // Condition is the state of a zone's state machine. Records hold its number.
 type Condition uint8
@@ -43,3 +46,30 @@
 	Step     int
 	Reason   string
 }
+
+// conditionState owns a zone's condition, since when it holds and why. It decides nothing.
+type conditionState struct {
+	condition Condition
+	since     monotonic.Instant
+	// reason is shown to operators.
+	reason string
+	// beforeSuspicion is the condition that a suspect zone had before.
+	beforeSuspicion Condition
+}
+
+// enter changes the condition.
+func (s *conditionState) enter(condition Condition, now monotonic.Instant, reason string) {
+	if condition == Suspect {
+		s.beforeSuspicion = s.condition
+	}
+	s.condition, s.since, s.reason = condition, now, reason
+}
+
+// durable returns the condition that is recorded. A suspicion is not: the next leader forms its
+// own.
+func (s *conditionState) durable() Condition {
+	if s.condition == Suspect {
+		return s.beforeSuspicion
+	}
+	return s.condition
+}
--- /dev/null
+++ b/zonerecovery/detector.go
@@ -0,0 +1,113 @@
+package zonerecovery
+
+import (
+	"time"
+
+	"ospreystile.example/ospreystile/monotonic"
+)
+
+// leaderView is what the leader sees beyond one zone.
+type leaderView struct {
+	connectivity Connectivity
+	// someZoneReachable is the result of Observation.someZoneReachable.
+	someZoneReachable bool
+}
+
+// outageDetector owns the latest health of a zone, and judges whether it means an outage. It never
+// changes the condition.
+type outageDetector struct {
+	policy *Policy
+	health ZoneHealth
+	view   leaderView
+	// excluded is how many machines were lost when the recovery began. They are not evidence
+	// against it.
+	excluded int
+	// reliableSince is since when the leader's view has been reliable, 0 if it is not. A leader
+	// that was cut off needs time to receive heartbeats again.
+	reliableSince monotonic.Instant
+	// clearSince is since when a suspect zone has not been in trouble, 0 if it is.
+	clearSince monotonic.Instant
+}
+
+// observe takes in the health and the leader's view.
+func (d *outageDetector) observe(now monotonic.Instant, health ZoneHealth, view leaderView) {
+	d.health, d.view = health, view
+	d.excluded = min(d.excluded, health.lost())
+	switch {
+	case !view.connectivity.reliable() || !view.someZoneReachable:
+		d.reliableSince = 0
+	case d.reliableSince == 0:
+		d.reliableSince = now
+	}
+}
+
+// excludeLost stops counting the machines that are lost now.
+func (d *outageDetector) excludeLost() { d.excluded = d.health.lost() }
+
+// includeLost counts all lost machines again.
+func (d *outageDetector) includeLost() { d.excluded = 0 }
+
+// lostShare is the share of machines that are lost, without the excluded ones.
+func (d *outageDetector) lostShare() float64 {
+	lost, machines := d.health.lost()-d.excluded, d.health.Machines-d.excluded
+	if machines <= 0 {
+		return 0
+	}
+	return float64(max(0, lost)) / float64(machines)
+}
+
+// suspectsOutage reports whether enough machines are lost to make the zone suspect.
+func (d *outageDetector) suspectsOutage() bool {
+	return d.view.someZoneReachable && d.health.Machines >= d.policy.MinMachines && d.lostShare() >= d.policy.SuspectShare
+}
+
+// suspectShare is the share of a suspect zone's machines that are lost: all of them if it has none
+// left.
+func (d *outageDetector) suspectShare() float64 {
+	if d.health.Machines == 0 {
+		return 1
+	}
+	return d.lostShare()
+}
+
+// updateClearTimer starts the timer of suspicionCleared, or stops it while a suspect zone is in
+// trouble.
+func (d *outageDetector) updateClearTimer(now monotonic.Instant) {
+	switch {
+	case d.suspectShare() >= d.policy.clearShare():
+		d.clearSince = 0
+	case d.clearSince == 0:
+		d.clearSince = now
+	}
+}
+
+// resetClearTimer stops the timer of suspicionCleared.
+func (d *outageDetector) resetClearTimer() { d.clearSince = 0 }
+
+// suspicionCleared reports whether a suspect zone has been out of trouble for long enough.
+func (d *outageDetector) suspicionCleared(now monotonic.Instant) bool {
+	return d.clearSince != 0 && now >= d.clearSince.Add(d.policy.ClearSuspicionAfter)
+}
+
+// outageConfirmed reports whether a zone that has been suspect for some time is in outage. It
+// never is while the leader's own view is not reliable.
+func (d *outageDetector) outageConfirmed(now, suspectSince monotonic.Instant) bool {
+	if d.clearSince != 0 || d.reliableSince == 0 || d.suspectShare() < d.policy.OutageShare {
+		return false
+	}
+	return now >= max(suspectSince, d.reliableSince).Add(d.confirmationTime())
+}
+
+// confirmationTime is how long a zone must be suspect. It is halved if the cloud refuses capacity
+// there, which is independent evidence.
+func (d *outageDetector) confirmationTime() time.Duration {
+	if d.health.CapacityRefused {
+		return d.policy.OutageAfter / 2
+	}
+	return d.policy.OutageAfter
+}
+
+// reachable reports whether enough machines are reachable for the hold-down of an outage to run.
+func (d *outageDetector) reachable() bool {
+	return d.health.Reachable >= 1 && float64(d.health.Reachable) >= d.policy.ReachableShare*float64(d.health.Machines)
+}
--- a/zonerecovery/displacements.go
+++ b/zonerecovery/displacements.go
@@ -129,6 +129,15 @@
 	return most
 }
 
+// load replaces the jobs by recorded ones. How long they have waited is not recorded: they wait
+// anew from now on.
+func (d *displacements) load(jobs map[ids.JobID]*displacedJob, now monotonic.Instant) {
+	for _, entry := range jobs {
+		entry.lostAt = now
+	}
+	d.jobs = jobs
+}
+
 // clear removes all jobs, as the incident is over.
 func (d *displacements) clear() { d.jobs = map[ids.JobID]*displacedJob{} }
 
--- a/zonerecovery/latency.go
+++ b/zonerecovery/latency.go
@@ -47,6 +47,12 @@
 	return time.Duration(l.histogram.ValueAtPercentile(latencyPercentile)) * time.Millisecond, true
 }
 
+// p90MS returns the 90th percentile in milliseconds, 0 if there are too few samples.
+func (l *startLatencies) p90MS() int64 {
+	latency, _ := l.p90()
+	return latency.Milliseconds()
+}
+
 // slowerThan reports whether the 90th percentile exceeds that of the baseline by the factor. It
 // is false while either has too few samples.
 func (l *startLatencies) slowerThan(baseline *startLatencies, factor float64) bool {
--- /dev/null
+++ b/zonerecovery/manager_records.go
@@ -0,0 +1,30 @@
+package zonerecovery
+
+import "ospreystile.example/ospreystile/ids"
+
+// NextWrite returns one record that must be written now; ok is false if there is none. The write
+// counts as in flight until WriteCommitted or WriteRejected is called for its zone. nonce
+// identifies the write. fits reports whether a record is small enough for the key-value store.
+func (m *Manager) NextWrite(at ClockReading, nonce uint64, fits func(*Record) bool) (write RecordWrite, ok bool) {
+	for _, z := range m.sortedZones() {
+		if write, ok = z.nextWrite(at, nonce, fits); ok {
+			return write, true
+		}
+	}
+	return RecordWrite{}, false
+}
+
+// WriteCommitted notes that the write of a zone's record is committed. revision is that of the key,
+// 0 if it was deleted. It reports whether more tasks may start than before.
+func (m *Manager) WriteCommitted(name ids.Zone, revision ids.Revision) (opened bool) {
+	z := m.zones[name]
+	return z != nil && z.record.commit(revision)
+}
+
+// WriteRejected notes that the key-value store refused a zone's record for its size. The next one
+// holds half as many jobs.
+func (m *Manager) WriteRejected(name ids.Zone) {
+	if z := m.zones[name]; z != nil {
+		z.record.reject()
+	}
+}
--- /dev/null
+++ b/zonerecovery/manager_tasks.go
@@ -0,0 +1,75 @@
+package zonerecovery
+
+import (
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
+)
+
+// Admit answers whether a task may start in a zone now.
+func (m *Manager) Admit(name ids.Zone, request *StartRequest) Admission {
+	if z := m.zones[name]; z != nil {
+		return z.admit(request)
+	}
+	return Admitted
+}
+
+// FailbackDenied reports whether the failback budget closes some zone to a job. Such a job must not
+// be treated like others with the same requirements.
+func (m *Manager) FailbackDenied(job ids.JobID) bool {
+	return m.anyZone(func(z *zone) bool {
+		return z.displacements.budgetExhausted(job) && z.displacements.waits(job, z.machine.observedAt)
+	})
+}
+
+// TaskStarted notes that a task was placed in a zone.
+func (m *Manager) TaskStarted(name ids.Zone, request *StartRequest, now monotonic.Instant) {
+	z := m.zoneNamed(name, now)
+	switch z.taskPlaced(request, now) {
+	case failbackForced:
+		m.stats.ForcedFailbacks++
+	case failbackInBudget:
+		m.stats.Failbacks++
+		m.stats.MaxFailbacksPerJob = max(m.stats.MaxFailbacksPerJob, z.displacements.maxFailbacks())
+	}
+}
+
+// TaskInherited notes that an earlier leader placed a task in a zone. It counts as in flight until
+// TaskRunning or TaskEnded.
+func (m *Manager) TaskInherited(name ids.Zone, request *StartRequest, now monotonic.Instant) {
+	m.zoneNamed(name, now).starts.add(request, now)
+}
+
+// TaskRunning notes that a task runs. It reports whether more tasks may start than before.
+func (m *Manager) TaskRunning(name ids.Zone, task ids.TaskRef, now monotonic.Instant) (opened bool) {
+	z := m.zones[name]
+	if z == nil {
+		return false
+	}
+	z.taskRunning(task, now)
+	return z.condition() == Recovering
+}
+
+// TaskEnded notes that a task is off its machine, whether or not it ran. It reports whether more
+// tasks may start than before.
+func (m *Manager) TaskEnded(name ids.Zone, task ids.TaskRef) (opened bool) {
+	z := m.zones[name]
+	if z == nil {
+		return false
+	}
+	z.taskEnded(task)
+	return z.condition() == Recovering
+}
+
+// TaskFailed notes that a task of a job failed in a zone.
+func (m *Manager) TaskFailed(name ids.Zone, job ids.JobID) {
+	if z := m.zones[name]; z != nil {
+		z.taskFailed(job)
+	}
+}
+
+// TaskDisplaced notes that a task of a job was lost with its machine.
+func (m *Manager) TaskDisplaced(name ids.Zone, job ids.JobID) {
+	if z := m.zones[name]; z != nil && z.taskDisplaced(job) {
+		m.stats.DisplacedTasks++
+	}
+}
--- a/zonerecovery/ramp_test.go
+++ b/zonerecovery/ramp_test.go
@@ -56,7 +56,7 @@
 		t.Fatalf("step %d after the probe succeeded", st.Step)
 	}
 	z := b.m.zones["z"]
-	z.displaced.jobs["job-3"] = &displacedJob{losses: 2, lastLoss: 2, failbacks: 1, lastFailback: 1, lostAt: b.at.Now}
+	z.displacements.jobs["job-3"] = &displacedJob{losses: 2, lastLoss: 2, failbacks: 1, lastFailback: 1, lostAt: b.at.Now}
 	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-3"}, ProbeEligible: true}); denial != DeniedFailbackBudget {
 		t.Errorf("a job that came back before: %s", denial)
 	}
@@ -123,8 +123,8 @@
 		b.m.TaskRunning("z", task, b.at.Now)
 	}
 	b.pass(200*time.Millisecond, 10)
-	if st := b.m.Status(b.at)[1]; st.Step != 0 || z.ramp.setbacks != 1 {
-		t.Errorf("step %d with %d setbacks after starts of 30 s", st.Step, z.ramp.setbacks)
+	if st := b.m.Status(b.at)[1]; st.Step != 0 || z.machine.incidents.present.Setbacks != 1 {
+		t.Errorf("step %d with %d setbacks after starts of 30 s", st.Step, z.machine.incidents.present.Setbacks)
 	}
 }
 
--- a/zonerecovery/record_test.go
+++ b/zonerecovery/record_test.go
@@ -15,10 +15,10 @@
 	b.returning()
 	z := b.m.zones["z"]
 	for n := range 1000 {
-		z.displaced.recordLoss(ids.JobID(fmt.Sprintf("job-%06d", n)), z.flaps, b.at.Now)
+		z.displacements.recordLoss(ids.JobID(fmt.Sprintf("job-%06d", n)), z.machine.outages.count, b.at.Now)
 	}
-	z.displaced.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-000999"}}, b.at.Now)
-	z.record.dirty = true
+	z.displacements.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-000999"}}, b.at.Now)
+	z.record.markOutdated()
 	w, ok := b.m.NextWrite(b.at, 7, func(r *Record) bool { return len(r.DisplacedJobs) <= 60 })
 	if !ok || len(w.Record.DisplacedJobs) > 60 || len(w.Record.DisplacedJobs) < 20 || w.Record.DisplacedJobs[0] != "job-000999" || w.Record.OmittedJobs != 1000-len(w.Record.DisplacedJobs) {
 		t.Fatalf("%v %+v", ok, w.Record)
@@ -101,8 +101,8 @@
 func TestRecordRoundTrip(t *testing.T) {
 	b := newBench(t)
 	b.returning()
-	b.m.zones["z"].displaced.recordLoss("job-1", b.m.zones["z"].flaps, b.at.Now)
-	b.m.zones["z"].displaced.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-1"}}, b.at.Now)
+	b.m.zones["z"].displacements.recordLoss("job-1", b.m.zones["z"].machine.outages.count, b.at.Now)
+	b.m.zones["z"].displacements.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-1"}}, b.at.Now)
 	b.m.Override("z", Override{Kind: OverrideHold, Reason: "works", UntilMS: b.at.Wall.Add(time.Hour).UnixMilli()}, b.at)
 	b.pass(10*time.Second, 10)
 	old, rec := b.m.zones["z"], b.written["z"]
@@ -110,15 +110,15 @@
 	later := ClockReading{Now: monotonic.Instant(7 * time.Hour), Wall: b.at.Wall.Add(3 * time.Second)}
 	successor.Load("z", &rec, 5, later)
 	z := successor.zones["z"]
-	if z.condition != old.condition || z.flaps != old.flaps || z.ramp.step > old.ramp.step || z.override != old.override || rec.OutageNumber != old.flaps {
+	if z.condition() != old.condition() || z.machine.outages.count != old.machine.outages.count || z.machine.ramp.step > old.machine.ramp.step || z.override.current != old.override.current || rec.OutageNumber != old.machine.outages.count {
 		t.Errorf("%+v\nwas %+v", z, old)
 	}
-	want := *old.displaced.jobs["job-1"]
+	want := *old.displacements.jobs["job-1"]
 	want.lostAt = later.Now // its patience counts anew
-	if got := *z.displaced.jobs["job-1"]; got != want {
+	if got := *z.displacements.jobs["job-1"]; got != want {
 		t.Errorf("%+v, was %+v", got, want)
 	}
-	if gone := later.Now.Sub(z.ramp.began) - b.at.Now.Sub(old.ramp.began) - 3*time.Second; gone < -time.Millisecond || gone > time.Millisecond {
+	if gone := later.Now.Sub(z.machine.ramp.began) - b.at.Now.Sub(old.machine.ramp.began) - 3*time.Second; gone < -time.Millisecond || gone > time.Millisecond {
 		t.Errorf("the return's beginning moved by %v", gone)
 	}
 }
@@ -128,7 +128,7 @@
 	b := newBench(t)
 	b.returning()
 	z := b.m.zones["z"]
-	z.enterStep(2, b.at.Now, "")
+	z.machine.enterStep(2, b.at.Now, "")
 	admitted := func() (n int) {
 		for _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, ProbeEligible: true}); denial == Admitted; _, denial = b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, ProbeEligible: true}) {
 			n++
@@ -142,7 +142,7 @@
 	if n := admitted(); n != 5-testPolicy().ProbeTasks {
 		t.Errorf("%d more starts once it is", n)
 	}
-	z.enterStep(1, b.at.Now, "")
+	z.machine.enterStep(1, b.at.Now, "")
 	if n := admitted(); n != 0 {
 		t.Errorf("%d starts after a step back", n)
 	}
--- a/zonerecovery/restore.go
+++ b/zonerecovery/restore.go
@@ -16,30 +16,28 @@
 // ServicePlacement is where the replicas of a service run.
 type ServicePlacement struct {
 	Job ids.JobID
-	// TaskRunning counts the replicas that run, by zone; Wanted is how many there should be.
+	// Running counts the replicas that run, by zone. Replicas is how many there should be.
 	Running  map[ids.Zone]int
 	Replicas int
 }
 
-// RestoreMove is a replica that should leave a zone for another.
+// RestoreMove is a replica that should be moved between zones.
 type RestoreMove struct {
 	Job      ids.JobID
 	From, To ids.Zone
 }
 
-// restorer plans the moves of one term.
-type restorer struct {
-	policy  RestorePolicy
-	limiter *rate.Limiter
-}
+// restorer plans which replicas are moved back to zones that displaced them, and owns the rate at
+// which that happens. It moves nothing: the scheduler does.
+type restorer struct{ limiter *rate.Limiter }
 
-// newRestorer makes a restorer that has moved nothing yet.
 func newRestorer(policy RestorePolicy) *restorer {
-	return &restorer{policy: policy, limiter: rate.NewLimiter(rate.Limit(policy.MovesPerMinute/time.Minute.Seconds()), 1)}
+	perSecond := rate.Limit(policy.MovesPerMinute / time.Minute.Seconds())
+	return &restorer{limiter: rate.NewLimiter(perSecond, 1)}
 }
 
-// RestoreCandidates lists the services' jobs of which a replica might be moved back, by id:
-// those displaced by a zone that has served for long enough, while no zone is in trouble.
+// RestoreCandidates returns the jobs of which a replica might be moved back, by id: those that were
+// displaced by a zone that has served for long enough. There are none unless all zones serve.
 func (m *Manager) RestoreCandidates(now monotonic.Instant) []ids.JobID {
 	if m.policy.Restore.MovesPerMinute <= 0 || m.Evacuating() {
 		return nil
@@ -47,7 +45,7 @@
 	jobs := map[ids.JobID]bool{}
 	for _, z := range m.zones {
 		if z.restorable(now) {
-			for job := range z.displaced.jobs {
+			for job := range z.displacements.jobs {
 				jobs[job] = true
 			}
 		}
@@ -55,58 +53,69 @@
 	return slices.Sorted(maps.Keys(jobs))
 }
 
-// restorable tells whether replicas may be moved back to the zone.
-func (z *zone) restorable(now monotonic.Instant) bool {
-	return z.condition == Serving && z.flaps > 0 && z.override.Kind == OverrideNone && z.record.allows(Serving) &&
-		now >= z.since.Add(z.policy.Restore.After)
+// PlanRestore returns one replica that should be moved back now, and counts it against the rate and
+// the budget of its job. ok is false if there is none. hasRoom reports whether a replica of a job
+// could run in a zone at once.
+func (m *Manager) PlanRestore(at ClockReading, services []ServicePlacement, hasRoom func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
+	return m.restorer.plan(at, m.sortedZones(), services, hasRoom)
 }
 
-// PlanRestore chooses a replica that should be moved back now, if the rate allows one. hasRoom
-// tells whether a replica could run in a zone at once.
-func (m *Manager) PlanRestore(at ClockReading, services []ServicePlacement, hasRoom func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
-	if m.restorer.limiter.TokensAt(at.Wall) < 1 {
+// plan chooses the first move that rate, budgets and capacity allow.
+func (r *restorer) plan(at ClockReading, zones []*zone, services []ServicePlacement, hasRoom func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
+	if r.limiter.TokensAt(at.Wall) < 1 {
 		return RestoreMove{}, false
 	}
-	for _, s := range services {
-		for _, to := range m.sortedZones() {
-			z := m.zones[to]
-			if !z.restorable(at.Now) || !z.displaced.mayRestore(s.Job) {
-				continue
-			}
-			from, uneven := s.fullest(to)
-			if !uneven || !hasRoom(s.Job, to) {
-				continue
+	for i := range services {
+		for _, z := range zones {
+			move, ok = z.restoreMove(&services[i], at.Now)
+			if ok && hasRoom(move.Job, move.To) {
+				r.limiter.AllowN(at.Wall, 1)
+				z.recordRestore(move.Job)
+				return move, true
 			}
-			m.restorer.limiter.AllowN(at.Wall, 1)
-			z.noteRestored(s.Job)
-			return RestoreMove{Job: s.Job, From: from, To: to}, true
 		}
 	}
 	return RestoreMove{}, false
 }
 
-// noteRestored counts a replica that is moved back.
-func (z *zone) noteRestored(job ids.JobID) {
-	z.displaced.recordRestore(job)
-	z.record.lazy = true
-	z.incidents.update(func(i *Incident) { i.RestoredReplicas++ })
+// restoreMove returns the move of a replica to this zone that budgets allow.
+func (z *zone) restoreMove(service *ServicePlacement, now monotonic.Instant) (move RestoreMove, ok bool) {
+	if !z.restorable(now) || !z.displacements.mayRestore(service.Job) {
+		return RestoreMove{}, false
+	}
+	to := z.machine.name
+	from, ok := service.moveSource(to)
+	return RestoreMove{Job: service.Job, From: from, To: to}, ok
+}
+
+// restorable reports whether replicas may be moved back to the zone.
+func (z *zone) restorable(now monotonic.Instant) bool {
+	return z.condition() == Serving && z.machine.outages.count > 0 && !z.override.active() && z.record.allows(Serving) &&
+		now >= z.machine.state.since.Add(z.policy.Restore.After)
+}
+
+// recordRestore counts a replica that is moved back.
+func (z *zone) recordRestore(job ids.JobID) {
+	z.displacements.recordRestore(job)
+	z.record.markJobsChanged()
+	z.machine.incidents.update(func(incident *Incident) { incident.RestoredReplicas++ })
 }
 
-// fullest finds the zone with most replicas, if a move from there to another zone makes the
-// service more even. Unless all its replicas run, none is moved: one more would be down.
-func (s *ServicePlacement) fullest(to ids.Zone) (from ids.Zone, uneven bool) {
+// moveSource returns the zone with most replicas, if a move from there makes the service more even.
+// It returns none unless all replicas run: one more would be down.
+func (s *ServicePlacement) moveSource(to ids.Zone) (from ids.Zone, ok bool) {
 	running := 0
-	for _, n := range s.Running {
-		running += n
+	for _, replicas := range s.Running {
+		running += replicas
 	}
-	if running < s.Replicas {
+	if running < s.Replicas || running == 0 {
 		return "", false
 	}
-	zones := slices.SortedFunc(maps.Keys(s.Running), func(a, b ids.Zone) int {
+	from = slices.MinFunc(slices.Collect(maps.Keys(s.Running)), func(a, b ids.Zone) int {
 		return cmp.Or(cmp.Compare(s.Running[b], s.Running[a]), strings.Compare(string(a), string(b)))
 	})
-	if len(zones) == 0 || zones[0] == to || s.Running[zones[0]] < s.Running[to]+2 {
+	if from == to || s.Running[from] < s.Running[to]+2 {
 		return "", false
 	}
-	return zones[0], true
+	return from, true
 }
--- /dev/null
+++ b/zonerecovery/state_machine.go
@@ -0,0 +1,283 @@
+package zonerecovery
+
+import (
+	"fmt"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
+)
+
+// stateMachine moves one zone through its conditions. It owns the condition and the parts that
+// decide about it, and is the only one that changes the condition. It admits no task and writes
+// no record.
+type stateMachine struct {
+	name   ids.Zone
+	policy *Policy
+	// record says what the committed record allows. The state machine marks it as outdated.
+	record *recordKeeper
+
+	observedAt monotonic.Instant
+	state      conditionState
+	detector   outageDetector
+	outages    outageHistory
+	holdDown   holdDown
+	ramp       rampUp
+	window     recoveryWindow
+	incidents  incidentLog
+	// transitions are those that were not taken yet.
+	transitions []Transition
+}
+
+// newStateMachine returns the state machine of a zone that serves.
+func newStateMachine(name ids.Zone, policy *Policy, record *recordKeeper, baseline *startLatencies, now monotonic.Instant) *stateMachine {
+	return &stateMachine{
+		name:       name,
+		policy:     policy,
+		record:     record,
+		observedAt: now,
+		state:      conditionState{since: now},
+		detector:   outageDetector{policy: policy},
+		holdDown:   holdDown{policy: policy},
+		ramp:       newRampUp(policy, baseline),
+	}
+}
+
+// zoneObservation is what is known of a zone at an instant.
+type zoneObservation struct {
+	health ZoneHealth
+	view   leaderView
+	// startsInFlight counts the starts that are not critical.
+	startsInFlight int
+}
+
+// observe takes in an observation, and changes the condition if time and evidence require it. It
+// reports whether the present incident is over.
+func (m *stateMachine) observe(at ClockReading, observation zoneObservation) (incidentOver bool) {
+	elapsed := max(0, at.Now.Sub(m.observedAt))
+	m.observedAt = at.Now
+	m.detector.observe(at.Now, observation.health, observation.view)
+	if observation.view.connectivity.ProcessResumed {
+		// Heartbeats that arrived meanwhile are still to be read: none counts as missing.
+		m.resetTimers()
+		return false
+	}
+	switch m.state.condition {
+	case Serving:
+		return m.observeServing(at.Now)
+	case Suspect:
+		m.observeSuspect(at)
+	case Outage:
+		m.observeOutage(at.Now)
+	case Recovering:
+		m.observeRecovering(at, elapsed, observation.startsInFlight)
+	}
+	return false
+}
+
+func (m *stateMachine) observeServing(now monotonic.Instant) (incidentOver bool) {
+	if m.detector.suspectsOutage() {
+		m.enter(Suspect, now, m.detector.health.String())
+		return false
+	}
+	if m.outages.count == 0 || now <= m.state.since.Add(m.policy.QuietPeriod) {
+		return false
+	}
+	m.outages.count = 0
+	m.incidents.close()
+	m.record.markOutdated()
+	return true
+}
+
+func (m *stateMachine) observeSuspect(at ClockReading) {
+	m.detector.updateClearTimer(at.Now)
+	switch {
+	case m.detector.suspicionCleared(at.Now):
+		m.endSuspicion(at.Now)
+	case m.detector.outageConfirmed(at.Now, m.state.since):
+		m.beginOutage(at)
+	}
+}
+
+// endSuspicion returns to the condition before. A recovery that was in trouble loses a step.
+func (m *stateMachine) endSuspicion(now monotonic.Instant) {
+	before := m.state.beforeSuspicion
+	m.enter(before, now, "heard again: "+m.detector.health.String())
+	if before == Recovering {
+		m.stepBack(now, "machines fell silent")
+	}
+}
+
+// beginOutage begins another outage of the present incident, or a new incident.
+func (m *stateMachine) beginOutage(at ClockReading) {
+	m.outages.begin(at.Now)
+	if m.state.beforeSuspicion == Serving {
+		m.outages.machinesBefore = max(m.detector.health.Machines, 1)
+	}
+	m.detector.includeLost()
+	m.incidents.beginOutage(at, m.outages.machinesBefore)
+	m.enter(Outage, at.Now, m.detector.health.String())
+}
+
+func (m *stateMachine) observeOutage(now monotonic.Instant) {
+	switch {
+	case !m.detector.reachable():
+		m.holdDown.stop()
+		if now >= m.retryAt() {
+			m.beginRecovery(now, "tried again: "+m.detector.health.String())
+		}
+	case !m.holdDown.running():
+		m.holdDown.start(now)
+	case now >= m.holdDown.end(m.outages.count):
+		m.beginRecovery(now, "heard for the hold-down: "+m.detector.health.String())
+	}
+}
+
+// retryAt is when a recovery from an outage is tried although its machines are unreachable.
+func (m *stateMachine) retryAt() monotonic.Instant { return m.state.since.Add(m.policy.RetryAfter) }
+
+// beginRecovery begins the ramp-up with the probe.
+func (m *stateMachine) beginRecovery(now monotonic.Instant, reason string) {
+	m.detector.excludeLost()
+	m.ramp.begin(now)
+	m.enter(Recovering, now, reason)
+}
+
+func (m *stateMachine) observeRecovering(at ClockReading, elapsed time.Duration, startsInFlight int) {
+	if m.detector.suspectsOutage() {
+		m.enter(Suspect, at.Now, m.detector.health.String())
+		return
+	}
+	m.updateWindow(at)
+	switch {
+	case m.window.isOpen():
+		// The operators chose to wait. The time for the recovery counts from the window's end.
+		m.ramp.restartTimers(at.Now)
+	case !m.record.committed.is(Recovering, m.ramp.step):
+		// A step is no evidence until it is recorded. While the key-value store is
+		// unavailable, the recovery pauses: it would end unproven otherwise.
+		m.ramp.pause(elapsed)
+	default:
+		m.followRamp(at, startsInFlight)
+	}
+}
+
+// followRamp carries out what the ramp-up decides.
+func (m *stateMachine) followRamp(at ClockReading, startsInFlight int) {
+	switch m.ramp.decide(at.Now, startsInFlight) {
+	case rampTimedOut:
+		m.serve(at, "the return took its time")
+	case rampStartsSlow:
+		m.stepBack(at.Now, "starts are slow")
+	case rampStartsFailing:
+		m.stepBack(at.Now, fmt.Sprintf("%d of %d starts failed", m.ramp.failed, m.ramp.failed+m.ramp.succeeded))
+	case rampLacksProbes:
+		m.ramp.anyProbe = true
+	case rampStepProven:
+		m.stepForward(at)
+	}
+}
+
+// stepForward goes on to the next step, or ends the recovery after the last one.
+func (m *stateMachine) stepForward(at ClockReading) {
+	switch {
+	case m.ramp.backlogCleared():
+		m.serve(at, "its work succeeds, and none waits for it")
+	case m.ramp.step >= m.policy.lastStep():
+		m.ramp.enterStep(m.ramp.step, at.Now)
+	default:
+		m.enterStep(m.ramp.step+1, at.Now, fmt.Sprintf("%d starts succeeded", m.ramp.succeeded))
+	}
+}
+
+// stepBack returns to the step before.
+func (m *stateMachine) stepBack(now monotonic.Instant, reason string) {
+	m.incidents.update(func(incident *Incident) { incident.Setbacks++ })
+	m.enterStep(m.ramp.step-1, now, reason)
+}
+
+// serve ends an outage or a recovery.
+func (m *stateMachine) serve(at ClockReading, reason string) {
+	m.enter(Serving, at.Now, reason)
+	m.incidents.beginServing(at)
+}
+
+// release ends an outage, a recovery or a suspicion of one on an operator's request.
+func (m *stateMachine) release(at ClockReading, reason string) {
+	m.detector.excludeLost()
+	switch m.state.condition {
+	case Recovering, Outage:
+		m.serve(at, "released by an operator: "+reason)
+	case Suspect:
+		m.state.beforeSuspicion = Serving
+	}
+}
+
+// enter changes the condition.
+func (m *stateMachine) enter(condition Condition, now monotonic.Instant, reason string) {
+	m.noteTransition(condition, reason)
+	m.incidents.addTime(m.state.condition, now.Sub(m.state.since))
+	recorded := m.state.durable()
+	m.state.enter(condition, now, reason)
+	if m.state.durable() != recorded {
+		m.record.markOutdated()
+	}
+	m.resetTimers()
+	m.window.close()
+}
+
+// enterStep changes the step of a recovery.
+func (m *stateMachine) enterStep(step int, now monotonic.Instant, reason string) {
+	m.ramp.enterStep(step, now)
+	m.state.reason = reason
+	m.noteTransition(m.state.condition, reason)
+	m.record.markOutdated()
+}
+
+// resetTimers stops the timers that measure how long machines have been reachable.
+func (m *stateMachine) resetTimers() {
+	m.detector.resetClearTimer()
+	m.holdDown.stop()
+}
+
+// updateWindow notes the window that is open now.
+func (m *stateMachine) updateWindow(at ClockReading) {
+	if m.window.update(m.policy, m.name, at.Wall) {
+		m.noteTransition(m.state.condition, m.window.String())
+	}
+}
+
+// noteTransition adds a transition to the given condition for the log.
+func (m *stateMachine) noteTransition(to Condition, reason string) {
+	m.transitions = append(m.transitions, Transition{Zone: m.name, From: m.state.condition, To: to, Step: m.ramp.step, Reason: reason})
+}
+
+// takeTransitions returns the transitions since the last call.
+func (m *stateMachine) takeTransitions() []Transition {
+	taken := m.transitions
+	m.transitions = nil
+	return taken
+}
+
+// load replaces the state by that of a record.
+func (m *stateMachine) load(record *Record, at ClockReading) {
+	m.state = conditionState{condition: record.condition(), since: at.toInstant(record.SinceMS), reason: "recorded by an earlier leader"}
+	// Image caches of the zone's machines have not been used since, as far as this leader knows.
+	m.outages = outageHistory{count: record.Outages, machinesBefore: record.MachinesBefore, lastBegan: at.Now}
+	m.incidents.load(record.Incidents)
+	if record.Outages > 0 {
+		m.incidents.reopen()
+	}
+	if m.state.condition == Recovering {
+		// The step begins again: the results of its starts are not recorded.
+		m.ramp.enterStep(min(record.Step, m.policy.lastStep()), at.Now)
+		m.ramp.began = at.toInstant(record.RecoveryBeganMS)
+	}
+}
+
+// assumeOutage begins an incident of which nothing is known.
+func (m *stateMachine) assumeOutage(reason string, at ClockReading) {
+	m.state = conditionState{condition: Outage, since: at.Now, reason: reason}
+	m.outages = outageHistory{count: 1}
+	m.incidents.beginOutage(at, 0)
+}
--- a/zonerecovery/status.go
+++ b/zonerecovery/status.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Status is what operators are told of a zone.
+// Status is what operators are shown of a zone. Times are in milliseconds since the epoch.
 type Status struct {
 	Zone      ids.Zone  `cbor:"1,keyasint" json:"zone"`
 	Condition Condition `cbor:"2,keyasint" json:"condition"`
@@ -15,89 +15,138 @@
 	Reason    string    `cbor:"4,keyasint" json:"reason"`
 	Machines  int       `cbor:"5,keyasint" json:"machines"`
 	Reachable int       `cbor:"6,keyasint" json:"heard"`
-	Outages   int       `cbor:"7,keyasint" json:"flaps"`
-	// Step and Steps are the ramp's progress, Starts and Fetches what is under way there
-	// that is not critical, with their limits.
-	Step            int `cbor:"8,keyasint" json:"step"`
-	Steps           int `cbor:"9,keyasint" json:"steps"`
+	// Outages counts those of the present incident.
+	Outages int `cbor:"7,keyasint" json:"flaps"`
+	// Step and Steps are the progress of a recovery.
+	Step  int `cbor:"8,keyasint" json:"step"`
+	Steps int `cbor:"9,keyasint" json:"steps"`
+	// StartsInFlight and FetchesInFlight count what is not critical. Their limits are 0 unless
+	// the zone recovers.
 	StartsInFlight  int `cbor:"10,keyasint" json:"starts"`
 	StartLimit      int `cbor:"11,keyasint" json:"start_limit"`
 	FetchesInFlight int `cbor:"12,keyasint" json:"fetches"`
 	FetchLimit      int `cbor:"13,keyasint" json:"fetch_limit"`
 	DisplacedJobs   int `cbor:"14,keyasint" json:"displaced_jobs"`
-	// Restriction is what is held back, and RestrictedUntilMS until when at the latest, 0 if that is not
-	// known.
+	// Restriction says what may not start, empty if anything may. RestrictedUntilMS is when it
+	// ends at the latest, 0 if that is not known.
 	Restriction       string       `cbor:"15,keyasint" json:"holding"`
 	RestrictedUntilMS int64        `cbor:"16,keyasint" json:"until_ms"`
 	Override          OverrideKind `cbor:"17,keyasint" json:"override"`
-	Recorded          bool         `cbor:"18,keyasint" json:"recorded"`
-	// StartP90MS is what nine in ten starts of the present step did not exceed, and
-	// BaselineP90MS the same in zones that do not return; 0: too few.
+	// Recorded is set if the record is up to date.
+	Recorded bool `cbor:"18,keyasint" json:"recorded"`
+	// StartP90MS is the 90th percentile of the latency of starts in the present step, and
+	// BaselineP90MS that in zones that do not recover; 0 means too few starts.
 	StartP90MS    int64 `cbor:"19,keyasint" json:"start_p90_ms"`
 	BaselineP90MS int64 `cbor:"20,keyasint" json:"usual_start_p90_ms"`
-	// Incidents are the newest, the present one last.
+	// Incidents are the newest ones, the present one last.
 	Incidents []Incident `cbor:"21,keyasint" json:"incidents"`
 }
 
-// Status lists all zones by name.
+// Status returns the status of all zones, by name.
 func (m *Manager) Status(at ClockReading) []Status {
-	out := make([]Status, 0, len(m.zones))
-	for _, name := range m.sortedZones() {
-		out = append(out, m.zones[name].status(at, m.view))
+	statuses := make([]Status, 0, len(m.zones))
+	for _, z := range m.sortedZones() {
+		statuses = append(statuses, z.status(at, m.connectivity))
 	}
-	return out
+	return statuses
 }
 
-// status is what operators are told of the zone.
-func (z *zone) status(at ClockReading, view Connectivity) Status {
-	s := Status{
-		Zone: z.name, Condition: z.condition, SinceMS: at.toWall(z.since).UnixMilli(), Reason: z.reason,
-		Machines: z.evidence.Machines, Reachable: z.evidence.Reachable, Outages: z.flaps, Steps: z.policy.lastStep(),
-		StartsInFlight: z.starts.limited, FetchesInFlight: len(z.starts.fetches), DisplacedJobs: len(z.displaced.jobs),
-		Override: z.override.Kind, Recorded: !z.record.dirty && !z.record.inFlight,
+// status returns the status of the zone.
+func (z *zone) status(at ClockReading, connectivity Connectivity) Status {
+	machine, restriction := z.machine, z.restriction(at, connectivity)
+	status := Status{
+		Zone:              machine.name,
+		Condition:         z.condition(),
+		SinceMS:           at.toWall(machine.state.since).UnixMilli(),
+		Reason:            machine.state.reason,
+		Machines:          machine.detector.health.Machines,
+		Reachable:         machine.detector.health.Reachable,
+		Outages:           machine.outages.count,
+		Steps:             z.policy.lastStep(),
+		StartsInFlight:    z.starts.limited,
+		FetchesInFlight:   len(z.starts.fetches),
+		DisplacedJobs:     len(z.displacements.jobs),
+		Restriction:       restriction.text,
+		RestrictedUntilMS: restriction.untilMS(),
+		Override:          z.override.current.Kind,
+		Recorded:          z.record.upToDate(),
+		BaselineP90MS:     z.baseline.p90MS(),
+		Incidents:         machine.incidents.all(),
 	}
-	s.Incidents = z.incidents.all()
-	if usual, ok := z.usual.p90(); ok {
-		s.BaselineP90MS = usual.Milliseconds()
+	if z.condition() == Recovering {
+		z.addRecovery(&status)
 	}
-	if z.condition == Recovering {
-		if took, ok := z.ramp.startTimes.p90(); ok {
-			s.StartP90MS = took.Milliseconds()
-		}
-		s.Step = z.ramp.step
-		s.StartLimit = z.policy.startLimit(s.Step, z.evidence.Reachable)
-		s.FetchLimit = z.policy.fetchLimit(s.Step, z.evidence.Reachable)
+	return status
+}
+
+// addRecovery adds the progress and the limits of a recovery.
+func (z *zone) addRecovery(status *Status) {
+	ramp := &z.machine.ramp
+	status.Step = ramp.step
+	status.StartP90MS = ramp.latencies.p90MS()
+	status.StartLimit = z.policy.startLimit(ramp.step, status.Reachable)
+	status.FetchLimit = z.policy.fetchLimit(ramp.step, status.Reachable)
+}
+
+// restriction says what may not start in a zone.
+type restriction struct {
+	// text is empty if anything may start.
+	text string
+	// until is when the restriction ends at the latest, the zero time if that is not known.
+	until time.Time
+}
+
+// untilMS returns until in milliseconds since the epoch, 0 if it is not known.
+func (r restriction) untilMS() int64 {
+	if r.until.IsZero() {
+		return 0
 	}
-	var until time.Time
-	if s.Restriction, until = z.holding(at, view); !until.IsZero() {
-		s.RestrictedUntilMS = until.UnixMilli()
+	return r.until.UnixMilli()
+}
+
+// restriction returns what may not start in the zone now.
+func (z *zone) restriction(at ClockReading, connectivity Connectivity) restriction {
+	if z.override.holds() {
+		override := z.override.current
+		return restriction{"all new work, by an operator: " + override.Reason, override.until()}
+	}
+	switch z.condition() {
+	case Suspect:
+		return suspectRestriction(connectivity)
+	case Outage:
+		return z.machine.outageRestriction(at)
+	case Recovering:
+		return z.machine.recoveryRestriction(at)
+	default:
+		return restriction{}
+	}
+}
+
+// suspectRestriction returns what may not start in a suspect zone.
+func suspectRestriction(connectivity Connectivity) restriction {
+	if connectivity.reliable() {
+		return restriction{text: "all new work, until its machines are heard or it counts as dark"}
+	}
+	return restriction{text: "all new work; no verdict, since the state service or most controllers are not reached"}
+}
+
+// outageRestriction returns what may not start in a zone in outage.
+func (m *stateMachine) outageRestriction(at ClockReading) restriction {
+	if m.holdDown.running() {
+		return restriction{"all new work, for the hold-down", at.toWall(m.holdDown.end(m.outages.count))}
 	}
-	return s
+	return restriction{"all new work, until its machines are heard", at.toWall(m.retryAt())}
 }
 
-// holding tells what is held back, why, and until when at the latest.
-func (z *zone) holding(at ClockReading, view Connectivity) (what string, until time.Time) {
+// recoveryRestriction returns what may not start in a zone that recovers.
+func (m *stateMachine) recoveryRestriction(at ClockReading) restriction {
+	deadline := at.toWall(m.ramp.deadline())
 	switch {
-	case z.override.Kind == OverrideHold:
-		if z.override.UntilMS != 0 {
-			until = time.UnixMilli(z.override.UntilMS)
-		}
-		return "all new work, by an operator: " + z.override.Reason, until
-	case z.condition == Suspect:
-		if !view.reliable() {
-			return "all new work; no verdict, since the state service or most controllers are not reached", until
-		}
-		return "all new work, until its machines are heard or it counts as dark", until
-	case z.condition == Outage && z.steadySince != 0:
-		return "all new work, for the hold-down", at.toWall(z.steadySince.Add(z.policy.holdDown(z.flaps)))
-	case z.condition == Outage:
-		return "all new work, until its machines are heard", at.toWall(z.since.Add(z.policy.RetryAfter))
-	case z.condition == Recovering && z.window != nil:
-		return fmt.Sprintf("all but critical work, by window %s", z.window.Name), z.windowUntil
-	case z.condition == Recovering && z.ramp.step == 0:
-		return "all but critical work and probes", at.toWall(z.ramp.began.Add(z.policy.MaxRecovery))
-	case z.condition == Recovering:
-		return fmt.Sprintf("starts beyond step %d of %d", z.ramp.step, z.policy.lastStep()), at.toWall(z.ramp.began.Add(z.policy.MaxRecovery))
+	case m.window.isOpen():
+		return restriction{"all but critical work, by window " + m.window.window.Name, m.window.until}
+	case m.ramp.step == probeStep:
+		return restriction{"all but critical work and probes", deadline}
+	default:
+		return restriction{fmt.Sprintf("starts beyond step %d of %d", m.ramp.step, m.policy.lastStep()), deadline}
 	}
-	return "", until
 }
