--- /dev/null
+++ b/zonerecovery/fixture_test.go
@@ -0,0 +1,233 @@
+package zonerecovery
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
+)
+
+const (
+	// testedZone has testMachines machines, whose health a test sets.
+	testedZone ids.Zone = "z"
+	// healthyZone has as many, and always serves. It sorts before testedZone.
+	healthyZone  ids.Zone = "other"
+	testMachines          = 10
+	// observationInterval is how often a fixture observes.
+	observationInterval = 200 * time.Millisecond
+)
+
+// fixture drives a manager by hand, and stores the records that it writes.
+type fixture struct {
+	t       *testing.T
+	manager *Manager
+	at      ClockReading
+	// records are the stored records, revision the newest revision of the store.
+	records  map[ids.Zone]Record
+	revision ids.Revision
+	// tasks counts the tasks that were asked to start.
+	tasks int
+}
+
+func testPolicy() *Policy {
+	return &Policy{
+		SuspectShare:        0.5,
+		OutageShare:         0.8,
+		OutageAfter:         6 * time.Second,
+		ClearSuspicionAfter: 2 * time.Second,
+		MinMachines:         4,
+		ReachableShare:      0.25,
+		RetryAfter:          3 * time.Minute,
+		HoldDown:            4 * time.Second,
+		HoldDownFactor:      3,
+		MaxHoldDown:         30 * time.Second,
+		QuietPeriod:         10 * time.Minute,
+		ProbeTasks:          2,
+		MaxProbeRun:         time.Minute,
+		Steps:               []float64{0.2, 0.5},
+		MinStepTime:         4 * time.Second,
+		MinStepSuccesses:    3,
+		FailureTolerance:    0.25,
+		SlowStartFactor:     4,
+		StartsPerMachine:    1,
+		FetchesPerMachine:   0.3,
+		MaxRecovery:         45 * time.Second,
+		FailbackBudget:      1,
+		ForceFailbackAfter:  time.Minute,
+	}
+}
+
+// newFixture makes a fixture with a policy that no other test uses.
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	return newFixtureWith(t, testPolicy())
+}
+
+func newFixtureWith(t *testing.T, policy *Policy) *fixture {
+	t.Helper()
+	return &fixture{
+		t:       t,
+		manager: NewManager(policy),
+		records: map[ids.Zone]Record{},
+		at:      ClockReading{Now: monotonic.Instant(time.Hour), Wall: time.Date(2026, 5, 4, 12, 0, 0, 0, time.UTC)},
+	}
+}
+
+// advance moves both clocks without an observation.
+func (f *fixture) advance(duration time.Duration) {
+	f.at = ClockReading{Now: f.at.Now.Add(duration), Wall: f.at.Wall.Add(duration)}
+}
+
+// healthOf is the health of a zone with so many reachable machines.
+func healthOf(reachable int) ZoneHealth {
+	return ZoneHealth{Machines: testMachines, Reachable: reachable, Unreachable: testMachines - reachable}
+}
+
+// run lets time pass with so many machines reachable, and writes what is due.
+func (f *fixture) run(duration time.Duration, reachable int) {
+	f.t.Helper()
+	for end := f.at.Now.Add(duration); f.at.Now < end; {
+		f.advance(observationInterval)
+		f.manager.Observe(f.at, Observation{
+			Zones:        map[ids.Zone]ZoneHealth{testedZone: healthOf(reachable), healthyZone: healthOf(testMachines)},
+			Connectivity: Connectivity{LeaseConfirmed: true, PeersReachable: 2, Peers: 2},
+		})
+		f.write()
+	}
+}
+
+// fitsAlways is a limit of records that none exceeds.
+func fitsAlways(*Record) bool { return true }
+
+// write commits all records that are due.
+func (f *fixture) write() {
+	f.t.Helper()
+	for {
+		write, ok := f.manager.NextWrite(f.at, uint64(f.revision+1), fitsAlways)
+		if !ok {
+			return
+		}
+		f.revision++
+		if write.Record == nil {
+			delete(f.records, write.Zone)
+			f.manager.WriteCommitted(write.Zone, 0)
+			continue
+		}
+		f.records[write.Zone] = *write.Record
+		f.manager.WriteCommitted(write.Zone, f.revision)
+	}
+}
+
+// start places a new task of a job in the tested zone if it is admitted.
+func (f *fixture) start(request StartRequest) (ids.TaskRef, Admission) {
+	f.t.Helper()
+	f.tasks++
+	request.Task = ids.TaskRef{Job: request.Task.Job, Index: f.tasks}
+	if request.Machine == "" {
+		request.Machine = ids.MachineID(fmt.Sprintf("n-%d", f.tasks))
+	}
+	admission := f.manager.Admit(testedZone, &request)
+	if admission == Admitted {
+		f.manager.TaskStarted(testedZone, &request, f.at.Now)
+	}
+	return request.Task, admission
+}
+
+// startAll starts tasks of a job until one is denied.
+func (f *fixture) startAll(request StartRequest) []ids.TaskRef {
+	f.t.Helper()
+	var started []ids.TaskRef
+	for {
+		task, admission := f.start(request)
+		if admission != Admitted {
+			return started
+		}
+		started = append(started, task)
+	}
+}
+
+// wantAdmission starts a task of a job, and checks the answer.
+func (f *fixture) wantAdmission(name string, request StartRequest, want Admission) ids.TaskRef {
+	f.t.Helper()
+	task, got := f.start(request)
+	if got != want {
+		f.t.Fatalf("%s: %s, want %s", name, got, want)
+	}
+	return task
+}
+
+// running lets tasks run in the tested zone.
+func (f *fixture) running(tasks ...ids.TaskRef) {
+	f.t.Helper()
+	for _, task := range tasks {
+		f.manager.TaskRunning(testedZone, task, f.at.Now)
+	}
+}
+
+// wantCondition checks the condition of the tested zone.
+func (f *fixture) wantCondition(when string, want Condition) {
+	f.t.Helper()
+	if got := f.manager.Condition(testedZone); got != want {
+		f.t.Fatalf("%s: %s, want %s", when, got, want)
+	}
+}
+
+// status is that of the tested zone.
+func (f *fixture) status() Status {
+	f.t.Helper()
+	for _, status := range f.manager.Status(f.at) {
+		if status.Zone == testedZone {
+			return status
+		}
+	}
+	f.t.Fatal("the tested zone has no status")
+	return Status{}
+}
+
+// wantStep checks the step of the tested zone's recovery.
+func (f *fixture) wantStep(when string, want int) {
+	f.t.Helper()
+	if got := f.status().Step; got != want {
+		f.t.Fatalf("%s: step %d, want %d", when, got, want)
+	}
+}
+
+// beginRecovery brings the tested zone to the beginning of a recovery.
+func (f *fixture) beginRecovery() {
+	f.t.Helper()
+	f.run(time.Second, testMachines)
+	f.run(15*time.Second, 0)
+	f.wantCondition("while no machine is reachable", Outage)
+	f.run(5*time.Second, testMachines)
+	f.wantCondition("after the hold-down", Recovering)
+}
+
+// recoverToStep1 brings the tested zone to its first share: no task wants to start in the probe.
+func (f *fixture) recoverToStep1() {
+	f.t.Helper()
+	f.beginRecovery()
+	f.run(5*time.Second, testMachines)
+	f.wantStep("without any work", 1)
+}
+
+// zone is the tested zone.
+func (f *fixture) zone() *zone { return f.manager.zones[testedZone] }
+
+// taskOf is a request of a job that is neither critical nor eligible as a probe.
+func taskOf(job ids.JobID) StartRequest { return StartRequest{Task: ids.TaskRef{Job: job}} }
+
+// probeOf is a request of a job that is eligible as a probe.
+func probeOf(job ids.JobID) StartRequest {
+	request := taskOf(job)
+	request.ProbeEligible = true
+	return request
+}
+
+// criticalOf is a request of a critical job.
+func criticalOf(job ids.JobID) StartRequest {
+	request := taskOf(job)
+	request.Critical = true
+	return request
+}
--- a/zonerecovery/golden_test.go
+++ b/zonerecovery/golden_test.go
@@ -1,7 +1,9 @@
 package zonerecovery
 
 import (
+	"encoding"
 	"encoding/json"
+	"errors"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
@@ -28,7 +30,7 @@
 	})
 }
 
-// What operators are told of a zone keeps its bytes between controllers and as JSON.
+// The status of a zone keeps its bytes between controllers and as JSON.
 func TestZoneStatusKeepsItsBytes(t *testing.T) {
 	cases := []golden.Case{{Name: "zone status", Value: Status{Zone: "zone-a", Condition: Outage, SinceMS: 1764640000006, Reason: "silent",
 		Machines: 31, Reachable: 32, Outages: 33, Step: 34, Steps: 35, StartsInFlight: 36, StartLimit: 37, FetchesInFlight: 38, FetchLimit: 39, DisplacedJobs: 40,
@@ -36,6 +38,10 @@
 		Incidents: []Incident{goldenIncident()}}}}
 	golden.Check(t, "status-cbor.json", golden.Codec{Encode: cbor.Marshal, Decode: cbor.Unmarshal}, cases)
 	golden.Check(t, "status-json.json", golden.Codec{Encode: json.Marshal, Decode: json.Unmarshal}, cases)
+}
+
+// Operators are shown the same names as ever.
+func TestNamesForOperators(t *testing.T) {
 	for i, want := range []string{"serving", "suspect", "dark", "returning"} {
 		if got := Condition(i).String(); got != want {
 			t.Errorf("condition %d is %s, want %s", i, got, want)
@@ -46,7 +52,33 @@
 			t.Errorf("override %d is %s, want %s", i, got, want)
 		}
 	}
-	if Serving != 0 || Suspect != 1 || Outage != 2 || Recovering != 3 || OverrideNone != 0 || OverrideHold != 1 || OverrideRelease != 2 {
-		t.Error("a number that records hold has changed")
+}
+
+// The numbers of conditions and overrides are stored in records.
+func TestRecordedNumbersDoNotChange(t *testing.T) {
+	if Serving != 0 || Suspect != 1 || Outage != 2 || Recovering != 3 {
+		t.Error("the number of a condition has changed")
+	}
+	if OverrideNone != 0 || OverrideHold != 1 || OverrideRelease != 2 {
+		t.Error("the number of an override has changed")
+	}
+}
+
+// A name that does not exist is refused with its kind.
+func TestUnknownNames(t *testing.T) {
+	for _, c := range []struct {
+		name, want string
+		value      encoding.TextUnmarshaler
+	}{
+		{"condition", `unknown condition "dim"`, new(Condition)},
+		{"override", `unknown override "dim"`, new(OverrideKind)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			err := c.value.UnmarshalText([]byte("dim"))
+			var unknown *UnknownNameError
+			if !errors.As(err, &unknown) || err.Error() != c.want {
+				t.Errorf("%v, want %s", err, c.want)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/zonerecovery/ramp_up_test.go
@@ -0,0 +1,180 @@
+package zonerecovery
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+)
+
+// The probe admits a few small tasks, and all critical work.
+func TestProbeAdmitsFewSmallTasks(t *testing.T) {
+	f := newFixture(t)
+	f.beginRecovery()
+	f.wantAdmission("a large task", taskOf("job-2"), DeniedProbeOnly)
+	f.wantAdmission("the first probe", probeOf("job-1"), Admitted)
+	f.wantAdmission("the second probe", probeOf("job-1"), Admitted)
+	f.wantAdmission("a third probe", probeOf("job-1"), DeniedStartLimit)
+	f.wantAdmission("critical work", criticalOf("job-3"), Admitted)
+}
+
+// Each step's success opens the next.
+func TestSuccessOpensNextStep(t *testing.T) {
+	f := newFixture(t)
+	f.beginRecovery()
+	f.wantAdmission("a large task", taskOf("job-2"), DeniedProbeOnly)
+	probes := f.startAll(probeOf("job-1"))
+	f.wantAdmission("critical work", criticalOf("job-3"), Admitted)
+	f.run(6*time.Second, testMachines)
+	f.wantStep("before any start succeeded", 0)
+	f.running(probes...)
+	f.run(time.Second, testMachines)
+	f.wantStep("after the probes succeeded", 1)
+	if got := f.records[testedZone].Step; got != 1 {
+		t.Errorf("step %d is recorded", got)
+	}
+}
+
+// If no small task comes, any may be a probe after the minimum time of a step.
+func TestAnyTaskMayProbeIfNoSmallOneComes(t *testing.T) {
+	f := newFixture(t)
+	f.beginRecovery()
+	f.wantAdmission("at once", taskOf("job-2"), DeniedProbeOnly)
+	f.run(testPolicy().MinStepTime, testMachines)
+	task := f.wantAdmission("after the minimum time", taskOf("job-2"), Admitted)
+	f.running(task)
+	f.run(time.Second, testMachines)
+	f.wantStep("after the probe succeeded", 1)
+}
+
+// A job that its failback budget keeps away does not delay a step.
+func TestFailbackBudgetDelaysNoStep(t *testing.T) {
+	f := newFixture(t)
+	f.recoverToStep1()
+	f.zone().displacements.jobs["job-3"] = &displacedJob{losses: 2, lastLoss: 2, failbacks: 1, lastFailback: 1, lostAt: f.at.Now}
+	f.wantAdmission("a job that returned before", probeOf("job-3"), DeniedFailbackBudget)
+	f.run(testPolicy().MinStepTime+time.Second, testMachines)
+	f.wantStep("though nothing else waits", 2)
+}
+
+// Failed starts of more than one job take a step back; those of one job do not.
+func TestFailedStartsTakeStepBack(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		failed []ids.JobID
+		want   int
+	}{
+		{"one job fails", []ids.JobID{"job-1", "job-1", "job-1"}, 1},
+		{"two jobs fail", []ids.JobID{"job-1", "job-2", "job-2"}, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.recoverToStep1()
+			f.wantAdmission("a task that does not run yet", probeOf("job-9"), Admitted)
+			for _, job := range c.failed {
+				f.manager.TaskFailed(testedZone, job)
+			}
+			f.run(5*time.Second, testMachines)
+			f.wantStep("after failed starts", c.want)
+		})
+	}
+}
+
+// runElsewhere lets tasks start and run in the healthy zone, each within a second.
+func (f *fixture) runElsewhere(tasks int) {
+	f.t.Helper()
+	requests := make([]StartRequest, tasks)
+	for i := range requests {
+		requests[i] = StartRequest{Task: ids.TaskRef{Job: "job-0", Index: i}, Machine: "h"}
+		f.manager.TaskStarted(healthyZone, &requests[i], f.at.Now)
+	}
+	f.run(time.Second, testMachines)
+	for i := range requests {
+		f.manager.TaskRunning(healthyZone, requests[i].Task, f.at.Now)
+	}
+}
+
+// Starts that take far longer than elsewhere take a step back.
+func TestSlowStartsTakeStepBack(t *testing.T) {
+	f := newFixture(t)
+	f.runElsewhere(10)
+	f.recoverToStep1()
+	f.manager.policy.ProbeTasks, f.manager.policy.MaxRecovery = 6, time.Hour
+	tasks := f.startAll(probeOf("job-1"))
+	if len(tasks) != 6 {
+		t.Fatalf("%d tasks started, want 6", len(tasks))
+	}
+	f.run(30*time.Second, testMachines)
+	f.running(tasks...)
+	f.run(observationInterval, testMachines)
+	f.wantStep("after starts of 30 s", 0)
+	if got := f.status().Incidents[0].Setbacks; got != 1 {
+		t.Errorf("%d setbacks, want 1", got)
+	}
+}
+
+// Image fetches have their own limit, a shared one counts once, and none slows another down.
+func TestFetchLimit(t *testing.T) {
+	f := newFixture(t)
+	f.recoverToStep1() // the first share: 0.2 of 10 machines, 0.3 fetches each
+	fetch := func(machine ids.MachineID) StartRequest {
+		request := probeOf("job-1")
+		request.NeedsFetch, request.Machine, request.Image = true, machine, "i"
+		return request
+	}
+	busy := fetch("n-a")
+	busy.MachineFetching = true
+	f.wantAdmission("beside another fetch of the machine", busy, DeniedFetchLimit)
+	f.wantAdmission("the first fetch", fetch("n-a"), Admitted)
+	f.wantAdmission("the same fetch", fetch("n-a"), Admitted)
+	f.wantAdmission("beyond the limit of starts", fetch("n-b"), DeniedStartLimit)
+	f.manager.policy.StartsPerMachine = 10
+	f.wantAdmission("a second fetch", fetch("n-b"), DeniedFetchLimit)
+}
+
+// However many starts fail, a recovery ends by its deadline, so that nothing waits beside free
+// capacity.
+func TestRecoveryEndsByDeadline(t *testing.T) {
+	f := newFixture(t)
+	f.beginRecovery()
+	for passed := time.Duration(0); f.manager.Condition(testedZone) == Recovering; passed += time.Second {
+		f.manager.TaskFailed(testedZone, ids.JobID(fmt.Sprintf("job-%d", passed)))
+		f.start(probeOf("job-1"))
+		f.run(time.Second, testMachines)
+		if passed > testPolicy().MaxRecovery+time.Second {
+			t.Fatalf("still recovering after %v", passed)
+		}
+	}
+}
+
+// In a window only critical work starts; afterwards the recovery goes on.
+func TestWindowAdmitsOnlyCriticalWork(t *testing.T) {
+	f := newFixture(t)
+	f.manager.policy.Windows = []*Window{mustWindow(t, WindowSettings{Name: "w", TimeZone: "UTC", From: "12:00", To: "12:10"})}
+	f.beginRecovery()
+	f.wantAdmission("in the window", probeOf("job-1"), DeniedWindow)
+	f.wantAdmission("critical work in the window", criticalOf("job-2"), Admitted)
+	if got, want := f.status().RestrictedUntilMS, time.Date(2026, 5, 4, 12, 10, 0, 0, time.UTC).UnixMilli(); got != want {
+		t.Errorf("restricted until %v", time.UnixMilli(got).UTC())
+	}
+	f.run(9*time.Minute+50*time.Second, testMachines)
+	f.wantAdmission("after the window", probeOf("job-1"), Admitted)
+}
+
+// In its last step the zone goes on recovering while tasks are denied: all of them would start at
+// once otherwise.
+func TestLastStepWaitsForBacklog(t *testing.T) {
+	f := newFixture(t)
+	f.manager.policy.MaxRecovery = time.Hour
+	f.beginRecovery()
+	f.run(3*5*time.Second, testMachines) // no work: on to the full share
+	f.wantStep("without any work", 3)
+	for range 5 {
+		f.running(f.startAll(taskOf("job-1"))...)
+		f.run(3*time.Second, testMachines) // less than a step, so that tasks are denied in each
+		f.wantCondition("while tasks are denied", Recovering)
+	}
+	f.run(10*time.Second, testMachines)
+	f.wantCondition("once nothing waits", Serving)
+}
--- a/zonerecovery/record_test.go
+++ b/zonerecovery/record_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -9,141 +10,206 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// The record stays inside its bound, and keeps the jobs that came back most often.
-func TestRecordIsBounded(t *testing.T) {
-	b := newBench(t)
-	b.returning()
-	z := b.m.zones["z"]
-	for n := range 1000 {
-		z.displacements.recordLoss(ids.JobID(fmt.Sprintf("job-%06d", n)), z.machine.outages.count, b.at.Now)
+// loseJobs records losses of so many jobs in the present outage.
+func (f *fixture) loseJobs(count int) {
+	f.t.Helper()
+	for n := range count {
+		f.zone().displacements.recordLoss(ids.JobID(fmt.Sprintf("job-%06d", n)), f.zone().machine.outages.count, f.at.Now)
 	}
-	z.displacements.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-000999"}}, b.at.Now)
-	z.record.markOutdated()
-	w, ok := b.m.NextWrite(b.at, 7, func(r *Record) bool { return len(r.DisplacedJobs) <= 60 })
-	if !ok || len(w.Record.DisplacedJobs) > 60 || len(w.Record.DisplacedJobs) < 20 || w.Record.DisplacedJobs[0] != "job-000999" || w.Record.OmittedJobs != 1000-len(w.Record.DisplacedJobs) {
-		t.Fatalf("%v %+v", ok, w.Record)
+	f.zone().record.markOutdated()
+}
+
+// A record fits into its limit, and keeps the jobs that returned most often.
+func TestRecordFitsIntoLimit(t *testing.T) {
+	const jobs, limit = 1000, 60
+	f := newFixture(t)
+	f.beginRecovery()
+	f.loseJobs(jobs)
+	f.zone().displacements.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-000999"}}, f.at.Now)
+	write, ok := f.manager.NextWrite(f.at, 7, func(record *Record) bool { return len(record.DisplacedJobs) <= limit })
+	if !ok {
+		t.Fatal("nothing is written")
+	}
+	recorded := len(write.Record.DisplacedJobs)
+	if recorded > limit || recorded < limit/3 || write.Record.OmittedJobs != jobs-recorded {
+		t.Errorf("%d jobs recorded, %d omitted", recorded, write.Record.OmittedJobs)
+	}
+	if first := write.Record.DisplacedJobs[0]; first != "job-000999" {
+		t.Errorf("%s comes first", first)
 	}
-	b.m.WriteRejected("z")
-	if again, ok := b.m.NextWrite(b.at, 8, func(*Record) bool { return true }); !ok || len(again.Record.DisplacedJobs) >= len(w.Record.DisplacedJobs) {
-		t.Errorf("after a refusal: %v %d jobs", ok, len(again.Record.DisplacedJobs))
+}
+
+// A record that the store refuses for its size is written again with fewer jobs.
+func TestRejectedRecordShrinks(t *testing.T) {
+	f := newFixture(t)
+	f.beginRecovery()
+	f.loseJobs(1000)
+	rejected, ok := f.manager.NextWrite(f.at, 7, func(record *Record) bool { return len(record.DisplacedJobs) <= 60 })
+	if !ok {
+		t.Fatal("nothing is written")
+	}
+	f.manager.WriteRejected(testedZone)
+	again, ok := f.manager.NextWrite(f.at, 8, fitsAlways)
+	if !ok || len(again.Record.DisplacedJobs) >= len(rejected.Record.DisplacedJobs) {
+		t.Errorf("written again: %v, with %d jobs", ok, len(again.Record.DisplacedJobs))
 	}
 }
 
-// A quiet zone leaves nothing behind but what operators may want to know of its incidents,
-// and is written no more. One without incidents leaves no record.
-func TestQuietZoneKeepsOnlyItsIncidents(t *testing.T) {
-	b := newBench(t)
-	b.returning()
-	b.m.TaskDisplaced("z", "job-1")
-	b.pass(time.Minute, 10)
-	if rec, ok := b.written["z"]; !ok || len(rec.DisplacedJobs) != 1 || rec.Outages != 1 {
-		t.Fatalf("while its flaps count: %+v", rec)
-	}
-	b.pass(testPolicy().QuietPeriod+time.Second, 10)
-	rec := b.written["z"]
-	if rec.Condition != uint8(Serving) || rec.Outages != 0 || len(rec.DisplacedJobs) != 0 || len(rec.Incidents) != 1 {
-		t.Errorf("left behind: %+v", rec)
-	}
-	if got := rec.Incidents[0]; got.Outages != 1 || got.DisplacedTasks != 1 || got.DisplacedJobs != 1 || got.Machines != 10 || got.ServingSinceMS <= got.BeganMS || got.OutageMS < 9000 || got.RecoveryMS <= 0 {
-		t.Errorf("incident %+v", got)
-	}
-	writes := b.revs
-	b.pass(2*time.Minute, 10)
-	if b.revs != writes {
-		t.Errorf("%d writes about a quiet zone", b.revs-writes)
-	}
-	b.m.Override("other", Override{Kind: OverrideHold}, b.at)
-	b.write()
-	b.m.Override("other", Override{}, b.at)
-	b.write()
-	if rec, left := b.written["other"]; left {
-		t.Errorf("left behind by a hold: %+v", rec)
+// While an incident lasts, the record holds its outages and displaced jobs.
+func TestRecordHoldsPresentIncident(t *testing.T) {
+	f := newFixture(t)
+	f.beginRecovery()
+	f.manager.TaskDisplaced(testedZone, "job-1")
+	f.run(time.Minute, testMachines)
+	if record, ok := f.records[testedZone]; !ok || len(record.DisplacedJobs) != 1 || record.Outages != 1 {
+		t.Errorf("recorded: %v %+v", ok, record)
 	}
 }
 
-// Incidents are bounded, and the present one goes on after a succession.
-func TestIncidentsAreBounded(t *testing.T) {
-	var log incidentLog
-	at := ClockReading{Wall: time.Date(2026, 5, 4, 12, 0, 0, 0, time.UTC)}
-	for n := range 3 * maxPastIncidents {
-		log.beginOutage(at, n)
-		log.beginOutage(at, n)
-		log.close()
-	}
-	if got := log.all(); len(got) != maxPastIncidents || got[maxPastIncidents-1].Machines != 3*maxPastIncidents-1 || got[0].Outages != 2 {
-		t.Errorf("%+v", got)
-	}
-	log.beginOutage(at, 99)
-	var successor incidentLog
-	successor.load(log.all())
-	successor.reopen()
-	successor.beginOutage(at, 5)
-	if got := successor.all(); len(got) != maxPastIncidents+1 || got[maxPastIncidents].Outages != 2 || got[maxPastIncidents].Machines != 99 {
-		t.Errorf("after a succession: %+v", got)
+// endIncident lets a zone with a displaced job recover and pass its quiet period.
+func (f *fixture) endIncident() {
+	f.t.Helper()
+	f.beginRecovery()
+	f.manager.TaskDisplaced(testedZone, "job-1")
+	f.run(time.Minute+testPolicy().QuietPeriod+time.Second, testMachines)
+}
+
+// After the quiet period a record holds nothing but past incidents.
+func TestQuietZoneKeepsOnlyPastIncidents(t *testing.T) {
+	f := newFixture(t)
+	f.endIncident()
+	record := f.records[testedZone]
+	if record.Condition != uint8(Serving) || record.Outages != 0 || len(record.DisplacedJobs) != 0 || len(record.Incidents) != 1 {
+		t.Fatalf("recorded: %+v", record)
+	}
+	incident := record.Incidents[0]
+	if incident.ServingSinceMS <= incident.BeganMS || incident.OutageMS < 9000 || incident.RecoveryMS <= 0 {
+		t.Errorf("times of the incident: %+v", incident)
+	}
+	want := Incident{BeganMS: incident.BeganMS, ServingSinceMS: incident.ServingSinceMS, OutageMS: incident.OutageMS, RecoveryMS: incident.RecoveryMS,
+		Outages: 1, DisplacedTasks: 1, DisplacedJobs: 1, Machines: testMachines}
+	if incident != want {
+		t.Errorf("incident %+v, want %+v", incident, want)
 	}
 }
 
-// A record that cannot be read is not taken for absent: the zone must show that it is there.
-func TestUnreadableRecordClosesTheZone(t *testing.T) {
-	b := newBench(t)
-	b.m.LoadUnreadable("z", 9, b.at)
-	if _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, Critical: true}); denial != DeniedOutage {
-		t.Errorf("%s", denial)
+// The record of a quiet zone is not written again.
+func TestQuietZoneIsNotWritten(t *testing.T) {
+	f := newFixture(t)
+	f.endIncident()
+	before := f.revision
+	f.run(2*time.Minute, testMachines)
+	if f.revision != before {
+		t.Errorf("%d writes", f.revision-before)
 	}
-	b.pass(6*time.Second, 10)
-	if c := b.m.Condition("z"); c != Recovering {
-		t.Errorf("%s once its machines are heard", c)
+}
+
+// A zone without incidents has no record once its hold is lifted.
+func TestLiftedHoldLeavesNoRecord(t *testing.T) {
+	f := newFixture(t)
+	f.manager.Override(healthyZone, Override{Kind: OverrideHold}, f.at)
+	f.write()
+	if _, ok := f.records[healthyZone]; !ok {
+		t.Fatal("the hold is not recorded")
+	}
+	f.manager.Override(healthyZone, Override{}, f.at)
+	f.write()
+	if record, left := f.records[healthyZone]; left {
+		t.Errorf("left behind: %+v", record)
 	}
 }
 
-// A successor that reads the record allows no more than the leader that wrote it, whatever
-// the step, and forgets neither flaps nor who came back.
+// A record that cannot be decoded is not taken for absent: the zone must show that its machines are
+// reachable.
+func TestUnreadableRecordCountsAsOutage(t *testing.T) {
+	f := newFixture(t)
+	f.manager.LoadUnreadable(testedZone, 9, f.at)
+	f.wantAdmission("critical work", criticalOf("job-1"), DeniedOutage)
+	f.run(6*time.Second, testMachines)
+	f.wantCondition("once its machines are reachable", Recovering)
+}
+
+// A condition of a later version counts as an outage.
+func TestUnknownConditionCountsAsOutage(t *testing.T) {
+	f := newFixture(t)
+	f.manager.Load(testedZone, &Record{Condition: uint8(Recovering) + 1}, 9, f.at)
+	f.wantCondition("after loading", Outage)
+}
+
+// The next leader loads what the record holds: it allows no more than the leader that wrote it, and
+// forgets neither outages nor failbacks.
 func TestRecordRoundTrip(t *testing.T) {
-	b := newBench(t)
-	b.returning()
-	b.m.zones["z"].displacements.recordLoss("job-1", b.m.zones["z"].machine.outages.count, b.at.Now)
-	b.m.zones["z"].displacements.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-1"}}, b.at.Now)
-	b.m.Override("z", Override{Kind: OverrideHold, Reason: "works", UntilMS: b.at.Wall.Add(time.Hour).UnixMilli()}, b.at)
-	b.pass(10*time.Second, 10)
-	old, rec := b.m.zones["z"], b.written["z"]
-	successor := NewManager(testPolicy())
-	later := ClockReading{Now: monotonic.Instant(7 * time.Hour), Wall: b.at.Wall.Add(3 * time.Second)}
-	successor.Load("z", &rec, 5, later)
-	z := successor.zones["z"]
-	if z.condition() != old.condition() || z.machine.outages.count != old.machine.outages.count || z.machine.ramp.step > old.machine.ramp.step || z.override.current != old.override.current || rec.OutageNumber != old.machine.outages.count {
-		t.Errorf("%+v\nwas %+v", z, old)
-	}
-	want := *old.displacements.jobs["job-1"]
-	want.lostAt = later.Now // its patience counts anew
-	if got := *z.displacements.jobs["job-1"]; got != want {
-		t.Errorf("%+v, was %+v", got, want)
-	}
-	if gone := later.Now.Sub(z.machine.ramp.began) - b.at.Now.Sub(old.machine.ramp.began) - 3*time.Second; gone < -time.Millisecond || gone > time.Millisecond {
-		t.Errorf("the return's beginning moved by %v", gone)
+	f := newFixture(t)
+	f.beginRecovery()
+	f.zone().displacements.recordLoss("job-1", f.zone().machine.outages.count, f.at.Now)
+	f.zone().displacements.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-1"}}, f.at.Now)
+	f.manager.Override(testedZone, Override{Kind: OverrideHold, Reason: "works", UntilMS: f.at.Wall.Add(time.Hour).UnixMilli()}, f.at)
+	f.run(10*time.Second, testMachines)
+	previous, record := f.zone(), f.records[testedZone]
+
+	const failover = 3 * time.Second
+	later := ClockReading{Now: monotonic.Instant(7 * time.Hour), Wall: f.at.Wall.Add(failover)}
+	manager := NewManager(testPolicy())
+	manager.Load(testedZone, &record, 5, later)
+	next := manager.zones[testedZone]
+
+	if next.condition() != previous.condition() || next.override.current != previous.override.current {
+		t.Errorf("%s, override %+v; was %s, %+v", next.condition(), next.override.current, previous.condition(), previous.override.current)
+	}
+	if count := previous.machine.outages.count; next.machine.outages.count != count || record.OutageNumber != count {
+		t.Errorf("%d outages, number %d recorded, was %d", next.machine.outages.count, record.OutageNumber, count)
+	}
+	if next.machine.ramp.step > previous.machine.ramp.step {
+		t.Errorf("step %d, was %d", next.machine.ramp.step, previous.machine.ramp.step)
+	}
+	want := *previous.displacements.jobs["job-1"]
+	want.lostAt = later.Now // it waits anew
+	if got := *next.displacements.jobs["job-1"]; got != want {
+		t.Errorf("displaced job %+v, want %+v", got, want)
+	}
+	moved := later.Now.Sub(next.machine.ramp.began) - f.at.Now.Sub(previous.machine.ramp.began) - failover
+	if moved.Abs() > time.Millisecond {
+		t.Errorf("the beginning of the recovery moved by %v", moved)
 	}
 }
 
-// A further step counts only once it is recorded; a step back counts at once.
-func TestStepCountsOnceRecorded(t *testing.T) {
-	b := newBench(t)
-	b.returning()
-	z := b.m.zones["z"]
-	z.machine.enterStep(2, b.at.Now, "")
-	admitted := func() (n int) {
-		for _, denial := b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, ProbeEligible: true}); denial == Admitted; _, denial = b.start(StartRequest{Task: ids.TaskRef{Job: "job-1"}, ProbeEligible: true}) {
-			n++
-		}
-		return n
-	}
-	if n := admitted(); n != testPolicy().ProbeTasks {
-		t.Errorf("%d starts by a step that is not recorded", n)
-	}
-	b.write()
-	if n := admitted(); n != 5-testPolicy().ProbeTasks {
+// A step forward counts only once it is recorded.
+func TestStepForwardCountsOnceRecorded(t *testing.T) {
+	f := newFixture(t)
+	f.beginRecovery()
+	f.zone().machine.enterStep(2, f.at.Now, "")
+	if n := len(f.startAll(probeOf("job-1"))); n != testPolicy().ProbeTasks {
+		t.Errorf("%d starts in a step that is not recorded", n)
+	}
+	f.write()
+	if n := len(f.startAll(probeOf("job-1"))); n != 5-testPolicy().ProbeTasks {
 		t.Errorf("%d more starts once it is", n)
 	}
-	z.machine.enterStep(1, b.at.Now, "")
-	if n := admitted(); n != 0 {
+}
+
+// A step back counts at once.
+func TestStepBackCountsAtOnce(t *testing.T) {
+	f := newFixture(t)
+	f.beginRecovery()
+	f.zone().machine.enterStep(2, f.at.Now, "")
+	f.write()
+	f.startAll(probeOf("job-1"))
+	f.zone().machine.enterStep(1, f.at.Now, "")
+	if n := len(f.startAll(probeOf("job-1"))); n != 0 {
 		t.Errorf("%d starts after a step back", n)
 	}
 }
+
+// Counters that were cut off leave a job out.
+func TestRecordedJobsNeedCounters(t *testing.T) {
+	record := Record{DisplacedJobs: []ids.JobID{"job-1", "job-2"}, JobCounters: []int{1, 2, 3, 4, 5, 6}}
+	jobs := record.jobs()
+	if len(jobs) != 1 || jobs["job-1"] == nil {
+		t.Fatalf("jobs %v", jobs)
+	}
+	var written Record
+	written.addJob("job-1", jobs["job-1"])
+	if !slices.Equal(written.JobCounters, record.JobCounters[:countersPerJob]) {
+		t.Errorf("counters %v, want %v", written.JobCounters, record.JobCounters[:countersPerJob])
+	}
+}
--- a/zonerecovery/restore_test.go
+++ b/zonerecovery/restore_test.go
@@ -7,52 +7,64 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Replicas are moved back one at a time, by rate and budgets, only where that makes a service
-// more even and none of it is down.
+// restorableFixture is a fixture whose tested zone has recovered and displaced a service.
+func restorableFixture(t *testing.T) *fixture {
+	t.Helper()
+	policy := testPolicy()
+	policy.QuietPeriod = time.Hour
+	policy.Restore = RestorePolicy{MovesPerMinute: 0.5, After: time.Minute, Budget: 2}
+	f := newFixtureWith(t, policy)
+	f.beginRecovery()
+	f.manager.TaskDisplaced(testedZone, "job-1")
+	f.run(90*time.Second, testMachines)
+	return f
+}
+
+// restoreFor carries out the moves that are planned within a duration, and counts them.
+func (f *fixture) restoreFor(duration time.Duration, service ServicePlacement, room bool) (moves int) {
+	f.t.Helper()
+	hasRoom := func(ids.JobID, ids.Zone) bool { return room }
+	for end := f.at.Now.Add(duration); f.at.Now < end; {
+		f.advance(time.Second)
+		if len(f.manager.RestoreCandidates(f.at.Now)) != 1 {
+			f.t.Fatal("no candidate")
+		}
+		move, ok := f.manager.PlanRestore(f.at, []ServicePlacement{service}, hasRoom)
+		if !ok {
+			continue
+		}
+		moves++
+		if move != (RestoreMove{Job: service.Job, From: healthyZone, To: testedZone}) {
+			f.t.Errorf("move %+v", move)
+		}
+		service.Running[move.From]--
+		service.Running[move.To]++
+	}
+	return moves
+}
+
+// Replicas are moved back one at a time, by rate and budgets, only if that makes a service more
+// even and none of its replicas is down.
 func TestRestorePlan(t *testing.T) {
-	at := func(s ...int) map[ids.Zone]int { return map[ids.Zone]int{"other": s[0], "z": s[1]} }
 	for _, c := range []struct {
-		name    string
-		running map[ids.Zone]int
-		room    bool
-		minutes int
-		moves   int
+		name                    string
+		healthy, tested, wanted int // replicas
+		room                    bool
+		duration                time.Duration
+		moves                   int
 	}{
-		{"uneven: as many as the budget allows", at(6, 0), true, 20, 2},
-		{"by rate", at(6, 0), true, 1, 1},
-		{"nearly even", at(3, 2), true, 20, 0},
-		{"no room", at(6, 0), false, 20, 0},
-		{"a replica is down", at(5, 0), true, 20, 0},
+		{"uneven: as many as the budget allows", 6, 0, 6, true, 20 * time.Minute, 2},
+		{"limited by the rate", 6, 0, 6, true, time.Minute, 1},
+		{"nearly even", 3, 2, 5, true, 20 * time.Minute, 0},
+		{"no room", 6, 0, 6, false, 20 * time.Minute, 0},
+		{"a replica is down", 5, 0, 6, true, 20 * time.Minute, 0},
 	} {
-		b := newBench(t)
-		b.m.policy.QuietPeriod = time.Hour
-		b.m.policy.Restore = RestorePolicy{MovesPerMinute: 0.5, After: time.Minute, Budget: 2}
-		b.m.restorer = newRestorer(b.m.policy.Restore)
-		b.returning()
-		b.m.TaskDisplaced("z", "job-1")
-		b.pass(90*time.Second, 10)
-		wanted := 6
-		if c.name == "nearly even" {
-			wanted = 5
-		}
-		moves := 0
-		for range c.minutes * 60 {
-			b.at = ClockReading{b.at.Now.Add(time.Second), b.at.Wall.Add(time.Second)}
-			if len(b.m.RestoreCandidates(b.at.Now)) != 1 {
-				t.Fatalf("%s: no candidate", c.name)
+		t.Run(c.name, func(t *testing.T) {
+			f := restorableFixture(t)
+			service := ServicePlacement{Job: "job-1", Replicas: c.wanted, Running: map[ids.Zone]int{healthyZone: c.healthy, testedZone: c.tested}}
+			if moves := f.restoreFor(c.duration, service, c.room); moves != c.moves {
+				t.Errorf("%d moves, want %d", moves, c.moves)
 			}
-			services := []ServicePlacement{{Job: "job-1", Running: c.running, Replicas: wanted}}
-			if move, ok := b.m.PlanRestore(b.at, services, func(ids.JobID, ids.Zone) bool { return c.room }); ok {
-				moves++
-				if move.From != "other" || move.To != "z" {
-					t.Errorf("%s: %+v", c.name, move)
-				}
-				c.running["other"]--
-				c.running["z"]++
-			}
-		}
-		if moves != c.moves {
-			t.Errorf("%s: %d moves, want %d", c.name, moves, c.moves)
-		}
+		})
 	}
 }
