--- a/zonerecovery/fixture_test.go
+++ b/zonerecovery/fixture_test.go
@@ -9,16 +9,18 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
+// testedZone is the zone whose health a test sets. healthyZone always serves.
 const (
-	// testedZone has testMachines machines, whose health a test sets.
-	testedZone ids.Zone = "z"
-	// healthyZone has as many, and always serves. It sorts before testedZone.
-	healthyZone  ids.Zone = "other"
-	testMachines          = 10
-	// observationInterval is how often a fixture observes.
-	observationInterval = 200 * time.Millisecond
+	testedZone  ids.Zone = "z"
+	healthyZone ids.Zone = "other"
 )
 
+// testMachines is how many machines each zone of a fixture has.
+const testMachines = 10
+
+// observationInterval is how often a fixture observes.
+const observationInterval = 200 * time.Millisecond
+
 // fixture drives a manager by hand, and stores the records that it writes.
 type fixture struct {
 	t       *testing.T
--- a/zonerecovery/manager.go
+++ b/zonerecovery/manager.go
@@ -78,18 +78,18 @@
 
 // Observe takes in what is known of all zones, and moves their conditions on. It reports whether
 // the limits on starts have changed.
-func (m *Manager) Observe(at ClockReading, observation Observation) (opened bool) {
+func (m *Manager) Observe(at ClockReading, observation Observation) (changed bool) {
 	m.connectivity = observation.Connectivity
 	view := leaderView{connectivity: observation.Connectivity, someZoneReachable: observation.someZoneReachable(m.policy)}
 	for name := range observation.Zones {
 		m.zoneNamed(name, at.Now)
 	}
 	for name, z := range m.zones { // in any order: no zone's result depends on another's
-		before := z.limits()
+		before := z.startLimits()
 		z.observe(at, observation.Zones[name], view)
-		opened = opened || z.limits() != before
+		changed = changed || z.startLimits() != before
 	}
-	return opened
+	return changed
 }
 
 // Override carries out an operator's decision about a zone. The returned number is recorded once
--- a/zonerecovery/outage_history.go
+++ b/zonerecovery/outage_history.go
@@ -2,7 +2,8 @@
 
 import "ospreystile.example/ospreystile/monotonic"
 
-// outageHistory owns what is remembered of the outages of the present incident.
+// outageHistory owns what is remembered of the outages of the present incident. It
+// decides nothing.
 type outageHistory struct {
 	// count is the number of outages, and the number of the newest. It is 0 while the zone has
 	// no incident.
--- a/zonerecovery/override.go
+++ b/zonerecovery/override.go
@@ -62,7 +62,8 @@
 	return o.Kind == OverrideHold && o.UntilMS != 0 && !wall.Before(o.until())
 }
 
-// operatorOverride owns the override of a zone in force, and counts the operators' decisions.
+// operatorOverride owns the override of a zone in force, and counts the operators' decisions. zone
+// applies them.
 type operatorOverride struct {
 	current Override
 	// decisions counts those of this term. Its value is the number of the newest.
--- /dev/null
+++ b/zonerecovery/record_keeper_test.go
@@ -0,0 +1,32 @@
+package zonerecovery
+
+import (
+	"testing"
+)
+
+// A step forward counts only once it is recorded.
+func TestStepForwardCountsOnceRecorded(t *testing.T) {
+	f := newFixture(t)
+	f.beginRecovery()
+	f.zone().machine.enterStep(2, f.at.Now, "")
+	if n := len(f.startAll(probeOf("job-1"))); n != testPolicy().ProbeTasks {
+		t.Errorf("%d starts in a step that is not recorded", n)
+	}
+	f.write()
+	if n := len(f.startAll(probeOf("job-1"))); n != 5-testPolicy().ProbeTasks {
+		t.Errorf("%d more starts once it is", n)
+	}
+}
+
+// A step back counts at once.
+func TestStepBackCountsAtOnce(t *testing.T) {
+	f := newFixture(t)
+	f.beginRecovery()
+	f.zone().machine.enterStep(2, f.at.Now, "")
+	f.write()
+	f.startAll(probeOf("job-1"))
+	f.zone().machine.enterStep(1, f.at.Now, "")
+	if n := len(f.startAll(probeOf("job-1"))); n != 0 {
+		t.Errorf("%d starts after a step back", n)
+	}
+}
--- a/zonerecovery/recovery_window.go
+++ b/zonerecovery/recovery_window.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// recoveryWindow owns which window is open while a zone recovers.
+// recoveryWindow owns which window is open while a zone recovers. It denies nothing itself.
 type recoveryWindow struct {
 	// window is nil while none is open.
 	window *Window
--- a/zonerecovery/zone.go
+++ b/zonerecovery/zone.go
@@ -46,16 +46,16 @@
 	}
 }
 
-// limits is what determines which tasks may start, but for the tasks themselves.
-type limits struct {
+// startLimits is what determines which tasks may start, but for the tasks themselves.
+type startLimits struct {
 	condition Condition
 	step      int
 	window    *Window
 }
 
-// limits returns the present limits, to compare them.
-func (z *zone) limits() limits {
-	return limits{condition: z.condition(), step: z.machine.ramp.step, window: z.machine.window.window}
+// startLimits returns the present limits. They can be compared.
+func (z *zone) startLimits() startLimits {
+	return startLimits{condition: z.condition(), step: z.machine.ramp.step, window: z.machine.window.window}
 }
 
 // applyOverride carries out an operator's decision. A hold counts at once. What allows more
--- a/zonerecovery/zone_record.go
+++ b/zonerecovery/zone_record.go
@@ -85,8 +85,9 @@
 	z.record.load(recordedState{condition: z.condition(), step: z.machine.ramp.step}, revision)
 }
 
-// loadUnreadable closes a zone whose record cannot be decoded. Its absence would mean that the
-// zone serves; so the zone must show that its machines are reachable.
+// loadUnreadable takes the place of loadRecord for a record that cannot be decoded. Without a record
+// the zone would serve, so the unreadable one must not be ignored: the zone counts as in outage
+// until its machines are reachable.
 func (z *zone) loadUnreadable(revision ids.Revision, at ClockReading) {
 	z.machine.assumeOutage("the record cannot be read", at)
 	z.record.load(recordedState{condition: Outage}, revision)
