--- a/zonerecovery/manager.go
+++ b/zonerecovery/manager.go
@@ -1,7 +1,7 @@
 package zonerecovery
 
 import (
-	"maps"
+	"cmp"
 	"slices"
 	"time"
 
@@ -17,6 +17,8 @@
 type Manager struct {
 	policy *Policy
 	zones  map[ids.Zone]*zone
+	// sorted are the zones by name, so that results do not depend on the order of a map.
+	sorted []*zone
 	// baseline is the latency of starts in zones that do not recover.
 	baseline     *startLatencies
 	restorer     *restorer
@@ -51,19 +53,12 @@
 	if z == nil {
 		z = newZone(name, m.policy, m.baseline, now)
 		m.zones[name] = z
+		m.sorted = append(m.sorted, z)
+		slices.SortFunc(m.sorted, func(a, b *zone) int { return cmp.Compare(a.name(), b.name()) })
 	}
 	return z
 }
 
-// sortedZones returns the zones by name, so that results do not depend on the order of a map.
-func (m *Manager) sortedZones() []*zone {
-	zones := make([]*zone, 0, len(m.zones))
-	for _, name := range slices.Sorted(maps.Keys(m.zones)) {
-		zones = append(zones, m.zones[name])
-	}
-	return zones
-}
-
 // Load takes in the record of a zone that an earlier leader wrote. It must come before any other
 // method is told of the zone.
 func (m *Manager) Load(name ids.Zone, record *Record, revision ids.Revision, at ClockReading) {
@@ -84,9 +79,9 @@
 	for name := range observation.Zones {
 		m.zoneNamed(name, at.Now)
 	}
-	for name, z := range m.zones { // in any order: no zone's result depends on another's
+	for _, z := range m.sorted {
 		before := z.startLimits()
-		z.observe(at, observation.Zones[name], view)
+		z.observe(at, observation.Zones[z.name()], view)
 		changed = changed || z.startLimits() != before
 	}
 	return changed
@@ -111,7 +106,7 @@
 // TakeTransitions returns the transitions of all zones since the last call.
 func (m *Manager) TakeTransitions() []Transition {
 	var transitions []Transition
-	for _, z := range m.sortedZones() {
+	for _, z := range m.sorted {
 		transitions = append(transitions, z.machine.takeTransitions()...)
 	}
 	return transitions
@@ -147,7 +142,7 @@
 
 // anyZone reports whether a condition holds for some zone.
 func (m *Manager) anyZone(holds func(*zone) bool) bool {
-	for _, z := range m.zones {
+	for _, z := range m.sorted {
 		if holds(z) {
 			return true
 		}
--- a/zonerecovery/manager_records.go
+++ b/zonerecovery/manager_records.go
@@ -6,7 +6,7 @@
 // counts as in flight until WriteCommitted or WriteRejected is called for its zone. nonce
 // identifies the write. fits reports whether a record is small enough for the key-value store.
 func (m *Manager) NextWrite(at ClockReading, nonce uint64, fits func(*Record) bool) (write RecordWrite, ok bool) {
-	for _, z := range m.sortedZones() {
+	for _, z := range m.sorted {
 		if write, ok = z.nextWrite(at, nonce, fits); ok {
 			return write, true
 		}
--- a/zonerecovery/restore.go
+++ b/zonerecovery/restore.go
@@ -43,7 +43,7 @@
 		return nil
 	}
 	jobs := map[ids.JobID]bool{}
-	for _, z := range m.zones {
+	for _, z := range m.sorted {
 		if z.restorable(now) {
 			for job := range z.displacements.jobs {
 				jobs[job] = true
@@ -57,7 +57,7 @@
 // the budget of its job. ok is false if there is none. hasRoom reports whether a replica of a job
 // could run in a zone at once.
 func (m *Manager) PlanRestore(at ClockReading, services []ServicePlacement, hasRoom func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
-	return m.restorer.plan(at, m.sortedZones(), services, hasRoom)
+	return m.restorer.plan(at, m.sorted, services, hasRoom)
 }
 
 // plan chooses the first move that rate, budgets and capacity allow.
@@ -83,7 +83,7 @@
 	if !z.restorable(now) || !z.displacements.mayRestore(service.Job) {
 		return RestoreMove{}, false
 	}
-	to := z.machine.name
+	to := z.name()
 	from, ok := service.moveSource(to)
 	return RestoreMove{Job: service.Job, From: from, To: to}, ok
 }
--- a/zonerecovery/status.go
+++ b/zonerecovery/status.go
@@ -45,7 +45,7 @@
 // Status returns the status of all zones, by name.
 func (m *Manager) Status(at ClockReading) []Status {
 	statuses := make([]Status, 0, len(m.zones))
-	for _, z := range m.sortedZones() {
+	for _, z := range m.sorted {
 		statuses = append(statuses, z.status(at, m.connectivity))
 	}
 	return statuses
--- a/zonerecovery/zone.go
+++ b/zonerecovery/zone.go
@@ -32,6 +32,9 @@
 	}
 }
 
+// name returns the name of the zone.
+func (z *zone) name() ids.Zone { return z.machine.name }
+
 // condition returns the present condition.
 func (z *zone) condition() Condition { return z.machine.state.condition }
 
--- a/zonerecovery/zone_record.go
+++ b/zonerecovery/zone_record.go
@@ -32,7 +32,7 @@
 		return RecordWrite{}, false
 	}
 	z.record.submit(z.recordedState())
-	write = RecordWrite{Zone: z.machine.name, Revision: z.record.revision}
+	write = RecordWrite{Zone: z.name(), Revision: z.record.revision}
 	if needed {
 		write.Record = z.fittingRecord(at, nonce, fits)
 	}
