--- a/zonerecovery/manager.go
+++ b/zonerecovery/manager.go
@@ -142,12 +142,7 @@
 
 // anyZone reports whether a condition holds for some zone.
 func (m *Manager) anyZone(holds func(*zone) bool) bool {
-	for _, z := range m.sorted {
-		if holds(z) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(m.sorted, holds)
 }
 
 // ProvisioningLimit returns how many machines may be provisioned in a zone at once. limited is
