--- a/scheduler/zone_gate_test.go
+++ b/scheduler/zone_gate_test.go
@@ -211,7 +211,7 @@
 	down, moved := 0, 0
 	for end := m.now.Add(2 * time.Minute); m.now < end; m.run(100 * time.Millisecond) {
 		down = max(down, len(m.core.jobs[id].tasks)-len(m.core.jobs[id].active))
-		for _, incident := range m.core.zones.manager.Incidents("b") {
+		for _, incident := range m.statusOf("b").Incidents {
 			moved = incident.RestoredReplicas
 		}
 	}
