--- a/cmd/ospreystile/zones.go
+++ b/cmd/ospreystile/zones.go
@@ -23,7 +23,7 @@
 	for _, seed := range platform.Seeds {
 		seeds[seed.Name] = seed.Address
 	}
-	return operatorclient.New(platform.HostName, platform.MeshAddr, seeds)
+	return operatorclient.New(platform.HostName, platform.PeerAddr, seeds)
 }
 
 // zonesCommand shows the conditions of all zones.
--- a/controller/acknowledgements_test.go
+++ b/controller/acknowledgements_test.go
@@ -46,7 +46,7 @@
 	var store string
 	store, a.refuse = a.state.door(t, "/")
 	platform := testConfig(store)
-	platform.Settings.State.RPS, platform.Settings.State.WriteRPS, platform.Settings.State.ValueKB = 20000, 80, 2
+	platform.Settings.KV.RPS, platform.Settings.KV.WriteRPS, platform.Settings.KV.ValueKB = 20000, 80, 2
 	a.leader = newTestController(t, platform)
 	storeTestCatalog(a.leader)
 	address := startLeading(t, a.leader)
@@ -154,7 +154,7 @@
 	state := newSmallState(t)
 	store, refuse := state.door(t, "/grants")
 	platform := testConfig(store)
-	platform.Settings.State.RPS, platform.Settings.State.WriteRPS, platform.Settings.State.ValueKB = 20000, 80, 2
+	platform.Settings.KV.RPS, platform.Settings.KV.WriteRPS, platform.Settings.KV.ValueKB = 20000, 80, 2
 	c := newTestController(t, platform)
 	storeTestCatalog(c)
 	address := startLeading(t, c)
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -79,10 +79,10 @@
 	clock := monotonic.SystemClock()
 	c := &Controller{platform: platform, log: log, ownLeader: new(localLeader), peers: newPeerSet(platform.Seeds),
 		storeHealth: new(storeHealth)}
-	store := httpclient.New(platform.External.State, storeConnections, maxStoreResponseBytes)
+	store := httpclient.New(platform.External.KV, storeConnections, maxStoreResponseBytes)
 	direct := &directRoute{store: store, health: c.storeHealth}
 	controllers := float64(len(platform.Seeds) + 1)
-	storeRPS := platform.Settings.State.Planned().RPS
+	storeRPS := platform.Settings.KV.Planned().RPS
 	leaderStore := kv.New(direct, storeRPS*leaderRequestShare)
 	c.userStore = kv.New(&userRoute{direct: direct, health: c.storeHealth, peers: c.peers, clock: clock}, storeRPS*userRequestShare/controllers)
 	cloudClient := cloud.New(platform.External.Cloud, platform.Settings.Cloud.RPS)
@@ -103,7 +103,7 @@
 
 // identity names this process in the leader's key.
 func identity(platform *config.Platform) election.Identity {
-	return election.Identity{Name: platform.HostName, MeshAddress: platform.MeshAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
+	return election.Identity{Name: platform.HostName, MeshAddress: platform.PeerAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
 }
 
 // leaseBounds are how long this controller may lead without renewing its lease.
@@ -170,13 +170,13 @@
 	if err != nil {
 		return fmt.Errorf("api_addr: %w", err)
 	}
-	peerListener, err := net.Listen("tcp4", c.platform.MeshAddr)
+	peerListener, err := net.Listen("tcp4", c.platform.PeerAddr)
 	if err != nil {
 		return errors.Join(fmt.Errorf("mesh_addr: %w", err), apiListener.Close())
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	c.start(ctx, group, apiListener, peerListener)
-	c.log.Info("serving", "controller", c.platform.HostName, "api_address", c.platform.APIAddr, "mesh_address", c.platform.MeshAddr)
+	c.log.Info("serving", "controller", c.platform.HostName, "api_address", c.platform.APIAddr, "mesh_address", c.platform.PeerAddr)
 	err = group.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
--- a/controller/helpers_test.go
+++ b/controller/helpers_test.go
@@ -17,11 +17,11 @@
 
 // testConfig is the settings of controller n-0, whose key-value store is at an address.
 func testConfig(store string) *config.Platform {
-	p := &config.Platform{HostName: "n-0", APIAddr: "127.0.0.1:1", MeshAddr: "127.0.0.1:2"}
-	p.External.State, p.External.Cloud = store, "127.0.0.1:3"
+	p := &config.Platform{HostName: "n-0", APIAddr: "127.0.0.1:1", PeerAddr: "127.0.0.1:2"}
+	p.External.KV, p.External.Cloud = store, "127.0.0.1:3"
 	p.Settings.Teams = []config.Team{{Name: "red", CPUs: 4, CPUsMax: 16}}
 	p.Settings.Resources.CPUShare = 1
-	p.Settings.State.RPS, p.Settings.State.TxnOps, p.Settings.Cloud.RPS = 200, 8, 4
+	p.Settings.KV.RPS, p.Settings.KV.TxnOps, p.Settings.Cloud.RPS = 200, 8, 4
 	return p
 }
 
@@ -50,7 +50,7 @@
 	t.Helper()
 	platform := testConfig(store)
 	platform.HostName, platform.Seeds = name, seeds
-	platform.Settings.State.RPS, platform.Settings.State.WriteRPS, platform.Settings.State.ValueKB = 20000, 80, 2
+	platform.Settings.KV.RPS, platform.Settings.KV.WriteRPS, platform.Settings.KV.ValueKB = 20000, 80, 2
 	c := newTestController(t, platform)
 	storeTestCatalog(c)
 	runUntilCleanup(t, func(ctx context.Context) { _ = c.commits.run(ctx) })
--- a/controller/leader/leader_test.go
+++ b/controller/leader/leader_test.go
@@ -45,13 +45,13 @@
 	platform := &config.Platform{HostName: "n-0"}
 	platform.Settings.Teams = []config.Team{{Name: "red", CPUs: 4, CPUsMax: 16}}
 	platform.Settings.Resources.CPUShare = 1
-	platform.Settings.State.RPS, platform.Settings.State.TxnOps, platform.Settings.Cloud.RPS = 200, 8, 4
+	platform.Settings.KV.RPS, platform.Settings.KV.TxnOps, platform.Settings.Cloud.RPS = 200, 8, 4
 	return Dependencies{
 		Platform:    platform,
 		Operator:    operator,
 		Clock:       monotonic.SystemClock(),
 		Log:         slog.New(slog.DiscardHandler),
-		Store:       kv.New(httpclient.New(store, 4, 1<<20), platform.Settings.State.Planned().RPS),
+		Store:       kv.New(httpclient.New(store, 4, 1<<20), platform.Settings.KV.Planned().RPS),
 		Cloud:       cloud.New("127.0.0.1:3", platform.Settings.Cloud.RPS),
 		Workers:     worker.New(),
 		Catalog:     testCatalog{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}},
--- a/controller/leader/options.go
+++ b/controller/leader/options.go
@@ -79,7 +79,7 @@
 	options.SplitRecords = d.VersionGate.Open()
 	options.SliceTasks = d.Operator.Quota.SliceTasks
 	options.LazyWriteDelay = lazyWriteDelay
-	options.WriteRate = recordWriteShare * d.Platform.Settings.State.Planned().WriteRPS
+	options.WriteRate = recordWriteShare * d.Platform.Settings.KV.Planned().WriteRPS
 }
 
 // setQuotaOptions sets the teams' quotas and the rules of queueing.
@@ -114,7 +114,7 @@
 const fastestBootS = 10
 
 // latencySensitive finds the classes whose tasks must start sooner than a machine boots.
-func latencySensitive(objectives []config.Objective) map[string]time.Duration {
+func latencySensitive(objectives []config.ServiceLevelObjective) map[string]time.Duration {
 	classes := map[string]time.Duration{}
 	for _, objective := range objectives {
 		if objective.Kind == objectiveWait && objective.WithinS <= fastestBootS {
