--- a/cmd/ospreystile/zones.go
+++ b/cmd/ospreystile/zones.go
@@ -22,7 +22,7 @@
 	for _, seed := range platform.Seeds {
 		seeds[seed.Name] = seed.Address
 	}
-	return controller.NewOperatorClient(platform.HostName, platform.MeshAddr, seeds)
+	return controller.NewOperatorClient(platform.HostName, platform.PeerAddr, seeds)
 }
 
 // zonesCommand shows the conditions of all zones.
--- a/config/config.go
+++ b/config/config.go
@@ -37,8 +37,8 @@
 // means that it may use none of the other kind.
 func (t Team) Limited() bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
 
-// Objective is one of the users' aims on starting and finishing.
-type Objective struct {
+// ServiceLevelObjective is one of the objectives that users have for the start or the end of jobs.
+type ServiceLevelObjective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
 	WithinS float64 `toml:"within_s"`
@@ -54,9 +54,9 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// StateLimits is the limits of the state service now, and those that it will have from
+// KVLimits is the limits of the state service now, and those that it will have from
 // a moment that nobody announces.
-type StateLimits struct {
+type KVLimits struct {
 	Limits
 	// Next holds what will change; what it does not name stays.
 	Next struct {
@@ -69,7 +69,7 @@
 
 // Planned is the smaller of what holds now and of what will: what fits it fits at
 // any moment.
-func (s *StateLimits) Planned() Limits {
+func (s *KVLimits) Planned() Limits {
 	return Limits{lesser(s.RPS, s.Next.RPS), lesser(s.WriteRPS, s.Next.WriteRPS),
 		lesser(s.ValueKB, s.Next.ValueKB), lesser(s.TxnOps, s.Next.TxnOps)}
 }
@@ -84,7 +84,7 @@
 
 // check names a limit below which no record of ours could be kept: a job's
 // description, or the two halves of a record that is split.
-func (s *StateLimits) check() error {
+func (s *KVLimits) check() error {
 	for _, f := range []struct {
 		field string
 		v     *float64
@@ -104,17 +104,17 @@
 
 // Settings is the platform's part about the deployment.
 type Settings struct {
-	InitialSize int         `toml:"initial_size"`
-	Zones       []ids.Zone  `toml:"zones"`
-	SkewMS      float64     `toml:"skew_ms"`
-	Teams       []Team      `toml:"teams"`
-	Objectives  []Objective `toml:"objectives"`
+	InitialSize int                     `toml:"initial_size"`
+	Zones       []ids.Zone              `toml:"zones"`
+	SkewMS      float64                 `toml:"skew_ms"`
+	Teams       []Team                  `toml:"teams"`
+	Objectives  []ServiceLevelObjective `toml:"objectives"`
 	Workers     struct {
 		HeartbeatIntervalS float64 `toml:"report_s"`
 		LeaseS             float64 `toml:"lease_s"`
 		CancelDeadlineS    float64 `toml:"cancel_s"`
 	} `toml:"workers"`
-	State StateLimits `toml:"state"`
+	KV    KVLimits `toml:"state"`
 	Cloud struct {
 		RPS      float64 `toml:"rps"`
 		ListLagS float64 `toml:"list_lag_s"`
@@ -131,11 +131,11 @@
 	HostName ids.ControllerName `toml:"host_name"`
 	Location ids.Zone           `toml:"location"`
 	APIAddr  string             `toml:"api_addr"`
-	MeshAddr string             `toml:"mesh_addr"`
+	PeerAddr string             `toml:"mesh_addr"`
 	Seeds    []Peer             `toml:"seeds"`
 	External struct {
 		Cloud string `toml:"cloud"`
-		State string `toml:"state"`
+		KV    string `toml:"state"`
 	} `toml:"external"`
 	Settings Settings `toml:"settings"`
 }
@@ -177,7 +177,7 @@
 	if p.Settings.Resources.CPUShare == 0 {
 		p.Settings.Resources.CPUShare = 1
 	}
-	for _, check := range []func() error{p.checkAddresses, p.Settings.checkTeams, p.Settings.State.check, p.Settings.checkAmounts} {
+	for _, check := range []func() error{p.checkAddresses, p.Settings.checkTeams, p.Settings.KV.check, p.Settings.checkAmounts} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -192,8 +192,8 @@
 		return errors.New("host_name: missing")
 	}
 	for _, a := range []struct{ field, v string }{
-		{"api_addr", p.APIAddr}, {"mesh_addr", p.MeshAddr},
-		{"external.cloud", p.External.Cloud}, {"external.state", p.External.State},
+		{"api_addr", p.APIAddr}, {"mesh_addr", p.PeerAddr},
+		{"external.cloud", p.External.Cloud}, {"external.state", p.External.KV},
 	} {
 		if err := checkAddress(a.field, a.v); err != nil {
 			return err
@@ -245,10 +245,10 @@
 		{"settings.workers.report_s", s.Workers.HeartbeatIntervalS},
 		{"settings.workers.lease_s", s.Workers.LeaseS},
 		{"settings.workers.cancel_s", s.Workers.CancelDeadlineS},
-		{"settings.state.rps", s.State.RPS},
-		{"settings.state.write_rps", s.State.WriteRPS},
-		{"settings.state.value_kb", s.State.ValueKB},
-		{"settings.state.txn_ops", float64(s.State.TxnOps)},
+		{"settings.state.rps", s.KV.RPS},
+		{"settings.state.write_rps", s.KV.WriteRPS},
+		{"settings.state.value_kb", s.KV.ValueKB},
+		{"settings.state.txn_ops", float64(s.KV.TxnOps)},
 		{"settings.cloud.rps", s.Cloud.RPS},
 		{"settings.resources.cpu_share", s.Resources.CPUShare},
 		{"settings.resources.ram_mb", s.Resources.RAMMB},
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Settings.Teams[0].CPUsMax != 8 || p.Seeds[0].Name != "n-1" || p.Settings.State.TxnOps != 32 {
+	if p.Settings.Teams[0].CPUsMax != 8 || p.Seeds[0].Name != "n-1" || p.Settings.KV.TxnOps != 32 {
 		t.Errorf("read %+v", p)
 	}
 	for _, c := range []struct{ from, to, field string }{
@@ -97,8 +97,8 @@
 		"[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 10":              {RPS: 200, WriteRPS: 80, ValueKB: 2, TxnOps: 10},
 		"[settings.state.next]\nwrite_rps = 90.0\nrps = 150.0\nfuture = 1": {RPS: 150, WriteRPS: 80, ValueKB: 8, TxnOps: 32},
 	} {
-		if p, err := read(next); err != nil || p.Settings.State.Planned() != want {
-			t.Errorf("%q: planned %+v, %v", next, p.Settings.State.Planned(), err)
+		if p, err := read(next); err != nil || p.Settings.KV.Planned() != want {
+			t.Errorf("%q: planned %+v, %v", next, p.Settings.KV.Planned(), err)
 		}
 	}
 	for field, line := range map[string]string{
--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -16,16 +16,16 @@
 
 // goldenPlatform fills every setting of the platform with a value of its own.
 func goldenPlatform() Platform {
-	p := Platform{HostName: "c-0", Location: "zone-a", APIAddr: "127.0.0.1:1", MeshAddr: "127.0.0.1:2",
+	p := Platform{HostName: "c-0", Location: "zone-a", APIAddr: "127.0.0.1:1", PeerAddr: "127.0.0.1:2",
 		Seeds: []Peer{{Name: "c-1", Zone: "zone-b", Address: "127.0.0.1:5"}}}
-	p.External.Cloud, p.External.State = "127.0.0.1:3", "127.0.0.1:4"
+	p.External.Cloud, p.External.KV = "127.0.0.1:3", "127.0.0.1:4"
 	s := &p.Settings
 	s.InitialSize, s.Zones, s.SkewMS = 11, []ids.Zone{"zone-a", "zone-b"}, 12.5
 	s.Teams = []Team{{Name: "vision", CPUs: 13.5, CPUsMax: 14.5, GPUs: 15.5, GPUsMax: 16.5}}
-	s.Objectives = []Objective{{Kind: "start", Class: "train", WithinS: 17.5, Times: 18.5, Share: 0.95}}
+	s.Objectives = []ServiceLevelObjective{{Kind: "start", Class: "train", WithinS: 17.5, Times: 18.5, Share: 0.95}}
 	s.Workers.HeartbeatIntervalS, s.Workers.LeaseS, s.Workers.CancelDeadlineS = 19.5, 20.5, 21.5
-	s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 22.5, 23.5, 24.5, 25
-	s.State.Next.RPS, s.State.Next.WriteRPS, s.State.Next.ValueKB, s.State.Next.TxnOps = new(26.5), new(27.5), new(28.5), new(29)
+	s.KV.RPS, s.KV.WriteRPS, s.KV.ValueKB, s.KV.TxnOps = 22.5, 23.5, 24.5, 25
+	s.KV.Next.RPS, s.KV.Next.WriteRPS, s.KV.Next.ValueKB, s.KV.Next.TxnOps = new(26.5), new(27.5), new(28.5), new(29)
 	s.Cloud.RPS, s.Cloud.ListLagS = 30.5, 31.5
 	s.Resources.CPUShare, s.Resources.RAMMB, s.Resources.Sockets = 0.5, 32.5, 33
 	return p
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -55,7 +55,7 @@
 	state := newSmallState(t)
 	addr, refuse := state.door(t)
 	cfg := testConfig(addr)
-	cfg.Settings.State.RPS, cfg.Settings.State.WriteRPS, cfg.Settings.State.ValueKB = 20000, 80, 2
+	cfg.Settings.KV.RPS, cfg.Settings.KV.WriteRPS, cfg.Settings.KV.ValueKB = 20000, 80, 2
 	leader := testNode(t, cfg)
 	leader.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
 	seed := config.Peer{Name: "n-0", Address: state.leads(t, leader)}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -72,17 +72,17 @@
 	s := &cfg.Settings
 	n.cloud = cloud.New(cfg.External.Cloud, s.Cloud.RPS)
 	n.workers = worker.New()
-	n.stateHTTP = httpclient.New(cfg.External.State, 64, 16<<20)
+	n.stateHTTP = httpclient.New(cfg.External.KV, 64, 16<<20)
 	for _, p := range cfg.Seeds {
 		n.peers = append(n.peers, &peer{Peer: peerrpc.NewPeer(p.Name, p.Address)})
 	}
 	nodes := float64(len(cfg.Seeds) + 1)
 	direct := &directRoute{n}
-	rps := s.State.Planned().RPS
+	rps := s.KV.Planned().RPS
 	n.leaderState = kv.New(direct, rps*0.25)
 	n.userState = kv.New(&userRoute{n, direct}, rps*0.65/nodes)
 	n.intake = records.NewCommitter(n.userState, n.limits(), nil, log)
-	self := election.Identity{Name: cfg.HostName, MeshAddress: cfg.MeshAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
+	self := election.Identity{Name: cfg.HostName, MeshAddress: cfg.PeerAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
 	bounds := election.LeaseBounds{TTL: op.LeaseTTL(), OutageGrace: op.Grace(), IsolatedGrace: n.isolatedBound(), IsolatedReplicaGrace: n.isolatedReplicasBound()}
 	for _, p := range cfg.Seeds {
 		bounds.Peers = append(bounds.Peers, p.Name)
@@ -124,14 +124,14 @@
 
 // limits are those of one transaction.
 func (n *Controller) limits() records.Limits {
-	s := n.cfg.Settings.State.Planned()
+	s := n.cfg.Settings.KV.Planned()
 	// A transaction beyond one second's worth of changes never passes the rate.
 	return records.Limits{Operations: max(1, min(s.TxnOps, int(s.WriteRPS))), Bytes: 48 << 10}
 }
 
 // valueBytes is how large a value may be, with a margin for how the service counts.
 func (n *Controller) valueBytes() int {
-	return int(n.cfg.Settings.State.Planned().ValueKB*1024*0.95) - 32
+	return int(n.cfg.Settings.KV.Planned().ValueKB*1024*0.95) - 32
 }
 
 // Run serves until the context ends.
@@ -146,7 +146,7 @@
 	if err != nil {
 		return fmt.Errorf("api_addr: %w", err)
 	}
-	meshLn, err := net.Listen("tcp4", n.cfg.MeshAddr)
+	meshLn, err := net.Listen("tcp4", n.cfg.PeerAddr)
 	if err != nil {
 		return fmt.Errorf("mesh_addr: %w", err)
 	}
@@ -168,7 +168,7 @@
 	for _, p := range n.peers {
 		g.Go(func() error { return n.pingLoop(ctx, p) })
 	}
-	n.log.Info("serving", "controller", n.cfg.HostName, "api_address", n.cfg.APIAddr, "mesh_address", n.cfg.MeshAddr)
+	n.log.Info("serving", "controller", n.cfg.HostName, "api_address", n.cfg.APIAddr, "mesh_address", n.cfg.PeerAddr)
 	err = g.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -25,11 +25,11 @@
 )
 
 func testConfig(state string) *config.Platform {
-	p := &config.Platform{HostName: "n-0", APIAddr: "127.0.0.1:1", MeshAddr: "127.0.0.1:2"}
-	p.External.State, p.External.Cloud = state, "127.0.0.1:3"
+	p := &config.Platform{HostName: "n-0", APIAddr: "127.0.0.1:1", PeerAddr: "127.0.0.1:2"}
+	p.External.KV, p.External.Cloud = state, "127.0.0.1:3"
 	p.Settings.Teams = []config.Team{{Name: "red", CPUs: 4, CPUsMax: 16}}
 	p.Settings.Resources.CPUShare = 1
-	p.Settings.State.RPS, p.Settings.State.TxnOps, p.Settings.Cloud.RPS = 200, 8, 4
+	p.Settings.KV.RPS, p.Settings.KV.TxnOps, p.Settings.Cloud.RPS = 200, 8, 4
 	return p
 }
 
--- a/controller/term_options.go
+++ b/controller/term_options.go
@@ -64,7 +64,7 @@
 		RoundInterval:                      roundInterval,
 		RoundCostPerMachine:                time.Duration(float64(roundCostPerMachine) / s.Resources.CPUShare),
 		LazyWriteDelay:                     lazyWriteDelay,
-		WriteRate:                          recordWriteShare * s.State.Planned().WriteRPS,
+		WriteRate:                          recordWriteShare * s.KV.Planned().WriteRPS,
 		ZoneRecovery:                       op.ZoneRecoveryPolicy,
 		MaxWorkerCalls:                     min(maxDirectCalls, max(minDirectCalls, s.Resources.Sockets/socketsPerDirectCall)),
 	}
@@ -82,7 +82,7 @@
 const fastestBootS = 10
 
 // latencySensitive finds the classes whose tasks must start sooner than a machine boots.
-func latencySensitive(objectives []config.Objective) map[string]time.Duration {
+func latencySensitive(objectives []config.ServiceLevelObjective) map[string]time.Duration {
 	classes := map[string]time.Duration{}
 	for _, objective := range objectives {
 		if objective.Kind == objectiveWait && objective.WithinS <= fastestBootS {
--- a/controller/version_gate_test.go
+++ b/controller/version_gate_test.go
@@ -136,7 +136,7 @@
 	t.Helper()
 	cfg := testConfig(s.addr)
 	cfg.Seeds = seeds
-	cfg.Settings.State.RPS, cfg.Settings.State.WriteRPS, cfg.Settings.State.ValueKB = 20000, 80, 2
+	cfg.Settings.KV.RPS, cfg.Settings.KV.WriteRPS, cfg.Settings.KV.ValueKB = 20000, 80, 2
 	n := testNode(t, cfg)
 	n.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -247,7 +247,7 @@
 	}
 	s := Progress{Done: j.done}
 	for _, a := range j.active {
-		if a.phase == wire.TaskRunning || a.phase == wire.TaskSaving {
+		if a.phase == wire.TaskRunning || a.phase == wire.TaskCheckpointing {
 			s.Running++
 		}
 	}
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -33,7 +33,7 @@
 		{Name: "heartbeat", Value: Heartbeat{Machine: "n-000231", Endpoint: "10.0.0.9:9000", Type: "g8", Zone: "zone-a", Spot: true,
 			Incarnation: 6, Sequence: 1 << 33, FencingToken: ids.NewFencingToken(412, 3), SpotNoticeS: &notice, Tasks: []TaskStatus{
 				{Name: "job-1/3", Attempt: 2, State: TaskEnded, Cause: CauseDone, Checkpointed: true},
-				{Name: "job-1/4", Attempt: 300, State: TaskSaving, Cause: CauseError, Checkpointed: true}}}},
+				{Name: "job-1/4", Attempt: 300, State: TaskCheckpointing, Cause: CauseError, Checkpointed: true}}}},
 		{Name: "heartbeat without tasks or spot notice", Partial: true, Value: Heartbeat{Machine: "n-000231", Endpoint: "10.0.0.9:9000",
 			Type: "g8", Zone: "zone-a", Incarnation: 6, Sequence: 8, FencingToken: 9, Tasks: []TaskStatus{}}},
 		{Name: "heartbeat answer", Value: HeartbeatResponse{FencingToken: ids.NewFencingToken(412, 4), Commands: []Command{goldenCommand(),
@@ -100,7 +100,7 @@
 
 // The words that the protocol and the records share stay.
 func TestWordsOfTheProtocol(t *testing.T) {
-	got := fmt.Sprintln(JobQueued, JobRunning, JobDone, JobCancelled, ";", TaskFetching, TaskRunning, TaskSaving, TaskEnded, ";",
+	got := fmt.Sprintln(JobQueued, JobRunning, JobDone, JobCancelled, ";", TaskFetching, TaskRunning, TaskCheckpointing, TaskEnded, ";",
 		CauseDone, CauseStopped, CauseError, CauseFull, CauseInUse, CauseNoSuch, ";", VerbRun, VerbKill, VerbReap, ";", MachineRunning, MachineFailed, ";",
 		int(BestEffort), int(Normal), int(High), int(Critical), ";",
 		priorities["best_effort"], priorities["normal"], priorities["high"], priorities["critical"], len(priorities))
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -98,10 +98,10 @@
 
 // The states of a task.
 const (
-	TaskFetching TaskState = "pulling"
-	TaskRunning  TaskState = "running"
-	TaskSaving   TaskState = "flushing"
-	TaskEnded    TaskState = "ended"
+	TaskFetching      TaskState = "pulling"
+	TaskRunning       TaskState = "running"
+	TaskCheckpointing TaskState = "flushing"
+	TaskEnded         TaskState = "ended"
 )
 
 // ExitCause tells why a task ended.
