--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -51,13 +51,13 @@
 	})
 }
 
-// goldenSubmission is what a submitted job's body holds.
+// goldenSubmission is the result of ParseSubmission as one value.
 type goldenSubmission struct {
 	ID   ids.JobID
 	Spec JobSpec
 }
 
-// submissionBody is the body in the protocol's words, which only users write.
+// submissionBody encodes a submission in the protocol's words; only users do that.
 func submissionBody(shape string) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
@@ -98,7 +98,7 @@
 	})
 }
 
-// The words that the protocol and the records share stay.
+// The protocol and the records share these words.
 func TestWordsOfTheProtocol(t *testing.T) {
 	got := fmt.Sprintln(JobQueued, JobRunning, JobDone, JobCancelled, ";", TaskFetching, TaskRunning, TaskCheckpointing, TaskEnded, ";",
 		CauseDone, CauseStopped, CauseError, CauseFull, CauseInUse, CauseNoSuch, ";", VerbRun, VerbKill, VerbReap, ";", MachineRunning, MachineFailed, ";",
