--- a/monotonic/monotonic.go
+++ b/monotonic/monotonic.go
@@ -1,6 +1,8 @@
 // Package monotonic holds readings of a monotonic clock, and waits that allow for the
-// drift between the clocks of different machines. Leases, timeouts and intervals go by
-// it; the time of day appears only in records and in what operators see.
+// drift between the clocks of different machines. Leases, timeouts and intervals use it;
+// the time of day appears only in records and in what operators see.
+//
+// The package holds no state. Clocks may be read from any goroutine.
 package monotonic
 
 import (
@@ -9,7 +11,7 @@
 )
 
 // Instant is a reading of a monotonic clock, counted from a start that only the clock
-// itself knows: instants of two processes cannot be compared.
+// itself knows. Instants of two processes cannot be compared.
 type Instant time.Duration
 
 // Add returns the instant d later.
@@ -19,31 +21,47 @@
 func (t Instant) Sub(u Instant) time.Duration { return time.Duration(t - u) }
 
 // Clock reads monotonic time. Tests substitute their own.
-type Clock interface{ Now() Instant }
+type Clock interface {
+	// Now returns the present instant. It never returns less than before.
+	Now() Instant
+}
 
+// systemClock counts from a start in the past.
 type systemClock struct{ start time.Time }
 
-// SystemClock returns the monotonic clock of the process. It starts above zero so that the
-// zero Instant always lies in the past.
-func SystemClock() Clock { return systemClock{time.Now().Add(-time.Hour)} }
+// startOffset is the first reading of a system clock. It is above zero, so that the zero
+// Instant always lies in the past.
+const startOffset = time.Hour
+
+// SystemClock returns a clock that reads the monotonic clock of the process.
+func SystemClock() Clock { return systemClock{time.Now().Add(-startOffset)} }
 
-func (s systemClock) Now() Instant { return Instant(time.Since(s.start)) }
+// Now implements Clock.
+func (c systemClock) Now() Instant { return Instant(time.Since(c.start)) }
 
-// Seconds converts a decimal number of seconds, as settings and the protocol use it.
+// Seconds converts a decimal number of seconds, the unit of settings and of the protocol.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// AddDriftMargin lengthens a wait so that it has passed on any other machine's clock too:
-// each of the two clocks may be off by 0.05%. The constant covers the resolution of timers.
-func AddDriftMargin(d time.Duration) time.Duration { return d + d/500 + 10*time.Millisecond }
+const (
+	// driftDivisor makes the margin 0.2% of the wait. Each of the two clocks may be off by
+	// 0.05%, so this is twice what they need.
+	driftDivisor = 500
+	// timerResolution is how late a timer may fire.
+	timerResolution = 10 * time.Millisecond
+)
+
+// AddDriftMargin lengthens a wait so that it has passed on the clock of every other
+// machine too.
+func AddDriftMargin(d time.Duration) time.Duration { return d + d/driftDivisor + timerResolution }
 
-// Sleep waits for d. It returns false if the context ended first.
+// Sleep waits for d. It returns false, early, if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
