--- /dev/null
+++ b/config/team.go
@@ -0,0 +1,54 @@
+package config
+
+import (
+	"fmt"
+
+	"ospreystile.example/ospreystile/ids"
+)
+
+// Team is a team's nominal quota (CPUs and GPUs), and the most that it may use with what
+// it borrows (CPUsMax and GPUsMax, see Limited).
+type Team struct {
+	Name    ids.Team `toml:"name"`
+	CPUs    float64  `toml:"cpus"`
+	CPUsMax float64  `toml:"cpus_max"`
+	GPUs    float64  `toml:"gpus"`
+	GPUsMax float64  `toml:"gpus_max"`
+}
+
+// Limited reports whether the team's use is limited. A team whose maxima are both 0 has no
+// limit, and may borrow all that is idle. If only one maximum is 0, the team may use
+// nothing of that resource.
+func (t Team) Limited() bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
+
+// checkTeams checks that each team has a name of its own and a valid quota.
+func (s *Settings) checkTeams() error {
+	seen := map[ids.Team]bool{}
+	for i, team := range s.Teams {
+		key := fmt.Sprintf("settings.teams[%d]", i)
+		switch {
+		case team.Name == "":
+			return invalid(key+".name", "missing")
+		case seen[team.Name]:
+			return invalid(key+".name", "%q appears twice", team.Name)
+		}
+		if err := team.checkQuota(key); err != nil {
+			return err
+		}
+		seen[team.Name] = true
+	}
+	return nil
+}
+
+// checkQuota checks the amounts of the team that has the given key.
+func (t Team) checkQuota(key string) error {
+	for _, amount := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
+		if !isAmount(amount) {
+			return invalid(key, "%q has an amount that is negative or no number", t.Name)
+		}
+	}
+	if t.Limited() && (t.CPUs > t.CPUsMax || t.GPUs > t.GPUsMax) {
+		return invalid(key, "%q is guaranteed more than its limit", t.Name)
+	}
+	return nil
+}
--- a/ids/ids.go
+++ b/ids/ids.go
@@ -24,8 +24,8 @@
 	Revision uint64
 	// LeaseID identifies a lease of the key-value store.
 	LeaseID uint64
-	// AgentIncarnation numbers the incarnations of a worker's agent. It grows when the agent
-	// has lost its lease, and so its tasks.
+	// AgentIncarnation numbers the incarnations of a worker's agent from 1. It grows when the
+	// agent's lease expires, and its tasks with it.
 	AgentIncarnation uint64
 	// Sequence numbers the messages of one incarnation of a worker's agent.
 	Sequence uint64
--- a/wire/users.go
+++ b/wire/users.go
@@ -47,8 +47,11 @@
 // JobSpec is a job as its user described it. Its tags are those of the job's record in
 // the key-value store; ParseSubmission reads the form that users send.
 type JobSpec struct {
-	Class    string   `msgpack:"c"`
-	Team     ids.Team `msgpack:"g"`
+	Class string   `msgpack:"c"`
+	Team  ids.Team `msgpack:"g"`
+	// Service is a job whose tasks, its replicas, run until it is cancelled. Gang is a job
+	// whose tasks run at the same time or not at all. A job that is neither is an array of
+	// independent tasks.
 	Service  bool     `msgpack:"s,omitempty"`
 	Gang     bool     `msgpack:"gg,omitempty"`
 	Priority Priority `msgpack:"p"`
@@ -62,13 +65,16 @@
 	// Types lists the machine types that the job may use; empty means any.
 	Types []ids.MachineType `msgpack:"t,omitempty"`
 	// Zone is the zone that the job must run in; empty means any.
-	Zone    ids.Zone `msgpack:"z,omitempty"`
-	OneZone bool     `msgpack:"oz,omitempty"`
-	Spread  bool     `msgpack:"sp,omitempty"`
+	Zone ids.Zone `msgpack:"z,omitempty"`
+	// OneZone requires all tasks in one zone, Spread at most half of them, rounded up.
+	OneZone bool `msgpack:"oz,omitempty"`
+	Spread  bool `msgpack:"sp,omitempty"`
 	// Spot reports whether the job may run on spot instances.
 	Spot bool `msgpack:"l,omitempty"`
-	// EstimateS is how long the user expects one task to run.
-	EstimateS        float64 `msgpack:"e,omitempty"`
+	// EstimateS is how long the user expects one task to run; 0 for services.
+	EstimateS float64 `msgpack:"e,omitempty"`
+	// CheckpointEveryS is the interval of a task's checkpoints; 0 means that it stores
+	// none. CheckpointS is how long a stopped task needs for one.
 	CheckpointEveryS float64 `msgpack:"ce,omitempty"`
 	CheckpointS      float64 `msgpack:"cs,omitempty"`
 	// DeadlineS is counted from the submission; 0 means no deadline.
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -16,14 +16,14 @@
 // ExitCause tells why a task ended.
 type ExitCause string
 
-// The causes of a task's end.
+// The causes of a task's end. The last three mean that the worker refused the start.
 const (
 	CauseDone    ExitCause = "done"
-	CauseStopped ExitCause = "stopped"
+	CauseStopped ExitCause = "stopped" // by a command
 	CauseError   ExitCause = "error"
-	CauseFull    ExitCause = "full"
-	CauseInUse   ExitCause = "in_use"
-	CauseNoSuch  ExitCause = "no_such"
+	CauseFull    ExitCause = "full"    // too few free resources on the machine
+	CauseInUse   ExitCause = "in_use"  // the machine has another attempt of the task
+	CauseNoSuch  ExitCause = "no_such" // the worker found no such job or task
 )
 
 // Verb tells what a command asks of a worker.
@@ -43,8 +43,9 @@
 	Attempt ids.Attempt `msgpack:"try"`
 	State   TaskState   `msgpack:"status"`
 	// Cause is set once State is TaskEnded.
-	Cause        ExitCause `msgpack:"cause"`
-	Checkpointed bool      `msgpack:"stored"`
+	Cause ExitCause `msgpack:"cause"`
+	// Checkpointed reports whether a stopped task has stored a checkpoint.
+	Checkpointed bool `msgpack:"stored"`
 }
 
 // Heartbeat is the status that a worker sends to a controller.
@@ -56,7 +57,7 @@
 	Spot        bool                 `msgpack:"loaner"`
 	Incarnation ids.AgentIncarnation `msgpack:"tenure"`
 	Sequence    ids.Sequence         `msgpack:"tick"`
-	// FencingToken is the largest that the worker has accepted.
+	// FencingToken is the largest that the worker has seen.
 	FencingToken ids.FencingToken `msgpack:"baton"`
 	// SpotNoticeS is how long a spot instance still has; nil means that the cloud has not
 	// announced its termination.
@@ -76,7 +77,8 @@
 	// Name is the task's name, such as job-000412/3.
 	Name    string      `msgpack:"leg" cbor:"2,keyasint"`
 	Attempt ids.Attempt `msgpack:"try" cbor:"3,keyasint"`
-	// GraceS is how long a killed task may take to write its checkpoint.
+	// GraceS is how long a killed task may take to store a checkpoint. If that is less than
+	// the job's CheckpointS, the task ends at once.
 	GraceS float64 `msgpack:"leewayS" cbor:"4,keyasint"`
 }
 
@@ -87,7 +89,7 @@
 }
 
 // CommandBatch holds commands that the leader sends to a worker between heartbeats. The
-// worker refuses them if the token is smaller than one that it accepted, or if its
+// worker refuses them if the token is smaller than one that it has seen, or if its
 // incarnation is another.
 type CommandBatch struct {
 	FencingToken ids.FencingToken     `msgpack:"baton"`
