--- /dev/null
+++ b/server/connections_test.go
@@ -0,0 +1,109 @@
+package server
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// startServer serves until the test ends, and returns the address.
+func startServer(t *testing.T, service Service, limits Limits) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	served := make(chan error, 1)
+	go func() { served <- Serve(ctx, newApp(service, limits), listener) }()
+	t.Cleanup(func() {
+		cancel()
+		<-served
+	})
+	return listener.Addr().String()
+}
+
+// newClient returns a client with connections of its own, which close when the test ends.
+func newClient(t *testing.T) *http.Client {
+	t.Helper()
+	transport := &http.Transport{}
+	t.Cleanup(transport.CloseIdleConnections)
+	return &http.Client{Transport: transport}
+}
+
+// sendHeartbeat sends the heartbeat of a worker, and keeps the connection if the server
+// does.
+func sendHeartbeat(t *testing.T, client *http.Client, address string, worker int) {
+	t.Helper()
+	body := wire.Encode(wire.Heartbeat{Machine: ids.MachineID(fmt.Sprintf("n-%d", worker)), Incarnation: 1})
+	response, err := client.Post("http://"+address+"/hello", contentType, bytes.NewReader(body))
+	if err != nil {
+		t.Fatalf("worker %d: %v", worker, err)
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusMisdirectedRequest {
+		t.Fatalf("worker %d: status %d", worker, response.StatusCode)
+	}
+	// The client keeps a connection only after it has read the whole response.
+	_, _ = io.Copy(io.Discard, response.Body)
+}
+
+// checkHealth asks for the health over a connection of its own.
+func checkHealth(t *testing.T, address string) {
+	t.Helper()
+	transport := &http.Transport{}
+	defer transport.CloseIdleConnections()
+	response, err := (&http.Client{Transport: transport}).Get("http://" + address + "/up")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		t.Fatalf("health check: status %d", response.StatusCode)
+	}
+}
+
+// There may be more workers than sockets. Connections that workers do not need are closed,
+// so that each worker can send its heartbeat, and health checks still get a socket.
+func TestMoreWorkersThanSockets(t *testing.T) {
+	address := startServer(t, &fakeService{healthy: true}, Limits{MaxConnections: 10, IdleTimeout: time.Minute})
+	workers := make([]*http.Client, 30)
+	for i := range workers {
+		workers[i] = newClient(t)
+	}
+	for range 3 {
+		for i, worker := range workers {
+			sendHeartbeat(t, worker, address, i)
+		}
+		checkHealth(t, address)
+	}
+}
+
+// A body beyond the limit is rejected by its announced length. A server that waited for
+// the body would never respond here, because only the head is sent.
+func TestTooLargeBodyIsRejectedUnread(t *testing.T) {
+	address := startServer(t, &fakeService{}, Limits{MaxConnections: 10, IdleTimeout: time.Minute})
+	connection, err := net.Dial("tcp4", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer connection.Close()
+	fmt.Fprintf(connection, "POST /api/jobs HTTP/1.1\r\nHost: n\r\nContent-Type: application/msgpack\r\nContent-Length: %d\r\n\r\n", wire.MaxBody+1)
+	response, err := http.ReadResponse(bufio.NewReader(connection), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	response.Body.Close()
+	if response.StatusCode != http.StatusBadRequest {
+		t.Errorf("status %d", response.StatusCode)
+	}
+}
--- a/server/golden_test.go
+++ b/server/golden_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"net/http/httptest"
 	"slices"
 	"strings"
@@ -19,7 +18,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// scripted notes what it is called with, and gives the same answer to all.
+// scripted records its calls, and gives all of them the same response.
 type scripted struct {
 	calls   strings.Builder
 	answer  Response
@@ -40,9 +39,9 @@
 }
 func (s *scripted) Healthy() bool { return s.healthy }
 
-// Methods and paths that are served stay.
+// The methods and paths that are served are part of the protocol.
 func TestRoutesStay(t *testing.T) {
-	app := New(&scripted{}, Limits{MaxConnections: 100}, slog.New(slog.DiscardHandler))
+	app := newApp(&scripted{}, Limits{MaxConnections: 100})
 	var got []string
 	for _, r := range app.GetRoutes(true) {
 		got = append(got, r.Method+" "+r.Path)
@@ -51,7 +50,7 @@
 	golden.Text(t, "routes.txt", strings.Join(got, "\n")+"\n")
 }
 
-// exchange is a request, and what the service answers if it is asked.
+// exchange is a request, and the response of the service if it is called.
 type exchange struct {
 	name, method, path string
 	body               []byte
@@ -88,13 +87,13 @@
 	}
 }
 
-// Users and workers get the same status, headers and bytes for the same requests, which
-// mean the same calls.
+// The same requests lead to the same calls of the service, and to responses with the same
+// status, headers and bytes.
 func TestAnswersKeepTheirBytes(t *testing.T) {
 	var text strings.Builder
 	for _, c := range goldenExchanges(t) {
 		svc := &scripted{answer: c.answer, healthy: c.name == "healthy"}
-		app := New(svc, Limits{MaxConnections: 100}, slog.New(slog.DiscardHandler))
+		app := newApp(svc, Limits{MaxConnections: 100})
 		res, err := app.Test(httptest.NewRequest(c.method, c.path, bytes.NewReader(c.body)))
 		if err != nil {
 			t.Fatalf("%s: %v", c.name, err)
@@ -109,7 +108,7 @@
 	golden.Text(t, "answers.txt", text.String())
 }
 
-// sorted writes a body whose bytes do not depend on the order of a map.
+// sorted encodes a body whose bytes do not depend on the order of a map.
 func sorted(t *testing.T, words map[string]any) []byte {
 	t.Helper()
 	var buf bytes.Buffer
--- /dev/null
+++ b/server/handlers.go
@@ -0,0 +1,105 @@
+package server
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"log/slog"
+	"strings"
+	"time"
+
+	"github.com/gofiber/fiber/v3"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/wire"
+)
+
+const (
+	// workerConnectionShare is the share of all connections up to which those of workers
+	// stay open. Beyond it a worker's connection is closed after the response: there may be
+	// more workers than sockets, each must send a heartbeat within its lease, and users and
+	// health checks need sockets too.
+	workerConnectionShare = 0.7
+	// healthRetryDelay is when an unhealthy controller should be asked again.
+	healthRetryDelay = time.Second
+)
+
+// handlers turn requests into calls of the service.
+type handlers struct {
+	service Service
+	limits  Limits
+	log     *slog.Logger
+}
+
+// handleError responds to requests that no handler responded to.
+func (h *handlers) handleError(c fiber.Ctx, err error) error {
+	status := fiber.StatusInternalServerError
+	var refusal *fiber.Error
+	if errors.As(err, &refusal) {
+		status = refusal.Code
+	}
+	switch status {
+	case fiber.StatusRequestEntityTooLarge:
+		status = fiber.StatusBadRequest // the protocol's status for a body above the limit
+	case fiber.StatusMethodNotAllowed:
+		status = fiber.StatusNotFound
+	case fiber.StatusInternalServerError:
+		h.log.Error("request failed", "path", c.Path(), "err", err)
+	}
+	return send(c, Response{Status: status})
+}
+
+// recoverPanic responds to requests whose handler panicked.
+func (h *handlers) recoverPanic(c fiber.Ctx) (err error) {
+	defer func() {
+		if p := recover(); p != nil {
+			h.log.Error("handler panicked", "path", c.Path(), "panic", p)
+			err = send(c, Response{Status: fiber.StatusInternalServerError})
+		}
+	}()
+	return c.Next()
+}
+
+// health responds to health checks.
+func (h *handlers) health(c fiber.Ctx) error {
+	if h.service.Healthy() {
+		return send(c, Response{Status: fiber.StatusOK})
+	}
+	return send(c, RetryLater(healthRetryDelay))
+}
+
+// submit handles a submitted job.
+func (h *handlers) submit(c fiber.Ctx) error {
+	id, spec, err := wire.ParseSubmission(c.Body())
+	if err != nil {
+		h.log.Debug("submission rejected", "err", err)
+		return send(c, Response{Status: fiber.StatusBadRequest})
+	}
+	return send(c, h.service.Submit(c.Context(), id, spec))
+}
+
+// jobHandler handles requests about the job that their path names. An id that no job can
+// have was never accepted.
+func jobHandler(call func(context.Context, ids.JobID) Response) fiber.Handler {
+	return func(c fiber.Ctx) error {
+		id := ids.JobID(strings.Clone(c.Params("id"))) // the framework reuses the parameter's memory
+		if !wire.ValidID(id) {
+			return send(c, Response{Status: fiber.StatusNotFound})
+		}
+		return send(c, call(c.Context(), id))
+	}
+}
+
+// heartbeat handles a worker's heartbeat.
+func (h *handlers) heartbeat(c fiber.Ctx) error {
+	raw := bytes.Clone(c.Body()) // the framework reuses the body's memory
+	heartbeat := new(wire.Heartbeat)
+	if err := wire.Decode(raw, heartbeat); err != nil || heartbeat.Machine == "" || heartbeat.Incarnation == 0 {
+		return send(c, Response{Status: fiber.StatusBadRequest})
+	}
+	open := float64(c.App().Server().GetOpenConnectionsCount())
+	if open > workerConnectionShare*float64(h.limits.MaxConnections) {
+		c.RequestCtx().SetConnectionClose()
+	}
+	return send(c, h.service.Heartbeat(c.Context(), raw, heartbeat))
+}
