--- /dev/null
+++ b/dependency/job.go
@@ -0,0 +1,76 @@
+package dependency
+
+import (
+	"iter"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// priorityLevels is the number of priorities.
+const priorityLevels = int(wire.Critical) + 1
+
+// job is one vertex of the graph.
+type job struct {
+	id    ids.JobID
+	state State
+	// dependencies and dependents are the edges. Jobs that ended may still be among them.
+	dependencies, dependents []*job
+	// unfinished counts the dependencies that are not done. The counts are small types
+	// because a controller holds a great many jobs.
+	unfinished int32
+
+	ownPriority, priority wire.Priority
+	// waitingDependents counts the dependents that still wait, by their effective priority.
+	// A change of one of many dependents then needs no look at the others.
+	waitingDependents [priorityLevels]int32
+
+	// Unix times in milliseconds; see Record and Readiness.
+	readyMS, doneMS int64
+	// endByMS is the latest end with which all deadlines can be met; 0: there is none.
+	endByMS       int64
+	expectedRunMS int64
+}
+
+// ended reports whether the job is done or cancelled.
+func (j *job) ended() bool { return j.state >= Done }
+
+// startByMS is the latest start with which the job ends by endByMS; 0: there is none.
+func (j *job) startByMS() int64 {
+	if j.endByMS == 0 {
+		return 0
+	}
+	return j.endByMS - j.expectedRunMS
+}
+
+// tightenEndBy sets a latest end, and reports whether it is earlier than the one before.
+// 0 is not a latest end.
+func (j *job) tightenEndBy(endByMS int64) bool {
+	if endByMS == 0 || j.endByMS != 0 && endByMS >= j.endByMS {
+		return false
+	}
+	j.endByMS = endByMS
+	return true
+}
+
+// effectivePriority returns the highest of the job's own priority and of its waiting
+// dependents'.
+func (j *job) effectivePriority() wire.Priority {
+	for level := priorityLevels - 1; level > int(j.ownPriority); level-- {
+		if j.waitingDependents[level] > 0 {
+			return wire.Priority(level)
+		}
+	}
+	return j.ownPriority
+}
+
+// unfinishedDependencies yields the dependencies that have not ended.
+func (j *job) unfinishedDependencies() iter.Seq[*job] {
+	return func(yield func(*job) bool) {
+		for _, dependency := range j.dependencies {
+			if !dependency.ended() && !yield(dependency) {
+				return
+			}
+		}
+	}
+}
