--- /dev/null
+++ b/internal/knownfailures/citest/runner.go
@@ -0,0 +1,65 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"slices"
+	"strings"
+)
+
+// goTest implements knownfailures.Runner with the go command.
+type goTest struct{}
+
+// testFlags are the flags that README.md gives.
+var testFlags = []string{"test", "-race", "-timeout", "10m"}
+
+// All runs all tests that do not match the pattern, and prints what they print.
+func (goTest) All(skip string) error {
+	args := slices.Clone(testFlags)
+	if skip != "" {
+		args = append(args, "-skip", skip)
+	}
+	cmd := exec.Command("go", append(args, "./...")...)
+	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
+	return cmd.Run()
+}
+
+// Packages lists the packages that have a test of this name.
+func (goTest) Packages(test string) ([]string, error) {
+	packages, err := exec.Command("go", "list", "./...").Output()
+	if err != nil {
+		return nil, fmt.Errorf("listing packages: %w", err)
+	}
+	var found []string
+	for pkg := range strings.FieldsSeq(string(packages)) {
+		listed, err := exec.Command("go", "test", "-list", exactly(test), pkg).Output()
+		if err != nil {
+			return nil, fmt.Errorf("listing the tests of %s: %w", pkg, err)
+		}
+		if bytes.HasPrefix(listed, []byte(test+"\n")) {
+			found = append(found, pkg)
+		}
+	}
+	return found, nil
+}
+
+// Passes runs one test. A run that ends without a result of the test, such as one that
+// does not compile, is an error.
+func (goTest) Passes(pkg, test string) (bool, error) {
+	args := append(slices.Clone(testFlags), "-run", exactly(test), pkg)
+	output, err := exec.Command("go", args...).CombinedOutput()
+	if err == nil {
+		return true, nil
+	}
+	var exit *exec.ExitError
+	if errors.As(err, &exit) && bytes.Contains(output, []byte("--- FAIL: "+test)) {
+		return false, nil
+	}
+	return false, fmt.Errorf("running %s of %s: %w: %s", test, pkg, err, output)
+}
+
+// exactly returns a pattern that matches one test.
+func exactly(test string) string { return "^" + test + "$" }
--- a/internal/knownfailures/list.go
+++ b/internal/knownfailures/list.go
@@ -1,7 +1,7 @@
-// Package knownfailures lets CI pass over tests that fail for a known fault which could
-// not be mended yet, and over those alone. They are listed in KNOWN-RED.txt, one line
-// each. A listed test that passes, or that no longer exists, fails the run, so that the
-// list never outlives the fault.
+// Package knownfailures lets CI tolerate tests that fail for a known fault which could not
+// be fixed yet, and no other failures. The tests are listed in KNOWN-RED.txt, one a line. A
+// listed test that passes, or that does not exist, fails the run, so that the list never
+// outlives the faults.
 package knownfailures
 
 import (
@@ -17,11 +17,20 @@
 // MaxEntries is how many tests may be listed at once.
 const MaxEntries = 3
 
-// separator stands between the three parts of a line.
-const separator = "|"
+// separator stands between the fields of a line, commentPrefix begins a line without any.
+const (
+	separator     = "|"
+	commentPrefix = "#"
+)
+
+// Errors of a list. Parse wraps them with the line.
+var (
+	ErrTooManyEntries = fmt.Errorf("%d are allowed", MaxEntries)
+	ErrDuplicate      = errors.New("the test is listed twice")
+	ErrMalformedLine  = errors.New("want test | cause | issue")
+)
 
-// Entry is one listed test with the cause of its failure and the issue that is open
-// for it.
+// Entry is one listed test, with the cause of its failure and the open issue about it.
 type Entry struct {
 	Test  string
 	Cause string
@@ -30,14 +39,14 @@
 
 var testName = regexp.MustCompile(`^Test[A-Za-z0-9_]*$`)
 
-// Parse reads a list. Each line holds a test, the cause and the issue, separated by
-// "|"; empty lines and those that begin with # are passed over.
+// Parse reads a list. Each line holds a test, the cause and the issue, separated by "|".
+// It skips empty lines and lines that begin with "#".
 func Parse(r io.Reader) ([]Entry, error) {
 	var entries []Entry
 	lines := bufio.NewScanner(r)
 	for number := 1; lines.Scan(); number++ {
 		line := strings.TrimSpace(lines.Text())
-		if line == "" || strings.HasPrefix(line, "#") {
+		if line == "" || strings.HasPrefix(line, commentPrefix) {
 			continue
 		}
 		entry, err := parseLine(line)
@@ -45,7 +54,7 @@
 			return nil, fmt.Errorf("line %d: %w", number, err)
 		}
 		if slices.ContainsFunc(entries, func(e Entry) bool { return e.Test == entry.Test }) {
-			return nil, fmt.Errorf("line %d: %s is listed twice", number, entry.Test)
+			return nil, fmt.Errorf("line %d: %s: %w", number, entry.Test, ErrDuplicate)
 		}
 		entries = append(entries, entry)
 	}
@@ -53,78 +62,40 @@
 		return nil, err
 	}
 	if len(entries) > MaxEntries {
-		return nil, fmt.Errorf("%d tests are listed, %d are allowed", len(entries), MaxEntries)
+		return nil, fmt.Errorf("%d tests are listed, %w", len(entries), ErrTooManyEntries)
 	}
 	return entries, nil
 }
 
+// parseLine reads one line that is no comment.
 func parseLine(line string) (Entry, error) {
-	parts := strings.Split(line, separator)
-	if len(parts) != 3 {
-		return Entry{}, errors.New("want test | cause | issue")
+	fields := strings.Split(line, separator)
+	if len(fields) != 3 {
+		return Entry{}, ErrMalformedLine
+	}
+	entry := Entry{
+		Test:  strings.TrimSpace(fields[0]),
+		Cause: strings.TrimSpace(fields[1]),
+		Issue: strings.TrimSpace(fields[2]),
 	}
-	entry := Entry{Test: strings.TrimSpace(parts[0]), Cause: strings.TrimSpace(parts[1]), Issue: strings.TrimSpace(parts[2])}
 	switch {
 	case !testName.MatchString(entry.Test):
-		return Entry{}, fmt.Errorf("%q is not the name of a test", entry.Test)
+		return Entry{}, fmt.Errorf("%w: %q is not the name of a test", ErrMalformedLine, entry.Test)
 	case entry.Cause == "" || entry.Issue == "":
-		return Entry{}, fmt.Errorf("%s: cause or issue is missing", entry.Test)
+		return Entry{}, fmt.Errorf("%w: %s: cause or issue is missing", ErrMalformedLine, entry.Test)
 	}
 	return entry, nil
 }
 
-// Pattern matches the names of the listed tests and no others, in the form that go
-// test takes. It is empty if there are none.
+// Pattern returns a regular expression, in the form that go test takes, which matches the
+// names of the listed tests and no others. It is empty if there are none.
 func Pattern(entries []Entry) string {
 	if len(entries) == 0 {
 		return ""
 	}
 	names := make([]string, len(entries))
-	for i, e := range entries {
-		names[i] = regexp.QuoteMeta(e.Test)
+	for i, entry := range entries {
+		names[i] = regexp.QuoteMeta(entry.Test)
 	}
 	return "^(" + strings.Join(names, "|") + ")$"
 }
-
-// Runner runs go test.
-type Runner interface {
-	// All runs all tests but those that match a pattern; no pattern leaves out none.
-	All(skip string) error
-	// Packages lists the packages that hold a test.
-	Packages(test string) ([]string, error)
-	// Passes runs a single test of a package.
-	Passes(pkg, test string) (bool, error)
-}
-
-// Run runs all tests that are not listed, then each listed one, and prints the latter
-// to out. It fails if a test that is not listed fails, or if a listed one passes or
-// does not exist.
-func Run(entries []Entry, runner Runner, out io.Writer) error {
-	errs := []error{runner.All(Pattern(entries))}
-	for _, e := range entries {
-		fmt.Fprintf(out, "known red: %s: %s (issue %s)\n", e.Test, e.Cause, e.Issue)
-		errs = append(errs, confirm(e, runner))
-	}
-	return errors.Join(errs...)
-}
-
-// confirm checks that a listed test exists, once, and still fails.
-func confirm(e Entry, runner Runner) error {
-	packages, err := runner.Packages(e.Test)
-	switch {
-	case err != nil:
-		return fmt.Errorf("%s: %w", e.Test, err)
-	case len(packages) == 0:
-		return fmt.Errorf("%s is listed as known red but does not exist", e.Test)
-	case len(packages) > 1:
-		return fmt.Errorf("%s is the name of several tests: in %s", e.Test, strings.Join(packages, ", "))
-	}
-	passes, err := runner.Passes(packages[0], e.Test)
-	switch {
-	case err != nil:
-		return fmt.Errorf("%s: %w", e.Test, err)
-	case passes:
-		return fmt.Errorf("%s is listed as known red but passes: take it off the list", e.Test)
-	}
-	return nil
-}
--- /dev/null
+++ b/internal/knownfailures/run.go
@@ -0,0 +1,60 @@
+package knownfailures
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+)
+
+// Errors of a listed test. Run wraps them with the name of the test.
+var (
+	ErrMissing   = errors.New("listed as a known failure but does not exist")
+	ErrAmbiguous = errors.New("the name of several tests")
+	ErrPasses    = errors.New("listed as a known failure but passes: remove it from the list")
+)
+
+// Runner runs go test.
+type Runner interface {
+	// All runs all tests except those that match a pattern. An empty pattern excludes none.
+	All(skip string) error
+	// Packages lists the packages that have a test of this name.
+	Packages(test string) ([]string, error)
+	// Passes runs one test of a package.
+	Passes(pkg, test string) (bool, error)
+}
+
+// Run runs all tests that are not listed, then each listed one, and prints the latter to
+// out. It fails if a test that is not listed fails, or if a listed one passes or does not
+// exist; the error joins all of these.
+func Run(entries []Entry, runner Runner, out io.Writer) error {
+	errs := []error{runner.All(Pattern(entries))}
+	for _, entry := range entries {
+		fmt.Fprintf(out, "known failure: %s: %s (issue %s)\n", entry.Test, entry.Cause, entry.Issue)
+		if err := confirm(entry.Test, runner); err != nil {
+			errs = append(errs, fmt.Errorf("%s: %w", entry.Test, err))
+		}
+	}
+	return errors.Join(errs...)
+}
+
+// confirm checks that a listed test exists, once, and still fails.
+func confirm(test string, runner Runner) error {
+	packages, err := runner.Packages(test)
+	switch {
+	case err != nil:
+		return err
+	case len(packages) == 0:
+		return ErrMissing
+	case len(packages) > 1:
+		return fmt.Errorf("%w: in %s", ErrAmbiguous, strings.Join(packages, ", "))
+	}
+	passes, err := runner.Passes(packages[0], test)
+	switch {
+	case err != nil:
+		return err
+	case passes:
+		return ErrPasses
+	}
+	return nil
+}
