--- /dev/null
+++ b/internal/golden/filled_test.go
@@ -0,0 +1,64 @@
+package golden
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+// errorRecorder records the errors that a check reports.
+type errorRecorder struct {
+	testing.TB
+	errors []string
+}
+
+func (*errorRecorder) Helper() {}
+
+func (r *errorRecorder) Errorf(format string, args ...any) {
+	r.errors = append(r.errors, fmt.Sprintf(format, args...))
+}
+
+// inner and outer have a field of each kind that Filled distinguishes.
+type inner struct{ Number, Other int }
+
+type outer struct {
+	Name    string
+	Flag    bool
+	Another bool
+	Pointer *inner
+	List    []inner
+	Names   []string
+	hidden  int
+}
+
+// filledOuter returns a value that Filled accepts.
+func filledOuter() outer {
+	return outer{Name: "a", Flag: true, Another: true, Pointer: &inner{1, 2}, List: []inner{{3, 4}}, Names: []string{"b"}}
+}
+
+func TestFilled(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(*outer)
+		want   []string
+	}{
+		{"all filled", func(*outer) {}, nil},
+		{"unexported field", func(o *outer) { o.hidden = 1 }, nil},
+		{"empty text", func(o *outer) { o.Name = "" }, []string{"v.Name is empty"}},
+		{"flag not set", func(o *outer) { o.Flag = false }, []string{"v.Flag is empty"}},
+		{"nil pointer", func(o *outer) { o.Pointer = nil }, []string{"v.Pointer is empty"}},
+		{"empty list", func(o *outer) { o.Names = []string{} }, []string{"v.Names is empty"}},
+		{"empty field below", func(o *outer) { o.List[0].Other = 0 }, []string{"v.List[0].Other is empty"}},
+		{"same values", func(o *outer) { o.Pointer.Other = 1 }, []string{"v.Pointer.Other has the same value as v.Pointer.Number"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			value := filledOuter()
+			c.change(&value)
+			var recorder errorRecorder
+			Filled(&recorder, "v", value)
+			if !slices.Equal(recorder.errors, c.want) {
+				t.Errorf("reported %q, want %q", recorder.errors, c.want)
+			}
+		})
+	}
+}
--- a/internal/golden/recorder.go
+++ b/internal/golden/recorder.go
@@ -11,40 +11,46 @@
 	"testing"
 )
 
-// Recorder is a service that notes what it is asked.
+// Recorder is an HTTP server on loopback that records its requests.
 type Recorder struct {
-	// Address is where it is reached.
+	// Address is host:port of the server.
 	Address string
 
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-// Record serves, and notes each request as one line: method, path with query, type and
-// bytes of the body, - if there is none.
-func Record(t *testing.T, answer http.HandlerFunc) *Recorder {
+// Record starts a server that ends with the test. It records each request as one line
+// (method, path with query, content type and the hexadecimal body, or - without a body),
+// and then calls the handler.
+func Record(t *testing.T, handler http.HandlerFunc) *Recorder {
 	t.Helper()
-	rec := &Recorder{}
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	recorder := &Recorder{}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			t.Error(err)
 		}
-		text := hex.EncodeToString(body)
-		if text == "" {
-			text = "-"
-		}
-		rec.mu.Lock()
-		fmt.Fprintf(&rec.text, "%s %s %q %s\n", r.Method, r.RequestURI, r.Header.Get("Content-Type"), text)
-		rec.mu.Unlock()
-		answer(w, r)
+		recorder.add(r, body)
+		handler(w, r)
 	}))
-	t.Cleanup(srv.Close)
-	rec.Address = strings.TrimPrefix(srv.URL, "http://")
-	return rec
+	t.Cleanup(server.Close)
+	recorder.Address = strings.TrimPrefix(server.URL, "http://")
+	return recorder
+}
+
+// add records one request.
+func (rec *Recorder) add(r *http.Request, body []byte) {
+	text := hex.EncodeToString(body)
+	if text == "" {
+		text = "-"
+	}
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	fmt.Fprintf(&rec.text, "%s %s %q %s\n", r.Method, r.RequestURI, r.Header.Get("Content-Type"), text)
 }
 
-// Text is the requests so far.
+// Text returns the lines of all requests so far.
 func (rec *Recorder) Text() string {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
