--- a/internal/faulttest/cloud.go
+++ b/internal/faulttest/cloud.go
@@ -13,155 +13,198 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Cloud is a stand-in for the cloud: machines of one type in several zones.
+// Cloud is a stand-in for the cloud, with machines of one type in several zones. Its
+// methods may be called from any goroutine.
 type Cloud struct {
-	server   *httptest.Server
-	boot     time.Duration
-	capacity int // machines of each zone
-	start    func(wire.Machine) *Worker
+	server      *httptest.Server
+	boot        time.Duration
+	capacity    int // machines of each zone
+	zones       []ids.Zone
+	startWorker func(wire.Machine) *Worker
 
 	mu       sync.Mutex
-	zones    []ids.Zone
 	machines map[ids.MachineID]*cloudMachine
-	bookings map[string][]ids.MachineID
-	next     int
+	requests map[string][]ids.MachineID // the machines of each provision request, by its id
+	lastID   int
 }
 
-// cloudMachine is a machine that was rented.
+// cloudMachine is a machine that was provisioned.
 type cloudMachine struct {
 	wire.Machine
-	rented time.Time
-	worker *Worker // nil while it boots
-	gone   bool
+	provisioned time.Time
+	worker      *Worker // nil while the machine boots
+	terminated  bool
 }
 
 // The machine type of the stand-in.
 const (
-	machineType = "m8"
-	machineCPUs = 8
+	machineType     = "m8"
+	machineCPUs     = 8
+	machineMemoryGB = 64
+	machineCacheGB  = 50
 )
 
-// NewCloud starts a cloud on loopback; start brings up a machine's worker.
-func NewCloud(zones []ids.Zone, capacity int, boot time.Duration, start func(wire.Machine) *Worker) *Cloud {
-	c := &Cloud{boot: boot, capacity: capacity, start: start, zones: zones, machines: map[ids.MachineID]*cloudMachine{}, bookings: map[string][]ids.MachineID{}}
+// statusStarting is the status of a machine that boots.
+const statusStarting wire.MachineStatus = "starting"
+
+// NewCloud starts a cloud on loopback. startWorker starts the worker of a machine that has
+// booted; it must not call the cloud.
+func NewCloud(zones []ids.Zone, capacity int, boot time.Duration, startWorker func(wire.Machine) *Worker) *Cloud {
+	c := &Cloud{boot: boot, capacity: capacity, zones: zones, startWorker: startWorker,
+		machines: map[ids.MachineID]*cloudMachine{}, requests: map[string][]ids.MachineID{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog", c.catalog)
-	mux.HandleFunc("POST /hosts", c.rent)
-	mux.HandleFunc("POST /hosts/return", c.giveBack)
+	mux.HandleFunc("POST /hosts", c.provision)
+	mux.HandleFunc("POST /hosts/return", c.terminate)
 	mux.HandleFunc("GET /hosts", c.list)
 	c.server = httptest.NewServer(mux)
 	return c
 }
 
-// Address is where the cloud listens.
+// Address is host:port of the cloud.
 func (c *Cloud) Address() string { return strings.TrimPrefix(c.server.URL, "http://") }
 
-// Close ends the cloud and all machines.
+// Close ends the cloud and all machines, and waits for the end of their workers.
 func (c *Cloud) Close() {
 	c.server.CloseClientConnections()
 	c.server.Close()
+	for _, worker := range c.terminateAll() {
+		worker.Wait()
+	}
+}
+
+// terminateAll terminates all machines, and lists the workers of all that ever booted.
+func (c *Cloud) terminateAll() []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	var workers []*Worker
 	for _, m := range c.machines {
-		c.end(m)
+		m.terminate()
+		if m.worker != nil {
+			workers = append(workers, m.worker)
+		}
 	}
+	return workers
 }
 
-// Workers lists the workers of a zone that are up.
+// Workers lists the workers of a zone's machines that have booted.
 func (c *Cloud) Workers(zone ids.Zone) []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []*Worker
+	var workers []*Worker
 	for _, m := range c.machines {
-		if m.Zone == zone && m.worker != nil && !m.gone {
-			out = append(out, m.worker)
+		if m.Zone == zone && m.worker != nil && !m.terminated {
+			workers = append(workers, m.worker)
 		}
 	}
-	return out
+	return workers
 }
 
-// end takes a machine away with all that is on it.
-func (c *Cloud) end(m *cloudMachine) {
-	m.gone = true
+// terminate ends a machine with all that runs on it.
+func (m *cloudMachine) terminate() {
+	if m.terminated {
+		return
+	}
+	m.terminated = true
 	if m.worker != nil {
 		m.worker.Stop()
 	}
 }
 
 func (c *Cloud) catalog(w http.ResponseWriter, _ *http.Request) {
-	reply(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{{Name: machineType, CPUs: machineCPUs, MemoryGB: 64, CacheGB: 50, FetchGBps: 1,
-		Price: 1, SpotPrice: 0.4, BootS: c.boot.Seconds(), Zones: c.zones}}})
+	reply(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{{
+		Name: machineType, CPUs: machineCPUs, MemoryGB: machineMemoryGB, CacheGB: machineCacheGB, FetchGBps: 1,
+		Price: 1, SpotPrice: 0.4, BootS: c.boot.Seconds(), Zones: c.zones,
+	}}})
 }
 
-func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
-	rental, ok := read[wire.ProvisionRequest](w, r)
+func (c *Cloud) provision(w http.ResponseWriter, r *http.Request) {
+	request, ok := read[wire.ProvisionRequest](w, r)
 	if !ok {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if hosts, known := c.bookings[rental.RequestID]; known {
-		reply(w, http.StatusOK, wire.MachineIDs{IDs: hosts})
-		return
+	machines, known := c.requests[request.RequestID]
+	if !known {
+		machines = c.addMachines(request)
 	}
-	held := 0
-	for _, m := range c.machines {
-		if m.Zone == rental.Zone && !m.gone {
-			held++
-		}
+	if len(machines) == 0 {
+		reply(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
+		return
 	}
-	var hosts []ids.MachineID
-	for range min(rental.Count, c.capacity-held) {
-		c.next++
-		m := &cloudMachine{rented: time.Now(), Machine: wire.Machine{ID: ids.MachineID(fmt.Sprintf("n-%06d", c.next)),
-			Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot, Status: "starting"}}
+	c.requests[request.RequestID] = machines
+	reply(w, http.StatusOK, wire.MachineIDs{IDs: machines})
+}
+
+// addMachines provisions as many machines as the zone has capacity for. The caller holds
+// the lock.
+func (c *Cloud) addMachines(request wire.ProvisionRequest) []ids.MachineID {
+	var added []ids.MachineID
+	for range min(request.Count, c.capacity-c.countMachines(request.Zone)) {
+		c.lastID++
+		m := &cloudMachine{provisioned: time.Now(), Machine: wire.Machine{
+			ID:     ids.MachineID(fmt.Sprintf("n-%06d", c.lastID)),
+			Type:   request.Type,
+			Zone:   request.Zone,
+			Spot:   request.Spot,
+			Status: statusStarting,
+		}}
 		c.machines[m.ID] = m
-		hosts = append(hosts, m.ID)
-		time.AfterFunc(c.boot, func() { c.bootEnds(m) })
+		added = append(added, m.ID)
+		time.AfterFunc(c.boot, func() { c.finishBoot(m) })
 	}
-	if len(hosts) == 0 {
-		reply(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
-		return
+	return added
+}
+
+// countMachines counts a zone's machines that are not terminated. The caller holds the
+// lock.
+func (c *Cloud) countMachines(zone ids.Zone) int {
+	count := 0
+	for _, m := range c.machines {
+		if m.Zone == zone && !m.terminated {
+			count++
+		}
 	}
-	c.bookings[rental.RequestID] = hosts
-	reply(w, http.StatusOK, wire.MachineIDs{IDs: hosts})
+	return count
 }
 
-// bootEnds brings a machine's worker up.
-func (c *Cloud) bootEnds(m *cloudMachine) {
+// finishBoot starts a machine's worker, unless the machine was terminated before.
+func (c *Cloud) finishBoot(m *cloudMachine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if m.gone {
+	if m.terminated {
 		return
 	}
-	m.worker = c.start(m.Machine)
+	m.worker = c.startWorker(m.Machine)
 	m.Endpoint, m.Status = m.worker.Address(), wire.MachineRunning
 }
 
-func (c *Cloud) giveBack(w http.ResponseWriter, r *http.Request) {
+func (c *Cloud) terminate(w http.ResponseWriter, r *http.Request) {
 	body, ok := read[wire.MachineIDs](w, r)
 	if !ok {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, host := range body.IDs {
-		if m := c.machines[host]; m != nil && !m.gone {
-			c.end(m)
+	for _, id := range body.IDs {
+		if m := c.machines[id]; m != nil {
+			m.terminate()
 		}
 	}
 	reply(w, http.StatusOK, map[string]bool{})
 }
 
+// list responds with all machines in one page.
 func (c *Cloud) list(w http.ResponseWriter, r *http.Request) {
 	since := ids.MachineID(r.URL.Query().Get("since"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	page := wire.MachinePage{Machines: []wire.Machine{}}
-	for host, m := range c.machines {
-		if !m.gone && host > since {
+	for id, m := range c.machines {
+		if !m.terminated && id > since {
 			listed := m.Machine
-			listed.AgeS = time.Since(m.rented).Seconds()
+			listed.AgeS = time.Since(m.provisioned).Seconds()
 			page.Machines = append(page.Machines, listed)
 		}
 	}
--- /dev/null
+++ b/internal/faulttest/harness_test.go
@@ -0,0 +1,207 @@
+package faulttest
+
+import (
+	"context"
+	"encoding/json"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"ospreystile.example/ospreystile/controller"
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/wire"
+	"ospreystile.example/ospreystile/zonerecovery"
+)
+
+const (
+	// repository is the root of this repository.
+	repository = "../.."
+	// waitLimit bounds a test that hangs; no result depends on it.
+	waitLimit = 90 * time.Second
+	// pollInterval is the time between two checks of a condition that a test waits for.
+	pollInterval = 50 * time.Millisecond
+	// recoveryPollInterval is that of a recovery, whose ramp moves quickly.
+	recoveryPollInterval = 20 * time.Millisecond
+	// controllers is the number of controllers in each test.
+	controllers = 3
+)
+
+// buildProgram builds the program, and reads from deploy/service.toml how it is started.
+func buildProgram(t *testing.T) Program {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join(repository, "deploy/service.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var service struct {
+		Run string `toml:"run"`
+	}
+	if err := toml.Unmarshal(raw, &service); err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "ospreystile")
+	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", path, "./cmd/ospreystile")
+	build.Dir = repository
+	if out, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, out)
+	}
+	return Program{Path: path, Arguments: strings.Fields(service.Run)[1:], Directory: repository}
+}
+
+// withOperatorSettings returns the program with another file of operators' settings.
+func (p Program) withOperatorSettings(file string) Program {
+	arguments := slices.Clone(p.Arguments)
+	if i := slices.Index(arguments, "--operator"); i >= 0 {
+		arguments = slices.Delete(arguments, i, i+2)
+	}
+	p.Arguments = append([]string{"--operator", file}, arguments...)
+	return p
+}
+
+// zoneTest is the deployment of one test.
+type zoneTest struct {
+	*Deployment
+	t       *testing.T
+	ctx     context.Context
+	program Program
+}
+
+// newZoneTest starts a deployment that ends with the test. A failed test logs what the
+// controllers have logged.
+func newZoneTest(t *testing.T, operatorSettings string, zones []ids.Zone, capacity int) *zoneTest {
+	t.Helper()
+	if testing.Short() {
+		t.Skip("starts processes")
+	}
+	z := &zoneTest{t: t, ctx: t.Context(), program: buildProgram(t).withOperatorSettings(operatorSettings)}
+	var err error
+	if z.Deployment, err = NewDeployment(t.TempDir(), zones, capacity, controllers); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := z.Close(); err != nil {
+			t.Error(err)
+		}
+		if t.Failed() {
+			t.Log(z.Logs())
+		}
+	})
+	for _, c := range z.Controllers {
+		z.require(c.Start(z.program))
+	}
+	return z
+}
+
+// require ends the test if there is an error.
+func (z *zoneTest) require(err error) {
+	z.t.Helper()
+	if err != nil {
+		z.t.Fatal(err)
+	}
+}
+
+// await waits until a condition holds.
+func (z *zoneTest) await(what string, holds func() bool) {
+	z.t.Helper()
+	z.awaitEvery(pollInterval, what, holds)
+}
+
+// awaitEvery checks a condition at an interval until it holds.
+func (z *zoneTest) awaitEvery(interval time.Duration, what string, holds func() bool) {
+	z.t.Helper()
+	for end := time.Now().Add(waitLimit); !holds(); time.Sleep(interval) {
+		if time.Now().After(end) {
+			z.t.Fatalf("not within %v: %s", waitLimit, what)
+		}
+	}
+}
+
+// awaitCondition waits for the condition of a zone.
+func (z *zoneTest) awaitCondition(zone ids.Zone, want zonerecovery.Condition) {
+	z.t.Helper()
+	z.await(string(zone)+" "+want.String(), func() bool {
+		status, _, ok := z.zoneStatus(zone)
+		return ok && status.Condition == want
+	})
+}
+
+// awaitAtAllControllers waits until every controller responds with the same final state.
+func (z *zoneTest) awaitAtAllControllers(id ids.JobID, want wire.JobState) {
+	z.t.Helper()
+	for i := range z.Controllers {
+		z.await(string(id)+" "+string(want), func() bool {
+			status, err := z.Users.StatusAt(z.ctx, i, id)
+			if err != nil {
+				return false
+			}
+			final := status.Status == wire.JobDone || status.Status == wire.JobCancelled
+			if final && status.Status != want {
+				z.t.Fatalf("%s is %s", id, status.Status)
+			}
+			return status.Status == want
+		})
+	}
+}
+
+// runCommand runs a subcommand of the program with the settings of a controller.
+func (z *zoneTest) runCommand(c *Controller, args ...string) (string, error) {
+	out, err := exec.CommandContext(z.ctx, z.program.Path, append(args, "--config", c.settingsPath)...).CombinedOutput()
+	return string(out), err
+}
+
+// zoneStatus returns the status of a zone as operators see it, and who leads.
+func (z *zoneTest) zoneStatus(zone ids.Zone) (status zonerecovery.Status, leader ids.ControllerName, ok bool) {
+	out, err := z.runCommand(z.Controllers[0], "zones", "--json")
+	if err != nil {
+		return status, "", false
+	}
+	var response controller.ZonesResponse
+	if err := json.Unmarshal([]byte(out), &response); err != nil {
+		return status, "", false
+	}
+	i := slices.IndexFunc(response.Zones, func(s zonerecovery.Status) bool { return s.Zone == zone })
+	if i < 0 {
+		return status, response.Leader, false
+	}
+	return response.Zones[i], response.Leader, true
+}
+
+// restartController kills a controller and starts it again.
+func (z *zoneTest) restartController(name ids.ControllerName) {
+	z.t.Helper()
+	i := slices.IndexFunc(z.Controllers, func(c *Controller) bool { return c.Name == name })
+	if i < 0 {
+		z.t.Fatalf("no controller is called %q", name)
+	}
+	z.Controllers[i].Kill()
+	z.require(z.Controllers[i].Start(z.program))
+}
+
+// countRunning counts the running tasks of a job in all zones.
+func (z *zoneTest) countRunning(job ids.JobID) int {
+	count := 0
+	for _, running := range z.History.RunningByZone(job) {
+		count += running
+	}
+	return count
+}
+
+// countRunningOutside counts the running tasks of a job in all zones but one.
+func (z *zoneTest) countRunningOutside(zone ids.Zone, job ids.JobID) int {
+	return z.countRunning(job) - z.History.RunningByZone(job)[zone]
+}
+
+// checkHistory checks that no task ran twice at once.
+func (z *zoneTest) checkHistory() {
+	z.t.Helper()
+	if violations := z.History.Violations(); len(violations) > 0 {
+		z.t.Errorf("violations: %v", violations)
+	}
+	z.t.Logf("%d tasks were started again after they completed", z.History.Repeated())
+}
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -2,142 +2,157 @@
 
 import (
 	"fmt"
+	"slices"
 	"sync"
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Act is what happened to one attempt of a task on a machine.
-type Act struct {
-	At      time.Time
+// Event is what happened to one attempt of a task on a machine.
+type Event struct {
+	At      time.Time // set by the history
 	Task    ids.TaskRef
 	Attempt ids.Attempt
-	Host    ids.MachineID
+	Machine ids.MachineID
 	Zone    ids.Zone
-	Kind    ActKind
+	Kind    EventKind
 }
 
-// ActKind tells what happened.
-type ActKind uint8
+// EventKind tells what happened.
+type EventKind uint8
 
-// The kinds of acts.
+// The kinds of events.
 const (
-	// Fetching: the worker was told to run the attempt, and waits for its image.
-	Fetching ActKind = iota
-	// Running: the attempt began.
-	Running
-	// Completed: it came to its end by itself.
+	// StartReceived means that the worker was told to run the attempt, and fetches its
+	// image.
+	StartReceived EventKind = iota
+	// Started means that the attempt runs.
+	Started
+	// Completed means that the attempt ended by itself.
 	Completed
-	// Gone: it was stopped, or lost with its lease or its machine.
-	Gone
+	// Terminated means that the attempt was stopped, or lost with its lease or machine.
+	Terminated
 )
 
 // History records what happened on all machines, in order, and checks that no task runs
-// twice at once. It also counts the tasks that were sent again after they completed: the
-// protocol allows that, since an end that was not recorded may be lost with the leader.
+// twice at once. It also counts the tasks that were started again after they completed.
+// The protocol allows that, since an end that was not recorded may be lost with the leader.
 type History struct {
 	mu         sync.Mutex
-	acts       []Act
-	running    map[ids.TaskRef]Act
+	events     []Event
+	running    map[ids.TaskRef]Event
 	completed  map[ids.TaskRef]bool
-	underWay   map[ids.Zone]map[attemptKey]time.Time
+	inFlight   map[attemptKey]Event // starts that were received and do not run yet
 	violations []string
 	repeated   int
 }
 
-// attemptKey names an attempt on a machine.
+// attemptKey identifies an attempt on a machine.
 type attemptKey struct {
 	task    ids.TaskRef
 	attempt ids.Attempt
-	host    ids.MachineID
+	machine ids.MachineID
 }
 
-// NewHistory makes an empty history.
+// NewHistory returns an empty history.
 func NewHistory() *History {
-	return &History{running: map[ids.TaskRef]Act{}, completed: map[ids.TaskRef]bool{}, underWay: map[ids.Zone]map[attemptKey]time.Time{}}
+	return &History{
+		running:   map[ids.TaskRef]Event{},
+		completed: map[ids.TaskRef]bool{},
+		inFlight:  map[attemptKey]Event{},
+	}
 }
 
-// Add takes in an act.
-func (h *History) Add(a Act) {
+// Add records an event.
+func (h *History) Add(event Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a.At = time.Now()
-	h.acts = append(h.acts, a)
-	key := attemptKey{a.Task, a.Attempt, a.Host}
-	if h.underWay[a.Zone] == nil {
-		h.underWay[a.Zone] = map[attemptKey]time.Time{}
-	}
-	delete(h.underWay[a.Zone], key)
-	switch a.Kind {
-	case Fetching:
-		h.underWay[a.Zone][key] = a.At
-		if h.completed[a.Task] {
+	event.At = time.Now()
+	h.events = append(h.events, event)
+	key := attemptKey{event.Task, event.Attempt, event.Machine}
+	delete(h.inFlight, key)
+	switch event.Kind {
+	case StartReceived:
+		h.inFlight[key] = event
+		if h.completed[event.Task] {
 			h.repeated++
 		}
-	case Running:
-		if other, twice := h.running[a.Task]; twice {
-			h.violations = append(h.violations, fmt.Sprintf("%s runs on %s and on %s", a.Task, other.Host, a.Host))
-		}
-		h.running[a.Task] = a
-	case Completed, Gone:
-		if mine, ok := h.running[a.Task]; ok && mine.Host == a.Host && mine.Attempt == a.Attempt {
-			delete(h.running, a.Task)
-		}
-		h.completed[a.Task] = h.completed[a.Task] || a.Kind == Completed
+	case Started:
+		h.start(event)
+	case Completed:
+		h.completed[event.Task] = true
+		h.end(event)
+	case Terminated:
+		h.end(event)
+	}
+}
+
+// start notes that a task runs. It must not run anywhere else.
+func (h *History) start(event Event) {
+	if other, runs := h.running[event.Task]; runs {
+		h.violations = append(h.violations, fmt.Sprintf("%s runs on %s and on %s", event.Task, other.Machine, event.Machine))
+	}
+	h.running[event.Task] = event
+}
+
+// end notes that an attempt no longer runs, if it did.
+func (h *History) end(event Event) {
+	if started, runs := h.running[event.Task]; runs && started.Machine == event.Machine && started.Attempt == event.Attempt {
+		delete(h.running, event.Task)
 	}
 }
 
-// Violations lists what broke a rule.
+// Violations lists the tasks that ran twice at once.
 func (h *History) Violations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]string(nil), h.violations...)
+	return slices.Clone(h.violations)
 }
 
-// Repeated counts the tasks that were sent again after they completed.
+// Repeated counts the starts of tasks that had completed.
 func (h *History) Repeated() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.repeated
 }
 
-// RunningOf counts the tasks of a job that run, by zone.
-func (h *History) RunningOf(job ids.JobID) map[ids.Zone]int {
+// RunningByZone counts the running tasks of a job in each zone.
+func (h *History) RunningByZone(job ids.JobID) map[ids.Zone]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := map[ids.Zone]int{}
-	for task, act := range h.running {
+	counts := map[ids.Zone]int{}
+	for task, event := range h.running {
 		if task.Job == job {
-			out[act.Zone]++
+			counts[event.Zone]++
 		}
 	}
-	return out
+	return counts
 }
 
-// UnderWay counts the starts in a zone that were sent after a time and do not run yet, of
-// jobs that count.
-func (h *History) UnderWay(zone ids.Zone, after time.Time, counts func(ids.JobID) bool) int {
+// StartsInFlight counts the starts that a zone received after a time and that do not run
+// yet, of the jobs that a function selects.
+func (h *History) StartsInFlight(zone ids.Zone, after time.Time, selects func(ids.JobID) bool) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := 0
-	for key, at := range h.underWay[zone] {
-		if at.After(after) && counts(key.task.Job) {
-			n++
+	count := 0
+	for _, event := range h.inFlight {
+		if event.Zone == zone && event.At.After(after) && selects(event.Task.Job) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Sends counts the commands to run a job's tasks in a zone after a time.
-func (h *History) Sends(job ids.JobID, zone ids.Zone, after time.Time) int {
+// StartsReceived counts the starts of a job's tasks that a zone received after a time.
+func (h *History) StartsReceived(job ids.JobID, zone ids.Zone, after time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := 0
-	for _, a := range h.acts {
-		if a.Kind == Fetching && a.Task.Job == job && a.Zone == zone && a.At.After(after) {
-			n++
+	count := 0
+	for _, event := range h.events {
+		if event.Kind == StartReceived && event.Task.Job == job && event.Zone == zone && event.At.After(after) {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- /dev/null
+++ b/internal/faulttest/settings.go
@@ -0,0 +1,57 @@
+package faulttest
+
+import (
+	"fmt"
+	"os"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"ospreystile.example/ospreystile/config"
+	"ospreystile.example/ospreystile/ids"
+)
+
+// writeSettings writes a controller's platform settings.
+func (d *Deployment) writeSettings(c *Controller) error {
+	raw, err := toml.Marshal(d.platformOf(c))
+	if err != nil {
+		return fmt.Errorf("settings of %s: %w", c.Name, err)
+	}
+	return os.WriteFile(c.settingsPath, raw, 0o600)
+}
+
+// platformOf returns the platform settings of a controller.
+func (d *Deployment) platformOf(c *Controller) config.Platform {
+	platform := config.Platform{
+		HostName: c.Name,
+		Location: d.zones[0],
+		APIAddr:  c.apiAddress,
+		PeerAddr: c.peerAddress,
+		External: config.External{Cloud: d.Cloud.Address(), KV: d.KV.Address()},
+		Settings: d.platformSettings(),
+	}
+	for _, peer := range d.Controllers {
+		if peer != c {
+			platform.Seeds = append(platform.Seeds, config.Peer{Name: peer.Name, Address: peer.peerAddress})
+		}
+	}
+	return platform
+}
+
+// platformSettings returns the settings that all controllers share.
+func (d *Deployment) platformSettings() config.Settings {
+	settings := config.Settings{
+		Zones: d.zones,
+		Workers: config.WorkerSettings{
+			HeartbeatIntervalS: d.Timing.HeartbeatInterval.Seconds(),
+			LeaseS:             d.Timing.Lease.Seconds(),
+			CancelDeadlineS:    4 * d.Timing.Lease.Seconds(),
+		},
+		KV:        config.KVLimits{Limits: config.Limits{RPS: 2000, WriteRPS: 800, ValueKB: 8, TxnOps: 32}},
+		Cloud:     config.CloudSettings{RPS: 50, ListLagS: 0.5},
+		Resources: config.Resources{CPUShare: 1, RAMMB: 200, Sockets: 1500},
+	}
+	for _, team := range []ids.Team{"archive", "maps"} {
+		settings.Teams = append(settings.Teams, config.Team{Name: team, CPUs: 64, CPUsMax: 400})
+	}
+	return settings
+}
--- a/internal/faulttest/worker.go
+++ b/internal/faulttest/worker.go
@@ -6,186 +6,189 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"slices"
 	"strings"
 	"sync"
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Worker is a stand-in for the worker of one machine.
+// workerEnvironment is what a worker needs of the deployment.
+type workerEnvironment struct {
+	timing      Timing
+	controllers []string // addresses
+	users       *Users
+	history     *History
+}
+
+// Worker is a stand-in for the worker of one machine. Its methods may be called from any
+// goroutine.
 type Worker struct {
+	workerEnvironment
 	machine wire.Machine
-	world   *World
 	server  *httptest.Server
 	client  *http.Client
-	stop    context.CancelFunc
-	wake    chan struct{}
-
-	mu       sync.Mutex
-	session  ids.AgentIncarnation
-	sequence ids.Sequence
-	token    ids.FencingToken
-	tasks    []*workerTask
-	images   map[ids.Image]bool
-	renewed  time.Time // when the last answered report was sent
-	cut      bool
-	stopped  bool
-	node     int
-}
-
-// workerTask is an attempt on the machine.
-type workerTask struct {
-	wire.TaskStatus
-	ref   ids.TaskRef
-	timer *time.Timer
-}
+	cancel  context.CancelFunc
+	changed chan struct{} // asks for a heartbeat before its time
+	running sync.WaitGroup
+
+	mu          sync.Mutex
+	incarnation ids.AgentIncarnation
+	sequence    ids.Sequence
+	token       ids.FencingToken
+	tasks       []*workerTask
+	images      map[ids.Image]bool
+	renewed     time.Time // when the last answered heartbeat was sent
+	partitioned bool
+	stopped     bool
+	controller  int // the index of the one that gets the heartbeats
+}
+
+const (
+	// heartbeatTimeout bounds the wait for the response to a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// heartbeatsPerInterval bounds the heartbeats that changes cause.
+	heartbeatsPerInterval = 10
+)
 
-// startWorker brings up a machine's worker.
-func startWorker(world *World, machine wire.Machine, cut bool) *Worker {
+// startWorker starts a machine's worker. It ends with Stop and Wait.
+func startWorker(environment workerEnvironment, machine wire.Machine, partitioned bool) *Worker {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &Worker{machine: machine, world: world, stop: cancel, wake: make(chan struct{}, 1), session: 1, images: map[ids.Image]bool{}, renewed: time.Now(), cut: cut,
-		client: &http.Client{Timeout: 4 * time.Second}}
+	w := &Worker{
+		workerEnvironment: environment,
+		machine:           machine,
+		client:            &http.Client{Timeout: heartbeatTimeout},
+		cancel:            cancel,
+		changed:           make(chan struct{}, 1),
+		incarnation:       1,
+		images:            map[ids.Image]bool{},
+		renewed:           time.Now(),
+		partitioned:       partitioned,
+	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /do", w.do)
-	mux.HandleFunc("GET /show", func(rw http.ResponseWriter, _ *http.Request) {
-		if !w.reached(rw) {
-			return
-		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		reply(rw, http.StatusOK, w.report())
-	})
+	mux.HandleFunc("POST /do", w.execute)
+	mux.HandleFunc("GET /show", w.show)
 	w.server = httptest.NewServer(mux)
 	w.machine.Endpoint = w.Address()
-	go w.run(ctx)
+	w.running.Go(func() { w.run(ctx) })
 	return w
 }
 
-// Address is where the worker listens.
+// Address is host:port of the worker.
 func (w *Worker) Address() string { return strings.TrimPrefix(w.server.URL, "http://") }
 
-// SetCut cuts the machine off from everything, or connects it again.
-func (w *Worker) SetCut(cut bool) {
+// Partition cuts the machine off from everything.
+func (w *Worker) Partition() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.partitioned = true
+}
+
+// Heal ends the partition.
+func (w *Worker) Heal() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.cut = cut
+	w.partitioned = false
 }
 
-// Stop ends the machine.
+// Stop ends the machine. It is called once, and does not wait for requests in flight.
 func (w *Worker) Stop() {
-	w.stop()
+	w.cancel()
 	w.mu.Lock()
 	w.stopped = true
-	w.endAll()
+	w.dropTasks()
 	w.mu.Unlock()
-	go func() {
+	w.running.Go(func() {
 		w.server.CloseClientConnections()
 		w.server.Close()
-	}()
+	})
 }
 
-// reached drops a request while the machine is cut off: its caller gets no answer.
-func (w *Worker) reached(rw http.ResponseWriter) bool {
-	w.mu.Lock()
-	cut := w.cut || w.stopped
-	w.mu.Unlock()
-	if !cut {
-		return true
-	}
-	if hijacker, ok := rw.(http.Hijacker); ok {
-		if conn, _, err := hijacker.Hijack(); err == nil {
-			conn.Close()
-		}
-	}
-	return false
-}
+// Wait waits until a stopped worker has ended.
+func (w *Worker) Wait() { w.running.Wait() }
 
-// run reports until the machine ends.
+// run sends heartbeats until the context ends.
 func (w *Worker) run(ctx context.Context) {
-	for {
-		w.expire()
-		w.sendReport(ctx)
+	for ctx.Err() == nil {
+		w.expireLease()
+		w.sendHeartbeat(ctx)
 		select {
 		case <-ctx.Done():
-			return
-		case <-w.wake:
-			time.Sleep(w.world.Report / 10)
-		case <-time.After(w.world.Report):
+		case <-w.changed:
+			monotonic.Sleep(ctx, w.timing.HeartbeatInterval/heartbeatsPerInterval)
+		case <-time.After(w.timing.HeartbeatInterval):
 		}
 	}
 }
 
-// expire ends the session when its lease is over.
-func (w *Worker) expire() {
+// expireLease ends the incarnation and its tasks once the lease has expired.
+func (w *Worker) expireLease() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if time.Since(w.renewed) > w.world.Lease {
-		w.endAll()
-		w.session++
+	if w.leaseExpired() {
+		w.dropTasks()
+		w.incarnation++
 		w.renewed = time.Now()
 	}
 }
 
-// endAll ends and forgets all tasks.
-func (w *Worker) endAll() {
-	for _, t := range w.tasks {
-		if t.State != wire.TaskEnded {
-			w.note(t, Gone)
-		}
-		if t.timer != nil {
-			t.timer.Stop()
-		}
-	}
-	w.tasks = nil
-}
-
-// note adds an act to the history.
-func (w *Worker) note(t *workerTask, kind ActKind) {
-	w.world.History.Add(Act{Task: t.ref, Attempt: t.Attempt, Host: w.machine.ID, Zone: w.machine.Zone, Kind: kind})
-}
+// leaseExpired reports whether the lease has expired. The caller holds the lock.
+func (w *Worker) leaseExpired() bool { return time.Since(w.renewed) > w.timing.Lease }
 
-// report makes the next report.
-func (w *Worker) report() wire.Heartbeat {
+// nextHeartbeat returns the next heartbeat. The caller holds the lock.
+func (w *Worker) nextHeartbeat() wire.Heartbeat {
 	w.sequence++
-	r := wire.Heartbeat{Machine: w.machine.ID, Endpoint: w.machine.Endpoint, Type: w.machine.Type, Zone: w.machine.Zone, Spot: w.machine.Spot,
-		Incarnation: w.session, Sequence: w.sequence, FencingToken: w.token, Tasks: []wire.TaskStatus{}}
-	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, t.TaskStatus)
-	}
-	return r
-}
-
-// sendReport reports to one node, and goes on to the next if that does not answer.
-func (w *Worker) sendReport(ctx context.Context) {
+	heartbeat := wire.Heartbeat{
+		Machine:      w.machine.ID,
+		Endpoint:     w.machine.Endpoint,
+		Type:         w.machine.Type,
+		Zone:         w.machine.Zone,
+		Spot:         w.machine.Spot,
+		Incarnation:  w.incarnation,
+		Sequence:     w.sequence,
+		FencingToken: w.token,
+		Tasks:        []wire.TaskStatus{},
+	}
+	for _, task := range w.tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, task.TaskStatus)
+	}
+	return heartbeat
+}
+
+// sendHeartbeat sends a heartbeat to a controller and executes the commands of the
+// response. The next heartbeat goes to the next controller if this one does not accept it.
+func (w *Worker) sendHeartbeat(ctx context.Context) {
 	w.mu.Lock()
-	if w.cut || w.stopped {
+	if w.partitioned || w.stopped {
 		w.mu.Unlock()
 		return
 	}
-	raw, sent, session := wire.Encode(w.report()), time.Now(), w.session
-	address := w.world.NodeAddress(w.node)
+	heartbeat, sent := w.nextHeartbeat(), time.Now()
+	address := w.controllers[w.controller%len(w.controllers)]
 	w.mu.Unlock()
-	status, body, err := w.post(ctx, "http://"+address+"/hello", raw)
+	status, body, err := w.post(ctx, "http://"+address+"/hello", wire.Encode(heartbeat))
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil || status != http.StatusOK {
-		w.node++
+		w.controller++
 		return
 	}
-	var answer wire.HeartbeatResponse
-	if w.cut || w.stopped || session != w.session || wire.Decode(body, &answer) != nil || answer.FencingToken < w.token {
+	var response wire.HeartbeatResponse
+	if wire.Decode(body, &response) != nil || response.FencingToken < w.token {
 		return
 	}
-	w.token, w.renewed = answer.FencingToken, sent
-	w.execute(answer.Commands)
+	if w.partitioned || w.stopped || heartbeat.Incarnation != w.incarnation {
+		return
+	}
+	w.token, w.renewed = response.FencingToken, sent
+	w.executeAll(response.Commands)
 }
 
 // post sends one request.
-func (w *Worker) post(ctx context.Context, url string, raw []byte) (int, []byte, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(raw))
+func (w *Worker) post(ctx context.Context, url string, body []byte) (int, []byte, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
@@ -194,103 +197,59 @@
 		return 0, nil, err
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(response.Body)
-	return response.StatusCode, body, err
+	responseBody, err := io.ReadAll(response.Body)
+	return response.StatusCode, responseBody, err
 }
 
-// do executes direct commands.
-func (w *Worker) do(rw http.ResponseWriter, r *http.Request) {
-	if !w.reached(rw) {
-		return
+// heartbeatSoon has the next heartbeat sent before its time.
+func (w *Worker) heartbeatSoon() {
+	select {
+	case w.changed <- struct{}{}:
+	default: // one is asked for already
 	}
-	command, ok := read[wire.CommandBatch](rw, r)
-	if !ok {
+}
+
+// show responds with the worker's status.
+func (w *Worker) show(rw http.ResponseWriter, _ *http.Request) {
+	if w.dropWhilePartitioned(rw) {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	status := http.StatusConflict
-	if command.FencingToken >= w.token && command.Incarnation == w.session && !w.stopped {
-		status, w.token = http.StatusOK, command.FencingToken
-		w.execute(command.Commands)
-	}
-	reply(rw, status, w.report())
-}
-
-// execute carries commands out, under the lock.
-func (w *Worker) execute(commands []wire.Command) {
-	for _, c := range commands {
-		ref, _ := ids.ParseTask(c.Name)
-		at := slices.IndexFunc(w.tasks, func(t *workerTask) bool { return t.ref == ref && t.Attempt == c.Attempt })
-		switch {
-		case c.Verb == wire.VerbRun && at < 0:
-			w.begin(ref, c)
-		case c.Verb == wire.VerbKill && at >= 0 && w.tasks[at].State != wire.TaskEnded:
-			w.finish(w.tasks[at], wire.CauseStopped)
-		case c.Verb == wire.VerbReap && at >= 0 && w.tasks[at].State == wire.TaskEnded:
-			w.tasks = slices.Delete(w.tasks, at, at+1)
-		}
-		w.reportSoon()
-	}
+	reply(rw, http.StatusOK, w.nextHeartbeat())
 }
 
-// begin fetches a task's image and then runs it.
-func (w *Worker) begin(ref ids.TaskRef, c wire.Command) {
-	job, known := w.world.Job(ref.Job)
-	t := &workerTask{TaskStatus: wire.TaskStatus{Name: c.Name, Attempt: c.Attempt, State: wire.TaskFetching}, ref: ref}
-	w.tasks = append(w.tasks, t)
-	if !known {
-		t.State, t.Cause = wire.TaskEnded, wire.CauseNoSuch
+// execute executes commands that the leader sends between heartbeats.
+func (w *Worker) execute(rw http.ResponseWriter, r *http.Request) {
+	if w.dropWhilePartitioned(rw) {
 		return
 	}
-	w.note(t, Fetching)
-	wait := w.world.Fetch
-	if w.images[job.Image] {
-		wait = time.Millisecond
+	batch, ok := read[wire.CommandBatch](rw, r)
+	if !ok {
+		return
 	}
-	t.timer = time.AfterFunc(wait, func() { w.runTask(t, job) })
-}
-
-// runTask runs a task whose image is there.
-func (w *Worker) runTask(t *workerTask, job Job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !slices.Contains(w.tasks, t) || t.State != wire.TaskFetching || time.Since(w.renewed) > w.world.Lease {
+	if batch.FencingToken < w.token || batch.Incarnation != w.incarnation || w.stopped {
+		reply(rw, http.StatusConflict, w.nextHeartbeat())
 		return
 	}
-	w.images[job.Image] = true
-	t.State = wire.TaskRunning
-	w.note(t, Running)
-	w.reportSoon()
-	if !job.Service {
-		t.timer = time.AfterFunc(job.Run, func() {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			if slices.Contains(w.tasks, t) && t.State == wire.TaskRunning && time.Since(w.renewed) <= w.world.Lease {
-				w.finish(t, wire.CauseDone)
-			}
-		})
-	}
+	w.token = batch.FencingToken
+	w.executeAll(batch.Commands)
+	reply(rw, http.StatusOK, w.nextHeartbeat())
 }
 
-// finish ends a task, under the lock.
-func (w *Worker) finish(t *workerTask, cause wire.ExitCause) {
-	t.State, t.Cause = wire.TaskEnded, cause
-	if t.timer != nil {
-		t.timer.Stop()
-	}
-	kind := Gone
-	if cause == wire.CauseDone {
-		kind = Completed
+// dropWhilePartitioned drops a request that cannot reach the machine, and reports whether
+// it did. The caller of the request gets no response.
+func (w *Worker) dropWhilePartitioned(rw http.ResponseWriter) bool {
+	w.mu.Lock()
+	unreachable := w.partitioned || w.stopped
+	w.mu.Unlock()
+	if !unreachable {
+		return false
 	}
-	w.note(t, kind)
-	w.reportSoon()
-}
-
-// reportSoon has the next report come before its time.
-func (w *Worker) reportSoon() {
-	select {
-	case w.wake <- struct{}{}:
-	default:
+	if connection, _, err := http.NewResponseController(rw).Hijack(); err == nil {
+		connection.Close()
 	}
+	return true
 }
