--- /dev/null
+++ b/records/committer_benchmark_test.go
@@ -0,0 +1,56 @@
+package records
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// memoryStore applies every transaction at once and keeps only the count of operations.
+type memoryStore struct{ revision ids.Revision }
+
+func (s *memoryStore) Commit(_ context.Context, txn kv.Txn) (kv.TxnResult, error) {
+	s.revision += ids.Revision(len(txn.Operations))
+	return kv.TxnResult{Applied: true, Revision: s.revision}, nil
+}
+
+func (*memoryStore) Get(context.Context, string) (kv.Entry, bool, error) {
+	return kv.Entry{}, false, nil
+}
+
+// BenchmarkCommitter commits a thousand changes of one job record each, in transactions of
+// up to 32 operations.
+func BenchmarkCommitter(b *testing.B) {
+	const changes = 1000
+	batch := make([]Change, changes)
+	for i := range batch {
+		spec := &wire.JobSpec{Class: "train", Team: "vision", Tasks: 70, CPUs: 8, MemoryGB: 64, Image: "img-07"}
+		id := ids.JobID(fmt.Sprintf("job-%d", i))
+		batch[i] = CreateJobChange(id, Job{Nonce: uint64(i + 1), Status: wire.JobQueued, Tasks: 70, Spec: spec})
+	}
+	c := NewCommitter(&memoryStore{}, Limits{Operations: 32, Bytes: 48 << 10}, &kv.Precondition{Key: LeaderKey, Revision: 1}, quiet())
+	ctx, cancel := context.WithCancel(b.Context())
+	var run sync.WaitGroup
+	run.Go(func() { _ = c.Run(ctx) })
+	b.Cleanup(func() { cancel(); run.Wait() })
+	b.ReportAllocs()
+	for b.Loop() {
+		var applied sync.WaitGroup
+		applied.Add(changes)
+		for _, change := range batch {
+			c.Submit(change, time.Time{}, func(result CommitResult, err error) {
+				if err != nil || !result.Applied {
+					b.Errorf("%s: %+v, %v", change.Operations[0].PutKey, result, err)
+				}
+				applied.Done()
+			})
+		}
+		applied.Wait()
+	}
+}
