--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"math/rand/v2"
 	"sync/atomic"
 	"time"
@@ -30,15 +31,14 @@
 		if rec.Terminal() {
 			return n.terminalAnswer(ctx, id, snapshotOf(rec, revision))
 		}
-		out, err := n.commit(ctx, records.CancelJobChange(id, revision, rand.Uint64(), *rec, n.valueBytes()))
-		if err != nil {
-			return server.RetryLater(retryDelay)
-		}
-		if out.Rejected {
+		result := n.commit(ctx, records.CancelJobChange(id, revision, rand.Uint64(), *rec, n.valueBytes()))
+		switch {
+		case result.Err == nil:
+			return n.terminalAnswer(ctx, id, jobSnapshot{Status: wire.JobCancelled, Tasks: rec.Tasks, revision: result.Revision})
+		case errors.Is(result.Err, records.ErrRejected):
 			return server.RetryLater(refusedLater)
-		}
-		if out.Applied {
-			return n.terminalAnswer(ctx, id, jobSnapshot{Status: wire.JobCancelled, Tasks: rec.Tasks, revision: out.Revision})
+		case !result.Resolved():
+			return server.RetryLater(retryDelay)
 		}
 	}
 	return server.RetryLater(retryDelay)
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -19,7 +19,7 @@
 		n := testNode(t, testConfig("127.0.0.1:1"))
 		n.catalog.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
 		for range maxIntake { // nothing commits here
-			n.intake.Submit(records.Change{}, time.Time{}, func(records.CommitResult, error) {})
+			n.intake.Submit(records.Change{}, time.Time{}, func(records.CommitResult) {})
 		}
 		waiting, stop := context.WithCancel(t.Context())
 		for range maxWaitingQueries { // nor answers
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -101,16 +102,16 @@
 
 // recordSubmission commits a job's record, unless the job is known already.
 func (n *Controller) recordSubmission(ctx context.Context, id ids.JobID, record *records.Job) server.Response {
-	out, err := n.commit(ctx, records.CreateJobChange(id, *record))
+	result := n.commit(ctx, records.CreateJobChange(id, *record))
 	switch {
-	case err != nil:
-		n.log.Debug("submission commit failed", "job", id, "err", err)
-		return server.RetryLater(retryDelay)
-	case out.Applied:
-		n.notifyLeader(id, record, out.Revision)
+	case result.Err == nil:
+		n.notifyLeader(id, record, result.Revision)
 		return server.Response{Status: 201, Body: wire.JobStatus{ID: id, Status: record.Status}}
-	case out.Rejected:
+	case errors.Is(result.Err, records.ErrRejected):
 		return server.RetryLater(refusedLater)
+	case !result.Resolved():
+		n.log.Debug("submission commit failed", "job", id, "err", result.Err)
+		return server.RetryLater(retryDelay)
 	}
 	return n.Status(ctx, id)
 }
@@ -146,20 +147,16 @@
 	return a.dependencyCancelled, server.Response{}
 }
 
-// commit brings one user's change to its outcome, or to an error after which
-// the user must ask again.
-func (n *Controller) commit(ctx context.Context, ch records.Change) (records.CommitResult, error) {
-	type result struct {
-		out records.CommitResult
-		err error
-	}
-	done := make(chan result, 1)
-	until, _ := ctx.Deadline()
-	n.intake.Submit(ch, until, func(o records.CommitResult, err error) { done <- result{o, err} })
+// commit commits one user's change and waits for its result. After a result that is not
+// resolved the user must ask again.
+func (n *Controller) commit(ctx context.Context, change records.Change) records.CommitResult {
+	results := make(chan records.CommitResult, 1)
+	deadline, _ := ctx.Deadline()
+	n.intake.Submit(change, deadline, func(result records.CommitResult) { results <- result })
 	select {
-	case r := <-done:
-		return r.out, r.err
+	case result := <-results:
+		return result
 	case <-ctx.Done():
-		return records.CommitResult{}, ctx.Err()
+		return records.CommitResult{Change: change, Err: ctx.Err()}
 	}
 }
--- a/controller/term.go
+++ b/controller/term.go
@@ -20,12 +20,12 @@
 // term is the work of one time of leading. Its loop alone touches the core;
 // everyone else posts events to it.
 type term struct {
-	n      *Controller
-	key    *election.Term
-	core   *scheduler.Core
-	events chan func()
+	n         *Controller
+	key       *election.Term
+	core      *scheduler.Core
+	events    chan func()
 	committer *records.Committer
-	cloud  *cloud.Client
+	cloud     *cloud.Client
 	// observed is the revision up to which the core has taken in the jobs' records;
 	// only the loop uses it. applied is the same once all cancellations up to it may
 	// be told to users.
@@ -68,8 +68,8 @@
 func newTerm(n *Controller, key *election.Term) *term {
 	fence := &kv.Precondition{Key: records.LeaderKey, Revision: key.Revision}
 	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.AuthorizedBy(key.MayAnswerHeartbeats),
-		returns: returnQueue{wake: make(chan struct{}, 1)},
-		committer:  records.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
+		returns:   returnQueue{wake: make(chan struct{}, 1)},
+		committer: records.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
 }
 
 // lead does the work of one term until its context ends.
@@ -188,13 +188,13 @@
 // commit submits one change. If its outcome cannot be known the term ends, and the next
 // one reads the records again.
 func (t *term) commit(change records.Change) {
-	t.committer.Submit(change, time.Time{}, func(outcome records.CommitResult, err error) {
+	t.committer.Submit(change, time.Time{}, func(result records.CommitResult) {
 		switch {
-		case err == nil:
-			t.post(t.ctx, func() { t.core.CommitResult(t.n.clock.Now(), outcome) })
+		case result.Resolved():
+			t.post(t.ctx, func() { t.core.CommitResult(t.n.clock.Now(), result) })
 		case t.ctx.Err() == nil:
-			t.n.log.Warn("commit failed", "err", err)
-			t.key.End(err)
+			t.n.log.Warn("commit failed", "err", result.Err)
+			t.key.End(result.Err)
 		}
 	})
 }
--- a/records/committer.go
+++ b/records/committer.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"log/slog"
 	"slices"
 	"sync"
@@ -30,7 +31,7 @@
 type item struct {
 	change Change
 	size   int
-	done   func(CommitResult, error)
+	done   ResultFunc
 	until  time.Time // zero: as long as the committer runs
 }
 
@@ -52,13 +53,12 @@
 	return &Committer{store: store, limits: limits, fence: fence, log: log, wake: make(chan struct{}, 1)}
 }
 
-// ErrFenced means that this leader has been replaced.
-var ErrFenced = errors.New("the leader's key has moved on")
+// ResultFunc receives the result of a change. The committer calls it from its own
+// goroutine, in the order in which results are known; it must not block.
+type ResultFunc func(CommitResult)
 
-// Submit queues a change. done is called from the committer's goroutine with
-// the definite outcome, or with an error if it is not known by the time
-// given, by the end of the committer, or because the service did not take it.
-func (c *Committer) Submit(ch Change, until time.Time, done func(CommitResult, error)) {
+// Submit queues a change. done receives its result.
+func (c *Committer) Submit(ch Change, until time.Time, done ResultFunc) {
 	size := 0
 	for _, op := range ch.Operations {
 		size += len(op.PutKey) + len(op.DeleteKey) + 40
@@ -139,7 +139,7 @@
 			return ctx.Err()
 		case out.Applied:
 			for _, it := range rest {
-				it.done(CommitResult{Change: it.change, Applied: true, Revision: out.Revision}, nil)
+				it.done(CommitResult{Change: it.change, Revision: out.Revision})
 			}
 			return nil
 		case c.fence != nil && slices.Contains(out.FailedKeys, c.fence.Key):
@@ -167,7 +167,7 @@
 func (c *Committer) commitSingly(ctx context.Context, batch []item, unknown bool, refusal error) error {
 	if len(batch) == 1 {
 		c.log.Warn("change rejected", "err", refusal)
-		batch[0].done(CommitResult{Change: batch[0].change, Rejected: true}, nil)
+		batch[0].done(CommitResult{Change: batch[0].change, Err: fmt.Errorf("%w: %w", ErrRejected, refusal)})
 		return nil
 	}
 	for i, it := range batch {
@@ -182,7 +182,7 @@
 // fail ends changes without an outcome.
 func fail(batch []item, err error) {
 	for _, it := range batch {
-		it.done(CommitResult{Change: it.change}, err)
+		it.done(CommitResult{Change: it.change, Err: err})
 	}
 }
 
@@ -199,7 +199,7 @@
 			others = append(others, it)
 			continue
 		}
-		it.done(CommitResult{Change: it.change, FailedKeys: failed}, nil)
+		it.done(CommitResult{Change: it.change, Err: &ConflictError{Keys: failed}})
 	}
 	return others
 }
@@ -241,7 +241,7 @@
 				if it.until.IsZero() {
 					rest = append(rest, it)
 				} else {
-					it.done(CommitResult{Change: it.change}, err)
+					it.done(CommitResult{Change: it.change, Err: err})
 				}
 			}
 			if len(rest) < len(batch) {
--- a/records/committer_benchmark_test.go
+++ b/records/committer_benchmark_test.go
@@ -44,9 +44,9 @@
 		var applied sync.WaitGroup
 		applied.Add(changes)
 		for _, change := range batch {
-			c.Submit(change, time.Time{}, func(result CommitResult, err error) {
-				if err != nil || !result.Applied {
-					b.Errorf("%s: %+v, %v", change.Operations[0].PutKey, result, err)
+			c.Submit(change, time.Time{}, func(result CommitResult) {
+				if result.Err != nil {
+					b.Errorf("%s: %v", change.Operations[0].PutKey, result.Err)
 				}
 				applied.Done()
 			})
--- a/records/committer_test.go
+++ b/records/committer_test.go
@@ -125,11 +125,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan error, 1)
 			go func() { done <- c.Run(ctx) }()
-			type told struct {
-				o   CommitResult
-				err error
-			}
-			results := make([]told, 30)
+			results := make([]CommitResult, 30)
 			for i := range results {
 				revision := ids.Revision(0)
 				if i%7 == 3 {
@@ -138,7 +134,7 @@
 				ch := CreateJobChange(ids.JobID(fmt.Sprintf("job-%d", i)), Job{Nonce: uint64(i + 1), Status: wire.JobQueued, Tasks: 1})
 				ch.Preconditions[0].Revision = revision
 				ch.ID = uint64(i)
-				c.Submit(ch, time.Time{}, func(o CommitResult, err error) { results[i] = told{o, err} })
+				c.Submit(ch, time.Time{}, func(o CommitResult) { results[i] = o })
 			}
 			time.Sleep(10 * time.Minute)
 			synctest.Wait()
@@ -146,11 +142,11 @@
 			<-done
 			for i, r := range results {
 				e, found := store.keys[JobKey(ids.JobID(fmt.Sprintf("job-%d", i)))]
-				if want := i%7 != 3; r.err != nil || r.o.Applied != want || found != want {
-					t.Errorf("seed %d change %d: told %+v, err %v; in the store: %v", seed, i, r.o, r.err, found)
+				if want := i%7 != 3; !r.Resolved() || (r.Err == nil) != want || found != want {
+					t.Errorf("seed %d change %d: told %+v; in the store: %v", seed, i, r, found)
 				}
-				if r.o.Applied && r.o.Revision != e.Revision {
-					t.Errorf("seed %d change %d: told stamp %d, the store has %d", seed, i, r.o.Revision, e.Revision)
+				if r.Err == nil && r.Revision != e.Revision {
+					t.Errorf("seed %d change %d: told stamp %d, the store has %d", seed, i, r.Revision, e.Revision)
 				}
 			}
 			if store.most > 4 {
@@ -178,9 +174,9 @@
 		outcomes := map[ids.JobID]CommitResult{}
 		submit := func(n int) {
 			id := ids.JobID(fmt.Sprintf("job-%d", n))
-			c.Submit(CreateJobChange(id, Job{Nonce: uint64(n)}), time.Time{}, func(o CommitResult, err error) {
-				if _, twice := outcomes[id]; twice || err != nil {
-					t.Errorf("%s: told again: %v, error %v", id, twice, err)
+			c.Submit(CreateJobChange(id, Job{Nonce: uint64(n)}), time.Time{}, func(o CommitResult) {
+				if _, twice := outcomes[id]; twice || !o.Resolved() {
+					t.Errorf("%s: told again: %v, error %v", id, twice, o.Err)
 				}
 				outcomes[id] = o
 			})
@@ -201,7 +197,7 @@
 		<-done
 		for n := range 8 {
 			id := ids.JobID(fmt.Sprintf("job-%d", n))
-			if o, told := outcomes[id]; !told || o.Applied == (n == 4) || o.Rejected != (n == 4) {
+			if o, told := outcomes[id]; !told || (o.Err == nil) == (n == 4) || errors.Is(o.Err, ErrRejected) != (n == 4) {
 				t.Errorf("%s: told %v, %+v", id, told, o)
 			}
 		}
@@ -218,7 +214,7 @@
 		c := NewCommitter(store, Limits{Operations: 4, Bytes: 4096}, &kv.Precondition{Key: LeaderKey, Revision: store.epoch}, quiet())
 		store.apply(kv.Txn{Operations: []kv.Operation{{PutKey: LeaderKey, Value: "b"}}})
 		var got error
-		c.Submit(CreateJobChange("job-1", Job{Nonce: 1}), time.Time{}, func(_ CommitResult, err error) { got = err })
+		c.Submit(CreateJobChange("job-1", Job{Nonce: 1}), time.Time{}, func(o CommitResult) { got = o.Err })
 		if err := c.Run(t.Context()); !errors.Is(err, ErrFenced) || !errors.Is(got, ErrFenced) {
 			t.Fatalf("ended with %v, told %v", err, got)
 		}
@@ -238,7 +234,7 @@
 		go c.Run(ctx) //nolint:errcheck // ended by cancel
 		start := time.Now()
 		done := make(chan error, 1)
-		c.Submit(CreateJobChange("job-1", Job{Nonce: 1}), time.Now().Add(4*time.Second), func(_ CommitResult, err error) { done <- err })
+		c.Submit(CreateJobChange("job-1", Job{Nonce: 1}), time.Now().Add(4*time.Second), func(o CommitResult) { done <- o.Err })
 		if err := <-done; !errors.Is(err, kv.ErrUnavailable) {
 			t.Fatalf("told %v", err)
 		}
--- a/records/records.go
+++ b/records/records.go
@@ -109,14 +109,3 @@
 	Preconditions []kv.Precondition
 	Operations    []kv.Operation
 }
-
-// CommitResult tells what became of a change. A change that was not applied names
-// the keys whose versions had moved on, or was refused: the state service would
-// not take it as it is, whatever the versions.
-type CommitResult struct {
-	Change     Change
-	Applied    bool
-	Rejected   bool
-	Revision   ids.Revision
-	FailedKeys []string
-}
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -166,7 +166,7 @@
 	for _, ch := range e.RecordChanges {
 		d.after(5*time.Millisecond, func() {
 			d.revision++
-			d.c.CommitResult(d.now, records.CommitResult{Change: ch, Applied: true, Revision: d.revision})
+			d.c.CommitResult(d.now, records.CommitResult{Change: ch, Revision: d.revision})
 			d.step()
 		})
 	}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -112,7 +112,7 @@
 func (b *harness) step() Decisions {
 	e := b.c.Step(b.now)
 	for _, ch := range e.RecordChanges {
-		b.c.CommitResult(b.now, records.CommitResult{Change: ch, Applied: true, Revision: ids.Revision(1000 + ch.ID)})
+		b.c.CommitResult(b.now, records.CommitResult{Change: ch, Revision: ids.Revision(1000 + ch.ID)})
 	}
 	return e
 }
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -106,7 +106,7 @@
 	}
 	b.c.RestrictToReplicas(false)
 	b.step()
-	b.c.CommitResult(b.now, records.CommitResult{Change: records.Change{ID: 1}, Applied: true, Revision: 900})
+	b.c.CommitResult(b.now, records.CommitResult{Change: records.Change{ID: 1}, Revision: 900})
 	report("n-2", 1)
 	b.c.RestrictToReplicas(true)
 	if !report("n-1", 101) {
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"errors"
 	"fmt"
 	"time"
 
@@ -10,22 +11,22 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// CommitResult takes the definite outcome of a change.
-func (c *Core) CommitResult(now monotonic.Instant, o records.CommitResult) {
+// CommitResult applies the result of a change, which must be resolved.
+func (c *Core) CommitResult(now monotonic.Instant, result records.CommitResult) {
 	c.now = now
-	c.records.settleChange(o)
+	c.records.settleChange(result)
 }
 
 // settleChange takes the definite outcome of a change into account.
-func (w *recordWriter) settleChange(o records.CommitResult) {
-	if w.core.zones.settle(o) {
+func (w *recordWriter) settleChange(result records.CommitResult) {
+	if w.core.zones.settle(result) {
 		return
 	}
-	p := w.pendingChanges[o.Change.ID]
+	p := w.pendingChanges[result.Change.ID]
 	if p == nil {
 		return
 	}
-	delete(w.pendingChanges, o.Change.ID)
+	delete(w.pendingChanges, result.Change.ID)
 	w.core.schedulingDue = true
 	if p.slice != nil {
 		p.slice.inFlight = false
@@ -34,13 +35,13 @@
 		s.inFlight = false
 	}
 	switch {
-	case o.Applied:
+	case result.Err == nil:
 		p.job.refusals = 0
-		w.changeApplied(p, o.Revision)
-	case o.Rejected:
+		w.changeApplied(p, result.Revision)
+	case errors.Is(result.Err, records.ErrRejected):
 		w.postpone(p)
 	default:
-		w.changeRejected(p, o.FailedKeys)
+		w.changeRejected(p, result.Err)
 	}
 }
 
@@ -86,11 +87,13 @@
 // changeRejected handles a change whose guards failed. Only the job's own key may have
 // moved, by a cancellation; anything else means that the records are not as this leader
 // left them.
-func (w *recordWriter) changeRejected(p *pendingChange, failed []string) {
+func (w *recordWriter) changeRejected(p *pendingChange, err error) {
 	j := p.job
 	j.completing = false
-	if len(failed) != 1 || failed[0] != records.JobKey(j.id) || j.revision == 0 {
-		w.core.recordsErr = fmt.Errorf("records of %s moved without this leader: %v", j.id, failed)
+	conflict, ok := errors.AsType[*records.ConflictError](err)
+	jobAlone := ok && len(conflict.Keys) == 1 && conflict.Keys[0] == records.JobKey(j.id)
+	if !jobAlone || j.revision == 0 {
+		w.core.recordsErr = fmt.Errorf("records of %s moved without this leader: %w", j.id, err)
 		return
 	}
 	w.rollBack(p)
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -374,7 +374,7 @@
 		t.Error("what surely went with the machine still counts")
 	}
 	// The record comes through after all: its task was never sent, and waits again.
-	b.c.CommitResult(b.now, records.CommitResult{Change: placed[0], Applied: true, Revision: 901})
+	b.c.CommitResult(b.now, records.CommitResult{Change: placed[0], Revision: 901})
 	for range 10 {
 		b.now = b.now.Add(200 * time.Millisecond)
 		if e := b.step(); len(e.Terminate) > 0 {
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -181,7 +181,7 @@
 		}
 		s.after(0, func() {
 			if s.term == term {
-				core.CommitResult(s.now, records.CommitResult{Change: ch, Rejected: true})
+				core.CommitResult(s.now, records.CommitResult{Change: ch, Err: records.ErrRejected})
 			}
 		})
 		return
@@ -190,7 +190,10 @@
 	if ok && len(ch.Operations) > 1 && strings.HasPrefix(ch.Operations[1].PutKey, records.AdmissionPrefix) {
 		s.splits++
 	}
-	o := records.CommitResult{Change: ch, Applied: ok, Revision: s.epoch, FailedKeys: failed}
+	result := records.CommitResult{Change: ch, Revision: s.epoch}
+	if !ok {
+		result = records.CommitResult{Change: ch, Err: &records.ConflictError{Keys: failed}}
+	}
 	wait := time.Duration(0)
 	if s.chance(0.05) {
 		wait = time.Duration(1+s.rng.IntN(4)) * time.Second
@@ -198,7 +201,7 @@
 	s.after(wait, func() {
 		s.afterPause(core, func() {
 			if s.term == term {
-				core.CommitResult(s.now, o)
+				core.CommitResult(s.now, result)
 			}
 		})
 	})
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -100,7 +100,7 @@
 	for range 3000 {
 		for _, ch := range sent(b.c.Step(b.now), "job-1") {
 			tries++
-			b.c.CommitResult(b.now, records.CommitResult{Change: ch, Rejected: true})
+			b.c.CommitResult(b.now, records.CommitResult{Change: ch, Err: records.ErrRejected})
 		}
 		b.now = b.now.Add(500 * time.Millisecond)
 		b.report("n-1", "a", 0)
@@ -168,7 +168,7 @@
 	b.now = b.now.Add(time.Second)
 	b.report("n-2", "a", 0)
 	b.step()
-	b.c.CommitResult(b.now, records.CommitResult{Change: split[0], Applied: true, Revision: 500})
+	b.c.CommitResult(b.now, records.CommitResult{Change: split[0], Revision: 500})
 	var runs []string
 	for _, h := range []ids.MachineID{"n-1", "n-2"} {
 		b.step()
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"time"
@@ -350,28 +351,28 @@
 }
 
 // settle takes the outcome of a change into account if it is a zone's record.
-func (g *zoneGate) settle(o records.CommitResult) (ours bool) {
+func (g *zoneGate) settle(result records.CommitResult) (ours bool) {
 	if g == nil {
 		return false
 	}
-	write, ours := g.writes[o.Change.ID]
+	write, ours := g.writes[result.Change.ID]
 	if !ours {
 		return false
 	}
-	delete(g.writes, o.Change.ID)
+	delete(g.writes, result.Change.ID)
 	switch {
-	case o.Applied:
-		revision := o.Revision
+	case result.Err == nil:
+		revision := result.Revision
 		if write.dropped {
 			revision = 0
 		}
 		if g.manager.WriteCommitted(write.zone, revision) {
 			g.core.schedulingDue = true
 		}
-	case o.Rejected:
+	case errors.Is(result.Err, records.ErrRejected):
 		g.manager.WriteRejected(write.zone)
 	default:
-		g.core.recordsErr = fmt.Errorf("record of zone %s moved without this leader: %v", write.zone, o.FailedKeys)
+		g.core.recordsErr = fmt.Errorf("record of zone %s moved without this leader: %w", write.zone, result.Err)
 	}
 	return true
 }
