--- a/controller/controller.go
+++ b/controller/controller.go
@@ -23,7 +23,7 @@
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/peerrpc"
-	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/records/commit"
 	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/wire"
@@ -47,7 +47,7 @@
 	// through a peer when that one refuses this node alone.
 	leaderState *kv.Client
 	userState   *kv.Client
-	intake      *records.Committer
+	intake      *commit.Committer
 
 	election *election.Election
 	catalog  atomic.Pointer[[]wire.MachineType]
@@ -81,7 +81,7 @@
 	rps := s.State.Planned().RPS
 	n.leaderState = kv.New(direct, rps*0.25)
 	n.userState = kv.New(&userRoute{n, direct}, rps*0.65/nodes)
-	n.intake = records.NewCommitter(n.userState, n.limits(), nil, log)
+	n.intake = commit.New(n.userState, n.limits(), nil, log)
 	self := election.Identity{Name: cfg.HostName, MeshAddress: cfg.MeshAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
 	bounds := election.LeaseBounds{TTL: op.LeaseTTL(), OutageGrace: op.Grace(), IsolatedGrace: n.isolatedBound(), IsolatedReplicaGrace: n.isolatedReplicasBound()}
 	for _, p := range cfg.Seeds {
@@ -122,11 +122,15 @@
 	return min(n.op.Grace(), isolated+cancelHold)
 }
 
+// maxTransactionBytes is the largest estimated size of a transaction. The key-value store
+// takes 64 KiB; the rest is for estimates that are too low.
+const maxTransactionBytes = 48 << 10
+
 // limits are those of one transaction.
-func (n *Controller) limits() records.Limits {
+func (n *Controller) limits() commit.Limits {
 	s := n.cfg.Settings.State.Planned()
 	// A transaction beyond one second's worth of changes never passes the rate.
-	return records.Limits{Operations: max(1, min(s.TxnOps, int(s.WriteRPS))), Bytes: 48 << 10}
+	return commit.Limits{Operations: max(1, min(s.TxnOps, int(s.WriteRPS))), Bytes: maxTransactionBytes}
 }
 
 // valueBytes is how large a value may be, with a margin for how the service counts.
--- a/controller/term.go
+++ b/controller/term.go
@@ -14,6 +14,7 @@
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/records/commit"
 	"ospreystile.example/ospreystile/scheduler"
 )
 
@@ -24,7 +25,7 @@
 	key       *election.Term
 	core      *scheduler.Core
 	events    chan func()
-	committer *records.Committer
+	committer *commit.Committer
 	cloud     *cloud.Client
 	// observed is the revision up to which the core has taken in the jobs' records;
 	// only the loop uses it. applied is the same once all cancellations up to it may
@@ -69,7 +70,7 @@
 	fence := &kv.Precondition{Key: records.LeaderKey, Revision: key.Revision}
 	return &term{n: n, key: key, events: make(chan func(), 64), cloud: n.cloud.AuthorizedBy(key.MayAnswerHeartbeats),
 		returns:   returnQueue{wake: make(chan struct{}, 1)},
-		committer: records.NewCommitter(n.leaderState, n.limits(), fence, n.log)}
+		committer: commit.New(n.leaderState, n.limits(), fence, n.log)}
 }
 
 // lead does the work of one term until its context ends.
--- a/records/committer_benchmark_test.go
+++ b/records/commit/benchmark_test.go
@@ -1,4 +1,4 @@
-package records
+package commit
 
 import (
 	"context"
@@ -9,6 +9,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -28,13 +29,13 @@
 // up to 32 operations.
 func BenchmarkCommitter(b *testing.B) {
 	const changes = 1000
-	batch := make([]Change, changes)
+	batch := make([]records.Change, changes)
 	for i := range batch {
 		spec := &wire.JobSpec{Class: "train", Team: "vision", Tasks: 70, CPUs: 8, MemoryGB: 64, Image: "img-07"}
 		id := ids.JobID(fmt.Sprintf("job-%d", i))
-		batch[i] = CreateJobChange(id, Job{Nonce: uint64(i + 1), Status: wire.JobQueued, Tasks: 70, Spec: spec})
+		batch[i] = records.CreateJobChange(id, records.Job{Nonce: uint64(i + 1), Status: wire.JobQueued, Tasks: 70, Spec: spec})
 	}
-	c := NewCommitter(&memoryStore{}, Limits{Operations: 32, Bytes: 48 << 10}, &kv.Precondition{Key: LeaderKey, Revision: 1}, quiet())
+	c := New(&memoryStore{}, Limits{Operations: 32, Bytes: 48 << 10}, &kv.Precondition{Key: records.LeaderKey, Revision: 1}, quietLogger())
 	ctx, cancel := context.WithCancel(b.Context())
 	var run sync.WaitGroup
 	run.Go(func() { _ = c.Run(ctx) })
@@ -44,7 +45,7 @@
 		var applied sync.WaitGroup
 		applied.Add(changes)
 		for _, change := range batch {
-			c.Submit(change, time.Time{}, func(result CommitResult) {
+			c.Submit(change, time.Time{}, func(result records.CommitResult) {
 				if result.Err != nil {
 					b.Errorf("%s: %v", change.Operations[0].PutKey, result.Err)
 				}
