--- a/records/changes.go
+++ b/records/changes.go
@@ -7,85 +7,123 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// SliceVersion names a slice and the version that it should have.
+// Change is one atomic change to the records: if all preconditions hold, all operations are
+// applied at one revision.
+type Change struct {
+	// ID is for the submitter, which recognises the result by it.
+	ID            uint64
+	Preconditions []kv.Precondition
+	Operations    []kv.Operation
+}
+
+// require adds the precondition that a key is at a revision; zero means that it is absent.
+func (c *Change) require(key string, revision ids.Revision) {
+	c.Preconditions = append(c.Preconditions, kv.Precondition{Key: key, Revision: revision})
+}
+
+// put adds the writing of a record over the one at the revision.
+func (c *Change) put(key string, revision ids.Revision, record any) {
+	c.require(key, revision)
+	c.Operations = append(c.Operations, kv.Operation{PutKey: key, Value: record})
+}
+
+// delete adds the deletion of the record at the revision.
+func (c *Change) delete(key string, revision ids.Revision) {
+	c.require(key, revision)
+	c.Operations = append(c.Operations, kv.Operation{DeleteKey: key})
+}
+
+// SliceVersion is an admission slice and the revision at which its record must be; zero
+// means that it has none yet.
 type SliceVersion struct {
 	Number   int
 	Revision ids.Revision
 }
 
-// PutSlicesChange writes admission records: one, or all parts of one that is split, so
-// that no task is ever without its record or in two. The job's version is guarded
+// SliceWrite is an admission slice and its new record.
+type SliceWrite struct {
+	SliceVersion
+	Record AdmissionSlice
+}
+
+// PutSlicesChange writes admission slices of a job: one, or all parts of one that is split,
+// so that no task is ever without a record or in two. The job's revision is a precondition
 // too, so that nothing is admitted for a job that was cancelled.
-func PutSlicesChange(id ids.JobID, jobRevision ids.Revision, at []SliceVersion, recs []AdmissionSlice) Change {
-	c := Change{Preconditions: []kv.Precondition{{Key: JobKey(id), Revision: jobRevision}}}
-	for i, v := range at {
-		key := AdmissionKey(id, v.Number)
-		c.Preconditions = append(c.Preconditions, kv.Precondition{Key: key, Revision: v.Revision})
-		c.Operations = append(c.Operations, kv.Operation{PutKey: key, Value: recs[i]})
+func PutSlicesChange(id ids.JobID, jobRevision ids.Revision, writes []SliceWrite) Change {
+	var c Change
+	c.require(JobKey(id), jobRevision)
+	for _, write := range writes {
+		c.put(AdmissionKey(id, write.Number), write.Revision, write.Record)
+	}
+	return c
+}
+
+// DeleteSlicesChange deletes admission slices of a job that is done or cancelled.
+func DeleteSlicesChange(id ids.JobID, slices []SliceVersion) Change {
+	var c Change
+	for _, slice := range slices {
+		c.delete(AdmissionKey(id, slice.Number), slice.Revision)
 	}
 	return c
 }
 
-// CompleteJobChange makes a job done for good and drops admission records.
-func CompleteJobChange(id ids.JobID, jobRevision ids.Revision, rec Job, drops []SliceVersion) Change {
-	rec.Status = wire.JobDone
-	c := DeleteSlicesChange(id, drops)
-	c.Preconditions = append(c.Preconditions, kv.Precondition{Key: JobKey(id), Revision: jobRevision})
-	c.Operations = append(c.Operations, kv.Operation{PutKey: JobKey(id), Value: rec})
+// CompleteJobChange records that a job is done, which is final, and deletes admission
+// slices of it.
+func CompleteJobChange(id ids.JobID, jobRevision ids.Revision, record Job, slices []SliceVersion) Change {
+	record.Status = wire.JobDone
+	c := DeleteSlicesChange(id, slices)
+	c.put(JobKey(id), jobRevision, record)
 	return c
 }
 
-// DeleteSlicesChange drops admission records of a job that is over.
-func DeleteSlicesChange(id ids.JobID, drops []SliceVersion) Change {
+// CreateJobChange records a job that has no record yet.
+func CreateJobChange(id ids.JobID, record Job) Change {
 	var c Change
-	for _, d := range drops {
-		key := AdmissionKey(id, d.Number)
-		c.Preconditions = append(c.Preconditions, kv.Precondition{Key: key, Revision: d.Revision})
-		c.Operations = append(c.Operations, kv.Operation{DeleteKey: key})
-	}
+	c.put(JobKey(id), 0, record)
 	return c
 }
 
-// CreateJobChange records a job that did not exist.
-func CreateJobChange(id ids.JobID, rec Job) Change {
-	key := JobKey(id)
-	return Change{
-		Preconditions: []kv.Precondition{{Key: key}},
-		Operations:    []kv.Operation{{PutKey: key, Value: rec}},
+// CancelJobChange records that a job is cancelled, which is final. The description stays,
+// since quota counts the tasks until they have ended. Of a record larger than limitBytes
+// only what quota needs stays: the record may have been written when the store's limits
+// were higher. Zero means no limit.
+func CancelJobChange(id ids.JobID, revision ids.Revision, nonce uint64, record Job, limitBytes int) Change {
+	record.Nonce, record.Status = nonce, wire.JobCancelled
+	if spec := record.Spec; spec != nil && wire.ExceedsJSONSize(record, limitBytes) {
+		record.Spec = quotaFields(spec)
 	}
+	var c Change
+	c.put(JobKey(id), revision, record)
+	return c
 }
 
-// CancelJobChange makes a job cancelled for good. The description stays, since
-// quota counts its tasks until they are gone; but of one that is larger than the
-// limit in bytes only what that takes: the record may be from before the limits
-// of the state service fell.
-func CancelJobChange(id ids.JobID, revision ids.Revision, nonce uint64, rec Job, limit int) Change {
-	rec.Nonce, rec.Status = nonce, wire.JobCancelled
-	if s := rec.Spec; s != nil && wire.ExceedsJSONSize(rec, limit) {
-		rec.Spec = &wire.JobSpec{Team: s.Team, Service: s.Service, Gang: s.Gang, Priority: s.Priority, Tasks: s.Tasks,
-			CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot}
-	}
-	key := JobKey(id)
-	return Change{
-		Preconditions: []kv.Precondition{{Key: key, Revision: revision}},
-		Operations:    []kv.Operation{{PutKey: key, Value: rec}},
+// quotaFields returns the part of a description that quota needs.
+func quotaFields(spec *wire.JobSpec) *wire.JobSpec {
+	return &wire.JobSpec{
+		Team:     spec.Team,
+		Service:  spec.Service,
+		Gang:     spec.Gang,
+		Priority: spec.Priority,
+		Tasks:    spec.Tasks,
+		CPUs:     spec.CPUs,
+		GPUs:     spec.GPUs,
+		MemoryGB: spec.MemoryGB,
+		OneZone:  spec.OneZone,
+		Spread:   spec.Spread,
+		Spot:     spec.Spot,
 	}
 }
 
 // PutZoneChange writes the record of a zone's condition.
 func PutZoneChange(zone ids.Zone, revision ids.Revision, record *zonerecovery.Record) Change {
-	key := ZoneKey(zone)
-	return Change{
-		Preconditions: []kv.Precondition{{Key: key, Revision: revision}},
-		Operations:    []kv.Operation{{PutKey: key, Value: record}},
-	}
+	var c Change
+	c.put(ZoneKey(zone), revision, record)
+	return c
 }
 
-// DeleteZoneChange drops the record of a zone about which there is nothing to know.
+// DeleteZoneChange deletes the record of a zone that needs none any more.
 func DeleteZoneChange(zone ids.Zone, revision ids.Revision) Change {
-	key := ZoneKey(zone)
-	return Change{
-		Preconditions: []kv.Precondition{{Key: key, Revision: revision}},
-		Operations:    []kv.Operation{{DeleteKey: key}},
-	}
+	var c Change
+	c.delete(ZoneKey(zone), revision)
+	return c
 }
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -12,7 +12,7 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-var records = golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
+var codec = golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
 
 func goldenSpec(dependencies ...ids.JobID) *wire.JobSpec {
 	return &wire.JobSpec{Class: "train", Team: "vision", Service: true, Gang: true, Priority: wire.High, Tasks: 70, CPUs: 8.5, GPUs: 1.5,
@@ -27,10 +27,10 @@
 	dependent.Spec = goldenSpec("job-1", "job-2")
 	cancelled.Status = wire.JobCancelled
 	cancelledDependent.Status, cancelledDependent.Spec = wire.JobCancelled, dependent.Spec
-	every := dependent
-	every.DoneMS = 1764640000456
-	golden.Check(t, "records.json", records, []golden.Case{
-		{Name: "job, every field", Value: every},
+	everyField := dependent
+	everyField.DoneMS = 1764640000456
+	golden.Check(t, "records.json", codec, []golden.Case{
+		{Name: "job, every field", Value: everyField},
 		{Name: "job queued", Value: job, Partial: true},
 		{Name: "job queued with dependencies", Value: dependent, Partial: true},
 		{Name: "job cancelled", Value: cancelled, Partial: true},
@@ -47,46 +47,46 @@
 	})
 }
 
-// Keys stay: records are found by nothing else.
+// Keys stay as they are: records are found by nothing else.
 func TestKeysStay(t *testing.T) {
-	for name, c := range map[string]struct{ got, want string }{
-		"prefix of jobs":             {JobPrefix, "jobs/"},
-		"prefix of admission slices": {AdmissionPrefix, "admissions/"},
-		"prefix of zones":            {ZonePrefix, "zones/"},
-		"leader lease":               {LeaderKey, "leader"},
-		"fleet":                      {FleetKey, "fleet"},
-		"format":                     {FormatKey, "format"},
-		"job":                        {JobKey("job-1"), "jobs/job-1"},
-		"admission slice":            {AdmissionKey("job-1", 42), "admissions/job-1/00042"},
-		"zone":                       {ZoneKey("zone-a"), "zones/zone-a"},
+	for _, c := range []struct{ name, got, want string }{
+		{name: "prefix of jobs", got: JobPrefix, want: "jobs/"},
+		{name: "prefix of admission slices", got: AdmissionPrefix, want: "admissions/"},
+		{name: "prefix of zones", got: ZonePrefix, want: "zones/"},
+		{name: "leader lease", got: LeaderKey, want: "leader"},
+		{name: "fleet", got: FleetKey, want: "fleet"},
+		{name: "format", got: FormatKey, want: "format"},
+		{name: "job", got: JobKey("job-1"), want: "jobs/job-1"},
+		{name: "admission slice", got: AdmissionKey("job-1", 42), want: "admissions/job-1/00042"},
+		{name: "zone", got: ZoneKey("zone-a"), want: "zones/zone-a"},
 	} {
-		if c.got != c.want {
-			t.Errorf("%s: %q, want %q", name, c.got, c.want)
-		}
-	}
-	if id, n, ok := ParseAdmissionKey("admissions/job-1/00042"); id != "job-1" || n != 42 || !ok {
-		t.Errorf("admission slice's key read as %s %d %v", id, n, ok)
+		t.Run(c.name, func(t *testing.T) {
+			if c.got != c.want {
+				t.Errorf("%q, want %q", c.got, c.want)
+			}
+		})
 	}
 }
 
-// Transactions that change records keep their bytes, guards and operations in order.
+// Transactions that change records keep their bytes, preconditions and operations in order.
 func TestTransactionsKeepTheirBytes(t *testing.T) {
-	at := []SliceVersion{{Number: 2, Revision: 501}, {Number: 42}}
+	versions := []SliceVersion{{Number: 2, Revision: 501}, {Number: 42}}
 	slice := AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"}, Tasks: []int{64, 2, 0}}
+	writes := []SliceWrite{{SliceVersion: versions[0], Record: slice}, {SliceVersion: versions[1], Record: slice}}
 	job := Job{Nonce: 5, Status: wire.JobQueued, Tasks: 70, Spec: goldenSpec("job-0"), SubmittedMS: 6, DoneMS: 7}
 	var text strings.Builder
 	for _, c := range []struct {
 		name   string
 		change Change
 	}{
-		{"admission slices", PutSlicesChange("job-1", 500, at, []AdmissionSlice{slice, slice})},
-		{"job done", CompleteJobChange("job-1", 500, job, at)},
-		{"admission slices dropped", DeleteSlicesChange("job-1", at)},
-		{"job submitted", CreateJobChange("job-1", job)},
-		{"job cancelled", CancelJobChange("job-1", 500, 8, job, 8000)},
-		{"job cancelled, too large", CancelJobChange("job-1", 500, 8, job, 200)},
-		{"zone", PutZoneChange("zone-a", 500, &zonerecovery.Record{Nonce: 9, SinceMS: 10})},
-		{"zone dropped", DeleteZoneChange("zone-a", 500)},
+		{name: "admission slices", change: PutSlicesChange("job-1", 500, writes)},
+		{name: "job done", change: CompleteJobChange("job-1", 500, job, versions)},
+		{name: "admission slices dropped", change: DeleteSlicesChange("job-1", versions)},
+		{name: "job submitted", change: CreateJobChange("job-1", job)},
+		{name: "job cancelled", change: CancelJobChange("job-1", 500, 8, job, 8000)},
+		{name: "job cancelled, too large", change: CancelJobChange("job-1", 500, 8, job, 200)},
+		{name: "zone", change: PutZoneChange("zone-a", 500, &zonerecovery.Record{Nonce: 9, SinceMS: 10})},
+		{name: "zone dropped", change: DeleteZoneChange("zone-a", 500)},
 	} {
 		text.WriteString(c.name + " " + hexOf(kv.Txn{Preconditions: c.change.Preconditions, Operations: c.change.Operations}) + "\n")
 	}
--- /dev/null
+++ b/records/keys.go
@@ -0,0 +1,52 @@
+package records
+
+import (
+	"fmt"
+	"strings"
+
+	"ospreystile.example/ospreystile/ids"
+)
+
+// Keys of single records, and prefixes of the keys of records of one kind.
+const (
+	// JobPrefix is the prefix of the keys of jobs.
+	JobPrefix = "jobs/"
+	// AdmissionPrefix is the prefix of the keys of admission slices.
+	AdmissionPrefix = "admissions/"
+	// ZonePrefix is the prefix of the keys of zones. Such records exist only where
+	// operators have zones watched; versions that do not know them do not read them.
+	ZonePrefix = "zones/"
+	// LeaderKey holds the lease of the leader. Its revision is the leader's fence.
+	LeaderKey = "leader"
+	// FleetKey exists once a leader has ever led.
+	FleetKey = "fleet"
+	// FormatKey exists once every controller is known to handle dependencies of jobs and
+	// admission slices that were split.
+	FormatKey = "format"
+)
+
+// JobKey returns the key of a job's record.
+func JobKey(id ids.JobID) string { return JobPrefix + string(id) }
+
+// ZoneKey returns the key of the record of a zone's condition.
+func ZoneKey(zone ids.Zone) string { return ZonePrefix + string(zone) }
+
+// AdmissionKey returns the key of one slice of a job's admissions. Numbers are padded so
+// that the slices of a job are listed in order.
+func AdmissionKey(id ids.JobID, number int) string {
+	return fmt.Sprintf("%s%s/%05d", AdmissionPrefix, id, number)
+}
+
+// ParseAdmissionKey returns the job and the number in the key of an admission slice, or
+// false if it is no such key. Identifiers of jobs may contain slashes.
+func ParseAdmissionKey(key string) (id ids.JobID, number int, ok bool) {
+	rest, ok := strings.CutPrefix(key, AdmissionPrefix)
+	slash := strings.LastIndexByte(rest, '/')
+	if !ok || slash <= 0 {
+		return "", 0, false
+	}
+	if _, err := fmt.Sscanf(rest[slash+1:], "%d", &number); err != nil || number < 0 {
+		return "", 0, false
+	}
+	return ids.JobID(rest[:slash]), number, true
+}
--- a/records/keys_test.go
+++ b/records/keys_test.go
@@ -1,12 +1,29 @@
 package records
 
-import "testing"
+import (
+	"testing"
 
-func TestAdmissionKeys(t *testing.T) {
-	id, number, ok := ParseAdmissionKey(AdmissionKey("job-a/b", 12))
-	if !ok || id != "job-a/b" || number != 12 {
-		t.Fatalf("got %q %d %v", id, number, ok)
+	"ospreystile.example/ospreystile/ids"
+)
+
+func TestAdmissionKeysAreRead(t *testing.T) {
+	for _, c := range []struct {
+		key    string
+		job    ids.JobID
+		number int
+	}{
+		{key: "admissions/job-1/00042", job: "job-1", number: 42},
+		{key: AdmissionKey("job-a/b", 12), job: "job-a/b", number: 12},
+	} {
+		t.Run(c.key, func(t *testing.T) {
+			if job, number, ok := ParseAdmissionKey(c.key); job != c.job || number != c.number || !ok {
+				t.Errorf("read as %q %d %v", job, number, ok)
+			}
+		})
 	}
+}
+
+func TestOtherKeysAreNotTakenForAdmissionSlices(t *testing.T) {
 	for _, key := range []string{"jobs/x", "admissions/", "admissions/x", "admissions/x/y"} {
 		t.Run(key, func(t *testing.T) {
 			if _, _, ok := ParseAdmissionKey(key); ok {
--- a/records/records.go
+++ b/records/records.go
@@ -1,111 +1,70 @@
-// Package records holds the durable records in the state service and commits
-// changes to them: guarded, batched, and with unknown outcomes settled.
+// Package records defines the durable records in the key-value store: their keys, their
+// stored forms, and the changes that controllers make to them.
+//
+// A Change is a set of operations with the preconditions under which they are valid; it is
+// applied as a whole or not at all. This package builds changes and names their results,
+// and does no I/O: package commit below it commits them. Keys and stored forms must stay as
+// they are, since versions of controllers that run at the same time read each other's
+// records.
 package records
 
 import (
-	"fmt"
-	"strings"
-
 	"ospreystile.example/ospreystile/dependency"
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Prefixes and names of keys.
-const (
-	JobPrefix       = "jobs/"
-	AdmissionPrefix = "admissions/"
-	LeaderKey       = "leader"
-	FleetKey        = "fleet"
-	// FormatKey tells that every controller is known to wait for what jobs name,
-	// and to read slices that were split.
-	FormatKey = "format"
-	// ZonePrefix is for the conditions of zones. Such records come only where operators
-	// have zones watched; versions that do not know them read none.
-	ZonePrefix = "zones/"
-)
-
-// ZoneKey is the key of a zone's condition.
-func ZoneKey(zone ids.Zone) string { return ZonePrefix + string(zone) }
-
-// JobKey is the key of a job's record.
-func JobKey(id ids.JobID) string { return JobPrefix + string(id) }
-
-// AdmissionKey is the key of one slice of a job's admissions. Numbers are
-// padded so that slices list in order.
-func AdmissionKey(id ids.JobID, n int) string {
-	return fmt.Sprintf("%s%s/%05d", AdmissionPrefix, id, n)
-}
-
-// ParseAdmissionKey reads a slice's key.
-func ParseAdmissionKey(key string) (ids.JobID, int, bool) {
-	rest, ok := strings.CutPrefix(key, AdmissionPrefix)
-	i := strings.LastIndexByte(rest, '/')
-	if !ok || i <= 0 {
-		return "", 0, false
-	}
-	var n int
-	if _, err := fmt.Sscanf(rest[i+1:], "%d", &n); err != nil || n < 0 {
-		return "", 0, false
-	}
-	return ids.JobID(rest[:i]), n, true
-}
-
-// Job is the durable record of a job. Status is queued, done or cancelled:
-// whether tasks run is not kept here.
+// Job is the durable record of a job. Its status is queued, done or cancelled: the record
+// does not say whether tasks run.
 type Job struct {
-	// Nonce names this very write, as in Slice.
+	// Nonce identifies the change that wrote the record, so that a change whose answer was
+	// lost is recognised in the store.
 	Nonce  uint64        `msgpack:"w"`
 	Status wire.JobState `msgpack:"s"`
-	Tasks  int           `msgpack:"n"`
-	Spec   *wire.JobSpec `msgpack:"p,omitempty"`
-	// SubmittedMS is the time of day of the submission; jobs go by it.
+	// Tasks is the number of tasks.
+	Tasks int `msgpack:"n"`
+	// Spec is nil in the records of jobs whose description nothing needs any more.
+	Spec *wire.JobSpec `msgpack:"p,omitempty"`
+	// SubmittedMS is the Unix time of the submission in milliseconds. Jobs are ordered by it.
 	SubmittedMS int64 `msgpack:"t,omitempty"`
-	// DoneMS is the time of day when the job was done: those that need it are
-	// ready from then on. Versions that do not know it lose nothing.
+	// DoneMS is the Unix time in milliseconds when the job was done; jobs that depend on it
+	// are ready from then on. Records of versions that do not know it have zero.
 	DoneMS int64 `msgpack:"e,omitempty"`
 }
 
-// Dependencies is what the record says about waiting for other jobs.
+// Dependencies returns what the dependency graph needs of the record.
 func (j *Job) Dependencies() dependency.Record {
 	r := dependency.Record{Status: j.Status, SubmittedMS: j.SubmittedMS, DoneMS: j.DoneMS}
-	if s := j.Spec; s != nil {
-		r.DependsOn, r.Priority, r.ExpectedRun = s.DependsOn, s.Priority, monotonic.Seconds(s.EstimateS)
-		// Deadlines of jobs that wait for none decide nothing, as before.
-		if len(s.DependsOn) > 0 && s.DeadlineS > 0 {
-			r.DueMS = j.SubmittedMS + monotonic.Seconds(s.DeadlineS).Milliseconds()
-		}
+	spec := j.Spec
+	if spec == nil {
+		return r
+	}
+	r.DependsOn, r.Priority, r.ExpectedRun = spec.DependsOn, spec.Priority, monotonic.Seconds(spec.EstimateS)
+	// The deadline of a job without dependencies plays no part in the order.
+	if len(spec.DependsOn) > 0 && spec.DeadlineS > 0 {
+		r.DueMS = j.SubmittedMS + monotonic.Seconds(spec.DeadlineS).Milliseconds()
 	}
 	return r
 }
 
-// Terminal tells whether the job is done or cancelled, for good.
+// Terminal reports whether the job is done or cancelled, which is final.
 func (j *Job) Terminal() bool { return j.Status == wire.JobDone || j.Status == wire.JobCancelled }
 
-// AdmissionSlice is the durable record of some of a job's tasks: where each was
-// admitted and with which attempt. It is committed before any task of it is
-// started, so a task can be only where its record says. Which tasks it is for
-// follows from those that it lists: its number says nothing but which record it
-// is, since slices are split when they grow too large, and slice_tasks may change.
+// AdmissionSlice is the durable record of some of a job's tasks: the machine to which each
+// was admitted, and with which attempt. It is committed before any of these tasks is
+// started, so a task can be only where its record says. The tasks that it lists are the
+// tasks that it is for. Its number does not tell them: slices are split when they grow too
+// large, and the setting slice_tasks may change.
 type AdmissionSlice struct {
-	// Nonce names this very write, so that one whose answer was lost is
-	// recognised.
+	// Nonce identifies the change that wrote the record, as in Job.
 	Nonce uint64          `msgpack:"w"`
 	Hosts []ids.MachineID `msgpack:"h"`
-	// Zones holds the zone of each host, so that a successor can keep
-	// oneZone and spread before it hears from the host.
+	// Zones holds the zone of each host, so that the next leader can keep oneZone and
+	// spread before it receives heartbeats of the hosts.
 	Zones []ids.Zone `msgpack:"z"`
-	// Tasks holds triples: task, last attempt, and place in Hosts or -1.
+	// Tasks holds triples: task index, last attempt, and index in Hosts or -1.
 	Tasks []int `msgpack:"t"`
-	// Done holds the tasks that completed.
+	// Done holds the indexes of the tasks that completed.
 	Done []int `msgpack:"d,omitempty"`
 }
-
-// Change is one indivisible change to the records.
-type Change struct {
-	ID            uint64
-	Preconditions []kv.Precondition
-	Operations    []kv.Operation
-}
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -19,22 +19,24 @@
 			p.placed = append(p.placed, a)
 		}
 	}
-	at := []records.SliceVersion{{Number: s.number, Revision: s.revision}}
-	recs := []records.AdmissionSlice{w.sliceRecord(j, s.tasks)}
+	record := w.sliceRecord(j, s.tasks)
+	writes := []records.SliceWrite{{SliceVersion: records.SliceVersion{Number: s.number, Revision: s.revision}, Record: record}}
 	limit := w.core.opt.ValueBytes >> j.refusals
-	s.oversized = wire.ExceedsJSONSize(recs[0], limit)
+	s.oversized = wire.ExceedsJSONSize(record, limit)
 	if s.oversized && w.core.opt.SplitRecords {
 		s.oversized = false
+		var recs []records.AdmissionSlice
 		p.split, recs = w.splitTasks(j, s.tasks, limit)
+		writes[0].Record = recs[0]
 		p.parts = []*admissionSlice{s}
-		for range recs[1:] {
+		for _, record := range recs[1:] {
 			j.growSlices(len(j.slices) + 1)
 			part := j.slices[len(j.slices)-1]
 			p.parts = append(p.parts, part)
-			at = append(at, records.SliceVersion{Number: part.number})
+			writes = append(writes, records.SliceWrite{SliceVersion: records.SliceVersion{Number: part.number}, Record: record})
 		}
 	}
-	w.submitChange(p, records.PutSlicesChange(j.id, j.revision, at, recs))
+	w.submitChange(p, records.PutSlicesChange(j.id, j.revision, writes))
 }
 
 // splitTasks divides the tasks of a record that is too large into parts whose records are
