--- a/records/commit/committer_test.go
+++ b/records/commit/committer_test.go
@@ -1,9 +1,11 @@
 package commit
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -104,6 +106,30 @@
 	})
 }
 
+// A batch whose answer was lost is rejected, and the first sending of it is applied while its
+// changes go one by one: they must be reported as applied, not as conflicts with themselves.
+func TestLateBatchResolvesItsSingleChanges(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := newFakeStore()
+		// Unavailable until the late batch was applied.
+		store.nextFate = fates(append([]fate{appliedLate, rejected}, slices.Repeat([]fate{unavailable}, 20)...)...)
+		c := newTestCommitter(store, nil)
+		results := make([]records.CommitResult, 2)
+		for n := range results {
+			results[n].Err = errors.New("not reported")
+			c.Submit(createTestJob(n), time.Time{}, func(result records.CommitResult) { results[n] = result })
+		}
+		stop := startCommitter(t, c)
+		time.Sleep(time.Minute)
+		stop()
+		for n, result := range results {
+			if result.Err != nil || result.Revision != store.revision {
+				t.Errorf("change %d: reported %+v", n, result)
+			}
+		}
+	})
+}
+
 // A deposed leader's change must not get through, and ends its committer.
 func TestFenceEndsTheCommitter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -112,7 +138,9 @@
 		store.setLeader("b")
 		var got error
 		c.Submit(createTestJob(1), time.Time{}, func(result records.CommitResult) { got = result.Err })
-		if err := c.Run(t.Context()); !errors.Is(err, records.ErrFenced) || !errors.Is(got, records.ErrFenced) {
+		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
+		defer cancel()
+		if err := c.Run(ctx); !errors.Is(err, records.ErrFenced) || !errors.Is(got, records.ErrFenced) {
 			t.Fatalf("ended with %v, reported %v", err, got)
 		}
 		if _, found := store.entries[records.JobKey("job-1")]; found {
