--- a/records/commit/committer_test.go
+++ b/records/commit/committer_test.go
@@ -106,6 +106,25 @@
 	})
 }
 
+// After a lost answer, a record with another nonce is another's: the change was not applied.
+func TestRecordOfAnotherIsNotTakenForOwn(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := newFakeStore()
+		store.apply(kv.Txn{Operations: createTestJob(1).Operations})
+		store.nextFate = fates(appliedLate)
+		change := records.CreateJobChange(testJobID(1), records.Job{Nonce: 77})
+		c := newTestCommitter(store, nil)
+		var got error
+		c.Submit(change, time.Time{}, func(result records.CommitResult) { got = result.Err })
+		stop := startCommitter(t, c)
+		time.Sleep(time.Minute)
+		stop()
+		if _, conflict := errors.AsType[*records.ConflictError](got); !conflict {
+			t.Errorf("reported %v, want a conflict", got)
+		}
+	})
+}
+
 // A batch whose answer was lost is rejected, and the first sending of it is applied while its
 // changes go one by one: they must be reported as applied, not as conflicts with themselves.
 func TestLateBatchResolvesItsSingleChanges(t *testing.T) {
