--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"math/rand/v2"
 	"net/http"
 
@@ -49,13 +50,13 @@
 	case job.Record.Terminal():
 		return h.terminal.answer(ctx, id, snapshotOf(job.Record, job.Revision)), true
 	}
-	result, err := h.commits.commit(ctx, records.CancelJobChange(id, job.Revision, rand.Uint64(), *job.Record, h.maxValueBytes))
+	result := h.commits.commit(ctx, records.CancelJobChange(id, job.Revision, rand.Uint64(), *job.Record, h.maxValueBytes))
 	switch {
-	case err != nil:
-		return server.RetryLater(retryDelay), true
-	case result.Rejected:
+	case errors.Is(result.Err, records.ErrRejected):
 		return server.RetryLater(rejectedRetryDelay), true
-	case result.Applied:
+	case !result.Resolved():
+		return server.RetryLater(retryDelay), true
+	case result.Err == nil:
 		cancelled := jobSnapshot{Status: wire.JobCancelled, Tasks: job.Record.Tasks, revision: result.Revision}
 		return h.terminal.answer(ctx, id, cancelled), true
 	}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -32,7 +32,7 @@
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/peerrpc"
-	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/records/commit"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/worker"
 )
@@ -124,7 +124,7 @@
 func (c *Controller) wireRequests(leaders *leaderClient, clock monotonic.Clock) {
 	terminal := newTerminalJobs(c.acknowledgements)
 	statuses := &statusHandler{reader: c.statusReader, terminal: terminal, log: c.log}
-	c.commits = &userCommitter{records.NewCommitter(c.userStore, settings.TransactionLimits(c.platform), nil, c.log)}
+	c.commits = &userCommitter{commit.New(c.userStore, settings.TransactionLimits(c.platform), nil, c.log)}
 	maxValueBytes := settings.MaxValueBytes(c.platform)
 	c.balancer = newConnectionBalancer(monotonic.Seconds(balancerWindowIntervals * c.platform.Settings.Workers.HeartbeatIntervalS))
 	c.relay = newHeartbeatRelay(leaders, c.platform.Settings.Resources.Sockets, c.log)
--- a/controller/leader/executors.go
+++ b/controller/leader/executors.go
@@ -7,6 +7,7 @@
 
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/records/commit"
 	"ospreystile.example/ospreystile/scheduler"
 )
 
@@ -42,7 +43,7 @@
 
 // recordWriter commits changes of records, fenced by the leader's key.
 type recordWriter struct {
-	committer *records.Committer
+	committer *commit.Committer
 	term      *election.Term
 	mailbox   *mailbox
 	log       *slog.Logger
@@ -51,13 +52,13 @@
 // write queues one change. If its result cannot be known the term ends, and the next leader
 // reads the records again.
 func (w *recordWriter) write(ctx context.Context, change records.Change) {
-	w.committer.Submit(change, time.Time{}, func(result records.CommitResult, err error) {
+	w.committer.Submit(change, time.Time{}, func(result records.CommitResult) {
 		switch {
-		case err == nil:
+		case result.Resolved():
 			w.mailbox.post(ctx, commitResolved{result})
 		case ctx.Err() == nil:
-			w.log.Warn("commit failed", "err", err)
-			w.term.End(err)
+			w.log.Warn("commit failed", "err", result.Err)
+			w.term.End(result.Err)
 		}
 	})
 }
--- a/controller/leader/leader.go
+++ b/controller/leader/leader.go
@@ -22,6 +22,7 @@
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/records/commit"
 	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/worker"
@@ -129,7 +130,7 @@
 func (l *Leader) newExecutors(group *errgroup.Group, authorizedCloud *cloud.Client) *executors {
 	d := &l.dependencies
 	fence := &kv.Precondition{Key: records.LeaderKey, Revision: l.term.Revision}
-	committer := records.NewCommitter(d.Store, d.transactionLimits(), fence, d.Log)
+	committer := commit.New(d.Store, d.transactionLimits(), fence, d.Log)
 	return &executors{
 		records:      recordWriter{committer: committer, term: l.term, mailbox: l.mailbox, log: d.Log},
 		workers:      workerCaller{client: d.Workers, group: group, mailbox: l.mailbox, log: d.Log},
--- a/controller/leader/options.go
+++ b/controller/leader/options.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/controller/settings"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
-	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/records/commit"
 	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
@@ -31,7 +31,7 @@
 )
 
 // transactionLimits are the bounds of one transaction.
-func (d *Dependencies) transactionLimits() records.Limits {
+func (d *Dependencies) transactionLimits() commit.Limits {
 	return settings.TransactionLimits(d.Platform)
 }
 
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -16,7 +16,7 @@
 func overload(ctx context.Context, t *testing.T, c *Controller) {
 	t.Helper()
 	for range maxQueuedCommits { // nothing commits here
-		c.commits.committer.Submit(records.Change{}, time.Time{}, func(records.CommitResult, error) {})
+		c.commits.committer.Submit(records.Change{}, time.Time{}, func(records.CommitResult) {})
 	}
 	for range maxWaitingQueries { // nor answers
 		go c.statusReader.ask(ctx, "job-1", nil)
--- a/controller/settings/settings.go
+++ b/controller/settings/settings.go
@@ -7,7 +7,7 @@
 
 	"ospreystile.example/ospreystile/config"
 	"ospreystile.example/ospreystile/monotonic"
-	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/records/commit"
 	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
@@ -49,10 +49,10 @@
 }
 
 // TransactionLimits are the bounds of one transaction of the key-value store.
-func TransactionLimits(platform *config.Platform) records.Limits {
+func TransactionLimits(platform *config.Platform) commit.Limits {
 	store := platform.Settings.KV.Planned()
 	// A transaction with more writes than the rate allows in one second never passes it.
-	return records.Limits{Operations: max(1, min(store.TxnOps, int(store.WriteRPS))), Bytes: maxTransactionBytes}
+	return commit.Limits{Operations: max(1, min(store.TxnOps, int(store.WriteRPS))), Bytes: maxTransactionBytes}
 }
 
 // MaxValueBytes is how large a value in the key-value store may be, in its JSON form.
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"log/slog"
 	"math/rand/v2"
 	"net/http"
@@ -137,16 +138,16 @@
 // commitRecord commits a new job's record. If the job has a record already, the request is a
 // repetition, and the response is the job's status.
 func (h *submissionHandler) commitRecord(ctx context.Context, id ids.JobID, record *records.Job) server.Response {
-	result, err := h.commits.commit(ctx, records.CreateJobChange(id, *record))
+	result := h.commits.commit(ctx, records.CreateJobChange(id, *record))
 	switch {
-	case err != nil:
-		h.log.Debug("submission commit failed", "job", id, "err", err)
-		return server.RetryLater(retryDelay)
-	case result.Applied:
+	case result.Err == nil:
 		h.leaders.notifyJob(leader.JobRecord{ID: id, Record: record, Revision: result.Revision})
 		return server.Response{Status: http.StatusCreated, Body: wire.JobStatus{ID: id, Status: record.Status}}
-	case result.Rejected:
+	case errors.Is(result.Err, records.ErrRejected):
 		return server.RetryLater(rejectedRetryDelay)
+	case !result.Resolved():
+		h.log.Debug("submission commit failed", "job", id, "err", result.Err)
+		return server.RetryLater(retryDelay)
 	}
 	return h.statuses.Status(ctx, id)
 }
--- a/controller/user_commits.go
+++ b/controller/user_commits.go
@@ -4,6 +4,7 @@
 	"context"
 
 	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/records/commit"
 )
 
 // maxQueuedCommits bounds the changes that wait before submissions are refused.
@@ -11,7 +12,7 @@
 
 // userCommitter commits the changes that users ask for. Its committer has no fence: any
 // controller may write jobs' records.
-type userCommitter struct{ committer *records.Committer }
+type userCommitter struct{ committer *commit.Committer }
 
 // run commits until the context ends.
 func (c *userCommitter) run(ctx context.Context) error { return c.committer.Run(ctx) }
@@ -19,20 +20,15 @@
 // overloaded tells whether too many changes wait.
 func (c *userCommitter) overloaded() bool { return c.committer.QueueLength() >= maxQueuedCommits }
 
-// commit brings a change to a definite result. After an error, which may be the context's, the
-// result is not known, and the user must ask again.
-func (c *userCommitter) commit(ctx context.Context, change records.Change) (records.CommitResult, error) {
-	type resolved struct {
-		result records.CommitResult
-		err    error
-	}
-	done := make(chan resolved, 1)
+// commit brings a change to its result. If the result is not resolved, the user must ask again.
+func (c *userCommitter) commit(ctx context.Context, change records.Change) records.CommitResult {
+	results := make(chan records.CommitResult, 1)
 	deadline, _ := ctx.Deadline()
-	c.committer.Submit(change, deadline, func(result records.CommitResult, err error) { done <- resolved{result, err} })
+	c.committer.Submit(change, deadline, func(result records.CommitResult) { results <- result })
 	select {
-	case r := <-done:
-		return r.result, r.err
+	case result := <-results:
+		return result
 	case <-ctx.Done():
-		return records.CommitResult{}, ctx.Err()
+		return records.CommitResult{Change: change, Err: ctx.Err()}
 	}
 }
