--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -138,7 +138,7 @@
 	return offered
 }
 
-// rent books the machines of a purchase, as many rentals as are allowed.
+// provision books the machines of a purchase, as many rentals as are allowed.
 func (as *autoscaler) rent(purchase fleet.MachineRequest) {
 	for left := as.core.zones.limitRental(purchase.Zone, purchase.Count); left > 0 && as.canRent(purchase.Site); left -= maxRentalSize {
 		n := min(left, maxRentalSize)
--- a/scheduler/autoscaler_test.go
+++ b/scheduler/autoscaler_test.go
@@ -26,7 +26,7 @@
 			b.step()
 		}
 		rented := time.Duration(0)
-		for start := b.now; b.now < start.Add(simLease) && rented == 0; b.now = b.now.Add(500 * time.Millisecond) {
+		for start := b.now; b.now < start.Add(simAgentLease) && rented == 0; b.now = b.now.Add(500 * time.Millisecond) {
 			if e := b.step(); len(e.Provision) > 0 {
 				rented = b.now.Sub(start)
 				if e.Provision[0].Count != 1 || e.Provision[0].Spot {
@@ -34,7 +34,7 @@
 				}
 			}
 		}
-		if rented < silentReports*simReport || rented > simLease/2 {
+		if rented < silentReports*simHeartbeatInterval || rented > simAgentLease/2 {
 			t.Errorf("inherited %v: rented after %v", inherited, rented)
 		}
 	}
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -52,7 +52,7 @@
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, LendingLimit: quota.Amount{CPUs: nominal}}
 	}
 	opt := Options{Revision: 5, Teams: []quota.Team{team("red", 9000, 27000), team("blue", 27000, 60000), team("gold", 10500, 45000), team("lime", 10500, 37500)},
-		HeartbeatInterval: 5 * time.Second, AgentLease: 27 * time.Second, CancelDeadline: simCancel, ListLag: 3 * time.Second, TxnOps: 24, SliceTasks: 64,
+		HeartbeatInterval: 5 * time.Second, AgentLease: 27 * time.Second, CancelDeadline: simCancelDeadline, ListLag: 3 * time.Second, TxnOps: 24, SliceTasks: 64,
 		MaxSkippedJobs: 2000, LendingSuspension: 5 * time.Second, IdleTimeout: 30 * time.Second, SpotIdleFactor: 1.5, HeadroomIdleTimeout: 15 * time.Minute, Headroom: 0.3,
 		BootFactor: 4, CapacityBackoff: 10 * time.Second, RoundInterval: 50 * time.Millisecond, RoundCostPerMachine: 900 * time.Nanosecond,
 		LazyWriteDelay: 3 * time.Second, WriteRate: 63, MaxWorkerCalls: 64, ReserveAfter: time.Minute, ReserveFor: 90 * time.Second,
--- a/scheduler/digest_test.go
+++ b/scheduler/digest_test.go
@@ -12,23 +12,23 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// effectDigest is a hash over everything that the leaders of one simulated day
+// decisionDigest is a hash over everything that the leaders of one simulated day
 // decided, in order. Two plays of the same day must agree on it, and so must
 // two versions of the code between which no decision was meant to change.
-type effectDigest struct {
+type decisionDigest struct {
 	hash  hash.Hash64
 	parts int
 }
 
-func newEffectDigest() *effectDigest { return &effectDigest{hash: fnv.New64a()} }
+func newDecisionDigest() *decisionDigest { return &decisionDigest{hash: fnv.New64a()} }
 
-func (d *effectDigest) add(kind string, value any) {
+func (d *decisionDigest) add(kind string, value any) {
 	d.parts++
 	fmt.Fprintf(d.hash, "%s %v\n", kind, value) // without names of fields, which may change
 }
 
 // decisions takes in the decisions of one step.
-func (d *effectDigest) effects(e Decisions) {
+func (d *decisionDigest) addDecisions(e Decisions) {
 	for _, ch := range e.RecordChanges {
 		d.add("change", ch.ID)
 		for _, g := range ch.Preconditions {
@@ -42,9 +42,9 @@
 	for _, r := range e.Provision {
 		d.add("rent", r)
 	}
-	d.list("direct", e.SendCommands)
-	d.list("show", e.RequestHeartbeats)
-	d.list("return", e.Terminate)
+	d.addMachines("direct", e.SendCommands)
+	d.addMachines("show", e.RequestHeartbeats)
+	d.addMachines("return", e.Terminate)
 	for _, id := range e.RereadJobs {
 		d.add("refresh", id)
 	}
@@ -53,13 +53,13 @@
 	}
 }
 
-func (d *effectDigest) list(kind string, hosts []ids.MachineID) {
+func (d *decisionDigest) addMachines(kind string, hosts []ids.MachineID) {
 	for _, h := range hosts {
 		d.add(kind, h)
 	}
 }
 
-func (d *effectDigest) String() string { return fmt.Sprintf("%016x of %d", d.hash.Sum64(), d.parts) }
+func (d *decisionDigest) String() string { return fmt.Sprintf("%016x of %d", d.hash.Sum64(), d.parts) }
 
 // impatientDay is a random day with a class that cannot wait for a machine to
 // boot, so that spare room and late returns depend on what is known of a class.
@@ -67,7 +67,7 @@
 	s := newSim(t, seed)
 	s.opt.LatencySensitive = map[string]time.Duration{"c": 5 * time.Second}
 	s.opt.Headroom, s.opt.SpotIdleFactor = 0.3, 1.5
-	s.takeOver()
+	s.failOver()
 	return s
 }
 
@@ -109,7 +109,7 @@
 	if *otherDigest == "" {
 		t.Skip("compares two versions; see -digest")
 	}
-	all := newEffectDigest()
+	all := newDecisionDigest()
 	for seed := range uint64(60) {
 		s := newSim(t, seed)
 		if seed%2 == 1 {
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -33,7 +33,7 @@
 	if opt.Revision == 0 {
 		opt.Revision = 5
 	}
-	opt.HeartbeatInterval, opt.AgentLease, opt.CancelDeadline = simReport, simLease, simCancel
+	opt.HeartbeatInterval, opt.AgentLease, opt.CancelDeadline = simHeartbeatInterval, simAgentLease, simCancelDeadline
 	opt.TxnOps, opt.SliceTasks, opt.MaxSkippedJobs, opt.BootFactor, opt.MaxMachines = 8, 4, 100, 4, 100
 	opt.IdleTimeout, opt.HeadroomIdleTimeout = time.Hour, time.Hour
 	if opt.PreviousLeaderGraceWithoutReplicas == 0 {
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -46,9 +46,9 @@
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	start := b.now
-	for ; b.now < start.Add(3*simLease); b.now = b.now.Add(time.Second) {
+	for ; b.now < start.Add(3*simAgentLease); b.now = b.now.Add(time.Second) {
 		if e := b.step(); len(e.Terminate) > 0 {
-			if silent := b.now.Sub(start); silent < silentLeases*simLease {
+			if silent := b.now.Sub(start); silent < silentLeases*simAgentLease {
 				t.Errorf("returned after %v", silent)
 			}
 			return
@@ -226,21 +226,21 @@
 		}
 	}
 	tell("b")
-	for start := b.now; b.now < start.Add(silentLeases*simLease+10*time.Second); b.now = b.now.Add(500 * time.Millisecond) {
+	for start := b.now; b.now < start.Add(silentLeases*simAgentLease+10*time.Second); b.now = b.now.Add(500 * time.Millisecond) {
 		tell("a")
 		if e := b.step(); len(e.Terminate) > 0 {
 			t.Fatalf("returned %v in the partition", e.Terminate)
 		}
 	}
 	b.report("b-1", "b", 0)
-	for start := b.now; b.now < start.Add(simReport); b.now = b.now.Add(200 * time.Millisecond) {
+	for start := b.now; b.now < start.Add(simHeartbeatInterval); b.now = b.now.Add(200 * time.Millisecond) {
 		tell("a")
 		if e := b.step(); len(e.Terminate) > 0 {
 			t.Fatalf("returned %v before they could report", e.Terminate)
 		}
 	}
 	returned := 0
-	for start := b.now; b.now < start.Add(4*simReport); b.now = b.now.Add(200 * time.Millisecond) {
+	for start := b.now; b.now < start.Add(4*simHeartbeatInterval); b.now = b.now.Add(200 * time.Millisecond) {
 		tell("a")
 		b.report("b-1", "b", 0)
 		returned += len(b.step().Terminate)
--- a/scheduler/machine.go
+++ b/scheduler/machine.go
@@ -52,7 +52,7 @@
 	// rentedThisTerm tells that it cannot have been returned before, and answeredCall
 	// that it answered a call of this leader.
 	rentedThisTerm, answeredCall bool
-	// unreachable tells that it reports, but that what it is told does not reach it.
+	// commandsLostUntil tells that it reports, but that what it is told does not reach it.
 	unreachable      bool
 	unreachableSince monotonic.Instant
 	// reservedFor is the job that alone may use the machine's free room; nil: all.
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -13,8 +13,8 @@
 // only once that one cannot keep a task of the job: its machine was heard with a token of
 // this leader, or was returned; the earlier leader is gone; or it will be soon enough.
 func TestCancellationWaitsForEarlierLeaders(t *testing.T) {
-	const grace = simCancel // well beyond the margin
-	margin := CancelMargin(simCancel, simLease)
+	const grace = simCancelDeadline // well beyond the margin
+	margin := CancelMargin(simCancelDeadline, simAgentLease)
 	for _, c := range []struct {
 		name         string
 		bring        func(b *harness)
@@ -58,16 +58,16 @@
 // An earlier leader answers machines without replicas for the margin alone, so what is on
 // them holds no cancellation back, and moves on sooner.
 func TestMachinesWithoutReplicasAreFreeSooner(t *testing.T) {
-	margin := CancelMargin(simCancel, simLease)
+	margin := CancelMargin(simCancelDeadline, simAgentLease)
 	for _, c := range []struct {
 		name    string
 		service bool
 		unclear bool
 		free    time.Duration // after the term began, give or take two seconds
 	}{
-		{"an array", false, false, margin + simLease},
-		{"a service", true, false, margin + 45*time.Second + simLease},
-		{"an array beside a record that cannot be read", false, true, margin + 45*time.Second + simLease},
+		{"an array", false, false, margin + simAgentLease},
+		{"a service", true, false, margin + 45*time.Second + simAgentLease},
+		{"an array beside a record that cannot be read", false, true, margin + 45*time.Second + simAgentLease},
 	} {
 		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: margin + 45*time.Second, PreviousLeaderGraceWithoutReplicas: margin})
 		if c.unclear {
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -73,7 +73,7 @@
 		b.c.Begin(b.now)
 		o := b.report("n-1", "a", 0)
 		b.report("n-1", "a", o.FencingToken)
-		b.now = b.now.Add(simReport)
+		b.now = b.now.Add(simHeartbeatInterval)
 		b.tick++
 		b.c.Heartbeat(b.now, newReport("n-1", 2, b.tick, o.FencingToken), false)
 		b.job("job-1", wire.JobSpec{Tasks: 1})
@@ -139,12 +139,12 @@
 		}
 		b.step()
 		if m := b.c.registry.machines["n-1"]; m == nil || len(m.tasks) == 0 {
-			if time.Duration(s)*time.Second < simLease {
+			if time.Duration(s)*time.Second < simAgentLease {
 				t.Fatalf("its task was released after %d s, within the lease", s)
 			}
 			return
 		}
-		if s > 3 && b.c.health.usable(b.c.registry.machines["n-1"]) && time.Duration(s)*time.Second > 2*simReport {
+		if s > 3 && b.c.health.usable(b.c.registry.machines["n-1"]) && time.Duration(s)*time.Second > 2*simHeartbeatInterval {
 			t.Fatalf("after %d s of copies alone it counts as usable", s)
 		}
 	}
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -22,8 +22,8 @@
 			t.Parallel()
 			s := newSim(t, seed)
 			all := s.playRandomDay(40)
-			s.toTheEnd(all, 20*time.Minute)
-			s.checkOrphans(all)
+			s.runToCompletion(all, 20*time.Minute)
+			s.checkCancelledDependents(all)
 			if s.starts == 0 {
 				t.Fatal("nothing ran")
 			}
@@ -42,7 +42,7 @@
 	}
 	s.opt.Teams = []quota.Team{team("red", 3000, 7000), team("blue", 2500, 8000), team("gold", 1000, 6000)}
 	s.opt.MaxMachines, s.opt.SliceTasks, s.opt.TxnOps, s.opt.WriteRate, s.opt.MaxWorkerCalls = 0, 64, 32, 56, 64
-	s.takeOver()
+	s.failOver()
 	var all []ids.JobID
 	most, work := 0, uint64(0)
 	for round := range 8 {
@@ -55,23 +55,23 @@
 			}
 			s.submit(id, sp)
 		}
-		hosts := s.sortedHosts()
+		hosts := s.sortedMachineIDs()
 		for range len(hosts) / 40 {
 			w := s.workers[hosts[s.rng.IntN(len(hosts))]]
 			switch s.rng.IntN(4) {
 			case 0:
-				w.cut = s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second)
+				w.partitionedUntil = s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second)
 			case 1:
-				w.unreachable = s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second)
+				w.commandsLostUntil = s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second)
 			case 2: // hangs, and goes on within its lease or after it
-				w.hung = s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second)
+				w.hungUntil = s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second)
 			default:
-				w.dead = w.session > 0
+				w.dead = w.incarnation > 0
 			}
 		}
 		if round%4 == 3 {
 			work += s.core.admission.MachinesExamined
-			s.takeOver()
+			s.failOver()
 		}
 		s.run(4 * time.Second)
 		most = max(most, len(s.workers))
@@ -80,7 +80,7 @@
 		}
 	}
 	work += s.core.admission.MachinesExamined
-	s.toTheEnd(all, 5*time.Minute)
+	s.runToCompletion(all, 5*time.Minute)
 	if most < 1700 {
 		t.Fatalf("the day had only %d machines", most)
 	}
@@ -89,16 +89,16 @@
 	}
 }
 
-// toTheEnd ends the faults and the services. Every array must then come to its
+// runToCompletion ends the faults and the services. Every array must then come to its
 // end in time, with no rule broken.
-func (s *sim) toTheEnd(all []ids.JobID, within time.Duration) {
+func (s *sim) runToCompletion(all []ids.JobID, within time.Duration) {
 	s.t.Helper()
 	s.faults = false
 	s.pausedUntil = min(s.pausedUntil, s.now)
-	s.outage, s.refusal, s.cloudAway, s.islandUntil = min(s.outage, s.now), min(s.refusal, s.now), min(s.cloudAway, s.now), 0
+	s.storeOutageUntil, s.leaderRefusedUntil, s.cloudOutageUntil, s.isolatedZoneUntil = min(s.storeOutageUntil, s.now), min(s.leaderRefusedUntil, s.now), min(s.cloudOutageUntil, s.now), 0
 	for _, w := range s.workers {
 		w.unhealthy = false
-		w.cut, w.unreachable, w.cannotReport, w.hung = min(w.cut, s.now), min(w.unreachable, s.now), min(w.cannotReport, s.now), min(w.hung, s.now)
+		w.partitionedUntil, w.commandsLostUntil, w.heartbeatsLostUntil, w.hungUntil = min(w.partitionedUntil, s.now), min(w.commandsLostUntil, s.now), min(w.heartbeatsLostUntil, s.now), min(w.hungUntil, s.now)
 	}
 	for _, id := range all {
 		if s.specs[id].Service || s.failing[id] {
@@ -109,26 +109,26 @@
 	beside := map[ids.JobID]time.Duration{}
 	for passed := time.Duration(0); passed < within; passed += part {
 		s.run(part)
-		s.checkWaiting(all, beside, part)
-		if s.allOver(all) {
+		s.checkStarvation(all, beside, part)
+		if s.allTerminal(all) {
 			break
 		}
 	}
 	if len(s.violations) > 0 {
 		s.t.Fatalf("rules broken: %v", s.violations)
 	}
-	if !s.allOver(all) {
+	if !s.allTerminal(all) {
 		s.t.Fatalf("jobs never ended: %v\n%s", s.unfinished(all), s.core.Summary())
 	}
 }
 
-// checkWaiting sees that no job is left waiting for 90 s while a machine that fits has
+// checkStarvation sees that no job is left waiting for 90 s while a machine that fits has
 // room and its team is under its limit, by what is on the machines.
-func (s *sim) checkWaiting(all []ids.JobID, beside map[ids.JobID]time.Duration, passed time.Duration) {
+func (s *sim) checkStarvation(all []ids.JobID, beside map[ids.JobID]time.Duration, passed time.Duration) {
 	used := map[ids.Team]float64{}
 	free := map[*simWorker]float64{}
 	for _, w := range s.workers {
-		if w.session == 0 || s.expired(w) {
+		if w.incarnation == 0 || s.leaseExpired(w) {
 			continue
 		}
 		free[w] = s.typeOf(w).CPUs
@@ -148,9 +148,9 @@
 		room := false
 		for w, f := range free {
 			room = room || f >= sp.CPUs && (sp.Spot || !w.spot) && (sp.Zone == "" || sp.Zone == w.zone) &&
-				(len(sp.Types) == 0 || slices.Contains(sp.Types, w.typ))
+				(len(sp.Types) == 0 || slices.Contains(sp.Types, w.machineType))
 		}
-		begun := slices.ContainsFunc(s.sent[id], func(p simPlace) bool { return s.here(p.w, p.t) && p.t.state != wire.TaskEnded })
+		begun := slices.ContainsFunc(s.placements[id], func(p simPlacement) bool { return s.holdsTask(p.worker, p.task) && p.task.state != wire.TaskEnded })
 		ready := !slices.ContainsFunc(sp.DependsOn, func(n ids.JobID) bool { return s.status(n) != wire.JobDone })
 		i := slices.IndexFunc(s.opt.Teams, func(t quota.Team) bool { return t.Name == sp.Team })
 		if begun || !room || !ready || s.status(id) != wire.JobQueued || used[sp.Team]+need > s.opt.Teams[i].Limit.CPUs ||
@@ -169,7 +169,7 @@
 	var out []string
 	for _, id := range all {
 		var rec records.Job
-		s.must(wire.Decode(s.store[records.JobKey(id)].raw, &rec))
+		s.must(wire.Decode(s.store[records.JobKey(id)].value, &rec))
 		if !rec.Terminal() {
 			out = append(out, fmt.Sprintf("%s %+v", id, *s.specs[id]))
 		}
@@ -177,4 +177,4 @@
 	return out
 }
 
-func (s *sim) allOver(all []ids.JobID) bool { return len(s.unfinished(all)) == 0 }
+func (s *sim) allTerminal(all []ids.JobID) bool { return len(s.unfinished(all)) == 0 }
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -48,9 +48,9 @@
 // in is the time after a while.
 func (m *scenario) in(d time.Duration) monotonic.Instant { return m.now.Add(d) }
 
-// some does something to every nth machine.
-func (m *scenario) some(nth int, f func(w *simWorker)) {
-	for i, h := range m.sortedHosts() {
+// eachNthWorker does something to every nth machine.
+func (m *scenario) eachNthWorker(nth int, f func(w *simWorker)) {
+	for i, h := range m.sortedMachineIDs() {
 		if i%nth == 0 {
 			f(m.workers[h])
 		}
@@ -66,7 +66,7 @@
 	}
 }
 
-const s1 = time.Second
+const second = time.Second
 
 // meetings are those of the operators' list that concern what runs where; those that
 // concern answers alone are in packages controller and records (docs/design.md has the table).
@@ -75,13 +75,13 @@
 	bring func(m *scenario)
 }{
 	{"old reports after newer ones, also of earlier sessions and attempts", func(m *scenario) {
-		m.copies = 0.6
+		m.duplicateChance = 0.6
 		m.jobs(12, nil)
 		for range 8 {
-			m.some(3, func(w *simWorker) { w.cut = m.in(10 * s1) })
-			m.run(12 * s1)
-			m.some(4, func(w *simWorker) { w.unreachable = m.in(32 * s1) }) // its session ends
-			m.run(20 * s1)
+			m.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = m.in(10 * second) })
+			m.run(12 * second)
+			m.eachNthWorker(4, func(w *simWorker) { w.commandsLostUntil = m.in(32 * second) }) // its session ends
+			m.run(20 * second)
 		}
 	}},
 	{"jobs bound to one zone lose machines", func(m *scenario) {
@@ -89,41 +89,41 @@
 			m.jobs(4, func(sp *wire.JobSpec) { array(sp); sp.OneZone = true })
 			m.jobs(2, func(sp *wire.JobSpec) { array(sp); sp.Zone = "b" })
 			m.jobs(2, func(sp *wire.JobSpec) { long(sp); sp.Tasks, sp.OneZone = 3, true })
-			m.run(15 * s1)
-			m.some(3, func(w *simWorker) { w.dead = w.session > 0 })
-			m.some(4, func(w *simWorker) { w.cut = m.in(40 * s1) })
-			m.run(15 * s1)
-			m.takeOver()
+			m.run(15 * second)
+			m.eachNthWorker(3, func(w *simWorker) { w.dead = w.incarnation > 0 })
+			m.eachNthWorker(4, func(w *simWorker) { w.partitionedUntil = m.in(40 * second) })
+			m.run(15 * second)
+			m.failOver()
 		}
 	}},
 	{"a leader ends while long tasks can't be reached, or don't hear the new one", func(m *scenario) {
 		m.jobs(10, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
 		for range 4 {
-			m.run(25 * s1)
-			m.some(2, func(w *simWorker) { w.cut = m.in(35 * s1) })
-			m.some(3, func(w *simWorker) { w.unreachable = m.in(50 * s1) })
-			m.takeOver()
+			m.run(25 * second)
+			m.eachNthWorker(2, func(w *simWorker) { w.partitionedUntil = m.in(35 * second) })
+			m.eachNthWorker(3, func(w *simWorker) { w.commandsLostUntil = m.in(50 * second) })
+			m.failOver()
 			m.cancelEvery(4)
-			m.run(40 * s1)
+			m.run(40 * second)
 		}
 	}},
 	{"leaders change ten times in two minutes, also inside an outage", func(m *scenario) {
 		m.jobs(14, nil)
-		m.run(30 * s1)
+		m.run(30 * second)
 		for i := range 10 {
 			if i == 3 {
-				m.outage = m.in(40 * s1)
+				m.storeOutageUntil = m.in(40 * second)
 			}
 			m.cancelEvery(7)
-			m.takeOver()
-			m.run(12 * s1)
+			m.failOver()
+			m.run(12 * second)
 		}
 	}},
 	{"more work than room, urgent and not, over slow links", func(m *scenario) {
-		m.slow = 900 * time.Millisecond
+		m.extraLatency = 900 * time.Millisecond
 		for range 6 {
 			m.jobs(10, nil)
-			m.run(20 * s1)
+			m.run(20 * second)
 			m.cancelEvery(9)
 		}
 	}},
@@ -134,104 +134,104 @@
 				sp.Spread = false
 			}
 		})
-		m.run(40 * s1)
-		m.deposed()
-		m.island, m.islandUntil = "a", m.in(60*s1)
+		m.run(40 * second)
+		m.failOverWithPreviousLeaderActive()
+		m.isolatedZone, m.isolatedZoneUntil = "a", m.in(60*second)
 		m.cancelEvery(2)
 		m.jobs(6, nil)
-		m.run(90 * s1)
+		m.run(90 * second)
 	}},
 	{"the same, and the cloud is away: only the old leader's own bound is left", func(m *scenario) {
 		m.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Spread, sp.Zone, sp.OneZone = false, "a", true })
-		m.run(40 * s1)
-		m.deposed()
-		m.island, m.islandUntil, m.cloudAway = "a", m.in(100*s1), m.in(100*s1)
+		m.run(40 * second)
+		m.failOverWithPreviousLeaderActive()
+		m.isolatedZone, m.isolatedZoneUntil, m.cloudOutageUntil = "a", m.in(100*second), m.in(100*second)
 		m.cancelEvery(1)
-		m.run(120 * s1)
+		m.run(120 * second)
 	}},
 	{"arrays that run for long in a zone that is cut off with its leader", func(m *scenario) {
 		m.runFactor = 8
 		m.jobs(10, func(sp *wire.JobSpec) { array(sp); sp.Zone = "a" })
 		m.jobs(6, array)
 		m.jobs(3, func(sp *wire.JobSpec) { long(sp); sp.Spread = false })
-		m.run(30 * s1)
-		m.deposed()
-		m.island, m.islandUntil = "a", m.in(100*s1)
+		m.run(30 * second)
+		m.failOverWithPreviousLeaderActive()
+		m.isolatedZone, m.isolatedZoneUntil = "a", m.in(100*second)
 		m.cancelEvery(3)
-		m.run(130 * s1)
+		m.run(130 * second)
 	}},
 	{"jobs are cancelled while one controller's work changes hands", func(m *scenario) {
 		for range 5 {
 			m.jobs(5, nil)
-			m.run(20 * s1)
+			m.run(20 * second)
 			m.cancelEvery(4)
 			m.run(300 * time.Millisecond)
-			m.takeOver()
+			m.failOver()
 			m.run(300 * time.Millisecond)
 			m.cancelEvery(3)
-			m.run(15 * s1)
+			m.run(15 * second)
 		}
 	}},
 	{"reports are kept until a new leader begins, or has acted", func(m *scenario) {
-		m.copies = 0.8
+		m.duplicateChance = 0.8
 		m.jobs(14, nil)
 		for range 6 {
-			m.run(20 * s1)
-			m.some(3, func(w *simWorker) { w.cut = m.in(15 * s1) })
+			m.run(20 * second)
+			m.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = m.in(15 * second) })
 			m.cancelEvery(8)
-			m.takeOver()
-			m.run(8 * s1)
+			m.failOver()
+			m.run(8 * second)
 		}
 	}},
 	{"jobs are cancelled through the new leader of one that goes on without state and peers", func(m *scenario) {
 		m.jobs(12, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
-		m.run(40 * s1)
-		m.deposed()
+		m.run(40 * second)
+		m.failOverWithPreviousLeaderActive()
 		m.run(500 * time.Millisecond)
 		m.cancelEvery(2)
-		m.run(60 * s1)
+		m.run(60 * second)
 	}},
 	{"a cancellation meets the end of a job's last task", func(m *scenario) {
-		m.cancelAtEnd = 0.7
+		m.cancelAtEndChance = 0.7
 		for range 6 {
 			m.jobs(6, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 1 + sp.Tasks%3 })
-			m.run(20 * s1)
+			m.run(20 * second)
 		}
-		m.takeOver()
-		m.run(20 * s1)
+		m.failOver()
+		m.run(20 * second)
 	}},
 	{"new machines are up at once and get work while writes lag, and the leader ends", func(m *scenario) {
-		m.quickBoots = 1
+		m.quickBootChance = 1
 		for range 5 {
 			m.jobs(6, array)
 			m.run(time.Duration(500+m.rng.IntN(2500)) * time.Millisecond)
-			m.refusal = m.in(2 * s1) // records wait
+			m.leaderRefusedUntil = m.in(2 * second) // records wait
 			m.run(time.Duration(200+m.rng.IntN(1500)) * time.Millisecond)
-			m.takeOver()
-			m.run(25 * s1)
+			m.failOver()
+			m.run(25 * second)
 		}
 	}},
 	{"all teams are at their limits while cancelled jobs' machines are cut off or hang, and the leader changes", func(m *scenario) {
 		m.capacity = 6
 		for range 4 {
 			m.jobs(14, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 6 })
-			m.run(30 * s1)
-			m.cancelRunning(m.all, 6, m.in(45*s1))
-			m.some(3, func(w *simWorker) { w.cut = m.in(40 * s1) })
+			m.run(30 * second)
+			m.cancelRunning(m.all, 6, m.in(45*second))
+			m.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = m.in(40 * second) })
 			m.run(time.Second)
-			m.takeOver()
-			m.run(20 * s1)
+			m.failOver()
+			m.run(20 * second)
 		}
 	}},
 	{"workers reach no controller, while commands reach them", func(m *scenario) {
 		for range 4 {
 			m.jobs(5, nil)
-			m.run(15 * s1)
-			m.some(2, func(w *simWorker) { w.cannotReport = m.in(40 * s1) })
+			m.run(15 * second)
+			m.eachNthWorker(2, func(w *simWorker) { w.heartbeatsLostUntil = m.in(40 * second) })
 			m.cancelEvery(3)
-			m.run(10 * s1)
-			m.takeOver()
-			m.run(30 * s1)
+			m.run(10 * second)
+			m.failOver()
+			m.run(30 * second)
 		}
 	}},
 	{"one-task jobs come four a second, a quarter of them cancelled", func(m *scenario) {
@@ -242,78 +242,78 @@
 				m.cancel(m.all[m.rng.IntN(len(m.all))])
 			}
 			if i == 100 || i == 180 {
-				m.takeOver()
+				m.failOver()
 			}
 			m.run(250 * time.Millisecond)
 		}
 	}},
 	{"the gap: the leader refused alone, cancellations, and then no state service", func(m *scenario) {
 		m.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
-		m.run(40 * s1)
-		m.refusal = m.in(14 * s1)
+		m.run(40 * second)
+		m.leaderRefusedUntil = m.in(14 * second)
 		m.run(1200 * time.Millisecond)
 		m.cancelEvery(2)
 		m.run(time.Duration(300+m.rng.IntN(1500)) * time.Millisecond)
-		m.outage = m.in(64 * s1)
+		m.storeOutageUntil = m.in(64 * second)
 		m.cancelEvery(1)
-		m.run(90 * s1)
+		m.run(90 * second)
 	}},
 	{"cancelled through a node that still follows the old leader, and then no state service", func(m *scenario) {
 		m.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
-		m.run(40 * s1)
-		m.deposed()
+		m.run(40 * second)
+		m.failOverWithPreviousLeaderActive()
 		m.cancelEvery(2)
-		m.outage = m.in(64 * s1) // before the new leader's watch brings it
-		m.run(90 * s1)
+		m.storeOutageUntil = m.in(64 * second) // before the new leader's watch brings it
+		m.run(90 * second)
 	}},
 	{"jobs of a few tasks end far apart across a change of leader", func(m *scenario) {
 		for range 8 {
 			m.jobs(4, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 2 + sp.Tasks%2 })
-			m.run(time.Duration(4+m.rng.IntN(14)) * s1)
-			m.takeOver()
+			m.run(time.Duration(4+m.rng.IntN(14)) * second)
+			m.failOver()
 		}
-		m.run(20 * s1)
+		m.run(20 * second)
 	}},
 	{"controllers hand over and back, all end, and one returns at once", func(m *scenario) {
 		m.jobs(14, nil)
 		for range 6 {
-			m.run(15 * s1)
-			m.takeOver()
+			m.run(15 * second)
+			m.failOver()
 			m.run(300 * time.Millisecond)
-			m.takeOver()
-			m.controllersDown, m.old = m.in(time.Duration(100+m.rng.IntN(900))*time.Millisecond), nil
-			m.run(m.controllersDown.Sub(m.now))
-			m.takeOver()
+			m.failOver()
+			m.controllersDownUntil, m.previousCore = m.in(time.Duration(100+m.rng.IntN(900))*time.Millisecond), nil
+			m.run(m.controllersDownUntil.Sub(m.now))
+			m.failOver()
 			m.cancelEvery(6)
 		}
 	}},
 	{"transactions without an answer are carried out late", func(m *scenario) {
 		for range 6 {
 			m.jobs(6, nil)
-			m.refusal = m.in(2500 * time.Millisecond) // all that was sent comes at once after it
-			m.run(3 * s1)
+			m.leaderRefusedUntil = m.in(2500 * time.Millisecond) // all that was sent comes at once after it
+			m.run(3 * second)
 			m.cancelEvery(5)
-			m.run(15 * s1)
+			m.run(15 * second)
 		}
 	}},
 	{"all controllers are away for longer than a lease", func(m *scenario) {
 		m.jobs(14, nil)
 		for range 3 {
-			m.run(30 * s1)
+			m.run(30 * second)
 			m.cancelEvery(5)
 			m.run(time.Second)
-			m.controllersDown, m.old = m.in(40*s1), nil
-			m.run(40 * s1)
-			m.takeOver()
+			m.controllersDownUntil, m.previousCore = m.in(40*second), nil
+			m.run(40 * second)
+			m.failOver()
 		}
 	}},
 	{"a command or its answer is held up, and the machine then goes on", func(m *scenario) {
 		for range 6 {
 			m.jobs(5, nil)
 			m.run(time.Duration(500+m.rng.IntN(4000)) * time.Millisecond)
-			m.some(2, func(w *simWorker) { w.hung = m.in(time.Duration(2+m.rng.IntN(22)) * s1) })
+			m.eachNthWorker(2, func(w *simWorker) { w.hungUntil = m.in(time.Duration(2+m.rng.IntN(22)) * second) })
 			m.cancelEvery(5)
-			m.run(15 * s1)
+			m.run(15 * second)
 		}
 	}},
 }
@@ -330,8 +330,8 @@
 				if len(m.violations) > 0 {
 					t.Fatalf("day %d: rules broken: %v", seed, m.violations)
 				}
-				m.toTheEnd(m.all, 20*time.Minute)
-				m.checkOrphans(m.all)
+				m.runToCompletion(m.all, 20*time.Minute)
+				m.checkCancelledDependents(m.all)
 				if m.starts == 0 {
 					t.Fatalf("day %d: nothing ran", seed)
 				}
@@ -362,7 +362,7 @@
 	told := b.now
 	for returned := false; !returned; {
 		b.now = b.now.Add(200 * time.Millisecond)
-		if b.now > told.Add(simCancel*3/4) {
+		if b.now > told.Add(simCancelDeadline*3/4) {
 			t.Fatal("not returned in time")
 		}
 		if e := b.c.Step(b.now); len(e.Terminate) > 0 {
--- a/scheduler/sim_troubles_test.go
+++ b/scheduler/sim_faults_test.go
@@ -11,86 +11,86 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// troubles are what may happen at any moment, whatever else goes on.
-var troubles = []struct {
+// randomFaults are what may happen at any moment, whatever else goes on.
+var randomFaults = []struct {
 	name  string
 	weigh int
 	bring func(s *sim, all []ids.JobID, d func(from, to int) monotonic.Instant)
 }{
 	{"machine cut", 4, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
-		if w := s.someWorker(); w != nil {
-			w.cut = d(5, 65)
+		if w := s.randomWorker(); w != nil {
+			w.partitionedUntil = d(5, 65)
 		}
 	}},
 	{"machine unhealthy, or healthy again", 3, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
-		if w := s.someWorker(); w != nil {
+		if w := s.randomWorker(); w != nil {
 			w.unhealthy = !w.unhealthy
 		}
 	}},
 	{"machine dies", 3, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
-		if w := s.someWorker(); w != nil && w.session > 0 {
+		if w := s.randomWorker(); w != nil && w.incarnation > 0 {
 			w.dead = true
 		}
 	}},
 	{"machine unreachable, though it reports", 3, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
-		if w := s.someWorker(); w != nil {
-			w.unreachable = d(5, 95)
+		if w := s.randomWorker(); w != nil {
+			w.commandsLostUntil = d(5, 95)
 		}
 	}},
 	{"machine cannot report, though it is reached", 3, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
-		if w := s.someWorker(); w != nil {
-			w.cannotReport = d(5, 95)
+		if w := s.randomWorker(); w != nil {
+			w.heartbeatsLostUntil = d(5, 95)
 		}
 	}},
 	{"machine hangs", 3, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
-		if w := s.someWorker(); w != nil {
-			w.hung = d(5, 65)
+		if w := s.randomWorker(); w != nil {
+			w.hungUntil = d(5, 65)
 		}
 	}},
 	{"machine back at once", 2, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
-		if w := s.someWorker(); w != nil && w.session > 0 && !w.dead {
-			w.tasks, w.sequence, w.sentAt = nil, 0, s.now
-			w.session++
+		if w := s.randomWorker(); w != nil && w.incarnation > 0 && !w.dead {
+			w.tasks, w.sequence, w.leaseRenewedAt = nil, 0, s.now
+			w.incarnation++
 		}
 	}},
-	{"another leader", 4, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) { s.takeOver() }},
+	{"another leader", 4, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) { s.failOver() }},
 	{"leaders in a row", 1, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
 		for i := range 3 {
-			s.after(time.Duration(i)*700*time.Millisecond, s.takeOver)
+			s.after(time.Duration(i)*700*time.Millisecond, s.failOver)
 		}
 	}},
-	{"no state service", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.outage = d(5, 65) }},
-	{"leader refused alone", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.refusal = d(1, 20) }},
+	{"no state service", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.storeOutageUntil = d(5, 65) }},
+	{"leader refused alone", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.leaderRefusedUntil = d(1, 20) }},
 	{"leader goes on unseen", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
-		s.deposed()
-		s.island, s.islandUntil = ids.Zone([]string{"a", "b", "c"}[s.rng.IntN(3)]), d(5, 60)
+		s.failOverWithPreviousLeaderActive()
+		s.isolatedZone, s.isolatedZoneUntil = ids.Zone([]string{"a", "b", "c"}[s.rng.IntN(3)]), d(5, 60)
 	}},
 	{"leader is paused", 3, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
 		s.pause(time.Duration(500+s.rng.IntN(11_500)) * time.Millisecond)
 	}},
 	{"no controller", 1, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
-		s.controllersDown = d(1, 40)
-		s.old = nil
-		s.after(s.controllersDown.Sub(s.now), s.takeOver)
+		s.controllersDownUntil = d(1, 40)
+		s.previousCore = nil
+		s.after(s.controllersDownUntil.Sub(s.now), s.failOver)
 	}},
-	{"no cloud", 1, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.cloudAway = d(5, 40) }},
+	{"no cloud", 1, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.cloudOutageUntil = d(5, 40) }},
 	{"slow links", 1, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
-		s.slow = time.Duration(s.rng.IntN(800)) * time.Millisecond
-		s.after(20*time.Second, func() { s.slow = 0 })
+		s.extraLatency = time.Duration(s.rng.IntN(800)) * time.Millisecond
+		s.after(20*time.Second, func() { s.extraLatency = 0 })
 	}},
 	{"jobs that run are cancelled, and their machines hang", 2, func(s *sim, all []ids.JobID, d func(int, int) monotonic.Instant) {
 		s.cancelRunning(all, 2, d(5, 60))
 	}},
 }
 
-// trouble brings one of them about.
-func (s *sim) trouble(all []ids.JobID) {
+// injectFault brings one of them about.
+func (s *sim) injectFault(all []ids.JobID) {
 	sum := 0
-	for _, t := range troubles {
+	for _, t := range randomFaults {
 		sum += t.weigh
 	}
 	n := s.rng.IntN(sum)
-	for _, t := range troubles {
+	for _, t := range randomFaults {
 		if n -= t.weigh; n < 0 {
 			t.bring(s, all, func(from, to int) monotonic.Instant {
 				return s.now.Add(time.Duration(from+s.rng.IntN(to-from)) * time.Second)
@@ -111,9 +111,9 @@
 			continue
 		}
 		hosts := map[ids.MachineID]bool{}
-		for _, p := range s.sent[id] {
-			if p.t.state == wire.TaskRunning && s.here(p.w, p.t) && !s.expired(p.w) {
-				hosts[p.w.host] = true
+		for _, p := range s.placements[id] {
+			if p.task.state == wire.TaskRunning && s.holdsTask(p.worker, p.task) && !s.leaseExpired(p.worker) {
+				hosts[p.worker.id] = true
 			}
 		}
 		if len(hosts) == 0 {
@@ -124,7 +124,7 @@
 		s.after(time.Duration(s.rng.IntN(200))*time.Millisecond, func() {
 			for h := range hosts {
 				if w := s.workers[h]; w != nil {
-					w.hung = max(w.hung, hang)
+					w.hungUntil = max(w.hungUntil, hang)
 				}
 			}
 		})
@@ -177,7 +177,7 @@
 			s.cancel(all[s.rng.IntN(len(all))])
 		}
 		for range 1 + s.rng.IntN(2) {
-			s.trouble(all)
+			s.injectFault(all)
 		}
 		s.run(time.Duration(2+s.rng.IntN(12)) * time.Second)
 		if len(s.violations) > 0 {
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -11,20 +11,20 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// takeOver puts a new leader in place. What the old one sent is still under
+// failOver puts a new leader in place. What the old one sent is still under
 // way.
-func (s *sim) takeOver() {
-	before := s.leader != 0
-	s.old = nil
+func (s *sim) failOver() {
+	before := s.leaderRevision != 0
+	s.previousCore = nil
 	if before && s.chance(0.4) {
-		s.old, s.oldTerm, s.oldUntil = s.core, s.term, s.now.Add(simIsolatedReplicas)
+		s.previousCore, s.previousTerm, s.previousUntil = s.core, s.term, s.now.Add(simIsolatedReplicas)
 	}
-	s.refusal, s.sure = 0, s.now.Add(simKey)
-	s.commit(nil, []kv.Operation{{PutKey: records.LeaderKey, Value: "x"}})
-	s.leader = s.epoch
+	s.leaderRefusedUntil, s.leaseValidUntil = 0, s.now.Add(simLeaderLease)
+	s.applyTxn(nil, []kv.Operation{{PutKey: records.LeaderKey, Value: "x"}})
+	s.leaderRevision = s.storeRevision
 	s.term++
 	opt := s.opt
-	opt.Revision, opt.PreviousLeader = s.leader, before
+	opt.Revision, opt.PreviousLeader = s.leaderRevision, before
 	opt.WallClockMS = int64(time.Duration(s.now) / time.Millisecond)
 	s.core = New(opt, s.types)
 	keys := make([]string, 0, len(s.store))
@@ -38,32 +38,32 @@
 			switch {
 			case ok && admissions:
 				var rec records.AdmissionSlice
-				s.must(wire.Decode(s.store[k].raw, &rec))
+				s.must(wire.Decode(s.store[k].value, &rec))
 				s.must(s.core.LoadSlice(id, n, &rec, s.store[k].revision))
 			case strings.HasPrefix(k, records.ZonePrefix):
 				if !admissions {
-					s.loadZone(k)
+					s.loadZoneRecord(k)
 				}
 			case !ok && !admissions && k != records.LeaderKey:
 				var rec records.Job
-				s.must(wire.Decode(s.store[k].raw, &rec))
+				s.must(wire.Decode(s.store[k].value, &rec))
 				s.core.LoadJob(ids.JobID(k[len(records.JobPrefix):]), &rec, s.store[k].revision)
 			}
 		}
 	}
 	s.core.Begin(s.now)
-	for _, rep := range s.keptReports {
+	for _, rep := range s.delayedHeartbeats {
 		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Heartbeat(s.now, rep, false) })
 	}
-	s.keptReports = nil
+	s.delayedHeartbeats = nil
 }
 
 // superseded puts a new leader in place of one that goes on unseen: it lost the state
 // service and its peers, but not its workers.
-func (s *sim) deposed() {
+func (s *sim) failOverWithPreviousLeaderActive() {
 	old, term := s.core, s.term
-	s.takeOver()
-	s.old, s.oldTerm, s.oldUntil = old, term, s.now.Add(simIsolatedReplicas)
+	s.failOver()
+	s.previousCore, s.previousTerm, s.previousUntil = old, term, s.now.Add(simIsolatedReplicas)
 }
 
 // afterPause does something at once, or when a leader's process goes on.
@@ -80,19 +80,21 @@
 	current := func(f func()) func() {
 		return func() {
 			s.afterPause(core, func() {
-				if s.now >= s.controllersDown && (s.term == term || s.old == core) {
+				if s.now >= s.controllersDownUntil && (s.term == term || s.previousCore == core) {
 					f()
 				}
 			})
 		}
 	}
-	reached := func(w *simWorker) bool { return s.now >= s.islandUntil || s.apart(w) == (s.old == core) }
-	core.ObserveConnectivity(s.viewOf(core))
+	reached := func(w *simWorker) bool {
+		return s.now >= s.isolatedZoneUntil || s.reachesOnlyPreviousLeader(w) == (s.previousCore == core)
+	}
+	core.ObserveConnectivity(s.connectivityOf(core))
 	e := core.Step(s.now)
-	s.digest.effects(e)
+	s.digest.addDecisions(e)
 	for _, ch := range e.RecordChanges {
 		bounded := core.opt.SplitRecords // what was decided before may come after the limits fell
-		s.after(s.latency(), func() { s.change(core, term, ch, bounded) })
+		s.after(s.latency(), func() { s.commitChange(core, term, ch, bounded) })
 	}
 	for _, h := range e.SendCommands {
 		d, _, ok := core.TakeCommands(s.now, h)
@@ -104,14 +106,14 @@
 		var arrive func()
 		arrive = func() {
 			w := s.workers[h]
-			if w != nil && s.now < w.hung {
-				s.after(w.hung.Sub(s.now), arrive) // a command is read when it goes on
+			if w != nil && s.now < w.hungUntil {
+				s.after(w.hungUntil.Sub(s.now), arrive) // a command is read when it goes on
 				return
 			}
-			if w == nil || w.dead || s.now < w.cut || s.now < w.unreachable || !reached(w) {
+			if w == nil || w.dead || s.now < w.partitionedUntil || s.now < w.commandsLostUntil || !reached(w) {
 				return
 			}
-			rep := s.direct(w, d)
+			rep := s.receiveCommands(w, d)
 			if !answered && !s.chance(0.03) {
 				s.after(2*time.Millisecond, func() {
 					if !answered {
@@ -135,24 +137,24 @@
 	for _, h := range e.RequestHeartbeats {
 		s.after(s.latency(), current(func() {
 			w := s.workers[h]
-			if w != nil && !w.dead && s.now >= max(w.cut, w.unreachable, w.hung) && reached(w) {
-				core.HeartbeatRequestResult(s.now, h, s.report(w))
+			if w != nil && !w.dead && s.now >= max(w.partitionedUntil, w.commandsLostUntil, w.hungUntil) && reached(w) {
+				core.HeartbeatRequestResult(s.now, h, s.newHeartbeat(w))
 			} else {
 				core.HeartbeatRequestResult(s.now, h, nil)
 			}
 		}))
 	}
 	for _, id := range e.RereadJobs {
-		s.after(s.latency(), current(func() { s.seen(id) }))
+		s.after(s.latency(), current(func() { s.watchJob(id) }))
 	}
 	for _, r := range e.Provision {
-		s.after(max(80*time.Millisecond, s.cloudAway.Sub(s.now)), func() {
-			hosts := s.rent(r)
+		s.after(max(80*time.Millisecond, s.cloudOutageUntil.Sub(s.now)), func() {
+			hosts := s.provision(r)
 			current(func() { core.ProvisionResult(s.now, r, hosts, len(hosts) > 0) })()
 		})
 	}
 	if hosts := e.Terminate; len(hosts) > 0 {
-		s.after(max(s.latency(), s.cloudAway.Sub(s.now)), func() {
+		s.after(max(s.latency(), s.cloudOutageUntil.Sub(s.now)), func() {
 			for _, h := range hosts {
 				delete(s.workers, h)
 			}
@@ -161,23 +163,23 @@
 	}
 }
 
-// change commits one change of a leader, as the committer does: without an
+// commitChange commits one change of a leader, as the committer does: without an
 // answer it is sent again until its outcome is clear.
-func (s *sim) change(core *Core, term int, ch records.Change, bounded bool) {
-	if s.now < max(s.outage, s.controllersDown) || s.now < s.refusal && s.term == term {
-		s.after(500*time.Millisecond, func() { s.change(core, term, ch, bounded) })
+func (s *sim) commitChange(core *Core, term int, ch records.Change, bounded bool) {
+	if s.now < max(s.storeOutageUntil, s.controllersDownUntil) || s.now < s.leaderRefusedUntil && s.term == term {
+		s.after(500*time.Millisecond, func() { s.commitChange(core, term, ch, bounded) })
 		return
 	}
-	leader := s.leader
+	leader := s.leaderRevision
 	if term != s.term {
 		leader = 0 // its guard on the leader's key fails
 	}
 	if leader == 0 {
 		return
 	}
-	if !s.fits(ch.Operations) {
+	if !s.withinStoreLimits(ch.Operations) {
 		if bounded {
-			s.refused++
+			s.oversizedChanges++
 		}
 		s.after(0, func() {
 			if s.term == term {
@@ -186,11 +188,11 @@
 		})
 		return
 	}
-	ok, failed := s.commit(ch.Preconditions, ch.Operations)
+	ok, failed := s.applyTxn(ch.Preconditions, ch.Operations)
 	if ok && len(ch.Operations) > 1 && strings.HasPrefix(ch.Operations[1].PutKey, records.AdmissionPrefix) {
-		s.splits++
+		s.splitRecords++
 	}
-	o := records.CommitResult{Change: ch, Applied: ok, Revision: s.epoch, FailedKeys: failed}
+	o := records.CommitResult{Change: ch, Applied: ok, Revision: s.storeRevision, FailedKeys: failed}
 	wait := time.Duration(0)
 	if s.chance(0.05) {
 		wait = time.Duration(1+s.rng.IntN(4)) * time.Second
--- a/scheduler/sim_state_test.go
+++ b/scheduler/sim_store_test.go
@@ -12,11 +12,11 @@
 
 type simEntry struct {
 	revision ids.Revision
-	raw      []byte
+	value    []byte
 }
 
-// commit applies a transaction as the state service would.
-func (s *sim) commit(guards []kv.Precondition, ops []kv.Operation) (bool, []string) {
+// applyTxn applies a transaction as the state service would.
+func (s *sim) applyTxn(guards []kv.Precondition, ops []kv.Operation) (bool, []string) {
 	var failed []string
 	for _, g := range guards {
 		if s.store[g.Key].revision != g.Revision {
@@ -26,14 +26,14 @@
 	if failed != nil {
 		return false, failed
 	}
-	s.epoch++
+	s.storeRevision++
 	defer s.checkSlices(ops)
 	for _, op := range ops {
 		if op.PutKey == "" {
 			delete(s.store, op.DeleteKey)
 			continue
 		}
-		s.store[op.PutKey] = simEntry{s.epoch, wire.Encode(op.Value)}
+		s.store[op.PutKey] = simEntry{s.storeRevision, wire.Encode(op.Value)}
 		if rec, ok := op.Value.(records.Job); ok && rec.Status == wire.JobDone {
 			id := ids.JobID(op.PutKey[len(records.JobPrefix):])
 			for i := range s.specs[id].Tasks {
@@ -46,8 +46,8 @@
 	return true, nil
 }
 
-// fits tells whether the state service would take a change.
-func (s *sim) fits(ops []kv.Operation) bool {
+// withinStoreLimits tells whether the state service would take a change.
+func (s *sim) withinStoreLimits(ops []kv.Operation) bool {
 	if s.txnOps > 0 && len(ops) > s.txnOps {
 		return false
 	}
@@ -76,7 +76,7 @@
 			continue
 		}
 		var rec records.AdmissionSlice
-		s.must(wire.Decode(e.raw, &rec))
+		s.must(wire.Decode(e.value, &rec))
 		tasks := slices.Clone(rec.Done)
 		for k := 0; k < len(rec.Tasks); k += 3 {
 			tasks = append(tasks, rec.Tasks[k])
@@ -86,107 +86,107 @@
 				s.violation("%s/%d is recorded in slices %d and %d", id, i, other, n)
 			}
 			in[i] = n
-			if s.oldFormat && i/s.opt.SliceTasks != n {
+			if s.unsplitRecordsOnly && i/s.opt.SliceTasks != n {
 				s.violation("%s/%d is recorded in slice %d before the upgrade", id, i, n)
 			}
 		}
 	}
 }
 
-// watched tells whether the leader reads what others write.
-func (s *sim) watched() bool { return s.now >= max(s.outage, s.refusal) }
+// leaderReadsStore tells whether the leader reads what others write.
+func (s *sim) leaderReadsStore() bool { return s.now >= max(s.storeOutageUntil, s.leaderRefusedUntil) }
 
-// seen brings a job's record to the leader, as its watch does.
-func (s *sim) seen(id ids.JobID) {
-	if !s.watched() {
-		s.after(max(s.outage, s.refusal).Sub(s.now), func() { s.seen(id) })
+// lastStats brings a job's record to the leader, as its watch does.
+func (s *sim) watchJob(id ids.JobID) {
+	if !s.leaderReadsStore() {
+		s.after(max(s.storeOutageUntil, s.leaderRefusedUntil).Sub(s.now), func() { s.watchJob(id) })
 		return
 	}
 	core := s.core
-	s.afterPause(core, func() { s.bring(core, id) })
+	s.afterPause(core, func() { s.deliverJob(core, id) })
 }
 
-// bring has a leader take a job's record in.
-func (s *sim) bring(core *Core, id ids.JobID) {
+// deliverJob has a leader take a job's record in.
+func (s *sim) deliverJob(core *Core, id ids.JobID) {
 	e := s.store[records.JobKey(id)]
 	var rec records.Job
-	s.must(wire.Decode(e.raw, &rec))
+	s.must(wire.Decode(e.value, &rec))
 	core.ObserveJob(s.now, id, &rec, e.revision)
 }
 
 func (s *sim) submit(id ids.JobID, spec *wire.JobSpec) {
 	s.specs[id] = spec
-	s.commit(nil, []kv.Operation{{PutKey: records.JobKey(id), Value: records.Job{Nonce: s.rng.Uint64(), Status: wire.JobQueued,
+	s.applyTxn(nil, []kv.Operation{{PutKey: records.JobKey(id), Value: records.Job{Nonce: s.rng.Uint64(), Status: wire.JobQueued,
 		Tasks: spec.Tasks, Spec: spec, SubmittedMS: int64(time.Duration(s.now) / time.Millisecond)}}})
-	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
+	s.after(min(s.latency(), 3*time.Second), func() { s.watchJob(id) })
 }
 
 // cancel is what a user's cancellation comes to: it is repeated until it is committed, and the
 // user is told once a leader that surely held its key after that acknowledges it.
 func (s *sim) cancel(id ids.JobID) {
-	if s.now < s.outage {
+	if s.now < s.storeOutageUntil {
 		s.after(time.Second, func() { s.cancel(id) })
 		return
 	}
 	key := records.JobKey(id)
 	var rec records.Job
-	s.must(wire.Decode(s.store[key].raw, &rec))
+	s.must(wire.Decode(s.store[key].value, &rec))
 	if rec.Terminal() {
 		return
 	}
 	c := records.CancelJobChange(id, s.store[key].revision, s.rng.Uint64(), rec, s.opt.ValueBytes)
-	s.commit(c.Preconditions, c.Operations)
+	s.applyTxn(c.Preconditions, c.Operations)
 	s.cancelled[id] = true
-	s.after(min(s.latency(), 3*time.Second), func() { s.seen(id) })
-	s.tellUser(id)
+	s.after(min(s.latency(), 3*time.Second), func() { s.watchJob(id) })
+	s.awaitCancelAcknowledged(id)
 }
 
-// tellUser asks until the cancellation may be told.
-func (s *sim) tellUser(id ids.JobID) {
+// awaitCancelAcknowledged asks until the cancellation may be told.
+func (s *sim) awaitCancelAcknowledged(id ids.JobID) {
 	s.after(min(s.latency(), time.Second), func() {
-		if s.now >= s.controllersDown && !s.chance(0.2) {
-			core, holds := s.core, s.now < s.sure
-			if s.old != nil && s.chance(0.5) {
+		if s.now >= s.controllersDownUntil && !s.chance(0.2) {
+			core, holds := s.core, s.now < s.leaseValidUntil
+			if s.previousCore != nil && s.chance(0.5) {
 				// The node that was asked still follows the old leader. What that one
 				// takes in it acts on, but it has lost its key.
-				core, holds = s.old, false
+				core, holds = s.previousCore, false
 			}
 			if s.pauseLeft(core) > 0 {
-				s.tellUser(id) // nobody answers
+				s.awaitCancelAcknowledged(id) // nobody answers
 				return
 			}
-			s.bring(core, id)
+			s.deliverJob(core, id)
 			if holds && core.CanAcknowledgeCancel(s.now, id) {
-				s.toldCancelled[id] = s.now
+				s.cancelAcknowledgedAt[id] = s.now
 				return
 			}
 		}
-		s.after(time.Second, func() { s.tellUser(id) })
+		s.after(time.Second, func() { s.awaitCancelAcknowledged(id) })
 	})
 }
 
 // status is a job's own record.
 func (s *sim) status(id ids.JobID) wire.JobState {
 	var rec records.Job
-	s.must(wire.Decode(s.store[records.JobKey(id)].raw, &rec))
+	s.must(wire.Decode(s.store[records.JobKey(id)].value, &rec))
 	return rec.Status
 }
 
-// orphan tells by the records alone whether a job needs one that is cancelled.
-func (s *sim) orphan(id ids.JobID) bool {
+// hasCancelledDependency tells by the records alone whether a job needs one that is cancelled.
+func (s *sim) hasCancelledDependency(id ids.JobID) bool {
 	return slices.ContainsFunc(s.specs[id].DependsOn, func(n ids.JobID) bool {
-		return s.status(n) == wire.JobCancelled || s.orphan(n)
+		return s.status(n) == wire.JobCancelled || s.hasCancelledDependency(n)
 	})
 }
 
-// checkOrphans sees that what needs a cancelled job is cancelled as well, and that
+// checkCancelledDependents sees that what needs a cancelled job is cancelled as well, and that
 // nothing else is but by its user.
-func (s *sim) checkOrphans(all []ids.JobID) {
+func (s *sim) checkCancelledDependents(all []ids.JobID) {
 	s.t.Helper()
 	for _, id := range all {
 		byUser := s.cancelled[id]
-		if got := s.status(id) == wire.JobCancelled; got != (byUser || s.orphan(id)) {
-			s.t.Errorf("%s is %s; withdrawn by its user: %v, an orphan: %v", id, s.status(id), byUser, s.orphan(id))
+		if got := s.status(id) == wire.JobCancelled; got != (byUser || s.hasCancelledDependency(id)) {
+			s.t.Errorf("%s is %s; withdrawn by its user: %v, an orphan: %v", id, s.status(id), byUser, s.hasCancelledDependency(id))
 		}
 	}
 }
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	simReport = 3 * time.Second
-	simLease  = 27 * time.Second
-	simCancel = 52 * time.Second
-	simGrace  = 90 * time.Second
+	simHeartbeatInterval   = 3 * time.Second
+	simAgentLease          = 27 * time.Second
+	simCancelDeadline      = 52 * time.Second
+	simPreviousLeaderGrace = 90 * time.Second
 	// simIsolated is how long a leader that others may have replaced answers workers
 	// after its key: the margin of a cancellation. Workers with replicas it answers for
 	// another 45 s, in which later leaders hold some cancellations back.
 	simIsolated         = 23800 * time.Millisecond
 	simIsolatedReplicas = simIsolated + 45*time.Second
-	// simKey is how long a leader's key is surely held after the state service
+	// simLeaderLease is how long a leader's key is surely held after the state service
 	// answered it.
-	simKey = 2900 * time.Millisecond
+	simLeaderLease = 2900 * time.Millisecond
 )
 
 type simEvent struct {
@@ -61,46 +61,46 @@
 	seq   int
 	queue simQueue
 
-	epoch  ids.Revision
-	store  map[string]simEntry
-	leader ids.Revision
-	outage monotonic.Instant // the state service is away for everybody until then
-	// refusal: the state service refuses the leader alone until then. sure is until
+	storeRevision    ids.Revision
+	store            map[string]simEntry
+	leaderRevision   ids.Revision
+	storeOutageUntil monotonic.Instant // the state service is away for everybody until then
+	// leaderRefusedUntil: the state service refuses the leader alone until then. sure is until
 	// when its key is surely held.
-	refusal, sure   monotonic.Instant
-	cloudAway       monotonic.Instant // the cloud carries nothing out until then
-	controllersDown monotonic.Instant // no controller runs until then
-	// island is a zone that until islandUntil is reached by the old leader alone.
-	island      ids.Zone
-	islandUntil monotonic.Instant
-	core        *Core
-	term        int
-	// old is an earlier leader that lost the state service and its peers, but
+	leaderRefusedUntil, leaseValidUntil monotonic.Instant
+	cloudOutageUntil                    monotonic.Instant // the cloud carries nothing out until then
+	controllersDownUntil                monotonic.Instant // no controller runs until then
+	// isolatedZone is a zone that until isolatedZoneUntil is reached by the old leader alone.
+	isolatedZone      ids.Zone
+	isolatedZoneUntil monotonic.Instant
+	core              *Core
+	term              int
+	// previousCore is an earlier leader that lost the state service and its peers, but
 	// not its workers: it goes on until it is deposed or its grace is over.
-	old      *Core
-	oldTerm  int
-	oldUntil monotonic.Instant
-	opt      Options
-	types    []wire.MachineType
-	workers  map[ids.MachineID]*simWorker
-	rented   map[string][]ids.MachineID
-	hosts    int
+	previousCore        *Core
+	previousTerm        int
+	previousUntil       monotonic.Instant
+	opt                 Options
+	types               []wire.MachineType
+	workers             map[ids.MachineID]*simWorker
+	provisioned         map[string][]ids.MachineID
+	machinesProvisioned int
 
-	specs     map[ids.JobID]*wire.JobSpec
-	sent      map[ids.JobID][]simPlace // where tasks were ever told to run
-	completed map[ids.TaskRef]bool
+	specs      map[ids.JobID]*wire.JobSpec
+	placements map[ids.JobID][]simPlacement // where tasks were ever told to run
+	completed  map[ids.TaskRef]bool
 	// cancelled are the jobs whose users asked for it, cancelled when they were told.
-	cancelled     map[ids.JobID]bool
-	toldCancelled map[ids.JobID]monotonic.Instant
-	lateStart     int               // starts after that
-	keptReports   []*wire.Heartbeat // copies of reports that come to the next leader
-	violations    []string
-	starts        int
-	faults        bool
-	capacity      int // machines of each site
-	// slow is added to every message; copies, cancelAtEnd and quickBoots are chances.
-	slow                            time.Duration
-	copies, cancelAtEnd, quickBoots float64
+	cancelled            map[ids.JobID]bool
+	cancelAcknowledgedAt map[ids.JobID]monotonic.Instant
+	startsAfterCancel    int               // starts after that
+	delayedHeartbeats    []*wire.Heartbeat // copies of reports that come to the next leader
+	violations           []string
+	starts               int
+	faults               bool
+	capacity             int // machines of each site
+	// extraLatency is added to every message; copies, cancelAtEndChance and quickBootChance are chances.
+	extraLatency                                        time.Duration
+	duplicateChance, cancelAtEndChance, quickBootChance float64
 	// pausedCore is a leader whose process does not run until pausedUntil; what comes
 	// for it meanwhile waits.
 	pausedCore  *Core
@@ -111,20 +111,20 @@
 	runFactor int
 	// valueBytes and txnOps are the limits of the state service, 0: none, and
 	// refused counts the changes beyond them that were decided since all were new.
-	valueBytes, txnOps int
-	refused, splits    int
-	// oldFormat: some controller may not know split slices yet.
-	oldFormat bool
-	digest    *effectDigest // of all that was decided so far
-	zones     zoneChecks
-	caches    *simCaches // nil: images take a random time
+	valueBytes, txnOps             int
+	oversizedChanges, splitRecords int
+	// unsplitRecordsOnly: some controller may not know split slices yet.
+	unsplitRecordsOnly bool
+	digest             *decisionDigest // of all that was decided so far
+	zones              zoneChecks
+	imageCaches        *simImageCaches // nil: images take a random time
 }
 
 func newSim(t *testing.T, seed uint64) *sim {
 	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: monotonic.Instant(time.Hour), store: map[string]simEntry{},
-		workers: map[ids.MachineID]*simWorker{}, rented: map[string][]ids.MachineID{}, specs: map[ids.JobID]*wire.JobSpec{}, sent: map[ids.JobID][]simPlace{},
-		completed: map[ids.TaskRef]bool{}, cancelled: map[ids.JobID]bool{}, toldCancelled: map[ids.JobID]monotonic.Instant{}, faults: true, capacity: 2,
-		copies: 0.1, cancelAtEnd: 0.03, quickBoots: 0.1, digest: newEffectDigest(), failing: map[ids.JobID]bool{}}
+		workers: map[ids.MachineID]*simWorker{}, provisioned: map[string][]ids.MachineID{}, specs: map[ids.JobID]*wire.JobSpec{}, placements: map[ids.JobID][]simPlacement{},
+		completed: map[ids.TaskRef]bool{}, cancelled: map[ids.JobID]bool{}, cancelAcknowledgedAt: map[ids.JobID]monotonic.Instant{}, faults: true, capacity: 2,
+		duplicateChance: 0.1, cancelAtEndChance: 0.03, quickBootChance: 0.1, digest: newDecisionDigest(), failing: map[ids.JobID]bool{}}
 	s.types = []wire.MachineType{
 		{Name: "small", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBps: 1, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: []ids.Zone{"a", "b"}},
 		{Name: "big", CPUs: 16, MemoryGB: 64, CacheGB: 50, FetchGBps: 1, Price: 4, SpotPrice: 1.2, BootS: 10, Zones: []ids.Zone{"a", "b", "c"}},
@@ -133,13 +133,13 @@
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, LendingLimit: quota.Amount{CPUs: nominal}}
 	}
 	s.opt = Options{Teams: []quota.Team{team("red", 16, 40), team("blue", 24, 32), team("gold", 8, 60)},
-		HeartbeatInterval: simReport, AgentLease: simLease, CancelDeadline: simCancel, PreviousLeaderGrace: simIsolatedReplicas, PreviousLeaderGraceWithoutReplicas: simIsolated, ListLag: 3 * time.Second, TxnOps: 8,
+		HeartbeatInterval: simHeartbeatInterval, AgentLease: simAgentLease, CancelDeadline: simCancelDeadline, PreviousLeaderGrace: simIsolatedReplicas, PreviousLeaderGraceWithoutReplicas: simIsolated, ListLag: 3 * time.Second, TxnOps: 8,
 		SliceTasks: 4, MaxSkippedJobs: 100, LendingSuspension: 5 * time.Second, IdleTimeout: 20 * time.Second, HeadroomIdleTimeout: time.Minute,
 		BootFactor: 4, CapacityBackoff: 5 * time.Second, MaxMachines: 20,
 		RoundInterval: 50 * time.Millisecond, RoundCostPerMachine: 10 * time.Microsecond, LazyWriteDelay: 2 * time.Second, WriteRate: 40, MaxWorkerCalls: 6,
 		ReserveAfter: 40 * time.Second, ReserveFor: 60 * time.Second}
-	s.epoch = 1
-	s.takeOver()
+	s.storeRevision = 1
+	s.failOver()
 	return s
 }
 
@@ -155,8 +155,8 @@
 	if s.chance(0.02) {
 		return time.Duration(5+s.rng.IntN(60)) * time.Second
 	}
-	if s.faults && s.slow > 0 {
-		return time.Duration(s.rng.Int64N(int64(s.slow)))
+	if s.faults && s.extraLatency > 0 {
+		return time.Duration(s.rng.Int64N(int64(s.extraLatency)))
 	}
 	return time.Duration(1+s.rng.IntN(20)) * time.Millisecond
 }
@@ -188,19 +188,19 @@
 			s.step()
 		}
 		s.now = next
-		for _, h := range s.sortedHosts() {
+		for _, h := range s.sortedMachineIDs() {
 			s.workerStep(s.workers[h])
 		}
 		s.checkZones()
-		for id, when := range s.toldCancelled {
-			if s.now > when.Add(simCancel) && s.now <= when.Add(simCancel+150*time.Millisecond) {
-				s.checkGone(id)
+		for id, when := range s.cancelAcknowledgedAt {
+			if s.now > when.Add(simCancelDeadline) && s.now <= when.Add(simCancelDeadline+150*time.Millisecond) {
+				s.checkCancelledJobStopped(id)
 			}
 		}
 		if tick%20 == 0 {
-			list, asked := s.list(), s.now
+			list, asked := s.listMachines(), s.now
 			s.after(3*time.Second, func() {
-				if s.now >= max(s.cloudAway, s.controllersDown) && s.pauseLeft(s.core) == 0 {
+				if s.now >= max(s.cloudOutageUntil, s.controllersDownUntil) && s.pauseLeft(s.core) == 0 {
 					s.core.MachineList(s.now, asked, list)
 				}
 			})
@@ -209,10 +209,10 @@
 	}
 }
 
-// restrictOld has the old leader answer workers with replicas alone once its time for all
+// restrictPreviousLeader has the old leader answer workers with replicas alone once its time for all
 // others is over.
-func (s *sim) restrictOld() {
-	s.old.RestrictToReplicas(s.now > s.oldUntil.Add(simIsolated-simIsolatedReplicas))
+func (s *sim) restrictPreviousLeader() {
+	s.previousCore.RestrictToReplicas(s.now > s.previousUntil.Add(simIsolated-simIsolatedReplicas))
 }
 
 // pause stops the leader's process for a time while its clocks run on. If its key is gone
@@ -220,13 +220,13 @@
 func (s *sim) pause(d time.Duration) {
 	paused := s.core
 	s.pausedCore, s.pausedUntil = paused, s.now.Add(d)
-	if d < simKey {
+	if d < simLeaderLease {
 		return
 	}
-	s.after(simKey+time.Duration(s.rng.IntN(500))*time.Millisecond, func() {
+	s.after(simLeaderLease+time.Duration(s.rng.IntN(500))*time.Millisecond, func() {
 		if s.core == paused {
-			s.takeOver()
-			s.old = nil
+			s.failOver()
+			s.previousCore = nil
 		}
 	})
 }
@@ -241,23 +241,23 @@
 
 // step runs the core and carries its decisions out.
 func (s *sim) step() {
-	if s.now < s.controllersDown || s.pauseLeft(s.core) > 0 {
+	if s.now < s.controllersDownUntil || s.pauseLeft(s.core) > 0 {
 		return
 	}
-	if s.watched() {
-		s.sure = s.now.Add(simKey)
-	} else if s.now >= s.outage && s.now > s.sure {
-		s.deposed() // refused alone for too long
+	if s.leaderReadsStore() {
+		s.leaseValidUntil = s.now.Add(simLeaderLease)
+	} else if s.now >= s.storeOutageUntil && s.now > s.leaseValidUntil {
+		s.failOverWithPreviousLeaderActive() // refused alone for too long
 	}
-	if s.now < s.sure.Add(simGrace) {
+	if s.now < s.leaseValidUntil.Add(simPreviousLeaderGrace) {
 		s.stepOf(s.core, s.term)
 	}
-	if s.old != nil && (s.old.Superseded() || s.now > s.oldUntil) {
-		s.old = nil
+	if s.previousCore != nil && (s.previousCore.Superseded() || s.now > s.previousUntil) {
+		s.previousCore = nil
 	}
-	if s.old != nil {
-		s.restrictOld()
-		s.stepOf(s.old, s.oldTerm)
+	if s.previousCore != nil {
+		s.restrictPreviousLeader()
+		s.stepOf(s.previousCore, s.previousTerm)
 	} else {
 		s.core.AllControllersFollow(s.now)
 	}
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -17,48 +17,48 @@
 }
 
 type simWorker struct {
-	host         ids.MachineID
-	typ          ids.MachineType
-	zone         ids.Zone
-	spot         bool
-	session      ids.AgentIncarnation
-	sequence     ids.Sequence
-	token        ids.FencingToken
-	tasks        []*simTask
-	sentAt       monotonic.Instant // of the last answered report, or the session's start
-	cut          monotonic.Instant // unreachable until then
-	hung         monotonic.Instant // executes and says nothing until then, but is reachable
-	unreachable  monotonic.Instant // its reports arrive, but nothing reaches it, until then
-	cannotReport monotonic.Instant // its reports do not arrive, but commands reach it, until then
-	followsTerm  int               // the term to whose leader it reports
-	dead         bool
-	unhealthy    bool
-	asking       bool
-	last         monotonic.Instant
-	reportSoon   bool
+	id                  ids.MachineID
+	machineType         ids.MachineType
+	zone                ids.Zone
+	spot                bool
+	incarnation         ids.AgentIncarnation
+	sequence            ids.Sequence
+	token               ids.FencingToken
+	tasks               []*simTask
+	leaseRenewedAt      monotonic.Instant // of the last answered report, or the session's start
+	partitionedUntil    monotonic.Instant // unreachable until then
+	hungUntil           monotonic.Instant // executes and says nothing until then, but is reachable
+	commandsLostUntil   monotonic.Instant // its reports arrive, but nothing reaches it, until then
+	heartbeatsLostUntil monotonic.Instant // its reports do not arrive, but commands reach it, until then
+	followsTerm         int               // the term to whose leader it reports
+	dead                bool
+	unhealthy           bool
+	heartbeatInFlight   bool
+	lastHeartbeatAt     monotonic.Instant
+	statusChanged       bool
 }
 
-type simPlace struct {
-	w *simWorker
-	t *simTask
+type simPlacement struct {
+	worker *simWorker
+	task   *simTask
 }
 
-func (s *sim) report(w *simWorker) *wire.Heartbeat {
+func (s *sim) newHeartbeat(w *simWorker) *wire.Heartbeat {
 	w.sequence++
-	r := &wire.Heartbeat{Machine: w.host, Endpoint: string(w.host), Type: w.typ, Zone: w.zone, Spot: w.spot,
-		Incarnation: w.session, Sequence: w.sequence, FencingToken: w.token}
+	r := &wire.Heartbeat{Machine: w.id, Endpoint: string(w.id), Type: w.machineType, Zone: w.zone, Spot: w.spot,
+		Incarnation: w.incarnation, Sequence: w.sequence, FencingToken: w.token}
 	for _, t := range w.tasks {
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Name: t.ref.String(), Attempt: t.attempt, State: t.state, Cause: t.cause})
 	}
 	return r
 }
 
-func (s *sim) direct(w *simWorker, d wire.CommandBatch) *wire.Heartbeat {
-	if d.FencingToken >= w.token && d.Incarnation == w.session {
+func (s *sim) receiveCommands(w *simWorker, d wire.CommandBatch) *wire.Heartbeat {
+	if d.FencingToken >= w.token && d.Incarnation == w.incarnation {
 		w.token = d.FencingToken
 		s.execute(w, d.Commands)
 	}
-	return s.report(w)
+	return s.newHeartbeat(w)
 }
 
 func (s *sim) execute(w *simWorker, orders []wire.Command) {
@@ -72,7 +72,7 @@
 			}
 			t := &simTask{ref: ref, attempt: o.Attempt, state: wire.TaskFetching}
 			w.tasks = append(w.tasks, t)
-			s.sent[ref.Job] = append(s.sent[ref.Job], simPlace{w, t})
+			s.placements[ref.Job] = append(s.placements[ref.Job], simPlacement{w, t})
 			used := 0.0
 			for _, other := range w.tasks {
 				if other.state != wire.TaskEnded {
@@ -86,7 +86,7 @@
 				t.state, t.cause = wire.TaskEnded, wire.CauseFull
 			}
 			if t.state == wire.TaskFetching {
-				s.after(s.fetchTime(w, ref.Job), func() { s.start(w, t) })
+				s.after(s.fetchTime(w, ref.Job), func() { s.startTask(w, t) })
 			}
 		case wire.VerbKill:
 			if i >= 0 && w.tasks[i].state != wire.TaskEnded {
@@ -97,39 +97,39 @@
 				w.tasks = slices.Delete(w.tasks, i, i+1)
 			}
 		}
-		w.reportSoon = true
+		w.statusChanged = true
 	}
 }
 
 // fetchTime is how long a task waits for its image: at random, unless a day models the
 // zones' image caches.
 func (s *sim) fetchTime(w *simWorker, job ids.JobID) time.Duration {
-	if s.caches != nil {
-		return s.caches.fetch(s, w, s.specs[job].Image)
+	if s.imageCaches != nil {
+		return s.imageCaches.fetch(s, w, s.specs[job].Image)
 	}
 	return time.Duration(100+s.rng.IntN(2000)) * time.Millisecond
 }
 
-func (s *sim) here(w *simWorker, t *simTask) bool {
-	return s.workers[w.host] == w && slices.Contains(w.tasks, t)
+func (s *sim) holdsTask(w *simWorker, t *simTask) bool {
+	return s.workers[w.id] == w && slices.Contains(w.tasks, t)
 }
 
-// start is when a task has its image. The rules are checked here.
-func (s *sim) start(w *simWorker, t *simTask) {
-	if s.now < w.hung {
-		s.after(w.hung.Sub(s.now), func() { s.start(w, t) })
+// startTask is when a task has its image. The rules are checked here.
+func (s *sim) startTask(w *simWorker, t *simTask) {
+	if s.now < w.hungUntil {
+		s.after(w.hungUntil.Sub(s.now), func() { s.startTask(w, t) })
 		return
 	}
-	if !s.here(w, t) || t.state != wire.TaskFetching || s.expired(w) {
+	if !s.holdsTask(w, t) || t.state != wire.TaskFetching || s.leaseExpired(w) {
 		return
 	}
 	s.starts++
 	t.state = wire.TaskRunning
-	w.reportSoon = true
+	w.statusChanged = true
 	spec := s.specs[t.ref.Job]
-	if when, ok := s.toldCancelled[t.ref.Job]; ok {
-		s.lateStart++
-		if s.now > when.Add(simCancel) {
+	if when, ok := s.cancelAcknowledgedAt[t.ref.Job]; ok {
+		s.startsAfterCancel++
+		if s.now > when.Add(simCancelDeadline) {
 			s.violation("ran_cancelled: %s started", t.ref)
 		}
 	}
@@ -139,13 +139,13 @@
 		}
 	}
 	zones := map[ids.Zone]int{}
-	for _, p := range s.sent[t.ref.Job] {
-		if p.t.state != wire.TaskRunning || s.expired(p.w) || !s.here(p.w, p.t) {
+	for _, p := range s.placements[t.ref.Job] {
+		if p.task.state != wire.TaskRunning || s.leaseExpired(p.worker) || !s.holdsTask(p.worker, p.task) {
 			continue
 		}
-		zones[p.w.zone]++
-		if p.t != t && p.t.ref == t.ref {
-			s.violation("ran_twice: %s on %s and %s", t.ref, w.host, p.w.host)
+		zones[p.worker.zone]++
+		if p.task != t && p.task.ref == t.ref {
+			s.violation("ran_twice: %s on %s and %s", t.ref, w.id, p.worker.id)
 		}
 	}
 	if s.starts%max(1, len(s.workers)/20) == 0 { // it looks at every task there is
@@ -153,8 +153,8 @@
 	}
 	if w.spot && !spec.Spot || spec.Zone != "" && spec.Zone != w.zone ||
 		spec.Spread && zones[w.zone] > (spec.Tasks+1)/2 || spec.OneZone && len(zones) > 1 ||
-		len(spec.Types) > 0 && !slices.Contains(spec.Types, w.typ) {
-		s.violation("wrong_place: %s on %s in %s, zones %v", t.ref, w.host, w.zone, zones)
+		len(spec.Types) > 0 && !slices.Contains(spec.Types, w.machineType) {
+		s.violation("wrong_place: %s on %s in %s, zones %v", t.ref, w.id, w.zone, zones)
 	}
 	if spec.Service {
 		return
@@ -166,11 +166,11 @@
 	fails := w.unhealthy || s.failing[t.ref.Job] || s.chance(0.1)
 	var end func()
 	end = func() {
-		if s.now < w.hung {
-			s.after(w.hung.Sub(s.now), end)
+		if s.now < w.hungUntil {
+			s.after(w.hungUntil.Sub(s.now), end)
 			return
 		}
-		if !s.here(w, t) || t.state != wire.TaskRunning || s.expired(w) {
+		if !s.holdsTask(w, t) || t.state != wire.TaskRunning || s.leaseExpired(w) {
 			return
 		}
 		t.state, t.cause = wire.TaskEnded, wire.CauseDone
@@ -178,11 +178,11 @@
 			t.cause = wire.CauseError
 		} else {
 			s.completed[t.ref] = true
-			if s.chance(s.cancelAtEnd) {
+			if s.chance(s.cancelAtEndChance) {
 				s.after(time.Duration(s.rng.IntN(100))*time.Millisecond, func() { s.cancel(t.ref.Job) })
 			}
 		}
-		w.reportSoon = true
+		w.statusChanged = true
 	}
 	s.after(run, end)
 }
@@ -191,7 +191,7 @@
 	used := map[ids.Team]float64{}
 	for _, o := range s.workers {
 		for _, u := range o.tasks {
-			if u.state == wire.TaskRunning && !s.expired(o) {
+			if u.state == wire.TaskRunning && !s.leaseExpired(o) {
 				used[s.specs[u.ref.Job].Team] += s.specs[u.ref.Job].CPUs
 			}
 		}
@@ -203,63 +203,65 @@
 	}
 }
 
-// expired tells whether a worker's lease has run out, whether or not it has
+// leaseExpired tells whether a worker's lease has run out, whether or not it has
 // got round to ending its tasks.
-func (s *sim) expired(w *simWorker) bool { return w.dead || s.now > w.sentAt.Add(simLease) }
+func (s *sim) leaseExpired(w *simWorker) bool {
+	return w.dead || s.now > w.leaseRenewedAt.Add(simAgentLease)
+}
 
 // workerStep has a worker do what is due: end its session or report.
 func (s *sim) workerStep(w *simWorker) {
-	if w.dead || s.now < w.hung {
+	if w.dead || s.now < w.hungUntil {
 		return
 	}
-	if s.now > w.sentAt.Add(simLease) {
+	if s.now > w.leaseRenewedAt.Add(simAgentLease) {
 		w.tasks = nil
-		w.session++
-		w.sentAt = s.now
+		w.incarnation++
+		w.leaseRenewedAt = s.now
 	}
-	due := s.now > w.last.Add(simReport) || w.reportSoon && s.now > w.last.Add(500*time.Millisecond)
-	if w.asking || !due {
+	due := s.now > w.lastHeartbeatAt.Add(simHeartbeatInterval) || w.statusChanged && s.now > w.lastHeartbeatAt.Add(500*time.Millisecond)
+	if w.heartbeatInFlight || !due {
 		return
 	}
-	w.asking, w.last, w.reportSoon = true, s.now, false
-	sent, tenure, answered := s.now, w.session, false
-	rep := s.report(w)
-	finish := func() { w.asking = false }
+	w.heartbeatInFlight, w.lastHeartbeatAt, w.statusChanged = true, s.now, false
+	sent, tenure, answered := s.now, w.incarnation, false
+	rep := s.newHeartbeat(w)
+	finish := func() { w.heartbeatInFlight = false }
 	s.after(4*time.Second, func() {
 		if !answered {
 			answered = true
 			finish()
 		}
 	})
-	if s.now < max(w.cut, w.cannotReport, s.controllersDown) || s.apart(w) && s.old == nil {
+	if s.now < max(w.partitionedUntil, w.heartbeatsLostUntil, s.controllersDownUntil) || s.reachesOnlyPreviousLeader(w) && s.previousCore == nil {
 		return
 	}
 	core := s.core
-	if s.old != nil && (w.followsTerm == s.oldTerm && s.now >= s.islandUntil || s.apart(w)) {
-		core = s.old
+	if s.previousCore != nil && (w.followsTerm == s.previousTerm && s.now >= s.isolatedZoneUntil || s.reachesOnlyPreviousLeader(w)) {
+		core = s.previousCore
 	} else {
 		w.followsTerm = s.term
 	}
-	if s.chance(s.copies) { // a copy, from seconds to well over a lease later
+	if s.chance(s.duplicateChance) { // a copy, from seconds to well over a lease later
 		s.after(time.Duration(2+s.rng.IntN(90))*time.Second, func() { s.core.Heartbeat(s.now, rep, false) })
 	}
-	if s.chance(s.copies) && len(s.keptReports) < 50 {
-		s.keptReports = append(s.keptReports, rep)
+	if s.chance(s.duplicateChance) && len(s.delayedHeartbeats) < 50 {
+		s.delayedHeartbeats = append(s.delayedHeartbeats, rep)
 	}
 	var arrive func()
 	arrive = func() {
-		if core != s.core && core != s.old {
+		if core != s.core && core != s.previousCore {
 			core = s.core
 		}
 		if left := s.pauseLeft(core); left > 0 {
 			s.after(left, arrive)
 			return
 		}
-		if s.now < s.controllersDown || core == s.core && (s.apart(w) || s.now >= s.sure.Add(simGrace)) {
+		if s.now < s.controllersDownUntil || core == s.core && (s.reachesOnlyPreviousLeader(w) || s.now >= s.leaseValidUntil.Add(simPreviousLeaderGrace)) {
 			return
 		}
-		if core == s.old {
-			s.restrictOld()
+		if core == s.previousCore {
+			s.restrictPreviousLeader()
 		}
 		orders, ok := core.Heartbeat(s.now, rep, false)
 		s.digest.add("answer", orders)
@@ -270,29 +272,31 @@
 			return
 		}
 		s.after(s.latency(), func() {
-			if answered || s.now < w.cut || s.now < w.unreachable || s.now < w.hung || w.dead {
+			if answered || s.now < w.partitionedUntil || s.now < w.commandsLostUntil || s.now < w.hungUntil || w.dead {
 				return
 			}
 			answered = true
 			finish()
-			if tenure != w.session || orders.FencingToken < w.token {
+			if tenure != w.incarnation || orders.FencingToken < w.token {
 				return
 			}
-			w.token, w.sentAt = orders.FencingToken, sent
+			w.token, w.leaseRenewedAt = orders.FencingToken, sent
 			s.execute(w, orders.Commands)
 		})
 	}
 	s.after(s.latency(), arrive)
 }
 
-// apart tells whether only an old leader reaches a machine.
-func (s *sim) apart(w *simWorker) bool { return w.zone == s.island && s.now < s.islandUntil }
+// reachesOnlyPreviousLeader tells whether only an old leader reaches a machine.
+func (s *sim) reachesOnlyPreviousLeader(w *simWorker) bool {
+	return w.zone == s.isolatedZone && s.now < s.isolatedZoneUntil
+}
 
-func (s *sim) checkGone(id ids.JobID) {
+func (s *sim) checkCancelledJobStopped(id ids.JobID) {
 	for _, w := range s.workers {
 		for _, t := range w.tasks {
-			if t.ref.Job == id && t.state == wire.TaskRunning && !s.expired(w) {
-				s.violation("ran_cancelled: %s is still on %s", t.ref, w.host)
+			if t.ref.Job == id && t.state == wire.TaskRunning && !s.leaseExpired(w) {
+				s.violation("ran_cancelled: %s is still on %s", t.ref, w.id)
 			}
 		}
 	}
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -13,14 +13,14 @@
 
 // zoneChecks is what the simulation knows of zones by itself, beside the core.
 type zoneChecks struct {
-	cutUntil map[ids.Zone]monotonic.Instant
+	partitionedUntil map[ids.Zone]monotonic.Instant
 	// limits are the ramp's limits of the last seconds, by zone: a step that was taken back
 	// leaves what was under way.
 	limits map[ids.Zone][]rampLimit
 	// bounces are the most that any leader counted for a job in one incident, displaced
 	// and denied the sums over all leaders.
 	bounces, displaced, bounceCount, forced int
-	seen                                    map[*Core]zonerecovery.Stats
+	lastStats                               map[*Core]zonerecovery.Stats
 	// isolatedView has the leader see neither the state service nor its peers.
 	isolatedView bool
 	// placedInReturn tells of each placement whether its zone returned at that time.
@@ -47,38 +47,38 @@
 		ReturnMax: 40 * time.Second, MoveBudget: 1, Patience: time.Minute}
 }
 
-// watchZones turns the subsystem on from the next leader on, which is put in place.
-func (s *sim) watchZones() {
+// enableZoneRecovery turns the subsystem on from the next leader on, which is put in place.
+func (s *sim) enableZoneRecovery() {
 	s.opt.ZoneRecovery = simZonePolicy()
-	s.zones.cutUntil, s.zones.limits = map[ids.Zone]monotonic.Instant{}, map[ids.Zone][]rampLimit{}
-	s.zones.seen = map[*Core]zonerecovery.Stats{}
+	s.zones.partitionedUntil, s.zones.limits = map[ids.Zone]monotonic.Instant{}, map[ids.Zone][]rampLimit{}
+	s.zones.lastStats = map[*Core]zonerecovery.Stats{}
 	s.zones.conditions = map[ids.Zone][]zonerecovery.Condition{}
 	s.zones.placedInReturn = map[*assignment]bool{}
-	s.takeOver()
-	s.old = nil
+	s.failOver()
+	s.previousCore = nil
 }
 
-// loadZone hands a zone's record to the leader that takes over.
-func (s *sim) loadZone(key string) {
+// loadZoneRecord hands a zone's record to the leader that takes over.
+func (s *sim) loadZoneRecord(key string) {
 	var rec zonerecovery.Record
-	s.must(wire.Decode(s.store[key].raw, &rec))
+	s.must(wire.Decode(s.store[key].value, &rec))
 	s.core.LoadZone(s.now, ids.Zone(strings.TrimPrefix(key, records.ZonePrefix)), &rec, s.store[key].revision)
 }
 
-// viewOf is what a leader knows of its own place.
-func (s *sim) viewOf(core *Core) zonerecovery.Connectivity {
-	if core == s.old || s.zones.isolatedView {
+// connectivityOf is what a leader knows of its own place.
+func (s *sim) connectivityOf(core *Core) zonerecovery.Connectivity {
+	if core == s.previousCore || s.zones.isolatedView {
 		return zonerecovery.Connectivity{Peers: 2}
 	}
-	return zonerecovery.Connectivity{LeaseConfirmed: s.now < s.sure && s.now >= s.outage, PeersReachable: 2, Peers: 2}
+	return zonerecovery.Connectivity{LeaseConfirmed: s.now < s.leaseValidUntil && s.now >= s.storeOutageUntil, PeersReachable: 2, Peers: 2}
 }
 
-// cutZone cuts all machines of a zone off for a time, those that are rented there too.
-func (s *sim) cutZone(zone ids.Zone, d time.Duration) {
-	s.zones.cutUntil[zone] = s.now.Add(d)
+// partitionZone cuts all machines of a zone off for a time, those that are rented there too.
+func (s *sim) partitionZone(zone ids.Zone, d time.Duration) {
+	s.zones.partitionedUntil[zone] = s.now.Add(d)
 	for _, w := range s.workers {
 		if w.zone == zone {
-			w.cut = max(w.cut, s.now.Add(d))
+			w.partitionedUntil = max(w.partitionedUntil, s.now.Add(d))
 		}
 	}
 }
@@ -100,8 +100,8 @@
 		s.checkRamp(st)
 	}
 	stats := s.core.zones.manager.Stats()
-	before := s.zones.seen[s.core]
-	s.zones.seen[s.core] = stats
+	before := s.zones.lastStats[s.core]
+	s.zones.lastStats[s.core] = stats
 	s.zones.displaced += stats.Displaced - before.Displaced
 	s.zones.bounceCount += stats.Bounces - before.Bounces
 	s.zones.forced += stats.Forced - before.Forced
--- a/scheduler/succession_test.go
+++ b/scheduler/succession_test.go
@@ -43,7 +43,7 @@
 	for _, step := range []struct {
 		after time.Duration
 		held  bool
-	}{{simLease + 5*time.Second, true}, {time.Minute + simLease - time.Second, true}, {time.Minute + simLease + 5*time.Second, false}} {
+	}{{simAgentLease + 5*time.Second, true}, {time.Minute + simAgentLease - time.Second, true}, {time.Minute + simAgentLease + 5*time.Second, false}} {
 		b.now = monotonic.Instant(time.Hour).Add(step.after)
 		b.step()
 		if held := b.c.quotas.Used("red").CPUs > 0; held != step.held {
@@ -64,7 +64,7 @@
 	for _, step := range []struct {
 		after time.Duration
 		held  bool
-	}{{followed + simLease, true}, {followed + simLease + 2*time.Second, false}} {
+	}{{followed + simAgentLease, true}, {followed + simAgentLease + 2*time.Second, false}} {
 		b.now = monotonic.Instant(time.Hour).Add(step.after)
 		b.step()
 		if held := b.c.quotas.Used("red").CPUs > 0; held != step.held {
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -28,27 +28,27 @@
 				t.Parallel()
 				s := newSim(t, 1000+seed)
 				s.opt.SliceTasks, s.opt.TxnOps = 16, ops
-				s.takeOver()
-				s.oldFormat = true
+				s.failOver()
+				s.unsplitRecordsOnly = true
 				var all []ids.JobID
 				for round := range 30 {
 					switch round {
 					case 10:
 						s.opt.ValueBytes = value
 						if s.core.opt.ValueBytes == 0 {
-							s.takeOver() // the last old process is replaced
+							s.failOver() // the last old process is replaced
 						}
-						s.oldFormat, s.opt.SplitRecords = false, true
+						s.unsplitRecordsOnly, s.opt.SplitRecords = false, true
 						s.core.EnableSplitRecords(s.now)
 					case 11 + s.rng.IntN(6):
 						s.valueBytes, s.txnOps = value, ops
 					}
 					if round < 10 && s.rng.IntN(3) == 0 {
 						s.opt.ValueBytes = []int{0, value}[s.rng.IntN(2)] // an old leader, or a new one
-						s.takeOver()
+						s.failOver()
 					}
 					if s.rng.IntN(5) == 0 {
-						s.takeOver()
+						s.failOver()
 					}
 					for range 1 + s.rng.IntN(2) {
 						id := ids.JobID(fmt.Sprintf("job-%03d", len(all)))
@@ -68,12 +68,12 @@
 					s.run(time.Duration(1+s.rng.IntN(6)) * time.Second)
 				}
 				s.valueBytes, s.txnOps = value, ops
-				s.toTheEnd(all, 40*time.Minute)
-				s.checkOrphans(all)
-				if s.refused > 0 {
-					t.Errorf("%d changes were beyond the limits", s.refused)
+				s.runToCompletion(all, 40*time.Minute)
+				s.checkCancelledDependents(all)
+				if s.oversizedChanges > 0 {
+					t.Errorf("%d changes were beyond the limits", s.oversizedChanges)
 				}
-				split.Add(int64(s.splits))
+				split.Add(int64(s.splitRecords))
 			})
 		}
 	})
@@ -189,7 +189,7 @@
 		t.Fatalf("changes %+v", e.RecordChanges)
 	}
 	b.c.EnableSplitRecords(b.now)
-	b.now = b.now.Add(simLease / 2)
+	b.now = b.now.Add(simAgentLease / 2)
 	if e := b.step(); len(e.RecordChanges) != 1 || len(e.RecordChanges[0].Operations) != 2 {
 		t.Errorf("changes %+v", e.RecordChanges)
 	}
--- a/scheduler/zone_gate_test.go
+++ b/scheduler/zone_gate_test.go
@@ -20,9 +20,9 @@
 			t.Parallel()
 			s := zoneDay(t, seed)
 			all := s.playZoneDay(30)
-			s.zones.cutUntil = map[ids.Zone]monotonic.Instant{}
-			s.toTheEnd(all, 20*time.Minute)
-			s.checkOrphans(all)
+			s.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
+			s.runToCompletion(all, 20*time.Minute)
+			s.checkCancelledDependents(all)
 			if s.zones.bounces > s.opt.ZoneRecovery.MoveBudget {
 				t.Errorf("a job came back %d times to a zone that displaced it", s.zones.bounces)
 			}
@@ -56,20 +56,20 @@
 		spec.Service = true
 		services = append(services, m.submitJob(spec))
 	}
-	m.run(60 * s1)
+	m.run(60 * second)
 	if up, wanted := m.placed(services); up != wanted {
 		t.Fatalf("%d of %d replicas are placed", up, wanted)
 	}
 	services = services[3:] // what is spread may not take every place
 	arrays = append(arrays, m.submitJob(zoneArray(200)))
-	m.run(60 * s1)
+	m.run(60 * second)
 	m.core.opt.MaxMachines = len(m.core.registry.machineList)
-	m.cutZone("b", 10*time.Minute)
-	m.await("b", zonerecovery.Outage, 30*s1)
-	for !m.leasesOver("b") {
+	m.partitionZone("b", 10*time.Minute)
+	m.await("b", zonerecovery.Outage, 30*second)
+	for !m.leasesExpiredIn("b") {
 		m.run(100 * time.Millisecond)
 	}
-	m.run(s1)
+	m.run(second)
 	known := m.attempts(arrays)
 	lost := 0
 	for end := m.now.Add(7 * time.Minute); ; m.run(100 * time.Millisecond) {
@@ -99,16 +99,16 @@
 	m := calmZones(t, 3, 4)
 	m.runFactor = 3
 	id := m.submitJob(zoneArray(60))
-	m.run(30 * s1)
-	m.cutZone("b", 60*s1)
-	m.run(60 * s1)
+	m.run(30 * second)
+	m.partitionZone("b", 60*second)
+	m.run(60 * second)
 	done := map[ids.TaskRef]bool{}
 	for ref := range m.completed {
 		done[ref] = true
 	}
 	starts := map[ids.TaskRef]int{}
-	for _, p := range m.sent[id] {
-		starts[p.t.ref]++
+	for _, p := range m.placements[id] {
+		starts[p.task.ref]++
 	}
 	running := m.runningOutside(id, "b")
 	if len(done) == 0 || len(done) == 60 || len(running) == 0 {
@@ -121,8 +121,8 @@
 		}
 	}
 	m.endOfDay()
-	for _, p := range m.sent[id] {
-		starts[p.t.ref]--
+	for _, p := range m.placements[id] {
+		starts[p.task.ref]--
 	}
 	for ref := range done {
 		if starts[ref] != 0 {
@@ -140,15 +140,15 @@
 	if !ok {
 		t.Fatal("not taken")
 	}
-	m.run(s1)
+	m.run(second)
 	if !m.core.ZoneOverrideRecorded("b", number) {
 		t.Fatal("not recorded")
 	}
-	m.takeOver()
+	m.failOver()
 	before := m.startsIn("b")
 	m.runFactor = 1
 	m.jobs(8, array)
-	m.run(60 * s1)
+	m.run(60 * second)
 	if got := m.startsIn("b"); got != before {
 		t.Errorf("%d tasks started in a zone that is held back", got-before)
 	}
@@ -159,7 +159,7 @@
 	spec := zoneArray(2)
 	spec.Zone = "b"
 	m.submitJob(spec)
-	m.run(30 * s1)
+	m.run(30 * second)
 	if m.startsIn("b") == before {
 		t.Error("nothing started after the release")
 	}
@@ -173,19 +173,19 @@
 	low := zoneArray(300)
 	low.Priority = wire.BestEffort
 	m.submitJob(low)
-	m.run(60 * s1)
+	m.run(60 * second)
 	m.core.opt.MaxMachines = len(m.core.registry.machineList)
 	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold})
-	m.run(s1)
+	m.run(second)
 	high := zoneArray(4)
 	high.Zone, high.Priority = "b", wire.High
 	m.submitJob(high)
-	m.run(20 * s1)
+	m.run(20 * second)
 	if stopped := m.core.lostWork[stopPreempted].tasks; stopped > 0 {
 		t.Errorf("%d tasks were stopped for a zone that is held back", stopped)
 	}
 	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideRelease})
-	m.run(10 * s1)
+	m.run(10 * second)
 	if m.core.lostWork[stopPreempted].tasks == 0 {
 		t.Error("none was stopped after the release")
 	}
@@ -196,17 +196,17 @@
 // service's budget, and arrays stay where they are.
 func TestSpreadOfServicesIsRestored(t *testing.T) {
 	m := calmZones(t, 14, 4)
-	m.opt.ZoneRecovery.Restore = zonerecovery.RestorePolicy{MovesPerMinute: 6, After: 20 * s1, Budget: 2}
-	m.takeOver()
-	m.old = nil
+	m.opt.ZoneRecovery.Restore = zonerecovery.RestorePolicy{MovesPerMinute: 6, After: 20 * second, Budget: 2}
+	m.failOver()
+	m.previousCore = nil
 	m.fillZones()
 	service := zoneArray(6)
 	service.Service = true
 	id := m.submitJob(service)
-	m.run(20 * s1)
+	m.run(20 * second)
 	before := servicePlacement(m.core.jobs[id]).Running["b"]
-	m.cutZone("b", 40*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
+	m.partitionZone("b", 40*second)
+	m.await("b", zonerecovery.Outage, 30*second)
 	m.await("b", zonerecovery.Serving, 2*time.Minute)
 	down, moved := 0, 0
 	for end := m.now.Add(2 * time.Minute); m.now < end; m.run(100 * time.Millisecond) {
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -16,23 +16,23 @@
 	m := calmZones(t, 2, 4)
 	m.fillZones()
 	m.submitJob(zoneArray(300)) // waits for every place
-	m.run(30 * s1)
+	m.run(30 * second)
 	m.core.opt.MaxMachines = len(m.core.registry.machineList)
 	var held []time.Duration
 	for range 3 {
-		m.cutZone("b", 45*s1)
-		m.await("b", zonerecovery.Outage, 30*s1)
-		m.run(m.zones.cutUntil["b"].Sub(m.now))
+		m.partitionZone("b", 45*second)
+		m.await("b", zonerecovery.Outage, 30*second)
+		m.run(m.zones.partitionedUntil["b"].Sub(m.now))
 		back := m.now
-		m.await("b", zonerecovery.Recovering, 60*s1)
+		m.await("b", zonerecovery.Recovering, 60*second)
 		held = append(held, m.now.Sub(back))
-		m.await("b", zonerecovery.Serving, 60*s1)
-		m.run(30 * s1)
+		m.await("b", zonerecovery.Serving, 60*second)
+		m.run(30 * second)
 	}
 	if held[1] < 2*held[0] || held[2] < 2*held[1] {
 		t.Errorf("held down for %v", held)
 	}
-	if held[2] > m.opt.ZoneRecovery.HoldDownMax+5*s1 {
+	if held[2] > m.opt.ZoneRecovery.HoldDownMax+5*second {
 		t.Errorf("held down for %v, more than the longest", held[2])
 	}
 	if got := m.statusOf("b").Flaps; got != 3 {
@@ -49,15 +49,15 @@
 func TestZoneGoesDarkDuringItsReturn(t *testing.T) {
 	m := calmZones(t, 4, 4)
 	m.fillZones()
-	m.cutZone("b", 40*s1)
-	m.await("b", zonerecovery.Recovering, 90*s1)
+	m.partitionZone("b", 40*second)
+	m.await("b", zonerecovery.Recovering, 90*second)
 	m.jobs(6, array)
 	for m.statusOf("b").Step < 1 {
 		m.run(100 * time.Millisecond)
 	}
-	m.cutZone("b", 40*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
-	m.await("b", zonerecovery.Recovering, 90*s1)
+	m.partitionZone("b", 40*second)
+	m.await("b", zonerecovery.Outage, 30*second)
+	m.await("b", zonerecovery.Recovering, 90*second)
 	if st := m.statusOf("b"); st.Step != 0 || st.Flaps != 2 {
 		t.Errorf("the second return began at step %d with %d flaps", st.Step, st.Flaps)
 	}
@@ -69,19 +69,19 @@
 func TestSomeOfTheMachinesReturn(t *testing.T) {
 	m := calmZones(t, 5, 4)
 	m.fillZones()
-	m.cutZone("b", 35*s1)
+	m.partitionZone("b", 35*second)
 	kept := 0
-	for _, h := range m.sortedHosts() {
+	for _, h := range m.sortedMachineIDs() {
 		if w := m.workers[h]; w.zone == "b" {
 			if kept++; kept%3 != 0 {
-				w.cut = m.in(20 * time.Minute)
+				w.partitionedUntil = m.in(20 * time.Minute)
 			}
 		}
 	}
-	m.await("b", zonerecovery.Outage, 30*s1)
-	m.await("b", zonerecovery.Recovering, 60*s1)
-	m.await("b", zonerecovery.Serving, 60*s1)
-	m.run(60 * s1)
+	m.await("b", zonerecovery.Outage, 30*second)
+	m.await("b", zonerecovery.Recovering, 60*second)
+	m.await("b", zonerecovery.Serving, 60*second)
+	m.run(60 * second)
 	if c := m.condition("b"); c != zonerecovery.Serving {
 		t.Errorf("the zone is %s: %v", c, m.zones.conditions["b"])
 	}
@@ -93,23 +93,26 @@
 func TestSuccessorGoesOnWithTheReturn(t *testing.T) {
 	for _, step := range []int{-2, -1, 0, 1, 2} {
 		for name, change := range map[string]func(m *scenario){
-			"the leader ends":               func(m *scenario) { m.takeOver() },
-			"it ends twice":                 func(m *scenario) { m.takeOver(); m.run(300 * time.Millisecond); m.takeOver() },
-			"it is paused":                  func(m *scenario) { m.pause(2500 * time.Millisecond) },
-			"it is paused for longer":       func(m *scenario) { m.pause(8 * s1) },
-			"it goes on unseen in the zone": func(m *scenario) { m.deposed(); m.island, m.islandUntil = "b", m.in(20*s1) },
+			"the leader ends":         func(m *scenario) { m.failOver() },
+			"it ends twice":           func(m *scenario) { m.failOver(); m.run(300 * time.Millisecond); m.failOver() },
+			"it is paused":            func(m *scenario) { m.pause(2500 * time.Millisecond) },
+			"it is paused for longer": func(m *scenario) { m.pause(8 * second) },
+			"it goes on unseen in the zone": func(m *scenario) {
+				m.failOverWithPreviousLeaderActive()
+				m.isolatedZone, m.isolatedZoneUntil = "b", m.in(20*second)
+			},
 		} {
 			t.Run(fmt.Sprintf("%s at step %d", name, step), func(t *testing.T) {
 				t.Parallel()
 				m := calmZones(t, 6, 4)
 				m.fillZones()
-				m.cutZone("b", 40*s1)
-				m.await("b", zonerecovery.Outage, 30*s1)
+				m.partitionZone("b", 40*second)
+				m.await("b", zonerecovery.Outage, 30*second)
 				if step >= -1 {
-					m.run(m.zones.cutUntil["b"].Sub(m.now) + time.Second) // in the hold-down
+					m.run(m.zones.partitionedUntil["b"].Sub(m.now) + time.Second) // in the hold-down
 				}
 				if step >= 0 {
-					m.await("b", zonerecovery.Recovering, 60*s1)
+					m.await("b", zonerecovery.Recovering, 60*second)
 					for m.condition("b") == zonerecovery.Recovering && m.statusOf("b").Step < step {
 						m.run(100 * time.Millisecond)
 					}
@@ -137,13 +140,13 @@
 func TestNothingOpensUnrecorded(t *testing.T) {
 	m := calmZones(t, 7, 4)
 	m.fillZones()
-	m.cutZone("b", 40*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
+	m.partitionZone("b", 40*second)
+	m.await("b", zonerecovery.Outage, 30*second)
 	m.run(500 * time.Millisecond)
-	m.outage = m.in(90 * s1)
+	m.storeOutageUntil = m.in(90 * second)
 	m.jobs(4, array)
-	for m.now < m.outage {
-		m.run(s1)
+	for m.now < m.storeOutageUntil {
+		m.run(second)
 		if got := m.core.zones.manager.Stats().Bounces; got != 0 {
 			t.Fatalf("%d jobs came back although nothing could be recorded", got)
 		}
@@ -151,7 +154,7 @@
 	if st := m.statusOf("b"); st.Condition != zonerecovery.Recovering || st.Step != 0 {
 		t.Fatalf("the zone is %s at step %d although nothing was proved", st.Condition, st.Step)
 	}
-	m.await("b", zonerecovery.Serving, 90*s1)
+	m.await("b", zonerecovery.Serving, 90*second)
 	m.endOfDay()
 }
 
@@ -160,21 +163,21 @@
 	m := calmZones(t, 8, 4)
 	m.fillZones()
 	var late []*wire.Heartbeat
-	for _, h := range m.sortedHosts() {
+	for _, h := range m.sortedMachineIDs() {
 		if w := m.workers[h]; w.zone == "b" {
-			rep := m.report(w)
+			rep := m.newHeartbeat(w)
 			w.sequence++ // the newest of its messages has come before it
 			late = append(late, rep)
 		}
 	}
-	m.run(5 * s1)
-	m.cutZone("b", 60*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
+	m.run(5 * second)
+	m.partitionZone("b", 60*second)
+	m.await("b", zonerecovery.Outage, 30*second)
 	for range 10 {
 		for _, rep := range late {
 			m.core.Heartbeat(m.now, rep, false)
 		}
-		m.run(s1)
+		m.run(second)
 		if c := m.condition("b"); c != zonerecovery.Outage {
 			t.Fatalf("late reports made the zone %s", c)
 		}
@@ -190,10 +193,10 @@
 func TestTwoZonesInTurn(t *testing.T) {
 	m := calmZones(t, 9, 4)
 	m.fillZones()
-	m.cutZone("a", 60*s1)
-	m.run(25 * s1)
-	m.cutZone("b", 60*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
+	m.partitionZone("a", 60*second)
+	m.run(25 * second)
+	m.partitionZone("b", 60*second)
+	m.await("b", zonerecovery.Outage, 30*second)
 	if c := m.condition("a"); c != zonerecovery.Outage {
 		t.Fatalf("zone a is %s", c)
 	}
@@ -207,11 +210,11 @@
 func TestAllZonesButOneAreDark(t *testing.T) {
 	m := calmZones(t, 10, 3)
 	services, _ := m.fillZones()
-	m.cutZone("a", 90*s1)
-	m.cutZone("b", 100*s1)
-	m.await("a", zonerecovery.Outage, 30*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
-	m.run(60 * s1)
+	m.partitionZone("a", 90*second)
+	m.partitionZone("b", 100*second)
+	m.await("a", zonerecovery.Outage, 30*second)
+	m.await("b", zonerecovery.Outage, 30*second)
+	m.run(60 * second)
 	if c := m.condition("c"); c != zonerecovery.Serving {
 		t.Errorf("the last zone is %s", c)
 	}
@@ -229,16 +232,16 @@
 	m := calmZones(t, 11, 4)
 	m.fillZones()
 	m.zones.isolatedView = true
-	m.cutZone("a", 20*s1)
-	m.cutZone("b", 20*s1)
-	m.run(18 * s1)
+	m.partitionZone("a", 20*second)
+	m.partitionZone("b", 20*second)
+	m.run(18 * second)
 	for _, zone := range []ids.Zone{"a", "b"} {
 		if c := m.condition(zone); c != zonerecovery.Suspect {
 			t.Errorf("zone %s is %s", zone, c)
 		}
 	}
 	m.zones.isolatedView = false
-	m.await("a", zonerecovery.Serving, 30*s1)
+	m.await("a", zonerecovery.Serving, 30*second)
 	if got := m.statusOf("a").Flaps; got != 0 {
 		t.Errorf("%d flaps counted", got)
 	}
@@ -252,11 +255,11 @@
 	m.fillZones()
 	restricted, free := zoneArray(300), zoneArray(2)
 	m.submitJob(restricted)
-	m.run(30 * s1)
+	m.run(30 * second)
 	m.core.opt.MaxMachines = len(m.core.registry.machineList)
 	for range 2 {
-		m.cutZone("b", 40*s1)
-		m.await("b", zonerecovery.Outage, 30*s1)
+		m.partitionZone("b", 40*second)
+		m.await("b", zonerecovery.Outage, 30*second)
 		m.await("b", zonerecovery.Serving, 3*time.Minute)
 	}
 	j := m.core.jobs[m.all[len(m.all)-1]]
@@ -264,9 +267,9 @@
 		t.Fatal("the day does not restrict the job")
 	}
 	id := m.submitJob(free)
-	before := len(m.sent[id])
-	m.run(5 * s1)
-	if len(m.sent[id]) == before {
+	before := len(m.placements[id])
+	m.run(5 * second)
+	if len(m.placements[id]) == before {
 		t.Error("a job like it got no place although the zone is open to it")
 	}
 	m.endOfDay()
@@ -277,14 +280,14 @@
 func TestZoneRecordIsWrittenThoughWritesAreScarce(t *testing.T) {
 	m := calmZones(t, 16, 6)
 	m.fillZones()
-	m.cutZone("b", 40*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
+	m.partitionZone("b", 40*second)
+	m.await("b", zonerecovery.Outage, 30*second)
 	m.core.opt.WriteRate, m.opt.WriteRate = 3, 3
 	m.runFactor = 1
 	m.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
-	m.run(m.zones.cutUntil["b"].Sub(m.now))
-	m.await("b", zonerecovery.Recovering, 30*s1)
-	m.await("b", zonerecovery.Serving, m.opt.ZoneRecovery.ReturnMax+10*s1)
+	m.run(m.zones.partitionedUntil["b"].Sub(m.now))
+	m.await("b", zonerecovery.Recovering, 30*second)
+	m.await("b", zonerecovery.Serving, m.opt.ZoneRecovery.ReturnMax+10*second)
 	if waiting := len(m.core.records.dirty); waiting == 0 {
 		t.Error("no record waits for the write rate: the day shows nothing")
 	}
--- a/scheduler/zone_return_benchmark_test.go
+++ b/scheduler/zone_return_benchmark_test.go
@@ -16,12 +16,12 @@
 //
 //	go test ./scheduler -run - -bench ZoneRecovery -benchtime 1x
 
-// simCaches models images: a machine fetches each once, and the fetches of a zone share
+// simImageCaches models images: a machine fetches each once, and the fetches of a zone share
 // its link.
-type simCaches struct {
+type simImageCaches struct {
 	images map[*simWorker]map[ids.Image]bool
-	// underWay and peak count the fetches of each zone, total those of the whole day.
-	underWay, peak map[ids.Zone]int
+	// inFlight and peak count the fetches of each zone, total those of the whole day.
+	inFlight, peak map[ids.Zone]int
 	total          int
 }
 
@@ -34,19 +34,19 @@
 )
 
 // fetch begins a fetch if the image is missing, and tells how long the task waits.
-func (c *simCaches) fetch(s *sim, w *simWorker, image ids.Image) time.Duration {
+func (c *simImageCaches) fetch(s *sim, w *simWorker, image ids.Image) time.Duration {
 	if c.images[w] == nil {
 		c.images[w] = map[ids.Image]bool{}
 	}
 	if c.images[w][image] {
 		return cachedStart
 	}
-	c.underWay[w.zone]++
+	c.inFlight[w.zone]++
 	c.total++
-	c.peak[w.zone] = max(c.peak[w.zone], c.underWay[w.zone])
-	took := lonelyFetch * time.Duration(max(linkFetches, c.underWay[w.zone])) / linkFetches
+	c.peak[w.zone] = max(c.peak[w.zone], c.inFlight[w.zone])
+	took := lonelyFetch * time.Duration(max(linkFetches, c.inFlight[w.zone])) / linkFetches
 	s.after(took, func() {
-		c.underWay[w.zone]--
+		c.inFlight[w.zone]--
 		c.images[w][image] = true
 	})
 	return took
@@ -68,14 +68,14 @@
 		m.opt.Teams[i].Limit.CPUs, m.opt.Teams[i].Nominal.CPUs = 2000, 1000
 	}
 	m.opt.MaxMachines, m.opt.IdleTimeout, m.opt.WriteRate = 70, 10*time.Minute, 400
-	m.zones.cutUntil = map[ids.Zone]monotonic.Instant{}
+	m.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
 	if on {
-		m.watchZones()
+		m.enableZoneRecovery()
 	} else {
-		m.takeOver()
+		m.failOver()
 	}
-	m.old = nil
-	m.caches = &simCaches{images: map[*simWorker]map[ids.Image]bool{}, underWay: map[ids.Zone]int{}, peak: map[ids.Zone]int{}}
+	m.previousCore = nil
+	m.imageCaches = &simImageCaches{images: map[*simWorker]map[ids.Image]bool{}, inFlight: map[ids.Zone]int{}, peak: map[ids.Zone]int{}}
 	var services, arrays []ids.JobID
 	for n := range 12 {
 		spec := zoneArray(6)
@@ -86,30 +86,30 @@
 		arrays = append(arrays, m.submitJob(work))
 	}
 	m.runFactor = 4
-	m.run(90 * s1)
+	m.run(90 * second)
 	return m.loseAndReturn(t, services, arrays)
 }
 
 // loseAndReturn cuts zone b off and connects it again with empty caches.
 func (m *scenario) loseAndReturn(t testing.TB, services, arrays []ids.JobID) (f returnFigures) {
 	cut := m.now
-	m.cutZone("b", 60*s1)
-	for m.now < cut.Add(60*s1) {
+	m.partitionZone("b", 60*second)
+	for m.now < cut.Add(60*second) {
 		m.run(200 * time.Millisecond)
-		if running, wanted := m.runningReplicas(services); m.now > cut.Add(simLease) && f.queriesUp == 0 && running == wanted {
+		if running, wanted := m.runningReplicas(services); m.now > cut.Add(simAgentLease) && f.queriesUp == 0 && running == wanted {
 			f.queriesUp = m.now.Sub(cut)
 		}
 	}
-	for w := range m.caches.images {
+	for w := range m.imageCaches.images {
 		if w.zone == "b" {
-			delete(m.caches.images, w)
+			delete(m.imageCaches.images, w)
 		}
 	}
-	m.caches.peak["b"], m.caches.total = 0, 0
+	m.imageCaches.peak["b"], m.imageCaches.total = 0, 0
 	back := m.now
 	asked := map[ids.JobID]monotonic.Instant{}
-	for m.now < back.Add(90*s1) {
-		if m.now.Sub(back)%(3*s1) == 0 {
+	for m.now < back.Add(90*second) {
+		if m.now.Sub(back)%(3*second) == 0 {
 			spec := zoneArray(1)
 			spec.Service, spec.Image, spec.Priority = true, "query", wire.High
 			id := m.submitJob(spec)
@@ -129,10 +129,10 @@
 	for _, at := range asked {
 		f.worstStart = max(f.worstStart, m.now.Sub(at))
 	}
-	f.peakFetches, f.fetches = m.caches.peak["b"], m.caches.total
+	f.peakFetches, f.fetches = m.imageCaches.peak["b"], m.imageCaches.total
 	for _, id := range append(slices.Clone(services), arrays...) {
-		for _, p := range m.sent[id] {
-			f.worstMoves = max(f.worstMoves, int(p.t.attempt)-1)
+		for _, p := range m.placements[id] {
+			f.worstMoves = max(f.worstMoves, int(p.task.attempt)-1)
 		}
 	}
 	if len(m.violations) > 0 {
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -15,7 +15,7 @@
 func zoneDay(t *testing.T, seed uint64) *sim {
 	s := newSim(t, seed)
 	s.capacity = 4
-	s.watchZones()
+	s.enableZoneRecovery()
 	return s
 }
 
@@ -30,10 +30,10 @@
 			all = append(all, id)
 		}
 		if s.rng.IntN(2) == 0 {
-			s.cutZone([]ids.Zone{"a", "b", "c"}[s.rng.IntN(3)], time.Duration(5+s.rng.IntN(70))*time.Second)
+			s.partitionZone([]ids.Zone{"a", "b", "c"}[s.rng.IntN(3)], time.Duration(5+s.rng.IntN(70))*time.Second)
 		}
 		if round%3 == 0 {
-			s.trouble(all)
+			s.injectFault(all)
 		}
 		s.run(time.Duration(4+s.rng.IntN(20)) * time.Second)
 		if len(s.violations) > 0 {
@@ -56,7 +56,7 @@
 		m.opt.Teams[i].Limit.CPUs, m.opt.Teams[i].Nominal.CPUs = 400, 400
 	}
 	m.opt.MaxMachines, m.opt.IdleTimeout = 60, 10*time.Minute
-	m.watchZones()
+	m.enableZoneRecovery()
 	return m
 }
 
@@ -81,7 +81,7 @@
 		spec.Service, spec.Spread = true, true
 		services = append(services, m.submitJob(spec))
 	}
-	m.run(40 * s1)
+	m.run(40 * second)
 	for _, zone := range []ids.Zone{"a", "b"} {
 		if m.machinesIn(zone) < 3 {
 			m.t.Fatalf("zone %s has only %d machines", zone, m.machinesIn(zone))
@@ -129,8 +129,8 @@
 func (m *scenario) endOfDay() {
 	m.t.Helper()
 	m.runFactor = 1
-	m.zones.cutUntil = map[ids.Zone]monotonic.Instant{}
-	m.toTheEnd(m.all, 30*time.Minute)
+	m.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
+	m.runToCompletion(m.all, 30*time.Minute)
 	if m.zones.bounces > 1 {
 		m.t.Errorf("a job came back %d times", m.zones.bounces)
 	}
@@ -161,8 +161,8 @@
 	return out
 }
 
-// leasesOver tells whether what ran in a zone is surely gone, so that it waits for room.
-func (m *scenario) leasesOver(zone ids.Zone) bool {
+// leasesExpiredIn tells whether what ran in a zone is surely gone, so that it waits for room.
+func (m *scenario) leasesExpiredIn(zone ids.Zone) bool {
 	for _, w := range m.core.registry.machineList {
 		if w.Zone == zone && len(w.tasks) > 0 {
 			return false
@@ -186,8 +186,8 @@
 func (m *scenario) startsIn(zone ids.Zone) int {
 	n := 0
 	for _, id := range m.all {
-		for _, p := range m.sent[id] {
-			if p.w.zone == zone {
+		for _, p := range m.placements[id] {
+			if p.worker.zone == zone {
 				n++
 			}
 		}
