--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -1,7 +1,8 @@
 package scheduler
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"strings"
 	"time"
 
@@ -11,8 +12,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// failOver puts a new leader in place. What the old one sent is still under
-// way.
+// failOver puts a new leader in place. Messages of the previous one are still in flight, and
+// some of the time it stays active: it lost the store and its peers, but not its workers.
 func (s *sim) failOver() {
 	before := s.leaderRevision != 0
 	s.previousCore = nil
@@ -27,30 +28,7 @@
 	opt.Revision, opt.PreviousLeader = s.leaderRevision, before
 	opt.WallClockMS = int64(time.Duration(s.now) / time.Millisecond)
 	s.core = New(opt, s.types)
-	keys := make([]string, 0, len(s.store))
-	for k := range s.store {
-		keys = append(keys, k)
-	}
-	sort.Strings(keys)
-	for _, admissions := range []bool{false, true} {
-		for _, k := range keys {
-			id, n, ok := records.ParseAdmissionKey(k)
-			switch {
-			case ok && admissions:
-				var rec records.AdmissionSlice
-				s.must(wire.Decode(s.store[k].value, &rec))
-				s.must(s.core.LoadSlice(id, n, &rec, s.store[k].revision))
-			case strings.HasPrefix(k, records.ZonePrefix):
-				if !admissions {
-					s.loadZoneRecord(k)
-				}
-			case !ok && !admissions && k != records.LeaderKey:
-				var rec records.Job
-				s.must(wire.Decode(s.store[k].value, &rec))
-				s.core.LoadJob(ids.JobID(k[len(records.JobPrefix):]), &rec, s.store[k].revision)
-			}
-		}
-	}
+	s.loadRecords()
 	s.core.Begin(s.now)
 	for _, rep := range s.delayedHeartbeats {
 		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Heartbeat(s.now, rep, false) })
@@ -58,15 +36,39 @@
 	s.delayedHeartbeats = nil
 }
 
-// superseded puts a new leader in place of one that goes on unseen: it lost the state
-// service and its peers, but not its workers.
+// loadRecords reads the store into the new leader, in the order of keys: jobs and zones
+// first, then the admission records that refer to the jobs.
+func (s *sim) loadRecords() {
+	keys := slices.Sorted(maps.Keys(s.store))
+	for _, k := range keys {
+		_, _, isSlice := records.ParseAdmissionKey(k)
+		switch {
+		case strings.HasPrefix(k, records.ZonePrefix):
+			s.loadZoneRecord(k)
+		case !isSlice && k != records.LeaderKey:
+			var rec records.Job
+			s.must(wire.Decode(s.store[k].value, &rec))
+			s.core.LoadJob(ids.JobID(k[len(records.JobPrefix):]), &rec, s.store[k].revision)
+		}
+	}
+	for _, k := range keys {
+		if id, n, ok := records.ParseAdmissionKey(k); ok {
+			var rec records.AdmissionSlice
+			s.must(wire.Decode(s.store[k].value, &rec))
+			s.must(s.core.LoadSlice(id, n, &rec, s.store[k].revision))
+		}
+	}
+}
+
+// failOverWithPreviousLeaderActive puts a new leader in place while the previous one stays
+// active.
 func (s *sim) failOverWithPreviousLeaderActive() {
 	old, term := s.core, s.term
 	s.failOver()
 	s.previousCore, s.previousTerm, s.previousUntil = old, term, s.now.Add(simIsolatedReplicas)
 }
 
-// afterPause does something at once, or when a leader's process goes on.
+// afterPause calls do at once, or as soon as the process of a leader is no longer paused.
 func (s *sim) afterPause(core *Core, do func()) {
 	if left := s.pauseLeft(core); left > 0 {
 		s.after(left, func() { s.afterPause(core, do) })
@@ -75,133 +77,188 @@
 	do()
 }
 
-// stepOf runs one leader's core and carries its decisions out.
-func (s *sim) stepOf(core *Core, term int) {
-	current := func(f func()) func() {
-		return func() {
-			s.afterPause(core, func() {
-				if s.now >= s.controllersDownUntil && (s.term == term || s.previousCore == core) {
-					f()
-				}
-			})
-		}
+// stepLeader runs one step of a leader's core and carries its decisions out.
+func (s *sim) stepLeader(l simLeader) {
+	l.core.ObserveConnectivity(s.connectivityOf(l.core))
+	decisions := l.core.Step(s.now)
+	s.digest.addDecisions(decisions)
+	for _, change := range decisions.RecordChanges {
+		// A change that was decided before all controllers were new may be sent after the
+		// limits fell.
+		sent := sentChange{simLeader: l, change: change, mustFit: l.core.opt.SplitRecords}
+		s.after(s.latency(), sent.commit)
+	}
+	for _, machine := range decisions.SendCommands {
+		l.sendCommands(machine)
+	}
+	for _, machine := range decisions.RequestHeartbeats {
+		l.requestHeartbeat(machine)
+	}
+	for _, job := range decisions.RereadJobs {
+		l.deliverAfter(s.latency(), func() { s.watchJob(job) })
 	}
-	reached := func(w *simWorker) bool {
-		return s.now >= s.isolatedZoneUntil || s.reachesOnlyPreviousLeader(w) == (s.previousCore == core)
+	for _, request := range decisions.Provision {
+		l.provision(request)
 	}
-	core.ObserveConnectivity(s.connectivityOf(core))
-	e := core.Step(s.now)
-	s.digest.addDecisions(e)
-	for _, ch := range e.RecordChanges {
-		bounded := core.opt.SplitRecords // what was decided before may come after the limits fell
-		s.after(s.latency(), func() { s.commitChange(core, term, ch, bounded) })
+	if len(decisions.Terminate) > 0 {
+		l.terminate(decisions.Terminate)
 	}
-	for _, h := range e.SendCommands {
-		d, _, ok := core.TakeCommands(s.now, h)
-		if !ok {
-			continue
+}
+
+// simLeader stands in for the process of a leader around its core: it sends the commands,
+// requests and changes that a core decides on, and delivers the results. Faults: lost
+// responses, duplicated and delayed commands, a paused process, a previous leader that
+// stays active, and results that arrive after the end of the term.
+type simLeader struct {
+	*sim
+	core *Core
+	term int
+}
+
+// deliver hands a result to the leader, unless its process or its term is over.
+func (l simLeader) deliver(result func()) {
+	l.afterPause(l.core, func() {
+		if l.now >= l.controllersDownUntil && (l.sim.term == l.term || l.previousCore == l.core) {
+			result()
 		}
-		s.digest.add("command", d)
-		answered := false
-		var arrive func()
-		arrive = func() {
-			w := s.workers[h]
-			if w != nil && s.now < w.hungUntil {
-				s.after(w.hungUntil.Sub(s.now), arrive) // a command is read when it goes on
-				return
-			}
-			if w == nil || w.dead || s.now < w.partitionedUntil || s.now < w.commandsLostUntil || !reached(w) {
-				return
-			}
-			rep := s.receiveCommands(w, d)
-			if !answered && !s.chance(0.03) {
-				s.after(2*time.Millisecond, func() {
-					if !answered {
-						answered = true
-						current(func() { core.CommandsResult(s.now, h, rep) })()
-					}
-				})
-			}
+	})
+}
+
+// deliverAfter delivers a result after a time.
+func (l simLeader) deliverAfter(d time.Duration, result func()) {
+	l.after(d, func() { l.deliver(result) })
+}
+
+// reaches tells whether a message of the leader gets to a worker's zone.
+func (l simLeader) reaches(w *simWorker) bool {
+	return l.now >= l.isolatedZoneUntil || l.reachesOnlyPreviousLeader(w) == (l.previousCore == l.core)
+}
+
+// requestHeartbeat asks a worker for a heartbeat.
+func (l simLeader) requestHeartbeat(machine ids.MachineID) {
+	l.deliverAfter(l.latency(), func() {
+		var heartbeat *wire.Heartbeat
+		w := l.workers[machine]
+		if w != nil && !w.dead && l.now >= max(w.partitionedUntil, w.commandsLostUntil, w.hungUntil) && l.reaches(w) {
+			heartbeat = l.newHeartbeat(w)
 		}
-		s.after(s.latency(), arrive)
-		if s.chance(0.2) { // a late copy of what was carried out
-			s.after(time.Duration(1+s.rng.IntN(50))*time.Second, arrive)
+		l.core.HeartbeatRequestResult(l.now, machine, heartbeat)
+	})
+}
+
+// provision asks the cloud for machines. It answers once its outage is over.
+func (l simLeader) provision(request wire.ProvisionRequest) {
+	l.after(max(80*time.Millisecond, l.cloudOutageUntil.Sub(l.now)), func() {
+		machines := l.sim.provision(request)
+		l.deliver(func() { l.core.ProvisionResult(l.now, request, machines, len(machines) > 0) })
+	})
+}
+
+// terminate has the cloud terminate machines, once its outage is over.
+func (l simLeader) terminate(machines []ids.MachineID) {
+	l.after(max(l.latency(), l.cloudOutageUntil.Sub(l.now)), func() {
+		for _, machine := range machines {
+			delete(l.workers, machine)
 		}
-		s.after(2*time.Second, func() {
-			if !answered {
-				answered = true
-				current(func() { core.CommandsResult(s.now, h, nil) })()
-			}
-		})
-	}
-	for _, h := range e.RequestHeartbeats {
-		s.after(s.latency(), current(func() {
-			w := s.workers[h]
-			if w != nil && !w.dead && s.now >= max(w.partitionedUntil, w.commandsLostUntil, w.hungUntil) && reached(w) {
-				core.HeartbeatRequestResult(s.now, h, s.newHeartbeat(w))
-			} else {
-				core.HeartbeatRequestResult(s.now, h, nil)
-			}
-		}))
-	}
-	for _, id := range e.RereadJobs {
-		s.after(s.latency(), current(func() { s.watchJob(id) }))
-	}
-	for _, r := range e.Provision {
-		s.after(max(80*time.Millisecond, s.cloudOutageUntil.Sub(s.now)), func() {
-			hosts := s.provision(r)
-			current(func() { core.ProvisionResult(s.now, r, hosts, len(hosts) > 0) })()
-		})
-	}
-	if hosts := e.Terminate; len(hosts) > 0 {
-		s.after(max(s.latency(), s.cloudOutageUntil.Sub(s.now)), func() {
-			for _, h := range hosts {
-				delete(s.workers, h)
-			}
-			current(func() { core.TerminateResult(s.now, hosts, true) })()
-		})
-	}
-}
-
-// commitChange commits one change of a leader, as the committer does: without an
-// answer it is sent again until its outcome is clear.
-func (s *sim) commitChange(core *Core, term int, ch records.Change, bounded bool) {
-	if s.now < max(s.storeOutageUntil, s.controllersDownUntil) || s.now < s.leaderRefusedUntil && s.term == term {
-		s.after(500*time.Millisecond, func() { s.commitChange(core, term, ch, bounded) })
+		l.deliver(func() { l.core.TerminateResult(l.now, machines, true) })
+	})
+}
+
+// sendCommands sends a machine the commands that wait for it.
+func (l simLeader) sendCommands(machine ids.MachineID) {
+	batch, _, ok := l.core.TakeCommands(l.now, machine)
+	if !ok {
 		return
 	}
-	leader := s.leaderRevision
-	if term != s.term {
-		leader = 0 // its guard on the leader's key fails
+	l.digest.add("command", batch)
+	call := &commandCall{simLeader: l, machine: machine, batch: batch}
+	l.after(l.latency(), call.arrive)
+	if l.chance(0.2) { // a duplicate, which may arrive after the commands were carried out
+		l.after(time.Duration(1+l.rng.IntN(50))*time.Second, call.arrive)
 	}
-	if leader == 0 {
+	l.after(2*time.Second, func() { call.finish(nil) })
+}
+
+// commandCall is a batch of commands in flight. The call ends with the first response, or
+// without one at its timeout.
+type commandCall struct {
+	simLeader
+	machine  ids.MachineID
+	batch    wire.CommandBatch
+	finished bool
+}
+
+// arrive is when the batch, or a duplicate of it, gets to its machine. A machine that hangs
+// reads it when it goes on.
+func (c *commandCall) arrive() {
+	w := c.workers[c.machine]
+	if w != nil && c.now < w.hungUntil {
+		c.after(w.hungUntil.Sub(c.now), c.arrive)
 		return
 	}
-	if !s.withinStoreLimits(ch.Operations) {
-		if bounded {
-			s.oversizedChanges++
-		}
-		s.after(0, func() {
-			if s.term == term {
-				core.CommitResult(s.now, records.CommitResult{Change: ch, Rejected: true})
-			}
-		})
+	if w == nil || w.dead || c.now < w.partitionedUntil || c.now < w.commandsLostUntil || !c.reaches(w) {
+		return
+	}
+	response := c.receiveCommands(w, c.batch)
+	if !c.finished && !c.chance(0.03) { // else the response is lost
+		c.after(2*time.Millisecond, func() { c.finish(response) })
+	}
+}
+
+// finish ends the call with a response, or with nil for none.
+func (c *commandCall) finish(response *wire.Heartbeat) {
+	if c.finished {
+		return
+	}
+	c.finished = true
+	c.deliver(func() { c.core.CommandsResult(c.now, c.machine, response) })
+}
+
+// sentChange is a change of records that a leader decided on and that has no result yet.
+type sentChange struct {
+	simLeader
+	change  records.Change
+	mustFit bool // the leader knew the limits of the store
+}
+
+// commit sends the change to the store, as the committer does: without a response it is
+// sent again until its outcome is known. Each precondition of a leader whose term is over
+// fails, and nobody waits for the result.
+func (p sentChange) commit() {
+	if p.now < max(p.storeOutageUntil, p.controllersDownUntil) || p.now < p.leaderRefusedUntil && p.sim.term == p.term {
+		p.after(500*time.Millisecond, p.commit)
+		return
+	}
+	if p.sim.term != p.term || p.leaderRevision == 0 {
+		return
+	}
+	if !p.withinStoreLimits(p.change.Operations) {
+		p.reject()
 		return
 	}
-	ok, failed := s.applyTxn(ch.Preconditions, ch.Operations)
-	if ok && len(ch.Operations) > 1 && strings.HasPrefix(ch.Operations[1].PutKey, records.AdmissionPrefix) {
-		s.splitRecords++
+	applied, failed := p.applyTxn(p.change.Preconditions, p.change.Operations)
+	if applied && len(p.change.Operations) > 1 && strings.HasPrefix(p.change.Operations[1].PutKey, records.AdmissionPrefix) {
+		p.splitRecords++
 	}
-	o := records.CommitResult{Change: ch, Applied: ok, Revision: s.storeRevision, FailedKeys: failed}
+	result := records.CommitResult{Change: p.change, Applied: applied, Revision: p.storeRevision, FailedKeys: failed}
 	wait := time.Duration(0)
-	if s.chance(0.05) {
-		wait = time.Duration(1+s.rng.IntN(4)) * time.Second
-	}
-	s.after(wait, func() {
-		s.afterPause(core, func() {
-			if s.term == term {
-				core.CommitResult(s.now, o)
-			}
-		})
-	})
+	if p.chance(0.05) {
+		wait = time.Duration(1+p.rng.IntN(4)) * time.Second
+	}
+	p.after(wait, func() { p.afterPause(p.core, func() { p.deliverResult(result) }) })
+}
+
+// reject reports a change that is beyond the limits of the store.
+func (p sentChange) reject() {
+	if p.mustFit {
+		p.oversizedChanges++
+	}
+	p.after(0, func() { p.deliverResult(records.CommitResult{Change: p.change, Rejected: true}) })
+}
+
+// deliverResult hands a result to the leader while its term lasts.
+func (p sentChange) deliverResult(result records.CommitResult) {
+	if p.sim.term == p.term {
+		p.core.CommitResult(p.now, result)
+	}
 }
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -250,14 +250,14 @@
 		s.failOverWithPreviousLeaderActive() // refused alone for too long
 	}
 	if s.now < s.leaseValidUntil.Add(simPreviousLeaderGrace) {
-		s.stepOf(s.core, s.term)
+		s.stepLeader(simLeader{s, s.core, s.term})
 	}
 	if s.previousCore != nil && (s.previousCore.Superseded() || s.now > s.previousUntil) {
 		s.previousCore = nil
 	}
 	if s.previousCore != nil {
 		s.restrictPreviousLeader()
-		s.stepOf(s.previousCore, s.previousTerm)
+		s.stepLeader(simLeader{s, s.previousCore, s.previousTerm})
 	} else {
 		s.core.AllControllersFollow(s.now)
 	}
