--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"testing"
 
-	"slices"
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
@@ -106,10 +105,10 @@
 		}
 	}
 	const part = 10 * time.Second
-	beside := map[ids.JobID]time.Duration{}
+	starvation := newStarvationCheck(s)
 	for passed := time.Duration(0); passed < within; passed += part {
 		s.run(part)
-		s.checkStarvation(all, beside, part)
+		starvation.check(all, part)
 		if s.allTerminal(all) {
 			break
 		}
@@ -122,49 +121,7 @@
 	}
 }
 
-// checkStarvation sees that no job is left waiting for 90 s while a machine that fits has
-// room and its team is under its limit, by what is on the machines.
-func (s *sim) checkStarvation(all []ids.JobID, beside map[ids.JobID]time.Duration, passed time.Duration) {
-	used := map[ids.Team]float64{}
-	free := map[*simWorker]float64{}
-	for _, w := range s.workers {
-		if w.incarnation == 0 || s.leaseExpired(w) {
-			continue
-		}
-		free[w] = s.typeOf(w).CPUs
-		for _, t := range w.tasks {
-			if t.state != wire.TaskEnded {
-				free[w] -= s.specs[t.ref.Job].CPUs
-				used[s.specs[t.ref.Job].Team] += s.specs[t.ref.Job].CPUs
-			}
-		}
-	}
-	for _, id := range all {
-		sp := s.specs[id]
-		need := sp.CPUs
-		if sp.Service || sp.Gang {
-			need *= float64(sp.Tasks)
-		}
-		room := false
-		for w, f := range free {
-			room = room || f >= sp.CPUs && (sp.Spot || !w.spot) && (sp.Zone == "" || sp.Zone == w.zone) &&
-				(len(sp.Types) == 0 || slices.Contains(sp.Types, w.machineType))
-		}
-		begun := slices.ContainsFunc(s.placements[id], func(p simPlacement) bool { return s.holdsTask(p.worker, p.task) && p.task.state != wire.TaskEnded })
-		ready := !slices.ContainsFunc(sp.DependsOn, func(n ids.JobID) bool { return s.status(n) != wire.JobDone })
-		i := slices.IndexFunc(s.opt.Teams, func(t quota.Team) bool { return t.Name == sp.Team })
-		if begun || !room || !ready || s.status(id) != wire.JobQueued || used[sp.Team]+need > s.opt.Teams[i].Limit.CPUs ||
-			(sp.Gang || sp.Service) && sp.Tasks > 1 {
-			delete(beside, id)
-			continue
-		}
-		if beside[id] += passed; beside[id] >= 90*time.Second {
-			s.violation("%s waits beside room: %+v", id, *sp)
-			delete(beside, id)
-		}
-	}
-}
-
+// unfinished lists the jobs that are not terminal, with their specifications.
 func (s *sim) unfinished(all []ids.JobID) []string {
 	var out []string
 	for _, id := range all {
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -140,7 +140,7 @@
 		var heartbeat *wire.Heartbeat
 		w := l.workers[machine]
 		if w != nil && !w.dead && l.now >= max(w.partitionedUntil, w.commandsLostUntil, w.hungUntil) && l.reaches(w) {
-			heartbeat = l.newHeartbeat(w)
+			heartbeat = w.nextHeartbeat()
 		}
 		l.core.HeartbeatRequestResult(l.now, machine, heartbeat)
 	})
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -189,14 +189,10 @@
 		}
 		s.now = next
 		for _, h := range s.sortedMachineIDs() {
-			s.workerStep(s.workers[h])
+			s.stepWorker(s.workers[h])
 		}
 		s.checkZones()
-		for id, when := range s.cancelAcknowledgedAt {
-			if s.now > when.Add(simCancelDeadline) && s.now <= when.Add(simCancelDeadline+150*time.Millisecond) {
-				s.checkCancelledJobStopped(id)
-			}
-		}
+		s.checkCancelledJobs()
 		if tick%20 == 0 {
 			list, asked := s.listMachines(), s.now
 			s.after(3*time.Second, func() {
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -9,6 +9,16 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
+const (
+	// simHeartbeatTimeout is how long a worker waits for the response to a heartbeat, and
+	// simHeartbeatDebounce the least time between two heartbeats when statuses change.
+	simHeartbeatTimeout  = 4 * time.Second
+	simHeartbeatDebounce = 500 * time.Millisecond
+	// cpuSlack absorbs the rounding of decimal sums of CPUs.
+	cpuSlack = 1e-9
+)
+
+// simTask is a task on a simulated worker.
 type simTask struct {
 	ref     ids.TaskRef
 	attempt ids.Attempt
@@ -16,34 +26,44 @@
 	cause   wire.ExitCause
 }
 
+// simWorker stands in for a machine and its agent. Faults: a partition, lost commands, lost
+// heartbeats, a hang, the death of the machine, a restart of the agent, and tasks that fail.
 type simWorker struct {
-	id                  ids.MachineID
-	machineType         ids.MachineType
-	zone                ids.Zone
-	spot                bool
-	incarnation         ids.AgentIncarnation
-	sequence            ids.Sequence
-	token               ids.FencingToken
-	tasks               []*simTask
-	leaseRenewedAt      monotonic.Instant // of the last answered report, or the session's start
-	partitionedUntil    monotonic.Instant // unreachable until then
-	hungUntil           monotonic.Instant // executes and says nothing until then, but is reachable
-	commandsLostUntil   monotonic.Instant // its reports arrive, but nothing reaches it, until then
-	heartbeatsLostUntil monotonic.Instant // its reports do not arrive, but commands reach it, until then
-	followsTerm         int               // the term to whose leader it reports
+	id          ids.MachineID
+	machineType ids.MachineType
+	zone        ids.Zone
+	spot        bool
+
+	// incarnation is 0 until the machine has booted.
+	incarnation ids.AgentIncarnation
+	sequence    ids.Sequence
+	token       ids.FencingToken
+	tasks       []*simTask
+	// leaseRenewedAt is when the last heartbeat with a response was sent, or when the
+	// incarnation began.
+	leaseRenewedAt  monotonic.Instant
+	lastHeartbeatAt monotonic.Instant
+	// heartbeatInFlight is set until the heartbeat has its response or its timeout.
+	heartbeatInFlight bool
+	statusChanged     bool // since the last heartbeat
+	followsTerm       int  // the term to whose leader it sends heartbeats
+
 	dead                bool
-	unhealthy           bool
-	heartbeatInFlight   bool
-	lastHeartbeatAt     monotonic.Instant
-	statusChanged       bool
+	unhealthy           bool              // each task fails
+	partitionedUntil    monotonic.Instant // no message passes in either direction
+	hungUntil           monotonic.Instant // it is reachable, but executes and sends nothing
+	commandsLostUntil   monotonic.Instant // heartbeats arrive; commands and responses are lost
+	heartbeatsLostUntil monotonic.Instant // commands arrive; heartbeats are lost
 }
 
+// simPlacement is a task that was told to run on a worker.
 type simPlacement struct {
 	worker *simWorker
 	task   *simTask
 }
 
-func (s *sim) newHeartbeat(w *simWorker) *wire.Heartbeat {
+// nextHeartbeat is the next heartbeat of a worker.
+func (w *simWorker) nextHeartbeat() *wire.Heartbeat {
 	w.sequence++
 	r := &wire.Heartbeat{Machine: w.id, Endpoint: string(w.id), Type: w.machineType, Zone: w.zone, Spot: w.spot,
 		Incarnation: w.incarnation, Sequence: w.sequence, FencingToken: w.token}
@@ -53,54 +73,60 @@
 	return r
 }
 
-func (s *sim) receiveCommands(w *simWorker, d wire.CommandBatch) *wire.Heartbeat {
-	if d.FencingToken >= w.token && d.Incarnation == w.incarnation {
-		w.token = d.FencingToken
-		s.execute(w, d.Commands)
+// receiveCommands has a worker carry out a batch that is not fenced off, and returns its
+// response.
+func (s *sim) receiveCommands(w *simWorker, batch wire.CommandBatch) *wire.Heartbeat {
+	if batch.FencingToken >= w.token && batch.Incarnation == w.incarnation {
+		w.token = batch.FencingToken
+		s.execute(w, batch.Commands)
 	}
-	return s.newHeartbeat(w)
+	return w.nextHeartbeat()
 }
 
-func (s *sim) execute(w *simWorker, orders []wire.Command) {
-	for _, o := range orders {
-		ref, _ := ids.ParseTask(o.Name)
-		i := slices.IndexFunc(w.tasks, func(t *simTask) bool { return t.ref == ref && t.attempt == o.Attempt })
-		switch o.Verb {
-		case wire.VerbRun:
-			if i >= 0 {
-				continue
-			}
-			t := &simTask{ref: ref, attempt: o.Attempt, state: wire.TaskFetching}
-			w.tasks = append(w.tasks, t)
-			s.placements[ref.Job] = append(s.placements[ref.Job], simPlacement{w, t})
-			used := 0.0
-			for _, other := range w.tasks {
-				if other.state != wire.TaskEnded {
-					used += s.specs[other.ref.Job].CPUs
-				}
-				if other != t && other.ref == ref {
-					t.state, t.cause = wire.TaskEnded, wire.CauseInUse
-				}
-			}
-			if t.state == wire.TaskFetching && used > s.typeOf(w).CPUs+1e-9 {
-				t.state, t.cause = wire.TaskEnded, wire.CauseFull
-			}
-			if t.state == wire.TaskFetching {
-				s.after(s.fetchTime(w, ref.Job), func() { s.startTask(w, t) })
-			}
-		case wire.VerbKill:
-			if i >= 0 && w.tasks[i].state != wire.TaskEnded {
-				w.tasks[i].state, w.tasks[i].cause = wire.TaskEnded, wire.CauseStopped
-			}
-		case wire.VerbReap:
-			if i >= 0 && w.tasks[i].state == wire.TaskEnded {
-				w.tasks = slices.Delete(w.tasks, i, i+1)
-			}
+// execute carries commands out. Each may come more than once.
+func (s *sim) execute(w *simWorker, commands []wire.Command) {
+	for _, command := range commands {
+		ref, _ := ids.ParseTask(command.Name)
+		i := slices.IndexFunc(w.tasks, func(t *simTask) bool { return t.ref == ref && t.attempt == command.Attempt })
+		switch {
+		case command.Verb == wire.VerbRun && i >= 0:
+			continue
+		case command.Verb == wire.VerbRun:
+			s.addTask(w, &simTask{ref: ref, attempt: command.Attempt, state: wire.TaskFetching})
+		case command.Verb == wire.VerbKill && i >= 0 && w.tasks[i].state != wire.TaskEnded:
+			w.tasks[i].end(wire.CauseStopped)
+		case command.Verb == wire.VerbReap && i >= 0 && w.tasks[i].state == wire.TaskEnded:
+			w.tasks = slices.Delete(w.tasks, i, i+1)
 		}
 		w.statusChanged = true
 	}
 }
 
+// end ends a task.
+func (t *simTask) end(cause wire.ExitCause) { t.state, t.cause = wire.TaskEnded, cause }
+
+// addTask takes a new task in, which ends at once if an earlier attempt is there or the CPUs
+// do not suffice.
+func (s *sim) addTask(w *simWorker, t *simTask) {
+	w.tasks = append(w.tasks, t)
+	s.placements[t.ref.Job] = append(s.placements[t.ref.Job], simPlacement{w, t})
+	used := 0.0
+	for _, other := range w.tasks {
+		if other.state != wire.TaskEnded {
+			used += s.specs[other.ref.Job].CPUs
+		}
+		if other != t && other.ref == t.ref {
+			t.end(wire.CauseInUse)
+		}
+	}
+	if t.state == wire.TaskFetching && used > s.typeOf(w).CPUs+cpuSlack {
+		t.end(wire.CauseFull)
+	}
+	if t.state == wire.TaskFetching {
+		s.after(s.fetchTime(w, t.ref.Job), func() { s.startTask(w, t) })
+	}
+}
+
 // fetchTime is how long a task waits for its image: at random, unless a day models the
 // zones' image caches.
 func (s *sim) fetchTime(w *simWorker, job ids.JobID) time.Duration {
@@ -110,11 +136,12 @@
 	return time.Duration(100+s.rng.IntN(2000)) * time.Millisecond
 }
 
+// holdsTask tells whether a worker is still provisioned and has not reaped a task.
 func (s *sim) holdsTask(w *simWorker, t *simTask) bool {
 	return s.workers[w.id] == w && slices.Contains(w.tasks, t)
 }
 
-// startTask is when a task has its image. The rules are checked here.
+// startTask starts a task that has its image, once its worker no longer hangs.
 func (s *sim) startTask(w *simWorker, t *simTask) {
 	if s.now < w.hungUntil {
 		s.after(w.hungUntil.Sub(s.now), func() { s.startTask(w, t) })
@@ -126,178 +153,174 @@
 	s.starts++
 	t.state = wire.TaskRunning
 	w.statusChanged = true
-	spec := s.specs[t.ref.Job]
-	if when, ok := s.cancelAcknowledgedAt[t.ref.Job]; ok {
-		s.startsAfterCancel++
-		if s.now > when.Add(simCancelDeadline) {
-			s.violation("ran_cancelled: %s started", t.ref)
-		}
-	}
-	for _, n := range spec.DependsOn {
-		if s.status(n) != wire.JobDone {
-			s.violation("too_early: %s started while %s is %s", t.ref, n, s.status(n))
-		}
-	}
-	zones := map[ids.Zone]int{}
-	for _, p := range s.placements[t.ref.Job] {
-		if p.task.state != wire.TaskRunning || s.leaseExpired(p.worker) || !s.holdsTask(p.worker, p.task) {
-			continue
-		}
-		zones[p.worker.zone]++
-		if p.task != t && p.task.ref == t.ref {
-			s.violation("ran_twice: %s on %s and %s", t.ref, w.id, p.worker.id)
-		}
-	}
-	if s.starts%max(1, len(s.workers)/20) == 0 { // it looks at every task there is
-		s.checkQuota()
-	}
-	if w.spot && !spec.Spot || spec.Zone != "" && spec.Zone != w.zone ||
-		spec.Spread && zones[w.zone] > (spec.Tasks+1)/2 || spec.OneZone && len(zones) > 1 ||
-		len(spec.Types) > 0 && !slices.Contains(spec.Types, w.machineType) {
-		s.violation("wrong_place: %s on %s in %s, zones %v", t.ref, w.id, w.zone, zones)
-	}
-	if spec.Service {
+	s.checkStart(w, t)
+	if s.specs[t.ref.Job].Service {
 		return
 	}
 	run := time.Duration(1+s.rng.IntN(25)) * time.Second * time.Duration(max(1, s.runFactor))
 	if s.completed[t.ref] {
 		run = 0
 	}
-	fails := w.unhealthy || s.failing[t.ref.Job] || s.chance(0.1)
-	var end func()
-	end = func() {
-		if s.now < w.hungUntil {
-			s.after(w.hungUntil.Sub(s.now), end)
-			return
-		}
-		if !s.holdsTask(w, t) || t.state != wire.TaskRunning || s.leaseExpired(w) {
-			return
-		}
-		t.state, t.cause = wire.TaskEnded, wire.CauseDone
-		if fails {
-			t.cause = wire.CauseError
-		} else {
-			s.completed[t.ref] = true
-			if s.chance(s.cancelAtEndChance) {
-				s.after(time.Duration(s.rng.IntN(100))*time.Millisecond, func() { s.cancel(t.ref.Job) })
-			}
-		}
-		w.statusChanged = true
+	cause := wire.CauseDone
+	if w.unhealthy || s.failing[t.ref.Job] || s.chance(0.1) {
+		cause = wire.CauseError
 	}
-	s.after(run, end)
+	s.after(run, func() { s.endTask(w, t, cause) })
 }
 
-func (s *sim) checkQuota() {
-	used := map[ids.Team]float64{}
-	for _, o := range s.workers {
-		for _, u := range o.tasks {
-			if u.state == wire.TaskRunning && !s.leaseExpired(o) {
-				used[s.specs[u.ref.Job].Team] += s.specs[u.ref.Job].CPUs
-			}
-		}
+// endTask ends a task that has run for its time, once its worker no longer hangs. Some
+// users cancel a job at the moment at which a task of it is done.
+func (s *sim) endTask(w *simWorker, t *simTask, cause wire.ExitCause) {
+	if s.now < w.hungUntil {
+		s.after(w.hungUntil.Sub(s.now), func() { s.endTask(w, t, cause) })
+		return
+	}
+	if !s.holdsTask(w, t) || t.state != wire.TaskRunning || s.leaseExpired(w) {
+		return
 	}
-	for _, team := range s.opt.Teams {
-		if used[team.Name] > team.Limit.CPUs+1e-9 {
-			s.violation("quota: %s uses %v", team.Name, used[team.Name])
+	t.end(cause)
+	if cause == wire.CauseDone {
+		s.completed[t.ref] = true
+		if s.chance(s.cancelAtEndChance) {
+			s.after(time.Duration(s.rng.IntN(100))*time.Millisecond, func() { s.cancel(t.ref.Job) })
 		}
 	}
+	w.statusChanged = true
 }
 
-// leaseExpired tells whether a worker's lease has run out, whether or not it has
-// got round to ending its tasks.
+// leaseExpired tells whether a worker's lease has expired, whether or not the worker has
+// ended its tasks yet.
 func (s *sim) leaseExpired(w *simWorker) bool {
 	return w.dead || s.now > w.leaseRenewedAt.Add(simAgentLease)
 }
 
-// workerStep has a worker do what is due: end its session or report.
-func (s *sim) workerStep(w *simWorker) {
+// reachesOnlyPreviousLeader tells whether a worker is partitioned from all but a previous
+// leader.
+func (s *sim) reachesOnlyPreviousLeader(w *simWorker) bool {
+	return w.zone == s.isolatedZone && s.now < s.isolatedZoneUntil
+}
+
+// stepWorker has a worker do what is due: begin a new incarnation after its lease, or send
+// a heartbeat.
+func (s *sim) stepWorker(w *simWorker) {
 	if w.dead || s.now < w.hungUntil {
 		return
 	}
-	if s.now > w.leaseRenewedAt.Add(simAgentLease) {
+	if s.leaseExpired(w) {
 		w.tasks = nil
 		w.incarnation++
 		w.leaseRenewedAt = s.now
 	}
-	due := s.now > w.lastHeartbeatAt.Add(simHeartbeatInterval) || w.statusChanged && s.now > w.lastHeartbeatAt.Add(500*time.Millisecond)
-	if w.heartbeatInFlight || !due {
-		return
+	due := s.now > w.lastHeartbeatAt.Add(simHeartbeatInterval) || w.statusChanged && s.now > w.lastHeartbeatAt.Add(simHeartbeatDebounce)
+	if due && !w.heartbeatInFlight {
+		s.sendHeartbeat(w)
 	}
+}
+
+// sendHeartbeat sends a heartbeat, which may be lost, duplicated or delayed.
+func (s *sim) sendHeartbeat(w *simWorker) {
 	w.heartbeatInFlight, w.lastHeartbeatAt, w.statusChanged = true, s.now, false
-	sent, tenure, answered := s.now, w.incarnation, false
-	rep := s.newHeartbeat(w)
-	finish := func() { w.heartbeatInFlight = false }
-	s.after(4*time.Second, func() {
-		if !answered {
-			answered = true
-			finish()
-		}
-	})
-	if s.now < max(w.partitionedUntil, w.heartbeatsLostUntil, s.controllersDownUntil) || s.reachesOnlyPreviousLeader(w) && s.previousCore == nil {
+	call := &heartbeatCall{sim: s, worker: w, sentAt: s.now, incarnation: w.incarnation, heartbeat: w.nextHeartbeat()}
+	s.after(simHeartbeatTimeout, call.finish)
+	lost := s.now < max(w.partitionedUntil, w.heartbeatsLostUntil, s.controllersDownUntil)
+	if lost || s.reachesOnlyPreviousLeader(w) && s.previousCore == nil {
 		return
 	}
-	core := s.core
-	if s.previousCore != nil && (w.followsTerm == s.previousTerm && s.now >= s.isolatedZoneUntil || s.reachesOnlyPreviousLeader(w)) {
-		core = s.previousCore
-	} else {
-		w.followsTerm = s.term
+	call.leader = s.leaderFollowedBy(w)
+	s.duplicateHeartbeat(call.heartbeat)
+	s.after(s.latency(), call.arrive)
+}
+
+// leaderFollowedBy is the leader that a worker sends its heartbeats to.
+func (s *sim) leaderFollowedBy(w *simWorker) *Core {
+	followsPrevious := w.followsTerm == s.previousTerm && s.now >= s.isolatedZoneUntil
+	if s.previousCore != nil && (followsPrevious || s.reachesOnlyPreviousLeader(w)) {
+		return s.previousCore
 	}
-	if s.chance(s.duplicateChance) { // a copy, from seconds to well over a lease later
-		s.after(time.Duration(2+s.rng.IntN(90))*time.Second, func() { s.core.Heartbeat(s.now, rep, false) })
+	w.followsTerm = s.term
+	return s.core
+}
+
+// duplicateHeartbeat may deliver a duplicate from seconds to well over a lease later, and
+// may keep another for the next leader.
+func (s *sim) duplicateHeartbeat(heartbeat *wire.Heartbeat) {
+	const maxDelayedHeartbeats = 50
+	if s.chance(s.duplicateChance) {
+		s.after(time.Duration(2+s.rng.IntN(90))*time.Second, func() { s.core.Heartbeat(s.now, heartbeat, false) })
 	}
-	if s.chance(s.duplicateChance) && len(s.delayedHeartbeats) < 50 {
-		s.delayedHeartbeats = append(s.delayedHeartbeats, rep)
+	if s.chance(s.duplicateChance) && len(s.delayedHeartbeats) < maxDelayedHeartbeats {
+		s.delayedHeartbeats = append(s.delayedHeartbeats, heartbeat)
 	}
-	var arrive func()
-	arrive = func() {
-		if core != s.core && core != s.previousCore {
-			core = s.core
-		}
-		if left := s.pauseLeft(core); left > 0 {
-			s.after(left, arrive)
-			return
-		}
-		if s.now < s.controllersDownUntil || core == s.core && (s.reachesOnlyPreviousLeader(w) || s.now >= s.leaseValidUntil.Add(simPreviousLeaderGrace)) {
-			return
-		}
-		if core == s.previousCore {
-			s.restrictPreviousLeader()
-		}
-		orders, ok := core.Heartbeat(s.now, rep, false)
-		s.digest.add("answer", orders)
-		if !ok {
-			w.followsTerm = s.term
-		}
-		if !ok || s.chance(0.02) {
-			return
-		}
-		s.after(s.latency(), func() {
-			if answered || s.now < w.partitionedUntil || s.now < w.commandsLostUntil || s.now < w.hungUntil || w.dead {
-				return
-			}
-			answered = true
-			finish()
-			if tenure != w.incarnation || orders.FencingToken < w.token {
-				return
-			}
-			w.token, w.leaseRenewedAt = orders.FencingToken, sent
-			s.execute(w, orders.Commands)
-		})
-	}
-	s.after(s.latency(), arrive)
 }
 
-// reachesOnlyPreviousLeader tells whether only an old leader reaches a machine.
-func (s *sim) reachesOnlyPreviousLeader(w *simWorker) bool {
-	return w.zone == s.isolatedZone && s.now < s.isolatedZoneUntil
+// heartbeatCall is a heartbeat in flight. The call ends with its response or its timeout.
+type heartbeatCall struct {
+	*sim
+	worker      *simWorker
+	leader      *Core
+	heartbeat   *wire.Heartbeat
+	sentAt      monotonic.Instant
+	incarnation ids.AgentIncarnation // of the worker when it was sent
+	finished    bool
 }
 
-func (s *sim) checkCancelledJobStopped(id ids.JobID) {
-	for _, w := range s.workers {
-		for _, t := range w.tasks {
-			if t.ref.Job == id && t.state == wire.TaskRunning && !s.leaseExpired(w) {
-				s.violation("ran_cancelled: %s is still on %s", t.ref, w.id)
-			}
-		}
+// finish ends the call.
+func (c *heartbeatCall) finish() {
+	if !c.finished {
+		c.finished = true
+		c.worker.heartbeatInFlight = false
+	}
+}
+
+// arrive is when the heartbeat gets to the leader, which answers it unless it may not. Some
+// responses are lost.
+func (c *heartbeatCall) arrive() {
+	if c.leader != c.core && c.leader != c.previousCore {
+		c.leader = c.core
+	}
+	if left := c.pauseLeft(c.leader); left > 0 {
+		c.after(left, c.arrive)
+		return
+	}
+	if !c.leaderAnswers() {
+		return
+	}
+	if c.leader == c.previousCore {
+		c.restrictPreviousLeader()
+	}
+	response, ok := c.leader.Heartbeat(c.now, c.heartbeat, false)
+	c.digest.add("answer", response)
+	if !ok {
+		c.worker.followsTerm = c.term
+		return
+	}
+	if !c.chance(0.02) {
+		c.after(c.latency(), func() { c.receive(response) })
+	}
+}
+
+// leaderAnswers tells whether the leader runs, is reached and may still answer workers.
+func (c *heartbeatCall) leaderAnswers() bool {
+	if c.now < c.controllersDownUntil {
+		return false
+	}
+	if c.leader != c.core {
+		return true
+	}
+	return !c.reachesOnlyPreviousLeader(c.worker) && c.now < c.leaseValidUntil.Add(simPreviousLeaderGrace)
+}
+
+// receive is when the response gets to the worker. It renews the lease from the time at
+// which the heartbeat was sent.
+func (c *heartbeatCall) receive(response wire.HeartbeatResponse) {
+	w := c.worker
+	if c.finished || w.dead || c.now < max(w.partitionedUntil, w.commandsLostUntil, w.hungUntil) {
+		return
+	}
+	c.finish()
+	if c.incarnation != w.incarnation || response.FencingToken < w.token {
+		return
 	}
+	w.token, w.leaseRenewedAt = response.FencingToken, c.sentAt
+	c.execute(w, response.Commands)
 }
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -165,7 +165,7 @@
 	var late []*wire.Heartbeat
 	for _, h := range m.sortedMachineIDs() {
 		if w := m.workers[h]; w.zone == "b" {
-			rep := m.newHeartbeat(w)
+			rep := w.nextHeartbeat()
 			w.sequence++ // the newest of its messages has come before it
 			late = append(late, rep)
 		}
