--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -15,152 +14,159 @@
 )
 
 // Jobs that were submitted with a mistake fail on every machine until their users
-// cancel them. Two of them used to condemn each machine that both had tried, for two
+// cancel them. Two of them used to quarantine each machine that both had tried, for two
 // minutes, and an array of one tried all of its tasks in each round.
 func TestPermanentlyFailingJobsQuarantineNoMachine(t *testing.T) {
+	b, agents := newFailingJobs(t)
+	const settled = 40 * time.Second
+	began := b.now
+	mostActive, quarantines := 0, 0
+	inspect := func() {
+		if b.now <= began.Add(settled) {
+			return
+		}
+		mostActive = max(mostActive, b.activeTasks())
+		quarantines += b.quarantinedMachines()
+	}
+	starts := agents.play(b, wire.CauseError, 3*time.Minute, inspect)
+	if quarantines > 0 {
+		t.Errorf("healthy machines were quarantined in %d steps", quarantines)
+	}
+	if mostActive > 4 || starts < 30 || starts > 100 {
+		t.Errorf("%d tasks started, up to %d at once", starts, mostActive)
+	}
+}
+
+// A first success of a job that failed everywhere frees the rest: the mistake was mended
+// elsewhere, or the fault was another.
+func TestSuccessEndsTheBackoffOfFailingJobs(t *testing.T) {
+	b, agents := newFailingJobs(t)
+	nothing := func() {}
+	agents.play(b, wire.CauseError, 3*time.Minute, nothing)
+	starts := agents.play(b, wire.CauseDone, 75*time.Second, nothing)
+	if starts == 0 || len(b.c.jobs) > 0 {
+		t.Errorf("after %d starts that succeed, %d jobs are not done", starts, len(b.c.jobs))
+	}
+}
+
+// newFailingJobs is a harness with six machines and three arrays.
+func newFailingJobs(t *testing.T) (*harness, *instantAgents) {
+	t.Helper()
 	b := newHarness(t, Options{})
-	const machines = 6
-	hosts := make([]ids.MachineID, machines)
-	running := map[ids.MachineID][]wire.TaskStatus{}
-	for i := range hosts {
-		hosts[i] = ids.MachineID(fmt.Sprintf("n-%d", i))
-		b.report(hosts[i], "a", 0)
+	agents := &instantAgents{ended: map[ids.MachineID][]wire.TaskStatus{}}
+	for i := range 6 {
+		machine := ids.MachineID(fmt.Sprintf("n-%d", i))
+		agents.machines = append(agents.machines, machine)
+		b.report(machine, "a", 0)
 	}
 	for i := range 3 {
 		b.job(ids.JobID(fmt.Sprintf("job-bad%d", i)), wire.JobSpec{Class: "c", Tasks: 5, CPUs: 1, EstimateS: 10})
 	}
-	tried, most, condemned := 0, 0, 0
-	began := b.now
-	for b.now < began.Add(3*time.Minute) {
-		b.now = b.now.Add(500 * time.Millisecond)
-		b.step()
-		if b.now > began.Add(40*time.Second) {
-			active := 0
-			for _, j := range b.c.jobs {
-				active += len(j.active)
-			}
-			most = max(most, active)
-			for _, m := range b.c.registry.machineList {
-				if b.now < m.quarantinedUntil {
-					condemned++
-				}
-			}
-		}
-		for _, h := range hosts {
-			orders := b.report(h, "a", ids.NewFencingToken(5, b.c.registry.machines[h].counter), running[h]...)
-			running[h] = nil
-			for _, o := range orders.Commands {
-				if o.Verb == wire.VerbRun {
-					tried++
-					running[h] = append(running[h], wire.TaskStatus{Name: o.Name, Attempt: o.Attempt, State: wire.TaskEnded, Cause: wire.CauseError})
-				}
-			}
-		}
-	}
-	if condemned > 0 {
-		t.Errorf("healthy machines were set aside in %d looks", condemned)
-	}
-	if most > 4 || tried < 30 || tried > 100 {
-		t.Errorf("%d tasks tried, up to %d at once", tried, most)
+	return b, agents
+}
+
+// activeTasks counts the tasks that are assigned to machines.
+func (b *harness) activeTasks() int {
+	active := 0
+	for _, j := range b.c.jobs {
+		active += len(j.active)
 	}
-	// The mistake is mended elsewhere, or the fault was another after all: a first
-	// success frees the rest.
-	done := false
-	for range 150 {
-		b.now = b.now.Add(500 * time.Millisecond)
-		b.step()
-		for _, h := range hosts {
-			orders := b.report(h, "a", ids.NewFencingToken(5, b.c.registry.machines[h].counter), running[h]...)
-			running[h] = nil
-			for _, o := range orders.Commands {
-				if o.Verb == wire.VerbRun {
-					done = true
-					running[h] = append(running[h], wire.TaskStatus{Name: o.Name, Attempt: o.Attempt, State: wire.TaskEnded, Cause: wire.CauseDone})
-				}
-			}
+	return active
+}
+
+// quarantinedMachines counts the machines that are in quarantine.
+func (b *harness) quarantinedMachines() int {
+	count := 0
+	for _, m := range b.c.registry.machineList {
+		if b.now < m.quarantinedUntil {
+			count++
 		}
 	}
-	if !done || len(b.c.jobs) > 0 {
-		t.Errorf("%d jobs go on after a success", len(b.c.jobs))
-	}
+	return count
 }
 
-// Errors of different jobs still condemn a machine that is at fault, also where a
+// Failures of different jobs still quarantine a machine that is at fault, also where a
 // permanently failing job has failed.
 func TestUnhealthyMachineBesideAPermanentlyFailingJob(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.report("n-0", "a", 0)
 	m := b.c.registry.machines["n-0"]
-	fail := func(id ids.JobID, j *job) {
-		a := &assignment{job: j, machine: m, attempt: 1}
-		b.c.recordFailure(a)
+	fail := func(id ids.JobID) {
+		b.c.recordFailure(&assignment{job: b.c.jobs[id], machine: m, attempt: 1})
 	}
 	b.job("job-bad", wire.JobSpec{Class: "c", Tasks: 1})
 	b.job("job-1", wire.JobSpec{Class: "c", Tasks: 4})
 	b.job("job-2", wire.JobSpec{Class: "c", Tasks: 4})
 	b.c.jobs["job-bad"].failureRounds = 1
-	fail("job-bad", b.c.jobs["job-bad"])
-	fail("job-1", b.c.jobs["job-1"])
+	fail("job-bad")
+	fail("job-1")
 	if b.c.now < m.quarantinedUntil {
-		t.Error("condemned for one job's failure")
+		t.Error("quarantined for one job's failure")
 	}
-	fail("job-2", b.c.jobs["job-2"])
+	fail("job-2")
 	if b.c.now >= m.quarantinedUntil {
-		t.Error("not condemned for two")
+		t.Error("not quarantined for the failures of two jobs")
 	}
 	b.c.clearFailureHistory(b.c.jobs["job-2"])
 	if b.c.now < m.quarantinedUntil {
-		t.Error("still condemned although one of them fails everywhere")
+		t.Error("still quarantined although one of them fails everywhere")
 	}
 }
 
-// A machine that is late against what its type takes now is not waited for: another is
-// rented. When all take as long, no other is.
+// A machine that is late against the recent boot times of its type is not waited for:
+// another is provisioned. When all take as long, no other is.
 func TestLateMachinesAreReplaced(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		boots  float64 // as the type took lately
-		at     time.Duration
-		rented int
+		name       string
+		bootFactor float64 // of the type's recent boots
+		after      time.Duration
+		replaced   int
 	}{
 		{"in its usual time", 1, 15 * time.Second, 0},
 		{"late", 1, 22 * time.Second, 1},
 		{"all are slow", 2.5, 22 * time.Second, 0},
-		{"late even so", 2.5, 48 * time.Second, 1},
+		{"late although all are slow", 2.5, 48 * time.Second, 1},
 	} {
-		b := newHarness(t, Options{})
-		b.c.autoscaler.bootFactors["m"] = c.boots
-		b.job("job-1", wire.JobSpec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
-		var asked []wire.ProvisionRequest
-		began := b.now
-		for b.now < began.Add(c.at) {
-			b.now = b.now.Add(500 * time.Millisecond)
-			for _, r := range b.step().Provision {
-				asked = append(asked, r)
-				var hosts []ids.MachineID
-				for i := range r.Count {
-					hosts = append(hosts, ids.MachineID(fmt.Sprintf("%s-%d", r.RequestID, i)))
-				}
-				b.c.ProvisionResult(b.now, r, hosts, true)
+		t.Run(c.name, func(t *testing.T) {
+			b := newHarness(t, Options{})
+			b.c.autoscaler.bootFactors["m"] = c.bootFactor
+			b.job("job-1", wire.JobSpec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
+			if requests := b.provisionFor(c.after); len(requests) != 1+c.replaced {
+				t.Errorf("provisioned %v, want %d replacements", requests, c.replaced)
 			}
-		}
-		if len(asked) != 1+c.rented {
-			t.Errorf("%s: asked for %v", c.name, asked)
+		})
+	}
+}
+
+// provisionFor steps for a time and grants each request for machines, which never boot.
+func (b *harness) provisionFor(d time.Duration) []wire.ProvisionRequest {
+	var requests []wire.ProvisionRequest
+	for until := b.now.Add(d); b.now < until; {
+		b.now = b.now.Add(500 * time.Millisecond)
+		for _, r := range b.step().Provision {
+			requests = append(requests, r)
+			var machines []ids.MachineID
+			for i := range r.Count {
+				machines = append(machines, ids.MachineID(fmt.Sprintf("%s-%d", r.RequestID, i)))
+			}
+			b.c.ProvisionResult(b.now, r, machines, true)
 		}
 	}
-	// One that never comes is returned in the end, and pays no more.
+	return requests
+}
+
+// A machine that never boots is terminated in the end, and costs no more.
+func TestMachineThatNeverBootsIsTerminated(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.ProvisionResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"}, true)
 	b.c.registry.machines["n-9"].Site = placement.Site{Type: "m", Zone: "a"}
-	gone := false
 	for range 120 {
 		b.now = b.now.Add(500 * time.Millisecond)
-		e := b.step()
-		gone = gone || len(e.Terminate) > 0
-	}
-	if !gone {
-		t.Error("never returned")
+		if len(b.step().Terminate) > 0 {
+			return
+		}
 	}
+	t.Error("never terminated")
 }
 
 // What began or ended while the leader itself was paused is heard of only after it:
@@ -209,72 +215,78 @@
 	}
 }
 
-// Best-effort work of a team without a guarantee found each gap taken by others' work of higher priority, and
-// began after seven and ten minutes. Its first task must begin within four, and run on for
-// a while; beyond that it takes nothing from the others.
-func TestBestEffortWorkStarts(t *testing.T) {
-	play := func(keep time.Duration) (began, ran time.Duration, most int) {
-		limit := quota.Amount{CPUs: 48}
-		b := newHarness(t, Options{ReserveAfter: keep, ReserveFor: 90 * time.Second, Teams: []quota.Team{
-			{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: limit, LendingLimit: quota.Amount{CPUs: 40}},
-			{Name: "guest", Limit: quota.Unlimited}}})
-		b.c.Begin(b.now)
-		start := b.now
-		on := map[ids.MachineID][]wire.TaskStatus{}
-		until := map[string]monotonic.Instant{}
-		var first monotonic.Instant
-		for s := range 420 {
-			b.now = b.now.Add(time.Second)
-			if s%2 == 0 {
-				b.job(ids.JobID(fmt.Sprintf("job-s%d", s)), wire.JobSpec{Class: "c", Tasks: 4, CPUs: 2, Priority: wire.Normal})
-			}
-			if s == 20 {
-				b.job("job-guest", wire.JobSpec{Class: "g", Team: "guest", Tasks: 9, CPUs: 8})
-			}
-			b.step()
-			guests := 0
-			for h := range 6 {
-				host := ids.MachineID(fmt.Sprintf("n-%d", h))
-				for i, tk := range on[host] {
-					if strings.HasPrefix(tk.Name, "job-guest") {
-						guests++
-					} else if b.now > until[tk.Name] {
-						on[host][i].State, on[host][i].Cause = wire.TaskEnded, wire.CauseDone
-					}
-				}
-				o := b.report(host, "a", ids.NewFencingToken(5, 900), on[host]...)
-				for _, order := range o.Commands {
-					name := order.Name
-					switch order.Verb {
-					case wire.VerbRun:
-						on[host] = append(on[host], wire.TaskStatus{Name: name, Attempt: order.Attempt, State: wire.TaskRunning})
-						until[name] = b.now.Add(time.Duration(5+(s*7+len(on[host])*3)%11) * time.Second)
-						if first == 0 && strings.HasPrefix(name, "job-guest") {
-							first, began = b.now, b.now.Sub(start)-20*time.Second
-						}
-					case wire.VerbKill:
-						if strings.HasPrefix(name, "job-guest") && ran == 0 {
-							ran = b.now.Sub(first)
-						}
-						for i := range on[host] {
-							if on[host][i].Name == name {
-								on[host][i].State, on[host][i].Cause = wire.TaskEnded, wire.CauseStopped
-							}
-						}
-					case wire.VerbReap:
-						on[host] = slices.DeleteFunc(on[host], func(tk wire.TaskStatus) bool { return tk.Name == name && tk.Attempt == order.Attempt })
-					}
-				}
-			}
-			most = max(most, guests)
+// guestDay is what became of a best-effort job of a team without a guarantee.
+type guestDay struct {
+	startedAfter time.Duration // from its submission; 0: never
+	stoppedAfter time.Duration // from its first start; 0: never
+	mostTasks    int           // at once
+}
+
+// playGuestDay submits small arrays of one team without end, and a best-effort array of a
+// team without a guarantee.
+func playGuestDay(t *testing.T, reserveAfter time.Duration) guestDay {
+	t.Helper()
+	const guest = "job-guest"
+	b := newHarness(t, Options{ReserveAfter: reserveAfter, ReserveFor: 90 * time.Second, Teams: []quota.Team{
+		{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: quota.Amount{CPUs: 48}, LendingLimit: quota.Amount{CPUs: 40}},
+		{Name: "guest", Limit: quota.Unlimited}}})
+	b.c.Begin(b.now)
+	var day guestDay
+	var submittedAt, startedAt monotonic.Instant
+	tick := 0
+	runTime := func(name string, count int) time.Duration {
+		if strings.HasPrefix(name, guest) {
+			return 0
+		}
+		return staggeredRunTime(tick, count)
+	}
+	agents := newTestAgents(runTime, "n-0", "n-1", "n-2", "n-3", "n-4", "n-5")
+	agents.observe = func(command wire.Command) {
+		switch isGuest := strings.HasPrefix(command.Name, guest); {
+		case isGuest && command.Verb == wire.VerbRun && startedAt == 0:
+			startedAt, day.startedAfter = b.now, b.now.Sub(submittedAt)
+		case isGuest && command.Verb == wire.VerbKill && day.stoppedAfter == 0:
+			day.stoppedAfter = b.now.Sub(startedAt)
 		}
-		return began, ran, most
 	}
-	if began, _, _ := play(0); began != 0 {
-		t.Fatalf("it began after %v without the rule: the day tests nothing", began)
+	for ; tick < 420; tick++ {
+		b.now = b.now.Add(time.Second)
+		if tick%2 == 0 {
+			b.job(ids.JobID(fmt.Sprintf("job-s%d", tick)), wire.JobSpec{Class: "c", Tasks: 4, CPUs: 2, Priority: wire.Normal})
+		}
+		if tick == 20 {
+			submittedAt = b.now
+			b.job(guest, wire.JobSpec{Class: "g", Team: "guest", Tasks: 9, CPUs: 8})
+		}
+		b.step()
+		day.mostTasks = max(day.mostTasks, agents.count(guest))
+		agents.heartbeats(b)
+	}
+	return day
+}
+
+// staggeredRunTime makes tasks end one after the other, so that no machine is ever empty by
+// chance.
+func staggeredRunTime(tick, count int) time.Duration {
+	return time.Duration(5+(tick*7+count*3)%11) * time.Second
+}
+
+// Best-effort work of a team without a guarantee found each gap taken by others' work of
+// higher priority, and began after seven and ten minutes. Its first task must begin within
+// four, and run on for a while; beyond that it takes nothing from the others.
+func TestBestEffortWorkStarts(t *testing.T) {
+	if day := playGuestDay(t, 0); day.startedAfter != 0 {
+		t.Fatalf("without reservations it began after %v: the day tests nothing", day.startedAfter)
+	}
+	day := playGuestDay(t, time.Minute)
+	t.Logf("%+v", day)
+	if day.startedAfter == 0 || day.startedAfter >= 4*time.Minute {
+		t.Errorf("it began after %v", day.startedAfter)
+	}
+	if day.stoppedAfter != 0 && day.stoppedAfter < 30*time.Second {
+		t.Errorf("it was stopped after %v", day.stoppedAfter)
 	}
-	began, ran, most := play(time.Minute)
-	if began == 0 || began > 4*time.Minute || ran != 0 && ran < 30*time.Second || most > 1 {
-		t.Errorf("it began after %v, was stopped after %v, and had %d tasks at once", began, ran, most)
+	if day.mostTasks > 1 {
+		t.Errorf("it had %d tasks at once", day.mostTasks)
 	}
 }
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -1,8 +1,8 @@
 package scheduler
 
 import (
+	"cmp"
 	"fmt"
-	"maps"
 	"slices"
 	"testing"
 	"time"
@@ -19,88 +19,110 @@
 	return &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: "a", Incarnation: tenure, Sequence: tick, FencingToken: token, Tasks: tasks}
 }
 
-// A machine whose reports arrive, but which hears nothing, takes work for ever
-// and does none. It gets no more, is returned, and its work moves only then.
-func TestUnreachableMachineIsReturned(t *testing.T) {
+// A machine whose heartbeats arrive, but which receives nothing, would take work for ever
+// and do none. It gets no more, is terminated, and its work moves only then.
+func TestUnreachableMachineIsTerminated(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	b.job("job-1", wire.JobSpec{Tasks: 1})
 	b.step()
 	b.step()
-	returned := false
+	b.awaitTerminationOfUnreachable()
+	b.report("n-2", "a", 0)
+	b.c.TerminateResult(b.now, []ids.MachineID{"n-1"}, true)
+	b.step()
+	if a := b.assignmentOf("job-1"); a == nil || a.machine.host != "n-2" {
+		t.Fatal("its task did not move")
+	}
+}
+
+// awaitTerminationOfUnreachable steps until n-1 is terminated, which gets no command. The
+// task of job-1 stays on it, and job-2, submitted meanwhile, is not placed on it.
+func (b *harness) awaitTerminationOfUnreachable() {
+	b.t.Helper()
 	for s := range 40 {
 		b.now = b.now.Add(time.Second)
 		e := b.step()
-		for _, h := range e.SendCommands {
-			if _, _, ok := b.c.TakeCommands(b.now, h); ok {
-				b.c.CommandsResult(b.now, h, nil)
-			}
-		}
+		b.loseCommands(e)
 		if s%3 == 0 {
 			b.report("n-1", "a", 0)
 		}
 		if s == 16 {
 			b.job("job-2", wire.JobSpec{Tasks: 1})
 		}
-		if j := b.c.jobs["job-2"]; j != nil && j.tasks[0].assignment != nil {
-			t.Fatalf("after %d s: new work went to it", s)
+		if b.assignmentOf("job-2") != nil {
+			b.t.Fatalf("after %d s: new work was placed on it", s)
 		}
-		if a := b.c.jobs["job-1"].tasks[0].assignment; a == nil {
-			t.Fatalf("after %d s: its task counts as gone before it was returned", s)
+		if b.assignmentOf("job-1") == nil {
+			b.t.Fatalf("after %d s: its task was released before it was terminated", s)
 		}
 		if slices.Contains(e.Terminate, "n-1") {
-			returned = true
-			break
+			return
 		}
 	}
-	if !returned {
-		t.Fatal("never returned")
+	b.t.Fatal("never terminated")
+}
+
+// loseCommands takes the commands that a step sends, and gives no response to them.
+func (b *harness) loseCommands(e Decisions) {
+	for _, machine := range e.SendCommands {
+		if _, _, ok := b.c.TakeCommands(b.now, machine); ok {
+			b.c.CommandsResult(b.now, machine, nil)
+		}
 	}
-	b.report("n-2", "a", 0)
-	b.c.TerminateResult(b.now, []ids.MachineID{"n-1"}, true)
-	b.step()
-	if a := b.c.jobs["job-1"].tasks[0].assignment; a == nil || a.machine.host != "n-2" {
-		t.Fatal("its task did not move")
+}
+
+// assignmentOf is the assignment of a job's first task, or nil if it or the job has none.
+func (b *harness) assignmentOf(id ids.JobID) *assignment {
+	if j := b.c.jobs[id]; j != nil {
+		return j.tasks[0].assignment
 	}
+	return nil
 }
 
-// A lease that runs out although every report was answered shows the same. A
-// machine that then shows the new token has only missed something.
+// A lease that expires although every heartbeat was answered shows that the machine receives
+// nothing. One that then shows the new token has only missed something.
 func TestLeaseLostWhileAnswered(t *testing.T) {
-	for _, hears := range []bool{false, true} {
-		b := newHarness(t, Options{})
-		b.c.Begin(b.now)
-		o := b.report("n-1", "a", 0)
-		b.report("n-1", "a", o.FencingToken)
-		b.now = b.now.Add(simHeartbeatInterval)
-		b.tick++
-		b.c.Heartbeat(b.now, newReport("n-1", 2, b.tick, o.FencingToken), false)
-		b.job("job-1", wire.JobSpec{Tasks: 1})
-		b.step()
-		if b.c.jobs["job-1"].tasks[0].assignment != nil {
-			t.Fatal("work went to a machine that may hear nothing")
-		}
-		var returned bool
-		for range 20 {
-			if b.c.jobs["job-1"].tasks[0].assignment != nil {
-				break
+	for _, c := range []struct {
+		name       string
+		shows      ids.FencingToken // 0: the first one it was told
+		terminated bool
+	}{
+		{"receives nothing", 0, true},
+		{"receives again", ids.NewFencingToken(5, 1), false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newHarness(t, Options{})
+			b.c.Begin(b.now)
+			first := b.report("n-1", "a", 0).FencingToken
+			b.report("n-1", "a", first)
+			b.now = b.now.Add(simHeartbeatInterval)
+			b.secondIncarnation(first)
+			b.job("job-1", wire.JobSpec{Tasks: 1})
+			b.step()
+			if b.assignmentOf("job-1") != nil {
+				t.Fatal("work was placed on a machine that may receive nothing")
 			}
-			b.now = b.now.Add(time.Second)
-			b.tick++
-			token := o.FencingToken
-			if hears {
-				token = ids.NewFencingToken(5, 1)
+			var terminated bool
+			for s := 0; s < 20 && b.assignmentOf("job-1") == nil; s++ {
+				b.now = b.now.Add(time.Second)
+				b.secondIncarnation(cmp.Or(c.shows, first))
+				terminated = terminated || slices.Contains(b.step().Terminate, "n-1")
 			}
-			b.c.Heartbeat(b.now, newReport("n-1", 2, b.tick, token), false)
-			returned = returned || slices.Contains(b.step().Terminate, "n-1")
-		}
-		if placed := b.c.jobs["job-1"].tasks[0].assignment != nil; returned == hears || placed != hears {
-			t.Errorf("hears %v: returned %v, work placed %v", hears, returned, placed)
-		}
+			if placed := b.assignmentOf("job-1") != nil; terminated != c.terminated || placed == c.terminated {
+				t.Errorf("terminated %v, work placed %v", terminated, placed)
+			}
+		})
 	}
 }
 
+// secondIncarnation has n-1 send a heartbeat of its agent's second incarnation.
+func (b *harness) secondIncarnation(token ids.FencingToken) {
+	b.tick++
+	b.c.Heartbeat(b.now, newReport("n-1", 2, b.tick, token), false)
+}
+
 // A cancelled job's task on a machine that talks but does not do as it is told
 // must be gone in time as well.
 func TestCancelledTaskOnAnUnreachableMachine(t *testing.T) {
@@ -224,139 +246,134 @@
 	}
 }
 
-// Later jobs that fit pass one that does not, but not for ever: without room
-// kept for it a large task would find every gap taken by small ones.
-func TestLargeJobsStart(t *testing.T) {
-	begins := func(keep time.Duration) time.Duration {
-		b := newHarness(t, Options{ReserveAfter: keep, ReserveFor: time.Minute})
-		b.c.Begin(b.now)
-		start := b.now
-		on := map[ids.MachineID][]wire.TaskStatus{}
-		until := map[string]monotonic.Instant{}
-		hosts := []ids.MachineID{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
-		token := ids.NewFencingToken(5, 0)
-		for s := range 300 {
-			b.now = b.now.Add(time.Second)
-			b.job(ids.JobID(fmt.Sprintf("job-s%d", s)), wire.JobSpec{Tasks: 4, CPUs: 2})
-			if s == 20 {
-				b.job("job-large", wire.JobSpec{Tasks: 3, CPUs: 8})
-			}
-			b.step()
-			for _, h := range hosts {
-				var tasks []wire.TaskStatus
-				for _, tk := range on[h] {
-					if b.now > until[tk.Name] {
-						tk.State, tk.Cause = wire.TaskEnded, wire.CauseDone
-					}
-					tasks = append(tasks, tk)
-				}
-				o := b.report(h, "a", token, tasks...)
-				token = max(token, o.FencingToken)
-				var left []wire.TaskStatus
-				for _, tk := range tasks {
-					if !slices.Contains(verbs(o.Commands, wire.VerbReap), fmt.Sprintf("%s#%d", tk.Name, tk.Attempt)) {
-						left = append(left, tk)
-					}
-				}
-				for _, order := range o.Commands {
-					if order.Verb == wire.VerbRun {
-						left = append(left, wire.TaskStatus{Name: order.Name, Attempt: order.Attempt, State: wire.TaskRunning})
-						// The gaps open one at a time.
-						until[order.Name] = b.now.Add(time.Duration(5+(s*7+len(left)*3)%11) * time.Second)
-					}
-				}
-				on[h] = left
-			}
-			if j := b.c.jobs["job-large"]; j != nil && j.started {
-				return b.now.Sub(start) - 20*time.Second
-			}
+// startOfLargeJob plays small arrays without end beside one of large tasks, and returns how
+// long after its submission that one started; 0: never.
+func startOfLargeJob(t *testing.T, reserveAfter time.Duration) time.Duration {
+	t.Helper()
+	b := newHarness(t, Options{ReserveAfter: reserveAfter, ReserveFor: time.Minute})
+	b.c.Begin(b.now)
+	tick := 0
+	runTime := func(_ string, count int) time.Duration { return staggeredRunTime(tick, count) }
+	agents := newTestAgents(runTime, "n-1", "n-2", "n-3", "n-4", "n-5", "n-6")
+	var submittedAt monotonic.Instant
+	for ; tick < 300; tick++ {
+		b.now = b.now.Add(time.Second)
+		b.job(ids.JobID(fmt.Sprintf("job-s%d", tick)), wire.JobSpec{Tasks: 4, CPUs: 2})
+		if tick == 20 {
+			submittedAt = b.now
+			b.job("job-large", wire.JobSpec{Tasks: 3, CPUs: 8})
+		}
+		b.step()
+		agents.heartbeats(b)
+		if j := b.c.jobs["job-large"]; j != nil && j.started {
+			return b.now.Sub(submittedAt)
 		}
-		return 0
 	}
-	if at := begins(0); at != 0 {
-		t.Fatalf("it began after %v with no room kept: the day tests nothing", at)
+	return 0
+}
+
+// Later jobs that fit overtake one that does not, but not for ever: without a reservation a
+// large task would find every gap taken by small ones.
+func TestLargeJobsStart(t *testing.T) {
+	if after := startOfLargeJob(t, 0); after != 0 {
+		t.Fatalf("without reservations it started after %v: the day tests nothing", after)
 	}
-	if at := begins(time.Minute); at == 0 || at > 4*time.Minute {
-		t.Fatalf("it began after %v", at)
+	after := startOfLargeJob(t, time.Minute)
+	t.Logf("started after %v", after)
+	if after == 0 || after >= 4*time.Minute {
+		t.Fatalf("it started after %v", after)
 	}
 }
 
-// A small deployment was short of machines for minutes. Room kept for a job was
-// refused to it, as an older job like it had found none; and where a team's
-// quota was short, each slot that came free went to the next task of its oldest
-// jobs, and the largest began after seven minutes. A successor must know how
-// long a job has waited.
-func TestEveryJobStartsThoughOlderOnesGoOn(t *testing.T) {
-	begins := func(keep time.Duration, quotaShort, takeover bool) time.Duration {
-		opt := Options{ReserveAfter: keep, ReserveFor: time.Minute}
-		on := map[ids.MachineID][]wire.TaskStatus{"n-1": nil}
-		if quotaShort { // room there is
-			eight := quota.Amount{CPUs: 8}
-			opt.Teams = []quota.Team{{Name: "red", Nominal: eight, Limit: eight, LendingLimit: eight}}
-			on["n-2"] = nil
+// lateJobDay is a day on which an array is submitted while an older one, which is too large
+// for the machines, takes every gap.
+type lateJobDay struct {
+	quotaIsShort bool // there are free machines, but no quota
+	failsOver    bool // a new leader takes over while the late job waits
+}
+
+const (
+	lateJobSubmitted  = 20 // seconds after the day began
+	lateJobFailover   = 50
+	lateJobDaySeconds = 300
+)
+
+// startOfLateJob plays the day and returns how long after its submission the late job
+// started; 0: never.
+func (d lateJobDay) startOfLateJob(t *testing.T, reserveAfter time.Duration) time.Duration {
+	t.Helper()
+	opt := Options{ReserveAfter: reserveAfter, ReserveFor: time.Minute}
+	agents := newTestAgents(func(string, int) time.Duration { return 10 * time.Second }, "n-1")
+	if d.quotaIsShort {
+		eight := quota.Amount{CPUs: 8}
+		opt.Teams = []quota.Team{{Name: "red", Nominal: eight, Limit: eight, LendingLimit: eight}}
+		agents.machines = append(agents.machines, "n-2")
+	}
+	b := newHarness(t, opt)
+	b.c.Begin(b.now)
+	start := b.now
+	b.submitAt(start, "job-old", 200)
+	for second := range lateJobDaySeconds {
+		b.now = b.now.Add(time.Second)
+		if second == lateJobSubmitted {
+			b.submitAt(start, "job-late", 4)
 		}
-		b := newHarness(t, opt)
-		b.c.Begin(b.now)
-		start := b.now
-		wall := func() int64 { return int64(b.now.Sub(start) / time.Millisecond) }
-		submit := func(id ids.JobID, tasks int) {
-			b.c.ObserveJob(b.now, id, &records.Job{Status: wire.JobQueued, Tasks: tasks, SubmittedMS: wall(),
-				Spec: &wire.JobSpec{Team: "red", Tasks: tasks, CPUs: 2}}, ids.Revision(100+len(b.c.jobs)))
+		if second == lateJobFailover && d.failsOver {
+			b = b.nextLeader(opt, start)
+			agents.tasks["n-1"] = nil
 		}
-		submit("job-old", 200)
-		until := map[string]monotonic.Instant{}
-		for s := range 300 {
-			b.now = b.now.Add(time.Second)
-			if s == 20 {
-				submit("job-late", 4)
-			}
-			if s == 50 && takeover {
-				opt.Revision, opt.WallClockMS = 9, wall()
-				next := newHarness(t, opt)
-				next.now, next.tick = b.now, b.tick
-				for id, j := range b.c.jobs {
-					next.c.LoadJob(id, &records.Job{Status: wire.JobQueued, Tasks: j.spec.Tasks, Spec: j.spec, SubmittedMS: j.readyMS}, j.revision)
-				}
-				next.c.Begin(next.now)
-				b = next
-				on["n-1"] = nil
-			}
-			b.step()
-			for _, h := range slices.Sorted(maps.Keys(on)) {
-				tasks := on[h]
-				for i := range tasks {
-					if b.now > until[tasks[i].Name] {
-						tasks[i].State, tasks[i].Cause = wire.TaskEnded, wire.CauseDone
-					}
-				}
-				o := b.report(h, "a", ids.NewFencingToken(b.c.opt.Revision, 900), tasks...)
-				reaped := verbs(o.Commands, wire.VerbReap)
-				on[h] = slices.DeleteFunc(tasks, func(tk wire.TaskStatus) bool {
-					return slices.Contains(reaped, fmt.Sprintf("%s#%d", tk.Name, tk.Attempt))
-				})
-				for _, order := range o.Commands {
-					if order.Verb == wire.VerbRun {
-						on[h] = append(on[h], wire.TaskStatus{Name: order.Name, Attempt: order.Attempt, State: wire.TaskRunning})
-						until[order.Name] = b.now.Add(10 * time.Second)
-					}
-				}
-			}
-			if j := b.c.jobs["job-late"]; j != nil && j.started {
-				return time.Duration(s-20) * time.Second
-			}
+		b.step()
+		agents.heartbeats(b)
+		if j := b.c.jobs["job-late"]; j != nil && j.started {
+			return time.Duration(second-lateJobSubmitted) * time.Second
 		}
-		return 0
 	}
-	const keep = 40 * time.Second
+	return 0
+}
+
+// submitAt submits a job with the wall clock of a day that began at start.
+func (b *harness) submitAt(start monotonic.Instant, id ids.JobID, tasks int) {
+	b.c.ObserveJob(b.now, id, &records.Job{Status: wire.JobQueued, Tasks: tasks, SubmittedMS: b.now.Sub(start).Milliseconds(),
+		Spec: &wire.JobSpec{Team: "red", Tasks: tasks, CPUs: 2}}, ids.Revision(100+len(b.c.jobs)))
+}
+
+// nextLeader is a new leader that has read the records of the jobs, and no others.
+func (b *harness) nextLeader(opt Options, start monotonic.Instant) *harness {
+	b.t.Helper()
+	opt.Revision, opt.WallClockMS = 9, b.now.Sub(start).Milliseconds()
+	next := newHarness(b.t, opt)
+	next.now, next.tick = b.now, b.tick
+	for id, j := range b.c.jobs {
+		next.c.LoadJob(id, &records.Job{Status: wire.JobQueued, Tasks: j.spec.Tasks, Spec: j.spec, SubmittedMS: j.readyMS}, j.revision)
+	}
+	next.c.Begin(next.now)
+	return next
+}
+
+// A small deployment was short of machines for minutes. A reservation was refused to a job,
+// as an older job like it had found no room; and where a team's quota was short, each slot
+// that came free went to the next task of its oldest jobs, and the largest began after seven
+// minutes. The next leader must know how long a job has waited.
+func TestEveryJobStartsThoughOlderOnesGoOn(t *testing.T) {
+	const reserveAfter = 40 * time.Second
 	for _, c := range []struct {
-		quotaShort, takeover bool
-		within               time.Duration
-	}{{false, false, keep + 20*time.Second}, {false, true, keep + 20*time.Second}, {true, false, 2*keep + 20*time.Second}} {
-		if at := begins(0, c.quotaShort, c.takeover); at != 0 {
-			t.Errorf("%+v: it began after %v without the rule: the day tests nothing", c, at)
-		}
-		if at := begins(keep, c.quotaShort, c.takeover); at == 0 || at > c.within {
-			t.Errorf("%+v: it began after %v", c, at)
-		}
+		name   string
+		day    lateJobDay
+		within time.Duration
+	}{
+		{"too few machines", lateJobDay{}, reserveAfter + 20*time.Second},
+		{"too few machines and a failover", lateJobDay{failsOver: true}, reserveAfter + 20*time.Second},
+		{"too little quota", lateJobDay{quotaIsShort: true}, 2*reserveAfter + 20*time.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if after := c.day.startOfLateJob(t, 0); after != 0 {
+				t.Errorf("without reservations it started after %v: the day tests nothing", after)
+			}
+			after := c.day.startOfLateJob(t, reserveAfter)
+			t.Logf("started after %v", after)
+			if after == 0 || after > c.within {
+				t.Errorf("it started after %v", after)
+			}
+		})
 	}
 }
