--- a/scheduler/agents_test.go
+++ b/scheduler/agents_test.go
@@ -109,7 +109,7 @@
 		b.step()
 		inspect()
 		for _, machine := range g.machines {
-			token := ids.NewFencingToken(b.c.opt.Revision, b.c.registry.machines[machine].counter)
+			token := ids.NewFencingToken(b.c.opt.Revision, b.c.cluster.Machine(machine).Commands.TokenCounter)
 			response := b.report(machine, "a", token, g.ended[machine]...)
 			g.ended[machine] = nil
 			for _, command := range response.Commands {
--- a/scheduler/digest_test.go
+++ b/scheduler/digest_test.go
@@ -27,7 +27,7 @@
 	fmt.Fprintf(d.hash, "%s %v\n", kind, value) // without names of fields, which may change
 }
 
-// decisions takes in the decisions of one step.
+// addDecisions adds the decisions of one step.
 func (d *decisionDigest) addDecisions(e Decisions) {
 	for _, ch := range e.RecordChanges {
 		d.add("change", ch.ID)
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -8,6 +8,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
@@ -44,8 +45,8 @@
 	nothing := func() {}
 	agents.play(b, wire.CauseError, 3*time.Minute, nothing)
 	starts := agents.play(b, wire.CauseDone, 75*time.Second, nothing)
-	if starts == 0 || len(b.c.jobs) > 0 {
-		t.Errorf("after %d starts that succeed, %d jobs are not done", starts, len(b.c.jobs))
+	if starts == 0 || len(b.c.cluster.Jobs()) > 0 {
+		t.Errorf("after %d starts that succeed, %d jobs are not done", starts, len(b.c.cluster.Jobs()))
 	}
 }
 
@@ -68,8 +69,8 @@
 // activeTasks counts the tasks that are assigned to machines.
 func (b *harness) activeTasks() int {
 	active := 0
-	for _, j := range b.c.jobs {
-		active += len(j.active)
+	for _, j := range b.c.cluster.Jobs() {
+		active += len(j.Active())
 	}
 	return active
 }
@@ -77,8 +78,8 @@
 // quarantinedMachines counts the machines that are in quarantine.
 func (b *harness) quarantinedMachines() int {
 	count := 0
-	for _, m := range b.c.registry.machineList {
-		if b.now < m.quarantinedUntil {
+	for _, m := range b.c.cluster.Machines() {
+		if b.now < m.Health.QuarantinedUntil {
 			count++
 		}
 	}
@@ -90,25 +91,25 @@
 func TestUnhealthyMachineBesideAPermanentlyFailingJob(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.report("n-0", "a", 0)
-	m := b.c.registry.machines["n-0"]
+	m := b.c.cluster.Machine("n-0")
 	fail := func(id ids.JobID) {
-		b.c.recordFailure(&assignment{job: b.c.jobs[id], machine: m, attempt: 1})
+		b.c.recordFailure(&cluster.Assignment{Job: b.c.cluster.Job(id), Machine: m, Attempt: 1})
 	}
 	b.job("job-bad", wire.JobSpec{Class: "c", Tasks: 1})
 	b.job("job-1", wire.JobSpec{Class: "c", Tasks: 4})
 	b.job("job-2", wire.JobSpec{Class: "c", Tasks: 4})
-	b.c.jobs["job-bad"].failureRounds = 1
+	b.c.cluster.Job("job-bad").Failures.Rounds = 1
 	fail("job-bad")
 	fail("job-1")
-	if b.c.now < m.quarantinedUntil {
+	if b.c.clock.Now() < m.Health.QuarantinedUntil {
 		t.Error("quarantined for one job's failure")
 	}
 	fail("job-2")
-	if b.c.now >= m.quarantinedUntil {
+	if b.c.clock.Now() >= m.Health.QuarantinedUntil {
 		t.Error("not quarantined for the failures of two jobs")
 	}
-	b.c.clearFailureHistory(b.c.jobs["job-2"])
-	if b.c.now < m.quarantinedUntil {
+	b.c.clearFailureHistory(b.c.cluster.Job("job-2"))
+	if b.c.clock.Now() < m.Health.QuarantinedUntil {
 		t.Error("still quarantined although one of them fails everywhere")
 	}
 }
@@ -159,7 +160,7 @@
 func TestMachineThatNeverBootsIsTerminated(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.ProvisionResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"}, true)
-	b.c.registry.machines["n-9"].Site = placement.Site{Type: "m", Zone: "a"}
+	b.c.cluster.Machine("n-9").Site = placement.Site{Type: "m", Zone: "a"}
 	for range 120 {
 		b.now = b.now.Add(500 * time.Millisecond)
 		if len(b.step().Terminate) > 0 {
@@ -188,29 +189,29 @@
 	}
 	task := run()
 	b.c.ProvisionResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-1"}, true)
-	b.c.registry.machines["n-1"].Site = placement.Site{Type: "m", Zone: "a"}
-	b.c.registry.machines["n-1"].bootDeadline = b.now.Add(10 * time.Second)
+	b.c.cluster.Machine("n-1").Site = placement.Site{Type: "m", Zone: "a"}
+	b.c.cluster.Machine("n-1").Lifecycle.BootDeadline = b.now.Add(10 * time.Second)
 
 	b.now = b.now.Add(20 * time.Second) // it is paused
 	b.report("n-0", "a", 0)             // on its way since before the command came
-	if b.c.registry.machines["n-0"].unreachable {
+	if b.c.cluster.Machine("n-0").Health.Unreachable {
 		t.Error("a machine counts as deaf for what the leader slept through")
 	}
 	if e := b.step(); len(e.Terminate) > 0 {
 		t.Errorf("returned %v before they could report", e.Terminate)
 	}
 	b.report("n-0", "a", 0, task)
-	a := b.c.jobs["job-1"].active[0]
+	a := b.c.cluster.Job("job-1").Active()[0]
 	b.now = b.now.Add(500 * time.Millisecond)
 	b.step()
 	b.now = b.now.Add(20 * time.Second) // and again
 	b.step()
-	if ran := b.c.runTime(a); ran > time.Second {
+	if ran := runTime(b.c.clock, a); ran > time.Second {
 		t.Errorf("ran for %v", ran)
 	}
 	b.now = b.now.Add(900 * time.Millisecond)
 	b.step()
-	if ran := b.c.runTime(a); ran < time.Second || ran > 2*time.Second {
+	if ran := runTime(b.c.clock, a); ran < time.Second || ran > 2*time.Second {
 		t.Errorf("ran for %v", ran)
 	}
 }
--- a/scheduler/plain_model_test.go
+++ b/scheduler/plain_model_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
@@ -30,22 +31,22 @@
 // creation time and identifier; a job that does not fit is skipped.
 type plainModel struct {
 	core      *Core
-	jobs      []*job // in the order of admission
+	jobs      []*cluster.Job // in the order of admission
 	free      map[ids.MachineID]placement.Resources
 	used      map[ids.Team]quota.Amount
 	totalCPUs float64 // of all machines
-	placed    map[ids.TaskRef]*machine
+	placed    map[ids.TaskRef]*cluster.Machine
 	// borrowers holds by team the highest priority of a job that fits only with borrowed
 	// quota. Jobs of the team with a lower priority get no nominal quota before it.
 	borrowers map[ids.Team]wire.Priority
 }
 
 // modelQuotaCheck tells whether a number of tasks of a job fits the quota of a pass.
-type modelQuotaCheck func(j *job, tasks int) bool
+type modelQuotaCheck func(j *cluster.Job, tasks int) bool
 
 // modelAttempt is a job whose waiting tasks a pass tries to place.
 type modelAttempt struct {
-	job     *job
+	job     *cluster.Job
 	waiting []int // indexes of tasks
 	fits    modelQuotaCheck
 	atomic  bool // all tasks are placed together or none is
@@ -54,17 +55,17 @@
 // newPlainModel reads the machines, the jobs and the used quota of a core.
 func newPlainModel(c *Core) *plainModel {
 	p := &plainModel{core: c, free: map[ids.MachineID]placement.Resources{}, used: map[ids.Team]quota.Amount{},
-		placed: map[ids.TaskRef]*machine{}, borrowers: map[ids.Team]wire.Priority{}}
-	for _, m := range c.registry.machines {
-		p.free[m.host] = m.total.Minus(m.used)
-		p.totalCPUs += m.total.CPUs
+		placed: map[ids.TaskRef]*cluster.Machine{}, borrowers: map[ids.Team]wire.Priority{}}
+	for _, m := range c.cluster.Machines() {
+		p.free[m.ID] = m.Total().Minus(m.Used())
+		p.totalCPUs += m.Total().CPUs
 	}
-	for _, j := range c.jobs {
+	for _, j := range c.cluster.Jobs() {
 		p.jobs = append(p.jobs, j)
-		p.used[j.spec.Team] = p.used[j.spec.Team].Plus(j.amount().Times(len(j.active)))
+		p.used[j.Spec.Team] = p.used[j.Spec.Team].Plus(j.Amount().Times(len(j.Active())))
 	}
-	slices.SortFunc(p.jobs, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(b.spec.Priority, a.spec.Priority), cmp.Compare(a.readyMS, b.readyMS), cmp.Compare(a.id, b.id))
+	slices.SortFunc(p.jobs, func(a, b *cluster.Job) int {
+		return cmp.Or(cmp.Compare(b.Spec.Priority, a.Spec.Priority), cmp.Compare(a.Queue.ReadyMS, b.Queue.ReadyMS), cmp.Compare(a.ID, b.ID))
 	})
 	return p
 }
@@ -75,7 +76,7 @@
 	p.admitBorrowing()
 	var out []string
 	for ref, m := range p.placed {
-		out = append(out, fmt.Sprintf("%s@%s", ref, m.host))
+		out = append(out, fmt.Sprintf("%s@%s", ref, m.ID))
 	}
 	slices.Sort(out)
 	return out
@@ -84,7 +85,7 @@
 // admitWithinNominal is the pass that uses nominal quota alone.
 func (p *plainModel) admitWithinNominal() {
 	for _, j := range p.jobs {
-		if j.spec.Priority < p.borrowers[j.spec.Team] {
+		if j.Spec.Priority < p.borrowers[j.Spec.Team] {
 			continue
 		}
 		a := p.newAttempt(j, p.fitsNominal)
@@ -95,11 +96,11 @@
 
 // admitBorrowing is the pass that uses lent quota. Starving jobs go first.
 func (p *plainModel) admitBorrowing() {
-	starving := map[*job]bool{}
+	starving := map[*cluster.Job]bool{}
 	for _, j := range p.jobs {
 		starving[j] = p.hasWaited(j, modelStarvingAfter)
 	}
-	moveToFront(p.jobs, func(j *job) bool { return starving[j] })
+	moveToFront(p.jobs, func(j *cluster.Job) bool { return starving[j] })
 	for _, j := range p.jobs {
 		p.try(p.newAttempt(j, p.fitsBorrowing))
 	}
@@ -116,15 +117,15 @@
 	slices.SortStableFunc(list, func(a, b E) int { return rank(a) - rank(b) })
 }
 
-func (p *plainModel) newAttempt(j *job, fits modelQuotaCheck) modelAttempt {
-	return modelAttempt{job: j, waiting: p.waiting(j), fits: fits, atomic: j.spec.Gang || j.spec.Service && len(j.active) == 0}
+func (p *plainModel) newAttempt(j *cluster.Job, fits modelQuotaCheck) modelAttempt {
+	return modelAttempt{job: j, waiting: p.waiting(j), fits: fits, atomic: j.Spec.Gang || j.Spec.Service && len(j.Active()) == 0}
 }
 
 // waiting lists the tasks of a job that have no machine yet.
-func (p *plainModel) waiting(j *job) []int {
+func (p *plainModel) waiting(j *cluster.Job) []int {
 	var out []int
-	for i := range j.tasks {
-		if j.tasks[i].state == taskPending && p.placed[ids.TaskRef{Job: j.id, Index: i}] == nil {
+	for i := range j.Tasks() {
+		if j.Task(i).State() == cluster.TaskPending && p.placed[ids.TaskRef{Job: j.ID, Index: i}] == nil {
 			out = append(out, i)
 		}
 	}
@@ -133,40 +134,40 @@
 
 // hasWaited tells whether a job that has not begun has waited for longer than a multiple
 // of the time after which capacity is reserved.
-func (p *plainModel) hasWaited(j *job, multiple float64) bool {
+func (p *plainModel) hasWaited(j *cluster.Job, multiple float64) bool {
 	for ref := range p.placed {
-		if ref.Job == j.id {
+		if ref.Job == j.ID {
 			return false
 		}
 	}
 	reserveAfter := p.core.opt.ReserveAfter
-	return !j.started && reserveAfter > 0 && p.core.now.Sub(j.readyAt) > time.Duration(multiple*float64(reserveAfter))
+	return !j.Started() && reserveAfter > 0 && p.core.clock.Now().Sub(j.Queue.ReadyAt) > time.Duration(multiple*float64(reserveAfter))
 }
 
 // cpusWith is what a team uses once some more tasks of a job are placed.
-func (p *plainModel) cpusWith(team ids.Team, j *job, tasks int) float64 {
+func (p *plainModel) cpusWith(team ids.Team, j *cluster.Job, tasks int) float64 {
 	cpus := p.used[team].CPUs
-	if team == j.spec.Team {
-		cpus += j.spec.CPUs * float64(tasks)
+	if team == j.Spec.Team {
+		cpus += j.Spec.CPUs * float64(tasks)
 	}
 	return cpus
 }
 
 // team is the quota of a job's team.
-func (p *plainModel) team(j *job) quota.Team {
-	i := slices.IndexFunc(p.core.opt.Teams, func(t quota.Team) bool { return t.Name == j.spec.Team })
+func (p *plainModel) team(j *cluster.Job) quota.Team {
+	i := slices.IndexFunc(p.core.opt.Teams, func(t quota.Team) bool { return t.Name == j.Spec.Team })
 	return p.core.opt.Teams[i]
 }
 
-func (p *plainModel) fitsLimit(j *job, tasks int) bool {
-	return p.cpusWith(j.spec.Team, j, tasks) <= p.team(j).Limit.CPUs+modelSlack
+func (p *plainModel) fitsLimit(j *cluster.Job, tasks int) bool {
+	return p.cpusWith(j.Spec.Team, j, tasks) <= p.team(j).Limit.CPUs+modelSlack
 }
 
-func (p *plainModel) fitsNominal(j *job, tasks int) bool {
-	return p.fitsLimit(j, tasks) && p.cpusWith(j.spec.Team, j, tasks) <= p.team(j).Nominal.CPUs+modelSlack
+func (p *plainModel) fitsNominal(j *cluster.Job, tasks int) bool {
+	return p.fitsLimit(j, tasks) && p.cpusWith(j.Spec.Team, j, tasks) <= p.team(j).Nominal.CPUs+modelSlack
 }
 
-func (p *plainModel) fitsBorrowing(j *job, tasks int) bool {
+func (p *plainModel) fitsBorrowing(j *cluster.Job, tasks int) bool {
 	if !p.fitsLimit(j, tasks) {
 		return false
 	}
@@ -211,25 +212,25 @@
 		rest = 1
 	}
 	if !p.fitsNominal(a.job, rest) && p.fitsBorrowing(a.job, rest) {
-		team := a.job.spec.Team
-		p.borrowers[team] = max(p.borrowers[team], a.job.spec.Priority)
+		team := a.job.Spec.Team
+		p.borrowers[team] = max(p.borrowers[team], a.job.Spec.Priority)
 	}
 }
 
 // zonesToTry lists the zones that an atomic job is placed in, one after the other. The zone
 // of the best machine for its first task goes first. The empty name stands for all zones.
 func (p *plainModel) zonesToTry(a modelAttempt) []ids.Zone {
-	if !a.job.spec.OneZone || len(a.job.active) > 0 {
+	if !a.job.Spec.OneZone || len(a.job.Active()) > 0 {
 		return []ids.Zone{""}
 	}
 	var zones []ids.Zone
-	for _, m := range p.core.registry.machineList {
+	for _, m := range p.core.cluster.Machines() {
 		if !slices.Contains(zones, m.Zone) {
 			zones = append(zones, m.Zone)
 		}
 	}
 	if got := p.place(a, ""); len(got) > 0 {
-		best := p.placed[ids.TaskRef{Job: a.job.id, Index: got[0]}].Zone
+		best := p.placed[ids.TaskRef{Job: a.job.ID, Index: got[0]}].Zone
 		p.undo(a.job, got)
 		moveToFront(zones, func(z ids.Zone) bool { return z == best })
 	}
@@ -248,35 +249,35 @@
 		if best == nil {
 			break
 		}
-		p.placed[ids.TaskRef{Job: a.job.id, Index: i}] = best
-		p.free[best.host] = p.free[best.host].Minus(placement.TaskResources(a.job.spec))
-		p.used[a.job.spec.Team] = p.used[a.job.spec.Team].Plus(a.job.amount())
+		p.placed[ids.TaskRef{Job: a.job.ID, Index: i}] = best
+		p.free[best.ID] = p.free[best.ID].Minus(placement.TaskResources(a.job.Spec))
+		p.used[a.job.Spec.Team] = p.used[a.job.Spec.Team].Plus(a.job.Amount())
 		got = append(got, i)
 	}
 	return got
 }
 
 // undo takes placements of a job back.
-func (p *plainModel) undo(j *job, tasks []int) {
+func (p *plainModel) undo(j *cluster.Job, tasks []int) {
 	for _, i := range tasks {
-		ref := ids.TaskRef{Job: j.id, Index: i}
-		host := p.placed[ref].host
-		p.free[host] = p.free[host].Plus(placement.TaskResources(j.spec))
-		p.used[j.spec.Team] = p.used[j.spec.Team].Minus(j.amount())
+		ref := ids.TaskRef{Job: j.ID, Index: i}
+		host := p.placed[ref].ID
+		p.free[host] = p.free[host].Plus(placement.TaskResources(j.Spec))
+		p.used[j.Spec.Team] = p.used[j.Spec.Team].Minus(j.Amount())
 		delete(p.placed, ref)
 	}
 }
 
 // bestMachine is the first machine with the highest score that may take a task, or nil.
-func (p *plainModel) bestMachine(j *job, zone ids.Zone) *machine {
+func (p *plainModel) bestMachine(j *cluster.Job, zone ids.Zone) *cluster.Machine {
 	zones := p.tasksByZone(j)
-	var best *machine
+	var best *cluster.Machine
 	bestScore := 0.0
-	for _, m := range p.core.registry.machineList {
+	for _, m := range p.core.cluster.Machines() {
 		if zone != "" && m.Zone != zone || p.reservedForOther(m, j) || !p.mayTake(m, j, zones) {
 			continue
 		}
-		if score := placement.Score(j.spec, p.candidate(m, j, zones)); best == nil || score > bestScore {
+		if score := placement.Score(j.Spec, p.candidate(m, j, zones)); best == nil || score > bestScore {
 			best, bestScore = m, score
 		}
 	}
@@ -284,27 +285,27 @@
 }
 
 // mayTake tells whether a machine's site, free resources and zone allow a task of a job.
-func (p *plainModel) mayTake(m *machine, j *job, zones placement.TasksByZone) bool {
-	return placement.Allowed(j.spec, m.Site) && placement.TaskResources(j.spec).FitsIn(p.free[m.host]) && zones.Allows(j.spec, m.Zone)
+func (p *plainModel) mayTake(m *cluster.Machine, j *cluster.Job, zones placement.TasksByZone) bool {
+	return placement.Allowed(j.Spec, m.Site) && placement.TaskResources(j.Spec).FitsIn(p.free[m.ID]) && zones.Allows(j.Spec, m.Zone)
 }
 
 // reservedForOther tells whether a machine is reserved for a job that goes before this one.
-func (p *plainModel) reservedForOther(m *machine, j *job) bool {
-	owner := m.reservedFor
+func (p *plainModel) reservedForOther(m *cluster.Machine, j *cluster.Job) bool {
+	owner := m.Admission.ReservedFor
 	if owner == nil || owner == j {
 		return false
 	}
-	return owner.spec.Priority >= j.spec.Priority || j.spec.Priority < wire.Critical && p.hasWaited(owner, modelStarvingAfter)
+	return owner.Spec.Priority >= j.Spec.Priority || j.Spec.Priority < wire.Critical && p.hasWaited(owner, modelStarvingAfter)
 }
 
 // tasksByZone counts the tasks of a job by zone, with those that the model placed.
-func (p *plainModel) tasksByZone(j *job) placement.TasksByZone {
+func (p *plainModel) tasksByZone(j *cluster.Job) placement.TasksByZone {
 	zones := placement.TasksByZone{}
-	for _, a := range j.active {
-		zones[a.machine.Zone]++
+	for _, a := range j.Active() {
+		zones[a.Machine.Zone]++
 	}
 	for ref, m := range p.placed {
-		if ref.Job == j.id {
+		if ref.Job == j.ID {
 			zones[m.Zone]++
 		}
 	}
@@ -312,15 +313,15 @@
 }
 
 // tasksOn counts the tasks of a job on a machine, with those that the model placed.
-func (p *plainModel) tasksOn(m *machine, j *job) int {
+func (p *plainModel) tasksOn(m *cluster.Machine, j *cluster.Job) int {
 	count := 0
-	for _, a := range j.active {
-		if a.machine == m {
+	for _, a := range j.Active() {
+		if a.Machine == m {
 			count++
 		}
 	}
 	for ref, at := range p.placed {
-		if ref.Job == j.id && at == m {
+		if ref.Job == j.ID && at == m {
 			count++
 		}
 	}
@@ -329,30 +330,30 @@
 
 // candidate describes a machine to a task of a job. All jobs have the same image, so that
 // it is being fetched wherever there is any task.
-func (p *plainModel) candidate(m *machine, j *job, zones placement.TasksByZone) *placement.Candidate {
-	c := &placement.Candidate{Site: m.Site, Free: p.free[m.host], Total: m.total, SameZone: zones[m.Zone]}
-	if j.spec.Service {
+func (p *plainModel) candidate(m *cluster.Machine, j *cluster.Job, zones placement.TasksByZone) *placement.Candidate {
+	c := &placement.Candidate{Site: m.Site, Free: p.free[m.ID], Total: m.Total(), SameZone: zones[m.Zone]}
+	if j.Spec.Service {
 		c.SameJob = p.tasksOn(m, j)
 	}
-	c.Fetching = len(m.tasks) > 0
-	for _, a := range m.tasks {
-		c.RunsServices = c.RunsServices || a.job.spec.Service
+	c.Fetching = len(m.Assignments()) > 0
+	for _, a := range m.Assignments() {
+		c.RunsServices = c.RunsServices || a.Job.Spec.Service
 	}
 	for ref, at := range p.placed {
 		if at == m {
 			c.Fetching = true
-			c.RunsServices = c.RunsServices || p.core.jobs[ref.Job].spec.Service
+			c.RunsServices = c.RunsServices || p.core.cluster.Job(ref.Job).Spec.Service
 		}
 	}
 	return c
 }
 
 // placements lists what is on the machines, as TASK@MACHINE by assignment.
-func (b *harness) placements() map[*assignment]string {
-	out := map[*assignment]string{}
-	for _, m := range b.c.registry.machineList {
-		for _, a := range m.tasks {
-			out[a] = fmt.Sprintf("%s@%s", a.ref(), m.host)
+func (b *harness) placements() map[*cluster.Assignment]string {
+	out := map[*cluster.Assignment]string{}
+	for _, m := range b.c.cluster.Machines() {
+		for _, a := range m.Assignments() {
+			out[a] = fmt.Sprintf("%s@%s", a.Ref(), m.ID)
 		}
 	}
 	return out
@@ -364,7 +365,7 @@
 	b.t.Helper()
 	want := newPlainModel(b.c).admit()
 	before := b.placements()
-	b.c.now = b.now
+	b.c.clock.Set(b.now)
 	b.c.updateSurplus()
 	b.c.admission.admitAll(b.c.waitingJobs())
 	var got []string
@@ -393,11 +394,11 @@
 // that are reserved.
 func (b *harness) reserveCapacity() int {
 	b.now = b.now.Add(time.Second)
-	b.c.now = b.now
+	b.c.clock.Set(b.now)
 	b.c.updateReservations(b.c.waitingJobs())
 	reserved := 0
-	for _, m := range b.c.registry.machineList {
-		if m.reservedFor != nil {
+	for _, m := range b.c.cluster.Machines() {
+		if m.Admission.ReservedFor != nil {
 			reserved++
 		}
 	}
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -10,11 +10,12 @@
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// said is a report as a worker would make it, for messages out of order.
+// newReport is a heartbeat as an agent in zone a would send it, for messages out of order.
 func newReport(host ids.MachineID, tenure ids.AgentIncarnation, tick ids.Sequence, token ids.FencingToken, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: "a", Incarnation: tenure, Sequence: tick, FencingToken: token, Tasks: tasks}
 }
@@ -32,7 +33,7 @@
 	b.report("n-2", "a", 0)
 	b.c.TerminateResult(b.now, []ids.MachineID{"n-1"}, true)
 	b.step()
-	if a := b.assignmentOf("job-1"); a == nil || a.machine.host != "n-2" {
+	if a := b.assignmentOf("job-1"); a == nil || a.Machine.ID != "n-2" {
 		t.Fatal("its task did not move")
 	}
 }
@@ -74,9 +75,9 @@
 }
 
 // assignmentOf is the assignment of a job's first task, or nil if it or the job has none.
-func (b *harness) assignmentOf(id ids.JobID) *assignment {
-	if j := b.c.jobs[id]; j != nil {
-		return j.tasks[0].assignment
+func (b *harness) assignmentOf(id ids.JobID) *cluster.Assignment {
+	if j := b.c.cluster.Job(id); j != nil {
+		return j.Task(0).Assignment()
 	}
 	return nil
 }
@@ -128,7 +129,7 @@
 func TestCancelledTaskOnAnUnreachableMachine(t *testing.T) {
 	b := newHarness(t, Options{})
 	token, running := b.runTask()
-	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.jobs["job-1"].spec}, 500)
+	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.cluster.Job("job-1").Spec}, 500)
 	for s := range 52 {
 		b.now = b.now.Add(time.Second)
 		b.report("n-1", "a", token, running)
@@ -160,13 +161,13 @@
 			b.c.Heartbeat(b.now, newReport("n-1", 1, tick, o.FencingToken, run), false)
 		}
 		b.step()
-		if m := b.c.registry.machines["n-1"]; m == nil || len(m.tasks) == 0 {
+		if m := b.c.cluster.Machine("n-1"); m == nil || len(m.Assignments()) == 0 {
 			if time.Duration(s)*time.Second < simAgentLease {
 				t.Fatalf("its task was released after %d s, within the lease", s)
 			}
 			return
 		}
-		if s > 3 && b.c.health.usable(b.c.registry.machines["n-1"]) && time.Duration(s)*time.Second > 2*simHeartbeatInterval {
+		if s > 3 && b.c.health.usable(b.c.cluster.Machine("n-1")) && time.Duration(s)*time.Second > 2*simHeartbeatInterval {
 			t.Fatalf("after %d s of copies alone it counts as usable", s)
 		}
 	}
@@ -179,11 +180,11 @@
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
-	b.c.registry.returnMachine(b.c.registry.machines["n-1"], "test")
+	b.c.registry.returnMachine(b.c.cluster.Machine("n-1"), "test")
 	b.step()
 	b.c.TerminateResult(b.now, []ids.MachineID{"n-1"}, true)
 	b.report("n-1", "a", 0)
-	if b.c.registry.machines["n-1"] != nil {
+	if b.c.cluster.Machine("n-1") != nil {
 		t.Fatal("it came back at the leader that returned it")
 	}
 
@@ -192,13 +193,13 @@
 	b.report("n-1", "a", ids.NewFencingToken(4, 7))
 	b.job("job-1", wire.JobSpec{Tasks: 1})
 	b.step()
-	if b.c.jobs["job-1"].tasks[0].assignment != nil {
+	if b.c.cluster.Job("job-1").Task(0).Assignment() != nil {
 		t.Fatal("a successor placed work on a machine that it only has an old report of")
 	}
 	b.report("n-1", "a", ids.NewFencingToken(5, 0))
-	b.c.schedulingDue = true
+	b.c.rounds.MarkDue()
 	b.step()
-	if b.c.jobs["job-1"].tasks[0].assignment == nil {
+	if b.c.cluster.Job("job-1").Task(0).Assignment() == nil {
 		t.Fatal("a machine that shows our token is not used")
 	}
 }
@@ -235,10 +236,10 @@
 			}
 		}
 	}
-	if m := next.c.registry.machines["n-2"]; m == nil || !m.reported {
+	if m := next.c.cluster.Machine("n-2"); m == nil || !m.Agent.Reported {
 		t.Error("a machine without tasks was not asked")
 	}
-	if token["n-1"].Revision() != 9 || !next.c.registry.machines["n-1"].fenced {
+	if token["n-1"].Revision() != 9 || !next.c.cluster.Machine("n-1").Agent.Fenced {
 		t.Fatalf("n-1 was not told of the successor: token %d", token["n-1"])
 	}
 	if _, ok := old.c.Heartbeat(old.now, newReport("n-1", 1, tick+1, token["n-1"], run), false); ok || !old.c.Superseded() {
@@ -265,7 +266,7 @@
 		}
 		b.step()
 		agents.heartbeats(b)
-		if j := b.c.jobs["job-large"]; j != nil && j.started {
+		if j := b.c.cluster.Job("job-large"); j != nil && j.Started() {
 			return b.now.Sub(submittedAt)
 		}
 	}
@@ -324,7 +325,7 @@
 		}
 		b.step()
 		agents.heartbeats(b)
-		if j := b.c.jobs["job-late"]; j != nil && j.started {
+		if j := b.c.cluster.Job("job-late"); j != nil && j.Started() {
 			return time.Duration(second-lateJobSubmitted) * time.Second
 		}
 	}
@@ -334,7 +335,7 @@
 // submitAt submits a job with the wall clock of a day that began at start.
 func (b *harness) submitAt(start monotonic.Instant, id ids.JobID, tasks int) {
 	b.c.ObserveJob(b.now, id, &records.Job{Status: wire.JobQueued, Tasks: tasks, SubmittedMS: b.now.Sub(start).Milliseconds(),
-		Spec: &wire.JobSpec{Team: "red", Tasks: tasks, CPUs: 2}}, ids.Revision(100+len(b.c.jobs)))
+		Spec: &wire.JobSpec{Team: "red", Tasks: tasks, CPUs: 2}}, ids.Revision(100+len(b.c.cluster.Jobs())))
 }
 
 // nextLeader is a new leader that has read the records of the jobs, and no others.
@@ -343,8 +344,8 @@
 	opt.Revision, opt.WallClockMS = 9, b.now.Sub(start).Milliseconds()
 	next := newHarness(b.t, opt)
 	next.now, next.tick = b.now, b.tick
-	for id, j := range b.c.jobs {
-		next.c.LoadJob(id, &records.Job{Status: wire.JobQueued, Tasks: j.spec.Tasks, Spec: j.spec, SubmittedMS: j.readyMS}, j.revision)
+	for id, j := range b.c.cluster.Jobs() {
+		next.c.LoadJob(id, &records.Job{Status: wire.JobQueued, Tasks: j.Spec.Tasks, Spec: j.Spec, SubmittedMS: j.Queue.ReadyMS}, j.Records.Revision)
 	}
 	next.c.Begin(next.now)
 	return next
--- a/scheduler/sim_store_test.go
+++ b/scheduler/sim_store_test.go
@@ -96,7 +96,7 @@
 // leaderReadsStore tells whether the leader reads what others write.
 func (s *sim) leaderReadsStore() bool { return s.now >= max(s.storeOutageUntil, s.leaderRefusedUntil) }
 
-// lastStats brings a job's record to the leader, as its watch does.
+// watchJob brings a job's record to the leader, as its watch does.
 func (s *sim) watchJob(id ids.JobID) {
 	if !s.leaderReadsStore() {
 		s.after(max(s.storeOutageUntil, s.leaderRefusedUntil).Sub(s.now), func() { s.watchJob(id) })
