--- a/scheduler/sim_faults_test.go
+++ b/scheduler/sim_faults_test.go
@@ -11,13 +11,14 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// randomFaults are what may happen at any moment, whatever else goes on.
+// randomFaults are the faults that may be injected at any moment, whatever else goes on. Each
+// has a weight; inject gets the jobs so far and draws the end of a fault in seconds from now.
 var randomFaults = []struct {
-	name  string
-	weigh int
-	bring func(s *sim, all []ids.JobID, d func(from, to int) monotonic.Instant)
+	name   string
+	weight int
+	inject func(s *sim, all []ids.JobID, d func(from, to int) monotonic.Instant)
 }{
-	{"machine cut", 4, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
+	{"machine partitioned", 4, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
 		if w := s.randomWorker(); w != nil {
 			w.partitionedUntil = d(5, 65)
 		}
@@ -32,12 +33,12 @@
 			w.dead = true
 		}
 	}},
-	{"machine unreachable, though it reports", 3, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
+	{"commands to a machine are lost, heartbeats are not", 3, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
 		if w := s.randomWorker(); w != nil {
 			w.commandsLostUntil = d(5, 95)
 		}
 	}},
-	{"machine cannot report, though it is reached", 3, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
+	{"heartbeats of a machine are lost, commands are not", 3, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
 		if w := s.randomWorker(); w != nil {
 			w.heartbeatsLostUntil = d(5, 95)
 		}
@@ -47,52 +48,52 @@
 			w.hungUntil = d(5, 65)
 		}
 	}},
-	{"machine back at once", 2, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
+	{"agent restarts", 2, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
 		if w := s.randomWorker(); w != nil && w.incarnation > 0 && !w.dead {
 			w.tasks, w.sequence, w.leaseRenewedAt = nil, 0, s.now
 			w.incarnation++
 		}
 	}},
-	{"another leader", 4, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) { s.failOver() }},
-	{"leaders in a row", 1, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
+	{"failover", 4, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) { s.failOver() }},
+	{"failovers in a row", 1, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
 		for i := range 3 {
 			s.after(time.Duration(i)*700*time.Millisecond, s.failOver)
 		}
 	}},
-	{"no state service", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.storeOutageUntil = d(5, 65) }},
-	{"leader refused alone", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.leaderRefusedUntil = d(1, 20) }},
-	{"leader goes on unseen", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
+	{"store outage", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.storeOutageUntil = d(5, 65) }},
+	{"store outage for the leader alone", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.leaderRefusedUntil = d(1, 20) }},
+	{"previous leader stays active in a zone", 2, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
 		s.failOverWithPreviousLeaderActive()
 		s.isolatedZone, s.isolatedZoneUntil = ids.Zone([]string{"a", "b", "c"}[s.rng.IntN(3)]), d(5, 60)
 	}},
 	{"leader is paused", 3, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
 		s.pause(time.Duration(500+s.rng.IntN(11_500)) * time.Millisecond)
 	}},
-	{"no controller", 1, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
+	{"outage of all controllers", 1, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) {
 		s.controllersDownUntil = d(1, 40)
 		s.previousCore = nil
 		s.after(s.controllersDownUntil.Sub(s.now), s.failOver)
 	}},
-	{"no cloud", 1, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.cloudOutageUntil = d(5, 40) }},
+	{"cloud outage", 1, func(s *sim, _ []ids.JobID, d func(int, int) monotonic.Instant) { s.cloudOutageUntil = d(5, 40) }},
 	{"slow links", 1, func(s *sim, _ []ids.JobID, _ func(int, int) monotonic.Instant) {
 		s.extraLatency = time.Duration(s.rng.IntN(800)) * time.Millisecond
 		s.after(20*time.Second, func() { s.extraLatency = 0 })
 	}},
-	{"jobs that run are cancelled, and their machines hang", 2, func(s *sim, all []ids.JobID, d func(int, int) monotonic.Instant) {
+	{"running jobs are cancelled and their machines hang", 2, func(s *sim, all []ids.JobID, d func(int, int) monotonic.Instant) {
 		s.cancelRunning(all, 2, d(5, 60))
 	}},
 }
 
-// injectFault brings one of them about.
+// injectFault injects one of them, by weight.
 func (s *sim) injectFault(all []ids.JobID) {
 	sum := 0
 	for _, t := range randomFaults {
-		sum += t.weigh
+		sum += t.weight
 	}
 	n := s.rng.IntN(sum)
 	for _, t := range randomFaults {
-		if n -= t.weigh; n < 0 {
-			t.bring(s, all, func(from, to int) monotonic.Instant {
+		if n -= t.weight; n < 0 {
+			t.inject(s, all, func(from, to int) monotonic.Instant {
 				return s.now.Add(time.Duration(from+s.rng.IntN(to-from)) * time.Second)
 			})
 			return
@@ -100,8 +101,8 @@
 	}
 }
 
-// cancelRunning has users call off some jobs that run, and hangs their machines until
-// a time: before, while or after they are told.
+// cancelRunning has users cancel some jobs that run, and hangs their machines until a time:
+// before, while or after the cancellation is acknowledged.
 func (s *sim) cancelRunning(all []ids.JobID, count int, hang monotonic.Instant) {
 	for _, id := range all {
 		if count == 0 {
@@ -110,27 +111,26 @@
 		if s.cancelled[id] {
 			continue
 		}
-		hosts := map[ids.MachineID]bool{}
-		for _, p := range s.placements[id] {
-			if p.task.state == wire.TaskRunning && s.holdsTask(p.worker, p.task) && !s.leaseExpired(p.worker) {
-				hosts[p.worker.id] = true
-			}
-		}
-		if len(hosts) == 0 {
+		running := s.running(id)
+		if len(running) == 0 {
 			continue
 		}
 		count--
 		s.after(time.Duration(s.rng.IntN(200))*time.Millisecond, func() { s.cancel(id) })
-		s.after(time.Duration(s.rng.IntN(200))*time.Millisecond, func() {
-			for h := range hosts {
-				if w := s.workers[h]; w != nil {
-					w.hungUntil = max(w.hungUntil, hang)
-				}
-			}
-		})
+		s.after(time.Duration(s.rng.IntN(200))*time.Millisecond, func() { s.hang(running, hang) })
+	}
+}
+
+// hang hangs the workers of placements until a time, as far as they are still provisioned.
+func (s *sim) hang(placements []simPlacement, until monotonic.Instant) {
+	for _, p := range placements {
+		if w := s.workers[p.worker.id]; w != nil {
+			w.hungUntil = max(w.hungUntil, until)
+		}
 	}
 }
 
+// randomSpec is a random job.
 func (s *sim) randomSpec() *wire.JobSpec {
 	teams := []ids.Team{"red", "blue", "gold"}
 	sp := &wire.JobSpec{Class: "c", Team: teams[s.rng.IntN(3)], Priority: wire.Priority(s.rng.IntN(4)), Tasks: 1 + s.rng.IntN(9),
@@ -148,8 +148,8 @@
 	return sp
 }
 
-// waitingSpec is a random job that may wait for some that were submitted before,
-// over or not.
+// waitingSpec is a random job that may depend on some that were submitted before, terminal
+// or not.
 func (s *sim) waitingSpec(all []ids.JobID) *wire.JobSpec {
 	sp := s.randomSpec()
 	for range min(len(all), s.rng.IntN(4)) {
@@ -161,8 +161,8 @@
 	return sp
 }
 
-// playRandomDay submits random jobs over a number of rounds, with troubles in each,
-// and stops as soon as a rule is broken.
+// playRandomDay submits random jobs over a number of rounds, injects faults in each, and
+// stops as soon as a rule is broken.
 func (s *sim) playRandomDay(rounds int) []ids.JobID {
 	s.t.Helper()
 	var all []ids.JobID
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -1,82 +1,14 @@
 package scheduler
 
 import (
-	"maps"
-	"slices"
 	"strings"
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// failOver puts a new leader in place. Messages of the previous one are still in flight, and
-// some of the time it stays active: it lost the store and its peers, but not its workers.
-func (s *sim) failOver() {
-	before := s.leaderRevision != 0
-	s.previousCore = nil
-	if before && s.chance(0.4) {
-		s.previousCore, s.previousTerm, s.previousUntil = s.core, s.term, s.now.Add(simIsolatedReplicas)
-	}
-	s.leaderRefusedUntil, s.leaseValidUntil = 0, s.now.Add(simLeaderLease)
-	s.applyTxn(nil, []kv.Operation{{PutKey: records.LeaderKey, Value: "x"}})
-	s.leaderRevision = s.storeRevision
-	s.term++
-	opt := s.opt
-	opt.Revision, opt.PreviousLeader = s.leaderRevision, before
-	opt.WallClockMS = int64(time.Duration(s.now) / time.Millisecond)
-	s.core = New(opt, s.types)
-	s.loadRecords()
-	s.core.Begin(s.now)
-	for _, rep := range s.delayedHeartbeats {
-		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Heartbeat(s.now, rep, false) })
-	}
-	s.delayedHeartbeats = nil
-}
-
-// loadRecords reads the store into the new leader, in the order of keys: jobs and zones
-// first, then the admission records that refer to the jobs.
-func (s *sim) loadRecords() {
-	keys := slices.Sorted(maps.Keys(s.store))
-	for _, k := range keys {
-		_, _, isSlice := records.ParseAdmissionKey(k)
-		switch {
-		case strings.HasPrefix(k, records.ZonePrefix):
-			s.loadZoneRecord(k)
-		case !isSlice && k != records.LeaderKey:
-			var rec records.Job
-			s.must(wire.Decode(s.store[k].value, &rec))
-			s.core.LoadJob(ids.JobID(k[len(records.JobPrefix):]), &rec, s.store[k].revision)
-		}
-	}
-	for _, k := range keys {
-		if id, n, ok := records.ParseAdmissionKey(k); ok {
-			var rec records.AdmissionSlice
-			s.must(wire.Decode(s.store[k].value, &rec))
-			s.must(s.core.LoadSlice(id, n, &rec, s.store[k].revision))
-		}
-	}
-}
-
-// failOverWithPreviousLeaderActive puts a new leader in place while the previous one stays
-// active.
-func (s *sim) failOverWithPreviousLeaderActive() {
-	old, term := s.core, s.term
-	s.failOver()
-	s.previousCore, s.previousTerm, s.previousUntil = old, term, s.now.Add(simIsolatedReplicas)
-}
-
-// afterPause calls do at once, or as soon as the process of a leader is no longer paused.
-func (s *sim) afterPause(core *Core, do func()) {
-	if left := s.pauseLeft(core); left > 0 {
-		s.after(left, func() { s.afterPause(core, do) })
-		return
-	}
-	do()
-}
-
 // stepLeader runs one step of a leader's core and carries its decisions out.
 func (s *sim) stepLeader(l simLeader) {
 	l.core.ObserveConnectivity(s.connectivityOf(l.core))
--- a/scheduler/sim_store_test.go
+++ b/scheduler/sim_store_test.go
@@ -2,20 +2,41 @@
 
 import (
 	"slices"
-	"time"
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
+// simEntry is a value in the store.
 type simEntry struct {
 	revision ids.Revision
-	value    []byte
+	value    []byte // encoded
 }
 
-// applyTxn applies a transaction as the state service would.
+// simStore stands in for the consensus-backed key-value store. Faults: an outage for all,
+// an outage for the leader alone, limits that fall during an upgrade; commits whose response
+// is delayed are injected by sentChange.
+type simStore struct {
+	store              map[string]simEntry
+	storeRevision      ids.Revision
+	storeOutageUntil   monotonic.Instant // for all until then
+	leaderRefusedUntil monotonic.Instant // for the leader alone until then
+	// valueBytes and txnOps are the limits; 0: none.
+	valueBytes, txnOps int
+	// oversizedChanges counts the changes beyond the limits that were decided since all
+	// leaders knew them, and splitRecords the records that were split.
+	oversizedChanges, splitRecords int
+	// unsplitRecordsOnly is set while a controller may not know split slices yet.
+	unsplitRecordsOnly bool
+}
+
+func newSimStore() simStore { return simStore{store: map[string]simEntry{}, storeRevision: 1} }
+
+// applyTxn applies a transaction if its preconditions hold. Else it returns the keys whose
+// preconditions failed.
 func (s *sim) applyTxn(guards []kv.Precondition, ops []kv.Operation) (bool, []string) {
 	var failed []string
 	for _, g := range guards {
@@ -46,7 +67,7 @@
 	return true, nil
 }
 
-// withinStoreLimits tells whether the state service would take a change.
+// withinStoreLimits tells whether the store would take a change.
 func (s *sim) withinStoreLimits(ops []kv.Operation) bool {
 	if s.txnOps > 0 && len(ops) > s.txnOps {
 		return false
@@ -56,43 +77,53 @@
 	})
 }
 
-// checkSlices looks at the admission records of a job that was written to: no task
-// may be in two, and before the upgrade each slice must hold the tasks that its
-// number tells.
+// checkSlices checks the admission records of the job that was written to: no task may be in
+// two of them, and before the upgrade each record must hold the tasks that its number tells.
 func (s *sim) checkSlices(ops []kv.Operation) {
-	var job ids.JobID
-	for _, op := range ops {
-		if id, _, ok := records.ParseAdmissionKey(op.PutKey); ok {
-			job = id
-		}
-	}
-	if job == "" {
+	job, ok := admittedJob(ops)
+	if !ok {
 		return
 	}
-	in := map[int]int{}
+	recordedIn := map[int]int{} // slice by task
 	for key, e := range s.store {
-		id, n, ok := records.ParseAdmissionKey(key)
+		id, slice, ok := records.ParseAdmissionKey(key)
 		if !ok || id != job {
 			continue
 		}
-		var rec records.AdmissionSlice
-		s.must(wire.Decode(e.value, &rec))
-		tasks := slices.Clone(rec.Done)
-		for k := 0; k < len(rec.Tasks); k += 3 {
-			tasks = append(tasks, rec.Tasks[k])
-		}
-		for _, i := range tasks {
-			if other, twice := in[i]; twice && other != n {
-				s.violation("%s/%d is recorded in slices %d and %d", id, i, other, n)
+		for _, task := range s.tasksOfSlice(e) {
+			if other, twice := recordedIn[task]; twice && other != slice {
+				s.violation("%s/%d is recorded in slices %d and %d", id, task, other, slice)
 			}
-			in[i] = n
-			if s.unsplitRecordsOnly && i/s.opt.SliceTasks != n {
-				s.violation("%s/%d is recorded in slice %d before the upgrade", id, i, n)
+			recordedIn[task] = slice
+			if s.unsplitRecordsOnly && task/s.opt.SliceTasks != slice {
+				s.violation("%s/%d is recorded in slice %d before the upgrade", id, task, slice)
 			}
 		}
 	}
 }
 
+// admittedJob is the job whose admission records are put by a transaction.
+func admittedJob(ops []kv.Operation) (job ids.JobID, ok bool) {
+	for _, op := range ops {
+		if id, _, isSlice := records.ParseAdmissionKey(op.PutKey); isSlice {
+			job, ok = id, true
+		}
+	}
+	return job, ok
+}
+
+// tasksOfSlice lists the tasks in an admission record, done or not.
+func (s *sim) tasksOfSlice(e simEntry) []int {
+	const numbersPerTask = 3 // task, attempt, machine
+	var rec records.AdmissionSlice
+	s.must(wire.Decode(e.value, &rec))
+	tasks := slices.Clone(rec.Done)
+	for k := 0; k < len(rec.Tasks); k += numbersPerTask {
+		tasks = append(tasks, rec.Tasks[k])
+	}
+	return tasks
+}
+
 // leaderReadsStore tells whether the leader reads what others write.
 func (s *sim) leaderReadsStore() bool { return s.now >= max(s.storeOutageUntil, s.leaderRefusedUntil) }
 
@@ -114,79 +145,9 @@
 	core.ObserveJob(s.now, id, &rec, e.revision)
 }
 
-func (s *sim) submit(id ids.JobID, spec *wire.JobSpec) {
-	s.specs[id] = spec
-	s.applyTxn(nil, []kv.Operation{{PutKey: records.JobKey(id), Value: records.Job{Nonce: s.rng.Uint64(), Status: wire.JobQueued,
-		Tasks: spec.Tasks, Spec: spec, SubmittedMS: int64(time.Duration(s.now) / time.Millisecond)}}})
-	s.after(min(s.latency(), 3*time.Second), func() { s.watchJob(id) })
-}
-
-// cancel is what a user's cancellation comes to: it is repeated until it is committed, and the
-// user is told once a leader that surely held its key after that acknowledges it.
-func (s *sim) cancel(id ids.JobID) {
-	if s.now < s.storeOutageUntil {
-		s.after(time.Second, func() { s.cancel(id) })
-		return
-	}
-	key := records.JobKey(id)
-	var rec records.Job
-	s.must(wire.Decode(s.store[key].value, &rec))
-	if rec.Terminal() {
-		return
-	}
-	c := records.CancelJobChange(id, s.store[key].revision, s.rng.Uint64(), rec, s.opt.ValueBytes)
-	s.applyTxn(c.Preconditions, c.Operations)
-	s.cancelled[id] = true
-	s.after(min(s.latency(), 3*time.Second), func() { s.watchJob(id) })
-	s.awaitCancelAcknowledged(id)
-}
-
-// awaitCancelAcknowledged asks until the cancellation may be told.
-func (s *sim) awaitCancelAcknowledged(id ids.JobID) {
-	s.after(min(s.latency(), time.Second), func() {
-		if s.now >= s.controllersDownUntil && !s.chance(0.2) {
-			core, holds := s.core, s.now < s.leaseValidUntil
-			if s.previousCore != nil && s.chance(0.5) {
-				// The node that was asked still follows the old leader. What that one
-				// takes in it acts on, but it has lost its key.
-				core, holds = s.previousCore, false
-			}
-			if s.pauseLeft(core) > 0 {
-				s.awaitCancelAcknowledged(id) // nobody answers
-				return
-			}
-			s.deliverJob(core, id)
-			if holds && core.CanAcknowledgeCancel(s.now, id) {
-				s.cancelAcknowledgedAt[id] = s.now
-				return
-			}
-		}
-		s.after(time.Second, func() { s.awaitCancelAcknowledged(id) })
-	})
-}
-
 // status is a job's own record.
 func (s *sim) status(id ids.JobID) wire.JobState {
 	var rec records.Job
 	s.must(wire.Decode(s.store[records.JobKey(id)].value, &rec))
 	return rec.Status
 }
-
-// hasCancelledDependency tells by the records alone whether a job needs one that is cancelled.
-func (s *sim) hasCancelledDependency(id ids.JobID) bool {
-	return slices.ContainsFunc(s.specs[id].DependsOn, func(n ids.JobID) bool {
-		return s.status(n) == wire.JobCancelled || s.hasCancelledDependency(n)
-	})
-}
-
-// checkCancelledDependents sees that what needs a cancelled job is cancelled as well, and that
-// nothing else is but by its user.
-func (s *sim) checkCancelledDependents(all []ids.JobID) {
-	s.t.Helper()
-	for _, id := range all {
-		byUser := s.cancelled[id]
-		if got := s.status(id) == wire.JobCancelled; got != (byUser || s.hasCancelledDependency(id)) {
-			s.t.Errorf("%s is %s; withdrawn by its user: %v, an orphan: %v", id, s.status(id), byUser, s.hasCancelledDependency(id))
-		}
-	}
-}
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -12,25 +12,26 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// zoneChecks is what the simulation knows of zones by itself, beside the core.
+// zoneChecks injects zone outages and checks zone recovery. Faults: a partition of all
+// machines of a zone, and a leader that sees neither the store nor its peers.
 type zoneChecks struct {
 	partitionedUntil map[ids.Zone]monotonic.Instant
-	// limits are the ramp's limits of the last seconds, by zone: a step that was taken back
-	// leaves what was under way.
+	// limits are those of the ramp-up in the last seconds, by zone: a step that was taken
+	// back leaves starts in flight.
 	limits map[ids.Zone][]rampLimit
 	// bounces are the most that any leader counted for a job in one incident, displaced
 	// and denied the sums over all leaders.
 	bounces, displaced, bounceCount, forced int
 	lastStats                               map[*Core]zonerecovery.Stats
-	// isolatedView has the leader see neither the state service nor its peers.
+	// isolatedView has the leader see neither the store nor its peers.
 	isolatedView bool
-	// placedInReturn tells of each placement whether its zone returned at that time.
+	// placedInReturn tells of each assignment whether its zone recovered when it was made.
 	placedInReturn map[*cluster.Assignment]bool
 	// conditions are those that each zone went through.
 	conditions map[ids.Zone][]zonerecovery.Condition
 }
 
-// rampLimit is what a zone's ramp allowed at a time.
+// rampLimit is the limit of a zone's ramp-up at a time.
 type rampLimit struct {
 	at    monotonic.Instant
 	limit int
@@ -48,7 +49,7 @@
 		ReturnMax: 40 * time.Second, MoveBudget: 1, Patience: time.Minute}
 }
 
-// enableZoneRecovery turns the subsystem on from the next leader on, which is put in place.
+// enableZoneRecovery turns zone recovery on and fails over to a leader that knows it.
 func (s *sim) enableZoneRecovery() {
 	s.opt.ZoneRecovery = simZonePolicy()
 	s.zones.partitionedUntil, s.zones.limits = map[ids.Zone]monotonic.Instant{}, map[ids.Zone][]rampLimit{}
@@ -59,14 +60,14 @@
 	s.previousCore = nil
 }
 
-// loadZoneRecord hands a zone's record to the leader that takes over.
+// loadZoneRecord hands a zone's record to the new leader.
 func (s *sim) loadZoneRecord(key string) {
 	var rec zonerecovery.Record
 	s.must(wire.Decode(s.store[key].value, &rec))
 	s.core.LoadZone(s.now, ids.Zone(strings.TrimPrefix(key, records.ZonePrefix)), &rec, s.store[key].revision)
 }
 
-// connectivityOf is what a leader knows of its own place.
+// connectivityOf is what a leader knows of its own connectivity.
 func (s *sim) connectivityOf(core *Core) zonerecovery.Connectivity {
 	if core == s.previousCore || s.zones.isolatedView {
 		return zonerecovery.Connectivity{Peers: 2}
@@ -74,7 +75,7 @@
 	return zonerecovery.Connectivity{LeaseConfirmed: s.now < s.leaseValidUntil && s.now >= s.storeOutageUntil, PeersReachable: 2, Peers: 2}
 }
 
-// partitionZone cuts all machines of a zone off for a time, those that are rented there too.
+// partitionZone partitions all machines of a zone for a time, also those provisioned meanwhile.
 func (s *sim) partitionZone(zone ids.Zone, d time.Duration) {
 	s.zones.partitionedUntil[zone] = s.now.Add(d)
 	for _, w := range s.workers {
@@ -84,13 +85,13 @@
 	}
 }
 
-// condition is what the present leader takes a zone for.
+// condition is the condition of a zone according to the leader.
 func (s *sim) condition(zone ids.Zone) zonerecovery.Condition {
 	return s.core.zones.manager.Condition(zone)
 }
 
-// checkZones sees on the machines that the return of a zone stays under its ramp, and takes
-// in what the leaders counted.
+// checkZones checks on the machines that the recovery of a zone keeps the limits of its
+// ramp-up, and sums up the statistics of all leaders.
 func (s *sim) checkZones() {
 	if s.opt.ZoneRecovery == nil || s.core.zones == nil {
 		return
@@ -109,7 +110,7 @@
 	s.zones.bounces = max(s.zones.bounces, stats.WorstBounces)
 }
 
-// noteCondition keeps the order of conditions that a zone went through.
+// noteCondition records the conditions that a zone goes through.
 func (s *sim) noteCondition(zone ids.Zone, c zonerecovery.Condition) {
 	if was := s.zones.conditions[zone]; len(was) == 0 || was[len(was)-1] != c {
 		s.zones.conditions[zone] = append(was, c)
@@ -121,42 +122,66 @@
 	return s.core.moment().Wall.Sub(time.UnixMilli(st.SinceMS)) - 200*time.Millisecond
 }
 
-// checkRamp counts the starts under way that were placed during a return, by the tasks on
-// the machines alone, and compares them with what the ramp allowed lately.
+// checkRamp compares the starts in flight that were placed during a recovery with what the
+// ramp-up allowed lately, by the assignments on the machines alone.
 func (s *sim) checkRamp(st zonerecovery.Status) {
-	if st.Condition != zonerecovery.Recovering {
-		delete(s.zones.limits, st.Zone)
-	} else {
-		limits := append(s.zones.limits[st.Zone], rampLimit{s.now, st.StartLimit})
-		for len(limits) > 1 && s.now > limits[0].at.Add(rampMemory) {
-			limits = limits[1:]
-		}
-		s.zones.limits[st.Zone] = limits
-	}
-	most, underWay := 0, 0
+	s.rememberLimit(st)
+	most := 0
 	for _, l := range s.zones.limits[st.Zone] {
 		most = max(most, l.limit)
 	}
+	inFlight := 0
 	for _, m := range s.core.cluster.Machines() {
 		if m.Zone != st.Zone {
 			continue
 		}
 		for _, a := range m.Assignments() {
-			inReturn, known := s.zones.placedInReturn[a]
-			if !known {
-				inReturn = st.Condition == zonerecovery.Recovering && !a.Delivery.Inherited
-				s.zones.placedInReturn[a] = inReturn
-				closed := st.Condition == zonerecovery.Suspect || st.Condition == zonerecovery.Outage
-				if closed && !a.Delivery.Inherited && !a.Delivery.Seen && a.Run.PhaseSince > s.core.moment().Now.Add(-s.sinceChange(st)) {
-					s.violation("ramp: %s was placed in %s, which is %s", a.Ref(), st.Zone, st.Condition)
-				}
-			}
-			if inReturn && a.Run.Phase != wire.TaskRunning && !a.Job.Spec.Service && a.Job.Priority() != wire.Critical {
-				underWay++
+			if s.wasPlacedInReturn(a, st) && countsInRamp(a) {
+				inFlight++
 			}
 		}
 	}
-	if st.Condition == zonerecovery.Recovering && underWay > most {
-		s.violation("ramp: %d starts under way in %s, at most %d allowed", underWay, st.Zone, most)
+	if st.Condition == zonerecovery.Recovering && inFlight > most {
+		s.violation("ramp: %d starts in flight in %s, at most %d allowed", inFlight, st.Zone, most)
+	}
+}
+
+// rememberLimit keeps the limits of the last seconds while a zone recovers.
+func (s *sim) rememberLimit(st zonerecovery.Status) {
+	if st.Condition != zonerecovery.Recovering {
+		delete(s.zones.limits, st.Zone)
+		return
+	}
+	limits := append(s.zones.limits[st.Zone], rampLimit{s.now, st.StartLimit})
+	for len(limits) > 1 && s.now > limits[0].at.Add(rampMemory) {
+		limits = limits[1:]
+	}
+	s.zones.limits[st.Zone] = limits
+}
+
+// wasPlacedInReturn tells whether an assignment was made while its zone recovered. At the
+// first sight of it that is decided, and that its zone was open is checked.
+func (s *sim) wasPlacedInReturn(a *cluster.Assignment, st zonerecovery.Status) bool {
+	if inReturn, known := s.zones.placedInReturn[a]; known {
+		return inReturn
+	}
+	inReturn := st.Condition == zonerecovery.Recovering && !a.Delivery.Inherited
+	s.zones.placedInReturn[a] = inReturn
+	s.checkZoneOpen(a, st)
+	return inReturn
+}
+
+// checkZoneOpen checks that a new assignment was not made after its zone was closed.
+func (s *sim) checkZoneOpen(a *cluster.Assignment, st zonerecovery.Status) {
+	closed := st.Condition == zonerecovery.Suspect || st.Condition == zonerecovery.Outage
+	isNew := !a.Delivery.Inherited && !a.Delivery.Seen
+	if closed && isNew && a.Run.PhaseSince > s.core.moment().Now.Add(-s.sinceChange(st)) {
+		s.violation("ramp: %s was placed in %s, which is %s", a.Ref(), st.Zone, st.Condition)
 	}
 }
+
+// countsInRamp tells whether an assignment is a start in flight that the ramp-up limits:
+// services and critical work are exempt.
+func countsInRamp(a *cluster.Assignment) bool {
+	return a.Run.Phase != wire.TaskRunning && !a.Job.Spec.Service && a.Job.Priority() != wire.Critical
+}
