--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -87,12 +87,12 @@
 	}
 }
 
-// Admission and the search for victims must agree on who goes first. Where
-// they did not, a task was placed and stopped thousands of times: borrowers
-// stopped work within its guarantee, and room for a second replica was made in
-// the zone that only the first may use.
-func TestNoTaskIsPlacedAndStoppedOverAndOver(t *testing.T) {
-	stopped := 0
+// Admission and the search for victims must agree on who goes first. Where they did not, a
+// task was placed and preempted thousands of times: borrowers preempted work within its
+// nominal quota, and room for a second replica was made in the zone that only the first may
+// use.
+func TestNoTaskIsPlacedAndPreemptedOverAndOver(t *testing.T) {
+	preempted := 0
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		teams := randomTeams(rng, func() float64 { return 1 })
@@ -101,43 +101,52 @@
 		b.randomMachines(rng, 1+rng.IntN(5))
 		for round := range 4 {
 			for n := range rng.IntN(5) {
-				spec := wire.JobSpec{Class: []string{"hasty", "calm"}[rng.IntN(2)], Team: teams[rng.IntN(3)].Name, Priority: wire.Priority(rng.IntN(4)),
-					Tasks: 1 + rng.IntN(5), CPUs: float64(1 + rng.IntN(5)), Spread: rng.IntN(3) == 0, OneZone: rng.IntN(5) == 0}
-				spec.Service = rng.IntN(3) == 0
-				spec.Gang = !spec.Service && rng.IntN(4) == 0
-				b.job(ids.JobID(fmt.Sprintf("job-%d-%d", round, n)), spec)
+				b.job(ids.JobID(fmt.Sprintf("job-%d-%d", round, n)), randomPreemptionSpec(rng, teams))
 			}
-			attempts := func() (sum int) {
-				for _, j := range b.c.cluster.Jobs() {
-					for i := range j.Tasks() {
-						sum += int(j.Task(i).Attempt())
-					}
-				}
-				return sum
-			}
-			before := attempts()
-			for range 8 {
-				b.c.rounds.MarkDue()
-				b.step()
-			}
-			settled := attempts()
-			for range 8 {
-				b.c.rounds.MarkDue()
-				b.step()
-			}
-			if now := attempts(); now != settled {
-				t.Fatalf("seed %d round %d: %d attempts at first, then %d, then %d, with nothing happening", seed, round, before, settled, now)
+			before := b.attempts()
+			settled := b.attemptsAfterRounds(8)
+			if now := b.attemptsAfterRounds(8); now != settled {
+				t.Fatalf("seed %d round %d: %d attempts at first, then %d, then %d, without an event", seed, round, before, settled, now)
 			}
 		}
 		for _, j := range b.c.cluster.Jobs() {
 			if j.Queue.RetryAt > 0 {
-				stopped++
+				preempted++
 			}
 		}
 	}
-	if stopped == 0 {
-		t.Fatal("nothing was ever stopped, so nothing was tested")
+	if preempted == 0 {
+		t.Fatal("nothing was ever preempted, so nothing was tested")
+	}
+}
+
+// randomPreemptionSpec is a random job of one of three teams, which may be in a hurry.
+func randomPreemptionSpec(rng *rand.Rand, teams []quota.Team) wire.JobSpec {
+	spec := wire.JobSpec{Class: []string{"hasty", "calm"}[rng.IntN(2)], Team: teams[rng.IntN(3)].Name, Priority: wire.Priority(rng.IntN(4)),
+		Tasks: 1 + rng.IntN(5), CPUs: float64(1 + rng.IntN(5)), Spread: rng.IntN(3) == 0, OneZone: rng.IntN(5) == 0}
+	spec.Service = rng.IntN(3) == 0
+	spec.Gang = !spec.Service && rng.IntN(4) == 0
+	return spec
+}
+
+// attempts sums up the attempts of all tasks.
+func (b *harness) attempts() int {
+	sum := 0
+	for _, j := range b.c.cluster.Jobs() {
+		for i := range j.Tasks() {
+			sum += int(j.Task(i).Attempt())
+		}
+	}
+	return sum
+}
+
+// attemptsAfterRounds runs rounds of scheduling and sums up the attempts of all tasks.
+func (b *harness) attemptsAfterRounds(rounds int) int {
+	for range rounds {
+		b.c.rounds.MarkDue()
+		b.step()
 	}
+	return b.attempts()
 }
 
 // With a zone cut off, hundreds of services waited for it, and each round ended
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -7,14 +7,15 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// TestRulesUnderFaults plays random days on which all troubles may meet, and checks
-// the users' rules on the machines. When the faults end, every array must come to its
-// end, and no job may be left waiting beside room.
+// TestRulesUnderFaults plays random days on which all faults may overlap, and checks the
+// users' rules on the machines. When the faults end, every array must complete, and no job
+// may starve.
 func TestRulesUnderFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -30,66 +31,78 @@
 	}
 }
 
-// TestDayAtScale plays an hour's worth of trouble on over a thousand machines:
-// takeovers, cuts, machines that hear nothing, late copies. The rules hold, the
-// work is done, and what the passes look at stays in proportion to it.
+// TestDayAtScale injects many faults on over a thousand machines: failovers, partitions,
+// lost commands, hangs, late duplicates. The rules hold, the work is done, and what admission
+// examines stays in proportion to it.
 func TestDayAtScale(t *testing.T) {
-	s := newSim(t, 11)
-	s.capacity = 220
-	team := func(name ids.Team, nominal, limit float64) quota.Team {
-		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, LendingLimit: quota.Amount{CPUs: nominal}}
-	}
-	s.opt.Teams = []quota.Team{team("red", 3000, 7000), team("blue", 2500, 8000), team("gold", 1000, 6000)}
-	s.opt.MaxMachines, s.opt.SliceTasks, s.opt.TxnOps, s.opt.WriteRate, s.opt.MaxWorkerCalls = 0, 64, 32, 56, 64
-	s.failOver()
+	s := newLargeDay(t)
 	var all []ids.JobID
-	most, work := 0, uint64(0)
+	mostMachines, examined := 0, uint64(0)
 	for round := range 8 {
 		for range 36 {
 			id := ids.JobID(fmt.Sprintf("job-%03d", len(all)))
 			all = append(all, id)
-			sp := s.randomSpec()
-			if !sp.Service && !sp.Gang && !sp.OneZone {
-				sp.Tasks, sp.CPUs = 80+s.rng.IntN(160), 4
-			}
-			s.submit(id, sp)
-		}
-		hosts := s.sortedMachineIDs()
-		for range len(hosts) / 40 {
-			w := s.workers[hosts[s.rng.IntN(len(hosts))]]
-			switch s.rng.IntN(4) {
-			case 0:
-				w.partitionedUntil = s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second)
-			case 1:
-				w.commandsLostUntil = s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second)
-			case 2: // hangs, and goes on within its lease or after it
-				w.hungUntil = s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second)
-			default:
-				w.dead = w.incarnation > 0
-			}
+			s.submit(id, s.largeDaySpec())
 		}
+		s.injectLargeDayFaults()
 		if round%4 == 3 {
-			work += s.core.admission.MachinesExamined
+			examined += s.core.admission.MachinesExamined
 			s.failOver()
 		}
 		s.run(4 * time.Second)
-		most = max(most, len(s.workers))
-		if len(s.violations) > 0 {
-			t.Fatalf("rules broken: %v", s.violations)
-		}
+		mostMachines = max(mostMachines, len(s.workers))
+		s.requireNoViolations()
 	}
-	work += s.core.admission.MachinesExamined
+	examined += s.core.admission.MachinesExamined
 	s.runToCompletion(all, 5*time.Minute)
-	if most < 1700 {
-		t.Fatalf("the day had only %d machines", most)
+	if mostMachines < 1700 {
+		t.Fatalf("the day had only %d machines", mostMachines)
 	}
-	if per := float64(work) / float64(s.starts); per > 400 {
-		t.Errorf("%.0f machines were looked at for each of %d tasks started", per, s.starts)
+	if perStart := float64(examined) / float64(s.starts); perStart > 400 {
+		t.Errorf("%.0f machines were examined for each of %d tasks started", perStart, s.starts)
 	}
 }
 
-// runToCompletion ends the faults and the services. Every array must then come to its
-// end in time, with no rule broken.
+// newLargeDay is a day with hundreds of machines of each site.
+func newLargeDay(t *testing.T) *sim {
+	s := newSim(t, 11)
+	s.capacity = 220
+	s.opt.Teams = []quota.Team{simTeam("red", 3000, 7000), simTeam("blue", 2500, 8000), simTeam("gold", 1000, 6000)}
+	s.opt.MaxMachines, s.opt.SliceTasks, s.opt.TxnOps, s.opt.WriteRate, s.opt.MaxWorkerCalls = 0, 64, 32, 56, 64
+	s.failOver()
+	return s
+}
+
+// largeDaySpec is a random job, large if it is an array of any zone.
+func (s *sim) largeDaySpec() *wire.JobSpec {
+	spec := s.randomSpec()
+	if !spec.Service && !spec.Gang && !spec.OneZone {
+		spec.Tasks, spec.CPUs = 80+s.rng.IntN(160), 4
+	}
+	return spec
+}
+
+// injectLargeDayFaults injects a fault into one of forty machines.
+func (s *sim) injectLargeDayFaults() {
+	until := func() monotonic.Instant { return s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second) }
+	machines := s.sortedMachineIDs()
+	for range len(machines) / 40 {
+		w := s.workers[machines[s.rng.IntN(len(machines))]]
+		switch s.rng.IntN(4) {
+		case 0:
+			w.partitionedUntil = until()
+		case 1:
+			w.commandsLostUntil = until()
+		case 2: // it goes on within its lease or after it
+			w.hungUntil = until()
+		default:
+			w.dead = w.incarnation > 0
+		}
+	}
+}
+
+// runToCompletion ends the faults, the services and the jobs that fail for ever. Every array
+// must then complete in time, with no rule broken.
 func (s *sim) runToCompletion(all []ids.JobID, within time.Duration) {
 	s.t.Helper()
 	s.faults = false
@@ -113,9 +126,7 @@
 			break
 		}
 	}
-	if len(s.violations) > 0 {
-		s.t.Fatalf("rules broken: %v", s.violations)
-	}
+	s.requireNoViolations()
 	if !s.allTerminal(all) {
 		s.t.Fatalf("jobs never ended: %v\n%s", s.unfinished(all), s.core.Summary())
 	}
--- a/scheduler/sim_faults_test.go
+++ b/scheduler/sim_faults_test.go
@@ -180,9 +180,7 @@
 			s.injectFault(all)
 		}
 		s.run(time.Duration(2+s.rng.IntN(12)) * time.Second)
-		if len(s.violations) > 0 {
-			s.t.Fatalf("rules broken: %v", s.violations)
-		}
+		s.requireNoViolations()
 	}
 	return all
 }
--- a/scheduler/sim_rules_test.go
+++ b/scheduler/sim_rules_test.go
@@ -12,6 +12,14 @@
 // This file holds the rules that users rely on. They are checked by what is on the simulated
 // machines alone, without a look at the core.
 
+// requireNoViolations ends the test if a rule was broken.
+func (s *sim) requireNoViolations() {
+	s.t.Helper()
+	if len(s.violations) > 0 {
+		s.t.Fatalf("rules broken: %v", s.violations)
+	}
+}
+
 // checkStart checks a task that has just started.
 func (s *sim) checkStart(w *simWorker, t *simTask) {
 	s.checkNotCancelled(t)
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -14,75 +14,111 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// TestUpgradeUnderFaults plays fleets through an upgrade. First leaders of the old
-// version and new ones take turns: they write alike, so the old is played by a core
-// that knows no size. Then all are new, and jobs wait for others; then the limits
-// fall, at any moment, and leaders end between any two steps. Nothing written may
-// then be too large, though old records are; no task may be in two records or in
-// none; and all work comes to its end.
+// Limits of the store during the upgrade days.
+const (
+	upgradeValueBytes = 170
+	upgradeTxnOps     = 4
+	// upgradeRound is the round in which the last old leader is replaced.
+	upgradeRound = 10
+)
+
+// TestUpgradeUnderFaults plays fleets through an upgrade. First leaders of the old version
+// and new ones take turns: they write alike, so the old is played by a core that knows no
+// limits. Then all are new, and jobs depend on others; then the limits of the store fall, at
+// any moment, and leaders fail over between any two steps. Nothing written may then be too
+// large, though old records are; no task may be in two records or in none; and all work
+// completes.
 func TestUpgradeUnderFaults(t *testing.T) {
-	const value, ops = 170, 4
+	const days = 24
 	var split atomic.Int64
 	t.Run("days", func(t *testing.T) {
-		for seed := range uint64(24) {
+		for seed := range uint64(days) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				s := newSim(t, 1000+seed)
-				s.opt.SliceTasks, s.opt.TxnOps = 16, ops
-				s.failOver()
-				s.unsplitRecordsOnly = true
-				var all []ids.JobID
+				d := newUpgradeDay(t, 1000+seed)
 				for round := range 30 {
-					switch round {
-					case 10:
-						s.opt.ValueBytes = value
-						if s.core.opt.ValueBytes == 0 {
-							s.failOver() // the last old process is replaced
-						}
-						s.unsplitRecordsOnly, s.opt.SplitRecords = false, true
-						s.core.EnableSplitRecords(s.now)
-					case 11 + s.rng.IntN(6):
-						s.valueBytes, s.txnOps = value, ops
-					}
-					if round < 10 && s.rng.IntN(3) == 0 {
-						s.opt.ValueBytes = []int{0, value}[s.rng.IntN(2)] // an old leader, or a new one
-						s.failOver()
-					}
-					if s.rng.IntN(5) == 0 {
-						s.failOver()
-					}
-					for range 1 + s.rng.IntN(2) {
-						id := ids.JobID(fmt.Sprintf("job-%03d", len(all)))
-						sp := s.randomSpec()
-						if round > 10 {
-							sp = s.waitingSpec(all)
-						}
-						if !sp.Service && !sp.Gang {
-							sp.Tasks, sp.CPUs = 20+s.rng.IntN(30), 1
-						}
-						s.submit(id, sp)
-						all = append(all, id)
-					}
-					if s.rng.IntN(8) == 0 {
-						s.cancel(all[s.rng.IntN(len(all))])
-					}
-					s.run(time.Duration(1+s.rng.IntN(6)) * time.Second)
+					d.playRound(round)
 				}
-				s.valueBytes, s.txnOps = value, ops
-				s.runToCompletion(all, 40*time.Minute)
-				s.checkCancelledDependents(all)
-				if s.oversizedChanges > 0 {
-					t.Errorf("%d changes were beyond the limits", s.oversizedChanges)
+				d.lowerStoreLimits()
+				d.runToCompletion(d.all, 40*time.Minute)
+				d.checkCancelledDependents(d.all)
+				if d.oversizedChanges > 0 {
+					t.Errorf("%d changes were beyond the limits", d.oversizedChanges)
 				}
-				split.Add(int64(s.splitRecords))
+				split.Add(int64(d.splitRecords))
 			})
 		}
 	})
-	if n := split.Load(); n < 24 {
+	if n := split.Load(); n < days {
 		t.Errorf("only %d records were split", n)
 	}
 }
 
+// upgradeDay is a day on which the controllers are upgraded.
+type upgradeDay struct {
+	*sim
+	all []ids.JobID
+}
+
+func newUpgradeDay(t *testing.T, seed uint64) *upgradeDay {
+	d := &upgradeDay{sim: newSim(t, seed)}
+	d.opt.SliceTasks, d.opt.TxnOps = 16, upgradeTxnOps
+	d.failOver()
+	d.unsplitRecordsOnly = true
+	return d
+}
+
+// lowerStoreLimits has the store take no more than small changes.
+func (d *upgradeDay) lowerStoreLimits() { d.valueBytes, d.txnOps = upgradeValueBytes, upgradeTxnOps }
+
+// playRound changes versions, leaders and limits as the round has it, and submits jobs.
+func (d *upgradeDay) playRound(round int) {
+	switch round {
+	case upgradeRound:
+		d.completeUpgrade()
+	case upgradeRound + 1 + d.rng.IntN(6):
+		d.lowerStoreLimits()
+	}
+	if round < upgradeRound && d.rng.IntN(3) == 0 {
+		d.opt.ValueBytes = []int{0, upgradeValueBytes}[d.rng.IntN(2)] // an old leader, or a new one
+		d.failOver()
+	}
+	if d.rng.IntN(5) == 0 {
+		d.failOver()
+	}
+	for range 1 + d.rng.IntN(2) {
+		id := ids.JobID(fmt.Sprintf("job-%03d", len(d.all)))
+		d.submit(id, d.spec(round))
+		d.all = append(d.all, id)
+	}
+	if d.rng.IntN(8) == 0 {
+		d.cancel(d.all[d.rng.IntN(len(d.all))])
+	}
+	d.run(time.Duration(1+d.rng.IntN(6)) * time.Second)
+}
+
+// completeUpgrade replaces the last old leader and allows split records.
+func (d *upgradeDay) completeUpgrade() {
+	d.opt.ValueBytes = upgradeValueBytes
+	if d.core.opt.ValueBytes == 0 {
+		d.failOver()
+	}
+	d.unsplitRecordsOnly, d.opt.SplitRecords = false, true
+	d.core.EnableSplitRecords(d.now)
+}
+
+// spec is a random job. Arrays have many small tasks; dependencies need the new version.
+func (d *upgradeDay) spec(round int) *wire.JobSpec {
+	spec := d.randomSpec()
+	if round > upgradeRound {
+		spec = d.waitingSpec(d.all)
+	}
+	if !spec.Service && !spec.Gang {
+		spec.Tasks, spec.CPUs = 20+d.rng.IntN(30), 1
+	}
+	return spec
+}
+
 // The limits fall below what was said: the change that is too large is refused for
 // good. Its job must wait for it alone, take less, and not ask for ever.
 func TestRefusedChangeHoldsUpNobodyElse(t *testing.T) {
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -37,9 +37,7 @@
 			s.injectFault(all)
 		}
 		s.run(time.Duration(4+s.rng.IntN(20)) * time.Second)
-		if len(s.violations) > 0 {
-			s.t.Fatalf("rules broken: %v", s.violations)
-		}
+		s.requireNoViolations()
 	}
 	return all
 }
