--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
@@ -57,161 +58,216 @@
 	t.Error("never returned")
 }
 
-// A zone that is cut off is known by its silence within seconds, and what its
-// services need is rented before their leases run out. When all zones are
-// silent at once, or the leader itself was paused, it is not the zone.
-func TestPartitionedZoneIsNoticedSoon(t *testing.T) {
-	for name, c := range map[string]struct {
-		silent []ids.Zone
-		stands time.Duration
-		rents  bool
+// A partitioned zone is detected by its silence within seconds, and machines for its services
+// are provisioned before their leases expire. When all zones are silent at once, or the leader
+// itself was paused, it is not the zone.
+func TestPartitionedZoneIsDetectedSoon(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		silent     []ids.Zone
+		pause      time.Duration
+		provisions bool
 	}{
-		"a zone is cut off":       {[]ids.Zone{"a"}, 0, true},
-		"no zone is heard":        {[]ids.Zone{"a", "b"}, 0, false},
-		"the leader stood still":  {nil, 8 * time.Second, false},
-		"nothing is out of order": {nil, 0, false},
+		{"a zone is partitioned", []ids.Zone{"a"}, 0, true},
+		{"no zone is heard", []ids.Zone{"a", "b"}, 0, false},
+		{"the leader was paused", nil, 8 * time.Second, false},
+		{"no fault", nil, 0, false},
 	} {
-		b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 999}, Limit: quota.Amount{CPUs: 999}}}})
-		b.c.Begin(b.now)
-		hosts := map[ids.Zone][]ids.MachineID{}
-		for n := range 60 {
-			zone := []ids.Zone{"a", "b"}[n%2]
-			hosts[zone] = append(hosts[zone], ids.MachineID(fmt.Sprintf("n-%02d", n)))
-			b.report(hosts[zone][n/2], zone, 0)
-		}
-		b.job("job-1", wire.JobSpec{Tasks: 60, Service: true, CPUs: 8}) // no room is left
-		b.step()
-		rented := 0
-		start := b.now
-		for tick := range 80 {
-			b.now = b.now.Add(100 * time.Millisecond)
-			if tick == 10 {
-				b.now = b.now.Add(c.stands)
-			}
-			for zone, list := range hosts {
-				if !slices.Contains(c.silent, zone) {
-					b.report(list[tick%30], zone, 0)
-				}
-			}
-			if tick == 10 && c.stands > 0 {
-				// Of what came meanwhile only one zone's has been read yet.
-				b.c.health.zoneStates["a"].lastHeard = start
+		t.Run(c.name, func(t *testing.T) {
+			b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 999}, Limit: quota.Amount{CPUs: 999}}}})
+			b.c.Begin(b.now)
+			zones := newFullZones(b)
+			zones.silent = c.silent
+			provisioned := zones.step(10, 0) + zones.step(1, c.pause) + zones.step(69, 0)
+			if (provisioned > 0) != c.provisions {
+				t.Errorf("provisioned %d machines", provisioned)
 			}
-			for _, r := range b.step().Provision {
-				rented += r.Count
+		})
+	}
+}
+
+// fullZones are two zones of thirty machines each, all taken by the replicas of a service.
+type fullZones struct {
+	*harness
+	began    monotonic.Instant
+	machines map[ids.Zone][]ids.MachineID
+	silent   []ids.Zone
+	ticks    int
+}
+
+func newFullZones(b *harness) *fullZones {
+	z := &fullZones{harness: b, began: b.now, machines: map[ids.Zone][]ids.MachineID{}}
+	for n := range 60 {
+		zone := []ids.Zone{"a", "b"}[n%2]
+		z.machines[zone] = append(z.machines[zone], ids.MachineID(fmt.Sprintf("n-%02d", n)))
+		b.report(z.machines[zone][n/2], zone, 0)
+	}
+	b.job("job-1", wire.JobSpec{Tasks: 60, Service: true, CPUs: 8})
+	b.step()
+	return z
+}
+
+// step plays some ticks, in each of which one machine of each zone that is not silent sends
+// a heartbeat, and returns the number of machines that were provisioned. The leader's process
+// is paused for a time in each. After a pause it has read the heartbeats of zone b alone.
+func (z *fullZones) step(ticks int, pause time.Duration) int {
+	provisioned := 0
+	for range ticks {
+		z.now = z.now.Add(100*time.Millisecond + pause)
+		for zone, machines := range z.machines {
+			if !slices.Contains(z.silent, zone) {
+				z.report(machines[z.ticks%len(machines)], zone, 0)
 			}
 		}
-		if (rented > 0) != c.rents {
-			t.Errorf("%s: rented %d", name, rented)
+		z.ticks++
+		if pause > 0 {
+			z.c.health.zoneStates["a"].lastHeard = z.began
+		}
+		for _, r := range z.harness.step().Provision {
+			provisioned += r.Count
 		}
 	}
+	return provisioned
 }
 
-// A machine on which tasks take much longer than their siblings elsewhere is
-// taken last, and after more of them not at all.
+// A machine on which tasks take much longer than their siblings elsewhere is taken last, and
+// after more of them not at all.
 func TestSlowMachinesAreTakenLast(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 640}, Limit: quota.Amount{CPUs: 640}}}})
 	b.c.Begin(b.now)
-	hosts := []ids.MachineID{"n-1", "n-2", "n-3"}
-	token := ids.NewFencingToken(5, 0)
 	for round := range 8 {
-		id := ids.JobID(fmt.Sprintf("job-%d", round))
-		for _, h := range hosts {
-			b.report(h, "a", token)
-		}
-		b.job(id, wire.JobSpec{Tasks: 12})
-		b.step()
-		on := map[ids.MachineID][]wire.TaskStatus{}
-		for i, tk := range b.c.cluster.Job(id).Tasks() {
-			if tk.Assignment() == nil {
-				continue
-			}
-			on[tk.Assignment().Machine.ID] = append(on[tk.Assignment().Machine.ID], wire.TaskStatus{Name: fmt.Sprintf("%s/%d", id, i), Attempt: tk.Attempt(), State: wire.TaskRunning})
-		}
-		if m := b.c.cluster.Machine("n-3"); m.Health.SlowStreak >= slowStreakLimit {
-			if len(on["n-3"]) > 0 {
-				t.Fatalf("round %d: the slow machine was set aside and got %d tasks", round, len(on["n-3"]))
+		slow := newSlowMachineRound(b, ids.JobID(fmt.Sprintf("job-%d", round)))
+		if b.c.cluster.Machine("n-3").Health.SlowStreak >= slowStreakLimit {
+			if tasks := len(slow.tasks["n-3"]); tasks > 0 {
+				t.Fatalf("round %d: the slow machine was quarantined and got %d tasks", round, tasks)
 			}
 			return
 		}
-		for _, h := range hosts {
-			b.report(h, "a", token)
-			b.report(h, "a", token, on[h]...)
-		}
-		end := func(h ids.MachineID) {
-			for i := range on[h] {
-				on[h][i].State, on[h][i].Cause = wire.TaskEnded, wire.CauseDone
-			}
-			b.report(h, "a", token, on[h]...)
-		}
-		// The leader runs meanwhile: what it sleeps through counts for nobody.
-		running := func(d time.Duration) {
-			for until := b.now.Add(d); b.now < until; {
-				b.now = b.now.Add(500 * time.Millisecond)
-				for _, h := range hosts {
-					b.report(h, "a", token, on[h]...)
-				}
-				b.step()
-			}
+		slow.play()
+	}
+	t.Fatalf("the slow machine was never quarantined: slowness %v", b.c.cluster.Machine("n-3").Health.Slowness)
+}
+
+// slowMachineRound is a job on three machines of which n-3 takes three times as long.
+type slowMachineRound struct {
+	*harness
+	machines []ids.MachineID
+	token    ids.FencingToken
+	tasks    map[ids.MachineID][]wire.TaskStatus
+}
+
+// newSlowMachineRound submits the job and has it placed.
+func newSlowMachineRound(b *harness, id ids.JobID) *slowMachineRound {
+	r := &slowMachineRound{harness: b, machines: []ids.MachineID{"n-1", "n-2", "n-3"}, token: ids.NewFencingToken(5, 0),
+		tasks: map[ids.MachineID][]wire.TaskStatus{}}
+	r.heartbeats()
+	b.job(id, wire.JobSpec{Tasks: 12})
+	b.step()
+	for i, task := range b.c.cluster.Job(id).Tasks() {
+		if a := task.Assignment(); a != nil {
+			status := wire.TaskStatus{Name: fmt.Sprintf("%s/%d", id, i), Attempt: task.Attempt(), State: wire.TaskRunning}
+			r.tasks[a.Machine.ID] = append(r.tasks[a.Machine.ID], status)
 		}
-		running(10 * time.Second)
-		end("n-1")
-		end("n-2")
-		running(20 * time.Second)
-		end("n-3")
-		b.step()
 	}
-	t.Fatalf("the slow machine was never set aside: pace %v", b.c.cluster.Machine("n-3").Health.Slowness)
+	return r
 }
 
-// A zone was cut off: its machines were returned after their leases and rented
-// again in the same zone, where they could not report either, and counted as
-// coming.
+// play has the tasks start and end.
+func (r *slowMachineRound) play() {
+	for _, machine := range r.machines {
+		r.report(machine, "a", r.token)
+		r.report(machine, "a", r.token, r.tasks[machine]...)
+	}
+	r.runFor(10 * time.Second)
+	r.end("n-1")
+	r.end("n-2")
+	r.runFor(20 * time.Second)
+	r.end("n-3")
+	r.step()
+}
+
+// heartbeats has each machine send a heartbeat.
+func (r *slowMachineRound) heartbeats() {
+	for _, machine := range r.machines {
+		r.report(machine, "a", r.token, r.tasks[machine]...)
+	}
+}
+
+// runFor has the tasks run for a time, in steps: a pause of the leader would not count.
+func (r *slowMachineRound) runFor(d time.Duration) {
+	for until := r.now.Add(d); r.now < until; {
+		r.now = r.now.Add(500 * time.Millisecond)
+		r.heartbeats()
+		r.step()
+	}
+}
+
+// end ends the tasks of a machine.
+func (r *slowMachineRound) end(machine ids.MachineID) {
+	tasks := r.tasks[machine]
+	for i := range tasks {
+		tasks[i].State, tasks[i].Cause = wire.TaskEnded, wire.CauseDone
+	}
+	r.report(machine, "a", r.token, tasks...)
+}
+
+// A zone was partitioned: its machines were terminated after their leases and provisioned
+// again in the same zone, where they could not send heartbeats either, and counted as booting.
 func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.c.Begin(b.now)
-	on := map[ids.MachineID][]wire.TaskStatus{}
-	up := func(zone ids.Zone) {
-		for n := range 5 {
-			h := ids.MachineID(fmt.Sprintf("n-%s%d", zone, n))
-			for _, o := range b.report(h, zone, ids.NewFencingToken(5, 0), on[h]...).Commands {
-				on[h] = append(on[h], wire.TaskStatus{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning})
-			}
-		}
+	const avoided, retried = 170, 70 // seconds
+	d := newPartitionDay(t)
+	requested, terminated := d.play(avoided)
+	if len(terminated) > 0 {
+		t.Fatalf("terminated %v in the partition", terminated)
 	}
-	up("a")
-	up("b")
-	wants := func(at int) {
-		b.job(ids.JobID(fmt.Sprintf("job-%d", at)), wire.JobSpec{Tasks: 30, CPUs: 2, EstimateS: 1000})
+	if requested["a"] == 0 || requested["b"] != 0 {
+		t.Errorf("requested while zone b was partitioned: %v", requested)
 	}
-	rented := map[ids.Zone]int{}
-	for s := range 240 {
-		b.now = b.now.Add(time.Second)
-		if s%3 == 0 {
-			up("a")
-		}
-		if s == 20 || s == 200 {
-			wants(s)
+	if requested, _ = d.play(retried); requested["b"] == 0 {
+		t.Errorf("zone b was never tried again: %v", requested)
+	}
+}
+
+// partitionDay is a day on which zone b sends no heartbeat after the first ones, while jobs
+// need more machines than there are. The cloud has no capacity.
+type partitionDay struct {
+	*harness
+	agents  *testAgents // of zone a
+	seconds int
+}
+
+func newPartitionDay(t *testing.T) *partitionDay {
+	t.Helper()
+	d := &partitionDay{harness: newHarness(t, Options{})}
+	d.c.Begin(d.now)
+	forEver := func(string, int) time.Duration { return 0 }
+	d.agents = newTestAgents(forEver, "n-a0", "n-a1", "n-a2", "n-a3", "n-a4")
+	d.agents.heartbeats(d.harness)
+	for n := range 5 {
+		d.report(ids.MachineID(fmt.Sprintf("n-b%d", n)), "b", ids.NewFencingToken(5, 0))
+	}
+	return d
+}
+
+// play plays some seconds and returns the machines that were requested and terminated.
+func (d *partitionDay) play(seconds int) (requested map[ids.Zone]int, terminated []ids.MachineID) {
+	requested = map[ids.Zone]int{}
+	for end := d.seconds + seconds; d.seconds < end; d.seconds++ {
+		d.now = d.now.Add(time.Second)
+		if d.seconds%3 == 0 {
+			d.agents.heartbeats(d.harness)
 		}
-		e := b.step()
-		if s < 170 && len(e.Terminate) > 0 {
-			t.Fatalf("after %d s: returned %v", s, e.Terminate)
+		if d.seconds == 20 || d.seconds == 200 {
+			d.job(ids.JobID(fmt.Sprintf("job-%d", d.seconds)), wire.JobSpec{Tasks: 30, CPUs: 2, EstimateS: 1000})
 		}
-		for _, r := range e.Provision {
-			if s < 170 {
-				rented[r.Zone] += r.Count
-			} else {
-				rented[r.Zone+" again"] += r.Count
-			}
-			b.c.ProvisionResult(b.now, r, nil, false)
+		decisions := d.step()
+		terminated = append(terminated, decisions.Terminate...)
+		for _, r := range decisions.Provision {
+			requested[r.Zone] += r.Count
+			d.c.ProvisionResult(d.now, r, nil, false)
 		}
 	}
-	if rented["a"] == 0 || rented["b"] != 0 {
-		t.Errorf("while zone b was cut off: %v", rented)
-	}
-	if rented["b again"] == 0 {
-		t.Errorf("zone b was never tried again: %v", rented)
-	}
+	return requested, terminated
 }
 
 // The machines of a zone that was cut off for longer than two leases are not returned for
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -88,45 +88,66 @@
 	m.endOfDay()
 }
 
-// Whichever leader comes, and whenever: the flaps, the step and who was displaced are not
-// forgotten, and nothing is allowed that the earlier leader did not allow.
-func TestSuccessorGoesOnWithTheReturn(t *testing.T) {
-	for _, step := range []int{-2, -1, 0, 1, 2} {
-		for name, change := range map[string]func(m *scenario){
-			"the leader ends":         func(m *scenario) { m.failOver() },
-			"it ends twice":           func(m *scenario) { m.failOver(); m.run(300 * time.Millisecond); m.failOver() },
-			"it is paused":            func(m *scenario) { m.pause(2500 * time.Millisecond) },
-			"it is paused for longer": func(m *scenario) { m.pause(8 * second) },
-			"it goes on unseen in the zone": func(m *scenario) {
-				m.failOverWithPreviousLeaderActive()
-				m.isolatedZone, m.isolatedZoneUntil = "b", m.in(20*second)
-			},
-		} {
-			t.Run(fmt.Sprintf("%s at step %d", name, step), func(t *testing.T) {
+// returnPhase is a point of a zone's recovery.
+type returnPhase int
+
+const (
+	phaseOutage   returnPhase = iota - 2
+	phaseHoldDown             // after the partition, before the recovery
+	phaseProbe                // step 0 of the recovery; later phases are later steps
+)
+
+// awaitPhase has zone b lost, and runs until it is in a phase that is recorded.
+func (m *scenario) awaitPhase(phase returnPhase) {
+	m.t.Helper()
+	m.partitionZone("b", 40*second)
+	m.await("b", zonerecovery.Outage, 30*second)
+	if phase >= phaseHoldDown {
+		m.run(m.zones.partitionedUntil["b"].Sub(m.now) + time.Second)
+	}
+	if phase >= phaseProbe {
+		m.await("b", zonerecovery.Recovering, 60*second)
+		for m.condition("b") == zonerecovery.Recovering && m.statusOf("b").Step < int(phase) {
+			m.run(100 * time.Millisecond)
+		}
+	}
+	m.run(300 * time.Millisecond)
+}
+
+// leaderChanges are the ways in which a leader may end or go on.
+var leaderChanges = []struct {
+	name   string
+	inject func(m *scenario)
+}{
+	{"failover", func(m *scenario) { m.failOver() }},
+	{"two failovers", func(m *scenario) { m.failOver(); m.run(300 * time.Millisecond); m.failOver() }},
+	{"the leader is paused", func(m *scenario) { m.pause(2500 * time.Millisecond) }},
+	{"the leader is paused for longer than its lease", func(m *scenario) { m.pause(8 * second) }},
+	{"the previous leader stays active in the zone", func(m *scenario) {
+		m.failOverWithPreviousLeaderActive()
+		m.isolatedZone, m.isolatedZoneUntil = "b", m.in(20*second)
+	}},
+}
+
+// Whatever happens to the leader, and in each phase: the flaps, the step and the displaced
+// jobs are kept, and nothing is allowed that the previous leader did not allow.
+func TestNextLeaderContinuesTheRecovery(t *testing.T) {
+	for phase := phaseOutage; phase <= phaseProbe+2; phase++ {
+		for _, c := range leaderChanges {
+			t.Run(fmt.Sprintf("%s at step %d", c.name, phase), func(t *testing.T) {
 				t.Parallel()
 				m := calmZones(t, 6, 4)
 				m.fillZones()
-				m.partitionZone("b", 40*second)
-				m.await("b", zonerecovery.Outage, 30*second)
-				if step >= -1 {
-					m.run(m.zones.partitionedUntil["b"].Sub(m.now) + time.Second) // in the hold-down
-				}
-				if step >= 0 {
-					m.await("b", zonerecovery.Recovering, 60*second)
-					for m.condition("b") == zonerecovery.Recovering && m.statusOf("b").Step < step {
-						m.run(100 * time.Millisecond)
-					}
-				}
-				m.run(300 * time.Millisecond) // until it is recorded
+				m.awaitPhase(phase)
 				before := m.statusOf("b")
-				change(m)
+				c.inject(m)
 				m.run(100 * time.Millisecond)
 				after := m.statusOf("b")
 				if after.Flaps != before.Flaps || after.DisplacedIDs < before.DisplacedIDs {
 					t.Errorf("before %+v\nafter %+v", before, after)
 				}
 				if before.Condition == zonerecovery.Outage && after.Condition == zonerecovery.Serving || after.Step > before.Step+1 {
-					t.Errorf("the successor allows more: before %+v\nafter %+v", before, after)
+					t.Errorf("the next leader allows more: before %+v\nafter %+v", before, after)
 				}
 				m.await("b", zonerecovery.Serving, 3*time.Minute)
 				m.endOfDay()
--- a/scheduler/zone_return_benchmark_test.go
+++ b/scheduler/zone_return_benchmark_test.go
@@ -55,14 +55,31 @@
 
 // returnFigures are the measurements of one day.
 type returnFigures struct {
-	queriesUp, worstStart, share time.Duration
-	peakFetches, fetches         int
-	worstMoves                   int
+	queriesUp   time.Duration // from the partition until all replicas run again
+	worstStart  time.Duration // of a new query after the return
+	share       time.Duration // from the return until the zone is as full as the others
+	peakFetches int           // at once in the zone
+	fetches     int           // after the return
+	worstMoves  int           // of a task
 }
 
-// measureReturn plays a day on which zone b is lost and comes back cold while arrays of ten
-// images wait and new queries come every three seconds.
-func measureReturn(t testing.TB, seed uint64, on bool) returnFigures {
+// returnDay is a day on which zone b is lost and comes back with empty caches while arrays of
+// twelve images wait and new queries come every three seconds.
+type returnDay struct {
+	*scenario
+	services, arrays []ids.JobID
+	figures          returnFigures
+}
+
+const (
+	returnPartition = 60 * time.Second
+	returnObserved  = 90 * time.Second // after the end of the partition
+	returnTick      = 200 * time.Millisecond
+)
+
+// newReturnDay prepares a day. Zone recovery is on from the leader that start puts in place,
+// if that turns it on.
+func newReturnDay(seed uint64, start func(*sim)) *returnDay {
 	m := &scenario{sim: newSim(nil, seed)}
 	m.faults, m.capacity = false, 10
 	for i := range m.opt.Teams {
@@ -70,80 +87,103 @@
 	}
 	m.opt.MaxMachines, m.opt.IdleTimeout, m.opt.WriteRate = 70, 10*time.Minute, 400
 	m.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
-	if on {
-		m.enableZoneRecovery()
-	} else {
-		m.failOver()
-	}
+	start(m.sim)
 	m.previousCore = nil
 	m.imageCaches = &simImageCaches{images: map[*simWorker]map[ids.Image]bool{}, inFlight: map[ids.Zone]int{}, peak: map[ids.Zone]int{}}
-	var services, arrays []ids.JobID
+	return &returnDay{scenario: m}
+}
+
+// measure plays the day.
+func (d *returnDay) measure(t testing.TB) returnFigures {
+	t.Helper()
 	for n := range 12 {
 		spec := zoneArray(6)
 		spec.Service, spec.Spread, spec.Image, spec.Priority = true, true, "query", wire.High
-		services = append(services, m.submitJob(spec))
+		d.services = append(d.services, d.submitJob(spec))
 		work := zoneArray(60)
 		work.Image, work.Priority = ids.Image(fmt.Sprintf("work-%d", n)), wire.BestEffort
-		arrays = append(arrays, m.submitJob(work))
+		d.arrays = append(d.arrays, d.submitJob(work))
+	}
+	d.runFactor = 4
+	d.run(90 * second)
+	d.measurePartition()
+	d.clearCaches("b")
+	d.measureReturn()
+	d.figures.peakFetches, d.figures.fetches = d.imageCaches.peak["b"], d.imageCaches.total
+	d.figures.worstMoves = d.mostMoves()
+	if len(d.violations) > 0 {
+		t.Fatalf("rules broken: %v", d.violations)
 	}
-	m.runFactor = 4
-	m.run(90 * second)
-	return m.loseAndReturn(t, services, arrays)
-}
-
-// loseAndReturn cuts zone b off and connects it again with empty caches.
-func (m *scenario) loseAndReturn(t testing.TB, services, arrays []ids.JobID) (f returnFigures) {
-	cut := m.now
-	m.partitionZone("b", 60*second)
-	for m.now < cut.Add(60*second) {
-		m.run(200 * time.Millisecond)
-		if running, wanted := m.runningReplicas(services); m.now > cut.Add(simAgentLease) && f.queriesUp == 0 && running == wanted {
-			f.queriesUp = m.now.Sub(cut)
+	return d.figures
+}
+
+// measurePartition partitions zone b and measures until when all replicas run again.
+func (d *returnDay) measurePartition() {
+	began := d.now
+	d.partitionZone("b", returnPartition)
+	for d.now < began.Add(returnPartition) {
+		d.run(returnTick)
+		running, wanted := d.runningReplicas(d.services)
+		if d.now > began.Add(simAgentLease) && d.figures.queriesUp == 0 && running == wanted {
+			d.figures.queriesUp = d.now.Sub(began)
 		}
 	}
-	for w := range m.imageCaches.images {
-		if w.zone == "b" {
-			delete(m.imageCaches.images, w)
+}
+
+// clearCaches empties the image caches of a zone and begins to count fetches anew.
+func (d *returnDay) clearCaches(zone ids.Zone) {
+	for w := range d.imageCaches.images {
+		if w.zone == zone {
+			delete(d.imageCaches.images, w)
 		}
 	}
-	m.imageCaches.peak["b"], m.imageCaches.total = 0, 0
-	back := m.now
-	asked := map[ids.JobID]monotonic.Instant{}
-	for m.now < back.Add(90*second) {
-		if m.now.Sub(back)%(3*second) == 0 {
+	d.imageCaches.peak[zone], d.imageCaches.total = 0, 0
+}
+
+// measureReturn submits queries and measures how soon they start and the zone is full.
+func (d *returnDay) measureReturn() {
+	back := d.now
+	submittedAt := map[ids.JobID]monotonic.Instant{} // of queries that have not started
+	for d.now < back.Add(returnObserved) {
+		if d.now.Sub(back)%(3*second) == 0 {
 			spec := zoneArray(1)
 			spec.Service, spec.Image, spec.Priority = true, "query", wire.High
-			id := m.submitJob(spec)
-			asked[id] = m.now
-		}
-		m.run(200 * time.Millisecond)
-		for id, at := range asked {
-			if j := m.core.cluster.Job(id); j != nil && m.startedRunning(j) {
-				f.worstStart = max(f.worstStart, m.now.Sub(at))
-				delete(asked, id)
-			}
+			submittedAt[d.submitJob(spec)] = d.now
 		}
-		if f.share == 0 && m.carriesShare("b") {
-			f.share = m.now.Sub(back)
+		d.run(returnTick)
+		d.noteStarts(submittedAt)
+		if d.figures.share == 0 && d.carriesShare("b") {
+			d.figures.share = d.now.Sub(back)
 		}
 	}
-	for _, at := range asked {
-		f.worstStart = max(f.worstStart, m.now.Sub(at))
+	for _, at := range submittedAt {
+		d.figures.worstStart = max(d.figures.worstStart, d.now.Sub(at))
 	}
-	f.peakFetches, f.fetches = m.imageCaches.peak["b"], m.imageCaches.total
-	for _, id := range append(slices.Clone(services), arrays...) {
-		for _, p := range m.placements[id] {
-			f.worstMoves = max(f.worstMoves, int(p.task.attempt)-1)
+}
+
+// noteStarts takes queries out that have started, and keeps the longest wait.
+func (d *returnDay) noteStarts(submittedAt map[ids.JobID]monotonic.Instant) {
+	for id, at := range submittedAt {
+		if j := d.core.cluster.Job(id); j != nil && startedRunning(j) {
+			d.figures.worstStart = max(d.figures.worstStart, d.now.Sub(at))
+			delete(submittedAt, id)
 		}
 	}
-	if len(m.violations) > 0 {
-		t.Fatalf("rules broken: %v", m.violations)
+}
+
+// mostMoves is how often a task was moved at most.
+func (d *returnDay) mostMoves() int {
+	most := 0
+	for _, id := range slices.Concat(d.services, d.arrays) {
+		for _, p := range d.placements[id] {
+			most = max(most, int(p.task.attempt)-1)
+		}
 	}
-	return f
+	return most
 }
 
 // startedRunning tells whether a task of a job runs.
-func (m *scenario) startedRunning(j *cluster.Job) bool {
+func startedRunning(j *cluster.Job) bool {
 	for _, a := range j.Active() {
 		if a.Run.Phase == wire.TaskRunning {
 			return true
@@ -185,12 +225,15 @@
 // BenchmarkZoneReturn reports the median, the least and the most over ten days.
 func BenchmarkZoneReturn(b *testing.B) {
 	const days = 10
-	for _, on := range []bool{false, true} {
-		b.Run(map[bool]string{false: "off", true: "on"}[on], func(b *testing.B) {
+	for _, c := range []struct {
+		name  string
+		start func(*sim)
+	}{{"off", (*sim).failOver}, {"on", (*sim).enableZoneRecovery}} {
+		b.Run(c.name, func(b *testing.B) {
 			for range b.N {
 				var up, start, share, peak, fetches, moves []float64
 				for seed := range uint64(days) {
-					f := measureReturn(b, seed, on)
+					f := newReturnDay(seed, c.start).measure(b)
 					up, start, share = append(up, f.queriesUp.Seconds()), append(start, f.worstStart.Seconds()), append(share, f.share.Seconds())
 					peak, fetches, moves = append(peak, float64(f.peakFetches)), append(fetches, float64(f.fetches)), append(moves, float64(f.worstMoves))
 				}
