--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -15,36 +15,45 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// This file plays a long day of a large fleet to measure what the core itself
-// costs. Nothing fails in it and no rule is checked: sim_test.go does that.
+// This file plays a long day of a large fleet to measure the cost of the core alone. Nothing
+// fails in it and no rule is checked: sim_test.go does that.
 //
 //	go test ./scheduler -run - -bench LongDay -cpuprofile cpu.out
 
-// longDay is a fleet that works without faults.
+const (
+	longDayWriteTime = 5 * time.Millisecond
+	longDayCallTime  = 3 * time.Millisecond
+	longDayCloudTime = 250 * time.Millisecond
+	longDayCapacity  = 1900 // machines
+)
+
+// longDay stands in for a whole fleet, its cloud, store and users. It injects no faults.
 type longDay struct {
-	rng      *rand.Rand
-	c        *Core
-	now      monotonic.Instant
-	queue    simQueue
-	seq      int
-	workers  map[ids.MachineID]*longWorker
-	hosts    int
-	held     int
-	jobs     int
-	done     int
-	specs    map[ids.JobID]*wire.JobSpec
-	revision ids.Revision
+	rng         *rand.Rand
+	c           *Core
+	now         monotonic.Instant
+	queue       simQueue
+	sequence    int
+	workers     map[ids.MachineID]*longWorker
+	provisioned int
+	machines    int
+	jobs        int
+	done        int
+	specs       map[ids.JobID]*wire.JobSpec
+	revision    ids.Revision
 }
 
+// longWorker is a machine of the fleet and its agent.
 type longWorker struct {
-	host       ids.MachineID
-	site       wire.ProvisionRequest
-	sequence   ids.Sequence
-	token      ids.FencingToken
-	tasks      []wire.TaskStatus
-	reportSoon bool
+	id            ids.MachineID
+	site          wire.ProvisionRequest
+	sequence      ids.Sequence
+	token         ids.FencingToken
+	tasks         []wire.TaskStatus
+	statusChanged bool
 }
 
+// newLongDay is a fleet of 630 machines, which boot at once.
 func newLongDay() *longDay {
 	d := &longDay{rng: rand.New(rand.NewPCG(3, 5)), now: monotonic.Instant(time.Hour), workers: map[ids.MachineID]*longWorker{},
 		specs: map[ids.JobID]*wire.JobSpec{}, revision: 100}
@@ -61,53 +70,59 @@
 	d.c = New(opt, types)
 	d.c.Begin(d.now)
 	for range 630 {
-		d.boot(wire.ProvisionRequest{Type: "m", Zone: types[0].Zones[d.hosts%3]}, 0)
+		d.boot(wire.ProvisionRequest{Type: "m", Zone: types[0].Zones[d.provisioned%3]}, 0)
 	}
 	return d
 }
 
+// after has a function called after a time.
 func (d *longDay) after(t time.Duration, f func()) {
-	d.seq++
-	heap.Push(&d.queue, simEvent{d.now.Add(t), d.seq, f})
+	d.sequence++
+	heap.Push(&d.queue, simEvent{d.now.Add(t), d.sequence, f})
 }
 
+// boot adds a machine that sends its first heartbeat after a time.
 func (d *longDay) boot(r wire.ProvisionRequest, in time.Duration) ids.MachineID {
-	d.hosts++
-	d.held++
-	w := &longWorker{host: ids.MachineID(fmt.Sprintf("n-%06d", d.hosts)), site: r}
-	d.after(in, func() { d.workers[w.host] = w; d.report(w) })
-	return w.host
+	d.provisioned++
+	d.machines++
+	w := &longWorker{id: ids.MachineID(fmt.Sprintf("n-%06d", d.provisioned)), site: r}
+	d.after(in, func() { d.workers[w.id] = w; d.heartbeat(w) })
+	return w.id
 }
 
-func (d *longDay) newReport(w *longWorker) *wire.Heartbeat {
+// newHeartbeat is the next heartbeat of a worker.
+func (w *longWorker) newHeartbeat() *wire.Heartbeat {
 	w.sequence++
-	return &wire.Heartbeat{Machine: w.host, Endpoint: string(w.host), Type: w.site.Type, Zone: w.site.Zone, Spot: w.site.Spot, Incarnation: 1, Sequence: w.sequence,
+	return &wire.Heartbeat{Machine: w.id, Endpoint: string(w.id), Type: w.site.Type, Zone: w.site.Zone, Spot: w.site.Spot, Incarnation: 1, Sequence: w.sequence,
 		FencingToken: w.token, Tasks: slices.Clone(w.tasks)}
 }
 
-func (d *longDay) report(w *longWorker) {
-	if d.workers[w.host] != w {
+// heartbeat sends a heartbeat, and the next one after an interval without another.
+func (d *longDay) heartbeat(w *longWorker) {
+	if d.workers[w.id] != w {
 		return
 	}
-	w.reportSoon = false
-	o, _ := d.c.Heartbeat(d.now, d.newReport(w), false)
+	w.statusChanged = false
+	o, _ := d.c.Heartbeat(d.now, w.newHeartbeat(), false)
 	w.token = max(w.token, o.FencingToken)
 	d.execute(w, o.Commands)
 	tick := w.sequence
 	d.after(5*time.Second, func() {
 		if w.sequence == tick {
-			d.report(w)
+			d.heartbeat(w)
 		}
 	})
 }
 
-func (d *longDay) change(w *longWorker) {
-	if !w.reportSoon {
-		w.reportSoon = true
-		d.after(500*time.Millisecond, func() { d.report(w) })
+// markStatusChanged has a worker send a heartbeat soon, as a status has changed.
+func (d *longDay) markStatusChanged(w *longWorker) {
+	if !w.statusChanged {
+		w.statusChanged = true
+		d.after(500*time.Millisecond, func() { d.heartbeat(w) })
 	}
 }
 
+// execute carries commands out.
 func (d *longDay) execute(w *longWorker, orders []wire.Command) {
 	for _, o := range orders {
 		i := slices.IndexFunc(w.tasks, func(t wire.TaskStatus) bool { return t.Name == o.Name && t.Attempt == o.Attempt })
@@ -117,26 +132,28 @@
 			spec := d.specs[ref.Job]
 			w.tasks = append(w.tasks, wire.TaskStatus{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning})
 			if !spec.Service {
-				d.after(monotonic.Seconds(spec.EstimateS*(0.7+0.6*d.rng.Float64())), func() { d.end(w, o) })
+				d.after(monotonic.Seconds(spec.EstimateS*(0.7+0.6*d.rng.Float64())), func() { d.endTask(w, o) })
 			}
 		case o.Verb == wire.VerbKill && i >= 0 && w.tasks[i].State != wire.TaskEnded:
 			w.tasks[i].State, w.tasks[i].Cause = wire.TaskEnded, wire.CauseStopped
 		case o.Verb == wire.VerbReap && i >= 0:
 			w.tasks = slices.Delete(w.tasks, i, i+1)
 		}
-		d.change(w)
+		d.markStatusChanged(w)
 	}
 }
 
-func (d *longDay) end(w *longWorker, o wire.Command) {
+// endTask ends a task that has run for its time.
+func (d *longDay) endTask(w *longWorker, o wire.Command) {
 	i := slices.IndexFunc(w.tasks, func(t wire.TaskStatus) bool { return t.Name == o.Name && t.Attempt == o.Attempt })
 	if i >= 0 && w.tasks[i].State == wire.TaskRunning {
 		w.tasks[i].State, w.tasks[i].Cause = wire.TaskEnded, wire.CauseDone
 		d.done++
-		d.change(w)
+		d.markStatusChanged(w)
 	}
 }
 
+// submit submits a job of a random team and image.
 func (d *longDay) submit(spec wire.JobSpec) {
 	d.jobs++
 	id := ids.JobID(fmt.Sprintf("job-%05d", d.jobs))
@@ -148,6 +165,7 @@
 	d.c.ObserveJob(d.now, id, &records.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(d.jobs)}, d.revision)
 }
 
+// arrive submits the jobs of a second.
 func (d *longDay) arrive() {
 	size := func(most int) int { return 20 + d.rng.IntN(most-20) }
 	for range 1 + d.rng.IntN(2) {
@@ -161,51 +179,75 @@
 	}
 }
 
+// step runs the core and carries its decisions out.
 func (d *longDay) step() {
 	e := d.c.Step(d.now)
-	for _, ch := range e.RecordChanges {
-		d.after(5*time.Millisecond, func() {
-			d.revision++
-			d.c.CommitResult(d.now, records.CommitResult{Change: ch, Applied: true, Revision: d.revision})
-			d.step()
-		})
-	}
-	for _, h := range e.SendCommands {
-		if x, _, ok := d.c.TakeCommands(d.now, h); ok {
-			d.after(3*time.Millisecond, func() {
-				var rep *wire.Heartbeat
-				if w := d.workers[h]; w != nil {
-					w.token = max(w.token, x.FencingToken)
-					d.execute(w, x.Commands)
-					rep = d.newReport(w)
-				}
-				d.c.CommandsResult(d.now, h, rep)
-				d.step()
-			})
-		}
+	for _, change := range e.RecordChanges {
+		d.commit(change)
 	}
-	for _, r := range e.Provision {
-		d.after(250*time.Millisecond, func() {
-			var hosts []ids.MachineID
-			for range r.Count {
-				if d.held < 1900 {
-					hosts = append(hosts, d.boot(r, time.Duration(15+d.rng.IntN(22))*time.Second))
-				}
-			}
-			d.c.ProvisionResult(d.now, r, hosts, len(hosts) > 0)
-		})
-	}
-	if hosts := e.Terminate; len(hosts) > 0 {
-		d.after(250*time.Millisecond, func() {
-			for _, h := range hosts {
-				delete(d.workers, h)
-				d.held--
-			}
-			d.c.TerminateResult(d.now, hosts, true)
-		})
+	for _, machine := range e.SendCommands {
+		d.sendCommands(machine)
+	}
+	for _, request := range e.Provision {
+		d.provision(request)
+	}
+	if len(e.Terminate) > 0 {
+		d.terminate(e.Terminate)
 	}
 }
 
+// commit applies a change after the time of a write.
+func (d *longDay) commit(change records.Change) {
+	d.after(longDayWriteTime, func() {
+		d.revision++
+		d.c.CommitResult(d.now, records.CommitResult{Change: change, Applied: true, Revision: d.revision})
+		d.step()
+	})
+}
+
+// sendCommands sends a machine the commands that wait for it.
+func (d *longDay) sendCommands(machine ids.MachineID) {
+	batch, _, ok := d.c.TakeCommands(d.now, machine)
+	if !ok {
+		return
+	}
+	d.after(longDayCallTime, func() {
+		var response *wire.Heartbeat
+		if w := d.workers[machine]; w != nil {
+			w.token = max(w.token, batch.FencingToken)
+			d.execute(w, batch.Commands)
+			response = w.newHeartbeat()
+		}
+		d.c.CommandsResult(d.now, machine, response)
+		d.step()
+	})
+}
+
+// provision boots the machines of a request, as many as the cloud has capacity for.
+func (d *longDay) provision(r wire.ProvisionRequest) {
+	d.after(longDayCloudTime, func() {
+		var machines []ids.MachineID
+		for range r.Count {
+			if d.machines < longDayCapacity {
+				machines = append(machines, d.boot(r, time.Duration(15+d.rng.IntN(22))*time.Second))
+			}
+		}
+		d.c.ProvisionResult(d.now, r, machines, len(machines) > 0)
+	})
+}
+
+// terminate terminates machines.
+func (d *longDay) terminate(machines []ids.MachineID) {
+	d.after(longDayCloudTime, func() {
+		for _, machine := range machines {
+			delete(d.workers, machine)
+			d.machines--
+		}
+		d.c.TerminateResult(d.now, machines, true)
+	})
+}
+
+// run plays for a time, with a step of the core every 20 ms.
 func (d *longDay) run(t time.Duration) {
 	d.after(0, d.arriving)
 	for end := d.now.Add(t); d.now < end; {
@@ -220,11 +262,13 @@
 	}
 }
 
+// arriving submits jobs each second from now on.
 func (d *longDay) arriving() {
 	d.arrive()
 	d.after(time.Second, d.arriving)
 }
 
+// BenchmarkLongDay reports the work of the core for each task that was done.
 func BenchmarkLongDay(b *testing.B) {
 	for b.Loop() {
 		d := newLongDay()
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -97,6 +97,17 @@
 	phaseProbe                // step 0 of the recovery; later phases are later steps
 )
 
+func (p returnPhase) String() string {
+	switch p {
+	case phaseOutage:
+		return "in the outage"
+	case phaseHoldDown:
+		return "in the hold-down"
+	default:
+		return fmt.Sprintf("at step %d", int(p))
+	}
+}
+
 // awaitPhase has zone b lost, and runs until it is in a phase that is recorded.
 func (m *scenario) awaitPhase(phase returnPhase) {
 	m.t.Helper()
@@ -134,7 +145,7 @@
 func TestNextLeaderContinuesTheRecovery(t *testing.T) {
 	for phase := phaseOutage; phase <= phaseProbe+2; phase++ {
 		for _, c := range leaderChanges {
-			t.Run(fmt.Sprintf("%s at step %d", c.name, phase), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s %s", c.name, phase), func(t *testing.T) {
 				t.Parallel()
 				m := calmZones(t, 6, 4)
 				m.fillZones()
