--- a/scheduler/quota/quota.go
+++ b/scheduler/quota/quota.go
@@ -1,49 +1,26 @@
-// Package quota keeps the teams' books: guarantees (nominal quota), limits,
-// and how much idle quota may be lent.
+// Package quota tracks what each team uses of its quota, and decides whether more of it fits:
+// within the team's nominal quota, or by borrowing what other teams of the cohort leave idle
+// and lend. All teams are one cohort.
+//
+// The scheduler's core owns the only tracker. The package has no clock and no goroutine, and
+// a tracker must not be used by two goroutines at once.
 package quota
 
 import (
-	"math"
 	"slices"
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// slack keeps sums of decimal amounts from failing a comparison by rounding.
-// It always works against the asker for the hard limit.
-const slack = 1e-9
-
-// Amount is a bundle of what quota counts.
-type Amount struct{ CPUs, GPUs float64 }
-
-// Unlimited is more than anything.
-var Unlimited = Amount{CPUs: math.Inf(1), GPUs: math.Inf(1)}
-
-// Plus adds.
-func (a Amount) Plus(b Amount) Amount { return Amount{a.CPUs + b.CPUs, a.GPUs + b.GPUs} }
-
-// Minus subtracts.
-func (a Amount) Minus(b Amount) Amount { return Amount{a.CPUs - b.CPUs, a.GPUs - b.GPUs} }
-
-// Times multiplies.
-func (a Amount) Times(n int) Amount { return Amount{a.CPUs * float64(n), a.GPUs * float64(n)} }
-
-// FitsIn tells whether a fits into b.
-func (a Amount) FitsIn(b Amount) bool { return a.CPUs <= b.CPUs+slack && a.GPUs <= b.GPUs+slack }
-
-// positive replaces negative parts by 0.
-func (a Amount) positive() Amount { return Amount{max(0, a.CPUs), max(0, a.GPUs)} }
-
-// least is the smaller of each part.
-func least(a, b Amount) Amount { return Amount{min(a.CPUs, b.CPUs), min(a.GPUs, b.GPUs)} }
-
 // Team is a team's quota.
 type Team struct {
-	Name    ids.Team
+	Name ids.Team
+	// Nominal is what the team may always use.
 	Nominal Amount
-	Limit   Amount
-	// LendingLimit bounds how much of the idle nominal quota others may use.
+	// Limit is the most that the team may use, borrowed quota included.
+	Limit Amount
+	// LendingLimit is the most of its idle nominal quota that other teams may borrow.
 	LendingLimit Amount
 }
 
@@ -54,118 +31,124 @@
 	lendingSuspendedUntil monotonic.Instant
 }
 
-// Tracker counts what every team uses. Whatever may be on a machine counts as
-// used; the caller subtracts only what is surely gone.
+// lends is what others may borrow while the team uses an amount.
+func (a *account) lends(used Amount, now monotonic.Instant) Amount {
+	if now < a.lendingSuspendedUntil {
+		return Amount{}
+	}
+	return smallerParts(a.Nominal.Minus(used).nonNegative(), a.LendingLimit)
+}
+
+// Tracker counts what each team uses. A task counts from its placement until it is certain
+// that it no longer runs; it is for the caller to release it only then. Methods ignore teams
+// that are not known, and report that nothing fits them.
 type Tracker struct {
 	accounts    map[ids.Team]*account
-	names       []ids.Team
+	names       []ids.Team // sorted
 	cohortQuota Amount
 }
 
-// NewTracker opens the books for the teams.
+// NewTracker returns a tracker for the teams, which use nothing yet.
 func NewTracker(teams []Team) *Tracker {
-	b := &Tracker{accounts: map[ids.Team]*account{}}
-	for _, t := range teams {
-		b.accounts[t.Name] = &account{Team: t}
-		b.names = append(b.names, t.Name)
+	q := &Tracker{accounts: map[ids.Team]*account{}}
+	for _, team := range teams {
+		q.accounts[team.Name] = &account{Team: team}
+		q.names = append(q.names, team.Name)
 	}
-	slices.Sort(b.names)
-	return b
+	slices.Sort(q.names)
+	return q
 }
 
-// SetCohortQuota sets the cohort's own quota, which any team may borrow: what
-// there is beyond the sum of the guarantees.
-func (b *Tracker) SetCohortQuota(m Amount) { b.cohortQuota = m.positive() }
+// SetCohortQuota sets the quota that belongs to no team and that any team may borrow: the
+// resources beyond the sum of the nominal quotas. Negative parts count as 0.
+func (q *Tracker) SetCohortQuota(amount Amount) { q.cohortQuota = amount.nonNegative() }
 
-// Nominal is the sum of all guarantees.
-func (b *Tracker) Nominal() Amount {
+// Nominal is the sum of all nominal quotas.
+func (q *Tracker) Nominal() Amount {
 	var sum Amount
-	for _, n := range b.names { // in order: the sum of decimals depends on it
-		sum = sum.Plus(b.accounts[n].Nominal)
+	for _, name := range q.names { // in a fixed order, on which the sum of decimals depends
+		sum = sum.Plus(q.accounts[name].Nominal)
 	}
 	return sum
 }
 
-// HasTeam tells whether a team exists.
-func (b *Tracker) HasTeam(t ids.Team) bool { return b.accounts[t] != nil }
+// HasTeam tells whether a team is known.
+func (q *Tracker) HasTeam(team ids.Team) bool { return q.accounts[team] != nil }
 
 // Limit is the most that a team may use at any time.
-func (b *Tracker) Limit(t ids.Team) Amount {
-	if a := b.accounts[t]; a != nil {
+func (q *Tracker) Limit(team ids.Team) Amount {
+	if a := q.accounts[team]; a != nil {
 		return a.Limit
 	}
 	return Amount{}
 }
 
-// Used is what a team uses now.
-func (b *Tracker) Used(t ids.Team) Amount {
-	if a := b.accounts[t]; a != nil {
+// Used is what a team uses.
+func (q *Tracker) Used(team ids.Team) Amount {
+	if a := q.accounts[team]; a != nil {
 		return a.used
 	}
 	return Amount{}
 }
 
-// Charge counts an amount as used, whatever the limits say: records that were
-// found are counted even if a limit has been lowered since.
-func (b *Tracker) Charge(t ids.Team, m Amount) {
-	if a := b.accounts[t]; a != nil {
-		a.used = a.used.Plus(m)
+// Charge counts an amount as used, whether or not it fits: what records show to run counts
+// even if a limit has been lowered since.
+func (q *Tracker) Charge(team ids.Team, amount Amount) {
+	if a := q.accounts[team]; a != nil {
+		a.used = a.used.Plus(amount)
 	}
 }
 
-// Release gives an amount back.
-func (b *Tracker) Release(t ids.Team, m Amount) {
-	if a := b.accounts[t]; a != nil {
-		a.used = a.used.Minus(m).positive()
+// Release undoes a charge. What a team uses never becomes negative.
+func (q *Tracker) Release(team ids.Team, amount Amount) {
+	if a := q.accounts[team]; a != nil {
+		a.used = a.used.Minus(amount).nonNegative()
 	}
 }
 
-// FitsNominal tells whether a team stays within its guarantee with m more.
-func (b *Tracker) FitsNominal(t ids.Team, m Amount) bool {
-	a := b.accounts[t]
-	return a != nil && a.used.Plus(m).FitsIn(a.Nominal) && a.used.Plus(m).FitsIn(a.Limit)
+// FitsNominal tells whether a team stays within its nominal quota with more used.
+func (q *Tracker) FitsNominal(team ids.Team, more Amount) bool {
+	a := q.accounts[team]
+	return a != nil && a.used.Plus(more).FitsIn(a.Nominal) && a.used.Plus(more).FitsIn(a.Limit)
 }
 
-// FitsBorrowing tells whether a team may use m more, within its limit and
-// with what the others leave idle and lend.
-func (b *Tracker) FitsBorrowing(t ids.Team, m Amount, now monotonic.Instant) bool {
-	a := b.accounts[t]
-	if a == nil || !a.used.Plus(m).FitsIn(a.Limit) {
+// FitsBorrowing tells whether a team may use more, within its limit and with what the other
+// teams lend. What all teams borrow together must not exceed what all lend.
+func (q *Tracker) FitsBorrowing(team ids.Team, more Amount, now monotonic.Instant) bool {
+	borrower := q.accounts[team]
+	if borrower == nil || !borrower.used.Plus(more).FitsIn(borrower.Limit) {
 		return false
 	}
-	var over Amount
-	lent := b.cohortQuota
-	for _, n := range b.names {
-		o := b.accounts[n]
-		used := o.used
-		if o == a {
-			used = used.Plus(m)
-		}
-		over = over.Plus(used.Minus(o.Nominal).positive())
-		if now < o.lendingSuspendedUntil {
-			continue
+	var borrowed Amount
+	lent := q.cohortQuota
+	for _, name := range q.names {
+		a := q.accounts[name]
+		used := a.used
+		if a == borrower {
+			used = used.Plus(more)
 		}
-		lent = lent.Plus(least(o.Nominal.Minus(used).positive(), o.LendingLimit))
+		borrowed = borrowed.Plus(used.Minus(a.Nominal).nonNegative())
+		lent = lent.Plus(a.lends(used, now))
 	}
-	return over.FitsIn(lent)
+	return borrowed.FitsIn(lent)
 }
 
-// Borrowed is how much a team uses beyond its guarantee.
-func (b *Tracker) Borrowed(t ids.Team) Amount {
-	a := b.accounts[t]
+// Borrowed is how much a team uses beyond its nominal quota.
+func (q *Tracker) Borrowed(team ids.Team) Amount {
+	a := q.accounts[team]
 	if a == nil {
 		return Amount{}
 	}
-	return a.used.Minus(a.Nominal).positive()
+	return a.used.Minus(a.Nominal).nonNegative()
 }
 
-// IsBorrowing tells whether a team uses more than its guarantee.
-func (b *Tracker) IsBorrowing(t ids.Team) bool { return !b.Borrowed(t).FitsIn(Amount{}) }
+// IsBorrowing tells whether a team uses more than its nominal quota.
+func (q *Tracker) IsBorrowing(team ids.Team) bool { return !q.Borrowed(team).FitsIn(Amount{}) }
 
-// SuspendLending keeps a team's idle quota from being lent until a time, so that a team
-// that just reclaimed does not see it lent away at once.
-func (b *Tracker) SuspendLending(t ids.Team, until monotonic.Instant) {
-	if a := b.accounts[t]; a != nil && until > a.lendingSuspendedUntil {
+// SuspendLending keeps a team's idle quota from being lent until a time, so that a team which
+// has just reclaimed quota does not see it lent again at once. It never shortens a suspension.
+func (q *Tracker) SuspendLending(team ids.Team, until monotonic.Instant) {
+	if a := q.accounts[team]; a != nil && until > a.lendingSuspendedUntil {
 		a.lendingSuspendedUntil = until
 	}
 }
