--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -31,7 +31,7 @@
 		for range 5 {
 			spec := wire.JobSpec{Class: "c", Team: teams[rng.IntN(2)].Name, Priority: wire.Priority(rng.IntN(2)), Tasks: 10 + rng.IntN(12),
 				CPUs: float64(1 + rng.IntN(5)), Spread: rng.IntN(3) == 0, Service: rng.IntN(3) == 0}
-			b.job(ids.JobID(fmt.Sprintf("job-%d", jobs)), spec)
+			b.submit(ids.JobID(fmt.Sprintf("job-%d", jobs)), spec)
 			jobs++
 		}
 		placed += b.compareWithModel()
@@ -47,7 +47,7 @@
 	// Work that finds no room costs no more than a look around, however many
 	// wait: those alike are not tried twice.
 	for n := range 300 {
-		b.job(ids.JobID(fmt.Sprintf("job-w%d", n)), wire.JobSpec{Class: "c", Team: "t0", Tasks: 200, CPUs: 7})
+		b.submit(ids.JobID(fmt.Sprintf("job-w%d", n)), wire.JobSpec{Class: "c", Team: "t0", Tasks: 200, CPUs: 7})
 	}
 	b.c.admission.scheduleRound()
 	before := b.c.admission.MachinesExamined
@@ -62,25 +62,25 @@
 func TestPreemptsInsideATeamAtItsLimit(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4}, Limit: quota.Amount{CPUs: 4}}}})
 	b.c.Begin(b.now)
-	b.report("n-1", "a", 0)
-	b.job("job-low", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
+	b.heartbeat("n-1", "a", 0)
+	b.submit("job-low", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
 	b.step()
-	o := b.report("n-1", "a", 0)
+	o := b.heartbeat("n-1", "a", 0)
 	var shown []wire.TaskStatus
 	for i := range 2 {
 		shown = append(shown, wire.TaskStatus{Name: fmt.Sprintf("job-low/%d", i), Attempt: 1, State: wire.TaskRunning})
 	}
-	b.report("n-1", "a", o.FencingToken, shown...)
-	b.job("job-high", wire.JobSpec{Tasks: 1, Priority: wire.High})
+	b.heartbeat("n-1", "a", o.FencingToken, shown...)
+	b.submit("job-high", wire.JobSpec{Tasks: 1, Priority: wire.High})
 	b.step()
-	o = b.report("n-1", "a", o.FencingToken, shown...)
-	kills := verbs(o.Commands, wire.VerbKill)
+	o = b.heartbeat("n-1", "a", o.FencingToken, shown...)
+	kills := commandsWith(o.Commands, wire.VerbKill)
 	if len(kills) != 1 {
 		t.Fatalf("killed: %v", kills)
 	}
 	i := slices.IndexFunc(shown, func(s wire.TaskStatus) bool { return s.Name+"#1" == kills[0] })
 	shown[i].State, shown[i].Cause = wire.TaskEnded, wire.CauseStopped
-	b.report("n-1", "a", o.FencingToken, shown...)
+	b.heartbeat("n-1", "a", o.FencingToken, shown...)
 	b.step()
 	if b.c.cluster.Job("job-high").Task(0).Assignment() == nil {
 		t.Fatal("the higher job did not get the room")
@@ -101,7 +101,7 @@
 		b.randomMachines(rng, 1+rng.IntN(5))
 		for round := range 4 {
 			for n := range rng.IntN(5) {
-				b.job(ids.JobID(fmt.Sprintf("job-%d-%d", round, n)), randomPreemptionSpec(rng, teams))
+				b.submit(ids.JobID(fmt.Sprintf("job-%d-%d", round, n)), randomPreemptionSpec(rng, teams))
 			}
 			before := b.attempts()
 			settled := b.attemptsAfterRounds(8)
@@ -151,14 +151,14 @@
 
 // With a zone cut off, hundreds of services waited for it, and each round ended
 // with them: arrays behind them waited beside idle machines.
-func TestJobsWithoutRoomDoNotEndTheRound(t *testing.T) {
+func TestJobsThatFitNowhereDoNotEndTheRound(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 6400}, Limit: quota.Amount{CPUs: 6400}}}})
 	b.c.Begin(b.now)
-	b.report("n-1", "a", 0)
+	b.heartbeat("n-1", "a", 0)
 	for n := range 300 { // more than pass_over; there is no machine in zone b
-		b.job(ids.JobID(fmt.Sprintf("job-s%d", n)), wire.JobSpec{Tasks: 1 + n%3, Service: true, Zone: "b", Priority: wire.Critical})
+		b.submit(ids.JobID(fmt.Sprintf("job-s%d", n)), wire.JobSpec{Tasks: 1 + n%3, Service: true, Zone: "b", Priority: wire.Critical})
 	}
-	b.job("job-array", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
+	b.submit("job-array", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
 	b.step()
 	if n := len(b.c.cluster.Job("job-array").Active()); n != 2 {
 		t.Fatalf("%d tasks of the array were placed", n)
--- a/scheduler/agents_test.go
+++ b/scheduler/agents_test.go
@@ -36,7 +36,7 @@
 	b.t.Helper()
 	for _, machine := range g.machines {
 		g.endTasks(machine, b.now)
-		response := b.report(machine, "a", ids.NewFencingToken(b.c.opt.Revision, agentsTokenCounter), g.tasks[machine]...)
+		response := b.heartbeat(machine, "a", ids.NewFencingToken(b.c.opt.Revision, agentsTokenCounter), g.tasks[machine]...)
 		for _, command := range response.Commands {
 			if g.observe != nil {
 				g.observe(command)
@@ -110,7 +110,7 @@
 		inspect()
 		for _, machine := range g.machines {
 			token := ids.NewFencingToken(b.c.opt.Revision, b.c.cluster.Machine(machine).Commands.TokenCounter)
-			response := b.report(machine, "a", token, g.ended[machine]...)
+			response := b.heartbeat(machine, "a", token, g.ended[machine]...)
 			g.ended[machine] = nil
 			for _, command := range response.Commands {
 				if command.Verb == wire.VerbRun {
--- a/scheduler/autoscaler_test.go
+++ b/scheduler/autoscaler_test.go
@@ -13,7 +13,7 @@
 // A service on a machine that was cut off was replaced only once the machine's
 // lease had run out, and then waited for a boot as well. A successor may never
 // have heard of the machine.
-func TestRentsAheadForServicesOnSilentMachines(t *testing.T) {
+func TestProvisionsAheadForServicesOnSilentMachines(t *testing.T) {
 	for _, inherited := range []bool{false, true} {
 		b := newHarness(t, Options{PreviousLeader: inherited})
 		if inherited {
@@ -21,8 +21,8 @@
 			b.c.Begin(b.now)
 		} else {
 			b.c.Begin(b.now)
-			b.report("n-1", "a", 0)
-			b.job("job-1", wire.JobSpec{Tasks: 1, Service: true})
+			b.heartbeat("n-1", "a", 0)
+			b.submit("job-1", wire.JobSpec{Tasks: 1, Service: true})
 			b.step()
 		}
 		rented := time.Duration(0)
@@ -42,14 +42,14 @@
 
 // Spare room for classes in a hurry was once looked for in the free room that
 // had already been counted, and so never rented.
-func TestHeadroomIsRentedBesideFreeRoom(t *testing.T) {
+func TestHeadroomIsProvisionedBesideFreeCapacity(t *testing.T) {
 	b := newHarness(t, Options{Headroom: 3, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
 	b.c.Begin(b.now)
-	b.report("n-1", "a", 0)
-	b.job("job-1", wire.JobSpec{Class: "hasty", Tasks: 2, CPUs: 2})
+	b.heartbeat("n-1", "a", 0)
+	b.submit("job-1", wire.JobSpec{Class: "hasty", Tasks: 2, CPUs: 2})
 	b.step()
 	b.now = b.now.Add(2 * time.Second)
-	b.report("n-1", "a", 0)
+	b.heartbeat("n-1", "a", 0)
 	e := b.step()
 	rented := 0
 	for _, r := range e.Provision {
@@ -64,22 +64,22 @@
 // Room of tasks that end within a boot is not rented for, but work that has
 // waited for a boot has seen others take it: there a backlog stayed for a
 // minute while hardly anything was rented.
-func TestWorkThatWaitedForABootIsRentedFor(t *testing.T) {
+func TestMachinesAreProvisionedForWorkThatWaitedForABoot(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	o := b.report("n-1", "a", 0)
-	b.job("job-1", wire.JobSpec{Tasks: 4, CPUs: 2, EstimateS: 3})
+	o := b.heartbeat("n-1", "a", 0)
+	b.submit("job-1", wire.JobSpec{Tasks: 4, CPUs: 2, EstimateS: 3})
 	b.step()
-	o = b.report("n-1", "a", o.FencingToken)
+	o = b.heartbeat("n-1", "a", o.FencingToken)
 	var on []wire.TaskStatus
 	for _, order := range o.Commands {
 		on = append(on, wire.TaskStatus{Name: order.Name, Attempt: order.Attempt, State: wire.TaskRunning})
 	}
-	b.report("n-1", "a", o.FencingToken, on...)
-	b.job("job-2", wire.JobSpec{Tasks: 4, CPUs: 2, EstimateS: 3})
+	b.heartbeat("n-1", "a", o.FencingToken, on...)
+	b.submit("job-2", wire.JobSpec{Tasks: 4, CPUs: 2, EstimateS: 3})
 	for s := range 15 { // the type boots in 10 s
 		b.now = b.now.Add(time.Second)
-		b.report("n-1", "a", o.FencingToken, on...)
+		b.heartbeat("n-1", "a", o.FencingToken, on...)
 		if e := b.step(); len(e.Provision) > 0 {
 			if s < 9 {
 				t.Fatalf("rented after %d s, although room was about to come", s+1)
--- a/scheduler/commands_test.go
+++ b/scheduler/commands_test.go
@@ -14,25 +14,25 @@
 func TestReapUsesATokenAboveDirectRuns(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	b.report("n-1", "a", 0)
-	b.job("job-1", wire.JobSpec{Tasks: 2})
+	b.heartbeat("n-1", "a", 0)
+	b.submit("job-1", wire.JobSpec{Tasks: 2})
 	b.step()
 	e := b.step()
 	if !slices.Contains(e.SendCommands, "n-1") {
 		t.Fatalf("nothing goes to the worker at once: %+v", e)
 	}
 	d, _, _ := b.c.TakeCommands(b.now, "n-1")
-	if got := verbs(d.Commands, wire.VerbRun); len(got) != 2 {
+	if got := commandsWith(d.Commands, wire.VerbRun); len(got) != 2 {
 		t.Fatalf("runs sent: %v", got)
 	}
 	b.c.CommandsResult(b.now, "n-1", nil)
 	ended := wire.TaskStatus{Name: "job-1/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseError}
-	if o := b.report("n-1", "a", d.FencingToken, ended); len(verbs(o.Commands, wire.VerbReap)) != 0 {
+	if o := b.heartbeat("n-1", "a", d.FencingToken, ended); len(commandsWith(o.Commands, wire.VerbReap)) != 0 {
 		t.Fatalf("reaped before the end is recorded: %+v", o)
 	}
 	b.step()
-	o := b.report("n-1", "a", d.FencingToken, ended)
-	if got := verbs(o.Commands, wire.VerbReap); !slices.Equal(got, []string{"job-1/0#1"}) {
+	o := b.heartbeat("n-1", "a", d.FencingToken, ended)
+	if got := commandsWith(o.Commands, wire.VerbReap); !slices.Equal(got, []string{"job-1/0#1"}) {
 		t.Fatalf("reaped: %v", got)
 	}
 	if o.FencingToken <= d.FencingToken {
@@ -45,22 +45,22 @@
 func TestUnansweredRunStaysUntilFenced(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	b.report("n-1", "a", 0)
-	b.job("job-1", wire.JobSpec{Tasks: 1})
+	b.heartbeat("n-1", "a", 0)
+	b.submit("job-1", wire.JobSpec{Tasks: 1})
 	b.step()
 	b.step()
 	d, _, _ := b.c.TakeCommands(b.now, "n-1")
 	b.c.CommandsResult(b.now, "n-1", nil)
 	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.cluster.Job("job-1").Spec}, 500)
 	b.step()
-	o := b.report("n-1", "a", d.FencingToken)
+	o := b.heartbeat("n-1", "a", d.FencingToken)
 	if b.c.quotas.Used("red").CPUs != 2 {
 		t.Fatal("the task was counted as gone while its start may still arrive")
 	}
 	if o.FencingToken <= d.FencingToken {
 		t.Fatalf("the counter was not raised: %d after %d", o.FencingToken, d.FencingToken)
 	}
-	b.report("n-1", "a", o.FencingToken)
+	b.heartbeat("n-1", "a", o.FencingToken)
 	if used := b.c.quotas.Used("red").CPUs; used != 0 {
 		t.Fatalf("%v CPUs still count after the worker was fenced", used)
 	}
--- a/scheduler/succession_test.go
+++ b/scheduler/failover_test.go
@@ -15,18 +15,18 @@
 // A successor placed a replacement replica into a zone that already held half
 // of the service: it had not heard from the machines yet and counted their
 // tasks to no zone.
-func TestSuccessorKeepsSpreadBeforeItHearsFromMachines(t *testing.T) {
+func TestNextLeaderKeepsSpreadBeforeTheFirstHeartbeats(t *testing.T) {
 	for _, zones := range [][]ids.Zone{{"a", "a"}, nil} {
 		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
 		b.inherit(wire.JobSpec{Service: true, Spread: true, Tasks: 3},
 			records.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
 		b.c.Begin(b.now)
-		b.report("n-3", "a", ids.NewFencingToken(5, 0))
+		b.heartbeat("n-3", "a", ids.NewFencingToken(5, 0))
 		b.step()
 		if a := b.c.cluster.Job("job-1").Task(2).Assignment(); a != nil {
 			t.Errorf("zones %v: the third replica went to %s in zone %s", zones, a.Machine.ID, a.Machine.Zone)
 		}
-		b.report("n-4", "b", ids.NewFencingToken(5, 0))
+		b.heartbeat("n-4", "b", ids.NewFencingToken(5, 0))
 		b.step()
 		if a := b.c.cluster.Job("job-1").Task(2).Assignment(); zones != nil && (a == nil || a.Machine.Zone != "b") {
 			t.Errorf("zones %v: the third replica did not go to zone b", zones)
@@ -36,7 +36,7 @@
 
 // A predecessor cut off from the state service may go on answering workers;
 // until its grace and a lease are over, its tasks may run.
-func TestPredecessorsGraceCounts(t *testing.T) {
+func TestTasksCountDuringThePreviousLeadersGrace(t *testing.T) {
 	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
@@ -55,7 +55,7 @@
 // Once all other controllers follow this leader nobody else answers workers, and
 // what a dead machine holds need not wait for the grace. A lease it does wait:
 // a report sent just before may have been answered.
-func TestOnceAllFollowThereIsNoGrace(t *testing.T) {
+func TestNoGraceOnceAllControllersFollow(t *testing.T) {
 	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 10 * time.Minute})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
@@ -80,7 +80,7 @@
 	spec := wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1}
 	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: &spec}, 9)
 	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobQueued, Tasks: 1, Spec: &spec}, 8)
-	b.report("n-1", "a", 0)
+	b.heartbeat("n-1", "a", 0)
 	b.step()
 	if b.c.cluster.Job("job-1") != nil {
 		t.Fatal("the job came back")
@@ -89,7 +89,7 @@
 
 // A machine died around a takeover. The successor never heard of it, never saw
 // it listed, and held its tasks for two minutes.
-func TestMachineThatDiedAtTheTakeoverIsNoticed(t *testing.T) {
+func TestMachineThatDiedAtTheFailoverIsDetected(t *testing.T) {
 	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 90 * time.Second, ListLag: 3 * time.Second})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -58,10 +58,10 @@
 	for i := range 6 {
 		machine := ids.MachineID(fmt.Sprintf("n-%d", i))
 		agents.machines = append(agents.machines, machine)
-		b.report(machine, "a", 0)
+		b.heartbeat(machine, "a", 0)
 	}
 	for i := range 3 {
-		b.job(ids.JobID(fmt.Sprintf("job-bad%d", i)), wire.JobSpec{Class: "c", Tasks: 5, CPUs: 1, EstimateS: 10})
+		b.submit(ids.JobID(fmt.Sprintf("job-bad%d", i)), wire.JobSpec{Class: "c", Tasks: 5, CPUs: 1, EstimateS: 10})
 	}
 	return b, agents
 }
@@ -90,14 +90,14 @@
 // permanently failing job has failed.
 func TestUnhealthyMachineBesideAPermanentlyFailingJob(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.report("n-0", "a", 0)
+	b.heartbeat("n-0", "a", 0)
 	m := b.c.cluster.Machine("n-0")
 	fail := func(id ids.JobID) {
 		b.c.recordFailure(&cluster.Assignment{Job: b.c.cluster.Job(id), Machine: m, Attempt: 1})
 	}
-	b.job("job-bad", wire.JobSpec{Class: "c", Tasks: 1})
-	b.job("job-1", wire.JobSpec{Class: "c", Tasks: 4})
-	b.job("job-2", wire.JobSpec{Class: "c", Tasks: 4})
+	b.submit("job-bad", wire.JobSpec{Class: "c", Tasks: 1})
+	b.submit("job-1", wire.JobSpec{Class: "c", Tasks: 4})
+	b.submit("job-2", wire.JobSpec{Class: "c", Tasks: 4})
 	b.c.cluster.Job("job-bad").Failures.Rounds = 1
 	fail("job-bad")
 	fail("job-1")
@@ -131,7 +131,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newHarness(t, Options{})
 			b.c.autoscaler.bootFactors["m"] = c.bootFactor
-			b.job("job-1", wire.JobSpec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
+			b.submit("job-1", wire.JobSpec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
 			if requests := b.provisionFor(c.after); len(requests) != 1+c.replaced {
 				t.Errorf("provisioned %v, want %d replacements", requests, c.replaced)
 			}
@@ -173,13 +173,13 @@
 // What began or ended while the leader itself was paused is heard of only after it:
 // tasks did not run for that long, machines are not deaf, and none took too long to
 // boot.
-func TestProcessPauseCountsAgainstNobody(t *testing.T) {
+func TestProcessPauseIsNoRunTimeAndNoSilence(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.report("n-0", "a", 0)
-	b.job("job-1", wire.JobSpec{Class: "c", Tasks: 1, EstimateS: 5})
+	b.heartbeat("n-0", "a", 0)
+	b.submit("job-1", wire.JobSpec{Class: "c", Tasks: 1, EstimateS: 5})
 	b.step()
 	run := func() wire.TaskStatus {
-		for _, o := range b.report("n-0", "a", 0).Commands {
+		for _, o := range b.heartbeat("n-0", "a", 0).Commands {
 			if o.Verb == wire.VerbRun {
 				return wire.TaskStatus{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning}
 			}
@@ -193,14 +193,14 @@
 	b.c.cluster.Machine("n-1").Lifecycle.BootDeadline = b.now.Add(10 * time.Second)
 
 	b.now = b.now.Add(20 * time.Second) // it is paused
-	b.report("n-0", "a", 0)             // on its way since before the command came
+	b.heartbeat("n-0", "a", 0)          // on its way since before the command came
 	if b.c.cluster.Machine("n-0").Health.Unreachable {
 		t.Error("a machine counts as deaf for what the leader slept through")
 	}
 	if e := b.step(); len(e.Terminate) > 0 {
 		t.Errorf("returned %v before they could report", e.Terminate)
 	}
-	b.report("n-0", "a", 0, task)
+	b.heartbeat("n-0", "a", 0, task)
 	a := b.c.cluster.Job("job-1").Active()[0]
 	b.now = b.now.Add(500 * time.Millisecond)
 	b.step()
@@ -253,11 +253,11 @@
 	for ; tick < 420; tick++ {
 		b.now = b.now.Add(time.Second)
 		if tick%2 == 0 {
-			b.job(ids.JobID(fmt.Sprintf("job-s%d", tick)), wire.JobSpec{Class: "c", Tasks: 4, CPUs: 2, Priority: wire.Normal})
+			b.submit(ids.JobID(fmt.Sprintf("job-s%d", tick)), wire.JobSpec{Class: "c", Tasks: 4, CPUs: 2, Priority: wire.Normal})
 		}
 		if tick == 20 {
 			submittedAt = b.now
-			b.job(guest, wire.JobSpec{Class: "g", Team: "guest", Tasks: 9, CPUs: 8})
+			b.submit(guest, wire.JobSpec{Class: "g", Team: "guest", Tasks: 9, CPUs: 8})
 		}
 		b.step()
 		day.mostTasks = max(day.mostTasks, agents.count(guest))
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -16,10 +16,10 @@
 
 // harness drives a core with machines that are up by hand.
 type harness struct {
-	t    *testing.T
-	c    *Core
-	now  monotonic.Instant
-	tick ids.Sequence
+	t        *testing.T
+	c        *Core
+	now      monotonic.Instant
+	sequence ids.Sequence
 	// zoneWrites counts the records of zones that were written.
 	zoneWrites int
 }
@@ -45,7 +45,7 @@
 	return &harness{t: t, c: New(opt, types), now: monotonic.Instant(time.Hour)}
 }
 
-func (b *harness) job(id ids.JobID, spec wire.JobSpec) {
+func (b *harness) submit(id ids.JobID, spec wire.JobSpec) {
 	if spec.CPUs == 0 {
 		spec.CPUs = 2
 	}
@@ -80,13 +80,13 @@
 // randomMachines brings machines up in random zones.
 func (b *harness) randomMachines(rng *rand.Rand, count int) {
 	for n := range count {
-		b.report(ids.MachineID(fmt.Sprintf("n-%d", n)), []ids.Zone{"a", "b", "c"}[rng.IntN(3)], 0)
+		b.heartbeat(ids.MachineID(fmt.Sprintf("n-%d", n)), []ids.Zone{"a", "b", "c"}[rng.IntN(3)], 0)
 	}
 }
 
-func (b *harness) report(host ids.MachineID, zone ids.Zone, token ids.FencingToken, tasks ...wire.TaskStatus) wire.HeartbeatResponse {
-	b.tick++
-	o, ok := b.c.Heartbeat(b.now, &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: zone, Incarnation: 1, Sequence: b.tick,
+func (b *harness) heartbeat(host ids.MachineID, zone ids.Zone, token ids.FencingToken, tasks ...wire.TaskStatus) wire.HeartbeatResponse {
+	b.sequence++
+	o, ok := b.c.Heartbeat(b.now, &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: zone, Incarnation: 1, Sequence: b.sequence,
 		FencingToken: token, Tasks: tasks}, false)
 	if !ok {
 		b.t.Fatalf("report of %s not answered", host)
@@ -99,12 +99,12 @@
 func (b *harness) runTask() (ids.FencingToken, wire.TaskStatus) {
 	b.t.Helper()
 	b.c.Begin(b.now)
-	answer := b.report("n-1", "a", 0)
-	b.job("job-1", wire.JobSpec{Tasks: 1})
+	answer := b.heartbeat("n-1", "a", 0)
+	b.submit("job-1", wire.JobSpec{Tasks: 1})
 	b.step()
-	answer = b.report("n-1", "a", answer.FencingToken)
+	answer = b.heartbeat("n-1", "a", answer.FencingToken)
 	running := wire.TaskStatus{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
-	b.report("n-1", "a", answer.FencingToken, running)
+	b.heartbeat("n-1", "a", answer.FencingToken, running)
 	return answer.FencingToken, running
 }
 
@@ -117,7 +117,7 @@
 	return e
 }
 
-func verbs(orders []wire.Command, verb wire.Verb) []string {
+func commandsWith(orders []wire.Command, verb wire.Verb) []string {
 	var out []string
 	for _, o := range orders {
 		if o.Verb == verb {
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -18,22 +18,22 @@
 func TestUnhealthyMachineIsQuarantined(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	b.report("n-1", "a", 0)
+	b.heartbeat("n-1", "a", 0)
 	for n := range 2 {
 		id := ids.JobID(fmt.Sprintf("job-%d", n))
-		b.job(id, wire.JobSpec{Tasks: 1})
+		b.submit(id, wire.JobSpec{Tasks: 1})
 		b.step()
-		o := b.report("n-1", "a", 0)
-		run := verbs(o.Commands, wire.VerbRun)
+		o := b.heartbeat("n-1", "a", 0)
+		run := commandsWith(o.Commands, wire.VerbRun)
 		if len(run) != 1 {
 			t.Fatalf("job %d: runs %v", n, run)
 		}
-		b.report("n-1", "a", o.FencingToken, wire.TaskStatus{Name: string(id) + "/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseError})
+		b.heartbeat("n-1", "a", o.FencingToken, wire.TaskStatus{Name: string(id) + "/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseError})
 		b.c.ObserveJob(b.now, id, &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.cluster.Job(id).Spec}, 900)
 		b.step()
-		b.report("n-1", "a", o.FencingToken)
+		b.heartbeat("n-1", "a", o.FencingToken)
 	}
-	b.job("job-9", wire.JobSpec{Tasks: 1})
+	b.submit("job-9", wire.JobSpec{Tasks: 1})
 	b.step()
 	if a := b.c.cluster.Job("job-9").Task(0).Assignment(); a != nil {
 		t.Fatalf("placed on %s, which fails everything", a.Machine.ID)
@@ -45,7 +45,7 @@
 func TestSilentMachineIsKeptForAWhile(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	b.report("n-1", "a", 0)
+	b.heartbeat("n-1", "a", 0)
 	start := b.now
 	for ; b.now < start.Add(3*simAgentLease); b.now = b.now.Add(time.Second) {
 		if e := b.step(); len(e.Terminate) > 0 {
@@ -100,9 +100,9 @@
 	for n := range 60 {
 		zone := []ids.Zone{"a", "b"}[n%2]
 		z.machines[zone] = append(z.machines[zone], ids.MachineID(fmt.Sprintf("n-%02d", n)))
-		b.report(z.machines[zone][n/2], zone, 0)
+		b.heartbeat(z.machines[zone][n/2], zone, 0)
 	}
-	b.job("job-1", wire.JobSpec{Tasks: 60, Service: true, CPUs: 8})
+	b.submit("job-1", wire.JobSpec{Tasks: 60, Service: true, CPUs: 8})
 	b.step()
 	return z
 }
@@ -116,7 +116,7 @@
 		z.now = z.now.Add(100*time.Millisecond + pause)
 		for zone, machines := range z.machines {
 			if !slices.Contains(z.silent, zone) {
-				z.report(machines[z.ticks%len(machines)], zone, 0)
+				z.heartbeat(machines[z.ticks%len(machines)], zone, 0)
 			}
 		}
 		z.ticks++
@@ -161,7 +161,7 @@
 	r := &slowMachineRound{harness: b, machines: []ids.MachineID{"n-1", "n-2", "n-3"}, token: ids.NewFencingToken(5, 0),
 		tasks: map[ids.MachineID][]wire.TaskStatus{}}
 	r.heartbeats()
-	b.job(id, wire.JobSpec{Tasks: 12})
+	b.submit(id, wire.JobSpec{Tasks: 12})
 	b.step()
 	for i, task := range b.c.cluster.Job(id).Tasks() {
 		if a := task.Assignment(); a != nil {
@@ -175,8 +175,8 @@
 // play has the tasks start and end.
 func (r *slowMachineRound) play() {
 	for _, machine := range r.machines {
-		r.report(machine, "a", r.token)
-		r.report(machine, "a", r.token, r.tasks[machine]...)
+		r.heartbeat(machine, "a", r.token)
+		r.heartbeat(machine, "a", r.token, r.tasks[machine]...)
 	}
 	r.runFor(10 * time.Second)
 	r.end("n-1")
@@ -189,7 +189,7 @@
 // heartbeats has each machine send a heartbeat.
 func (r *slowMachineRound) heartbeats() {
 	for _, machine := range r.machines {
-		r.report(machine, "a", r.token, r.tasks[machine]...)
+		r.heartbeat(machine, "a", r.token, r.tasks[machine]...)
 	}
 }
 
@@ -208,7 +208,7 @@
 	for i := range tasks {
 		tasks[i].State, tasks[i].Cause = wire.TaskEnded, wire.CauseDone
 	}
-	r.report(machine, "a", r.token, tasks...)
+	r.heartbeat(machine, "a", r.token, tasks...)
 }
 
 // A zone was partitioned: its machines were terminated after their leases and provisioned
@@ -244,7 +244,7 @@
 	d.agents = newTestAgents(forEver, "n-a0", "n-a1", "n-a2", "n-a3", "n-a4")
 	d.agents.heartbeats(d.harness)
 	for n := range 5 {
-		d.report(ids.MachineID(fmt.Sprintf("n-b%d", n)), "b", ids.NewFencingToken(5, 0))
+		d.heartbeat(ids.MachineID(fmt.Sprintf("n-b%d", n)), "b", ids.NewFencingToken(5, 0))
 	}
 	return d
 }
@@ -258,7 +258,7 @@
 			d.agents.heartbeats(d.harness)
 		}
 		if d.seconds == 20 || d.seconds == 200 {
-			d.job(ids.JobID(fmt.Sprintf("job-%d", d.seconds)), wire.JobSpec{Tasks: 30, CPUs: 2, EstimateS: 1000})
+			d.submit(ids.JobID(fmt.Sprintf("job-%d", d.seconds)), wire.JobSpec{Tasks: 30, CPUs: 2, EstimateS: 1000})
 		}
 		decisions := d.step()
 		terminated = append(terminated, decisions.Terminate...)
@@ -272,13 +272,13 @@
 
 // The machines of a zone that was cut off for longer than two leases are not returned for
 // their silence at the moment at which the first of them is heard again.
-func TestMachinesOfAReturningZoneHaveTimeToReport(t *testing.T) {
+func TestMachinesOfARecoveringZoneHaveTimeForHeartbeats(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	hosts := map[ids.Zone][]ids.MachineID{"a": {"a-1", "a-2", "a-3", "a-4"}, "b": {"b-1", "b-2", "b-3", "b-4", "b-5"}}
 	tell := func(zone ids.Zone) {
 		for _, host := range hosts[zone] {
-			b.report(host, zone, 0)
+			b.heartbeat(host, zone, 0)
 		}
 	}
 	tell("b")
@@ -288,7 +288,7 @@
 			t.Fatalf("returned %v in the partition", e.Terminate)
 		}
 	}
-	b.report("b-1", "b", 0)
+	b.heartbeat("b-1", "b", 0)
 	for start := b.now; b.now < start.Add(simHeartbeatInterval); b.now = b.now.Add(200 * time.Millisecond) {
 		tell("a")
 		if e := b.step(); len(e.Terminate) > 0 {
@@ -298,7 +298,7 @@
 	returned := 0
 	for start := b.now; b.now < start.Add(4*simHeartbeatInterval); b.now = b.now.Add(200 * time.Millisecond) {
 		tell("a")
-		b.report("b-1", "b", 0)
+		b.heartbeat("b-1", "b", 0)
 		returned += len(b.step().Terminate)
 	}
 	if returned != 4 {
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -39,8 +39,8 @@
 
 func largeFleetZone(n int) ids.Zone { return ids.Zone(rune('a' + n%largeFleetZones)) }
 
-// reportAll has each machine report what runs on it, but for those in a zone that is cut.
-func (b *harness) reportAll(cut ids.Zone) {
+// heartbeatAll has each machine report what runs on it, but for those in a zone that is cut.
+func (b *harness) heartbeatAll(cut ids.Zone) {
 	for n := range largeFleet {
 		if largeFleetZone(n) == cut {
 			continue
@@ -53,7 +53,7 @@
 				}
 			}
 		}
-		b.report(largeFleetHost(n), largeFleetZone(n), b.c.commands.tokenOf(b.c.cluster.EnsureMachine(largeFleetHost(n))), tasks...)
+		b.heartbeat(largeFleetHost(n), largeFleetZone(n), b.c.commands.tokenOf(b.c.cluster.EnsureMachine(largeFleetHost(n))), tasks...)
 	}
 }
 
@@ -85,9 +85,9 @@
 	t.Helper()
 	before := liveHeap()
 	b.c.Begin(b.now)
-	b.reportAll("")
+	b.heartbeatAll("")
 	for n := range largeFleetJobs {
-		b.job(ids.JobID(fmt.Sprintf("job-%06d", n)), wire.JobSpec{Tasks: largeFleetTasks / largeFleetJobs, CPUs: 2})
+		b.submit(ids.JobID(fmt.Sprintf("job-%06d", n)), wire.JobSpec{Tasks: largeFleetTasks / largeFleetJobs, CPUs: 2})
 	}
 	latest := map[string]records.AdmissionSlice{}
 	b.placeAll(latest)
@@ -100,14 +100,14 @@
 		t.Errorf("%d records written, want one for each of %d jobs", len(latest), largeFleetJobs)
 	}
 	b.now = b.now.Add(time.Second)
-	b.reportAll("")
+	b.heartbeatAll("")
 	perMachine := (liveHeap() - before) / largeFleet
 	t.Logf("live heap: %d KB, %d bytes a machine with four tasks", perMachine*largeFleet/1024, perMachine)
 	if perMachine > 12<<10 {
 		t.Errorf("a machine takes %d bytes: too much for a node of 100 MB", perMachine)
 	}
-	b.takeOverLargeFleet(latest)
-	b.cutZoneOfLargeFleet()
+	b.failOverLargeFleet(latest)
+	b.partitionZoneOfLargeFleet()
 }
 
 // placeAll steps until all tasks are placed, and keeps the newest record of each slice.
@@ -130,8 +130,8 @@
 	}
 }
 
-// takeOverLargeFleet has a successor read the records and meet all machines.
-func (b *harness) takeOverLargeFleet(latest map[string]records.AdmissionSlice) {
+// failOverLargeFleet has a successor read the records and meet all machines.
+func (b *harness) failOverLargeFleet(latest map[string]records.AdmissionSlice) {
 	b.t.Helper()
 	predecessor := b.c
 	opt := predecessor.opt
@@ -147,7 +147,7 @@
 		}
 	}
 	b.c.Begin(b.now)
-	b.reportAll("")
+	b.heartbeatAll("")
 	e := b.step()
 	if len(e.RecordChanges) > 0 || len(e.Terminate) > 0 || len(e.Provision) > 0 {
 		b.t.Errorf("a takeover without news wrote %d changes, returned %d and rented %d", len(e.RecordChanges), len(e.Terminate), len(e.Provision))
@@ -159,16 +159,16 @@
 	}
 }
 
-// cutZoneOfLargeFleet cuts a quarter of the machines off until their leases are over, and
+// partitionZoneOfLargeFleet cuts a quarter of the machines off until their leases are over, and
 // sees that work and returns stay in proportion.
-func (b *harness) cutZoneOfLargeFleet() {
+func (b *harness) partitionZoneOfLargeFleet() {
 	b.t.Helper()
 	examined, calls := b.c.admission.MachinesExamined, 0
 	b.c.ObserveConnectivity(zonerecovery.Connectivity{LeaseConfirmed: true})
 	const step, steps = time.Second, 36
 	for range steps {
 		b.now = b.now.Add(step)
-		b.reportAll("d")
+		b.heartbeatAll("d")
 		e := b.step()
 		b.countZoneRecords(e)
 		calls = max(calls, len(e.SendCommands)+len(e.RequestHeartbeats))
--- a/scheduler/plain_model_test.go
+++ b/scheduler/plain_model_test.go
@@ -416,7 +416,7 @@
 		b.randomMachines(rng, 1+rng.IntN(6))
 		for round := range rounds {
 			for n := range rng.IntN(6) {
-				b.job(ids.JobID(fmt.Sprintf("job-%d-%d", round, n)), randomModelSpec(rng, teams))
+				b.submit(ids.JobID(fmt.Sprintf("job-%d-%d", round, n)), randomModelSpec(rng, teams))
 			}
 			placed += b.compareWithModel()
 			if seed >= firstWithReservations {
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -12,7 +12,7 @@
 // While an earlier leader may go on answering workers, a cancellation is acknowledged
 // only once that one cannot keep a task of the job: its machine was heard with a token of
 // this leader, or was returned; the earlier leader is gone; or it will be soon enough.
-func TestCancellationWaitsForEarlierLeaders(t *testing.T) {
+func TestCancellationWaitsForPreviousLeaders(t *testing.T) {
 	const grace = simCancelDeadline // well beyond the margin
 	margin := CancelMargin(simCancelDeadline, simAgentLease)
 	for _, c := range []struct {
@@ -21,14 +21,14 @@
 		acknowledged bool
 	}{
 		{"its machine was not heard", func(*harness) {}, false},
-		{"one of its machines was heard", func(b *harness) { b.report("n-1", "a", ids.NewFencingToken(5, 0)) }, false},
+		{"one of its machines was heard", func(b *harness) { b.heartbeat("n-1", "a", ids.NewFencingToken(5, 0)) }, false},
 		{"its machines were heard", func(b *harness) {
-			b.report("n-1", "a", ids.NewFencingToken(5, 0))
-			b.report("n-2", "a", ids.NewFencingToken(5, 0))
+			b.heartbeat("n-1", "a", ids.NewFencingToken(5, 0))
+			b.heartbeat("n-2", "a", ids.NewFencingToken(5, 0))
 		}, true},
 		{"they have yet to show this leader's token", func(b *harness) {
-			b.report("n-1", "a", ids.NewFencingToken(4, 0))
-			b.report("n-2", "a", ids.NewFencingToken(4, 0))
+			b.heartbeat("n-1", "a", ids.NewFencingToken(4, 0))
+			b.heartbeat("n-2", "a", ids.NewFencingToken(4, 0))
 		}, false},
 		{"its machines were returned", func(b *harness) { b.c.TerminateResult(b.now, []ids.MachineID{"n-1", "n-2"}, true) }, true},
 		{"all controllers follow", func(b *harness) { b.c.AllControllersFollow(b.now) }, true},
@@ -57,7 +57,7 @@
 
 // An earlier leader answers machines without replicas for the margin alone, so what is on
 // them holds no cancellation back, and moves on sooner.
-func TestMachinesWithoutReplicasAreFreeSooner(t *testing.T) {
+func TestMachinesWithoutReplicasAreReleasedSooner(t *testing.T) {
 	margin := CancelMargin(simCancelDeadline, simAgentLease)
 	for _, c := range []struct {
 		name    string
@@ -93,11 +93,11 @@
 // once it may not answer all: later copies of their reports included.
 func TestOnlyMachinesWithReplicasAreAnswered(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.report("n-1", "a", 0)
-	b.job("job-1", wire.JobSpec{Service: true, Tasks: 1})
+	b.heartbeat("n-1", "a", 0)
+	b.submit("job-1", wire.JobSpec{Service: true, Tasks: 1})
 	b.c.Step(b.now) // the replica is placed, and its record on its way
 	report := func(host ids.MachineID, sequence ids.Sequence) bool {
-		_, ok := b.c.Heartbeat(b.now, newReport(host, 1, sequence, 0), false)
+		_, ok := b.c.Heartbeat(b.now, newHeartbeat(host, 1, sequence, 0), false)
 		return ok
 	}
 	b.c.RestrictToReplicas(true)
--- /dev/null
+++ b/scheduler/queue_test.go
@@ -0,0 +1,41 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/wire"
+)
+
+func TestWaitingJobsAreOrdered(t *testing.T) {
+	b := newHarness(t, Options{ReserveAfter: time.Minute})
+	add := func(id ids.JobID, priority wire.Priority, orderMS int64, age time.Duration) *cluster.Job {
+		b.submit(id, wire.JobSpec{Class: "c", Tasks: 1, Priority: priority})
+		j := b.c.cluster.Job(id)
+		j.Queue.OrderMS, j.Queue.ReadyAt = orderMS, b.now.Add(-age)
+		return j
+	}
+	add("job-late", wire.Normal, 30, 0)
+	add("job-early", wire.Normal, 20, 0)
+	add("job-same", wire.Normal, 20, 0)
+	add("job-urgent", wire.High, 90, 0)
+	add("job-aged", wire.Normal, 40, 3*time.Minute)
+	add("job-backing-off", wire.Critical, 1, 0).Queue.RetryAt = b.now.Add(time.Second)
+	add("job-suspended", wire.Critical, 1, 0).Queue.Suspended = true
+	b.c.clock.Set(b.now)
+	want := []ids.JobID{"job-urgent", "job-aged", "job-early", "job-same", "job-late"}
+	waiting := b.c.waitingJobs()
+	if len(waiting) != len(want) {
+		t.Fatalf("%d jobs wait", len(waiting))
+	}
+	for i, j := range waiting {
+		if j.ID != want[i] {
+			t.Errorf("%s is number %d, want %s", j.ID, i, want[i])
+		}
+	}
+	if first := b.c.starvingFirst(waiting)[0].ID; first != "job-aged" {
+		t.Errorf("%s goes before those that starve", first)
+	}
+}
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -15,8 +15,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// newReport is a heartbeat as an agent in zone a would send it, for messages out of order.
-func newReport(host ids.MachineID, tenure ids.AgentIncarnation, tick ids.Sequence, token ids.FencingToken, tasks ...wire.TaskStatus) *wire.Heartbeat {
+// newHeartbeat is a heartbeat as an agent in zone a would send it, for messages out of order.
+func newHeartbeat(host ids.MachineID, tenure ids.AgentIncarnation, tick ids.Sequence, token ids.FencingToken, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: "a", Incarnation: tenure, Sequence: tick, FencingToken: token, Tasks: tasks}
 }
 
@@ -25,12 +25,12 @@
 func TestUnreachableMachineIsTerminated(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	b.report("n-1", "a", 0)
-	b.job("job-1", wire.JobSpec{Tasks: 1})
+	b.heartbeat("n-1", "a", 0)
+	b.submit("job-1", wire.JobSpec{Tasks: 1})
 	b.step()
 	b.step()
 	b.awaitTerminationOfUnreachable()
-	b.report("n-2", "a", 0)
+	b.heartbeat("n-2", "a", 0)
 	b.c.TerminateResult(b.now, []ids.MachineID{"n-1"}, true)
 	b.step()
 	if a := b.assignmentOf("job-1"); a == nil || a.Machine.ID != "n-2" {
@@ -47,10 +47,10 @@
 		e := b.step()
 		b.loseCommands(e)
 		if s%3 == 0 {
-			b.report("n-1", "a", 0)
+			b.heartbeat("n-1", "a", 0)
 		}
 		if s == 16 {
-			b.job("job-2", wire.JobSpec{Tasks: 1})
+			b.submit("job-2", wire.JobSpec{Tasks: 1})
 		}
 		if b.assignmentOf("job-2") != nil {
 			b.t.Fatalf("after %d s: new work was placed on it", s)
@@ -96,11 +96,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newHarness(t, Options{})
 			b.c.Begin(b.now)
-			first := b.report("n-1", "a", 0).FencingToken
-			b.report("n-1", "a", first)
+			first := b.heartbeat("n-1", "a", 0).FencingToken
+			b.heartbeat("n-1", "a", first)
 			b.now = b.now.Add(simHeartbeatInterval)
 			b.secondIncarnation(first)
-			b.job("job-1", wire.JobSpec{Tasks: 1})
+			b.submit("job-1", wire.JobSpec{Tasks: 1})
 			b.step()
 			if b.assignmentOf("job-1") != nil {
 				t.Fatal("work was placed on a machine that may receive nothing")
@@ -120,8 +120,8 @@
 
 // secondIncarnation has n-1 send a heartbeat of its agent's second incarnation.
 func (b *harness) secondIncarnation(token ids.FencingToken) {
-	b.tick++
-	b.c.Heartbeat(b.now, newReport("n-1", 2, b.tick, token), false)
+	b.sequence++
+	b.c.Heartbeat(b.now, newHeartbeat("n-1", 2, b.sequence, token), false)
 }
 
 // A cancelled job's task on a machine that talks but does not do as it is told
@@ -132,7 +132,7 @@
 	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.cluster.Job("job-1").Spec}, 500)
 	for s := range 52 {
 		b.now = b.now.Add(time.Second)
-		b.report("n-1", "a", token, running)
+		b.heartbeat("n-1", "a", token, running)
 		if slices.Contains(b.step().Terminate, "n-1") {
 			if s < 10 {
 				t.Fatalf("returned after %d s, before it could end the task", s)
@@ -145,20 +145,20 @@
 
 // A copy of a report that comes late is no sign of life: its machine may be
 // long dead, and its tasks must be able to move.
-func TestCopiesAreNoSignOfLife(t *testing.T) {
+func TestDuplicateHeartbeatsDoNotRenewALease(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	o := b.report("n-1", "a", 0)
-	b.job("job-1", wire.JobSpec{Tasks: 1, Service: true})
+	o := b.heartbeat("n-1", "a", 0)
+	b.submit("job-1", wire.JobSpec{Tasks: 1, Service: true})
 	b.step()
-	o = b.report("n-1", "a", o.FencingToken)
+	o = b.heartbeat("n-1", "a", o.FencingToken)
 	run := wire.TaskStatus{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
-	b.report("n-1", "a", o.FencingToken, run)
-	last := b.tick
+	b.heartbeat("n-1", "a", o.FencingToken, run)
+	last := b.sequence
 	for s := range 60 {
 		b.now = b.now.Add(time.Second)
 		for tick := last - 1; tick <= last; tick++ { // older ones, and the newest once more
-			b.c.Heartbeat(b.now, newReport("n-1", 1, tick, o.FencingToken, run), false)
+			b.c.Heartbeat(b.now, newHeartbeat("n-1", 1, tick, o.FencingToken, run), false)
 		}
 		b.step()
 		if m := b.c.cluster.Machine("n-1"); m == nil || len(m.Assignments()) == 0 {
@@ -176,27 +176,27 @@
 
 // A copy must not bring back a machine that was returned: not at the leader
 // that returned it, and not at a successor, which never knew of it.
-func TestCopiesDoNotReviveReturnedMachines(t *testing.T) {
+func TestDuplicateHeartbeatsDoNotReviveTerminatedMachines(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	b.report("n-1", "a", 0)
+	b.heartbeat("n-1", "a", 0)
 	b.c.registry.returnMachine(b.c.cluster.Machine("n-1"), "test")
 	b.step()
 	b.c.TerminateResult(b.now, []ids.MachineID{"n-1"}, true)
-	b.report("n-1", "a", 0)
+	b.heartbeat("n-1", "a", 0)
 	if b.c.cluster.Machine("n-1") != nil {
 		t.Fatal("it came back at the leader that returned it")
 	}
 
 	b = newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
 	b.c.Begin(b.now)
-	b.report("n-1", "a", ids.NewFencingToken(4, 7))
-	b.job("job-1", wire.JobSpec{Tasks: 1})
+	b.heartbeat("n-1", "a", ids.NewFencingToken(4, 7))
+	b.submit("job-1", wire.JobSpec{Tasks: 1})
 	b.step()
 	if b.c.cluster.Job("job-1").Task(0).Assignment() != nil {
 		t.Fatal("a successor placed work on a machine that it only has an old report of")
 	}
-	b.report("n-1", "a", ids.NewFencingToken(5, 0))
+	b.heartbeat("n-1", "a", ids.NewFencingToken(5, 0))
 	b.c.rounds.MarkDue()
 	b.step()
 	if b.c.cluster.Job("job-1").Task(0).Assignment() == nil {
@@ -207,7 +207,7 @@
 // A leader that lost the state service and its peers, but not its workers,
 // goes on answering them. Its successor tells the workers of itself, and their
 // next report ends the old leader's term.
-func TestSuccessorTakesWorkersFromALeaderThatKeepsThem(t *testing.T) {
+func TestNextLeaderTakesWorkersFromAnActivePreviousLeader(t *testing.T) {
 	old := newHarness(t, Options{Revision: 5})
 	oldToken, run := old.runTask()
 
@@ -226,13 +226,13 @@
 		e := next.step()
 		for _, h := range e.RequestHeartbeats {
 			tick++
-			next.c.HeartbeatRequestResult(next.now, h, newReport(h, 1, tick, token[h]))
+			next.c.HeartbeatRequestResult(next.now, h, newHeartbeat(h, 1, tick, token[h]))
 		}
 		for _, h := range e.SendCommands {
 			if d, _, ok := next.c.TakeCommands(next.now, h); ok {
 				token[h] = max(token[h], d.FencingToken)
 				tick++
-				next.c.CommandsResult(next.now, h, newReport(h, 1, tick, token[h]))
+				next.c.CommandsResult(next.now, h, newHeartbeat(h, 1, tick, token[h]))
 			}
 		}
 	}
@@ -242,7 +242,7 @@
 	if token["n-1"].Revision() != 9 || !next.c.cluster.Machine("n-1").Agent.Fenced {
 		t.Fatalf("n-1 was not told of the successor: token %d", token["n-1"])
 	}
-	if _, ok := old.c.Heartbeat(old.now, newReport("n-1", 1, tick+1, token["n-1"], run), false); ok || !old.c.Superseded() {
+	if _, ok := old.c.Heartbeat(old.now, newHeartbeat("n-1", 1, tick+1, token["n-1"], run), false); ok || !old.c.Superseded() {
 		t.Fatal("the old leader goes on")
 	}
 }
@@ -259,10 +259,10 @@
 	var submittedAt monotonic.Instant
 	for ; tick < 300; tick++ {
 		b.now = b.now.Add(time.Second)
-		b.job(ids.JobID(fmt.Sprintf("job-s%d", tick)), wire.JobSpec{Tasks: 4, CPUs: 2})
+		b.submit(ids.JobID(fmt.Sprintf("job-s%d", tick)), wire.JobSpec{Tasks: 4, CPUs: 2})
 		if tick == 20 {
 			submittedAt = b.now
-			b.job("job-large", wire.JobSpec{Tasks: 3, CPUs: 8})
+			b.submit("job-large", wire.JobSpec{Tasks: 3, CPUs: 8})
 		}
 		b.step()
 		agents.heartbeats(b)
@@ -343,7 +343,7 @@
 	b.t.Helper()
 	opt.Revision, opt.WallClockMS = 9, b.now.Sub(start).Milliseconds()
 	next := newHarness(b.t, opt)
-	next.now, next.tick = b.now, b.tick
+	next.now, next.sequence = b.now, b.sequence
 	for id, j := range b.c.cluster.Jobs() {
 		next.c.LoadJob(id, &records.Job{Status: wire.JobQueued, Tasks: j.Spec.Tasks, Spec: j.Spec, SubmittedMS: j.Queue.ReadyMS}, j.Records.Revision)
 	}
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -318,9 +318,9 @@
 	}},
 }
 
-// TestOverlappingTroubles brings each meeting about on several days, and then the quiet after it.
+// TestOverlappingFaults brings each meeting about on several days, and then the quiet after it.
 // No rule breaks, whatever is cancelled goes in time, and all else comes to its end.
-func TestOverlappingTroubles(t *testing.T) {
+func TestOverlappingFaults(t *testing.T) {
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -343,16 +343,16 @@
 // While a machine of a cancelled job can't be asked, it must be returned before
 // cancel_s; a placement beside it whose record waits for the state service used to
 // hold that back until the end of an outage.
-func TestReturnDoesNotWaitForARecord(t *testing.T) {
+func TestTerminationDoesNotWaitForARecord(t *testing.T) {
 	b := newHarness(t, Options{})
 	spec := wire.JobSpec{Class: "c", Team: "red", Service: true, Tasks: 1, CPUs: 2, Image: "i"}
-	b.job("job-1", spec)
-	b.report("n-1", "a", 0)
+	b.submit("job-1", spec)
+	b.heartbeat("n-1", "a", 0)
 	b.step()
-	if len(verbs(b.report("n-1", "a", 0).Commands, wire.VerbRun)) != 1 {
+	if len(commandsWith(b.heartbeat("n-1", "a", 0).Commands, wire.VerbRun)) != 1 {
 		t.Fatal("job-1 was not started")
 	}
-	b.job("job-2", spec)
+	b.submit("job-2", spec)
 	b.now = b.now.Add(time.Second)
 	placed := b.c.Step(b.now).RecordChanges
 	if len(placed) != 1 {
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -121,10 +121,10 @@
 
 // The limits fall below what was said: the change that is too large is refused for
 // good. Its job must wait for it alone, take less, and not ask for ever.
-func TestRefusedChangeHoldsUpNobodyElse(t *testing.T) {
+func TestRejectedChangeDelaysNoOtherJob(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.job("job-1", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
-	b.report("n-1", "a", 0)
+	b.submit("job-1", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
+	b.heartbeat("n-1", "a", 0)
 	sent := func(e Decisions, job ids.JobID) (out []records.Change) {
 		for _, ch := range e.RecordChanges {
 			if len(ch.Operations) > 0 && ch.Preconditions[0].Key == records.JobKey(job) {
@@ -140,12 +140,12 @@
 			b.c.CommitResult(b.now, records.CommitResult{Change: ch, Rejected: true})
 		}
 		b.now = b.now.Add(500 * time.Millisecond)
-		b.report("n-1", "a", 0)
+		b.heartbeat("n-1", "a", 0)
 	}
 	if tries < 2 || tries > maxRefusals {
 		t.Errorf("the change was sent %d times in 25 minutes", tries)
 	}
-	b.job("job-2", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
+	b.submit("job-2", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
 	if got := sent(b.c.Step(b.now), "job-2"); len(got) != 1 {
 		t.Errorf("the next job wrote %d changes", len(got))
 	}
@@ -154,7 +154,7 @@
 	}
 	b.c.EnableSplitRecords(b.now)
 	b.now = b.now.Add(time.Minute)
-	b.report("n-1", "a", 0)
+	b.heartbeat("n-1", "a", 0)
 	if got := sent(b.c.Step(b.now), "job-1"); len(got) != 1 {
 		t.Errorf("once records may be split, it wrote %d changes", len(got))
 	}
@@ -163,21 +163,21 @@
 // Two jobs compete for one machine, and each is needed by others. Whoever is
 // stopped for the other must not come back to stop it in turn, and a job that lost
 // those that needed it counts as what it is.
-func TestPriorityReachesBack(t *testing.T) {
+func TestPriorityPropagatesToDependencies(t *testing.T) {
 	b := newHarness(t, Options{})
 	low := wire.JobSpec{Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1}
 	last := low
 	last.Priority, last.DependsOn = wire.High, []ids.JobID{"job-1"}
 	other := low
 	other.Priority = wire.Normal
-	b.job("job-1", low)
-	b.job("job-2", last)
-	b.job("job-3", other)
+	b.submit("job-1", low)
+	b.submit("job-2", last)
+	b.submit("job-3", other)
 	first := b.c.cluster.Job("job-1")
 	if first.Priority() != wire.High {
 		t.Fatalf("the first job has priority %d", first.Priority())
 	}
-	b.report("n-1", "a", 0)
+	b.heartbeat("n-1", "a", 0)
 	b.step()
 	if len(first.Active()) != 1 || len(b.c.cluster.Job("job-2").Active()) != 0 {
 		t.Fatal("the first job of the pipeline must go first, the last not at all")
@@ -196,20 +196,20 @@
 // the parts, and would wait for ever if that part were not written for it.
 func TestPlacedWhileTheRecordIsSplit(t *testing.T) {
 	b := newHarness(t, Options{ValueBytes: 50, SplitRecords: true})
-	b.job("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
-	b.report("n-1", "a", 0)
+	b.submit("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
+	b.heartbeat("n-1", "a", 0)
 	split := b.c.Step(b.now).RecordChanges
 	if len(split) != 1 || len(split[0].Operations) < 2 {
 		t.Fatalf("changes %+v", split)
 	}
 	b.now = b.now.Add(time.Second)
-	b.report("n-2", "a", 0)
+	b.heartbeat("n-2", "a", 0)
 	b.step()
 	b.c.CommitResult(b.now, records.CommitResult{Change: split[0], Applied: true, Revision: 500})
 	var runs []string
 	for _, h := range []ids.MachineID{"n-1", "n-2"} {
 		b.step()
-		runs = append(runs, verbs(b.report(h, "a", 0).Commands, wire.VerbRun)...)
+		runs = append(runs, commandsWith(b.heartbeat(h, "a", 0).Commands, wire.VerbRun)...)
 	}
 	if len(runs) != 4 {
 		t.Errorf("started %v", runs)
@@ -218,10 +218,10 @@
 
 // A record that was too large when it could not be split is split once it may be,
 // though nothing happens to its tasks.
-func TestLargeRecordsAreSplitOnceAllAreNew(t *testing.T) {
+func TestLargeRecordsAreSplitAfterTheUpgrade(t *testing.T) {
 	b := newHarness(t, Options{ValueBytes: 50})
-	b.job("job-1", wire.JobSpec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
-	b.report("n-1", "a", 0)
+	b.submit("job-1", wire.JobSpec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
+	b.heartbeat("n-1", "a", 0)
 	if e := b.step(); len(e.RecordChanges) != 1 || len(e.RecordChanges[0].Operations) != 1 {
 		t.Fatalf("changes %+v", e.RecordChanges)
 	}
@@ -235,18 +235,18 @@
 // When a zone is lost, thousands of placements wait for the write rate. A job whose
 // tasks are all done must not wait behind them: its user, and the jobs that need it,
 // do.
-func TestEndsGoFirstWhileWritesAreScarce(t *testing.T) {
+func TestCompletionsAreWrittenFirst(t *testing.T) {
 	b := newHarness(t, Options{WriteRate: 4, Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4096}, Limit: quota.Amount{CPUs: 4096}}}})
-	b.job("job-0", wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Normal})
-	b.report("n-0", "a", 0)
+	b.submit("job-0", wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Normal})
+	b.heartbeat("n-0", "a", 0)
 	b.step()
 	b.now = b.now.Add(time.Second)
 	for n := range 60 {
-		b.job(ids.JobID(fmt.Sprintf("job-1%02d", n)), wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Critical})
-		b.report(ids.MachineID(fmt.Sprintf("n-1%02d", n)), "a", 0)
+		b.submit(ids.JobID(fmt.Sprintf("job-1%02d", n)), wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Critical})
+		b.heartbeat(ids.MachineID(fmt.Sprintf("n-1%02d", n)), "a", 0)
 	}
 	b.step()
-	b.report("n-0", "a", 0, wire.TaskStatus{Name: "job-0/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseDone})
+	b.heartbeat("n-0", "a", 0, wire.TaskStatus{Name: "job-0/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseDone})
 	for range 8 {
 		b.now = b.now.Add(250 * time.Millisecond)
 		b.step()
--- a/scheduler/zone_gate_test.go
+++ b/scheduler/zone_gate_test.go
@@ -12,10 +12,10 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// TestRulesWhileZonesReturn plays random days on which zones go dark and return among all
+// TestRulesWhileZonesRecover plays random days on which zones go dark and return among all
 // other troubles: every rule holds, the return stays under its ramp, no job comes back to
 // a zone that displaced it more than once in an incident, and in the end nothing waits.
-func TestRulesWhileZonesReturn(t *testing.T) {
+func TestRulesWhileZonesRecover(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -32,7 +32,7 @@
 }
 
 // Zones are watched by ordered walks alone: the same events give the same decisions.
-func TestZoneReturnIsDeterministic(t *testing.T) {
+func TestZoneRecoveryIsDeterministic(t *testing.T) {
 	for seed := range uint64(3) {
 		var first string
 		for play := range 3 {
@@ -134,7 +134,7 @@
 
 // An operator holds a zone back: nothing new starts there, successors go on holding it, and
 // it serves once released.
-func TestOperatorsHoldSurvivesASuccession(t *testing.T) {
+func TestZoneHoldSurvivesAFailover(t *testing.T) {
 	m := calmZones(t, 12, 4)
 	m.fillZones()
 	number, ok := m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold, Reason: "power works"})
@@ -168,7 +168,7 @@
 }
 
 // No task is stopped to make room in a zone where nothing may start.
-func TestNothingIsStoppedForAClosedZone(t *testing.T) {
+func TestNothingIsPreemptedForAClosedZone(t *testing.T) {
 	m := calmZones(t, 13, 3)
 	m.runFactor = 30
 	low := zoneArray(300)
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -46,7 +46,7 @@
 
 // A zone that goes dark again in the middle of a step begins its next return with the
 // probe, after a longer hold-down.
-func TestZoneGoesDarkDuringItsReturn(t *testing.T) {
+func TestZoneOutageDuringItsRecovery(t *testing.T) {
 	m := calmZones(t, 4, 4)
 	m.fillZones()
 	m.partitionZone("b", 40*second)
@@ -66,7 +66,7 @@
 
 // Most of a zone's machines stay away: it serves with those that return, and the others do not make
 // it suspect.
-func TestSomeOfTheMachinesReturn(t *testing.T) {
+func TestSomeMachinesOfAZoneComeBack(t *testing.T) {
 	m := calmZones(t, 5, 4)
 	m.fillZones()
 	m.partitionZone("b", 35*second)
@@ -191,7 +191,7 @@
 }
 
 // Reports from before the cut that come late are no sign of life.
-func TestLateReportsDoNotBringAZoneBack(t *testing.T) {
+func TestDelayedHeartbeatsDoNotEndAZoneOutage(t *testing.T) {
 	m := calmZones(t, 8, 4)
 	m.fillZones()
 	var late []*wire.Heartbeat
@@ -222,7 +222,7 @@
 
 // Two zones go dark in turn: each has its own return, and what the second loses does not
 // wait for the first.
-func TestTwoZonesInTurn(t *testing.T) {
+func TestTwoZoneOutagesInTurn(t *testing.T) {
 	m := calmZones(t, 9, 4)
 	m.fillZones()
 	m.partitionZone("a", 60*second)
@@ -239,7 +239,7 @@
 
 // All zones but one are dark, and a team's guarantee does not fit what is left: services
 // have the room, no limit is broken, and all goes on once zones return.
-func TestAllZonesButOneAreDark(t *testing.T) {
+func TestOutageOfAllZonesButOne(t *testing.T) {
 	m := calmZones(t, 10, 3)
 	services, _ := m.fillZones()
 	m.partitionZone("a", 90*second)
@@ -260,7 +260,7 @@
 }
 
 // A leader that reaches neither the state service nor its peers calls no zone dark.
-func TestIsolatedLeaderGivesNoVerdict(t *testing.T) {
+func TestIsolatedLeaderDeclaresNoOutage(t *testing.T) {
 	m := calmZones(t, 11, 4)
 	m.fillZones()
 	m.zones.isolatedView = true
@@ -282,7 +282,7 @@
 
 // A job that its earlier moves keep from a zone does not stand for others like it, which may
 // use the zone, also once that serves again.
-func TestRestrictedJobStandsForNoOther(t *testing.T) {
+func TestRestrictedJobDoesNotExcludeOthersLikeIt(t *testing.T) {
 	m := calmZones(t, 15, 3)
 	m.fillZones()
 	restricted, free := zoneArray(300), zoneArray(2)
--- a/scheduler/zone_return_benchmark_test.go
+++ b/scheduler/zone_recovery_benchmark_test.go
@@ -15,7 +15,7 @@
 // This file measures what a zone's return costs with the subsystem off and on, in the
 // simulation and scaled down to some 60 machines:
 //
-//	go test ./scheduler -run - -bench ZoneRecovery -benchtime 1x
+//	go test ./scheduler -run - -bench ZoneReturn -benchtime 1x
 
 // simImageCaches models images: a machine fetches each once, and the fetches of a zone share
 // its link.
--- /dev/null
+++ b/scheduler/zones_test.go
@@ -0,0 +1,43 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/monotonic"
+)
+
+// The fewer machines a zone has, the longer it may be silent by chance; and while nobody
+// is heard at all it is rather this node's network.
+func TestZonePartitioned(t *testing.T) {
+	now := monotonic.Instant(time.Hour)
+	for _, c := range []struct {
+		name        string
+		machines    int
+		silent      time.Duration
+		othersHeard time.Duration // ago
+		partitioned bool
+	}{
+		{"many machines, a moment", 100, 2 * time.Second, 0, false},
+		{"many machines, longer than by chance", 100, 3 * time.Second, 0, true},
+		{"a few machines, the same time", 5, 3 * time.Second, 0, false},
+		{"a few machines, longer", 5, 9 * time.Second, 0, true},
+		{"too few to tell", 3, time.Minute, 0, false},
+		{"nobody is heard", 100, 9 * time.Second, 9 * time.Second, false},
+		{"for so long that it is given up", 100, zoneOutageLimit, 0, false},
+	} {
+		b := newHarness(t, Options{})
+		hm := b.c.health
+		b.c.clock.Set(now)
+		hm.lastHeard = now.Add(-c.othersHeard)
+		hm.zoneStates["a"] = &zoneState{lastHeard: now.Add(-c.silent), machinesUp: c.machines}
+		if got := hm.zonePartitioned("a"); got != c.partitioned {
+			t.Errorf("%s: %v", c.name, got)
+		}
+		// What this process slept through is nobody's silence.
+		b.c.clock.Advance(now) // the first step after a long pause
+		if hm.zonePartitioned("a") {
+			t.Errorf("%s: just after a pause", c.name)
+		}
+	}
+}
