--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -13,9 +13,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// At over a thousand machines the round is still that of the plain model, and
-// its work grows with machines times jobs at most, not times tasks. Work is
-// counted, not timed.
+// At over a thousand machines a round still decides as the plain model does, and its work
+// grows with machines times jobs at most, not times tasks. Work is counted, not timed.
 func TestAdmissionAtScale(t *testing.T) {
 	const machines = 1100
 	rng := rand.New(rand.NewPCG(3, 1))
@@ -39,13 +38,12 @@
 	if placed < 100 {
 		t.Fatalf("only %d tasks placed", placed)
 	}
-	// Two looks around, for the guarantee and for borrowing, and a few more
-	// for each task.
+	// All machines twice, for nominal quota and for borrowing, and a few more for each task.
 	if most := uint64((2*jobs+3)*machines + 8*placed); b.c.admission.MachinesExamined > most {
-		t.Errorf("looked at %d machines for %d jobs and %d tasks, at most %d", b.c.admission.MachinesExamined, jobs, placed, most)
+		t.Errorf("examined %d machines for %d jobs and %d tasks, at most %d", b.c.admission.MachinesExamined, jobs, placed, most)
 	}
-	// Work that finds no room costs no more than a look around, however many
-	// wait: those alike are not tried twice.
+	// However many jobs fit nowhere, each machine is examined a few times: jobs alike are not
+	// tried twice.
 	for n := range 300 {
 		b.submit(ids.JobID(fmt.Sprintf("job-w%d", n)), wire.JobSpec{Class: "c", Team: "t0", Tasks: 200, CPUs: 7})
 	}
@@ -53,12 +51,12 @@
 	before := b.c.admission.MachinesExamined
 	b.c.admission.scheduleRound()
 	if work := b.c.admission.MachinesExamined - before; work > 20*machines {
-		t.Errorf("a pass without room looked at %d machines", work)
+		t.Errorf("a pass in which nothing fits examined %d machines", work)
 	}
 }
 
-// A job of higher priority makes room inside its own team when the team is at
-// its limit, and stops no more than it needs.
+// A job of higher priority preempts work of its own team when the team is at its limit, and
+// no more than it needs.
 func TestPreemptsInsideATeamAtItsLimit(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4}, Limit: quota.Amount{CPUs: 4}}}})
 	b.c.Begin(b.now)
@@ -83,7 +81,7 @@
 	b.heartbeat("n-1", "a", o.FencingToken, shown...)
 	b.step()
 	if b.c.cluster.Job("job-high").Task(0).Assignment() == nil {
-		t.Fatal("the higher job did not get the room")
+		t.Fatal("the job of higher priority was not placed")
 	}
 }
 
@@ -149,13 +147,13 @@
 	return b.attempts()
 }
 
-// With a zone cut off, hundreds of services waited for it, and each round ended
-// with them: arrays behind them waited beside idle machines.
+// While a zone was partitioned hundreds of services waited for it, and each round ended with
+// them: arrays behind them waited beside idle machines.
 func TestJobsThatFitNowhereDoNotEndTheRound(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 6400}, Limit: quota.Amount{CPUs: 6400}}}})
 	b.c.Begin(b.now)
 	b.heartbeat("n-1", "a", 0)
-	for n := range 300 { // more than pass_over; there is no machine in zone b
+	for n := range 300 { // more than MaxSkippedJobs; there is no machine in zone b
 		b.submit(ids.JobID(fmt.Sprintf("job-s%d", n)), wire.JobSpec{Tasks: 1 + n%3, Service: true, Zone: "b", Priority: wire.Critical})
 	}
 	b.submit("job-array", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
--- a/scheduler/agents_test.go
+++ b/scheduler/agents_test.go
@@ -22,7 +22,7 @@
 	endsAt   map[string]monotonic.Instant // by name of a running task; missing: it does not end
 	// runTime is how long a task runs that is the count-th on its machine; 0: for ever.
 	runTime func(name string, count int) time.Duration
-	// observe sees each command before it is carried out; nil: nobody does.
+	// observe sees each command before it is carried out; nil: no observer.
 	observe func(wire.Command)
 }
 
--- a/scheduler/autoscaler_test.go
+++ b/scheduler/autoscaler_test.go
@@ -10,9 +10,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A service on a machine that was cut off was replaced only once the machine's
-// lease had run out, and then waited for a boot as well. A successor may never
-// have heard of the machine.
+// A service on a partitioned machine was replaced only once the machine's lease had expired,
+// and then waited for a boot as well. The next leader may never have heard of the machine.
 func TestProvisionsAheadForServicesOnSilentMachines(t *testing.T) {
 	for _, inherited := range []bool{false, true} {
 		b := newHarness(t, Options{PreviousLeader: inherited})
@@ -25,23 +24,23 @@
 			b.submit("job-1", wire.JobSpec{Tasks: 1, Service: true})
 			b.step()
 		}
-		rented := time.Duration(0)
-		for start := b.now; b.now < start.Add(simAgentLease) && rented == 0; b.now = b.now.Add(500 * time.Millisecond) {
+		provisioned := time.Duration(0)
+		for start := b.now; b.now < start.Add(simAgentLease) && provisioned == 0; b.now = b.now.Add(500 * time.Millisecond) {
 			if e := b.step(); len(e.Provision) > 0 {
-				rented = b.now.Sub(start)
+				provisioned = b.now.Sub(start)
 				if e.Provision[0].Count != 1 || e.Provision[0].Spot {
-					t.Errorf("rented %+v", e.Provision)
+					t.Errorf("provisioned %+v", e.Provision)
 				}
 			}
 		}
-		if rented < silentReports*simHeartbeatInterval || rented > simAgentLease/2 {
-			t.Errorf("inherited %v: rented after %v", inherited, rented)
+		if provisioned < silentReports*simHeartbeatInterval || provisioned > simAgentLease/2 {
+			t.Errorf("inherited %v: provisioned after %v", inherited, provisioned)
 		}
 	}
 }
 
-// Spare room for classes in a hurry was once looked for in the free room that
-// had already been counted, and so never rented.
+// Headroom for latency-sensitive classes was once looked for in free capacity that had already
+// been counted, and so never provisioned.
 func TestHeadroomIsProvisionedBesideFreeCapacity(t *testing.T) {
 	b := newHarness(t, Options{Headroom: 3, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
 	b.c.Begin(b.now)
@@ -51,19 +50,19 @@
 	b.now = b.now.Add(2 * time.Second)
 	b.heartbeat("n-1", "a", 0)
 	e := b.step()
-	rented := 0
+	provisioned := 0
 	for _, r := range e.Provision {
-		rented += r.Count
+		provisioned += r.Count
 	}
 	// The peak of 2 asks for 8 more tasks of 2 CPUs; 4 CPUs are free.
-	if rented != 2 {
-		t.Fatalf("rented %d machines of 8 CPUs: %+v", rented, e.Provision)
+	if provisioned != 2 {
+		t.Fatalf("provisioned %d machines of 8 CPUs: %+v", provisioned, e.Provision)
 	}
 }
 
-// Room of tasks that end within a boot is not rented for, but work that has
-// waited for a boot has seen others take it: there a backlog stayed for a
-// minute while hardly anything was rented.
+// No machines are provisioned for work that fits once tasks end within a boot time. But work
+// that has waited for a boot time has seen others take that capacity: a backlog stayed for a
+// minute while hardly any machine was provisioned.
 func TestMachinesAreProvisionedForWorkThatWaitedForABoot(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
@@ -82,10 +81,10 @@
 		b.heartbeat("n-1", "a", o.FencingToken, on...)
 		if e := b.step(); len(e.Provision) > 0 {
 			if s < 9 {
-				t.Fatalf("rented after %d s, although room was about to come", s+1)
+				t.Fatalf("provisioned after %d s, although capacity was about to become free", s+1)
 			}
 			return
 		}
 	}
-	t.Fatal("nothing was rented for work that had waited for a boot")
+	t.Fatal("no machine was provisioned for work that had waited for a boot")
 }
--- a/scheduler/digest_test.go
+++ b/scheduler/digest_test.go
@@ -62,7 +62,7 @@
 func (d *decisionDigest) String() string { return fmt.Sprintf("%016x of %d", d.hash.Sum64(), d.parts) }
 
 // impatientDay is a random day with a class that cannot wait for a machine to
-// boot, so that spare room and late returns depend on what is known of a class.
+// boot, so that headroom and scale-in depend on what is known of a class.
 func impatientDay(t *testing.T, seed uint64) *sim {
 	s := newSim(t, seed)
 	s.opt.LatencySensitive = map[string]time.Duration{"c": 5 * time.Second}
@@ -73,8 +73,8 @@
 
 // The same events at the same times give the same decisions. Walks through
 // maps made some days go differently each time they were played: the order in
-// which a successor stops what is cancelled, and the job that stands for its
-// class when spare room is counted.
+// which the next leader stops cancelled jobs, and the job that stands for its class when
+// headroom is computed.
 func TestSameEventsGiveTheSameDecisions(t *testing.T) {
 	const days, plays = 6, 4
 	for seed := range uint64(days) {
--- a/scheduler/failover_test.go
+++ b/scheduler/failover_test.go
@@ -12,9 +12,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A successor placed a replacement replica into a zone that already held half
-// of the service: it had not heard from the machines yet and counted their
-// tasks to no zone.
+// A new leader placed a replacement replica into a zone that already held half of the service:
+// it had no heartbeat from the machines yet and counted their tasks in no zone.
 func TestNextLeaderKeepsSpreadBeforeTheFirstHeartbeats(t *testing.T) {
 	for _, zones := range [][]ids.Zone{{"a", "a"}, nil} {
 		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
@@ -34,8 +33,8 @@
 	}
 }
 
-// A predecessor cut off from the state service may go on answering workers;
-// until its grace and a lease are over, its tasks may run.
+// A previous leader without the store may go on answering workers. Until its grace and a lease
+// are over, its tasks may run.
 func TestTasksCountDuringThePreviousLeadersGrace(t *testing.T) {
 	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
@@ -52,9 +51,9 @@
 	}
 }
 
-// Once all other controllers follow this leader nobody else answers workers, and
-// what a dead machine holds need not wait for the grace. A lease it does wait:
-// a report sent just before may have been answered.
+// Once all other controllers follow this leader none of them answers workers, and tasks of a
+// dead machine are released without the grace, but after a lease: a heartbeat sent just before
+// may have been answered.
 func TestNoGraceOnceAllControllersFollow(t *testing.T) {
 	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 10 * time.Minute})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
@@ -87,8 +86,8 @@
 	}
 }
 
-// A machine died around a takeover. The successor never heard of it, never saw
-// it listed, and held its tasks for two minutes.
+// A machine died around a failover. The new leader had no heartbeat from it, never saw it
+// listed, and counted its tasks for two minutes.
 func TestMachineThatDiedAtTheFailoverIsDetected(t *testing.T) {
 	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 90 * time.Second, ListLag: 3 * time.Second})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
@@ -98,7 +97,7 @@
 		b.c.MachineList(b.now, b.now, nil)
 		if e := b.step(); slices.Contains(e.Terminate, "n-1") {
 			if s < 7 {
-				t.Fatalf("given back after %d s, within the lag of the list", s+1)
+				t.Fatalf("terminated after %d s, within the lag of the list", s+1)
 			}
 			b.c.TerminateResult(b.now, e.Terminate, true)
 			if b.c.quotas.Used("red").CPUs != 0 {
@@ -107,5 +106,5 @@
 			return
 		}
 	}
-	t.Fatal("the machine was never given back")
+	t.Fatal("the machine was never terminated")
 }
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -170,9 +170,8 @@
 	t.Error("never terminated")
 }
 
-// What began or ended while the leader itself was paused is heard of only after it:
-// tasks did not run for that long, machines are not deaf, and none took too long to
-// boot.
+// What began or ended while the leader itself was paused is reported only after it: tasks did
+// not run for that long, machines are not unreachable, and none took too long to boot.
 func TestProcessPauseIsNoRunTimeAndNoSilence(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.heartbeat("n-0", "a", 0)
@@ -195,10 +194,10 @@
 	b.now = b.now.Add(20 * time.Second) // it is paused
 	b.heartbeat("n-0", "a", 0)          // on its way since before the command came
 	if b.c.cluster.Machine("n-0").Health.Unreachable {
-		t.Error("a machine counts as deaf for what the leader slept through")
+		t.Error("a machine counts as unreachable for the time of the leader's pause")
 	}
 	if e := b.step(); len(e.Terminate) > 0 {
-		t.Errorf("returned %v before they could report", e.Terminate)
+		t.Errorf("terminated %v before they could send a heartbeat", e.Terminate)
 	}
 	b.heartbeat("n-0", "a", 0, task)
 	a := b.c.cluster.Job("job-1").Active()[0]
@@ -216,7 +215,7 @@
 	}
 }
 
-// guestDay is what became of a best-effort job of a team without a guarantee.
+// guestDay is what became of a best-effort job of a team without nominal quota.
 type guestDay struct {
 	startedAfter time.Duration // from its submission; 0: never
 	stoppedAfter time.Duration // from its first start; 0: never
@@ -224,7 +223,7 @@
 }
 
 // playGuestDay submits small arrays of one team without end, and a best-effort array of a
-// team without a guarantee.
+// team without nominal quota.
 func playGuestDay(t *testing.T, reserveAfter time.Duration) guestDay {
 	t.Helper()
 	const guest = "job-guest"
@@ -272,7 +271,7 @@
 	return time.Duration(5+(tick*7+count*3)%11) * time.Second
 }
 
-// Best-effort work of a team without a guarantee found each gap taken by others' work of
+// Best-effort work of a team without nominal quota found each gap taken by others' work of
 // higher priority, and began after seven and ten minutes. Its first task must begin within
 // four, and run on for a while; beyond that it takes nothing from the others.
 func TestBestEffortWorkStarts(t *testing.T) {
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -56,7 +56,7 @@
 	b.c.ObserveJob(b.now, id, &records.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(len(b.c.cluster.Jobs()))}, ids.Revision(100+len(b.c.cluster.Jobs())))
 }
 
-// inherit loads job-1 and its admission record as a predecessor left them.
+// inherit loads job-1 and its admission record as a previous leader left them.
 func (b *harness) inherit(spec wire.JobSpec, rec records.AdmissionSlice) {
 	b.t.Helper()
 	spec.Class, spec.Team, spec.CPUs, spec.Image = "c", "red", 2, "i"
@@ -66,7 +66,7 @@
 	}
 }
 
-// randomTeams makes three teams that lend the given part of their guarantee.
+// randomTeams makes three teams. Each lends the part of its nominal quota that lend draws.
 func randomTeams(rng *rand.Rand, lend func() float64) []quota.Team {
 	var teams []quota.Team
 	for n := range 3 {
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// A machine whose lease ran out in silence holds nothing any more, but often
-// comes back sooner than another boots: it hung, or lost the network.
+// A silent machine whose lease has expired runs nothing any more, but often comes back sooner
+// than another one boots: it hung, or was partitioned.
 func TestSilentMachineIsKeptForAWhile(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
@@ -50,12 +50,12 @@
 	for ; b.now < start.Add(3*simAgentLease); b.now = b.now.Add(time.Second) {
 		if e := b.step(); len(e.Terminate) > 0 {
 			if silent := b.now.Sub(start); silent < silentLeases*simAgentLease {
-				t.Errorf("returned after %v", silent)
+				t.Errorf("terminated after %v", silent)
 			}
 			return
 		}
 	}
-	t.Error("never returned")
+	t.Error("never terminated")
 }
 
 // A partitioned zone is detected by its silence within seconds, and machines for its services
@@ -270,7 +270,7 @@
 	return requested, terminated
 }
 
-// The machines of a zone that was cut off for longer than two leases are not returned for
+// The machines of a zone that was partitioned for longer than two leases are not terminated for
 // their silence at the moment at which the first of them is heard again.
 func TestMachinesOfARecoveringZoneHaveTimeForHeartbeats(t *testing.T) {
 	b := newHarness(t, Options{})
@@ -285,23 +285,23 @@
 	for start := b.now; b.now < start.Add(silentLeases*simAgentLease+10*time.Second); b.now = b.now.Add(500 * time.Millisecond) {
 		tell("a")
 		if e := b.step(); len(e.Terminate) > 0 {
-			t.Fatalf("returned %v in the partition", e.Terminate)
+			t.Fatalf("terminated %v in the partition", e.Terminate)
 		}
 	}
 	b.heartbeat("b-1", "b", 0)
 	for start := b.now; b.now < start.Add(simHeartbeatInterval); b.now = b.now.Add(200 * time.Millisecond) {
 		tell("a")
 		if e := b.step(); len(e.Terminate) > 0 {
-			t.Fatalf("returned %v before they could report", e.Terminate)
+			t.Fatalf("terminated %v before they could send a heartbeat", e.Terminate)
 		}
 	}
-	returned := 0
+	terminated := 0
 	for start := b.now; b.now < start.Add(4*simHeartbeatInterval); b.now = b.now.Add(200 * time.Millisecond) {
 		tell("a")
 		b.heartbeat("b-1", "b", 0)
-		returned += len(b.step().Terminate)
+		terminated += len(b.step().Terminate)
 	}
-	if returned != 4 {
-		t.Errorf("%d machines returned that stayed silent, want 4", returned)
+	if terminated != 4 {
+		t.Errorf("%d machines terminated that stayed silent, want 4", terminated)
 	}
 }
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -65,8 +65,8 @@
 	return stats.HeapAlloc
 }
 
-// The core holds 4,000 machines through full reports, a takeover and a cut zone. Its work
-// is asserted by what it looked at, read and wrote, not by time.
+// The core keeps up with 4,000 machines through heartbeats of all, a failover and a partitioned
+// zone. Its work is asserted by what it examined, read and wrote, not by time.
 func TestFourThousandMachines(t *testing.T) {
 	t.Run("zones not watched", func(t *testing.T) { playLargeFleet(largeFleetHarness(t)) })
 	t.Run("zones watched", func(t *testing.T) {
@@ -79,7 +79,8 @@
 	})
 }
 
-// playLargeFleet takes a core through full reports, a takeover and a cut zone.
+// playLargeFleet takes a core through heartbeats of all machines, a failover and a partitioned
+// zone.
 func playLargeFleet(b *harness) {
 	t := b.t
 	t.Helper()
@@ -130,14 +131,14 @@
 	}
 }
 
-// failOverLargeFleet has a successor read the records and meet all machines.
+// failOverLargeFleet has a new leader read the records and get a heartbeat of each machine.
 func (b *harness) failOverLargeFleet(latest map[string]records.AdmissionSlice) {
 	b.t.Helper()
-	predecessor := b.c
-	opt := predecessor.opt
+	previous := b.c
+	opt := previous.opt
 	opt.Revision, opt.PreviousLeader = opt.Revision+1, true
-	b.c = New(opt, predecessor.cluster.Types())
-	for id, j := range predecessor.cluster.Jobs() {
+	b.c = New(opt, previous.cluster.Types())
+	for id, j := range previous.cluster.Jobs() {
 		b.c.LoadJob(id, &records.Job{Status: wire.JobQueued, Tasks: len(j.Tasks()), Spec: j.Spec}, j.Records.Revision)
 	}
 	for key, record := range latest {
@@ -150,7 +151,7 @@
 	b.heartbeatAll("")
 	e := b.step()
 	if len(e.RecordChanges) > 0 || len(e.Terminate) > 0 || len(e.Provision) > 0 {
-		b.t.Errorf("a takeover without news wrote %d changes, returned %d and rented %d", len(e.RecordChanges), len(e.Terminate), len(e.Provision))
+		b.t.Errorf("a failover without other events wrote %d changes, terminated %d machines and made %d requests for machines", len(e.RecordChanges), len(e.Terminate), len(e.Provision))
 	}
 	for _, m := range b.c.cluster.Machines() {
 		if !b.c.health.usable(m) {
@@ -173,11 +174,11 @@
 		b.countZoneRecords(e)
 		calls = max(calls, len(e.SendCommands)+len(e.RequestHeartbeats))
 		if len(e.Terminate) > 0 {
-			b.t.Fatalf("returned %d machines of a zone that is cut off", len(e.Terminate))
+			b.t.Fatalf("terminated %d machines of a partitioned zone", len(e.Terminate))
 		}
 	}
 	if !b.c.health.zonePartitioned("d") {
-		b.t.Error("the zone is not known to be cut off")
+		b.t.Error("the partition of the zone was not detected")
 	}
 	if calls > b.c.opt.MaxWorkerCalls {
 		b.t.Errorf("%d calls in a step", calls)
--- a/scheduler/preemption_test.go
+++ b/scheduler/preemption_test.go
@@ -8,7 +8,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Who may stop whom follows from who is admitted first.
+// A job may preempt exactly the work that is admitted after it.
 func TestMayPreempt(t *testing.T) {
 	j := newHarness(t, Options{}).c.cluster.AddJob("job-1", &records.Job{Spec: &wire.JobSpec{Team: "red", Priority: wire.High}}, 1)
 	for _, c := range []struct {
@@ -23,8 +23,8 @@
 		{"others' work, at the team's limit", claimOwn, "blue", wire.Normal, false, false},
 		{"others' lower work, borrowing", claimBorrow, "blue", wire.Normal, false, true},
 		{"others' equal work, borrowing", claimBorrow, "blue", wire.High, false, false},
-		{"others' lower work, within the guarantee", claimNominal, "blue", wire.Normal, true, true},
-		{"others' higher work, within the guarantee", claimNominal, "blue", wire.Critical, false, true},
+		{"others' lower work, within nominal quota", claimNominal, "blue", wire.Normal, true, true},
+		{"others' higher work, within nominal quota", claimNominal, "blue", wire.Critical, false, true},
 	} {
 		free, asBorrower := mayStop(j, c.by, c.team, c.priority)
 		if free != c.free || asBorrower != c.asBorrower {
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -9,9 +9,10 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// While an earlier leader may go on answering workers, a cancellation is acknowledged
-// only once that one cannot keep a task of the job: its machine was heard with a token of
-// this leader, or was returned; the earlier leader is gone; or it will be soon enough.
+// While a previous leader may go on answering workers, a cancellation is acknowledged only once
+// that leader cannot keep a task of the job running: each of its machines has shown a fencing
+// token of this leader or was terminated, all controllers follow this leader, or the previous
+// leader's time ends early enough.
 func TestCancellationWaitsForPreviousLeaders(t *testing.T) {
 	const grace = simCancelDeadline // well beyond the margin
 	margin := CancelMargin(simCancelDeadline, simAgentLease)
@@ -30,7 +31,7 @@
 			b.heartbeat("n-1", "a", ids.NewFencingToken(4, 0))
 			b.heartbeat("n-2", "a", ids.NewFencingToken(4, 0))
 		}, false},
-		{"its machines were returned", func(b *harness) { b.c.TerminateResult(b.now, []ids.MachineID{"n-1", "n-2"}, true) }, true},
+		{"its machines were terminated", func(b *harness) { b.c.TerminateResult(b.now, []ids.MachineID{"n-1", "n-2"}, true) }, true},
 		{"all controllers follow", func(b *harness) { b.c.AllControllersFollow(b.now) }, true},
 		{"just before the margin", func(b *harness) { b.now = b.now.Add(grace - margin - time.Second) }, false},
 		{"within the margin", func(b *harness) { b.now = b.now.Add(grace - margin) }, true},
@@ -51,7 +52,7 @@
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	if !b.c.PreviousLeadersHarmless(b.now) {
-		t.Error("the first leader waits for earlier ones")
+		t.Error("the first leader waits for previous ones")
 	}
 }
 
@@ -117,7 +118,7 @@
 	}
 	b.c.TerminateResult(b.now, []ids.MachineID{"n-2"}, true)
 	if report("n-2", 3) {
-		t.Error("a machine that was returned is answered")
+		t.Error("a terminated machine is answered")
 	}
 	b.c.RestrictToReplicas(false)
 	if !report("n-3", 2) {
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -124,8 +124,8 @@
 	b.c.Heartbeat(b.now, newHeartbeat("n-1", 2, b.sequence, token), false)
 }
 
-// A cancelled job's task on a machine that talks but does not do as it is told
-// must be gone in time as well.
+// A cancelled job's task on a machine that sends heartbeats but does not carry out commands must
+// end in time as well.
 func TestCancelledTaskOnAnUnreachableMachine(t *testing.T) {
 	b := newHarness(t, Options{})
 	token, running := b.runTask()
@@ -135,7 +135,7 @@
 		b.heartbeat("n-1", "a", token, running)
 		if slices.Contains(b.step().Terminate, "n-1") {
 			if s < 10 {
-				t.Fatalf("returned after %d s, before it could end the task", s)
+				t.Fatalf("terminated after %d s, before it could end the task", s)
 			}
 			return
 		}
@@ -143,8 +143,8 @@
 	t.Fatal("the task was left on its machine beyond the time for cancellations")
 }
 
-// A copy of a report that comes late is no sign of life: its machine may be
-// long dead, and its tasks must be able to move.
+// A duplicate heartbeat that comes late does not renew a lease: its machine may be long dead,
+// and its tasks must be able to move.
 func TestDuplicateHeartbeatsDoNotRenewALease(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
@@ -168,14 +168,14 @@
 			return
 		}
 		if s > 3 && b.c.health.usable(b.c.cluster.Machine("n-1")) && time.Duration(s)*time.Second > 2*simHeartbeatInterval {
-			t.Fatalf("after %d s of copies alone it counts as usable", s)
+			t.Fatalf("after %d s of duplicates alone it counts as usable", s)
 		}
 	}
-	t.Fatal("copies kept a dead machine's lease alive")
+	t.Fatal("duplicates renewed a dead machine's lease")
 }
 
-// A copy must not bring back a machine that was returned: not at the leader
-// that returned it, and not at a successor, which never knew of it.
+// A duplicate heartbeat must not bring back a terminated machine: not at the leader that
+// terminated it, and not at the next one, which never knew of it.
 func TestDuplicateHeartbeatsDoNotReviveTerminatedMachines(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
@@ -185,7 +185,7 @@
 	b.c.TerminateResult(b.now, []ids.MachineID{"n-1"}, true)
 	b.heartbeat("n-1", "a", 0)
 	if b.c.cluster.Machine("n-1") != nil {
-		t.Fatal("it came back at the leader that returned it")
+		t.Fatal("it came back at the leader that terminated it")
 	}
 
 	b = newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
@@ -194,19 +194,19 @@
 	b.submit("job-1", wire.JobSpec{Tasks: 1})
 	b.step()
 	if b.c.cluster.Job("job-1").Task(0).Assignment() != nil {
-		t.Fatal("a successor placed work on a machine that it only has an old report of")
+		t.Fatal("the next leader placed work on a machine of which it has only an old heartbeat")
 	}
 	b.heartbeat("n-1", "a", ids.NewFencingToken(5, 0))
 	b.c.rounds.MarkDue()
 	b.step()
 	if b.c.cluster.Job("job-1").Task(0).Assignment() == nil {
-		t.Fatal("a machine that shows our token is not used")
+		t.Fatal("a machine that shows this leader's token is not used")
 	}
 }
 
-// A leader that lost the state service and its peers, but not its workers,
-// goes on answering them. Its successor tells the workers of itself, and their
-// next report ends the old leader's term.
+// A leader that lost the store and its peers, but not its workers, goes on answering them. The
+// next leader sends the workers its fencing token, and their next heartbeat ends the previous
+// leader's term.
 func TestNextLeaderTakesWorkersFromAnActivePreviousLeader(t *testing.T) {
 	old := newHarness(t, Options{Revision: 5})
 	oldToken, run := old.runTask()
@@ -240,10 +240,10 @@
 		t.Error("a machine without tasks was not asked")
 	}
 	if token["n-1"].Revision() != 9 || !next.c.cluster.Machine("n-1").Agent.Fenced {
-		t.Fatalf("n-1 was not told of the successor: token %d", token["n-1"])
+		t.Fatalf("n-1 was not fenced by the next leader: token %d", token["n-1"])
 	}
 	if _, ok := old.c.Heartbeat(old.now, newHeartbeat("n-1", 1, tick+1, token["n-1"], run), false); ok || !old.c.Superseded() {
-		t.Fatal("the old leader goes on")
+		t.Fatal("the previous leader goes on")
 	}
 }
 
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -11,7 +11,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// scenario is a day on which certain troubles are made to overlap.
+// scenario is a day on which chosen faults are made to overlap.
 type scenario struct {
 	*sim
 	all []ids.JobID
@@ -57,7 +57,7 @@
 	}
 }
 
-// cancelEvery has users call off every nth job that is not over.
+// cancelEvery has users cancel every nth job.
 func (m *scenario) cancelEvery(nth int) {
 	for i, id := range m.all {
 		if i%nth == 0 && !m.cancelled[id] {
@@ -68,8 +68,9 @@
 
 const second = time.Second
 
-// meetings are those of the operators' list that concern what runs where; those that
-// concern answers alone are in packages controller and records (docs/design.md has the table).
+// scenarios are the overlaps of faults from the operators' list that concern what runs where.
+// Those that concern responses alone are tested in packages controller and records
+// (docs/design.md has the table).
 var scenarios = []struct {
 	name  string
 	bring func(m *scenario)
@@ -318,8 +319,8 @@
 	}},
 }
 
-// TestOverlappingFaults brings each meeting about on several days, and then the quiet after it.
-// No rule breaks, whatever is cancelled goes in time, and all else comes to its end.
+// TestOverlappingFaults plays each scenario on several days, and then a time without faults. No
+// rule is broken, cancelled jobs end in time, and all others complete.
 func TestOverlappingFaults(t *testing.T) {
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
@@ -340,9 +341,9 @@
 	}
 }
 
-// While a machine of a cancelled job can't be asked, it must be returned before
-// cancel_s; a placement beside it whose record waits for the state service used to
-// hold that back until the end of an outage.
+// A machine of a cancelled job that cannot be reached must be terminated before the deadline of
+// cancellations. A placement beside the job whose record waited for the store used to delay
+// that until the end of an outage.
 func TestTerminationDoesNotWaitForARecord(t *testing.T) {
 	b := newHarness(t, Options{})
 	spec := wire.JobSpec{Class: "c", Team: "red", Service: true, Tasks: 1, CPUs: 2, Image: "i"}
@@ -359,26 +360,26 @@
 		t.Fatal("job-2 was not placed beside job-1")
 	}
 	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: &spec}, 900)
-	told := b.now
-	for returned := false; !returned; {
+	cancelledAt := b.now
+	for terminated := false; !terminated; {
 		b.now = b.now.Add(200 * time.Millisecond)
-		if b.now > told.Add(simCancelDeadline*3/4) {
-			t.Fatal("not returned in time")
+		if b.now > cancelledAt.Add(simCancelDeadline*3/4) {
+			t.Fatal("not terminated in time")
 		}
 		if e := b.c.Step(b.now); len(e.Terminate) > 0 {
 			b.c.TerminateResult(b.now, e.Terminate, true)
-			returned = true
+			terminated = true
 		}
 	}
 	if j := b.c.cluster.Job("job-1"); j != nil && len(j.Active()) > 0 {
-		t.Error("what surely went with the machine still counts")
+		t.Error("tasks of the terminated machine still count")
 	}
-	// The record comes through after all: its task was never sent, and waits again.
+	// The record is committed after all. Its task was never sent, and waits again.
 	b.c.CommitResult(b.now, records.CommitResult{Change: placed[0], Applied: true, Revision: 901})
 	for range 10 {
 		b.now = b.now.Add(200 * time.Millisecond)
 		if e := b.step(); len(e.Terminate) > 0 {
-			t.Errorf("returned again: %v", e.Terminate)
+			t.Errorf("terminated again: %v", e.Terminate)
 		}
 	}
 	if j := b.c.cluster.Job("job-2"); len(j.Pending()) != 1 || b.c.cluster.Machine("n-1") != nil {
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -155,7 +155,7 @@
 
 // commit sends the change to the store, as the committer does: without a response it is
 // sent again until its outcome is known. Each precondition of a leader whose term is over
-// fails, and nobody waits for the result.
+// fails, and no one waits for the result.
 func (p sentChange) commit() {
 	if p.now < max(p.storeOutageUntil, p.controllersDownUntil) || p.now < p.leaderRefusedUntil && p.sim.term == p.term {
 		p.after(500*time.Millisecond, p.commit)
--- a/scheduler/sim_store_test.go
+++ b/scheduler/sim_store_test.go
@@ -127,7 +127,7 @@
 // leaderReadsStore tells whether the leader reads what others write.
 func (s *sim) leaderReadsStore() bool { return s.now >= max(s.storeOutageUntil, s.leaderRefusedUntil) }
 
-// watchJob brings a job's record to the leader, as its watch does.
+// watchJob delivers a job's record to the leader, as its watch does once the store is back.
 func (s *sim) watchJob(id ids.JobID) {
 	if !s.leaderReadsStore() {
 		s.after(max(s.storeOutageUntil, s.leaderRefusedUntil).Sub(s.now), func() { s.watchJob(id) })
@@ -137,7 +137,7 @@
 	s.afterPause(core, func() { s.deliverJob(core, id) })
 }
 
-// deliverJob has a leader take a job's record in.
+// deliverJob has a leader observe a job's record.
 func (s *sim) deliverJob(core *Core, id ids.JobID) {
 	e := s.store[records.JobKey(id)]
 	var rec records.Job
--- a/scheduler/sim_users_test.go
+++ b/scheduler/sim_users_test.go
@@ -89,14 +89,14 @@
 	})
 }
 
-// checkCancelledDependents sees that what needs a cancelled job is cancelled as well, and that
-// nothing else is but by its user.
+// checkCancelledDependents checks that jobs which depend on a cancelled one are cancelled as
+// well, and that no other job is but by its user.
 func (s *sim) checkCancelledDependents(all []ids.JobID) {
 	s.t.Helper()
 	for _, id := range all {
 		byUser := s.cancelled[id]
 		if got := s.status(id) == wire.JobCancelled; got != (byUser || s.hasCancelledDependency(id)) {
-			s.t.Errorf("%s is %s; withdrawn by its user: %v, an orphan: %v", id, s.status(id), byUser, s.hasCancelledDependency(id))
+			s.t.Errorf("%s is %s; cancelled by its user: %v, a dependency is cancelled: %v", id, s.status(id), byUser, s.hasCancelledDependency(id))
 		}
 	}
 }
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -119,8 +119,8 @@
 	return spec
 }
 
-// The limits fall below what was said: the change that is too large is refused for
-// good. Its job must wait for it alone, take less, and not ask for ever.
+// The limits of the store fall below the configured ones: a change that is too large is rejected
+// for good. Only its job waits for it, and it is not sent for ever.
 func TestRejectedChangeDelaysNoOtherJob(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.submit("job-1", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
@@ -160,9 +160,8 @@
 	}
 }
 
-// Two jobs compete for one machine, and each is needed by others. Whoever is
-// stopped for the other must not come back to stop it in turn, and a job that lost
-// those that needed it counts as what it is.
+// Two jobs compete for one machine, and others depend on each. The one that is preempted must
+// not preempt the other in turn, and a job without dependents has its own priority again.
 func TestPriorityPropagatesToDependencies(t *testing.T) {
 	b := newHarness(t, Options{})
 	low := wire.JobSpec{Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1}
@@ -192,8 +191,8 @@
 	}
 }
 
-// While a split is on its way its tasks go on: what is placed then belongs to one of
-// the parts, and would wait for ever if that part were not written for it.
+// While a split is in flight its tasks go on: a task that is placed meanwhile belongs to one of
+// the parts, and would wait for ever if that part were not written again.
 func TestPlacedWhileTheRecordIsSplit(t *testing.T) {
 	b := newHarness(t, Options{ValueBytes: 50, SplitRecords: true})
 	b.submit("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
@@ -216,8 +215,8 @@
 	}
 }
 
-// A record that was too large when it could not be split is split once it may be,
-// though nothing happens to its tasks.
+// A record that was too large when it could not be split is split once that is allowed, without
+// another event of its tasks.
 func TestLargeRecordsAreSplitAfterTheUpgrade(t *testing.T) {
 	b := newHarness(t, Options{ValueBytes: 50})
 	b.submit("job-1", wire.JobSpec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
@@ -232,9 +231,8 @@
 	}
 }
 
-// When a zone is lost, thousands of placements wait for the write rate. A job whose
-// tasks are all done must not wait behind them: its user, and the jobs that need it,
-// do.
+// When a zone is lost, thousands of placements wait for the write rate. A completed job must
+// not wait behind them, as its user and its dependents wait for it.
 func TestCompletionsAreWrittenFirst(t *testing.T) {
 	b := newHarness(t, Options{WriteRate: 4, Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4096}, Limit: quota.Amount{CPUs: 4096}}}})
 	b.submit("job-0", wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Normal})
--- a/scheduler/zone_gate_test.go
+++ b/scheduler/zone_gate_test.go
@@ -12,9 +12,9 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// TestRulesWhileZonesRecover plays random days on which zones go dark and return among all
-// other troubles: every rule holds, the return stays under its ramp, no job comes back to
-// a zone that displaced it more than once in an incident, and in the end nothing waits.
+// TestRulesWhileZonesRecover plays random days with zone outages and recoveries among all other
+// faults: every rule holds, the recovery stays within its ramp-up, no job comes back to a zone
+// that displaced it more than once in an incident, and in the end nothing waits.
 func TestRulesWhileZonesRecover(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// Zones are watched by ordered walks alone: the same events give the same decisions.
+// Zone recovery iterates in fixed orders: the same events give the same decisions.
 func TestZoneRecoveryIsDeterministic(t *testing.T) {
 	for seed := range uint64(3) {
 		var first string
@@ -47,12 +47,12 @@
 	}
 }
 
-// When a zone goes dark and the others are full, each place that gets free goes to services
-// before arrays of their priority, although those came first.
+// When a zone has an outage and the others are full, capacity that becomes free goes to services
+// before arrays of their priority, although those were submitted first.
 func TestServicesMoveBeforeArrays(t *testing.T) {
 	m := calmZones(t, 1, 3)
 	services, arrays := m.fillZones()
-	for range 24 { // of one replica each: one that lost all starts whole, and needs room at once
+	for range 24 { // of one replica each: a service that lost all replicas starts them together
 		spec := zoneArray(1)
 		spec.Service = true
 		services = append(services, m.submitJob(spec))
@@ -61,7 +61,7 @@
 	if up, wanted := m.placed(services); up != wanted {
 		t.Fatalf("%d of %d replicas are placed", up, wanted)
 	}
-	services = services[3:] // what is spread may not take every place
+	services = services[3:] // spread services may not use every machine
 	arrays = append(arrays, m.submitJob(zoneArray(200)))
 	m.run(60 * second)
 	m.core.opt.MaxMachines = len(m.core.cluster.Machines())
@@ -94,8 +94,8 @@
 	m.endOfDay()
 }
 
-// A zone returns while an array that it lost is half done elsewhere: what is done is not
-// run again, and the rest goes on where it is.
+// A zone recovers while an array that it displaced is half done elsewhere: tasks that are done
+// do not run again, and the others stay where they are.
 func TestHalfDoneArrayGoesOnElsewhere(t *testing.T) {
 	m := calmZones(t, 3, 4)
 	m.runFactor = 3
@@ -132,18 +132,18 @@
 	}
 }
 
-// An operator holds a zone back: nothing new starts there, successors go on holding it, and
-// it serves once released.
+// An operator holds a zone: nothing new starts there, the next leaders hold it too, and it
+// serves once it is released.
 func TestZoneHoldSurvivesAFailover(t *testing.T) {
 	m := calmZones(t, 12, 4)
 	m.fillZones()
 	number, ok := m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold, Reason: "power works"})
 	if !ok {
-		t.Fatal("not taken")
+		t.Fatal("the override was rejected")
 	}
 	m.run(second)
 	if !m.core.ZoneOverrideRecorded("b", number) {
-		t.Fatal("not recorded")
+		t.Fatal("the override was not recorded")
 	}
 	m.failOver()
 	before := m.startsIn("b")
@@ -151,10 +151,10 @@
 	m.jobs(8, array)
 	m.run(60 * second)
 	if got := m.startsIn("b"); got != before {
-		t.Errorf("%d tasks started in a zone that is held back", got-before)
+		t.Errorf("%d tasks started in a zone on hold", got-before)
 	}
 	if st := m.statusOf("b"); st.Override != zonerecovery.OverrideHold {
-		t.Errorf("after a succession: %+v", st)
+		t.Errorf("after a failover: %+v", st)
 	}
 	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideRelease})
 	spec := zoneArray(2)
@@ -167,7 +167,7 @@
 	m.endOfDay()
 }
 
-// No task is stopped to make room in a zone where nothing may start.
+// No task is preempted in a zone where nothing may start.
 func TestNothingIsPreemptedForAClosedZone(t *testing.T) {
 	m := calmZones(t, 13, 3)
 	m.runFactor = 30
@@ -183,12 +183,12 @@
 	m.submitJob(high)
 	m.run(20 * second)
 	if stopped := m.core.lifecycle.lostWork[cluster.StopPreempted].tasks; stopped > 0 {
-		t.Errorf("%d tasks were stopped for a zone that is held back", stopped)
+		t.Errorf("%d tasks were preempted for a zone on hold", stopped)
 	}
 	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideRelease})
 	m.run(10 * second)
 	if m.core.lifecycle.lostWork[cluster.StopPreempted].tasks == 0 {
-		t.Error("none was stopped after the release")
+		t.Error("none was preempted after the release")
 	}
 	m.endOfDay()
 }
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -44,8 +44,8 @@
 	m.endOfDay()
 }
 
-// A zone that goes dark again in the middle of a step begins its next return with the
-// probe, after a longer hold-down.
+// A zone with another outage in the middle of a step begins its next recovery with the probe,
+// after a longer hold-down.
 func TestZoneOutageDuringItsRecovery(t *testing.T) {
 	m := calmZones(t, 4, 4)
 	m.fillZones()
@@ -59,13 +59,13 @@
 	m.await("b", zonerecovery.Outage, 30*second)
 	m.await("b", zonerecovery.Recovering, 90*second)
 	if st := m.statusOf("b"); st.Step != 0 || st.Flaps != 2 {
-		t.Errorf("the second return began at step %d with %d flaps", st.Step, st.Flaps)
+		t.Errorf("the second recovery began at step %d with %d flaps", st.Step, st.Flaps)
 	}
 	m.endOfDay()
 }
 
-// Most of a zone's machines stay away: it serves with those that return, and the others do not make
-// it suspect.
+// Most machines of a zone stay partitioned: it serves with those that come back, and the others
+// do not make it suspect.
 func TestSomeMachinesOfAZoneComeBack(t *testing.T) {
 	m := calmZones(t, 5, 4)
 	m.fillZones()
@@ -167,8 +167,8 @@
 	}
 }
 
-// While the state service is away nothing opens that is not recorded, however often the
-// zone flaps; once it is back the return goes on.
+// During an outage of the store no step of a recovery begins that is not recorded, however often
+// the zone flaps. After the outage the recovery goes on.
 func TestNothingOpensUnrecorded(t *testing.T) {
 	m := calmZones(t, 7, 4)
 	m.fillZones()
@@ -184,13 +184,13 @@
 		}
 	}
 	if st := m.statusOf("b"); st.Condition != zonerecovery.Recovering || st.Step != 0 {
-		t.Fatalf("the zone is %s at step %d although nothing was proved", st.Condition, st.Step)
+		t.Fatalf("the zone is %s at step %d although nothing was recorded", st.Condition, st.Step)
 	}
 	m.await("b", zonerecovery.Serving, 90*second)
 	m.endOfDay()
 }
 
-// Reports from before the cut that come late are no sign of life.
+// Heartbeats from before a partition that come late do not end the outage.
 func TestDelayedHeartbeatsDoNotEndAZoneOutage(t *testing.T) {
 	m := calmZones(t, 8, 4)
 	m.fillZones()
@@ -211,7 +211,7 @@
 		}
 		m.run(second)
 		if c := m.condition("b"); c != zonerecovery.Outage {
-			t.Fatalf("late reports made the zone %s", c)
+			t.Fatalf("delayed heartbeats made the zone %s", c)
 		}
 		if st := m.statusOf("b"); st.Heard != 0 {
 			t.Fatalf("%d machines count as heard", st.Heard)
@@ -220,8 +220,8 @@
 	m.endOfDay()
 }
 
-// Two zones go dark in turn: each has its own return, and what the second loses does not
-// wait for the first.
+// Two zones have outages in turn: each has its own recovery, and tasks that the second displaces
+// do not wait for the first.
 func TestTwoZoneOutagesInTurn(t *testing.T) {
 	m := calmZones(t, 9, 4)
 	m.fillZones()
@@ -237,8 +237,8 @@
 	m.endOfDay()
 }
 
-// All zones but one are dark, and a team's guarantee does not fit what is left: services
-// have the room, no limit is broken, and all goes on once zones return.
+// All zones but one have an outage, and a team's nominal quota does not fit into the last one:
+// services get its capacity, no limit is exceeded, and all goes on once zones recover.
 func TestOutageOfAllZonesButOne(t *testing.T) {
 	m := calmZones(t, 10, 3)
 	services, _ := m.fillZones()
@@ -259,7 +259,7 @@
 	m.endOfDay()
 }
 
-// A leader that reaches neither the state service nor its peers calls no zone dark.
+// A leader that reaches neither the store nor its peers declares no zone outage.
 func TestIsolatedLeaderDeclaresNoOutage(t *testing.T) {
 	m := calmZones(t, 11, 4)
 	m.fillZones()
@@ -280,8 +280,8 @@
 	m.endOfDay()
 }
 
-// A job that its earlier moves keep from a zone does not stand for others like it, which may
-// use the zone, also once that serves again.
+// A job that may not use a zone because of its earlier moves does not exclude others like it,
+// also once the zone serves again.
 func TestRestrictedJobDoesNotExcludeOthersLikeIt(t *testing.T) {
 	m := calmZones(t, 15, 3)
 	m.fillZones()
@@ -302,13 +302,13 @@
 	before := len(m.placements[id])
 	m.run(5 * second)
 	if len(m.placements[id]) == before {
-		t.Error("a job like it got no place although the zone is open to it")
+		t.Error("a job like it was not placed although the zone is open to it")
 	}
 	m.endOfDay()
 }
 
-// While placements take all writes that the rate allows, as for minutes after a zone is lost,
-// the zone's own record still has its turn, and the return ends in time.
+// While placements use the whole write rate, as for minutes after a zone is lost, the zone's own
+// record is still written, and the recovery ends in time.
 func TestZoneRecordIsWrittenThoughWritesAreScarce(t *testing.T) {
 	m := calmZones(t, 16, 6)
 	m.fillZones()
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -12,7 +12,7 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// zoneDay is a random day on which zones are cut off, among all other troubles.
+// zoneDay is a random day with zone outages among all other faults.
 func zoneDay(t *testing.T, seed uint64) *sim {
 	s := newSim(t, seed)
 	s.capacity = 4
@@ -20,7 +20,7 @@
 	return s
 }
 
-// playZoneDay plays rounds of a random day, with a zone cut in every other one.
+// playZoneDay plays rounds of a random day, with a zone partitioned in every other one.
 func (s *sim) playZoneDay(rounds int) []ids.JobID {
 	s.t.Helper()
 	var all []ids.JobID
@@ -111,7 +111,7 @@
 	}
 }
 
-// statusOf is what operators are told of a zone.
+// statusOf is the status of a zone that operators see.
 func (m *scenario) statusOf(zone ids.Zone) zonerecovery.Status {
 	m.t.Helper()
 	for _, st := range m.core.ZoneStatus(m.now) {
@@ -160,7 +160,7 @@
 	return out
 }
 
-// leasesExpiredIn tells whether what ran in a zone is surely gone, so that it waits for room.
+// leasesExpiredIn tells whether all leases in a zone have expired, so that its tasks are pending.
 func (m *scenario) leasesExpiredIn(zone ids.Zone) bool {
 	for _, w := range m.core.cluster.Machines() {
 		if w.Zone == zone && len(w.Assignments()) > 0 {
@@ -181,7 +181,7 @@
 	return out
 }
 
-// startsIn counts the tasks that were ever told to run in a zone.
+// startsIn counts the run commands that were carried out in a zone.
 func (m *scenario) startsIn(zone ids.Zone) int {
 	n := 0
 	for _, id := range m.all {
--- a/scheduler/zones_test.go
+++ b/scheduler/zones_test.go
@@ -7,8 +7,8 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// The fewer machines a zone has, the longer it may be silent by chance; and while nobody
-// is heard at all it is rather this node's network.
+// The fewer machines a zone has, the longer it may be silent by chance. While no machine is
+// heard at all, it is rather the network of this controller.
 func TestZonePartitioned(t *testing.T) {
 	now := monotonic.Instant(time.Hour)
 	for _, c := range []struct {
@@ -23,8 +23,8 @@
 		{"a few machines, the same time", 5, 3 * time.Second, 0, false},
 		{"a few machines, longer", 5, 9 * time.Second, 0, true},
 		{"too few to tell", 3, time.Minute, 0, false},
-		{"nobody is heard", 100, 9 * time.Second, 9 * time.Second, false},
-		{"for so long that it is given up", 100, zoneOutageLimit, 0, false},
+		{"no machine is heard", 100, 9 * time.Second, 9 * time.Second, false},
+		{"for so long that the zone is tried again", 100, zoneOutageLimit, 0, false},
 	} {
 		b := newHarness(t, Options{})
 		hm := b.c.health
@@ -34,7 +34,7 @@
 		if got := hm.zonePartitioned("a"); got != c.partitioned {
 			t.Errorf("%s: %v", c.name, got)
 		}
-		// What this process slept through is nobody's silence.
+		// A pause of this process does not count as silence.
 		b.c.clock.Advance(now) // the first step after a long pause
 		if hm.zonePartitioned("a") {
 			t.Errorf("%s: just after a pause", c.name)
