--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -42,8 +42,8 @@
 	for _, m := range adm.core.cluster.Machines() {
 		if adm.core.health.takesTasks(m) {
 			adm.candidates = append(adm.candidates, m)
-			if !slices.Contains(adm.candidateZones, m.Zone) {
-				adm.candidateZones = append(adm.candidateZones, m.Zone)
+			if !slices.Contains(adm.candidateZones, m.Zone()) {
+				adm.candidateZones = append(adm.candidateZones, m.Zone())
 			}
 		}
 	}
@@ -146,10 +146,10 @@
 		return true
 	}
 	defer func() { j.Queue.OnlyZone = "" }()
-	zones := []ids.Zone{first.Zone}
+	zones := []ids.Zone{first.Zone()}
 	for _, m := range adm.core.cluster.Machines() {
-		if !slices.Contains(zones, m.Zone) {
-			zones = append(zones, m.Zone)
+		if !slices.Contains(zones, m.Zone()) {
+			zones = append(zones, m.Zone())
 		}
 	}
 	for _, z := range zones {
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -85,9 +85,9 @@
 		}
 	}
 	for _, m := range as.core.cluster.Machines() {
-		p.MachinesBySite[m.Site]++
+		p.MachinesBySite[m.Site()]++
 		if !m.Agent.Reported && !m.Lifecycle.Terminating && m.MachineType() != nil && !as.bootLate(m) {
-			p.AddCapacity(m.Site, m.Free())
+			p.AddCapacity(m.Site(), m.Free())
 		}
 	}
 	as.core.zones.addReturning(p.AddCapacity)
@@ -115,7 +115,7 @@
 	}
 	for _, m := range as.core.cluster.Machines() {
 		if !m.Agent.Reported && !m.Lifecycle.Terminating {
-			coming[m.Zone]++
+			coming[m.Zone()]++
 		}
 	}
 	return coming
@@ -215,7 +215,7 @@
 	if m.Agent.Reported || m.MachineType() == nil || !m.Lifecycle.RentedThisTerm {
 		return false
 	}
-	usual := max(1, as.bootFactors[m.Type])
+	usual := max(1, as.bootFactors[m.Type()])
 	return as.core.clock.Now() > m.Lifecycle.KnownSince.Add(monotonic.Seconds(lateBootFactor*usual*m.MachineType().BootS)+as.core.opt.HeartbeatInterval)
 }
 
@@ -225,10 +225,10 @@
 		return
 	}
 	took := min(as.core.clock.Now().Sub(m.Lifecycle.KnownSince).Seconds()/m.MachineType().BootS, as.core.opt.BootFactor)
-	if was := as.bootFactors[m.Type]; was > 0 {
+	if was := as.bootFactors[m.Type()]; was > 0 {
 		took = 0.8*was + 0.2*took
 	}
-	as.bootFactors[m.Type] = took
+	as.bootFactors[m.Type()] = took
 }
 
 // fastestBoot is how long the quickest type that would do takes to boot.
@@ -254,7 +254,7 @@
 // countSpotTime counts the time that spot machines were up.
 func (as *autoscaler) countSpotTime(passed time.Duration) {
 	for _, m := range as.core.cluster.Machines() {
-		if m.Spot && m.Agent.Reported && !m.Lifecycle.Terminating {
+		if m.Spot() && m.Agent.Reported && !m.Lifecycle.Terminating {
 			as.spotTime += passed
 		}
 	}
--- a/scheduler/cluster/assignment.go
+++ b/scheduler/cluster/assignment.go
@@ -122,7 +122,7 @@
 
 // Admit takes the n lowest pending tasks, which Assign has placed, off the list of pending
 // tasks.
-func (s *State) Admit(j *Job, n int) { j.pending = j.pending[:len(j.pending)-n] }
+func (*State) Admit(j *Job, n int) { j.pending = j.pending[:len(j.pending)-n] }
 
 // Withdraw undoes Assign before Admit.
 func (s *State) Withdraw(a *Assignment) {
@@ -185,7 +185,7 @@
 	t.state, t.assignment = TaskAssigned, a
 	a.Job.started = true
 	a.Job.active[a.Index] = a
-	a.Job.zones[a.Machine.Zone]++
+	a.Job.zones[a.Machine.site.Zone]++
 	a.Machine.add(a)
 	a.Machine.used = a.Machine.used.Plus(placement.TaskResources(a.Job.Spec))
 	s.quotas.Charge(a.Job.Spec.Team, a.Job.Amount())
@@ -197,7 +197,7 @@
 	t := &a.Job.tasks[a.Index]
 	t.state, t.assignment = TaskPending, nil
 	delete(a.Job.active, a.Index)
-	a.Job.removeFromZone(a.Machine.Zone)
+	a.Job.removeFromZone(a.Machine.site.Zone)
 	a.Machine.remove(a)
 	a.Machine.used = a.Machine.used.Minus(placement.TaskResources(a.Job.Spec))
 	if len(a.Machine.byRef) == 0 {
--- /dev/null
+++ b/scheduler/cluster/cluster_test.go
@@ -0,0 +1,81 @@
+package cluster
+
+import (
+	"testing"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/placement"
+	"ospreystile.example/ospreystile/scheduler/quota"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// A state stays consistent through each of its changes.
+func TestChangesKeepInvariants(t *testing.T) {
+	changes := map[string]func(s *State, j *Job, m *Machine){
+		"release":  func(s *State, j *Job, _ *Machine) { s.Release(j.Active()[1]) },
+		"complete": func(s *State, j *Job, _ *Machine) { s.Complete(j.Active()[0]) },
+		"stop":     func(s *State, j *Job, _ *Machine) { s.Stop(j.Active()[0], StopPreempted) },
+		"stop twice": func(s *State, j *Job, _ *Machine) {
+			s.Stop(j.Active()[0], StopDrained)
+			s.Stop(j.Active()[0], StopCancelled)
+		},
+		"stop, release":   func(s *State, j *Job, _ *Machine) { s.Stop(j.Active()[0], StopPreempted); s.Release(j.Active()[0]) },
+		"assign":          func(s *State, j *Job, m *Machine) { s.Assign(j, 2, m); s.Admit(j, 1) },
+		"withdraw":        func(s *State, j *Job, m *Machine) { s.Withdraw(s.Assign(j, 2, m)) },
+		"end the job":     func(s *State, j *Job, _ *Machine) { s.EndJob(j, wire.JobCancelled); s.Release(j.Active()[0]) },
+		"change priority": func(s *State, j *Job, _ *Machine) { s.Stop(j.Active()[0], StopDrained); s.SetPriority(j, wire.High) },
+		"change the zone": func(s *State, _ *Job, m *Machine) { s.SetSite(m, placement.Site{Type: "large", Zone: "b"}) },
+		"unrecorded tasks": func(s *State, _ *Job, m *Machine) {
+			m.Agent.ReportedTasks = []ReportedTask{{Ref: ids.TaskRef{Job: "job-1", Index: 2}, Attempt: 1, State: wire.TaskRunning}}
+			s.CountUnrecorded(m)
+			s.CountUnrecorded(m)
+		},
+		"remove the machine": func(s *State, _ *Job, m *Machine) {
+			for _, a := range m.AssignmentsSnapshot() {
+				s.Release(a)
+			}
+			s.RemoveMachine(m)
+		},
+	}
+	for name, change := range changes {
+		t.Run(name, func(t *testing.T) {
+			s := newTestState(t)
+			change(s, s.Job("job-1"), s.Machine("m-1"))
+			checkState(t, s)
+		})
+	}
+}
+
+func TestReleaseMakesTaskPendingAgain(t *testing.T) {
+	s := newTestState(t)
+	j, m := s.Job("job-1"), s.Machine("m-1")
+	s.Release(j.Active()[0])
+	if got := j.Pending(); len(got) != 2 || got[0] != 2 || got[1] != 0 {
+		t.Errorf("pending tasks: %v", got)
+	}
+	if free := m.Free().CPUs; free != 14 {
+		t.Errorf("%v CPUs are free", free)
+	}
+	if used := s.quotas.Used("red"); used != (quota.Amount{CPUs: 2}) {
+		t.Errorf("the team uses %+v", used)
+	}
+}
+
+func TestRemoveMachineWithAssignmentsPanics(t *testing.T) {
+	s := newTestState(t)
+	defer func() {
+		if recover() == nil {
+			t.Error("a machine with assignments was removed")
+		}
+	}()
+	s.RemoveMachine(s.Machine("m-1"))
+}
+
+func TestRemovedMachineIsRemembered(t *testing.T) {
+	s := newTestState(t)
+	m := s.EnsureMachine("m-0")
+	s.RemoveMachine(m)
+	if s.Machine("m-0") != nil || !s.WasRemoved("m-0") || s.WasRemoved("m-1") {
+		t.Error("the wrong machine is removed")
+	}
+}
--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -14,10 +14,9 @@
 // Machine is one machine that was requested, listed or heard, until it is known to be
 // terminated.
 type Machine struct {
-	// Site is the machine's type, zone and market. State.SetSite alone changes it.
-	placement.Site
 	ID ids.MachineID // never changes
 
+	site        placement.Site
 	endpoint    string
 	machineType *wire.MachineType
 	total       placement.Resources
@@ -134,6 +133,18 @@
 	Cause   wire.ExitCause
 }
 
+// Site is the machine's type, zone and market.
+func (m *Machine) Site() placement.Site { return m.site }
+
+// Type is the name of the machine's type; "" while it is not known.
+func (m *Machine) Type() ids.MachineType { return m.site.Type }
+
+// Zone is the machine's zone; "" while it is not known.
+func (m *Machine) Zone() ids.Zone { return m.site.Zone }
+
+// Spot tells whether the machine is a spot instance.
+func (m *Machine) Spot() bool { return m.site.Spot }
+
 // Endpoint is the agent's address; "" if it is not known.
 func (m *Machine) Endpoint() string { return m.endpoint }
 
--- a/scheduler/cluster/machines.go
+++ b/scheduler/cluster/machines.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"slices"
-	"strings"
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
@@ -33,32 +32,30 @@
 
 // position finds the place of a machine in the list.
 func (s *State) position(id ids.MachineID) (int, bool) {
-	return slices.BinarySearchFunc(s.machineList, id, func(m *Machine, id ids.MachineID) int {
-		return strings.Compare(string(m.ID), string(id))
-	})
+	return slices.BinarySearchFunc(s.machineList, id, compareToID)
 }
 
 // SetEndpoint sets the address of a machine's agent.
-func (s *State) SetEndpoint(m *Machine, endpoint string) { m.endpoint = endpoint }
+func (*State) SetEndpoint(m *Machine, endpoint string) { m.endpoint = endpoint }
 
 // SetSite sets a machine's type, zone and market. Tasks that records placed on it before
 // its zone was known are counted in the zone from then on.
 func (s *State) SetSite(m *Machine, site placement.Site) {
-	if m.Site == site {
+	if m.site == site {
 		return
 	}
 	for _, a := range m.assignments {
-		a.Job.removeFromZone(m.Zone)
+		a.Job.removeFromZone(m.site.Zone)
 		a.Job.zones[site.Zone]++
 	}
-	m.Site = site
+	m.site = site
 	s.applyType(m)
 	s.rounds.MarkDue()
 }
 
 // applyType sets what follows from a machine's type.
 func (s *State) applyType(m *Machine) {
-	t := s.types[m.Type]
+	t := s.types[m.site.Type]
 	if t == nil {
 		return
 	}
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -10,7 +10,6 @@
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/cluster"
-	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -152,7 +151,6 @@
 	// One that never comes is returned in the end, and pays no more.
 	b := newHarness(t, Options{})
 	b.c.ProvisionResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"}, true)
-	b.c.cluster.Machine("n-9").Site = placement.Site{Type: "m", Zone: "a"}
 	gone := false
 	for range 120 {
 		b.now = b.now.Add(500 * time.Millisecond)
@@ -183,7 +181,6 @@
 	}
 	task := run()
 	b.c.ProvisionResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-1"}, true)
-	b.c.cluster.Machine("n-1").Site = placement.Site{Type: "m", Zone: "a"}
 	b.c.cluster.Machine("n-1").Lifecycle.BootDeadline = b.now.Add(10 * time.Second)
 
 	b.now = b.now.Add(20 * time.Second) // it is paused
--- a/scheduler/fleet_demand.go
+++ b/scheduler/fleet_demand.go
@@ -29,7 +29,7 @@
 	// long already has seen others take it.
 	for _, m := range as.core.cluster.Machines() {
 		if as.core.health.takesTasks(m) && m.Replicas() < len(m.Assignments()) {
-			p.AddCapacity(m.Site, as.freeSoon(m))
+			p.AddCapacity(m.Site(), as.freeSoon(m))
 		}
 	}
 	for _, d := range later {
@@ -112,7 +112,7 @@
 	var silent []*cluster.Machine
 	late := as.core.clock.Now() > as.core.clock.ResumedAt().Add(as.core.opt.HeartbeatInterval*3/2) // all have had their turn
 	for _, m := range as.core.cluster.Machines() {
-		if m.Replicas() > 0 && !as.core.health.takesTasks(m) && (as.core.health.zonePartitioned(m.Zone) || late && as.core.health.silentFor(m, silentReports*as.core.opt.HeartbeatInterval) || m.Health.SpotReclaimAt != 0) {
+		if m.Replicas() > 0 && !as.core.health.takesTasks(m) && (as.core.health.zonePartitioned(m.Zone()) || late && as.core.health.silentFor(m, silentReports*as.core.opt.HeartbeatInterval) || m.Health.SpotReclaimAt != 0) {
 			silent = append(silent, m)
 		}
 	}
@@ -121,7 +121,7 @@
 	}
 	for _, m := range as.core.cluster.Machines() {
 		if as.core.health.takesTasks(m) {
-			p.AddCapacity(m.Site, m.Free())
+			p.AddCapacity(m.Site(), m.Free())
 		}
 	}
 	for _, m := range silent {
@@ -170,7 +170,7 @@
 		if n >= most {
 			break
 		}
-		if as.core.health.usable(m) && placement.Allowed(s, m.Site) {
+		if as.core.health.usable(m) && placement.Allowed(s, m.Site()) {
 			n += fleet.TasksThatFit(s, m.Free())
 		}
 	}
@@ -192,22 +192,22 @@
 			continue
 		}
 		wait := as.core.opt.IdleTimeout
-		if m.Spot && len(over) > 0 {
+		if m.Spot() && len(over) > 0 {
 			// They cost little, and hold images for work in a hurry.
 			wait = as.core.opt.HeadroomIdleTimeout
 		}
 		for pk, n := range over {
-			if placement.Allowed(pk.spec, m.Site) && fleet.TasksThatFit(pk.spec, m.Free()) > n {
+			if placement.Allowed(pk.spec, m.Site()) && fleet.TasksThatFit(pk.spec, m.Free()) > n {
 				wait = as.core.opt.HeadroomIdleTimeout
 			}
 		}
-		if m.Spot {
+		if m.Spot() {
 			wait = time.Duration(float64(wait) * as.core.opt.SpotIdleFactor)
 		}
 		if as.core.clock.Now() > m.Lifecycle.IdleSince.Add(wait) || as.core.clock.Now() < m.Health.QuarantinedUntil && as.core.clock.Now() > m.Lifecycle.IdleSince.Add(5*time.Second) {
 			if as.core.health.usable(m) {
 				for pk := range over {
-					if placement.Allowed(pk.spec, m.Site) {
+					if placement.Allowed(pk.spec, m.Site()) {
 						over[pk] -= fleet.TasksThatFit(pk.spec, m.Free())
 					}
 				}
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -88,7 +88,7 @@
 	case m.Lifecycle.MissingLists >= 2 && hm.silentFor(m, 2*hm.core.opt.HeartbeatInterval):
 		// It was listed and is not any more: it was taken. Returning what
 		// is gone does nothing, and the answer proves that it is gone.
-		if m.Spot && m.Health.SpotReclaimAt == 0 {
+		if m.Spot() && m.Health.SpotReclaimAt == 0 {
 			hm.core.autoscaler.spotLosses++
 		}
 		registry.returnMachine(m, returnMissing)
@@ -102,7 +102,7 @@
 			}
 		}
 		hm.core.commands.queueCommands(m)
-	case m.Agent.Reported && len(m.Assignments()) == 0 && !mostSilent && !hm.zonePartitionedLately(m.Zone) && hm.silentFor(m, silentLeases*hm.core.opt.AgentLease):
+	case m.Agent.Reported && len(m.Assignments()) == 0 && !mostSilent && !hm.zonePartitionedLately(m.Zone()) && hm.silentFor(m, silentLeases*hm.core.opt.AgentLease):
 		registry.returnMachine(m, returnSilent)
 	case hm.cancelOverdue(m):
 		registry.returnMachine(m, returnCancelled)
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		m := c.cluster.EnsureMachine(rec.Hosts[place])
-		if m.Zone == "" && place < len(rec.Zones) {
+		if m.Zone() == "" && place < len(rec.Zones) {
 			c.registry.setSite(m, placement.Site{Zone: rec.Zones[place]}, "")
 		}
 		c.cluster.Inherit(j, i, m, ids.NewFencingToken(c.opt.Revision, 0)-1)
--- a/scheduler/plain_model_test.go
+++ b/scheduler/plain_model_test.go
@@ -98,8 +98,8 @@
 			if whole && j.Spec.OneZone && len(j.Active()) == 0 {
 				zones = nil
 				for _, m := range c.cluster.Machines() {
-					if !slices.Contains(zones, m.Zone) {
-						zones = append(zones, m.Zone)
+					if !slices.Contains(zones, m.Zone()) {
+						zones = append(zones, m.Zone())
 					}
 				}
 			}
@@ -118,20 +118,20 @@
 					var best *cluster.Machine
 					bestScore := 0.0
 					for _, m := range c.cluster.Machines() {
-						if only != "" && m.Zone != only {
+						if only != "" && m.Zone() != only {
 							continue
 						}
 						zones := placement.TasksByZone{}
 						same := 0
 						for _, a := range j.Active() {
-							zones[a.Machine.Zone]++
+							zones[a.Machine.Zone()]++
 							if a.Machine == m {
 								same++
 							}
 						}
 						for ref, p := range placedAt {
 							if ref.Job == j.ID {
-								zones[p.Zone]++
+								zones[p.Zone()]++
 								if p == m {
 									same++
 								}
@@ -141,10 +141,10 @@
 							(k.Spec.Priority >= j.Spec.Priority || j.Spec.Priority < wire.Critical && waited(k, 2.5)) {
 							continue
 						}
-						if !placement.Allowed(j.Spec, m.Site) || !placement.TaskResources(j.Spec).FitsIn(room[m.ID].free) || !zones.Allows(j.Spec, m.Zone) {
+						if !placement.Allowed(j.Spec, m.Site()) || !placement.TaskResources(j.Spec).FitsIn(room[m.ID].free) || !zones.Allows(j.Spec, m.Zone()) {
 							continue
 						}
-						o := placement.Candidate{Site: m.Site, Free: room[m.ID].free, Total: m.Total(), SameZone: zones[m.Zone]}
+						o := placement.Candidate{Site: m.Site(), Free: room[m.ID].free, Total: m.Total(), SameZone: zones[m.Zone()]}
 						if j.Spec.Service {
 							o.SameJob = same
 						}
@@ -184,7 +184,7 @@
 				place("")
 				var first ids.Zone
 				if len(got) > 0 {
-					first = placedAt[ids.TaskRef{Job: j.ID, Index: got[0]}].Zone
+					first = placedAt[ids.TaskRef{Job: j.ID, Index: got[0]}].Zone()
 				}
 				undo()
 				sort.SliceStable(zones, func(a, b int) bool { return zones[a] == first && zones[b] != first })
--- a/scheduler/preemption_plan.go
+++ b/scheduler/preemption_plan.go
@@ -68,7 +68,7 @@
 	}
 	// Room for one replica beside the last would be room in the wrong zone,
 	// made again and again.
-	r.zones[m.Zone]++
+	r.zones[m.Zone()]++
 	free, team := r.expectedFree(m), j.Spec.Team
 	if _, noted := before[m]; before != nil && !noted {
 		before[m] = free
@@ -110,7 +110,7 @@
 	for {
 		var best *preemptionPlan
 		for i := range r.plans {
-			if o := &r.plans[i]; o.machine != nil && (best == nil || o.cost < best.cost) && r.zones.Allows(j.Spec, o.machine.Zone) {
+			if o := &r.plans[i]; o.machine != nil && (best == nil || o.cost < best.cost) && r.zones.Allows(j.Spec, o.machine.Zone()) {
 				best = o
 			}
 		}
@@ -135,7 +135,7 @@
 
 // planOn tells what it would cost to make room on a machine.
 func (r *preemptor) planOn(j *cluster.Job, m *cluster.Machine, by claim) (preemptionPlan, bool) {
-	if !placement.Allowed(j.Spec, m.Site) || !r.core.zones.admits(j, j.Pending()[len(j.Pending())-1], m) || r.core.hasAntiAffinity(j, m) || r.core.reservedForOther(m, j) && r.core.starving(m.Admission.ReservedFor) {
+	if !placement.Allowed(j.Spec, m.Site()) || !r.core.zones.admits(j, j.Pending()[len(j.Pending())-1], m) || r.core.hasAntiAffinity(j, m) || r.core.reservedForOther(m, j) && r.core.starving(m.Admission.ReservedFor) {
 		return preemptionPlan{}, false
 	}
 	need, free := placement.TaskResources(j.Spec), r.expectedFree(m)
--- a/scheduler/quota/quota.go
+++ b/scheduler/quota/quota.go
@@ -86,6 +86,9 @@
 	return sum
 }
 
+// Teams lists the teams by name.
+func (b *Tracker) Teams() []ids.Team { return slices.Clone(b.names) }
+
 // HasTeam tells whether a team exists.
 func (b *Tracker) HasTeam(t ids.Team) bool { return b.accounts[t] != nil }
 
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -76,7 +76,7 @@
 				h = len(rec.Hosts)
 				place[t.Assignment().Machine.ID] = h
 				rec.Hosts = append(rec.Hosts, t.Assignment().Machine.ID)
-				rec.Zones = append(rec.Zones, t.Assignment().Machine.Zone)
+				rec.Zones = append(rec.Zones, t.Assignment().Machine.Zone())
 			}
 			at = h
 		}
--- a/scheduler/reservations.go
+++ b/scheduler/reservations.go
@@ -75,9 +75,9 @@
 	need := placement.TaskResources(j.Spec)
 	zones := placement.TasksByZone{}
 	hold := func(m *cluster.Machine) {
-		for room := m.Total(); n > 0 && need.FitsIn(room) && zones.Allows(j.Spec, m.Zone); n-- {
+		for room := m.Total(); n > 0 && need.FitsIn(room) && zones.Allows(j.Spec, m.Zone()); n-- {
 			room = room.Minus(need)
-			zones[m.Zone]++
+			zones[m.Zone()]++
 		}
 	}
 	for _, m := range held {
@@ -90,7 +90,7 @@
 	c.admission.MachinesExamined += uint64(len(c.admission.candidates))
 	var free []*cluster.Machine
 	for _, m := range c.admission.candidates {
-		if m.Admission.ReservedFor == nil && placement.Allowed(j.Spec, m.Site) && need.FitsIn(m.Total()) {
+		if m.Admission.ReservedFor == nil && placement.Allowed(j.Spec, m.Site()) && need.FitsIn(m.Total()) {
 			free = append(free, m)
 		}
 	}
@@ -100,7 +100,7 @@
 		if n <= 0 || float64(kept+added) > most {
 			break
 		}
-		if !zones.Allows(j.Spec, m.Zone) {
+		if !zones.Allows(j.Spec, m.Zone()) {
 			continue
 		}
 		m.Admission.ReservedFor = j
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -105,7 +105,7 @@
 	hasty := adm.core.latencySensitive(j) && !j.Queue.AllowColdStart
 	adm.MachinesExamined += uint64(len(adm.candidates))
 	for at, m := range adm.candidates {
-		if !s.need.FitsIn(m.Free()) || !placement.Allowed(j.Spec, m.Site) || j.Queue.OnlyZone != "" && m.Zone != j.Queue.OnlyZone {
+		if !s.need.FitsIn(m.Free()) || !placement.Allowed(j.Spec, m.Site()) || j.Queue.OnlyZone != "" && m.Zone() != j.Queue.OnlyZone {
 			continue
 		}
 		if adm.core.reservedForOther(m, j) {
@@ -114,7 +114,7 @@
 		if hasty && !m.HasImage(j.Spec.Image) {
 			continue // a fetch takes longer than making room where the image is
 		}
-		z := s.zone(m.Zone)
+		z := s.zone(m.Zone())
 		z.list = append(z.list, candidate{m, s.score(m, 0), at})
 	}
 	for _, z := range s.zones {
@@ -175,7 +175,7 @@
 	if s.replicasOn != nil {
 		s.replicasOn[m]++
 	}
-	z := s.zone(m.Zone)
+	z := s.zone(m.Zone())
 	i := slices.IndexFunc(z.list, func(c candidate) bool { return c.machine == m })
 	if !s.need.FitsIn(m.Free()) {
 		heap.Remove(z, i)
@@ -187,15 +187,15 @@
 
 // offer describes a machine to the scoring.
 func (adm *admitter) offer(j *cluster.Job, m *cluster.Machine) placement.Candidate {
-	o := placement.Candidate{Site: m.Site, Free: m.Free(), Total: m.Total(),
+	o := placement.Candidate{Site: m.Site(), Free: m.Free(), Total: m.Total(),
 		Cached:  m.HasImage(j.Spec.Image),
 		Suspect: j.Failures.AntiAffinity[m.ID] != 0 || adm.core.clock.Now() < m.Health.SlowUntil || len(m.Health.FailuresByJob) > 0 && adm.core.clock.Now() < m.Health.LastFailure.Add(quarantinePeriod)}
-	if m.Spot {
+	if m.Spot() {
 		o.SpotRisk = adm.core.autoscaler.spotRisk(j)
 	}
 	o.LatencySensitive = adm.core.latencySensitive(j)
-	o.Unproven = adm.core.zones.unproven(m.Zone)
-	o.Preferred = adm.core.prefers(j, m.Zone)
+	o.Unproven = adm.core.zones.unproven(m.Zone())
+	o.Preferred = adm.core.prefers(j, m.Zone())
 	o.RunsServices = m.Replicas() > 0
 	o.Fetching = m.Fetches(j.Spec.Image) > 0
 	return o
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -89,6 +89,7 @@
 	reached := func(w *simWorker) bool { return s.now >= s.islandUntil || s.apart(w) == (s.old == core) }
 	core.ObserveConnectivity(s.viewOf(core))
 	e := core.Step(s.now)
+	s.checkClusterState(core)
 	s.digest.effects(e)
 	for _, ch := range e.RecordChanges {
 		bounded := core.opt.SplitRecords // what was decided before may come after the limits fell
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -55,6 +55,8 @@
 }
 
 type sim struct {
+	// steps counts the steps of all cores.
+	steps int
 	t     *testing.T
 	rng   *rand.Rand
 	now   monotonic.Instant
@@ -166,6 +168,28 @@
 	s.violations = append(s.violations, fmt.Sprintf("%.1f s: ", time.Duration(s.now-monotonic.Instant(time.Hour)).Seconds())+fmt.Sprintf(format, args...))
 }
 
+const (
+	// smallStateTasks is up to how many tasks the cluster state is checked after each step,
+	// and largeStateSteps after how many steps beyond that.
+	smallStateTasks = 300
+	largeStateSteps = 1000
+)
+
+// checkClusterState verifies the state of a core after a step.
+func (s *sim) checkClusterState(core *Core) {
+	s.steps++
+	tasks := 0
+	for _, j := range core.cluster.Jobs() {
+		tasks += len(j.Tasks())
+	}
+	if tasks > smallStateTasks && s.steps%largeStateSteps != 0 {
+		return
+	}
+	if err := core.cluster.CheckInvariants(); err != nil {
+		s.violation("state: %v", err)
+	}
+}
+
 func (s *sim) must(err error) {
 	if err != nil {
 		s.t.Helper()
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -138,7 +138,7 @@
 		most = max(most, l.limit)
 	}
 	for _, m := range s.core.cluster.Machines() {
-		if m.Zone != st.Zone {
+		if m.Zone() != st.Zone {
 			continue
 		}
 		for _, a := range m.Assignments() {
--- a/scheduler/succession_test.go
+++ b/scheduler/succession_test.go
@@ -24,11 +24,11 @@
 		b.report("n-3", "a", ids.NewFencingToken(5, 0))
 		b.step()
 		if a := b.c.cluster.Job("job-1").Task(2).Assignment(); a != nil {
-			t.Errorf("zones %v: the third replica went to %s in zone %s", zones, a.Machine.ID, a.Machine.Zone)
+			t.Errorf("zones %v: the third replica went to %s in zone %s", zones, a.Machine.ID, a.Machine.Zone())
 		}
 		b.report("n-4", "b", ids.NewFencingToken(5, 0))
 		b.step()
-		if a := b.c.cluster.Job("job-1").Task(2).Assignment(); zones != nil && (a == nil || a.Machine.Zone != "b") {
+		if a := b.c.cluster.Job("job-1").Task(2).Assignment(); zones != nil && (a == nil || a.Machine.Zone() != "b") {
 			t.Errorf("zones %v: the third replica did not go to zone b", zones)
 		}
 	}
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -62,7 +62,7 @@
 	}
 	kinds := map[placement.Site]*tally{}
 	for _, m := range c.cluster.Machines() {
-		kind := placement.Site{Type: m.Type, Spot: m.Spot}
+		kind := placement.Site{Type: m.Type(), Spot: m.Spot()}
 		if kinds[kind] == nil {
 			kinds[kind] = &tally{}
 		}
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -126,11 +126,11 @@
 		return
 	}
 	for _, m := range g.core.cluster.Machines() {
-		if m.Zone == "" {
+		if m.Zone() == "" {
 			continue // by a record of an older version; its report tells
 		}
 		for _, a := range m.Assignments() {
-			g.manager.TaskInherited(m.Zone, g.startOf(a.Job, a.Index, m), g.core.clock.Now())
+			g.manager.TaskInherited(m.Zone(), g.startOf(a.Job, a.Index, m), g.core.clock.Now())
 		}
 	}
 }
@@ -152,10 +152,10 @@
 func (g *zoneGate) evidence() map[ids.Zone]zonerecovery.Evidence {
 	out := map[ids.Zone]zonerecovery.Evidence{}
 	for _, m := range g.core.cluster.Machines() {
-		if m.Zone == "" || m.Lifecycle.Terminating || !m.Agent.Reported && len(m.Assignments()) == 0 {
+		if m.Zone() == "" || m.Lifecycle.Terminating || !m.Agent.Reported && len(m.Assignments()) == 0 {
 			continue
 		}
-		e := out[m.Zone]
+		e := out[m.Zone()]
 		e.Known++
 		silent := g.core.health.silentFor(m, g.core.health.reportOverdue())
 		switch {
@@ -167,7 +167,7 @@
 		if m.Lifecycle.ListedStatus == wire.MachineFailed {
 			e.Failed++
 		}
-		out[m.Zone] = e
+		out[m.Zone()] = e
 	}
 	for zone, e := range out {
 		e.CapacityRefused = g.core.autoscaler.zoneRefused(zone)
@@ -180,12 +180,12 @@
 // is left out unless the zone returns.
 func (g *zoneGate) startOf(j *cluster.Job, index int, m *cluster.Machine) *zonerecovery.StartRequest {
 	s := &zonerecovery.StartRequest{Task: ids.TaskRef{Job: j.ID, Index: index}, Critical: g.critical(j), Bound: j.Spec.Zone != ""}
-	if !g.unproven(m.Zone) {
+	if !g.unproven(m.Zone()) {
 		return s
 	}
 	cached := m.Image(j.Spec.Image)
 	// What the machine held before the zone was lost may be gone.
-	s.Fetch = cached == nil || cached.UsedAt < g.manager.ColdSince(m.Zone)
+	s.Fetch = cached == nil || cached.UsedAt < g.manager.ColdSince(m.Zone())
 	s.Sharing = s.Fetch && m.FetchesAnother(j.Spec.Image)
 	s.Small, s.Machine, s.Image = g.small(j), m.ID, j.Spec.Image
 	return s
@@ -208,10 +208,10 @@
 
 // admits tells whether a task may start on a machine now.
 func (g *zoneGate) admits(j *cluster.Job, index int, m *cluster.Machine) bool {
-	if !g.gated(m.Zone) {
+	if !g.gated(m.Zone()) {
 		return true
 	}
-	return g.manager.Admit(m.Zone, g.startOf(j, index, m)) == zonerecovery.Admitted
+	return g.manager.Admit(m.Zone(), g.startOf(j, index, m)) == zonerecovery.Admitted
 }
 
 // evacuating tells whether work of some zone may have to find room elsewhere.
@@ -241,20 +241,20 @@
 // Qstarted notes that a task was placed.
 func (g *zoneGate) started(a *cluster.Assignment) {
 	if g != nil {
-		g.manager.TaskStarted(a.Machine.Zone, g.startOf(a.Job, a.Index, a.Machine), g.core.clock.Now())
+		g.manager.TaskStarted(a.Machine.Zone(), g.startOf(a.Job, a.Index, a.Machine), g.core.clock.Now())
 	}
 }
 
 // running notes that a task was seen to run.
 func (g *zoneGate) running(a *cluster.Assignment) {
-	if g != nil && g.manager.TaskRunning(a.Machine.Zone, a.Ref(), g.core.clock.Now()) {
+	if g != nil && g.manager.TaskRunning(a.Machine.Zone(), a.Ref(), g.core.clock.Now()) {
 		g.core.rounds.MarkDue()
 	}
 }
 
 // detached notes that a task is off its machine.
 func (g *zoneGate) detached(a *cluster.Assignment) {
-	if g != nil && g.manager.TaskEnded(a.Machine.Zone, a.Ref(), g.core.clock.Now()) {
+	if g != nil && g.manager.TaskEnded(a.Machine.Zone(), a.Ref(), g.core.clock.Now()) {
 		g.core.rounds.MarkDue()
 	}
 }
@@ -262,14 +262,14 @@
 // failed notes that a task failed. One whose job fails everywhere says nothing of the zone.
 func (g *zoneGate) failed(a *cluster.Assignment) {
 	if g != nil && a.Job.Failures.Rounds == 0 {
-		g.manager.TaskFailed(a.Machine.Zone, a.Job.ID)
+		g.manager.TaskFailed(a.Machine.Zone(), a.Job.ID)
 	}
 }
 
 // lost notes that a task that should have gone on was lost with its machine.
 func (g *zoneGate) lost(a *cluster.Assignment) {
 	if g != nil && a.StopReason() == cluster.StopNone && !a.Job.Terminal() && a.MayRun() {
-		g.manager.TaskDisplaced(a.Machine.Zone, a.Job.ID)
+		g.manager.TaskDisplaced(a.Machine.Zone(), a.Job.ID)
 	}
 }
 
@@ -312,8 +312,8 @@
 		return
 	}
 	for _, m := range g.core.cluster.Machines() {
-		if g.unproven(m.Zone) && g.core.health.takesTasks(m) {
-			add(m.Site, m.Free())
+		if g.unproven(m.Zone()) && g.core.health.takesTasks(m) {
+			add(m.Site(), m.Free())
 		}
 	}
 }
--- a/scheduler/zone_restore.go
+++ b/scheduler/zone_restore.go
@@ -51,7 +51,7 @@
 	s := zonerecovery.ServicePlacement{Job: j.ID, Wanted: len(j.Tasks()), Running: map[ids.Zone]int{}}
 	for _, a := range j.Assignments() {
 		if a.Run.Phase == wire.TaskRunning && a.StopReason() == cluster.StopNone {
-			s.Running[a.Machine.Zone]++
+			s.Running[a.Machine.Zone()]++
 		}
 	}
 	return s
@@ -61,7 +61,7 @@
 func newestReplica(j *cluster.Job, zone ids.Zone) *cluster.Assignment {
 	var newest *cluster.Assignment
 	for _, a := range j.Assignments() {
-		if a.Machine.Zone == zone && a.Run.Phase == wire.TaskRunning && a.StopReason() == cluster.StopNone && (newest == nil || a.Run.PhaseSince > newest.Run.PhaseSince) {
+		if a.Machine.Zone() == zone && a.Run.Phase == wire.TaskRunning && a.StopReason() == cluster.StopNone && (newest == nil || a.Run.PhaseSince > newest.Run.PhaseSince) {
 			newest = a
 		}
 	}
@@ -73,7 +73,7 @@
 func (g *zoneGate) hasWarmRoom(j *cluster.Job, zone ids.Zone) bool {
 	need := placement.TaskResources(j.Spec)
 	for _, m := range g.core.cluster.Machines() {
-		if m.Zone == zone && m.HasImage(j.Spec.Image) && need.FitsIn(m.Free()) && placement.Allowed(j.Spec, m.Site) &&
+		if m.Zone() == zone && m.HasImage(j.Spec.Image) && need.FitsIn(m.Free()) && placement.Allowed(j.Spec, m.Site()) &&
 			g.core.health.takesTasks(m) && !g.core.reservedForOther(m, j) && !g.core.hasAntiAffinity(j, m) {
 			return true
 		}
--- a/scheduler/zone_return_benchmark_test.go
+++ b/scheduler/zone_return_benchmark_test.go
@@ -173,7 +173,7 @@
 		if !m.core.health.usable(w) {
 			continue
 		}
-		if w.Zone == zone {
+		if w.Zone() == zone {
 			used, total = used+w.Used().CPUs, total+w.Total().CPUs
 		} else {
 			usedElsewhere, totalElsewhere = usedElsewhere+w.Used().CPUs, totalElsewhere+w.Total().CPUs
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -95,7 +95,7 @@
 func (m *scenario) machinesIn(zone ids.Zone) int {
 	n := 0
 	for _, w := range m.core.cluster.Machines() {
-		if w.Zone == zone && w.Agent.Reported {
+		if w.Zone() == zone && w.Agent.Reported {
 			n++
 		}
 	}
@@ -143,7 +143,7 @@
 		j := m.core.cluster.Job(id)
 		wanted += len(j.Tasks()) - j.Done()
 		for _, a := range j.Active() {
-			if a.StopReason() == cluster.StopNone && m.condition(a.Machine.Zone) != zonerecovery.Outage {
+			if a.StopReason() == cluster.StopNone && m.condition(a.Machine.Zone()) != zonerecovery.Outage {
 				placed++
 			}
 		}
@@ -165,7 +165,7 @@
 // leasesOver tells whether what ran in a zone is surely gone, so that it waits for room.
 func (m *scenario) leasesOver(zone ids.Zone) bool {
 	for _, w := range m.core.cluster.Machines() {
-		if w.Zone == zone && len(w.Assignments()) > 0 {
+		if w.Zone() == zone && len(w.Assignments()) > 0 {
 			return false
 		}
 	}
@@ -176,7 +176,7 @@
 func (m *scenario) runningOutside(id ids.JobID, zone ids.Zone) map[ids.TaskRef]ids.Attempt {
 	out := map[ids.TaskRef]ids.Attempt{}
 	for _, a := range m.core.cluster.Job(id).Active() {
-		if a.Machine.Zone != zone && a.Run.Phase == wire.TaskRunning {
+		if a.Machine.Zone() != zone && a.Run.Phase == wire.TaskRunning {
 			out[a.Ref()] = a.Attempt
 		}
 	}
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -33,7 +33,7 @@
 	up := map[ids.Zone]int{}
 	for _, m := range hm.core.cluster.Machines() {
 		if m.Agent.Reported && !m.Lifecycle.Terminating {
-			up[m.Zone]++
+			up[m.Zone()]++
 		}
 	}
 	for zone, z := range hm.zoneStates {
