--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -9,7 +9,6 @@
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/cluster"
-	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -160,7 +159,6 @@
 func TestMachineThatNeverBootsIsTerminated(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.ProvisionResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"}, true)
-	b.c.cluster.Machine("n-9").Site = placement.Site{Type: "m", Zone: "a"}
 	for range 120 {
 		b.now = b.now.Add(500 * time.Millisecond)
 		if len(b.step().Terminate) > 0 {
@@ -188,7 +186,6 @@
 	}
 	task := run()
 	b.c.ProvisionResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-1"}, true)
-	b.c.cluster.Machine("n-1").Site = placement.Site{Type: "m", Zone: "a"}
 	b.c.cluster.Machine("n-1").Lifecycle.BootDeadline = b.now.Add(10 * time.Second)
 
 	b.now = b.now.Add(20 * time.Second) // it is paused
--- a/scheduler/plain_model_test.go
+++ b/scheduler/plain_model_test.go
@@ -225,12 +225,12 @@
 	}
 	var zones []ids.Zone
 	for _, m := range p.core.cluster.Machines() {
-		if !slices.Contains(zones, m.Zone) {
-			zones = append(zones, m.Zone)
+		if !slices.Contains(zones, m.Zone()) {
+			zones = append(zones, m.Zone())
 		}
 	}
 	if got := p.place(a, ""); len(got) > 0 {
-		best := p.placed[ids.TaskRef{Job: a.job.ID, Index: got[0]}].Zone
+		best := p.placed[ids.TaskRef{Job: a.job.ID, Index: got[0]}].Zone()
 		p.undo(a.job, got)
 		moveToFront(zones, func(z ids.Zone) bool { return z == best })
 	}
@@ -274,7 +274,7 @@
 	var best *cluster.Machine
 	bestScore := 0.0
 	for _, m := range p.core.cluster.Machines() {
-		if zone != "" && m.Zone != zone || p.reservedForOther(m, j) || !p.mayTake(m, j, zones) {
+		if zone != "" && m.Zone() != zone || p.reservedForOther(m, j) || !p.mayTake(m, j, zones) {
 			continue
 		}
 		if score := placement.Score(j.Spec, p.candidate(m, j, zones)); best == nil || score > bestScore {
@@ -286,7 +286,7 @@
 
 // mayTake tells whether a machine's site, free resources and zone allow a task of a job.
 func (p *plainModel) mayTake(m *cluster.Machine, j *cluster.Job, zones placement.TasksByZone) bool {
-	return placement.Allowed(j.Spec, m.Site) && placement.TaskResources(j.Spec).FitsIn(p.free[m.ID]) && zones.Allows(j.Spec, m.Zone)
+	return placement.Allowed(j.Spec, m.Site()) && placement.TaskResources(j.Spec).FitsIn(p.free[m.ID]) && zones.Allows(j.Spec, m.Zone())
 }
 
 // reservedForOther tells whether a machine is reserved for a job that goes before this one.
@@ -302,11 +302,11 @@
 func (p *plainModel) tasksByZone(j *cluster.Job) placement.TasksByZone {
 	zones := placement.TasksByZone{}
 	for _, a := range j.Active() {
-		zones[a.Machine.Zone]++
+		zones[a.Machine.Zone()]++
 	}
 	for ref, m := range p.placed {
 		if ref.Job == j.ID {
-			zones[m.Zone]++
+			zones[m.Zone()]++
 		}
 	}
 	return zones
@@ -331,7 +331,7 @@
 // candidate describes a machine to a task of a job. All jobs have the same image, so that
 // it is being fetched wherever there is any task.
 func (p *plainModel) candidate(m *cluster.Machine, j *cluster.Job, zones placement.TasksByZone) *placement.Candidate {
-	c := &placement.Candidate{Site: m.Site, Free: p.free[m.ID], Total: m.Total(), SameZone: zones[m.Zone]}
+	c := &placement.Candidate{Site: m.Site(), Free: p.free[m.ID], Total: m.Total(), SameZone: zones[m.Zone()]}
 	if j.Spec.Service {
 		c.SameJob = p.tasksOn(m, j)
 	}
--- a/scheduler/quota/quota.go
+++ b/scheduler/quota/quota.go
@@ -72,6 +72,9 @@
 	return sum
 }
 
+// Teams lists the names of all teams, sorted. The caller may change the list.
+func (q *Tracker) Teams() []ids.Team { return slices.Clone(q.names) }
+
 // HasTeam tells whether a team is known.
 func (q *Tracker) HasTeam(team ids.Team) bool { return q.accounts[team] != nil }
 
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -13,6 +13,7 @@
 func (s *sim) stepLeader(l simLeader) {
 	l.core.ObserveConnectivity(s.connectivityOf(l.core))
 	decisions := l.core.Step(s.now)
+	s.checkClusterState(l.core)
 	s.digest.addDecisions(decisions)
 	for _, change := range decisions.RecordChanges {
 		// A change that was decided before all controllers were new may be sent after the
--- a/scheduler/sim_rules_test.go
+++ b/scheduler/sim_rules_test.go
@@ -10,7 +10,7 @@
 )
 
 // This file holds the rules that users rely on. They are checked by what is on the simulated
-// machines alone, without a look at the core.
+// machines alone, without a look at the core, but for checkClusterState.
 
 // requireNoViolations ends the test if a rule was broken.
 func (s *sim) requireNoViolations() {
@@ -145,6 +145,29 @@
 	}
 }
 
+const (
+	// smallStateTasks is up to how many tasks the cluster state is checked after each step,
+	// and largeStateSteps after how many steps beyond that.
+	smallStateTasks = 300
+	largeStateSteps = 1000
+)
+
+// checkClusterState checks the invariants of a core's cluster state after a step. It is the
+// one check that looks into the core.
+func (s *sim) checkClusterState(core *Core) {
+	s.steps++
+	tasks := 0
+	for _, j := range core.cluster.Jobs() {
+		tasks += len(j.Tasks())
+	}
+	if tasks > smallStateTasks && s.steps%largeStateSteps != 0 {
+		return
+	}
+	if err := core.cluster.CheckInvariants(); err != nil {
+		s.violation("state: %v", err)
+	}
+}
+
 // starvationLimit is for how long a job may wait beside free resources that it fits.
 const starvationLimit = 90 * time.Second
 
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -83,6 +83,7 @@
 	runFactor int
 
 	faults     bool // faults are injected
+	steps      int  // of all cores
 	violations []string
 	starts     int // of tasks
 	// startsAfterCancel counts the starts after their job's cancellation was acknowledged.
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -132,7 +132,7 @@
 	}
 	inFlight := 0
 	for _, m := range s.core.cluster.Machines() {
-		if m.Zone != st.Zone {
+		if m.Zone() != st.Zone {
 			continue
 		}
 		for _, a := range m.Assignments() {
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -93,7 +93,7 @@
 func (m *scenario) machinesIn(zone ids.Zone) int {
 	n := 0
 	for _, w := range m.core.cluster.Machines() {
-		if w.Zone == zone && w.Agent.Reported {
+		if w.Zone() == zone && w.Agent.Reported {
 			n++
 		}
 	}
@@ -141,7 +141,7 @@
 		j := m.core.cluster.Job(id)
 		wanted += len(j.Tasks()) - j.Done()
 		for _, a := range j.Active() {
-			if a.StopReason() == cluster.StopNone && m.condition(a.Machine.Zone) != zonerecovery.Outage {
+			if a.StopReason() == cluster.StopNone && m.condition(a.Machine.Zone()) != zonerecovery.Outage {
 				placed++
 			}
 		}
@@ -163,7 +163,7 @@
 // leasesExpiredIn tells whether all leases in a zone have expired, so that its tasks are pending.
 func (m *scenario) leasesExpiredIn(zone ids.Zone) bool {
 	for _, w := range m.core.cluster.Machines() {
-		if w.Zone == zone && len(w.Assignments()) > 0 {
+		if w.Zone() == zone && len(w.Assignments()) > 0 {
 			return false
 		}
 	}
@@ -174,7 +174,7 @@
 func (m *scenario) runningOutside(id ids.JobID, zone ids.Zone) map[ids.TaskRef]ids.Attempt {
 	out := map[ids.TaskRef]ids.Attempt{}
 	for _, a := range m.core.cluster.Job(id).Active() {
-		if a.Machine.Zone != zone && a.Run.Phase == wire.TaskRunning {
+		if a.Machine.Zone() != zone && a.Run.Phase == wire.TaskRunning {
 			out[a.Ref()] = a.Attempt
 		}
 	}
