--- a/scheduler/succession_test.go
+++ b/scheduler/failover_test.go
@@ -12,38 +12,37 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A successor placed a replacement replica into a zone that already held half
-// of the service: it had not heard from the machines yet and counted their
-// tasks to no zone.
-func TestSuccessorKeepsSpreadBeforeItHearsFromMachines(t *testing.T) {
+// A new leader placed a replacement replica into a zone that already held half of the service:
+// it had no heartbeat from the machines yet and counted their tasks in no zone.
+func TestNextLeaderKeepsSpreadBeforeTheFirstHeartbeats(t *testing.T) {
 	for _, zones := range [][]ids.Zone{{"a", "a"}, nil} {
 		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
 		b.inherit(wire.JobSpec{Service: true, Spread: true, Tasks: 3},
 			records.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
 		b.c.Begin(b.now)
-		b.report("n-3", "a", ids.NewFencingToken(5, 0))
+		b.heartbeat("n-3", "a", ids.NewFencingToken(5, 0))
 		b.step()
-		if a := b.c.jobs["job-1"].tasks[2].assignment; a != nil {
-			t.Errorf("zones %v: the third replica went to %s in zone %s", zones, a.machine.host, a.machine.Zone)
+		if a := b.c.cluster.Job("job-1").Task(2).Assignment(); a != nil {
+			t.Errorf("zones %v: the third replica went to %s in zone %s", zones, a.Machine.ID, a.Machine.Zone())
 		}
-		b.report("n-4", "b", ids.NewFencingToken(5, 0))
+		b.heartbeat("n-4", "b", ids.NewFencingToken(5, 0))
 		b.step()
-		if a := b.c.jobs["job-1"].tasks[2].assignment; zones != nil && (a == nil || a.machine.Zone != "b") {
+		if a := b.c.cluster.Job("job-1").Task(2).Assignment(); zones != nil && (a == nil || a.Machine.Zone() != "b") {
 			t.Errorf("zones %v: the third replica did not go to zone b", zones)
 		}
 	}
 }
 
-// A predecessor cut off from the state service may go on answering workers;
-// until its grace and a lease are over, its tasks may run.
-func TestPredecessorsGraceCounts(t *testing.T) {
+// A previous leader without the store may go on answering workers. Until its grace and a lease
+// are over, its tasks may run.
+func TestTasksCountDuringThePreviousLeadersGrace(t *testing.T) {
 	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for _, step := range []struct {
 		after time.Duration
 		held  bool
-	}{{simLease + 5*time.Second, true}, {time.Minute + simLease - time.Second, true}, {time.Minute + simLease + 5*time.Second, false}} {
+	}{{simAgentLease + 5*time.Second, true}, {time.Minute + simAgentLease - time.Second, true}, {time.Minute + simAgentLease + 5*time.Second, false}} {
 		b.now = monotonic.Instant(time.Hour).Add(step.after)
 		b.step()
 		if held := b.c.quotas.Used("red").CPUs > 0; held != step.held {
@@ -52,10 +51,10 @@
 	}
 }
 
-// Once all other controllers follow this leader nobody else answers workers, and
-// what a dead machine holds need not wait for the grace. A lease it does wait:
-// a report sent just before may have been answered.
-func TestOnceAllFollowThereIsNoGrace(t *testing.T) {
+// Once all other controllers follow this leader none of them answers workers, and tasks of a
+// dead machine are released without the grace, but after a lease: a heartbeat sent just before
+// may have been answered.
+func TestNoGraceOnceAllControllersFollow(t *testing.T) {
 	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 10 * time.Minute})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
@@ -64,7 +63,7 @@
 	for _, step := range []struct {
 		after time.Duration
 		held  bool
-	}{{followed + simLease, true}, {followed + simLease + 2*time.Second, false}} {
+	}{{followed + simAgentLease, true}, {followed + simAgentLease + 2*time.Second, false}} {
 		b.now = monotonic.Instant(time.Hour).Add(step.after)
 		b.step()
 		if held := b.c.quotas.Used("red").CPUs > 0; held != step.held {
@@ -80,16 +79,16 @@
 	spec := wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1}
 	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: &spec}, 9)
 	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobQueued, Tasks: 1, Spec: &spec}, 8)
-	b.report("n-1", "a", 0)
+	b.heartbeat("n-1", "a", 0)
 	b.step()
-	if b.c.jobs["job-1"] != nil {
+	if b.c.cluster.Job("job-1") != nil {
 		t.Fatal("the job came back")
 	}
 }
 
-// A machine died around a takeover. The successor never heard of it, never saw
-// it listed, and held its tasks for two minutes.
-func TestMachineThatDiedAtTheTakeoverIsNoticed(t *testing.T) {
+// A machine died around a failover. The new leader had no heartbeat from it, never saw it
+// listed, and counted its tasks for two minutes.
+func TestMachineThatDiedAtTheFailoverIsDetected(t *testing.T) {
 	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 90 * time.Second, ListLag: 3 * time.Second})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
@@ -98,7 +97,7 @@
 		b.c.MachineList(b.now, b.now, nil)
 		if e := b.step(); slices.Contains(e.Terminate, "n-1") {
 			if s < 7 {
-				t.Fatalf("given back after %d s, within the lag of the list", s+1)
+				t.Fatalf("terminated after %d s, within the lag of the list", s+1)
 			}
 			b.c.TerminateResult(b.now, e.Terminate, true)
 			if b.c.quotas.Used("red").CPUs != 0 {
@@ -107,5 +106,5 @@
 			return
 		}
 	}
-	t.Fatal("the machine was never given back")
+	t.Fatal("the machine was never terminated")
 }
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -28,8 +28,10 @@
 	enough := quota.Amount{CPUs: 4 * largeFleetTasks}
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: enough, Limit: enough, LendingLimit: enough}}},
 		wire.MachineType{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: zones})
-	b.c.opt.MaxMachines, b.c.opt.SliceTasks, b.c.opt.TxnOps = 0, 64, 24
-	b.c.opt.MaxSkippedJobs, b.c.opt.MaxWorkerCalls = 2000, 64
+	opt := b.c.opt
+	opt.MaxMachines, opt.SliceTasks, opt.TxnOps = 0, 64, 24
+	opt.MaxSkippedJobs, opt.MaxWorkerCalls = 2000, 64
+	b.c = New(opt, b.c.cluster.Types())
 	return b
 }
 
@@ -37,21 +39,21 @@
 
 func largeFleetZone(n int) ids.Zone { return ids.Zone(rune('a' + n%largeFleetZones)) }
 
-// reportAll has each machine report what runs on it, but for those in a zone that is cut.
-func (b *harness) reportAll(cut ids.Zone) {
+// heartbeatAll has each machine report what runs on it, but for those in a zone that is cut.
+func (b *harness) heartbeatAll(cut ids.Zone) {
 	for n := range largeFleet {
 		if largeFleetZone(n) == cut {
 			continue
 		}
 		var tasks []wire.TaskStatus
-		if m := b.c.registry.machines[largeFleetHost(n)]; m != nil {
-			for _, a := range m.taskList {
-				if a.sent || a.inherited {
-					tasks = append(tasks, wire.TaskStatus{Name: a.ref().String(), Attempt: a.attempt, State: wire.TaskRunning})
+		if m := b.c.cluster.Machine(largeFleetHost(n)); m != nil {
+			for _, a := range m.Assignments() {
+				if a.Delivery.Sent || a.Delivery.Inherited {
+					tasks = append(tasks, wire.TaskStatus{Name: a.Ref().String(), Attempt: a.Attempt, State: wire.TaskRunning})
 				}
 			}
 		}
-		b.report(largeFleetHost(n), largeFleetZone(n), b.c.commands.tokenOf(b.c.registry.ensureMachine(largeFleetHost(n))), tasks...)
+		b.heartbeat(largeFleetHost(n), largeFleetZone(n), b.c.commands.tokenOf(b.c.cluster.EnsureMachine(largeFleetHost(n))), tasks...)
 	}
 }
 
@@ -63,28 +65,30 @@
 	return stats.HeapAlloc
 }
 
-// The core holds 4,000 machines through full reports, a takeover and a cut zone. Its work
-// is asserted by what it looked at, read and wrote, not by time.
+// The core keeps up with 4,000 machines through heartbeats of all, a failover and a partitioned
+// zone. Its work is asserted by what it examined, read and wrote, not by time.
 func TestFourThousandMachines(t *testing.T) {
 	t.Run("zones not watched", func(t *testing.T) { playLargeFleet(largeFleetHarness(t)) })
 	t.Run("zones watched", func(t *testing.T) {
 		b := largeFleetHarness(t)
-		b.c.opt.ZoneRecovery, b.c.opt.ValueBytes = simZonePolicy(), 4<<10
-		b.c.zones = newZoneGate(b.c, b.c.opt.ZoneRecovery)
+		opt := b.c.opt
+		opt.ZoneRecovery, opt.ValueBytes = simZonePolicy(), 4<<10
+		b.c = New(opt, b.c.cluster.Types())
 		playLargeFleet(b)
 		b.checkZoneRecords()
 	})
 }
 
-// playLargeFleet takes a core through full reports, a takeover and a cut zone.
+// playLargeFleet takes a core through heartbeats of all machines, a failover and a partitioned
+// zone.
 func playLargeFleet(b *harness) {
 	t := b.t
 	t.Helper()
 	before := liveHeap()
 	b.c.Begin(b.now)
-	b.reportAll("")
+	b.heartbeatAll("")
 	for n := range largeFleetJobs {
-		b.job(ids.JobID(fmt.Sprintf("job-%06d", n)), wire.JobSpec{Tasks: largeFleetTasks / largeFleetJobs, CPUs: 2})
+		b.submit(ids.JobID(fmt.Sprintf("job-%06d", n)), wire.JobSpec{Tasks: largeFleetTasks / largeFleetJobs, CPUs: 2})
 	}
 	latest := map[string]records.AdmissionSlice{}
 	b.placeAll(latest)
@@ -97,14 +101,14 @@
 		t.Errorf("%d records written, want one for each of %d jobs", len(latest), largeFleetJobs)
 	}
 	b.now = b.now.Add(time.Second)
-	b.reportAll("")
+	b.heartbeatAll("")
 	perMachine := (liveHeap() - before) / largeFleet
 	t.Logf("live heap: %d KB, %d bytes a machine with four tasks", perMachine*largeFleet/1024, perMachine)
 	if perMachine > 12<<10 {
 		t.Errorf("a machine takes %d bytes: too much for a node of 100 MB", perMachine)
 	}
-	b.takeOverLargeFleet(latest)
-	b.cutZoneOfLargeFleet()
+	b.failOverLargeFleet(latest)
+	b.partitionZoneOfLargeFleet()
 }
 
 // placeAll steps until all tasks are placed, and keeps the newest record of each slice.
@@ -120,22 +124,22 @@
 			}
 		}
 	}
-	for id, j := range b.c.jobs {
-		if len(j.pending) > 0 {
-			b.t.Fatalf("%s has %d tasks to place", id, len(j.pending))
+	for id, j := range b.c.cluster.Jobs() {
+		if len(j.Pending()) > 0 {
+			b.t.Fatalf("%s has %d tasks to place", id, len(j.Pending()))
 		}
 	}
 }
 
-// takeOverLargeFleet has a successor read the records and meet all machines.
-func (b *harness) takeOverLargeFleet(latest map[string]records.AdmissionSlice) {
+// failOverLargeFleet has a new leader read the records and get a heartbeat of each machine.
+func (b *harness) failOverLargeFleet(latest map[string]records.AdmissionSlice) {
 	b.t.Helper()
-	predecessor := b.c
-	opt := predecessor.opt
+	previous := b.c
+	opt := previous.opt
 	opt.Revision, opt.PreviousLeader = opt.Revision+1, true
-	b.c = New(opt, predecessor.typeList)
-	for id, j := range predecessor.jobs {
-		b.c.LoadJob(id, &records.Job{Status: wire.JobQueued, Tasks: len(j.tasks), Spec: j.spec}, j.revision)
+	b.c = New(opt, previous.cluster.Types())
+	for id, j := range previous.cluster.Jobs() {
+		b.c.LoadJob(id, &records.Job{Status: wire.JobQueued, Tasks: len(j.Tasks()), Spec: j.Spec}, j.Records.Revision)
 	}
 	for key, record := range latest {
 		id, number, _ := records.ParseAdmissionKey(key)
@@ -144,44 +148,44 @@
 		}
 	}
 	b.c.Begin(b.now)
-	b.reportAll("")
+	b.heartbeatAll("")
 	e := b.step()
 	if len(e.RecordChanges) > 0 || len(e.Terminate) > 0 || len(e.Provision) > 0 {
-		b.t.Errorf("a takeover without news wrote %d changes, returned %d and rented %d", len(e.RecordChanges), len(e.Terminate), len(e.Provision))
+		b.t.Errorf("a failover without other events wrote %d changes, terminated %d machines and made %d requests for machines", len(e.RecordChanges), len(e.Terminate), len(e.Provision))
 	}
-	for _, m := range b.c.registry.machineList {
+	for _, m := range b.c.cluster.Machines() {
 		if !b.c.health.usable(m) {
-			b.t.Fatalf("%s is not usable after its report", m.host)
+			b.t.Fatalf("%s is not usable after its report", m.ID)
 		}
 	}
 }
 
-// cutZoneOfLargeFleet cuts a quarter of the machines off until their leases are over, and
+// partitionZoneOfLargeFleet cuts a quarter of the machines off until their leases are over, and
 // sees that work and returns stay in proportion.
-func (b *harness) cutZoneOfLargeFleet() {
+func (b *harness) partitionZoneOfLargeFleet() {
 	b.t.Helper()
 	examined, calls := b.c.admission.MachinesExamined, 0
 	b.c.ObserveConnectivity(zonerecovery.Connectivity{LeaseConfirmed: true})
 	const step, steps = time.Second, 36
 	for range steps {
 		b.now = b.now.Add(step)
-		b.reportAll("d")
+		b.heartbeatAll("d")
 		e := b.step()
 		b.countZoneRecords(e)
 		calls = max(calls, len(e.SendCommands)+len(e.RequestHeartbeats))
 		if len(e.Terminate) > 0 {
-			b.t.Fatalf("returned %d machines of a zone that is cut off", len(e.Terminate))
+			b.t.Fatalf("terminated %d machines of a partitioned zone", len(e.Terminate))
 		}
 	}
 	if !b.c.health.zonePartitioned("d") {
-		b.t.Error("the zone is not known to be cut off")
+		b.t.Error("the partition of the zone was not detected")
 	}
 	if calls > b.c.opt.MaxWorkerCalls {
 		b.t.Errorf("%d calls in a step", calls)
 	}
 	waiting := 0
-	for _, j := range b.c.jobs {
-		waiting += len(j.pending)
+	for _, j := range b.c.cluster.Jobs() {
+		waiting += len(j.Pending())
 	}
 	if want := largeFleetTasks / largeFleetZones; waiting != want {
 		b.t.Errorf("%d tasks wait after a quarter of the machines lost their leases, want %d", waiting, want)
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -9,28 +9,29 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// While an earlier leader may go on answering workers, a cancellation is acknowledged
-// only once that one cannot keep a task of the job: its machine was heard with a token of
-// this leader, or was returned; the earlier leader is gone; or it will be soon enough.
-func TestCancellationWaitsForEarlierLeaders(t *testing.T) {
-	const grace = simCancel // well beyond the margin
-	margin := CancelMargin(simCancel, simLease)
+// While a previous leader may go on answering workers, a cancellation is acknowledged only once
+// that leader cannot keep a task of the job running: each of its machines has shown a fencing
+// token of this leader or was terminated, all controllers follow this leader, or the previous
+// leader's time ends early enough.
+func TestCancellationWaitsForPreviousLeaders(t *testing.T) {
+	const grace = simCancelDeadline // well beyond the margin
+	margin := CancelMargin(simCancelDeadline, simAgentLease)
 	for _, c := range []struct {
 		name         string
 		bring        func(b *harness)
 		acknowledged bool
 	}{
 		{"its machine was not heard", func(*harness) {}, false},
-		{"one of its machines was heard", func(b *harness) { b.report("n-1", "a", ids.NewFencingToken(5, 0)) }, false},
+		{"one of its machines was heard", func(b *harness) { b.heartbeat("n-1", "a", ids.NewFencingToken(5, 0)) }, false},
 		{"its machines were heard", func(b *harness) {
-			b.report("n-1", "a", ids.NewFencingToken(5, 0))
-			b.report("n-2", "a", ids.NewFencingToken(5, 0))
+			b.heartbeat("n-1", "a", ids.NewFencingToken(5, 0))
+			b.heartbeat("n-2", "a", ids.NewFencingToken(5, 0))
 		}, true},
 		{"they have yet to show this leader's token", func(b *harness) {
-			b.report("n-1", "a", ids.NewFencingToken(4, 0))
-			b.report("n-2", "a", ids.NewFencingToken(4, 0))
+			b.heartbeat("n-1", "a", ids.NewFencingToken(4, 0))
+			b.heartbeat("n-2", "a", ids.NewFencingToken(4, 0))
 		}, false},
-		{"its machines were returned", func(b *harness) { b.c.TerminateResult(b.now, []ids.MachineID{"n-1", "n-2"}, true) }, true},
+		{"its machines were terminated", func(b *harness) { b.c.TerminateResult(b.now, []ids.MachineID{"n-1", "n-2"}, true) }, true},
 		{"all controllers follow", func(b *harness) { b.c.AllControllersFollow(b.now) }, true},
 		{"just before the margin", func(b *harness) { b.now = b.now.Add(grace - margin - time.Second) }, false},
 		{"within the margin", func(b *harness) { b.now = b.now.Add(grace - margin) }, true},
@@ -51,23 +52,23 @@
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	if !b.c.PreviousLeadersHarmless(b.now) {
-		t.Error("the first leader waits for earlier ones")
+		t.Error("the first leader waits for previous ones")
 	}
 }
 
 // An earlier leader answers machines without replicas for the margin alone, so what is on
 // them holds no cancellation back, and moves on sooner.
-func TestMachinesWithoutReplicasAreFreeSooner(t *testing.T) {
-	margin := CancelMargin(simCancel, simLease)
+func TestMachinesWithoutReplicasAreReleasedSooner(t *testing.T) {
+	margin := CancelMargin(simCancelDeadline, simAgentLease)
 	for _, c := range []struct {
 		name    string
 		service bool
 		unclear bool
 		free    time.Duration // after the term began, give or take two seconds
 	}{
-		{"an array", false, false, margin + simLease},
-		{"a service", true, false, margin + 45*time.Second + simLease},
-		{"an array beside a record that cannot be read", false, true, margin + 45*time.Second + simLease},
+		{"an array", false, false, margin + simAgentLease},
+		{"a service", true, false, margin + 45*time.Second + simAgentLease},
+		{"an array beside a record that cannot be read", false, true, margin + 45*time.Second + simAgentLease},
 	} {
 		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: margin + 45*time.Second, PreviousLeaderGraceWithoutReplicas: margin})
 		if c.unclear {
@@ -79,7 +80,7 @@
 		if got := b.c.CanAcknowledgeCancel(b.now, "job-1"); got == held {
 			t.Errorf("%s: its cancellation is acknowledged: %v", c.name, got)
 		}
-		for len(b.c.jobs["job-1"].active) > 0 && b.now < began.Add(3*time.Minute) {
+		for len(b.c.cluster.Job("job-1").Active()) > 0 && b.now < began.Add(3*time.Minute) {
 			b.now = b.now.Add(500 * time.Millisecond)
 			b.step()
 		}
@@ -93,11 +94,11 @@
 // once it may not answer all: later copies of their reports included.
 func TestOnlyMachinesWithReplicasAreAnswered(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.report("n-1", "a", 0)
-	b.job("job-1", wire.JobSpec{Service: true, Tasks: 1})
+	b.heartbeat("n-1", "a", 0)
+	b.submit("job-1", wire.JobSpec{Service: true, Tasks: 1})
 	b.c.Step(b.now) // the replica is placed, and its record on its way
 	report := func(host ids.MachineID, sequence ids.Sequence) bool {
-		_, ok := b.c.Heartbeat(b.now, newReport(host, 1, sequence, 0), false)
+		_, ok := b.c.Heartbeat(b.now, newHeartbeat(host, 1, sequence, 0), false)
 		return ok
 	}
 	b.c.RestrictToReplicas(true)
@@ -117,7 +118,7 @@
 	}
 	b.c.TerminateResult(b.now, []ids.MachineID{"n-2"}, true)
 	if report("n-2", 3) {
-		t.Error("a machine that was returned is answered")
+		t.Error("a terminated machine is answered")
 	}
 	b.c.RestrictToReplicas(false)
 	if !report("n-3", 2) {
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -7,29 +7,31 @@
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// zoneChecks is what the simulation knows of zones by itself, beside the core.
+// zoneChecks injects zone outages and checks zone recovery. Faults: a partition of all
+// machines of a zone, and a leader that sees neither the store nor its peers.
 type zoneChecks struct {
-	cutUntil map[ids.Zone]monotonic.Instant
-	// limits are the ramp's limits of the last seconds, by zone: a step that was taken back
-	// leaves what was under way.
+	partitionedUntil map[ids.Zone]monotonic.Instant
+	// limits are those of the ramp-up in the last seconds, by zone: a step that was taken
+	// back leaves starts in flight.
 	limits map[ids.Zone][]rampLimit
 	// bounces are the most that any leader counted for a job in one incident, displaced
 	// and denied the sums over all leaders.
 	bounces, displaced, bounceCount, forced int
-	seen                                    map[*Core]zonerecovery.Stats
-	// isolatedView has the leader see neither the state service nor its peers.
+	lastStats                               map[*Core]zonerecovery.Stats
+	// isolatedView has the leader see neither the store nor its peers.
 	isolatedView bool
-	// placedInReturn tells of each placement whether its zone returned at that time.
-	placedInReturn map[*assignment]bool
+	// placedInReturn tells of each assignment whether its zone recovered when it was made.
+	placedInReturn map[*cluster.Assignment]bool
 	// conditions are those that each zone went through.
 	conditions map[ids.Zone][]zonerecovery.Condition
 }
 
-// rampLimit is what a zone's ramp allowed at a time.
+// rampLimit is the limit of a zone's ramp-up at a time.
 type rampLimit struct {
 	at    monotonic.Instant
 	limit int
@@ -47,68 +49,68 @@
 		MaxRecovery: 40 * time.Second, FailbackBudget: 1, ForceFailbackAfter: time.Minute}
 }
 
-// watchZones turns the subsystem on from the next leader on, which is put in place.
-func (s *sim) watchZones() {
+// enableZoneRecovery turns zone recovery on and fails over to a leader that knows it.
+func (s *sim) enableZoneRecovery() {
 	s.opt.ZoneRecovery = simZonePolicy()
-	s.zones.cutUntil, s.zones.limits = map[ids.Zone]monotonic.Instant{}, map[ids.Zone][]rampLimit{}
-	s.zones.seen = map[*Core]zonerecovery.Stats{}
+	s.zones.partitionedUntil, s.zones.limits = map[ids.Zone]monotonic.Instant{}, map[ids.Zone][]rampLimit{}
+	s.zones.lastStats = map[*Core]zonerecovery.Stats{}
 	s.zones.conditions = map[ids.Zone][]zonerecovery.Condition{}
-	s.zones.placedInReturn = map[*assignment]bool{}
-	s.takeOver()
-	s.old = nil
+	s.zones.placedInReturn = map[*cluster.Assignment]bool{}
+	s.failOver()
+	s.previousCore = nil
 }
 
-// loadZone hands a zone's record to the leader that takes over.
-func (s *sim) loadZone(key string) {
+// loadZoneRecord hands a zone's record to the new leader.
+func (s *sim) loadZoneRecord(key string) {
 	var rec zonerecovery.Record
-	s.must(wire.Decode(s.store[key].raw, &rec))
+	s.must(wire.Decode(s.store[key].value, &rec))
 	s.core.LoadZone(s.now, ids.Zone(strings.TrimPrefix(key, records.ZonePrefix)), &rec, s.store[key].revision)
 }
 
-// viewOf is what a leader knows of its own place.
-func (s *sim) viewOf(core *Core) zonerecovery.Connectivity {
-	if core == s.old || s.zones.isolatedView {
+// connectivityOf is what a leader knows of its own connectivity.
+func (s *sim) connectivityOf(core *Core) zonerecovery.Connectivity {
+	if core == s.previousCore || s.zones.isolatedView {
 		return zonerecovery.Connectivity{Peers: 2}
 	}
-	return zonerecovery.Connectivity{LeaseConfirmed: s.now < s.sure && s.now >= s.outage, PeersReachable: 2, Peers: 2}
+	return zonerecovery.Connectivity{LeaseConfirmed: s.now < s.leaseValidUntil && s.now >= s.storeOutageUntil, PeersReachable: 2, Peers: 2}
 }
 
-// cutZone cuts all machines of a zone off for a time, those that are rented there too.
-func (s *sim) cutZone(zone ids.Zone, d time.Duration) {
-	s.zones.cutUntil[zone] = s.now.Add(d)
+// partitionZone partitions all machines of a zone for a time, also those provisioned meanwhile.
+func (s *sim) partitionZone(zone ids.Zone, d time.Duration) {
+	s.zones.partitionedUntil[zone] = s.now.Add(d)
 	for _, w := range s.workers {
 		if w.zone == zone {
-			w.cut = max(w.cut, s.now.Add(d))
+			w.partitionedUntil = max(w.partitionedUntil, s.now.Add(d))
 		}
 	}
 }
 
-// condition is what the present leader takes a zone for.
+// condition is the condition of a zone according to the leader.
 func (s *sim) condition(zone ids.Zone) zonerecovery.Condition {
 	return s.core.zones.manager.Condition(zone)
 }
 
-// checkZones sees on the machines that the return of a zone stays under its ramp, and takes
-// in what the leaders counted.
+// checkZones checks on the machines that the recovery of a zone keeps the limits of its
+// ramp-up, and sums up the statistics of all leaders.
 func (s *sim) checkZones() {
 	if s.opt.ZoneRecovery == nil || s.core.zones == nil {
 		return
 	}
-	s.core.now = max(s.core.now, s.now)
+	s.core.clock.Set(max(s.core.clock.Now(), s.now))
 	for _, st := range s.core.zones.manager.Status(s.core.moment()) {
 		s.noteCondition(st.Zone, st.Condition)
 		s.checkRamp(st)
 	}
 	stats := s.core.zones.manager.Stats()
-	before := s.zones.seen[s.core]
-	s.zones.seen[s.core] = stats
+	before := s.zones.lastStats[s.core]
+	s.zones.lastStats[s.core] = stats
 	s.zones.displaced += stats.DisplacedTasks - before.DisplacedTasks
 	s.zones.bounceCount += stats.Failbacks - before.Failbacks
 	s.zones.forced += stats.ForcedFailbacks - before.ForcedFailbacks
 	s.zones.bounces = max(s.zones.bounces, stats.MaxFailbacksPerJob)
 }
 
-// noteCondition keeps the order of conditions that a zone went through.
+// noteCondition records the conditions that a zone goes through.
 func (s *sim) noteCondition(zone ids.Zone, c zonerecovery.Condition) {
 	if was := s.zones.conditions[zone]; len(was) == 0 || was[len(was)-1] != c {
 		s.zones.conditions[zone] = append(was, c)
@@ -120,42 +122,66 @@
 	return s.core.moment().Wall.Sub(time.UnixMilli(st.SinceMS)) - 200*time.Millisecond
 }
 
-// checkRamp counts the starts under way that were placed during a return, by the tasks on
-// the machines alone, and compares them with what the ramp allowed lately.
+// checkRamp compares the starts in flight that were placed during a recovery with what the
+// ramp-up allowed lately, by the assignments on the machines alone.
 func (s *sim) checkRamp(st zonerecovery.Status) {
-	if st.Condition != zonerecovery.Recovering {
-		delete(s.zones.limits, st.Zone)
-	} else {
-		limits := append(s.zones.limits[st.Zone], rampLimit{s.now, st.StartLimit})
-		for len(limits) > 1 && s.now > limits[0].at.Add(rampMemory) {
-			limits = limits[1:]
-		}
-		s.zones.limits[st.Zone] = limits
-	}
-	most, underWay := 0, 0
+	s.rememberLimit(st)
+	most := 0
 	for _, l := range s.zones.limits[st.Zone] {
 		most = max(most, l.limit)
 	}
-	for _, m := range s.core.registry.machineList {
-		if m.Zone != st.Zone {
+	inFlight := 0
+	for _, m := range s.core.cluster.Machines() {
+		if m.Zone() != st.Zone {
 			continue
 		}
-		for _, a := range m.taskList {
-			inReturn, known := s.zones.placedInReturn[a]
-			if !known {
-				inReturn = st.Condition == zonerecovery.Recovering && !a.inherited
-				s.zones.placedInReturn[a] = inReturn
-				closed := st.Condition == zonerecovery.Suspect || st.Condition == zonerecovery.Outage
-				if closed && !a.inherited && !a.seen && a.phaseSince > s.core.moment().Now.Add(-s.sinceChange(st)) {
-					s.violation("ramp: %s was placed in %s, which is %s", a.ref(), st.Zone, st.Condition)
-				}
-			}
-			if inReturn && a.phase != wire.TaskRunning && !a.job.spec.Service && a.job.priority != wire.Critical {
-				underWay++
+		for _, a := range m.Assignments() {
+			if s.wasPlacedInReturn(a, st) && countsInRamp(a) {
+				inFlight++
 			}
 		}
 	}
-	if st.Condition == zonerecovery.Recovering && underWay > most {
-		s.violation("ramp: %d starts under way in %s, at most %d allowed", underWay, st.Zone, most)
+	if st.Condition == zonerecovery.Recovering && inFlight > most {
+		s.violation("ramp: %d starts in flight in %s, at most %d allowed", inFlight, st.Zone, most)
+	}
+}
+
+// rememberLimit keeps the limits of the last seconds while a zone recovers.
+func (s *sim) rememberLimit(st zonerecovery.Status) {
+	if st.Condition != zonerecovery.Recovering {
+		delete(s.zones.limits, st.Zone)
+		return
+	}
+	limits := append(s.zones.limits[st.Zone], rampLimit{s.now, st.StartLimit})
+	for len(limits) > 1 && s.now > limits[0].at.Add(rampMemory) {
+		limits = limits[1:]
+	}
+	s.zones.limits[st.Zone] = limits
+}
+
+// wasPlacedInReturn tells whether an assignment was made while its zone recovered. At the
+// first sight of it that is decided, and that its zone was open is checked.
+func (s *sim) wasPlacedInReturn(a *cluster.Assignment, st zonerecovery.Status) bool {
+	if inReturn, known := s.zones.placedInReturn[a]; known {
+		return inReturn
+	}
+	inReturn := st.Condition == zonerecovery.Recovering && !a.Delivery.Inherited
+	s.zones.placedInReturn[a] = inReturn
+	s.checkZoneOpen(a, st)
+	return inReturn
+}
+
+// checkZoneOpen checks that a new assignment was not made after its zone was closed.
+func (s *sim) checkZoneOpen(a *cluster.Assignment, st zonerecovery.Status) {
+	closed := st.Condition == zonerecovery.Suspect || st.Condition == zonerecovery.Outage
+	isNew := !a.Delivery.Inherited && !a.Delivery.Seen
+	if closed && isNew && a.Run.PhaseSince > s.core.moment().Now.Add(-s.sinceChange(st)) {
+		s.violation("ramp: %s was placed in %s, which is %s", a.Ref(), st.Zone, st.Condition)
 	}
 }
+
+// countsInRamp tells whether an assignment is a start in flight that the ramp-up limits:
+// services and critical work are exempt.
+func countsInRamp(a *cluster.Assignment) bool {
+	return a.Run.Phase != wire.TaskRunning && !a.Job.Spec.Service && a.Job.Priority() != wire.Critical
+}
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -7,19 +7,20 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// zoneDay is a random day on which zones are cut off, among all other troubles.
+// zoneDay is a random day with zone outages among all other faults.
 func zoneDay(t *testing.T, seed uint64) *sim {
 	s := newSim(t, seed)
 	s.capacity = 4
-	s.watchZones()
+	s.enableZoneRecovery()
 	return s
 }
 
-// playZoneDay plays rounds of a random day, with a zone cut in every other one.
+// playZoneDay plays rounds of a random day, with a zone partitioned in every other one.
 func (s *sim) playZoneDay(rounds int) []ids.JobID {
 	s.t.Helper()
 	var all []ids.JobID
@@ -30,20 +31,18 @@
 			all = append(all, id)
 		}
 		if s.rng.IntN(2) == 0 {
-			s.cutZone([]ids.Zone{"a", "b", "c"}[s.rng.IntN(3)], time.Duration(5+s.rng.IntN(70))*time.Second)
+			s.partitionZone([]ids.Zone{"a", "b", "c"}[s.rng.IntN(3)], time.Duration(5+s.rng.IntN(70))*time.Second)
 		}
 		if round%3 == 0 {
-			s.trouble(all)
+			s.injectFault(all)
 		}
 		s.run(time.Duration(4+s.rng.IntN(20)) * time.Second)
-		if len(s.violations) > 0 {
-			s.t.Fatalf("rules broken: %v", s.violations)
-		}
+		s.requireNoViolations()
 	}
 	return all
 }
 
-// array64 is an ordinary array for the tests of zones.
+// zoneArray is an ordinary array for the tests of zones.
 func zoneArray(tasks int) *wire.JobSpec {
 	return &wire.JobSpec{Class: "c", Team: "gold", Priority: wire.Normal, Tasks: tasks, CPUs: 2, MemoryGB: 2, Image: "i", ImageGB: 1, EstimateS: 10}
 }
@@ -56,7 +55,7 @@
 		m.opt.Teams[i].Limit.CPUs, m.opt.Teams[i].Nominal.CPUs = 400, 400
 	}
 	m.opt.MaxMachines, m.opt.IdleTimeout = 60, 10*time.Minute
-	m.watchZones()
+	m.enableZoneRecovery()
 	return m
 }
 
@@ -81,7 +80,7 @@
 		spec.Service, spec.Spread = true, true
 		services = append(services, m.submitJob(spec))
 	}
-	m.run(40 * s1)
+	m.run(40 * second)
 	for _, zone := range []ids.Zone{"a", "b"} {
 		if m.machinesIn(zone) < 3 {
 			m.t.Fatalf("zone %s has only %d machines", zone, m.machinesIn(zone))
@@ -93,8 +92,8 @@
 // machinesIn counts the machines of a zone that the core knows.
 func (m *scenario) machinesIn(zone ids.Zone) int {
 	n := 0
-	for _, w := range m.core.registry.machineList {
-		if w.Zone == zone && w.reported {
+	for _, w := range m.core.cluster.Machines() {
+		if w.Zone() == zone && w.Agent.Reported {
 			n++
 		}
 	}
@@ -112,7 +111,7 @@
 	}
 }
 
-// statusOf is what operators are told of a zone.
+// statusOf is the status of a zone that operators see.
 func (m *scenario) statusOf(zone ids.Zone) zonerecovery.Status {
 	m.t.Helper()
 	for _, st := range m.core.ZoneStatus(m.now) {
@@ -129,8 +128,8 @@
 func (m *scenario) endOfDay() {
 	m.t.Helper()
 	m.runFactor = 1
-	m.zones.cutUntil = map[ids.Zone]monotonic.Instant{}
-	m.toTheEnd(m.all, 30*time.Minute)
+	m.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
+	m.runToCompletion(m.all, 30*time.Minute)
 	if m.zones.bounces > 1 {
 		m.t.Errorf("a job came back %d times", m.zones.bounces)
 	}
@@ -139,10 +138,10 @@
 // placed counts the tasks of jobs that are on machines the leader takes for good.
 func (m *scenario) placed(jobs []ids.JobID) (placed, wanted int) {
 	for _, id := range jobs {
-		j := m.core.jobs[id]
-		wanted += len(j.tasks) - j.done
-		for _, a := range j.active {
-			if a.stopReason == stopNone && m.condition(a.machine.Zone) != zonerecovery.Outage {
+		j := m.core.cluster.Job(id)
+		wanted += len(j.Tasks()) - j.Done()
+		for _, a := range j.Active() {
+			if a.StopReason() == cluster.StopNone && m.condition(a.Machine.Zone()) != zonerecovery.Outage {
 				placed++
 			}
 		}
@@ -154,17 +153,17 @@
 func (m *scenario) attempts(jobs []ids.JobID) map[ids.TaskRef]ids.Attempt {
 	out := map[ids.TaskRef]ids.Attempt{}
 	for _, id := range jobs {
-		for i := range m.core.jobs[id].tasks {
-			out[ids.TaskRef{Job: id, Index: i}] = m.core.jobs[id].tasks[i].attempt
+		for i := range m.core.cluster.Job(id).Tasks() {
+			out[ids.TaskRef{Job: id, Index: i}] = m.core.cluster.Job(id).Task(i).Attempt()
 		}
 	}
 	return out
 }
 
-// leasesOver tells whether what ran in a zone is surely gone, so that it waits for room.
-func (m *scenario) leasesOver(zone ids.Zone) bool {
-	for _, w := range m.core.registry.machineList {
-		if w.Zone == zone && len(w.tasks) > 0 {
+// leasesExpiredIn tells whether all leases in a zone have expired, so that its tasks are pending.
+func (m *scenario) leasesExpiredIn(zone ids.Zone) bool {
+	for _, w := range m.core.cluster.Machines() {
+		if w.Zone() == zone && len(w.Assignments()) > 0 {
 			return false
 		}
 	}
@@ -174,20 +173,20 @@
 // runningOutside lists the attempts of a job's tasks that run outside a zone.
 func (m *scenario) runningOutside(id ids.JobID, zone ids.Zone) map[ids.TaskRef]ids.Attempt {
 	out := map[ids.TaskRef]ids.Attempt{}
-	for _, a := range m.core.jobs[id].active {
-		if a.machine.Zone != zone && a.phase == wire.TaskRunning {
-			out[a.ref()] = a.attempt
+	for _, a := range m.core.cluster.Job(id).Active() {
+		if a.Machine.Zone() != zone && a.Run.Phase == wire.TaskRunning {
+			out[a.Ref()] = a.Attempt
 		}
 	}
 	return out
 }
 
-// startsIn counts the tasks that were ever told to run in a zone.
+// startsIn counts the run commands that were carried out in a zone.
 func (m *scenario) startsIn(zone ids.Zone) int {
 	n := 0
 	for _, id := range m.all {
-		for _, p := range m.sent[id] {
-			if p.w.zone == zone {
+		for _, p := range m.placements[id] {
+			if p.worker.zone == zone {
 				n++
 			}
 		}
