--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -4,210 +4,241 @@
 	"slices"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
-	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
 
 // admitter admits waiting jobs against the quotas and places their tasks.
 type admitter struct {
-	core *Core
-	// candidates are the machines that take tasks in the present round, by host, and
-	// candidateZones their zones.
-	candidates     []*cluster.Machine
-	candidateZones []ids.Zone
-	// MachinesExamined counts the machines that all rounds so far have looked at. It
-	// measures and bounds their work without a clock.
-	MachinesExamined uint64
+	cluster    *cluster.State
+	rounds     *clock.RoundTrigger
+	queue      *jobQueue
+	quota      *quotaCheck
+	candidates *candidateList
+	health     machineUsability
+	searches   *searcher
+	zones      zoneAdmission
+	lifecycle  placementStopper
+	records    placementRecords
+	// maxSkippedJobs is after how many jobs that did not fit a pass over the queue ends.
+	maxSkippedJobs int
 }
 
-// scheduleRound is one round of admission: first the jobs that stay within their team's
-// guarantee, then those that borrow, each by priority and creation time. A job that does
-// not fit is passed by later ones that do. Then room is made for jobs that are entitled
-// to it, and machines are reserved for those that have waited too long.
-func (adm *admitter) scheduleRound() {
-	waiting := adm.core.waitingJobs()
-	if len(waiting) == 0 {
-		return
-	}
-	adm.core.updateSurplus()
-	adm.admitAll(waiting)
-	adm.core.preemption.preempt(waiting)
-	adm.core.updateReservations(waiting)
+// zoneAdmission bounds what may start in a zone that recovers.
+type zoneAdmission interface {
+	// admits tells whether a task may start on a machine now.
+	admits(j *cluster.Job, index int, m *cluster.Machine) bool
+	// request adds what the bound depends on to a request; false means that no other job
+	// is like this one.
+	request(j *cluster.Job, request *placementRequest) bool
+	unproven(zone ids.Zone) bool
+	started(a *cluster.Assignment)
 }
 
-// collectCandidates lists the machines that take tasks now.
-func (adm *admitter) collectCandidates() {
-	adm.candidates, adm.candidateZones = adm.candidates[:0], adm.candidateZones[:0]
-	for _, m := range adm.core.cluster.Machines() {
-		if adm.core.health.takesTasks(m) {
-			adm.candidates = append(adm.candidates, m)
-			if !slices.Contains(adm.candidateZones, m.Zone()) {
-				adm.candidateZones = append(adm.candidateZones, m.Zone())
-			}
-		}
-	}
-	adm.MachinesExamined += uint64(len(adm.core.cluster.Machines()))
+// placementStopper stops tasks, or takes back placements of the present round.
+type placementStopper interface {
+	stop(a *cluster.Assignment, why cluster.StopReason)
+	withdraw(a *cluster.Assignment)
 }
 
-// admitAll places what fits of the waiting jobs.
+// placementRecords notes which placements must be recorded.
+type placementRecords interface {
+	markTaskDirty(j *cluster.Job, index int, urgent bool)
+}
+
+// admissionAttempt is one attempt to place tasks of a job.
+type admissionAttempt struct {
+	job    *cluster.Job
+	source quotaSource
+	whole  bool // all pending tasks are placed, or none
+}
+
+// placementResult tells why an attempt to place tasks ended.
+type placementResult uint8
+
+const (
+	placementEnded  placementResult = iota // all were placed, or a limit was met
+	placementNoRoom                        // no machine had room for the next task
+)
+
+// admitAll places what fits of the waiting jobs: first within the teams' nominal quotas,
+// then with what they borrow.
 func (adm *admitter) admitAll(waiting []*cluster.Job) {
-	adm.collectCandidates()
-	full := map[placementRequest]bool{}
-	// A team's lower work must not slip into the rest of its guarantee past
-	// higher work that has to borrow: the higher would stop it again.
-	borrower := map[ids.Team]wire.Priority{}
-	for _, nominal := range []bool{true, false} {
-		passed := 0
-		if !nominal { // what is lent goes to those that starve first
-			waiting = adm.core.starvingFirst(waiting)
+	adm.candidates.collect(adm.cluster.Machines(), adm.health)
+	pass := &admissionPass{
+		admitter:       adm,
+		infeasible:     map[placementRequest]bool{},
+		borrowPriority: map[ids.Team]wire.Priority{},
+	}
+	pass.admitNominal(waiting)
+	// What is lent goes to the jobs that starve first.
+	pass.admitBorrowed(adm.queue.starvingFirst(waiting))
+}
+
+// admissionPass is the state of the two passes over the queue in one round.
+type admissionPass struct {
+	*admitter
+	// infeasible are the requests that found no machine in this round.
+	infeasible map[placementRequest]bool
+	// borrowPriority is the highest priority of a team's work that has to borrow. The team's
+	// lower work must not slip into the rest of its nominal quota past it: the higher
+	// would stop it again.
+	borrowPriority map[ids.Team]wire.Priority
+}
+
+// admitNominal admits jobs within their teams' nominal quotas.
+func (p *admissionPass) admitNominal(waiting []*cluster.Job) {
+	skipped := 0
+	for _, j := range waiting {
+		if len(j.Pending()) == 0 {
+			continue
 		}
-		for _, j := range waiting {
-			if len(j.Pending()) == 0 {
-				continue
-			}
-			if nominal {
-				j.Queue.Deferred = j.Priority() < borrower[j.Spec.Team]
-				if j.Queue.Deferred {
-					continue
-				}
-			}
-			sh, alike := adm.requestOf(j, j.Zones())
-			tried := !alike || !full[sh]
-			if tried && adm.admitJob(j, nominal) {
-				// The shape of what is left: some of it may have been placed.
-				if sh, alike := adm.requestOf(j, j.Zones()); alike {
-					full[sh] = true
-				}
-			}
-			if nominal && adm.mustBorrow(j) {
-				borrower[j.Spec.Team] = max(borrower[j.Spec.Team], j.Priority())
-			}
-			if tried && len(j.Pending()) > 0 {
-				if passed++; passed > adm.core.opt.MaxSkippedJobs {
-					break
-				}
+		team := j.Spec.Team
+		j.Queue.Deferred = j.Priority() < p.borrowPriority[team]
+		if j.Queue.Deferred {
+			continue
+		}
+		tried := p.try(j, nominalQuota)
+		if p.quota.mustBorrow(j) {
+			p.borrowPriority[team] = max(p.borrowPriority[team], j.Priority())
+		}
+		if tried && len(j.Pending()) > 0 {
+			if skipped++; skipped > p.maxSkippedJobs {
+				return
 			}
 		}
 	}
 }
 
-// updateSurplus gives the cohort what the machines have beyond the sum of the
-// guarantees: left unused it would serve nobody.
-func (c *Core) updateSurplus() {
-	var have quota.Amount
-	for _, m := range c.cluster.Machines() {
-		if c.health.usable(m) {
-			have = have.Plus(quota.Amount{CPUs: m.Total().CPUs, GPUs: m.Total().GPUs})
+// admitBorrowed admits jobs with what their teams may borrow.
+func (p *admissionPass) admitBorrowed(waiting []*cluster.Job) {
+	skipped := 0
+	for _, j := range waiting {
+		if len(j.Pending()) == 0 {
+			continue
+		}
+		if p.try(j, borrowedQuota) && len(j.Pending()) > 0 {
+			if skipped++; skipped > p.maxSkippedJobs {
+				return
+			}
 		}
 	}
-	c.quotas.SetCohortQuota(have.Minus(c.quotas.Nominal()))
 }
 
-// fitsQuota tells whether n more tasks of a job fit its team's quota: within the
-// guarantee, or else with what may be borrowed.
-func (c *Core) fitsQuota(j *cluster.Job, nominal bool, n int) bool {
-	m := j.Amount().Times(n)
-	if nominal {
-		return c.quotas.FitsNominal(j.Spec.Team, m)
+// try places what fits of a job, unless its like found no machine in this round.
+func (p *admissionPass) try(j *cluster.Job, source quotaSource) (tried bool) {
+	if request, alike := p.searches.requestOf(j, j.Zones()); alike && p.infeasible[request] {
+		return false
 	}
-	return c.quotas.FitsBorrowing(j.Spec.Team, m, c.clock.Now())
-}
-
-// mustBorrow tells whether a job's waiting tasks fit quota, but not within the
-// guarantee.
-func (adm *admitter) mustBorrow(j *cluster.Job) bool {
-	n := j.TasksTogether()
-	return len(j.Pending()) > 0 && !adm.core.fitsQuota(j, true, n) && adm.core.fitsQuota(j, false, n)
+	if p.admitJob(j, source) != placementNoRoom {
+		return true
+	}
+	// The request of what is left: some tasks may have been placed.
+	if request, alike := p.searches.requestOf(j, j.Zones()); alike {
+		p.infeasible[request] = true
+	}
+	return true
 }
 
 // admitJob places what fits of a job: a service or a gang whole, an array task by task.
-// noRoom tells that no machine had room.
-func (adm *admitter) admitJob(j *cluster.Job, nominal bool) (noRoom bool) {
-	whole := j.NeedsAllTasks()
+func (adm *admitter) admitJob(j *cluster.Job, source quotaSource) placementResult {
 	if j.Spec.Gang && len(j.Active()) > 0 {
 		// The rest of the gang waits for the tasks that it lost. It starts
 		// again together, so it is stopped whole first.
 		for _, a := range j.Assignments() {
-			adm.core.lifecycle.stop(a, cluster.StopPreempted)
+			adm.lifecycle.stop(a, cluster.StopPreempted)
 		}
-		return false
+		return placementEnded
 	}
-	if whole && !adm.core.fitsQuota(j, nominal, len(j.Pending())) {
-		return false
+	attempt := admissionAttempt{job: j, source: source, whole: j.NeedsAllTasks()}
+	switch {
+	case attempt.whole && !adm.quota.fits(j, source, len(j.Pending())):
+		return placementEnded
+	case attempt.whole && j.Spec.OneZone:
+		return adm.admitInOneZone(attempt)
 	}
-	if !whole || !j.Spec.OneZone {
-		return adm.admitTasks(j, nominal, whole)
-	}
-	// The best machine for the first task may stand in a zone that cannot
-	// hold the rest, so every zone has its turn, that one first.
-	first := adm.newSearch(j).next(j.Pending()[len(j.Pending())-1])
+	return adm.admitTasks(attempt)
+}
+
+// admitInOneZone places all tasks of a job in one zone. The best machine for the first task
+// may stand in a zone that cannot hold the rest, so every zone has its turn, that one first.
+func (adm *admitter) admitInOneZone(attempt admissionAttempt) placementResult {
+	j := attempt.job
+	first := adm.searches.newSearch(j).next(j.Pending()[len(j.Pending())-1])
 	if first == nil {
-		return true
+		return placementNoRoom
 	}
 	defer func() { j.Queue.OnlyZone = "" }()
 	zones := []ids.Zone{first.Zone()}
-	for _, m := range adm.core.cluster.Machines() {
+	for _, m := range adm.cluster.Machines() {
 		if !slices.Contains(zones, m.Zone()) {
 			zones = append(zones, m.Zone())
 		}
 	}
-	for _, z := range zones {
-		j.Queue.OnlyZone = z
-		if noRoom = adm.admitTasks(j, nominal, whole); !noRoom {
-			return false
+	for _, zone := range zones {
+		j.Queue.OnlyZone = zone
+		if adm.admitTasks(attempt) != placementNoRoom {
+			return placementEnded
 		}
 	}
-	return true
+	return placementNoRoom
 }
 
-// admitTasks is admit, in the one zone that the job is held to, if any.
-func (adm *admitter) admitTasks(j *cluster.Job, nominal, whole bool) (noRoom bool) {
-	var placed []*cluster.Assignment
-	var s *candidateSearch
-	begins := adm.core.agedToFront(j)
+// admitTasks places what fits of a job's pending tasks, in the one zone that the job is held
+// to, if any.
+func (adm *admitter) admitTasks(attempt admissionAttempt) placementResult {
+	j := attempt.job
+	placed, result := adm.placeTasks(attempt)
+	if attempt.whole && len(placed) < len(j.Pending()) {
+		for _, a := range placed {
+			adm.lifecycle.withdraw(a)
+		}
+		return result
+	}
+	adm.cluster.Admit(j, len(placed))
+	for _, a := range placed {
+		adm.records.markTaskDirty(j, a.Index, true)
+	}
+	return result
+}
+
+// placeTasks places a job's pending tasks in order until one does not fit.
+func (adm *admitter) placeTasks(attempt admissionAttempt) (placed []*cluster.Assignment, result placementResult) {
+	j := attempt.job
+	var search *candidateSearch
+	aged := adm.queue.agedToFront(j)
 	for k := len(j.Pending()) - 1; k >= 0; k-- {
-		if !adm.core.fitsQuota(j, nominal, 1) {
+		if !adm.quota.fits(j, attempt.source, 1) {
 			break
 		}
-		if s == nil {
-			s = adm.newSearch(j)
+		if search == nil {
+			search = adm.searches.newSearch(j)
 		}
-		i := j.Pending()[k]
-		m := s.next(i)
+		index := j.Pending()[k]
+		m := search.next(index)
 		if m == nil {
-			noRoom = true
-			break
+			return placed, placementNoRoom
 		}
-		placed = append(placed, adm.assign(j, i, m))
-		s.reinsert(m)
+		placed = append(placed, adm.assign(j, index, m))
+		search.reinsert(m)
 		if probing(j) {
 			break
 		}
-		if begins && !whole {
-			adm.core.rounds.MarkDue()
-			break // the rest has no more right than others
-		}
-	}
-	if whole && len(placed) < len(j.Pending()) {
-		for _, a := range placed {
-			adm.core.lifecycle.withdraw(a)
+		if aged && !attempt.whole {
+			adm.rounds.MarkDue()
+			break // it has started, so the rest goes before no other job
 		}
-		return noRoom
-	}
-	adm.core.cluster.Admit(j, len(placed))
-	for _, a := range placed {
-		adm.core.records.markTaskDirty(j, a.Index, true)
 	}
-	return noRoom
+	return placed, placementEnded
 }
 
-// assign places a task on a machine. From here on it counts as used; the command to run
-// it is sent once the record is committed.
-func (adm *admitter) assign(j *cluster.Job, i int, m *cluster.Machine) *cluster.Assignment {
-	protected := j.Priority() == wire.BestEffort && adm.core.starving(j)
-	a := adm.core.cluster.Assign(j, i, m)
+// assign places a task on a machine. It counts as used at once; the command to run it is
+// sent when the record is committed.
+func (adm *admitter) assign(j *cluster.Job, index int, m *cluster.Machine) *cluster.Assignment {
+	protected := j.Priority() == wire.BestEffort && adm.queue.starving(j)
+	a := adm.cluster.Assign(j, index, m)
 	a.Protected = protected
-	adm.core.zones.started(a)
+	adm.zones.started(a)
 	return a
 }
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -41,18 +41,18 @@
 	}
 	// Two looks around, for the guarantee and for borrowing, and a few more
 	// for each task.
-	if most := uint64((2*jobs+3)*machines + 8*placed); b.c.admission.MachinesExamined > most {
-		t.Errorf("looked at %d machines for %d jobs and %d tasks, at most %d", b.c.admission.MachinesExamined, jobs, placed, most)
+	if most := uint64((2*jobs+3)*machines + 8*placed); b.c.candidates.examined > most {
+		t.Errorf("looked at %d machines for %d jobs and %d tasks, at most %d", b.c.candidates.examined, jobs, placed, most)
 	}
 	// Work that finds no room costs no more than a look around, however many
 	// wait: those alike are not tried twice.
 	for n := range 300 {
 		b.job(ids.JobID(fmt.Sprintf("job-w%d", n)), wire.JobSpec{Class: "c", Team: "t0", Tasks: 200, CPUs: 7})
 	}
-	b.c.admission.scheduleRound()
-	before := b.c.admission.MachinesExamined
-	b.c.admission.scheduleRound()
-	if work := b.c.admission.MachinesExamined - before; work > 20*machines {
+	b.c.scheduleRound()
+	before := b.c.candidates.examined
+	b.c.scheduleRound()
+	if work := b.c.candidates.examined - before; work > 20*machines {
 		t.Errorf("a pass without room looked at %d machines", work)
 	}
 }
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -235,7 +235,7 @@
 		if d.done == 0 {
 			b.Fatal("nothing was done, so nothing was measured")
 		}
-		b.ReportMetric(float64(d.c.admission.MachinesExamined)/float64(d.done), "looks/task")
+		b.ReportMetric(float64(d.c.candidates.examined)/float64(d.done), "looks/task")
 		b.ReportMetric(float64(len(d.workers)), "machines")
 		b.ReportMetric(float64(d.done), "tasks")
 		b.Log(d.c.Summary())
--- /dev/null
+++ b/scheduler/candidates.go
@@ -0,0 +1,32 @@
+package scheduler
+
+import (
+	"slices"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+)
+
+// candidateList holds the machines that take tasks in the present scheduling round. It also
+// measures the work of all rounds, without a clock.
+type candidateList struct {
+	machines []*cluster.Machine // by ID
+	zones    []ids.Zone
+	// examined counts the machines that all rounds so far have looked at.
+	examined uint64
+}
+
+// collect lists the machines that take tasks now.
+func (l *candidateList) collect(all []*cluster.Machine, health machineUsability) {
+	l.machines, l.zones = l.machines[:0], l.zones[:0]
+	for _, m := range all {
+		if !health.takesTasks(m) {
+			continue
+		}
+		l.machines = append(l.machines, m)
+		if !slices.Contains(l.zones, m.Zone()) {
+			l.zones = append(l.zones, m.Zone())
+		}
+	}
+	l.examined += uint64(len(all))
+}
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -38,15 +38,20 @@
 	unreadable map[ids.JobID]bool
 	quotas     *quota.Tracker
 
-	lifecycle  *taskLifecycle
-	records    *recordWriter
-	registry   *machineRegistry
-	health     *healthMonitor
-	commands   *commandQueue
-	admission  *admitter
-	preemption *evictor
-	autoscaler *autoscaler
-	estimates  *runEstimates
+	lifecycle    *taskLifecycle
+	records      *recordWriter
+	registry     *machineRegistry
+	health       *healthMonitor
+	commands     *commandQueue
+	candidates   *candidateList
+	queue        *jobQueue
+	quota        *quotaCheck
+	reservations *reservations
+	searches     *searcher
+	admission    *admitter
+	preemption   *evictor
+	autoscaler   *autoscaler
+	estimates    *runEstimates
 	// Qzones watches zones that fall silent and return; nil: it is turned off.
 	zones *zoneGate
 
@@ -75,7 +80,6 @@
 	c.registry = newMachineRegistry(c)
 	c.health = &healthMonitor{core: c, zoneStates: map[ids.Zone]*zoneState{}}
 	c.commands = &commandQueue{core: c}
-	c.admission = &admitter{core: c}
 	c.preemption = &evictor{core: c}
 	c.autoscaler = newAutoscaler(c)
 	c.zones = newZoneGate(c, opt.ZoneRecovery)
@@ -89,10 +93,55 @@
 		estimates: c.estimates,
 		slowness:  c,
 	}
+	c.connectAdmission()
 	c.cluster.SetCatalog(types)
 	return c
 }
 
+// connectAdmission makes the parts that admit jobs, from the others.
+func (c *Core) connectAdmission() {
+	c.candidates = &candidateList{}
+	c.queue = &jobQueue{
+		cluster:  c.cluster,
+		clock:    c.clock,
+		rounds:   c.rounds,
+		zones:    c.zones,
+		settings: queueSettings{latencySensitive: c.opt.LatencySensitive, reserveAfter: c.opt.ReserveAfter},
+	}
+	c.quota = &quotaCheck{cluster: c.cluster, clock: c.clock, quotas: c.quotas, health: c.health}
+	c.reservations = &reservations{
+		cluster:    c.cluster,
+		clock:      c.clock,
+		rounds:     c.rounds,
+		queue:      c.queue,
+		quota:      c.quota,
+		health:     c.health,
+		candidates: c.candidates,
+		settings:   reservationSettings{after: c.opt.ReserveAfter, lasting: c.opt.ReserveFor},
+	}
+	c.searches = &searcher{
+		clock:        c.clock,
+		candidates:   c.candidates,
+		queue:        c.queue,
+		reservations: c.reservations,
+		zones:        c.zones,
+		spot:         c.autoscaler,
+	}
+	c.admission = &admitter{
+		cluster:        c.cluster,
+		rounds:         c.rounds,
+		queue:          c.queue,
+		quota:          c.quota,
+		candidates:     c.candidates,
+		health:         c.health,
+		searches:       c.searches,
+		zones:          c.zones,
+		lifecycle:      c.lifecycle,
+		records:        c.records,
+		maxSkippedJobs: c.opt.MaxSkippedJobs,
+	}
+}
+
 // SetCatalog takes the cloud's machine types and current prices.
 func (c *Core) SetCatalog(types []wire.MachineType) { c.cluster.SetCatalog(types) }
 
@@ -159,9 +208,9 @@
 		c.zones.observe()
 	}
 	if c.rounds.Start(now) {
-		before := c.admission.MachinesExamined
-		c.admission.scheduleRound()
-		cost := time.Duration(c.admission.MachinesExamined-before) * c.opt.RoundCostPerMachine
+		before := c.candidates.examined
+		c.scheduleRound()
+		cost := time.Duration(c.candidates.examined-before) * c.opt.RoundCostPerMachine
 		c.rounds.HoldUntil(now.Add(max(c.opt.RoundInterval, cost)))
 	}
 	c.autoscaler.planFleet()
@@ -175,6 +224,21 @@
 	return out
 }
 
+// scheduleRound is one scheduling round: first the jobs that stay within their team's nominal
+// quota are admitted, then those that borrow, each by priority and creation time. A job that
+// does not fit is passed by later ones that do. Then room is made for jobs that are entitled
+// to it, and machines are reserved for those that have waited too long.
+func (c *Core) scheduleRound() {
+	waiting := c.queue.waitingJobs()
+	if len(waiting) == 0 {
+		return
+	}
+	c.quota.updateSurplus()
+	c.admission.admitAll(waiting)
+	c.preemption.preempt(waiting)
+	c.reservations.update(waiting)
+}
+
 // Decisions are the decisions since the last Step.
 type Decisions struct {
 	RecordChanges []records.Change
--- a/scheduler/fleet_demand.go
+++ b/scheduler/fleet_demand.go
@@ -43,13 +43,13 @@
 func (as *autoscaler) admissibleDemand() (urgent, later []fleet.Demand) {
 	quotas := as.core.quotas
 	quotas.SetCohortQuota(quota.Amount{CPUs: math.MaxInt32, GPUs: math.MaxInt32})
-	defer as.core.updateSurplus()
+	defer as.core.quota.updateSurplus()
 	counted := map[*cluster.Job]int{}
 	var order []*cluster.Job // of the counted jobs
-	waiting := as.core.waitingJobs()
-	for _, nominal := range []bool{true, false} {
+	waiting := as.core.queue.waitingJobs()
+	for _, source := range []quotaSource{nominalQuota, borrowedQuota} {
 		for _, j := range waiting {
-			n := as.admissibleTasks(j, nominal, counted[j])
+			n := as.admissibleTasks(j, source, counted[j])
 			if n <= 0 {
 				continue
 			}
@@ -59,7 +59,7 @@
 			}
 			counted[j] += n
 			d := fleet.Demand{Spec: j.Spec, Count: n, Zones: j.Zones()}
-			if j.NeedsAllTasks() || as.core.latencySensitive(j) || as.core.clock.Now() > j.Queue.WaitingSince.Add(as.fastestBoot(j.Spec)) {
+			if j.NeedsAllTasks() || as.core.queue.latencySensitive(j) || as.core.clock.Now() > j.Queue.WaitingSince.Add(as.fastestBoot(j.Spec)) {
 				urgent = append(urgent, d)
 			} else {
 				later = append(later, d)
@@ -74,12 +74,12 @@
 
 // admissibleTasks is how many more of a job's waiting tasks quota would admit, beside those
 // counted already.
-func (as *autoscaler) admissibleTasks(j *cluster.Job, nominal bool, counted int) int {
-	if j.NeedsAllTasks() && !as.core.fitsQuota(j, nominal, len(j.Pending())) {
+func (as *autoscaler) admissibleTasks(j *cluster.Job, source quotaSource, counted int) int {
+	if j.NeedsAllTasks() && !as.core.quota.fits(j, source, len(j.Pending())) {
 		return 0
 	}
 	// That more fit whenever fewer do makes the search by halves right.
-	n := sort.Search(len(j.Pending())-counted, func(n int) bool { return !as.core.fitsQuota(j, nominal, n+1) })
+	n := sort.Search(len(j.Pending())-counted, func(n int) bool { return !as.core.quota.fits(j, source, n+1) })
 	if probing(j) {
 		n = min(n, 1-counted)
 	}
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -93,8 +93,8 @@
 	b.placeAll(latest)
 	placed := uint64(largeFleetTasks)
 	// The first search of a job looks at all machines, each task at one a zone.
-	if most := uint64(largeFleetJobs+16)*largeFleet*2 + placed*largeFleetZones; b.c.admission.MachinesExamined > most {
-		t.Errorf("looked at machines %d times to place %d tasks, at most %d expected", b.c.admission.MachinesExamined, placed, most)
+	if most := uint64(largeFleetJobs+16)*largeFleet*2 + placed*largeFleetZones; b.c.candidates.examined > most {
+		t.Errorf("looked at machines %d times to place %d tasks, at most %d expected", b.c.candidates.examined, placed, most)
 	}
 	if len(latest) != largeFleetJobs {
 		t.Errorf("%d records written, want one for each of %d jobs", len(latest), largeFleetJobs)
@@ -163,7 +163,7 @@
 // sees that work and returns stay in proportion.
 func (b *harness) cutZoneOfLargeFleet() {
 	b.t.Helper()
-	examined, calls := b.c.admission.MachinesExamined, 0
+	examined, calls := b.c.candidates.examined, 0
 	b.c.ObserveConnectivity(zonerecovery.Connectivity{LeaseConfirmed: true})
 	const step, steps = time.Second, 36
 	for range steps {
@@ -191,7 +191,7 @@
 	}
 	// All other machines are full. Alike jobs that found no room are not tried again in a
 	// round, by admission or by preemption.
-	if looked, most := b.c.admission.MachinesExamined-examined, uint64(steps*8*largeFleet); looked > most {
+	if looked, most := b.c.candidates.examined-examined, uint64(steps*8*largeFleet); looked > most {
 		b.t.Errorf("looked at machines %d times, at most %d expected", looked, most)
 	}
 }
--- a/scheduler/parts_test.go
+++ b/scheduler/parts_test.go
@@ -108,7 +108,7 @@
 	add("job-suspended", wire.Critical, 1, 0).Queue.Suspended = true
 	b.c.clock.Set(b.now)
 	want := []ids.JobID{"job-urgent", "job-aged", "job-early", "job-same", "job-late"}
-	waiting := b.c.waitingJobs()
+	waiting := b.c.queue.waitingJobs()
 	if len(waiting) != len(want) {
 		t.Fatalf("%d jobs wait", len(waiting))
 	}
@@ -117,7 +117,7 @@
 			t.Errorf("%s is number %d, want %s", j.ID, i, want[i])
 		}
 	}
-	if first := b.c.starvingFirst(waiting)[0].ID; first != "job-aged" {
+	if first := b.c.queue.starvingFirst(waiting)[0].ID; first != "job-aged" {
 		t.Errorf("%s goes before those that starve", first)
 	}
 }
--- a/scheduler/plain_model_test.go
+++ b/scheduler/plain_model_test.go
@@ -225,8 +225,8 @@
 	}
 	b.c.clock.Set(b.now)
 	// preempt is left out: the model knows only the placing pass.
-	b.c.updateSurplus()
-	b.c.admission.admitAll(b.c.waitingJobs())
+	b.c.quota.updateSurplus()
+	b.c.admission.admitAll(b.c.queue.waitingJobs())
 	var got []string
 	for _, m := range b.c.cluster.Machines() {
 		for _, a := range m.Assignments() {
@@ -264,7 +264,7 @@
 			}
 			b.now = b.now.Add(time.Second)
 			b.c.clock.Set(b.now)
-			b.c.updateReservations(b.c.waitingJobs())
+			b.c.reservations.update(b.c.queue.waitingJobs())
 			for _, m := range b.c.cluster.Machines() {
 				if m.Admission.ReservedFor != nil {
 					kept++
--- a/scheduler/preemption_plan.go
+++ b/scheduler/preemption_plan.go
@@ -44,9 +44,9 @@
 	}
 	// What a gang or a service needs together matters for admission, not for
 	// the one task that room is made for here.
-	sh, alike := r.core.admission.requestOf(j, r.zones)
+	sh, alike := r.core.searches.requestOf(j, r.zones)
 	sh.tasksTogether = 0
-	if r.core.latencySensitive(j) {
+	if r.core.queue.latencySensitive(j) {
 		sh.image = j.Spec.Image
 	}
 	key := infeasibleRequest{sh, j.Spec.Team, by}
@@ -62,7 +62,7 @@
 		return nil, false
 	}
 	m, victims := best.machine, best.victims
-	if r.core.latencySensitive(j) && !m.HasImage(j.Spec.Image) && !j.Queue.AllowColdStart {
+	if r.core.queue.latencySensitive(j) && !m.HasImage(j.Spec.Image) && !j.Queue.AllowColdStart {
 		j.Queue.AllowColdStart = true
 		r.core.rounds.MarkDue()
 	}
@@ -97,8 +97,8 @@
 	if r.plans == nil || r.plansClaim != by {
 		r.plans, r.plansClaim = make([]preemptionPlan, 0, 16), by
 		stoppable := r.anyStoppable(j, by)
-		r.core.admission.MachinesExamined += uint64(len(r.core.admission.candidates))
-		for _, m := range r.core.admission.candidates {
+		r.core.candidates.examined += uint64(len(r.core.candidates.machines))
+		for _, m := range r.core.candidates.machines {
 			if !stoppable && !placement.TaskResources(j.Spec).FitsIn(r.expectedFree(m)) {
 				continue
 			}
@@ -135,11 +135,11 @@
 
 // planOn tells what it would cost to make room on a machine.
 func (r *preemptor) planOn(j *cluster.Job, m *cluster.Machine, by claim) (preemptionPlan, bool) {
-	if !placement.Allowed(j.Spec, m.Site()) || !r.core.zones.admits(j, j.Pending()[len(j.Pending())-1], m) || r.core.hasAntiAffinity(j, m) || r.core.reservedForOther(m, j) && r.core.starving(m.Admission.ReservedFor) {
+	if !placement.Allowed(j.Spec, m.Site()) || !r.core.zones.admits(j, j.Pending()[len(j.Pending())-1], m) || r.core.hasAntiAffinity(j, m) || r.core.reservations.reservedForOther(m, j) && r.core.queue.starving(m.Admission.ReservedFor) {
 		return preemptionPlan{}, false
 	}
 	need, free := placement.TaskResources(j.Spec), r.expectedFree(m)
-	warm, hasty := m.HasImage(j.Spec.Image), r.core.latencySensitive(j)
+	warm, hasty := m.HasImage(j.Spec.Image), r.core.queue.latencySensitive(j)
 	o := preemptionPlan{machine: m}
 	if by == claimOwn || !need.FitsIn(free) {
 		if !need.FitsIn(m.Total()) {
@@ -183,7 +183,7 @@
 			}
 		}
 		slices.SortStableFunc(m.Preemption.Victims, func(a, b cluster.Victim) int { return cmp.Compare(a.Cost, b.Cost) })
-		r.core.admission.MachinesExamined++
+		r.core.candidates.examined++
 	}
 	return m.Preemption.Victims
 }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -5,34 +5,57 @@
 	"sort"
 	"time"
 
+	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
+// jobQueue orders the jobs that wait for admission, and tells which have waited too long.
+type jobQueue struct {
+	cluster  *cluster.State
+	clock    *clock.Clock
+	rounds   *clock.RoundTrigger
+	zones    evacuationStatus
+	settings queueSettings
+}
+
+// queueSettings are the settings of the job queue.
+type queueSettings struct {
+	// latencySensitive names the classes whose tasks must start sooner than a machine
+	// boots, with their objectives.
+	latencySensitive map[string]time.Duration
+	// reserveAfter is how long a job waits for its start until it counts as starved; 0:
+	// no job ever does.
+	reserveAfter time.Duration
+}
+
+// evacuationStatus tells whether work of some zone may have to find room elsewhere.
+type evacuationStatus interface{ evacuating() bool }
+
 // waitingJobs lists the jobs with tasks to place: by priority, then those that have
 // waited too long, then by creation time, or for pipelines by when they should start. While
 // a zone's work may have to move, services go before other jobs of their priority.
-func (c *Core) waitingJobs() []*cluster.Job {
+func (q *jobQueue) waitingJobs() []*cluster.Job {
 	var out []*cluster.Job
-	for _, j := range c.cluster.Jobs() {
-		if !j.Queue.Ready || j.Terminal() || j.Queue.Suspended || j.Records.Refusals >= maxRefusals || len(j.Pending()) == 0 || len(j.Active()) > 0 && probing(j) {
+	for _, j := range q.cluster.Jobs() {
+		if !admissible(j) {
 			continue
 		}
-		if c.clock.Now() < j.Queue.RetryAt {
-			c.rounds.RecheckAt(j.Queue.RetryAt) // nothing else may happen until then
+		if q.clock.Now() < j.Queue.RetryAt {
+			q.rounds.RecheckAt(j.Queue.RetryAt) // nothing else may happen until then
 			continue
 		}
 		out = append(out, j)
 	}
-	evacuating := c.zones.evacuating()
+	servicesFirst := q.zones.evacuating()
 	sort.Slice(out, func(i, k int) bool {
 		a, b := out[i], out[k]
 		if a.Priority() != b.Priority() {
 			return a.Priority() > b.Priority()
 		}
-		if x, y := c.agedToFront(a), c.agedToFront(b); x != y {
+		if x, y := q.agedToFront(a), q.agedToFront(b); x != y {
 			return x
 		}
-		if evacuating && a.Spec.Service != b.Spec.Service {
+		if servicesFirst && a.Spec.Service != b.Spec.Service {
 			return a.Spec.Service
 		}
 		if a.Queue.OrderMS != b.Queue.OrderMS {
@@ -43,43 +66,58 @@
 	return out
 }
 
+// admissible tells whether a job has tasks that may be placed.
+func admissible(j *cluster.Job) bool {
+	switch {
+	case !j.Queue.Ready, j.Terminal(), j.Queue.Suspended, j.Records.Refusals >= maxRefusals, len(j.Pending()) == 0:
+		return false
+	}
+	return len(j.Active()) == 0 || !probing(j)
+}
+
 // latencySensitive tells whether a job's class must start sooner than a machine boots.
-func (c *Core) latencySensitive(j *cluster.Job) bool {
-	_, ok := c.opt.LatencySensitive[j.Spec.Class]
+func (q *jobQueue) latencySensitive(j *cluster.Job) bool {
+	_, ok := q.settings.latencySensitive[j.Spec.Class]
 	return ok
 }
 
+const (
+	// agedFactor is after how many times reserveAfter a job that could not start goes
+	// before the jobs of its priority that have started.
+	agedFactor = 2
+	// starvationFactor is after how many times reserveAfter a job that could not start has
+	// room reserved against work of higher priority too.
+	starvationFactor = 2.5
+)
+
 // agedToFront tells whether a job has waited to start for so long that it goes before the
 // jobs of its priority that have started. A team's quota may all go to its older jobs,
 // task by task: reserved machines are of no use to a later one then.
-func (c *Core) agedToFront(j *cluster.Job) bool { return c.waitedToStart(j, 2) }
-
-// waitedToStart tells whether a job could not start for so many times ReserveAfter.
-func (c *Core) waitedToStart(j *cluster.Job, times float64) bool {
-	return !j.Started() && c.opt.ReserveAfter > 0 && c.clock.Now() > j.Queue.ReadyAt.Add(time.Duration(times*float64(c.opt.ReserveAfter)))
-}
+func (q *jobQueue) agedToFront(j *cluster.Job) bool { return q.waitedToStart(j, agedFactor) }
 
-// starvationFactor is after how many times ReserveAfter a job that could not begin has room
-// reserved against work of higher priority too.
-const starvationFactor = 2.5
-
-// starving tells whether a job of whatever priority has waited to start for so long that
+// starving tells whether a job of any priority has waited to start for so long that
 // it must, as every job does within four minutes where limits allow. Best-effort work
 // would never see room where more urgent work takes each gap. One task is little.
-func (c *Core) starving(j *cluster.Job) bool { return c.waitedToStart(j, starvationFactor) }
+func (q *jobQueue) starving(j *cluster.Job) bool { return q.waitedToStart(j, starvationFactor) }
+
+// waitedToStart tells whether a job could not start for so many times reserveAfter.
+func (q *jobQueue) waitedToStart(j *cluster.Job, times float64) bool {
+	after := q.settings.reserveAfter
+	return !j.Started() && after > 0 && q.clock.Now() > j.Queue.ReadyAt.Add(time.Duration(times*float64(after)))
+}
 
 // starvingFirst lists waiting jobs with those that starve before all others.
-func (c *Core) starvingFirst(waiting []*cluster.Job) []*cluster.Job {
-	if !slices.ContainsFunc(waiting, c.starving) {
+func (q *jobQueue) starvingFirst(waiting []*cluster.Job) []*cluster.Job {
+	if !slices.ContainsFunc(waiting, q.starving) {
 		return waiting
 	}
-	out := make([]*cluster.Job, 0, len(waiting))
-	for _, starving := range []bool{true, false} {
-		for _, j := range waiting {
-			if c.starving(j) == starving {
-				out = append(out, j)
-			}
+	var starving, others []*cluster.Job
+	for _, j := range waiting {
+		if q.starving(j) {
+			starving = append(starving, j)
+		} else {
+			others = append(others, j)
 		}
 	}
-	return out
+	return append(starving, others...)
 }
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -70,7 +70,7 @@
 			}
 		}
 		if round%4 == 3 {
-			work += s.core.admission.MachinesExamined
+			work += s.core.candidates.examined
 			s.takeOver()
 		}
 		s.run(4 * time.Second)
@@ -79,7 +79,7 @@
 			t.Fatalf("rules broken: %v", s.violations)
 		}
 	}
-	work += s.core.admission.MachinesExamined
+	work += s.core.candidates.examined
 	s.toTheEnd(all, 5*time.Minute)
 	if most < 1700 {
 		t.Fatalf("the day had only %d machines", most)
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
@@ -24,37 +25,61 @@
 	tasksTogether int       // how many must find room together
 }
 
-// requestOf is the shape of a job's next task, given where its others are; ok is
+// searcher makes the searches for machines, and knows what their scores depend on.
+type searcher struct {
+	clock        *clock.Clock
+	candidates   *candidateList
+	queue        *jobQueue
+	reservations *reservations
+	zones        zoneAdmission
+	spot         spotRisks
+}
+
+// spotRisks estimates how likely a job's tasks are to lose a spot instance.
+type spotRisks interface {
+	spotRisk(j *cluster.Job) float64
+}
+
+// maxRequestZones is how many zones a placementRequest can tell apart.
+const maxRequestZones = 64
+
+// requestOf is the request of a job's next task, given where its others are; ok is
 // false for a job that is like no other.
-func (adm *admitter) requestOf(j *cluster.Job, at placement.TasksByZone) (sh placementRequest, ok bool) {
-	s := j.Spec
-	if len(s.Types) > 0 || len(adm.candidateZones) > 64 || j.Queue.ReservedSince != 0 {
+func (s *searcher) requestOf(j *cluster.Job, at placement.TasksByZone) (request placementRequest, ok bool) {
+	spec := j.Spec
+	if len(spec.Types) > 0 || len(s.candidates.zones) > maxRequestZones || j.Queue.ReservedSince != 0 {
 		// Machines that are reserved for a job are there for no other: one like it
 		// that found none must not keep the job from them.
 		return placementRequest{}, false
 	}
-	sh = placementRequest{resources: placement.TaskResources(s), priority: j.Priority(), spot: s.Spot, zone: s.Zone}
-	if adm.core.latencySensitive(j) && !j.Queue.AllowColdStart {
-		sh.image = s.Image
+	request = placementRequest{resources: placement.TaskResources(spec), priority: j.Priority(), spot: spec.Spot, zone: spec.Zone}
+	if s.needsImage(j) {
+		request.image = spec.Image
 	}
 	if j.NeedsAllTasks() {
-		sh.tasksTogether = len(j.Pending())
+		request.tasksTogether = len(j.Pending())
 	}
-	for i, z := range adm.candidateZones {
-		if at.Allows(s, z) {
-			sh.openZones |= 1 << i
+	for i, zone := range s.candidates.zones {
+		if at.Allows(spec, zone) {
+			request.openZones |= 1 << i
 		}
 	}
-	return sh, adm.core.zones.request(j, &sh)
+	return request, s.zones.request(j, &request)
+}
+
+// needsImage tells whether only machines that hold its image will do for a job: fetching it
+// takes longer than making room where it is.
+func (s *searcher) needsImage(j *cluster.Job) bool {
+	return s.queue.latencySensitive(j) && !j.Queue.AllowColdStart
 }
 
 // candidateSearch finds machines for the tasks of one job, one after the other. All
 // machines are looked at once; after that only those that took a task.
 type candidateSearch struct {
-	core       *Core
+	*searcher
 	job        *cluster.Job
 	need       placement.Resources
-	zones      []*zoneHeap
+	heaps      []*zoneHeap
 	replicasOn map[*cluster.Machine]int // tasks of a service by machine
 }
 
@@ -94,88 +119,104 @@
 }
 
 // newSearch ranks the machines that may take a task of a job.
-func (adm *admitter) newSearch(j *cluster.Job) *candidateSearch {
-	s := &candidateSearch{core: adm.core, job: j, need: placement.TaskResources(j.Spec)}
+func (s *searcher) newSearch(j *cluster.Job) *candidateSearch {
+	search := &candidateSearch{searcher: s, job: j, need: placement.TaskResources(j.Spec)}
 	if j.Spec.Service {
-		s.replicasOn = map[*cluster.Machine]int{}
+		search.replicasOn = map[*cluster.Machine]int{}
 		for _, a := range j.Active() {
-			s.replicasOn[a.Machine]++
+			search.replicasOn[a.Machine]++
 		}
 	}
-	hasty := adm.core.latencySensitive(j) && !j.Queue.AllowColdStart
-	adm.MachinesExamined += uint64(len(adm.candidates))
-	for at, m := range adm.candidates {
-		if !s.need.FitsIn(m.Free()) || !placement.Allowed(j.Spec, m.Site()) || j.Queue.OnlyZone != "" && m.Zone() != j.Queue.OnlyZone {
+	needsImage := s.needsImage(j)
+	s.candidates.examined += uint64(len(s.candidates.machines))
+	for position, m := range s.candidates.machines {
+		if !search.allows(m) || needsImage && !m.HasImage(j.Spec.Image) {
 			continue
 		}
-		if adm.core.reservedForOther(m, j) {
-			continue // it would never begin
-		}
-		if hasty && !m.HasImage(j.Spec.Image) {
-			continue // a fetch takes longer than making room where the image is
-		}
-		z := s.zone(m.Zone())
-		z.list = append(z.list, candidate{m, s.score(m, 0), at})
+		z := search.heapOf(m.Zone())
+		z.list = append(z.list, candidate{m, search.score(m, 0), position})
 	}
-	for _, z := range s.zones {
+	for _, z := range search.heaps {
 		heap.Init(z)
 	}
-	return s
+	return search
 }
 
-// zone finds the heap of a zone, or makes one.
-func (s *candidateSearch) zone(name ids.Zone) *zoneHeap {
-	for _, z := range s.zones {
-		if z.zone == name {
+// allows tells whether a machine has room for a task of the job and may be used for it.
+func (s *candidateSearch) allows(m *cluster.Machine) bool {
+	j := s.job
+	if !s.need.FitsIn(m.Free()) || !placement.Allowed(j.Spec, m.Site()) {
+		return false
+	}
+	if j.Queue.OnlyZone != "" && m.Zone() != j.Queue.OnlyZone {
+		return false
+	}
+	return !s.reservations.reservedForOther(m, j)
+}
+
+// heapOf finds the heap of a zone, or makes one.
+func (s *candidateSearch) heapOf(zone ids.Zone) *zoneHeap {
+	for _, z := range s.heaps {
+		if z.zone == zone {
 			return z
 		}
 	}
-	z := &zoneHeap{zone: name}
-	s.zones = append(s.zones, z)
+	z := &zoneHeap{zone: zone}
+	s.heaps = append(s.heaps, z)
 	return z
 }
 
 // score rates a machine for a task of the job; sameZone counts the job's tasks in its
 // zone.
 func (s *candidateSearch) score(m *cluster.Machine, sameZone int) float64 {
-	o := s.core.admission.offer(s.job, m)
+	o := s.offer(s.job, m)
 	o.SameJob, o.SameZone = s.replicasOn[m], sameZone
 	return placement.Score(s.job.Spec, &o)
 }
 
 // next chooses the best machine for a task, or nil.
 func (s *candidateSearch) next(index int) *cluster.Machine {
-	ref := ids.TaskRef{Job: s.job.ID, Index: index}
 	var best candidate
-	for _, z := range s.zones {
+	for _, z := range s.heaps {
 		if !s.job.Zones().Allows(s.job.Spec, z.zone) {
 			continue
 		}
-		var aside []candidate
-		for z.Len() > 0 && z.list[0].machine.ReportsTask(ref) {
-			aside = append(aside, heap.Pop(z).(candidate))
-		}
-		if z.Len() > 0 && s.core.zones.admits(s.job, index, z.list[0].machine) {
-			top := z.list[0]
-			s.core.admission.MachinesExamined++
-			top.score = s.score(top.machine, s.job.Zones()[z.zone])
-			if best.machine == nil || top.score > best.score || top.score == best.score && top.position < best.position {
-				best = top
-			}
+		top, ok := s.bestIn(z, index)
+		if !ok {
+			continue
 		}
-		for _, a := range aside {
-			heap.Push(z, a)
+		if best.machine == nil || top.score > best.score || top.score == best.score && top.position < best.position {
+			best = top
 		}
 	}
 	return best.machine
 }
 
+// bestIn finds the best machine of a zone for a task, with its present score. Machines that
+// still report an earlier attempt of the task are passed over.
+func (s *candidateSearch) bestIn(z *zoneHeap, index int) (top candidate, ok bool) {
+	ref := ids.TaskRef{Job: s.job.ID, Index: index}
+	var aside []candidate
+	for z.Len() > 0 && z.list[0].machine.ReportsTask(ref) {
+		aside = append(aside, heap.Pop(z).(candidate))
+	}
+	if z.Len() > 0 && s.zones.admits(s.job, index, z.list[0].machine) {
+		top, ok = z.list[0], true
+		s.candidates.examined++
+		top.score = s.score(top.machine, s.job.Zones()[z.zone])
+	}
+	for _, a := range aside {
+		heap.Push(z, a)
+	}
+	return top, ok
+}
+
 // reinsert brings a machine that was given a task back to its rank.
 func (s *candidateSearch) reinsert(m *cluster.Machine) {
 	if s.replicasOn != nil {
 		s.replicasOn[m]++
 	}
-	z := s.zone(m.Zone())
+	z := s.heapOf(m.Zone())
 	i := slices.IndexFunc(z.list, func(c candidate) bool { return c.machine == m })
 	if !s.need.FitsIn(m.Free()) {
 		heap.Remove(z, i)
@@ -186,17 +227,23 @@
 }
 
 // offer describes a machine to the scoring.
-func (adm *admitter) offer(j *cluster.Job, m *cluster.Machine) placement.Candidate {
-	o := placement.Candidate{Site: m.Site(), Free: m.Free(), Total: m.Total(),
-		Cached:  m.HasImage(j.Spec.Image),
-		Suspect: j.Failures.AntiAffinity[m.ID] != 0 || adm.core.clock.Now() < m.Health.SlowUntil || len(m.Health.FailuresByJob) > 0 && adm.core.clock.Now() < m.Health.LastFailure.Add(quarantinePeriod)}
+func (s *searcher) offer(j *cluster.Job, m *cluster.Machine) placement.Candidate {
+	now := s.clock.Now()
+	failedLately := len(m.Health.FailuresByJob) > 0 && now < m.Health.LastFailure.Add(quarantinePeriod)
+	o := placement.Candidate{
+		Site:             m.Site(),
+		Free:             m.Free(),
+		Total:            m.Total(),
+		Cached:           m.HasImage(j.Spec.Image),
+		Suspect:          j.Failures.AntiAffinity[m.ID] != 0 || now < m.Health.SlowUntil || failedLately,
+		LatencySensitive: s.queue.latencySensitive(j),
+		Unproven:         s.zones.unproven(m.Zone()),
+		Preferred:        j.Queue.PreferredZone == m.Zone() && m.Zone() != "" && now < j.Queue.PreferredUntil,
+		RunsServices:     m.Replicas() > 0,
+		Fetching:         m.Fetches(j.Spec.Image) > 0,
+	}
 	if m.Spot() {
-		o.SpotRisk = adm.core.autoscaler.spotRisk(j)
+		o.SpotRisk = s.spot.spotRisk(j)
 	}
-	o.LatencySensitive = adm.core.latencySensitive(j)
-	o.Unproven = adm.core.zones.unproven(m.Zone())
-	o.Preferred = adm.core.prefers(j, m.Zone())
-	o.RunsServices = m.Replicas() > 0
-	o.Fetching = m.Fetches(j.Spec.Image) > 0
 	return o
 }
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -36,7 +36,7 @@
 func (c *Core) summarizeJobs(b *strings.Builder) {
 	var pending, placed, usable, booting, starving int
 	for _, j := range c.cluster.Jobs() {
-		if j.Queue.Ready && !j.Terminal() && c.starving(j) {
+		if j.Queue.Ready && !j.Terminal() && c.queue.starving(j) {
 			starving++
 		}
 		pending += len(j.Pending())
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -194,7 +194,7 @@
 // critical tells whether the ramp makes room for a job: services, what must start sooner
 // than a machine boots, and jobs of the highest priority.
 func (g *zoneGate) critical(j *cluster.Job) bool {
-	return j.Spec.Service || j.Priority() == wire.Critical || g.core.latencySensitive(j)
+	return j.Spec.Service || j.Priority() == wire.Critical || g.core.queue.latencySensitive(j)
 }
 
 // small tells whether tasks of a job may prove a zone: each can run again by itself, and is
--- a/scheduler/zone_restore.go
+++ b/scheduler/zone_restore.go
@@ -74,14 +74,9 @@
 	need := placement.TaskResources(j.Spec)
 	for _, m := range g.core.cluster.Machines() {
 		if m.Zone() == zone && m.HasImage(j.Spec.Image) && need.FitsIn(m.Free()) && placement.Allowed(j.Spec, m.Site()) &&
-			g.core.health.takesTasks(m) && !g.core.reservedForOther(m, j) && !g.core.hasAntiAffinity(j, m) {
+			g.core.health.takesTasks(m) && !g.core.reservations.reservedForOther(m, j) && !g.core.hasAntiAffinity(j, m) {
 			return true
 		}
 	}
 	return false
 }
-
-// prefers tells whether a job's next task should go to a zone.
-func (c *Core) prefers(j *cluster.Job, zone ids.Zone) bool {
-	return j.Queue.PreferredZone == zone && zone != "" && c.clock.Now() < j.Queue.PreferredUntil
-}
