--- a/scheduler/plain_model_test.go
+++ b/scheduler/plain_model_test.go
@@ -366,8 +366,8 @@
 	want := newPlainModel(b.c).admit()
 	before := b.placements()
 	b.c.clock.Set(b.now)
-	b.c.updateSurplus()
-	b.c.admission.admitAll(b.c.waitingJobs())
+	b.c.quota.updateSurplus()
+	b.c.admission.admitAll(b.c.queue.waitingJobs())
 	var got []string
 	for a, name := range b.placements() {
 		if _, old := before[a]; !old {
@@ -395,7 +395,7 @@
 func (b *harness) reserveCapacity() int {
 	b.now = b.now.Add(time.Second)
 	b.c.clock.Set(b.now)
-	b.c.updateReservations(b.c.waitingJobs())
+	b.c.reservations.update(b.c.queue.waitingJobs())
 	reserved := 0
 	for _, m := range b.c.cluster.Machines() {
 		if m.Admission.ReservedFor != nil {
