--- a/cmd/ospreystile/command_test.go
+++ b/cmd/ospreystile/command_test.go
@@ -4,33 +4,19 @@
 	"bytes"
 	"os"
 	"path/filepath"
+	"strings"
 	"testing"
 )
 
-// platformFile is a valid platform settings file with two zones.
-const platformFile = `host_name = "c-0"
-api_addr = "127.0.0.1:1"
-mesh_addr = "127.0.0.1:2"
-[external]
-cloud = "127.0.0.1:3"
-state = "127.0.0.1:4"
-[settings]
-zones = ["gdansk", "wroclaw"]
-[settings.workers]
-report_s = 3.0
-lease_s = 30.0
-cancel_s = 60.0
-[settings.state]
-rps = 200.0
-write_rps = 80.0
-value_kb = 8.0
-txn_ops = 32
-[settings.cloud]
-rps = 4.0
-[settings.resources]
-ram_mb = 125.0
-sockets = 1500
-`
+// platformFile returns valid platform settings, with the zones gdansk and wroclaw.
+func platformFile(t *testing.T) string {
+	t.Helper()
+	raw, err := os.ReadFile("testdata/platform.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.NewReplacer("zone-a", "gdansk", "zone-b", "wroclaw").Replace(string(raw))
+}
 
 // runCommand runs the program in this process, with platformFile and the given operators'
 // settings. It returns what the program prints.
@@ -38,7 +24,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	platform, settings := filepath.Join(dir, "platform.toml"), filepath.Join(dir, "operator.json")
-	for path, text := range map[string]string{platform: platformFile, settings: operator} {
+	for path, text := range map[string]string{platform: platformFile(t), settings: operator} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/ospreystile/zones_golden_test.go
+++ b/cmd/ospreystile/zones_golden_test.go
@@ -32,21 +32,20 @@
 		t.Fatal(err)
 	}
 	var text strings.Builder
-	fmt.Fprintln(&text, "# zones")
-	if err := printZoneTable(&text, zones); err != nil {
-		t.Fatal(err)
-	}
-	fmt.Fprintln(&text, "# zones that are not watched")
-	if err := printZoneTable(&text, disabled); err != nil {
-		t.Fatal(err)
-	}
-	fmt.Fprintln(&text, "# incidents")
-	if err := printIncidents(&text, zones); err != nil {
-		t.Fatal(err)
-	}
-	fmt.Fprintln(&text, "# JSON")
-	if err := printJSON(&text, zones); err != nil {
-		t.Fatal(err)
+	for _, c := range []struct {
+		name  string
+		zones controller.ZonesResponse
+		print tablePrinter
+	}{
+		{"zones", zones, printZoneTable},
+		{"zones that are not watched", disabled, printZoneTable},
+		{"incidents", zones, printIncidents},
+		{"JSON", zones, printJSON},
+	} {
+		fmt.Fprintf(&text, "# %s\n", c.name)
+		if err := c.print(&text, c.zones); err != nil {
+			t.Errorf("%s: %v", c.name, err)
+		}
 	}
 	golden.Text(t, "zones.txt", text.String())
 }
--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -48,7 +48,7 @@
 	return o
 }
 
-// The settings keep their names: files of today are read as they were meant.
+// The settings keep their names, so that existing files are read with the same meaning.
 func TestSettingsKeepTheirNames(t *testing.T) {
 	parse := func(raw []byte, v any) error {
 		p, err := ParsePlatform(raw)
@@ -83,8 +83,8 @@
 	}
 }
 
-// Every name that the schema takes is a setting, and every setting is in the schema and
-// has a default.
+// The schema and the settings have the same names, and so have the defaults and the present
+// names of renamed settings.
 func TestSchemaKeepsItsNames(t *testing.T) {
 	var schema, settings, defaults any
 	written, err := json.Marshal(goldenOperator())
@@ -118,20 +118,20 @@
 
 // schemaNames lists the properties of a schema by their path.
 func schemaNames(path string, schema any) (names []string) {
-	node, _ := schema.(map[string]any)
-	if node == nil {
+	object, _ := schema.(map[string]any)
+	if object == nil {
 		return nil
 	}
-	properties, _ := node["properties"].(map[string]any)
+	properties, _ := object["properties"].(map[string]any)
 	for name, below := range properties {
 		names = append(names, path+name)
 		names = append(names, schemaNames(path+name+".", below)...)
 	}
-	return append(names, schemaNames(path, node["items"])...)
+	return append(names, schemaNames(path, object["items"])...)
 }
 
-// settingNames lists the settings of a file by their path. What lending_limits holds are
-// names of teams.
+// settingNames lists the settings of a file by their path. The names below lending_limits
+// are those of teams.
 func settingNames(path string, file any) (names []string) {
 	switch v := file.(type) {
 	case map[string]any:
--- a/internal/knownfailures/run_test.go
+++ b/internal/knownfailures/run_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// fakeRunner has the listed tests that it is told of.
+// fakeRunner has tests with given packages and results.
 type fakeRunner struct {
 	unlisted error               // the result of all other tests
 	passes   map[string]bool     // by test
