--- a/cmd/ospreystile/zone_override.go
+++ b/cmd/ospreystile/zone_override.go
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 
 	"ospreystile.example/ospreystile/config"
-	"ospreystile.example/ospreystile/controller"
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/zonerecovery"
 )
@@ -63,14 +63,14 @@
 }
 
 // send checks the decision and sends it to the leader.
-func (o *override) send(ctx context.Context, platform *config.Platform, zone ids.Zone) (controller.ZonesResponse, error) {
+func (o *override) send(ctx context.Context, platform *config.Platform, zone ids.Zone) (peerapi.ZonesResponse, error) {
 	if !slices.Contains(platform.Settings.Zones, zone) {
-		return controller.ZonesResponse{}, fmt.Errorf("unknown zone %q, the zones are %v", zone, platform.Settings.Zones)
+		return peerapi.ZonesResponse{}, fmt.Errorf("unknown zone %q, the zones are %v", zone, platform.Settings.Zones)
 	}
 	if o.holdFor < 0 {
-		return controller.ZonesResponse{}, fmt.Errorf("--for: must not be negative, is %v", o.holdFor)
+		return peerapi.ZonesResponse{}, fmt.Errorf("--for: must not be negative, is %v", o.holdFor)
 	}
-	request := controller.ZoneOverride{Zone: zone, Kind: o.kind, Reason: o.reason}
+	request := peerapi.ZoneOverride{Zone: zone, Kind: o.kind, Reason: o.reason}
 	if o.holdFor > 0 {
 		request.UntilMS = time.Now().Add(o.holdFor).UnixMilli()
 	}
--- a/cmd/ospreystile/zones.go
+++ b/cmd/ospreystile/zones.go
@@ -8,18 +8,19 @@
 	"github.com/spf13/cobra"
 
 	"ospreystile.example/ospreystile/config"
-	"ospreystile.example/ospreystile/controller"
+	"ospreystile.example/ospreystile/controller/operatorclient"
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
 // operatorClient returns a client of the controllers that the platform's file names.
-func operatorClient(platform *config.Platform) *controller.OperatorClient {
+func operatorClient(platform *config.Platform) *operatorclient.Client {
 	seeds := map[ids.ControllerName]string{}
 	for _, seed := range platform.Seeds {
 		seeds[seed.Name] = seed.Address
 	}
-	return controller.NewOperatorClient(platform.HostName, platform.PeerAddr, seeds)
+	return operatorclient.New(platform.HostName, platform.PeerAddr, seeds)
 }
 
 // zonesCommand shows the conditions of all zones.
@@ -51,7 +52,7 @@
 }
 
 // printZoneTable writes the conditions of all zones as a table.
-func printZoneTable(out io.Writer, zones controller.ZonesResponse) error {
+func printZoneTable(out io.Writer, zones peerapi.ZonesResponse) error {
 	if !zones.Enabled {
 		_, err := fmt.Fprintln(out, "zones are not watched: zone_return.enabled is false in the operators' settings")
 		return err
@@ -59,9 +60,9 @@
 	table := newTable(out)
 	fmt.Fprintln(table, "ZONE\tCONDITION\tSINCE\tHEARD\tSTEP\tSTARTS\tFETCHES\tSTART P90\tFLAPS\tDISPLACED\tHELD BACK\tUNTIL\tREASON")
 	for _, z := range zones.Zones {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d/%d\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", z.Zone, z.Condition, timeOfDay(z.SinceMS), z.Heard, z.Known,
-			rampProgress(&z), withLimit(z.Starts, z.StartLimit), withLimit(z.Fetches, z.FetchLimit), startTimes(&z), z.Flaps, z.DisplacedIDs,
-			orDash(z.Holding), timeOfDay(z.UntilMS), orDash(z.Reason))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d/%d\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", z.Zone, z.Condition, timeOfDay(z.SinceMS), z.Reachable, z.Machines,
+			rampProgress(&z), withLimit(z.StartsInFlight, z.StartLimit), withLimit(z.FetchesInFlight, z.FetchLimit), startTimes(&z), z.Outages, z.DisplacedJobs,
+			orDash(z.Restriction), timeOfDay(z.RestrictedUntilMS), orDash(z.Reason))
 	}
 	return table.Flush()
 }
@@ -79,7 +80,7 @@
 	if z.StartP90MS == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%s (usual %s)", time.Duration(z.StartP90MS)*time.Millisecond, time.Duration(z.UsualP90MS)*time.Millisecond)
+	return fmt.Sprintf("%s (usual %s)", time.Duration(z.StartP90MS)*time.Millisecond, time.Duration(z.BaselineP90MS)*time.Millisecond)
 }
 
 // withLimit shows a count and its limit; 0: there is no limit.
--- a/cmd/ospreystile/zones_golden_test.go
+++ b/cmd/ospreystile/zones_golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"ospreystile.example/ospreystile/controller"
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/internal/golden"
 )
 
@@ -27,14 +27,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var zones, disabled controller.ZonesResponse
+	var zones, disabled peerapi.ZonesResponse
 	if err := json.Unmarshal(raw, &zones); err != nil {
 		t.Fatal(err)
 	}
 	var text strings.Builder
 	for _, c := range []struct {
 		name  string
-		zones controller.ZonesResponse
+		zones peerapi.ZonesResponse
 		print tablePrinter
 	}{
 		{"zones", zones, printZoneTable},
--- a/cmd/ospreystile/zones_output.go
+++ b/cmd/ospreystile/zones_output.go
@@ -8,11 +8,11 @@
 
 	"github.com/spf13/cobra"
 
-	"ospreystile.example/ospreystile/controller"
+	"ospreystile.example/ospreystile/controller/peerapi"
 )
 
 // tablePrinter writes a response about zones as a table.
-type tablePrinter func(io.Writer, controller.ZonesResponse) error
+type tablePrinter func(io.Writer, peerapi.ZonesResponse) error
 
 // zonesOutput prints a response about zones in the form that the user chose.
 type zonesOutput struct {
@@ -26,7 +26,7 @@
 }
 
 // print writes a response.
-func (o *zonesOutput) print(out io.Writer, zones controller.ZonesResponse) error {
+func (o *zonesOutput) print(out io.Writer, zones peerapi.ZonesResponse) error {
 	if o.asJSON {
 		return printJSON(out, zones)
 	}
@@ -34,7 +34,7 @@
 }
 
 // printJSON writes a response as indented JSON.
-func printJSON(out io.Writer, zones controller.ZonesResponse) error {
+func printJSON(out io.Writer, zones peerapi.ZonesResponse) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(zones)
--- /dev/null
+++ b/controller/leadership.go
@@ -0,0 +1,42 @@
+package controller
+
+import (
+	"context"
+	"sync/atomic"
+
+	"ospreystile.example/ospreystile/controller/leader"
+	"ospreystile.example/ospreystile/election"
+)
+
+// localLeader holds the leader in this process, while this controller leads. It is safe for
+// concurrent use.
+type localLeader struct{ current atomic.Pointer[leader.Leader] }
+
+// get returns the leader in this process, or nil.
+func (l *localLeader) get() *leader.Leader { return l.current.Load() }
+
+// answering returns the leader in this process if it may answer workers and peers, or nil.
+func (l *localLeader) answering() *leader.Leader {
+	if own := l.get(); own != nil && own.MayAnswerHeartbeats() {
+		return own
+	}
+	return nil
+}
+
+// leadership makes a leader for each term that this controller wins.
+type leadership struct {
+	ownLeader    *localLeader
+	dependencies leader.Dependencies
+}
+
+// lead does the work of one term until its context ends. The election calls it, one term at a
+// time.
+func (l *leadership) lead(ctx context.Context, term *election.Term) error {
+	own, err := leader.Load(ctx, term, l.dependencies)
+	if err != nil {
+		return err
+	}
+	l.ownLeader.current.Store(own)
+	defer l.ownLeader.current.CompareAndSwap(own, nil)
+	return own.Run(ctx)
+}
--- a/internal/faulttest/harness_test.go
+++ b/internal/faulttest/harness_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"ospreystile.example/ospreystile/controller"
+	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonerecovery"
@@ -161,7 +161,7 @@
 	if err != nil {
 		return status, "", false
 	}
-	var response controller.ZonesResponse
+	var response peerapi.ZonesResponse
 	if err := json.Unmarshal([]byte(out), &response); err != nil {
 		return status, "", false
 	}
--- a/internal/faulttest/zone_flaps_test.go
+++ b/internal/faulttest/zone_flaps_test.go
@@ -49,8 +49,8 @@
 	z.KV.SetAway(false)
 	z.awaitCondition(failedZone, zonerecovery.Serving)
 	z.awaitAtAllControllers(array.ID, wire.JobDone)
-	if status, _, ok := z.zoneStatus(failedZone); !ok || status.Flaps != 1 {
-		t.Errorf("%d flaps counted: %+v", status.Flaps, status)
+	if status, _, ok := z.zoneStatus(failedZone); !ok || status.Outages != 1 {
+		t.Errorf("%d flaps counted: %+v", status.Outages, status)
 	}
 	z.checkHistory()
 }
--- a/internal/faulttest/zone_recovery_test.go
+++ b/internal/faulttest/zone_recovery_test.go
@@ -57,8 +57,8 @@
 	z.awaitEvery(recoveryPollInterval, "the zone serves again", func() bool {
 		status, leader, ok := z.zoneStatus(failedZone)
 		if ok && status.Condition == zonerecovery.Serving {
-			if !killed || flapsAtFailover == 0 || status.Flaps != flapsAtFailover {
-				z.t.Errorf("leader killed %v: %d flaps before, %d after the recovery", killed, flapsAtFailover, status.Flaps)
+			if !killed || flapsAtFailover == 0 || status.Outages != flapsAtFailover {
+				z.t.Errorf("leader killed %v: %d flaps before, %d after the recovery", killed, flapsAtFailover, status.Outages)
 			}
 			return true
 		}
@@ -69,7 +69,7 @@
 			z.t.Errorf("%d starts in flight, at most %d are allowed", inFlight, maxLimit)
 		}
 		if ok && !killed && status.Step >= 1 {
-			killed, flapsAtFailover = true, status.Flaps
+			killed, flapsAtFailover = true, status.Outages
 			z.restartController(leader)
 		}
 		return false
@@ -96,7 +96,7 @@
 		z.t.Errorf("hold: %v: %s", err, out)
 	}
 	status, _, ok := z.zoneStatus(failedZone)
-	if !ok || status.Override != zonerecovery.OverrideHold || status.UntilMS == 0 {
+	if !ok || status.Override != zonerecovery.OverrideHold || status.RestrictedUntilMS == 0 {
 		z.t.Errorf("after the hold: %+v", status)
 	}
 }
