--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -11,7 +11,6 @@
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/quota"
-	"ospreystile.example/ospreystile/wire"
 )
 
 // Settings of the simulated controllers.
@@ -91,21 +90,6 @@
 	digest            *decisionDigest // of all decisions so far
 }
 
-// simNetwork stands in for the network. Faults: delayed and duplicated messages, slow links,
-// and a zone that only a previous leader reaches.
-type simNetwork struct {
-	// extraLatency is the most that slow links add to a message.
-	extraLatency time.Duration
-	// duplicateChance is the chance that a heartbeat is duplicated.
-	duplicateChance float64
-	// delayedHeartbeats are duplicates that come to the next leader.
-	delayedHeartbeats []*wire.Heartbeat
-	// isolatedZone is a zone that until isolatedZoneUntil is reached by the previous leader
-	// alone.
-	isolatedZone      ids.Zone
-	isolatedZoneUntil monotonic.Instant
-}
-
 // simTeam is a team that lends all of its nominal quota.
 func simTeam(name ids.Team, nominal, limit float64) quota.Team {
 	return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, LendingLimit: quota.Amount{CPUs: nominal}}
@@ -142,17 +126,6 @@
 // chance draws whether a fault with a probability happens.
 func (s *sim) chance(p float64) bool { return s.faults && s.rng.Float64() < p }
 
-// latency is that of a message: mostly short, but some messages are delayed for long.
-func (s *sim) latency() time.Duration {
-	if s.chance(0.02) {
-		return time.Duration(5+s.rng.IntN(60)) * time.Second
-	}
-	if s.faults && s.extraLatency > 0 {
-		return time.Duration(s.rng.Int64N(int64(s.extraLatency)))
-	}
-	return time.Duration(1+s.rng.IntN(20)) * time.Millisecond
-}
-
 // violation notes a broken rule.
 func (s *sim) violation(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("%.1f s: ", time.Duration(s.now-monotonic.Instant(time.Hour)).Seconds())+fmt.Sprintf(format, args...))
--- a/scheduler/zone_recovery_benchmark_test.go
+++ b/scheduler/zone_recovery_benchmark_test.go
@@ -17,42 +17,6 @@
 //
 //	go test ./scheduler -run - -bench ZoneReturn -benchtime 1x
 
-// simImageCaches models images: a machine fetches each once, and the fetches of a zone share
-// its link.
-type simImageCaches struct {
-	images map[*simWorker]map[ids.Image]bool
-	// inFlight and peak count the fetches of each zone, total those of the whole day.
-	inFlight, peak map[ids.Zone]int
-	total          int
-}
-
-const (
-	// linkFetches is how many fetches a zone's link carries at full speed.
-	linkFetches = 4
-	// lonelyFetch is how long a fetch takes at full speed, cachedStart a start without one.
-	lonelyFetch = 2 * time.Second
-	cachedStart = 50 * time.Millisecond
-)
-
-// fetch begins a fetch if the image is missing, and tells how long the task waits.
-func (c *simImageCaches) fetch(s *sim, w *simWorker, image ids.Image) time.Duration {
-	if c.images[w] == nil {
-		c.images[w] = map[ids.Image]bool{}
-	}
-	if c.images[w][image] {
-		return cachedStart
-	}
-	c.inFlight[w.zone]++
-	c.total++
-	c.peak[w.zone] = max(c.peak[w.zone], c.inFlight[w.zone])
-	took := lonelyFetch * time.Duration(max(linkFetches, c.inFlight[w.zone])) / linkFetches
-	s.after(took, func() {
-		c.inFlight[w.zone]--
-		c.images[w][image] = true
-	})
-	return took
-}
-
 // returnFigures are the measurements of one day.
 type returnFigures struct {
 	queriesUp   time.Duration // from the partition until all replicas run again
