--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -46,14 +46,14 @@
 		}
 		s.injectLargeDayFaults()
 		if round%4 == 3 {
-			examined += s.core.admission.MachinesExamined
+			examined += s.core.candidates.examined
 			s.failOver()
 		}
 		s.run(4 * time.Second)
 		mostMachines = max(mostMachines, len(s.workers))
 		s.requireNoViolations()
 	}
-	examined += s.core.admission.MachinesExamined
+	examined += s.core.candidates.examined
 	s.runToCompletion(all, 5*time.Minute)
 	if mostMachines < 1700 {
 		t.Fatalf("the day had only %d machines", mostMachines)
