--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -26,14 +26,10 @@
 	machinesRequested map[placement.Site]int
 	rentalsInFlight   map[placement.Site]int
 	// Failures.Backoff holds the sites that lacked capacity lately.
-	backoff       *fleet.Backoff
-	demandByClass map[string]*classDemand
-	// bootFactors tells how long boots took lately, against the catalog.
-	bootFactors map[ids.MachineType]float64
-	// spotTime is how long spot machines were up, all together, and spotLosses how
-	// many of them were lost meanwhile.
-	spotTime   time.Duration
-	spotLosses int
+	backoff *fleet.Backoff
+	classes *classDemands
+	boots   *bootTimes
+	spot    *spotLosses
 }
 
 // newAutoscaler makes an autoscaler that has seen no demand yet.
@@ -43,8 +39,14 @@
 		machinesRequested: map[placement.Site]int{},
 		rentalsInFlight:   map[placement.Site]int{},
 		backoff:           fleet.NewBackoff(c.opt.CapacityBackoff),
-		demandByClass:     map[string]*classDemand{},
-		bootFactors:       map[ids.MachineType]float64{},
+		classes:           &classDemands{cluster: c.cluster, clock: c.clock, byClass: map[string]*classDemand{}},
+		boots: &bootTimes{
+			cluster:  c.cluster,
+			clock:    c.clock,
+			settings: bootTimeSettings{maxFactor: c.opt.BootFactor, heartbeatInterval: c.opt.HeartbeatInterval},
+			factors:  map[ids.MachineType]float64{},
+		},
+		spot: &spotLosses{cluster: c.cluster},
 	}
 }
 
@@ -57,9 +59,9 @@
 	if as.core.clock.Now() < as.plannedAt.Add(planInterval) {
 		return
 	}
-	as.countSpotTime(as.core.clock.Now().Sub(as.plannedAt))
+	as.spot.countUptime(as.core.clock.Now().Sub(as.plannedAt))
 	as.plannedAt = as.core.clock.Now()
-	as.updateDemand()
+	as.classes.update()
 	// A predecessor's machines may not be listed yet; rented again, they
 	// would be there twice.
 	if as.core.opt.PreviousLeader && as.core.clock.Now() < as.core.clock.TermBegan().Add(2*as.core.opt.ListLag) {
@@ -86,7 +88,7 @@
 	}
 	for _, m := range as.core.cluster.Machines() {
 		p.MachinesBySite[m.Site()]++
-		if !m.Agent.Reported && !m.Lifecycle.Terminating && m.MachineType() != nil && !as.bootLate(m) {
+		if !m.Agent.Reported && !m.Lifecycle.Terminating && m.MachineType() != nil && !as.boots.late(m) {
 			p.AddCapacity(m.Site(), m.Free())
 		}
 	}
@@ -204,58 +206,15 @@
 	as.core.rounds.MarkDue()
 }
 
-// lateBootFactor is how many times as long as its type's boot, as it has been lately, a
-// machine may take before it counts as late.
-const lateBootFactor = 1.7
+// recordArrival counts a job that became ready.
+func (as *autoscaler) recordArrival(spec *wire.JobSpec) { as.classes.recordArrival(spec) }
 
-// bootLate tells whether a machine takes so long to boot that it may never come up. What
-// waits for it has another rented in its place, unless all machines of its type take as
-// long now: then another would come no sooner.
-func (as *autoscaler) bootLate(m *cluster.Machine) bool {
-	if m.Agent.Reported || m.MachineType() == nil || !m.Lifecycle.RentedThisTerm {
-		return false
-	}
-	usual := max(1, as.bootFactors[m.Type()])
-	return as.core.clock.Now() > m.Lifecycle.KnownSince.Add(monotonic.Seconds(lateBootFactor*usual*m.MachineType().BootS)+as.core.opt.HeartbeatInterval)
-}
+// recordBoot learns from the first heartbeat of a machine.
+func (as *autoscaler) recordBoot(m *cluster.Machine) { as.boots.record(m) }
 
-// recordBoot takes in how long a machine took to come up, as a part of its type's time.
-func (as *autoscaler) recordBoot(m *cluster.Machine) {
-	if m.MachineType() == nil || !m.Lifecycle.RentedThisTerm || m.MachineType().BootS <= 0 {
-		return
-	}
-	took := min(as.core.clock.Now().Sub(m.Lifecycle.KnownSince).Seconds()/m.MachineType().BootS, as.core.opt.BootFactor)
-	if was := as.bootFactors[m.Type()]; was > 0 {
-		took = 0.8*was + 0.2*took
-	}
-	as.bootFactors[m.Type()] = took
-}
+// recordSpotLoss counts a spot instance that the cloud took back, or announced to take back.
+func (as *autoscaler) recordSpotLoss() { as.spot.record() }
 
-// fastestBoot is how long the quickest type that would do takes to boot.
-func (as *autoscaler) fastestBoot(s *wire.JobSpec) time.Duration {
-	boot := time.Duration(0)
-	for i := range as.core.cluster.Types() {
-		if t := &as.core.cluster.Types()[i]; placement.Fits(s, t) && (boot == 0 || monotonic.Seconds(t.BootS) < boot) {
-			boot = monotonic.Seconds(t.BootS)
-		}
-	}
-	return boot
-}
-
-// spotRisk is the chance that a spot machine is taken while a task of the job
-// runs, going by the losses seen so far. Before anything was seen it assumes
-// one in half an hour.
-func (as *autoscaler) spotRisk(j *cluster.Job) float64 {
-	const priorHours = 0.5
-	perHour := (1 + float64(as.spotLosses)) / (priorHours + as.spotTime.Hours())
-	return perHour * j.Spec.EstimateS / 3600
-}
-
-// countSpotTime counts the time that spot machines were up.
-func (as *autoscaler) countSpotTime(passed time.Duration) {
-	for _, m := range as.core.cluster.Machines() {
-		if m.Spot() && m.Agent.Reported && !m.Lifecycle.Terminating {
-			as.spotTime += passed
-		}
-	}
-}
+// spotRisk is the expected number of times that a spot instance is reclaimed while one task
+// of a job runs on it.
+func (as *autoscaler) spotRisk(j *cluster.Job) float64 { return as.spot.risk(j) }
--- a/scheduler/class_demand_test.go
+++ b/scheduler/class_demand_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestClassDemandForgets(t *testing.T) {
-	const slot = demandWindow / 4
+	const slot = demandWindow / demandSlots
 	p := &classDemand{}
 	p.advance(monotonic.Instant(slot))
-	p.peaks[p.slot%4] = 7
-	p.jobs[p.slot%4], p.tasks[p.slot%4] = 4, 12
+	p.peaks[p.slot%demandSlots] = 7
+	p.arrivedJobs[p.slot%demandSlots], p.arrivedTasks[p.slot%demandSlots] = 4, 12
 	if got := p.expectedArrivals(demandWindow); got < 12 || got > 31 {
 		t.Errorf("12 tasks of 4 jobs in a window: %v to come in another", got)
 	}
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -129,7 +129,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newHarness(t, Options{})
-			b.c.autoscaler.bootFactors["m"] = c.bootFactor
+			b.c.autoscaler.boots.factors["m"] = c.bootFactor
 			b.submit("job-1", wire.JobSpec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
 			if requests := b.provisionFor(c.after); len(requests) != 1+c.replaced {
 				t.Errorf("provisioned %v, want %d replacements", requests, c.replaced)
--- a/scheduler/fleet_demand.go
+++ b/scheduler/fleet_demand.go
@@ -59,7 +59,7 @@
 			}
 			counted[j] += n
 			d := fleet.Demand{Spec: j.Spec, Count: n, Zones: j.Zones()}
-			if j.NeedsAllTasks() || as.core.queue.latencySensitive(j) || as.core.clock.Now() > j.Queue.WaitingSince.Add(as.fastestBoot(j.Spec)) {
+			if j.NeedsAllTasks() || as.core.queue.latencySensitive(j) || as.core.clock.Now() > j.Queue.WaitingSince.Add(as.boots.fastest(j.Spec)) {
 				urgent = append(urgent, d)
 			} else {
 				later = append(later, d)
@@ -142,7 +142,7 @@
 // services the former is far more than ever arrives.
 func (as *autoscaler) spareTasks(p *classDemand) int {
 	want := as.core.opt.Headroom * float64(p.peakTasks())
-	boot := as.fastestBoot(p.spec)
+	boot := as.boots.fastest(p.spec)
 	if as.core.clock.Now() > as.core.clock.TermBegan().Add(demandWindow/2) { // what came before is not known
 		want = min(want, p.expectedArrivals(spareBoots*boot))
 	}
@@ -152,7 +152,7 @@
 // addHeadroom rents spare room for classes that cannot wait for a machine to boot.
 func (as *autoscaler) addHeadroom(p *fleet.Planner) {
 	for _, class := range slices.Sorted(maps.Keys(as.core.opt.LatencySensitive)) {
-		pk := as.demandByClass[class]
+		pk := as.classes.byClass[class]
 		if pk == nil {
 			continue
 		}
@@ -183,7 +183,7 @@
 func (as *autoscaler) returnIdle() {
 	over := map[*classDemand]int{}
 	for class := range as.core.opt.LatencySensitive {
-		if pk := as.demandByClass[class]; pk != nil {
+		if pk := as.classes.byClass[class]; pk != nil {
 			over[pk] = as.freeSlots(pk.spec, math.MaxInt) - as.spareTasks(pk)
 		}
 	}
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -83,7 +83,7 @@
 		if m.Health.SpotReclaimAt == 0 {
 			c.rounds.MarkDue()
 			c.health.healthCheckDue = true
-			c.autoscaler.spotLosses++
+			c.autoscaler.recordSpotLoss()
 		}
 		m.Health.SpotReclaimAt = c.clock.Now().Add(monotonic.Seconds(*rep.SpotNoticeS))
 	}
