--- a/controller/leader/events.go
+++ b/controller/leader/events.go
@@ -49,7 +49,11 @@
 }
 
 func (e provisioningFinished) applyTo(loop *eventLoop) {
-	loop.core.ProvisionResult(loop.clock.Now(), e.request, e.machines, e.granted)
+	if !e.granted {
+		loop.core.ProvisioningRefused(loop.clock.Now(), e.request)
+		return
+	}
+	loop.core.ProvisioningGranted(loop.clock.Now(), e.request, e.machines)
 }
 
 // terminationFinished tells that the cloud confirmed the end of machines.
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"fmt"
 	"maps"
 	"math"
 	"slices"
@@ -9,202 +8,241 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/scheduler/fleet"
 	"ospreystile.example/ospreystile/scheduler/placement"
+	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// autoscaler rents machines for what was admitted or could be and found no place, and
-// returns those that stand idle.
+// planInterval is how often the autoscaler plans.
+const planInterval = time.Second
+
+// autoscaler decides which machines to provision and which idle machines to terminate. The
+// core calls plan in each step and takeDecisions after it; other policies ask and inform it
+// through the methods at the end of this file. It never places, stops or moves a task.
 type autoscaler struct {
-	core        *Core
-	plannedAt   monotonic.Instant
-	nextBooking int
-	// machinesRequested counts the machines asked for in rentals under way, and
-	// rentalsInFlight those rentals, by site.
-	machinesRequested map[placement.Site]int
-	rentalsInFlight   map[placement.Site]int
-	// Failures.Backoff holds the sites that lacked capacity lately.
-	backoff *fleet.Backoff
+	cluster  *cluster.State
+	clock    *clock.Clock
+	settings autoscalerSettings
+	health   autoscalerHealth
+	zones    zoneProvisioning
+
+	// classes, boots and spot hold what was observed in this term.
 	classes *classDemands
 	boots   *bootTimes
 	spot    *spotLosses
+	// waiting, headroom and replacements each add one kind of demand to a plan.
+	waiting      *waitingDemand
+	headroom     *headroom
+	replacements *replacements
+	provisioner  *provisioner
+	scaleIn      *scaleIn
+
+	plannedAt monotonic.Instant
+}
+
+// autoscalerSettings are the settings of the autoscaler and its parts.
+type autoscalerSettings struct {
+	// revision is that of the leader's key.
+	revision ids.Revision
+	// previousLeader tells that another leader may have acted before.
+	previousLeader bool
+	// listLag is how far the cloud's list of machines may lag behind.
+	listLag time.Duration
+	// maxMachines bounds the machines held; 0: no bound.
+	maxMachines int
+	// capacityBackoff is the first wait of a site that lacked capacity.
+	capacityBackoff time.Duration
+	// heartbeatInterval is the time between two heartbeats of a machine.
+	heartbeatInterval time.Duration
+	boots             bootTimeSettings
+	headroom          headroomSettings
+	scaleIn           scaleInSettings
+}
+
+// autoscalerPeers are the other policies that the autoscaler asks.
+type autoscalerPeers struct {
+	queue     *jobQueue
+	quota     *quotaCheck
+	quotas    *quota.Tracker
+	estimates *runEstimates
+	health    autoscalerHealth
+	zones     zoneProvisioning
+	registry  machineReturner
+}
+
+// autoscalerHealth tells which machines can be used and which zones can be reached.
+type autoscalerHealth interface {
+	machineUsability
+	zonePartitioned(zone ids.Zone) bool
+}
+
+// zoneProvisioning bounds provisioning in a zone that recovers.
+type zoneProvisioning interface {
+	provisioningLimiter
+	// blocksProvisioning tells whether no machine may be requested in a zone now.
+	blocksProvisioning(zone ids.Zone) bool
+	// addRecoveringCapacity passes the free resources of machines in recovering zones on.
+	addRecoveringCapacity(add func(placement.Site, placement.Resources))
 }
 
-// newAutoscaler makes an autoscaler that has seen no demand yet.
-func newAutoscaler(c *Core) *autoscaler {
+// newAutoscaler makes an autoscaler that has observed nothing yet. connect must follow
+// before the first plan.
+func newAutoscaler(settings autoscalerSettings, state *cluster.State, now *clock.Clock, rounds *clock.RoundTrigger) *autoscaler {
 	return &autoscaler{
-		core:              c,
-		machinesRequested: map[placement.Site]int{},
-		rentalsInFlight:   map[placement.Site]int{},
-		backoff:           fleet.NewBackoff(c.opt.CapacityBackoff),
-		classes:           &classDemands{cluster: c.cluster, clock: c.clock, byClass: map[string]*classDemand{}},
+		cluster:  state,
+		clock:    now,
+		settings: settings,
+		classes:  &classDemands{cluster: state, clock: now, byClass: map[string]*classDemand{}},
 		boots: &bootTimes{
-			cluster:  c.cluster,
-			clock:    c.clock,
-			settings: bootTimeSettings{maxFactor: c.opt.BootFactor, heartbeatInterval: c.opt.HeartbeatInterval},
+			cluster:  state,
+			clock:    now,
+			settings: settings.boots,
 			factors:  map[ids.MachineType]float64{},
 		},
-		spot: &spotLosses{cluster: c.cluster},
+		spot: &spotLosses{cluster: state},
+		provisioner: &provisioner{
+			cluster:          state,
+			clock:            now,
+			rounds:           rounds,
+			backoff:          fleet.NewBackoff(settings.capacityBackoff),
+			revision:         settings.revision,
+			requestsInFlight: map[placement.Site]int{},
+			machinesInFlight: map[placement.Site]int{},
+		},
 	}
 }
 
-// planInterval is how often the fleet is planned.
-const planInterval = time.Second
-
-// planFleet rents for what was admitted or could be and found no place, and
-// gives back what stands idle.
-func (as *autoscaler) planFleet() {
-	if as.core.clock.Now() < as.plannedAt.Add(planInterval) {
-		return
+// connect makes the parts that ask other policies. It exists because some of these policies
+// ask the autoscaler in turn.
+func (as *autoscaler) connect(peers autoscalerPeers) {
+	as.health, as.zones = peers.health, peers.zones
+	as.provisioner.zones = peers.zones
+	as.waiting = &waitingDemand{
+		cluster:   as.cluster,
+		clock:     as.clock,
+		queue:     peers.queue,
+		quota:     peers.quota,
+		quotas:    peers.quotas,
+		estimates: peers.estimates,
+		health:    peers.health,
+		boots:     as.boots,
 	}
-	as.spot.countUptime(as.core.clock.Now().Sub(as.plannedAt))
-	as.plannedAt = as.core.clock.Now()
-	as.classes.update()
-	// A predecessor's machines may not be listed yet; rented again, they
-	// would be there twice.
-	if as.core.opt.PreviousLeader && as.core.clock.Now() < as.core.clock.TermBegan().Add(2*as.core.opt.ListLag) {
-		return
+	as.headroom = &headroom{
+		cluster:  as.cluster,
+		clock:    as.clock,
+		classes:  as.classes,
+		boots:    as.boots,
+		health:   peers.health,
+		settings: as.settings.headroom,
+	}
+	as.replacements = &replacements{
+		cluster:           as.cluster,
+		clock:             as.clock,
+		health:            peers.health,
+		heartbeatInterval: as.settings.heartbeatInterval,
 	}
-	p := as.newPlanner()
-	as.addDemand(p)
-	as.addHeadroom(p)
-	as.addReplacements(p) // last, as it counts free room that the others have used
-	for _, purchase := range p.MachineRequests() {
-		as.rent(purchase)
+	as.scaleIn = &scaleIn{
+		cluster:  as.cluster,
+		clock:    as.clock,
+		headroom: as.headroom,
+		health:   peers.health,
+		registry: peers.registry,
+		settings: as.settings.scaleIn,
 	}
-	as.returnIdle()
 }
 
-// newPlanner makes a planner that counts the machines that are coming.
-func (as *autoscaler) newPlanner() *fleet.Planner {
-	p := &fleet.Planner{Types: as.core.cluster.Types(), MachinesBySite: map[placement.Site]int{}, MaxMachines: math.MaxInt32, Blocked: as.blocked}
-	if as.core.opt.MaxMachines > 0 {
-		p.MaxMachines = as.core.opt.MaxMachines - len(as.core.cluster.Machines())
-		for _, n := range as.machinesRequested {
-			p.MaxMachines -= n
-		}
+// begin begins the term; the first plan is due one interval later.
+func (as *autoscaler) begin() { as.plannedAt = as.clock.Now() }
+
+// plan requests machines for tasks that find no room, and gives up idle machines. It does
+// nothing until its interval has passed.
+func (as *autoscaler) plan() {
+	now := as.clock.Now()
+	if now < as.plannedAt.Add(planInterval) {
+		return
 	}
-	for _, m := range as.core.cluster.Machines() {
-		p.MachinesBySite[m.Site()]++
-		if !m.Agent.Reported && !m.Lifecycle.Terminating && m.MachineType() != nil && !as.boots.late(m) {
-			p.AddCapacity(m.Site(), m.Free())
-		}
+	as.spot.countUptime(now.Sub(as.plannedAt))
+	as.plannedAt = now
+	as.classes.update()
+	if !as.machinesKnown() {
+		return
 	}
-	as.core.zones.addReturning(p.AddCapacity)
-	for _, s := range slices.SortedFunc(maps.Keys(as.machinesRequested), placement.Site.Compare) {
-		p.MachinesBySite[s] += as.machinesRequested[s]
-		if t := as.core.cluster.Type(s.Type); t != nil {
-			for range as.machinesRequested[s] {
-				p.AddCapacity(s, placement.MachineResources(t))
-			}
-		}
+	planner := as.newPlanner()
+	as.waiting.addTo(planner)
+	as.headroom.addTo(planner)
+	as.replacements.addTo(planner) // last: it offers free room that the others do not count
+	for _, machines := range planner.MachineRequests() {
+		as.provisioner.request(machines)
 	}
-	return p
+	as.scaleIn.giveUpIdle()
 }
 
-// blocked tells whether nothing should be rented at a site now.
-func (as *autoscaler) blocked(s placement.Site) bool {
-	return as.core.health.zonePartitioned(s.Zone) || as.core.zones.blocksRental(s.Zone) || as.backoff.Active(s, as.core.clock.Now())
+// machinesKnown tells whether the list of machines has caught up with what a previous
+// leader provisioned. Without that the same demand would be provisioned twice.
+func (as *autoscaler) machinesKnown() bool {
+	if !as.settings.previousLeader {
+		return true
+	}
+	return as.clock.Now() >= as.clock.TermBegan().Add(2*as.settings.listLag)
 }
 
-// comingByZone counts the machines that were asked for or have yet to report.
-func (as *autoscaler) comingByZone() map[ids.Zone]int {
-	coming := map[ids.Zone]int{}
-	for site, n := range as.machinesRequested {
-		coming[site.Zone] += n
+// newPlanner makes a planner that knows of the machines that boot or are requested.
+func (as *autoscaler) newPlanner() *fleet.Planner {
+	planner := &fleet.Planner{
+		Types:          as.cluster.Types(),
+		Blocked:        as.blocked,
+		MachinesBySite: map[placement.Site]int{},
+		MaxMachines:    as.machinesAllowed(),
 	}
-	for _, m := range as.core.cluster.Machines() {
-		if !m.Agent.Reported && !m.Lifecycle.Terminating {
-			coming[m.Zone()]++
+	for _, m := range as.cluster.Machines() {
+		planner.MachinesBySite[m.Site()]++
+		if m.Booting() && m.MachineType() != nil && !as.boots.late(m) {
+			planner.AddCapacity(m.Site(), m.Free())
 		}
 	}
-	return coming
+	as.zones.addRecoveringCapacity(planner.AddCapacity)
+	as.addRequested(planner)
+	return planner
 }
 
-// zoneRefused tells whether the cloud lately lacked every kind of machine in a zone.
-func (as *autoscaler) zoneRefused(zone ids.Zone) bool {
-	offered := false
-	for i := range as.core.cluster.Types() {
-		t := &as.core.cluster.Types()[i]
-		if !slices.Contains(t.Zones, zone) {
+// addRequested adds the machines of requests in flight to a plan.
+func (as *autoscaler) addRequested(planner *fleet.Planner) {
+	requested := as.provisioner.machinesInFlight
+	for _, site := range slices.SortedFunc(maps.Keys(requested), placement.Site.Compare) {
+		planner.MachinesBySite[site] += requested[site]
+		machineType := as.cluster.Type(site.Type)
+		if machineType == nil {
 			continue
 		}
-		offered = true
-		for _, spot := range []bool{false, true} {
-			if !as.backoff.Active(placement.Site{Type: t.Name, Zone: zone, Spot: spot}, as.core.clock.Now()) {
-				return false
-			}
+		for range requested[site] {
+			planner.AddCapacity(site, placement.MachineResources(machineType))
 		}
 	}
-	return offered
 }
 
-// rent books the machines of a purchase, as many rentals as are allowed.
-func (as *autoscaler) rent(purchase fleet.MachineRequest) {
-	for left := as.core.zones.limitRental(purchase.Zone, purchase.Count); left > 0 && as.canRent(purchase.Site); left -= maxRentalSize {
-		n := min(left, maxRentalSize)
-		as.nextBooking++
-		as.machinesRequested[purchase.Site] += n
-		as.rentalsInFlight[purchase.Site]++
-		as.core.decisions.Provision = append(as.core.decisions.Provision, wire.ProvisionRequest{
-			RequestID: fmt.Sprintf("r-%d-%d", as.core.opt.Revision, as.nextBooking),
-			Type:      purchase.Type, Zone: purchase.Zone, Spot: purchase.Spot, Count: n,
-		})
+// machinesAllowed is how many more machines may be requested. It is negative if there are
+// too many already.
+func (as *autoscaler) machinesAllowed() int {
+	if as.settings.maxMachines <= 0 {
+		return math.MaxInt32
 	}
-}
-
-const (
-	// maxRentalSize is the protocol's limit for one rental.
-	maxRentalSize = 50
-	// maxRentalsPerSite bounds the rentals under way for one site.
-	maxRentalsPerSite = 3
-)
-
-// canRent tells whether one more rental may be under way for a site. Where the
-// cloud lacked machines lately one is enough to ask: more of them took all
-// calls for seconds, only to be refused too.
-func (as *autoscaler) canRent(s placement.Site) bool {
-	if as.backoff.RecentlyRefused(s) {
-		return as.rentalsInFlight[s] == 0
+	allowed := as.settings.maxMachines - len(as.cluster.Machines())
+	for _, count := range as.provisioner.machinesInFlight {
+		allowed -= count
 	}
-	return as.rentalsInFlight[s] < maxRentalsPerSite
+	return allowed
 }
 
-// ProvisionResult takes the answer to a rental; ok is false if the cloud had none
-// or would not rent.
-func (c *Core) ProvisionResult(now monotonic.Instant, r wire.ProvisionRequest, hosts []ids.MachineID, ok bool) {
-	c.clock.Set(now)
-	c.autoscaler.rentResult(r, hosts, ok)
+// blocked tells whether no machine should be requested at a site now.
+func (as *autoscaler) blocked(site placement.Site) bool {
+	return as.health.zonePartitioned(site.Zone) || as.zones.blocksProvisioning(site.Zone) || as.provisioner.backsOff(site)
 }
 
-// rentResult ends a rental.
-func (as *autoscaler) rentResult(r wire.ProvisionRequest, hosts []ids.MachineID, ok bool) {
-	site := placement.Site{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
-	if as.machinesRequested[site] -= r.Count; as.machinesRequested[site] <= 0 {
-		delete(as.machinesRequested, site)
-	}
-	as.rentalsInFlight[site]--
-	if !ok {
-		as.backoff.RecordRefusal(site, as.core.clock.Now())
-		return
-	}
-	for _, h := range hosts {
-		if as.core.cluster.WasRemoved(h) {
-			continue
-		}
-		m := as.core.cluster.EnsureMachine(h)
-		m.Lifecycle.RentedThisTerm = true
-		as.core.registry.setSite(m, site, "")
-	}
-	if len(hosts) < r.Count {
-		as.backoff.RecordRefusal(site, as.core.clock.Now())
-	} else {
-		as.backoff.RecordSuccess(site)
-	}
-	as.core.rounds.MarkDue()
-}
+// takeDecisions hands out the requests for machines since the last call.
+func (as *autoscaler) takeDecisions() []wire.ProvisionRequest { return as.provisioner.takeDecisions() }
 
 // recordArrival counts a job that became ready.
 func (as *autoscaler) recordArrival(spec *wire.JobSpec) { as.classes.recordArrival(spec) }
@@ -218,3 +256,9 @@
 // spotRisk is the expected number of times that a spot instance is reclaimed while one task
 // of a job runs on it.
 func (as *autoscaler) spotRisk(j *cluster.Job) float64 { return as.spot.risk(j) }
+
+// zoneRefused tells whether the cloud recently lacked every kind of machine in a zone.
+func (as *autoscaler) zoneRefused(zone ids.Zone) bool { return as.provisioner.zoneRefused(zone) }
+
+// comingByZone counts the machines that were requested or have yet to send a heartbeat.
+func (as *autoscaler) comingByZone() map[ids.Zone]int { return as.provisioner.comingByZone() }
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -232,7 +232,11 @@
 				machines = append(machines, d.boot(r, time.Duration(15+d.rng.IntN(22))*time.Second))
 			}
 		}
-		d.c.ProvisionResult(d.now, r, machines, len(machines) > 0)
+		if len(machines) == 0 {
+			d.c.ProvisioningRefused(d.now, r)
+			return
+		}
+		d.c.ProvisioningGranted(d.now, r, machines)
 	})
 }
 
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -81,7 +81,7 @@
 	c.health = &healthMonitor{core: c, zoneStates: map[ids.Zone]*zoneState{}}
 	c.commands = &commandQueue{core: c}
 	c.preemption = &evictor{core: c}
-	c.autoscaler = newAutoscaler(c)
+	c.autoscaler = newAutoscaler(autoscalerSettingsOf(&opt), c.cluster, c.clock, c.rounds)
 	c.zones = newZoneGate(c, opt.ZoneRecovery)
 	c.lifecycle = &taskLifecycle{
 		cluster:   c.cluster,
@@ -94,6 +94,7 @@
 		slowness:  c,
 	}
 	c.connectAdmission()
+	c.connectAutoscaler()
 	c.cluster.SetCatalog(types)
 	return c
 }
@@ -142,6 +143,38 @@
 	}
 }
 
+// connectAutoscaler gives the autoscaler the policies that it asks.
+func (c *Core) connectAutoscaler() {
+	c.autoscaler.connect(autoscalerPeers{
+		queue:     c.queue,
+		quota:     c.quota,
+		quotas:    c.quotas,
+		estimates: c.estimates,
+		health:    c.health,
+		zones:     c.zones,
+		registry:  c.registry,
+	})
+}
+
+// autoscalerSettingsOf selects the settings of the autoscaler.
+func autoscalerSettingsOf(opt *Options) autoscalerSettings {
+	return autoscalerSettings{
+		revision:          opt.Revision,
+		previousLeader:    opt.PreviousLeader,
+		listLag:           opt.ListLag,
+		maxMachines:       opt.MaxMachines,
+		capacityBackoff:   opt.CapacityBackoff,
+		heartbeatInterval: opt.HeartbeatInterval,
+		boots:             bootTimeSettings{maxFactor: opt.BootFactor, heartbeatInterval: opt.HeartbeatInterval},
+		headroom:          headroomSettings{latencySensitive: opt.LatencySensitive, peakShare: opt.Headroom},
+		scaleIn: scaleInSettings{
+			idleTimeout:         opt.IdleTimeout,
+			headroomIdleTimeout: opt.HeadroomIdleTimeout,
+			spotIdleFactor:      opt.SpotIdleFactor,
+		},
+	}
+}
+
 // SetCatalog takes the cloud's machine types and current prices.
 func (c *Core) SetCatalog(types []wire.MachineType) { c.cluster.SetCatalog(types) }
 
@@ -156,7 +189,7 @@
 func (c *Core) Begin(now monotonic.Instant) {
 	c.clock.Begin(now)
 	c.beginPreviousLeaders()
-	c.autoscaler.plannedAt = now
+	c.autoscaler.begin()
 	c.records.budgetRefilledAt = now
 	// In order: it decides what is stopped, sent and written first.
 	for _, j := range c.cluster.SortedJobs() {
@@ -213,7 +246,7 @@
 		cost := time.Duration(c.candidates.examined-before) * c.opt.RoundCostPerMachine
 		c.rounds.HoldUntil(now.Add(max(c.opt.RoundInterval, cost)))
 	}
-	c.autoscaler.planFleet()
+	c.autoscaler.plan()
 	c.zones.restore()
 	c.records.refillBudget()
 	c.zones.writeRecords()
@@ -221,6 +254,7 @@
 	c.commands.dispatchCommands()
 	out := c.decisions
 	c.decisions = Decisions{}
+	out.Provision = c.autoscaler.takeDecisions()
 	return out
 }
 
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -149,7 +149,7 @@
 			for i := range r.Count {
 				machines = append(machines, ids.MachineID(fmt.Sprintf("%s-%d", r.RequestID, i)))
 			}
-			b.c.ProvisionResult(b.now, r, machines, true)
+			b.c.ProvisioningGranted(b.now, r, machines)
 		}
 	}
 	return requests
@@ -158,7 +158,7 @@
 // A machine that never boots is terminated in the end, and costs no more.
 func TestMachineThatNeverBootsIsTerminated(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.c.ProvisionResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"}, true)
+	b.c.ProvisioningGranted(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"})
 	for range 120 {
 		b.now = b.now.Add(500 * time.Millisecond)
 		if len(b.step().Terminate) > 0 {
@@ -185,7 +185,7 @@
 		return wire.TaskStatus{}
 	}
 	task := run()
-	b.c.ProvisionResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-1"}, true)
+	b.c.ProvisioningGranted(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-1"})
 	b.c.cluster.Machine("n-1").Lifecycle.BootDeadline = b.now.Add(10 * time.Second)
 
 	b.now = b.now.Add(20 * time.Second) // it is paused
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -264,7 +264,7 @@
 		terminated = append(terminated, decisions.Terminate...)
 		for _, r := range decisions.Provision {
 			requested[r.Zone] += r.Count
-			d.c.ProvisionResult(d.now, r, nil, false)
+			d.c.ProvisioningRefused(d.now, r)
 		}
 	}
 	return requested, terminated
--- /dev/null
+++ b/scheduler/replacements_test.go
@@ -0,0 +1,69 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// A service on a partitioned machine was replaced only once the machine's lease had expired,
+// and then waited for a boot as well. The next leader may never have heard of the machine.
+func TestProvisionsAheadForServicesOnSilentMachines(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		begin func(*testing.T) *harness
+	}{
+		{"placed in this term", beginWithService},
+		{"inherited", beginWithInheritedService},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := c.begin(t)
+			start := b.now
+			requests := b.firstRequests(simAgentLease)
+			if len(requests) == 0 {
+				t.Fatal("nothing was provisioned before the lease expired")
+			}
+			if requests[0].Count != 1 || requests[0].Spot {
+				t.Errorf("provisioned %+v", requests)
+			}
+			after := b.now.Sub(start)
+			if after < silentHeartbeats*simHeartbeatInterval || after > simAgentLease/2 {
+				t.Errorf("provisioned after %v", after)
+			}
+		})
+	}
+}
+
+// beginWithService places a service on n-1.
+func beginWithService(t *testing.T) *harness {
+	t.Helper()
+	b := newHarness(t, Options{})
+	b.c.Begin(b.now)
+	b.heartbeat("n-1", "a", 0)
+	b.submit("job-1", wire.JobSpec{Tasks: 1, Service: true})
+	b.step()
+	return b
+}
+
+// beginWithInheritedService has a previous leader's records place a service on n-1.
+func beginWithInheritedService(t *testing.T) *harness {
+	t.Helper()
+	b := newHarness(t, Options{PreviousLeader: true})
+	b.inherit(wire.JobSpec{Tasks: 1, Service: true}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	b.c.Begin(b.now)
+	return b
+}
+
+// firstRequests steps until machines are requested, or a time has passed. The harness is
+// left at the time of that step.
+func (b *harness) firstRequests(within time.Duration) []wire.ProvisionRequest {
+	for end := b.now.Add(within); b.now < end; b.now = b.now.Add(500 * time.Millisecond) {
+		if requests := b.step().Provision; len(requests) > 0 {
+			return requests
+		}
+	}
+	return nil
+}
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -83,7 +83,13 @@
 func (l simLeader) provision(request wire.ProvisionRequest) {
 	l.after(max(80*time.Millisecond, l.cloudOutageUntil.Sub(l.now)), func() {
 		machines := l.sim.provision(request)
-		l.deliver(func() { l.core.ProvisionResult(l.now, request, machines, len(machines) > 0) })
+		l.deliver(func() {
+			if len(machines) == 0 {
+				l.core.ProvisioningRefused(l.now, request)
+				return
+			}
+			l.core.ProvisioningGranted(l.now, request, machines)
+		})
 	})
 }
 
--- /dev/null
+++ b/scheduler/waiting_demand.go
@@ -0,0 +1,149 @@
+package scheduler
+
+import (
+	"math"
+	"sort"
+
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/clock"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/scheduler/fleet"
+	"ospreystile.example/ospreystile/scheduler/placement"
+	"ospreystile.example/ospreystile/scheduler/quota"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// waitingDemand is the demand of the waiting tasks that quota would admit. It charges quota
+// only while it counts.
+type waitingDemand struct {
+	cluster   *cluster.State
+	clock     *clock.Clock
+	queue     *jobQueue
+	quota     *quotaCheck
+	quotas    *quota.Tracker
+	estimates *runEstimates
+	health    machineUsability
+	boots     *bootTimes
+}
+
+// admissibleDemand is what one count of the waiting tasks found.
+type admissibleDemand struct {
+	// tasks counts the admissible tasks by job, and jobs holds these jobs in the order in
+	// which they were counted.
+	tasks map[*cluster.Job]int
+	jobs  []*cluster.Job
+	// urgent is provisioned for at once. deferrable may have the room of tasks that end
+	// before a machine would be up.
+	urgent, deferrable []fleet.Demand
+}
+
+// addTo adds the demand to a plan.
+func (w *waitingDemand) addTo(planner *fleet.Planner) {
+	demand := w.count()
+	for _, d := range demand.urgent {
+		planner.Add(d)
+	}
+	if len(demand.deferrable) == 0 {
+		return
+	}
+	for _, m := range w.cluster.Machines() {
+		runsTasks := m.Replicas() < len(m.Assignments())
+		if runsTasks && w.health.takesTasks(m) {
+			planner.AddCapacity(m.Site(), w.freeSoon(m))
+		}
+	}
+	for _, d := range demand.deferrable {
+		planner.Add(d)
+	}
+}
+
+// count finds the waiting tasks that quota would admit. For tasks that borrow, machines may
+// be provisioned up to the limits of the teams, so the cohort's quota does not bound them.
+func (w *waitingDemand) count() *admissibleDemand {
+	w.quotas.SetCohortQuota(quota.Amount{CPUs: math.MaxInt32, GPUs: math.MaxInt32})
+	defer w.quota.updateSurplus()
+	demand := &admissibleDemand{tasks: map[*cluster.Job]int{}}
+	waiting := w.queue.waitingJobs()
+	for _, source := range []quotaSource{nominalQuota, borrowedQuota} {
+		for _, j := range waiting {
+			w.countJob(demand, j, source)
+		}
+	}
+	for _, j := range demand.jobs {
+		w.quotas.Release(j.Spec.Team, j.Amount().Times(demand.tasks[j]))
+	}
+	return demand
+}
+
+// countJob adds the tasks of a job that quota would admit beside those counted before.
+func (w *waitingDemand) countJob(demand *admissibleDemand, j *cluster.Job, source quotaSource) {
+	n := w.admissibleTasks(j, source, demand.tasks[j])
+	if n <= 0 {
+		return
+	}
+	w.quotas.Charge(j.Spec.Team, j.Amount().Times(n))
+	if demand.tasks[j] == 0 {
+		demand.jobs = append(demand.jobs, j)
+	}
+	demand.tasks[j] += n
+	tasks := fleet.Demand{Spec: j.Spec, Count: n, Zones: j.Zones()}
+	if w.urgent(j) {
+		demand.urgent = append(demand.urgent, tasks)
+	} else {
+		demand.deferrable = append(demand.deferrable, tasks)
+	}
+}
+
+// urgent tells whether a job's tasks are provisioned for at once. Others may have the room
+// of tasks that end before a machine would be up, unless they have waited for a boot time
+// already: then they have seen others take that room.
+func (w *waitingDemand) urgent(j *cluster.Job) bool {
+	if j.NeedsAllTasks() || w.queue.latencySensitive(j) {
+		return true
+	}
+	return w.clock.Now() > j.Queue.WaitingSince.Add(w.boots.fastest(j.Spec))
+}
+
+// admissibleTasks is how many more of a job's waiting tasks quota would admit, beside those
+// counted already.
+func (w *waitingDemand) admissibleTasks(j *cluster.Job, source quotaSource, counted int) int {
+	if j.NeedsAllTasks() && !w.quota.fits(j, source, len(j.Pending())) {
+		return 0
+	}
+	// A binary search is right because fewer tasks fit whenever more do.
+	n := sort.Search(len(j.Pending())-counted, func(n int) bool { return !w.quota.fits(j, source, n+1) })
+	if probing(j) {
+		n = min(n, 1-counted)
+	}
+	return n
+}
+
+// freeSoonShare is the part of a boot time within which a task must end for its room to
+// count as free soon.
+const freeSoonShare = 0.8
+
+// freeSoon is what will be free on a machine before another of its type could be up, as far
+// as the estimates tell.
+func (w *waitingDemand) freeSoon(m *cluster.Machine) placement.Resources {
+	free := m.Free()
+	by := w.clock.Now().Add(monotonic.Seconds(freeSoonShare * m.MachineType().BootS))
+	for _, a := range m.Assignments() {
+		if w.endsBy(a, by) {
+			free = free.Plus(placement.TaskResources(a.Job.Spec))
+		}
+	}
+	return free
+}
+
+// endsBy tells whether a task is expected to leave its machine before an instant.
+func (w *waitingDemand) endsBy(a *cluster.Assignment, by monotonic.Instant) bool {
+	switch {
+	case a.Job.Spec.Service:
+		return false
+	case a.StopReason() != cluster.StopNone:
+		return true
+	case a.Run.Phase != wire.TaskRunning:
+		return false
+	}
+	return a.Run.PhaseSince.Add(w.estimates.expectedRun(a.Job.Spec)) < by
+}
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -274,8 +274,8 @@
 	}
 }
 
-// blocksRental tells whether no machine may be rented in a zone now.
-func (g *zoneGate) blocksRental(zone ids.Zone) bool {
+// blocksProvisioning tells whether no machine may be rented in a zone now.
+func (g *zoneGate) blocksProvisioning(zone ids.Zone) bool {
 	if g == nil {
 		return false
 	}
@@ -295,8 +295,8 @@
 	return max(0, limit-g.coming[zone]), limited
 }
 
-// limitRental bounds a purchase by what may be on its way to the zone at once.
-func (g *zoneGate) limitRental(zone ids.Zone, count int) int {
+// limitProvisioning bounds a purchase by what may be on its way to the zone at once.
+func (g *zoneGate) limitProvisioning(zone ids.Zone, count int) int {
 	if g == nil {
 		return count
 	}
@@ -306,9 +306,9 @@
 	return count
 }
 
-// addReturning counts the free room of zones that return: it opens sooner than another
+// addRecoveringCapacity counts the free room of zones that return: it opens sooner than another
 // machine boots.
-func (g *zoneGate) addReturning(add func(placement.Site, placement.Resources)) {
+func (g *zoneGate) addRecoveringCapacity(add func(placement.Site, placement.Resources)) {
 	if !g.evacuating() {
 		return
 	}
--- a/scheduler/zone_gate_test.go
+++ b/scheduler/zone_gate_test.go
@@ -64,7 +64,7 @@
 	services = services[3:] // spread services may not use every machine
 	arrays = append(arrays, m.submitJob(zoneArray(200)))
 	m.run(60 * second)
-	m.core.opt.MaxMachines = len(m.core.cluster.Machines())
+	m.core.autoscaler.settings.maxMachines = len(m.core.cluster.Machines())
 	m.partitionZone("b", 10*time.Minute)
 	m.await("b", zonerecovery.Outage, 30*second)
 	for !m.leasesExpiredIn("b") {
@@ -175,7 +175,7 @@
 	low.Priority = wire.BestEffort
 	m.submitJob(low)
 	m.run(60 * second)
-	m.core.opt.MaxMachines = len(m.core.cluster.Machines())
+	m.core.autoscaler.settings.maxMachines = len(m.core.cluster.Machines())
 	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold})
 	m.run(second)
 	high := zoneArray(4)
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -17,7 +17,7 @@
 	m.fillZones()
 	m.submitJob(zoneArray(300)) // waits for every place
 	m.run(30 * second)
-	m.core.opt.MaxMachines = len(m.core.cluster.Machines())
+	m.core.autoscaler.settings.maxMachines = len(m.core.cluster.Machines())
 	var held []time.Duration
 	for range 3 {
 		m.partitionZone("b", 45*second)
@@ -288,7 +288,7 @@
 	restricted, free := zoneArray(300), zoneArray(2)
 	m.submitJob(restricted)
 	m.run(30 * second)
-	m.core.opt.MaxMachines = len(m.core.cluster.Machines())
+	m.core.autoscaler.settings.maxMachines = len(m.core.cluster.Machines())
 	for range 2 {
 		m.partitionZone("b", 40*second)
 		m.await("b", zonerecovery.Outage, 30*second)
