--- /dev/null
+++ b/scheduler/scale_in_test.go
@@ -0,0 +1,52 @@
+package scheduler
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// idleFor brings n-1 up and has it send heartbeats, idle, for a time. It returns the
+// machines that were terminated.
+func (b *harness) idleFor(d time.Duration) (terminated []ids.MachineID) {
+	b.t.Helper()
+	for end := b.now.Add(d); b.now < end; b.now = b.now.Add(time.Second) {
+		b.heartbeat("n-1", "a", 0)
+		terminated = append(terminated, b.step().Terminate...)
+	}
+	return terminated
+}
+
+func TestIdleMachinesAreTerminated(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		settings   scaleInSettings
+		class      string // of a job that ran on the machine
+		quarantine bool
+		terminated bool
+	}{
+		{name: "after the timeout", settings: scaleInSettings{idleTimeout: 10 * time.Second, headroomIdleTimeout: time.Hour, spotIdleFactor: 1}, class: "c", terminated: true},
+		{name: "not before the timeout", settings: scaleInSettings{idleTimeout: time.Hour, headroomIdleTimeout: time.Hour, spotIdleFactor: 1}, class: "c"},
+		{name: "not while headroom needs them", settings: scaleInSettings{idleTimeout: 10 * time.Second, headroomIdleTimeout: time.Hour, spotIdleFactor: 1}, class: "hasty"},
+		{name: "soon while quarantined", settings: scaleInSettings{idleTimeout: time.Hour, headroomIdleTimeout: time.Hour, spotIdleFactor: 1}, class: "c", quarantine: true, terminated: true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newHarness(t, Options{LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
+			b.c.autoscaler.scaleIn.settings = c.settings
+			b.c.Begin(b.now)
+			b.submit("job-1", wire.JobSpec{Class: c.class, Tasks: 1})
+			b.c.autoscaler.classes.update()
+			b.c.lifecycle.endJob(b.c.cluster.Job("job-1"), wire.JobCancelled)
+			b.heartbeat("n-1", "a", 0)
+			if c.quarantine {
+				b.c.cluster.Machine("n-1").Health.QuarantinedUntil = b.now.Add(time.Hour)
+			}
+			if got := slices.Contains(b.idleFor(20*time.Second), "n-1"); got != c.terminated {
+				t.Errorf("terminated: %v, want %v", got, c.terminated)
+			}
+		})
+	}
+}
