--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -145,7 +145,7 @@
 	if !t.askReports(ctx, func() {
 		for i, rep := range reps {
 			if rep != nil {
-				answers[i].Orders, answers[i].OK = t.core.Heartbeat(n.clock.Now(), rep, false)
+				answers[i].Orders, answers[i].OK = t.core.Heartbeat(n.clock.Now(), rep)
 			}
 		}
 	}) {
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -33,7 +33,7 @@
 	defer cancel()
 	var answer wire.HeartbeatResponse
 	var ok bool
-	if !t.askReports(ctx, func() { answer, ok = t.core.Heartbeat(n.clock.Now(), rep, false) }) || !ok {
+	if !t.askReports(ctx, func() { answer, ok = t.core.Heartbeat(n.clock.Now(), rep) }) || !ok {
 		return server.Response{Status: 503}
 	}
 	return server.Response{Status: 200, Body: answer}
--- a/controller/status_reader_test.go
+++ b/controller/status_reader_test.go
@@ -204,7 +204,7 @@
 	// Of job-3 it is not known where it runs: it is not started elsewhere.
 	now := n.clock.Now()
 	rep := &wire.Heartbeat{Machine: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: ids.NewFencingToken(5, 0)}
-	if _, ok := tm.core.Heartbeat(now, rep, true); !ok {
+	if !tm.core.HeartbeatFromCall(now, rep) {
 		t.Fatal("report refused")
 	}
 	var written []string
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -259,3 +259,6 @@
 		}
 	}
 }
+
+// recordSpotLoss counts a spot instance that the cloud took, or will take, back.
+func (as *autoscaler) recordSpotLoss() { as.spotLosses++ }
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -90,7 +90,7 @@
 		return
 	}
 	w.reportSoon = false
-	o, _ := d.c.Heartbeat(d.now, d.newReport(w), false)
+	o, _ := d.c.Heartbeat(d.now, d.newReport(w))
 	w.token = max(w.token, o.FencingToken)
 	d.execute(w, o.Commands)
 	tick := w.sequence
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -23,41 +23,33 @@
 // decisions that go out. The cluster state holds jobs and machines; each duty is a policy of
 // its own.
 type Core struct {
-	opt             Options
-	clock           *clock.Clock
-	rounds          *clock.RoundTrigger
-	cluster         *cluster.State
-	previousLeaders previousLeaders
-	// restrictedToReplicas tells that no machine may be answered but those with replicas;
-	// see RestrictToReplicas.
-	restrictedToReplicas bool
+	opt     Options
+	clock   *clock.Clock
+	rounds  *clock.RoundTrigger
+	cluster *cluster.State
+	quotas  *quota.Tracker
 
-	// graph holds all jobs with their dependencies.
-	graph *dependency.Graph
-	// unreadable are the jobs whose own record cannot be read.
-	unreadable map[ids.JobID]bool
-	quotas     *quota.Tracker
-
-	lifecycle    *taskLifecycle
-	records      *recordWriter
-	registry     *machineRegistry
-	health       *healthMonitor
-	commands     *commandQueue
-	candidates   *candidateList
-	queue        *jobQueue
-	quota        *quotaCheck
-	reservations *reservations
-	searches     *searcher
-	admission    *admitter
-	preemption   *evictor
-	autoscaler   *autoscaler
-	estimates    *runEstimates
+	lifecycle       *taskLifecycle
+	previousLeaders *previousLeaders
+	heartbeats      *heartbeatIntake
+	jobRecords      *jobIntake
+	records         *recordWriter
+	registry        *machineRegistry
+	health          *healthMonitor
+	commands        *commandQueue
+	candidates      *candidateList
+	queue           *jobQueue
+	quota           *quotaCheck
+	reservations    *reservations
+	searches        *searcher
+	admission       *admitter
+	preemption      *evictor
+	autoscaler      *autoscaler
+	estimates       *runEstimates
 	// Qzones watches zones that fall silent and return; nil: it is turned off.
 	zones *zoneGate
 
 	decisions Decisions
-	// superseded is set when a worker shows a later leader's token.
-	superseded bool
 	// recordsErr is set when the records are not as this leader left them.
 	recordsErr error
 }
@@ -66,13 +58,11 @@
 // then Begin.
 func New(opt Options, types []wire.MachineType) *Core {
 	c := &Core{
-		opt:        opt,
-		clock:      clock.New(opt.WallClockMS),
-		rounds:     &clock.RoundTrigger{},
-		unreadable: map[ids.JobID]bool{},
-		graph:      dependency.New(),
-		quotas:     quota.NewTracker(opt.Teams),
-		estimates:  &runEstimates{estimateFactors: map[string]float64{}},
+		opt:       opt,
+		clock:     clock.New(opt.WallClockMS),
+		rounds:    &clock.RoundTrigger{},
+		quotas:    quota.NewTracker(opt.Teams),
+		estimates: &runEstimates{estimateFactors: map[string]float64{}},
 	}
 	settings := cluster.Settings{SliceTasks: opt.SliceTasks, BootFactor: opt.BootFactor, ListLag: opt.ListLag}
 	c.cluster = cluster.NewState(settings, c.clock, c.rounds, c.quotas)
@@ -93,11 +83,55 @@
 		estimates: c.estimates,
 		slowness:  c,
 	}
+	c.connectIntake()
 	c.connectAdmission()
 	c.cluster.SetCatalog(types)
 	return c
 }
 
+// connectIntake makes the parts that take heartbeats and records in, from the others.
+func (c *Core) connectIntake() {
+	c.previousLeaders = &previousLeaders{
+		cluster: c.cluster,
+		clock:   c.clock,
+		settings: previousLeaderSettings{
+			exists:               c.opt.PreviousLeader,
+			grace:                c.opt.PreviousLeaderGrace,
+			graceWithoutReplicas: c.opt.PreviousLeaderGraceWithoutReplicas,
+			cancelDeadline:       c.opt.CancelDeadline,
+			agentLease:           c.opt.AgentLease,
+		},
+	}
+	c.heartbeats = &heartbeatIntake{
+		cluster:    c.cluster,
+		clock:      c.clock,
+		rounds:     c.rounds,
+		sites:      c.registry,
+		health:     c.health,
+		commands:   c.commands,
+		autoscaler: c.autoscaler,
+		failures:   c,
+		lifecycle:  c.lifecycle,
+		zones:      c.zones,
+		leaders:    c.previousLeaders,
+		revision:   c.opt.Revision,
+		interval:   c.opt.HeartbeatInterval,
+	}
+	c.jobRecords = &jobIntake{
+		cluster:    c.cluster,
+		clock:      c.clock,
+		rounds:     c.rounds,
+		graph:      dependency.New(),
+		unreadable: map[ids.JobID]bool{},
+		lifecycle:  c.lifecycle,
+		records:    c.records,
+		sites:      c.registry,
+		arrivals:   c.autoscaler,
+		revision:   c.opt.Revision,
+		valueBytes: c.opt.ValueBytes,
+	}
+}
+
 // connectAdmission makes the parts that admit jobs, from the others.
 func (c *Core) connectAdmission() {
 	c.candidates = &candidateList{}
@@ -146,7 +180,7 @@
 func (c *Core) SetCatalog(types []wire.MachineType) { c.cluster.SetCatalog(types) }
 
 // Superseded tells that a worker has seen a later leader.
-func (c *Core) Superseded() bool { return c.superseded }
+func (c *Core) Superseded() bool { return c.heartbeats.superseded }
 
 // RecordsError is set when the records are not as this leader left them. The term
 // must then end and the records be read again.
@@ -155,13 +189,13 @@
 // Begin ends the loading of records.
 func (c *Core) Begin(now monotonic.Instant) {
 	c.clock.Begin(now)
-	c.beginPreviousLeaders()
+	c.previousLeaders.begin()
 	c.autoscaler.plannedAt = now
 	c.records.budgetRefilledAt = now
 	// In order: it decides what is stopped, sent and written first.
 	for _, j := range c.cluster.SortedJobs() {
 		j.RebuildSlices()
-		c.syncDependencies(j)
+		c.jobRecords.syncDependencies(j)
 		j.Queue.ReadyAt = now
 		if c.opt.WallClockMS > 0 {
 			age := time.Duration(c.opt.WallClockMS-j.Queue.ReadyMS) * time.Millisecond
@@ -196,7 +230,7 @@
 // need not wait for the predecessor's grace.
 func (c *Core) AllControllersFollow(now monotonic.Instant) {
 	c.clock.Set(now)
-	c.previousLeaders.end(now)
+	c.previousLeaders.end()
 }
 
 // Step runs what time and events call for and hands out the decisions.
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -163,7 +163,7 @@
 // has its address now.
 func (q *commandQueue) takeAnswer(m *cluster.Machine, rep *wire.Heartbeat) {
 	if rep.Machine == m.ID {
-		q.core.Heartbeat(q.core.clock.Now(), rep, true)
+		q.core.HeartbeatFromCall(q.core.clock.Now(), rep)
 	}
 }
 
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -87,7 +87,7 @@
 func (b *harness) report(host ids.MachineID, zone ids.Zone, token ids.FencingToken, tasks ...wire.TaskStatus) wire.HeartbeatResponse {
 	b.tick++
 	o, ok := b.c.Heartbeat(b.now, &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: zone, Incarnation: 1, Sequence: b.tick,
-		FencingToken: token, Tasks: tasks}, false)
+		FencingToken: token, Tasks: tasks})
 	if !ok {
 		b.t.Fatalf("report of %s not answered", host)
 	}
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -89,7 +89,7 @@
 		// It was listed and is not any more: it was taken. Returning what
 		// is gone does nothing, and the answer proves that it is gone.
 		if m.Spot() && m.Health.SpotReclaimAt == 0 {
-			hm.core.autoscaler.spotLosses++
+			hm.core.autoscaler.recordSpotLoss()
 		}
 		registry.returnMachine(m, returnMissing)
 	case hm.bootFailed(m):
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -5,110 +5,238 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Heartbeat takes a worker's report and returns the answer. Direct marks reports
-// that came as answers to direct commands: they renew no lease. ok is false if
-// this leader must not answer.
-func (c *Core) Heartbeat(now monotonic.Instant, rep *wire.Heartbeat, direct bool) (answer wire.HeartbeatResponse, ok bool) {
+// Heartbeat takes a machine's heartbeat and returns the answer. ok is false if this leader
+// must not answer.
+func (c *Core) Heartbeat(now monotonic.Instant, heartbeat *wire.Heartbeat) (answer wire.HeartbeatResponse, ok bool) {
 	c.clock.Advance(now)
-	if rep.FencingToken.Revision() > c.opt.Revision {
-		c.superseded = true
+	return c.heartbeats.receive(heartbeat)
+}
+
+// HeartbeatFromCall takes a heartbeat with which a machine answered a call. It renews no
+// lease. It returns false if this leader must not act on it.
+func (c *Core) HeartbeatFromCall(now monotonic.Instant, heartbeat *wire.Heartbeat) bool {
+	c.clock.Advance(now)
+	return c.heartbeats.receiveFromCall(heartbeat)
+}
+
+// unknownTaskBackoff is how long a job is not admitted after a machine knew nothing of its
+// task's job.
+const unknownTaskBackoff = 2 * time.Second
+
+// heartbeatIntake takes heartbeats in: what they show of the machine, and of each task that is
+// assigned to it.
+type heartbeatIntake struct {
+	cluster    *cluster.State
+	clock      *clock.Clock
+	rounds     *clock.RoundTrigger
+	sites      siteRecorder
+	health     heartbeatHealth
+	commands   heartbeatCommands
+	autoscaler heartbeatObserver
+	failures   failureRecorder
+	lifecycle  taskEnder
+	zones      zoneTaskObserver
+	leaders    *previousLeaders
+	// revision is that of the leader's key; all fencing tokens of the term contain it.
+	revision ids.Revision
+	// interval is the time between two heartbeats of a machine.
+	interval time.Duration
+	// superseded is set when a machine shows a later leader's token.
+	superseded bool
+}
+
+// siteRecorder notes what a machine is and where its agent listens.
+type siteRecorder interface {
+	setSite(m *cluster.Machine, site placement.Site, endpoint string)
+}
+
+// heartbeatHealth judges machines by their heartbeats.
+type heartbeatHealth interface {
+	usable(m *cluster.Machine) bool
+	updateReachability(m *cluster.Machine, heartbeat *wire.Heartbeat, direct bool)
+	// heard notes that a machine of a zone was heard now.
+	heard(zone ids.Zone)
+	// requestCheck asks for a check of the machines in the next step.
+	requestCheck()
+}
+
+// heartbeatCommands answers heartbeats.
+type heartbeatCommands interface {
+	machineQueue
+	tokenOf(m *cluster.Machine) ids.FencingToken
+	answerReport(m *cluster.Machine) wire.HeartbeatResponse
+}
+
+// heartbeatObserver learns from boots and from losses of spot instances.
+type heartbeatObserver interface {
+	recordBoot(m *cluster.Machine)
+	recordSpotLoss()
+}
+
+// failureRecorder weighs failures of tasks.
+type failureRecorder interface {
+	recordFailure(a *cluster.Assignment)
+	addAntiAffinity(j *cluster.Job, m *cluster.Machine)
+}
+
+// taskEnder ends tasks.
+type taskEnder interface {
+	stop(a *cluster.Assignment, why cluster.StopReason)
+	release(a *cluster.Assignment)
+	complete(a *cluster.Assignment)
+}
+
+// zoneTaskObserver is told what becomes of tasks in a zone.
+type zoneTaskObserver interface {
+	lost(a *cluster.Assignment)
+	running(a *cluster.Assignment)
+}
+
+// receive takes a heartbeat that waits for an answer.
+func (h *heartbeatIntake) receive(heartbeat *wire.Heartbeat) (answer wire.HeartbeatResponse, ok bool) {
+	if h.supersededBy(heartbeat) {
 		return wire.HeartbeatResponse{}, false
 	}
-	if c.cluster.WasRemoved(rep.Machine) {
-		// A message that was held back; the machine was given back since.
-		return wire.HeartbeatResponse{FencingToken: ids.NewFencingToken(c.opt.Revision, 0), Commands: []wire.Command{}}, !c.restrictedToReplicas
-	}
-	m := c.cluster.EnsureMachine(rep.Machine)
-	if m.Agent.Reported && !rep.Newer(m.Agent.Incarnation, m.Agent.Sequence) {
-		// A copy of what was seen, or a message that a newer one overtook. It
-		// is no sign of life and tells nothing. Its worker may still wait for
-		// the answer: that renews the lease from when the message was sent,
-		// which is before the newest came.
-		if !direct && !c.mayAnswer(m) {
+	if h.cluster.WasRemoved(heartbeat.Machine) {
+		// A delayed message; the machine was terminated since.
+		return noCommands(ids.NewFencingToken(h.revision, 0)), h.leaders.mayAnswerRemoved()
+	}
+	m := h.cluster.EnsureMachine(heartbeat.Machine)
+	mayAnswer := h.leaders.mayAnswer
+	if stale(m, heartbeat) {
+		// The agent may still wait for the answer: that renews the lease from when the
+		// message was sent, which is before the newest came.
+		if !mayAnswer(m) {
 			return wire.HeartbeatResponse{}, false
 		}
-		if !direct {
-			m.Agent.AnsweredAt = max(m.Agent.AnsweredAt, m.Agent.LastHeard)
-		}
-		return wire.HeartbeatResponse{FencingToken: c.commands.tokenOf(m), Commands: []wire.Command{}}, true
+		m.Agent.AnsweredAt = max(m.Agent.AnsweredAt, m.Agent.LastHeard)
+		return noCommands(h.commands.tokenOf(m)), true
 	}
-	c.registry.setSite(m, placement.Site{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot}, rep.Endpoint)
-	c.health.updateReachability(m, rep, direct)
-	if now > m.Agent.LastHeard.Add(c.opt.HeartbeatInterval) {
-		if !c.health.usable(m) { // it may be from here on
-			c.rounds.MarkDue()
-		}
+	h.sites.setSite(m, siteOf(heartbeat), heartbeat.Endpoint)
+	h.health.updateReachability(m, heartbeat, false)
+	h.apply(m, heartbeat)
+	if !mayAnswer(m) {
+		return wire.HeartbeatResponse{}, false
 	}
-	m.Agent.LastHeard = now
-	c.health.lastHeard = now
-	z := c.health.zoneStates[rep.Zone]
-	if z == nil {
-		z = &zoneState{}
-		c.health.zoneStates[rep.Zone] = z
+	m.Agent.AnsweredAt = h.clock.Now()
+	return h.commands.answerReport(m), true
+}
+
+// receiveFromCall takes a heartbeat that came as the answer to a call.
+func (h *heartbeatIntake) receiveFromCall(heartbeat *wire.Heartbeat) bool {
+	if h.supersededBy(heartbeat) {
+		return false
 	}
-	z.lastHeard = now
-	m.Commands.CallFailed = false
-	c.applyReport(m, rep)
-	c.commands.queueCommands(m)
-	if direct {
-		m.Agent.AnsweredCall = true
-		return wire.HeartbeatResponse{}, true
+	if h.cluster.WasRemoved(heartbeat.Machine) {
+		return h.leaders.mayAnswerRemoved()
 	}
-	if !c.mayAnswer(m) {
-		return wire.HeartbeatResponse{}, false
+	m := h.cluster.EnsureMachine(heartbeat.Machine)
+	if stale(m, heartbeat) {
+		return true
 	}
-	m.Agent.AnsweredAt = now
-	return c.commands.answerReport(m), true
+	h.sites.setSite(m, siteOf(heartbeat), heartbeat.Endpoint)
+	h.health.updateReachability(m, heartbeat, true)
+	h.apply(m, heartbeat)
+	m.Agent.AnsweredCall = true
+	return true
 }
 
-// applyReport takes in a report that is newer than all before it.
-func (c *Core) applyReport(m *cluster.Machine, rep *wire.Heartbeat) {
-	if !m.Agent.Reported {
-		m.Agent.Reported = true
-		m.Lifecycle.IdleSince = c.clock.Now()
-		c.autoscaler.recordBoot(m)
-		c.rounds.MarkDue()
-	}
-	m.Agent.Incarnation, m.Agent.Sequence = rep.Incarnation, rep.Sequence
-	m.Agent.FencingToken = max(m.Agent.FencingToken, rep.FencingToken)
-	if !m.Agent.Fenced && rep.FencingToken >= ids.NewFencingToken(c.opt.Revision, 0) {
-		m.Agent.Fenced, m.Agent.FencedAt = true, c.clock.Now()
-	}
-	if rep.SpotNoticeS != nil {
-		if m.Health.SpotReclaimAt == 0 {
-			c.rounds.MarkDue()
-			c.health.healthCheckDue = true
-			c.autoscaler.spotLosses++
-		}
-		m.Health.SpotReclaimAt = c.clock.Now().Add(monotonic.Seconds(*rep.SpotNoticeS))
+// supersededBy tells whether a heartbeat shows a later leader's token, and notes it.
+func (h *heartbeatIntake) supersededBy(heartbeat *wire.Heartbeat) bool {
+	later := heartbeat.FencingToken.Revision() > h.revision
+	h.superseded = h.superseded || later
+	return later
+}
+
+// stale tells whether a heartbeat is a copy, or was overtaken by a newer one. It is no sign
+// of life and tells nothing.
+func stale(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
+	return m.Agent.Reported && !heartbeat.Newer(m.Agent.Incarnation, m.Agent.Sequence)
+}
+
+// noCommands is an answer without commands.
+func noCommands(token ids.FencingToken) wire.HeartbeatResponse {
+	return wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}
+}
+
+// siteOf is the site that a heartbeat names.
+func siteOf(heartbeat *wire.Heartbeat) placement.Site {
+	return placement.Site{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
+}
+
+// apply takes in a heartbeat that is newer than all before it.
+func (h *heartbeatIntake) apply(m *cluster.Machine, heartbeat *wire.Heartbeat) {
+	now := h.clock.Now()
+	if now > m.Agent.LastHeard.Add(h.interval) && !h.health.usable(m) {
+		h.rounds.MarkDue() // it may be usable from here on
 	}
+	m.Agent.LastHeard = now
+	h.health.heard(heartbeat.Zone)
+	m.Commands.CallFailed = false
+	h.updateAgent(m, heartbeat)
+	h.updateSpotNotice(m, heartbeat)
 	m.Agent.ReportedTasks = m.Agent.ReportedTasks[:0]
-	for _, t := range rep.Tasks {
+	for _, t := range heartbeat.Tasks {
 		if ref, ok := ids.ParseTask(t.Name); ok {
 			m.Agent.ReportedTasks = append(m.Agent.ReportedTasks, cluster.ReportedTask{Ref: ref, Attempt: t.Attempt, State: t.State, Cause: t.Cause})
 		}
 	}
+	h.updateAssignments(m)
+	h.cluster.CountUnrecorded(m)
+	h.commands.queueCommands(m)
+}
+
+// updateAgent notes what a heartbeat shows of the machine's agent.
+func (h *heartbeatIntake) updateAgent(m *cluster.Machine, heartbeat *wire.Heartbeat) {
+	if !m.Agent.Reported {
+		m.Agent.Reported = true
+		m.Lifecycle.IdleSince = h.clock.Now()
+		h.autoscaler.recordBoot(m)
+		h.rounds.MarkDue()
+	}
+	m.Agent.Incarnation, m.Agent.Sequence = heartbeat.Incarnation, heartbeat.Sequence
+	m.Agent.FencingToken = max(m.Agent.FencingToken, heartbeat.FencingToken)
+	if !m.Agent.Fenced && heartbeat.FencingToken >= ids.NewFencingToken(h.revision, 0) {
+		m.Agent.Fenced, m.Agent.FencedAt = true, h.clock.Now()
+	}
+}
+
+// updateSpotNotice notes when the cloud will take a spot instance back.
+func (h *heartbeatIntake) updateSpotNotice(m *cluster.Machine, heartbeat *wire.Heartbeat) {
+	if heartbeat.SpotNoticeS == nil {
+		return
+	}
+	if m.Health.SpotReclaimAt == 0 {
+		h.rounds.MarkDue()
+		h.health.requestCheck()
+		h.autoscaler.recordSpotLoss()
+	}
+	m.Health.SpotReclaimAt = h.clock.Now().Add(monotonic.Seconds(*heartbeat.SpotNoticeS))
+}
+
+// updateAssignments compares the machine's assignments with its newest heartbeat.
+func (h *heartbeatIntake) updateAssignments(m *cluster.Machine) {
 	for _, a := range m.AssignmentsSnapshot() {
-		s := m.FindReported(a.Ref(), a.Attempt)
+		reported := m.FindReported(a.Ref(), a.Attempt)
 		switch {
-		case s == nil:
-			c.handleMissingTask(a)
-		case s.State == wire.TaskEnded:
-			c.handleEndedTask(a, s.Cause)
+		case reported == nil:
+			h.handleMissingTask(a)
+		case reported.State == wire.TaskEnded:
+			h.handleEndedTask(a, reported.Cause)
 		default:
-			c.handleActiveTask(a, s)
+			h.handleActiveTask(a, reported)
 		}
 	}
-	c.cluster.CountUnrecorded(m)
 }
 
 // handleMissingTask handles a recorded task that the newest report does not show.
-func (c *Core) handleMissingTask(a *cluster.Assignment) {
+func (h *heartbeatIntake) handleMissingTask(a *cluster.Assignment) {
 	m := a.Machine
 	switch {
 	case !a.MayRun():
@@ -124,17 +252,17 @@
 			a.Delivery.Sent = false
 			return
 		}
-		c.zones.lost(a)
-		c.lifecycle.release(a)
+		h.zones.lost(a)
+		h.lifecycle.release(a)
 	case a.Delivery.Seen && a.StopReason() == cluster.StopNone:
 		// A worker keeps what it has until reap. Should one vanish all the
 		// same, it is not started elsewhere before old commands are void.
-		c.lifecycle.stop(a, cluster.StopDrained)
+		h.lifecycle.stop(a, cluster.StopDrained)
 	}
 }
 
 // handleActiveTask handles a recorded task that the newest report shows before its end.
-func (c *Core) handleActiveTask(a *cluster.Assignment, s *cluster.ReportedTask) {
+func (h *heartbeatIntake) handleActiveTask(a *cluster.Assignment, s *cluster.ReportedTask) {
 	a.Delivery.Seen = true
 	if !a.Delivery.Sent {
 		// Inherited: it surely runs here now, and newer tokens speak for it.
@@ -143,35 +271,35 @@
 	}
 	if a.Run.Phase != s.State {
 		a.Run.Phase = s.State
-		a.Run.PhaseSince, a.Run.PausedBefore = c.clock.Now(), c.clock.TotalPause()
+		a.Run.PhaseSince, a.Run.PausedBefore = h.clock.Now(), h.clock.TotalPause()
 		if s.State == wire.TaskRunning {
-			c.cluster.RecordImage(a.Machine, a.Job.Spec)
-			c.zones.running(a)
+			h.cluster.RecordImage(a.Machine, a.Job.Spec)
+			h.zones.running(a)
 		}
 	}
 }
 
 // handleEndedTask handles a recorded task that the newest report shows as ended.
-func (c *Core) handleEndedTask(a *cluster.Assignment, cause wire.ExitCause) {
+func (h *heartbeatIntake) handleEndedTask(a *cluster.Assignment, cause wire.ExitCause) {
 	m, j := a.Machine, a.Job
 	if im := m.Image(j.Spec.Image); im != nil {
-		im.UsedAt = c.clock.Now()
+		im.UsedAt = h.clock.Now()
 	}
 	switch cause {
 	case wire.CauseDone:
-		c.zones.running(a) // it did, if only between two reports
-		c.lifecycle.complete(a)
+		h.zones.running(a) // it did, if only between two reports
+		h.lifecycle.complete(a)
 		clear(m.Health.FailuresByJob)
 		return
 	case wire.CauseError:
-		c.recordFailure(a)
+		h.failures.recordFailure(a)
 	case wire.CauseFull:
 		// Our view of the machine was wrong; give it a moment.
-		c.addAntiAffinity(j, m)
+		h.failures.addAntiAffinity(j, m)
 	case wire.CauseInUse:
-		c.addAntiAffinity(j, m)
+		h.failures.addAntiAffinity(j, m)
 	case wire.CauseNoSuch:
-		j.Queue.RetryAt = c.clock.Now().Add(2 * time.Second)
+		j.Queue.RetryAt = h.clock.Now().Add(unknownTaskBackoff)
 	}
-	c.lifecycle.release(a)
+	h.lifecycle.release(a)
 }
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -97,7 +97,7 @@
 	b.job("job-1", wire.JobSpec{Service: true, Tasks: 1})
 	b.c.Step(b.now) // the replica is placed, and its record on its way
 	report := func(host ids.MachineID, sequence ids.Sequence) bool {
-		_, ok := b.c.Heartbeat(b.now, newReport(host, 1, sequence, 0), false)
+		_, ok := b.c.Heartbeat(b.now, newReport(host, 1, sequence, 0))
 		return ok
 	}
 	b.c.RestrictToReplicas(true)
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -75,7 +75,7 @@
 		b.report("n-1", "a", o.FencingToken)
 		b.now = b.now.Add(simReport)
 		b.tick++
-		b.c.Heartbeat(b.now, newReport("n-1", 2, b.tick, o.FencingToken), false)
+		b.c.Heartbeat(b.now, newReport("n-1", 2, b.tick, o.FencingToken))
 		b.job("job-1", wire.JobSpec{Tasks: 1})
 		b.step()
 		if b.c.cluster.Job("job-1").Task(0).Assignment() != nil {
@@ -92,7 +92,7 @@
 			if hears {
 				token = ids.NewFencingToken(5, 1)
 			}
-			b.c.Heartbeat(b.now, newReport("n-1", 2, b.tick, token), false)
+			b.c.Heartbeat(b.now, newReport("n-1", 2, b.tick, token))
 			returned = returned || slices.Contains(b.step().Terminate, "n-1")
 		}
 		if placed := b.c.cluster.Job("job-1").Task(0).Assignment() != nil; returned == hears || placed != hears {
@@ -135,7 +135,7 @@
 	for s := range 60 {
 		b.now = b.now.Add(time.Second)
 		for tick := last - 1; tick <= last; tick++ { // older ones, and the newest once more
-			b.c.Heartbeat(b.now, newReport("n-1", 1, tick, o.FencingToken, run), false)
+			b.c.Heartbeat(b.now, newReport("n-1", 1, tick, o.FencingToken, run))
 		}
 		b.step()
 		if m := b.c.cluster.Machine("n-1"); m == nil || len(m.Assignments()) == 0 {
@@ -219,7 +219,7 @@
 	if token["n-1"].Revision() != 9 || !next.c.cluster.Machine("n-1").Agent.Fenced {
 		t.Fatalf("n-1 was not told of the successor: token %d", token["n-1"])
 	}
-	if _, ok := old.c.Heartbeat(old.now, newReport("n-1", 1, tick+1, token["n-1"], run), false); ok || !old.c.Superseded() {
+	if _, ok := old.c.Heartbeat(old.now, newReport("n-1", 1, tick+1, token["n-1"], run)); ok || !old.c.Superseded() {
 		t.Fatal("the old leader goes on")
 	}
 }
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -61,7 +61,7 @@
 		w.core.cluster.EndJob(j, wire.JobDone)
 		j.Records.Revision = revision
 		// Only now may those that depend on it start: a successor would find it done.
-		w.core.applyJobRecord(j.ID, &records.Job{Status: wire.JobDone, DoneMS: p.doneMS})
+		w.core.jobRecords.applyJobRecord(j.ID, &records.Job{Status: wire.JobDone, DoneMS: p.doneMS})
 	}
 	for _, s := range p.dropped {
 		s.Revision = 0
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -66,6 +66,12 @@
 	}
 }
 
+// markOrphanCancel notes that a job is cancelled with one that it depends on, which its own
+// record does not say yet.
+func (w *recordWriter) markOrphanCancel(j *cluster.Job) {
+	w.orphanCancels = append(w.orphanCancels, j)
+}
+
 // markCompletable notes that all tasks of a job are done.
 func (w *recordWriter) markCompletable(j *cluster.Job) { w.completable[j] = true }
 
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -53,7 +53,7 @@
 	}
 	s.core.Begin(s.now)
 	for _, rep := range s.keptReports {
-		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Heartbeat(s.now, rep, false) })
+		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Heartbeat(s.now, rep) })
 	}
 	s.keptReports = nil
 }
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -241,7 +241,7 @@
 		w.followsTerm = s.term
 	}
 	if s.chance(s.copies) { // a copy, from seconds to well over a lease later
-		s.after(time.Duration(2+s.rng.IntN(90))*time.Second, func() { s.core.Heartbeat(s.now, rep, false) })
+		s.after(time.Duration(2+s.rng.IntN(90))*time.Second, func() { s.core.Heartbeat(s.now, rep) })
 	}
 	if s.chance(s.copies) && len(s.keptReports) < 50 {
 		s.keptReports = append(s.keptReports, rep)
@@ -261,7 +261,7 @@
 		if core == s.old {
 			s.restrictOld()
 		}
-		orders, ok := core.Heartbeat(s.now, rep, false)
+		orders, ok := core.Heartbeat(s.now, rep)
 		s.digest.add("answer", orders)
 		if !ok {
 			w.followsTerm = s.term
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -215,7 +215,7 @@
 		b.now = b.now.Add(250 * time.Millisecond)
 		b.step()
 	}
-	if s := b.c.graph.ReadinessOf("job-0").State; s != dependency.Done {
+	if s := b.c.jobRecords.graph.ReadinessOf("job-0").State; s != dependency.Done {
 		t.Errorf("after 2 s the job is %d", s)
 	}
 	if len(b.c.records.dirty) == 0 {
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -172,7 +172,7 @@
 	m.await("b", zonerecovery.Outage, 30*s1)
 	for range 10 {
 		for _, rep := range late {
-			m.core.Heartbeat(m.now, rep, false)
+			m.core.Heartbeat(m.now, rep)
 		}
 		m.run(s1)
 		if c := m.condition("b"); c != zonerecovery.Outage {
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -75,3 +75,18 @@
 	z := hm.zoneStates[zone]
 	return z != nil && z.machinesUp >= minZoneMachines && hm.zoneSilent(z) && hm.core.clock.Now() < z.lastHeard.Add(zoneOutageLimit)
 }
+
+// heard notes that a machine of a zone was heard now.
+func (hm *healthMonitor) heard(zone ids.Zone) {
+	now := hm.core.clock.Now()
+	hm.lastHeard = now
+	z := hm.zoneStates[zone]
+	if z == nil {
+		z = &zoneState{}
+		hm.zoneStates[zone] = z
+	}
+	z.lastHeard = now
+}
+
+// requestCheck asks for a check of the machines in the next step.
+func (hm *healthMonitor) requestCheck() { hm.healthCheckDue = true }
