--- a/controller/term_cloud.go
+++ b/controller/term_cloud.go
@@ -79,7 +79,7 @@
 				}
 			}
 			t.n.log.Info("machines terminated", "machines", hosts)
-			t.post(t.ctx, func() { t.core.TerminateResult(t.n.clock.Now(), hosts, true) })
+			t.post(t.ctx, func() { t.core.MachinesTerminated(t.n.clock.Now(), hosts) })
 			if !monotonic.Sleep(t.ctx, returnInterval) {
 				return t.ctx.Err()
 			}
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -201,7 +201,7 @@
 				delete(d.workers, h)
 				d.held--
 			}
-			d.c.TerminateResult(d.now, hosts, true)
+			d.c.MachinesTerminated(d.now, hosts)
 		})
 	}
 }
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -46,7 +46,7 @@
 	preemption      *evictor
 	autoscaler      *autoscaler
 	estimates       *runEstimates
-	// Qzones watches zones that fall silent and return; nil: it is turned off.
+	// zones watches zones that fall silent and return; nil: it is turned off.
 	zones *zoneGate
 
 	decisions Decisions
@@ -67,7 +67,13 @@
 	settings := cluster.Settings{SliceTasks: opt.SliceTasks, BootFactor: opt.BootFactor, ListLag: opt.ListLag}
 	c.cluster = cluster.NewState(settings, c.clock, c.rounds, c.quotas)
 	c.records = newRecordWriter(c)
-	c.registry = newMachineRegistry(c)
+	c.registry = &machineRegistry{
+		cluster:      c.cluster,
+		clock:        c.clock,
+		rounds:       c.rounds,
+		settings:     registrySettings{previousLeader: opt.PreviousLeader, listLag: opt.ListLag},
+		returnCounts: map[returnReason]int{},
+	}
 	c.health = &healthMonitor{core: c, zoneStates: map[ids.Zone]*zoneState{}}
 	c.commands = &commandQueue{core: c}
 	c.preemption = &evictor{core: c}
@@ -83,6 +89,7 @@
 		estimates: c.estimates,
 		slowness:  c,
 	}
+	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
 	c.connectIntake()
 	c.connectAdmission()
 	c.cluster.SetCatalog(types)
@@ -255,6 +262,7 @@
 	c.commands.dispatchCommands()
 	out := c.decisions
 	c.decisions = Decisions{}
+	out.Terminate, out.ForgetAddresses = c.registry.takeDecisions()
 	return out
 }
 
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -5,38 +5,65 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/scheduler/placement"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// machineRegistry holds the machines that are known, rented or reporting, until the
-// cloud has said that they are gone.
+// machineRegistry follows machines from the cloud's list until the cloud has confirmed that
+// they are terminated, and gives up those that are of no use any more.
 type machineRegistry struct {
-	core *Core
-	// returnCounts counts returned machines by reason, for the log.
+	cluster   *cluster.State
+	clock     *clock.Clock
+	rounds    *clock.RoundTrigger
+	commands  machineQueue
+	lifecycle taskReleaser
+	zones     lossObserver
+	settings  registrySettings
+	// returnCounts counts the machines that were given up by reason, for the log.
 	returnCounts map[returnReason]int
+	// terminate and forgotten are decisions of the present step.
+	terminate []ids.MachineID
+	forgotten []string
 }
 
-// newMachineRegistry makes an empty registry.
-func newMachineRegistry(c *Core) *machineRegistry {
-	return &machineRegistry{
-		core:         c,
-		returnCounts: map[returnReason]int{},
-	}
+// registrySettings are the settings of the machine registry.
+type registrySettings struct {
+	// previousLeader tells that another leader may have acted before.
+	previousLeader bool
+	// listLag is how far the cloud's list of machines may lag behind.
+	listLag time.Duration
+}
+
+// taskReleaser takes tasks that are known to have ended off their machines.
+type taskReleaser interface {
+	release(a *cluster.Assignment)
+}
+
+// lossObserver is told that a task was lost with its machine.
+type lossObserver interface {
+	lost(a *cluster.Assignment)
+}
+
+// takeDecisions hands out the machines to terminate and the addresses to forget.
+func (r *machineRegistry) takeDecisions() (terminate []ids.MachineID, forget []string) {
+	terminate, forget = r.terminate, r.forgotten
+	r.terminate, r.forgotten = nil, nil
+	return terminate, forget
 }
 
 // setSite notes what a machine is, and its agent's address unless that is "".
 func (r *machineRegistry) setSite(m *cluster.Machine, site placement.Site, endpoint string) {
 	if endpoint != "" {
-		r.core.cluster.SetEndpoint(m, endpoint)
-		r.core.commands.queueCommands(m)
+		r.cluster.SetEndpoint(m, endpoint)
+		r.commands.queueCommands(m)
 	}
-	r.core.cluster.SetSite(m, site)
+	r.cluster.SetSite(m, site)
 }
 
-// MachineList takes the cloud's list. It lags and may be older than one
-// before, so absence proves nothing by itself. asked is when it was asked for.
+// MachineList takes the cloud's list. It lags and may be older than the one
+// before, so absence proves nothing by itself. asked is when it was requested.
 func (c *Core) MachineList(now, asked monotonic.Instant, list []wire.Machine) {
 	c.clock.Set(now)
 	c.registry.observeList(asked, list)
@@ -47,26 +74,32 @@
 	listed := map[ids.MachineID]bool{}
 	for _, w := range list {
 		listed[w.ID] = true
-		if r.core.cluster.WasRemoved(w.ID) {
+		if r.cluster.WasRemoved(w.ID) {
 			continue
 		}
-		m := r.core.cluster.Machine(w.ID)
+		m := r.cluster.Machine(w.ID)
 		if m == nil {
-			m = r.core.cluster.EnsureMachine(w.ID)
+			m = r.cluster.EnsureMachine(w.ID)
 			m.Lifecycle.KnownSince = asked.Add(-monotonic.Seconds(w.AgeS))
 		}
 		r.setSite(m, placement.Site{Type: w.Type, Zone: w.Zone, Spot: w.Spot}, w.Endpoint)
-		if m.Lifecycle.ListedStatus != w.Status && !m.Agent.Reported && r.core.opt.PreviousLeader {
-			r.core.commands.queueCommands(m)
+		if m.Lifecycle.ListedStatus != w.Status && !m.Agent.Reported && r.settings.previousLeader {
+			r.commands.queueCommands(m)
 		}
 		m.Lifecycle.ListedStatus, m.Lifecycle.MissingLists = w.Status, 0
 	}
-	for _, m := range r.core.cluster.Machines() {
-		// A machine that a predecessor placed tasks on is long past the lag.
-		// Unless this is said, one that died with the predecessor keeps its
-		// tasks for the whole grace and a lease.
-		old := m.Lifecycle.KnownSince <= r.core.clock.TermBegan() && asked > r.core.clock.TermBegan().Add(2*r.core.opt.ListLag+time.Second)
-		if (m.Lifecycle.ListedStatus != "" || old) && !listed[m.ID] {
+	r.countMissing(asked, listed)
+}
+
+// countMissing counts for each machine the lists in a row without it. A machine on which a
+// previous leader placed tasks is known for longer than the list lags: unless it counts
+// too, one that died with that leader keeps its tasks for the whole grace and a lease.
+func (r *machineRegistry) countMissing(asked monotonic.Instant, listed map[ids.MachineID]bool) {
+	began := r.clock.TermBegan()
+	caughtUp := asked > began.Add(2*r.settings.listLag+time.Second)
+	for _, m := range r.cluster.Machines() {
+		inherited := m.Lifecycle.KnownSince <= began && caughtUp
+		if (m.Lifecycle.ListedStatus != "" || inherited) && !listed[m.ID] {
 			m.Lifecycle.MissingLists++
 		}
 	}
@@ -86,62 +119,57 @@
 	returnIdleMachine returnReason = "idle"
 )
 
-// returnMachine decides to return a machine. What is still being recorded was never sent,
-// so nothing has to wait for the state service here: a cancelled job's task beside it must
-// be gone in time.
+// returnMachine gives a machine up. What is still being recorded was never sent, so nothing
+// has to wait for the key-value store here: a cancelled job's task beside it must have ended
+// in time.
 func (r *machineRegistry) returnMachine(m *cluster.Machine, why returnReason) {
 	r.returnCounts[why]++
 	r.returnAgain(m)
 }
 
-// returnAgain calls the cloud to return a machine.
+// returnAgain decides to call the cloud to terminate a machine.
 func (r *machineRegistry) returnAgain(m *cluster.Machine) {
 	m.Lifecycle.Terminating, m.Lifecycle.TerminateInFlight = true, true
-	r.core.decisions.Terminate = append(r.core.decisions.Terminate, m.ID)
-	r.core.rounds.MarkDue()
+	r.terminate = append(r.terminate, m.ID)
+	r.rounds.MarkDue()
 }
 
-// TerminateResult takes the outcome of giving machines back. Once it succeeded,
-// the machines and all on them are gone.
-func (c *Core) TerminateResult(now monotonic.Instant, hosts []ids.MachineID, ok bool) {
+// MachinesTerminated takes the cloud's confirmation that machines are terminated, with
+// everything on them.
+func (c *Core) MachinesTerminated(now monotonic.Instant, machines []ids.MachineID) {
 	c.clock.Set(now)
-	c.registry.returnResult(hosts, ok)
+	c.registry.terminated(machines)
 }
 
-// returnResult takes the outcome of a return call.
-func (r *machineRegistry) returnResult(hosts []ids.MachineID, ok bool) {
-	for _, h := range hosts {
-		m := r.core.cluster.Machine(h)
-		if m == nil {
-			continue
-		}
-		m.Lifecycle.TerminateInFlight = false
-		if ok {
+// terminated notes that machines are terminated.
+func (r *machineRegistry) terminated(machines []ids.MachineID) {
+	for _, id := range machines {
+		if m := r.cluster.Machine(id); m != nil {
+			m.Lifecycle.TerminateInFlight = false
 			m.Lifecycle.Terminated = true
 			r.removeMachine(m)
 		}
 	}
 }
 
-// removeMachine drops a machine that is gone, and releases its tasks.
+// removeMachine drops a machine that is terminated, and releases its tasks.
 func (r *machineRegistry) removeMachine(m *cluster.Machine) {
 	for _, a := range m.AssignmentsSnapshot() {
 		if !a.Record.InFlight {
-			r.core.zones.lost(a)
-			r.core.lifecycle.release(a)
+			r.zones.lost(a)
+			r.lifecycle.release(a)
 		}
 	}
 	if len(m.Assignments()) > 0 {
-		return // a record is being written; it is forgotten after that
+		return // a record is being written; the next check removes the machine
 	}
-	r.core.cluster.RemoveMachine(m)
+	r.cluster.RemoveMachine(m)
 	if m.Endpoint() != "" {
-		r.core.decisions.ForgetAddresses = append(r.core.decisions.ForgetAddresses, m.Endpoint())
+		r.forgotten = append(r.forgotten, m.Endpoint())
 	}
-	r.core.rounds.MarkDue()
 }
 
-// Endpoint is a worker's address.
+// Endpoint is the address of a machine's agent; "" if it is not known.
 func (c *Core) Endpoint(h ids.MachineID) string {
 	if m := c.cluster.Machine(h); m != nil {
 		return m.Endpoint()
--- a/scheduler/preemption.go
+++ b/scheduler/preemption.go
@@ -24,7 +24,7 @@
 	borrowed       map[ids.Team]quota.Amount // what teams use beyond their guarantee
 	committedQuota map[ids.Team]quota.Amount // quota spoken for, less what is being freed
 	stopped        map[*cluster.Assignment]bool
-	// Qzones counts a job's tasks with those that room is being made for.
+	// zones counts a job's tasks with those that room is being made for.
 	zones            placement.TasksByZone
 	presentWorkloads []cluster.Workload // whose work there is at all
 	// infeasible holds what no room could be made for in this round. Nothing gets
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -30,7 +30,7 @@
 			b.report("n-1", "a", ids.NewFencingToken(4, 0))
 			b.report("n-2", "a", ids.NewFencingToken(4, 0))
 		}, false},
-		{"its machines were returned", func(b *harness) { b.c.TerminateResult(b.now, []ids.MachineID{"n-1", "n-2"}, true) }, true},
+		{"its machines were returned", func(b *harness) { b.c.MachinesTerminated(b.now, []ids.MachineID{"n-1", "n-2"}) }, true},
 		{"all controllers follow", func(b *harness) { b.c.AllControllersFollow(b.now) }, true},
 		{"just before the margin", func(b *harness) { b.now = b.now.Add(grace - margin - time.Second) }, false},
 		{"within the margin", func(b *harness) { b.now = b.now.Add(grace - margin) }, true},
@@ -115,7 +115,7 @@
 	if report("n-2", 2) || report("n-2", 1) || report("n-3", 1) {
 		t.Error("a machine without one is answered")
 	}
-	b.c.TerminateResult(b.now, []ids.MachineID{"n-2"}, true)
+	b.c.MachinesTerminated(b.now, []ids.MachineID{"n-2"})
 	if report("n-2", 3) {
 		t.Error("a machine that was returned is answered")
 	}
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -58,7 +58,7 @@
 		t.Fatal("never returned")
 	}
 	b.report("n-2", "a", 0)
-	b.c.TerminateResult(b.now, []ids.MachineID{"n-1"}, true)
+	b.c.MachinesTerminated(b.now, []ids.MachineID{"n-1"})
 	b.step()
 	if a := b.c.cluster.Job("job-1").Task(0).Assignment(); a == nil || a.Machine.ID != "n-2" {
 		t.Fatal("its task did not move")
@@ -159,7 +159,7 @@
 	b.report("n-1", "a", 0)
 	b.c.registry.returnMachine(b.c.cluster.Machine("n-1"), "test")
 	b.step()
-	b.c.TerminateResult(b.now, []ids.MachineID{"n-1"}, true)
+	b.c.MachinesTerminated(b.now, []ids.MachineID{"n-1"})
 	b.report("n-1", "a", 0)
 	if b.c.cluster.Machine("n-1") != nil {
 		t.Fatal("it came back at the leader that returned it")
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -366,7 +366,7 @@
 			t.Fatal("not returned in time")
 		}
 		if e := b.c.Step(b.now); len(e.Terminate) > 0 {
-			b.c.TerminateResult(b.now, e.Terminate, true)
+			b.c.MachinesTerminated(b.now, e.Terminate)
 			returned = true
 		}
 	}
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -157,7 +157,7 @@
 			for _, h := range hosts {
 				delete(s.workers, h)
 			}
-			current(func() { core.TerminateResult(s.now, hosts, true) })()
+			current(func() { core.MachinesTerminated(s.now, hosts) })()
 		})
 	}
 }
--- a/scheduler/sim_state_test.go
+++ b/scheduler/sim_state_test.go
@@ -165,7 +165,7 @@
 	})
 }
 
-// Qstatus is a job's own record.
+// status is a job's own record.
 func (s *sim) status(id ids.JobID) wire.JobState {
 	var rec records.Job
 	s.must(wire.Decode(s.store[records.JobKey(id)].raw, &rec))
--- a/scheduler/succession_test.go
+++ b/scheduler/succession_test.go
@@ -100,7 +100,7 @@
 			if s < 7 {
 				t.Fatalf("given back after %d s, within the lag of the list", s+1)
 			}
-			b.c.TerminateResult(b.now, e.Terminate, true)
+			b.c.MachinesTerminated(b.now, e.Terminate)
 			if b.c.quotas.Used("red").CPUs != 0 {
 				t.Fatal("the task still counts")
 			}
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -238,7 +238,7 @@
 // gateClass is what the gate looks at of a job, beside its image.
 type gateClass struct{ evaluated, critical, small bool }
 
-// Qstarted notes that a task was placed.
+// started notes that a task was placed.
 func (g *zoneGate) started(a *cluster.Assignment) {
 	if g != nil {
 		g.manager.TaskStarted(a.Machine.Zone(), g.startOf(a.Job, a.Index, a.Machine), g.core.clock.Now())
