--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -25,7 +25,7 @@
 	// rentalsInFlight those rentals, by site.
 	machinesRequested map[placement.Site]int
 	rentalsInFlight   map[placement.Site]int
-	// Failures.Backoff holds the sites that lacked capacity lately.
+	// backoff holds the sites that lacked capacity lately.
 	backoff       *fleet.Backoff
 	demandByClass map[string]*classDemand
 	// bootFactors tells how long boots took lately, against the catalog.
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -1,8 +1,11 @@
 // Package scheduler is the core of the leader. It admits jobs against quotas, places
-// their tasks, decides which machines to rent or return, and what each worker is told.
-// It does no I/O and has one owner: events and the time go in through its methods,
-// decisions come out of Step. The same events at the same times give the same
-// decisions.
+// their tasks, decides which machines to provision or terminate, and what each machine is
+// told.
+//
+// Core is the type to start with. It does no I/O, starts no goroutine and belongs to one
+// goroutine: events and the time go in through its methods, decisions come out of Step. The
+// same events at the same times give the same decisions. Package cluster holds the state;
+// each policy here queries it and notes only what its own part of the state is for.
 package scheduler
 
 import (
@@ -186,55 +189,30 @@
 // SetCatalog takes the cloud's machine types and current prices.
 func (c *Core) SetCatalog(types []wire.MachineType) { c.cluster.SetCatalog(types) }
 
-// Superseded tells that a worker has seen a later leader.
+// Superseded tells that an agent has seen a later leader.
 func (c *Core) Superseded() bool { return c.heartbeats.superseded }
 
 // RecordsError is set when the records are not as this leader left them. The term
 // must then end and the records be read again.
 func (c *Core) RecordsError() error { return c.recordsErr }
 
-// Begin ends the loading of records.
+// Begin begins the term once the records are loaded.
 func (c *Core) Begin(now monotonic.Instant) {
 	c.clock.Begin(now)
 	c.previousLeaders.begin()
 	c.autoscaler.plannedAt = now
 	c.records.budgetRefilledAt = now
-	// In order: it decides what is stopped, sent and written first.
-	for _, j := range c.cluster.SortedJobs() {
-		j.RebuildSlices()
-		c.jobRecords.syncDependencies(j)
-		j.Queue.ReadyAt = now
-		if c.opt.WallClockMS > 0 {
-			age := time.Duration(c.opt.WallClockMS-j.Queue.ReadyMS) * time.Millisecond
-			j.Queue.ReadyAt = now.Add(-min(max(age, 0), time.Hour))
-		}
-		j.Queue.WaitingSince = j.Queue.ReadyAt
-		for _, s := range j.Slices() {
-			c.records.markOversized(j, s)
-		}
-		switch j.Status() {
-		case wire.JobQueued:
-			j.RebuildPending()
-			if j.Done() == len(j.Tasks()) {
-				c.records.completable[j] = true
-			}
-		default:
-			c.lifecycle.endJob(j, j.Status())
-		}
-	}
-	for _, m := range c.cluster.Machines() {
-		m.Lifecycle.KnownSince = now
-		c.commands.queueCommands(m)
-	}
+	c.jobRecords.begin()
+	c.registry.begin()
 	c.zones.begin()
 	c.rounds.MarkDue()
 }
 
-// AllControllersFollow is called once every other controller has said, since this term began, that
-// it follows this leader. A process that knows of a later leader answers no report in the
-// name of an earlier one, nor does one that was started since. So no worker's lease can
-// be renewed by anybody else for a report sent after now, and what silent workers hold
-// need not wait for the predecessor's grace.
+// AllControllersFollow is called when every other controller has confirmed, since this term
+// began, that it follows this leader. A process that knows of a later leader answers no
+// heartbeat for an earlier one, nor does one that was started since. So no other leader can
+// renew an agent's lease for a heartbeat sent from now on, and tasks on silent machines need
+// not wait for the grace of previous leaders.
 func (c *Core) AllControllersFollow(now monotonic.Instant) {
 	c.clock.Set(now)
 	c.previousLeaders.end()
@@ -284,20 +262,21 @@
 // Decisions are the decisions since the last Step.
 type Decisions struct {
 	RecordChanges []records.Change
-	// SendCommands lists workers to which commands should go now; see TakeCommands.
+	// SendCommands lists machines to which commands should be sent now; see TakeCommands.
 	SendCommands []ids.MachineID
-	// RequestHeartbeats lists workers that should be asked for a report.
+	// RequestHeartbeats lists machines that should be asked for a heartbeat.
 	RequestHeartbeats []ids.MachineID
 	Provision         []wire.ProvisionRequest
 	Terminate         []ids.MachineID
-	RereadJobs        []ids.JobID
-	// ForgetAddresses lists addresses of machines that are gone.
+	// RereadJobs lists jobs whose records should be read again and passed to ObserveJob.
+	RereadJobs []ids.JobID
+	// ForgetAddresses lists addresses of machines that are terminated.
 	ForgetAddresses []string
 	// ZoneEvents are changes of zones' conditions, for the log.
 	ZoneEvents []zonerecovery.Event
 }
 
-// Progress tells a job's progress for display.
+// Progress tells a job's progress for display; false if the job is not known.
 func (c *Core) Progress(id ids.JobID) (Progress, bool) {
 	j := c.cluster.Job(id)
 	if j == nil {
@@ -312,7 +291,5 @@
 	return s, true
 }
 
-// Progress is what the leader can say about a job's progress.
-type Progress struct {
-	Done, Running int
-}
+// Progress counts the tasks of a job that are done, and those that run or write a checkpoint.
+type Progress struct{ Done, Running int }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -14,7 +14,7 @@
 type healthMonitor struct {
 	core       *Core
 	zoneStates map[ids.Zone]*zoneState
-	// Agent.LastHeard is when any machine was last heard.
+	// lastHeard is when any machine was last heard.
 	lastHeard       monotonic.Instant
 	healthCheckedAt monotonic.Instant
 	// healthCheckDue asks for a check before its time.
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"time"
 
 	"ospreystile.example/ospreystile/dependency"
 	"ospreystile.example/ospreystile/ids"
@@ -75,7 +76,7 @@
 	// unreadable are the jobs whose own record cannot be read.
 	unreadable map[ids.JobID]bool
 	lifecycle  jobEnder
-	records    cancelRecorder
+	records    jobRecordMarks
 	sites      siteRecorder
 	arrivals   arrivalObserver
 	// revision is that of the leader's key.
@@ -89,12 +90,14 @@
 	endJob(j *cluster.Job, status wire.JobState)
 }
 
-// cancelRecorder records jobs that are cancelled with one that they depend on.
-type cancelRecorder interface {
+// jobRecordMarks notes which records of jobs are to be written.
+type jobRecordMarks interface {
 	// markOrphanCancel notes that a job's own record has yet to say that it is cancelled.
 	markOrphanCancel(j *cluster.Job)
 	// cancelRecorded notes that it does.
 	cancelRecorded(j *cluster.Job)
+	markOversized(j *cluster.Job, s *cluster.AdmissionSlice)
+	markCompletable(j *cluster.Job)
 }
 
 // arrivalObserver learns from jobs that become ready.
@@ -188,6 +191,41 @@
 	}
 }
 
+// begin makes the jobs ready for the term once all records are loaded. It goes by ID: that
+// decides what is stopped, sent and written first.
+func (r *jobIntake) begin() {
+	for _, j := range r.cluster.SortedJobs() {
+		j.RebuildSlices()
+		r.syncDependencies(j)
+		j.Queue.ReadyAt = r.readySince(j)
+		j.Queue.WaitingSince = j.Queue.ReadyAt
+		for _, s := range j.Slices() {
+			r.records.markOversized(j, s)
+		}
+		if j.Terminal() {
+			r.lifecycle.endJob(j, j.Status())
+			continue
+		}
+		j.RebuildPending()
+		if j.Done() == len(j.Tasks()) {
+			r.records.markCompletable(j)
+		}
+	}
+}
+
+// maxInheritedWait bounds how long a job counts as having waited before the term began.
+const maxInheritedWait = time.Hour
+
+// readySince is when a loaded job became ready to run, as far as the time of day tells.
+func (r *jobIntake) readySince(j *cluster.Job) monotonic.Instant {
+	now := r.clock.Now()
+	if r.clock.WallAtBeginMS() <= 0 {
+		return now
+	}
+	age := time.Duration(r.clock.WallAtBeginMS()-j.Queue.ReadyMS) * time.Millisecond
+	return now.Add(-min(max(age, 0), maxInheritedWait))
+}
+
 // applyJobRecord takes a record into the dependency graph and updates all jobs whose
 // standing changes.
 func (r *jobIntake) applyJobRecord(id ids.JobID, rec *records.Job) {
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -46,6 +46,14 @@
 	lost(a *cluster.Assignment)
 }
 
+// begin takes the machines that records name as known since the term began.
+func (r *machineRegistry) begin() {
+	for _, m := range r.cluster.Machines() {
+		m.Lifecycle.KnownSince = r.clock.Now()
+		r.commands.queueCommands(m)
+	}
+}
+
 // takeDecisions hands out the machines to terminate and the addresses to forget.
 func (r *machineRegistry) takeDecisions() (terminate []ids.MachineID, forget []string) {
 	terminate, forget = r.terminate, r.forgotten
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -19,7 +19,7 @@
 	// writeBudget is how many writes the rate still allows.
 	writeBudget      float64
 	budgetRefilledAt monotonic.Instant
-	// Dirty are the slices whose records lag behind, with their jobs.
+	// dirty are the slices whose records lag behind, with their jobs.
 	dirty map[*cluster.AdmissionSlice]*cluster.Job
 	// completable are jobs whose tasks are all done, and droppable those that are
 	// over, whose admission records may be dropped.
--- a/scheduler/sim_state_test.go
+++ b/scheduler/sim_state_test.go
@@ -96,7 +96,7 @@
 // watched tells whether the leader reads what others write.
 func (s *sim) watched() bool { return s.now >= max(s.outage, s.refusal) }
 
-// Delivery.Seen brings a job's record to the leader, as its watch does.
+// seen brings a job's record to the leader, as its watch does.
 func (s *sim) seen(id ids.JobID) {
 	if !s.watched() {
 		s.after(max(s.outage, s.refusal).Sub(s.now), func() { s.seen(id) })
