--- a/controller/leader/load_test.go
+++ b/controller/leader/load_test.go
@@ -86,7 +86,7 @@
 	core := loadCore(t, dependencies)
 	now := dependencies.Clock.Now()
 	heartbeat := &wire.Heartbeat{Machine: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: ids.NewFencingToken(5, 0)}
-	if _, ok := core.Heartbeat(now, heartbeat, true); !ok {
+	if !core.HeartbeatFromCall(now, heartbeat) {
 		t.Fatal("heartbeat refused")
 	}
 	if written := operations(core, now); !slices.Equal(written, []string{"admissions/job-2/00000"}) {
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -367,7 +367,7 @@
 			t.Fatal("not terminated in time")
 		}
 		if e := b.c.Step(b.now); len(e.Terminate) > 0 {
-			b.c.TerminateResult(b.now, e.Terminate, true)
+			b.c.MachinesTerminated(b.now, e.Terminate)
 			terminated = true
 		}
 	}
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -93,7 +93,7 @@
 		for _, machine := range machines {
 			delete(l.workers, machine)
 		}
-		l.deliver(func() { l.core.TerminateResult(l.now, machines, true) })
+		l.deliver(func() { l.core.MachinesTerminated(l.now, machines) })
 	})
 }
 
