--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -23,7 +23,7 @@
 	return m
 }
 
-// Zjobs submits some, changed by shape.
+// jobs submits some jobs, changed by shape.
 func (m *scenario) jobs(count int, shape func(*wire.JobSpec)) {
 	for range count {
 		sp := m.randomSpec()
