--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -1,10 +1,12 @@
-// Package cloud is the client of the machine cloud.
+// Package cloud is the client of the cloud that machines are provisioned from. It sends each
+// request once, within a request budget, and tells by its errors whether the request was
+// executed. Retries belong to the callers.
 package cloud
 
 import (
 	"context"
-	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"time"
 
@@ -15,133 +17,112 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-var (
-	// ErrNoCapacity means that the cloud has no such machine now.
-	ErrNoCapacity = errors.New("no capacity")
-	// ErrUnavailable means that the request was not carried out.
-	ErrUnavailable = errors.New("cloud unavailable")
-	// ErrIndeterminate means that the request may have been carried out, or may yet be.
-	ErrIndeterminate = errors.New("cloud gave no answer")
-	// ErrRejected means that the cloud found the request malformed.
-	ErrRejected = errors.New("cloud refused the request")
+const (
+	// MaxTerminateBatch is the most machines that one termination takes.
+	MaxTerminateBatch = 100
+	// PageSize is how many machines a page of the list holds.
+	PageSize = 500
 )
 
-// Client talks to the cloud and keeps to its call rate.
+const (
+	// requestTimeout bounds every request.
+	requestTimeout = 5 * time.Second
+	// maxConnections is how many connections to the cloud are open at most.
+	maxConnections = 8
+	// maxResponseBytes is the largest response body that is accepted.
+	maxResponseBytes = 4 << 20
+	// budgetShare is the part of the cloud's request limit that is used; the rest is a margin.
+	budgetShare = 0.8
+)
+
+// Client sends requests to the cloud. It is safe for concurrent use.
 type Client struct {
-	http       *httpclient.Client
-	budget     *rate.Limiter
-	authorized func() bool
+	transport httpclient.Transport
+	service   *httpclient.Service
 }
 
-// New makes a client for an address with a budget of rps calls a second.
-func New(addr string, rps float64) *Client {
-	return &Client{http: httpclient.New(addr, 8, 4<<20), budget: rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps)))}
+// New returns a client for an address whose request limit is requestsPerSecond.
+func New(address string, requestsPerSecond float64) *Client {
+	transport := httpclient.New(address, maxConnections, maxResponseBytes)
+	budget := rate.NewLimiter(rate.Limit(requestsPerSecond*budgetShare), max(1, int(requestsPerSecond)))
+	return &Client{transport: transport, service: httpclient.NewService(transport, budget, protocol)}
 }
 
-// AuthorizedBy is the same client, budget included, for as long as may says so. It
-// asks just before each call: the cloud knows no fencing, and a call that
-// waited for its turn may have waited for longer than its caller had the right
-// to make it.
-func (c *Client) AuthorizedBy(may func() bool) *Client {
-	cp := *c
-	cp.authorized = may
-	return &cp
+// AuthorizedBy returns a client with the same budget that sends requests only while authorized
+// returns true. It asks just before each request is sent: the cloud knows no fencing tokens,
+// and the caller may lose its authorization while the request waits for the budget.
+func (c *Client) AuthorizedBy(authorized func() bool) *Client {
+	transport := authorizedTransport{Transport: c.transport, authorized: authorized}
+	return &Client{transport: c.transport, service: c.service.WithTransport(transport)}
 }
 
-// do sends one call within the budget.
-func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
-	if err := c.budget.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: budget: %w", ErrUnavailable, err)
-	}
-	if c.authorized != nil && !c.authorized() {
-		return fmt.Errorf("%w: the right to call it is over", ErrUnavailable)
-	}
-	var raw []byte
-	if in != nil {
-		raw = wire.Encode(in)
-	}
-	status, body, err := c.http.Do(ctx, method, path, raw, 5*time.Second)
-	if errors.Is(err, httpclient.ErrNotSent) {
-		return fmt.Errorf("%w: %w", ErrUnavailable, err)
-	}
+// do sends one request and decodes its answer into out.
+func (c *Client) do(ctx context.Context, request httpclient.Request, out any) (*httpclient.Answer, error) {
+	request.Timeout = requestTimeout
+	answer, err := c.service.Do(ctx, request)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrIndeterminate, err)
-	}
-	switch status {
-	case 200:
-		if out == nil {
-			return nil
-		}
-		if err := wire.Decode(body, out); err != nil {
-			return fmt.Errorf("%w: %w", ErrIndeterminate, err)
-		}
-		return nil
-	case 503:
-		var e struct {
-			Error string `msgpack:"error"`
-		}
-		if wire.Decode(body, &e) == nil && e.Error == "no capacity" {
-			return ErrNoCapacity
-		}
-		return fmt.Errorf("%w: status 503", ErrUnavailable)
-	case 429:
-		return fmt.Errorf("%w: status 429", ErrUnavailable)
-	case 400:
-		return ErrRejected
+		return nil, err
 	}
-	return fmt.Errorf("%w: status %d", ErrIndeterminate, status)
+	return answer, answer.Decode(out)
 }
 
 // Catalog reads the machine types and their current prices.
 func (c *Client) Catalog(ctx context.Context) ([]wire.MachineType, error) {
-	var cat wire.Catalog
-	if err := c.do(ctx, "GET", "/catalog", nil, &cat); err != nil {
+	var catalog wire.Catalog
+	answer, err := c.do(ctx, httpclient.Request{Method: http.MethodGet, Path: "/catalog"}, &catalog)
+	if err != nil {
 		return nil, err
 	}
-	for _, t := range cat.Types {
-		if t.Name == "" || t.CPUs <= 0 || t.MemoryGB < 0 || t.Price < 0 || t.SpotPrice < 0 || t.BootS < 0 {
-			return nil, fmt.Errorf("%w: malformed machine type %q", ErrIndeterminate, t.Name)
+	for _, machineType := range catalog.Types {
+		if !validMachineType(machineType) {
+			return nil, answer.Malformed(fmt.Errorf("malformed machine type %q", machineType.Name))
 		}
 	}
-	return cat.Types, nil
+	return catalog.Types, nil
 }
 
-// Provision asks for machines. The same request may be repeated until it is
-// answered; once it succeeded, its name must not serve another.
-func (c *Client) Provision(ctx context.Context, r wire.ProvisionRequest) ([]ids.MachineID, error) {
-	var ans wire.MachineIDs
-	err := c.do(ctx, "POST", "/hosts", r, &ans)
-	return ans.IDs, err
+// validMachineType reports whether a machine type has a name and possible amounts.
+func validMachineType(t wire.MachineType) bool {
+	return t.Name != "" && t.CPUs > 0 && t.MemoryGB >= 0 && t.Price >= 0 && t.SpotPrice >= 0 && t.BootS >= 0
 }
 
-// MaxTerminateBatch is the most machines that one call gives back.
-const MaxTerminateBatch = 100
-
-// Terminate gives machines back. When it succeeds, they are gone.
-func (c *Client) Terminate(ctx context.Context, hosts []ids.MachineID) error {
-	return c.do(ctx, "POST", "/hosts/return", wire.MachineIDs{IDs: hosts}, nil)
+// Provision asks for machines. The same request may be repeated until it is answered: its
+// RequestID makes it idempotent. After a success the RequestID must not be used again.
+func (c *Client) Provision(ctx context.Context, request wire.ProvisionRequest) ([]ids.MachineID, error) {
+	var machines wire.MachineIDs
+	_, err := c.do(ctx, httpclient.Request{Method: http.MethodPost, Path: "/hosts", Body: request}, &machines)
+	return machines.IDs, err
 }
 
-// PageSize is how many machines a page of the list holds.
-const PageSize = 500
+// Terminate ends machines, at most MaxTerminateBatch. After a success they are terminated.
+func (c *Client) Terminate(ctx context.Context, machines []ids.MachineID) error {
+	body := wire.MachineIDs{IDs: machines}
+	_, err := c.service.Do(ctx, httpclient.Request{Method: http.MethodPost, Path: "/hosts/return", Body: body, Timeout: requestTimeout})
+	return err
+}
 
-// List reads the whole machine list.
+// List reads all machines.
 func (c *Client) List(ctx context.Context) ([]wire.Machine, error) {
 	var all []wire.Machine
-	since := ids.MachineID("")
+	after := ids.MachineID("")
 	for {
-		path := fmt.Sprintf("/hosts?page=%d", PageSize)
-		if since != "" {
-			path += "&since=" + url.QueryEscape(string(since))
-		}
 		var page wire.MachinePage
-		if err := c.do(ctx, "GET", path, nil, &page); err != nil {
+		if _, err := c.do(ctx, listRequest(after), &page); err != nil {
 			return nil, err
 		}
 		all = append(all, page.Machines...)
 		if !page.More || len(page.Machines) == 0 {
 			return all, nil
 		}
-		since = page.Machines[len(page.Machines)-1].ID
+		after = page.Machines[len(page.Machines)-1].ID
+	}
+}
+
+// listRequest asks for the page of the list that follows a machine; "" asks for the first.
+func listRequest(after ids.MachineID) httpclient.Request {
+	path := fmt.Sprintf("/hosts?page=%d", PageSize)
+	if after != "" {
+		path += "&since=" + url.QueryEscape(string(after))
 	}
+	return httpclient.Request{Method: http.MethodGet, Path: path}
 }
--- /dev/null
+++ b/cloud/errors.go
@@ -0,0 +1,46 @@
+package cloud
+
+import (
+	"errors"
+	"net/http"
+
+	"ospreystile.example/ospreystile/internal/httpclient"
+)
+
+// Failed requests are *httpclient.RequestError, which name the request and wrap one of these.
+// ErrNoCapacity is a condition of the cloud, and stands alone.
+var (
+	// ErrNoCapacity means that the cloud has no such machine now.
+	ErrNoCapacity = errors.New("no capacity")
+	// ErrUnavailable means that the cloud did not execute the request.
+	ErrUnavailable = errors.New("cloud unavailable")
+	// ErrIndeterminate means that the request may have been executed, or may yet be.
+	ErrIndeterminate = errors.New("cloud gave no answer")
+	// ErrRejected means that the cloud found the request malformed.
+	ErrRejected = errors.New("cloud refused the request")
+)
+
+// errNotAuthorized means that the caller may not call the cloud any more.
+var errNotAuthorized = errors.New("the caller is no longer authorized")
+
+// protocol is what the cloud's statuses mean. An answer that cannot be decoded does not tell
+// whether the request was executed.
+var protocol = httpclient.Protocol{
+	Accepted:      []int{http.StatusOK},
+	Unavailable:   ErrUnavailable,
+	Indeterminate: ErrIndeterminate,
+	Rejected:      ErrRejected,
+	Malformed:     ErrIndeterminate,
+	Condition:     condition,
+}
+
+// noCapacityMessage is the message of the cloud when it has no such machine.
+const noCapacityMessage = "no capacity"
+
+// condition returns the sentinel of a status and message with a meaning of their own.
+func condition(status int, message string) error {
+	if status == http.StatusServiceUnavailable && message == noCapacityMessage {
+		return ErrNoCapacity
+	}
+	return nil
+}
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,5 +1,8 @@
-// Package httpclient is the one HTTP client that all outside calls go through:
-// kept-open connections, a deadline on every call, and no repeat of its own.
+// Package httpclient sends requests to the services outside: the key-value store, the cloud
+// and the agents on machines. Client is the HTTP transport to one address, with open
+// connections and a deadline on every request. Service adds the request budget and the
+// mapping of statuses to errors that the clients of services share. Neither repeats a
+// request: only the caller knows how to resolve an indeterminate result.
 package httpclient
 
 import (
@@ -12,73 +15,96 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ErrNoResponse means that the request may have been carried out, or may yet be.
-var ErrNoResponse = errors.New("no answer")
-
-// ErrNotSent means that the request surely never left.
-var ErrNotSent = errors.New("not sent")
+const (
+	// dialTimeout bounds the making of a connection.
+	dialTimeout = time.Second
+	// idleTimeout is how long a connection without requests stays open.
+	idleTimeout = 30 * time.Second
+	// connectionWait is how long a request waits for a free connection.
+	connectionWait = 500 * time.Millisecond
+	// contentType is the media type of request bodies.
+	contentType = "application/msgpack"
+)
 
-// Client talks to one address.
+// Client sends requests to one address. It is safe for concurrent use.
 type Client struct {
-	hc   *fasthttp.HostClient
-	base string
+	host    *fasthttp.HostClient
+	baseURL string
 }
 
-// New makes a client for an address with at most conns connections. Answers
-// above maxBody bytes are refused.
-func New(addr string, conns, maxBody int) *Client {
-	dialer := &net.Dialer{Timeout: time.Second}
-	return &Client{base: "http://" + addr, hc: &fasthttp.HostClient{
-		Addr:                     addr,
-		MaxConns:                 conns,
-		MaxIdleConnDuration:      30 * time.Second,
-		MaxConnWaitTimeout:       500 * time.Millisecond,
-		MaxResponseBodySize:      maxBody,
+// New returns a client for an address with at most maxConnections connections. Response
+// bodies above maxBodyBytes are refused.
+func New(address string, maxConnections, maxBodyBytes int) *Client {
+	return &Client{baseURL: "http://" + address, host: &fasthttp.HostClient{
+		Addr:                     address,
+		MaxConns:                 maxConnections,
+		MaxIdleConnDuration:      idleTimeout,
+		MaxConnWaitTimeout:       connectionWait,
+		MaxResponseBodySize:      maxBodyBytes,
 		NoDefaultUserAgentHeader: true,
-		// A repeat inside the client would hide an unknown outcome from the
-		// callers, who alone know how to settle it.
+		// A retry inside the client would hide an indeterminate result from the caller.
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-		Dial: func(addr string) (net.Conn, error) {
-			c, err := dialer.Dial("tcp4", addr)
-			if err != nil {
-				return nil, fmt.Errorf("%w: %v", ErrNotSent, err)
-			}
-			return c, nil
-		},
+		Dial:                      dial,
 	}}
 }
 
-// SetIdleTimeout sets how long a connection is kept without use. It goes before the
-// first call.
-func (c *Client) SetIdleTimeout(d time.Duration) { c.hc.MaxIdleConnDuration = d }
+// errNoConnection means that no connection could be made, so that the request was not sent.
+var errNoConnection = errors.New("no connection")
+
+// dial opens a connection.
+func dial(address string) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	connection, err := dialer.Dial("tcp4", address)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", errNoConnection, err)
+	}
+	return connection, nil
+}
+
+// SetIdleTimeout sets how long a connection without requests stays open. It must be called
+// before the first request.
+func (c *Client) SetIdleTimeout(timeout time.Duration) { c.host.MaxIdleConnDuration = timeout }
 
-// Do sends one request and returns the status and a copy of the body.
+// Do sends one request and returns the status and a copy of the response's body. The request
+// ends with its timeout or the context's deadline, the earlier of both; a context canceled
+// later does not end it. An error is a *RequestError of the kind ErrNotSent or ErrNoResponse.
 func (c *Client) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
 	if err := ctx.Err(); err != nil {
-		return 0, nil, fmt.Errorf("%w: %w", ErrNotSent, err)
-	}
-	deadline := time.Now().Add(timeout)
-	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
-		deadline = d
+		return 0, nil, &RequestError{Kind: ErrNotSent, Method: method, Path: path, Cause: err}
 	}
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI(c.base + path)
-	req.Header.SetMethod(method)
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.SetRequestURI(c.baseURL + path)
+	request.Header.SetMethod(method)
 	if body != nil {
-		req.Header.SetContentType("application/msgpack")
-		req.SetBodyRaw(body)
+		request.Header.SetContentType(contentType)
+		request.SetBodyRaw(body)
 	}
-	if err := c.hc.DoDeadline(req, resp, deadline); err != nil {
-		if errors.Is(err, ErrNotSent) || errors.Is(err, fasthttp.ErrNoFreeConns) {
-			return 0, nil, fmt.Errorf("%w: %v", ErrNotSent, err)
-		}
-		return 0, nil, fmt.Errorf("%w: %v", ErrNoResponse, err)
+	if err := c.host.DoDeadline(request, response, earliestDeadline(ctx, timeout)); err != nil {
+		return 0, nil, &RequestError{Kind: transportErrorKind(err), Method: method, Path: path, Cause: err}
+	}
+	return response.StatusCode(), append([]byte(nil), response.Body()...), nil
+}
+
+// earliestDeadline is the end of a timeout that starts now, or the context's deadline if that
+// is earlier.
+func earliestDeadline(ctx context.Context, timeout time.Duration) time.Time {
+	deadline := time.Now().Add(timeout)
+	if ofContext, ok := ctx.Deadline(); ok && ofContext.Before(deadline) {
+		return ofContext
+	}
+	return deadline
+}
+
+// transportErrorKind tells whether a request without a response was sent.
+func transportErrorKind(err error) error {
+	if errors.Is(err, errNoConnection) || errors.Is(err, fasthttp.ErrNoFreeConns) {
+		return ErrNotSent
 	}
-	return resp.StatusCode(), append([]byte(nil), resp.Body()...), nil
+	return ErrNoResponse
 }
 
-// Close drops the idle connections.
-func (c *Client) Close() { c.hc.CloseIdleConnections() }
+// Close closes the idle connections.
+func (c *Client) Close() { c.host.CloseIdleConnections() }
--- /dev/null
+++ b/internal/httpclient/client_test.go
@@ -0,0 +1,98 @@
+package httpclient
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/internal/golden"
+)
+
+// closedAddress is an address on which nothing listens.
+func closedAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+func TestRequestsWithoutAResponse(t *testing.T) {
+	canceled, cancel := context.WithCancel(t.Context())
+	cancel()
+	closesAfterRequest := golden.Record(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	hangs := golden.Record(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	long := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, 2000)) })
+	for _, c := range []struct {
+		name    string
+		ctx     context.Context
+		address string
+		want    error
+	}{
+		{"refused connection", t.Context(), closedAddress(t), ErrNotSent},
+		{"canceled before", canceled, closesAfterRequest.Address, ErrNotSent},
+		{"connection closed after the request", t.Context(), closesAfterRequest.Address, ErrNoResponse},
+		{"timeout", t.Context(), hangs.Address, ErrNoResponse},
+		{"response too long", t.Context(), long.Address, ErrNoResponse},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			client := New(c.address, 1, 1000)
+			t.Cleanup(client.Close)
+			_, _, err := client.Do(c.ctx, http.MethodPost, "/commit", []byte{1}, 50*time.Millisecond)
+			if !errors.Is(err, c.want) || errors.Is(err, ErrNotSent) && errors.Is(err, ErrNoResponse) {
+				t.Errorf("%v, want %v", err, c.want)
+			}
+			checkRequest(t, err, RequestError{Method: http.MethodPost, Path: "/commit"})
+		})
+	}
+}
+
+// checkRequest requires that an error names the method, path, status and message of its request.
+func checkRequest(t *testing.T, err error, want RequestError) {
+	t.Helper()
+	var failed *RequestError
+	if !errors.As(err, &failed) {
+		t.Fatalf("%v names no request", err)
+	}
+	if failed.Method != want.Method || failed.Path != want.Path || failed.Status != want.Status || failed.Message != want.Message {
+		t.Errorf("names %+v, want %+v", *failed, want)
+	}
+}
+
+// A request that finds all connections in use does not wait for ever, and was not sent.
+func TestNoFreeConnection(t *testing.T) {
+	release := make(chan struct{})
+	arrived := make(chan struct{})
+	rec := golden.Record(t, func(http.ResponseWriter, *http.Request) { close(arrived); <-release })
+	client := New(rec.Address, 1, 1000)
+	first := make(chan error, 1)
+	go func() {
+		_, _, err := client.Do(t.Context(), http.MethodGet, "/first", nil, time.Minute)
+		first <- err
+	}()
+	<-arrived
+	if _, _, err := client.Do(t.Context(), http.MethodGet, "/second", nil, time.Minute); !errors.Is(err, ErrNotSent) {
+		t.Errorf("%v, want %v", err, ErrNotSent)
+	}
+	close(release)
+	if err := <-first; err != nil {
+		t.Error(err)
+	}
+}
+
+// The context's deadline ends a request before its timeout.
+func TestContextDeadlineBoundsTheRequest(t *testing.T) {
+	hangs := golden.Record(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
+	defer cancel()
+	start := time.Now()
+	_, _, err := New(hangs.Address, 1, 1000).Do(ctx, http.MethodGet, "/", nil, time.Minute)
+	if took := time.Since(start); !errors.Is(err, ErrNoResponse) || took > 10*time.Second {
+		t.Errorf("%v after %v", err, took)
+	}
+}
--- a/kv/client.go
+++ b/kv/client.go
@@ -1,200 +1,104 @@
-// Package kv is the client of the consensus-backed key-value store.
+// Package kv is the client of the consensus-backed key-value store. It sends each request
+// once, within a request budget, and tells by its errors whether the request was executed.
+// Retries, and the resolution of indeterminate results, belong to the callers.
 package kv
 
 import (
 	"context"
-	"errors"
-	"fmt"
-	"net/url"
-	"strconv"
+	"net/http"
 	"time"
 
-	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/internal/httpclient"
-	"ospreystile.example/ospreystile/wire"
 )
 
-var (
-	// ErrUnavailable means that the service did not execute the request.
-	ErrUnavailable = errors.New("state service unavailable")
-	// ErrIndeterminate means that the request may have been executed, or may yet be.
-	ErrIndeterminate = errors.New("state service gave no answer")
-	// ErrLeaseExpired means that a lease has ended.
-	ErrLeaseExpired = errors.New("no such lease")
-	// ErrCompacted means that a watch must start again from a full read.
-	ErrCompacted = errors.New("watch revision too old")
-	// ErrRejected means that the service will not take the request as it is, for
-	// its size or form. The same again is refused again.
-	ErrRejected = errors.New("state service refused the request")
-	// ErrMalformedResponse means that the service answered with something malformed.
-	ErrMalformedResponse = errors.New("malformed answer from the state service")
+const (
+	// requestTimeout bounds requests for one key or lease, and transactions.
+	requestTimeout = time.Second
+	// listTimeout bounds the request for one page of a list.
+	listTimeout = 3 * time.Second
+	// watchMargin is for how long beyond its hold a watch may take.
+	watchMargin = 2 * time.Second
 )
 
-// Entry is a key with its value and version.
-type Entry struct {
-	Key      string             `msgpack:"key"`
-	Value    msgpack.RawMessage `msgpack:"v"`
-	Revision ids.Revision       `msgpack:"stamp"`
-	Lease    ids.LeaseID        `msgpack:"hold"`
-}
-
-// Precondition is a condition of a transaction; revision 0 means the key is absent.
-type Precondition struct {
-	Key      string       `msgpack:"key"`
-	Revision ids.Revision `msgpack:"stamp"`
-}
-
-// Operation is one change of a transaction: a write, or else a drop.
-type Operation struct {
-	PutKey    string      `msgpack:"write,omitempty"`
-	Value     any         `msgpack:"v,omitempty"`
-	Lease     ids.LeaseID `msgpack:"hold,omitempty"`
-	DeleteKey string      `msgpack:"drop,omitempty"`
-}
-
-// Txn is a guarded transaction.
-type Txn struct {
-	Preconditions []Precondition `msgpack:"guards"`
-	Operations    []Operation    `msgpack:"apply,omitempty"`
-}
-
-// TxnResult is the definite answer to a transaction.
-type TxnResult struct {
-	Applied    bool
-	Revision   ids.Revision
-	FailedKeys []string
-}
+// Transport carries one request to the store: directly, or through another controller.
+type Transport = httpclient.Transport
 
-// Event is one change seen by a watch.
-type Event struct {
-	PutKey     string             `msgpack:"write"`
-	DeletedKey string             `msgpack:"drop"`
-	Value      msgpack.RawMessage `msgpack:"v"`
-	Revision   ids.Revision       `msgpack:"stamp"`
-}
+// Client sends requests to the store. It is safe for concurrent use.
+type Client struct{ service *httpclient.Service }
 
-// Transport carries one request to the service. It is the direct connection, or
-// a way through a peer.
-type Transport interface {
-	Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error)
+// New returns a client that sends at most requestsPerSecond over a transport.
+func New(transport Transport, requestsPerSecond float64) *Client {
+	budget := rate.NewLimiter(rate.Limit(requestsPerSecond), max(1, int(requestsPerSecond)))
+	return &Client{service: httpclient.NewService(transport, budget, protocol)}
 }
 
-// Client talks to the state service and keeps to a request budget.
-type Client struct {
-	transport Transport
-	budget    *rate.Limiter
-	Timeout   time.Duration
-}
+// Unthrottled returns a client of the same store without a budget, for the few requests that
+// leadership depends on.
+func (c *Client) Unthrottled() *Client { return &Client{service: c.service.Unthrottled()} }
 
-// New makes a client that sends at most rps requests a second.
-func New(call Transport, rps float64) *Client {
-	return &Client{transport: call, budget: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))), Timeout: time.Second}
-}
-
-// WithTransport is the same client, budget included, by another way.
-func (c *Client) WithTransport(call Transport) *Client {
-	cp := *c
-	cp.transport = call
-	return &cp
-}
-
-// Unthrottled is the same service without the budget, for the few requests that
-// leadership hangs on.
-func (c *Client) Unthrottled() *Client {
-	cp := *c
-	cp.budget = rate.NewLimiter(rate.Inf, 1)
-	return &cp
-}
-
-// do sends one request within the budget.
-func (c *Client) do(ctx context.Context, method, path string, body any, timeout time.Duration, out any) (int, error) {
-	if err := c.budget.Wait(ctx); err != nil {
-		return 0, fmt.Errorf("%w: budget: %w", ErrUnavailable, err)
+// do sends one request and decodes the body of its answer, if there is one, into out. A nil
+// out ignores the body.
+func (c *Client) do(ctx context.Context, request httpclient.Request, out any) (*httpclient.Answer, error) {
+	answer, err := c.service.Do(ctx, request)
+	if err != nil {
+		return nil, err
 	}
-	var raw []byte
-	if body != nil {
-		raw = wire.Encode(body)
+	if out == nil || len(answer.Body) == 0 {
+		return answer, nil
 	}
-	status, ans, err := c.transport.Do(ctx, method, path, raw, timeout)
-	switch {
-	case errors.Is(err, httpclient.ErrNotSent):
-		return 0, fmt.Errorf("%w: %w", ErrUnavailable, err)
-	case err != nil:
-		return 0, fmt.Errorf("%w: %w", ErrIndeterminate, err)
+	return answer, answer.Decode(out)
+}
+
+// doOK is do for requests that have no other answer than 200.
+func (c *Client) doOK(ctx context.Context, request httpclient.Request, out any) error {
+	answer, err := c.do(ctx, request, out)
+	if err != nil {
+		return err
 	}
-	switch status {
-	case 200, 404, 409:
-		if out != nil && len(ans) > 0 {
-			if err := wire.Decode(ans, out); err != nil {
-				return status, fmt.Errorf("%w: %s %s: %w", ErrMalformedResponse, method, path, err)
-			}
-		}
-		return status, nil
-	case 429, 503:
-		return status, fmt.Errorf("%w: status %d", ErrUnavailable, status)
-	case 410:
-		return status, ErrCompacted
-	case 400:
-		var e struct {
-			Error string `msgpack:"error"`
-		}
-		if wire.Decode(ans, &e) == nil && e.Error == "no such lease" {
-			return status, ErrLeaseExpired
-		}
-		return status, fmt.Errorf("%w: %s %s: %s", ErrRejected, method, path, e.Error)
+	if answer.Status != http.StatusOK {
+		return answer.Malformed(nil)
 	}
-	return status, fmt.Errorf("%w: status %d", ErrIndeterminate, status)
+	return nil
 }
 
 // Get reads one key; found is false if it does not exist.
-func (c *Client) Get(ctx context.Context, key string) (e Entry, found bool, err error) {
-	status, err := c.do(ctx, "GET", "/store/"+key, nil, c.Timeout, &e)
+func (c *Client) Get(ctx context.Context, key string) (entry Entry, found bool, err error) {
+	answer, err := c.do(ctx, getRequest(key), &entry)
 	if err != nil {
 		return Entry{}, false, err
 	}
-	if status == 404 {
+	if answer.Status == http.StatusNotFound {
 		return Entry{}, false, nil
 	}
-	if status != 200 || e.Revision == 0 {
-		return Entry{}, false, fmt.Errorf("%w: GET %s", ErrMalformedResponse, key)
+	if answer.Status != http.StatusOK || entry.Revision == 0 {
+		return Entry{}, false, answer.Malformed(nil)
 	}
-	e.Key = key
-	return e, true, nil
+	entry.Key = key
+	return entry, true, nil
 }
 
-// List reads all keys with a prefix. The revision returned is that of the
-// first page, so that a watch from there misses nothing.
+// List hands all entries whose keys have a prefix to each, in the order of keys, and ends with
+// the first error of each. It returns the revision of the first page, so that a watch from
+// there misses no change.
 func (c *Client) List(ctx context.Context, prefix string, each func(Entry) error) (ids.Revision, error) {
 	var first ids.Revision
-	since := ""
+	after := ""
 	for {
-		var page struct {
-			Entries []Entry      `msgpack:"entries"`
-			More    bool         `msgpack:"hasNext"`
-			Epoch   ids.Revision `msgpack:"epoch"`
-		}
-		path := "/store?prefix=" + url.QueryEscape(prefix) + "&page=1000"
-		if since != "" {
-			path += "&since=" + url.QueryEscape(since)
-		}
-		status, err := c.do(ctx, "GET", path, nil, 3*c.Timeout, &page)
-		if err != nil {
+		var page listPage
+		if err := c.doOK(ctx, listRequest(prefix, after), &page); err != nil {
 			return 0, err
 		}
-		if status != 200 {
-			return 0, fmt.Errorf("%w: list status %d", ErrMalformedResponse, status)
-		}
 		if first == 0 {
-			first = page.Epoch
+			first = page.Revision
 		}
-		for _, e := range page.Entries {
-			if err := each(e); err != nil {
+		for _, entry := range page.Entries {
+			if err := each(entry); err != nil {
 				return 0, err
 			}
-			since = e.Key
+			after = entry.Key
 		}
 		if !page.More || len(page.Entries) == 0 {
 			return first, nil
@@ -202,71 +106,54 @@
 	}
 }
 
-// Commit sends one transaction once.
-func (c *Client) Commit(ctx context.Context, t Txn) (TxnResult, error) {
-	var ans struct {
-		Epoch  ids.Revision `msgpack:"epoch"`
-		Failed []string     `msgpack:"failed"`
-	}
-	status, err := c.do(ctx, "POST", "/commit", t, c.Timeout, &ans)
+// Commit sends one transaction.
+func (c *Client) Commit(ctx context.Context, txn Txn) (TxnResult, error) {
+	var response commitResponse
+	answer, err := c.do(ctx, commitRequest(txn), &response)
 	if err != nil {
 		return TxnResult{}, err
 	}
-	switch status {
-	case 200:
-		return TxnResult{Applied: true, Revision: ans.Epoch}, nil
-	case 409:
-		return TxnResult{Revision: ans.Epoch, FailedKeys: ans.Failed}, nil
+	switch answer.Status {
+	case http.StatusOK:
+		return TxnResult{Applied: true, Revision: response.Revision}, nil
+	case http.StatusConflict:
+		return TxnResult{Revision: response.Revision, FailedKeys: response.FailedKeys}, nil
 	}
-	return TxnResult{}, fmt.Errorf("%w: commit status %d", ErrMalformedResponse, status)
+	return TxnResult{}, answer.Malformed(nil)
 }
 
-// GrantLease takes a lease.
+// GrantLease makes a lease that ends unless it is renewed within ttl.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (ids.LeaseID, error) {
-	var ans struct {
-		Lease ids.LeaseID `msgpack:"hold"`
-	}
-	status, err := c.do(ctx, "POST", "/grants", map[string]int64{"ttlMs": ttl.Milliseconds()}, c.Timeout, &ans)
-	if err != nil {
+	var response grantResponse
+	if err := c.doOK(ctx, grantRequest(ttl), &response); err != nil {
 		return 0, err
 	}
-	if status != 200 {
-		return 0, fmt.Errorf("%w: grant status %d", ErrMalformedResponse, status)
-	}
-	return ans.Lease, nil
+	return response.Lease, nil
 }
 
-// RenewLease renews a lease.
+// RenewLease gives a lease its full time again. It returns ErrLeaseExpired if the lease has
+// ended.
 func (c *Client) RenewLease(ctx context.Context, id ids.LeaseID) error {
-	status, err := c.do(ctx, "POST", "/grants/"+strconv.FormatUint(uint64(id), 10)+"/touch", nil, c.Timeout, nil)
-	if err == nil && status != 200 {
+	answer, err := c.do(ctx, renewRequest(id), nil)
+	if err == nil && answer.Status != http.StatusOK {
 		return ErrLeaseExpired
 	}
 	return err
 }
 
-// RevokeLease ends a lease at once.
+// RevokeLease ends a lease and deletes its keys. It succeeds if the lease has ended before.
 func (c *Client) RevokeLease(ctx context.Context, id ids.LeaseID) error {
-	_, err := c.do(ctx, "DELETE", "/grants/"+strconv.FormatUint(uint64(id), 10), nil, c.Timeout, nil)
+	_, err := c.do(ctx, revokeRequest(id), nil)
 	return err
 }
 
-// Watch waits for changes under a prefix after a revision.
+// Watch returns the changes of keys with a prefix after a revision, and the revision to watch
+// from next. It waits for a change for at most hold, and then returns none. It returns
+// ErrCompacted if the store no longer keeps the changes since.
 func (c *Client) Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []Event, error) {
-	var ans struct {
-		Epoch  ids.Revision `msgpack:"epoch"`
-		Events []Event      `msgpack:"events"`
-	}
-	path := fmt.Sprintf("/changes?prefix=%s&since=%d&holdMs=%d", url.QueryEscape(prefix), since, hold.Milliseconds())
-	status, err := c.do(ctx, "GET", path, nil, hold+2*time.Second, &ans)
-	if err != nil {
+	var response watchResponse
+	if err := c.doOK(ctx, watchRequest(prefix, since, hold), &response); err != nil {
 		return 0, nil, err
 	}
-	if status != 200 {
-		return 0, nil, fmt.Errorf("%w: watch status %d", ErrMalformedResponse, status)
-	}
-	return ans.Epoch, ans.Events, nil
+	return response.Revision, response.Events, nil
 }
-
-// IsNotSent tells whether a call's error shows that the request never left.
-func IsNotSent(err error) bool { return errors.Is(err, httpclient.ErrNotSent) }
--- /dev/null
+++ b/kv/errors.go
@@ -0,0 +1,56 @@
+package kv
+
+import (
+	"errors"
+	"net/http"
+
+	"ospreystile.example/ospreystile/internal/httpclient"
+)
+
+// Failed requests are *httpclient.RequestError, which name the request and wrap one of these.
+// ErrLeaseExpired and ErrCompacted are conditions of the store, and stand alone.
+var (
+	// ErrUnavailable means that the store did not execute the request.
+	ErrUnavailable = errors.New("state service unavailable")
+	// ErrIndeterminate means that the request may have been executed, or may yet be.
+	ErrIndeterminate = errors.New("state service gave no answer")
+	// ErrLeaseExpired means that a lease has ended.
+	ErrLeaseExpired = errors.New("no such lease")
+	// ErrCompacted means that the store no longer keeps the changes that a watch asks for.
+	// The watch must start again from a list.
+	ErrCompacted = errors.New("watch revision too old")
+	// ErrRejected means that the store does not accept the request as it is, for its size or
+	// form. It would be rejected again.
+	ErrRejected = errors.New("state service refused the request")
+	// ErrMalformedResponse means that the response of the store cannot be decoded, or does not
+	// belong to the request.
+	ErrMalformedResponse = errors.New("malformed answer from the state service")
+)
+
+// protocol is what the store's statuses mean.
+var protocol = httpclient.Protocol{
+	Accepted:      []int{http.StatusOK, http.StatusNotFound, http.StatusConflict},
+	Unavailable:   ErrUnavailable,
+	Indeterminate: ErrIndeterminate,
+	Rejected:      ErrRejected,
+	Malformed:     ErrMalformedResponse,
+	Condition:     condition,
+}
+
+// leaseExpiredMessage is the message of the store for a lease that has ended.
+const leaseExpiredMessage = "no such lease"
+
+// condition returns the sentinel of a status and message with a meaning of their own.
+func condition(status int, message string) error {
+	switch {
+	case status == http.StatusGone:
+		return ErrCompacted
+	case status == http.StatusBadRequest && message == leaseExpiredMessage:
+		return ErrLeaseExpired
+	}
+	return nil
+}
+
+// IsNotSent reports whether the error of a request or of its transport shows that the request
+// never left this process.
+func IsNotSent(err error) bool { return errors.Is(err, httpclient.ErrNotSent) }
--- /dev/null
+++ b/kv/types.go
@@ -0,0 +1,56 @@
+package kv
+
+import (
+	"github.com/vmihailenco/msgpack/v5"
+
+	"ospreystile.example/ospreystile/ids"
+)
+
+// Entry is a key with its value and the revision that wrote it.
+type Entry struct {
+	Key      string             `msgpack:"key"`
+	Value    msgpack.RawMessage `msgpack:"v"`
+	Revision ids.Revision       `msgpack:"stamp"`
+	// Lease is the lease that the key ends with; 0 means none.
+	Lease ids.LeaseID `msgpack:"hold"`
+}
+
+// Precondition requires that a key was written last at a revision. Revision 0 requires that
+// the key is absent.
+type Precondition struct {
+	Key      string       `msgpack:"key"`
+	Revision ids.Revision `msgpack:"stamp"`
+}
+
+// Operation is one change of a transaction: it puts PutKey, or else deletes DeleteKey.
+type Operation struct {
+	PutKey string `msgpack:"write,omitempty"`
+	Value  any    `msgpack:"v,omitempty"`
+	// Lease is the lease that the key ends with; 0 means none.
+	Lease     ids.LeaseID `msgpack:"hold,omitempty"`
+	DeleteKey string      `msgpack:"drop,omitempty"`
+}
+
+// Txn is a compare-and-swap transaction: all operations are applied if all preconditions hold,
+// and none otherwise.
+type Txn struct {
+	Preconditions []Precondition `msgpack:"guards"`
+	Operations    []Operation    `msgpack:"apply,omitempty"`
+}
+
+// TxnResult is the definite result of a transaction.
+type TxnResult struct {
+	Applied bool
+	// Revision is that of the transaction if it was applied, and else the store's.
+	Revision ids.Revision
+	// FailedKeys are the keys whose preconditions did not hold.
+	FailedKeys []string
+}
+
+// Event is one change that a watch returns: PutKey or else DeletedKey is set.
+type Event struct {
+	PutKey     string             `msgpack:"write"`
+	DeletedKey string             `msgpack:"drop"`
+	Value      msgpack.RawMessage `msgpack:"v"`
+	Revision   ids.Revision       `msgpack:"stamp"`
+}
