--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,9 +1,11 @@
-// Package worker is the client for commands sent straight to workers.
+// Package worker is the client of the agents on machines. The leader sends them commands and
+// asks for heartbeats.
 package worker
 
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"sync"
 	"time"
 
@@ -11,70 +13,93 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Client keeps one small client for each worker address.
+const (
+	// idleTimeout is how long a connection to an agent without requests stays open. There may
+	// be more agents than sockets, and a leader sends commands to hundreds of them within
+	// seconds.
+	idleTimeout = 500 * time.Millisecond
+	// maxConnections is how many connections to one agent are open at most.
+	maxConnections = 2
+	// maxResponseBytes is the largest response body that is accepted.
+	maxResponseBytes = 1 << 20
+)
+
+// Client sends requests to agents by their addresses. It is safe for concurrent use.
 type Client struct {
-	mu    sync.Mutex
-	conns map[string]*httpclient.Client
+	mu sync.Mutex
+	// transports holds one for each address.
+	transports map[string]*httpclient.Client
 }
 
-// keepIdle is how long a connection to a worker is kept. There may be more
-// workers than sockets, and a term sends commands to hundreds of them within
-// seconds.
-const keepIdle = 500 * time.Millisecond
+// New returns a client without connections.
+func New() *Client { return &Client{transports: map[string]*httpclient.Client{}} }
 
-// New makes an empty client.
-func New() *Client { return &Client{conns: map[string]*httpclient.Client{}} }
-
-// to finds the client of an address, or makes one.
-func (c *Client) to(addr string) *httpclient.Client {
+// transport returns the transport of an address.
+func (c *Client) transport(address string) *httpclient.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.conns[addr]
-	if h == nil {
-		h = httpclient.New(addr, 2, 1<<20)
-		h.SetIdleTimeout(keepIdle)
-		c.conns[addr] = h
+	transport := c.transports[address]
+	if transport == nil {
+		transport = httpclient.New(address, maxConnections, maxResponseBytes)
+		transport.SetIdleTimeout(idleTimeout)
+		c.transports[address] = transport
 	}
-	return h
+	return transport
 }
 
-// Forget drops what is kept for a worker that is gone.
-func (c *Client) Forget(addr string) {
+// Forget closes the connections to an address of a machine that is terminated.
+func (c *Client) Forget(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h := c.conns[addr]; h != nil {
-		h.Close()
-		delete(c.conns, addr)
+	if transport := c.transports[address]; transport != nil {
+		transport.Close()
+		delete(c.transports, address)
 	}
 }
 
-// SendCommands sends commands. Whether they were executed or refused, the report is the
-// worker's after it, and tells. Any error leaves the outcome unknown unless it wraps
-// httpclient.ErrNotSent.
-func (c *Client) SendCommands(ctx context.Context, addr string, d wire.CommandBatch, timeout time.Duration) (*wire.Heartbeat, error) {
-	if d.Commands == nil {
-		d.Commands = []wire.Command{}
+// SendCommands sends commands and returns the heartbeat after them, which tells whether the
+// agent executed or refused them. After an error the commands may have been executed, unless
+// it wraps httpclient.ErrNotSent.
+func (c *Client) SendCommands(ctx context.Context, address string, batch wire.CommandBatch, timeout time.Duration) (*wire.Heartbeat, error) {
+	if batch.Commands == nil {
+		batch.Commands = []wire.Command{} // the protocol requires a list
 	}
-	return c.call(ctx, addr, "POST", "/do", wire.Encode(d), timeout)
+	return c.do(ctx, address, httpclient.Request{Method: http.MethodPost, Path: "/do", Body: batch, Timeout: timeout})
+}
+
+// RequestHeartbeat asks an agent for a heartbeat.
+func (c *Client) RequestHeartbeat(ctx context.Context, address string, timeout time.Duration) (*wire.Heartbeat, error) {
+	return c.do(ctx, address, httpclient.Request{Method: http.MethodGet, Path: "/show", Timeout: timeout})
 }
 
-// RequestHeartbeat asks for the worker's report.
-func (c *Client) RequestHeartbeat(ctx context.Context, addr string, timeout time.Duration) (*wire.Heartbeat, error) {
-	return c.call(ctx, addr, "GET", "/show", nil, timeout)
+// do sends one request and reads the heartbeat from its response.
+func (c *Client) do(ctx context.Context, address string, request httpclient.Request) (*wire.Heartbeat, error) {
+	heartbeat, err := exchange(ctx, c.transport(address), request)
+	if err != nil {
+		return nil, fmt.Errorf("worker %s: %w", address, err)
+	}
+	return heartbeat, nil
 }
 
-// call sends one request and reads the worker's report from the answer.
-func (c *Client) call(ctx context.Context, addr, method, path string, body []byte, timeout time.Duration) (*wire.Heartbeat, error) {
-	status, ans, err := c.to(addr).Do(ctx, method, path, body, timeout)
+// exchange sends one request and reads the heartbeat from its response. An agent sends one
+// also when it refuses commands. Any other response leaves the result open.
+func exchange(ctx context.Context, transport httpclient.Transport, request httpclient.Request) (*wire.Heartbeat, error) {
+	var body []byte
+	if request.Body != nil {
+		body = wire.Encode(request.Body)
+	}
+	status, response, err := transport.Do(ctx, request.Method, request.Path, body, request.Timeout)
 	if err != nil {
-		return nil, fmt.Errorf("worker %s%s: %w", addr, path, err)
+		return nil, err
 	}
-	if status != 200 && status != 409 {
-		return nil, fmt.Errorf("worker %s%s: %w: status %d", addr, path, httpclient.ErrNoResponse, status)
+	failure := httpclient.RequestError{Kind: httpclient.ErrNoResponse, Method: request.Method, Path: request.Path, Status: status}
+	if status != http.StatusOK && status != http.StatusConflict {
+		return nil, &failure
 	}
-	rep := new(wire.Heartbeat)
-	if err := wire.Decode(ans, rep); err != nil {
-		return nil, fmt.Errorf("worker %s%s: %w: %w", addr, path, httpclient.ErrNoResponse, err)
+	heartbeat := new(wire.Heartbeat)
+	if err := wire.Decode(response, heartbeat); err != nil {
+		failure.Cause = err
+		return nil, &failure
 	}
-	return rep, nil
+	return heartbeat, nil
 }
