--- a/controller/kv_routes.go
+++ b/controller/kv_routes.go
@@ -20,7 +20,7 @@
 // directRoute calls the state service itself.
 type directRoute struct{ n *Controller }
 
-// Do implements kv.Caller.
+// Do implements kv.Transport.
 func (r *directRoute) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
 	status, ans, err := r.n.stateHTTP.Do(ctx, method, path, body, timeout)
 	switch {
@@ -61,7 +61,7 @@
 	Unknown bool   `cbor:"4,keyasint"`
 }
 
-// Do implements kv.Caller.
+// Do implements kv.Transport.
 func (r *userRoute) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
 	if !r.n.stateOK() {
 		if p := r.n.peerWithState(); p != nil {
@@ -88,15 +88,23 @@
 	defer cancel()
 	var ans stateAnswer
 	err := p.Call(ctx, opState, stateCall{method, path, body, timeout.Milliseconds()}, &ans)
+	if kind := peerFailure(err, ans); kind != nil {
+		return 0, nil, &httpclient.RequestError{Kind: kind, Method: method, Path: path, Cause: err}
+	}
+	return ans.Status, ans.Body, nil
+}
+
+// peerFailure tells how a request by way of a peer failed: nil means that it did not.
+func peerFailure(err error, answer stateAnswer) error {
 	switch {
 	case errors.Is(err, peerrpc.ErrNotSent):
-		return 0, nil, errors.Join(httpclient.ErrNotSent, err)
+		return httpclient.ErrNotSent
 	case err != nil:
-		return 0, nil, errors.Join(httpclient.ErrNoResponse, err)
-	case ans.NotSent:
-		return 0, nil, httpclient.ErrNotSent
-	case ans.Unknown:
-		return 0, nil, httpclient.ErrNoResponse
+		return httpclient.ErrNoResponse
+	case answer.NotSent:
+		return httpclient.ErrNotSent
+	case answer.Unknown:
+		return httpclient.ErrNoResponse
 	}
-	return ans.Status, ans.Body, nil
+	return nil
 }
