--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -2,9 +2,9 @@
 
 import (
 	"context"
-	"errors"
 	"time"
 
+	"ospreystile.example/ospreystile/peerrpc"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -51,4 +51,4 @@
 }
 
 // errNotLeading refuses what only a leader may do.
-var errNotLeading = errors.New("not leading")
+const errNotLeading = peerrpc.Refusal("not leading")
--- a/controller/term_zones.go
+++ b/controller/term_zones.go
@@ -181,8 +181,8 @@
 			return answer, nil
 		}
 		failures = append(failures, err)
-		if errors.Is(err, peerrpc.ErrRemote) && !strings.Contains(err.Error(), errNotLeading.Error()) {
-			return answer, err // the leader's word
+		if errors.Is(err, peerrpc.ErrRemote) && !errors.Is(err, errNotLeading) {
+			return answer, err // the leader's decision
 		}
 	}
 	return answer, errors.Join(failures...)
