--- a/cloud/errors_test.go
+++ b/cloud/errors_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"net"
 	"net/http"
 	"testing"
 
@@ -111,15 +110,7 @@
 }
 
 // closedAddress is an address on which nothing listens.
-func closedAddress(t *testing.T) string {
-	t.Helper()
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	return listener.Addr().String()
-}
+const closedAddress = "127.0.0.1:1"
 
 func TestRequestsWithoutAResponse(t *testing.T) {
 	canceled, cancel := context.WithCancel(t.Context())
@@ -131,8 +122,8 @@
 		want   error
 	}{
 		{"no response", t.Context(), New(silentAddress(t), 1000), ErrIndeterminate},
-		{"refused connection", t.Context(), New(closedAddress(t), 1000), ErrUnavailable},
-		{"canceled before its turn", canceled, New(closedAddress(t), 1000), ErrUnavailable},
+		{"refused connection", t.Context(), New(closedAddress, 1000), ErrUnavailable},
+		{"canceled before its turn", canceled, New(closedAddress, 1000), ErrUnavailable},
 		{"not authorized", t.Context(), New(silentAddress(t), 1000).AuthorizedBy(func() bool { return false }), ErrUnavailable},
 	} {
 		for request, send := range requests {
--- a/cloud/golden_test.go
+++ b/cloud/golden_test.go
@@ -12,12 +12,12 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// cloudAnswers are the cloud's answers by path, in the protocol's words.
-func cloudAnswers(w http.ResponseWriter, r *http.Request) {
+// serveCloud responds by path, in the protocol's words.
+func serveCloud(w http.ResponseWriter, r *http.Request) {
 	machine := func(host string) map[string]any {
 		return map[string]any{"nameId": host, "endpoint": "10.0.0.9:9000", "frame": "g8", "hall": "zone-a", "loaner": true, "status": "running", "ageS": 71.5}
 	}
-	answers := map[string]any{
+	responses := map[string]any{
 		"GET /catalog": map[string]any{"frames": []any{map[string]any{"label": "g8", "cpus": 8.5, "accelerators": 1.5, "memoryGb": 64.5,
 			"localGb": 200.5, "pullGbPerS": 0.75, "hourly": 3.25, "marketPrice": 1.25, "readyS": 40.5, "halls": []string{"zone-a", "zone-b"}}}},
 		"POST /hosts":        map[string]any{"hosts": []string{"n-1", "n-2"}},
@@ -25,14 +25,14 @@
 		"GET /hosts":         map[string]any{"hosts": []any{machine("n 1"), machine("n-2")}, "hasNext": true},
 	}
 	if r.URL.Query().Get("since") == "n-2" {
-		answers["GET /hosts"] = map[string]any{"hosts": []any{machine("n-3")}, "hasNext": false}
+		responses["GET /hosts"] = map[string]any{"hosts": []any{machine("n-3")}, "hasNext": false}
 	}
-	_, _ = w.Write(wire.Encode(answers[r.Method+" "+r.URL.Path]))
+	_, _ = w.Write(wire.Encode(responses[r.Method+" "+r.URL.Path]))
 }
 
-// Paths, methods, words of queries, bodies, and what answers are taken for.
+// Methods, paths, queries and bodies of requests, and what responses are decoded to.
 func TestRequestsToTheCloud(t *testing.T) {
-	rec := golden.Record(t, cloudAnswers)
+	rec := golden.Record(t, serveCloud)
 	c := New(rec.Address, 1000)
 	ctx := t.Context()
 	var text strings.Builder
@@ -47,7 +47,7 @@
 	golden.Text(t, "requests.txt", rec.Text()+"\n"+text.String())
 }
 
-// The cloud's refusals are told apart by their status and by one text.
+// Error responses are distinguished by their status, and by one message.
 func TestErrorsOfTheCloud(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -55,11 +55,11 @@
 		body   any
 		want   error
 	}{
-		{"no capacity", 503, map[string]string{"error": "no capacity"}, ErrNoCapacity},
-		{"away", 503, map[string]string{"error": "other"}, ErrUnavailable},
-		{"too many", 429, nil, ErrUnavailable},
-		{"refused", 400, map[string]string{"error": "malformed"}, ErrRejected},
-		{"fault", 500, nil, ErrIndeterminate},
+		{"no capacity", http.StatusServiceUnavailable, map[string]string{"error": "no capacity"}, ErrNoCapacity},
+		{"away", http.StatusServiceUnavailable, map[string]string{"error": "other"}, ErrUnavailable},
+		{"too many", http.StatusTooManyRequests, nil, ErrUnavailable},
+		{"refused", http.StatusBadRequest, map[string]string{"error": "malformed"}, ErrRejected},
+		{"fault", http.StatusInternalServerError, nil, ErrIndeterminate},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"net"
 	"net/http"
 	"testing"
 	"time"
@@ -12,15 +11,7 @@
 )
 
 // closedAddress is an address on which nothing listens.
-func closedAddress(t *testing.T) string {
-	t.Helper()
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer listener.Close()
-	return listener.Addr().String()
-}
+const closedAddress = "127.0.0.1:1"
 
 func TestRequestsWithoutAResponse(t *testing.T) {
 	canceled, cancel := context.WithCancel(t.Context())
@@ -34,7 +25,7 @@
 		address string
 		want    error
 	}{
-		{"refused connection", t.Context(), closedAddress(t), ErrNotSent},
+		{"refused connection", t.Context(), closedAddress, ErrNotSent},
 		{"canceled before", canceled, closesAfterRequest.Address, ErrNotSent},
 		{"connection closed after the request", t.Context(), closesAfterRequest.Address, ErrNoResponse},
 		{"timeout", t.Context(), hangs.Address, ErrNoResponse},
--- a/kv/client.go
+++ b/kv/client.go
@@ -52,7 +52,7 @@
 	return answer, answer.Decode(out)
 }
 
-// doOK is do for requests that have no other answer than 200.
+// doOK is do for requests whose only correct answer is 200 OK.
 func (c *Client) doOK(ctx context.Context, request httpclient.Request, out any) error {
 	answer, err := c.do(ctx, request, out)
 	if err != nil {
--- a/kv/golden_test.go
+++ b/kv/golden_test.go
@@ -14,7 +14,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Requests to the key-value store and the parts of its answers keep their bytes.
+// Requests to the store and the parts of its responses keep their encoding.
 func TestBodiesKeepTheirBytes(t *testing.T) {
 	codec := golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
 	golden.Check(t, "bodies.json", codec, []golden.Case{
@@ -28,12 +28,12 @@
 	})
 }
 
-// storeAnswers are the store's answers by path, in the protocol's words.
-func storeAnswers(w http.ResponseWriter, r *http.Request) {
+// serveStore responds by path, in the protocol's words.
+func serveStore(w http.ResponseWriter, r *http.Request) {
 	entry := func(key string) map[string]any {
 		return map[string]any{"key": key, "v": "x", "stamp": 412, "hold": 7}
 	}
-	answers := map[string]any{
+	responses := map[string]any{
 		"GET /store/leader":     entry("leader"),
 		"GET /store/absent":     nil,
 		"POST /grants":          map[string]any{"hold": 77},
@@ -46,24 +46,24 @@
 		"GET /store": map[string]any{"epoch": 418, "hasNext": true, "entries": []any{entry("jobs/job 1"), entry("jobs/job-2")}},
 	}
 	if r.URL.Query().Get("since") == "jobs/job-2" {
-		answers["GET /store"] = map[string]any{"epoch": 419, "hasNext": false, "entries": []any{entry("jobs/job-3")}}
+		responses["GET /store"] = map[string]any{"epoch": 419, "hasNext": false, "entries": []any{entry("jobs/job-3")}}
 	}
 	switch r.URL.Path {
 	case "/store/absent":
-		w.WriteHeader(404)
+		w.WriteHeader(http.StatusNotFound)
 	case "/grants/78/touch":
-		w.WriteHeader(400)
+		w.WriteHeader(http.StatusBadRequest)
 	case "/commit":
 		if r.ContentLength > 60 {
-			w.WriteHeader(409)
+			w.WriteHeader(http.StatusConflict)
 		}
 	}
-	_, _ = w.Write(wire.Encode(answers[r.Method+" "+r.URL.Path]))
+	_, _ = w.Write(wire.Encode(responses[r.Method+" "+r.URL.Path]))
 }
 
-// Paths, methods, words of queries, bodies, and what answers are taken for.
+// Methods, paths, queries and bodies of requests, and what responses are decoded to.
 func TestRequestsToTheKeyValueStore(t *testing.T) {
-	rec := golden.Record(t, storeAnswers)
+	rec := golden.Record(t, serveStore)
 	c := New(httpclient.New(rec.Address, 2, 1<<20), 1000)
 	ctx := t.Context()
 	var text strings.Builder
@@ -89,7 +89,7 @@
 	golden.Text(t, "requests.txt", rec.Text()+"\n"+text.String())
 }
 
-// The service's refusals are told apart by their status and by one text.
+// Error responses are distinguished by their status, and by one message.
 func TestErrorsOfTheKeyValueStore(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -97,12 +97,12 @@
 		body   any
 		want   error
 	}{
-		{"too many", 429, nil, ErrUnavailable},
-		{"away", 503, nil, ErrUnavailable},
-		{"too old", 410, nil, ErrCompacted},
-		{"lease ended", 400, map[string]string{"error": "no such lease"}, ErrLeaseExpired},
-		{"refused", 400, map[string]string{"error": "too large"}, ErrRejected},
-		{"fault", 500, nil, ErrIndeterminate},
+		{"too many", http.StatusTooManyRequests, nil, ErrUnavailable},
+		{"away", http.StatusServiceUnavailable, nil, ErrUnavailable},
+		{"too old", http.StatusGone, nil, ErrCompacted},
+		{"lease ended", http.StatusBadRequest, map[string]string{"error": "no such lease"}, ErrLeaseExpired},
+		{"refused", http.StatusBadRequest, map[string]string{"error": "too large"}, ErrRejected},
+		{"fault", http.StatusInternalServerError, nil, ErrIndeterminate},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/peerrpc/golden_test.go
+++ b/peerrpc/golden_test.go
@@ -10,7 +10,7 @@
 	"ospreystile.example/ospreystile/internal/golden"
 )
 
-// frames writes and reads frames behind their length, as connections do.
+// frames encodes and decodes frames with their length, as connections do.
 var frames = golden.Codec{
 	Encode: func(v any) ([]byte, error) {
 		var buf bytes.Buffer
@@ -27,7 +27,7 @@
 	},
 }
 
-// Frames between controllers keep their bytes.
+// Frames between controllers keep their encoding.
 func TestFramesKeepTheirBytes(t *testing.T) {
 	body := cbor.RawMessage{0xa1, 0x01, 0x02}
 	cases := []golden.Case{
