--- /dev/null
+++ b/internal/kvtest/server.go
@@ -0,0 +1,255 @@
+package kvtest
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// Server serves a Store on loopback.
+type Server struct {
+	*Store
+	http *httptest.Server
+}
+
+// NewServer starts a server of an empty store. Close ends it.
+func NewServer() *Server {
+	store := NewStore()
+	return &Server{Store: store, http: httptest.NewServer(NewHandler(store))}
+}
+
+// Address is where the server listens.
+func (s *Server) Address() string { return strings.TrimPrefix(s.http.URL, "http://") }
+
+// Close ends the server and its open connections.
+func (s *Server) Close() {
+	s.http.CloseClientConnections()
+	s.http.Close()
+}
+
+// handler answers requests by the protocol of the store.
+type handler struct{ store *Store }
+
+// NewHandler returns a handler that serves a store by its protocol. A lost response closes the
+// connection.
+func NewHandler(store *Store) http.Handler {
+	h := handler{store}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /store/{key...}", h.get)
+	mux.HandleFunc("GET /store", h.list)
+	mux.HandleFunc("POST /commit", h.commit)
+	mux.HandleFunc("POST /grants", h.grantLease)
+	mux.HandleFunc("POST /grants/{id}/touch", h.renewLease)
+	mux.HandleFunc("DELETE /grants/{id}", h.revokeLease)
+	mux.HandleFunc("GET /changes", h.watch)
+	return mux
+}
+
+// errorResponse is the body of an error.
+type errorResponse struct {
+	Error string `msgpack:"error"`
+}
+
+// respond writes a response.
+func respond(w http.ResponseWriter, status int, body any) {
+	w.WriteHeader(status)
+	_, _ = w.Write(wire.Encode(body)) // a caller that is gone needs no response
+}
+
+// respondError writes the response for an error of the store.
+func respondError(w http.ResponseWriter, err error) {
+	switch {
+	case errors.Is(err, kv.ErrUnavailable):
+		w.WriteHeader(http.StatusServiceUnavailable)
+	case errors.Is(err, kv.ErrCompacted):
+		w.WriteHeader(http.StatusGone)
+	case errors.Is(err, kv.ErrLeaseExpired), errors.Is(err, kv.ErrRejected):
+		respond(w, http.StatusBadRequest, errorResponse{err.Error()})
+	default:
+		panic(http.ErrAbortHandler) // closes the connection without a response
+	}
+}
+
+// decodeBody reads a request's body.
+func decodeBody(r *http.Request, body any) error {
+	raw, err := io.ReadAll(r.Body)
+	if err != nil {
+		return err
+	}
+	return wire.Decode(raw, body)
+}
+
+func (h handler) get(w http.ResponseWriter, r *http.Request) {
+	entry, found, err := h.store.Get(r.Context(), r.PathValue("key"))
+	switch {
+	case err != nil:
+		respondError(w, err)
+	case !found:
+		respond(w, http.StatusNotFound, struct{}{})
+	default:
+		respond(w, http.StatusOK, entry)
+	}
+}
+
+// listResponse is one page of a list.
+type listResponse struct {
+	Entries  []kv.Entry   `msgpack:"entries"`
+	More     bool         `msgpack:"hasNext"`
+	Revision ids.Revision `msgpack:"epoch"`
+}
+
+func (h handler) list(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	size, err := strconv.Atoi(query.Get("page"))
+	if err != nil {
+		respond(w, http.StatusBadRequest, errorResponse{err.Error()})
+		return
+	}
+	entries, revision, err := h.store.snapshot(query.Get("prefix"))
+	if err != nil {
+		respondError(w, err)
+		return
+	}
+	page := listResponse{Revision: revision}
+	for _, entry := range entries {
+		if entry.Key <= query.Get("since") {
+			continue
+		}
+		if len(page.Entries) == size {
+			page.More = true
+			break
+		}
+		page.Entries = append(page.Entries, entry)
+	}
+	respond(w, http.StatusOK, page)
+}
+
+// txnBody is a kv.Txn whose values stay encoded.
+type txnBody struct {
+	Preconditions []kv.Precondition `msgpack:"guards"`
+	Operations    []operationBody   `msgpack:"apply"`
+}
+
+// operationBody is a kv.Operation whose value stays encoded.
+type operationBody struct {
+	PutKey    string             `msgpack:"write"`
+	Value     msgpack.RawMessage `msgpack:"v"`
+	Lease     ids.LeaseID        `msgpack:"hold"`
+	DeleteKey string             `msgpack:"drop"`
+}
+
+// txn returns the transaction of a body.
+func (b txnBody) txn() kv.Txn {
+	txn := kv.Txn{Preconditions: b.Preconditions}
+	for _, operation := range b.Operations {
+		txn.Operations = append(txn.Operations, kv.Operation{
+			PutKey: operation.PutKey, Value: operation.Value, Lease: operation.Lease, DeleteKey: operation.DeleteKey})
+	}
+	return txn
+}
+
+// commitResponse is the answer to a transaction.
+type commitResponse struct {
+	Revision   ids.Revision `msgpack:"epoch"`
+	FailedKeys []string     `msgpack:"failed,omitempty"`
+}
+
+func (h handler) commit(w http.ResponseWriter, r *http.Request) {
+	var body txnBody
+	if err := decodeBody(r, &body); err != nil {
+		respond(w, http.StatusBadRequest, errorResponse{err.Error()})
+		return
+	}
+	result, err := h.store.Commit(r.Context(), body.txn())
+	if err != nil {
+		respondError(w, err)
+		return
+	}
+	status := http.StatusOK
+	if !result.Applied {
+		status = http.StatusConflict
+	}
+	respond(w, status, commitResponse{result.Revision, result.FailedKeys})
+}
+
+// leaseID reads the lease that a path names; 0, which no lease has, if it names none.
+func leaseID(r *http.Request) ids.LeaseID {
+	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
+	if err != nil {
+		return 0
+	}
+	return ids.LeaseID(id)
+}
+
+func (h handler) grantLease(w http.ResponseWriter, r *http.Request) {
+	var body struct {
+		TTLMillis int64 `msgpack:"ttlMs"`
+	}
+	if err := decodeBody(r, &body); err != nil {
+		respond(w, http.StatusBadRequest, errorResponse{err.Error()})
+		return
+	}
+	id, err := h.store.GrantLease(r.Context(), time.Duration(body.TTLMillis)*time.Millisecond)
+	if err != nil {
+		respondError(w, err)
+		return
+	}
+	respond(w, http.StatusOK, map[string]ids.LeaseID{"hold": id})
+}
+
+func (h handler) renewLease(w http.ResponseWriter, r *http.Request) {
+	err := h.store.RenewLease(r.Context(), leaseID(r))
+	switch {
+	case errors.Is(err, kv.ErrLeaseExpired):
+		respond(w, http.StatusNotFound, struct{}{})
+	case err != nil:
+		respondError(w, err)
+	default:
+		respond(w, http.StatusOK, struct{}{})
+	}
+}
+
+func (h handler) revokeLease(w http.ResponseWriter, r *http.Request) {
+	if err := h.store.RevokeLease(r.Context(), leaseID(r)); err != nil {
+		respondError(w, err)
+		return
+	}
+	respond(w, http.StatusOK, struct{}{})
+}
+
+// watchResponse is the answer to a watch.
+type watchResponse struct {
+	Revision ids.Revision `msgpack:"epoch"`
+	Events   []kv.Event   `msgpack:"events"`
+}
+
+func (h handler) watch(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	since, err := strconv.ParseUint(query.Get("since"), 10, 64)
+	if err != nil {
+		respond(w, http.StatusBadRequest, errorResponse{err.Error()})
+		return
+	}
+	holdMillis, err := strconv.ParseInt(query.Get("holdMs"), 10, 64)
+	if err != nil {
+		respond(w, http.StatusBadRequest, errorResponse{err.Error()})
+		return
+	}
+	hold := time.Duration(holdMillis) * time.Millisecond
+	revision, events, err := h.store.Watch(r.Context(), query.Get("prefix"), ids.Revision(since), hold)
+	if err != nil {
+		respondError(w, err)
+		return
+	}
+	respond(w, http.StatusOK, watchResponse{revision, events})
+}
--- /dev/null
+++ b/internal/kvtest/time_test.go
@@ -0,0 +1,132 @@
+package kvtest
+
+import (
+	"context"
+	"errors"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/kv"
+)
+
+// grant makes a lease.
+func grant(t *testing.T, caller access, ttl time.Duration) ids.LeaseID {
+	t.Helper()
+	id, err := caller.GrantLease(t.Context(), ttl)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return id
+}
+
+func TestRenewedLeaseLives(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := NewStore()
+		lease := grant(t, store, time.Second)
+		for range 10 {
+			time.Sleep(999 * time.Millisecond)
+			if err := store.RenewLease(t.Context(), lease); err != nil {
+				t.Fatal(err)
+			}
+		}
+		time.Sleep(time.Second)
+		if err := store.RenewLease(t.Context(), lease); !errors.Is(err, kv.ErrLeaseExpired) {
+			t.Errorf("after its time: %v", err)
+		}
+	})
+}
+
+// No lease ends in an outage, and afterwards each has its full time.
+func TestLeasesInAnOutage(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := NewStore()
+		lease := grant(t, store, time.Second)
+		time.Sleep(900 * time.Millisecond)
+		store.StartOutage()
+		time.Sleep(time.Minute)
+		store.EndOutage()
+		time.Sleep(900 * time.Millisecond)
+		if err := store.RenewLease(t.Context(), lease); err != nil {
+			t.Error(err)
+		}
+	})
+}
+
+// A watch that is open when an outage begins sees what happens after it.
+func TestWatchInAnOutage(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := NewStore()
+		store.PutWithLease("held", "x", time.Second)
+		time.AfterFunc(500*time.Millisecond, store.StartOutage)
+		time.AfterFunc(5*time.Second, store.EndOutage)
+		start := time.Now()
+		_, events, err := store.Watch(t.Context(), "held", 1, time.Minute)
+		if err != nil || len(events) != 1 || time.Since(start) != 6*time.Second {
+			t.Errorf("%+v, %v after %v", events, err, time.Since(start))
+		}
+	})
+}
+
+func TestWatchEndsWithItsContext(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
+		defer cancel()
+		if _, _, err := NewStore().Watch(ctx, "", 0, time.Minute); !errors.Is(err, kv.ErrIndeterminate) {
+			t.Errorf("%v, want %v", err, kv.ErrIndeterminate)
+		}
+	})
+}
+
+func TestTransactionIsAppliedLate(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := NewStore()
+		store.SetCommitFault(func(kv.Txn) Fault { return ApplyLate })
+		if _, err := store.Commit(t.Context(), put("k", 0, "x")); !errors.Is(err, kv.ErrIndeterminate) {
+			t.Errorf("%v, want %v", err, kv.ErrIndeterminate)
+		}
+		time.Sleep(lateDelay + 1)
+		synctest.Wait()
+		if _, found := store.Entry("k"); !found {
+			t.Error("it is not applied")
+		}
+	})
+}
+
+func TestFaultsOfOneClient(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := NewStore()
+		latency := func() time.Duration { return 5 * time.Millisecond }
+		one, other := store.NewClient(latency), store.NewClient(latency)
+		one.Refuse()
+		if err := one.RevokeLease(t.Context(), 1); !errors.Is(err, kv.ErrUnavailable) {
+			t.Errorf("refused: %v", err)
+		}
+		if err := other.RevokeLease(t.Context(), 1); err != nil {
+			t.Errorf("the other: %v", err)
+		}
+		one.Accept()
+		one.Hold(time.Second)
+		start := time.Now()
+		if err := one.RevokeLease(t.Context(), 1); err != nil || time.Since(start) != 1005*time.Millisecond {
+			t.Errorf("held: %v after %v", err, time.Since(start))
+		}
+		start = time.Now()
+		if err := one.RevokeLease(t.Context(), 1); err != nil || time.Since(start) != 10*time.Millisecond {
+			t.Errorf("held no more: %v after %v", err, time.Since(start))
+		}
+	})
+}
+
+// A client waits for a response that was lost.
+func TestClientWaitsForALostResponse(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := NewStore()
+		store.LoseResponses(1)
+		start := time.Now()
+		if _, err := store.NewClient(noLatency).Commit(t.Context(), kv.Txn{}); !errors.Is(err, kv.ErrIndeterminate) || time.Since(start) != responseTimeout {
+			t.Errorf("%v after %v", err, time.Since(start))
+		}
+	})
+}
