--- a/internal/faulttest/world.go
+++ b/internal/faulttest/world.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -38,7 +39,7 @@
 type World struct {
 	Report, Lease, Fetch time.Duration
 	Zones                []ids.Zone
-	State                *StateService
+	State                *kvtest.Server
 	Cloud                *Cloud
 	History              *History
 	Nodes                []*Node
@@ -71,7 +72,7 @@
 // directory.
 func NewWorld(dir string, zones []ids.Zone, capacity, controllers int) (*World, error) {
 	w := &World{Report: 400 * time.Millisecond, Lease: 6 * time.Second, Fetch: 300 * time.Millisecond, Zones: zones,
-		State: NewStateService(), History: NewHistory(), jobs: map[ids.JobID]Job{}, cut: map[ids.Zone]bool{}}
+		State: kvtest.NewServer(), History: NewHistory(), jobs: map[ids.JobID]Job{}, cut: map[ids.Zone]bool{}}
 	w.Cloud = NewCloud(zones, capacity, time.Second, w.bringUp)
 	for n := range controllers {
 		api, err := freeAddress()
--- a/internal/faulttest/zone_return_test.go
+++ b/internal/faulttest/zone_return_test.go
@@ -207,7 +207,7 @@
 	d.Cut(dark, true)
 	d.awaitCondition(dark, zonerecovery.Outage)
 	d.await("its leases are over", func() bool { return d.History.RunningOf(rebuild.ID)[dark] == 0 })
-	d.State.SetAway(true)
+	d.State.StartOutage()
 	time.Sleep(2 * d.Report) // what was recorded before may still be sent
 	since := time.Now()
 	for range 2 {
@@ -225,7 +225,7 @@
 	if sent := d.History.Sends(rebuild.ID, dark, since); sent > 0 {
 		t.Errorf("%d tasks were sent to the zone although nothing could be recorded", sent)
 	}
-	d.State.SetAway(false)
+	d.State.EndOutage()
 	d.awaitCondition(dark, zonerecovery.Serving)
 	d.awaitAtAllNodes(rebuild.ID, wire.JobDone)
 	if st, _, ok := d.zone(dark); !ok || st.Flaps != 1 {
