--- a/election/election_test.go
+++ b/election/election_test.go
@@ -12,8 +12,9 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/monotonic"
-	"ospreystile.example/ospreystile/wire"
+	"ospreystile.example/ospreystile/records"
 )
 
 // watcher notes who leads, and that no two nodes ever hold the key at once.
@@ -26,19 +27,19 @@
 
 type member struct {
 	e      *Election
-	c      *client
+	c      *kvtest.Client
 	cancel context.CancelFunc
 	gone   chan struct{}
 }
 
-func (w *watcher) start(t *testing.T, s *service, name ids.ControllerName, inc ids.ControllerIncarnation) *member {
-	c := &client{s: s}
+func (w *watcher) start(t *testing.T, s *kvtest.Store, name ids.ControllerName, inc ids.ControllerIncarnation) *member {
+	c := newClient(s)
 	return w.startOver(t, c, c, name, inc)
 }
 
 // kill ends a process without giving it the time to say so.
 func (w *watcher) kill(name ids.ControllerName, m *member) {
-	m.c.refuse(true)
+	m.c.Refuse()
 	w.mu.Lock()
 	delete(w.holding, name)
 	w.mu.Unlock()
@@ -46,7 +47,7 @@
 	<-m.gone
 }
 
-func (w *watcher) startOver(t *testing.T, c *client, over Store, name ids.ControllerName, inc ids.ControllerIncarnation) *member {
+func (w *watcher) startOver(t *testing.T, c *kvtest.Client, over Store, name ids.ControllerName, inc ids.ControllerIncarnation) *member {
 	m := &member{c: c, gone: make(chan struct{})}
 	m.e = New(over, Identity{Name: name, Incarnation: inc}, LeaseBounds{TTL: 3 * time.Second, OutageGrace: 20 * time.Second}, monotonic.SystemClock(), slog.New(slog.DiscardHandler),
 		func(ctx context.Context, term *Term) error {
@@ -99,7 +100,7 @@
 
 func TestSuccessionAndOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
+		s, w := kvtest.NewStore(), &watcher{holding: map[ids.ControllerName]*Term{}}
 		nodes := map[ids.ControllerName]*member{}
 		for _, n := range []ids.ControllerName{"n0", "n1", "n2"} {
 			nodes[n] = w.start(t, s, n, 1)
@@ -116,7 +117,7 @@
 		}
 
 		// In an outage for all nobody else can lead; afterwards the leader goes on.
-		s.outage(true)
+		s.StartOutage()
 		time.Sleep(10 * time.Second)
 		if term.HoldsLease() {
 			t.Error("the key counts as held without the state service")
@@ -124,20 +125,20 @@
 		if !term.MayAnswerHeartbeats() {
 			t.Error("workers are left alone within the grace")
 		}
-		s.outage(false)
+		s.EndOutage()
 		time.Sleep(time.Second)
 		if l, again := w.leader(); l != first || again != term {
 			t.Errorf("after the outage %q leads, before it was %s", l, first)
 		}
 
 		// Refused alone, it must not hold the place for ever.
-		nodes[first].c.refuse(true)
+		nodes[first].c.Refuse()
 		time.Sleep(5 * time.Second)
 		second, next := w.leader()
 		if second == "" || second == first || next.Revision <= term.Revision {
 			t.Fatalf("%q leads after %s was refused alone", second, first)
 		}
-		nodes[first].c.refuse(false)
+		nodes[first].c.Accept()
 
 		// A killed leader's next process need not wait for its own lease.
 		nodes[second].cancel()
@@ -162,12 +163,9 @@
 // A node that finds its own earlier process in the key replaces it at once.
 func TestOwnEarlierProcessIsReplacedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
-		s.ttl = time.Hour
-		s.leases[77] = time.Now().Add(time.Hour)
-		s.next = 100
-		s.epoch, s.revision, s.lease = 4, 4, 77
-		s.value = wire.Encode(Identity{Name: "n0", Incarnation: 1})
+		s, w := kvtest.NewStore(), &watcher{holding: map[ids.ControllerName]*Term{}}
+		s.Advance(3)
+		s.PutWithLease(records.LeaderKey, Identity{Name: "n0", Incarnation: 1}, time.Hour) // at revision 4
 		m := w.start(t, s, "n0", 2)
 		time.Sleep(time.Second)
 		if l, term := w.leader(); l != "n0" || term.Revision <= 4 {
@@ -184,19 +182,15 @@
 // key goes.
 func TestNodeThatComesLongAfterTheElection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
+		s, w := kvtest.NewStore(), &watcher{holding: map[ids.ControllerName]*Term{}}
 		first := w.start(t, s, "n0", 1)
 		time.Sleep(time.Second)
-		s.mu.Lock()
-		s.epoch += 20_000
-		s.oldest, s.calls = s.epoch-10_000, 0
-		s.mu.Unlock()
+		s.SetRetention(10_000)
+		s.Advance(20_000)
+		before := s.Requests()
 		second := w.start(t, s, "n1", 1)
 		time.Sleep(30 * time.Second)
-		s.mu.Lock()
-		calls := s.calls
-		s.mu.Unlock()
-		if calls > 100 {
+		if calls := s.Requests() - before; calls > 100 {
 			t.Errorf("%d requests in 30 s", calls)
 		}
 		w.kill("n0", first)
@@ -212,14 +206,14 @@
 // A later leader heard of from a peer ends the term.
 func TestLaterLeaderEndsTheTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
+		s, w := kvtest.NewStore(), &watcher{holding: map[ids.ControllerName]*Term{}}
 		m := w.start(t, s, "n0", 1)
 		time.Sleep(time.Second)
 		term := m.e.Term()
 		if term == nil {
 			t.Fatal("nobody leads")
 		}
-		m.c.refuse(true)
+		m.c.Refuse()
 		m.e.Observe(Leader{Revision: term.Revision + 5}) // its name is not known any more
 		time.Sleep(time.Second)
 		if m.e.Term() != nil {
@@ -240,11 +234,11 @@
 // this is one; nor may work that has not noticed the end of its term.
 func TestNoAnswersAfterAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
+		s, w := kvtest.NewStore(), &watcher{holding: map[ids.ControllerName]*Term{}}
 		m := w.start(t, s, "n0", 1)
 		time.Sleep(time.Second)
 		_, term := w.leader()
-		m.c.hold(12 * time.Second)
+		m.c.Hold(12 * time.Second)
 		time.Sleep(11 * time.Second)
 		if term.MayAnswerHeartbeats() {
 			t.Error("answers workers, though nothing tells that there is an outage")
@@ -267,9 +261,9 @@
 // peers may have been told already that this node follows that leader.
 func TestLateClaimBeginsNoTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
-		c := &client{s: s}
-		c.hold(time.Second)
+		s, w := kvtest.NewStore(), &watcher{holding: map[ids.ControllerName]*Term{}}
+		c := newClient(s)
+		c.Hold(time.Second)
 		m := w.startOver(t, c, c, "n0", 1)
 		m.e.Observe(Leader{Identity{Name: "n1"}, 50})
 		time.Sleep(5 * time.Second)
@@ -311,11 +305,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newService()
+				s := kvtest.NewStore()
 				terms := make(chan *Term, 9)
 				bounds := LeaseBounds{TTL: 3 * time.Second, OutageGrace: 20 * time.Second, IsolatedGrace: isolated - 3*time.Second, IsolatedReplicaGrace: isolated,
 					Peers: []ids.ControllerName{"n1", "n2"}}
-				e := New(&client{s: s}, Identity{Name: "n0"}, bounds, monotonic.SystemClock(), slog.New(slog.DiscardHandler), func(ctx context.Context, term *Term) error {
+				e := New(newClient(s), Identity{Name: "n0"}, bounds, monotonic.SystemClock(), slog.New(slog.DiscardHandler), func(ctx context.Context, term *Term) error {
 					terms <- term
 					<-ctx.Done()
 					return context.Cause(ctx)
@@ -326,7 +320,7 @@
 				term := <-terms
 				time.Sleep(5 * time.Second)
 				began := term.clock.Now().Add(-time.Minute)
-				s.outage(true)
+				s.StartOutage()
 				time.Sleep(time.Second)
 				valid := monotonic.Instant(term.heldUntil.Load())
 				var last, lastForAll monotonic.Instant
@@ -364,12 +358,12 @@
 // ends: never for absent.
 func TestUnreadableKeyIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newService()
-		s.epoch, s.revision, s.value, s.lease = 5, 5, wire.Encode("nonsense"), 99
-		s.leases[99] = time.Now().Add(2 * time.Second)
+		s := kvtest.NewStore()
+		s.Advance(4)
+		s.PutWithLease(records.LeaderKey, "nonsense", 2*time.Second) // at revision 5
 		var logged bytes.Buffer
 		led := make(chan ids.Revision, 9)
-		e := New(&client{s: s}, Identity{Name: "n0"}, LeaseBounds{TTL: 3 * time.Second, OutageGrace: 20 * time.Second}, monotonic.SystemClock(),
+		e := New(newClient(s), Identity{Name: "n0"}, LeaseBounds{TTL: 3 * time.Second, OutageGrace: 20 * time.Second}, monotonic.SystemClock(),
 			slog.New(slog.NewTextHandler(&logged, nil)), func(ctx context.Context, term *Term) error {
 				led <- term.Revision
 				<-ctx.Done()
--- a/election/restart_test.go
+++ b/election/restart_test.go
@@ -10,14 +10,15 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/kv"
 )
 
 // late is a client whose requests may arrive a second time, long after, and
 // whose answers may be lost: what a process sent goes on without it.
 type late struct {
-	*client
-	wire   *client // by which copies arrive, whatever became of the process
+	*kvtest.Client
+	wire   *kvtest.Client // by which copies arrive, whatever became of the process
 	mu     sync.Mutex
 	rng    *rand.Rand
 	copies sync.WaitGroup
@@ -41,7 +42,7 @@
 
 func (l *late) Commit(ctx context.Context, t kv.Txn) (kv.TxnResult, error) {
 	l.again(func() { _, _ = l.wire.Commit(context.Background(), t) })
-	out, err := l.client.Commit(ctx, t)
+	out, err := l.Client.Commit(ctx, t)
 	if l.chance(4) {
 		return kv.TxnResult{}, kv.ErrIndeterminate
 	}
@@ -52,7 +53,7 @@
 	if l.chance(8) {
 		l.again(func() { _ = l.wire.RenewLease(context.Background(), id) })
 	}
-	return l.client.RenewLease(ctx, id)
+	return l.Client.RenewLease(ctx, id)
 }
 
 func (l *late) RevokeLease(ctx context.Context, id ids.LeaseID) error {
@@ -60,7 +61,7 @@
 	if l.chance(3) {
 		return kv.ErrIndeterminate // it never arrived
 	}
-	return l.client.RevokeLease(ctx, id)
+	return l.Client.RevokeLease(ctx, id)
 }
 
 // Processes that are back within a fraction of a second, also in the middle of
@@ -73,8 +74,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				rng := rand.New(rand.NewPCG(seed, 5))
-				s, w := newService(), &watcher{holding: map[ids.ControllerName]*Term{}}
-				s.ttl = 3 * time.Second
+				s, w := kvtest.NewStore(), &watcher{holding: map[ids.ControllerName]*Term{}}
 				w.stamps = map[ids.Revision]string{}
 				names := []ids.ControllerName{"n0", "n1", "n2"}
 				nodes := map[ids.ControllerName]*member{}
@@ -82,9 +82,9 @@
 				var ways []*late
 				start := func(n ids.ControllerName) {
 					inc++
-					l := &late{client: &client{s: s}, wire: &client{s: s}, rng: rand.New(rand.NewPCG(seed, uint64(inc)))}
+					l := &late{Client: newClient(s), wire: newClient(s), rng: rand.New(rand.NewPCG(seed, uint64(inc)))}
 					ways = append(ways, l)
-					nodes[n] = w.startOver(t, l.client, l, n, inc)
+					nodes[n] = w.startOver(t, l.Client, l, n, inc)
 				}
 				for _, n := range names {
 					start(n)
@@ -97,9 +97,9 @@
 					}
 					if rng.IntN(4) == 0 { // the state service refuses it alone
 						m := nodes[n]
-						m.c.refuse(true)
+						m.c.Refuse()
 						time.Sleep(time.Duration(rng.IntN(9000)) * time.Millisecond)
-						m.c.refuse(false)
+						m.c.Accept()
 						continue
 					}
 					// Killed: it no longer holds anything, and sends nothing more.
