--- a/internal/faulttest/world.go
+++ b/internal/faulttest/world.go
@@ -72,7 +72,7 @@
 // directory.
 func NewWorld(dir string, zones []ids.Zone, capacity, controllers int) (*World, error) {
 	w := &World{Report: 400 * time.Millisecond, Lease: 6 * time.Second, Fetch: 300 * time.Millisecond, Zones: zones,
-		State: kvtest.NewServer(), History: NewHistory(), jobs: map[ids.JobID]Job{}, cut: map[ids.Zone]bool{}}
+		State: kvtest.NewServer(kvtest.NewStore()), History: NewHistory(), jobs: map[ids.JobID]Job{}, cut: map[ids.Zone]bool{}}
 	w.Cloud = NewCloud(zones, capacity, time.Second, w.bringUp)
 	for n := range controllers {
 		api, err := freeAddress()
--- a/internal/kvtest/server.go
+++ b/internal/kvtest/server.go
@@ -7,6 +7,7 @@
 	"net/http/httptest"
 	"strconv"
 	"strings"
+	"sync/atomic"
 	"time"
 
 	"github.com/vmihailenco/msgpack/v5"
@@ -16,18 +17,38 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Server serves a Store on loopback.
+// Server serves a Store on loopback, at an address of its own: callers that the store is to
+// refuse one by one get a server each.
 type Server struct {
 	*Store
-	http *httptest.Server
+	http    *httptest.Server
+	refused atomic.Bool
 }
 
-// NewServer starts a server of an empty store. Close ends it.
-func NewServer() *Server {
-	store := NewStore()
-	return &Server{Store: store, http: httptest.NewServer(NewHandler(store))}
+// NewServer starts a server of a store. Close ends it.
+func NewServer(store *Store) *Server {
+	server := &Server{Store: store}
+	server.http = httptest.NewServer(server.refuseOr(newHandler(store)))
+	return server
 }
 
+// refuseOr serves a request, or refuses it while the server's callers are refused.
+func (s *Server) refuseOr(next http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if s.refused.Load() {
+			respondError(w, kv.ErrUnavailable)
+			return
+		}
+		next.ServeHTTP(w, r)
+	})
+}
+
+// Refuse has the store refuse the requests to this server. Open watches stay open.
+func (s *Server) Refuse() { s.refused.Store(true) }
+
+// Accept has the store execute the requests to this server again.
+func (s *Server) Accept() { s.refused.Store(false) }
+
 // Address is where the server listens.
 func (s *Server) Address() string { return strings.TrimPrefix(s.http.URL, "http://") }
 
@@ -40,9 +61,9 @@
 // handler answers requests by the protocol of the store.
 type handler struct{ store *Store }
 
-// NewHandler returns a handler that serves a store by its protocol. A lost response closes the
+// newHandler returns a handler that serves a store by its protocol. A lost response closes the
 // connection.
-func NewHandler(store *Store) http.Handler {
+func newHandler(store *Store) http.Handler {
 	h := handler{store}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", h.get)
--- a/internal/kvtest/store_test.go
+++ b/internal/kvtest/store_test.go
@@ -46,12 +46,24 @@
 		test(t, store, store.NewClient(noLatency))
 	})
 	t.Run("HTTP", func(t *testing.T) {
-		server := NewServer()
-		t.Cleanup(server.Close)
-		test(t, server.Store, kv.New(httpclient.New(server.Address(), 4, 16<<20), 100_000))
+		server := startServer(t, NewStore())
+		test(t, server.Store, newHTTPClient(server))
 	})
 }
 
+// startServer starts a server of a store that ends with the test.
+func startServer(t *testing.T, store *Store) *Server {
+	t.Helper()
+	server := NewServer(store)
+	t.Cleanup(server.Close)
+	return server
+}
+
+// newHTTPClient returns a client of a server.
+func newHTTPClient(server *Server) *kv.Client {
+	return kv.New(httpclient.New(server.Address(), 4, 16<<20), 100_000)
+}
+
 // put is a transaction that puts a key if it has a revision.
 func put(key string, revision ids.Revision, value any) kv.Txn {
 	return kv.Txn{Preconditions: []kv.Precondition{{Key: key, Revision: revision}}, Operations: []kv.Operation{{PutKey: key, Value: value}}}
@@ -226,6 +238,21 @@
 	})
 }
 
+// Servers of one store refuse their callers apart.
+func TestServerRefuses(t *testing.T) {
+	store := NewStore()
+	one, other := startServer(t, store), startServer(t, store)
+	one.Refuse()
+	if _, _, err := newHTTPClient(one).Get(t.Context(), "k"); !errors.Is(err, kv.ErrUnavailable) {
+		t.Errorf("refused: %v", err)
+	}
+	checkCommit(t, newHTTPClient(other), put("k", 0, "x"), kv.TxnResult{Applied: true, Revision: 1})
+	one.Accept()
+	if _, found, err := newHTTPClient(one).Get(t.Context(), "k"); err != nil || !found {
+		t.Errorf("accepted again: %v, %v", found, err)
+	}
+}
+
 func TestOutage(t *testing.T) {
 	forEachAccess(t, func(t *testing.T, store *Store, caller access) {
 		store.Put("k", "x")
