--- a/controller/acknowledgements_test.go
+++ b/controller/acknowledgements_test.go
@@ -1,57 +1,38 @@
 package controller
 
 import (
-	"net/http"
-	"net/http/httptest"
-	"strings"
-	"sync/atomic"
 	"testing"
 
 	"ospreystile.example/ospreystile/config"
 	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/election"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/server"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// door is one controller's way to the key-value store. The store refuses that controller alone
-// the paths that begin with the prefix while refuse is set.
-func (s *smallState) door(t *testing.T, prefix string) (addr string, refuse *atomic.Bool) {
-	t.Helper()
-	refuse = new(atomic.Bool)
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if refuse.Load() && strings.HasPrefix(r.URL.Path, prefix) {
-			w.WriteHeader(503)
-			return
-		}
-		s.ServeHTTP(w, r)
-	}))
-	t.Cleanup(srv.Close)
-	return strings.TrimPrefix(srv.URL, "http://"), refuse
-}
-
 // acknowledgementTest is a leader that the key-value store can refuse, and two followers that
 // it always serves.
 type acknowledgementTest struct {
-	state        *smallState
-	refuse       *atomic.Bool
+	state        *kvtest.Server
+	leaderState  *kvtest.Server // the leader's own server of the same store
 	leader       *Controller
 	asked, other *Controller
 }
 
 func newAcknowledgementTest(t *testing.T) *acknowledgementTest {
 	t.Helper()
-	a := &acknowledgementTest{state: newSmallState(t)}
-	var store string
-	store, a.refuse = a.state.door(t, "/")
-	platform := testConfig(store)
+	state := newTestStore(t)
+	a := &acknowledgementTest{state: state, leaderState: serveStore(t, state.Store)}
+	platform := testConfig(a.leaderState.Address())
 	platform.Settings.State.RPS, platform.Settings.State.WriteRPS, platform.Settings.State.ValueKB = 20000, 80, 2
 	a.leader = newTestController(t, platform)
 	storeTestCatalog(a.leader)
 	address := startLeading(t, a.leader)
-	a.asked = startFollower(t, a.state.addr, a.leader, address)
-	a.other = startFollower(t, a.state.addr, a.leader, address)
+	a.asked = startFollower(t, a.state.Address(), a.leader, address)
+	a.other = startFollower(t, a.state.Address(), a.leader, address)
 	return a
 }
 
@@ -117,7 +98,7 @@
 	}
 	a.checkTold(t, "job-1")
 
-	a.refuse.Store(true)
+	a.leaderState.Refuse("/")
 	until(t, "the leader's lease may have expired", func() bool { return !term.HoldsLease() })
 	a.checkNotTold(t, "job-2")
 	if knownToLeader(t, a.leader, "job-2") || !term.MayAnswerHeartbeats() {
@@ -130,17 +111,16 @@
 		t.Errorf("no known leader: %+v", answer)
 	}
 
-	a.refuse.Store(false)
+	a.leaderState.Accept()
 	until(t, "the leader holds its lease again", func() bool { return term.HoldsLease() })
 	if answer := a.asked.service.Status(t.Context(), "job-2"); answer.Status != 503 {
 		t.Errorf("no known leader: %+v", answer)
 	}
 	// The leader reads the record by itself, and pings tell of it.
 	until(t, "the leader has read all", func() bool {
-		a.state.mu.Lock()
-		defer a.state.mu.Unlock()
+		record, _ := a.state.Entry("jobs/job-3")
 		revision, ok := a.leader.ownLeader.get().AcknowledgedRevision()
-		return ok && revision >= a.state.keys["jobs/job-3"].Revision
+		return ok && revision >= record.Revision
 	})
 	a.asked.pinger.observe(a.leader.pinger.message())
 	a.checkTold(t, "job-2")
@@ -151,32 +131,28 @@
 // what it takes in after that. Here the store refuses to renew the lease, and nothing else, so
 // the leader goes on reading changes of jobs.
 func TestLeaderWithoutItsLeaseAcknowledgesNothing(t *testing.T) {
-	state := newSmallState(t)
-	store, refuse := state.door(t, "/grants")
-	platform := testConfig(store)
+	state := newTestStore(t)
+	leaderState := serveStore(t, state.Store)
+	platform := testConfig(leaderState.Address())
 	platform.Settings.State.RPS, platform.Settings.State.WriteRPS, platform.Settings.State.ValueKB = 20000, 80, 2
 	c := newTestController(t, platform)
 	storeTestCatalog(c)
 	address := startLeading(t, c)
 	term := c.election.Term()
-	state.mu.Lock()
-	state.epoch = 40
-	state.mu.Unlock()
-	until(t, "all is acknowledged", func() bool { return c.pinger.message().Acked >= 40 })
-	refuse.Store(true)
+	acknowledged := state.Put(records.JobKey("job-0"), records.Job{Status: wire.JobDone, Tasks: 1})
+	until(t, "all is acknowledged", func() bool { return c.pinger.message().Acked >= acknowledged })
+	leaderState.Refuse("/grants")
 	until(t, "the lease may have expired", func() bool { return !term.HoldsLease() })
-	state.mu.Lock()
-	state.epoch = 50
-	state.mu.Unlock()
-	follower := startFollower(t, state.addr, c, address)
+	unacknowledged := state.Put(records.JobKey("job-00"), records.Job{Status: wire.JobDone, Tasks: 1})
+	follower := startFollower(t, state.Address(), c, address)
 	if answer := follower.service.Submit(t.Context(), "job-1", testSpec()); answer.Status != 201 {
 		t.Fatalf("%+v", answer)
 	}
 	until(t, "the leader has read all", func() bool {
 		revision, _ := c.ownLeader.get().AcknowledgedRevision()
-		return revision >= 50
+		return revision >= unacknowledged
 	})
-	if got := c.pinger.message().Acked; got >= 50 {
+	if got := c.pinger.message().Acked; got >= unacknowledged {
 		t.Errorf("acknowledged up to %d without the lease", got)
 	}
 }
@@ -184,8 +160,8 @@
 // A peer's answer confirms what it knew when it was asked, and nothing from before its process
 // was started.
 func TestPeersConfirmTheTerm(t *testing.T) {
-	state := newSmallState(t)
-	platform := testConfig(state.addr)
+	state := newTestStore(t)
+	platform := testConfig(state.Address())
 	platform.Seeds = []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}}
 	platform.Settings.Workers.LeaseS, platform.Settings.Workers.CancelDeadlineS = 27, 52
 	c := newTestController(t, platform)
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -67,17 +67,15 @@
 // one that waited for the answer.
 func TestNothingOlderAfterLostAnswers(t *testing.T) {
 	const rounds, cancelled = 40, 2
-	state := newSmallState(t)
-	leading := startController(t, "n-0", state.addr)
+	state := newTestStore(t)
+	leading := startController(t, "n-0", state.Address())
 	address := startLeading(t, leading)
-	controllers := []*Controller{leading, startFollower(t, state.addr, leading, address), startFollower(t, state.addr, leading, address)}
+	controllers := []*Controller{leading, startFollower(t, state.Address(), leading, address), startFollower(t, state.Address(), leading, address)}
 	for round := range rounds {
 		history := &historyChecker{id: ids.JobID(fmt.Sprintf("job-%d", round))}
 		canceller := controllers[round%3]
 		cancel := func(ctx context.Context) server.Response { return canceller.service.Cancel(ctx, history.id) }
-		state.mu.Lock()
-		state.lose = round % 4
-		state.mu.Unlock()
+		state.LoseResponses(round % 4)
 		var users sync.WaitGroup
 		for _, c := range controllers {
 			users.Go(func() {
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -11,27 +11,27 @@
 // Two records are written here rather than by package records, and keep their bytes: that every
 // controller is upgraded, and since which leader the fleet is known.
 func TestFormatRecordKeepsItsBytes(t *testing.T) {
-	state := newSmallState(t)
-	c := startController(t, "n-0", state.addr)
+	state := newTestStore(t)
+	c := startController(t, "n-0", state.Address())
 	if err := c.gate.run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	startLeading(t, c)
 	until(t, "the fleet's record", func() bool {
-		state.mu.Lock()
-		defer state.mu.Unlock()
-		return state.keys["fleet"].Value != nil
+		_, found := state.Entry("fleet")
+		return found
 	})
-	state.mu.Lock()
-	defer state.mu.Unlock()
-	if got := string(state.keys["format"].Value); got != "\x81\xa1v\x02" {
+	format, _ := state.Entry("format")
+	if got := string(format.Value); got != "\x81\xa1v\x02" {
 		t.Errorf("format written as %x", got)
 	}
-	if got, want := string(state.keys["fleet"].Value), "\x81\xa5first"+string([]byte{byte(state.keys["leader"].Revision)}); got != want {
+	fleet, _ := state.Entry("fleet")
+	lease, _ := state.Entry("leader")
+	if got, want := string(fleet.Value), "\x81\xa5first"+string([]byte{byte(lease.Revision)}); got != want {
 		t.Errorf("fleet written as %x, want %x", got, want)
 	}
 	var leader map[string]any
-	if err := wire.Decode(state.keys["leader"].Value, &leader); err != nil || leader["n"] != "n-0" || leader["m"] != "127.0.0.1:2" || leader["i"] == nil || len(leader) != 3 {
+	if err := wire.Decode(lease.Value, &leader); err != nil || leader["n"] != "n-0" || leader["m"] != "127.0.0.1:2" || leader["i"] == nil || len(leader) != 3 {
 		t.Errorf("leader lease %v, %v", leader, err)
 	}
 }
--- a/controller/submissions_test.go
+++ b/controller/submissions_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -43,17 +44,17 @@
 // dependencyTest is two controllers over one store, of which the first leads. The version gate
 // is open at both.
 type dependencyTest struct {
-	state   *smallState
+	state   *kvtest.Server
 	address string // of the leader
 	a, b    *Controller
 }
 
 func newDependencyTest(t *testing.T) *dependencyTest {
 	t.Helper()
-	state := newSmallState(t)
-	d := &dependencyTest{state: state, a: startController(t, "n-0", state.addr)}
+	state := newTestStore(t)
+	d := &dependencyTest{state: state, a: startController(t, "n-0", state.Address())}
 	d.address = startLeading(t, d.a)
-	d.b = startFollower(t, d.state.addr, d.a, d.address)
+	d.b = startFollower(t, d.state.Address(), d.a, d.address)
 	d.a.gate.open.Store(true)
 	d.b.gate.open.Store(true)
 	return d
@@ -93,9 +94,9 @@
 	checkSubmission(t, d.a, "job-3", 200, "queued", "job-3")
 	d.checkStatus(t, "job-5", "")
 
-	d.state.outage(true)
+	d.state.StartOutage()
 	checkSubmission(t, d.b, "job-8", 503, "", "job-none") // unknown is not never accepted
-	d.state.outage(false)
+	d.state.EndOutage()
 }
 
 // A list of dependencies is stored whole, or refused.
@@ -108,11 +109,9 @@
 	}
 	checkSubmission(t, d.a, "job-6", 422, "", long...) // cannot be stored whole
 	checkSubmission(t, d.a, "job-7", 201, "queued", long[:40]...)
-	d.state.mu.Lock()
-	value := d.state.keys["jobs/job-7"].Value
-	d.state.mu.Unlock()
+	entry, _ := d.state.Entry("jobs/job-7")
 	var record records.Job
-	if err := wire.Decode(value, &record); err != nil || !slices.Equal(record.Spec.DependsOn, long[:40]) {
+	if err := wire.Decode(entry.Value, &record); err != nil || !slices.Equal(record.Spec.DependsOn, long[:40]) {
 		t.Errorf("stored %v, %v", record.Spec, err)
 	}
 }
@@ -138,7 +137,7 @@
 
 	// While some controller may be old, no new job with dependencies is accepted, and what
 	// was accepted is still answered.
-	old := startFollower(t, d.state.addr, d.a, d.address)
+	old := startFollower(t, d.state.Address(), d.a, d.address)
 	checkSubmission(t, old, "job-10", 503, "", "job-7")
 	checkSubmission(t, old, "job-10", 422, "", "job-none")
 	checkSubmission(t, old, "job-3", 200, wire.JobCancelled, "job-2")
--- a/internal/kvtest/control.go
+++ b/internal/kvtest/control.go
@@ -66,6 +66,14 @@
 	s.wakeWatches()
 }
 
+// SuspendExpiry has no lease end by its time any more. Leases that are revoked end.
+func (s *Store) SuspendExpiry() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expireLeases()
+	s.expirySuspended = true
+}
+
 // SetRetention has watches fail that start from more than so many revisions ago.
 func (s *Store) SetRetention(revisions ids.Revision) {
 	s.mu.Lock()
@@ -73,6 +81,14 @@
 	s.retention = revisions
 }
 
+// SetMaxHold has later watches wait for at most a time, whatever they ask for. A kv.Client cannot
+// give up a watch, so a test that uses one over HTTP would end only with the longest watch.
+func (s *Store) SetMaxHold(hold time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.maxHold = hold
+}
+
 // Advance raises the revision, as changes of keys would that no test looks at.
 func (s *Store) Advance(revisions ids.Revision) {
 	s.mu.Lock()
--- a/internal/kvtest/leases.go
+++ b/internal/kvtest/leases.go
@@ -57,9 +57,12 @@
 	})
 }
 
-// expireLeases ends the leases whose time is over. None ends in an outage.
+// leasesExpire reports whether leases end by their time.
+func (s *Store) leasesExpire() bool { return !s.outage && !s.expirySuspended }
+
+// expireLeases ends the leases whose time is over.
 func (s *Store) expireLeases() {
-	if s.outage {
+	if !s.leasesExpire() {
 		return
 	}
 	now := time.Now()
@@ -83,7 +86,7 @@
 
 // nextExpiry returns when the next lease ends unless it is renewed; ok is false if none does.
 func (s *Store) nextExpiry() (next time.Time, ok bool) {
-	if s.outage {
+	if !s.leasesExpire() {
 		return time.Time{}, false
 	}
 	for _, granted := range s.leases {
--- a/internal/kvtest/server.go
+++ b/internal/kvtest/server.go
@@ -7,7 +7,7 @@
 	"net/http/httptest"
 	"strconv"
 	"strings"
-	"sync/atomic"
+	"sync"
 	"time"
 
 	"github.com/vmihailenco/msgpack/v5"
@@ -21,8 +21,11 @@
 // refuse one by one get a server each.
 type Server struct {
 	*Store
-	http    *httptest.Server
-	refused atomic.Bool
+	http *httptest.Server
+
+	mu            sync.Mutex
+	refused       bool
+	refusedPrefix string
 }
 
 // NewServer starts a server of a store. Close ends it.
@@ -35,7 +38,7 @@
 // refuseOr serves a request, or refuses it while the server's callers are refused.
 func (s *Server) refuseOr(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.refused.Load() {
+		if s.refuses(r.URL.Path) {
 			respondError(w, kv.ErrUnavailable)
 			return
 		}
@@ -43,11 +46,27 @@
 	})
 }
 
-// Refuse has the store refuse the requests to this server. Open watches stay open.
-func (s *Server) Refuse() { s.refused.Store(true) }
+// refuses reports whether a request for a path is refused.
+func (s *Server) refuses(path string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.refused && strings.HasPrefix(path, s.refusedPrefix)
+}
+
+// Refuse has the store refuse the requests to this server whose paths have a prefix; "/" is all
+// requests. Open watches stay open.
+func (s *Server) Refuse(pathPrefix string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.refused, s.refusedPrefix = true, pathPrefix
+}
 
 // Accept has the store execute the requests to this server again.
-func (s *Server) Accept() { s.refused.Store(false) }
+func (s *Server) Accept() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.refused = false
+}
 
 // Address is where the server listens.
 func (s *Server) Address() string { return strings.TrimPrefix(s.http.URL, "http://") }
--- a/internal/kvtest/store.go
+++ b/internal/kvtest/store.go
@@ -30,13 +30,17 @@
 	events []kv.Event
 	// retention is from how many revisions ago a watch may start; 0 means any.
 	retention ids.Revision
+	// maxHold bounds how long a watch waits; 0 means as long as it asks for.
+	maxHold   time.Duration
 	leases    map[ids.LeaseID]*lease
 	lastLease ids.LeaseID
 	// changed is closed, and replaced, when a watch must look again.
-	changed     chan struct{}
-	outage      bool
-	requests    int
-	commitFault func(kv.Txn) Fault
+	changed chan struct{}
+	outage  bool
+	// expirySuspended has no lease end by its time.
+	expirySuspended bool
+	requests        int
+	commitFault     func(kv.Txn) Fault
 }
 
 // NewStore returns an empty store at revision 0.
--- a/internal/kvtest/store_test.go
+++ b/internal/kvtest/store_test.go
@@ -242,11 +242,14 @@
 func TestServerRefuses(t *testing.T) {
 	store := NewStore()
 	one, other := startServer(t, store), startServer(t, store)
-	one.Refuse()
+	one.Refuse("/store/")
 	if _, _, err := newHTTPClient(one).Get(t.Context(), "k"); !errors.Is(err, kv.ErrUnavailable) {
 		t.Errorf("refused: %v", err)
 	}
-	checkCommit(t, newHTTPClient(other), put("k", 0, "x"), kv.TxnResult{Applied: true, Revision: 1})
+	if _, _, err := newHTTPClient(other).Get(t.Context(), "k"); err != nil {
+		t.Errorf("at the other server: %v", err)
+	}
+	checkCommit(t, newHTTPClient(one), put("k", 0, "x"), kv.TxnResult{Applied: true, Revision: 1}) // another path
 	one.Accept()
 	if _, found, err := newHTTPClient(one).Get(t.Context(), "k"); err != nil || !found {
 		t.Errorf("accepted again: %v, %v", found, err)
--- a/internal/kvtest/time_test.go
+++ b/internal/kvtest/time_test.go
@@ -54,6 +54,24 @@
 	})
 }
 
+func TestSuspendedExpiry(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := NewStore()
+		lease := grant(t, store, time.Second)
+		store.SuspendExpiry()
+		time.Sleep(time.Minute)
+		if err := store.RenewLease(t.Context(), lease); err != nil {
+			t.Error(err)
+		}
+		if err := store.RevokeLease(t.Context(), lease); err != nil {
+			t.Error(err)
+		}
+		if err := store.RenewLease(t.Context(), lease); !errors.Is(err, kv.ErrLeaseExpired) {
+			t.Errorf("revoked: %v", err)
+		}
+	})
+}
+
 // A watch that is open when an outage begins sees what happens after it.
 func TestWatchInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -69,6 +87,18 @@
 	})
 }
 
+func TestMaxHold(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := NewStore()
+		store.SetMaxHold(time.Second)
+		start := time.Now()
+		_, events, err := store.Watch(t.Context(), "", 0, time.Minute)
+		if err != nil || len(events) > 0 || time.Since(start) != time.Second {
+			t.Errorf("%+v, %v after %v", events, err, time.Since(start))
+		}
+	})
+}
+
 func TestWatchEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/internal/kvtest/watch.go
+++ b/internal/kvtest/watch.go
@@ -15,10 +15,11 @@
 // Watch returns the changes of keys with a prefix after a revision. It waits for one for at
 // most hold, and for as long as the context lasts. A watch that is open goes on in an outage.
 func (s *Store) Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []kv.Event, error) {
-	deadline := time.Now().Add(hold)
-	if err := s.openWatch(since); err != nil {
+	hold, err := s.openWatch(since, hold)
+	if err != nil {
 		return 0, nil, err
 	}
+	deadline := time.Now().Add(hold)
 	for {
 		update := s.updateSince(prefix, since)
 		if len(update.events) > 0 || !time.Now().Before(deadline) {
@@ -30,14 +31,19 @@
 	}
 }
 
-// openWatch fails if the changes since a revision are not kept.
-func (s *Store) openWatch(since ids.Revision) error {
-	return s.request(func() error {
+// openWatch returns for how long a watch may wait. It fails if the changes since a revision are
+// not kept.
+func (s *Store) openWatch(since ids.Revision, hold time.Duration) (time.Duration, error) {
+	err := s.request(func() error {
 		if s.retention > 0 && since+s.retention < s.revision {
 			return kv.ErrCompacted
 		}
+		if s.maxHold > 0 {
+			hold = min(hold, s.maxHold)
+		}
 		return nil
 	})
+	return hold, err
 }
 
 // watchUpdate is what a watch finds at one look, and when to look again.
