--- a/controller/kv_routes_test.go
+++ b/controller/kv_routes_test.go
@@ -2,53 +2,33 @@
 
 import (
 	"context"
-	"errors"
-	"net"
-	"net/http"
-	"net/http/httptest"
-	"strings"
-	"sync/atomic"
 	"testing"
-	"time"
 
 	"ospreystile.example/ospreystile/config"
 	"ospreystile.example/ospreystile/controller/peerapi"
-	"ospreystile.example/ospreystile/internal/httpclient"
+	"ospreystile.example/ospreystile/internal/kvtest"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// store is a stand-in for the key-value store that knows one job and can refuse.
-func store(t *testing.T) (addr string, refuse *atomic.Bool) {
+// newCancelledJobStore starts a key-value store that holds job-1, cancelled at revision 7.
+func newCancelledJobStore(t *testing.T) *kvtest.Server {
 	t.Helper()
-	refuse = new(atomic.Bool)
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch {
-		case refuse.Load():
-			w.WriteHeader(503)
-		case r.URL.Path == "/store":
-			rec := map[string]any{"s": "withdrawn", "n": 3, "p": map[string]any{"n": 3}}
-			_, _ = w.Write(wire.Encode(map[string]any{"epoch": 9, "entries": []any{map[string]any{"key": "jobs/job-1", "v": rec, "stamp": 7}}}))
-		case r.URL.Path == "/changes":
-			_, _ = w.Write(wire.Encode(map[string]any{"epoch": 9}))
-		default:
-			w.WriteHeader(404)
-			_, _ = w.Write(wire.Encode(map[string]any{"epoch": 9}))
-		}
-	}))
-	t.Cleanup(srv.Close)
-	return strings.TrimPrefix(srv.URL, "http://"), refuse
+	server := newTestStore(t)
+	server.Advance(6)
+	server.Put(records.JobKey("job-1"), records.Job{Status: wire.JobCancelled, Tasks: 3, Spec: &wire.JobSpec{Tasks: 3}})
+	return server
 }
 
 // A controller that the key-value store refuses alone reads through a peer; without one it
 // says at once that it does not know.
 func TestReadsThroughAPeerWhenRefusedAlone(t *testing.T) {
-	goodAddr, _ := store(t)
-	badAddr, refuse := store(t)
-	refuse.Store(true)
+	good, bad := newCancelledJobStore(t), newCancelledJobStore(t)
+	bad.Refuse("/")
 	ctx, cancel := context.WithCancel(t.Context())
-	other := newTestController(t, testConfig(goodAddr))
+	other := newTestController(t, testConfig(good.Address()))
 
-	cfg := testConfig(badAddr)
+	cfg := testConfig(bad.Address())
 	cfg.Seeds = []config.Peer{{Name: "n-1", Address: servePeers(t, other)}}
 	n := newTestController(t, cfg)
 	answering := make(chan error, 1)
@@ -78,25 +58,3 @@
 		t.Errorf("a job known to be over: %+v", a)
 	}
 }
-
-func TestAnswersThatNeverCameAreUnknown(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	go func() {
-		c, err := ln.Accept()
-		if err == nil {
-			buf := make([]byte, 1)
-			_, _ = c.Read(buf)
-			c.Close() // after the request has arrived
-		}
-	}()
-	if _, _, err := httpclient.New(ln.Addr().String(), 1, 1000).Do(t.Context(), "POST", "/commit", []byte{1}, time.Minute); !errors.Is(err, httpclient.ErrNoResponse) {
-		t.Errorf("a request that arrived and was not answered: %v", err)
-	}
-	ln.Close()
-	if _, _, err := httpclient.New(ln.Addr().String(), 1, 1000).Do(t.Context(), "POST", "/commit", []byte{1}, time.Minute); !errors.Is(err, httpclient.ErrNotSent) {
-		t.Errorf("a refused connection: %v", err)
-	}
-}
--- a/controller/leader/load_test.go
+++ b/controller/leader/load_test.go
@@ -3,44 +3,35 @@
 import (
 	"bytes"
 	"log/slog"
-	"net/http"
-	"net/http/httptest"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// unreadableRecords is a stand-in for a key-value store with records that cannot be read: of
-// job-1, of job-4, whose tasks are placed, and of where tasks of job-3 are.
+// unreadableRecords starts a key-value store with records that cannot be read: of job-1, of
+// job-4, whose tasks are placed, and of where tasks of job-3 are.
 func unreadableRecords(t *testing.T) string {
 	t.Helper()
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var body any = map[string]any{"epoch": 9, "entries": []any{}}
-		switch {
-		case r.URL.Path == "/store/fleet":
-			body = map[string]any{"v": 1, "stamp": 2}
-		case r.URL.Query().Get("prefix") == "jobs/":
-			good := records.Job{Status: wire.JobQueued, Tasks: 1, Spec: &wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1}}
-			body = map[string]any{"epoch": 9, "entries": []any{
-				map[string]any{"key": "jobs/job-1", "v": "nonsense", "stamp": 7},
-				map[string]any{"key": "jobs/job-2", "v": good, "stamp": 8}, map[string]any{"key": "jobs/job-3", "v": good, "stamp": 8},
-				map[string]any{"key": "jobs/job-4", "v": "nonsense", "stamp": 8}}}
-		case r.URL.Query().Get("prefix") == "admissions/":
-			placed := records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}}
-			body = map[string]any{"epoch": 9, "entries": []any{map[string]any{"key": "admissions/job-3/00000", "v": "nonsense", "stamp": 7},
-				map[string]any{"key": "admissions/job-4/00000", "v": placed, "stamp": 7}}}
-		}
-		_, _ = w.Write(wire.Encode(body))
-	}))
-	t.Cleanup(srv.Close)
-	return strings.TrimPrefix(srv.URL, "http://")
+	readable := records.Job{Status: wire.JobQueued, Tasks: 1, Spec: &wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1}}
+	placed := records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}}
+	server := kvtest.NewServer(kvtest.NewStore())
+	t.Cleanup(server.Close)
+	server.Put(records.FleetKey, 1)
+	server.Put(records.JobKey("job-1"), "nonsense")
+	server.Put(records.JobKey("job-2"), readable)
+	server.Put(records.JobKey("job-3"), readable)
+	server.Put(records.JobKey("job-4"), "nonsense")
+	server.Put(records.AdmissionKey("job-3", 0), "nonsense")
+	server.Put(records.AdmissionKey("job-4", 0), placed)
+	return server.Address()
 }
 
 // loadCore loads the records of a store at an address.
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -23,18 +23,19 @@
 		name    string
 		ctx     context.Context
 		address string
+		timeout time.Duration
 		want    error
 	}{
-		{"refused connection", t.Context(), closedAddress, ErrNotSent},
-		{"canceled before", canceled, closesAfterRequest.Address, ErrNotSent},
-		{"connection closed after the request", t.Context(), closesAfterRequest.Address, ErrNoResponse},
-		{"timeout", t.Context(), hangs.Address, ErrNoResponse},
-		{"response too long", t.Context(), long.Address, ErrNoResponse},
+		{"refused connection", t.Context(), closedAddress, time.Minute, ErrNotSent},
+		{"canceled before", canceled, closesAfterRequest.Address, time.Minute, ErrNotSent},
+		{"connection closed after the request", t.Context(), closesAfterRequest.Address, time.Minute, ErrNoResponse},
+		{"timeout", t.Context(), hangs.Address, 50 * time.Millisecond, ErrNoResponse},
+		{"response too long", t.Context(), long.Address, time.Minute, ErrNoResponse},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			client := New(c.address, 1, 1000)
 			t.Cleanup(client.Close)
-			_, _, err := client.Do(c.ctx, http.MethodPost, "/commit", []byte{1}, 50*time.Millisecond)
+			_, _, err := client.Do(c.ctx, http.MethodPost, "/commit", []byte{1}, c.timeout)
 			if !errors.Is(err, c.want) || errors.Is(err, ErrNotSent) && errors.Is(err, ErrNoResponse) {
 				t.Errorf("%v, want %v", err, c.want)
 			}
