--- a/cloud/errors.go
+++ b/cloud/errors.go
@@ -7,17 +7,17 @@
 	"ospreystile.example/ospreystile/internal/httpclient"
 )
 
-// Failed requests are *httpclient.RequestError, which name the request and wrap one of these.
-// ErrNoCapacity is a condition of the cloud, and stands alone.
+// Errors of requests wrap one of these. ErrNoCapacity is a condition of the cloud; all others
+// come with a *httpclient.RequestError that names the request.
 var (
 	// ErrNoCapacity means that the cloud has no such machine now.
 	ErrNoCapacity = errors.New("no capacity")
 	// ErrUnavailable means that the cloud did not execute the request.
 	ErrUnavailable = errors.New("cloud unavailable")
 	// ErrIndeterminate means that the request may have been executed, or may yet be.
-	ErrIndeterminate = errors.New("cloud gave no answer")
+	ErrIndeterminate = errors.New("no response from the cloud")
 	// ErrRejected means that the cloud found the request malformed.
-	ErrRejected = errors.New("cloud refused the request")
+	ErrRejected = errors.New("request rejected by the cloud")
 )
 
 // errNotAuthorized means that the caller may not call the cloud any more.
--- a/internal/httpclient/errors.go
+++ b/internal/httpclient/errors.go
@@ -8,7 +8,7 @@
 
 var (
 	// ErrNoResponse means that the service may have executed the request, or may yet do so.
-	ErrNoResponse = errors.New("no answer")
+	ErrNoResponse = errors.New("no response")
 	// ErrNotSent means that the request never left this process.
 	ErrNotSent = errors.New("not sent")
 )
--- a/kv/errors.go
+++ b/kv/errors.go
@@ -7,13 +7,13 @@
 	"ospreystile.example/ospreystile/internal/httpclient"
 )
 
-// Failed requests are *httpclient.RequestError, which name the request and wrap one of these.
-// ErrLeaseExpired and ErrCompacted are conditions of the store, and stand alone.
+// Errors of requests wrap one of these. ErrLeaseExpired and ErrCompacted are conditions of the
+// store; all others come with a *httpclient.RequestError that names the request.
 var (
 	// ErrUnavailable means that the store did not execute the request.
-	ErrUnavailable = errors.New("state service unavailable")
+	ErrUnavailable = errors.New("key-value store unavailable")
 	// ErrIndeterminate means that the request may have been executed, or may yet be.
-	ErrIndeterminate = errors.New("state service gave no answer")
+	ErrIndeterminate = errors.New("no response from the key-value store")
 	// ErrLeaseExpired means that a lease has ended.
 	ErrLeaseExpired = errors.New("no such lease")
 	// ErrCompacted means that the store no longer keeps the changes that a watch asks for.
@@ -21,10 +21,10 @@
 	ErrCompacted = errors.New("watch revision too old")
 	// ErrRejected means that the store does not accept the request as it is, for its size or
 	// form. It would be rejected again.
-	ErrRejected = errors.New("state service refused the request")
+	ErrRejected = errors.New("request rejected by the key-value store")
 	// ErrMalformedResponse means that the response of the store cannot be decoded, or does not
 	// belong to the request.
-	ErrMalformedResponse = errors.New("malformed answer from the state service")
+	ErrMalformedResponse = errors.New("malformed response from the key-value store")
 )
 
 // protocol is what the store's statuses mean.
