--- a/peerrpc/server.go
+++ b/peerrpc/server.go
@@ -29,11 +29,20 @@
 // text: see Refusal. The context ends with the connection. Handlers run concurrently.
 type Handler func(ctx context.Context, op Operation, body []byte) (any, error)
 
-// Serve answers requests on a listener until the context ends, and returns once all handlers
-// have. It closes the listener.
+// Serve answers requests on a listener until the context ends. It closes the listener then, and
+// returns once that is closed and all handlers have ended.
 func Serve(ctx context.Context, listener net.Listener, handler Handler, log *slog.Logger) error {
-	stop := context.AfterFunc(ctx, func() { listener.Close() })
-	defer stop()
+	// Accept fails a moment before the listener refuses connections, so its closing is awaited.
+	closed := make(chan struct{})
+	stop := context.AfterFunc(ctx, func() {
+		defer close(closed)
+		listener.Close()
+	})
+	defer func() {
+		if !stop() {
+			<-closed
+		}
+	}()
 	var connections sync.WaitGroup
 	defer connections.Wait()
 	for {
