--- a/controller/kv_routes.go
+++ b/controller/kv_routes.go
@@ -95,15 +95,23 @@
 	defer cancel()
 	var answer peerapi.StoreAnswer
 	err := p.Call(ctx, peerapi.OpStore, call, &answer)
+	if kind := forwardFailure(err, answer); kind != nil {
+		return 0, nil, &httpclient.RequestError{Kind: kind, Method: call.Method, Path: call.Path, Cause: err}
+	}
+	return answer.Status, answer.Body, nil
+}
+
+// forwardFailure returns what kind of failure a forwarded request ended with, nil for none.
+func forwardFailure(err error, answer peerapi.StoreAnswer) error {
 	switch {
 	case errors.Is(err, peerrpc.ErrNotSent):
-		return 0, nil, errors.Join(httpclient.ErrNotSent, err)
+		return httpclient.ErrNotSent
 	case err != nil:
-		return 0, nil, errors.Join(httpclient.ErrNoResponse, err)
+		return httpclient.ErrNoResponse
 	case answer.NotSent:
-		return 0, nil, httpclient.ErrNotSent
+		return httpclient.ErrNotSent
 	case answer.Unknown:
-		return 0, nil, httpclient.ErrNoResponse
+		return httpclient.ErrNoResponse
 	}
-	return answer.Status, answer.Body, nil
+	return nil
 }
--- a/election/acknowledgements_test.go
+++ b/election/acknowledgements_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/monotonic"
 )
 
@@ -83,10 +84,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newService()
+				s := kvtest.NewStore()
 				term := startTermWithPeers(t, s)
 				time.Sleep(5 * time.Second)
-				s.outage(true)
+				s.StartOutage()
 				replicas, others := answeredInOutage(term, c.acknowledge)
 				checkAbout(t, "machines with replicas", replicas, c.wantReplicas)
 				checkAbout(t, "other machines", others, c.wantOthers)
@@ -96,7 +97,7 @@
 }
 
 // startTermWithPeers starts an election with two peers and returns its first term.
-func startTermWithPeers(t *testing.T, s *service) *Term {
+func startTermWithPeers(t *testing.T, s *kvtest.Store) *Term {
 	t.Helper()
 	terms := make(chan *Term, 9)
 	bounds := LeaseBounds{
@@ -106,7 +107,7 @@
 		IsolatedReplicaGrace: testIsolatedReplicaGrace,
 		Peers:                []ids.ControllerName{"n1", "n2"},
 	}
-	election := New(&client{s: s}, Identity{Name: "n0"}, bounds, monotonic.SystemClock(), slog.New(slog.DiscardHandler),
+	election := New(newClient(s), Identity{Name: "n0"}, bounds, monotonic.SystemClock(), slog.New(slog.DiscardHandler),
 		func(ctx context.Context, term *Term) error {
 			terms <- term
 			<-ctx.Done()
