--- a/controller/peerapi/operations.go
+++ b/controller/peerapi/operations.go
@@ -5,8 +5,6 @@
 package peerapi
 
 import (
-	"errors"
-
 	"ospreystile.example/ospreystile/peerrpc"
 )
 
@@ -30,15 +28,15 @@
 	OpZoneOverride peerrpc.Operation = "zone-override"
 )
 
-// Refusals. The caller receives their texts inside a peerrpc.ErrRemote.
-var (
+// Refusals. The caller tests for them with errors.Is.
+const (
 	// ErrNotLeading refuses a request that only the leader answers.
-	ErrNotLeading = errors.New("not leading")
+	ErrNotLeading = peerrpc.Refusal("not leading")
 	// ErrUnknownOperation refuses an operation that this version does not have.
-	ErrUnknownOperation = errors.New("unknown operation")
+	ErrUnknownOperation = peerrpc.Refusal("unknown operation")
 	// ErrZoneRecoveryDisabled refuses a ZoneOverride where zones are not watched.
-	ErrZoneRecoveryDisabled = errors.New("zone_return.enabled is false in the operators' settings")
+	ErrZoneRecoveryDisabled = peerrpc.Refusal("zone_return.enabled is false in the operators' settings")
 	// ErrOverrideNotRecorded tells that a ZoneOverride was not known to be recorded in time.
 	// It may still take effect.
-	ErrOverrideNotRecorded = errors.New("not recorded in time: look at the zones, and decide again")
+	ErrOverrideNotRecorded = peerrpc.Refusal("not recorded in time: look at the zones, and decide again")
 )
--- a/election/cluster_test.go
+++ b/election/cluster_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/monotonic"
 )
 
@@ -21,7 +22,7 @@
 // cluster is a store and the candidates that take part in its election. It checks that no two
 // of them ever hold the lease at once, and that no revision serves two terms.
 type cluster struct {
-	store *service
+	store *kvtest.Store
 
 	mu         sync.Mutex
 	terms      map[ids.ControllerName]*Term // the last term of each candidate that runs
@@ -34,7 +35,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{
-			store:     newService(),
+			store:     kvtest.NewStore(),
 			terms:     map[ids.ControllerName]*Term{},
 			processes: map[ids.Revision]string{},
 		}
@@ -52,19 +53,19 @@
 	cluster  *cluster
 	name     ids.ControllerName
 	election *Election
-	client   *client
+	client   *kvtest.Client
 	stopRun  func()
 }
 
 // start starts a candidate with a client of its own. It is stopped when the test ends.
 func (c *cluster) start(t *testing.T, name ids.ControllerName, incarnation ids.ControllerIncarnation) *candidate {
 	t.Helper()
-	client := &client{s: c.store}
+	client := newClient(c.store)
 	return c.startWith(t, Identity{Name: name, Incarnation: incarnation}, client, client)
 }
 
 // startWith starts a candidate that reaches the store through another layer over its client.
-func (c *cluster) startWith(t *testing.T, self Identity, client *client, store Store) *candidate {
+func (c *cluster) startWith(t *testing.T, self Identity, client *kvtest.Client, store Store) *candidate {
 	t.Helper()
 	election := newElection(store, self, func(ctx context.Context, term *Term) error {
 		c.beginTerm(self, term)
@@ -114,7 +115,7 @@
 
 // kill ends the process without a chance to revoke its lease.
 func (m *candidate) kill() {
-	m.client.refuse(true)
+	m.client.Refuse()
 	m.stop()
 }
 
--- a/election/watch_test.go
+++ b/election/watch_test.go
@@ -10,8 +10,9 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/monotonic"
-	"ospreystile.example/ospreystile/wire"
+	"ospreystile.example/ospreystile/records"
 )
 
 // A leader may hold its key for longer than the store keeps changes. A controller that starts
@@ -21,16 +22,12 @@
 	withCluster(t, func(t *testing.T, c *cluster) {
 		first := c.start(t, "n0", 1)
 		time.Sleep(time.Second)
-		c.store.mu.Lock()
-		c.store.epoch += 20_000
-		c.store.oldest, c.store.calls = c.store.epoch-10_000, 0
-		c.store.mu.Unlock()
+		c.store.SetRetention(10_000)
+		c.store.Advance(20_000)
+		before := c.store.Requests()
 		c.start(t, "n1", 1)
 		time.Sleep(30 * time.Second)
-		c.store.mu.Lock()
-		calls := c.store.calls
-		c.store.mu.Unlock()
-		if calls > 100 {
+		if calls := c.store.Requests() - before; calls > 100 {
 			t.Errorf("%d requests in 30 s", calls)
 		}
 		first.kill()
@@ -45,14 +42,13 @@
 // expires, never as absent.
 func TestUnreadableKeyCountsAsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newService()
-		s.epoch, s.revision, s.value, s.lease = 5, 5, wire.Encode("nonsense"), 99
-		s.leases[99] = time.Now().Add(2 * time.Second)
+		s := kvtest.NewStore()
+		s.PutWithLease(records.LeaderKey, "nonsense", 2*time.Second)
 		var logged bytes.Buffer
 		terms := make(chan ids.Revision, 9)
 		bounds := LeaseBounds{TTL: testTTL, OutageGrace: testOutageGrace}
 		log := slog.New(slog.NewTextHandler(&logged, nil))
-		election := New(&client{s: s}, Identity{Name: "n0"}, bounds, monotonic.SystemClock(), log,
+		election := New(newClient(s), Identity{Name: "n0"}, bounds, monotonic.SystemClock(), log,
 			func(ctx context.Context, term *Term) error {
 				terms <- term.Revision
 				<-ctx.Done()
--- a/internal/faulttest/deployment.go
+++ b/internal/faulttest/deployment.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -35,7 +36,7 @@
 // is started and killed by one goroutine at a time.
 type Deployment struct {
 	Timing      Timing
-	KV          *StateService
+	KV          *kvtest.Server
 	Cloud       *Cloud
 	Users       *Users
 	History     *History
@@ -58,7 +59,7 @@
 	}
 	d.Users = NewUsers(d.apiAddresses())
 	d.workers = workerEnvironment{timing: d.Timing, controllers: d.apiAddresses(), users: d.Users, history: d.History}
-	d.KV = NewStateService()
+	d.KV = kvtest.NewServer(kvtest.NewStore())
 	d.Cloud = NewCloud(zones, capacity, d.Timing.Boot, d.startWorker)
 	for _, c := range d.Controllers {
 		if err := d.writeSettings(c); err != nil {
--- a/internal/faulttest/zone_flaps_test.go
+++ b/internal/faulttest/zone_flaps_test.go
@@ -34,7 +34,7 @@
 	z.awaitCondition(failedZone, zonerecovery.Outage)
 	z.await("the leases in the zone expire", func() bool { return z.History.RunningByZone(array.ID)[failedZone] == 0 })
 
-	z.KV.SetAway(true)
+	z.KV.StartOutage()
 	time.Sleep(2 * z.Timing.HeartbeatInterval) // starts that were recorded before may still be sent
 	began := time.Now()
 	for range 2 {
@@ -46,7 +46,7 @@
 		t.Errorf("%d starts were sent to the zone although nothing could be recorded", starts)
 	}
 
-	z.KV.SetAway(false)
+	z.KV.EndOutage()
 	z.awaitCondition(failedZone, zonerecovery.Serving)
 	z.awaitAtAllControllers(array.ID, wire.JobDone)
 	if status, _, ok := z.zoneStatus(failedZone); !ok || status.Outages != 1 {
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -103,7 +103,7 @@
 		return
 	}
 	w.statusChanged = false
-	o, _ := d.c.Heartbeat(d.now, w.newHeartbeat(), false)
+	o, _ := d.c.Heartbeat(d.now, w.newHeartbeat())
 	w.token = max(w.token, o.FencingToken)
 	d.execute(w, o.Commands)
 	tick := w.sequence
@@ -247,7 +247,7 @@
 			delete(d.workers, machine)
 			d.machines--
 		}
-		d.c.TerminateResult(d.now, machines, true)
+		d.c.MachinesTerminated(d.now, machines)
 	})
 }
 
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -31,7 +31,7 @@
 	b.step()
 	b.awaitTerminationOfUnreachable()
 	b.heartbeat("n-2", "a", 0)
-	b.c.TerminateResult(b.now, []ids.MachineID{"n-1"}, true)
+	b.c.MachinesTerminated(b.now, []ids.MachineID{"n-1"})
 	b.step()
 	if a := b.assignmentOf("job-1"); a == nil || a.Machine.ID != "n-2" {
 		t.Fatal("its task did not move")
@@ -121,7 +121,7 @@
 // secondIncarnation has n-1 send a heartbeat of its agent's second incarnation.
 func (b *harness) secondIncarnation(token ids.FencingToken) {
 	b.sequence++
-	b.c.Heartbeat(b.now, newHeartbeat("n-1", 2, b.sequence, token), false)
+	b.c.Heartbeat(b.now, newHeartbeat("n-1", 2, b.sequence, token))
 }
 
 // A cancelled job's task on a machine that sends heartbeats but does not carry out commands must
@@ -158,7 +158,7 @@
 	for s := range 60 {
 		b.now = b.now.Add(time.Second)
 		for tick := last - 1; tick <= last; tick++ { // older ones, and the newest once more
-			b.c.Heartbeat(b.now, newHeartbeat("n-1", 1, tick, o.FencingToken, run), false)
+			b.c.Heartbeat(b.now, newHeartbeat("n-1", 1, tick, o.FencingToken, run))
 		}
 		b.step()
 		if m := b.c.cluster.Machine("n-1"); m == nil || len(m.Assignments()) == 0 {
@@ -182,7 +182,7 @@
 	b.heartbeat("n-1", "a", 0)
 	b.c.registry.returnMachine(b.c.cluster.Machine("n-1"), "test")
 	b.step()
-	b.c.TerminateResult(b.now, []ids.MachineID{"n-1"}, true)
+	b.c.MachinesTerminated(b.now, []ids.MachineID{"n-1"})
 	b.heartbeat("n-1", "a", 0)
 	if b.c.cluster.Machine("n-1") != nil {
 		t.Fatal("it came back at the leader that terminated it")
@@ -242,7 +242,7 @@
 	if token["n-1"].Revision() != 9 || !next.c.cluster.Machine("n-1").Agent.Fenced {
 		t.Fatalf("n-1 was not fenced by the next leader: token %d", token["n-1"])
 	}
-	if _, ok := old.c.Heartbeat(old.now, newHeartbeat("n-1", 1, tick+1, token["n-1"], run), false); ok || !old.c.Superseded() {
+	if _, ok := old.c.Heartbeat(old.now, newHeartbeat("n-1", 1, tick+1, token["n-1"], run)); ok || !old.c.Superseded() {
 		t.Fatal("the previous leader goes on")
 	}
 }
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -246,7 +246,7 @@
 func (s *sim) duplicateHeartbeat(heartbeat *wire.Heartbeat) {
 	const maxDelayedHeartbeats = 50
 	if s.chance(s.duplicateChance) {
-		s.after(time.Duration(2+s.rng.IntN(90))*time.Second, func() { s.core.Heartbeat(s.now, heartbeat, false) })
+		s.after(time.Duration(2+s.rng.IntN(90))*time.Second, func() { s.core.Heartbeat(s.now, heartbeat) })
 	}
 	if s.chance(s.duplicateChance) && len(s.delayedHeartbeats) < maxDelayedHeartbeats {
 		s.delayedHeartbeats = append(s.delayedHeartbeats, heartbeat)
@@ -288,7 +288,7 @@
 	if c.leader == c.previousCore {
 		c.restrictPreviousLeader()
 	}
-	response, ok := c.leader.Heartbeat(c.now, c.heartbeat, false)
+	response, ok := c.leader.Heartbeat(c.now, c.heartbeat)
 	c.digest.add("answer", response)
 	if !ok {
 		c.worker.followsTerm = c.term
