--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -12,7 +12,6 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/scheduler/fleet"
 	"ospreystile.example/ospreystile/scheduler/placement"
-	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
 
@@ -43,36 +42,6 @@
 	plannedAt monotonic.Instant
 }
 
-// autoscalerSettings are the settings of the autoscaler and its parts.
-type autoscalerSettings struct {
-	// revision is that of the leader's key.
-	revision ids.Revision
-	// previousLeader tells that another leader may have acted before.
-	previousLeader bool
-	// listLag is how far the cloud's list of machines may lag behind.
-	listLag time.Duration
-	// maxMachines bounds the machines held; 0: no bound.
-	maxMachines int
-	// capacityBackoff is the first wait of a site that lacked capacity.
-	capacityBackoff time.Duration
-	// heartbeatInterval is the time between two heartbeats of a machine.
-	heartbeatInterval time.Duration
-	boots             bootTimeSettings
-	headroom          headroomSettings
-	scaleIn           scaleInSettings
-}
-
-// autoscalerPeers are the other policies that the autoscaler asks.
-type autoscalerPeers struct {
-	queue     *jobQueue
-	quota     *quotaCheck
-	quotas    *quota.Tracker
-	estimates *runEstimates
-	health    autoscalerHealth
-	zones     zoneProvisioning
-	registry  machineReturner
-}
-
 // autoscalerHealth tells which machines can be used and which zones can be reached.
 type autoscalerHealth interface {
 	machineUsability
@@ -88,72 +57,6 @@
 	addRecoveringCapacity(add func(placement.Site, placement.Resources))
 }
 
-// newAutoscaler makes an autoscaler that has observed nothing yet. connect must follow
-// before the first plan.
-func newAutoscaler(settings autoscalerSettings, state *cluster.State, now *clock.Clock, rounds *clock.RoundTrigger) *autoscaler {
-	return &autoscaler{
-		cluster:  state,
-		clock:    now,
-		settings: settings,
-		classes:  &classDemands{cluster: state, clock: now, byClass: map[string]*classDemand{}},
-		boots: &bootTimes{
-			cluster:  state,
-			clock:    now,
-			settings: settings.boots,
-			factors:  map[ids.MachineType]float64{},
-		},
-		spot: &spotLosses{cluster: state},
-		provisioner: &provisioner{
-			cluster:          state,
-			clock:            now,
-			rounds:           rounds,
-			backoff:          fleet.NewBackoff(settings.capacityBackoff),
-			revision:         settings.revision,
-			requestsInFlight: map[placement.Site]int{},
-			machinesInFlight: map[placement.Site]int{},
-		},
-	}
-}
-
-// connect makes the parts that ask other policies. It exists because some of these policies
-// ask the autoscaler in turn.
-func (as *autoscaler) connect(peers autoscalerPeers) {
-	as.health, as.zones = peers.health, peers.zones
-	as.provisioner.zones = peers.zones
-	as.waiting = &waitingDemand{
-		cluster:   as.cluster,
-		clock:     as.clock,
-		queue:     peers.queue,
-		quota:     peers.quota,
-		quotas:    peers.quotas,
-		estimates: peers.estimates,
-		health:    peers.health,
-		boots:     as.boots,
-	}
-	as.headroom = &headroom{
-		cluster:  as.cluster,
-		clock:    as.clock,
-		classes:  as.classes,
-		boots:    as.boots,
-		health:   peers.health,
-		settings: as.settings.headroom,
-	}
-	as.replacements = &replacements{
-		cluster:           as.cluster,
-		clock:             as.clock,
-		health:            peers.health,
-		heartbeatInterval: as.settings.heartbeatInterval,
-	}
-	as.scaleIn = &scaleIn{
-		cluster:  as.cluster,
-		clock:    as.clock,
-		headroom: as.headroom,
-		health:   peers.health,
-		registry: peers.registry,
-		settings: as.settings.scaleIn,
-	}
-}
-
 // begin begins the term; the first plan is due one interval later.
 func (as *autoscaler) begin() { as.plannedAt = as.clock.Now() }
 
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -200,25 +200,6 @@
 	})
 }
 
-// autoscalerSettingsOf selects the settings of the autoscaler.
-func autoscalerSettingsOf(opt *Options) autoscalerSettings {
-	return autoscalerSettings{
-		revision:          opt.Revision,
-		previousLeader:    opt.PreviousLeader,
-		listLag:           opt.ListLag,
-		maxMachines:       opt.MaxMachines,
-		capacityBackoff:   opt.CapacityBackoff,
-		heartbeatInterval: opt.HeartbeatInterval,
-		boots:             bootTimeSettings{maxFactor: opt.BootFactor, heartbeatInterval: opt.HeartbeatInterval},
-		headroom:          headroomSettings{latencySensitive: opt.LatencySensitive, peakShare: opt.Headroom},
-		scaleIn: scaleInSettings{
-			idleTimeout:         opt.IdleTimeout,
-			headroomIdleTimeout: opt.HeadroomIdleTimeout,
-			spotIdleFactor:      opt.SpotIdleFactor,
-		},
-	}
-}
-
 // SetCatalog takes the cloud's machine types and current prices.
 func (c *Core) SetCatalog(types []wire.MachineType) { c.cluster.SetCatalog(types) }
 
--- a/scheduler/fleet/backoff.go
+++ b/scheduler/fleet/backoff.go
@@ -10,7 +10,7 @@
 // maxBackoffFactor bounds the wait of a site at this many times the first one.
 const maxBackoffFactor = 6
 
-// Backoff remembers which sites lacked capacity lately, and for how long not to ask them. The
+// Backoff remembers which sites lacked capacity recently, and for how long not to ask them. The
 // wait of a site doubles with each refusal until it succeeds.
 type Backoff struct {
 	first time.Duration
