--- a/scheduler/class_demand_test.go
+++ b/scheduler/class_demand_test.go
@@ -18,6 +18,7 @@
 		{"in the next slot", demandSlotLength, 7},
 		{"in the last slot of the window", 3 * demandSlotLength, 7},
 		{"a window later", 4 * demandSlotLength, 0},
+		{"a window and a half later", 6 * demandSlotLength, 0},
 		{"many windows later", 40 * demandSlotLength, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
