--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -96,7 +96,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		teams := randomTeams(rng, func() float64 { return 1 })
-		b := newHarness(t, Options{Teams: teams, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
+		b := newHarness(t, Options{Teams: teams, AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
 		b.c.Begin(b.now)
 		b.randomMachines(rng, 1+rng.IntN(5))
 		for round := range 4 {
--- a/scheduler/autoscaler_test.go
+++ b/scheduler/autoscaler_test.go
@@ -15,7 +15,7 @@
 // have heard of the machine.
 func TestRentsAheadForServicesOnSilentMachines(t *testing.T) {
 	for _, inherited := range []bool{false, true} {
-		b := newHarness(t, Options{PreviousLeader: inherited})
+		b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: inherited}})
 		if inherited {
 			b.inherit(wire.JobSpec{Tasks: 1, Service: true}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 			b.c.Begin(b.now)
@@ -43,7 +43,7 @@
 // Spare room for classes in a hurry was once looked for in the free room that
 // had already been counted, and so never rented.
 func TestHeadroomIsRentedBesideFreeRoom(t *testing.T) {
-	b := newHarness(t, Options{Headroom: 3, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
+	b := newHarness(t, Options{FleetOptions: FleetOptions{Headroom: 3}, AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", 0)
 	b.job("job-1", wire.JobSpec{Class: "hasty", Tasks: 2, CPUs: 2})
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -51,12 +51,42 @@
 	team := func(name ids.Team, nominal, limit float64) quota.Team {
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, LendingLimit: quota.Amount{CPUs: nominal}}
 	}
-	opt := Options{Revision: 5, Teams: []quota.Team{team("red", 9000, 27000), team("blue", 27000, 60000), team("gold", 10500, 45000), team("lime", 10500, 37500)},
-		HeartbeatInterval: 5 * time.Second, AgentLease: 27 * time.Second, CancelDeadline: simCancel, ListLag: 3 * time.Second, TxnOps: 24, SliceTasks: 64,
-		MaxSkippedJobs: 2000, LendingSuspension: 5 * time.Second, IdleTimeout: 30 * time.Second, SpotIdleFactor: 1.5, HeadroomIdleTimeout: 15 * time.Minute, Headroom: 0.3,
-		BootFactor: 4, CapacityBackoff: 10 * time.Second, RoundInterval: 50 * time.Millisecond, RoundCostPerMachine: 900 * time.Nanosecond,
-		LazyWriteDelay: 3 * time.Second, WriteRate: 63, MaxWorkerCalls: 64, ReserveAfter: time.Minute, ReserveFor: 90 * time.Second,
-		LatencySensitive: map[string]time.Duration{"map": time.Second, "push": 5 * time.Second}}
+	opt := Options{
+		Revision: 5,
+		Teams:    []quota.Team{team("red", 9000, 27000), team("blue", 27000, 60000), team("gold", 10500, 45000), team("lime", 10500, 37500)},
+		LeaseOptions: LeaseOptions{
+			HeartbeatInterval: 5 * time.Second,
+			AgentLease:        27 * time.Second,
+			CancelDeadline:    simCancel,
+		},
+		FleetOptions: FleetOptions{
+			ListLag:             3 * time.Second,
+			IdleTimeout:         30 * time.Second,
+			SpotIdleFactor:      1.5,
+			HeadroomIdleTimeout: 15 * time.Minute,
+			Headroom:            0.3,
+			BootFactor:          4,
+			CapacityBackoff:     10 * time.Second,
+		},
+		RecordOptions: RecordOptions{
+			TxnOps:         24,
+			SliceTasks:     64,
+			LazyWriteDelay: 3 * time.Second,
+			WriteRate:      63,
+		},
+		AdmissionOptions: AdmissionOptions{
+			MaxSkippedJobs:      2000,
+			LendingSuspension:   5 * time.Second,
+			RoundInterval:       50 * time.Millisecond,
+			RoundCostPerMachine: 900 * time.Nanosecond,
+			ReserveAfter:        time.Minute,
+			ReserveFor:          90 * time.Second,
+			LatencySensitive:    map[string]time.Duration{"map": time.Second, "push": 5 * time.Second},
+		},
+		CommandOptions: CommandOptions{
+			MaxWorkerCalls: 64,
+		},
+	}
 	types := []wire.MachineType{{Name: "m", CPUs: 32, MemoryGB: 64, CacheGB: 80, FetchGBps: 0.25, Price: 2, SpotPrice: 0.5, BootS: 25, Zones: []ids.Zone{"a", "b", "c"}}}
 	d.c = New(opt, types)
 	d.c.Begin(d.now)
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -213,9 +213,15 @@
 func TestBestEffortWorkStarts(t *testing.T) {
 	play := func(keep time.Duration) (began, ran time.Duration, most int) {
 		limit := quota.Amount{CPUs: 48}
-		b := newHarness(t, Options{ReserveAfter: keep, ReserveFor: 90 * time.Second, Teams: []quota.Team{
-			{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: limit, LendingLimit: quota.Amount{CPUs: 40}},
-			{Name: "guest", Limit: quota.Unlimited}}})
+		b := newHarness(t, Options{
+			Teams: []quota.Team{
+				{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: limit, LendingLimit: quota.Amount{CPUs: 40}},
+				{Name: "guest", Limit: quota.Unlimited}},
+			AdmissionOptions: AdmissionOptions{
+				ReserveAfter: keep,
+				ReserveFor:   90 * time.Second,
+			},
+		})
 		b.c.Begin(b.now)
 		start := b.now
 		on := map[ids.MachineID][]wire.TaskStatus{}
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -8,64 +8,101 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// Options are the settings of one term of leadership.
+// Options are the settings of one term of leadership, by the policy that they are for. The
+// scheduler sets no defaults: 0 means what the field says, and where it says nothing the
+// field must be set.
 type Options struct {
-	// Revision is the revision of the leader's key; tokens are made of it.
+	// Revision is the revision of the leader's key; fencing tokens are made of it.
 	Revision ids.Revision
+	// WallClockMS is the time of day in Unix milliseconds when the term begins, to tell how
+	// long jobs have waited already; 0: not known.
+	WallClockMS int64
+	Teams       []quota.Team
+
+	LeaseOptions
+	AdmissionOptions
+	FleetOptions
+	RecordOptions
+	CommandOptions
+
+	// ZoneRecovery is how zones that fall silent are watched and return; nil: they are not.
+	ZoneRecovery *zonerecovery.Policy
+}
+
+// LeaseOptions are the timing of heartbeats and leases, and what earlier leaders may still do.
+type LeaseOptions struct {
+	// HeartbeatInterval is the time between two heartbeats of a machine, AgentLease how long
+	// an agent keeps its tasks without an answer, and CancelDeadline the time in which a
+	// cancelled job's tasks must have ended.
+	HeartbeatInterval, AgentLease, CancelDeadline time.Duration
 	// PreviousLeader tells that another leader may have acted before.
 	PreviousLeader bool
-	Teams          []quota.Team
-	// Heartbeat and Lease are the workers' settings, Cancel is the time in
-	// which a cancelled job's tasks must be gone.
-	HeartbeatInterval, AgentLease, CancelDeadline time.Duration
-	// PreviousLeaderGrace is how long a predecessor without the state service may have gone on
-	// answering workers after this term began, and PreviousLeaderGraceWithoutReplicas the same for
-	// machines on which no replica of a service is recorded.
+	// PreviousLeaderGrace is how long a previous leader without the key-value store may go
+	// on answering machines after this term began, and PreviousLeaderGraceWithoutReplicas
+	// the same for machines on which no replica of a service is recorded.
 	PreviousLeaderGrace, PreviousLeaderGraceWithoutReplicas time.Duration
+}
 
-	ListLag time.Duration
-	// TxnOps bounds the writes of one change, and ValueBytes each value, in
-	// its JSON form; 0: no bound.
-	TxnOps     int
-	ValueBytes int
-	// SplitRecords tells that every controller can read a slice that was split; see
-	// EnableSplitRecords.
-	SplitRecords   bool
-	SliceTasks     int
+// AdmissionOptions are the settings of scheduling rounds.
+type AdmissionOptions struct {
+	// MaxSkippedJobs is after how many jobs that did not fit a pass over the queue ends.
 	MaxSkippedJobs int
-	// LatencySensitive names the classes whose tasks must start sooner than a
-	// machine boots.
-	LatencySensitive  map[string]time.Duration
+	// LatencySensitive names the classes whose tasks must start sooner than a machine
+	// boots, with their objectives.
+	LatencySensitive map[string]time.Duration
+	// LendingSuspension is how long a team's idle quota is not lent after it reclaimed some.
 	LendingSuspension time.Duration
-	IdleTimeout       time.Duration
-	// SpotIdleFactor is how many times as long spot machines may stand idle.
-	SpotIdleFactor      float64
-	HeadroomIdleTimeout time.Duration
-	Headroom            float64
-	BootFactor          float64
-	CapacityBackoff     time.Duration
+	// ReserveAfter is how long a job waits to start until machines are reserved for it;
+	// 0: never. ReserveFor is how long a reservation lasts. After twice ReserveAfter a
+	// job starts before others go on.
+	ReserveAfter, ReserveFor time.Duration
+	// RoundInterval is the least time between two scheduling rounds, and
+	// RoundCostPerMachine the time that each machine examined in a round delays the next
+	// one. Heartbeats and renewals have their turn in between, however much work waits.
+	RoundInterval, RoundCostPerMachine time.Duration
+}
+
+// FleetOptions are the settings of scale out and scale in.
+type FleetOptions struct {
+	// ListLag is how far the cloud's list of machines may lag behind.
+	ListLag time.Duration
 	// MaxMachines bounds the machines held; 0: no bound.
 	MaxMachines int
-	// RoundInterval is the least time between two rounds of admission, and
-	// RoundCostPerMachine the time that each machine looked at in a round keeps the next
-	// one away. Reports and renewals have their turn in between, however much
-	// work waits.
-	RoundInterval, RoundCostPerMachine time.Duration
-	// LazyWriteDelay is how long a record may lag behind tasks that ended. A
-	// placement is recorded at once, since it is sent only then.
+	// BootFactor is how many times as long as its type's boot time a machine may take to
+	// boot.
+	BootFactor float64
+	// CapacityBackoff is how long a site that lacked capacity is first left alone.
+	CapacityBackoff time.Duration
+	// IdleTimeout is how long a machine may stand idle. SpotIdleFactor is how many times as
+	// long a spot instance may. HeadroomIdleTimeout holds for spare machines of latency
+	// sensitive classes.
+	IdleTimeout         time.Duration
+	SpotIdleFactor      float64
+	HeadroomIdleTimeout time.Duration
+	// Headroom is the room kept free for latency sensitive classes, as a part of the most
+	// tasks that they had lately.
+	Headroom float64
+}
+
+// RecordOptions are the settings of record writing.
+type RecordOptions struct {
+	// TxnOps bounds the operations of one change, and ValueBytes the JSON form of each
+	// value in bytes; 0: no bound.
+	TxnOps, ValueBytes int
+	// SplitRecords tells that every controller can read a slice that was split; see
+	// EnableSplitRecords.
+	SplitRecords bool
+	// SliceTasks is how many tasks share one admission record.
+	SliceTasks int
+	// LazyWriteDelay is how long a record may lag behind tasks that ended. A placement is
+	// recorded at once, since it is sent only then.
 	LazyWriteDelay time.Duration
-	// WriteRate is how many writes and drops a second the records may take;
-	// 0: no bound.
+	// WriteRate is how many operations a second the records may take; 0: no bound.
 	WriteRate float64
-	// MaxWorkerCalls bounds the calls to workers under way; 0: no bound.
+}
+
+// CommandOptions are the settings of command dispatch.
+type CommandOptions struct {
+	// MaxWorkerCalls bounds the calls to machines in flight; 0: no bound.
 	MaxWorkerCalls int
-	// ReserveAfter is how long a job waits to start until machines are reserved for it;
-	// 0: never. ReserveFor is how long a reservation lasts. After twice ReserveAfter a
-	// job starts before others go on.
-	ReserveAfter, ReserveFor time.Duration
-	// WallClockMS is the time of day when the term begins, to tell how long jobs
-	// have waited already; 0: not known.
-	WallClockMS int64
-	// ZoneRecovery is how zones that fall silent are watched and return; nil: they are not.
-	ZoneRecovery *zonerecovery.Policy
 }
--- a/scheduler/parts_test.go
+++ b/scheduler/parts_test.go
@@ -92,7 +92,7 @@
 }
 
 func TestWaitingJobsAreOrdered(t *testing.T) {
-	b := newHarness(t, Options{ReserveAfter: time.Minute})
+	b := newHarness(t, Options{AdmissionOptions: AdmissionOptions{ReserveAfter: time.Minute}})
 	add := func(id ids.JobID, priority wire.Priority, orderMS int64, age time.Duration) *cluster.Job {
 		b.job(id, wire.JobSpec{Class: "c", Tasks: 1, Priority: priority})
 		j := b.c.cluster.Job(id)
@@ -148,7 +148,7 @@
 }
 
 func TestWriteBudget(t *testing.T) {
-	b := newHarness(t, Options{WriteRate: 10})
+	b := newHarness(t, Options{RecordOptions: RecordOptions{WriteRate: 10}})
 	w := b.c.records
 	for _, c := range []struct {
 		name   string
--- a/scheduler/plain_model_test.go
+++ b/scheduler/plain_model_test.go
@@ -247,7 +247,7 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		teams := randomTeams(rng, func() float64 { return float64(rng.IntN(3)) / 2 })
-		b := newHarness(t, Options{Teams: teams, ReserveAfter: time.Second, ReserveFor: time.Hour})
+		b := newHarness(t, Options{Teams: teams, AdmissionOptions: AdmissionOptions{ReserveAfter: time.Second, ReserveFor: time.Hour}})
 		b.c.Begin(b.now)
 		b.randomMachines(rng, 1+rng.IntN(6))
 		for round := range 4 {
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -35,7 +35,7 @@
 		{"just before the margin", func(b *harness) { b.now = b.now.Add(grace - margin - time.Second) }, false},
 		{"within the margin", func(b *harness) { b.now = b.now.Add(grace - margin) }, true},
 	} {
-		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: grace})
+		b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: grace}})
 		b.inherit(wire.JobSpec{Service: true, Tasks: 2}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
 		b.c.Begin(b.now)
 		spec := wire.JobSpec{Service: true, Tasks: 2, Class: "c", Team: "red", CPUs: 2, Image: "i"}
@@ -69,7 +69,7 @@
 		{"a service", true, false, margin + 45*time.Second + simLease},
 		{"an array beside a record that cannot be read", false, true, margin + 45*time.Second + simLease},
 	} {
-		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: margin + 45*time.Second, PreviousLeaderGraceWithoutReplicas: margin})
+		b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: margin + 45*time.Second, PreviousLeaderGraceWithoutReplicas: margin}})
 		if c.unclear {
 			b.c.LoadUnreadableJob("job-9")
 		}
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -165,7 +165,7 @@
 		t.Fatal("it came back at the leader that returned it")
 	}
 
-	b = newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
+	b = newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
 	b.c.Begin(b.now)
 	b.report("n-1", "a", ids.NewFencingToken(4, 7))
 	b.job("job-1", wire.JobSpec{Tasks: 1})
@@ -188,7 +188,7 @@
 	old := newHarness(t, Options{Revision: 5})
 	oldToken, run := old.runTask()
 
-	next := newHarness(t, Options{Revision: 9, PreviousLeader: true, PreviousLeaderGrace: time.Minute})
+	next := newHarness(t, Options{Revision: 9, LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
 	next.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	next.c.Begin(next.now)
 	// It knows the address from the list, and has no report: all of them go
@@ -228,7 +228,7 @@
 // kept for it a large task would find every gap taken by small ones.
 func TestLargeJobsStart(t *testing.T) {
 	begins := func(keep time.Duration) time.Duration {
-		b := newHarness(t, Options{ReserveAfter: keep, ReserveFor: time.Minute})
+		b := newHarness(t, Options{AdmissionOptions: AdmissionOptions{ReserveAfter: keep, ReserveFor: time.Minute}})
 		b.c.Begin(b.now)
 		start := b.now
 		on := map[ids.MachineID][]wire.TaskStatus{}
@@ -288,7 +288,7 @@
 // long a job has waited.
 func TestEveryJobStartsThoughOlderOnesGoOn(t *testing.T) {
 	begins := func(keep time.Duration, quotaShort, takeover bool) time.Duration {
-		opt := Options{ReserveAfter: keep, ReserveFor: time.Minute}
+		opt := Options{AdmissionOptions: AdmissionOptions{ReserveAfter: keep, ReserveFor: time.Minute}}
 		on := map[ids.MachineID][]wire.TaskStatus{"n-1": nil}
 		if quotaShort { // room there is
 			eight := quota.Amount{CPUs: 8}
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -134,12 +134,41 @@
 	team := func(name ids.Team, nominal, limit float64) quota.Team {
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, LendingLimit: quota.Amount{CPUs: nominal}}
 	}
-	s.opt = Options{Teams: []quota.Team{team("red", 16, 40), team("blue", 24, 32), team("gold", 8, 60)},
-		HeartbeatInterval: simReport, AgentLease: simLease, CancelDeadline: simCancel, PreviousLeaderGrace: simIsolatedReplicas, PreviousLeaderGraceWithoutReplicas: simIsolated, ListLag: 3 * time.Second, TxnOps: 8,
-		SliceTasks: 4, MaxSkippedJobs: 100, LendingSuspension: 5 * time.Second, IdleTimeout: 20 * time.Second, HeadroomIdleTimeout: time.Minute,
-		BootFactor: 4, CapacityBackoff: 5 * time.Second, MaxMachines: 20,
-		RoundInterval: 50 * time.Millisecond, RoundCostPerMachine: 10 * time.Microsecond, LazyWriteDelay: 2 * time.Second, WriteRate: 40, MaxWorkerCalls: 6,
-		ReserveAfter: 40 * time.Second, ReserveFor: 60 * time.Second}
+	s.opt = Options{
+		Teams: []quota.Team{team("red", 16, 40), team("blue", 24, 32), team("gold", 8, 60)},
+		LeaseOptions: LeaseOptions{
+			HeartbeatInterval:                  simReport,
+			AgentLease:                         simLease,
+			CancelDeadline:                     simCancel,
+			PreviousLeaderGrace:                simIsolatedReplicas,
+			PreviousLeaderGraceWithoutReplicas: simIsolated,
+		},
+		FleetOptions: FleetOptions{
+			ListLag:             3 * time.Second,
+			IdleTimeout:         20 * time.Second,
+			HeadroomIdleTimeout: time.Minute,
+			BootFactor:          4,
+			CapacityBackoff:     5 * time.Second,
+			MaxMachines:         20,
+		},
+		RecordOptions: RecordOptions{
+			TxnOps:         8,
+			SliceTasks:     4,
+			LazyWriteDelay: 2 * time.Second,
+			WriteRate:      40,
+		},
+		AdmissionOptions: AdmissionOptions{
+			MaxSkippedJobs:      100,
+			LendingSuspension:   5 * time.Second,
+			RoundInterval:       50 * time.Millisecond,
+			RoundCostPerMachine: 10 * time.Microsecond,
+			ReserveAfter:        40 * time.Second,
+			ReserveFor:          60 * time.Second,
+		},
+		CommandOptions: CommandOptions{
+			MaxWorkerCalls: 6,
+		},
+	}
 	s.epoch = 1
 	s.takeOver()
 	return s
--- a/scheduler/succession_test.go
+++ b/scheduler/succession_test.go
@@ -17,7 +17,7 @@
 // tasks to no zone.
 func TestSuccessorKeepsSpreadBeforeItHearsFromMachines(t *testing.T) {
 	for _, zones := range [][]ids.Zone{{"a", "a"}, nil} {
-		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
+		b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
 		b.inherit(wire.JobSpec{Service: true, Spread: true, Tasks: 3},
 			records.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
 		b.c.Begin(b.now)
@@ -37,7 +37,7 @@
 // A predecessor cut off from the state service may go on answering workers;
 // until its grace and a lease are over, its tasks may run.
 func TestPredecessorsGraceCounts(t *testing.T) {
-	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
+	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for _, step := range []struct {
@@ -56,7 +56,7 @@
 // what a dead machine holds need not wait for the grace. A lease it does wait:
 // a report sent just before may have been answered.
 func TestOnceAllFollowThereIsNoGrace(t *testing.T) {
-	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 10 * time.Minute})
+	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: 10 * time.Minute}})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	followed := 5 * time.Second
@@ -90,7 +90,7 @@
 // A machine died around a takeover. The successor never heard of it, never saw
 // it listed, and held its tasks for two minutes.
 func TestMachineThatDiedAtTheTakeoverIsNoticed(t *testing.T) {
-	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 90 * time.Second, ListLag: 3 * time.Second})
+	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: 90 * time.Second}, FleetOptions: FleetOptions{ListLag: 3 * time.Second}})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for s := range 20 {
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -159,7 +159,7 @@
 // While a split is on its way its tasks go on: what is placed then belongs to one of
 // the parts, and would wait for ever if that part were not written for it.
 func TestPlacedWhileTheRecordIsSplit(t *testing.T) {
-	b := newHarness(t, Options{ValueBytes: 50, SplitRecords: true})
+	b := newHarness(t, Options{RecordOptions: RecordOptions{ValueBytes: 50, SplitRecords: true}})
 	b.job("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
 	b.report("n-1", "a", 0)
 	split := b.c.Step(b.now).RecordChanges
@@ -183,7 +183,7 @@
 // A record that was too large when it could not be split is split once it may be,
 // though nothing happens to its tasks.
 func TestLargeRecordsAreSplitOnceAllAreNew(t *testing.T) {
-	b := newHarness(t, Options{ValueBytes: 50})
+	b := newHarness(t, Options{RecordOptions: RecordOptions{ValueBytes: 50}})
 	b.job("job-1", wire.JobSpec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
 	b.report("n-1", "a", 0)
 	if e := b.step(); len(e.RecordChanges) != 1 || len(e.RecordChanges[0].Operations) != 1 {
@@ -200,7 +200,7 @@
 // tasks are all done must not wait behind them: its user, and the jobs that need it,
 // do.
 func TestEndsGoFirstWhileWritesAreScarce(t *testing.T) {
-	b := newHarness(t, Options{WriteRate: 4, Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4096}, Limit: quota.Amount{CPUs: 4096}}}})
+	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4096}, Limit: quota.Amount{CPUs: 4096}}}, RecordOptions: RecordOptions{WriteRate: 4}})
 	b.job("job-0", wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Normal})
 	b.report("n-0", "a", 0)
 	b.step()
