--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -29,9 +29,9 @@
 type zoneAdmission interface {
 	// admits tells whether a task may start on a machine now.
 	admits(j *cluster.Job, index int, m *cluster.Machine) bool
-	// request adds what the bound depends on to a request; false means that no other job
+	// requestPart tells what of a job the bound depends on now; ok is false if no other job
 	// is like this one.
-	request(j *cluster.Job, request *placementRequest) bool
+	requestPart(j *cluster.Job) (part gateClass, ok bool)
 	unproven(zone ids.Zone) bool
 	started(a *cluster.Assignment)
 }
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -64,7 +64,10 @@
 			request.openZones |= 1 << i
 		}
 	}
-	return request, s.zones.request(j, &request)
+	if request.gate, ok = s.zones.requestPart(j); request.gate.evaluated {
+		request.image = spec.Image
+	}
+	return request, ok
 }
 
 // needsImage tells whether only machines that hold its image will do for a job: fetching it
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -222,17 +222,16 @@
 	return g != nil && g.manager.Condition(zone) == zonerecovery.Recovering
 }
 
-// request adds to a placement request what the gate looks at; ok is false for a job that is
-// like no other.
-func (g *zoneGate) request(j *cluster.Job, sh *placementRequest) (ok bool) {
+// requestPart tells what of a job the gate looks at now; ok is false for a job that is like no
+// other.
+func (g *zoneGate) requestPart(j *cluster.Job) (part gateClass, ok bool) {
 	if g == nil || !g.manager.AnyGated() {
-		return true
+		return gateClass{}, true
 	}
 	if g.manager.AnyRecovering() {
-		sh.image = j.Spec.Image
-		sh.gate = gateClass{evaluated: true, critical: g.critical(j), small: g.small(j)}
+		part = gateClass{evaluated: true, critical: g.critical(j), small: g.small(j)}
 	}
-	return !g.manager.Restricted(j.ID)
+	return part, !g.manager.Restricted(j.ID)
 }
 
 // gateClass is what the gate looks at of a job, beside its image.
