--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -16,16 +16,16 @@
 
 // goldenPlatform fills every setting of the platform with a value of its own.
 func goldenPlatform() Platform {
-	p := Platform{HostName: "c-0", Location: "zone-a", APIAddr: "127.0.0.1:1", MeshAddr: "127.0.0.1:2",
+	p := Platform{HostName: "c-0", Location: "zone-a", APIAddr: "127.0.0.1:1", PeerAddr: "127.0.0.1:2",
 		Seeds: []Peer{{Name: "c-1", Zone: "zone-b", Address: "127.0.0.1:5"}}}
-	p.External.Cloud, p.External.State = "127.0.0.1:3", "127.0.0.1:4"
+	p.External.Cloud, p.External.KV = "127.0.0.1:3", "127.0.0.1:4"
 	s := &p.Settings
 	s.InitialSize, s.Zones, s.SkewMS = 11, []ids.Zone{"zone-a", "zone-b"}, 12.5
 	s.Teams = []Team{{Name: "vision", CPUs: 13.5, CPUsMax: 14.5, GPUs: 15.5, GPUsMax: 16.5}}
-	s.Objectives = []Objective{{Kind: "start", Class: "train", WithinS: 17.5, Times: 18.5, Share: 0.95}}
+	s.Objectives = []ServiceLevelObjective{{Kind: "start", Class: "train", WithinS: 17.5, Times: 18.5, Share: 0.95}}
 	s.Workers.HeartbeatIntervalS, s.Workers.LeaseS, s.Workers.CancelDeadlineS = 19.5, 20.5, 21.5
-	s.State.RPS, s.State.WriteRPS, s.State.ValueKB, s.State.TxnOps = 22.5, 23.5, 24.5, 25
-	s.State.Next.RPS, s.State.Next.WriteRPS, s.State.Next.ValueKB, s.State.Next.TxnOps = new(26.5), new(27.5), new(28.5), new(29)
+	s.KV.RPS, s.KV.WriteRPS, s.KV.ValueKB, s.KV.TxnOps = 22.5, 23.5, 24.5, 25
+	s.KV.Next.RPS, s.KV.Next.WriteRPS, s.KV.Next.ValueKB, s.KV.Next.TxnOps = new(26.5), new(27.5), new(28.5), new(29)
 	s.Cloud.RPS, s.Cloud.ListLagS = 30.5, 31.5
 	s.Resources.CPUShare, s.Resources.RAMMB, s.Resources.Sockets = 0.5, 32.5, 33
 	return p
@@ -39,16 +39,16 @@
 	o.Quota.MaxSkippedJobs, o.Quota.ReserveAfterS, o.Quota.ReserveForS = 2001, 61.5, 92.5
 	o.Fleet.IdleTimeoutS, o.Fleet.SpotIdleFactor, o.Fleet.HeadroomIdleTimeoutS, o.Fleet.Headroom = 31.5, 1.75, 901.5, 0.35
 	o.Fleet.BootFactor, o.Fleet.CapacityBackoffS, o.Fleet.MaxMachines = 4.5, 10.5, 7
-	o.ZoneRecovery = zonerecovery.Settings{Enabled: true, SuspectShare: 0.51, DarkShare: 0.81, DarkAfterS: 6.5, RecoverS: 2.5, MinMachines: 5,
-		HeardShare: 0.26, RetryS: 181.5, HoldDownS: 4.25, HoldDownFactor: 3.5, HoldDownMaxS: 30.5, QuietS: 601.5, ProbeTasks: 4,
-		ProbeMaxRunS: 182.5, Steps: []float64{0.15, 0.35}, StepS: 4.75, StepSuccesses: 6, FailureTolerance: 0.27, SlowStartFactor: 4.5,
-		StartsPerMachine: 1.5, FetchesPerMachine: 0.55, ReturnMaxS: 45.5, HoldLimitS: 81.5, MoveBudget: 2, PatienceS: 60.5,
+	o.ZoneRecovery = zonerecovery.Settings{Enabled: true, SuspectShare: 0.51, OutageShare: 0.81, OutageAfterS: 6.5, ClearSuspicionAfterS: 2.5, MinMachines: 5,
+		ReachableShare: 0.26, RetryAfterS: 181.5, HoldDownS: 4.25, HoldDownFactor: 3.5, MaxHoldDownS: 30.5, QuietPeriodS: 601.5, ProbeTasks: 4,
+		MaxProbeRunS: 182.5, Steps: []float64{0.15, 0.35}, MinStepTimeS: 4.75, MinStepSuccesses: 6, FailureTolerance: 0.27, SlowStartFactor: 4.5,
+		StartsPerMachine: 1.5, FetchesPerMachine: 0.55, MaxRecoveryS: 45.5, MaxWaitS: 81.5, FailbackBudget: 2, ForceFailbackAfterS: 60.5,
 		RestorePerMinute: 1.25, RestoreAfterS: 62.5, RestoreBudget: 3, Windows: []zonerecovery.WindowSettings{{Name: "bulletins",
-			TimeZone: "Europe/Warsaw", From: "05:00", To: "07:00", Days: []string{"mon"}, Calendar: "pl", On: "workdays", Zones: []ids.Zone{"zone-a"}}}}
+			TimeZone: "Europe/Warsaw", From: "05:00", To: "07:00", Days: []string{"mon"}, Calendar: "pl", DayKind: "workdays", Zones: []ids.Zone{"zone-a"}}}}
 	return o
 }
 
-// The settings keep their names: files of today are read as they were meant.
+// The settings keep their names, so that existing files are read with the same meaning.
 func TestSettingsKeepTheirNames(t *testing.T) {
 	parse := func(raw []byte, v any) error {
 		p, err := ParsePlatform(raw)
@@ -83,8 +83,8 @@
 	}
 }
 
-// Every name that the schema takes is a setting, and every setting is in the schema and
-// has a default.
+// The schema and the settings have the same names, and so have the defaults and the present
+// names of renamed settings.
 func TestSchemaKeepsItsNames(t *testing.T) {
 	var schema, settings, defaults any
 	written, err := json.Marshal(goldenOperator())
@@ -118,20 +118,20 @@
 
 // schemaNames lists the properties of a schema by their path.
 func schemaNames(path string, schema any) (names []string) {
-	node, _ := schema.(map[string]any)
-	if node == nil {
+	object, _ := schema.(map[string]any)
+	if object == nil {
 		return nil
 	}
-	properties, _ := node["properties"].(map[string]any)
+	properties, _ := object["properties"].(map[string]any)
 	for name, below := range properties {
 		names = append(names, path+name)
 		names = append(names, schemaNames(path+name+".", below)...)
 	}
-	return append(names, schemaNames(path, node["items"])...)
+	return append(names, schemaNames(path, object["items"])...)
 }
 
-// settingNames lists the settings of a file by their path. What lending_limits holds are
-// names of teams.
+// settingNames lists the settings of a file by their path. The names below lending_limits
+// are those of teams.
 func settingNames(path string, file any) (names []string) {
 	switch v := file.(type) {
 	case map[string]any:
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -13,9 +13,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// At over a thousand machines the round is still that of the plain model, and
-// its work grows with machines times jobs at most, not times tasks. Work is
-// counted, not timed.
+// At over a thousand machines a round still decides as the plain model does, and its work
+// grows with machines times jobs at most, not times tasks. Work is counted, not timed.
 func TestAdmissionAtScale(t *testing.T) {
 	const machines = 1100
 	rng := rand.New(rand.NewPCG(3, 1))
@@ -31,68 +30,67 @@
 		for range 5 {
 			spec := wire.JobSpec{Class: "c", Team: teams[rng.IntN(2)].Name, Priority: wire.Priority(rng.IntN(2)), Tasks: 10 + rng.IntN(12),
 				CPUs: float64(1 + rng.IntN(5)), Spread: rng.IntN(3) == 0, Service: rng.IntN(3) == 0}
-			b.job(ids.JobID(fmt.Sprintf("job-%d", jobs)), spec)
+			b.submit(ids.JobID(fmt.Sprintf("job-%d", jobs)), spec)
 			jobs++
 		}
-		placed += b.samePass()
+		placed += b.compareWithModel()
 	}
 	if placed < 100 {
 		t.Fatalf("only %d tasks placed", placed)
 	}
-	// Two looks around, for the guarantee and for borrowing, and a few more
-	// for each task.
+	// All machines twice, for nominal quota and for borrowing, and a few more for each task.
 	if most := uint64((2*jobs+3)*machines + 8*placed); b.c.candidates.examined > most {
-		t.Errorf("looked at %d machines for %d jobs and %d tasks, at most %d", b.c.candidates.examined, jobs, placed, most)
+		t.Errorf("examined %d machines for %d jobs and %d tasks, at most %d", b.c.candidates.examined, jobs, placed, most)
 	}
-	// Work that finds no room costs no more than a look around, however many
-	// wait: those alike are not tried twice.
+	// However many jobs fit nowhere, each machine is examined a few times: jobs alike are not
+	// tried twice.
 	for n := range 300 {
-		b.job(ids.JobID(fmt.Sprintf("job-w%d", n)), wire.JobSpec{Class: "c", Team: "t0", Tasks: 200, CPUs: 7})
+		b.submit(ids.JobID(fmt.Sprintf("job-w%d", n)), wire.JobSpec{Class: "c", Team: "t0", Tasks: 200, CPUs: 7})
 	}
 	b.c.scheduleRound()
 	before := b.c.candidates.examined
 	b.c.scheduleRound()
 	if work := b.c.candidates.examined - before; work > 20*machines {
-		t.Errorf("a pass without room looked at %d machines", work)
+		t.Errorf("a pass in which nothing fits examined %d machines", work)
 	}
 }
 
-// A job of higher priority makes room inside its own team when the team is at
-// its limit, and stops no more than it needs.
+// A job of higher priority preempts work of its own team when the team is at its limit, and
+// no more than it needs.
 func TestPreemptsInsideATeamAtItsLimit(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4}, Limit: quota.Amount{CPUs: 4}}}})
 	b.c.Begin(b.now)
-	b.report("n-1", "a", 0)
-	b.job("job-low", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
+	b.heartbeat("n-1", "a", 0)
+	b.submit("job-low", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
 	b.step()
-	o := b.report("n-1", "a", 0)
+	o := b.heartbeat("n-1", "a", 0)
 	var shown []wire.TaskStatus
 	for i := range 2 {
 		shown = append(shown, wire.TaskStatus{Name: fmt.Sprintf("job-low/%d", i), Attempt: 1, State: wire.TaskRunning})
 	}
-	b.report("n-1", "a", o.FencingToken, shown...)
-	b.job("job-high", wire.JobSpec{Tasks: 1, Priority: wire.High})
+	b.heartbeat("n-1", "a", o.FencingToken, shown...)
+	b.submit("job-high", wire.JobSpec{Tasks: 1, Priority: wire.High})
 	b.step()
-	o = b.report("n-1", "a", o.FencingToken, shown...)
-	kills := verbs(o.Commands, wire.VerbKill)
+	o = b.heartbeat("n-1", "a", o.FencingToken, shown...)
+	kills := commandsWith(o.Commands, wire.VerbKill)
 	if len(kills) != 1 {
 		t.Fatalf("killed: %v", kills)
 	}
 	i := slices.IndexFunc(shown, func(s wire.TaskStatus) bool { return s.Name+"#1" == kills[0] })
 	shown[i].State, shown[i].Cause = wire.TaskEnded, wire.CauseStopped
-	b.report("n-1", "a", o.FencingToken, shown...)
+	b.heartbeat("n-1", "a", o.FencingToken, shown...)
 	b.step()
 	if b.c.cluster.Job("job-high").Task(0).Assignment() == nil {
-		t.Fatal("the higher job did not get the room")
+		t.Fatal("the job of higher priority was not placed")
 	}
 }
 
-// Admission and the search for victims must agree on who goes first. Where
-// they did not, a task was placed and stopped thousands of times: borrowers
-// stopped work within its guarantee, and room for a second replica was made in
-// the zone that only the first may use.
-func TestNoTaskIsPlacedAndStoppedOverAndOver(t *testing.T) {
-	stopped := 0
+// Admission and the search for victims must agree on who goes first. Where they did not, a
+// task was placed and preempted thousands of times: borrowers preempted work within its
+// nominal quota, and room for a second replica was made in the zone that only the first may
+// use.
+func TestNoTaskIsPlacedAndPreemptedOverAndOver(t *testing.T) {
+	preempted := 0
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		teams := randomTeams(rng, func() float64 { return 1 })
@@ -101,55 +99,64 @@
 		b.randomMachines(rng, 1+rng.IntN(5))
 		for round := range 4 {
 			for n := range rng.IntN(5) {
-				spec := wire.JobSpec{Class: []string{"hasty", "calm"}[rng.IntN(2)], Team: teams[rng.IntN(3)].Name, Priority: wire.Priority(rng.IntN(4)),
-					Tasks: 1 + rng.IntN(5), CPUs: float64(1 + rng.IntN(5)), Spread: rng.IntN(3) == 0, OneZone: rng.IntN(5) == 0}
-				spec.Service = rng.IntN(3) == 0
-				spec.Gang = !spec.Service && rng.IntN(4) == 0
-				b.job(ids.JobID(fmt.Sprintf("job-%d-%d", round, n)), spec)
+				b.submit(ids.JobID(fmt.Sprintf("job-%d-%d", round, n)), randomPreemptionSpec(rng, teams))
 			}
-			attempts := func() (sum int) {
-				for _, j := range b.c.cluster.Jobs() {
-					for i := range j.Tasks() {
-						sum += int(j.Task(i).Attempt())
-					}
-				}
-				return sum
-			}
-			before := attempts()
-			for range 8 {
-				b.c.rounds.MarkDue()
-				b.step()
-			}
-			settled := attempts()
-			for range 8 {
-				b.c.rounds.MarkDue()
-				b.step()
-			}
-			if now := attempts(); now != settled {
-				t.Fatalf("seed %d round %d: %d attempts at first, then %d, then %d, with nothing happening", seed, round, before, settled, now)
+			before := b.attempts()
+			settled := b.attemptsAfterRounds(8)
+			if now := b.attemptsAfterRounds(8); now != settled {
+				t.Fatalf("seed %d round %d: %d attempts at first, then %d, then %d, without an event", seed, round, before, settled, now)
 			}
 		}
 		for _, j := range b.c.cluster.Jobs() {
 			if j.Queue.RetryAt > 0 {
-				stopped++
+				preempted++
 			}
 		}
 	}
-	if stopped == 0 {
-		t.Fatal("nothing was ever stopped, so nothing was tested")
+	if preempted == 0 {
+		t.Fatal("nothing was ever preempted, so nothing was tested")
+	}
+}
+
+// randomPreemptionSpec is a random job of one of three teams, which may be in a hurry.
+func randomPreemptionSpec(rng *rand.Rand, teams []quota.Team) wire.JobSpec {
+	spec := wire.JobSpec{Class: []string{"hasty", "calm"}[rng.IntN(2)], Team: teams[rng.IntN(3)].Name, Priority: wire.Priority(rng.IntN(4)),
+		Tasks: 1 + rng.IntN(5), CPUs: float64(1 + rng.IntN(5)), Spread: rng.IntN(3) == 0, OneZone: rng.IntN(5) == 0}
+	spec.Service = rng.IntN(3) == 0
+	spec.Gang = !spec.Service && rng.IntN(4) == 0
+	return spec
+}
+
+// attempts sums up the attempts of all tasks.
+func (b *harness) attempts() int {
+	sum := 0
+	for _, j := range b.c.cluster.Jobs() {
+		for i := range j.Tasks() {
+			sum += int(j.Task(i).Attempt())
+		}
+	}
+	return sum
+}
+
+// attemptsAfterRounds runs rounds of scheduling and sums up the attempts of all tasks.
+func (b *harness) attemptsAfterRounds(rounds int) int {
+	for range rounds {
+		b.c.rounds.MarkDue()
+		b.step()
 	}
+	return b.attempts()
 }
 
-// With a zone cut off, hundreds of services waited for it, and each round ended
-// with them: arrays behind them waited beside idle machines.
-func TestJobsWithoutRoomDoNotEndTheRound(t *testing.T) {
+// While a zone was partitioned hundreds of services waited for it, and each round ended with
+// them: arrays behind them waited beside idle machines.
+func TestJobsThatFitNowhereDoNotEndTheRound(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 6400}, Limit: quota.Amount{CPUs: 6400}}}})
 	b.c.Begin(b.now)
-	b.report("n-1", "a", 0)
-	for n := range 300 { // more than pass_over; there is no machine in zone b
-		b.job(ids.JobID(fmt.Sprintf("job-s%d", n)), wire.JobSpec{Tasks: 1 + n%3, Service: true, Zone: "b", Priority: wire.Critical})
+	b.heartbeat("n-1", "a", 0)
+	for n := range 300 { // more than MaxSkippedJobs; there is no machine in zone b
+		b.submit(ids.JobID(fmt.Sprintf("job-s%d", n)), wire.JobSpec{Tasks: 1 + n%3, Service: true, Zone: "b", Priority: wire.Critical})
 	}
-	b.job("job-array", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
+	b.submit("job-array", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
 	b.step()
 	if n := len(b.c.cluster.Job("job-array").Active()); n != 2 {
 		t.Fatalf("%d tasks of the array were placed", n)
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -273,7 +273,7 @@
 	// ForgetAddresses lists addresses of machines that are terminated.
 	ForgetAddresses []string
 	// ZoneEvents are changes of zones' conditions, for the log.
-	ZoneEvents []zonerecovery.Event
+	ZoneEvents []zonerecovery.Transition
 }
 
 // Progress tells a job's progress for display; false if the job is not known.
@@ -284,7 +284,7 @@
 	}
 	s := Progress{Done: j.Done()}
 	for _, a := range j.Active() {
-		if a.Run.Phase == wire.TaskRunning || a.Run.Phase == wire.TaskSaving {
+		if a.Run.Phase == wire.TaskRunning || a.Run.Phase == wire.TaskCheckpointing {
 			s.Running++
 		}
 	}
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"errors"
 	"fmt"
 	"time"
 
@@ -11,22 +12,22 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// CommitResult takes the definite outcome of a change.
-func (c *Core) CommitResult(now monotonic.Instant, o records.CommitResult) {
+// CommitResult applies the result of a change, which must be resolved.
+func (c *Core) CommitResult(now monotonic.Instant, result records.CommitResult) {
 	c.clock.Set(now)
-	c.records.settleChange(o)
+	c.records.settleChange(result)
 }
 
 // settleChange takes the definite outcome of a change into account.
-func (w *recordWriter) settleChange(o records.CommitResult) {
-	if w.core.zones.settle(o) {
+func (w *recordWriter) settleChange(result records.CommitResult) {
+	if w.core.zones.settle(result) {
 		return
 	}
-	p := w.pendingChanges[o.Change.ID]
+	p := w.pendingChanges[result.Change.ID]
 	if p == nil {
 		return
 	}
-	delete(w.pendingChanges, o.Change.ID)
+	delete(w.pendingChanges, result.Change.ID)
 	w.core.rounds.MarkDue()
 	if p.slice != nil {
 		p.slice.InFlight = false
@@ -35,13 +36,13 @@
 		s.InFlight = false
 	}
 	switch {
-	case o.Applied:
+	case result.Err == nil:
 		p.job.Records.Refusals = 0
-		w.changeApplied(p, o.Revision)
-	case o.Rejected:
+		w.changeApplied(p, result.Revision)
+	case errors.Is(result.Err, records.ErrRejected):
 		w.postpone(p)
 	default:
-		w.changeRejected(p, o.FailedKeys)
+		w.changeRejected(p, result.Err)
 	}
 }
 
@@ -88,11 +89,13 @@
 // changeRejected handles a change whose guards failed. Only the job's own key may have
 // moved, by a cancellation; anything else means that the records are not as this leader
 // left them.
-func (w *recordWriter) changeRejected(p *pendingChange, failed []string) {
+func (w *recordWriter) changeRejected(p *pendingChange, err error) {
 	j := p.job
 	j.Records.Completing = false
-	if len(failed) != 1 || failed[0] != records.JobKey(j.ID) || j.Records.Revision == 0 {
-		w.core.recordsErr = fmt.Errorf("records of %s moved without this leader: %v", j.ID, failed)
+	conflict, ok := errors.AsType[*records.ConflictError](err)
+	jobAlone := ok && len(conflict.Keys) == 1 && conflict.Keys[0] == records.JobKey(j.ID)
+	if !jobAlone || j.Records.Revision == 0 {
+		w.core.recordsErr = fmt.Errorf("records of %s moved without this leader: %w", j.ID, err)
 		return
 	}
 	w.rollBack(p)
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -1,206 +1,200 @@
 package scheduler
 
 import (
-	"sort"
 	"strings"
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// takeOver puts a new leader in place. What the old one sent is still under
-// way.
-func (s *sim) takeOver() {
-	before := s.leader != 0
-	s.old = nil
-	if before && s.chance(0.4) {
-		s.old, s.oldTerm, s.oldUntil = s.core, s.term, s.now.Add(simIsolatedReplicas)
-	}
-	s.refusal, s.sure = 0, s.now.Add(simKey)
-	s.commit(nil, []kv.Operation{{PutKey: records.LeaderKey, Value: "x"}})
-	s.leader = s.epoch
-	s.term++
-	opt := s.opt
-	opt.Revision, opt.PreviousLeader = s.leader, before
-	opt.WallClockMS = int64(time.Duration(s.now) / time.Millisecond)
-	s.core = New(opt, s.types)
-	keys := make([]string, 0, len(s.store))
-	for k := range s.store {
-		keys = append(keys, k)
-	}
-	sort.Strings(keys)
-	for _, admissions := range []bool{false, true} {
-		for _, k := range keys {
-			id, n, ok := records.ParseAdmissionKey(k)
-			switch {
-			case ok && admissions:
-				var rec records.AdmissionSlice
-				s.must(wire.Decode(s.store[k].raw, &rec))
-				s.must(s.core.LoadSlice(id, n, &rec, s.store[k].revision))
-			case strings.HasPrefix(k, records.ZonePrefix):
-				if !admissions {
-					s.loadZone(k)
-				}
-			case !ok && !admissions && k != records.LeaderKey:
-				var rec records.Job
-				s.must(wire.Decode(s.store[k].raw, &rec))
-				s.core.LoadJob(ids.JobID(k[len(records.JobPrefix):]), &rec, s.store[k].revision)
-			}
-		}
+// stepLeader runs one step of a leader's core and carries its decisions out.
+func (s *sim) stepLeader(l simLeader) {
+	l.core.ObserveConnectivity(s.connectivityOf(l.core))
+	decisions := l.core.Step(s.now)
+	s.checkClusterState(l.core)
+	s.digest.addDecisions(decisions)
+	for _, change := range decisions.RecordChanges {
+		// A change that was decided before all controllers were new may be sent after the
+		// limits fell.
+		sent := sentChange{simLeader: l, change: change, mustFit: l.core.opt.SplitRecords}
+		s.after(s.latency(), sent.commit)
+	}
+	for _, machine := range decisions.SendCommands {
+		l.sendCommands(machine)
+	}
+	for _, machine := range decisions.RequestHeartbeats {
+		l.requestHeartbeat(machine)
+	}
+	for _, job := range decisions.RereadJobs {
+		l.deliverAfter(s.latency(), func() { s.watchJob(job) })
 	}
-	s.core.Begin(s.now)
-	for _, rep := range s.keptReports {
-		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Heartbeat(s.now, rep) })
+	for _, request := range decisions.Provision {
+		l.provision(request)
 	}
-	s.keptReports = nil
+	if len(decisions.Terminate) > 0 {
+		l.terminate(decisions.Terminate)
+	}
+}
+
+// simLeader stands in for the process of a leader around its core: it sends the commands,
+// requests and changes that a core decides on, and delivers the results. Faults: lost
+// responses, duplicated and delayed commands, a paused process, a previous leader that
+// stays active, and results that arrive after the end of the term.
+type simLeader struct {
+	*sim
+	core *Core
+	term int
+}
+
+// deliver hands a result to the leader, unless its process or its term is over.
+func (l simLeader) deliver(result func()) {
+	l.afterPause(l.core, func() {
+		if l.now >= l.controllersDownUntil && (l.sim.term == l.term || l.previousCore == l.core) {
+			result()
+		}
+	})
+}
+
+// deliverAfter delivers a result after a time.
+func (l simLeader) deliverAfter(d time.Duration, result func()) {
+	l.after(d, func() { l.deliver(result) })
 }
 
-// superseded puts a new leader in place of one that goes on unseen: it lost the state
-// service and its peers, but not its workers.
-func (s *sim) deposed() {
-	old, term := s.core, s.term
-	s.takeOver()
-	s.old, s.oldTerm, s.oldUntil = old, term, s.now.Add(simIsolatedReplicas)
+// reaches tells whether a message of the leader gets to a worker's zone.
+func (l simLeader) reaches(w *simWorker) bool {
+	return l.now >= l.isolatedZoneUntil || l.reachesOnlyPreviousLeader(w) == (l.previousCore == l.core)
 }
 
-// afterPause does something at once, or when a leader's process goes on.
-func (s *sim) afterPause(core *Core, do func()) {
-	if left := s.pauseLeft(core); left > 0 {
-		s.after(left, func() { s.afterPause(core, do) })
+// requestHeartbeat asks a worker for a heartbeat.
+func (l simLeader) requestHeartbeat(machine ids.MachineID) {
+	l.deliverAfter(l.latency(), func() {
+		var heartbeat *wire.Heartbeat
+		w := l.workers[machine]
+		if w != nil && !w.dead && l.now >= max(w.partitionedUntil, w.commandsLostUntil, w.hungUntil) && l.reaches(w) {
+			heartbeat = w.nextHeartbeat()
+		}
+		l.core.HeartbeatRequestResult(l.now, machine, heartbeat)
+	})
+}
+
+// provision asks the cloud for machines. It answers once its outage is over.
+func (l simLeader) provision(request wire.ProvisionRequest) {
+	l.after(max(80*time.Millisecond, l.cloudOutageUntil.Sub(l.now)), func() {
+		machines := l.sim.provision(request)
+		l.deliver(func() { l.core.ProvisionResult(l.now, request, machines, len(machines) > 0) })
+	})
+}
+
+// terminate has the cloud terminate machines, once its outage is over.
+func (l simLeader) terminate(machines []ids.MachineID) {
+	l.after(max(l.latency(), l.cloudOutageUntil.Sub(l.now)), func() {
+		for _, machine := range machines {
+			delete(l.workers, machine)
+		}
+		l.deliver(func() { l.core.MachinesTerminated(l.now, machines) })
+	})
+}
+
+// sendCommands sends a machine the commands that wait for it.
+func (l simLeader) sendCommands(machine ids.MachineID) {
+	batch, _, ok := l.core.TakeCommands(l.now, machine)
+	if !ok {
 		return
 	}
-	do()
+	l.digest.add("command", batch)
+	call := &commandCall{simLeader: l, machine: machine, batch: batch}
+	l.after(l.latency(), call.arrive)
+	if l.chance(0.2) { // a duplicate, which may arrive after the commands were carried out
+		l.after(time.Duration(1+l.rng.IntN(50))*time.Second, call.arrive)
+	}
+	l.after(2*time.Second, func() { call.finish(nil) })
 }
 
-// stepOf runs one leader's core and carries its decisions out.
-func (s *sim) stepOf(core *Core, term int) {
-	current := func(f func()) func() {
-		return func() {
-			s.afterPause(core, func() {
-				if s.now >= s.controllersDown && (s.term == term || s.old == core) {
-					f()
-				}
-			})
-		}
+// commandCall is a batch of commands in flight. The call ends with the first response, or
+// without one at its timeout.
+type commandCall struct {
+	simLeader
+	machine  ids.MachineID
+	batch    wire.CommandBatch
+	finished bool
+}
+
+// arrive is when the batch, or a duplicate of it, gets to its machine. A machine that hangs
+// reads it when it goes on.
+func (c *commandCall) arrive() {
+	w := c.workers[c.machine]
+	if w != nil && c.now < w.hungUntil {
+		c.after(w.hungUntil.Sub(c.now), c.arrive)
+		return
 	}
-	reached := func(w *simWorker) bool { return s.now >= s.islandUntil || s.apart(w) == (s.old == core) }
-	core.ObserveConnectivity(s.viewOf(core))
-	e := core.Step(s.now)
-	s.checkClusterState(core)
-	s.digest.effects(e)
-	for _, ch := range e.RecordChanges {
-		bounded := core.opt.SplitRecords // what was decided before may come after the limits fell
-		s.after(s.latency(), func() { s.change(core, term, ch, bounded) })
-	}
-	for _, h := range e.SendCommands {
-		d, _, ok := core.TakeCommands(s.now, h)
-		if !ok {
-			continue
-		}
-		s.digest.add("command", d)
-		answered := false
-		var arrive func()
-		arrive = func() {
-			w := s.workers[h]
-			if w != nil && s.now < w.hung {
-				s.after(w.hung.Sub(s.now), arrive) // a command is read when it goes on
-				return
-			}
-			if w == nil || w.dead || s.now < w.cut || s.now < w.unreachable || !reached(w) {
-				return
-			}
-			rep := s.direct(w, d)
-			if !answered && !s.chance(0.03) {
-				s.after(2*time.Millisecond, func() {
-					if !answered {
-						answered = true
-						current(func() { core.CommandsResult(s.now, h, rep) })()
-					}
-				})
-			}
-		}
-		s.after(s.latency(), arrive)
-		if s.chance(0.2) { // a late copy of what was carried out
-			s.after(time.Duration(1+s.rng.IntN(50))*time.Second, arrive)
-		}
-		s.after(2*time.Second, func() {
-			if !answered {
-				answered = true
-				current(func() { core.CommandsResult(s.now, h, nil) })()
-			}
-		})
-	}
-	for _, h := range e.RequestHeartbeats {
-		s.after(s.latency(), current(func() {
-			w := s.workers[h]
-			if w != nil && !w.dead && s.now >= max(w.cut, w.unreachable, w.hung) && reached(w) {
-				core.HeartbeatRequestResult(s.now, h, s.report(w))
-			} else {
-				core.HeartbeatRequestResult(s.now, h, nil)
-			}
-		}))
-	}
-	for _, id := range e.RereadJobs {
-		s.after(s.latency(), current(func() { s.seen(id) }))
-	}
-	for _, r := range e.Provision {
-		s.after(max(80*time.Millisecond, s.cloudAway.Sub(s.now)), func() {
-			hosts := s.rent(r)
-			current(func() { core.ProvisionResult(s.now, r, hosts, len(hosts) > 0) })()
-		})
-	}
-	if hosts := e.Terminate; len(hosts) > 0 {
-		s.after(max(s.latency(), s.cloudAway.Sub(s.now)), func() {
-			for _, h := range hosts {
-				delete(s.workers, h)
-			}
-			current(func() { core.MachinesTerminated(s.now, hosts) })()
-		})
-	}
-}
-
-// change commits one change of a leader, as the committer does: without an
-// answer it is sent again until its outcome is clear.
-func (s *sim) change(core *Core, term int, ch records.Change, bounded bool) {
-	if s.now < max(s.outage, s.controllersDown) || s.now < s.refusal && s.term == term {
-		s.after(500*time.Millisecond, func() { s.change(core, term, ch, bounded) })
+	if w == nil || w.dead || c.now < w.partitionedUntil || c.now < w.commandsLostUntil || !c.reaches(w) {
 		return
 	}
-	leader := s.leader
-	if term != s.term {
-		leader = 0 // its guard on the leader's key fails
+	response := c.receiveCommands(w, c.batch)
+	if !c.finished && !c.chance(0.03) { // else the response is lost
+		c.after(2*time.Millisecond, func() { c.finish(response) })
 	}
-	if leader == 0 {
+}
+
+// finish ends the call with a response, or with nil for none.
+func (c *commandCall) finish(response *wire.Heartbeat) {
+	if c.finished {
 		return
 	}
-	if !s.fits(ch.Operations) {
-		if bounded {
-			s.refused++
-		}
-		s.after(0, func() {
-			if s.term == term {
-				core.CommitResult(s.now, records.CommitResult{Change: ch, Rejected: true})
-			}
-		})
+	c.finished = true
+	c.deliver(func() { c.core.CommandsResult(c.now, c.machine, response) })
+}
+
+// sentChange is a change of records that a leader decided on and that has no result yet.
+type sentChange struct {
+	simLeader
+	change  records.Change
+	mustFit bool // the leader knew the limits of the store
+}
+
+// commit sends the change to the store, as the committer does: without a response it is
+// sent again until its outcome is known. Each precondition of a leader whose term is over
+// fails, and no one waits for the result.
+func (p sentChange) commit() {
+	if p.now < max(p.storeOutageUntil, p.controllersDownUntil) || p.now < p.leaderRefusedUntil && p.sim.term == p.term {
+		p.after(500*time.Millisecond, p.commit)
 		return
 	}
-	ok, failed := s.commit(ch.Preconditions, ch.Operations)
-	if ok && len(ch.Operations) > 1 && strings.HasPrefix(ch.Operations[1].PutKey, records.AdmissionPrefix) {
-		s.splits++
+	if p.sim.term != p.term || p.leaderRevision == 0 {
+		return
+	}
+	if !p.withinStoreLimits(p.change.Operations) {
+		p.reject()
+		return
+	}
+	applied, failed := p.applyTxn(p.change.Preconditions, p.change.Operations)
+	if applied && len(p.change.Operations) > 1 && strings.HasPrefix(p.change.Operations[1].PutKey, records.AdmissionPrefix) {
+		p.splitRecords++
+	}
+	result := records.CommitResult{Change: p.change, Revision: p.storeRevision}
+	if !applied {
+		result = records.CommitResult{Change: p.change, Err: &records.ConflictError{Keys: failed}}
 	}
-	o := records.CommitResult{Change: ch, Applied: ok, Revision: s.epoch, FailedKeys: failed}
 	wait := time.Duration(0)
-	if s.chance(0.05) {
-		wait = time.Duration(1+s.rng.IntN(4)) * time.Second
-	}
-	s.after(wait, func() {
-		s.afterPause(core, func() {
-			if s.term == term {
-				core.CommitResult(s.now, o)
-			}
-		})
-	})
+	if p.chance(0.05) {
+		wait = time.Duration(1+p.rng.IntN(4)) * time.Second
+	}
+	p.after(wait, func() { p.afterPause(p.core, func() { p.deliverResult(result) }) })
+}
+
+// reject reports a change that is beyond the limits of the store.
+func (p sentChange) reject() {
+	if p.mustFit {
+		p.oversizedChanges++
+	}
+	p.after(0, func() { p.deliverResult(records.CommitResult{Change: p.change, Err: records.ErrRejected}) })
+}
+
+// deliverResult hands a result to the leader while its term lasts.
+func (p sentChange) deliverResult(result records.CommitResult) {
+	if p.sim.term == p.term {
+		p.core.CommitResult(p.now, result)
+	}
 }
--- a/scheduler/zone_gate_test.go
+++ b/scheduler/zone_gate_test.go
@@ -12,27 +12,27 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// TestRulesWhileZonesReturn plays random days on which zones go dark and return among all
-// other troubles: every rule holds, the return stays under its ramp, no job comes back to
-// a zone that displaced it more than once in an incident, and in the end nothing waits.
-func TestRulesWhileZonesReturn(t *testing.T) {
+// TestRulesWhileZonesRecover plays random days with zone outages and recoveries among all other
+// faults: every rule holds, the recovery stays within its ramp-up, no job comes back to a zone
+// that displaced it more than once in an incident, and in the end nothing waits.
+func TestRulesWhileZonesRecover(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			s := zoneDay(t, seed)
 			all := s.playZoneDay(30)
-			s.zones.cutUntil = map[ids.Zone]monotonic.Instant{}
-			s.toTheEnd(all, 20*time.Minute)
-			s.checkOrphans(all)
-			if s.zones.bounces > s.opt.ZoneRecovery.MoveBudget {
+			s.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
+			s.runToCompletion(all, 20*time.Minute)
+			s.checkCancelledDependents(all)
+			if s.zones.bounces > s.opt.ZoneRecovery.FailbackBudget {
 				t.Errorf("a job came back %d times to a zone that displaced it", s.zones.bounces)
 			}
 		})
 	}
 }
 
-// Zones are watched by ordered walks alone: the same events give the same decisions.
-func TestZoneReturnIsDeterministic(t *testing.T) {
+// Zone recovery iterates in fixed orders: the same events give the same decisions.
+func TestZoneRecoveryIsDeterministic(t *testing.T) {
 	for seed := range uint64(3) {
 		var first string
 		for play := range 3 {
@@ -47,30 +47,30 @@
 	}
 }
 
-// When a zone goes dark and the others are full, each place that gets free goes to services
-// before arrays of their priority, although those came first.
+// When a zone has an outage and the others are full, capacity that becomes free goes to services
+// before arrays of their priority, although those were submitted first.
 func TestServicesMoveBeforeArrays(t *testing.T) {
 	m := calmZones(t, 1, 3)
 	services, arrays := m.fillZones()
-	for range 24 { // of one replica each: one that lost all starts whole, and needs room at once
+	for range 24 { // of one replica each: a service that lost all replicas starts them together
 		spec := zoneArray(1)
 		spec.Service = true
 		services = append(services, m.submitJob(spec))
 	}
-	m.run(60 * s1)
+	m.run(60 * second)
 	if up, wanted := m.placed(services); up != wanted {
 		t.Fatalf("%d of %d replicas are placed", up, wanted)
 	}
-	services = services[3:] // what is spread may not take every place
+	services = services[3:] // spread services may not use every machine
 	arrays = append(arrays, m.submitJob(zoneArray(200)))
-	m.run(60 * s1)
+	m.run(60 * second)
 	m.core.opt.MaxMachines = len(m.core.cluster.Machines())
-	m.cutZone("b", 10*time.Minute)
-	m.await("b", zonerecovery.Outage, 30*s1)
-	for !m.leasesOver("b") {
+	m.partitionZone("b", 10*time.Minute)
+	m.await("b", zonerecovery.Outage, 30*second)
+	for !m.leasesExpiredIn("b") {
 		m.run(100 * time.Millisecond)
 	}
-	m.run(s1)
+	m.run(second)
 	known := m.attempts(arrays)
 	lost := 0
 	for end := m.now.Add(7 * time.Minute); ; m.run(100 * time.Millisecond) {
@@ -94,22 +94,22 @@
 	m.endOfDay()
 }
 
-// A zone returns while an array that it lost is half done elsewhere: what is done is not
-// run again, and the rest goes on where it is.
+// A zone recovers while an array that it displaced is half done elsewhere: tasks that are done
+// do not run again, and the others stay where they are.
 func TestHalfDoneArrayGoesOnElsewhere(t *testing.T) {
 	m := calmZones(t, 3, 4)
 	m.runFactor = 3
 	id := m.submitJob(zoneArray(60))
-	m.run(30 * s1)
-	m.cutZone("b", 60*s1)
-	m.run(60 * s1)
+	m.run(30 * second)
+	m.partitionZone("b", 60*second)
+	m.run(60 * second)
 	done := map[ids.TaskRef]bool{}
 	for ref := range m.completed {
 		done[ref] = true
 	}
 	starts := map[ids.TaskRef]int{}
-	for _, p := range m.sent[id] {
-		starts[p.t.ref]++
+	for _, p := range m.placements[id] {
+		starts[p.task.ref]++
 	}
 	running := m.runningOutside(id, "b")
 	if len(done) == 0 || len(done) == 60 || len(running) == 0 {
@@ -122,8 +122,8 @@
 		}
 	}
 	m.endOfDay()
-	for _, p := range m.sent[id] {
-		starts[p.t.ref]--
+	for _, p := range m.placements[id] {
+		starts[p.task.ref]--
 	}
 	for ref := range done {
 		if starts[ref] != 0 {
@@ -132,63 +132,63 @@
 	}
 }
 
-// An operator holds a zone back: nothing new starts there, successors go on holding it, and
-// it serves once released.
-func TestOperatorsHoldSurvivesASuccession(t *testing.T) {
+// An operator holds a zone: nothing new starts there, the next leaders hold it too, and it
+// serves once it is released.
+func TestZoneHoldSurvivesAFailover(t *testing.T) {
 	m := calmZones(t, 12, 4)
 	m.fillZones()
 	number, ok := m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold, Reason: "power works"})
 	if !ok {
-		t.Fatal("not taken")
+		t.Fatal("the override was rejected")
 	}
-	m.run(s1)
+	m.run(second)
 	if !m.core.ZoneOverrideRecorded("b", number) {
-		t.Fatal("not recorded")
+		t.Fatal("the override was not recorded")
 	}
-	m.takeOver()
+	m.failOver()
 	before := m.startsIn("b")
 	m.runFactor = 1
 	m.jobs(8, array)
-	m.run(60 * s1)
+	m.run(60 * second)
 	if got := m.startsIn("b"); got != before {
-		t.Errorf("%d tasks started in a zone that is held back", got-before)
+		t.Errorf("%d tasks started in a zone on hold", got-before)
 	}
 	if st := m.statusOf("b"); st.Override != zonerecovery.OverrideHold {
-		t.Errorf("after a succession: %+v", st)
+		t.Errorf("after a failover: %+v", st)
 	}
 	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideRelease})
 	spec := zoneArray(2)
 	spec.Zone = "b"
 	m.submitJob(spec)
-	m.run(30 * s1)
+	m.run(30 * second)
 	if m.startsIn("b") == before {
 		t.Error("nothing started after the release")
 	}
 	m.endOfDay()
 }
 
-// No task is stopped to make room in a zone where nothing may start.
-func TestNothingIsStoppedForAClosedZone(t *testing.T) {
+// No task is preempted in a zone where nothing may start.
+func TestNothingIsPreemptedForAClosedZone(t *testing.T) {
 	m := calmZones(t, 13, 3)
 	m.runFactor = 30
 	low := zoneArray(300)
 	low.Priority = wire.BestEffort
 	m.submitJob(low)
-	m.run(60 * s1)
+	m.run(60 * second)
 	m.core.opt.MaxMachines = len(m.core.cluster.Machines())
 	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold})
-	m.run(s1)
+	m.run(second)
 	high := zoneArray(4)
 	high.Zone, high.Priority = "b", wire.High
 	m.submitJob(high)
-	m.run(20 * s1)
+	m.run(20 * second)
 	if stopped := m.core.lifecycle.lostWork[cluster.StopPreempted].tasks; stopped > 0 {
-		t.Errorf("%d tasks were stopped for a zone that is held back", stopped)
+		t.Errorf("%d tasks were preempted for a zone on hold", stopped)
 	}
 	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideRelease})
-	m.run(10 * s1)
+	m.run(10 * second)
 	if m.core.lifecycle.lostWork[cluster.StopPreempted].tasks == 0 {
-		t.Error("none was stopped after the release")
+		t.Error("none was preempted after the release")
 	}
 	m.endOfDay()
 }
@@ -197,23 +197,23 @@
 // service's budget, and arrays stay where they are.
 func TestSpreadOfServicesIsRestored(t *testing.T) {
 	m := calmZones(t, 14, 4)
-	m.opt.ZoneRecovery.Restore = zonerecovery.RestorePolicy{MovesPerMinute: 6, After: 20 * s1, Budget: 2}
-	m.takeOver()
-	m.old = nil
+	m.opt.ZoneRecovery.Restore = zonerecovery.RestorePolicy{MovesPerMinute: 6, After: 20 * second, Budget: 2}
+	m.failOver()
+	m.previousCore = nil
 	m.fillZones()
 	service := zoneArray(6)
 	service.Service = true
 	id := m.submitJob(service)
-	m.run(20 * s1)
+	m.run(20 * second)
 	before := servicePlacement(m.core.cluster.Job(id)).Running["b"]
-	m.cutZone("b", 40*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
+	m.partitionZone("b", 40*second)
+	m.await("b", zonerecovery.Outage, 30*second)
 	m.await("b", zonerecovery.Serving, 2*time.Minute)
 	down, moved := 0, 0
 	for end := m.now.Add(2 * time.Minute); m.now < end; m.run(100 * time.Millisecond) {
 		down = max(down, len(m.core.cluster.Job(id).Tasks())-len(m.core.cluster.Job(id).Active()))
-		for _, incident := range m.core.zones.manager.Incidents("b") {
-			moved = incident.Restored
+		for _, incident := range m.statusOf("b").Incidents {
+			moved = incident.RestoredReplicas
 		}
 	}
 	if before == 0 || moved == 0 {
@@ -222,7 +222,7 @@
 	if down > 1 {
 		t.Errorf("%d replicas were down at once", down)
 	}
-	if entry := m.statusOf("b").Incidents; entry[len(entry)-1].Restored > 2*4 {
+	if entry := m.statusOf("b").Incidents; entry[len(entry)-1].RestoredReplicas > 2*4 {
 		t.Errorf("%+v: more than two replicas of a service", entry[len(entry)-1])
 	}
 	if stopped := m.core.lifecycle.lostWork[cluster.StopDrained].tasks; stopped > 0 {
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -16,26 +16,26 @@
 	m := calmZones(t, 2, 4)
 	m.fillZones()
 	m.submitJob(zoneArray(300)) // waits for every place
-	m.run(30 * s1)
+	m.run(30 * second)
 	m.core.opt.MaxMachines = len(m.core.cluster.Machines())
 	var held []time.Duration
 	for range 3 {
-		m.cutZone("b", 45*s1)
-		m.await("b", zonerecovery.Outage, 30*s1)
-		m.run(m.zones.cutUntil["b"].Sub(m.now))
+		m.partitionZone("b", 45*second)
+		m.await("b", zonerecovery.Outage, 30*second)
+		m.run(m.zones.partitionedUntil["b"].Sub(m.now))
 		back := m.now
-		m.await("b", zonerecovery.Recovering, 60*s1)
+		m.await("b", zonerecovery.Recovering, 60*second)
 		held = append(held, m.now.Sub(back))
-		m.await("b", zonerecovery.Serving, 60*s1)
-		m.run(30 * s1)
+		m.await("b", zonerecovery.Serving, 60*second)
+		m.run(30 * second)
 	}
 	if held[1] < 2*held[0] || held[2] < 2*held[1] {
 		t.Errorf("held down for %v", held)
 	}
-	if held[2] > m.opt.ZoneRecovery.HoldDownMax+5*s1 {
+	if held[2] > m.opt.ZoneRecovery.MaxHoldDown+5*second {
 		t.Errorf("held down for %v, more than the longest", held[2])
 	}
-	if got := m.statusOf("b").Flaps; got != 3 {
+	if got := m.statusOf("b").Outages; got != 3 {
 		t.Errorf("%d flaps counted", got)
 	}
 	if m.zones.displaced == 0 || m.zones.bounceCount == 0 {
@@ -44,86 +44,121 @@
 	m.endOfDay()
 }
 
-// A zone that goes dark again in the middle of a step begins its next return with the
-// probe, after a longer hold-down.
-func TestZoneGoesDarkDuringItsReturn(t *testing.T) {
+// A zone with another outage in the middle of a step begins its next recovery with the probe,
+// after a longer hold-down.
+func TestZoneOutageDuringItsRecovery(t *testing.T) {
 	m := calmZones(t, 4, 4)
 	m.fillZones()
-	m.cutZone("b", 40*s1)
-	m.await("b", zonerecovery.Recovering, 90*s1)
+	m.partitionZone("b", 40*second)
+	m.await("b", zonerecovery.Recovering, 90*second)
 	m.jobs(6, array)
 	for m.statusOf("b").Step < 1 {
 		m.run(100 * time.Millisecond)
 	}
-	m.cutZone("b", 40*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
-	m.await("b", zonerecovery.Recovering, 90*s1)
-	if st := m.statusOf("b"); st.Step != 0 || st.Flaps != 2 {
-		t.Errorf("the second return began at step %d with %d flaps", st.Step, st.Flaps)
+	m.partitionZone("b", 40*second)
+	m.await("b", zonerecovery.Outage, 30*second)
+	m.await("b", zonerecovery.Recovering, 90*second)
+	if st := m.statusOf("b"); st.Step != 0 || st.Outages != 2 {
+		t.Errorf("the second recovery began at step %d with %d flaps", st.Step, st.Outages)
 	}
 	m.endOfDay()
 }
 
-// Most of a zone's machines stay away: it serves with those that return, and the others do not make
-// it suspect.
-func TestSomeOfTheMachinesReturn(t *testing.T) {
+// Most machines of a zone stay partitioned: it serves with those that come back, and the others
+// do not make it suspect.
+func TestSomeMachinesOfAZoneComeBack(t *testing.T) {
 	m := calmZones(t, 5, 4)
 	m.fillZones()
-	m.cutZone("b", 35*s1)
+	m.partitionZone("b", 35*second)
 	kept := 0
-	for _, h := range m.sortedHosts() {
+	for _, h := range m.sortedMachineIDs() {
 		if w := m.workers[h]; w.zone == "b" {
 			if kept++; kept%3 != 0 {
-				w.cut = m.in(20 * time.Minute)
+				w.partitionedUntil = m.in(20 * time.Minute)
 			}
 		}
 	}
-	m.await("b", zonerecovery.Outage, 30*s1)
-	m.await("b", zonerecovery.Recovering, 60*s1)
-	m.await("b", zonerecovery.Serving, 60*s1)
-	m.run(60 * s1)
+	m.await("b", zonerecovery.Outage, 30*second)
+	m.await("b", zonerecovery.Recovering, 60*second)
+	m.await("b", zonerecovery.Serving, 60*second)
+	m.run(60 * second)
 	if c := m.condition("b"); c != zonerecovery.Serving {
 		t.Errorf("the zone is %s: %v", c, m.zones.conditions["b"])
 	}
 	m.endOfDay()
 }
 
-// Whichever leader comes, and whenever: the flaps, the step and who was displaced are not
-// forgotten, and nothing is allowed that the earlier leader did not allow.
-func TestSuccessorGoesOnWithTheReturn(t *testing.T) {
-	for _, step := range []int{-2, -1, 0, 1, 2} {
-		for name, change := range map[string]func(m *scenario){
-			"the leader ends":               func(m *scenario) { m.takeOver() },
-			"it ends twice":                 func(m *scenario) { m.takeOver(); m.run(300 * time.Millisecond); m.takeOver() },
-			"it is paused":                  func(m *scenario) { m.pause(2500 * time.Millisecond) },
-			"it is paused for longer":       func(m *scenario) { m.pause(8 * s1) },
-			"it goes on unseen in the zone": func(m *scenario) { m.deposed(); m.island, m.islandUntil = "b", m.in(20*s1) },
-		} {
-			t.Run(fmt.Sprintf("%s at step %d", name, step), func(t *testing.T) {
+// returnPhase is a point of a zone's recovery.
+type returnPhase int
+
+const (
+	phaseOutage   returnPhase = iota - 2
+	phaseHoldDown             // after the partition, before the recovery
+	phaseProbe                // step 0 of the recovery; later phases are later steps
+)
+
+func (p returnPhase) String() string {
+	switch p {
+	case phaseOutage:
+		return "in the outage"
+	case phaseHoldDown:
+		return "in the hold-down"
+	default:
+		return fmt.Sprintf("at step %d", int(p))
+	}
+}
+
+// awaitPhase has zone b lost, and runs until it is in a phase that is recorded.
+func (m *scenario) awaitPhase(phase returnPhase) {
+	m.t.Helper()
+	m.partitionZone("b", 40*second)
+	m.await("b", zonerecovery.Outage, 30*second)
+	if phase >= phaseHoldDown {
+		m.run(m.zones.partitionedUntil["b"].Sub(m.now) + time.Second)
+	}
+	if phase >= phaseProbe {
+		m.await("b", zonerecovery.Recovering, 60*second)
+		for m.condition("b") == zonerecovery.Recovering && m.statusOf("b").Step < int(phase) {
+			m.run(100 * time.Millisecond)
+		}
+	}
+	m.run(300 * time.Millisecond)
+}
+
+// leaderChanges are the ways in which a leader may end or go on.
+var leaderChanges = []struct {
+	name   string
+	inject func(m *scenario)
+}{
+	{"failover", func(m *scenario) { m.failOver() }},
+	{"two failovers", func(m *scenario) { m.failOver(); m.run(300 * time.Millisecond); m.failOver() }},
+	{"the leader is paused", func(m *scenario) { m.pause(2500 * time.Millisecond) }},
+	{"the leader is paused for longer than its lease", func(m *scenario) { m.pause(8 * second) }},
+	{"the previous leader stays active in the zone", func(m *scenario) {
+		m.failOverWithPreviousLeaderActive()
+		m.isolatedZone, m.isolatedZoneUntil = "b", m.in(20*second)
+	}},
+}
+
+// Whatever happens to the leader, and in each phase: the flaps, the step and the displaced
+// jobs are kept, and nothing is allowed that the previous leader did not allow.
+func TestNextLeaderContinuesTheRecovery(t *testing.T) {
+	for phase := phaseOutage; phase <= phaseProbe+2; phase++ {
+		for _, c := range leaderChanges {
+			t.Run(fmt.Sprintf("%s %s", c.name, phase), func(t *testing.T) {
 				t.Parallel()
 				m := calmZones(t, 6, 4)
 				m.fillZones()
-				m.cutZone("b", 40*s1)
-				m.await("b", zonerecovery.Outage, 30*s1)
-				if step >= -1 {
-					m.run(m.zones.cutUntil["b"].Sub(m.now) + time.Second) // in the hold-down
-				}
-				if step >= 0 {
-					m.await("b", zonerecovery.Recovering, 60*s1)
-					for m.condition("b") == zonerecovery.Recovering && m.statusOf("b").Step < step {
-						m.run(100 * time.Millisecond)
-					}
-				}
-				m.run(300 * time.Millisecond) // until it is recorded
+				m.awaitPhase(phase)
 				before := m.statusOf("b")
-				change(m)
+				c.inject(m)
 				m.run(100 * time.Millisecond)
 				after := m.statusOf("b")
-				if after.Flaps != before.Flaps || after.DisplacedIDs < before.DisplacedIDs {
+				if after.Outages != before.Outages || after.DisplacedJobs < before.DisplacedJobs {
 					t.Errorf("before %+v\nafter %+v", before, after)
 				}
 				if before.Condition == zonerecovery.Outage && after.Condition == zonerecovery.Serving || after.Step > before.Step+1 {
-					t.Errorf("the successor allows more: before %+v\nafter %+v", before, after)
+					t.Errorf("the next leader allows more: before %+v\nafter %+v", before, after)
 				}
 				m.await("b", zonerecovery.Serving, 3*time.Minute)
 				m.endOfDay()
@@ -132,68 +167,68 @@
 	}
 }
 
-// While the state service is away nothing opens that is not recorded, however often the
-// zone flaps; once it is back the return goes on.
+// During an outage of the store no step of a recovery begins that is not recorded, however often
+// the zone flaps. After the outage the recovery goes on.
 func TestNothingOpensUnrecorded(t *testing.T) {
 	m := calmZones(t, 7, 4)
 	m.fillZones()
-	m.cutZone("b", 40*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
+	m.partitionZone("b", 40*second)
+	m.await("b", zonerecovery.Outage, 30*second)
 	m.run(500 * time.Millisecond)
-	m.outage = m.in(90 * s1)
+	m.storeOutageUntil = m.in(90 * second)
 	m.jobs(4, array)
-	for m.now < m.outage {
-		m.run(s1)
-		if got := m.core.zones.manager.Stats().Bounces; got != 0 {
+	for m.now < m.storeOutageUntil {
+		m.run(second)
+		if got := m.core.zones.manager.Stats().Failbacks; got != 0 {
 			t.Fatalf("%d jobs came back although nothing could be recorded", got)
 		}
 	}
 	if st := m.statusOf("b"); st.Condition != zonerecovery.Recovering || st.Step != 0 {
-		t.Fatalf("the zone is %s at step %d although nothing was proved", st.Condition, st.Step)
+		t.Fatalf("the zone is %s at step %d although nothing was recorded", st.Condition, st.Step)
 	}
-	m.await("b", zonerecovery.Serving, 90*s1)
+	m.await("b", zonerecovery.Serving, 90*second)
 	m.endOfDay()
 }
 
-// Reports from before the cut that come late are no sign of life.
-func TestLateReportsDoNotBringAZoneBack(t *testing.T) {
+// Heartbeats from before a partition that come late do not end the outage.
+func TestDelayedHeartbeatsDoNotEndAZoneOutage(t *testing.T) {
 	m := calmZones(t, 8, 4)
 	m.fillZones()
 	var late []*wire.Heartbeat
-	for _, h := range m.sortedHosts() {
+	for _, h := range m.sortedMachineIDs() {
 		if w := m.workers[h]; w.zone == "b" {
-			rep := m.report(w)
+			rep := w.nextHeartbeat()
 			w.sequence++ // the newest of its messages has come before it
 			late = append(late, rep)
 		}
 	}
-	m.run(5 * s1)
-	m.cutZone("b", 60*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
+	m.run(5 * second)
+	m.partitionZone("b", 60*second)
+	m.await("b", zonerecovery.Outage, 30*second)
 	for range 10 {
 		for _, rep := range late {
 			m.core.Heartbeat(m.now, rep)
 		}
-		m.run(s1)
+		m.run(second)
 		if c := m.condition("b"); c != zonerecovery.Outage {
-			t.Fatalf("late reports made the zone %s", c)
+			t.Fatalf("delayed heartbeats made the zone %s", c)
 		}
-		if st := m.statusOf("b"); st.Heard != 0 {
-			t.Fatalf("%d machines count as heard", st.Heard)
+		if st := m.statusOf("b"); st.Reachable != 0 {
+			t.Fatalf("%d machines count as heard", st.Reachable)
 		}
 	}
 	m.endOfDay()
 }
 
-// Two zones go dark in turn: each has its own return, and what the second loses does not
-// wait for the first.
-func TestTwoZonesInTurn(t *testing.T) {
+// Two zones have outages in turn: each has its own recovery, and tasks that the second displaces
+// do not wait for the first.
+func TestTwoZoneOutagesInTurn(t *testing.T) {
 	m := calmZones(t, 9, 4)
 	m.fillZones()
-	m.cutZone("a", 60*s1)
-	m.run(25 * s1)
-	m.cutZone("b", 60*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
+	m.partitionZone("a", 60*second)
+	m.run(25 * second)
+	m.partitionZone("b", 60*second)
+	m.await("b", zonerecovery.Outage, 30*second)
 	if c := m.condition("a"); c != zonerecovery.Outage {
 		t.Fatalf("zone a is %s", c)
 	}
@@ -202,16 +237,16 @@
 	m.endOfDay()
 }
 
-// All zones but one are dark, and a team's guarantee does not fit what is left: services
-// have the room, no limit is broken, and all goes on once zones return.
-func TestAllZonesButOneAreDark(t *testing.T) {
+// All zones but one have an outage, and a team's nominal quota does not fit into the last one:
+// services get its capacity, no limit is exceeded, and all goes on once zones recover.
+func TestOutageOfAllZonesButOne(t *testing.T) {
 	m := calmZones(t, 10, 3)
 	services, _ := m.fillZones()
-	m.cutZone("a", 90*s1)
-	m.cutZone("b", 100*s1)
-	m.await("a", zonerecovery.Outage, 30*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
-	m.run(60 * s1)
+	m.partitionZone("a", 90*second)
+	m.partitionZone("b", 100*second)
+	m.await("a", zonerecovery.Outage, 30*second)
+	m.await("b", zonerecovery.Outage, 30*second)
+	m.run(60 * second)
 	if c := m.condition("c"); c != zonerecovery.Serving {
 		t.Errorf("the last zone is %s", c)
 	}
@@ -224,67 +259,67 @@
 	m.endOfDay()
 }
 
-// A leader that reaches neither the state service nor its peers calls no zone dark.
-func TestIsolatedLeaderGivesNoVerdict(t *testing.T) {
+// A leader that reaches neither the store nor its peers declares no zone outage.
+func TestIsolatedLeaderDeclaresNoOutage(t *testing.T) {
 	m := calmZones(t, 11, 4)
 	m.fillZones()
 	m.zones.isolatedView = true
-	m.cutZone("a", 20*s1)
-	m.cutZone("b", 20*s1)
-	m.run(18 * s1)
+	m.partitionZone("a", 20*second)
+	m.partitionZone("b", 20*second)
+	m.run(18 * second)
 	for _, zone := range []ids.Zone{"a", "b"} {
 		if c := m.condition(zone); c != zonerecovery.Suspect {
 			t.Errorf("zone %s is %s", zone, c)
 		}
 	}
 	m.zones.isolatedView = false
-	m.await("a", zonerecovery.Serving, 30*s1)
-	if got := m.statusOf("a").Flaps; got != 0 {
+	m.await("a", zonerecovery.Serving, 30*second)
+	if got := m.statusOf("a").Outages; got != 0 {
 		t.Errorf("%d flaps counted", got)
 	}
 	m.endOfDay()
 }
 
-// A job that its earlier moves keep from a zone does not stand for others like it, which may
-// use the zone, also once that serves again.
-func TestRestrictedJobStandsForNoOther(t *testing.T) {
+// A job that may not use a zone because of its earlier moves does not exclude others like it,
+// also once the zone serves again.
+func TestRestrictedJobDoesNotExcludeOthersLikeIt(t *testing.T) {
 	m := calmZones(t, 15, 3)
 	m.fillZones()
 	restricted, free := zoneArray(300), zoneArray(2)
 	m.submitJob(restricted)
-	m.run(30 * s1)
+	m.run(30 * second)
 	m.core.opt.MaxMachines = len(m.core.cluster.Machines())
 	for range 2 {
-		m.cutZone("b", 40*s1)
-		m.await("b", zonerecovery.Outage, 30*s1)
+		m.partitionZone("b", 40*second)
+		m.await("b", zonerecovery.Outage, 30*second)
 		m.await("b", zonerecovery.Serving, 3*time.Minute)
 	}
 	j := m.core.cluster.Job(m.all[len(m.all)-1])
-	if len(j.Pending()) == 0 || !m.core.zones.manager.Restricted(j.ID) {
+	if len(j.Pending()) == 0 || !m.core.zones.manager.FailbackDenied(j.ID) {
 		t.Fatal("the day does not restrict the job")
 	}
 	id := m.submitJob(free)
-	before := len(m.sent[id])
-	m.run(5 * s1)
-	if len(m.sent[id]) == before {
-		t.Error("a job like it got no place although the zone is open to it")
+	before := len(m.placements[id])
+	m.run(5 * second)
+	if len(m.placements[id]) == before {
+		t.Error("a job like it was not placed although the zone is open to it")
 	}
 	m.endOfDay()
 }
 
-// While placements take all writes that the rate allows, as for minutes after a zone is lost,
-// the zone's own record still has its turn, and the return ends in time.
+// While placements use the whole write rate, as for minutes after a zone is lost, the zone's own
+// record is still written, and the recovery ends in time.
 func TestZoneRecordIsWrittenThoughWritesAreScarce(t *testing.T) {
 	m := calmZones(t, 16, 6)
 	m.fillZones()
-	m.cutZone("b", 40*s1)
-	m.await("b", zonerecovery.Outage, 30*s1)
+	m.partitionZone("b", 40*second)
+	m.await("b", zonerecovery.Outage, 30*second)
 	m.core.opt.WriteRate, m.opt.WriteRate = 3, 3
 	m.runFactor = 1
 	m.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
-	m.run(m.zones.cutUntil["b"].Sub(m.now))
-	m.await("b", zonerecovery.Recovering, 30*s1)
-	m.await("b", zonerecovery.Serving, m.opt.ZoneRecovery.ReturnMax+10*s1)
+	m.run(m.zones.partitionedUntil["b"].Sub(m.now))
+	m.await("b", zonerecovery.Recovering, 30*second)
+	m.await("b", zonerecovery.Serving, m.opt.ZoneRecovery.MaxRecovery+10*second)
 	if waiting := len(m.core.records.dirty); waiting == 0 {
 		t.Error("no record waits for the write rate: the day shows nothing")
 	}
--- /dev/null
+++ b/scheduler/zone_recovery_benchmark_test.go
@@ -0,0 +1,215 @@
+package scheduler
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// This file measures what a zone's return costs with the subsystem off and on, in the
+// simulation and scaled down to some 60 machines:
+//
+//	go test ./scheduler -run - -bench ZoneReturn -benchtime 1x
+
+// returnFigures are the measurements of one day.
+type returnFigures struct {
+	queriesUp   time.Duration // from the partition until all replicas run again
+	worstStart  time.Duration // of a new query after the return
+	share       time.Duration // from the return until the zone is as full as the others
+	peakFetches int           // at once in the zone
+	fetches     int           // after the return
+	worstMoves  int           // of a task
+}
+
+// returnDay is a day on which zone b is lost and comes back with empty caches while arrays of
+// twelve images wait and new queries come every three seconds.
+type returnDay struct {
+	*scenario
+	services, arrays []ids.JobID
+	figures          returnFigures
+}
+
+const (
+	returnPartition = 60 * time.Second
+	returnObserved  = 90 * time.Second // after the end of the partition
+	returnTick      = 200 * time.Millisecond
+)
+
+// newReturnDay prepares a day. Zone recovery is on from the leader that start puts in place,
+// if that turns it on.
+func newReturnDay(seed uint64, start func(*sim)) *returnDay {
+	m := &scenario{sim: newSim(nil, seed)}
+	m.faults, m.capacity = false, 10
+	for i := range m.opt.Teams {
+		m.opt.Teams[i].Limit.CPUs, m.opt.Teams[i].Nominal.CPUs = 2000, 1000
+	}
+	m.opt.MaxMachines, m.opt.IdleTimeout, m.opt.WriteRate = 70, 10*time.Minute, 400
+	m.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
+	start(m.sim)
+	m.previousCore = nil
+	m.imageCaches = &simImageCaches{images: map[*simWorker]map[ids.Image]bool{}, inFlight: map[ids.Zone]int{}, peak: map[ids.Zone]int{}}
+	return &returnDay{scenario: m}
+}
+
+// measure plays the day.
+func (d *returnDay) measure(t testing.TB) returnFigures {
+	t.Helper()
+	for n := range 12 {
+		spec := zoneArray(6)
+		spec.Service, spec.Spread, spec.Image, spec.Priority = true, true, "query", wire.High
+		d.services = append(d.services, d.submitJob(spec))
+		work := zoneArray(60)
+		work.Image, work.Priority = ids.Image(fmt.Sprintf("work-%d", n)), wire.BestEffort
+		d.arrays = append(d.arrays, d.submitJob(work))
+	}
+	d.runFactor = 4
+	d.run(90 * second)
+	d.measurePartition()
+	d.clearCaches("b")
+	d.measureReturn()
+	d.figures.peakFetches, d.figures.fetches = d.imageCaches.peak["b"], d.imageCaches.total
+	d.figures.worstMoves = d.mostMoves()
+	if len(d.violations) > 0 {
+		t.Fatalf("rules broken: %v", d.violations)
+	}
+	return d.figures
+}
+
+// measurePartition partitions zone b and measures until when all replicas run again.
+func (d *returnDay) measurePartition() {
+	began := d.now
+	d.partitionZone("b", returnPartition)
+	for d.now < began.Add(returnPartition) {
+		d.run(returnTick)
+		running, wanted := d.runningReplicas(d.services)
+		if d.now > began.Add(simAgentLease) && d.figures.queriesUp == 0 && running == wanted {
+			d.figures.queriesUp = d.now.Sub(began)
+		}
+	}
+}
+
+// clearCaches empties the image caches of a zone and begins to count fetches anew.
+func (d *returnDay) clearCaches(zone ids.Zone) {
+	for w := range d.imageCaches.images {
+		if w.zone == zone {
+			delete(d.imageCaches.images, w)
+		}
+	}
+	d.imageCaches.peak[zone], d.imageCaches.total = 0, 0
+}
+
+// measureReturn submits queries and measures how soon they start and the zone is full.
+func (d *returnDay) measureReturn() {
+	back := d.now
+	submittedAt := map[ids.JobID]monotonic.Instant{} // of queries that have not started
+	for d.now < back.Add(returnObserved) {
+		if d.now.Sub(back)%(3*second) == 0 {
+			spec := zoneArray(1)
+			spec.Service, spec.Image, spec.Priority = true, "query", wire.High
+			submittedAt[d.submitJob(spec)] = d.now
+		}
+		d.run(returnTick)
+		d.noteStarts(submittedAt)
+		if d.figures.share == 0 && d.carriesShare("b") {
+			d.figures.share = d.now.Sub(back)
+		}
+	}
+	for _, at := range submittedAt {
+		d.figures.worstStart = max(d.figures.worstStart, d.now.Sub(at))
+	}
+}
+
+// noteStarts takes queries out that have started, and keeps the longest wait.
+func (d *returnDay) noteStarts(submittedAt map[ids.JobID]monotonic.Instant) {
+	for id, at := range submittedAt {
+		if j := d.core.cluster.Job(id); j != nil && startedRunning(j) {
+			d.figures.worstStart = max(d.figures.worstStart, d.now.Sub(at))
+			delete(submittedAt, id)
+		}
+	}
+}
+
+// mostMoves is how often a task was moved at most.
+func (d *returnDay) mostMoves() int {
+	most := 0
+	for _, id := range slices.Concat(d.services, d.arrays) {
+		for _, p := range d.placements[id] {
+			most = max(most, int(p.task.attempt)-1)
+		}
+	}
+	return most
+}
+
+// startedRunning tells whether a task of a job runs.
+func startedRunning(j *cluster.Job) bool {
+	for _, a := range j.Active() {
+		if a.Run.Phase == wire.TaskRunning {
+			return true
+		}
+	}
+	return false
+}
+
+// runningReplicas counts the replicas that run on machines that are heard.
+func (m *scenario) runningReplicas(services []ids.JobID) (running, wanted int) {
+	for _, id := range services {
+		j := m.core.cluster.Job(id)
+		wanted += len(j.Tasks())
+		for _, a := range j.Active() {
+			if a.Run.Phase == wire.TaskRunning && m.core.health.usable(a.Machine) {
+				running++
+			}
+		}
+	}
+	return running, wanted
+}
+
+// carriesShare tells whether a zone's machines are as full as the others, but for a tenth.
+func (m *scenario) carriesShare(zone ids.Zone) bool {
+	var used, total, usedElsewhere, totalElsewhere float64
+	for _, w := range m.core.cluster.Machines() {
+		if !m.core.health.usable(w) {
+			continue
+		}
+		if w.Zone() == zone {
+			used, total = used+w.Used().CPUs, total+w.Total().CPUs
+		} else {
+			usedElsewhere, totalElsewhere = usedElsewhere+w.Used().CPUs, totalElsewhere+w.Total().CPUs
+		}
+	}
+	return total > 0 && totalElsewhere > 0 && used/total >= 0.9*usedElsewhere/totalElsewhere
+}
+
+// BenchmarkZoneReturn reports the median, the least and the most over ten days.
+func BenchmarkZoneReturn(b *testing.B) {
+	const days = 10
+	for _, c := range []struct {
+		name  string
+		start func(*sim)
+	}{{"off", (*sim).failOver}, {"on", (*sim).enableZoneRecovery}} {
+		b.Run(c.name, func(b *testing.B) {
+			for range b.N {
+				var up, start, share, peak, fetches, moves []float64
+				for seed := range uint64(days) {
+					f := newReturnDay(seed, c.start).measure(b)
+					up, start, share = append(up, f.queriesUp.Seconds()), append(start, f.worstStart.Seconds()), append(share, f.share.Seconds())
+					peak, fetches, moves = append(peak, float64(f.peakFetches)), append(fetches, float64(f.fetches)), append(moves, float64(f.worstMoves))
+				}
+				b.Logf("queries up after the cut %s s, worst query start after the return %s s, share after %s s", spread(up), spread(start), spread(share))
+				b.Logf("most fetches at once %s, fetches %s, most moves of a task %s", spread(peak), spread(fetches), spread(moves))
+			}
+		})
+	}
+}
+
+// spread is the median of some figures, with the least and the most.
+func spread(figures []float64) string {
+	slices.Sort(figures)
+	return fmt.Sprintf("%.1f (%.1f to %.1f)", figures[len(figures)/2], figures[0], figures[len(figures)-1])
+}
--- a/scheduler/zone_restore.go
+++ b/scheduler/zone_restore.go
@@ -48,7 +48,7 @@
 
 // servicePlacement counts a service's running replicas by zone.
 func servicePlacement(j *cluster.Job) zonerecovery.ServicePlacement {
-	s := zonerecovery.ServicePlacement{Job: j.ID, Wanted: len(j.Tasks()), Running: map[ids.Zone]int{}}
+	s := zonerecovery.ServicePlacement{Job: j.ID, Replicas: len(j.Tasks()), Running: map[ids.Zone]int{}}
 	for _, a := range j.Assignments() {
 		if a.Run.Phase == wire.TaskRunning && a.StopReason() == cluster.StopNone {
 			s.Running[a.Machine.Zone()]++
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -12,15 +12,15 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// zoneDay is a random day on which zones are cut off, among all other troubles.
+// zoneDay is a random day with zone outages among all other faults.
 func zoneDay(t *testing.T, seed uint64) *sim {
 	s := newSim(t, seed)
 	s.capacity = 4
-	s.watchZones()
+	s.enableZoneRecovery()
 	return s
 }
 
-// playZoneDay plays rounds of a random day, with a zone cut in every other one.
+// playZoneDay plays rounds of a random day, with a zone partitioned in every other one.
 func (s *sim) playZoneDay(rounds int) []ids.JobID {
 	s.t.Helper()
 	var all []ids.JobID
@@ -31,20 +31,18 @@
 			all = append(all, id)
 		}
 		if s.rng.IntN(2) == 0 {
-			s.cutZone([]ids.Zone{"a", "b", "c"}[s.rng.IntN(3)], time.Duration(5+s.rng.IntN(70))*time.Second)
+			s.partitionZone([]ids.Zone{"a", "b", "c"}[s.rng.IntN(3)], time.Duration(5+s.rng.IntN(70))*time.Second)
 		}
 		if round%3 == 0 {
-			s.trouble(all)
+			s.injectFault(all)
 		}
 		s.run(time.Duration(4+s.rng.IntN(20)) * time.Second)
-		if len(s.violations) > 0 {
-			s.t.Fatalf("rules broken: %v", s.violations)
-		}
+		s.requireNoViolations()
 	}
 	return all
 }
 
-// array64 is an ordinary array for the tests of zones.
+// zoneArray is an ordinary array for the tests of zones.
 func zoneArray(tasks int) *wire.JobSpec {
 	return &wire.JobSpec{Class: "c", Team: "gold", Priority: wire.Normal, Tasks: tasks, CPUs: 2, MemoryGB: 2, Image: "i", ImageGB: 1, EstimateS: 10}
 }
@@ -57,7 +55,7 @@
 		m.opt.Teams[i].Limit.CPUs, m.opt.Teams[i].Nominal.CPUs = 400, 400
 	}
 	m.opt.MaxMachines, m.opt.IdleTimeout = 60, 10*time.Minute
-	m.watchZones()
+	m.enableZoneRecovery()
 	return m
 }
 
@@ -82,7 +80,7 @@
 		spec.Service, spec.Spread = true, true
 		services = append(services, m.submitJob(spec))
 	}
-	m.run(40 * s1)
+	m.run(40 * second)
 	for _, zone := range []ids.Zone{"a", "b"} {
 		if m.machinesIn(zone) < 3 {
 			m.t.Fatalf("zone %s has only %d machines", zone, m.machinesIn(zone))
@@ -113,7 +111,7 @@
 	}
 }
 
-// statusOf is what operators are told of a zone.
+// statusOf is the status of a zone that operators see.
 func (m *scenario) statusOf(zone ids.Zone) zonerecovery.Status {
 	m.t.Helper()
 	for _, st := range m.core.ZoneStatus(m.now) {
@@ -130,8 +128,8 @@
 func (m *scenario) endOfDay() {
 	m.t.Helper()
 	m.runFactor = 1
-	m.zones.cutUntil = map[ids.Zone]monotonic.Instant{}
-	m.toTheEnd(m.all, 30*time.Minute)
+	m.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
+	m.runToCompletion(m.all, 30*time.Minute)
 	if m.zones.bounces > 1 {
 		m.t.Errorf("a job came back %d times", m.zones.bounces)
 	}
@@ -162,8 +160,8 @@
 	return out
 }
 
-// leasesOver tells whether what ran in a zone is surely gone, so that it waits for room.
-func (m *scenario) leasesOver(zone ids.Zone) bool {
+// leasesExpiredIn tells whether all leases in a zone have expired, so that its tasks are pending.
+func (m *scenario) leasesExpiredIn(zone ids.Zone) bool {
 	for _, w := range m.core.cluster.Machines() {
 		if w.Zone() == zone && len(w.Assignments()) > 0 {
 			return false
@@ -183,12 +181,12 @@
 	return out
 }
 
-// startsIn counts the tasks that were ever told to run in a zone.
+// startsIn counts the run commands that were carried out in a zone.
 func (m *scenario) startsIn(zone ids.Zone) int {
 	n := 0
 	for _, id := range m.all {
-		for _, p := range m.sent[id] {
-			if p.w.zone == zone {
+		for _, p := range m.placements[id] {
+			if p.worker.zone == zone {
 				n++
 			}
 		}
