--- a/scheduler/cluster/invariants.go
+++ b/scheduler/cluster/invariants.go
@@ -60,38 +60,62 @@
 
 // checkPending verifies the list of pending tasks. A job that is over has none.
 func (j *Job) checkPending() error {
-	var pending []int
-	for i := len(j.tasks) - 1; i >= 0 && !j.Terminal(); i-- {
-		if j.tasks[i].state == TaskPending {
-			pending = append(pending, i)
+	if j.Terminal() {
+		if len(j.pending) > 0 {
+			return fmt.Errorf("it is %s and has pending tasks %v", j.status, j.pending)
 		}
+		return nil
 	}
-	if !slices.Equal(pending, j.pending) {
-		return fmt.Errorf("it is %s with pending tasks %v, listed %v", j.status, pending, j.pending)
+	listed := len(j.pending)
+	for i := range j.tasks {
+		if j.tasks[i].state != TaskPending {
+			continue
+		}
+		if listed--; listed < 0 || j.pending[listed] != i {
+			return fmt.Errorf("task %d is pending, listed are %v", i, j.pending)
+		}
+	}
+	if listed != 0 {
+		return fmt.Errorf("tasks %v are listed as pending, %d too many", j.pending, listed)
 	}
 	return nil
 }
 
 // checkCounts verifies the counts of a job's tasks.
 func (j *Job) checkCounts() error {
-	var done, assigned int
-	zones := placement.TasksByZone{}
+	var done, assigned, inZones int
 	for i := range j.tasks {
-		switch t := &j.tasks[i]; t.state {
+		switch j.tasks[i].state {
 		case TaskDone:
 			done++
 		case TaskAssigned:
 			assigned++
-			zones[t.assignment.Machine.site.Zone]++
 		case TaskPending:
 		}
 	}
-	if done != j.done || assigned != len(j.active) || !equalCounts(zones, j.zones) {
-		return fmt.Errorf("%d tasks are done and %d assigned in zones %v, counted %d, %d and %v", done, assigned, zones, j.done, len(j.active), j.zones)
+	for zone, counted := range j.zones {
+		inZones += counted
+		if n := j.countIn(zone); n != counted {
+			return fmt.Errorf("%d tasks are assigned in zone %s, counted %d", n, zone, counted)
+		}
+	}
+	if done != j.done || assigned != len(j.active) || assigned != inZones {
+		return fmt.Errorf("%d tasks are done and %d assigned, counted %d and %d, by zone %v", done, assigned, j.done, len(j.active), j.zones)
 	}
 	return nil
 }
 
+// countIn counts a job's assignments in a zone.
+func (j *Job) countIn(zone ids.Zone) int {
+	n := 0
+	for _, a := range j.active {
+		if a.Machine.site.Zone == zone {
+			n++
+		}
+	}
+	return n
+}
+
 // checkTask verifies that a task has an assignment if and only if it is assigned, and that
 // the job and a known machine link the same one.
 func (s *State) checkTask(j *Job, index int) error {
@@ -158,25 +182,39 @@
 
 // checkStaying verifies the counts of assignments that were not told to stop.
 func (m *Machine) checkStaying() error {
-	var staying, replicas int
-	fetches := map[ids.Image]int{}
+	var staying, replicas, fetches int
 	for _, a := range m.assignments {
 		if a.stopReason != StopNone {
 			continue
 		}
 		staying++
-		fetches[a.Job.Spec.Image]++
 		if a.Job.Spec.Service {
 			replicas++
 		}
 	}
-	if staying != m.staying || replicas != m.replicas || !equalCounts(fetches, m.fetches) {
-		return fmt.Errorf("%d assignments, %d replicas and images %v stay, counted %d, %d and %v",
-			staying, replicas, fetches, m.staying, m.replicas, m.fetches)
+	for image, counted := range m.fetches {
+		fetches += counted
+		if n := m.countStayingWith(image); n != counted {
+			return fmt.Errorf("%d assignments with image %s stay, counted %d", n, image, counted)
+		}
+	}
+	if staying != m.staying || replicas != m.replicas || staying != fetches {
+		return fmt.Errorf("%d assignments and %d replicas stay, counted %d and %d, by image %v", staying, replicas, m.staying, m.replicas, m.fetches)
 	}
 	return nil
 }
 
+// countStayingWith counts the assignments with an image that were not told to stop.
+func (m *Machine) countStayingWith(image ids.Image) int {
+	n := 0
+	for _, a := range m.assignments {
+		if a.stopReason == StopNone && a.Job.Spec.Image == image {
+			n++
+		}
+	}
+	return n
+}
+
 // checkQuota verifies that each team's quota in use is the sum of its assignments and of
 // what machines run beside them.
 func (s *State) checkQuota() error {
@@ -240,18 +278,3 @@
 func closeAmounts(a, b quota.Amount) bool {
 	return math.Abs(a.CPUs-b.CPUs) < sumTolerance && math.Abs(a.GPUs-b.GPUs) < sumTolerance
 }
-
-// equalCounts tells whether two counts agree, where none is the same as zero.
-func equalCounts[K comparable](a, b map[K]int) bool {
-	for k, n := range a {
-		if b[k] != n {
-			return false
-		}
-	}
-	for k, n := range b {
-		if a[k] != n {
-			return false
-		}
-	}
-	return true
-}
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -235,68 +235,72 @@
 	}
 }
 
-// handleMissingTask handles a recorded task that the newest report does not show.
+// handleMissingTask handles an assignment that the newest heartbeat does not show.
 func (h *heartbeatIntake) handleMissingTask(a *cluster.Assignment) {
-	m := a.Machine
 	switch {
 	case !a.MayRun():
 		// Not sent yet.
-	case a.Delivery.Sent && m.Agent.Incarnation > a.Delivery.Incarnation,
-		// The worker's lease ran out since; it forgot all its tasks, and the
-		// new session takes no command meant for the old one.
-		m.Agent.FencingToken > a.Delivery.Token:
-		// Whatever carried run under a lower token can have no effect now.
-		if a.Delivery.Sent && !a.Delivery.Inherited && a.StopReason() == cluster.StopNone && m.Agent.Incarnation == a.Delivery.Incarnation && !a.Delivery.Seen {
-			// Only the message was voided. The place still stands, and the
-			// same attempt goes out again.
+	case a.Delivery.Sent && a.Machine.Agent.Incarnation > a.Delivery.Incarnation,
+		// The agent's lease expired since. It forgot all its tasks, and its new incarnation
+		// takes no command meant for the old one.
+		a.Machine.Agent.FencingToken > a.Delivery.Token:
+		// A run command under a lower token can have no effect any more.
+		if onlyCommandVoided(a) {
+			// The assignment stands, and the same attempt is sent again.
 			a.Delivery.Sent = false
 			return
 		}
 		h.zones.lost(a)
 		h.lifecycle.release(a)
 	case a.Delivery.Seen && a.StopReason() == cluster.StopNone:
-		// A worker keeps what it has until reap. Should one vanish all the
-		// same, it is not started elsewhere before old commands are void.
+		// An agent keeps a task until it is told to reap it. If one vanishes all the same,
+		// it is not started elsewhere before old commands are void.
 		h.lifecycle.stop(a, cluster.StopDrained)
 	}
 }
 
-// handleActiveTask handles a recorded task that the newest report shows before its end.
-func (h *heartbeatIntake) handleActiveTask(a *cluster.Assignment, s *cluster.ReportedTask) {
+// onlyCommandVoided tells whether a higher token voided the run command for an assignment
+// that the agent never had, and nothing else happened to it.
+func onlyCommandVoided(a *cluster.Assignment) bool {
+	if !a.Delivery.Sent || a.Delivery.Inherited || a.Delivery.Seen {
+		return false
+	}
+	return a.StopReason() == cluster.StopNone && a.Machine.Agent.Incarnation == a.Delivery.Incarnation
+}
+
+// handleActiveTask handles an assignment that the newest heartbeat shows before its end.
+func (h *heartbeatIntake) handleActiveTask(a *cluster.Assignment, reported *cluster.ReportedTask) {
 	a.Delivery.Seen = true
 	if !a.Delivery.Sent {
 		// An inherited task is known to run here now, and is told under newer tokens.
 		a.Delivery.Sent, a.Delivery.Inherited = true, false
 		a.Delivery.Incarnation = a.Machine.Agent.Incarnation
 	}
-	if a.Run.Phase != s.State {
-		a.Run.Phase = s.State
-		a.Run.PhaseSince, a.Run.PausedBefore = h.clock.Now(), h.clock.TotalPause()
-		if s.State == wire.TaskRunning {
-			h.cluster.RecordImage(a.Machine, a.Job.Spec)
-			h.zones.running(a)
-		}
+	if a.Run.Phase == reported.State {
+		return
+	}
+	a.Run.Phase = reported.State
+	a.Run.PhaseSince, a.Run.PausedBefore = h.clock.Now(), h.clock.TotalPause()
+	if reported.State == wire.TaskRunning {
+		h.cluster.RecordImage(a.Machine, a.Job.Spec)
+		h.zones.running(a)
 	}
 }
 
-// handleEndedTask handles a recorded task that the newest report shows as ended.
+// handleEndedTask handles an assignment that the newest heartbeat shows as ended.
 func (h *heartbeatIntake) handleEndedTask(a *cluster.Assignment, cause wire.ExitCause) {
 	m, j := a.Machine, a.Job
-	if im := m.Image(j.Spec.Image); im != nil {
-		im.UsedAt = h.clock.Now()
-	}
+	h.cluster.TouchImage(m, j.Spec.Image)
 	switch cause {
 	case wire.CauseDone:
-		h.zones.running(a) // it did, if only between two reports
+		h.zones.running(a) // it ran, if only between two heartbeats
 		h.lifecycle.complete(a)
 		clear(m.Health.FailuresByJob)
 		return
 	case wire.CauseError:
 		h.failures.recordFailure(a)
-	case wire.CauseFull:
-		// Our view of the machine was wrong; give it a moment.
-		h.failures.addAntiAffinity(j, m)
-	case wire.CauseInUse:
+	case wire.CauseFull, wire.CauseInUse:
+		// What is known of the machine was wrong; other machines go first for a while.
 		h.failures.addAntiAffinity(j, m)
 	case wire.CauseNoSuch:
 		j.Queue.RetryAt = h.clock.Now().Add(unknownTaskBackoff)
