--- a/scheduler/autoscaler_test.go
+++ b/scheduler/autoscaler_test.go
@@ -14,7 +14,7 @@
 // and then waited for a boot as well. The next leader may never have heard of the machine.
 func TestProvisionsAheadForServicesOnSilentMachines(t *testing.T) {
 	for _, inherited := range []bool{false, true} {
-		b := newHarness(t, Options{PreviousLeader: inherited})
+		b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: inherited}})
 		if inherited {
 			b.inherit(wire.JobSpec{Tasks: 1, Service: true}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 			b.c.Begin(b.now)
@@ -42,7 +42,7 @@
 // Headroom for latency-sensitive classes was once looked for in free capacity that had already
 // been counted, and so never provisioned.
 func TestHeadroomIsProvisionedBesideFreeCapacity(t *testing.T) {
-	b := newHarness(t, Options{Headroom: 3, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
+	b := newHarness(t, Options{FleetOptions: FleetOptions{Headroom: 3}, AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
 	b.c.Begin(b.now)
 	b.heartbeat("n-1", "a", 0)
 	b.submit("job-1", wire.JobSpec{Class: "hasty", Tasks: 2, CPUs: 2})
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -188,7 +188,7 @@
 		t.Fatal("it came back at the leader that terminated it")
 	}
 
-	b = newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
+	b = newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
 	b.c.Begin(b.now)
 	b.heartbeat("n-1", "a", ids.NewFencingToken(4, 7))
 	b.submit("job-1", wire.JobSpec{Tasks: 1})
@@ -211,7 +211,7 @@
 	old := newHarness(t, Options{Revision: 5})
 	oldToken, run := old.runTask()
 
-	next := newHarness(t, Options{Revision: 9, PreviousLeader: true, PreviousLeaderGrace: time.Minute})
+	next := newHarness(t, Options{Revision: 9, LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
 	next.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	next.c.Begin(next.now)
 	// It knows the address from the list, and has no report: all of them go
@@ -251,7 +251,7 @@
 // long after its submission that one started; 0: never.
 func startOfLargeJob(t *testing.T, reserveAfter time.Duration) time.Duration {
 	t.Helper()
-	b := newHarness(t, Options{ReserveAfter: reserveAfter, ReserveFor: time.Minute})
+	b := newHarness(t, Options{AdmissionOptions: AdmissionOptions{ReserveAfter: reserveAfter, ReserveFor: time.Minute}})
 	b.c.Begin(b.now)
 	tick := 0
 	runTime := func(_ string, count int) time.Duration { return staggeredRunTime(tick, count) }
@@ -303,7 +303,7 @@
 // started; 0: never.
 func (d lateJobDay) startOfLateJob(t *testing.T, reserveAfter time.Duration) time.Duration {
 	t.Helper()
-	opt := Options{ReserveAfter: reserveAfter, ReserveFor: time.Minute}
+	opt := Options{AdmissionOptions: AdmissionOptions{ReserveAfter: reserveAfter, ReserveFor: time.Minute}}
 	agents := newTestAgents(func(string, int) time.Duration { return 10 * time.Second }, "n-1")
 	if d.quotaIsShort {
 		eight := quota.Amount{CPUs: 8}
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -97,15 +97,41 @@
 
 // simOptions are the settings of the simulated leaders.
 func simOptions() Options {
-	return Options{Teams: []quota.Team{simTeam("red", 16, 40), simTeam("blue", 24, 32), simTeam("gold", 8, 60)},
-		HeartbeatInterval: simHeartbeatInterval, AgentLease: simAgentLease, CancelDeadline: simCancelDeadline,
-		PreviousLeaderGrace: simIsolatedReplicas, PreviousLeaderGraceWithoutReplicas: simIsolated, ListLag: simListLag,
-		TxnOps: 8, SliceTasks: 4, MaxSkippedJobs: 100, LendingSuspension: 5 * time.Second,
-		IdleTimeout: 20 * time.Second, HeadroomIdleTimeout: time.Minute,
-		BootFactor: 4, CapacityBackoff: 5 * time.Second, MaxMachines: 20,
-		RoundInterval: 50 * time.Millisecond, RoundCostPerMachine: 10 * time.Microsecond,
-		LazyWriteDelay: 2 * time.Second, WriteRate: 40, MaxWorkerCalls: 6,
-		ReserveAfter: 40 * time.Second, ReserveFor: 60 * time.Second}
+	return Options{
+		Teams: []quota.Team{simTeam("red", 16, 40), simTeam("blue", 24, 32), simTeam("gold", 8, 60)},
+		LeaseOptions: LeaseOptions{
+			HeartbeatInterval:                  simHeartbeatInterval,
+			AgentLease:                         simAgentLease,
+			CancelDeadline:                     simCancelDeadline,
+			PreviousLeaderGrace:                simIsolatedReplicas,
+			PreviousLeaderGraceWithoutReplicas: simIsolated,
+		},
+		FleetOptions: FleetOptions{
+			ListLag:             simListLag,
+			IdleTimeout:         20 * time.Second,
+			HeadroomIdleTimeout: time.Minute,
+			BootFactor:          4,
+			CapacityBackoff:     5 * time.Second,
+			MaxMachines:         20,
+		},
+		RecordOptions: RecordOptions{
+			TxnOps:         8,
+			SliceTasks:     4,
+			LazyWriteDelay: 2 * time.Second,
+			WriteRate:      40,
+		},
+		AdmissionOptions: AdmissionOptions{
+			MaxSkippedJobs:      100,
+			LendingSuspension:   5 * time.Second,
+			RoundInterval:       50 * time.Millisecond,
+			RoundCostPerMachine: 10 * time.Microsecond,
+			ReserveAfter:        40 * time.Second,
+			ReserveFor:          60 * time.Second,
+		},
+		CommandOptions: CommandOptions{
+			MaxWorkerCalls: 6,
+		},
+	}
 }
 
 // newSim makes a simulated day with a first leader. All random numbers come from the seed.
