--- a/zonerecovery/golden_test.go
+++ b/zonerecovery/golden_test.go
@@ -25,6 +25,8 @@
 			OmittedJobs: 5, Incidents: []Incident{goldenIncident()}, Override: uint8(OverrideHold), OverrideReason: "power work",
 			OverrideUntilMS: 1764640000005}},
 		{Name: "zone that serves", Value: Record{Nonce: 9, SinceMS: 8}, Partial: true},
+		{Name: "zone whose incident has just begun", Value: Record{Nonce: 9, Condition: uint8(Outage), SinceMS: 8,
+			Incidents: []Incident{{BeganMS: 8, Outages: 1}}}, Partial: true},
 	})
 }
 
