--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -224,9 +224,15 @@
 func playGuestDay(t *testing.T, reserveAfter time.Duration) guestDay {
 	t.Helper()
 	const guest = "job-guest"
-	b := newHarness(t, Options{ReserveAfter: reserveAfter, ReserveFor: 90 * time.Second, Teams: []quota.Team{
-		{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: quota.Amount{CPUs: 48}, LendingLimit: quota.Amount{CPUs: 40}},
-		{Name: "guest", Limit: quota.Unlimited}}})
+	b := newHarness(t, Options{
+		Teams: []quota.Team{
+			{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: quota.Amount{CPUs: 48}, LendingLimit: quota.Amount{CPUs: 40}},
+			{Name: "guest", Limit: quota.Unlimited}},
+		AdmissionOptions: AdmissionOptions{
+			ReserveAfter: reserveAfter,
+			ReserveFor:   90 * time.Second,
+		},
+	})
 	b.c.Begin(b.now)
 	var day guestDay
 	var submittedAt, startedAt monotonic.Instant
--- a/scheduler/headroom_test.go
+++ b/scheduler/headroom_test.go
@@ -10,7 +10,7 @@
 // Headroom for latency-sensitive classes was once looked for in free capacity that had already
 // been counted, and so never provisioned.
 func TestHeadroomIsProvisionedBesideFreeCapacity(t *testing.T) {
-	b := newHarness(t, Options{Headroom: 3, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
+	b := newHarness(t, Options{FleetOptions: FleetOptions{Headroom: 3}, AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
 	b.c.Begin(b.now)
 	b.heartbeat("n-1", "a", 0)
 	b.submit("job-1", wire.JobSpec{Class: "hasty", Tasks: 2, CPUs: 2})
--- a/scheduler/record_writer_test.go
+++ b/scheduler/record_writer_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestWriteBudget(t *testing.T) {
-	b := newHarness(t, Options{WriteRate: 10})
+	b := newHarness(t, Options{RecordOptions: RecordOptions{WriteRate: 10}})
 	w := b.c.records
 	for _, c := range []struct {
 		name   string
--- a/scheduler/replacements_test.go
+++ b/scheduler/replacements_test.go
@@ -51,7 +51,7 @@
 // beginWithInheritedService has a previous leader's records place a service on n-1.
 func beginWithInheritedService(t *testing.T) *harness {
 	t.Helper()
-	b := newHarness(t, Options{PreviousLeader: true})
+	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true}})
 	b.inherit(wire.JobSpec{Tasks: 1, Service: true}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	return b
--- a/scheduler/scale_in_test.go
+++ b/scheduler/scale_in_test.go
@@ -34,7 +34,7 @@
 		{name: "soon while quarantined", settings: scaleInSettings{idleTimeout: time.Hour, headroomIdleTimeout: time.Hour, spotIdleFactor: 1}, class: "c", quarantine: true, terminated: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newHarness(t, Options{LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
+			b := newHarness(t, Options{AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
 			b.c.autoscaler.scaleIn.settings = c.settings
 			b.c.Begin(b.now)
 			b.submit("job-1", wire.JobSpec{Class: c.class, Tasks: 1})
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -194,7 +194,7 @@
 // While a split is in flight its tasks go on: a task that is placed meanwhile belongs to one of
 // the parts, and would wait for ever if that part were not written again.
 func TestPlacedWhileTheRecordIsSplit(t *testing.T) {
-	b := newHarness(t, Options{ValueBytes: 50, SplitRecords: true})
+	b := newHarness(t, Options{RecordOptions: RecordOptions{ValueBytes: 50, SplitRecords: true}})
 	b.submit("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
 	b.heartbeat("n-1", "a", 0)
 	split := b.c.Step(b.now).RecordChanges
@@ -218,7 +218,7 @@
 // A record that was too large when it could not be split is split once that is allowed, without
 // another event of its tasks.
 func TestLargeRecordsAreSplitAfterTheUpgrade(t *testing.T) {
-	b := newHarness(t, Options{ValueBytes: 50})
+	b := newHarness(t, Options{RecordOptions: RecordOptions{ValueBytes: 50}})
 	b.submit("job-1", wire.JobSpec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
 	b.heartbeat("n-1", "a", 0)
 	if e := b.step(); len(e.RecordChanges) != 1 || len(e.RecordChanges[0].Operations) != 1 {
@@ -234,7 +234,7 @@
 // When a zone is lost, thousands of placements wait for the write rate. A completed job must
 // not wait behind them, as its user and its dependents wait for it.
 func TestCompletionsAreWrittenFirst(t *testing.T) {
-	b := newHarness(t, Options{WriteRate: 4, Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4096}, Limit: quota.Amount{CPUs: 4096}}}})
+	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4096}, Limit: quota.Amount{CPUs: 4096}}}, RecordOptions: RecordOptions{WriteRate: 4}})
 	b.submit("job-0", wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Normal})
 	b.heartbeat("n-0", "a", 0)
 	b.step()
