--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -90,7 +90,7 @@
 			p.AddCapacity(m.Site(), m.Free())
 		}
 	}
-	as.core.zones.addReturning(p.AddCapacity)
+	as.core.zones.addRecoveringCapacity(p.AddCapacity)
 	for _, s := range slices.SortedFunc(maps.Keys(as.machinesRequested), placement.Site.Compare) {
 		p.MachinesBySite[s] += as.machinesRequested[s]
 		if t := as.core.cluster.Type(s.Type); t != nil {
@@ -104,7 +104,7 @@
 
 // blocked tells whether nothing should be rented at a site now.
 func (as *autoscaler) blocked(s placement.Site) bool {
-	return as.core.health.zonePartitioned(s.Zone) || as.core.zones.blocksRental(s.Zone) || as.backoff.Active(s, as.core.clock.Now())
+	return as.core.health.zonePartitioned(s.Zone) || as.core.zones.blocksProvisioning(s.Zone) || as.backoff.Active(s, as.core.clock.Now())
 }
 
 // comingByZone counts the machines that were asked for or have yet to report.
@@ -141,7 +141,7 @@
 
 // rent books the machines of a purchase, as many rentals as are allowed.
 func (as *autoscaler) rent(purchase fleet.MachineRequest) {
-	for left := as.core.zones.limitRental(purchase.Zone, purchase.Count); left > 0 && as.canRent(purchase.Site); left -= maxRentalSize {
+	for left := as.core.zones.limitProvisioning(purchase.Zone, purchase.Count); left > 0 && as.canRent(purchase.Site); left -= maxRentalSize {
 		n := min(left, maxRentalSize)
 		as.nextBooking++
 		as.machinesRequested[purchase.Site] += n
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -81,7 +81,7 @@
 	c.commands = &commandQueue{core: c}
 	c.preemption = &evictor{core: c}
 	c.autoscaler = newAutoscaler(c)
-	c.zones = newZoneGate(c, opt.ZoneRecovery)
+	c.zones = c.newZoneGate()
 	c.lifecycle = &taskLifecycle{
 		cluster:   c.cluster,
 		clock:     c.clock,
@@ -95,6 +95,7 @@
 	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
 	c.connectIntake()
 	c.connectAdmission()
+	c.connectZones()
 	c.cluster.SetCatalog(types)
 	return c
 }
@@ -194,7 +195,12 @@
 
 // RecordsError is set when the records are not as this leader left them. The term
 // must then end and the records be read again.
-func (c *Core) RecordsError() error { return c.recordsErr }
+func (c *Core) RecordsError() error {
+	if c.recordsErr != nil {
+		return c.recordsErr
+	}
+	return c.zones.recordsError()
+}
 
 // Begin begins the term once the records are loaded.
 func (c *Core) Begin(now monotonic.Instant) {
@@ -240,6 +246,7 @@
 	c.commands.dispatchCommands()
 	out := c.decisions
 	c.decisions = Decisions{}
+	out.ZoneEvents = c.zones.takeTransitions()
 	out.Terminate, out.ForgetAddresses = c.registry.takeDecisions()
 	return out
 }
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -97,7 +97,7 @@
 		return
 	}
 	s.core.clock.Set(max(s.core.clock.Now(), s.now))
-	for _, st := range s.core.zones.manager.Status(s.core.moment()) {
+	for _, st := range s.core.zones.manager.Status(s.core.zones.clockReading()) {
 		s.noteCondition(st.Zone, st.Condition)
 		s.checkRamp(st)
 	}
@@ -119,7 +119,7 @@
 
 // sinceChange is for how long a zone has had its condition, less what one round may take.
 func (s *sim) sinceChange(st zonerecovery.Status) time.Duration {
-	return s.core.moment().Wall.Sub(time.UnixMilli(st.SinceMS)) - 200*time.Millisecond
+	return s.core.zones.clockReading().Wall.Sub(time.UnixMilli(st.SinceMS)) - 200*time.Millisecond
 }
 
 // checkRamp compares the starts in flight that were placed during a recovery with what the
@@ -175,7 +175,7 @@
 func (s *sim) checkZoneOpen(a *cluster.Assignment, st zonerecovery.Status) {
 	closed := st.Condition == zonerecovery.Suspect || st.Condition == zonerecovery.Outage
 	isNew := !a.Delivery.Inherited && !a.Delivery.Seen
-	if closed && isNew && a.Run.PhaseSince > s.core.moment().Now.Add(-s.sinceChange(st)) {
+	if closed && isNew && a.Run.PhaseSince > s.core.zones.clockReading().Now.Add(-s.sinceChange(st)) {
 		s.violation("ramp: %s was placed in %s, which is %s", a.Ref(), st.Zone, st.Condition)
 	}
 }
--- /dev/null
+++ b/scheduler/zone_records.go
@@ -0,0 +1,106 @@
+package scheduler
+
+import (
+	"errors"
+	"fmt"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/wire"
+	"ospreystile.example/ospreystile/zonerecovery"
+)
+
+// zoneRecords are the writes of zones' records.
+type zoneRecords struct {
+	writer zoneRecordWriter
+	// maxBytes limits the size of a record; 0 means no limit.
+	maxBytes int
+	// inFlight are the writes without a result, by the id of their change.
+	inFlight map[uint64]zoneWrite
+	// err is set once a record is not as this leader left it.
+	err error
+}
+
+// zoneWrite is a write of a zone's record in flight.
+type zoneWrite struct {
+	zone    ids.Zone
+	deletes bool
+}
+
+// zoneRecordWriter hands changes out, no faster than the write rate allows.
+type zoneRecordWriter interface {
+	// mayWrite tells whether the write rate allows one more change now.
+	mayWrite() bool
+	// nextNonce names the next change.
+	nextNonce() uint64
+	// submitOther hands a change out, and returns the id under which its result comes back.
+	submitOther(change records.Change) (id uint64)
+}
+
+// writeRecords writes the records that are due, as far as the write rate allows.
+func (g *zoneGate) writeRecords() {
+	if g == nil {
+		return
+	}
+	for g.records.writer.mayWrite() {
+		write, ok := g.manager.NextWrite(g.clockReading(), g.records.writer.nextNonce(), g.records.fits)
+		if !ok {
+			return
+		}
+		g.records.submit(write)
+	}
+}
+
+// fits tells whether a record is small enough for the key-value store.
+func (r *zoneRecords) fits(record *zonerecovery.Record) bool {
+	return !wire.ExceedsJSONSize(record, r.maxBytes)
+}
+
+// submit hands out the change that writes or deletes a record.
+func (r *zoneRecords) submit(write zonerecovery.RecordWrite) {
+	change := records.DeleteZoneChange(write.Zone, write.Revision)
+	if write.Record != nil {
+		change = records.PutZoneChange(write.Zone, write.Revision, write.Record)
+	}
+	r.inFlight[r.writer.submitOther(change)] = zoneWrite{zone: write.Zone, deletes: write.Record == nil}
+}
+
+// settle applies the result of a change if that wrote a zone's record; ours tells whether it
+// did.
+func (g *zoneGate) settle(result records.CommitResult) (ours bool) {
+	if g == nil {
+		return false
+	}
+	write, ours := g.records.inFlight[result.Change.ID]
+	if !ours {
+		return false
+	}
+	delete(g.records.inFlight, result.Change.ID)
+	switch {
+	case result.Err == nil:
+		g.writeCommitted(write, result.Revision)
+	case errors.Is(result.Err, records.ErrRejected):
+		g.manager.WriteRejected(write.zone)
+	default:
+		g.records.err = fmt.Errorf("record of zone %s moved without this leader: %w", write.zone, result.Err)
+	}
+	return true
+}
+
+// writeCommitted notes that a write is committed; revision is that of the transaction.
+func (g *zoneGate) writeCommitted(write zoneWrite, revision ids.Revision) {
+	if write.deletes {
+		revision = 0 // the key is gone
+	}
+	if g.manager.WriteCommitted(write.zone, revision) {
+		g.rounds.MarkDue()
+	}
+}
+
+// recordsError is set once a zone's record is not as this leader left it.
+func (g *zoneGate) recordsError() error {
+	if g == nil {
+		return nil
+	}
+	return g.records.err
+}
--- a/scheduler/zone_restore.go
+++ b/scheduler/zone_restore.go
@@ -14,69 +14,115 @@
 	// restoreInterval is how often a move of a replica is planned.
 	restoreInterval = time.Second
 	// restorePreference is for how long a replica that was stopped to be moved prefers the
-	// zone that it is for.
+	// zone that it is moved to.
 	restorePreference = 15 * time.Second
 )
 
+// machineReservations tells whether a machine is reserved for another job.
+type machineReservations interface {
+	reservedForOther(m *cluster.Machine, j *cluster.Job) bool
+}
+
+// machineAntiAffinity tells whether a job avoids a machine on which it failed.
+type machineAntiAffinity interface {
+	hasAntiAffinity(j *cluster.Job, m *cluster.Machine) bool
+}
+
+// replicaStopper stops replicas of services.
+type replicaStopper interface {
+	stop(a *cluster.Assignment, why cluster.StopReason)
+}
+
 // restore moves a replica of a service back to a zone that displaced it, where operators want
-// the spread restored. It is stopped, and mended like any other lost replica, with the zone
-// as its first choice.
+// the spread restored. The replica is stopped. Its service then starts another one, as for
+// any replica that is lost, and prefers the zone for that.
 func (g *zoneGate) restore() {
-	if g == nil || g.core.clock.Now() < g.restoredAt.Add(restoreInterval) {
+	if g == nil || g.clock.Now() < g.restorePlannedAt.Add(restoreInterval) {
 		return
 	}
-	g.restoredAt = g.core.clock.Now()
-	var services []zonerecovery.ServicePlacement
-	for _, id := range g.manager.RestoreCandidates(g.core.clock.Now()) {
-		if j := g.core.cluster.Job(id); j != nil && j.Spec.Service && !j.Terminal() && len(j.Pending()) == 0 {
-			services = append(services, servicePlacement(j))
-		}
-	}
+	g.restorePlannedAt = g.clock.Now()
+	services := g.restorableServices()
 	if len(services) == 0 {
 		return
 	}
-	move, ok := g.manager.PlanRestore(g.core.moment(), services, func(id ids.JobID, zone ids.Zone) bool { return g.hasWarmRoom(g.core.cluster.Job(id), zone) })
-	if !ok {
-		return
+	if move, ok := g.manager.PlanRestore(g.clockReading(), services, g.canStartReplica); ok {
+		g.startMove(move)
 	}
-	j := g.core.cluster.Job(move.Job)
-	if a := newestReplica(j, move.From); a != nil {
-		j.Queue.PreferredZone, j.Queue.PreferredUntil = move.To, g.core.clock.Now().Add(restorePreference)
-		g.core.lifecycle.stop(a, cluster.StopDrained)
+}
+
+// restorableServices returns where the replicas of services run that might be moved back.
+func (g *zoneGate) restorableServices() []zonerecovery.ServicePlacement {
+	var services []zonerecovery.ServicePlacement
+	for _, id := range g.manager.RestoreCandidates(g.clock.Now()) {
+		j := g.cluster.Job(id)
+		if j != nil && j.Spec.Service && !j.Terminal() && len(j.Pending()) == 0 {
+			services = append(services, servicePlacement(j))
+		}
 	}
+	return services
 }
 
 // servicePlacement counts a service's running replicas by zone.
 func servicePlacement(j *cluster.Job) zonerecovery.ServicePlacement {
-	s := zonerecovery.ServicePlacement{Job: j.ID, Replicas: len(j.Tasks()), Running: map[ids.Zone]int{}}
+	service := zonerecovery.ServicePlacement{Job: j.ID, Replicas: len(j.Tasks()), Running: map[ids.Zone]int{}}
 	for _, a := range j.Assignments() {
-		if a.Run.Phase == wire.TaskRunning && a.StopReason() == cluster.StopNone {
-			s.Running[a.Machine.Zone()]++
+		if keepsRunning(a) {
+			service.Running[a.Machine.Zone()]++
 		}
 	}
-	return s
+	return service
+}
+
+// startMove stops the newest replica in the zone that a move starts from.
+func (g *zoneGate) startMove(move zonerecovery.RestoreMove) {
+	j := g.cluster.Job(move.Job)
+	replica := newestReplica(j, move.From)
+	if replica == nil {
+		return
+	}
+	j.Queue.PreferredZone = move.To
+	j.Queue.PreferredUntil = g.clock.Now().Add(restorePreference)
+	g.lifecycle.stop(replica, cluster.StopDrained)
 }
 
-// newestReplica finds the replica of a job in a zone that has run for the least time.
+// newestReplica returns the replica of a service in a zone that has run for the shortest
+// time; nil if none runs there.
 func newestReplica(j *cluster.Job, zone ids.Zone) *cluster.Assignment {
 	var newest *cluster.Assignment
 	for _, a := range j.Assignments() {
-		if a.Machine.Zone() == zone && a.Run.Phase == wire.TaskRunning && a.StopReason() == cluster.StopNone && (newest == nil || a.Run.PhaseSince > newest.Run.PhaseSince) {
+		if a.Machine.Zone() != zone || !keepsRunning(a) {
+			continue
+		}
+		if newest == nil || a.Run.PhaseSince > newest.Run.PhaseSince {
 			newest = a
 		}
 	}
 	return newest
 }
 
-// hasWarmRoom tells whether a machine in a zone could run another replica of a job at once: it
-// has room and holds the image.
-func (g *zoneGate) hasWarmRoom(j *cluster.Job, zone ids.Zone) bool {
-	need := placement.TaskResources(j.Spec)
-	for _, m := range g.core.cluster.Machines() {
-		if m.Zone() == zone && m.HasImage(j.Spec.Image) && need.FitsIn(m.Free()) && placement.Allowed(j.Spec, m.Site()) &&
-			g.core.health.takesTasks(m) && !g.core.reservations.reservedForOther(m, j) && !g.core.hasAntiAffinity(j, m) {
+// keepsRunning tells whether a task runs and is not to be stopped.
+func keepsRunning(a *cluster.Assignment) bool {
+	return a.Run.Phase == wire.TaskRunning && a.StopReason() == cluster.StopNone
+}
+
+// canStartReplica tells whether a machine in a zone could start another replica of a job
+// without a fetch.
+func (g *zoneGate) canStartReplica(id ids.JobID, zone ids.Zone) bool {
+	j := g.cluster.Job(id)
+	for _, m := range g.cluster.Machines() {
+		if m.Zone() == zone && g.fitsWithoutFetch(j, m) {
 			return true
 		}
 	}
 	return false
 }
+
+// fitsWithoutFetch tells whether a machine has free resources for a task of a job, holds its
+// image, and is open to it.
+func (g *zoneGate) fitsWithoutFetch(j *cluster.Job, m *cluster.Machine) bool {
+	fits := m.HasImage(j.Spec.Image) && placement.TaskResources(j.Spec).FitsIn(m.Free())
+	if !fits || !placement.Allowed(j.Spec, m.Site()) || !g.health.takesTasks(m) {
+		return false
+	}
+	return !g.reservations.reservedForOther(m, j) && !g.failures.hasAntiAffinity(j, m)
+}
