--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -19,14 +19,14 @@
 	// limits are those of the ramp-up in the last seconds, by zone: a step that was taken
 	// back leaves starts in flight.
 	limits map[ids.Zone][]rampLimit
-	// bounces are the most that any leader counted for a job in one incident, displaced
+	// maxFailbacks are the most that any leader counted for a job in one incident, displaced
 	// and denied the sums over all leaders.
-	bounces, displaced, bounceCount, forced int
-	lastStats                               map[*Core]zonerecovery.Stats
+	maxFailbacks, displaced, failbacks int
+	lastStats                          map[*Core]zonerecovery.Stats
 	// isolatedView has the leader see neither the store nor its peers.
 	isolatedView bool
-	// placedInReturn tells of each assignment whether its zone recovered when it was made.
-	placedInReturn map[*cluster.Assignment]bool
+	// placedInRecovery tells of each assignment whether its zone recovered when it was made.
+	placedInRecovery map[*cluster.Assignment]bool
 	// conditions are those that each zone went through.
 	conditions map[ids.Zone][]zonerecovery.Condition
 }
@@ -55,7 +55,7 @@
 	s.zones.partitionedUntil, s.zones.limits = map[ids.Zone]monotonic.Instant{}, map[ids.Zone][]rampLimit{}
 	s.zones.lastStats = map[*Core]zonerecovery.Stats{}
 	s.zones.conditions = map[ids.Zone][]zonerecovery.Condition{}
-	s.zones.placedInReturn = map[*cluster.Assignment]bool{}
+	s.zones.placedInRecovery = map[*cluster.Assignment]bool{}
 	s.failOver()
 	s.previousCore = nil
 }
@@ -105,9 +105,8 @@
 	before := s.zones.lastStats[s.core]
 	s.zones.lastStats[s.core] = stats
 	s.zones.displaced += stats.DisplacedTasks - before.DisplacedTasks
-	s.zones.bounceCount += stats.Failbacks - before.Failbacks
-	s.zones.forced += stats.ForcedFailbacks - before.ForcedFailbacks
-	s.zones.bounces = max(s.zones.bounces, stats.MaxFailbacksPerJob)
+	s.zones.failbacks += stats.Failbacks - before.Failbacks
+	s.zones.maxFailbacks = max(s.zones.maxFailbacks, stats.MaxFailbacksPerJob)
 }
 
 // noteCondition records the conditions that a zone goes through.
@@ -136,7 +135,7 @@
 			continue
 		}
 		for _, a := range m.Assignments() {
-			if s.wasPlacedInReturn(a, st) && countsInRamp(a) {
+			if s.wasPlacedInRecovery(a, st) && countsInRamp(a) {
 				inFlight++
 			}
 		}
@@ -159,16 +158,16 @@
 	s.zones.limits[st.Zone] = limits
 }
 
-// wasPlacedInReturn tells whether an assignment was made while its zone recovered. At the
+// wasPlacedInRecovery tells whether an assignment was made while its zone recovered. At the
 // first sight of it that is decided, and that its zone was open is checked.
-func (s *sim) wasPlacedInReturn(a *cluster.Assignment, st zonerecovery.Status) bool {
-	if inReturn, known := s.zones.placedInReturn[a]; known {
-		return inReturn
+func (s *sim) wasPlacedInRecovery(a *cluster.Assignment, st zonerecovery.Status) bool {
+	if inRecovery, known := s.zones.placedInRecovery[a]; known {
+		return inRecovery
 	}
-	inReturn := st.Condition == zonerecovery.Recovering && !a.Delivery.Inherited
-	s.zones.placedInReturn[a] = inReturn
+	inRecovery := st.Condition == zonerecovery.Recovering && !a.Delivery.Inherited
+	s.zones.placedInRecovery[a] = inRecovery
 	s.checkZoneOpen(a, st)
-	return inReturn
+	return inRecovery
 }
 
 // checkZoneOpen checks that a new assignment was not made after its zone was closed.
--- a/scheduler/zone_recovery_benchmark_test.go
+++ b/scheduler/zone_recovery_benchmark_test.go
@@ -12,13 +12,13 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// This file measures what a zone's return costs with the subsystem off and on, in the
-// simulation and scaled down to some 60 machines:
+// This file measures what the recovery of a zone costs with package zonerecovery off and on,
+// in the simulation, scaled down to some 60 machines:
 //
-//	go test ./scheduler -run - -bench ZoneReturn -benchtime 1x
+//	go test ./scheduler -run - -bench ZoneRecovery -benchtime 1x
 
-// returnFigures are the measurements of one day.
-type returnFigures struct {
+// recoveryFigures are the measurements of one day.
+type recoveryFigures struct {
 	queriesUp   time.Duration // from the partition until all replicas run again
 	worstStart  time.Duration // of a new query after the return
 	share       time.Duration // from the return until the zone is as full as the others
@@ -27,23 +27,23 @@
 	worstMoves  int           // of a task
 }
 
-// returnDay is a day on which zone b is lost and comes back with empty caches while arrays of
-// twelve images wait and new queries come every three seconds.
-type returnDay struct {
+// recoveryDay is a day on which zone b is lost and comes back with empty caches, while arrays
+// of twelve images wait and a new query is submitted every three seconds.
+type recoveryDay struct {
 	*scenario
 	services, arrays []ids.JobID
-	figures          returnFigures
+	figures          recoveryFigures
 }
 
 const (
-	returnPartition = 60 * time.Second
-	returnObserved  = 90 * time.Second // after the end of the partition
-	returnTick      = 200 * time.Millisecond
+	recoveryPartition = 60 * time.Second
+	recoveryObserved  = 90 * time.Second // after the end of the partition
+	recoveryTick      = 200 * time.Millisecond
 )
 
-// newReturnDay prepares a day. Zone recovery is on from the leader that start puts in place,
-// if that turns it on.
-func newReturnDay(seed uint64, start func(*sim)) *returnDay {
+// newRecoveryDay prepares a day. start makes the first leader, and turns zone recovery on or
+// leaves it off.
+func newRecoveryDay(seed uint64, start func(*sim)) *recoveryDay {
 	m := &scenario{sim: newSim(nil, seed)}
 	m.faults, m.capacity = false, 10
 	for i := range m.opt.Teams {
@@ -54,11 +54,11 @@
 	start(m.sim)
 	m.previousCore = nil
 	m.imageCaches = &simImageCaches{images: map[*simWorker]map[ids.Image]bool{}, inFlight: map[ids.Zone]int{}, peak: map[ids.Zone]int{}}
-	return &returnDay{scenario: m}
+	return &recoveryDay{scenario: m}
 }
 
 // measure plays the day.
-func (d *returnDay) measure(t testing.TB) returnFigures {
+func (d *recoveryDay) measure(t testing.TB) recoveryFigures {
 	t.Helper()
 	for n := range 12 {
 		spec := zoneArray(6)
@@ -72,7 +72,7 @@
 	d.run(90 * second)
 	d.measurePartition()
 	d.clearCaches("b")
-	d.measureReturn()
+	d.measureRecovery()
 	d.figures.peakFetches, d.figures.fetches = d.imageCaches.peak["b"], d.imageCaches.total
 	d.figures.worstMoves = d.mostMoves()
 	if len(d.violations) > 0 {
@@ -82,11 +82,11 @@
 }
 
 // measurePartition partitions zone b and measures until when all replicas run again.
-func (d *returnDay) measurePartition() {
+func (d *recoveryDay) measurePartition() {
 	began := d.now
-	d.partitionZone("b", returnPartition)
-	for d.now < began.Add(returnPartition) {
-		d.run(returnTick)
+	d.partitionZone("b", recoveryPartition)
+	for d.now < began.Add(recoveryPartition) {
+		d.run(recoveryTick)
 		running, wanted := d.runningReplicas(d.services)
 		if d.now > began.Add(simAgentLease) && d.figures.queriesUp == 0 && running == wanted {
 			d.figures.queriesUp = d.now.Sub(began)
@@ -95,7 +95,7 @@
 }
 
 // clearCaches empties the image caches of a zone and begins to count fetches anew.
-func (d *returnDay) clearCaches(zone ids.Zone) {
+func (d *recoveryDay) clearCaches(zone ids.Zone) {
 	for w := range d.imageCaches.images {
 		if w.zone == zone {
 			delete(d.imageCaches.images, w)
@@ -104,17 +104,18 @@
 	d.imageCaches.peak[zone], d.imageCaches.total = 0, 0
 }
 
-// measureReturn submits queries and measures how soon they start and the zone is full.
-func (d *returnDay) measureReturn() {
+// measureRecovery submits queries, and measures how soon they start and how soon the zone is as
+// full as the others.
+func (d *recoveryDay) measureRecovery() {
 	back := d.now
 	submittedAt := map[ids.JobID]monotonic.Instant{} // of queries that have not started
-	for d.now < back.Add(returnObserved) {
+	for d.now < back.Add(recoveryObserved) {
 		if d.now.Sub(back)%(3*second) == 0 {
 			spec := zoneArray(1)
 			spec.Service, spec.Image, spec.Priority = true, "query", wire.High
 			submittedAt[d.submitJob(spec)] = d.now
 		}
-		d.run(returnTick)
+		d.run(recoveryTick)
 		d.noteStarts(submittedAt)
 		if d.figures.share == 0 && d.carriesShare("b") {
 			d.figures.share = d.now.Sub(back)
@@ -125,8 +126,8 @@
 	}
 }
 
-// noteStarts takes queries out that have started, and keeps the longest wait.
-func (d *returnDay) noteStarts(submittedAt map[ids.JobID]monotonic.Instant) {
+// noteStarts removes the queries that have started, and keeps the longest wait.
+func (d *recoveryDay) noteStarts(submittedAt map[ids.JobID]monotonic.Instant) {
 	for id, at := range submittedAt {
 		if j := d.core.cluster.Job(id); j != nil && startedRunning(j) {
 			d.figures.worstStart = max(d.figures.worstStart, d.now.Sub(at))
@@ -136,7 +137,7 @@
 }
 
 // mostMoves is how often a task was moved at most.
-func (d *returnDay) mostMoves() int {
+func (d *recoveryDay) mostMoves() int {
 	most := 0
 	for _, id := range slices.Concat(d.services, d.arrays) {
 		for _, p := range d.placements[id] {
@@ -156,7 +157,7 @@
 	return false
 }
 
-// runningReplicas counts the replicas that run on machines that are heard.
+// runningReplicas counts the replicas that run on usable machines.
 func (m *scenario) runningReplicas(services []ids.JobID) (running, wanted int) {
 	for _, id := range services {
 		j := m.core.cluster.Job(id)
@@ -186,28 +187,37 @@
 	return total > 0 && totalElsewhere > 0 && used/total >= 0.9*usedElsewhere/totalElsewhere
 }
 
-// BenchmarkZoneReturn reports the median, the least and the most over ten days.
-func BenchmarkZoneReturn(b *testing.B) {
-	const days = 10
+// BenchmarkZoneRecovery reports the median, the least and the most over ten days.
+func BenchmarkZoneRecovery(b *testing.B) {
 	for _, c := range []struct {
 		name  string
 		start func(*sim)
 	}{{"off", (*sim).failOver}, {"on", (*sim).enableZoneRecovery}} {
 		b.Run(c.name, func(b *testing.B) {
 			for range b.N {
-				var up, start, share, peak, fetches, moves []float64
-				for seed := range uint64(days) {
-					f := newReturnDay(seed, c.start).measure(b)
-					up, start, share = append(up, f.queriesUp.Seconds()), append(start, f.worstStart.Seconds()), append(share, f.share.Seconds())
-					peak, fetches, moves = append(peak, float64(f.peakFetches)), append(fetches, float64(f.fetches)), append(moves, float64(f.worstMoves))
-				}
-				b.Logf("queries up after the cut %s s, worst query start after the return %s s, share after %s s", spread(up), spread(start), spread(share))
-				b.Logf("most fetches at once %s, fetches %s, most moves of a task %s", spread(peak), spread(fetches), spread(moves))
+				reportRecoveryDays(b, c.start)
 			}
 		})
 	}
 }
 
+// reportRecoveryDays plays ten days and logs their measurements.
+func reportRecoveryDays(b *testing.B, start func(*sim)) {
+	const days = 10
+	var up, worstStart, share, peak, fetches, moves []float64
+	for seed := range uint64(days) {
+		f := newRecoveryDay(seed, start).measure(b)
+		up = append(up, f.queriesUp.Seconds())
+		worstStart = append(worstStart, f.worstStart.Seconds())
+		share = append(share, f.share.Seconds())
+		peak = append(peak, float64(f.peakFetches))
+		fetches = append(fetches, float64(f.fetches))
+		moves = append(moves, float64(f.worstMoves))
+	}
+	b.Logf("queries up after the cut %s s, worst query start after the return %s s, share after %s s", spread(up), spread(worstStart), spread(share))
+	b.Logf("most fetches at once %s, fetches %s, most moves of a task %s", spread(peak), spread(fetches), spread(moves))
+}
+
 // spread is the median of some figures, with the least and the most.
 func spread(figures []float64) string {
 	slices.Sort(figures)
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -67,7 +67,7 @@
 	return id
 }
 
-// fillZones has work in all zones: services and arrays that run for long.
+// fillZones submits services and long arrays for all zones, and waits until they run.
 func (m *scenario) fillZones() (services, arrays []ids.JobID) {
 	m.runFactor = 20
 	for _, zone := range []ids.Zone{"a", "b", "c", ""} {
@@ -111,6 +111,13 @@
 	}
 }
 
+// loseZone partitions a zone, and runs until that counts as an outage.
+func (m *scenario) loseZone(zone ids.Zone, partition time.Duration) {
+	m.t.Helper()
+	m.partitionZone(zone, partition)
+	m.await(zone, zonerecovery.Outage, 30*second)
+}
+
 // statusOf is the status of a zone that operators see.
 func (m *scenario) statusOf(zone ids.Zone) zonerecovery.Status {
 	m.t.Helper()
@@ -123,19 +130,19 @@
 	return zonerecovery.Status{}
 }
 
-// endOfDay sees that every job comes to its end with no rule broken, and that none came
-// back to a zone more than once.
+// endOfDay checks that every job ends with no rule broken, and that none returned to a zone
+// that displaced it more than once.
 func (m *scenario) endOfDay() {
 	m.t.Helper()
 	m.runFactor = 1
 	m.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
 	m.runToCompletion(m.all, 30*time.Minute)
-	if m.zones.bounces > 1 {
-		m.t.Errorf("a job came back %d times", m.zones.bounces)
+	if m.zones.maxFailbacks > 1 {
+		m.t.Errorf("a job returned %d times to a zone that displaced it", m.zones.maxFailbacks)
 	}
 }
 
-// placed counts the tasks of jobs that are on machines the leader takes for good.
+// placed counts the tasks of jobs on machines of zones without an outage.
 func (m *scenario) placed(jobs []ids.JobID) (placed, wanted int) {
 	for _, id := range jobs {
 		j := m.core.cluster.Job(id)
