--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -195,12 +195,7 @@
 
 // RecordsError is set when the records are not as this leader left them. The term
 // must then end and the records be read again.
-func (c *Core) RecordsError() error {
-	if c.recordsErr != nil {
-		return c.recordsErr
-	}
-	return c.zones.recordsError()
-}
+func (c *Core) RecordsError() error { return c.recordsErr }
 
 // Begin begins the term once the records are loaded.
 func (c *Core) Begin(now monotonic.Instant) {
--- a/scheduler/core_zones.go
+++ b/scheduler/core_zones.go
@@ -12,30 +12,28 @@
 		return nil
 	}
 	return &zoneGate{
-		manager:      zonerecovery.NewManager(c.opt.ZoneRecovery),
-		cluster:      c.cluster,
-		clock:        c.clock,
-		rounds:       c.rounds,
-		health:       c.health,
-		provisioning: c.autoscaler,
-		estimates:    c.estimates,
-		failures:     c,
-		records: zoneRecords{
-			writer:   c.records,
-			maxBytes: c.opt.ValueBytes,
-			inFlight: map[uint64]zoneWrite{},
-		},
+		manager: zonerecovery.NewManager(c.opt.ZoneRecovery),
+		cluster: c.cluster,
+		clock:   c.clock,
+		rounds:  c.rounds,
+		records: zoneRecords{maxBytes: c.opt.ValueBytes, inFlight: map[uint64]zoneWrite{}},
 	}
 }
 
-// connectZones gives the gate the parts that are made after it.
+// connectZones gives the gate the other policies that it asks. They must all be made.
 func (c *Core) connectZones() {
-	if c.zones == nil {
+	g := c.zones
+	if g == nil {
 		return
 	}
-	c.zones.lifecycle = c.lifecycle
-	c.zones.latency = c.queue
-	c.zones.reservations = c.reservations
+	g.health = c.health
+	g.provisioning = c.autoscaler
+	g.latency = c.queue
+	g.estimates = c.estimates
+	g.reservations = c.reservations
+	g.failures = c
+	g.lifecycle = c.lifecycle
+	g.records.writer = c.records
 }
 
 // LoadZone takes in the record of a zone that a previous leader wrote. It must come before
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -95,7 +95,7 @@
 	conflict, ok := errors.AsType[*records.ConflictError](err)
 	jobAlone := ok && len(conflict.Keys) == 1 && conflict.Keys[0] == records.JobKey(j.ID)
 	if !jobAlone || j.Records.Revision == 0 {
-		w.core.recordsErr = fmt.Errorf("records of %s moved without this leader: %w", j.ID, err)
+		w.fail(fmt.Errorf("records of %s moved without this leader: %w", j.ID, err))
 		return
 	}
 	w.rollBack(p)
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -290,3 +290,6 @@
 func (w *recordWriter) nextNonce() uint64 {
 	return uint64(ids.NewFencingToken(w.core.opt.Revision, w.nextChange+1))
 }
+
+// fail notes that the records are not as this leader left them. The term must end.
+func (w *recordWriter) fail(err error) { w.core.recordsErr = err }
--- a/scheduler/zone_gate_test.go
+++ b/scheduler/zone_gate_test.go
@@ -61,7 +61,7 @@
 	if g.evacuating() || g.unproven("a") {
 		t.Error("a zone does not serve")
 	}
-	if g.settle(records.CommitResult{}) || g.recordsError() != nil || g.takeTransitions() != nil {
+	if g.settle(records.CommitResult{}) || g.takeTransitions() != nil {
 		t.Error("the gate has results")
 	}
 }
--- a/scheduler/zone_records.go
+++ b/scheduler/zone_records.go
@@ -17,8 +17,6 @@
 	maxBytes int
 	// inFlight are the writes without a result, by the id of their change.
 	inFlight map[uint64]zoneWrite
-	// err is set once a record is not as this leader left it.
-	err error
 }
 
 // zoneWrite is a write of a zone's record in flight.
@@ -35,6 +33,8 @@
 	nextNonce() uint64
 	// submitOther hands a change out, and returns the id under which its result comes back.
 	submitOther(change records.Change) (id uint64)
+	// fail notes that the records are not as this leader left them, which ends the term.
+	fail(err error)
 }
 
 // writeRecords writes the records that are due, as far as the write rate allows.
@@ -82,7 +82,7 @@
 	case errors.Is(result.Err, records.ErrRejected):
 		g.manager.WriteRejected(write.zone)
 	default:
-		g.records.err = fmt.Errorf("record of zone %s moved without this leader: %w", write.zone, result.Err)
+		g.records.writer.fail(fmt.Errorf("record of zone %s moved without this leader: %w", write.zone, result.Err))
 	}
 	return true
 }
@@ -96,11 +96,3 @@
 		g.rounds.MarkDue()
 	}
 }
-
-// recordsError is set once a zone's record is not as this leader left it.
-func (g *zoneGate) recordsError() error {
-	if g == nil {
-		return nil
-	}
-	return g.records.err
-}
--- a/scheduler/zone_records_test.go
+++ b/scheduler/zone_records_test.go
@@ -52,8 +52,11 @@
 	m.endOfDay()
 }
 
-// fakeZoneRecordWriter collects the changes that a zone gate submits.
-type fakeZoneRecordWriter struct{ changes []records.Change }
+// fakeZoneRecordWriter collects the changes that a zone gate submits, and its error.
+type fakeZoneRecordWriter struct {
+	changes []records.Change
+	err     error
+}
 
 func (*fakeZoneRecordWriter) mayWrite() bool { return true }
 
@@ -65,6 +68,8 @@
 	return change.ID
 }
 
+func (w *fakeZoneRecordWriter) fail(err error) { w.err = err }
+
 // newHeldZone makes a gate without a core, and has it write that zone b is on hold.
 func newHeldZone(t *testing.T) (*zoneGate, *fakeZoneRecordWriter) {
 	t.Helper()
@@ -109,8 +114,8 @@
 			if got := g.manager.RecordedOverride("b"); got != c.recorded {
 				t.Errorf("override %d is recorded, not %d", got, c.recorded)
 			}
-			if err := g.recordsError(); !errors.Is(err, c.recordsError) {
-				t.Errorf("the error is %v", err)
+			if !errors.Is(writer.err, c.recordsError) {
+				t.Errorf("the error is %v", writer.err)
 			}
 			g.writeRecords()
 			if got := len(writer.changes) - 1; got != c.writtenAgain {
