--- a/election/failover_test.go
+++ b/election/failover_test.go
@@ -7,8 +7,9 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/kv"
-	"ospreystile.example/ospreystile/wire"
+	"ospreystile.example/ospreystile/records"
 )
 
 // startThree starts three candidates and waits for the first election.
@@ -39,7 +40,7 @@
 	withCluster(t, func(t *testing.T, c *cluster) {
 		startThree(t, c)
 		leader, term := c.mustLead(t)
-		c.store.outage(true)
+		c.store.StartOutage()
 		time.Sleep(10 * time.Second)
 		if term.HoldsLease() {
 			t.Error("the lease is valid without the store")
@@ -47,7 +48,7 @@
 		if !term.MayAnswerHeartbeats() {
 			t.Error("heartbeats are not answered within the outage grace")
 		}
-		c.store.outage(false)
+		c.store.EndOutage()
 		time.Sleep(time.Second)
 		if after, again := c.leader(); after != leader || again != term {
 			t.Errorf("%q leads after the outage, %s before", after, leader)
@@ -61,19 +62,19 @@
 	withCluster(t, func(t *testing.T, c *cluster) {
 		candidates := startThree(t, c)
 		first, firstTerm := c.mustLead(t)
-		c.store.outage(true)
+		c.store.StartOutage()
 		time.Sleep(10 * time.Second)
-		c.store.outage(false)
+		c.store.EndOutage()
 		time.Sleep(time.Second)
 
-		candidates[first].client.refuse(true)
+		candidates[first].client.Refuse()
 		time.Sleep(5 * time.Second)
 		second, secondTerm := c.mustLead(t)
 		if second == first || secondTerm.Revision <= firstTerm.Revision {
 			t.Fatalf("%s leads at revision %d after %s lost the store at revision %d",
 				second, secondTerm.Revision, first, firstTerm.Revision)
 		}
-		candidates[first].client.refuse(false)
+		candidates[first].client.Accept()
 
 		candidates[second].stop()
 		time.Sleep(6 * time.Second)
@@ -88,12 +89,8 @@
 func TestEarlierProcessIsReplacedAtOnce(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		const earlierRevision = 4
-		s := c.store
-		s.ttl = time.Hour
-		s.leases[77] = time.Now().Add(time.Hour)
-		s.next = 100
-		s.epoch, s.revision, s.lease = earlierRevision, earlierRevision, 77
-		s.value = wire.Encode(Identity{Name: "n0", Incarnation: 1})
+		c.store.Advance(earlierRevision - 1)
+		c.store.PutWithLease(records.LeaderKey, Identity{Name: "n0", Incarnation: 1}, time.Hour)
 
 		c.start(t, "n0", 2)
 		time.Sleep(time.Second)
@@ -105,12 +102,12 @@
 
 // firstCommitIndeterminate is a client that loses the response to its first commit.
 type firstCommitIndeterminate struct {
-	*client
+	*kvtest.Client
 	first sync.Once
 }
 
 func (f *firstCommitIndeterminate) Commit(ctx context.Context, t kv.Txn) (kv.TxnResult, error) {
-	result, err := f.client.Commit(ctx, t)
+	result, err := f.Client.Commit(ctx, t)
 	f.first.Do(func() { result, err = kv.TxnResult{}, kv.ErrIndeterminate })
 	return result, err
 }
@@ -120,8 +117,8 @@
 func TestKeyOfIndeterminateCommitIsReleased(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		const lostRevision = 1
-		client := &client{s: c.store}
-		c.startWith(t, Identity{Name: "n0", Incarnation: 1}, client, &firstCommitIndeterminate{client: client})
+		client := newClient(c.store)
+		c.startWith(t, Identity{Name: "n0", Incarnation: 1}, client, &firstCommitIndeterminate{Client: client})
 		time.Sleep(testTTL / 3)
 		if _, term := c.mustLead(t); term.Revision <= lostRevision {
 			t.Errorf("leads at revision %d, whose commit gave no answer", term.Revision)
