--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -81,7 +81,7 @@
 	c.commands = &commandQueue{core: c}
 	c.preemption = &evictor{core: c}
 	c.autoscaler = newAutoscaler(c)
-	c.zones = newZoneGate(c, opt.ZoneRecovery)
+	c.zones = c.newZoneGate()
 	c.lifecycle = &taskLifecycle{
 		cluster:   c.cluster,
 		clock:     c.clock,
@@ -95,6 +95,7 @@
 	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
 	c.connectIntake()
 	c.connectAdmission()
+	c.connectZones()
 	c.cluster.SetCatalog(types)
 	return c
 }
@@ -240,6 +241,7 @@
 	c.commands.dispatchCommands()
 	out := c.decisions
 	c.decisions = Decisions{}
+	out.ZoneEvents = c.zones.takeTransitions()
 	out.Terminate, out.ForgetAddresses = c.registry.takeDecisions()
 	return out
 }
