--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -204,6 +204,12 @@
 	return nil
 }
 
+// AssignsAttempt tells whether a reported attempt is the one that is assigned to the machine.
+func (m *Machine) AssignsAttempt(reported *ReportedTask) bool {
+	a := m.byRef[reported.Ref]
+	return a != nil && a.Attempt == reported.Attempt
+}
+
 // ReportsTask tells whether the newest heartbeat shows any attempt of a task.
 func (m *Machine) ReportsTask(ref ids.TaskRef) bool {
 	for i := range m.Agent.ReportedTasks {
--- a/scheduler/cluster/machines.go
+++ b/scheduler/cluster/machines.go
@@ -72,10 +72,7 @@
 	s.releaseUnrecorded(m)
 	for i := range m.Agent.ReportedTasks {
 		t := &m.Agent.ReportedTasks[i]
-		if t.State == wire.TaskEnded {
-			continue
-		}
-		if a := m.byRef[t.Ref]; a != nil && a.Attempt == t.Attempt {
+		if t.State == wire.TaskEnded || m.AssignsAttempt(t) {
 			continue
 		}
 		if j := s.jobs[t.Ref.Job]; j != nil {
