--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -1,126 +1,84 @@
 package scheduler
 
 import (
+	"time"
+
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// commandQueue decides what each worker is told, in the answer to its report or by a
-// direct call, and under which token.
-type commandQueue struct {
-	core *Core
-	// queuedMachines are those to which a command may have to go.
-	queuedMachines []*cluster.Machine
-	// callsInFlight is how many calls to workers are under way.
+// commandDispatcher decides what each agent is told, and under which fencing token: in the
+// answer to its heartbeat, or by a direct call where the next heartbeat would be too late. It
+// also decides which agents are asked for a heartbeat, and bounds the calls in flight.
+//
+// Heartbeats, health checks, the task lifecycle and record writing queue the machines to
+// which a command may have to go; each step of the core dispatches to them. The dispatcher
+// makes no call itself. It writes the notes in Machine.Commands and Assignment.Delivery. It
+// never starts a task whose record is not committed, and never lets an agent forget an
+// attempt whose end is not recorded.
+type commandDispatcher struct {
+	cluster  *cluster.State
+	clock    *clock.Clock
+	records  completionRecords
+	settings dispatchSettings
+	// queue holds the machines to which a command may have to go, in the order in which
+	// they were queued.
+	queue []*cluster.Machine
+	// callsInFlight counts the calls to agents that have not ended.
 	callsInFlight int
 }
 
-// maxCommands keeps answers inside the protocol's limit for bodies.
-const maxCommands = 300
-
-// tokenOf is the token that commands to a worker carry now.
-func (q *commandQueue) tokenOf(m *cluster.Machine) ids.FencingToken {
-	return ids.NewFencingToken(q.core.opt.Revision, m.Commands.TokenCounter)
+// dispatchSettings are the settings of command dispatch.
+type dispatchSettings struct {
+	// revision is that of the leader's key; all fencing tokens of the term contain it.
+	revision ids.Revision
+	// maxCallsInFlight bounds the calls to agents in flight; 0: no bound.
+	maxCallsInFlight int
+	// heartbeatInterval is the time between two heartbeats of an agent.
+	heartbeatInterval time.Duration
 }
 
-// answerReport makes the answer to a report: what to end, what to reap, what to start.
-func (q *commandQueue) answerReport(m *cluster.Machine) wire.HeartbeatResponse {
-	orders := q.killCommands(m)
-	if !m.Commands.CallInFlight {
-		var reaps []wire.Command
-		for i := range m.Agent.ReportedTasks {
-			if s := &m.Agent.ReportedTasks[i]; s.State == wire.TaskEnded && q.canReap(m, s) && len(reaps) < maxCommands/2 {
-				reaps = append(reaps, wire.Command{Verb: wire.VerbReap, Name: s.Ref.String(), Attempt: s.Attempt})
-			}
-		}
-		// After reap the worker would start the attempt again if a direct run
-		// for it came late or twice. So reap goes out under a token above
-		// every one that a direct run carried.
-		if len(reaps) > 0 && m.Commands.DirectRunToken >= q.tokenOf(m) {
-			m.Commands.TokenCounter++
-		}
-		orders = append(orders, reaps...)
-	}
-	runs := q.runCommands(m, true, maxCommands-len(orders))
-	return wire.HeartbeatResponse{FencingToken: q.tokenOf(m), Commands: append(orders, runs...)}
+// completionRecords knows which jobs have yet to be recorded as done.
+type completionRecords interface {
+	// completionPending tells whether all tasks of a job are done, and no change that
+	// records it has been made yet.
+	completionPending(j *cluster.Job) bool
 }
 
-// killCommands lists what must end on a machine. It also raises the token's counter if
-// the message that would start a stopped task may still be under way.
-func (q *commandQueue) killCommands(m *cluster.Machine) []wire.Command {
-	orders := []wire.Command{}
-	for _, a := range m.Assignments() {
-		if a.StopReason() == cluster.StopNone || !a.MayRun() {
-			continue
-		}
-		s := m.FindReported(a.Ref(), a.Attempt)
-		if s == nil && !a.Delivery.Inherited && a.Delivery.Token >= q.tokenOf(m) && !m.Commands.CallInFlight {
-			m.Commands.TokenCounter++
-		}
-		if len(orders) >= maxCommands/2 {
-			continue
-		}
-		grace := a.Delivery.KillGraceS
-		if a.Delivery.KillSentAt != 0 && q.core.clock.Now() > a.Delivery.KillSentAt.Add(monotonic.Seconds(a.Delivery.KillGraceS)) {
-			grace = 0
-		}
-		if a.Delivery.KillSentAt == 0 {
-			a.Delivery.KillSentAt = q.core.clock.Now()
-		}
-		orders = append(orders, wire.Command{Verb: wire.VerbKill, Name: a.Ref().String(), Attempt: a.Attempt, GraceS: grace})
-	}
-	for i := range m.Agent.ReportedTasks {
-		s := &m.Agent.ReportedTasks[i]
-		if s.State == wire.TaskEnded || len(orders) >= maxCommands/2 {
-			continue
-		}
-		if a := m.Assignment(s.Ref); a == nil || a.Attempt != s.Attempt {
-			orders = append(orders, wire.Command{Verb: wire.VerbKill, Name: s.Ref.String(), Attempt: s.Attempt})
-		}
-	}
-	return orders
+// Bounds of the commands in one message. They keep it within the protocol's limit for
+// bodies, and leave room for reaping beside many kill commands.
+const (
+	maxCommands     = 300
+	maxKillCommands = maxCommands / 2
+	maxReapCommands = maxCommands / 2
+)
+
+// tokenOf is the fencing token that commands to a machine carry now.
+func (d *commandDispatcher) tokenOf(m *cluster.Machine) ids.FencingToken {
+	return ids.NewFencingToken(d.settings.revision, m.Commands.TokenCounter)
 }
 
-// runCommands lists what should start on a machine and was not seen there. With again it
-// also repeats what was sent before.
-func (q *commandQueue) runCommands(m *cluster.Machine, again bool, most int) []wire.Command {
-	var orders []wire.Command
-	if m.Lifecycle.Terminating {
-		return orders
-	}
-	token := q.tokenOf(m)
-	for _, a := range m.Assignments() {
-		if !a.Record.Committed || a.StopReason() != cluster.StopNone || a.Delivery.Inherited || a.Delivery.Seen || a.Delivery.Sent && !again || len(orders) >= most {
-			continue
-		}
-		if m.FindReported(a.Ref(), a.Attempt) != nil {
-			continue
-		}
-		if !a.Delivery.Sent {
-			a.Delivery.SentAt = q.core.clock.Now()
+// answerReport makes the answer to a heartbeat: which tasks to kill, to reap and to run.
+func (d *commandDispatcher) answerReport(m *cluster.Machine) wire.HeartbeatResponse {
+	commands := d.killCommands(m)
+	if !m.Commands.CallInFlight {
+		reaps := d.reapCommands(m)
+		if len(reaps) > 0 {
+			d.outdateDirectRuns(m)
 		}
-		a.Delivery.Sent = true
-		a.Delivery.Token = max(a.Delivery.Token, token)
-		a.Delivery.Incarnation = m.Agent.Incarnation
-		orders = append(orders, wire.Command{Verb: wire.VerbRun, Name: a.Ref().String(), Attempt: a.Attempt})
+		commands = append(commands, reaps...)
 	}
-	return orders
+	runs := d.runCommands(m, maxCommands-len(commands))
+	return wire.HeartbeatResponse{FencingToken: d.tokenOf(m), Commands: append(commands, runs...)}
 }
 
-// canReap tells whether the end of an attempt is recorded, or has no consequence.
-func (q *commandQueue) canReap(m *cluster.Machine, s *cluster.ReportedTask) bool {
-	if a := m.Assignment(s.Ref); a != nil && a.Attempt == s.Attempt {
-		return false
-	}
-	j := q.core.cluster.Job(s.Ref.Job)
-	if j == nil || j.Status() != wire.JobQueued {
-		return true
-	}
-	if j.Records.Completing || q.core.records.completable[j] || s.Ref.Index >= len(j.Tasks()) {
-		return false
+// outdateDirectRuns raises a machine's token above every one under which a direct call carried
+// a run command. An agent that has reaped an attempt would start it again if such a command
+// arrived late or twice.
+func (d *commandDispatcher) outdateDirectRuns(m *cluster.Machine) {
+	if m.Commands.DirectRunToken >= d.tokenOf(m) {
+		m.Commands.TokenCounter++
 	}
-	sl := j.Task(s.Ref.Index).Slice()
-	return !sl.Dirty && !sl.InFlight
 }
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -42,7 +42,7 @@
 	records      *recordWriter
 	registry     *machineRegistry
 	health       *healthMonitor
-	commands     *commandQueue
+	commands     *commandDispatcher
 	candidates   *candidateList
 	queue        *jobQueue
 	quota        *quotaCheck
@@ -79,7 +79,16 @@
 	c.records = newRecordWriter(c)
 	c.registry = newMachineRegistry(c)
 	c.health = &healthMonitor{core: c, zoneStates: map[ids.Zone]*zoneState{}}
-	c.commands = &commandQueue{core: c}
+	c.commands = &commandDispatcher{
+		cluster: c.cluster,
+		clock:   c.clock,
+		records: c.records,
+		settings: dispatchSettings{
+			revision:          opt.Revision,
+			maxCallsInFlight:  opt.MaxWorkerCalls,
+			heartbeatInterval: opt.HeartbeatInterval,
+		},
+	}
 	c.preemption = &evictor{core: c}
 	c.autoscaler = newAutoscaler(c)
 	c.zones = newZoneGate(c, opt.ZoneRecovery)
@@ -218,9 +227,10 @@
 	c.records.refillBudget()
 	c.zones.writeRecords()
 	c.records.writeRecords()
-	c.commands.dispatchCommands()
+	calls := c.commands.dispatch()
 	out := c.decisions
 	c.decisions = Decisions{}
+	out.SendCommands, out.RequestHeartbeats = calls.sendCommands, calls.requestHeartbeats
 	return out
 }
 
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -9,178 +9,106 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// queueCommands notes that a command may have to go to a machine. Only such machines are
-// looked at: with a thousand machines, looking at all of them after every event takes too
-// much of a node's processor.
-func (q *commandQueue) queueCommands(m *cluster.Machine) {
-	if !m.Commands.Queued {
-		m.Commands.Queued = true
-		q.queuedMachines = append(q.queuedMachines, m)
-	}
-}
+// callRetryDelay is how long a machine is not called after a call failed.
+const callRetryDelay = time.Second
 
-// dispatchCommands lists the workers that should be called now, those that have waited
-// longest first. After a takeover or a partition hundreds wait while events keep coming,
-// so a step does little work here.
-func (q *commandQueue) dispatchCommands() {
-	room := q.core.opt.MaxWorkerCalls - q.callsInFlight
-	if q.core.opt.MaxWorkerCalls <= 0 {
-		room = len(q.queuedMachines)
-	}
-	left := q.queuedMachines[:0]
-	for _, m := range q.queuedMachines {
-		if m.Commands.Queued = q.dispatchTo(m, &room); m.Commands.Queued {
-			left = append(left, m)
-		}
-	}
-	clear(q.queuedMachines[len(left):])
-	q.queuedMachines = left
+// TakeCommands hands out the commands that should be sent to a machine now, and its agent's
+// address. ok is false if nothing may be sent. Otherwise the call counts as in flight until
+// CommandsResult.
+func (c *Core) TakeCommands(now monotonic.Instant, machine ids.MachineID) (batch wire.CommandBatch, endpoint string, ok bool) {
+	c.clock.Set(now)
+	return c.commands.takeBatch(machine)
 }
 
-// dispatchTo sends what should go to a machine now, if another call is allowed. It tells
-// whether the machine stays in the queue; otherwise whatever changes queues it again.
-func (q *commandQueue) dispatchTo(m *cluster.Machine, room *int) bool {
-	switch {
-	case q.core.cluster.Machine(m.ID) != m || m.Lifecycle.Terminating || m.Endpoint() == "":
-		return false
-	case !m.Agent.Reported:
-		if !q.needsReportRequest(m) {
-			return false
-		}
-		if *room <= 0 {
-			return true
-		}
-		m.Commands.HeartbeatRequested, m.Commands.RequestHeartbeatAt = true, q.core.clock.Now().Add(2*time.Second)
-		q.callsInFlight++
-		*room--
-		q.core.decisions.RequestHeartbeats = append(q.core.decisions.RequestHeartbeats, m.ID)
-		return false
-	case m.Commands.CallInFlight || m.Commands.CallFailed:
-		return false
-	case q.core.clock.Now() < m.Commands.CallRetryAt:
-		return true
-	case !q.needsDirectCommand(m):
-		return q.needsFencing(m)
-	case *room <= 0:
-		return true
+// CommandsResult ends a call that TakeCommands began. heartbeat is the agent's answer, or nil
+// if there was none. Without an answer the commands may still be carried out later; fencing
+// tokens keep that from doing harm.
+func (c *Core) CommandsResult(now monotonic.Instant, machine ids.MachineID, heartbeat *wire.Heartbeat) {
+	c.clock.Set(now)
+	if heartbeat == nil {
+		c.commands.commandCallFailed(machine)
+		return
 	}
-	*room--
-	q.core.decisions.SendCommands = append(q.core.decisions.SendCommands, m.ID)
-	return false
+	c.commands.commandCallAnswered(machine)
+	c.receiveCallAnswer(machine, heartbeat)
 }
 
-// needsReportRequest tells whether a machine that a predecessor left should be asked for
-// its report now. After a change of leaders its worker's session is not known,
-// and it may take seconds until it finds its way here. A predecessor that lost
-// the state service and us, but not its workers, keeps them from coming; one
-// that was told of us makes it give up.
-func (q *commandQueue) needsReportRequest(m *cluster.Machine) bool {
-	return !m.Agent.Reported && !m.Commands.HeartbeatRequested && q.core.clock.Now() >= m.Commands.RequestHeartbeatAt && !m.Lifecycle.Terminating && m.Endpoint() != "" &&
-		(len(m.Assignments()) > 0 || m.Lifecycle.ListedStatus == wire.MachineRunning && !m.Lifecycle.RentedThisTerm)
-}
-
-// needsFencing tells whether a machine has yet to show a token of this leader. The
-// answer to its report brings it one; who does not report here must be told.
-func (q *commandQueue) needsFencing(m *cluster.Machine) bool {
-	return !m.Agent.Fenced && len(m.Assignments()) > 0
-}
-
-// needsDirectCommand tells whether a machine must be told something before its next
-// report.
-func (q *commandQueue) needsDirectCommand(m *cluster.Machine) bool {
-	if q.needsFencing(m) && (m.Agent.AnsweredAt == 0 || q.core.clock.Now() > m.Agent.AnsweredAt.Add(q.core.opt.HeartbeatInterval)) {
-		return true
-	}
-	for _, a := range m.Assignments() {
-		if a.Record.Committed && !a.Delivery.Sent && !a.Delivery.Inherited && a.StopReason() == cluster.StopNone {
-			return true
-		}
-		if a.StopReason() != cluster.StopNone && a.MayRun() && a.Delivery.KillSentAt == 0 {
-			return true
-		}
+// HeartbeatRequestResult ends a request for a heartbeat. heartbeat is the agent's answer, or
+// nil if there was none.
+func (c *Core) HeartbeatRequestResult(now monotonic.Instant, machine ids.MachineID, heartbeat *wire.Heartbeat) {
+	c.clock.Set(now)
+	c.commands.heartbeatRequestEnded(machine)
+	if heartbeat != nil {
+		c.receiveCallAnswer(machine, heartbeat)
 	}
-	return false
 }
 
-// TakeCommands hands out the command that should go to a worker now. It must be
-// followed by CommandsResult.
-func (c *Core) TakeCommands(now monotonic.Instant, h ids.MachineID) (d wire.CommandBatch, endpoint string, ok bool) {
-	c.clock.Set(now)
-	return c.commands.takeDirect(h)
+// receiveCallAnswer takes in the heartbeat with which an agent answered a call, unless the
+// machine was removed or another machine has its address now.
+func (c *Core) receiveCallAnswer(machine ids.MachineID, heartbeat *wire.Heartbeat) {
+	if heartbeat.Machine == machine && c.cluster.Machine(machine) != nil {
+		c.Heartbeat(c.clock.Now(), heartbeat, true)
+	}
 }
 
-// takeDirect makes the command for a worker and counts the call as under way.
-func (q *commandQueue) takeDirect(h ids.MachineID) (d wire.CommandBatch, endpoint string, ok bool) {
-	m := q.core.cluster.Machine(h)
+// takeBatch makes the commands for a machine and counts the call as in flight. Without
+// commands the batch still fences the agent.
+func (d *commandDispatcher) takeBatch(machine ids.MachineID) (batch wire.CommandBatch, endpoint string, ok bool) {
+	m := d.cluster.Machine(machine)
 	if m == nil || m.Commands.CallInFlight || !m.Agent.Reported || m.Lifecycle.Terminating {
 		return wire.CommandBatch{}, "", false
 	}
-	orders := q.killCommands(m)
-	token := q.tokenOf(m)
-	if runs := q.runCommands(m, false, maxCommands-len(orders)); len(runs) > 0 {
-		orders = append(orders, runs...)
+	commands := d.killCommands(m)
+	token := d.tokenOf(m)
+	if runs := d.firstRunCommands(m, maxCommands-len(commands)); len(runs) > 0 {
+		commands = append(commands, runs...)
 		m.Commands.DirectRunToken = max(m.Commands.DirectRunToken, token)
 	}
 	m.Commands.CallInFlight = true
-	q.callsInFlight++
-	return wire.CommandBatch{FencingToken: token, Incarnation: m.Agent.Incarnation, Commands: orders}, m.Endpoint(), true
+	d.callsInFlight++
+	return wire.CommandBatch{FencingToken: token, Incarnation: m.Agent.Incarnation, Commands: commands}, m.Endpoint(), true
 }
 
-// CommandsResult takes the answer to a direct command, or its absence. Without
-// one, the command may still be carried out; the tokens see to that.
-func (c *Core) CommandsResult(now monotonic.Instant, h ids.MachineID, rep *wire.Heartbeat) {
-	c.clock.Set(now)
-	c.commands.directResult(h, rep)
+// commandCallAnswered ends a call with commands that the agent answered.
+func (d *commandDispatcher) commandCallAnswered(machine ids.MachineID) {
+	if m := d.endCall(machine); m != nil {
+		m.Commands.CallInFlight = false
+	}
 }
 
-// directResult ends a call to a worker; rep is nil if it was not answered.
-func (q *commandQueue) directResult(h ids.MachineID, rep *wire.Heartbeat) {
-	m := q.endCall(h)
+// commandCallFailed ends a call with commands that had no answer. The machine is called again
+// after a delay, and not before its next heartbeat.
+func (d *commandDispatcher) commandCallFailed(machine ids.MachineID) {
+	m := d.endCall(machine)
 	if m == nil {
 		return
 	}
 	m.Commands.CallInFlight = false
-	if rep == nil {
-		m.Commands.CallRetryAt = q.core.clock.Now().Add(time.Second)
-		m.Commands.CallFailed = true
-		return
-	}
-	q.takeAnswer(m, rep)
+	m.Commands.CallFailed = true
+	m.Commands.CallRetryAt = d.clock.Now().Add(callRetryDelay)
 }
 
-// endCall counts a call to a worker as ended, and looks at its machine again. It returns nil
-// if the machine is gone.
-func (q *commandQueue) endCall(h ids.MachineID) *cluster.Machine {
-	q.callsInFlight--
-	m := q.core.cluster.Machine(h)
-	if m != nil {
-		q.queueCommands(m)
-	}
-	return m
+// heartbeatRequested counts a request for a machine's heartbeat as in flight.
+func (d *commandDispatcher) heartbeatRequested(m *cluster.Machine) {
+	m.Commands.HeartbeatRequested = true
+	m.Commands.RequestHeartbeatAt = d.clock.Now().Add(heartbeatRequestInterval)
+	d.callsInFlight++
 }
 
-// takeAnswer takes in the report with which a worker answered a call, unless another machine
-// has its address now.
-func (q *commandQueue) takeAnswer(m *cluster.Machine, rep *wire.Heartbeat) {
-	if rep.Machine == m.ID {
-		q.core.Heartbeat(q.core.clock.Now(), rep, true)
+// heartbeatRequestEnded ends a request for a machine's heartbeat.
+func (d *commandDispatcher) heartbeatRequestEnded(machine ids.MachineID) {
+	if m := d.endCall(machine); m != nil {
+		m.Commands.HeartbeatRequested = false
 	}
 }
 
-// HeartbeatRequestResult takes the answer to a request for a report, or nil.
-func (c *Core) HeartbeatRequestResult(now monotonic.Instant, h ids.MachineID, rep *wire.Heartbeat) {
-	c.clock.Set(now)
-	c.commands.showResult(h, rep)
-}
-
-// showResult ends a request for a report; rep is nil if it was not answered.
-func (q *commandQueue) showResult(h ids.MachineID, rep *wire.Heartbeat) {
-	m := q.endCall(h)
-	if m == nil {
-		return
-	}
-	m.Commands.HeartbeatRequested = false
-	if rep != nil {
-		q.takeAnswer(m, rep)
+// endCall counts a call as ended and queues its machine, which it returns; nil if the machine
+// was removed.
+func (d *commandDispatcher) endCall(machine ids.MachineID) *cluster.Machine {
+	d.callsInFlight--
+	m := d.cluster.Machine(machine)
+	if m != nil {
+		d.queueCommands(m)
 	}
+	return m
 }
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -69,6 +69,10 @@
 // markCompletable notes that all tasks of a job are done.
 func (w *recordWriter) markCompletable(j *cluster.Job) { w.completable[j] = true }
 
+// completionPending tells whether all tasks of a job are done, and no change that records it
+// has been made yet.
+func (w *recordWriter) completionPending(j *cluster.Job) bool { return w.completable[j] }
+
 // markDroppable notes that the admission records of a job that is over may be dropped.
 func (w *recordWriter) markDroppable(j *cluster.Job) { w.droppable[j] = true }
 
