--- a/controller/leader/events.go
+++ b/controller/leader/events.go
@@ -56,7 +56,7 @@
 type terminationFinished struct{ machines []ids.MachineID }
 
 func (e terminationFinished) applyTo(loop *eventLoop) {
-	loop.core.TerminateResult(loop.clock.Now(), e.machines, true)
+	loop.core.MachinesTerminated(loop.clock.Now(), e.machines)
 }
 
 // machineListRead brings the cloud's list of machines, and when it was asked for.
@@ -120,7 +120,7 @@
 	answers := make([]peerapi.HeartbeatAnswer, len(e.heartbeats))
 	for i, heartbeat := range e.heartbeats {
 		if heartbeat != nil {
-			answers[i].Orders, answers[i].OK = loop.core.Heartbeat(loop.clock.Now(), heartbeat, false)
+			answers[i].Orders, answers[i].OK = loop.core.Heartbeat(loop.clock.Now(), heartbeat)
 		}
 	}
 	e.reply <- heartbeatAnswers{answers: answers, replicasOnly: replicasOnly}
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -25,7 +25,7 @@
 	// rentalsInFlight those rentals, by site.
 	machinesRequested map[placement.Site]int
 	rentalsInFlight   map[placement.Site]int
-	// Failures.Backoff holds the sites that lacked capacity lately.
+	// backoff holds the sites that lacked capacity lately.
 	backoff       *fleet.Backoff
 	demandByClass map[string]*classDemand
 	// bootFactors tells how long boots took lately, against the catalog.
@@ -259,3 +259,6 @@
 		}
 	}
 }
+
+// recordSpotLoss counts a spot instance that the cloud took, or will take, back.
+func (as *autoscaler) recordSpotLoss() { as.spotLosses++ }
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -47,7 +47,7 @@
 // machine was removed or another machine has its address now.
 func (c *Core) receiveCallAnswer(machine ids.MachineID, heartbeat *wire.Heartbeat) {
 	if heartbeat.Machine == machine && c.cluster.Machine(machine) != nil {
-		c.Heartbeat(c.clock.Now(), heartbeat, true)
+		c.HeartbeatFromCall(c.clock.Now(), heartbeat)
 	}
 }
 
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -31,7 +31,7 @@
 			b.heartbeat("n-1", "a", ids.NewFencingToken(4, 0))
 			b.heartbeat("n-2", "a", ids.NewFencingToken(4, 0))
 		}, false},
-		{"its machines were terminated", func(b *harness) { b.c.TerminateResult(b.now, []ids.MachineID{"n-1", "n-2"}, true) }, true},
+		{"its machines were terminated", func(b *harness) { b.c.MachinesTerminated(b.now, []ids.MachineID{"n-1", "n-2"}) }, true},
 		{"all controllers follow", func(b *harness) { b.c.AllControllersFollow(b.now) }, true},
 		{"just before the margin", func(b *harness) { b.now = b.now.Add(grace - margin - time.Second) }, false},
 		{"within the margin", func(b *harness) { b.now = b.now.Add(grace - margin) }, true},
@@ -98,7 +98,7 @@
 	b.submit("job-1", wire.JobSpec{Service: true, Tasks: 1})
 	b.c.Step(b.now) // the replica is placed, and its record on its way
 	report := func(host ids.MachineID, sequence ids.Sequence) bool {
-		_, ok := b.c.Heartbeat(b.now, newHeartbeat(host, 1, sequence, 0), false)
+		_, ok := b.c.Heartbeat(b.now, newHeartbeat(host, 1, sequence, 0))
 		return ok
 	}
 	b.c.RestrictToReplicas(true)
@@ -116,7 +116,7 @@
 	if report("n-2", 2) || report("n-2", 1) || report("n-3", 1) {
 		t.Error("a machine without one is answered")
 	}
-	b.c.TerminateResult(b.now, []ids.MachineID{"n-2"}, true)
+	b.c.MachinesTerminated(b.now, []ids.MachineID{"n-2"})
 	if report("n-2", 3) {
 		t.Error("a terminated machine is answered")
 	}
--- a/scheduler/sim_controllers_test.go
+++ b/scheduler/sim_controllers_test.go
@@ -51,7 +51,7 @@
 	s.loadRecords()
 	s.core.Begin(s.now)
 	for _, rep := range s.delayedHeartbeats {
-		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Heartbeat(s.now, rep, false) })
+		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Heartbeat(s.now, rep) })
 	}
 	s.delayedHeartbeats = nil
 }
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -207,7 +207,7 @@
 	m.await("b", zonerecovery.Outage, 30*second)
 	for range 10 {
 		for _, rep := range late {
-			m.core.Heartbeat(m.now, rep, false)
+			m.core.Heartbeat(m.now, rep)
 		}
 		m.run(second)
 		if c := m.condition("b"); c != zonerecovery.Outage {
