--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -60,6 +60,10 @@
 	return ids.NewFencingToken(d.settings.revision, m.Commands.TokenCounter)
 }
 
+// raiseToken has commands to a machine carry a higher token from now on. An agent that has
+// seen it refuses every command under a lower one.
+func (*commandDispatcher) raiseToken(m *cluster.Machine) { m.Commands.TokenCounter++ }
+
 // answerReport makes the answer to a heartbeat: which tasks to kill, to reap and to run.
 func (d *commandDispatcher) answerReport(m *cluster.Machine) wire.HeartbeatResponse {
 	commands := d.killCommands(m)
@@ -79,6 +83,6 @@
 // arrived late or twice.
 func (d *commandDispatcher) outdateDirectRuns(m *cluster.Machine) {
 	if m.Commands.DirectRunToken >= d.tokenOf(m) {
-		m.Commands.TokenCounter++
+		d.raiseToken(m)
 	}
 }
--- a/scheduler/kill_commands.go
+++ b/scheduler/kill_commands.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		if a.Delivery.Token >= d.tokenOf(m) {
-			m.Commands.TokenCounter++
+			d.raiseToken(m)
 		}
 	}
 }
