--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -64,8 +64,8 @@
 // seen it refuses every command under a lower one.
 func (*commandDispatcher) raiseToken(m *cluster.Machine) { m.Commands.TokenCounter++ }
 
-// answerReport makes the answer to a heartbeat: which tasks to kill, to reap and to run.
-func (d *commandDispatcher) answerReport(m *cluster.Machine) wire.HeartbeatResponse {
+// answerHeartbeat makes the answer to a heartbeat: which tasks to kill, to reap and to run.
+func (d *commandDispatcher) answerHeartbeat(m *cluster.Machine) wire.HeartbeatResponse {
 	commands := d.killCommands(m)
 	if !m.Commands.CallInFlight {
 		reaps := d.reapCommands(m)
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -88,6 +88,13 @@
 	m.Commands.CallRetryAt = d.clock.Now().Add(callRetryDelay)
 }
 
+// heartbeatReceived notes that a machine sent a heartbeat. It may be called again if the last
+// call failed.
+func (d *commandDispatcher) heartbeatReceived(m *cluster.Machine) {
+	m.Commands.CallFailed = false
+	d.queueCommands(m)
+}
+
 // heartbeatRequested counts a request for a machine's heartbeat as in flight.
 func (d *commandDispatcher) heartbeatRequested(m *cluster.Machine) {
 	m.Commands.HeartbeatRequested = true
--- a/scheduler/dispatch_queue.go
+++ b/scheduler/dispatch_queue.go
@@ -80,7 +80,7 @@
 	switch {
 	case d.cluster.Machine(m.ID) != m || !mayBeCalled(m):
 		return leaveQueue
-	case d.needsReportRequest(m):
+	case d.needsHeartbeatRequest(m):
 		return requestHeartbeat
 	case !m.Agent.Reported:
 		return leaveQueue
@@ -101,12 +101,12 @@
 	return !m.Lifecycle.Terminating && m.Endpoint() != ""
 }
 
-// needsReportRequest tells whether the agent of a machine that a previous leader left should
+// needsHeartbeatRequest tells whether the agent of a machine that a previous leader left should
 // be asked for a heartbeat now. After a failover the agent's incarnation is not known, and the
 // agent may take seconds to find this leader. A previous leader that lost the key-value store
 // and this leader, but not its agents, keeps them from doing so; the first agent that shows it
 // a token of this leader makes it step down.
-func (d *commandDispatcher) needsReportRequest(m *cluster.Machine) bool {
+func (d *commandDispatcher) needsHeartbeatRequest(m *cluster.Machine) bool {
 	if m.Agent.Reported || m.Commands.HeartbeatRequested || !mayBeCalled(m) {
 		return false
 	}
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -49,7 +49,7 @@
 			gone = append(gone, m)
 			continue
 		}
-		if hm.core.commands.needsReportRequest(m) {
+		if hm.core.commands.needsHeartbeatRequest(m) {
 			hm.core.commands.queueCommands(m)
 		}
 		if m.Lifecycle.Terminating {
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -68,9 +68,10 @@
 
 // heartbeatCommands answers heartbeats.
 type heartbeatCommands interface {
-	machineQueue
 	tokenOf(m *cluster.Machine) ids.FencingToken
-	answerReport(m *cluster.Machine) wire.HeartbeatResponse
+	answerHeartbeat(m *cluster.Machine) wire.HeartbeatResponse
+	// heartbeatReceived notes that a machine sent a heartbeat newer than all before it.
+	heartbeatReceived(m *cluster.Machine)
 }
 
 // heartbeatObserver learns from boots and from losses of spot instances.
@@ -125,7 +126,7 @@
 		return wire.HeartbeatResponse{}, false
 	}
 	m.Agent.AnsweredAt = h.clock.Now()
-	return h.commands.answerReport(m), true
+	return h.commands.answerHeartbeat(m), true
 }
 
 // receiveFromCall takes a heartbeat that came as the answer to a call.
@@ -178,7 +179,6 @@
 	}
 	m.Agent.LastHeard = now
 	h.health.heard(heartbeat.Zone)
-	m.Commands.CallFailed = false
 	h.updateAgent(m, heartbeat)
 	h.updateSpotNotice(m, heartbeat)
 	m.Agent.ReportedTasks = m.Agent.ReportedTasks[:0]
@@ -189,7 +189,7 @@
 	}
 	h.updateAssignments(m)
 	h.cluster.CountUnrecorded(m)
-	h.commands.queueCommands(m)
+	h.commands.heartbeatReceived(m)
 }
 
 // updateAgent notes what a heartbeat shows of the machine's agent.
