--- /dev/null
+++ b/scheduler/direct_calls_test.go
@@ -0,0 +1,79 @@
+package scheduler
+
+import (
+	"testing"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/wire"
+)
+
+func TestTakeBatchRefuses(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		change func(f *dispatchFixture, m *cluster.Machine)
+	}{
+		{"a removed machine", func(f *dispatchFixture, m *cluster.Machine) { f.cluster.RemoveMachine(m) }},
+		{"a call in flight", func(_ *dispatchFixture, m *cluster.Machine) { m.Commands.CallInFlight = true }},
+		{"an agent whose incarnation is not known", func(_ *dispatchFixture, m *cluster.Machine) { m.Agent.Reported = false }},
+		{"a machine that is given up", func(_ *dispatchFixture, m *cluster.Machine) { m.Lifecycle.Terminating = true }},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			f := newDispatchFixture(t)
+			tc.change(f, f.machine)
+			if batch, _, ok := f.takeBatch("n-1"); ok || f.callsInFlight != 0 {
+				t.Errorf("batch %+v, %d calls in flight", batch, f.callsInFlight)
+			}
+		})
+	}
+}
+
+// A batch is for one incarnation of the agent, and goes out under the machine's token.
+func TestTakeBatch(t *testing.T) {
+	f := newDispatchFixture(t)
+	f.assign()
+	f.machine.Commands.TokenCounter, f.machine.Agent.Incarnation = 3, 9
+	batch, endpoint, ok := f.takeBatch("n-1")
+	token := ids.NewFencingToken(fixtureRevision, 3)
+	if !ok || endpoint != "n-1:80" || batch.Incarnation != 9 || batch.FencingToken != token {
+		t.Errorf("batch %+v for %q, ok %v", batch, endpoint, ok)
+	}
+	if got := commandsWith(batch.Commands, wire.VerbRun); len(got) != 1 {
+		t.Errorf("run commands: %v", got)
+	}
+	if f.machine.Commands.DirectRunToken != token || f.callsInFlight != 1 {
+		t.Errorf("notes: %+v, %d calls in flight", f.machine.Commands, f.callsInFlight)
+	}
+}
+
+// After a failed call a machine is called again only once it has sent a heartbeat and the
+// delay has passed.
+func TestFailedCallIsRetriedLater(t *testing.T) {
+	f := newDispatchFixture(t)
+	f.assign()
+	f.takeBatch("n-1")
+	f.commandCallFailed("n-1")
+	f.assign()
+	if calls := f.dispatch(); len(calls.sendCommands) != 0 {
+		t.Fatalf("called without a heartbeat: %+v", calls)
+	}
+	f.heartbeatReceived(f.machine)
+	if calls := f.dispatch(); len(calls.sendCommands) != 0 {
+		t.Fatalf("called before the delay has passed: %+v", calls)
+	}
+	f.advance(callRetryDelay)
+	if calls := f.dispatch(); len(calls.sendCommands) != 1 {
+		t.Errorf("not called after the delay: %+v", calls)
+	}
+}
+
+// Calls are counted also when their machine is removed meanwhile.
+func TestCallOfARemovedMachineEnds(t *testing.T) {
+	f := newDispatchFixture(t)
+	f.takeBatch("n-1")
+	f.cluster.RemoveMachine(f.machine)
+	f.commandCallAnswered("n-1")
+	if f.callsInFlight != 0 {
+		t.Errorf("%d calls in flight", f.callsInFlight)
+	}
+}
--- /dev/null
+++ b/scheduler/dispatch_fixture_test.go
@@ -0,0 +1,91 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/scheduler/clock"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/scheduler/quota"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// dispatchFixture is a command dispatcher without a core. Machine n-1 is up and job-1 has
+// four tasks, none of which is assigned.
+type dispatchFixture struct {
+	*commandDispatcher
+	machine *cluster.Machine
+	job     *cluster.Job
+	// completionsPending are the jobs that completionPending names.
+	completionsPending pendingCompletions
+}
+
+// pendingCompletions stands in for record writing.
+type pendingCompletions map[*cluster.Job]bool
+
+func (p pendingCompletions) completionPending(j *cluster.Job) bool { return p[j] }
+
+const fixtureRevision ids.Revision = 5
+
+func newDispatchFixture(t *testing.T) *dispatchFixture {
+	t.Helper()
+	now := clock.New(0)
+	now.Begin(monotonic.Instant(time.Hour))
+	enough := quota.Amount{CPUs: 64}
+	quotas := quota.NewTracker([]quota.Team{{Name: "red", Nominal: enough, Limit: enough}})
+	state := cluster.NewState(cluster.Settings{SliceTasks: 4, BootFactor: 4}, now, &clock.RoundTrigger{}, quotas)
+	pending := pendingCompletions{}
+	f := &dispatchFixture{
+		commandDispatcher: &commandDispatcher{
+			cluster:  state,
+			clock:    now,
+			records:  pending,
+			settings: dispatchSettings{revision: fixtureRevision, heartbeatInterval: 2 * time.Second},
+		},
+		completionsPending: pending,
+	}
+	f.machine = f.addMachine("n-1")
+	spec := &wire.JobSpec{Tasks: 4, Team: "red", CPUs: 2, Image: "i"}
+	f.job = state.AddJob("job-1", &records.Job{Status: wire.JobQueued, Spec: spec, Tasks: 4}, 1)
+	f.job.RebuildSlices()
+	f.job.RebuildPending()
+	return f
+}
+
+// addMachine adds a machine that is up and has shown a token of this leader.
+func (f *dispatchFixture) addMachine(id ids.MachineID) *cluster.Machine {
+	m := f.cluster.EnsureMachine(id)
+	f.cluster.SetEndpoint(m, string(id)+":80")
+	m.Agent.Reported, m.Agent.Fenced = true, true
+	m.Agent.Incarnation = 1
+	return m
+}
+
+// assign assigns the next task to the machine. Its record is committed.
+func (f *dispatchFixture) assign() *cluster.Assignment {
+	pending := f.job.Pending()
+	a := f.cluster.Assign(f.job, pending[len(pending)-1], f.machine)
+	f.cluster.Admit(f.job, 1)
+	a.Record.Committed = true
+	return a
+}
+
+// assignSent assigns the next task to the machine, as if it was sent under the present token.
+func (f *dispatchFixture) assignSent() *cluster.Assignment {
+	a := f.assign()
+	a.Delivery.Sent, a.Delivery.SentAt = true, f.clock.Now()
+	a.Delivery.Token, a.Delivery.Incarnation = f.tokenOf(f.machine), f.machine.Agent.Incarnation
+	return a
+}
+
+// report has the machine's newest heartbeat show a task in a state.
+func (f *dispatchFixture) report(ref ids.TaskRef, attempt ids.Attempt, state wire.TaskState) {
+	reported := cluster.ReportedTask{Ref: ref, Attempt: attempt, State: state}
+	f.machine.Agent.ReportedTasks = append(f.machine.Agent.ReportedTasks, reported)
+}
+
+// advance moves the clock on.
+func (f *dispatchFixture) advance(d time.Duration) { f.clock.Set(f.clock.Now().Add(d)) }
--- /dev/null
+++ b/scheduler/reap_commands_test.go
@@ -0,0 +1,75 @@
+package scheduler
+
+import (
+	"testing"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// An agent must keep an ended attempt until its end is recorded: the next leader would start
+// the task again.
+func TestReapsOnlyWhatIsRecorded(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		change func(f *dispatchFixture, reported *cluster.ReportedTask)
+		want   bool
+	}{
+		{"recorded", func(*dispatchFixture, *cluster.ReportedTask) {}, true},
+		{"not ended", func(_ *dispatchFixture, r *cluster.ReportedTask) { r.State = wire.TaskRunning }, false},
+		{"still assigned", func(f *dispatchFixture, r *cluster.ReportedTask) { r.Attempt = f.assign().Attempt }, false},
+		{"of an unknown job", func(_ *dispatchFixture, r *cluster.ReportedTask) { r.Ref.Job = "job-unknown" }, true},
+		{"of a job that is over", func(f *dispatchFixture, _ *cluster.ReportedTask) {
+			f.job.Task(0).Slice().Dirty = true
+			f.cluster.EndJob(f.job, wire.JobCancelled)
+		}, true},
+		{"of a job whose completion is pending", func(f *dispatchFixture, _ *cluster.ReportedTask) {
+			f.completionsPending[f.job] = true
+		}, false},
+		{"of a job whose completion is in flight", func(f *dispatchFixture, _ *cluster.ReportedTask) {
+			f.job.Records.Completing = true
+		}, false},
+		{"of a task that the job does not have", func(_ *dispatchFixture, r *cluster.ReportedTask) { r.Ref.Index = 4 }, false},
+		{"in a record that is to be written", func(f *dispatchFixture, _ *cluster.ReportedTask) {
+			f.job.Task(0).Slice().Dirty = true
+		}, false},
+		{"in a record that is in flight", func(f *dispatchFixture, _ *cluster.ReportedTask) {
+			f.job.Task(0).Slice().InFlight = true
+		}, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			f := newDispatchFixture(t)
+			f.report(ids.TaskRef{Job: "job-1", Index: 0}, 1, wire.TaskEnded)
+			tc.change(f, &f.machine.Agent.ReportedTasks[0])
+			if got := len(f.reapCommands(f.machine)) == 1; got != tc.want {
+				t.Errorf("reaped: %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
+
+// While a direct call is in flight it is not known which run commands it carries, so nothing
+// is reaped.
+func TestNothingIsReapedDuringACall(t *testing.T) {
+	f := newDispatchFixture(t)
+	f.report(ids.TaskRef{Job: "job-1", Index: 0}, 1, wire.TaskEnded)
+	f.machine.Commands.CallInFlight = true
+	if answer := f.answerHeartbeat(f.machine); len(answer.Commands) != 0 {
+		t.Errorf("commands during a call: %+v", answer.Commands)
+	}
+	f.machine.Commands.CallInFlight = false
+	if got := commandsWith(f.answerHeartbeat(f.machine).Commands, wire.VerbReap); len(got) != 1 {
+		t.Errorf("reaped after the call: %v", got)
+	}
+}
+
+func TestReapCommandsAreBounded(t *testing.T) {
+	f := newDispatchFixture(t)
+	for index := range maxCommands {
+		f.report(ids.TaskRef{Job: "job-unknown", Index: index}, 1, wire.TaskEnded)
+	}
+	if got := len(f.reapCommands(f.machine)); got != maxReapCommands {
+		t.Errorf("%d reap commands, want %d", got, maxReapCommands)
+	}
+}
