--- a/scheduler/direct_calls_test.go
+++ b/scheduler/direct_calls_test.go
@@ -77,3 +77,19 @@
 		t.Errorf("%d calls in flight", f.callsInFlight)
 	}
 }
+
+// Another machine may have got the address of one that was called. Its answer says nothing of
+// either.
+func TestAnswerOfAnotherMachineIsIgnored(t *testing.T) {
+	b := newHarness(t, Options{})
+	b.c.Begin(b.now)
+	b.heartbeat("n-1", "a", 0)
+	b.c.TakeCommands(b.now, "n-1")
+	b.c.CommandsResult(b.now, "n-1", &wire.Heartbeat{Machine: "n-2", Incarnation: 1, Sequence: 1})
+	if b.c.cluster.Machine("n-2") != nil {
+		t.Error("the answer was taken for a heartbeat")
+	}
+	if m := b.c.cluster.Machine("n-1"); m.Commands.CallInFlight || m.Agent.AnsweredCall {
+		t.Errorf("call in flight: %v, answered: %v", m.Commands.CallInFlight, m.Agent.AnsweredCall)
+	}
+}
--- a/scheduler/dispatch_queue_test.go
+++ b/scheduler/dispatch_queue_test.go
@@ -11,7 +11,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-func TestNextAction(t *testing.T) {
+func TestNextActionOfAMachineThatIsUp(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		change func(f *dispatchFixture, m *cluster.Machine)
@@ -48,26 +48,40 @@
 			f.assignSent()
 			m.Agent.Fenced, m.Agent.AnsweredAt = false, f.clock.Now()
 		}, stayQueued},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			f := newDispatchFixture(t)
+			tc.change(f, f.machine)
+			if got := f.nextAction(f.machine); got != tc.want {
+				t.Errorf("action %d, want %d", got, tc.want)
+			}
+		})
+	}
+}
+
+func TestNextActionOfAMachineWithoutHeartbeat(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		change func(f *dispatchFixture, m *cluster.Machine)
+		want   dispatchAction
+	}{
 		{"booting", func(_ *dispatchFixture, m *cluster.Machine) {
-			m.Agent.Reported = false
 			m.Lifecycle.ListedStatus, m.Lifecycle.RentedThisTerm = wire.MachineRunning, true
 		}, leaveQueue},
 		{"left running by a previous leader", func(_ *dispatchFixture, m *cluster.Machine) {
-			m.Agent.Reported = false
 			m.Lifecycle.ListedStatus = wire.MachineRunning
 		}, requestHeartbeat},
-		{"tasks of a previous leader", func(f *dispatchFixture, m *cluster.Machine) {
-			m.Agent.Reported = false
+		{"tasks of a previous leader", func(f *dispatchFixture, _ *cluster.Machine) {
 			f.assign().Delivery.Inherited = true
 		}, requestHeartbeat},
 		{"already asked for a heartbeat", func(f *dispatchFixture, m *cluster.Machine) {
-			m.Agent.Reported = false
 			f.assign().Delivery.Inherited = true
 			m.Commands.HeartbeatRequested = true
 		}, leaveQueue},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newDispatchFixture(t)
+			f.machine.Agent.Reported = false
 			tc.change(f, f.machine)
 			if got := f.nextAction(f.machine); got != tc.want {
 				t.Errorf("action %d, want %d", got, tc.want)
