--- a/controller/operatorclient/client_test.go
+++ b/controller/operatorclient/client_test.go
@@ -45,7 +45,7 @@
 	willing := serve(t, peerapi.ZonesResponse{Leader: "n-1"}, nil)
 	client := New("n-0", refusing, map[ids.ControllerName]string{"n-1": willing})
 	_, err := client.OverrideZone(t.Context(), peerapi.ZoneOverride{Zone: "a"})
-	if !errors.Is(err, peerrpc.ErrRemote) || !strings.Contains(err.Error(), peerapi.ErrZoneRecoveryDisabled.Error()) {
+	if !errors.Is(err, peerrpc.ErrRemote) || !errors.Is(err, peerapi.ErrZoneRecoveryDisabled) || !strings.Contains(err.Error(), peerapi.ErrZoneRecoveryDisabled.Error()) {
 		t.Errorf("%v", err)
 	}
 }
--- a/election/restart_test.go
+++ b/election/restart_test.go
@@ -9,14 +9,15 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/kv"
 )
 
 // lateClient is a client whose requests may arrive a second time, long after, and whose
 // responses may be lost. Copies arrive also after the process that sent them has ended.
 type lateClient struct {
-	*client
-	copyClient *client
+	*kvtest.Client
+	copyClient *kvtest.Client
 	copies     sync.WaitGroup
 
 	mu  sync.Mutex
@@ -46,7 +47,7 @@
 
 func (l *lateClient) Commit(ctx context.Context, t kv.Txn) (kv.TxnResult, error) {
 	l.maybeRepeat(func() { _, _ = l.copyClient.Commit(context.Background(), t) })
-	result, err := l.client.Commit(ctx, t)
+	result, err := l.Client.Commit(ctx, t)
 	if l.oneIn(4) {
 		return kv.TxnResult{}, kv.ErrIndeterminate
 	}
@@ -57,7 +58,7 @@
 	if l.oneIn(8) {
 		l.maybeRepeat(func() { _ = l.copyClient.RenewLease(context.Background(), id) })
 	}
-	return l.client.RenewLease(ctx, id)
+	return l.Client.RenewLease(ctx, id)
 }
 
 func (l *lateClient) RevokeLease(ctx context.Context, id ids.LeaseID) error {
@@ -65,7 +66,7 @@
 	if l.oneIn(3) {
 		return kv.ErrIndeterminate // the request never arrived
 	}
-	return l.client.RevokeLease(ctx, id)
+	return l.Client.RevokeLease(ctx, id)
 }
 
 // restartTrial disturbs a cluster at random.
@@ -81,7 +82,6 @@
 
 func startRestartTrial(t *testing.T, c *cluster, seed uint64) *restartTrial {
 	t.Helper()
-	c.store.ttl = testTTL
 	r := &restartTrial{
 		cluster:    c,
 		seed:       seed,
@@ -99,13 +99,13 @@
 	t.Helper()
 	r.incarnation++
 	late := &lateClient{
-		client:     &client{s: r.cluster.store},
-		copyClient: &client{s: r.cluster.store},
+		Client:     newClient(r.cluster.store),
+		copyClient: newClient(r.cluster.store),
 		rng:        rand.New(rand.NewPCG(r.seed, uint64(r.incarnation))),
 	}
 	r.clients = append(r.clients, late)
 	self := Identity{Name: name, Incarnation: r.incarnation}
-	r.candidates[name] = r.cluster.startWith(t, self, late.client, late)
+	r.candidates[name] = r.cluster.startWith(t, self, late.Client, late)
 }
 
 // sleepUpTo waits for a random number of milliseconds below the limit.
@@ -124,9 +124,9 @@
 	}
 	disturbed := r.candidates[name]
 	if r.rng.IntN(4) == 0 {
-		disturbed.client.refuse(true)
+		disturbed.client.Refuse()
 		r.sleepUpTo(9000)
-		disturbed.client.refuse(false)
+		disturbed.client.Accept()
 		return
 	}
 	disturbed.kill()
