--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -88,12 +88,9 @@
 	m.Commands.CallRetryAt = d.clock.Now().Add(callRetryDelay)
 }
 
-// heartbeatReceived notes that a machine sent a heartbeat. It may be called again if the last
-// call failed.
-func (d *commandDispatcher) heartbeatReceived(m *cluster.Machine) {
-	m.Commands.CallFailed = false
-	d.queueCommands(m)
-}
+// allowCalls has a machine called again although its last call failed: it has sent a heartbeat
+// since.
+func (*commandDispatcher) allowCalls(m *cluster.Machine) { m.Commands.CallFailed = false }
 
 // heartbeatRequested counts a request for a machine's heartbeat as in flight.
 func (d *commandDispatcher) heartbeatRequested(m *cluster.Machine) {
--- a/scheduler/direct_calls_test.go
+++ b/scheduler/direct_calls_test.go
@@ -57,7 +57,8 @@
 	if calls := f.dispatch(); len(calls.sendCommands) != 0 {
 		t.Fatalf("called without a heartbeat: %+v", calls)
 	}
-	f.heartbeatReceived(f.machine)
+	f.allowCalls(f.machine)
+	f.queueCommands(f.machine)
 	if calls := f.dispatch(); len(calls.sendCommands) != 0 {
 		t.Fatalf("called before the delay has passed: %+v", calls)
 	}
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -68,10 +68,11 @@
 
 // heartbeatCommands answers heartbeats.
 type heartbeatCommands interface {
+	machineQueue
 	tokenOf(m *cluster.Machine) ids.FencingToken
 	answerHeartbeat(m *cluster.Machine) wire.HeartbeatResponse
-	// heartbeatReceived notes that a machine sent a heartbeat newer than all before it.
-	heartbeatReceived(m *cluster.Machine)
+	// allowCalls has a machine called again although its last call failed.
+	allowCalls(m *cluster.Machine)
 }
 
 // heartbeatObserver learns from boots and from losses of spot instances.
@@ -179,6 +180,7 @@
 	}
 	m.Agent.LastHeard = now
 	h.health.heard(heartbeat.Zone)
+	h.commands.allowCalls(m)
 	h.updateAgent(m, heartbeat)
 	h.updateSpotNotice(m, heartbeat)
 	m.Agent.ReportedTasks = m.Agent.ReportedTasks[:0]
@@ -189,7 +191,7 @@
 	}
 	h.updateAssignments(m)
 	h.cluster.CountUnrecorded(m)
-	h.commands.heartbeatReceived(m)
+	h.commands.queueCommands(m)
 }
 
 // updateAgent notes what a heartbeat shows of the machine's agent.
