--- a/scheduler/cluster/assignment.go
+++ b/scheduler/cluster/assignment.go
@@ -75,8 +75,8 @@
 	InFlight  bool // a change that holds the assignment is in flight
 }
 
-// Delivery is what the machine was told of an assignment. Command dispatch and heartbeats
-// write it.
+// Delivery is what the machine was told of an assignment. Command dispatch, heartbeats and the
+// task lifecycle write it.
 type Delivery struct {
 	// Inherited tells that a previous leader recorded the assignment and may have sent it.
 	Inherited bool
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -99,7 +99,7 @@
 	return c
 }
 
-// connectDispatch makes the part that sends commands to agents.
+// connectDispatch makes the part that decides what agents are told.
 func (c *Core) connectDispatch() {
 	c.commands = &commandDispatcher{
 		cluster: c.cluster,
