--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -21,7 +21,7 @@
 type commandDispatcher struct {
 	cluster  *cluster.State
 	clock    *clock.Clock
-	records  completionRecords
+	records  taskRecordStatus
 	settings dispatchSettings
 	// queue holds the machines to which a command may have to go, in the order in which
 	// they were queued.
@@ -40,11 +40,11 @@
 	heartbeatInterval time.Duration
 }
 
-// completionRecords knows which jobs have yet to be recorded as done.
-type completionRecords interface {
-	// completionPending tells whether all tasks of a job are done, and no change that
-	// records it has been made yet.
-	completionPending(j *cluster.Job) bool
+// taskRecordStatus knows which records are behind.
+type taskRecordStatus interface {
+	// upToDate tells whether the record of a task, and of the end of its job, says what the
+	// state says.
+	upToDate(j *cluster.Job, index int) bool
 }
 
 // Bounds of the commands in one message. They keep it within the protocol's limit for
--- a/scheduler/dispatch_fixture_test.go
+++ b/scheduler/dispatch_fixture_test.go
@@ -19,14 +19,16 @@
 	*commandDispatcher
 	machine *cluster.Machine
 	job     *cluster.Job
-	// completionsPending are the jobs that completionPending names.
-	completionsPending pendingCompletions
+	behind  recordsBehind
 }
 
-// pendingCompletions stands in for record writing.
-type pendingCompletions map[*cluster.Job]bool
+// recordsBehind stands in for record writing. It holds the tasks whose records are not up to
+// date.
+type recordsBehind map[ids.TaskRef]bool
 
-func (p pendingCompletions) completionPending(j *cluster.Job) bool { return p[j] }
+func (b recordsBehind) upToDate(j *cluster.Job, index int) bool {
+	return !b[ids.TaskRef{Job: j.ID, Index: index}]
+}
 
 const fixtureRevision ids.Revision = 5
 
@@ -37,15 +39,15 @@
 	enough := quota.Amount{CPUs: 64}
 	quotas := quota.NewTracker([]quota.Team{{Name: "red", Nominal: enough, Limit: enough}})
 	state := cluster.NewState(cluster.Settings{SliceTasks: 4, BootFactor: 4}, now, &clock.RoundTrigger{}, quotas)
-	pending := pendingCompletions{}
+	behind := recordsBehind{}
 	f := &dispatchFixture{
 		commandDispatcher: &commandDispatcher{
 			cluster:  state,
 			clock:    now,
-			records:  pending,
+			records:  behind,
 			settings: dispatchSettings{revision: fixtureRevision, heartbeatInterval: 2 * time.Second},
 		},
-		completionsPending: pending,
+		behind: behind,
 	}
 	f.machine = f.addMachine("n-1")
 	spec := &wire.JobSpec{Tasks: 4, Team: "red", CPUs: 2, Image: "i"}
--- a/scheduler/reap_commands.go
+++ b/scheduler/reap_commands.go
@@ -32,12 +32,6 @@
 	if j == nil || j.Terminal() {
 		return true
 	}
-	if j.Records.Completing || d.records.completionPending(j) {
-		return false
-	}
-	if reported.Ref.Index >= len(j.Tasks()) {
-		return false
-	}
-	slice := j.Task(reported.Ref.Index).Slice()
-	return !slice.Dirty && !slice.InFlight
+	index := reported.Ref.Index
+	return index < len(j.Tasks()) && d.records.upToDate(j, index)
 }
--- a/scheduler/reap_commands_test.go
+++ b/scheduler/reap_commands_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -21,22 +22,16 @@
 		{"still assigned", func(f *dispatchFixture, r *cluster.ReportedTask) { r.Attempt = f.assign().Attempt }, false},
 		{"of an unknown job", func(_ *dispatchFixture, r *cluster.ReportedTask) { r.Ref.Job = "job-unknown" }, true},
 		{"of a job that is over", func(f *dispatchFixture, _ *cluster.ReportedTask) {
-			f.job.Task(0).Slice().Dirty = true
+			f.behind[ids.TaskRef{Job: "job-1", Index: 0}] = true
 			f.cluster.EndJob(f.job, wire.JobCancelled)
 		}, true},
-		{"of a job whose completion is pending", func(f *dispatchFixture, _ *cluster.ReportedTask) {
-			f.completionsPending[f.job] = true
-		}, false},
-		{"of a job whose completion is in flight", func(f *dispatchFixture, _ *cluster.ReportedTask) {
-			f.job.Records.Completing = true
-		}, false},
 		{"of a task that the job does not have", func(_ *dispatchFixture, r *cluster.ReportedTask) { r.Ref.Index = 4 }, false},
-		{"in a record that is to be written", func(f *dispatchFixture, _ *cluster.ReportedTask) {
-			f.job.Task(0).Slice().Dirty = true
-		}, false},
-		{"in a record that is in flight", func(f *dispatchFixture, _ *cluster.ReportedTask) {
-			f.job.Task(0).Slice().InFlight = true
+		{"in a record that is behind", func(f *dispatchFixture, _ *cluster.ReportedTask) {
+			f.behind[ids.TaskRef{Job: "job-1", Index: 0}] = true
 		}, false},
+		{"beside a task whose record is behind", func(f *dispatchFixture, _ *cluster.ReportedTask) {
+			f.behind[ids.TaskRef{Job: "job-1", Index: 1}] = true
+		}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newDispatchFixture(t)
@@ -49,6 +44,41 @@
 	}
 }
 
+// An attempt is reaped only once the change that records its end is committed.
+func TestReapWaitsForTheCommit(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		cause wire.ExitCause
+	}{
+		{"the task failed", wire.CauseError},
+		{"the last task of the job is done", wire.CauseDone},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			b := newHarness(t, Options{})
+			token, ended := b.runTask()
+			ended.State, ended.Cause = wire.TaskEnded, tc.cause
+			reaps := func() int {
+				answer := b.heartbeat("n-1", "a", token, ended)
+				token = answer.FencingToken
+				return len(commandsWith(answer.Commands, wire.VerbReap))
+			}
+			if n := reaps(); n != 0 {
+				t.Errorf("%d reaped before the end is written", n)
+			}
+			changes := b.c.Step(b.now).RecordChanges
+			if n := reaps(); len(changes) == 0 || n != 0 {
+				t.Errorf("%d reaped while %d changes are in flight", n, len(changes))
+			}
+			for _, change := range changes {
+				b.c.CommitResult(b.now, records.CommitResult{Change: change, Revision: 1000})
+			}
+			if n := reaps(); n != 1 {
+				t.Errorf("%d reaped after the commit", n)
+			}
+		})
+	}
+}
+
 // While a direct call is in flight it is not known which run commands it carries, so nothing
 // is reaped.
 func TestNothingIsReapedDuringACall(t *testing.T) {
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -75,9 +75,12 @@
 // markCompletable notes that all tasks of a job are done.
 func (w *recordWriter) markCompletable(j *cluster.Job) { w.completable[j] = true }
 
-// completionPending tells whether all tasks of a job are done, and no change that records it
-// has been made yet.
-func (w *recordWriter) completionPending(j *cluster.Job) bool { return w.completable[j] }
+// upToDate tells whether the record of a task says what the state says: neither the record
+// nor the end of its job is still to be written.
+func (w *recordWriter) upToDate(j *cluster.Job, index int) bool {
+	s := j.Task(index).Slice()
+	return !j.Records.Completing && !w.completable[j] && !s.Dirty && !s.InFlight
+}
 
 // markDroppable notes that the admission records of a job that is over may be dropped.
 func (w *recordWriter) markDroppable(j *cluster.Job) { w.droppable[j] = true }
