--- a/scheduler/reap_commands_test.go
+++ b/scheduler/reap_commands_test.go
@@ -79,6 +79,21 @@
 	}
 }
 
+// Also an attempt whose own record is up to date waits until its job is recorded as done.
+func TestReapWaitsForTheEndOfTheJob(t *testing.T) {
+	b := newHarness(t, Options{})
+	b.c.Begin(b.now)
+	b.submit("job-1", wire.JobSpec{Tasks: 1, CPUs: 99}) // fits no machine
+	ended := wire.TaskStatus{Name: "job-1/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseDone}
+	if answer := b.heartbeat("n-1", "a", 0, ended); len(commandsWith(answer.Commands, wire.VerbReap)) != 1 {
+		t.Fatalf("commands: %+v", answer.Commands)
+	}
+	b.c.records.markCompletable(b.c.cluster.Job("job-1"))
+	if answer := b.heartbeat("n-1", "a", 0, ended); len(commandsWith(answer.Commands, wire.VerbReap)) != 0 {
+		t.Errorf("reaped while the end of the job is to be recorded: %+v", answer.Commands)
+	}
+}
+
 // While a direct call is in flight it is not known which run commands it carries, so nothing
 // is reaped.
 func TestNothingIsReapedDuringACall(t *testing.T) {
