--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestWaitingJobsAreOrdered(t *testing.T) {
-	b := newHarness(t, Options{ReserveAfter: time.Minute})
+	b := newHarness(t, Options{AdmissionOptions: AdmissionOptions{ReserveAfter: time.Minute}})
 	add := func(id ids.JobID, priority wire.Priority, orderMS int64, age time.Duration) *cluster.Job {
 		b.submit(id, wire.JobSpec{Class: "c", Tasks: 1, Priority: priority})
 		j := b.c.cluster.Job(id)
