--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -39,7 +39,7 @@
 	records         *recordWriter
 	registry        *machineRegistry
 	health          *healthMonitor
-	commands        *commandQueue
+	commands        *commandDispatcher
 	candidates      *candidateList
 	queue           *jobQueue
 	quota           *quotaCheck
@@ -78,7 +78,7 @@
 		returnCounts: map[returnReason]int{},
 	}
 	c.health = &healthMonitor{core: c, zoneStates: map[ids.Zone]*zoneState{}}
-	c.commands = &commandQueue{core: c}
+	c.connectDispatch()
 	c.preemption = &evictor{core: c}
 	c.autoscaler = newAutoscaler(c)
 	c.zones = c.newZoneGate()
@@ -100,6 +100,20 @@
 	return c
 }
 
+// connectDispatch makes the part that decides what agents are told.
+func (c *Core) connectDispatch() {
+	c.commands = &commandDispatcher{
+		cluster: c.cluster,
+		clock:   c.clock,
+		records: c.records,
+		settings: dispatchSettings{
+			revision:          c.opt.Revision,
+			maxCallsInFlight:  c.opt.MaxWorkerCalls,
+			heartbeatInterval: c.opt.HeartbeatInterval,
+		},
+	}
+}
+
 // connectIntake makes the parts that take heartbeats and records in, from the others.
 func (c *Core) connectIntake() {
 	c.previousLeaders = &previousLeaders{
@@ -238,10 +252,11 @@
 	c.records.refillBudget()
 	c.zones.writeRecords()
 	c.records.writeRecords()
-	c.commands.dispatchCommands()
+	calls := c.commands.dispatch()
 	out := c.decisions
 	c.decisions = Decisions{}
 	out.ZoneEvents = c.zones.takeTransitions()
+	out.SendCommands, out.RequestHeartbeats = calls.sendCommands, calls.requestHeartbeats
 	out.Terminate, out.ForgetAddresses = c.registry.takeDecisions()
 	return out
 }
--- /dev/null
+++ b/scheduler/reap_commands_test.go
@@ -0,0 +1,120 @@
+package scheduler
+
+import (
+	"testing"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// An agent must keep an ended attempt until its end is recorded: the next leader would start
+// the task again.
+func TestReapsOnlyWhatIsRecorded(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		change func(f *dispatchFixture, reported *cluster.ReportedTask)
+		want   bool
+	}{
+		{"recorded", func(*dispatchFixture, *cluster.ReportedTask) {}, true},
+		{"not ended", func(_ *dispatchFixture, r *cluster.ReportedTask) { r.State = wire.TaskRunning }, false},
+		{"still assigned", func(f *dispatchFixture, r *cluster.ReportedTask) { r.Attempt = f.assign().Attempt }, false},
+		{"of an unknown job", func(_ *dispatchFixture, r *cluster.ReportedTask) { r.Ref.Job = "job-unknown" }, true},
+		{"of a job that is over", func(f *dispatchFixture, _ *cluster.ReportedTask) {
+			f.behind[ids.TaskRef{Job: "job-1", Index: 0}] = true
+			f.cluster.EndJob(f.job, wire.JobCancelled)
+		}, true},
+		{"of a task that the job does not have", func(_ *dispatchFixture, r *cluster.ReportedTask) { r.Ref.Index = 4 }, false},
+		{"in a record that is behind", func(f *dispatchFixture, _ *cluster.ReportedTask) {
+			f.behind[ids.TaskRef{Job: "job-1", Index: 0}] = true
+		}, false},
+		{"beside a task whose record is behind", func(f *dispatchFixture, _ *cluster.ReportedTask) {
+			f.behind[ids.TaskRef{Job: "job-1", Index: 1}] = true
+		}, true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			f := newDispatchFixture(t)
+			f.report(ids.TaskRef{Job: "job-1", Index: 0}, 1, wire.TaskEnded)
+			tc.change(f, &f.machine.Agent.ReportedTasks[0])
+			if got := len(f.reapCommands(f.machine)) == 1; got != tc.want {
+				t.Errorf("reaped: %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
+
+// An attempt is reaped only once the change that records its end is committed.
+func TestReapWaitsForTheCommit(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		cause wire.ExitCause
+	}{
+		{"the task failed", wire.CauseError},
+		{"the last task of the job is done", wire.CauseDone},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			b := newHarness(t, Options{})
+			token, ended := b.runTask()
+			ended.State, ended.Cause = wire.TaskEnded, tc.cause
+			reaps := func() int {
+				answer := b.heartbeat("n-1", "a", token, ended)
+				token = answer.FencingToken
+				return len(commandsWith(answer.Commands, wire.VerbReap))
+			}
+			if n := reaps(); n != 0 {
+				t.Errorf("%d reaped before the end is written", n)
+			}
+			changes := b.c.Step(b.now).RecordChanges
+			if n := reaps(); len(changes) == 0 || n != 0 {
+				t.Errorf("%d reaped while %d changes are in flight", n, len(changes))
+			}
+			for _, change := range changes {
+				b.c.CommitResult(b.now, records.CommitResult{Change: change, Revision: 1000})
+			}
+			if n := reaps(); n != 1 {
+				t.Errorf("%d reaped after the commit", n)
+			}
+		})
+	}
+}
+
+// Also an attempt whose own record is up to date waits until its job is recorded as done.
+func TestReapWaitsForTheEndOfTheJob(t *testing.T) {
+	b := newHarness(t, Options{})
+	b.c.Begin(b.now)
+	b.submit("job-1", wire.JobSpec{Tasks: 1, CPUs: 99}) // fits no machine
+	ended := wire.TaskStatus{Name: "job-1/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseDone}
+	if answer := b.heartbeat("n-1", "a", 0, ended); len(commandsWith(answer.Commands, wire.VerbReap)) != 1 {
+		t.Fatalf("commands: %+v", answer.Commands)
+	}
+	b.c.records.markCompletable(b.c.cluster.Job("job-1"))
+	if answer := b.heartbeat("n-1", "a", 0, ended); len(commandsWith(answer.Commands, wire.VerbReap)) != 0 {
+		t.Errorf("reaped while the end of the job is to be recorded: %+v", answer.Commands)
+	}
+}
+
+// While a direct call is in flight it is not known which run commands it carries, so nothing
+// is reaped.
+func TestNothingIsReapedDuringACall(t *testing.T) {
+	f := newDispatchFixture(t)
+	f.report(ids.TaskRef{Job: "job-1", Index: 0}, 1, wire.TaskEnded)
+	f.machine.Commands.CallInFlight = true
+	if answer := f.answerHeartbeat(f.machine); len(answer.Commands) != 0 {
+		t.Errorf("commands during a call: %+v", answer.Commands)
+	}
+	f.machine.Commands.CallInFlight = false
+	if got := commandsWith(f.answerHeartbeat(f.machine).Commands, wire.VerbReap); len(got) != 1 {
+		t.Errorf("reaped after the call: %v", got)
+	}
+}
+
+func TestReapCommandsAreBounded(t *testing.T) {
+	f := newDispatchFixture(t)
+	for index := range maxCommands {
+		f.report(ids.TaskRef{Job: "job-unknown", Index: index}, 1, wire.TaskEnded)
+	}
+	if got := len(f.reapCommands(f.machine)); got != maxReapCommands {
+		t.Errorf("%d reap commands, want %d", got, maxReapCommands)
+	}
+}
