--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -39,7 +39,7 @@
 	records         *recordWriter
 	registry        *machineRegistry
 	health          *healthMonitor
-	commands        *commandQueue
+	commands        *commandDispatcher
 	candidates      *candidateList
 	queue           *jobQueue
 	quota           *quotaCheck
@@ -78,10 +78,10 @@
 		returnCounts: map[returnReason]int{},
 	}
 	c.health = &healthMonitor{core: c, zoneStates: map[ids.Zone]*zoneState{}}
-	c.commands = &commandQueue{core: c}
+	c.connectDispatch()
 	c.preemption = &evictor{core: c}
 	c.autoscaler = newAutoscaler(autoscalerSettingsOf(&opt), c.cluster, c.clock, c.rounds)
-	c.zones = newZoneGate(c, opt.ZoneRecovery)
+	c.zones = c.newZoneGate()
 	c.lifecycle = &taskLifecycle{
 		cluster:   c.cluster,
 		clock:     c.clock,
@@ -96,10 +96,25 @@
 	c.connectIntake()
 	c.connectAdmission()
 	c.connectAutoscaler()
+	c.connectZones()
 	c.cluster.SetCatalog(types)
 	return c
 }
 
+// connectDispatch makes the part that decides what agents are told.
+func (c *Core) connectDispatch() {
+	c.commands = &commandDispatcher{
+		cluster: c.cluster,
+		clock:   c.clock,
+		records: c.records,
+		settings: dispatchSettings{
+			revision:          c.opt.Revision,
+			maxCallsInFlight:  c.opt.MaxWorkerCalls,
+			heartbeatInterval: c.opt.HeartbeatInterval,
+		},
+	}
+}
+
 // connectIntake makes the parts that take heartbeats and records in, from the others.
 func (c *Core) connectIntake() {
 	c.previousLeaders = &previousLeaders{
@@ -251,10 +266,12 @@
 	c.records.refillBudget()
 	c.zones.writeRecords()
 	c.records.writeRecords()
-	c.commands.dispatchCommands()
+	calls := c.commands.dispatch()
 	out := c.decisions
 	c.decisions = Decisions{}
 	out.Provision = c.autoscaler.takeDecisions()
+	out.ZoneEvents = c.zones.takeTransitions()
+	out.SendCommands, out.RequestHeartbeats = calls.sendCommands, calls.requestHeartbeats
 	out.Terminate, out.ForgetAddresses = c.registry.takeDecisions()
 	return out
 }
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -70,7 +70,9 @@
 type heartbeatCommands interface {
 	machineQueue
 	tokenOf(m *cluster.Machine) ids.FencingToken
-	answerReport(m *cluster.Machine) wire.HeartbeatResponse
+	answerHeartbeat(m *cluster.Machine) wire.HeartbeatResponse
+	// allowCalls has a machine called again although its last call failed.
+	allowCalls(m *cluster.Machine)
 }
 
 // heartbeatObserver learns from boots and from losses of spot instances.
@@ -125,7 +127,7 @@
 		return wire.HeartbeatResponse{}, false
 	}
 	m.Agent.AnsweredAt = h.clock.Now()
-	return h.commands.answerReport(m), true
+	return h.commands.answerHeartbeat(m), true
 }
 
 // receiveFromCall takes a heartbeat that came as the answer to a call.
@@ -178,7 +180,7 @@
 	}
 	m.Agent.LastHeard = now
 	h.health.heard(heartbeat.Zone)
-	m.Commands.CallFailed = false
+	h.commands.allowCalls(m)
 	h.updateAgent(m, heartbeat)
 	h.updateSpotNotice(m, heartbeat)
 	m.Agent.ReportedTasks = m.Agent.ReportedTasks[:0]
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -75,6 +75,13 @@
 // markCompletable notes that all tasks of a job are done.
 func (w *recordWriter) markCompletable(j *cluster.Job) { w.completable[j] = true }
 
+// upToDate tells whether the record of a task says what the state says: neither the record
+// nor the end of its job is still to be written.
+func (w *recordWriter) upToDate(j *cluster.Job, index int) bool {
+	s := j.Task(index).Slice()
+	return !j.Records.Completing && !w.completable[j] && !s.Dirty && !s.InFlight
+}
+
 // markDroppable notes that the admission records of a job that is over may be dropped.
 func (w *recordWriter) markDroppable(j *cluster.Job) { w.droppable[j] = true }
 
@@ -290,3 +297,6 @@
 func (w *recordWriter) nextNonce() uint64 {
 	return uint64(ids.NewFencingToken(w.core.opt.Revision, w.nextChange+1))
 }
+
+// fail notes that the records are not as this leader left them. The term must end.
+func (w *recordWriter) fail(err error) { w.core.recordsErr = err }
