--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -32,7 +32,7 @@
 	}
 	adm.core.updateSurplus()
 	adm.admitAll(waiting)
-	adm.core.preemption.preempt(waiting)
+	adm.MachinesExamined += adm.core.preemption.Preempt(waiting, adm.candidates)
 	adm.core.updateReservations(waiting)
 }
 
--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -112,14 +112,17 @@
 	ReservedFor *Job
 }
 
-// MachinePreemption is what one round of preemption notes about a machine.
+// MachinePreemption is what one round of preemption notes about a machine. The preemption
+// policy writes it.
 type MachinePreemption struct {
-	Round        uint64
+	Round uint64 // of the notes; those of an earlier round are out of date
+	// ExpectedFree is the room once all tasks that were told to stop are gone and all tasks
+	// that room was made for are placed.
 	ExpectedFree placement.Resources
-	Victims      []Victim
+	Victims      []Victim // by ascending cost; nil: not listed in this round
 }
 
-// Victim is a task that may be preempted, and the cost of that.
+// Victim is a task that may be preempted, and the cost of that in weighted CPU seconds.
 type Victim struct {
 	Assignment *Assignment
 	Cost       float64
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -14,6 +14,7 @@
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/scheduler/preemption"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonerecovery"
@@ -44,7 +45,7 @@
 	health     *healthMonitor
 	commands   *commandQueue
 	admission  *admitter
-	preemption *evictor
+	preemption *preemption.Policy
 	autoscaler *autoscaler
 	estimates  *runEstimates
 	// Qzones watches zones that fall silent and return; nil: it is turned off.
@@ -76,7 +77,6 @@
 	c.health = &healthMonitor{core: c, zoneStates: map[ids.Zone]*zoneState{}}
 	c.commands = &commandQueue{core: c}
 	c.admission = &admitter{core: c}
-	c.preemption = &evictor{core: c}
 	c.autoscaler = newAutoscaler(c)
 	c.zones = newZoneGate(c, opt.ZoneRecovery)
 	c.lifecycle = &taskLifecycle{
@@ -89,6 +89,14 @@
 		estimates: c.estimates,
 		slowness:  c,
 	}
+	c.preemption = preemption.New(preemption.Settings{LendingSuspension: opt.LendingSuspension}, c.cluster, c.clock, c.rounds, c.quotas, &preemptionScheduler{
+		clock:     c.clock,
+		queue:     c,
+		machines:  c,
+		zones:     c.zones,
+		requests:  c.admission,
+		lifecycle: c.lifecycle,
+	})
 	c.cluster.SetCatalog(types)
 	return c
 }
--- a/scheduler/parts_test.go
+++ b/scheduler/parts_test.go
@@ -6,7 +6,6 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
-	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -122,31 +121,6 @@
 	}
 }
 
-// Who may stop whom follows from who is admitted first.
-func TestWhoMayStopWhom(t *testing.T) {
-	j := newHarness(t, Options{}).c.cluster.AddJob("job-1", &records.Job{Spec: &wire.JobSpec{Team: "red", Priority: wire.High}}, 1)
-	for _, c := range []struct {
-		name             string
-		by               claim
-		team             ids.Team
-		priority         wire.Priority
-		free, asBorrower bool
-	}{
-		{"own lower work, at the team's limit", claimOwn, "red", wire.Normal, true, false},
-		{"own equal work", claimNominal, "red", wire.High, false, false},
-		{"others' work, at the team's limit", claimOwn, "blue", wire.Normal, false, false},
-		{"others' lower work, borrowing", claimBorrow, "blue", wire.Normal, false, true},
-		{"others' equal work, borrowing", claimBorrow, "blue", wire.High, false, false},
-		{"others' lower work, within the guarantee", claimNominal, "blue", wire.Normal, true, true},
-		{"others' higher work, within the guarantee", claimNominal, "blue", wire.Critical, false, true},
-	} {
-		free, asBorrower := mayStop(j, c.by, c.team, c.priority)
-		if free != c.free || asBorrower != c.asBorrower {
-			t.Errorf("%s: freely %v, as a borrower %v", c.name, free, asBorrower)
-		}
-	}
-}
-
 func TestWriteBudget(t *testing.T) {
 	b := newHarness(t, Options{WriteRate: 10})
 	w := b.c.records
--- /dev/null
+++ b/scheduler/preemption/claim_test.go
@@ -0,0 +1,71 @@
+package preemption
+
+import (
+	"testing"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/scheduler/quota"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// A job may preempt exactly the work that is admitted after it.
+func TestMayPreempt(t *testing.T) {
+	j := newFixture(t).addJob("job-1", wire.JobSpec{Team: "red", Priority: wire.High})
+	for _, c := range []struct {
+		name             string
+		by               claim
+		team             ids.Team
+		priority         wire.Priority
+		free, asBorrower bool
+	}{
+		{"own lower work, at the team's limit", claimOwn, "red", wire.Normal, true, false},
+		{"own equal work", claimNominal, "red", wire.High, false, false},
+		{"others' work, at the team's limit", claimOwn, "blue", wire.Normal, false, false},
+		{"others' lower work, borrowing", claimBorrow, "blue", wire.Normal, false, true},
+		{"others' equal work, borrowing", claimBorrow, "blue", wire.High, false, false},
+		{"others' lower work, within nominal quota", claimNominal, "blue", wire.Normal, true, true},
+		{"others' higher work, within nominal quota", claimNominal, "blue", wire.Critical, false, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			victim := cluster.Workload{Team: c.team, Priority: c.priority}
+			free, asBorrower := mayPreempt(j, c.by, victim), mayReclaim(j, c.by, victim)
+			if free != c.free || asBorrower != c.asBorrower {
+				t.Errorf("freely %v, as a borrower %v", free, asBorrower)
+			}
+		})
+	}
+}
+
+func TestClaimOf(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		used float64 // CPUs of team red, of its nominal quota and its limit
+		job  wire.JobSpec
+		want claim
+	}{
+		{"within nominal quota", 0, wire.JobSpec{}, claimNominal},
+		{"beyond nominal quota", machineCPUs, wire.JobSpec{}, claimBorrow},
+		{"at the limit, best effort", 2 * machineCPUs, wire.JobSpec{}, claimNone},
+		{"at the limit, higher priority", 2 * machineCPUs, wire.JobSpec{Priority: wire.Normal}, claimOwn},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.quotas.Charge("red", quota.Amount{CPUs: c.used})
+			j := f.addJob("job-1", c.job)
+			if got := f.policy.newRound(nil).claimOf(j); got != c.want {
+				t.Errorf("claim %d, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+// A job that admission put behind higher work of its team has no claim to nominal quota.
+func TestDeferredJobBorrows(t *testing.T) {
+	f := newFixture(t)
+	j := f.addJob("job-1", wire.JobSpec{})
+	j.Queue.Deferred = true
+	if got := f.policy.newRound(nil).claimOf(j); got != claimBorrow {
+		t.Errorf("claim %d, want %d", got, claimBorrow)
+	}
+}
--- /dev/null
+++ b/scheduler/preemption/ledger.go
@@ -0,0 +1,53 @@
+package preemption
+
+import (
+	"maps"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/scheduler/quota"
+)
+
+// ledger counts the quota that the plans of a round promise and free, and the tasks that
+// they stop.
+type ledger struct {
+	// borrowed is what teams use beyond their nominal quota, less what they are to free.
+	borrowed map[ids.Team]quota.Amount
+	// committed is the quota promised to teams, less what they are to free. It comes on top
+	// of what they use.
+	committed map[ids.Team]quota.Amount
+	victims   map[*cluster.Assignment]bool
+}
+
+// newLedger starts with what the teams borrow.
+func newLedger(quotas *quota.Tracker) ledger {
+	l := ledger{
+		borrowed:  map[ids.Team]quota.Amount{},
+		committed: map[ids.Team]quota.Amount{},
+		victims:   map[*cluster.Assignment]bool{},
+	}
+	for _, team := range quotas.Teams() {
+		l.borrowed[team] = quotas.Borrowed(team)
+	}
+	return l
+}
+
+// clone copies the ledger.
+func (l *ledger) clone() ledger {
+	return ledger{
+		borrowed:  maps.Clone(l.borrowed),
+		committed: maps.Clone(l.committed),
+		victims:   maps.Clone(l.victims),
+	}
+}
+
+// promise counts quota that a team is to use.
+func (l *ledger) promise(team ids.Team, amount quota.Amount) {
+	l.committed[team] = l.committed[team].Plus(amount)
+}
+
+// free counts quota that a team is to free.
+func (l *ledger) free(team ids.Team, amount quota.Amount) {
+	l.borrowed[team] = l.borrowed[team].Minus(amount)
+	l.committed[team] = l.committed[team].Minus(amount)
+}
--- /dev/null
+++ b/scheduler/preemption/round.go
@@ -0,0 +1,72 @@
+package preemption
+
+import (
+	"maps"
+	"slices"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/scheduler/placement"
+)
+
+// round is the state of one round of preemption, for all waiting jobs.
+type round struct {
+	policy     *Policy
+	candidates []*cluster.Machine
+	ledger     ledger
+	// workloads are those with tasks that were not told to stop when the round began.
+	workloads []cluster.Workload
+	// infeasible holds the requests for which no machine could make room. Resources and
+	// quota only shrink during a round, so an equal request is not tried again.
+	infeasible       map[infeasibleRequest]bool
+	machinesExamined uint64
+}
+
+// infeasibleRequest is all that decides whether room can be made for a task.
+type infeasibleRequest struct {
+	class RequestClass
+	team  ids.Team
+	claim claim
+}
+
+// newRound begins a round. Tasks that are being stopped count as free quota.
+func (p *Policy) newRound(candidates []*cluster.Machine) *round {
+	p.roundNumber++
+	r := &round{
+		policy:     p,
+		candidates: candidates,
+		ledger:     newLedger(p.quotas),
+		infeasible: map[infeasibleRequest]bool{},
+	}
+	counts := p.cluster.Workloads()
+	for _, w := range slices.SortedFunc(maps.Keys(counts), cluster.Workload.Compare) {
+		count := counts[w]
+		if count.Leaving > 0 {
+			r.ledger.free(w.Team, count.Freeing)
+		}
+		if count.Staying > 0 {
+			r.workloads = append(r.workloads, w)
+		}
+	}
+	return r
+}
+
+// notes returns the notes on a machine, renewed when they are of an earlier round.
+func (r *round) notes(m *cluster.Machine) *cluster.MachinePreemption {
+	notes := &m.Preemption
+	if notes.Round != r.policy.roundNumber {
+		*notes = cluster.MachinePreemption{Round: r.policy.roundNumber, ExpectedFree: freeOnceStopped(m)}
+	}
+	return notes
+}
+
+// freeOnceStopped is the room on a machine when all tasks that were told to stop are gone.
+func freeOnceStopped(m *cluster.Machine) placement.Resources {
+	free := m.Free()
+	for _, a := range m.Assignments() {
+		if a.StopReason() != cluster.StopNone {
+			free = free.Plus(placement.TaskResources(a.Job.Spec))
+		}
+	}
+	return free
+}
--- /dev/null
+++ b/scheduler/preemption/victims.go
@@ -0,0 +1,99 @@
+package preemption
+
+import (
+	"cmp"
+	"slices"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/scheduler/placement"
+	"ospreystile.example/ospreystile/scheduler/quota"
+)
+
+// victimSelection collects the tasks on one machine that would stop for a task of a job.
+type victimSelection struct {
+	round   *round
+	job     *cluster.Job
+	claim   claim
+	victims []*cluster.Assignment
+	cost    float64
+	// free is the room on the machine once the victims are gone, and missingQuota what they
+	// must free yet of the team's quota.
+	free         placement.Resources
+	missingQuota quota.Amount
+	// reclaimed is what the victims free of the quota that their teams borrow.
+	reclaimed map[ids.Team]quota.Amount
+}
+
+// selectVictims selects the tasks on a machine that are cheapest to stop for a task of a
+// job; ok is false if all that may stop do not make enough room.
+func (r *round) selectVictims(j *cluster.Job, by claim, m *cluster.Machine) (s victimSelection, ok bool) {
+	s = victimSelection{round: r, job: j, claim: by, free: r.notes(m).ExpectedFree}
+	if by == claimOwn {
+		s.missingQuota = j.Amount() // the team is at its limit
+	}
+	for _, v := range r.victimsByCost(m) {
+		if !s.take(v) {
+			continue
+		}
+		if s.sufficient() {
+			return s, true
+		}
+	}
+	return victimSelection{}, false
+}
+
+// victimsByCost lists the tasks on a machine that are not stopping and not protected, the
+// cheapest first. The list is made once in a round.
+func (r *round) victimsByCost(m *cluster.Machine) []cluster.Victim {
+	notes := r.notes(m)
+	if notes.Victims != nil {
+		return notes.Victims
+	}
+	notes.Victims = make([]cluster.Victim, 0, len(m.Assignments()))
+	for _, a := range m.Assignments() {
+		if a.StopReason() == cluster.StopNone && !r.policy.protected(a) {
+			notes.Victims = append(notes.Victims, cluster.Victim{Assignment: a, Cost: r.policy.evictionCost(a)})
+		}
+	}
+	slices.SortStableFunc(notes.Victims, func(a, b cluster.Victim) int { return cmp.Compare(a.Cost, b.Cost) })
+	r.machinesExamined++
+	return notes.Victims
+}
+
+// take adds a task to the victims if the claim allows to stop it.
+func (s *victimSelection) take(v cluster.Victim) bool {
+	a := v.Assignment
+	if s.round.ledger.victims[a] || a.StopReason() != cluster.StopNone {
+		return false // it stops already
+	}
+	workload := cluster.Workload{Team: a.Job.Spec.Team, Priority: a.Job.Priority()}
+	if !mayPreempt(s.job, s.claim, workload) {
+		if !mayReclaim(s.job, s.claim, workload) || !s.reclaim(workload.Team, a.Job.Amount()) {
+			return false
+		}
+	}
+	s.victims = append(s.victims, a)
+	s.cost += v.Cost
+	s.free = s.free.Plus(placement.TaskResources(a.Job.Spec))
+	s.missingQuota = s.missingQuota.Minus(a.Job.Amount())
+	return true
+}
+
+// reclaim counts quota as taken back from a team, if the team still borrows as much.
+func (s *victimSelection) reclaim(team ids.Team, amount quota.Amount) bool {
+	reclaimed := s.reclaimed[team].Plus(amount)
+	if !reclaimed.FitsIn(s.round.ledger.borrowed[team]) {
+		return false
+	}
+	if s.reclaimed == nil {
+		s.reclaimed = map[ids.Team]quota.Amount{}
+	}
+	s.reclaimed[team] = reclaimed
+	return true
+}
+
+// sufficient tells whether the victims free enough for the task.
+func (s *victimSelection) sufficient() bool {
+	return placement.TaskResources(s.job.Spec).FitsIn(s.free) && s.missingQuota.FitsIn(quota.Amount{})
+}
--- /dev/null
+++ b/scheduler/preemption_wiring.go
@@ -0,0 +1,90 @@
+package scheduler
+
+import (
+	"time"
+
+	"ospreystile.example/ospreystile/scheduler/clock"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/scheduler/placement"
+	"ospreystile.example/ospreystile/scheduler/preemption"
+)
+
+// preemptionScheduler answers what preemption asks of the other policies. It implements
+// preemption.Scheduler.
+type preemptionScheduler struct {
+	clock     *clock.Clock
+	queue     waitingJobRules
+	machines  machineRestrictions
+	zones     zoneAdmission
+	requests  requestClassifier
+	lifecycle taskStopper
+}
+
+// waitingJobRules tells how urgent a waiting job is.
+type waitingJobRules interface {
+	latencySensitive(j *cluster.Job) bool
+	starving(j *cluster.Job) bool
+}
+
+// machineRestrictions tells why a job may not use a machine that has room.
+type machineRestrictions interface {
+	reservedForOther(m *cluster.Machine, j *cluster.Job) bool
+	hasAntiAffinity(j *cluster.Job, m *cluster.Machine) bool
+}
+
+// zoneAdmission tells whether a machine's zone takes a task.
+type zoneAdmission interface {
+	admits(j *cluster.Job, index int, m *cluster.Machine) bool
+}
+
+// requestClassifier describes the next task of a job whose other tasks are in the given
+// zones; ok is false for a job that is like no other.
+type requestClassifier interface {
+	requestOf(j *cluster.Job, at placement.TasksByZone) (request placementRequest, ok bool)
+}
+
+// taskStopper tells a task to leave its machine.
+type taskStopper interface {
+	stop(a *cluster.Assignment, why cluster.StopReason)
+}
+
+// LatencySensitive tells whether a job must start sooner than a machine boots.
+func (s *preemptionScheduler) LatencySensitive(j *cluster.Job) bool {
+	return s.queue.latencySensitive(j)
+}
+
+// Probing tells whether a job may place only one task at a time.
+func (*preemptionScheduler) Probing(j *cluster.Job) bool { return probing(j) }
+
+// MayUse tells whether the next pending task of a job could go to a machine with enough
+// room. A reservation counts only while its job starves: until then room may be made on the
+// machine for others.
+func (s *preemptionScheduler) MayUse(j *cluster.Job, m *cluster.Machine) bool {
+	next := j.Pending()[len(j.Pending())-1]
+	if !s.zones.admits(j, next, m) || s.machines.hasAntiAffinity(j, m) {
+		return false
+	}
+	return !s.machines.reservedForOther(m, j) || !s.queue.starving(m.Admission.ReservedFor)
+}
+
+// RequestClass classifies the next task of a job. How many tasks must be placed together
+// matters for admission, not for the one task that room is made for. A machine without the
+// image costs more for a latency-sensitive job.
+func (s *preemptionScheduler) RequestClass(j *cluster.Job, zones placement.TasksByZone) (preemption.RequestClass, bool) {
+	request, ok := s.requests.requestOf(j, zones)
+	request.tasksTogether = 0
+	if s.queue.latencySensitive(j) {
+		request.image = j.Spec.Image
+	}
+	return request, ok && len(j.Failures.AntiAffinity) == 0
+}
+
+// RunTime is how long a task has been in its phase, less the pauses of this process.
+func (s *preemptionScheduler) RunTime(a *cluster.Assignment) time.Duration {
+	return runTime(s.clock, a)
+}
+
+// Stop tells a task to leave its machine.
+func (s *preemptionScheduler) Stop(a *cluster.Assignment, why cluster.StopReason) {
+	s.lifecycle.stop(a, why)
+}
