--- /dev/null
+++ b/scheduler/preemption/cheapest_plan.go
@@ -0,0 +1,67 @@
+package preemption
+
+import "ospreystile.example/ospreystile/scheduler/placement"
+
+// cheapestPlan returns the cheapest plan under a claim, or nil. All machines are examined
+// once for a job and a claim. After that only the cheapest is examined again before it is
+// taken.
+func (p *planner) cheapestPlan(by claim) *plan {
+	if p.plans == nil || p.plansClaim != by {
+		p.listPlans(by)
+	}
+	for {
+		cheapest := p.cheapestListed()
+		if cheapest == nil || len(cheapest.victims) == 0 || p.stillAsCheap(cheapest) {
+			return cheapest
+		}
+	}
+}
+
+// listPlans lists the plans of all machines that can make room under a claim.
+func (p *planner) listPlans(by claim) {
+	const initialCapacity = 16
+	p.plans, p.plansClaim = make([]plan, 0, initialCapacity), by
+	need := placement.TaskResources(p.job.Spec)
+	preemptible := p.round.anyPreemptible(p.job, by)
+	for _, m := range p.round.candidates {
+		if !preemptible && !need.FitsIn(p.round.notes(m).ExpectedFree) {
+			continue
+		}
+		if listed, ok := p.planOn(m); ok {
+			p.plans = append(p.plans, listed)
+		}
+	}
+	p.round.machinesExamined += uint64(len(p.round.candidates))
+}
+
+// cheapestListed returns the cheapest of the listed plans whose zone the job may use, or
+// nil. The first of equals wins.
+func (p *planner) cheapestListed() *plan {
+	var cheapest *plan
+	for i := range p.plans {
+		listed := &p.plans[i]
+		if listed.machine == nil || cheapest != nil && listed.cost >= cheapest.cost {
+			continue
+		}
+		if p.zones.Allows(p.job.Spec, listed.machine.Zone()) {
+			cheapest = listed
+		}
+	}
+	return cheapest
+}
+
+// stillAsCheap updates a listed plan and tells whether its cost has not risen.
+func (p *planner) stillAsCheap(listed *plan) bool {
+	before := listed.cost
+	p.update(listed)
+	return listed.machine != nil && listed.cost <= before
+}
+
+// update brings a listed plan up to date with what the round has counted since.
+func (p *planner) update(listed *plan) {
+	current, ok := p.planOn(listed.machine)
+	if !ok {
+		current = plan{}
+	}
+	*listed = current
+}
--- /dev/null
+++ b/scheduler/preemption/plan.go
@@ -0,0 +1,56 @@
+package preemption
+
+import (
+	"errors"
+
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/scheduler/placement"
+)
+
+// The reasons why there is no plan for a task.
+var (
+	// errNoClaim: the team's quota is used up and the job's priority is the lowest.
+	errNoClaim = errors.New("the team has no claim to more quota")
+	// errNothingPreemptible: no work is running that the job may stop to get quota.
+	errNothingPreemptible = errors.New("nothing that runs may be preempted for the job")
+	// errKnownInfeasible: an equal request failed with errNoMachine in this round.
+	errKnownInfeasible = errors.New("an equal request found no machine in this round")
+	// errNoMachine: no candidate has room for the task or can make it.
+	errNoMachine = errors.New("no machine can make room")
+)
+
+// plan is the machine on which room is made for one task, and the tasks that stop for it.
+type plan struct {
+	machine *cluster.Machine // nil: the machine can make no room
+	victims []*cluster.Assignment
+	cost    float64 // in weighted CPU seconds; see evictionCost
+}
+
+// planOn plans room for one task on a machine under the claim of the list; ok is false if
+// the machine can make none.
+func (p *planner) planOn(m *cluster.Machine) (planned plan, ok bool) {
+	if !placement.Allowed(p.job.Spec, m.Site()) || !p.round.policy.scheduler.MayUse(p.job, m) {
+		return plan{}, false
+	}
+	need := placement.TaskResources(p.job.Spec)
+	hasRoom := p.plansClaim != claimOwn && need.FitsIn(p.round.notes(m).ExpectedFree)
+	hasImage := m.HasImage(p.job.Spec.Image)
+	if hasRoom && (hasImage || !p.round.policy.scheduler.LatencySensitive(p.job)) {
+		return plan{machine: m, cost: costWithoutVictims}, true
+	}
+	planned = plan{machine: m}
+	if !hasRoom {
+		if !need.FitsIn(m.Total()) {
+			return plan{}, false
+		}
+		selected, enough := p.round.selectVictims(p.job, p.plansClaim, m)
+		if !enough {
+			return plan{}, false
+		}
+		planned.victims, planned.cost = selected.victims, selected.cost
+	}
+	if !hasImage {
+		planned.cost += missingImageCost
+	}
+	return planned, true
+}
--- a/scheduler/preemption/preemption.go
+++ b/scheduler/preemption/preemption.go
@@ -2,12 +2,13 @@
 // that run.
 //
 // Admission calls Policy.Preempt once in each scheduling round, for the jobs that found no
-// room. For each waiting task a planner compares the machines (planner.go): by which claim
-// the job may take room (claim.go), which tasks of a machine would have to stop for it
+// room. For each waiting task a planner looks for the machine on which room costs least
+// (planner.go, cheapest_plan.go). What a machine offers (plan.go) depends on the claim by
+// which the job may take room (claim.go), the tasks that would have to stop for it
 // (victims.go), and what that would cost (cost.go). The result is a plan with the machine,
 // the victims and the cost, or an error that says why there is none. The policy then stops
-// the victims. The round (round.go) holds the quota and the resources that its plans count
-// on, so that no two of them count on the same.
+// the victims. The round (round.go, ledger.go) counts the quota and the resources that its
+// plans use, so that no two of them use the same.
 //
 // The policy stops no more than the waiting work needs, and counts what is leaving already.
 // It must never place a task: the room is taken by admission in a later round. It must never
