--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -90,7 +90,7 @@
 		return
 	}
 	w.reportSoon = false
-	o, _ := d.c.Heartbeat(d.now, d.newReport(w), false)
+	o, _ := d.c.Heartbeat(d.now, d.newReport(w))
 	w.token = max(w.token, o.FencingToken)
 	d.execute(w, o.Commands)
 	tick := w.sequence
@@ -201,7 +201,7 @@
 				delete(d.workers, h)
 				d.held--
 			}
-			d.c.TerminateResult(d.now, hosts, true)
+			d.c.MachinesTerminated(d.now, hosts)
 		})
 	}
 }
@@ -235,7 +235,7 @@
 		if d.done == 0 {
 			b.Fatal("nothing was done, so nothing was measured")
 		}
-		b.ReportMetric(float64(d.c.admission.MachinesExamined)/float64(d.done), "looks/task")
+		b.ReportMetric(float64(d.c.candidates.examined)/float64(d.done), "looks/task")
 		b.ReportMetric(float64(len(d.workers)), "machines")
 		b.ReportMetric(float64(d.done), "tasks")
 		b.Log(d.c.Summary())
--- a/scheduler/preemption/preemption.go
+++ b/scheduler/preemption/preemption.go
@@ -1,8 +1,8 @@
 // Package preemption makes room for waiting jobs that are entitled to it, by stopping tasks
 // that run.
 //
-// Admission calls Policy.Preempt once in each scheduling round, for the jobs that found no
-// room. For each waiting task a planner looks for the machine on which room costs least
+// The scheduler calls Policy.Preempt once in each round, after admission, for the jobs that
+// still wait. For each waiting task a planner looks for the machine on which room costs least
 // (planner.go, cheapest_plan.go). What a machine offers (plan.go) depends on the claim by
 // which the job may take room (claim.go), the tasks that would have to stop for it
 // (victims.go), and what that would cost (cost.go). The result is a plan with the machine,
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -30,7 +30,7 @@
 			b.report("n-1", "a", ids.NewFencingToken(4, 0))
 			b.report("n-2", "a", ids.NewFencingToken(4, 0))
 		}, false},
-		{"its machines were returned", func(b *harness) { b.c.TerminateResult(b.now, []ids.MachineID{"n-1", "n-2"}, true) }, true},
+		{"its machines were returned", func(b *harness) { b.c.MachinesTerminated(b.now, []ids.MachineID{"n-1", "n-2"}) }, true},
 		{"all controllers follow", func(b *harness) { b.c.AllControllersFollow(b.now) }, true},
 		{"just before the margin", func(b *harness) { b.now = b.now.Add(grace - margin - time.Second) }, false},
 		{"within the margin", func(b *harness) { b.now = b.now.Add(grace - margin) }, true},
@@ -97,7 +97,7 @@
 	b.job("job-1", wire.JobSpec{Service: true, Tasks: 1})
 	b.c.Step(b.now) // the replica is placed, and its record on its way
 	report := func(host ids.MachineID, sequence ids.Sequence) bool {
-		_, ok := b.c.Heartbeat(b.now, newReport(host, 1, sequence, 0), false)
+		_, ok := b.c.Heartbeat(b.now, newReport(host, 1, sequence, 0))
 		return ok
 	}
 	b.c.RestrictToReplicas(true)
@@ -115,7 +115,7 @@
 	if report("n-2", 2) || report("n-2", 1) || report("n-3", 1) {
 		t.Error("a machine without one is answered")
 	}
-	b.c.TerminateResult(b.now, []ids.MachineID{"n-2"}, true)
+	b.c.MachinesTerminated(b.now, []ids.MachineID{"n-2"})
 	if report("n-2", 3) {
 		t.Error("a machine that was returned is answered")
 	}
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -19,7 +19,7 @@
 	// writeBudget is how many writes the rate still allows.
 	writeBudget      float64
 	budgetRefilledAt monotonic.Instant
-	// Dirty are the slices whose records lag behind, with their jobs.
+	// dirty are the slices whose records lag behind, with their jobs.
 	dirty map[*cluster.AdmissionSlice]*cluster.Job
 	// completable are jobs whose tasks are all done, and droppable those that are
 	// over, whose admission records may be dropped.
@@ -66,6 +66,12 @@
 	}
 }
 
+// markOrphanCancel notes that a job is cancelled with one that it depends on, which its own
+// record does not say yet.
+func (w *recordWriter) markOrphanCancel(j *cluster.Job) {
+	w.orphanCancels = append(w.orphanCancels, j)
+}
+
 // markCompletable notes that all tasks of a job are done.
 func (w *recordWriter) markCompletable(j *cluster.Job) { w.completable[j] = true }
 
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -23,7 +23,7 @@
 	return m
 }
 
-// Zjobs submits some, changed by shape.
+// jobs submits some, changed by shape.
 func (m *scenario) jobs(count int, shape func(*wire.JobSpec)) {
 	for range count {
 		sp := m.randomSpec()
@@ -366,7 +366,7 @@
 			t.Fatal("not returned in time")
 		}
 		if e := b.c.Step(b.now); len(e.Terminate) > 0 {
-			b.c.TerminateResult(b.now, e.Terminate, true)
+			b.c.MachinesTerminated(b.now, e.Terminate)
 			returned = true
 		}
 	}
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -53,7 +53,7 @@
 	}
 	s.core.Begin(s.now)
 	for _, rep := range s.keptReports {
-		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Heartbeat(s.now, rep, false) })
+		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Heartbeat(s.now, rep) })
 	}
 	s.keptReports = nil
 }
@@ -157,7 +157,7 @@
 			for _, h := range hosts {
 				delete(s.workers, h)
 			}
-			current(func() { core.TerminateResult(s.now, hosts, true) })()
+			current(func() { core.MachinesTerminated(s.now, hosts) })()
 		})
 	}
 }
