--- a/scheduler/preemption/cheapest_plan.go
+++ b/scheduler/preemption/cheapest_plan.go
@@ -3,15 +3,20 @@
 import "ospreystile.example/ospreystile/scheduler/placement"
 
 // cheapestPlan returns the cheapest plan under a claim, or nil. All machines are examined
-// once for a job and a claim. After that only the cheapest is examined again before it is
-// taken.
+// once for a job and a claim. After that only the cheapest is brought up to date before it is
+// taken: costs only rise during a round, so if it has not risen, no other is cheaper.
 func (p *planner) cheapestPlan(by claim) *plan {
 	if p.plans == nil || p.plansClaim != by {
 		p.listPlans(by)
 	}
 	for {
 		cheapest := p.cheapestListed()
-		if cheapest == nil || len(cheapest.victims) == 0 || p.stillAsCheap(cheapest) {
+		if cheapest == nil || len(cheapest.victims) == 0 {
+			return cheapest
+		}
+		listedCost := cheapest.cost
+		p.update(cheapest)
+		if cheapest.machine != nil && cheapest.cost <= listedCost {
 			return cheapest
 		}
 	}
@@ -50,13 +55,6 @@
 	return cheapest
 }
 
-// stillAsCheap updates a listed plan and tells whether its cost has not risen.
-func (p *planner) stillAsCheap(listed *plan) bool {
-	before := listed.cost
-	p.update(listed)
-	return listed.machine != nil && listed.cost <= before
-}
-
 // update brings a listed plan up to date with what the round has counted since.
 func (p *planner) update(listed *plan) {
 	current, ok := p.planOn(listed.machine)
--- a/scheduler/preemption/plan.go
+++ b/scheduler/preemption/plan.go
@@ -29,13 +29,13 @@
 // planOn plans room for one task on a machine under the claim of the list; ok is false if
 // the machine can make none.
 func (p *planner) planOn(m *cluster.Machine) (planned plan, ok bool) {
-	if !placement.Allowed(p.job.Spec, m.Site()) || !p.round.policy.scheduler.MayUse(p.job, m) {
+	if !placement.Allowed(p.job.Spec, m.Site()) || !p.scheduler.MayUse(p.job, m) {
 		return plan{}, false
 	}
 	need := placement.TaskResources(p.job.Spec)
 	hasRoom := p.plansClaim != claimOwn && need.FitsIn(p.round.notes(m).ExpectedFree)
 	hasImage := m.HasImage(p.job.Spec.Image)
-	if hasRoom && (hasImage || !p.round.policy.scheduler.LatencySensitive(p.job)) {
+	if hasRoom && (hasImage || !p.scheduler.LatencySensitive(p.job)) {
 		return plan{machine: m, cost: costWithoutVictims}, true
 	}
 	planned = plan{machine: m}
--- a/scheduler/preemption/planner.go
+++ b/scheduler/preemption/planner.go
@@ -9,12 +9,13 @@
 
 // planner plans room for the pending tasks of one job, one task after the other.
 type planner struct {
-	round *round
-	job   *cluster.Job
+	round     *round
+	scheduler Scheduler
+	job       *cluster.Job
 	// zones counts the job's tasks with those that room was planned for.
 	zones placement.TasksByZone
-	// plans has a plan for each machine that can make room under plansClaim. Their costs
-	// may be out of date: they only rise during a round.
+	// plans has a plan for each machine that can make room under plansClaim; nil: not
+	// listed yet. Their costs may be out of date: they only rise during a round.
 	plans      []plan
 	plansClaim claim
 	// freeBefore is the expected room of the machines of all plans before these.
@@ -25,6 +26,7 @@
 func newPlanner(r *round, j *cluster.Job) *planner {
 	return &planner{
 		round:      r,
+		scheduler:  r.policy.scheduler,
 		job:        j,
 		zones:      maps.Clone(j.Zones()),
 		freeBefore: map[*cluster.Machine]placement.Resources{},
@@ -56,7 +58,7 @@
 }
 
 // planTask plans room for one more pending task of the job, at the least cost, and counts it
-// in the round. The error is one of those above.
+// in the round. The error is one of the reasons in plan.go.
 func (p *planner) planTask() (plan, error) {
 	by := p.round.claimOf(p.job)
 	if by == claimNone {
@@ -65,7 +67,7 @@
 	if by == claimOwn && !p.round.anyPreemptible(p.job, by) {
 		return plan{}, errNothingPreemptible
 	}
-	class, hasClass := p.round.policy.scheduler.RequestClass(p.job, p.zones)
+	class, hasClass := p.scheduler.RequestClass(p.job, p.zones)
 	request := infeasibleRequest{class, p.job.Spec.Team, by}
 	if hasClass && p.round.infeasible[request] {
 		return plan{}, errKnownInfeasible
@@ -88,7 +90,7 @@
 // when room is made on such a machine.
 func (p *planner) allowColdStart(m *cluster.Machine) {
 	j := p.job
-	if j.Queue.AllowColdStart || m.HasImage(j.Spec.Image) || !p.round.policy.scheduler.LatencySensitive(j) {
+	if j.Queue.AllowColdStart || m.HasImage(j.Spec.Image) || !p.scheduler.LatencySensitive(j) {
 		return
 	}
 	j.Queue.AllowColdStart = true
@@ -98,8 +100,8 @@
 // commit counts a plan in the round: the zone, the quota and the room that the task is to
 // take, and what the victims are to free.
 func (p *planner) commit(planned plan) {
-	// Without this the zone would count only the tasks that are placed, and room for two
-	// replicas could be made in a zone that may take one.
+	// The job's zones count only tasks that are placed. Room for two replicas could be made
+	// in a zone that may take one.
 	p.zones[planned.machine.Zone()]++
 	notes, ledger := p.round.notes(planned.machine), &p.round.ledger
 	if _, saved := p.freeBefore[planned.machine]; !saved {
