--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -265,7 +265,7 @@
 func (h *heartbeatIntake) handleActiveTask(a *cluster.Assignment, s *cluster.ReportedTask) {
 	a.Delivery.Seen = true
 	if !a.Delivery.Sent {
-		// Inherited: it surely runs here now, and newer tokens speak for it.
+		// An inherited task is known to run here now, and is told under newer tokens.
 		a.Delivery.Sent, a.Delivery.Inherited = true, false
 		a.Delivery.Incarnation = a.Machine.Agent.Incarnation
 	}
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -39,8 +39,8 @@
 
 func largeFleetZone(n int) ids.Zone { return ids.Zone(rune('a' + n%largeFleetZones)) }
 
-// reportAll has each machine report what runs on it, but for those in a zone that is cut.
-func (b *harness) reportAll(cut ids.Zone) {
+// heartbeatAll has each machine report what runs on it, but for those in a zone that is cut.
+func (b *harness) heartbeatAll(cut ids.Zone) {
 	for n := range largeFleet {
 		if largeFleetZone(n) == cut {
 			continue
@@ -53,7 +53,7 @@
 				}
 			}
 		}
-		b.report(largeFleetHost(n), largeFleetZone(n), b.c.commands.tokenOf(b.c.cluster.EnsureMachine(largeFleetHost(n))), tasks...)
+		b.heartbeat(largeFleetHost(n), largeFleetZone(n), b.c.commands.tokenOf(b.c.cluster.EnsureMachine(largeFleetHost(n))), tasks...)
 	}
 }
 
@@ -65,8 +65,8 @@
 	return stats.HeapAlloc
 }
 
-// The core holds 4,000 machines through full reports, a takeover and a cut zone. Its work
-// is asserted by what it looked at, read and wrote, not by time.
+// The core keeps up with 4,000 machines through heartbeats of all, a failover and a partitioned
+// zone. Its work is asserted by what it examined, read and wrote, not by time.
 func TestFourThousandMachines(t *testing.T) {
 	t.Run("zones not watched", func(t *testing.T) { playLargeFleet(largeFleetHarness(t)) })
 	t.Run("zones watched", func(t *testing.T) {
@@ -79,15 +79,16 @@
 	})
 }
 
-// playLargeFleet takes a core through full reports, a takeover and a cut zone.
+// playLargeFleet takes a core through heartbeats of all machines, a failover and a partitioned
+// zone.
 func playLargeFleet(b *harness) {
 	t := b.t
 	t.Helper()
 	before := liveHeap()
 	b.c.Begin(b.now)
-	b.reportAll("")
+	b.heartbeatAll("")
 	for n := range largeFleetJobs {
-		b.job(ids.JobID(fmt.Sprintf("job-%06d", n)), wire.JobSpec{Tasks: largeFleetTasks / largeFleetJobs, CPUs: 2})
+		b.submit(ids.JobID(fmt.Sprintf("job-%06d", n)), wire.JobSpec{Tasks: largeFleetTasks / largeFleetJobs, CPUs: 2})
 	}
 	latest := map[string]records.AdmissionSlice{}
 	b.placeAll(latest)
@@ -100,14 +101,14 @@
 		t.Errorf("%d records written, want one for each of %d jobs", len(latest), largeFleetJobs)
 	}
 	b.now = b.now.Add(time.Second)
-	b.reportAll("")
+	b.heartbeatAll("")
 	perMachine := (liveHeap() - before) / largeFleet
 	t.Logf("live heap: %d KB, %d bytes a machine with four tasks", perMachine*largeFleet/1024, perMachine)
 	if perMachine > 12<<10 {
 		t.Errorf("a machine takes %d bytes: too much for a node of 100 MB", perMachine)
 	}
-	b.takeOverLargeFleet(latest)
-	b.cutZoneOfLargeFleet()
+	b.failOverLargeFleet(latest)
+	b.partitionZoneOfLargeFleet()
 }
 
 // placeAll steps until all tasks are placed, and keeps the newest record of each slice.
@@ -130,14 +131,14 @@
 	}
 }
 
-// takeOverLargeFleet has a successor read the records and meet all machines.
-func (b *harness) takeOverLargeFleet(latest map[string]records.AdmissionSlice) {
+// failOverLargeFleet has a new leader read the records and get a heartbeat of each machine.
+func (b *harness) failOverLargeFleet(latest map[string]records.AdmissionSlice) {
 	b.t.Helper()
-	predecessor := b.c
-	opt := predecessor.opt
+	previous := b.c
+	opt := previous.opt
 	opt.Revision, opt.PreviousLeader = opt.Revision+1, true
-	b.c = New(opt, predecessor.cluster.Types())
-	for id, j := range predecessor.cluster.Jobs() {
+	b.c = New(opt, previous.cluster.Types())
+	for id, j := range previous.cluster.Jobs() {
 		b.c.LoadJob(id, &records.Job{Status: wire.JobQueued, Tasks: len(j.Tasks()), Spec: j.Spec}, j.Records.Revision)
 	}
 	for key, record := range latest {
@@ -147,10 +148,10 @@
 		}
 	}
 	b.c.Begin(b.now)
-	b.reportAll("")
+	b.heartbeatAll("")
 	e := b.step()
 	if len(e.RecordChanges) > 0 || len(e.Terminate) > 0 || len(e.Provision) > 0 {
-		b.t.Errorf("a takeover without news wrote %d changes, returned %d and rented %d", len(e.RecordChanges), len(e.Terminate), len(e.Provision))
+		b.t.Errorf("a failover without other events wrote %d changes, terminated %d machines and made %d requests for machines", len(e.RecordChanges), len(e.Terminate), len(e.Provision))
 	}
 	for _, m := range b.c.cluster.Machines() {
 		if !b.c.health.usable(m) {
@@ -159,25 +160,25 @@
 	}
 }
 
-// cutZoneOfLargeFleet cuts a quarter of the machines off until their leases are over, and
+// partitionZoneOfLargeFleet cuts a quarter of the machines off until their leases are over, and
 // sees that work and returns stay in proportion.
-func (b *harness) cutZoneOfLargeFleet() {
+func (b *harness) partitionZoneOfLargeFleet() {
 	b.t.Helper()
 	examined, calls := b.c.candidates.examined, 0
 	b.c.ObserveConnectivity(zonerecovery.Connectivity{LeaseConfirmed: true})
 	const step, steps = time.Second, 36
 	for range steps {
 		b.now = b.now.Add(step)
-		b.reportAll("d")
+		b.heartbeatAll("d")
 		e := b.step()
 		b.countZoneRecords(e)
 		calls = max(calls, len(e.SendCommands)+len(e.RequestHeartbeats))
 		if len(e.Terminate) > 0 {
-			b.t.Fatalf("returned %d machines of a zone that is cut off", len(e.Terminate))
+			b.t.Fatalf("terminated %d machines of a partitioned zone", len(e.Terminate))
 		}
 	}
 	if !b.c.health.zonePartitioned("d") {
-		b.t.Error("the zone is not known to be cut off")
+		b.t.Error("the partition of the zone was not detected")
 	}
 	if calls > b.c.opt.MaxWorkerCalls {
 		b.t.Errorf("%d calls in a step", calls)
@@ -204,7 +205,7 @@
 			if record, ok := op.Value.(*zonerecovery.Record); ok {
 				b.zoneWrites++
 				if wire.ExceedsJSONSize(record, b.c.opt.ValueBytes) {
-					b.t.Errorf("a zone's record with %d jobs is too large", len(record.Jobs))
+					b.t.Errorf("a zone's record with %d jobs is too large", len(record.DisplacedJobs))
 				}
 			}
 		}
@@ -218,7 +219,7 @@
 	if c := b.c.zones.manager.Condition("d"); c != zonerecovery.Outage {
 		b.t.Errorf("the zone is %s", c)
 	}
-	if got := b.c.zones.manager.Stats().Displaced; got != largeFleetTasks/largeFleetZones {
+	if got := b.c.zones.manager.Stats().DisplacedTasks; got != largeFleetTasks/largeFleetZones {
 		b.t.Errorf("%d tasks displaced", got)
 	}
 	if b.zoneWrites < 1 || b.zoneWrites > 4 {
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -20,22 +20,24 @@
 			p.placed = append(p.placed, a)
 		}
 	}
-	at := []records.SliceVersion{{Number: s.Number, Revision: s.Revision}}
-	recs := []records.AdmissionSlice{w.sliceRecord(j, s.Tasks)}
+	record := w.sliceRecord(j, s.Tasks)
+	writes := []records.SliceWrite{{SliceVersion: records.SliceVersion{Number: s.Number, Revision: s.Revision}, Record: record}}
 	limit := w.core.opt.ValueBytes >> j.Records.Refusals
-	s.Oversized = wire.ExceedsJSONSize(recs[0], limit)
+	s.Oversized = wire.ExceedsJSONSize(record, limit)
 	if s.Oversized && w.core.opt.SplitRecords {
 		s.Oversized = false
+		var recs []records.AdmissionSlice
 		p.split, recs = w.splitTasks(j, s.Tasks, limit)
+		writes[0].Record = recs[0]
 		p.parts = []*cluster.AdmissionSlice{s}
-		for range recs[1:] {
+		for _, record := range recs[1:] {
 			j.GrowSlices(len(j.Slices()) + 1)
 			part := j.Slices()[len(j.Slices())-1]
 			p.parts = append(p.parts, part)
-			at = append(at, records.SliceVersion{Number: part.Number})
+			writes = append(writes, records.SliceWrite{SliceVersion: records.SliceVersion{Number: part.Number}, Record: record})
 		}
 	}
-	w.submitChange(p, records.PutSlicesChange(j.ID, j.Records.Revision, at, recs))
+	w.submitChange(p, records.PutSlicesChange(j.ID, j.Records.Revision, writes))
 }
 
 // splitTasks divides the tasks of a record that is too large into parts whose records are
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"time"
@@ -115,8 +116,8 @@
 			fmt.Fprintf(b, " zone-%s=%s/%d/%s", st.Zone, st.Condition, st.Step, st.Override)
 		}
 	}
-	if stats := g.manager.Stats(); stats.Displaced > 0 {
-		fmt.Fprintf(b, " displaced=%d bounced=%d forced=%d", stats.Displaced, stats.Bounces, stats.Forced)
+	if stats := g.manager.Stats(); stats.DisplacedTasks > 0 {
+		fmt.Fprintf(b, " displaced=%d bounced=%d forced=%d", stats.DisplacedTasks, stats.Failbacks, stats.ForcedFailbacks)
 	}
 }
 
@@ -145,24 +146,24 @@
 	if g.manager.Observe(g.core.moment(), zonerecovery.Observation{Zones: g.evidence(), Connectivity: view}) {
 		g.core.rounds.MarkDue()
 	}
-	g.core.decisions.ZoneEvents = append(g.core.decisions.ZoneEvents, g.manager.TakeEvents()...)
+	g.core.decisions.ZoneEvents = append(g.core.decisions.ZoneEvents, g.manager.TakeTransitions()...)
 }
 
 // evidence counts the machines of each zone.
-func (g *zoneGate) evidence() map[ids.Zone]zonerecovery.Evidence {
-	out := map[ids.Zone]zonerecovery.Evidence{}
+func (g *zoneGate) evidence() map[ids.Zone]zonerecovery.ZoneHealth {
+	out := map[ids.Zone]zonerecovery.ZoneHealth{}
 	for _, m := range g.core.cluster.Machines() {
 		if m.Zone() == "" || m.Lifecycle.Terminating || !m.Agent.Reported && len(m.Assignments()) == 0 {
 			continue
 		}
 		e := out[m.Zone()]
-		e.Known++
+		e.Machines++
 		silent := g.core.health.silentFor(m, g.core.health.reportOverdue())
 		switch {
 		case silent:
-			e.Silent++
+			e.Unreachable++
 		case m.Agent.Reported:
-			e.Heard++
+			e.Reachable++
 		}
 		if m.Lifecycle.ListedStatus == wire.MachineFailed {
 			e.Failed++
@@ -179,15 +180,15 @@
 // startOf describes a task that looks for a place on a machine. What only the ramp asks for
 // is left out unless the zone returns.
 func (g *zoneGate) startOf(j *cluster.Job, index int, m *cluster.Machine) *zonerecovery.StartRequest {
-	s := &zonerecovery.StartRequest{Task: ids.TaskRef{Job: j.ID, Index: index}, Critical: g.critical(j), Bound: j.Spec.Zone != ""}
+	s := &zonerecovery.StartRequest{Task: ids.TaskRef{Job: j.ID, Index: index}, Critical: g.critical(j), ZonePinned: j.Spec.Zone != ""}
 	if !g.unproven(m.Zone()) {
 		return s
 	}
 	cached := m.Image(j.Spec.Image)
 	// What the machine held before the zone was lost may be gone.
-	s.Fetch = cached == nil || cached.UsedAt < g.manager.ColdSince(m.Zone())
-	s.Sharing = s.Fetch && m.FetchesAnother(j.Spec.Image)
-	s.Small, s.Machine, s.Image = g.small(j), m.ID, j.Spec.Image
+	s.NeedsFetch = cached == nil || cached.UsedAt < g.manager.CachesLostAt(m.Zone())
+	s.MachineFetching = s.NeedsFetch && m.FetchesAnother(j.Spec.Image)
+	s.ProbeEligible, s.Machine, s.Image = g.small(j), m.ID, j.Spec.Image
 	return s
 }
 
@@ -222,17 +223,16 @@
 	return g != nil && g.manager.Condition(zone) == zonerecovery.Recovering
 }
 
-// request adds to a placement request what the gate looks at; ok is false for a job that is
-// like no other.
-func (g *zoneGate) request(j *cluster.Job, sh *placementRequest) (ok bool) {
+// requestPart tells what of a job the gate looks at now; ok is false for a job that is like no
+// other.
+func (g *zoneGate) requestPart(j *cluster.Job) (part gateClass, ok bool) {
 	if g == nil || !g.manager.AnyGated() {
-		return true
+		return gateClass{}, true
 	}
 	if g.manager.AnyRecovering() {
-		sh.image = j.Spec.Image
-		sh.gate = gateClass{evaluated: true, critical: g.critical(j), small: g.small(j)}
+		part = gateClass{evaluated: true, critical: g.critical(j), small: g.small(j)}
 	}
-	return !g.manager.Restricted(j.ID)
+	return part, !g.manager.FailbackDenied(j.ID)
 }
 
 // gateClass is what the gate looks at of a job, beside its image.
@@ -254,7 +254,7 @@
 
 // detached notes that a task is off its machine.
 func (g *zoneGate) detached(a *cluster.Assignment) {
-	if g != nil && g.manager.TaskEnded(a.Machine.Zone(), a.Ref(), g.core.clock.Now()) {
+	if g != nil && g.manager.TaskEnded(a.Machine.Zone(), a.Ref()) {
 		g.core.rounds.MarkDue()
 	}
 }
@@ -339,28 +339,28 @@
 }
 
 // settle takes the outcome of a change into account if it is a zone's record.
-func (g *zoneGate) settle(o records.CommitResult) (ours bool) {
+func (g *zoneGate) settle(result records.CommitResult) (ours bool) {
 	if g == nil {
 		return false
 	}
-	write, ours := g.writes[o.Change.ID]
+	write, ours := g.writes[result.Change.ID]
 	if !ours {
 		return false
 	}
-	delete(g.writes, o.Change.ID)
+	delete(g.writes, result.Change.ID)
 	switch {
-	case o.Applied:
-		revision := o.Revision
+	case result.Err == nil:
+		revision := result.Revision
 		if write.dropped {
 			revision = 0
 		}
 		if g.manager.WriteCommitted(write.zone, revision) {
 			g.core.rounds.MarkDue()
 		}
-	case o.Rejected:
+	case errors.Is(result.Err, records.ErrRejected):
 		g.manager.WriteRejected(write.zone)
 	default:
-		g.core.recordsErr = fmt.Errorf("record of zone %s moved without this leader: %v", write.zone, o.FailedKeys)
+		g.core.recordsErr = fmt.Errorf("record of zone %s moved without this leader: %w", write.zone, result.Err)
 	}
 	return true
 }
--- a/zonerecovery/restore.go
+++ b/zonerecovery/restore.go
@@ -13,53 +13,39 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// RestorePolicy is how replicas of services are moved back to a zone that displaced them, so
-// that the next loss of a zone takes fewer of them. Arrays are never moved: they are done
-// sooner where they are.
-type RestorePolicy struct {
-	// MovesPerMinute bounds the moves of all services; 0: none are moved.
-	MovesPerMinute float64
-	// After is how long a zone must have served since its return.
-	After time.Duration
-	// Budget is how many replicas of one service may be moved in one incident.
-	Budget int
-}
-
 // ServicePlacement is where the replicas of a service run.
 type ServicePlacement struct {
 	Job ids.JobID
-	// TaskRunning counts the replicas that run, by zone; Wanted is how many there should be.
-	Running map[ids.Zone]int
-	Wanted  int
+	// Running counts the replicas that run, by zone. Replicas is how many there should be.
+	Running  map[ids.Zone]int
+	Replicas int
 }
 
-// RestoreMove is a replica that should leave a zone for another.
+// RestoreMove is a replica that should be moved between zones.
 type RestoreMove struct {
 	Job      ids.JobID
 	From, To ids.Zone
 }
 
-// restorer plans the moves of one term.
-type restorer struct {
-	policy  RestorePolicy
-	limiter *rate.Limiter
-}
+// restorer plans which replicas are moved back to zones that displaced them, and owns the rate at
+// which that happens. It moves nothing: the scheduler does.
+type restorer struct{ limiter *rate.Limiter }
 
-// newRestorer makes a restorer that has moved nothing yet.
 func newRestorer(policy RestorePolicy) *restorer {
-	return &restorer{policy: policy, limiter: rate.NewLimiter(rate.Limit(policy.MovesPerMinute/time.Minute.Seconds()), 1)}
+	perSecond := rate.Limit(policy.MovesPerMinute / time.Minute.Seconds())
+	return &restorer{limiter: rate.NewLimiter(perSecond, 1)}
 }
 
-// RestoreCandidates lists the services' jobs of which a replica might be moved back, by id:
-// those displaced by a zone that has served for long enough, while no zone is in trouble.
+// RestoreCandidates returns the jobs of which a replica might be moved back, by id: those that were
+// displaced by a zone that has served for long enough. There are none unless all zones serve.
 func (m *Manager) RestoreCandidates(now monotonic.Instant) []ids.JobID {
 	if m.policy.Restore.MovesPerMinute <= 0 || m.Evacuating() {
 		return nil
 	}
 	jobs := map[ids.JobID]bool{}
-	for _, z := range m.zones {
+	for _, z := range m.sorted {
 		if z.restorable(now) {
-			for job := range z.displaced.jobs {
+			for job := range z.displacements.jobs {
 				jobs[job] = true
 			}
 		}
@@ -67,64 +53,69 @@
 	return slices.Sorted(maps.Keys(jobs))
 }
 
-// restorable tells whether replicas may be moved back to the zone.
-func (z *zone) restorable(now monotonic.Instant) bool {
-	return z.condition == Serving && z.flaps > 0 && z.override.Kind == OverrideNone && z.record.allows(Serving) &&
-		now >= z.since.Add(z.policy.Restore.After)
+// PlanRestore returns one replica that should be moved back now, and counts it against the rate and
+// the budget of its job. ok is false if there is none. hasRoom reports whether a replica of a job
+// could run in a zone at once.
+func (m *Manager) PlanRestore(at ClockReading, services []ServicePlacement, hasRoom func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
+	return m.restorer.plan(at, m.sorted, services, hasRoom)
 }
 
-// PlanRestore chooses a replica that should be moved back now, if the rate allows one. hasRoom
-// tells whether a replica could run in a zone at once.
-func (m *Manager) PlanRestore(at ClockReading, services []ServicePlacement, hasRoom func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
-	if m.restorer.limiter.TokensAt(at.Wall) < 1 {
+// plan chooses the first move that rate, budgets and capacity allow.
+func (r *restorer) plan(at ClockReading, zones []*zone, services []ServicePlacement, hasRoom func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
+	if r.limiter.TokensAt(at.Wall) < 1 {
 		return RestoreMove{}, false
 	}
-	for _, s := range services {
-		for _, to := range m.sortedZones() {
-			z := m.zones[to]
-			if !z.restorable(at.Now) || !z.mayRestore(s.Job) {
-				continue
+	for i := range services {
+		for _, z := range zones {
+			move, ok = z.restoreMove(&services[i], at.Now)
+			if ok && hasRoom(move.Job, move.To) {
+				r.limiter.AllowN(at.Wall, 1)
+				z.recordRestore(move.Job)
+				return move, true
 			}
-			from, uneven := s.fullest(to)
-			if !uneven || !hasRoom(s.Job, to) {
-				continue
-			}
-			m.restorer.limiter.AllowN(at.Wall, 1)
-			z.noteRestored(s.Job)
-			return RestoreMove{Job: s.Job, From: from, To: to}, true
 		}
 	}
 	return RestoreMove{}, false
 }
 
-// mayRestore tells whether a job's budgets allow another replica to be moved back.
-func (z *zone) mayRestore(job ids.JobID) bool {
-	entry := z.displaced.jobs[job]
-	return entry != nil && entry.restored < z.policy.Restore.Budget && !z.displaced.exhausted(job, z.policy.MoveBudget)
+// restoreMove returns the move of a replica to this zone that budgets allow.
+func (z *zone) restoreMove(service *ServicePlacement, now monotonic.Instant) (move RestoreMove, ok bool) {
+	if !z.restorable(now) || !z.displacements.mayRestore(service.Job) {
+		return RestoreMove{}, false
+	}
+	to := z.name()
+	from, ok := service.moveSource(to)
+	return RestoreMove{Job: service.Job, From: from, To: to}, ok
+}
+
+// restorable reports whether replicas may be moved back to the zone.
+func (z *zone) restorable(now monotonic.Instant) bool {
+	return z.condition() == Serving && z.machine.outages.count > 0 && !z.override.active() && z.record.allows(Serving) &&
+		now >= z.machine.state.since.Add(z.policy.Restore.After)
 }
 
-// noteRestored counts a replica that is moved back.
-func (z *zone) noteRestored(job ids.JobID) {
-	z.displaced.jobs[job].restored++
-	z.record.lazy = true
-	z.incidents.count(func(i *Incident) { i.Restored++ })
+// recordRestore counts a replica that is moved back.
+func (z *zone) recordRestore(job ids.JobID) {
+	z.displacements.recordRestore(job)
+	z.record.markJobsChanged()
+	z.machine.incidents.update(func(incident *Incident) { incident.RestoredReplicas++ })
 }
 
-// fullest finds the zone with most replicas, if a move from there to another zone makes the
-// service more even. Unless all its replicas run, none is moved: one more would be down.
-func (s *ServicePlacement) fullest(to ids.Zone) (from ids.Zone, uneven bool) {
+// moveSource returns the zone with most replicas, if a move from there makes the service more even.
+// It returns none unless all replicas run: one more would be down.
+func (s *ServicePlacement) moveSource(to ids.Zone) (from ids.Zone, ok bool) {
 	running := 0
-	for _, n := range s.Running {
-		running += n
+	for _, replicas := range s.Running {
+		running += replicas
 	}
-	if running < s.Wanted {
+	if running < s.Replicas || running == 0 {
 		return "", false
 	}
-	zones := slices.SortedFunc(maps.Keys(s.Running), func(a, b ids.Zone) int {
+	from = slices.MinFunc(slices.Collect(maps.Keys(s.Running)), func(a, b ids.Zone) int {
 		return cmp.Or(cmp.Compare(s.Running[b], s.Running[a]), strings.Compare(string(a), string(b)))
 	})
-	if len(zones) == 0 || zones[0] == to || s.Running[zones[0]] < s.Running[to]+2 {
+	if from == to || s.Running[from] < s.Running[to]+2 {
 		return "", false
 	}
-	return zones[0], true
+	return from, true
 }
