--- a/scheduler/preemption/fixture_test.go
+++ b/scheduler/preemption/fixture_test.go
@@ -98,7 +98,8 @@
 
 // planner makes a planner for a job in a new round over all machines.
 func (f *fixture) planner(j *cluster.Job) *planner {
-	return newPlanner(f.policy.newRound(f.state.Machines()), j)
+	p := newPlanner(f.policy.newRound(f.state.Machines()), j)
+	return &p
 }
 
 // preempt runs a round for some jobs over all machines, and checks the cluster state.
--- a/scheduler/preemption/ledger.go
+++ b/scheduler/preemption/ledger.go
@@ -20,13 +20,13 @@
 }
 
 // newLedger starts with what the teams borrow.
-func newLedger(quotas *quota.Tracker) ledger {
+func newLedger(teams []ids.Team, quotas *quota.Tracker) ledger {
 	l := ledger{
 		borrowed:  map[ids.Team]quota.Amount{},
 		committed: map[ids.Team]quota.Amount{},
 		victims:   map[*cluster.Assignment]bool{},
 	}
-	for _, team := range quotas.Teams() {
+	for _, team := range teams {
 		l.borrowed[team] = quotas.Borrowed(team)
 	}
 	return l
--- a/scheduler/preemption/plan.go
+++ b/scheduler/preemption/plan.go
@@ -24,6 +24,8 @@
 	machine *cluster.Machine // nil: the machine can make no room
 	victims []*cluster.Assignment
 	cost    float64 // in weighted CPU seconds; see evictionCost
+	// freeBefore is the expected room on the machine before the round counts the plan.
+	freeBefore placement.Resources
 }
 
 // planOn plans room for one task on a machine under the claim of the list; ok is false if
--- a/scheduler/preemption/planner.go
+++ b/scheduler/preemption/planner.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"slices"
 
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/scheduler/placement"
@@ -18,19 +19,11 @@
 	// listed yet. Their costs may be out of date: they only rise during a round.
 	plans      []plan
 	plansClaim claim
-	// freeBefore is the expected room of the machines of all plans before these.
-	freeBefore map[*cluster.Machine]placement.Resources
 }
 
 // newPlanner makes the planner for a job in a round.
-func newPlanner(r *round, j *cluster.Job) *planner {
-	return &planner{
-		round:      r,
-		scheduler:  r.policy.scheduler,
-		job:        j,
-		zones:      maps.Clone(j.Zones()),
-		freeBefore: map[*cluster.Machine]placement.Resources{},
-	}
+func newPlanner(r *round, j *cluster.Job) planner {
+	return planner{round: r, scheduler: r.policy.scheduler, job: j, zones: maps.Clone(j.Zones())}
 }
 
 // planAllTasks plans room for all pending tasks of the job. If one finds none, it takes back
@@ -42,7 +35,7 @@
 		planned, err := p.planTask()
 		if err != nil {
 			p.round.ledger = saved
-			p.restoreFree()
+			p.restoreFree(plans)
 			return nil, err
 		}
 		plans = append(plans, planned)
@@ -50,10 +43,10 @@
 	return plans, nil
 }
 
-// restoreFree takes back what the planner's plans count on machines.
-func (p *planner) restoreFree() {
-	for m, free := range p.freeBefore {
-		p.round.notes(m).ExpectedFree = free
+// restoreFree takes back what plans count on their machines, the last plan first.
+func (p *planner) restoreFree(plans []plan) {
+	for _, planned := range slices.Backward(plans) {
+		p.round.notes(planned.machine).ExpectedFree = planned.freeBefore
 	}
 }
 
@@ -80,6 +73,7 @@
 		return plan{}, errNoMachine
 	}
 	planned := *cheapest
+	planned.freeBefore = p.round.notes(planned.machine).ExpectedFree
 	p.allowColdStart(planned.machine)
 	p.commit(planned)
 	p.update(cheapest)
@@ -104,9 +98,6 @@
 	// in a zone that may take one.
 	p.zones[planned.machine.Zone()]++
 	notes, ledger := p.round.notes(planned.machine), &p.round.ledger
-	if _, saved := p.freeBefore[planned.machine]; !saved {
-		p.freeBefore[planned.machine] = notes.ExpectedFree
-	}
 	ledger.promise(p.job.Spec.Team, p.job.Amount())
 	for _, a := range planned.victims {
 		ledger.victims[a] = true
--- a/scheduler/preemption/planner_test.go
+++ b/scheduler/preemption/planner_test.go
@@ -46,7 +46,8 @@
 	r := f.policy.newRound(f.state.Machines())
 	want := errNoMachine
 	for _, j := range []*cluster.Job{f.addJob("job-1", wire.JobSpec{}), f.addJob("job-2", wire.JobSpec{})} {
-		if _, err := newPlanner(r, j).planTask(); !errors.Is(err, want) {
+		p := newPlanner(r, j)
+		if _, err := p.planTask(); !errors.Is(err, want) {
 			t.Errorf("%s: error %v, want %v", j.ID, err, want)
 		}
 		want = errKnownInfeasible
@@ -195,11 +196,11 @@
 	f := newFixture(t)
 	m := f.addMachine("m-1", "a")
 	f.run("job-low", wire.JobSpec{CPUs: 2}, m)
-	p := f.planner(f.addJob("job-1", wire.JobSpec{Team: "blue", Gang: true, CPUs: machineCPUs, Tasks: 2, Priority: wire.High}))
+	p := f.planner(f.addJob("job-1", wire.JobSpec{Team: "blue", Gang: true, CPUs: machineCPUs / 2, Tasks: 3, Priority: wire.High}))
 	r := p.round
 	free, borrowed := r.notes(m).ExpectedFree, r.ledger.borrowed["red"]
 	if _, err := p.planAllTasks(); err == nil {
-		t.Fatal("room for a gang of two on one machine")
+		t.Fatal("room for three tasks on a machine that holds two")
 	}
 	if r.notes(m).ExpectedFree != free {
 		t.Errorf("expected free %+v, want %+v", r.notes(m).ExpectedFree, free)
--- a/scheduler/preemption/preemption.go
+++ b/scheduler/preemption/preemption.go
@@ -20,6 +20,7 @@
 import (
 	"time"
 
+	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/scheduler/placement"
@@ -68,6 +69,7 @@
 	clock     *clock.Clock
 	rounds    *clock.RoundTrigger
 	quotas    *quota.Tracker
+	teams     []ids.Team
 	scheduler Scheduler
 	// roundNumber tells which notes on machines are of the present round.
 	roundNumber uint64
@@ -81,6 +83,7 @@
 		clock:     now,
 		rounds:    rounds,
 		quotas:    quotas,
+		teams:     quotas.Teams(),
 		scheduler: scheduler,
 	}
 }
@@ -119,7 +122,8 @@
 
 // preemptForAllTasks makes room for all pending tasks of a job, or for none.
 func (p *Policy) preemptForAllTasks(r *round, j *cluster.Job) {
-	plans, err := newPlanner(r, j).planAllTasks()
+	planner := newPlanner(r, j)
+	plans, err := planner.planAllTasks()
 	if err != nil {
 		return
 	}
--- a/scheduler/preemption/round.go
+++ b/scheduler/preemption/round.go
@@ -35,7 +35,7 @@
 	r := &round{
 		policy:     p,
 		candidates: candidates,
-		ledger:     newLedger(p.quotas),
+		ledger:     newLedger(p.teams, p.quotas),
 		infeasible: map[infeasibleRequest]bool{},
 	}
 	counts := p.cluster.Workloads()
