--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -17,6 +17,7 @@
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/scheduler/preemption"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonerecovery"
@@ -46,7 +47,7 @@
 	reservations    *reservations
 	searches        *searcher
 	admission       *admitter
-	preemption      *evictor
+	preemption      *preemption.Policy
 	autoscaler      *autoscaler
 	estimates       *runEstimates
 	// zones watches zones that fall silent and return; nil: it is turned off.
@@ -79,7 +80,6 @@
 	}
 	c.health = &healthMonitor{core: c, zoneStates: map[ids.Zone]*zoneState{}}
 	c.connectDispatch()
-	c.preemption = &evictor{core: c}
 	c.autoscaler = newAutoscaler(c)
 	c.zones = c.newZoneGate()
 	c.lifecycle = &taskLifecycle{
@@ -95,6 +95,7 @@
 	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
 	c.connectIntake()
 	c.connectAdmission()
+	c.connectPreemption()
 	c.connectZones()
 	c.cluster.SetCatalog(types)
 	return c
@@ -201,6 +202,20 @@
 	}
 }
 
+// connectPreemption makes preemption from the other parts.
+func (c *Core) connectPreemption() {
+	settings := preemption.Settings{LendingSuspension: c.opt.LendingSuspension}
+	c.preemption = preemption.New(settings, c.cluster, c.clock, c.rounds, c.quotas, &preemptionScheduler{
+		clock:        c.clock,
+		queue:        c.queue,
+		reservations: c.reservations,
+		searches:     c.searches,
+		zones:        c.zones,
+		failures:     c,
+		lifecycle:    c.lifecycle,
+	})
+}
+
 // SetCatalog takes the cloud's machine types and current prices.
 func (c *Core) SetCatalog(types []wire.MachineType) { c.cluster.SetCatalog(types) }
 
@@ -272,7 +287,7 @@
 	}
 	c.quota.updateSurplus()
 	c.admission.admitAll(waiting)
-	c.preemption.preempt(waiting)
+	c.candidates.examined += c.preemption.Preempt(waiting, c.candidates.machines)
 	c.reservations.update(waiting)
 }
 
