--- a/scheduler/autoscaler_parts.go
+++ b/scheduler/autoscaler_parts.go
@@ -60,6 +60,19 @@
 	registry  machineReturner
 }
 
+// connectAutoscaler gives the autoscaler the policies that it asks.
+func (c *Core) connectAutoscaler() {
+	c.autoscaler.connect(autoscalerPeers{
+		queue:     c.queue,
+		quota:     c.quota,
+		quotas:    c.quotas,
+		estimates: c.estimates,
+		health:    c.health,
+		zones:     c.zones,
+		registry:  c.registry,
+	})
+}
+
 // newAutoscaler makes an autoscaler that has observed nothing yet. connect must follow
 // before the first plan.
 func newAutoscaler(settings autoscalerSettings, state *cluster.State, now *clock.Clock, rounds *clock.RoundTrigger) *autoscaler {
