--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -157,7 +157,7 @@
 	c.clock.Begin(now)
 	c.beginPreviousLeaders()
 	c.autoscaler.plannedAt = now
-	c.records.budgetRefilledAt = now
+	c.records.budget.begin(now)
 	// In order: it decides what is stopped, sent and written first.
 	for _, j := range c.cluster.SortedJobs() {
 		j.RebuildSlices()
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -4,7 +4,6 @@
 	"sort"
 
 	"ospreystile.example/ospreystile/ids"
-	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
@@ -16,9 +15,7 @@
 	// pendingChanges are on their way to the state service, by their id.
 	pendingChanges map[uint64]*pendingChange
 	nextChange     uint64
-	// writeBudget is how many writes the rate still allows.
-	writeBudget      float64
-	budgetRefilledAt monotonic.Instant
+	budget         writeBudget
 	// Dirty are the slices whose records lag behind, with their jobs.
 	dirty map[*cluster.AdmissionSlice]*cluster.Job
 	// completable are jobs whose tasks are all done, and droppable those that are
@@ -35,7 +32,7 @@
 	return &recordWriter{
 		core:           c,
 		pendingChanges: map[uint64]*pendingChange{},
-		writeBudget:    c.opt.WriteRate,
+		budget:         newWriteBudget(c.opt.WriteRate),
 		dirty:          map[*cluster.AdmissionSlice]*cluster.Job{},
 		completable:    map[*cluster.Job]bool{},
 		droppable:      map[*cluster.Job]bool{},
@@ -97,14 +94,13 @@
 }
 
 // mayWrite tells whether the write rate allows one more change now.
-func (w *recordWriter) mayWrite() bool { return w.core.opt.WriteRate <= 0 || w.writeBudget >= 1 }
+func (w *recordWriter) mayWrite() bool { return w.budget.allows() }
 
 // refillBudget adds what the write rate allows since the last time. It comes before anything
 // is written in a step: what is refilled in between goes to placements alone while thousands
 // of them wait, and the record of a zone that returns would never have its turn.
 func (w *recordWriter) refillBudget() {
-	w.writeBudget = min(w.core.opt.WriteRate, w.writeBudget+w.core.opt.WriteRate*w.core.clock.Now().Sub(w.budgetRefilledAt).Seconds())
-	w.budgetRefilledAt = w.core.clock.Now()
+	w.budget.refill(w.core.clock.Now())
 }
 
 // writeRecords turns dirty records into changes, no faster than the state service may be
@@ -115,7 +111,7 @@
 	if !w.mayWrite() {
 		return
 	}
-	if w.writeBudget < w.core.opt.WriteRate*scarceWrites && !w.completeJobs(0) {
+	if w.budget.scarce() && !w.completeJobs(0) {
 		return
 	}
 	w.writeSlices(true)
@@ -131,9 +127,6 @@
 	w.writeSlices(false)
 }
 
-// scarceWrites is the part of a second's writes below which they count as scarce.
-const scarceWrites = 0.5
-
 // writeSlices saves the dirty slices that hold placements, or else those that
 // have lagged behind for long enough.
 func (w *recordWriter) writeSlices(urgent bool) {
@@ -274,7 +267,7 @@
 func (w *recordWriter) submitOther(ch records.Change) (id uint64) {
 	w.nextChange++
 	ch.ID = w.nextChange
-	w.writeBudget -= float64(len(ch.Operations))
+	w.budget.spend(len(ch.Operations))
 	w.core.decisions.RecordChanges = append(w.core.decisions.RecordChanges, ch)
 	return ch.ID
 }
--- a/scheduler/zone_hard_cases_test.go
+++ b/scheduler/zone_hard_cases_test.go
@@ -314,7 +314,7 @@
 	m.fillZones()
 	m.partitionZone("b", 40*second)
 	m.await("b", zonerecovery.Outage, 30*second)
-	m.core.opt.WriteRate, m.opt.WriteRate = 3, 3
+	m.core.records.budget.perSecond, m.opt.WriteRate = 3, 3
 	m.runFactor = 1
 	m.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
 	m.run(m.zones.partitionedUntil["b"].Sub(m.now))
@@ -323,6 +323,6 @@
 	if waiting := len(m.core.records.dirty); waiting == 0 {
 		t.Error("no record waits for the write rate: the day shows nothing")
 	}
-	m.core.opt.WriteRate, m.opt.WriteRate = 40, 40
+	m.core.records.budget.perSecond, m.opt.WriteRate = 40, 40
 	m.endOfDay()
 }
