--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -44,7 +44,7 @@
 
 // placementRecords notes which placements must be recorded.
 type placementRecords interface {
-	markTaskDirty(j *cluster.Job, index int, urgent bool)
+	markPlacementDirty(j *cluster.Job, index int)
 }
 
 // admissionAttempt is one attempt to place tasks of a job.
@@ -198,7 +198,7 @@
 	}
 	adm.cluster.Admit(j, len(placed))
 	for _, a := range placed {
-		adm.records.markTaskDirty(j, a.Index, true)
+		adm.records.markPlacementDirty(j, a.Index)
 	}
 	return result
 }
--- a/scheduler/cluster/job.go
+++ b/scheduler/cluster/job.go
@@ -92,13 +92,10 @@
 // AdmissionSlice is one admission record of a job and the tasks that it is for. Record
 // writing owns all fields but Tasks.
 type AdmissionSlice struct {
-	Number     int
-	Revision   ids.Revision // 0: no record
-	Dirty      bool
-	DirtySince monotonic.Instant
-	Urgent     bool // holds placements that are not recorded
-	InFlight   bool
-	Tasks      []int // ascending
+	Number   int
+	Revision ids.Revision // 0: no record
+	InFlight bool         // a change of the record is in flight
+	Tasks    []int        // ascending
 	// Oversized tells that the record exceeds the limit for a value and was written all the
 	// same, since older controllers cannot read it in parts.
 	Oversized bool
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -118,9 +118,5 @@
 	if j == nil || j.Status() != wire.JobQueued {
 		return true
 	}
-	if j.Records.Completing || q.core.records.completable[j] || s.Ref.Index >= len(j.Tasks()) {
-		return false
-	}
-	sl := j.Task(s.Ref.Index).Slice()
-	return !sl.Dirty && !sl.InFlight
+	return s.Ref.Index < len(j.Tasks()) && q.core.records.upToDate(j, s.Ref.Index)
 }
--- /dev/null
+++ b/scheduler/record_dirty.go
@@ -0,0 +1,107 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+)
+
+// dirtySlices are the admission slices whose records are behind the cluster state. A slice
+// stays marked until its record is submitted or its job is over.
+type dirtySlices map[*cluster.AdmissionSlice]dirtyMark
+
+// dirtyMark notes how a slice is behind.
+type dirtyMark struct {
+	job   *cluster.Job
+	since monotonic.Instant
+	// urgent tells that the slice has placements without a record. No command is sent for
+	// them before they are recorded.
+	urgent bool
+}
+
+// dirtySlice is a slice to be written, and its job.
+type dirtySlice struct {
+	job   *cluster.Job
+	slice *cluster.AdmissionSlice
+}
+
+// contains tells whether a slice is marked.
+func (d dirtySlices) contains(s *cluster.AdmissionSlice) bool {
+	_, marked := d[s]
+	return marked
+}
+
+// mark notes that a slice is behind since now, unless it was marked earlier.
+func (d dirtySlices) mark(s *cluster.AdmissionSlice, j *cluster.Job, now monotonic.Instant) {
+	if !d.contains(s) {
+		d[s] = dirtyMark{job: j, since: now}
+	}
+}
+
+// markUrgent notes that a slice has placements without a record.
+func (d dirtySlices) markUrgent(s *cluster.AdmissionSlice, j *cluster.Job, now monotonic.Instant) {
+	d.mark(s, j, now)
+	mark := d[s]
+	mark.urgent = true
+	d[s] = mark
+}
+
+// copyMark gives a slice the urgency of another one of its job, if that one is marked.
+func (d dirtySlices) copyMark(from, to *cluster.AdmissionSlice, now monotonic.Instant) {
+	mark, marked := d[from]
+	switch {
+	case !marked:
+	case mark.urgent:
+		d.markUrgent(to, mark.job, now)
+	default:
+		d.mark(to, mark.job, now)
+	}
+}
+
+// clear takes the mark off a slice.
+func (d dirtySlices) clear(s *cluster.AdmissionSlice) { delete(d, s) }
+
+// clearJob takes the marks off all slices of a job.
+func (d dirtySlices) clearJob(j *cluster.Job) {
+	for _, s := range j.Slices() {
+		d.clear(s)
+	}
+}
+
+// urgent lists the slices with placements without a record, in no order.
+func (d dirtySlices) urgent() []dirtySlice {
+	var list []dirtySlice
+	for s, mark := range d {
+		if mark.urgent {
+			list = append(list, dirtySlice{mark.job, s})
+		}
+	}
+	return list
+}
+
+// overdue lists the slices that are not urgent and have been behind for the delay, in no
+// order.
+func (d dirtySlices) overdue(now monotonic.Instant, delay time.Duration) []dirtySlice {
+	var list []dirtySlice
+	for s, mark := range d {
+		if !mark.urgent && now >= mark.since.Add(delay) {
+			list = append(list, dirtySlice{mark.job, s})
+		}
+	}
+	return list
+}
+
+// sortByPriority orders slices by the priority of their jobs, highest first, then by the
+// jobs' IDs and the slices' numbers.
+func sortByPriority(list []dirtySlice) {
+	slices.SortFunc(list, func(a, b dirtySlice) int {
+		return cmp.Or(
+			cmp.Compare(b.job.Priority(), a.job.Priority()),
+			cluster.CompareJobs(a.job, b.job),
+			cmp.Compare(a.slice.Number, b.slice.Number),
+		)
+	})
+}
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -122,7 +122,7 @@
 	case p.completes:
 		w.completable[j] = true
 	case p.slice != nil:
-		w.markDirty(j, p.slice, true)
+		w.dirty.markUrgent(p.slice, j, w.core.clock.Now())
 	}
 }
 
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -11,8 +11,8 @@
 
 // writeSlice submits a slice's record, in parts if it is too large.
 func (w *recordWriter) writeSlice(j *cluster.Job, s *cluster.AdmissionSlice) {
-	delete(w.dirty, s)
-	s.Dirty, s.Urgent, s.InFlight = false, false, true
+	w.dirty.clear(s)
+	s.InFlight = true
 	p := &pendingChange{job: j, slice: s}
 	for _, i := range s.Tasks {
 		if a := j.Task(i).Assignment(); a != nil && !a.Record.Committed {
@@ -93,8 +93,6 @@
 	for k, part := range p.parts {
 		part.Revision = revision
 		p.job.MoveToSlice(part, p.split[k])
-		if p.slice.Dirty {
-			w.markDirty(p.job, part, p.slice.Urgent)
-		}
+		w.dirty.copyMark(p.slice, part, w.core.clock.Now())
 	}
 }
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -1,7 +1,7 @@
 package scheduler
 
 import (
-	"sort"
+	"slices"
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/records"
@@ -16,8 +16,7 @@
 	pendingChanges map[uint64]*pendingChange
 	nextChange     uint64
 	budget         writeBudget
-	// Dirty are the slices whose records lag behind, with their jobs.
-	dirty map[*cluster.AdmissionSlice]*cluster.Job
+	dirty          dirtySlices
 	// completable are jobs whose tasks are all done, and droppable those that are
 	// over, whose admission records may be dropped.
 	completable map[*cluster.Job]bool
@@ -33,7 +32,7 @@
 		core:           c,
 		pendingChanges: map[uint64]*pendingChange{},
 		budget:         newWriteBudget(c.opt.WriteRate),
-		dirty:          map[*cluster.AdmissionSlice]*cluster.Job{},
+		dirty:          dirtySlices{},
 		completable:    map[*cluster.Job]bool{},
 		droppable:      map[*cluster.Job]bool{},
 	}
@@ -59,7 +58,7 @@
 // markOversized sees that a record which is too large is written again, in parts.
 func (w *recordWriter) markOversized(j *cluster.Job, s *cluster.AdmissionSlice) {
 	if w.core.opt.SplitRecords && s.Oversized && !j.Terminal() {
-		w.markDirty(j, s, false)
+		w.dirty.mark(s, j, w.core.clock.Now())
 	}
 }
 
@@ -71,26 +70,26 @@
 
 // discard forgets unwritten changes of a job that is over.
 func (w *recordWriter) discard(j *cluster.Job) {
-	for _, s := range j.Slices() {
-		delete(w.dirty, s)
-		s.Dirty = false
-	}
+	w.dirty.clearJob(j)
 	delete(w.completable, j)
 }
 
-// markTaskDirty notes that a task's record must be written: at once for a placement, else
-// when there is time.
-func (w *recordWriter) markTaskDirty(j *cluster.Job, index int, urgent bool) {
-	w.markDirty(j, j.Task(index).Slice(), urgent)
+// markTaskDirty notes that a task's record must be written when there is time.
+func (w *recordWriter) markTaskDirty(j *cluster.Job, index int) {
+	w.dirty.mark(j.Task(index).Slice(), j, w.core.clock.Now())
 }
 
-// markDirty notes that a slice's record must be written.
-func (w *recordWriter) markDirty(j *cluster.Job, s *cluster.AdmissionSlice, urgent bool) {
-	if !s.Dirty {
-		s.Dirty, s.DirtySince = true, w.core.clock.Now()
-	}
-	s.Urgent = s.Urgent || urgent
-	w.dirty[s] = j
+// markPlacementDirty notes that the placement of a task must be recorded at once. It is sent
+// only then.
+func (w *recordWriter) markPlacementDirty(j *cluster.Job, index int) {
+	w.dirty.markUrgent(j.Task(index).Slice(), j, w.core.clock.Now())
+}
+
+// upToDate tells whether the record of a task says what the state says: neither the record
+// nor the end of its job is still to be written.
+func (w *recordWriter) upToDate(j *cluster.Job, index int) bool {
+	s := j.Task(index).Slice()
+	return !j.Records.Completing && !w.completable[j] && !w.dirty.contains(s) && !s.InFlight
 }
 
 // mayWrite tells whether the write rate allows one more change now.
@@ -114,7 +113,7 @@
 	if w.budget.scarce() && !w.completeJobs(0) {
 		return
 	}
-	w.writeSlices(true)
+	w.writePlacements()
 	if !w.completeJobs(w.core.opt.TxnOps-2) || !w.recordOrphanCancels() {
 		return
 	}
@@ -124,44 +123,38 @@
 		}
 		w.dropRecords(j)
 	}
-	w.writeSlices(false)
+	w.writeOverdueSlices()
 }
 
-// writeSlices saves the dirty slices that hold placements, or else those that
-// have lagged behind for long enough.
-func (w *recordWriter) writeSlices(urgent bool) {
-	type item struct {
-		s *cluster.AdmissionSlice
-		j *cluster.Job
-	}
-	var items []item
-	for s, j := range w.dirty {
-		if s.InFlight || j.Terminal() || j.Records.Completing || w.completable[j] || w.core.clock.Now() < j.Records.RereadAt || j.Records.Refusals >= maxRefusals {
-			continue
-		}
-		if s.Urgent != urgent || !urgent && w.core.clock.Now() < s.DirtySince.Add(w.core.opt.LazyWriteDelay) {
-			continue
-		}
-		items = append(items, item{s, j})
-	}
-	sort.Slice(items, func(i, k int) bool {
-		a, b := items[i], items[k]
-		if a.j.Priority() != b.j.Priority() {
-			return a.j.Priority() > b.j.Priority()
-		}
-		if a.j.ID != b.j.ID {
-			return a.j.ID < b.j.ID
-		}
-		return a.s.Number < b.s.Number
-	})
-	for _, it := range items {
+// writePlacements writes the slices that hold placements without a record.
+func (w *recordWriter) writePlacements() { w.writeSlices(w.dirty.urgent()) }
+
+// writeOverdueSlices writes the other slices that have been behind for long enough.
+func (w *recordWriter) writeOverdueSlices() {
+	w.writeSlices(w.dirty.overdue(w.core.clock.Now(), w.core.opt.LazyWriteDelay))
+}
+
+// writeSlices writes those of some dirty slices that may be written now, by priority, until
+// the budget is spent.
+func (w *recordWriter) writeSlices(dirty []dirtySlice) {
+	dirty = slices.DeleteFunc(dirty, func(d dirtySlice) bool { return !w.writable(d) })
+	sortByPriority(dirty)
+	for _, d := range dirty {
 		if !w.mayWrite() {
 			return
 		}
-		w.writeSlice(it.j, it.s)
+		w.writeSlice(d.job, d.slice)
 	}
 }
 
+// writable tells whether a slice may be written now.
+func (w *recordWriter) writable(d dirtySlice) bool {
+	j := d.job
+	ending := j.Terminal() || j.Records.Completing || w.completable[j]
+	delayed := w.core.clock.Now() < j.Records.RereadAt || j.Records.Refusals >= maxRefusals
+	return !d.slice.InFlight && !ending && !delayed
+}
+
 // completeJobs ends the jobs whose tasks are all done, with so many drops each. False
 // means that the rate allows no more.
 func (w *recordWriter) completeJobs(drops int) bool {
@@ -193,8 +186,7 @@
 	most >>= j.Records.Refusals
 	var drops []records.SliceVersion
 	for _, s := range j.Slices() {
-		delete(w.dirty, s)
-		s.Dirty = false
+		w.dirty.clear(s)
 		if s.Revision != 0 && len(drops) < most {
 			s.InFlight = true
 			p.dropped = append(p.dropped, s)
--- a/scheduler/task_lifecycle.go
+++ b/scheduler/task_lifecycle.go
@@ -26,7 +26,7 @@
 
 // taskRecords notes which records of a job are behind.
 type taskRecords interface {
-	markTaskDirty(j *cluster.Job, index int, urgent bool)
+	markTaskDirty(j *cluster.Job, index int)
 	// discard forgets unwritten changes of a job that is over.
 	discard(j *cluster.Job)
 	markCompletable(j *cluster.Job)
@@ -70,7 +70,7 @@
 		l.records.markDroppable(a.Job)
 		return
 	}
-	l.records.markTaskDirty(a.Job, a.Index, false)
+	l.records.markTaskDirty(a.Job, a.Index)
 }
 
 // withdraw takes back a placement of the present round.
@@ -95,7 +95,7 @@
 	l.cluster.Complete(a)
 	j.Failures.Succeeded++
 	j.Failures.Rounds, j.Failures.Backoff = 0, 0
-	l.records.markTaskDirty(j, a.Index, false)
+	l.records.markTaskDirty(j, a.Index)
 	if j.Done() == len(j.Tasks()) {
 		l.records.markCompletable(j)
 	}
