--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -58,8 +58,6 @@
 	decisions Decisions
 	// superseded is set when a worker shows a later leader's token.
 	superseded bool
-	// recordsErr is set when the records are not as this leader left them.
-	recordsErr error
 }
 
 // New makes the core of a term. Records follow through LoadJob and LoadSlice,
@@ -76,7 +74,7 @@
 	}
 	settings := cluster.Settings{SliceTasks: opt.SliceTasks, BootFactor: opt.BootFactor, ListLag: opt.ListLag}
 	c.cluster = cluster.NewState(settings, c.clock, c.rounds, c.quotas)
-	c.records = newRecordWriter(c)
+	c.records = newRecordWriter(c.cluster, c.clock, c.rounds, newRecordSettings(opt))
 	c.registry = newMachineRegistry(c)
 	c.health = &healthMonitor{core: c, zoneStates: map[ids.Zone]*zoneState{}}
 	c.commands = &commandQueue{core: c}
@@ -93,6 +91,7 @@
 		estimates: c.estimates,
 		slowness:  c,
 	}
+	c.records.tasks, c.records.commands, c.records.jobs = c.lifecycle, c.commands, c
 	c.connectAdmission()
 	c.cluster.SetCatalog(types)
 	return c
@@ -150,14 +149,14 @@
 
 // RecordsError is set when the records are not as this leader left them. The term
 // must then end and the records be read again.
-func (c *Core) RecordsError() error { return c.recordsErr }
+func (c *Core) RecordsError() error { return c.records.err }
 
 // Begin ends the loading of records.
 func (c *Core) Begin(now monotonic.Instant) {
 	c.clock.Begin(now)
 	c.beginPreviousLeaders()
 	c.autoscaler.plannedAt = now
-	c.records.budget.begin(now)
+	c.records.begin()
 	// In order: it decides what is stopped, sent and written first.
 	for _, j := range c.cluster.SortedJobs() {
 		j.RebuildSlices()
@@ -175,7 +174,7 @@
 		case wire.JobQueued:
 			j.RebuildPending()
 			if j.Done() == len(j.Tasks()) {
-				c.records.completable[j] = true
+				c.records.markCompletable(j)
 			}
 		default:
 			c.lifecycle.endJob(j, j.Status())
@@ -221,6 +220,7 @@
 	c.commands.dispatchCommands()
 	out := c.decisions
 	c.decisions = Decisions{}
+	out.RecordChanges, out.RereadJobs = c.records.takeDecisions()
 	return out
 }
 
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -141,8 +141,7 @@
 	}
 	switch {
 	case s.State == dependency.Cancelled:
-		j.Records.CancelUnrecorded = true
-		c.records.orphanCancels = append(c.records.orphanCancels, j)
+		c.records.markOrphanCancel(j)
 		c.lifecycle.endJob(j, wire.JobCancelled)
 	case s.State == dependency.Ready && !j.Queue.Ready:
 		j.Queue.Ready, j.Queue.ReadyMS = true, s.ReadyMS
@@ -156,14 +155,5 @@
 // beyond what the state service may take at any moment are split from now on.
 func (c *Core) EnableSplitRecords(now monotonic.Instant) {
 	c.clock.Set(now)
-	if c.opt.SplitRecords {
-		return
-	}
-	c.opt.SplitRecords = true
-	for _, j := range c.cluster.SortedJobs() {
-		j.Records.Refusals = 0 // what could not be split may be now
-		for _, s := range j.Slices() {
-			c.records.markOversized(j, s)
-		}
-	}
+	c.records.enableSplitting()
 }
--- /dev/null
+++ b/scheduler/record_completion.go
@@ -0,0 +1,79 @@
+package scheduler
+
+import (
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// reservedOperations is how many operations of a change that completes a job are not used to
+// delete slices: one writes the job's own record, and one stays unused.
+const reservedOperations = 2
+
+// completion is the change that records that a job is done.
+type completion struct {
+	job    *cluster.Job
+	doneMS int64 // time of day in Unix milliseconds
+	// deleted are the slices whose records the change deletes.
+	deleted []*cluster.AdmissionSlice
+}
+
+// completeJobs records the end of the jobs whose tasks are all done, and deletes at most
+// maxDeletions slices of each in the same change. False means that the write budget is spent.
+func (w *recordWriter) completeJobs(maxDeletions int) bool {
+	for _, j := range cluster.SortedByID(w.completable) {
+		if !w.mayWrite() {
+			return false
+		}
+		w.completeJob(j, maxDeletions)
+	}
+	return true
+}
+
+// completeJob records that a job is done, and deletes at most maxDeletions of its slices in
+// the same change, fewer after a refusal. The others are deleted later.
+func (w *recordWriter) completeJob(j *cluster.Job, maxDeletions int) {
+	// The revision of a slice in flight is not known yet.
+	if sliceInFlight(j) || j.Records.Completing || j.Terminal() || w.delayed(j) {
+		return
+	}
+	delete(w.completable, j)
+	w.dirty.clearJob(j)
+	j.Records.Completing = true
+	p := &completion{
+		job:     j,
+		doneMS:  w.clock.WallMS(),
+		deleted: recordedSlices(j, maxDeletions>>j.Records.Refusals),
+	}
+	setInFlight(p.deleted)
+	record := records.Job{Nonce: w.nextNonce(), Tasks: len(j.Tasks()), DoneMS: p.doneMS}
+	w.submitPending(p, records.CompleteJobChange(j.ID, j.Records.Revision, record, sliceVersions(p.deleted)))
+}
+
+func (p *completion) target() *cluster.Job { return p.job }
+
+func (p *completion) settled() {
+	p.job.Records.Completing = false
+	clearInFlight(p.deleted)
+}
+
+// applied ends the job. Jobs that depend on it may start only now, since the next leader
+// would find it done too.
+func (p *completion) applied(w *recordWriter, revision ids.Revision) {
+	w.cluster.EndJob(p.job, wire.JobDone)
+	p.job.Records.Revision = revision
+	w.jobs.applyJobRecord(p.job.ID, &records.Job{Status: wire.JobDone, DoneMS: p.doneMS})
+	setDeleted(p.deleted)
+	w.markDroppable(p.job)
+}
+
+func (p *completion) rollBack(w *recordWriter) {
+	if p.job.Terminal() {
+		w.markDroppable(p.job)
+		return
+	}
+	w.markCompletable(p.job)
+}
+
+func (p *completion) outstanding() bool { return !p.job.Terminal() }
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -9,143 +9,105 @@
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/cluster"
-	"ospreystile.example/ospreystile/wire"
 )
 
+const (
+	// maxRefusals is how many changes of one job in a row the key-value store may refuse
+	// until nothing more is written or placed for the job.
+	maxRefusals = 8
+	// firstRefusalWait is doubled at each refusal of a change, up to maxRefusalWait, and is
+	// the time until the job's next change.
+	firstRefusalWait = time.Second
+	maxRefusalWait   = time.Minute
+	// rereadWait is the time for which no change of a job is made so that its record can be
+	// read again.
+	rereadWait = 500 * time.Millisecond
+)
+
+// pendingChange is a change in flight. When its result is known, settled is called and then
+// either applied or rollBack.
+type pendingChange interface {
+	// target is the job whose records are changed.
+	target() *cluster.Job
+	// settled notes that the change is not in flight any more.
+	settled()
+	// applied takes note of what is recorded now, at a revision.
+	applied(w *recordWriter, revision ids.Revision)
+	// rollBack takes back what the change would have recorded and marks the records dirty
+	// again.
+	rollBack(w *recordWriter)
+	// outstanding tells after rollBack whether the job's own revision is needed to try
+	// again.
+	outstanding() bool
+}
+
 // CommitResult applies the result of a change, which must be resolved.
 func (c *Core) CommitResult(now monotonic.Instant, result records.CommitResult) {
 	c.clock.Set(now)
-	c.records.settleChange(result)
-}
-
-// settleChange takes the definite outcome of a change into account.
-func (w *recordWriter) settleChange(result records.CommitResult) {
-	if w.core.zones.settle(result) {
+	if c.zones.settle(result) {
 		return
 	}
-	p := w.pendingChanges[result.Change.ID]
-	if p == nil {
+	c.records.settle(result)
+}
+
+// settle takes the result of a change. It ignores changes of other parts.
+func (w *recordWriter) settle(result records.CommitResult) {
+	p, ok := w.pending[result.Change.ID]
+	if !ok {
 		return
 	}
-	delete(w.pendingChanges, result.Change.ID)
-	w.core.rounds.MarkDue()
-	if p.slice != nil {
-		p.slice.InFlight = false
-	}
-	for _, s := range p.dropped {
-		s.InFlight = false
-	}
+	delete(w.pending, result.Change.ID)
+	w.rounds.MarkDue()
+	p.settled()
 	switch {
 	case result.Err == nil:
-		p.job.Records.Refusals = 0
-		w.changeApplied(p, result.Revision)
+		p.target().Records.Refusals = 0
+		p.applied(w, result.Revision)
 	case errors.Is(result.Err, records.ErrRejected):
-		w.postpone(p)
+		w.refused(p)
 	default:
-		w.changeRejected(p, result.Err)
+		w.conflicted(p, result.Err)
 	}
 }
 
-// changeApplied takes note of what is recorded now.
-func (w *recordWriter) changeApplied(p *pendingChange, revision ids.Revision) {
-	j := p.job
-	switch {
-	case p.orphanCancel:
-		j.Records.Revision = revision
-		w.cancelRecorded(j)
-		return
-	case p.slice != nil:
-		w.sliceRecorded(p, revision)
+// conflicted handles a change whose preconditions did not hold. Only the job's own record may
+// have changed, by a cancellation. Anything else means that the records are not as this
+// leader left them.
+func (w *recordWriter) conflicted(p pendingChange, err error) {
+	j := p.target()
+	if !onlyJobChanged(j, err) {
+		w.fail(fmt.Errorf("records of %s moved without this leader: %w", j.ID, err))
 		return
-	case p.completes:
-		j.Records.Completing = false
-		w.core.cluster.EndJob(j, wire.JobDone)
-		j.Records.Revision = revision
-		// Only now may those that depend on it start: a successor would find it done.
-		w.core.applyJobRecord(j.ID, &records.Job{Status: wire.JobDone, DoneMS: p.doneMS})
-	}
-	for _, s := range p.dropped {
-		s.Revision = 0
 	}
-	w.droppable[j] = true
-}
-
-// sliceRecorded takes note that placements are recorded and may be sent.
-func (w *recordWriter) sliceRecorded(p *pendingChange, revision ids.Revision) {
-	p.slice.Revision = revision
-	w.applySplit(p, revision)
-	for _, a := range p.placed {
-		a.Record.Committed, a.Record.InFlight = true, false
-		w.core.commands.queueCommands(a.Machine)
-		if a.StopReason() != cluster.StopNone && a.Machine.Assignment(a.Ref()) == a {
-			w.core.lifecycle.release(a) // never sent
-		}
-	}
-	if p.job.Terminal() {
-		w.droppable[p.job] = true
+	p.rollBack(w)
+	if p.outstanding() {
+		j.Records.RereadAt = w.clock.Now().Add(rereadWait)
+		w.rereads = append(w.rereads, j.ID)
 	}
 }
 
-// changeRejected handles a change whose guards failed. Only the job's own key may have
-// moved, by a cancellation; anything else means that the records are not as this leader
-// left them.
-func (w *recordWriter) changeRejected(p *pendingChange, err error) {
-	j := p.job
-	j.Records.Completing = false
+// onlyJobChanged tells whether a conflict is with the job's own record alone.
+func onlyJobChanged(j *cluster.Job, err error) bool {
 	conflict, ok := errors.AsType[*records.ConflictError](err)
-	jobAlone := ok && len(conflict.Keys) == 1 && conflict.Keys[0] == records.JobKey(j.ID)
-	if !jobAlone || j.Records.Revision == 0 {
-		w.core.recordsErr = fmt.Errorf("records of %s moved without this leader: %w", j.ID, err)
-		return
-	}
-	w.rollBack(p)
-	if p.orphanCancel || !j.Terminal() {
-		j.Records.RereadAt = w.core.clock.Now().Add(500 * time.Millisecond)
-		w.core.decisions.RereadJobs = append(w.core.decisions.RereadJobs, j.ID)
+	if !ok || j.Records.Revision == 0 {
+		return false
 	}
+	return len(conflict.Keys) == 1 && conflict.Keys[0] == records.JobKey(j.ID)
 }
 
-// rollBack takes back what a change that was not applied would have recorded.
-func (w *recordWriter) rollBack(p *pendingChange) {
-	j := p.job
-	for _, a := range p.placed {
-		a.Record.InFlight = false
-		if a.Machine.Assignment(a.Ref()) == a {
-			w.core.lifecycle.release(a)
-		}
-	}
-	switch {
-	case p.orphanCancel:
-		w.orphanCancels = append(w.orphanCancels, j) // unless its user withdrew it too
-	case j.Terminal():
-		w.droppable[j] = true
-	case p.completes:
-		w.completable[j] = true
-	case p.slice != nil:
-		w.dirty.markUrgent(p.slice, j, w.core.clock.Now())
-	}
-}
-
-// maxRefusals is how often a change of one job may be refused for its size.
-const maxRefusals = 8
-
-// postpone handles a change that the state service would not take at all, as when its
-// limits are lower than it said. The same change would be refused again: the job's next
-// one is half as large and comes later, and after a few of them nothing more is written or
-// placed for it, until all controllers are new or another leads. Others go on meanwhile.
-func (w *recordWriter) postpone(p *pendingChange) {
-	j := p.job
-	j.Records.Completing = false
-	w.rollBack(p)
+// refused handles a change that the key-value store does not take at all, for instance
+// because its limits are lower than it said. The same change would be refused again, so the
+// job's next change is half as large and is made later. After maxRefusals the job waits
+// until slices may be split or another controller leads. Other jobs are not delayed.
+func (w *recordWriter) refused(p pendingChange) {
+	p.rollBack(w)
+	j := p.target()
 	j.Records.Refusals++
-	wait := min(time.Minute, time.Second<<min(j.Records.Refusals, maxRefusals))
-	j.Records.RereadAt, j.Queue.RetryAt = w.core.clock.Now().Add(wait), w.core.clock.Now().Add(wait)
+	wait := min(maxRefusalWait, firstRefusalWait<<min(j.Records.Refusals, maxRefusals))
+	retryAt := w.clock.Now().Add(wait)
+	j.Records.RereadAt = retryAt
+	j.Queue.RetryAt = retryAt
 }
 
-// cancelRecorded takes note that a job's own record says that it is over.
-func (w *recordWriter) cancelRecorded(j *cluster.Job) {
-	if j.Records.CancelUnrecorded {
-		j.Records.CancelUnrecorded = false
-		w.droppable[j] = true
-	}
-}
+// fail notes that the records are not as this leader left them. The term must end.
+func (w *recordWriter) fail(err error) { w.err = err }
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -9,90 +9,169 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// writeSlice submits a slice's record, in parts if it is too large.
+// sliceWrite is the writing of an admission slice, or of all parts into which it is split.
+type sliceWrite struct {
+	job   *cluster.Job
+	slice *cluster.AdmissionSlice
+	parts []slicePart // the first is the slice itself; nil: it is not split
+	// placed are the placements that the change records.
+	placed []*cluster.Assignment
+}
+
+// slicePart is one part of a slice that is split.
+type slicePart struct {
+	slice *cluster.AdmissionSlice
+	tasks []int // ascending
+}
+
+// writeSlice submits a slice's record, in parts if it is too large. After each refusal the
+// job's next records are half as large.
 func (w *recordWriter) writeSlice(j *cluster.Job, s *cluster.AdmissionSlice) {
 	w.dirty.clear(s)
 	s.InFlight = true
-	p := &pendingChange{job: j, slice: s}
-	for _, i := range s.Tasks {
-		if a := j.Task(i).Assignment(); a != nil && !a.Record.Committed {
-			a.Record.InFlight = true
-			p.placed = append(p.placed, a)
-		}
+	write := &sliceWrite{job: j, slice: s, placed: unrecordedPlacements(j, s)}
+	for _, a := range write.placed {
+		a.Record.InFlight = true
 	}
 	record := w.sliceRecord(j, s.Tasks)
-	writes := []records.SliceWrite{{SliceVersion: records.SliceVersion{Number: s.Number, Revision: s.Revision}, Record: record}}
-	limit := w.core.opt.ValueBytes >> j.Records.Refusals
+	limit := w.settings.valueBytes >> j.Records.Refusals
 	s.Oversized = wire.ExceedsJSONSize(record, limit)
-	if s.Oversized && w.core.opt.SplitRecords {
+	writes := []records.SliceWrite{{SliceVersion: sliceVersion(s), Record: record}}
+	if s.Oversized && w.settings.splitRecords {
 		s.Oversized = false
-		var recs []records.AdmissionSlice
-		p.split, recs = w.splitTasks(j, s.Tasks, limit)
-		writes[0].Record = recs[0]
-		p.parts = []*cluster.AdmissionSlice{s}
-		for _, record := range recs[1:] {
+		write.parts, writes = w.splitSlice(j, s, limit)
+	}
+	w.submitPending(write, records.PutSlicesChange(j.ID, j.Records.Revision, writes))
+}
+
+// unrecordedPlacements lists the placements of a slice's tasks that are not recorded.
+func unrecordedPlacements(j *cluster.Job, s *cluster.AdmissionSlice) []*cluster.Assignment {
+	var placed []*cluster.Assignment
+	for _, i := range s.Tasks {
+		if a := j.Task(i).Assignment(); a != nil && !a.Record.Committed {
+			placed = append(placed, a)
+		}
+	}
+	return placed
+}
+
+// splitSlice divides a slice into parts and adds slices to the job for all but the first.
+// Its tasks stay with the slice until the parts are recorded.
+func (w *recordWriter) splitSlice(j *cluster.Job, s *cluster.AdmissionSlice, limit int) ([]slicePart, []records.SliceWrite) {
+	var parts []slicePart
+	var writes []records.SliceWrite
+	for k, tasks := range w.splitTasks(j, s.Tasks, limit) {
+		part := s
+		if k > 0 {
 			j.GrowSlices(len(j.Slices()) + 1)
-			part := j.Slices()[len(j.Slices())-1]
-			p.parts = append(p.parts, part)
-			writes = append(writes, records.SliceWrite{SliceVersion: records.SliceVersion{Number: part.Number}, Record: record})
+			part = j.Slices()[len(j.Slices())-1]
 		}
+		parts = append(parts, slicePart{slice: part, tasks: tasks})
+		writes = append(writes, records.SliceWrite{SliceVersion: sliceVersion(part), Record: w.sliceRecord(j, tasks)})
 	}
-	w.submitChange(p, records.PutSlicesChange(j.ID, j.Records.Revision, writes))
+	return parts, writes
 }
 
-// splitTasks divides the tasks of a record that is too large into parts whose records are
-// not, no more than one change may write.
-func (w *recordWriter) splitTasks(j *cluster.Job, tasks []int, limit int) (parts [][]int, recs []records.AdmissionSlice) {
-	parts = [][]int{tasks}
-	for k := 0; k < len(parts); {
-		list := parts[k]
-		rec := w.sliceRecord(j, list)
-		if len(list) < 2 || len(parts) >= w.core.opt.TxnOps || !wire.ExceedsJSONSize(rec, limit) {
-			recs = append(recs, rec)
+// splitTasks halves lists of tasks until the record of each is within the limit in bytes or
+// has one task, or until there are as many as one change may write.
+func (w *recordWriter) splitTasks(j *cluster.Job, tasks []int, limit int) [][]int {
+	lists := [][]int{tasks}
+	for k := 0; k < len(lists); {
+		list := lists[k]
+		if len(list) < 2 || len(lists) >= w.settings.maxOperations || !wire.ExceedsJSONSize(w.sliceRecord(j, list), limit) {
 			k++
 			continue
 		}
 		half := len(list) / 2
-		parts = slices.Replace(parts, k, k+1, slices.Clone(list[:half]), slices.Clone(list[half:]))
+		lists = slices.Replace(lists, k, k+1, slices.Clone(list[:half]), slices.Clone(list[half:]))
 	}
-	return parts, recs
+	return lists
 }
 
-// sliceRecord is the record of some of a job's tasks.
+// sliceRecord returns the record of some of a job's tasks.
 func (w *recordWriter) sliceRecord(j *cluster.Job, tasks []int) records.AdmissionSlice {
-	rec := records.AdmissionSlice{Nonce: w.nextNonce()}
-	place := map[ids.MachineID]int{}
+	record := records.AdmissionSlice{Nonce: w.nextNonce()}
+	hostIndexes := map[ids.MachineID]int{}
 	for _, i := range tasks {
 		t := j.Task(i)
-		if t.State() == cluster.TaskDone {
-			rec.Done = append(rec.Done, i)
-			continue
-		}
-		if t.Attempt() == 0 {
-			continue
+		switch {
+		case t.State() == cluster.TaskDone:
+			record.Done = append(record.Done, i)
+		case t.Attempt() > 0:
+			record.Tasks = append(record.Tasks, i, int(t.Attempt()), hostIndex(&record, hostIndexes, t.Assignment()))
 		}
-		at := -1
-		if t.Assignment() != nil {
-			h, ok := place[t.Assignment().Machine.ID]
-			if !ok {
-				h = len(rec.Hosts)
-				place[t.Assignment().Machine.ID] = h
-				rec.Hosts = append(rec.Hosts, t.Assignment().Machine.ID)
-				rec.Zones = append(rec.Zones, t.Assignment().Machine.Zone())
-			}
-			at = h
+	}
+	return record
+}
+
+// noHost is the index of the host of a task that is not placed.
+const noHost = -1
+
+// hostIndex returns the index of an assignment's machine among the hosts of a record, and
+// adds the machine if the record does not have it yet.
+func hostIndex(record *records.AdmissionSlice, known map[ids.MachineID]int, a *cluster.Assignment) int {
+	if a == nil {
+		return noHost
+	}
+	index, ok := known[a.Machine.ID]
+	if !ok {
+		index = len(record.Hosts)
+		known[a.Machine.ID] = index
+		record.Hosts = append(record.Hosts, a.Machine.ID)
+		record.Zones = append(record.Zones, a.Machine.Zone())
+	}
+	return index
+}
+
+// sliceVersion names a slice and the revision of its record.
+func sliceVersion(s *cluster.AdmissionSlice) records.SliceVersion {
+	return records.SliceVersion{Number: s.Number, Revision: s.Revision}
+}
+
+func (p *sliceWrite) target() *cluster.Job { return p.job }
+
+func (p *sliceWrite) settled() { p.slice.InFlight = false }
+
+// applied lets the recorded placements be sent.
+func (p *sliceWrite) applied(w *recordWriter, revision ids.Revision) {
+	p.slice.Revision = revision
+	p.applySplit(w, revision)
+	for _, a := range p.placed {
+		a.Record.Committed, a.Record.InFlight = true, false
+		w.commands.queueCommands(a.Machine)
+		if a.StopReason() != cluster.StopNone && a.Current() {
+			w.tasks.release(a) // it was never sent
 		}
-		rec.Tasks = append(rec.Tasks, i, int(t.Attempt()), at)
 	}
-	return rec
+	if p.job.Terminal() {
+		w.markDroppable(p.job)
+	}
 }
 
-// applySplit makes the slices of a split that is recorded. What happened to their tasks
-// since belongs to the parts.
-func (w *recordWriter) applySplit(p *pendingChange, revision ids.Revision) {
-	for k, part := range p.parts {
-		part.Revision = revision
-		p.job.MoveToSlice(part, p.split[k])
-		w.dirty.copyMark(p.slice, part, w.core.clock.Now())
+// applySplit moves the tasks to the parts of a split that is recorded. If something happened
+// to a task since the change was submitted, the part that it belongs to now is as dirty as
+// the slice.
+func (p *sliceWrite) applySplit(w *recordWriter, revision ids.Revision) {
+	for _, part := range p.parts {
+		part.slice.Revision = revision
+		p.job.MoveToSlice(part.slice, part.tasks)
+		w.dirty.copyMark(p.slice, part.slice, w.clock.Now())
 	}
 }
+
+// rollBack takes back the placements that were not recorded.
+func (p *sliceWrite) rollBack(w *recordWriter) {
+	for _, a := range p.placed {
+		a.Record.InFlight = false
+		if a.Current() {
+			w.tasks.release(a)
+		}
+	}
+	if p.job.Terminal() {
+		w.markDroppable(p.job)
+		return
+	}
+	w.dirty.markUrgent(p.slice, p.job, w.clock.Now())
+}
+
+func (p *sliceWrite) outstanding() bool { return !p.job.Terminal() }
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -2,110 +2,116 @@
 
 import (
 	"slices"
+	"time"
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// recordWriter turns changes of tasks and jobs into guarded changes of the records in
-// the state service, no faster than it may be written, and settles their outcomes.
+// recordWriter keeps the records in the key-value store in line with the cluster state. It
+// owns which records are behind, the changes in flight and the write budget, and what the
+// state notes about records: cluster.JobRecords, cluster.RecordStatus and the fields of
+// cluster.AdmissionSlice other than its tasks.
+//
+// Other policies mark what has changed. Core.Step calls refillBudget, writeRecords and
+// takeDecisions in this order, and Core.CommitResult passes results to settle. A task must
+// not be sent before the result says that its placement is committed. The record writer does
+// no I/O, never has two changes of one slice in flight, and writes nothing more for a job
+// whose record another writer changed before that record was read again.
 type recordWriter struct {
-	core *Core
-	// pendingChanges are on their way to the state service, by their id.
-	pendingChanges map[uint64]*pendingChange
-	nextChange     uint64
-	budget         writeBudget
-	dirty          dirtySlices
-	// completable are jobs whose tasks are all done, and droppable those that are
-	// over, whose admission records may be dropped.
+	cluster  *cluster.State
+	clock    *clock.Clock
+	rounds   *clock.RoundTrigger
+	tasks    taskReleaser
+	commands machineQueue
+	jobs     jobRecordObserver
+	settings recordSettings
+
+	budget writeBudget
+	dirty  dirtySlices
+	// completable are the jobs whose tasks are all done, and droppable those that are over
+	// and may have admission records to be deleted.
 	completable map[*cluster.Job]bool
 	droppable   map[*cluster.Job]bool
-	// orphanCancels are jobs that are cancelled with one that they depend on, whose
-	// own records do not say so yet.
+	// orphanCancels are jobs that are cancelled with one that they depend on and whose own
+	// records do not say so yet.
 	orphanCancels []*cluster.Job
-}
 
-// newRecordWriter makes a writer whose budget is full.
-func newRecordWriter(c *Core) *recordWriter {
-	return &recordWriter{
-		core:           c,
-		pendingChanges: map[uint64]*pendingChange{},
-		budget:         newWriteBudget(c.opt.WriteRate),
-		dirty:          dirtySlices{},
-		completable:    map[*cluster.Job]bool{},
-		droppable:      map[*cluster.Job]bool{},
-	}
+	pending    map[uint64]pendingChange // changes in flight by ID
+	lastChange uint64                   // ID of the last change
+
+	changes []records.Change // since the last takeDecisions
+	rereads []ids.JobID      // since the last takeDecisions
+	// err is set when the records are not as this leader left them.
+	err error
 }
 
-// pendingChange is a change on its way to the state service, and what follows from its
-// outcome.
-type pendingChange struct {
-	job   *cluster.Job
-	slice *cluster.AdmissionSlice
-	// parts are the slices that come of a split, slice first, and split the
-	// tasks of each; nil if there is none.
-	parts     []*cluster.AdmissionSlice
-	split     [][]int
-	placed    []*cluster.Assignment
-	completes bool
-	doneMS    int64
-	// orphanCancel tells that the job is cancelled with one that it depends on.
-	orphanCancel bool
-	dropped      []*cluster.AdmissionSlice
+// recordSettings are the settings of the record writer.
+type recordSettings struct {
+	leaderRevision ids.Revision // of the leader key; nonces are made of it
+	maxOperations  int          // of one change
+	valueBytes     int          // limit of the JSON form of one record; 0: no limit
+	// lazyWriteDelay is how long a record without new placements may be behind.
+	lazyWriteDelay  time.Duration
+	writesPerSecond float64 // operations; 0: no limit
+	// splitRecords tells that every controller can read the parts of a slice that was split.
+	splitRecords bool
 }
 
-// markOversized sees that a record which is too large is written again, in parts.
-func (w *recordWriter) markOversized(j *cluster.Job, s *cluster.AdmissionSlice) {
-	if w.core.opt.SplitRecords && s.Oversized && !j.Terminal() {
-		w.dirty.mark(s, j, w.core.clock.Now())
+// newRecordSettings picks the settings of the record writer.
+func newRecordSettings(opt Options) recordSettings {
+	return recordSettings{
+		leaderRevision:  opt.Revision,
+		maxOperations:   opt.TxnOps,
+		valueBytes:      opt.ValueBytes,
+		lazyWriteDelay:  opt.LazyWriteDelay,
+		writesPerSecond: opt.WriteRate,
+		splitRecords:    opt.SplitRecords,
 	}
 }
 
-// markCompletable notes that all tasks of a job are done.
-func (w *recordWriter) markCompletable(j *cluster.Job) { w.completable[j] = true }
+// taskReleaser takes a task that is not on its machine off it in the state.
+type taskReleaser interface{ release(a *cluster.Assignment) }
 
-// markDroppable notes that the admission records of a job that is over may be dropped.
-func (w *recordWriter) markDroppable(j *cluster.Job) { w.droppable[j] = true }
-
-// discard forgets unwritten changes of a job that is over.
-func (w *recordWriter) discard(j *cluster.Job) {
-	w.dirty.clearJob(j)
-	delete(w.completable, j)
+// jobRecordObserver takes the new record of a job.
+type jobRecordObserver interface {
+	applyJobRecord(id ids.JobID, record *records.Job)
 }
 
-// markTaskDirty notes that a task's record must be written when there is time.
-func (w *recordWriter) markTaskDirty(j *cluster.Job, index int) {
-	w.dirty.mark(j.Task(index).Slice(), j, w.core.clock.Now())
+// newRecordWriter makes a record writer with a full budget. The core sets the other policies
+// that it calls when they are made.
+func newRecordWriter(state *cluster.State, now *clock.Clock, rounds *clock.RoundTrigger, settings recordSettings) *recordWriter {
+	return &recordWriter{
+		cluster:     state,
+		clock:       now,
+		rounds:      rounds,
+		settings:    settings,
+		budget:      newWriteBudget(settings.writesPerSecond),
+		dirty:       dirtySlices{},
+		completable: map[*cluster.Job]bool{},
+		droppable:   map[*cluster.Job]bool{},
+		pending:     map[uint64]pendingChange{},
+	}
 }
 
-// markPlacementDirty notes that the placement of a task must be recorded at once. It is sent
-// only then.
-func (w *recordWriter) markPlacementDirty(j *cluster.Job, index int) {
-	w.dirty.markUrgent(j.Task(index).Slice(), j, w.core.clock.Now())
-}
+// begin begins the term.
+func (w *recordWriter) begin() { w.budget.begin(w.clock.Now()) }
 
-// upToDate tells whether the record of a task says what the state says: neither the record
-// nor the end of its job is still to be written.
-func (w *recordWriter) upToDate(j *cluster.Job, index int) bool {
-	s := j.Task(index).Slice()
-	return !j.Records.Completing && !w.completable[j] && !w.dirty.contains(s) && !s.InFlight
-}
+// refillBudget adds what the write rate allows since the last call. It comes before anything
+// is written in a step. If zones' records came before it and job records after it,
+// placements would take all of the budget while thousands of them wait, and the record of a
+// zone that recovers would never be written.
+func (w *recordWriter) refillBudget() { w.budget.refill(w.clock.Now()) }
 
-// mayWrite tells whether the write rate allows one more change now.
+// mayWrite tells whether the write budget allows one more change now.
 func (w *recordWriter) mayWrite() bool { return w.budget.allows() }
 
-// refillBudget adds what the write rate allows since the last time. It comes before anything
-// is written in a step: what is refilled in between goes to placements alone while thousands
-// of them wait, and the record of a zone that returns would never have its turn.
-func (w *recordWriter) refillBudget() {
-	w.budget.refill(w.core.clock.Now())
-}
-
-// writeRecords turns dirty records into changes, no faster than the state service may be
-// written: placements first, then what is over, then what only lags behind. While writes
-// are scarce, as for half a minute after a zone is lost, the ends of jobs go before
-// placements: each is one write, users wait for it, and so may other jobs.
+// writeRecords submits changes of the records that are behind until the write budget is
+// spent: placements first, then the ends of jobs, then the rest. While the budget is scarce,
+// as for half a minute after the loss of a zone, the completion of jobs goes before
+// placements: each is one operation, and users and dependent jobs wait for it.
 func (w *recordWriter) writeRecords() {
 	if !w.mayWrite() {
 		return
@@ -114,24 +120,53 @@
 		return
 	}
 	w.writePlacements()
-	if !w.completeJobs(w.core.opt.TxnOps-2) || !w.recordOrphanCancels() {
+	if !w.completeJobs(w.settings.maxOperations-reservedOperations) || !w.recordOrphanCancels() {
 		return
 	}
-	for _, j := range cluster.SortedByID(w.droppable) {
-		if !w.mayWrite() {
-			return
-		}
-		w.dropRecords(j)
+	if !w.deleteRecords() {
+		return
 	}
 	w.writeOverdueSlices()
 }
 
+// takeDecisions returns the changes to be committed and the jobs whose records must be read
+// again, since the last call.
+func (w *recordWriter) takeDecisions() (changes []records.Change, rereads []ids.JobID) {
+	changes, rereads = w.changes, w.rereads
+	w.changes, w.rereads = nil, nil
+	return changes, rereads
+}
+
+// submit decides on a change and returns its ID. The caller takes its result from
+// Core.CommitResult.
+func (w *recordWriter) submit(change records.Change) (id uint64) {
+	w.lastChange++
+	change.ID = w.lastChange
+	w.budget.spend(len(change.Operations))
+	w.changes = append(w.changes, change)
+	return change.ID
+}
+
+// submitPending decides on a change whose result settle takes.
+func (w *recordWriter) submitPending(p pendingChange, change records.Change) {
+	w.pending[w.submit(change)] = p
+}
+
+// nextNonce returns the nonce of the next change. No two leaders have the same revision, so
+// no two changes have the same nonce.
+func (w *recordWriter) nextNonce() uint64 {
+	return uint64(ids.NewFencingToken(w.settings.leaderRevision, w.lastChange+1))
+}
+
+// delayed tells whether changes of a job must wait until its record is read again.
+func (w *recordWriter) delayed(j *cluster.Job) bool { return w.clock.Now() < j.Records.RereadAt }
+
 // writePlacements writes the slices that hold placements without a record.
 func (w *recordWriter) writePlacements() { w.writeSlices(w.dirty.urgent()) }
 
 // writeOverdueSlices writes the other slices that have been behind for long enough.
 func (w *recordWriter) writeOverdueSlices() {
-	w.writeSlices(w.dirty.overdue(w.core.clock.Now(), w.core.opt.LazyWriteDelay))
+	w.writeSlices(w.dirty.overdue(w.clock.Now(), w.settings.lazyWriteDelay))
 }
 
 // writeSlices writes those of some dirty slices that may be written now, by priority, until
@@ -151,121 +186,6 @@
 func (w *recordWriter) writable(d dirtySlice) bool {
 	j := d.job
 	ending := j.Terminal() || j.Records.Completing || w.completable[j]
-	delayed := w.core.clock.Now() < j.Records.RereadAt || j.Records.Refusals >= maxRefusals
-	return !d.slice.InFlight && !ending && !delayed
-}
-
-// completeJobs ends the jobs whose tasks are all done, with so many drops each. False
-// means that the rate allows no more.
-func (w *recordWriter) completeJobs(drops int) bool {
-	for _, j := range cluster.SortedByID(w.completable) {
-		if !w.mayWrite() {
-			return false
-		}
-		w.completeJob(j, drops)
-	}
-	return true
-}
-
-// completeJob commits that a job is done, and drops what records it can in the same
-// transaction.
-func (w *recordWriter) completeJob(j *cluster.Job, most int) {
-	for _, s := range j.Slices() {
-		if s.InFlight {
-			return // its version is not known yet
-		}
-	}
-	if j.Records.Completing || j.Terminal() || w.core.clock.Now() < j.Records.RereadAt {
-		return
-	}
-	delete(w.completable, j)
-	j.Records.Completing = true
-	p := &pendingChange{job: j, completes: true, doneMS: w.core.clock.WallMS()}
-	// The rest of the records is dropped later, and less at once where a change
-	// was refused.
-	most >>= j.Records.Refusals
-	var drops []records.SliceVersion
-	for _, s := range j.Slices() {
-		w.dirty.clear(s)
-		if s.Revision != 0 && len(drops) < most {
-			s.InFlight = true
-			p.dropped = append(p.dropped, s)
-			drops = append(drops, records.SliceVersion{Number: s.Number, Revision: s.Revision})
-		}
-	}
-	rec := records.Job{Nonce: w.nextNonce(), Tasks: len(j.Tasks()), DoneMS: p.doneMS}
-	w.submitChange(p, records.CompleteJobChange(j.ID, j.Records.Revision, rec, drops))
-}
-
-// recordOrphanCancels writes that jobs are cancelled with one that they need. They never
-// had a task, so nothing else of them has to be kept. There may be thousands of them,
-// so each is looked at once, in order. False means that the rate allows no more.
-func (w *recordWriter) recordOrphanCancels() bool {
-	for n := len(w.orphanCancels); n > 0; n-- {
-		if !w.mayWrite() {
-			return false
-		}
-		j := w.orphanCancels[0]
-		w.orphanCancels = w.orphanCancels[1:]
-		switch {
-		case !j.Records.CancelUnrecorded: // its user withdrew it too
-		case w.core.clock.Now() < j.Records.RereadAt:
-			w.orphanCancels = append(w.orphanCancels, j)
-		default:
-			rec := records.Job{Tasks: len(j.Tasks()), SubmittedMS: j.Queue.ReadyMS}
-			w.submitChange(&pendingChange{job: j, orphanCancel: true}, records.CancelJobChange(j.ID, j.Records.Revision, w.nextNonce(), rec, 0))
-		}
-	}
-	return true
-}
-
-// dropRecords drops the admission records of a job that is over, once none of its
-// tasks can be on a machine.
-func (w *recordWriter) dropRecords(j *cluster.Job) {
-	if w.core.clock.Now() < j.Records.RereadAt {
-		return
-	}
-	delete(w.droppable, j)
-	if !j.Terminal() || len(j.Active()) > 0 || j.Records.CancelUnrecorded {
-		return // comes again with what is missing
-	}
-	p := &pendingChange{job: j}
-	var drops []records.SliceVersion
-	for _, s := range j.Slices() {
-		if s.InFlight {
-			return // comes again with the outcome
-		}
-		if s.Revision != 0 && len(drops) < max(1, w.core.opt.TxnOps>>j.Records.Refusals-1) {
-			p.dropped = append(p.dropped, s)
-			drops = append(drops, records.SliceVersion{Number: s.Number, Revision: s.Revision})
-		}
-	}
-	if len(drops) == 0 {
-		delete(w.core.cluster.Jobs(), j.ID)
-		return
-	}
-	for _, s := range p.dropped {
-		s.InFlight = true
-	}
-	w.submitChange(p, records.DeleteSlicesChange(j.ID, drops))
-}
-
-// submitChange hands a change out with the step's effects.
-func (w *recordWriter) submitChange(p *pendingChange, ch records.Change) {
-	w.pendingChanges[w.submitOther(ch)] = p
-}
-
-// submitOther hands out a change whose outcome is for another part, and names it.
-func (w *recordWriter) submitOther(ch records.Change) (id uint64) {
-	w.nextChange++
-	ch.ID = w.nextChange
-	w.budget.spend(len(ch.Operations))
-	w.core.decisions.RecordChanges = append(w.core.decisions.RecordChanges, ch)
-	return ch.ID
-}
-
-// nextNonce names the next change. No two leaders share a revision, so no two changes
-// share a nonce.
-func (w *recordWriter) nextNonce() uint64 {
-	return uint64(ids.NewFencingToken(w.core.opt.Revision, w.nextChange+1))
+	refused := j.Records.Refusals >= maxRefusals
+	return !d.slice.InFlight && !ending && !refused && !w.delayed(j)
 }
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -335,7 +335,7 @@
 		if write.Record != nil {
 			change = records.PutZoneChange(write.Zone, write.Revision, write.Record)
 		}
-		g.writes[w.submitOther(change)] = zoneWrite{zone: write.Zone, dropped: write.Record == nil}
+		g.writes[w.submit(change)] = zoneWrite{zone: write.Zone, dropped: write.Record == nil}
 	}
 }
 
@@ -361,7 +361,7 @@
 	case errors.Is(result.Err, records.ErrRejected):
 		g.manager.WriteRejected(write.zone)
 	default:
-		g.core.recordsErr = fmt.Errorf("record of zone %s moved without this leader: %w", write.zone, result.Err)
+		g.core.records.fail(fmt.Errorf("record of zone %s moved without this leader: %w", write.zone, result.Err))
 	}
 	return true
 }
