--- /dev/null
+++ b/scheduler/record_completion_test.go
@@ -0,0 +1,179 @@
+package scheduler
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// finishedJob returns a fixture with a job whose placements are recorded and whose tasks are
+// all done.
+func finishedJob(t *testing.T, tasks int) (*recordFixture, *cluster.Job) {
+	t.Helper()
+	f := newRecordFixture(t, recordSettings{maxOperations: 8, writesPerSecond: 1000})
+	j := f.addJob("job-1", tasks)
+	f.place(j, "n-1")
+	for _, change := range f.write(0) {
+		f.commit(change, 7)
+	}
+	f.finish(j)
+	return f, j
+}
+
+func TestCompletedJobLeavesNoSlice(t *testing.T) {
+	f, j := finishedJob(t, 8)
+	change := f.writeOne(0)
+	if len(change.Operations) != 3 || j.Status() != wire.JobQueued {
+		t.Fatalf("change %+v, the job is %v before it is committed", change, j.Status())
+	}
+	f.commit(change, 8)
+	if j.Status() != wire.JobDone || f.observed["job-1"] == nil || j.Records.Revision != 8 {
+		t.Errorf("the job is %v at revision %d, observed %+v", j.Status(), j.Records.Revision, f.observed)
+	}
+	if got := f.write(0); len(got) != 0 || f.cluster.Job("job-1") != nil {
+		t.Errorf("changes %+v; the job must be removed", got)
+	}
+}
+
+func TestSlicesBeyondOneChangeAreDeletedLater(t *testing.T) {
+	f, _ := finishedJob(t, 4*14)
+	var operations []int
+	for f.cluster.Job("job-1") != nil {
+		changes := f.write(0)
+		for _, change := range changes {
+			operations = append(operations, len(change.Operations))
+			f.commit(change, 8)
+		}
+		if len(operations) > 9 {
+			t.Fatalf("changes with %v operations", operations)
+		}
+	}
+	if want := []int{7, 7, 1}; !slices.Equal(operations, want) {
+		t.Errorf("changes with %v operations, want %v", operations, want)
+	}
+}
+
+func TestScarceCompletionsDeleteNoSlice(t *testing.T) {
+	f, j := finishedJob(t, 1)
+	f.budget.available = f.budget.perSecond/2 - 1
+	change := f.writeOne(0)
+	if len(change.Operations) != 1 {
+		t.Errorf("change %+v", change)
+	}
+	f.commit(change, 8)
+	if drops := f.writeOne(0); len(drops.Operations) != 1 || drops.Operations[0].DeleteKey != records.AdmissionKey(j.ID, 0) {
+		t.Errorf("change %+v", drops)
+	}
+}
+
+func TestCompletionThatConflictsIsTriedAgain(t *testing.T) {
+	f, j := finishedJob(t, 1)
+	f.conflict(f.writeOne(0), records.JobKey("job-1"))
+	if j.Records.Completing || j.Status() != wire.JobQueued {
+		t.Errorf("the job is %v, records %+v", j.Status(), j.Records)
+	}
+	f.commit(f.writeOne(rereadWait), 9)
+	if j.Status() != wire.JobDone {
+		t.Errorf("the job is %v", j.Status())
+	}
+}
+
+func TestCompletionOfACancelledJobIsNotTriedAgain(t *testing.T) {
+	f, j := finishedJob(t, 1)
+	change := f.writeOne(0)
+	f.cluster.EndJob(j, wire.JobCancelled)
+	f.discard(j)
+	f.conflict(change, records.JobKey("job-1"))
+	drops := f.writeOne(rereadWait)
+	if got := drops.Operations[0].DeleteKey; len(drops.Operations) != 1 || got != records.AdmissionKey("job-1", 0) {
+		t.Errorf("change %+v", drops)
+	}
+	if _, rereads := f.takeDecisions(); len(rereads) != 0 {
+		t.Errorf("rereads %v", rereads)
+	}
+}
+
+func TestJobIsCompletedOnceItsSlicesAreSettled(t *testing.T) {
+	f := newRecordFixture(t, recordSettings{})
+	j := f.addJob("job-1", 1)
+	f.place(j, "n-1")
+	placement := f.writeOne(0)
+	f.finish(j)
+	if got := f.write(0); len(got) != 0 {
+		t.Fatalf("changes %+v while the slice is in flight", got)
+	}
+	f.commit(placement, 7)
+	if got := f.writeOne(0).Operations[0].PutKey; got != records.JobKey("job-1") {
+		t.Errorf("wrote %s", got)
+	}
+}
+
+func TestSlicesAreKeptWhileATaskMayBeOnAMachine(t *testing.T) {
+	f := newRecordFixture(t, recordSettings{})
+	j := f.addJob("job-1", 1)
+	f.place(j, "n-1")
+	f.commit(f.writeOne(0), 7)
+	f.cluster.EndJob(j, wire.JobCancelled)
+	f.discard(j)
+	f.markDroppable(j)
+	if got := f.write(time.Hour); len(got) != 0 {
+		t.Fatalf("changes %+v while the task is on its machine", got)
+	}
+	f.release(j.Active()[0])
+	f.writeOne(0)
+}
+
+func TestCancellationWithADependencyIsRecorded(t *testing.T) {
+	f := newRecordFixture(t, recordSettings{})
+	j := f.addJob("job-1", 1)
+	f.cluster.EndJob(j, wire.JobCancelled)
+	f.markOrphanCancel(j)
+	f.markDroppable(j)
+	f.commit(f.writeOne(0), 8)
+	if j.Records.CancelUnrecorded || j.Records.Revision != 8 {
+		t.Errorf("records %+v", j.Records)
+	}
+	if got := f.write(0); len(got) != 0 || f.cluster.Job("job-1") != nil {
+		t.Errorf("changes %+v; the job must be removed", got)
+	}
+}
+
+func TestCancellationWithADependencyIsTriedAgain(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		fail     func(f *recordFixture, change records.Change)
+		wait     time.Duration
+		rereads  []ids.JobID
+		withdraw bool
+		changes  int
+	}{
+		{"conflict", func(f *recordFixture, ch records.Change) { f.conflict(ch, records.JobKey("job-1")) }, rereadWait, []ids.JobID{"job-1"}, false, 1},
+		{"refusal", (*recordFixture).refuse, 2 * time.Second, nil, false, 1},
+		{"conflict with its user", func(f *recordFixture, ch records.Change) { f.conflict(ch, records.JobKey("job-1")) }, rereadWait, []ids.JobID{"job-1"}, true, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newRecordFixture(t, recordSettings{})
+			j := f.addJob("job-1", 1)
+			f.cluster.EndJob(j, wire.JobCancelled)
+			f.markOrphanCancel(j)
+			c.fail(f, f.writeOne(0))
+			if _, rereads := f.takeDecisions(); len(rereads) != len(c.rereads) {
+				t.Errorf("rereads %v, want %v", rereads, c.rereads)
+			}
+			if got := f.write(c.wait - 1); len(got) != 0 {
+				t.Errorf("changes %+v too early", got)
+			}
+			if c.withdraw {
+				f.cancelRecorded(j)
+			}
+			if got := f.write(1); len(got) != c.changes {
+				t.Errorf("changes %+v", got)
+			}
+		})
+	}
+}
