--- a/scheduler/cluster/job.go
+++ b/scheduler/cluster/job.go
@@ -38,7 +38,7 @@
 }
 
 // JobQueue is what admission notes about a job. Admission, preemption and the events of
-// job records and dependencies write it.
+// job records and dependencies write it; record writing sets RetryAt after a refusal.
 type JobQueue struct {
 	// ReadyMS is the time of day in Unix milliseconds when the job was ready to run.
 	ReadyMS int64
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -1,8 +1,11 @@
 // Package scheduler is the core of the leader. It admits jobs against quotas, places
-// their tasks, decides which machines to rent or return, and what each worker is told.
-// It does no I/O and has one owner: events and the time go in through its methods,
-// decisions come out of Step. The same events at the same times give the same
-// decisions.
+// their tasks, decides which machines to provision or terminate, and what each machine is
+// told.
+//
+// Core is the type to start with. It does no I/O, starts no goroutine and belongs to one
+// goroutine: events and the time go in through its methods, decisions come out of Step. The
+// same events at the same times give the same decisions. Package cluster holds the state;
+// each policy here queries it and notes only what its own part of the state is for.
 package scheduler
 
 import (
@@ -23,59 +26,55 @@
 // decisions that go out. The cluster state holds jobs and machines; each duty is a policy of
 // its own.
 type Core struct {
-	opt             Options
-	clock           *clock.Clock
-	rounds          *clock.RoundTrigger
-	cluster         *cluster.State
-	previousLeaders previousLeaders
-	// restrictedToReplicas tells that no machine may be answered but those with replicas;
-	// see RestrictToReplicas.
-	restrictedToReplicas bool
+	opt     Options
+	clock   *clock.Clock
+	rounds  *clock.RoundTrigger
+	cluster *cluster.State
+	quotas  *quota.Tracker
 
-	// graph holds all jobs with their dependencies.
-	graph *dependency.Graph
-	// unreadable are the jobs whose own record cannot be read.
-	unreadable map[ids.JobID]bool
-	quotas     *quota.Tracker
-
-	lifecycle    *taskLifecycle
-	records      *recordWriter
-	registry     *machineRegistry
-	health       *healthMonitor
-	commands     *commandQueue
-	candidates   *candidateList
-	queue        *jobQueue
-	quota        *quotaCheck
-	reservations *reservations
-	searches     *searcher
-	admission    *admitter
-	preemption   *evictor
-	autoscaler   *autoscaler
-	estimates    *runEstimates
-	// Qzones watches zones that fall silent and return; nil: it is turned off.
+	lifecycle       *taskLifecycle
+	previousLeaders *previousLeaders
+	heartbeats      *heartbeatIntake
+	jobRecords      *jobIntake
+	records         *recordWriter
+	registry        *machineRegistry
+	health          *healthMonitor
+	commands        *commandQueue
+	candidates      *candidateList
+	queue           *jobQueue
+	quota           *quotaCheck
+	reservations    *reservations
+	searches        *searcher
+	admission       *admitter
+	preemption      *evictor
+	autoscaler      *autoscaler
+	estimates       *runEstimates
+	// zones watches zones that fall silent and return; nil: it is turned off.
 	zones *zoneGate
 
 	decisions Decisions
-	// superseded is set when a worker shows a later leader's token.
-	superseded bool
 }
 
 // New makes the core of a term. Records follow through LoadJob and LoadSlice,
 // then Begin.
 func New(opt Options, types []wire.MachineType) *Core {
 	c := &Core{
-		opt:        opt,
-		clock:      clock.New(opt.WallClockMS),
-		rounds:     &clock.RoundTrigger{},
-		unreadable: map[ids.JobID]bool{},
-		graph:      dependency.New(),
-		quotas:     quota.NewTracker(opt.Teams),
-		estimates:  &runEstimates{estimateFactors: map[string]float64{}},
+		opt:       opt,
+		clock:     clock.New(opt.WallClockMS),
+		rounds:    &clock.RoundTrigger{},
+		quotas:    quota.NewTracker(opt.Teams),
+		estimates: &runEstimates{estimateFactors: map[string]float64{}},
 	}
 	settings := cluster.Settings{SliceTasks: opt.SliceTasks, BootFactor: opt.BootFactor, ListLag: opt.ListLag}
 	c.cluster = cluster.NewState(settings, c.clock, c.rounds, c.quotas)
 	c.records = newRecordWriter(c.cluster, c.clock, c.rounds, newRecordSettings(opt))
-	c.registry = newMachineRegistry(c)
+	c.registry = &machineRegistry{
+		cluster:      c.cluster,
+		clock:        c.clock,
+		rounds:       c.rounds,
+		settings:     registrySettings{previousLeader: opt.PreviousLeader, listLag: opt.ListLag},
+		returnCounts: map[returnReason]int{},
+	}
 	c.health = &healthMonitor{core: c, zoneStates: map[ids.Zone]*zoneState{}}
 	c.commands = &commandQueue{core: c}
 	c.preemption = &evictor{core: c}
@@ -91,12 +90,57 @@
 		estimates: c.estimates,
 		slowness:  c,
 	}
-	c.records.tasks, c.records.commands, c.records.jobs = c.lifecycle, c.commands, c
+	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
+	c.connectIntake()
+	c.records.tasks, c.records.commands, c.records.jobs = c.lifecycle, c.commands, c.jobRecords
 	c.connectAdmission()
 	c.cluster.SetCatalog(types)
 	return c
 }
 
+// connectIntake makes the parts that take heartbeats and records in, from the others.
+func (c *Core) connectIntake() {
+	c.previousLeaders = &previousLeaders{
+		cluster: c.cluster,
+		clock:   c.clock,
+		settings: previousLeaderSettings{
+			exists:               c.opt.PreviousLeader,
+			grace:                c.opt.PreviousLeaderGrace,
+			graceWithoutReplicas: c.opt.PreviousLeaderGraceWithoutReplicas,
+			cancelDeadline:       c.opt.CancelDeadline,
+			agentLease:           c.opt.AgentLease,
+		},
+	}
+	c.heartbeats = &heartbeatIntake{
+		cluster:    c.cluster,
+		clock:      c.clock,
+		rounds:     c.rounds,
+		sites:      c.registry,
+		health:     c.health,
+		commands:   c.commands,
+		autoscaler: c.autoscaler,
+		failures:   c,
+		lifecycle:  c.lifecycle,
+		zones:      c.zones,
+		leaders:    c.previousLeaders,
+		revision:   c.opt.Revision,
+		interval:   c.opt.HeartbeatInterval,
+	}
+	c.jobRecords = &jobIntake{
+		cluster:    c.cluster,
+		clock:      c.clock,
+		rounds:     c.rounds,
+		graph:      dependency.New(),
+		unreadable: map[ids.JobID]bool{},
+		lifecycle:  c.lifecycle,
+		records:    c.records,
+		sites:      c.registry,
+		arrivals:   c.autoscaler,
+		revision:   c.opt.Revision,
+		valueBytes: c.opt.ValueBytes,
+	}
+}
+
 // connectAdmission makes the parts that admit jobs, from the others.
 func (c *Core) connectAdmission() {
 	c.candidates = &candidateList{}
@@ -144,58 +188,33 @@
 // SetCatalog takes the cloud's machine types and current prices.
 func (c *Core) SetCatalog(types []wire.MachineType) { c.cluster.SetCatalog(types) }
 
-// Superseded tells that a worker has seen a later leader.
-func (c *Core) Superseded() bool { return c.superseded }
+// Superseded tells that an agent has seen a later leader.
+func (c *Core) Superseded() bool { return c.heartbeats.superseded }
 
 // RecordsError is set when the records are not as this leader left them. The term
 // must then end and the records be read again.
 func (c *Core) RecordsError() error { return c.records.err }
 
-// Begin ends the loading of records.
+// Begin begins the term once the records are loaded.
 func (c *Core) Begin(now monotonic.Instant) {
 	c.clock.Begin(now)
-	c.beginPreviousLeaders()
+	c.previousLeaders.begin()
 	c.autoscaler.plannedAt = now
 	c.records.begin()
-	// In order: it decides what is stopped, sent and written first.
-	for _, j := range c.cluster.SortedJobs() {
-		j.RebuildSlices()
-		c.syncDependencies(j)
-		j.Queue.ReadyAt = now
-		if c.opt.WallClockMS > 0 {
-			age := time.Duration(c.opt.WallClockMS-j.Queue.ReadyMS) * time.Millisecond
-			j.Queue.ReadyAt = now.Add(-min(max(age, 0), time.Hour))
-		}
-		j.Queue.WaitingSince = j.Queue.ReadyAt
-		for _, s := range j.Slices() {
-			c.records.markOversized(j, s)
-		}
-		switch j.Status() {
-		case wire.JobQueued:
-			j.RebuildPending()
-			if j.Done() == len(j.Tasks()) {
-				c.records.markCompletable(j)
-			}
-		default:
-			c.lifecycle.endJob(j, j.Status())
-		}
-	}
-	for _, m := range c.cluster.Machines() {
-		m.Lifecycle.KnownSince = now
-		c.commands.queueCommands(m)
-	}
+	c.jobRecords.begin()
+	c.registry.begin()
 	c.zones.begin()
 	c.rounds.MarkDue()
 }
 
-// AllControllersFollow is called once every other controller has said, since this term began, that
-// it follows this leader. A process that knows of a later leader answers no report in the
-// name of an earlier one, nor does one that was started since. So no worker's lease can
-// be renewed by anybody else for a report sent after now, and what silent workers hold
-// need not wait for the predecessor's grace.
+// AllControllersFollow is called when every other controller has confirmed, since this term
+// began, that it follows this leader. A process that knows of a later leader answers no
+// heartbeat for an earlier one, nor does one that was started since. So no other leader can
+// renew an agent's lease for a heartbeat sent from now on, and tasks on silent machines need
+// not wait for the grace of previous leaders.
 func (c *Core) AllControllersFollow(now monotonic.Instant) {
 	c.clock.Set(now)
-	c.previousLeaders.end(now)
+	c.previousLeaders.end()
 }
 
 // Step runs what time and events call for and hands out the decisions.
@@ -221,6 +240,7 @@
 	out := c.decisions
 	c.decisions = Decisions{}
 	out.RecordChanges, out.RereadJobs = c.records.takeDecisions()
+	out.Terminate, out.ForgetAddresses = c.registry.takeDecisions()
 	return out
 }
 
@@ -242,20 +262,21 @@
 // Decisions are the decisions since the last Step.
 type Decisions struct {
 	RecordChanges []records.Change
-	// SendCommands lists workers to which commands should go now; see TakeCommands.
+	// SendCommands lists machines to which commands should be sent now; see TakeCommands.
 	SendCommands []ids.MachineID
-	// RequestHeartbeats lists workers that should be asked for a report.
+	// RequestHeartbeats lists machines that should be asked for a heartbeat.
 	RequestHeartbeats []ids.MachineID
 	Provision         []wire.ProvisionRequest
 	Terminate         []ids.MachineID
-	RereadJobs        []ids.JobID
-	// ForgetAddresses lists addresses of machines that are gone.
+	// RereadJobs lists jobs whose records should be read again and passed to ObserveJob.
+	RereadJobs []ids.JobID
+	// ForgetAddresses lists addresses of machines that are terminated.
 	ForgetAddresses []string
 	// ZoneEvents are changes of zones' conditions, for the log.
 	ZoneEvents []zonerecovery.Transition
 }
 
-// Progress tells a job's progress for display.
+// Progress tells a job's progress for display; false if the job is not known.
 func (c *Core) Progress(id ids.JobID) (Progress, bool) {
 	j := c.cluster.Job(id)
 	if j == nil {
@@ -270,7 +291,5 @@
 	return s, true
 }
 
-// Progress is what the leader can say about a job's progress.
-type Progress struct {
-	Done, Running int
-}
+// Progress counts the tasks of a job that are done, and those that run or write a checkpoint.
+type Progress struct{ Done, Running int }
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -72,9 +72,6 @@
 	}
 }
 
-// taskReleaser takes a task that is not on its machine off it in the state.
-type taskReleaser interface{ release(a *cluster.Assignment) }
-
 // jobRecordObserver takes the new record of a job.
 type jobRecordObserver interface {
 	applyJobRecord(id ids.JobID, record *records.Job)
