--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -53,16 +53,7 @@
 // beyond what the state service may take at any moment are split from now on.
 func (c *Core) EnableSplitRecords(now monotonic.Instant) {
 	c.clock.Set(now)
-	if c.opt.SplitRecords {
-		return
-	}
-	c.opt.SplitRecords = true
-	for _, j := range c.cluster.SortedJobs() {
-		j.Records.Refusals = 0 // what could not be split may be now
-		for _, s := range j.Slices() {
-			c.records.markOversized(j, s)
-		}
-	}
+	c.records.enableSplitting()
 }
 
 // jobIntake takes in the records of jobs and of their tasks, and keeps the jobs in line with
@@ -251,7 +242,6 @@
 	}
 	switch {
 	case s.State == dependency.Cancelled:
-		j.Records.CancelUnrecorded = true
 		r.records.markOrphanCancel(j)
 		r.lifecycle.endJob(j, wire.JobCancelled)
 	case s.State == dependency.Ready && !j.Queue.Ready:
--- a/scheduler/zone_records_test.go
+++ b/scheduler/zone_records_test.go
@@ -39,7 +39,7 @@
 	m := calmZones(t, 16, 6)
 	m.fillZones()
 	m.loseZone("b", 40*second)
-	m.core.opt.WriteRate, m.opt.WriteRate = 3, 3
+	m.core.records.budget.perSecond, m.opt.WriteRate = 3, 3
 	m.runFactor = 1
 	m.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
 	m.run(m.zones.partitionedUntil["b"].Sub(m.now))
@@ -48,7 +48,7 @@
 	if waiting := len(m.core.records.dirty); waiting == 0 {
 		t.Error("no record waits for the write rate: the day shows nothing")
 	}
-	m.core.opt.WriteRate, m.opt.WriteRate = 40, 40
+	m.core.records.budget.perSecond, m.opt.WriteRate = 40, 40
 	m.endOfDay()
 }
 
@@ -62,7 +62,7 @@
 
 func (w *fakeZoneRecordWriter) nextNonce() uint64 { return uint64(len(w.changes)) + 1 }
 
-func (w *fakeZoneRecordWriter) submitOther(change records.Change) (id uint64) {
+func (w *fakeZoneRecordWriter) submit(change records.Change) (id uint64) {
 	change.ID = w.nextNonce()
 	w.changes = append(w.changes, change)
 	return change.ID
