--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -54,8 +54,6 @@
 	zones *zoneGate
 
 	decisions Decisions
-	// recordsErr is set when the records are not as this leader left them.
-	recordsErr error
 }
 
 // New makes the core of a term. Records follow through LoadJob and LoadSlice,
@@ -70,7 +68,7 @@
 	}
 	settings := cluster.Settings{SliceTasks: opt.SliceTasks, BootFactor: opt.BootFactor, ListLag: opt.ListLag}
 	c.cluster = cluster.NewState(settings, c.clock, c.rounds, c.quotas)
-	c.records = newRecordWriter(c)
+	c.records = newRecordWriter(c.cluster, c.clock, c.rounds, newRecordSettings(opt))
 	c.registry = &machineRegistry{
 		cluster:      c.cluster,
 		clock:        c.clock,
@@ -94,6 +92,7 @@
 	}
 	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
 	c.connectIntake()
+	c.records.tasks, c.records.commands, c.records.jobs = c.lifecycle, c.commands, c.jobRecords
 	c.connectAdmission()
 	c.connectPreemption()
 	c.connectAutoscaler()
@@ -225,14 +224,14 @@
 
 // RecordsError is set when the records are not as this leader left them. The term
 // must then end and the records be read again.
-func (c *Core) RecordsError() error { return c.recordsErr }
+func (c *Core) RecordsError() error { return c.records.err }
 
 // Begin begins the term once the records are loaded.
 func (c *Core) Begin(now monotonic.Instant) {
 	c.clock.Begin(now)
 	c.previousLeaders.begin()
 	c.autoscaler.begin()
-	c.records.budgetRefilledAt = now
+	c.records.begin()
 	c.jobRecords.begin()
 	c.registry.begin()
 	c.zones.begin()
@@ -274,6 +273,7 @@
 	out.Provision = c.autoscaler.takeDecisions()
 	out.ZoneEvents = c.zones.takeTransitions()
 	out.SendCommands, out.RequestHeartbeats = calls.sendCommands, calls.requestHeartbeats
+	out.RecordChanges, out.RereadJobs = c.records.takeDecisions()
 	out.Terminate, out.ForgetAddresses = c.registry.takeDecisions()
 	return out
 }
--- a/scheduler/zone_records.go
+++ b/scheduler/zone_records.go
@@ -31,8 +31,8 @@
 	mayWrite() bool
 	// nextNonce names the next change.
 	nextNonce() uint64
-	// submitOther hands a change out, and returns the id under which its result comes back.
-	submitOther(change records.Change) (id uint64)
+	// submit hands a change out, and returns the id under which its result comes back.
+	submit(change records.Change) (id uint64)
 	// fail notes that the records are not as this leader left them, which ends the term.
 	fail(err error)
 }
@@ -62,7 +62,7 @@
 	if write.Record != nil {
 		change = records.PutZoneChange(write.Zone, write.Revision, write.Record)
 	}
-	r.inFlight[r.writer.submitOther(change)] = zoneWrite{zone: write.Zone, deletes: write.Record == nil}
+	r.inFlight[r.writer.submit(change)] = zoneWrite{zone: write.Zone, deletes: write.Record == nil}
 }
 
 // settle applies the result of a change if that wrote a zone's record; ours tells whether it
