--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -52,8 +52,6 @@
 	estimates       *runEstimates
 	// zones watches zones that fall silent and return; nil: it is turned off.
 	zones *zoneGate
-
-	decisions Decisions
 }
 
 // New makes the core of a term. Records follow through LoadJob and LoadSlice,
@@ -268,11 +266,12 @@
 	c.zones.writeRecords()
 	c.records.writeRecords()
 	calls := c.commands.dispatch()
-	out := c.decisions
-	c.decisions = Decisions{}
-	out.Provision = c.autoscaler.takeDecisions()
-	out.ZoneEvents = c.zones.takeTransitions()
-	out.SendCommands, out.RequestHeartbeats = calls.sendCommands, calls.requestHeartbeats
+	out := Decisions{
+		SendCommands:      calls.sendCommands,
+		RequestHeartbeats: calls.requestHeartbeats,
+		Provision:         c.autoscaler.takeDecisions(),
+		ZoneEvents:        c.zones.takeTransitions(),
+	}
 	out.RecordChanges, out.RereadJobs = c.records.takeDecisions()
 	out.Terminate, out.ForgetAddresses = c.registry.takeDecisions()
 	return out
