--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -52,6 +52,8 @@
 	preemption   *evictor
 	autoscaler   *autoscaler
 	estimates    *runEstimates
+	failures     *failureHistory
+	slowness     *slownessDetector
 	// Qzones watches zones that fall silent and return; nil: it is turned off.
 	zones *zoneGate
 
@@ -72,7 +74,7 @@
 		unreadable: map[ids.JobID]bool{},
 		graph:      dependency.New(),
 		quotas:     quota.NewTracker(opt.Teams),
-		estimates:  &runEstimates{estimateFactors: map[string]float64{}},
+		estimates:  newRunEstimates(),
 	}
 	settings := cluster.Settings{SliceTasks: opt.SliceTasks, BootFactor: opt.BootFactor, ListLag: opt.ListLag}
 	c.cluster = cluster.NewState(settings, c.clock, c.rounds, c.quotas)
@@ -83,6 +85,8 @@
 	c.preemption = &evictor{core: c}
 	c.autoscaler = newAutoscaler(c)
 	c.zones = newZoneGate(c, opt.ZoneRecovery)
+	c.failures = &failureHistory{cluster: c.cluster, clock: c.clock, rounds: c.rounds, zones: c.zones}
+	c.slowness = &slownessDetector{cluster: c.cluster, clock: c.clock}
 	c.lifecycle = &taskLifecycle{
 		cluster:   c.cluster,
 		clock:     c.clock,
@@ -91,7 +95,8 @@
 		commands:  c.commands,
 		zones:     c.zones,
 		estimates: c.estimates,
-		slowness:  c,
+		slowness:  c.slowness,
+		failures:  c.failures,
 	}
 	c.connectAdmission()
 	c.cluster.SetCatalog(types)
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -7,32 +7,44 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// runEstimates learns how long tasks of each class run against their owners'
-// estimates.
+const (
+	// estimateWeight is the weight of the newest run in a class's running mean.
+	estimateWeight = 0.02
+	// maxEstimateFactor bounds how many times its estimate a single run counts for.
+	maxEstimateFactor = 10
+)
+
+// runEstimates learns how long the tasks of each class run, compared with their owners'
+// estimates. The task lifecycle records runs. Health, autoscaling and zone recovery ask for
+// expected run times. It changes no job.
 type runEstimates struct {
-	// estimateFactors holds, by class, the time that tasks took as a part of their
-	// estimates.
-	estimateFactors map[string]float64
+	// factors holds the running mean, by class, of run time divided by estimate.
+	factors map[string]float64
+}
+
+// newRunEstimates makes estimates that have seen no run yet.
+func newRunEstimates() *runEstimates {
+	return &runEstimates{factors: map[string]float64{}}
 }
 
-// expectedRun is how long a task should run. Owners' estimates for a class are mostly too
-// high or mostly too low on some days, which recordRun learns.
+// expectedRun is how long a task of a job should run. On most days, the owners' estimates
+// for a class are all too high or all too low, so they are corrected by the class's factor.
 func (e *runEstimates) expectedRun(s *wire.JobSpec) time.Duration {
 	factor := 1.0
-	if r := e.estimateFactors[s.Class]; r > 0 {
-		factor = r
+	if learned := e.factors[s.Class]; learned > 0 {
+		factor = learned
 	}
 	return monotonic.Seconds(factor * s.EstimateS)
 }
 
-// recordRun takes in how long a task of a class ran against its estimate.
+// recordRun learns from how long a task ran. A job without an estimate teaches nothing.
 func (e *runEstimates) recordRun(s *wire.JobSpec, ran time.Duration) {
 	if s.EstimateS <= 0 {
 		return
 	}
-	r := min(10, ran.Seconds()/s.EstimateS)
-	if old := e.estimateFactors[s.Class]; old > 0 {
-		r = 0.98*old + 0.02*r
+	factor := min(maxEstimateFactor, ran.Seconds()/s.EstimateS)
+	if learned := e.factors[s.Class]; learned > 0 {
+		factor = (1-estimateWeight)*learned + estimateWeight*factor
 	}
-	e.estimateFactors[s.Class] = r
+	e.factors[s.Class] = factor
 }
--- a/scheduler/estimates_test.go
+++ b/scheduler/estimates_test.go
@@ -7,24 +7,44 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-func TestEstimatesFollowWhatTasksTook(t *testing.T) {
-	e := &runEstimates{estimateFactors: map[string]float64{}}
-	spec := &wire.JobSpec{Class: "c", EstimateS: 10}
-	if got := e.expectedRun(spec); got != 10*time.Second {
-		t.Errorf("nothing seen: %v", got)
+func TestExpectedRunFollowsRecordedRuns(t *testing.T) {
+	const class, estimateS = "c", 10
+	for _, c := range []struct {
+		name     string
+		recorded []time.Duration
+		min, max time.Duration
+	}{
+		{"no run", nil, 10 * time.Second, 10 * time.Second},
+		{"one run", repeated(1, 20*time.Second), 20 * time.Second, 20 * time.Second},
+		{"later runs took half the estimate", append(repeated(1, 20*time.Second), repeated(300, 5*time.Second)...), 5 * time.Second, 5500 * time.Millisecond},
+		{"one run far beyond the estimate", repeated(1, time.Hour), maxEstimateFactor * 10 * time.Second, maxEstimateFactor * 10 * time.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := newRunEstimates()
+			spec := &wire.JobSpec{Class: class, EstimateS: estimateS}
+			for _, ran := range c.recorded {
+				e.recordRun(spec, ran)
+			}
+			if got := e.expectedRun(spec); got < c.min || got > c.max {
+				t.Errorf("expected run %v, want %v to %v", got, c.min, c.max)
+			}
+		})
 	}
-	e.recordRun(spec, 20*time.Second)
-	if got := e.expectedRun(spec); got != 20*time.Second {
-		t.Errorf("one seen: %v", got)
-	}
-	for range 300 {
-		e.recordRun(spec, 5*time.Second)
-	}
-	if got := e.expectedRun(spec); got < 5*time.Second || got > 5500*time.Millisecond {
-		t.Errorf("most took half: %v", got)
+}
+
+// repeated is a number of runs of the same length.
+func repeated(n int, ran time.Duration) []time.Duration {
+	runs := make([]time.Duration, n)
+	for i := range runs {
+		runs[i] = ran
 	}
-	e.recordRun(&wire.JobSpec{Class: "d"}, time.Hour) // no estimate, nothing to learn
+	return runs
+}
+
+func TestJobsWithoutEstimateTeachNothing(t *testing.T) {
+	e := newRunEstimates()
+	e.recordRun(&wire.JobSpec{Class: "d"}, time.Hour)
 	if got := e.expectedRun(&wire.JobSpec{Class: "d", EstimateS: 10}); got != 10*time.Second {
-		t.Errorf("another class: %v", got)
+		t.Errorf("expected run %v, want the estimate", got)
 	}
 }
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -92,7 +92,7 @@
 	b.heartbeat("n-0", "a", 0)
 	m := b.c.cluster.Machine("n-0")
 	fail := func(id ids.JobID) {
-		b.c.recordFailure(&cluster.Assignment{Job: b.c.cluster.Job(id), Machine: m, Attempt: 1})
+		b.c.failures.recordFailure(&cluster.Assignment{Job: b.c.cluster.Job(id), Machine: m, Attempt: 1})
 	}
 	b.submit("job-bad", wire.JobSpec{Class: "c", Tasks: 1})
 	b.submit("job-1", wire.JobSpec{Class: "c", Tasks: 4})
@@ -107,7 +107,7 @@
 	if b.c.clock.Now() >= m.Health.QuarantinedUntil {
 		t.Error("not quarantined for the failures of two jobs")
 	}
-	b.c.clearFailureHistory(b.c.cluster.Job("job-2"))
+	b.c.failures.clearFailureHistory(b.c.cluster.Job("job-2"))
 	if b.c.clock.Now() < m.Health.QuarantinedUntil {
 		t.Error("still quarantined although one of them fails everywhere")
 	}
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -161,15 +161,14 @@
 	case wire.CauseDone:
 		c.zones.running(a) // it did, if only between two reports
 		c.lifecycle.complete(a)
-		clear(m.Health.FailuresByJob)
 		return
 	case wire.CauseError:
-		c.recordFailure(a)
+		c.failures.recordFailure(a)
 	case wire.CauseFull:
 		// Our view of the machine was wrong; give it a moment.
-		c.addAntiAffinity(j, m)
+		c.failures.addAntiAffinity(j, m)
 	case wire.CauseInUse:
-		c.addAntiAffinity(j, m)
+		c.failures.addAntiAffinity(j, m)
 	case wire.CauseNoSuch:
 		j.Queue.RetryAt = c.clock.Now().Add(2 * time.Second)
 	}
--- a/scheduler/preemption_plan.go
+++ b/scheduler/preemption_plan.go
@@ -135,7 +135,7 @@
 
 // planOn tells what it would cost to make room on a machine.
 func (r *preemptor) planOn(j *cluster.Job, m *cluster.Machine, by claim) (preemptionPlan, bool) {
-	if !placement.Allowed(j.Spec, m.Site()) || !r.core.zones.admits(j, j.Pending()[len(j.Pending())-1], m) || r.core.hasAntiAffinity(j, m) || r.core.reservations.reservedForOther(m, j) && r.core.queue.starving(m.Admission.ReservedFor) {
+	if !placement.Allowed(j.Spec, m.Site()) || !r.core.zones.admits(j, j.Pending()[len(j.Pending())-1], m) || r.core.failures.hasAntiAffinity(j, m) || r.core.reservations.reservedForOther(m, j) && r.core.queue.starving(m.Admission.ReservedFor) {
 		return preemptionPlan{}, false
 	}
 	need, free := placement.TaskResources(j.Spec), r.expectedFree(m)
--- a/scheduler/slow_machines.go
+++ b/scheduler/slow_machines.go
@@ -5,22 +5,44 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/wire"
 )
 
 const (
-	slownessLimit     = 0.58 // one and a half times as long
-	slowPeriod        = time.Minute
-	slowStreakLimit   = 4
-	minTasksToCompare = 4 // a job of fewer tasks says too little
+	// slownessLimit is the slowness from which a machine counts as slow: the logarithm to
+	// base 2 of one and a half times as long.
+	slownessLimit = 0.58
+	// slownessWeight is the weight of the newest job in a machine's running mean.
+	slownessWeight = 0.4
+	// slowPeriod is how long a machine that was found slow is ranked behind all others.
+	slowPeriod = time.Minute
+	// slowStreakLimit is how many jobs in a row must find a machine slow until it is
+	// quarantined.
+	slowStreakLimit = 4
+	// minTasksToCompare is the least number of tasks of a job that is compared. Fewer say
+	// too little.
+	minTasksToCompare = 4
+	// minRunTime is the least run time that is compared. Heartbeats tell no shorter times
+	// apart.
+	minRunTime = 100 * time.Millisecond
 )
 
-// compareRunTimes compares the machines that a job's tasks ran on, once all are done.
-// Before that, those still running always look slow beside those that were
-// quick. Tasks of a job differ too, so one job alone says little; several in a
-// row set a machine behind all others, and more of them set it aside.
-func (c *Core) compareRunTimes(a *cluster.Assignment) {
+// slownessDetector finds machines on which tasks take longer than their siblings elsewhere.
+// The task lifecycle calls it for each task that succeeded. It ranks slow machines behind
+// others and quarantines them, but takes no task off a machine.
+type slownessDetector struct {
+	cluster *cluster.State
+	clock   *clock.Clock
+}
+
+// compareRunTimes records the run time of a task that succeeded, before the cluster state
+// marks the task as done. With the last task of a job it compares the machines that the tasks
+// ran on: while some still run, those look slow beside the quick ones that are done. Tasks of
+// one job differ too, so one job alone says little. One slow job ranks a machine behind all
+// others, and several in a row quarantine it.
+func (d *slownessDetector) compareRunTimes(a *cluster.Assignment) {
 	j := a.Job
 	if j.Spec.Service || a.Run.Phase != wire.TaskRunning || len(j.Tasks()) < minTasksToCompare {
 		return
@@ -28,36 +50,55 @@
 	if j.Failures.RunTimes == nil {
 		j.Failures.RunTimes = map[ids.MachineID][]time.Duration{}
 	}
-	j.Failures.RunTimes[a.Machine.ID] = append(j.Failures.RunTimes[a.Machine.ID], max(runTime(c.clock, a), 100*time.Millisecond))
-	if j.Done()+1 < len(j.Tasks()) {
-		return
+	ran := max(runTime(d.clock, a), minRunTime)
+	j.Failures.RunTimes[a.Machine.ID] = append(j.Failures.RunTimes[a.Machine.ID], ran)
+	if lastTask := j.Done()+1 == len(j.Tasks()); lastTask {
+		d.compareMachines(j)
 	}
-	var sum time.Duration
-	n := 0
+}
+
+// compareMachines compares each machine that a job's tasks ran on with the others.
+func (d *slownessDetector) compareMachines(j *cluster.Job) {
+	all := 0
+	var total time.Duration
 	for _, runs := range j.Failures.RunTimes {
-		for _, r := range runs {
-			sum += r
-			n++
-		}
+		all += len(runs)
+		total += sumOf(runs)
 	}
-	for h, runs := range j.Failures.RunTimes {
-		m := c.cluster.Machine(h)
-		if m == nil || n-len(runs) < minTasksToCompare/2 {
-			continue
-		}
-		var here time.Duration
-		for _, r := range runs {
-			here += r
-		}
-		usual := float64(sum-here) / float64(n-len(runs))
-		m.Health.Slowness = 0.6*m.Health.Slowness + 0.4*math.Log2(float64(here)/float64(len(runs))/usual)
-		if m.Health.Slowness < slownessLimit {
-			m.Health.SlowStreak = 0
+	for id, runs := range j.Failures.RunTimes {
+		m := d.cluster.Machine(id)
+		elsewhere := all - len(runs)
+		if m == nil || elsewhere < minTasksToCompare/2 {
 			continue
 		}
-		m.Health.SlowUntil = c.clock.Now().Add(slowPeriod)
-		if m.Health.SlowStreak++; m.Health.SlowStreak >= slowStreakLimit {
-			m.Health.QuarantinedUntil, m.Health.QuarantinedForFailures = c.clock.Now().Add(quarantinePeriod), false
-		}
+		here := sumOf(runs)
+		usual := float64(total-here) / float64(elsewhere)
+		d.rate(m, float64(here)/float64(len(runs))/usual)
+	}
+}
+
+// rate updates a machine's slowness with how many times as long as elsewhere one job's tasks
+// took there.
+func (d *slownessDetector) rate(m *cluster.Machine, ratio float64) {
+	health := &m.Health
+	health.Slowness = (1-slownessWeight)*health.Slowness + slownessWeight*math.Log2(ratio)
+	if health.Slowness < slownessLimit {
+		health.SlowStreak = 0
+		return
+	}
+	health.SlowUntil = d.clock.Now().Add(slowPeriod)
+	health.SlowStreak++
+	if health.SlowStreak >= slowStreakLimit {
+		health.QuarantinedUntil = d.clock.Now().Add(quarantinePeriod)
+		health.QuarantinedForFailures = false
+	}
+}
+
+// sumOf adds run times up.
+func sumOf(runs []time.Duration) time.Duration {
+	var sum time.Duration
+	for _, run := range runs {
+		sum += run
 	}
+	return sum
 }
--- a/scheduler/task_lifecycle.go
+++ b/scheduler/task_lifecycle.go
@@ -20,6 +20,7 @@
 	zones     taskEndObserver
 	estimates runRecorder
 	slowness  runTimeComparer
+	failures  successRecorder
 	// lostWork counts tasks that were stopped or lost, by reason.
 	lostWork [cluster.StopDrained + 1]lostWorkTally
 }
@@ -49,6 +50,11 @@
 	compareRunTimes(a *cluster.Assignment)
 }
 
+// successRecorder notes that a task succeeded.
+type successRecorder interface {
+	recordSuccess(a *cluster.Assignment)
+}
+
 // lostWorkTally counts tasks that were taken off machines before they were done, and the
 // CPU seconds that they had run.
 type lostWorkTally struct {
@@ -82,6 +88,7 @@
 // complete takes a task that succeeded off its machine.
 func (l *taskLifecycle) complete(a *cluster.Assignment) {
 	l.zones.detached(a)
+	l.failures.recordSuccess(a)
 	j := a.Job
 	if j.Terminal() {
 		l.cluster.Complete(a)
@@ -93,8 +100,6 @@
 		l.estimates.recordRun(j.Spec, runTime(l.clock, a))
 	}
 	l.cluster.Complete(a)
-	j.Failures.Succeeded++
-	j.Failures.Rounds, j.Failures.Backoff = 0, 0
 	l.records.markTaskDirty(j, a.Index, false)
 	if j.Done() == len(j.Tasks()) {
 		l.records.markCompletable(j)
--- a/scheduler/zone_restore.go
+++ b/scheduler/zone_restore.go
@@ -74,7 +74,7 @@
 	need := placement.TaskResources(j.Spec)
 	for _, m := range g.core.cluster.Machines() {
 		if m.Zone() == zone && m.HasImage(j.Spec.Image) && need.FitsIn(m.Free()) && placement.Allowed(j.Spec, m.Site()) &&
-			g.core.health.takesTasks(m) && !g.core.reservations.reservedForOther(m, j) && !g.core.hasAntiAffinity(j, m) {
+			g.core.health.takesTasks(m) && !g.core.reservations.reservedForOther(m, j) && !g.core.failures.hasAntiAffinity(j, m) {
 			return true
 		}
 	}
