--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -25,6 +25,9 @@
 	return ids.NewFencingToken(q.core.opt.Revision, m.Commands.TokenCounter)
 }
 
+// raiseToken has commands to a machine carry a higher token from now on.
+func (*commandQueue) raiseToken(m *cluster.Machine) { m.Commands.TokenCounter++ }
+
 // answerReport makes the answer to a report: what to end, what to reap, what to start.
 func (q *commandQueue) answerReport(m *cluster.Machine) wire.HeartbeatResponse {
 	orders := q.killCommands(m)
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -79,7 +79,6 @@
 		settings:     registrySettings{previousLeader: opt.PreviousLeader, listLag: opt.ListLag},
 		returnCounts: map[returnReason]int{},
 	}
-	c.health = &healthMonitor{core: c, zoneStates: map[ids.Zone]*zoneState{}}
 	c.commands = &commandQueue{core: c}
 	c.preemption = &evictor{core: c}
 	c.autoscaler = newAutoscaler(c)
@@ -98,14 +97,16 @@
 		failures:  c.failures,
 	}
 	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
+	c.connectPreviousLeaders()
+	c.connectHealth()
 	c.connectIntake()
 	c.connectAdmission()
 	c.cluster.SetCatalog(types)
 	return c
 }
 
-// connectIntake makes the parts that take heartbeats and records in, from the others.
-func (c *Core) connectIntake() {
+// connectPreviousLeaders makes the bounds on what previous leaders still do.
+func (c *Core) connectPreviousLeaders() {
 	c.previousLeaders = &previousLeaders{
 		cluster: c.cluster,
 		clock:   c.clock,
@@ -117,20 +118,51 @@
 			agentLease:           c.opt.AgentLease,
 		},
 	}
+}
+
+// connectHealth makes the parts that judge machines, from the others.
+func (c *Core) connectHealth() {
+	settings := healthSettings{
+		agentLease:        c.opt.AgentLease,
+		heartbeatInterval: c.opt.HeartbeatInterval,
+		cancelDeadline:    c.opt.CancelDeadline,
+		previousLeader:    c.opt.PreviousLeader,
+	}
+	c.health = &healthMonitor{
+		machineLiveness: &machineLiveness{clock: c.clock, settings: settings},
+		zoneOutages:     newZoneOutages(c.cluster, c.clock, settings),
+		cluster:         c.cluster,
+		clock:           c.clock,
+		rounds:          c.rounds,
+		settings:        settings,
+		leases:          &leaseExpiry{clock: c.clock, leaders: c.previousLeaders, agentLease: settings.agentLease},
+		reachability:    &reachabilityDetector{clock: c.clock, rounds: c.rounds, tokens: c.commands, settings: settings},
+		reclaims:        &spotDrainer{cluster: c.cluster, estimates: c.estimates, lifecycle: c.lifecycle},
+		registry:        c.registry,
+		commands:        c.commands,
+		autoscaler:      c.autoscaler,
+		lifecycle:       c.lifecycle,
+		zoneLosses:      c.zones,
+	}
+}
+
+// connectIntake makes the parts that take heartbeats and records in, from the others.
+func (c *Core) connectIntake() {
 	c.heartbeats = &heartbeatIntake{
-		cluster:    c.cluster,
-		clock:      c.clock,
-		rounds:     c.rounds,
-		sites:      c.registry,
-		health:     c.health,
-		commands:   c.commands,
-		autoscaler: c.autoscaler,
-		failures:   c.failures,
-		lifecycle:  c.lifecycle,
-		zones:      c.zones,
-		leaders:    c.previousLeaders,
-		revision:   c.opt.Revision,
-		interval:   c.opt.HeartbeatInterval,
+		cluster:      c.cluster,
+		clock:        c.clock,
+		rounds:       c.rounds,
+		sites:        c.registry,
+		health:       c.health,
+		reachability: c.health.reachability,
+		commands:     c.commands,
+		autoscaler:   c.autoscaler,
+		failures:     c.failures,
+		lifecycle:    c.lifecycle,
+		zones:        c.zones,
+		leaders:      c.previousLeaders,
+		revision:     c.opt.Revision,
+		interval:     c.opt.HeartbeatInterval,
 	}
 	c.jobRecords = &jobIntake{
 		cluster:    c.cluster,
@@ -226,9 +258,7 @@
 // Step runs what time and events call for and hands out the decisions.
 func (c *Core) Step(now monotonic.Instant) Decisions {
 	c.clock.Advance(now)
-	if c.health.healthCheckDue || now >= c.health.healthCheckedAt.Add(healthCheckInterval) {
-		c.health.healthCheckDue, c.health.healthCheckedAt = false, now
-		c.health.checkMachines()
+	if c.health.checkIfDue() {
 		c.zones.observe()
 	}
 	if c.rounds.Start(now) {
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -63,7 +63,7 @@
 
 // recordSuccess clears the machine's failures after a task that succeeded, and the job's
 // unless it is over. The count of a job's successes stays.
-func (f *failureHistory) recordSuccess(a *cluster.Assignment) {
+func (*failureHistory) recordSuccess(a *cluster.Assignment) {
 	clear(a.Machine.Health.FailuresByJob)
 	j := a.Job
 	if j.Terminal() {
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -32,17 +32,18 @@
 // heartbeatIntake takes heartbeats in: what they show of the machine, and of each task that is
 // assigned to it.
 type heartbeatIntake struct {
-	cluster    *cluster.State
-	clock      *clock.Clock
-	rounds     *clock.RoundTrigger
-	sites      siteRecorder
-	health     heartbeatHealth
-	commands   heartbeatCommands
-	autoscaler heartbeatObserver
-	failures   failureRecorder
-	lifecycle  taskEnder
-	zones      zoneTaskObserver
-	leaders    *previousLeaders
+	cluster      *cluster.State
+	clock        *clock.Clock
+	rounds       *clock.RoundTrigger
+	sites        siteRecorder
+	health       heartbeatHealth
+	reachability heartbeatReachability
+	commands     heartbeatCommands
+	autoscaler   heartbeatObserver
+	failures     failureRecorder
+	lifecycle    taskEnder
+	zones        zoneTaskObserver
+	leaders      *previousLeaders
 	// revision is that of the leader's key; all fencing tokens of the term contain it.
 	revision ids.Revision
 	// interval is the time between two heartbeats of a machine.
@@ -59,13 +60,20 @@
 // heartbeatHealth judges machines by their heartbeats.
 type heartbeatHealth interface {
 	usable(m *cluster.Machine) bool
-	updateReachability(m *cluster.Machine, heartbeat *wire.Heartbeat, direct bool)
 	// heard notes that a machine of a zone was heard now.
 	heard(zone ids.Zone)
 	// requestCheck asks for a check of the machines in the next step.
 	requestCheck()
 }
 
+// heartbeatReachability judges from heartbeats whether commands reach a machine.
+type heartbeatReachability interface {
+	// observe takes a heartbeat that waits for an answer, and confirm notes one that came as
+	// the answer to a call.
+	observe(m *cluster.Machine, heartbeat *wire.Heartbeat)
+	confirm(m *cluster.Machine)
+}
+
 // heartbeatCommands answers heartbeats.
 type heartbeatCommands interface {
 	machineQueue
@@ -119,7 +127,7 @@
 		return noCommands(h.commands.tokenOf(m)), true
 	}
 	h.sites.setSite(m, siteOf(heartbeat), heartbeat.Endpoint)
-	h.health.updateReachability(m, heartbeat, false)
+	h.reachability.observe(m, heartbeat)
 	h.apply(m, heartbeat)
 	if !mayAnswer(m) {
 		return wire.HeartbeatResponse{}, false
@@ -141,7 +149,7 @@
 		return true
 	}
 	h.sites.setSite(m, siteOf(heartbeat), heartbeat.Endpoint)
-	h.health.updateReachability(m, heartbeat, true)
+	h.reachability.confirm(m)
 	h.apply(m, heartbeat)
 	m.Agent.AnsweredCall = true
 	return true
--- /dev/null
+++ b/scheduler/machine_check.go
@@ -0,0 +1,154 @@
+package scheduler
+
+import (
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/wire"
+)
+
+const (
+	// silentLeases is for how many leases a machine without tasks may be silent until it is
+	// terminated. One that hung or lost the network often comes back soon after its lease
+	// expired, sooner than another one boots, and holds its images. One that died costs
+	// nothing more, and the cloud's list shows that.
+	silentLeases = 2
+	// missingListsLimit is in how many of the cloud's lists in a row a machine must be
+	// missing until it is taken to be gone.
+	missingListsLimit = 2
+	// missingHeartbeats is for how many heartbeat intervals such a machine must be silent
+	// as well.
+	missingHeartbeats = 2
+	// resumedHeartbeats is how many heartbeat intervals after a pause of this process a
+	// machine still has to send its first heartbeat.
+	resumedHeartbeats = 2
+	// cancelOverduePercent is the part of the cancel deadline after which a machine that
+	// still holds a cancelled task is terminated. The rest of the deadline is for the cloud.
+	cancelOverduePercent = 45
+)
+
+// keepMachine stands in place of a reason for terminating a machine.
+const keepMachine returnReason = ""
+
+// machineCheck is the state of one check of all machines.
+type machineCheck struct {
+	*healthMonitor
+	// mostSilent tells that most machines fell silent at once. The cause is then more likely
+	// this controller's network than the machines, which are not terminated for it.
+	mostSilent bool
+}
+
+// run terminates a machine that is of no use any more, or releases the tasks of one whose
+// lease has expired.
+func (c *machineCheck) run(m *cluster.Machine) {
+	if why := c.reasonGone(m); why != keepMachine {
+		c.terminate(m, why)
+		return
+	}
+	if c.holdsExpiredTasks(m) {
+		c.releaseTasks(m)
+		return
+	}
+	if why := c.reasonUseless(m); why != keepMachine {
+		c.terminate(m, why)
+	}
+}
+
+// terminate has a machine terminated. A spot instance that is missing without notice was
+// taken back by the cloud.
+func (c *machineCheck) terminate(m *cluster.Machine, why returnReason) {
+	if why == returnMissing && m.Spot() && m.Health.SpotReclaimAt == 0 {
+		c.autoscaler.recordSpotLoss()
+	}
+	c.registry.returnMachine(m, why)
+}
+
+// reasonGone is why a machine is terminated that does not exist any more or never came up,
+// or keepMachine.
+func (c *machineCheck) reasonGone(m *cluster.Machine) returnReason {
+	switch {
+	case m.Lifecycle.ListedStatus == wire.MachineFailed:
+		return returnFailed
+	case m.Lifecycle.MissingLists >= missingListsLimit && c.silentFor(m, missingHeartbeats*c.settings.heartbeatInterval):
+		// To terminate a machine that is gone does nothing. The cloud's answer then proves
+		// that it is gone.
+		return returnMissing
+	case c.bootFailed(m):
+		return returnBootFailed
+	}
+	return keepMachine
+}
+
+// reasonUseless is why a machine is terminated that may still exist, or keepMachine.
+func (c *machineCheck) reasonUseless(m *cluster.Machine) returnReason {
+	switch {
+	case c.silentTooLong(m):
+		return returnSilent
+	case c.cancelOverdue(m):
+		// Whether the machine is silent or does not follow commands, only its termination
+		// ends the task for certain.
+		return returnCancelled
+	case c.reachability.overdue(m):
+		// No other controller can reach it either. Once it is terminated, its tasks have
+		// ended and may go elsewhere.
+		return returnUnreachable
+	}
+	return keepMachine
+}
+
+// bootFailed tells whether a machine takes too long to boot. A previous leader's machines
+// are up already and have yet to find this leader. During a pause of this process no
+// heartbeat could arrive.
+func (c *machineCheck) bootFailed(m *cluster.Machine) bool {
+	if m.Agent.Reported || m.Lifecycle.BootDeadline == 0 || len(m.Assignments()) > 0 {
+		return false
+	}
+	deadline := max(m.Lifecycle.BootDeadline, c.clock.ResumedAt().Add(resumedHeartbeats*c.settings.heartbeatInterval))
+	if c.settings.previousLeader {
+		deadline = max(deadline, c.clock.TermBegan().Add(c.settings.agentLease))
+	}
+	return c.clock.Now() > deadline
+}
+
+// silentTooLong tells whether a machine without tasks is silent for longer than machines that
+// come back mostly are, while others are heard.
+func (c *machineCheck) silentTooLong(m *cluster.Machine) bool {
+	if !m.Agent.Reported || len(m.Assignments()) > 0 || c.mostSilent || c.zonePartitionedRecently(m.Zone()) {
+		return false
+	}
+	return c.silentFor(m, silentLeases*c.settings.agentLease)
+}
+
+// cancelOverdue tells whether a machine holds a task of a cancelled job that must end soon.
+func (c *machineCheck) cancelOverdue(m *cluster.Machine) bool {
+	if m.Staying() == len(m.Assignments()) {
+		return false // nothing is stopped
+	}
+	for _, a := range m.Assignments() {
+		if a.StopReason() != cluster.StopCancelled {
+			continue
+		}
+		if c.clock.Now() > a.Job.CancelledAt().Add(c.settings.cancelDeadline*cancelOverduePercent/100) {
+			return true
+		}
+	}
+	return false
+}
+
+// holdsExpiredTasks tells whether a machine with tasks has lost its lease, so that the tasks
+// have ended.
+func (c *machineCheck) holdsExpiredTasks(m *cluster.Machine) bool {
+	return len(m.Assignments()) > 0 && c.leases.expired(m) && c.silentFor(m, monotonic.AddDriftMargin(c.settings.agentLease))
+}
+
+// releaseTasks releases the tasks of a machine whose lease has expired, except those whose
+// records are being written: a later check releases them.
+func (c *machineCheck) releaseTasks(m *cluster.Machine) {
+	for _, a := range m.AssignmentsSnapshot() {
+		if a.Record.InFlight {
+			continue
+		}
+		c.zoneLosses.lost(a)
+		c.lifecycle.release(a)
+	}
+	c.commands.queueCommands(m)
+}
--- a/scheduler/reachability.go
+++ b/scheduler/reachability.go
@@ -4,44 +4,102 @@
 	"slices"
 	"time"
 
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// updateReachability detects one-way partitions. A machine whose reports arrive while
-// nothing that it is told reaches it looks healthy, takes work for ever and does none: its
-// lease runs out although every report was answered, and what it was told to start never
-// shows.
-func (hm *healthMonitor) updateReachability(m *cluster.Machine, rep *wire.Heartbeat, direct bool) {
+// acknowledgeSlack is added to two heartbeat intervals until a machine must have shown that
+// a command reached it.
+const acknowledgeSlack = 2 * time.Second
+
+// reachabilityDetector detects one-way partitions: a machine's heartbeats arrive, but no
+// command reaches it. Such a machine looks healthy, takes tasks and never runs them. Two
+// signs show it: its lease expires although every heartbeat was answered, or a task that it
+// was told to start does not appear.
+//
+// Each heartbeat that is newer than all before it goes to observe, or to confirm if the
+// machine sent it in answer to a call. The detector terminates no machine: the health check
+// does, once a machine is overdue.
+type reachabilityDetector struct {
+	clock    *clock.Clock
+	rounds   *clock.RoundTrigger
+	tokens   fencingTokens
+	settings healthSettings
+}
+
+// fencingTokens gives machines new fencing tokens.
+type fencingTokens interface {
+	// tokenOf is the token that commands to a machine carry now.
+	tokenOf(m *cluster.Machine) ids.FencingToken
+	// raiseToken has commands to a machine carry a higher token from now on.
+	raiseToken(m *cluster.Machine)
+}
+
+// confirm notes that a machine answered a call, so that commands reach it.
+func (d *reachabilityDetector) confirm(m *cluster.Machine) {
+	if m.Health.Unreachable {
+		d.rounds.MarkDue()
+	}
+	m.Health.Unreachable = false
+}
+
+// observe judges from a heartbeat whether commands reach the machine. m is as it was before
+// the heartbeat.
+func (d *reachabilityDetector) observe(m *cluster.Machine, heartbeat *wire.Heartbeat) {
 	switch {
-	case direct || m.Health.Unreachable && rep.FencingToken >= hm.core.commands.tokenOf(m):
-		// It carried out a call, or shows the token that it was given since.
-		if m.Health.Unreachable {
-			hm.core.rounds.MarkDue()
+	case m.Health.Unreachable:
+		if heartbeat.FencingToken >= d.tokens.tokenOf(m) {
+			d.confirm(m) // it shows the token that it was given since
 		}
-		m.Health.Unreachable = false
-	case m.Health.Unreachable || !m.Agent.Reported:
-	case rep.Incarnation > m.Agent.Incarnation && hm.core.clock.Now() < m.Agent.AnsweredAt.Add(hm.core.opt.AgentLease*2/3), hm.startUnacknowledged(m, rep):
-		m.Health.Unreachable, m.Health.UnreachableSince = true, hm.core.clock.Now()
-		// A machine that does hear shows this soon.
-		m.Commands.TokenCounter++
-		hm.core.rounds.MarkDue()
+	case !m.Agent.Reported:
+		// It was told nothing yet.
+	case d.lostAnsweredLease(m, heartbeat) || d.startUnacknowledged(m, heartbeat):
+		m.Health.Unreachable, m.Health.UnreachableSince = true, d.clock.Now()
+		// If the machine receives the new token, it soon shows it.
+		d.tokens.raiseToken(m)
+		d.rounds.MarkDue()
 	}
 }
 
-// acknowledgeWithin is how long a machine has to show that something reached it.
-func (hm *healthMonitor) acknowledgeWithin() time.Duration {
-	return 2*hm.core.opt.HeartbeatInterval + 2*time.Second
+// overdue tells whether an unreachable machine has had its time to show that it is not.
+func (d *reachabilityDetector) overdue(m *cluster.Machine) bool {
+	return m.Health.Unreachable && d.clock.Now() > m.Health.UnreachableSince.Add(d.acknowledgeTimeout())
 }
 
-// startUnacknowledged tells whether a report still lacks something that its machine was
-// told long ago to start.
-func (hm *healthMonitor) startUnacknowledged(m *cluster.Machine, rep *wire.Heartbeat) bool {
+// acknowledgeTimeout is how long a machine has to show that a command reached it.
+func (d *reachabilityDetector) acknowledgeTimeout() time.Duration {
+	return 2*d.settings.heartbeatInterval + acknowledgeSlack
+}
+
+// lostAnsweredLease tells whether an agent lost its lease, and so began a new incarnation,
+// although a heartbeat was answered within the last two thirds of a lease.
+func (d *reachabilityDetector) lostAnsweredLease(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
+	answeredLately := d.clock.Now() < m.Agent.AnsweredAt.Add(d.settings.agentLease*2/3)
+	return heartbeat.Incarnation > m.Agent.Incarnation && answeredLately
+}
+
+// startUnacknowledged tells whether a heartbeat still lacks a task that its machine was told
+// to start longer ago than acknowledgeTimeout.
+func (d *reachabilityDetector) startUnacknowledged(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
 	for _, a := range m.Assignments() {
-		if a.Delivery.Sent && !a.Delivery.Seen && a.StopReason() == cluster.StopNone && hm.core.clock.Now() > max(a.Delivery.SentAt, hm.core.clock.ResumedAt()).Add(hm.acknowledgeWithin()) &&
-			!slices.ContainsFunc(rep.Tasks, func(t wire.TaskStatus) bool { return t.Attempt == a.Attempt && t.Name == a.Ref().String() }) {
+		if !a.Delivery.Sent || a.Delivery.Seen || a.StopReason() != cluster.StopNone {
+			continue
+		}
+		// During a pause of this process no heartbeat could show it.
+		waitingSince := max(a.Delivery.SentAt, d.clock.ResumedAt())
+		if d.clock.Now() > waitingSince.Add(d.acknowledgeTimeout()) && !showsTask(heartbeat, a) {
 			return true
 		}
 	}
 	return false
 }
+
+// showsTask tells whether a heartbeat shows an attempt of a task.
+func showsTask(heartbeat *wire.Heartbeat, a *cluster.Assignment) bool {
+	name := a.Ref().String()
+	return slices.ContainsFunc(heartbeat.Tasks, func(t wire.TaskStatus) bool {
+		return t.Attempt == a.Attempt && t.Name == name
+	})
+}
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -20,10 +20,8 @@
 	for _, t := range c.opt.Teams {
 		fmt.Fprintf(&b, " %s=%.0f", t.Name, c.quotas.Used(t.Name).CPUs)
 	}
-	for _, zone := range slices.Sorted(maps.Keys(c.health.zoneStates)) {
-		if c.health.zonePartitioned(zone) {
-			fmt.Fprintf(&b, " partitioned=%s", zone)
-		}
+	for _, zone := range c.health.partitionedZones() {
+		fmt.Fprintf(&b, " partitioned=%s", zone)
 	}
 	c.zones.summarize(&b)
 	for _, why := range slices.Sorted(maps.Keys(c.registry.returnCounts)) {
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -142,7 +142,7 @@
 		return
 	}
 	view := g.view
-	view.ProcessResumed = g.core.clock.ResumedAt() != 0 && g.core.clock.Now() < g.core.clock.ResumedAt().Add(g.core.health.reportOverdue())
+	view.ProcessResumed = g.core.clock.ResumedAt() != 0 && g.core.clock.Now() < g.core.clock.ResumedAt().Add(g.core.health.heartbeatTimeout())
 	if g.manager.Observe(g.core.moment(), zonerecovery.Observation{Zones: g.evidence(), Connectivity: view}) {
 		g.core.rounds.MarkDue()
 	}
@@ -158,7 +158,7 @@
 		}
 		e := out[m.Zone()]
 		e.Machines++
-		silent := g.core.health.silentFor(m, g.core.health.reportOverdue())
+		silent := g.core.health.silentFor(m, g.core.health.heartbeatTimeout())
 		switch {
 		case silent:
 			e.Unreachable++
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -1,92 +1,132 @@
 package scheduler
 
 import (
+	"maps"
+	"slices"
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/clock"
+	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// zoneState is what is known of a zone as a whole.
-type zoneState struct {
-	lastHeard  monotonic.Instant // when any machine there was last heard
-	machinesUp int               // machines that reported while it was heard
-	// partitionedAt is when it was last found to be partitioned; 0: never.
-	partitionedAt monotonic.Instant
-}
-
 const (
-	// minZoneMachines is how many machines must be silent together to tell a zone
-	// that is cut off from machines that are.
+	// minZoneMachines is the least number of machines in a zone that can tell a partition of
+	// the zone from failures of single machines.
 	minZoneMachines = 4
-	// zoneSilence is the least time without a report from a zone after which it
-	// counts as partitioned. The fewer machines it has, the longer it takes.
+	// zoneSilence is the least time without a heartbeat from a zone after which it counts as
+	// partitioned. The fewer machines it has, the longer it takes.
 	zoneSilence = 2500 * time.Millisecond
-	// zoneOutageLimit is how long a zone counts as partitioned without a report from
-	// it. So long its machines are kept: they come back without a boot, and with
-	// their images. After that it is tried again.
+	// zoneSilenceHeartbeats is how many times the mean time between two heartbeats from a
+	// zone is added to zoneSilence.
+	zoneSilenceHeartbeats = 10
+	// zoneOutageLimit is how long after its last heartbeat a zone counts as partitioned. Its
+	// machines are kept for that time, since they come back without a boot, and with their
+	// images. After that the zone is tried again.
 	zoneOutageLimit = 3 * time.Minute
+	// partitionEndHeartbeats is how many heartbeat intervals the machines of a zone have
+	// to be heard once the first of them is heard again. A partition that lasted for longer
+	// than silentLeases would otherwise cost all machines but that one.
+	partitionEndHeartbeats = 3
 )
 
-// updateZones notes how many machines each zone has that is heard.
-func (hm *healthMonitor) updateZones() {
+// zoneOutages detects zones that are partitioned from this leader. Each heartbeat goes to
+// heard, and each health check to updateZones. It only tells which zones are partitioned, and
+// does nothing to their machines.
+type zoneOutages struct {
+	cluster    *cluster.State
+	clock      *clock.Clock
+	settings   healthSettings
+	zoneStates map[ids.Zone]*zoneState
+	// lastHeard is when any machine was last heard.
+	lastHeard monotonic.Instant
+}
+
+// zoneState is what is known of one zone.
+type zoneState struct {
+	lastHeard  monotonic.Instant // when any machine of the zone was last heard
+	machinesUp int               // machines that had sent heartbeats when the zone was last heard
+	// partitionedAt is when the zone was last found to be partitioned; 0: never.
+	partitionedAt monotonic.Instant
+}
+
+// newZoneOutages makes a detector that has heard of no zone yet.
+func newZoneOutages(state *cluster.State, now *clock.Clock, settings healthSettings) *zoneOutages {
+	return &zoneOutages{cluster: state, clock: now, settings: settings, zoneStates: map[ids.Zone]*zoneState{}}
+}
+
+// heard notes that a machine of a zone was heard now.
+func (o *zoneOutages) heard(zone ids.Zone) {
+	z := o.zoneStates[zone]
+	if z == nil {
+		z = &zoneState{}
+		o.zoneStates[zone] = z
+	}
+	z.lastHeard = o.clock.Now()
+	o.lastHeard = o.clock.Now()
+}
+
+// updateZones counts the machines of each zone that is heard, and notes which zones are
+// partitioned.
+func (o *zoneOutages) updateZones() {
 	up := map[ids.Zone]int{}
-	for _, m := range hm.core.cluster.Machines() {
+	for _, m := range o.cluster.Machines() {
 		if m.Agent.Reported && !m.Lifecycle.Terminating {
 			up[m.Zone()]++
 		}
 	}
-	for zone, z := range hm.zoneStates {
-		if !hm.zoneSilent(z) {
+	for zone, z := range o.zoneStates {
+		if !o.silent(z) {
 			z.machinesUp = up[zone]
 		}
-		if hm.zonePartitioned(zone) {
-			z.partitionedAt = hm.core.clock.Now()
+		if o.zonePartitioned(zone) {
+			z.partitionedAt = o.clock.Now()
 		}
 	}
 }
 
-// partitionEndReports is how many reports' time the machines of a zone have to report once
-// the first of them is heard again. A partition that lasted for longer than silentLeases
-// would otherwise cost all machines but that one.
-const partitionEndReports = 3
-
-// zonePartitionedLately tells whether a zone is partitioned, or was until a moment ago, so
-// that its machines have not all had their turn to report.
-func (hm *healthMonitor) zonePartitionedLately(zone ids.Zone) bool {
-	z := hm.zoneStates[zone]
-	return z != nil && z.partitionedAt != 0 && hm.core.clock.Now() < z.partitionedAt.Add(partitionEndReports*hm.core.opt.HeartbeatInterval)
+// zonePartitioned tells whether a whole zone fell silent at once while others are heard.
+// Machines provisioned there could not send heartbeats. They would cost, count as capacity
+// that is coming, and keep others from being provisioned elsewhere.
+func (o *zoneOutages) zonePartitioned(zone ids.Zone) bool {
+	z := o.zoneStates[zone]
+	if z == nil || z.machinesUp < minZoneMachines || !o.silent(z) {
+		return false
+	}
+	return o.clock.Now() < z.lastHeard.Add(zoneOutageLimit)
 }
 
-// zoneSilent tells whether a zone has not been heard for longer than its machines would
-// leave between their reports by chance. With hundreds of machines that is seconds.
-func (hm *healthMonitor) zoneSilent(z *zoneState) bool {
-	by := hm.core.opt.AgentLease / 2
-	if z.machinesUp > 0 && hm.core.clock.Now() < hm.lastHeard.Add(zoneSilence/2) { // others are heard
-		by = min(by, zoneSilence+10*hm.core.opt.HeartbeatInterval/time.Duration(z.machinesUp))
+// zonePartitionedRecently tells whether a zone is partitioned, or was so recently that its
+// machines have not all had the time to send a heartbeat.
+func (o *zoneOutages) zonePartitionedRecently(zone ids.Zone) bool {
+	z := o.zoneStates[zone]
+	if z == nil || z.partitionedAt == 0 {
+		return false
 	}
-	return hm.core.clock.Now() > max(z.lastHeard, hm.core.clock.ResumedAt()).Add(by)
+	return o.clock.Now() < z.partitionedAt.Add(partitionEndHeartbeats*o.settings.heartbeatInterval)
 }
 
-// zonePartitioned tells whether a whole zone fell silent at once, while others are heard.
-// What is rented there cannot report: it costs, takes the place of machines elsewhere, and
-// counts as coming.
-func (hm *healthMonitor) zonePartitioned(zone ids.Zone) bool {
-	z := hm.zoneStates[zone]
-	return z != nil && z.machinesUp >= minZoneMachines && hm.zoneSilent(z) && hm.core.clock.Now() < z.lastHeard.Add(zoneOutageLimit)
+// partitionedZones lists the partitioned zones by name.
+func (o *zoneOutages) partitionedZones() []ids.Zone {
+	var partitioned []ids.Zone
+	for _, zone := range slices.Sorted(maps.Keys(o.zoneStates)) {
+		if o.zonePartitioned(zone) {
+			partitioned = append(partitioned, zone)
+		}
+	}
+	return partitioned
 }
 
-// heard notes that a machine of a zone was heard now.
-func (hm *healthMonitor) heard(zone ids.Zone) {
-	now := hm.core.clock.Now()
-	hm.lastHeard = now
-	z := hm.zoneStates[zone]
-	if z == nil {
-		z = &zoneState{}
-		hm.zoneStates[zone] = z
+// silent tells whether a zone has not been heard for longer than can happen by chance between
+// two heartbeats of its machines. With hundreds of machines that is seconds. A pause of this
+// process does not count.
+func (o *zoneOutages) silent(z *zoneState) bool {
+	limit := o.settings.agentLease / 2
+	othersHeard := o.clock.Now() < o.lastHeard.Add(zoneSilence/2)
+	if z.machinesUp > 0 && othersHeard {
+		byChance := zoneSilenceHeartbeats * o.settings.heartbeatInterval / time.Duration(z.machinesUp)
+		limit = min(limit, zoneSilence+byChance)
 	}
-	z.lastHeard = now
+	return o.clock.Now() > max(z.lastHeard, o.clock.ResumedAt()).Add(limit)
 }
-
-// requestCheck asks for a check of the machines in the next step.
-func (hm *healthMonitor) requestCheck() { hm.healthCheckDue = true }
