--- a/scheduler/autoscaler_test.go
+++ b/scheduler/autoscaler_test.go
@@ -1,8 +1,8 @@
 package scheduler
 
 import (
+	"fmt"
 	"testing"
-
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
@@ -88,3 +88,45 @@
 	}
 	t.Fatal("no machine was provisioned for work that had waited for a boot")
 }
+
+// A machine that is late against the recent boot times of its type is not waited for:
+// another is provisioned. When all take as long, no other is.
+func TestLateMachinesAreReplaced(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		bootFactor float64 // of the type's recent boots
+		after      time.Duration
+		replaced   int
+	}{
+		{"in its usual time", 1, 15 * time.Second, 0},
+		{"late", 1, 22 * time.Second, 1},
+		{"all are slow", 2.5, 22 * time.Second, 0},
+		{"late although all are slow", 2.5, 48 * time.Second, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newHarness(t, Options{})
+			b.c.autoscaler.bootFactors["m"] = c.bootFactor
+			b.submit("job-1", wire.JobSpec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
+			if requests := b.provisionFor(c.after); len(requests) != 1+c.replaced {
+				t.Errorf("provisioned %v, want %d replacements", requests, c.replaced)
+			}
+		})
+	}
+}
+
+// provisionFor steps for a time and grants each request for machines, which never boot.
+func (b *harness) provisionFor(d time.Duration) []wire.ProvisionRequest {
+	var requests []wire.ProvisionRequest
+	for until := b.now.Add(d); b.now < until; {
+		b.now = b.now.Add(500 * time.Millisecond)
+		for _, r := range b.step().Provision {
+			requests = append(requests, r)
+			var machines []ids.MachineID
+			for i := range r.Count {
+				machines = append(machines, ids.MachineID(fmt.Sprintf("%s-%d", r.RequestID, i)))
+			}
+			b.c.ProvisionResult(b.now, r, machines, true)
+		}
+	}
+	return requests
+}
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -125,3 +125,46 @@
 		t.Error("not answered although all may be")
 	}
 }
+
+// A leader that lost the store and its peers, but not its workers, goes on answering them. The
+// next leader sends the workers its fencing token, and their next heartbeat ends the previous
+// leader's term.
+func TestNextLeaderTakesWorkersFromAnActivePreviousLeader(t *testing.T) {
+	old := newHarness(t, Options{Revision: 5})
+	oldToken, run := old.runTask()
+
+	next := newHarness(t, Options{Revision: 9, PreviousLeader: true, PreviousLeaderGrace: time.Minute})
+	next.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	next.c.Begin(next.now)
+	// It knows the address from the list, and has no report: all of them go
+	// to the old leader. The same holds of a machine without tasks.
+	list := []wire.Machine{{ID: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Status: "running", AgeS: 60},
+		{ID: "n-2", Endpoint: "n-2", Type: "m", Zone: "a", Status: "running", AgeS: 60}}
+	next.c.MachineList(next.now, next.now, list)
+	token := map[ids.MachineID]ids.FencingToken{"n-1": oldToken, "n-2": oldToken}
+	tick := ids.Sequence(50)
+	for range 10 {
+		next.now = next.now.Add(time.Second)
+		e := next.step()
+		for _, h := range e.RequestHeartbeats {
+			tick++
+			next.c.HeartbeatRequestResult(next.now, h, newHeartbeat(h, 1, tick, token[h]))
+		}
+		for _, h := range e.SendCommands {
+			if d, _, ok := next.c.TakeCommands(next.now, h); ok {
+				token[h] = max(token[h], d.FencingToken)
+				tick++
+				next.c.CommandsResult(next.now, h, newHeartbeat(h, 1, tick, token[h]))
+			}
+		}
+	}
+	if m := next.c.cluster.Machine("n-2"); m == nil || !m.Agent.Reported {
+		t.Error("a machine without tasks was not asked")
+	}
+	if token["n-1"].Revision() != 9 || !next.c.cluster.Machine("n-1").Agent.Fenced {
+		t.Fatalf("n-1 was not fenced by the next leader: token %d", token["n-1"])
+	}
+	if _, ok := old.c.Heartbeat(old.now, newHeartbeat("n-1", 1, tick+1, token["n-1"], run)); ok || !old.c.Superseded() {
+		t.Fatal("the previous leader goes on")
+	}
+}
--- /dev/null
+++ b/scheduler/slow_machines_test.go
@@ -0,0 +1,92 @@
+package scheduler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/scheduler/quota"
+	"ospreystile.example/ospreystile/wire"
+)
+
+// A machine on which tasks take much longer than their siblings elsewhere is taken last, and
+// after more of them not at all.
+func TestSlowMachinesAreTakenLast(t *testing.T) {
+	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 640}, Limit: quota.Amount{CPUs: 640}}}})
+	b.c.Begin(b.now)
+	for round := range 8 {
+		slow := newSlowMachineRound(b, ids.JobID(fmt.Sprintf("job-%d", round)))
+		if b.c.cluster.Machine("n-3").Health.SlowStreak >= slowStreakLimit {
+			if tasks := len(slow.tasks["n-3"]); tasks > 0 {
+				t.Fatalf("round %d: the slow machine was quarantined and got %d tasks", round, tasks)
+			}
+			return
+		}
+		slow.play()
+	}
+	t.Fatalf("the slow machine was never quarantined: slowness %v", b.c.cluster.Machine("n-3").Health.Slowness)
+}
+
+// slowMachineRound is a job on three machines of which n-3 takes three times as long.
+type slowMachineRound struct {
+	*harness
+	machines []ids.MachineID
+	token    ids.FencingToken
+	tasks    map[ids.MachineID][]wire.TaskStatus
+}
+
+// newSlowMachineRound submits the job and has it placed.
+func newSlowMachineRound(b *harness, id ids.JobID) *slowMachineRound {
+	r := &slowMachineRound{harness: b, machines: []ids.MachineID{"n-1", "n-2", "n-3"}, token: ids.NewFencingToken(5, 0),
+		tasks: map[ids.MachineID][]wire.TaskStatus{}}
+	r.heartbeats()
+	b.submit(id, wire.JobSpec{Tasks: 12})
+	b.step()
+	for i, task := range b.c.cluster.Job(id).Tasks() {
+		if a := task.Assignment(); a != nil {
+			status := wire.TaskStatus{Name: fmt.Sprintf("%s/%d", id, i), Attempt: task.Attempt(), State: wire.TaskRunning}
+			r.tasks[a.Machine.ID] = append(r.tasks[a.Machine.ID], status)
+		}
+	}
+	return r
+}
+
+// play has the tasks start and end.
+func (r *slowMachineRound) play() {
+	for _, machine := range r.machines {
+		r.heartbeat(machine, "a", r.token)
+		r.heartbeat(machine, "a", r.token, r.tasks[machine]...)
+	}
+	r.runFor(10 * time.Second)
+	r.end("n-1")
+	r.end("n-2")
+	r.runFor(20 * time.Second)
+	r.end("n-3")
+	r.step()
+}
+
+// heartbeats has each machine send a heartbeat.
+func (r *slowMachineRound) heartbeats() {
+	for _, machine := range r.machines {
+		r.heartbeat(machine, "a", r.token, r.tasks[machine]...)
+	}
+}
+
+// runFor has the tasks run for a time, in steps: a pause of the leader would not count.
+func (r *slowMachineRound) runFor(d time.Duration) {
+	for until := r.now.Add(d); r.now < until; {
+		r.now = r.now.Add(500 * time.Millisecond)
+		r.heartbeats()
+		r.step()
+	}
+}
+
+// end ends the tasks of a machine.
+func (r *slowMachineRound) end(machine ids.MachineID) {
+	tasks := r.tasks[machine]
+	for i := range tasks {
+		tasks[i].State, tasks[i].Cause = wire.TaskEnded, wire.CauseDone
+	}
+	r.heartbeat(machine, "a", r.token, tasks...)
+}
