--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -51,3 +51,10 @@
 		t.Errorf("ran for %v", ran)
 	}
 }
+
+// testHealthSettings are the settings of tests that make a part of the health policy alone.
+var testHealthSettings = healthSettings{
+	agentLease:        simAgentLease,
+	heartbeatInterval: simHeartbeatInterval,
+	cancelDeadline:    simCancelDeadline,
+}
--- a/scheduler/zones_test.go
+++ b/scheduler/zones_test.go
@@ -8,6 +8,7 @@
 
 	"ospreystile.example/ospreystile/ids"
 	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -15,7 +16,6 @@
 // The fewer machines a zone has, the longer it may be silent by chance. While no machine is
 // heard at all, it is rather the network of this controller.
 func TestZonePartitioned(t *testing.T) {
-	now := monotonic.Instant(time.Hour)
 	for _, c := range []struct {
 		name        string
 		machines    int
@@ -31,19 +31,21 @@
 		{"no machine is heard", 100, 9 * time.Second, 9 * time.Second, false},
 		{"for so long that the zone is tried again", 100, zoneOutageLimit, 0, false},
 	} {
-		b := newHarness(t, Options{})
-		hm := b.c.health
-		b.c.clock.Set(now)
-		hm.lastHeard = now.Add(-c.othersHeard)
-		hm.zoneStates["a"] = &zoneState{lastHeard: now.Add(-c.silent), machinesUp: c.machines}
-		if got := hm.zonePartitioned("a"); got != c.partitioned {
-			t.Errorf("%s: %v", c.name, got)
-		}
-		// A pause of this process does not count as silence.
-		b.c.clock.Advance(now) // the first step after a long pause
-		if hm.zonePartitioned("a") {
-			t.Errorf("%s: just after a pause", c.name)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			now := monotonic.Instant(time.Hour)
+			present := clock.New(0)
+			present.Set(now)
+			o := newZoneOutages(nil, present, testHealthSettings)
+			o.lastHeard = now.Add(-c.othersHeard)
+			o.zoneStates["a"] = &zoneState{lastHeard: now.Add(-c.silent), machinesUp: c.machines}
+			if got := o.zonePartitioned("a"); got != c.partitioned {
+				t.Errorf("partitioned %v", got)
+			}
+			present.Advance(now) // the first step after a long pause
+			if o.zonePartitioned("a") {
+				t.Error("a pause of this process counts as silence")
+			}
+		})
 	}
 }
 
