--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -70,8 +70,16 @@
 // healthCheckInterval is the time between two checks of the machines.
 const healthCheckInterval = 200 * time.Millisecond
 
-// requestCheck asks for a check in the next step.
-func (hm *healthMonitor) requestCheck() { hm.checkRequested = true }
+// noticeReclaim notes that the cloud takes a spot instance back after a time. The next step
+// then checks the machines, and drains this one.
+func (hm *healthMonitor) noticeReclaim(m *cluster.Machine, after time.Duration) {
+	if m.Health.SpotReclaimAt == 0 {
+		hm.rounds.MarkDue()
+		hm.checkRequested = true
+		hm.autoscaler.recordSpotLoss()
+	}
+	m.Health.SpotReclaimAt = hm.clock.Now().Add(after)
+}
 
 // checkIfDue checks all machines if a check is due or was requested, and tells whether it
 // did.
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -62,8 +62,8 @@
 	usable(m *cluster.Machine) bool
 	// heard notes that a machine of a zone was heard now.
 	heard(zone ids.Zone)
-	// requestCheck asks for a check of the machines in the next step.
-	requestCheck()
+	// noticeReclaim notes that the cloud takes a spot instance back after a time.
+	noticeReclaim(m *cluster.Machine, after time.Duration)
 }
 
 // heartbeatReachability judges from heartbeats whether commands reach a machine.
@@ -81,10 +81,9 @@
 	answerReport(m *cluster.Machine) wire.HeartbeatResponse
 }
 
-// heartbeatObserver learns from boots and from losses of spot instances.
+// heartbeatObserver learns from boots.
 type heartbeatObserver interface {
 	recordBoot(m *cluster.Machine)
-	recordSpotLoss()
 }
 
 // failureRecorder weighs failures of tasks.
@@ -188,7 +187,9 @@
 	h.health.heard(heartbeat.Zone)
 	m.Commands.CallFailed = false
 	h.updateAgent(m, heartbeat)
-	h.updateSpotNotice(m, heartbeat)
+	if heartbeat.SpotNoticeS != nil {
+		h.health.noticeReclaim(m, monotonic.Seconds(*heartbeat.SpotNoticeS))
+	}
 	m.Agent.ReportedTasks = m.Agent.ReportedTasks[:0]
 	for _, t := range heartbeat.Tasks {
 		if ref, ok := ids.ParseTask(t.Name); ok {
@@ -215,19 +216,6 @@
 	}
 }
 
-// updateSpotNotice notes when the cloud will take a spot instance back.
-func (h *heartbeatIntake) updateSpotNotice(m *cluster.Machine, heartbeat *wire.Heartbeat) {
-	if heartbeat.SpotNoticeS == nil {
-		return
-	}
-	if m.Health.SpotReclaimAt == 0 {
-		h.rounds.MarkDue()
-		h.health.requestCheck()
-		h.autoscaler.recordSpotLoss()
-	}
-	m.Health.SpotReclaimAt = h.clock.Now().Add(monotonic.Seconds(*heartbeat.SpotNoticeS))
-}
-
 // updateAssignments compares the machine's assignments with its newest heartbeat.
 func (h *heartbeatIntake) updateAssignments(m *cluster.Machine) {
 	for _, a := range m.AssignmentsSnapshot() {
