--- a/controller/operatorclient/client.go
+++ b/controller/operatorclient/client.go
@@ -7,7 +7,6 @@
 	"errors"
 	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"ospreystile.example/ospreystile/controller/peerapi"
@@ -70,8 +69,7 @@
 	return peer.Call(ctx, op, request, answer)
 }
 
-// refusedByLeader tells whether an error is the leader's refusal. Refusals carry no code, so
-// that of a follower is known by its text.
+// refusedByLeader tells whether an error is the leader's refusal.
 func refusedByLeader(err error) bool {
-	return errors.Is(err, peerrpc.ErrRemote) && !strings.Contains(err.Error(), peerapi.ErrNotLeading.Error())
+	return errors.Is(err, peerrpc.ErrRemote) && !errors.Is(err, peerapi.ErrNotLeading)
 }
--- a/election/term_test.go
+++ b/election/term_test.go
@@ -7,6 +7,7 @@
 	"testing/synctest"
 	"time"
 
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/kv"
 )
 
@@ -19,7 +20,7 @@
 		if term == nil {
 			t.Fatal("no term")
 		}
-		m.client.refuse(true)
+		m.client.Refuse()
 		m.election.Observe(Leader{Revision: term.Revision + 5}) // its key is gone, and its name with it
 		time.Sleep(time.Second)
 		if m.election.Term() != nil {
@@ -39,7 +40,7 @@
 		m := c.start(t, "n0", 1)
 		time.Sleep(time.Second)
 		_, term := c.mustLead(t)
-		m.client.hold(12 * time.Second)
+		m.client.Hold(12 * time.Second)
 		time.Sleep(11 * time.Second)
 		if term.MayAnswerHeartbeats() {
 			t.Error("answers heartbeats, though no renewal shows a store outage")
@@ -58,8 +59,8 @@
 		m := c.start(t, "n0", 1)
 		time.Sleep(time.Second)
 		_, term := c.mustLead(t)
-		m.client.refuse(true)
-		m.client.hold(12 * time.Second)
+		m.client.Refuse()
+		m.client.Hold(12 * time.Second)
 		time.Sleep(12*time.Second + 100*time.Millisecond)
 		if term.MayAnswerHeartbeats() {
 			t.Error("answers heartbeats after a renewal that started before the pause")
@@ -87,8 +88,8 @@
 // peers may have been told that it follows that leader.
 func TestLateCommitBeginsNoTerm(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
-		delayed := &client{s: c.store}
-		delayed.hold(time.Second)
+		delayed := newClient(c.store)
+		delayed.Hold(time.Second)
 		m := c.startWith(t, Identity{Name: "n0", Incarnation: 1}, delayed, delayed)
 		m.election.Observe(Leader{Identity{Name: "n1"}, 50})
 		time.Sleep(5 * time.Second)
@@ -107,19 +108,19 @@
 	errWork := errors.New("records unreadable")
 	for _, c := range []struct {
 		name    string
-		disturb func(e *Election, c *client)
+		disturb func(e *Election, c *kvtest.Client)
 		work    func(context.Context, *Term) error
 		want    error
 	}{
-		{"superseded", func(e *Election, _ *client) { e.Observe(Leader{Revision: 50}) }, untilEnd, ErrSuperseded},
-		{"lease expired", func(_ *Election, c *client) { c.hold(12 * time.Second) }, untilEnd, kv.ErrLeaseExpired},
-		{"outage grace expired", func(_ *Election, c *client) { c.refuse(true) }, untilEnd, errGraceExpired},
-		{"work failed", func(*Election, *client) {}, func(context.Context, *Term) error { return errWork }, errWork},
-		{"work returned", func(*Election, *client) {}, func(context.Context, *Term) error { return nil }, errWorkReturned},
+		{"superseded", func(e *Election, _ *kvtest.Client) { e.Observe(Leader{Revision: 50}) }, untilEnd, ErrSuperseded},
+		{"lease expired", func(_ *Election, c *kvtest.Client) { c.Hold(12 * time.Second) }, untilEnd, kv.ErrLeaseExpired},
+		{"outage grace expired", func(_ *Election, c *kvtest.Client) { c.Refuse() }, untilEnd, errGraceExpired},
+		{"work failed", func(*Election, *kvtest.Client) {}, func(context.Context, *Term) error { return errWork }, errWork},
+		{"work returned", func(*Election, *kvtest.Client) {}, func(context.Context, *Term) error { return nil }, errWorkReturned},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				client := &client{s: newService()}
+				client := newClient(kvtest.NewStore())
 				terms := make(chan context.Context, 99)
 				election := newElection(client, Identity{Name: "n0"}, func(ctx context.Context, term *Term) error {
 					terms <- ctx
