--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -83,6 +83,18 @@
 	c.preemption = &evictor{core: c}
 	c.autoscaler = newAutoscaler(c)
 	c.zones = newZoneGate(c, opt.ZoneRecovery)
+	c.connectLifecycle()
+	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
+	c.connectPreviousLeaders()
+	c.connectHealth()
+	c.connectIntake()
+	c.connectAdmission()
+	c.cluster.SetCatalog(types)
+	return c
+}
+
+// connectLifecycle makes the part that ends tasks, and those that learn from how tasks end.
+func (c *Core) connectLifecycle() {
 	c.failures = &failureHistory{cluster: c.cluster, clock: c.clock, rounds: c.rounds, zones: c.zones}
 	c.slowness = &slownessDetector{cluster: c.cluster, clock: c.clock}
 	c.lifecycle = &taskLifecycle{
@@ -96,13 +108,6 @@
 		slowness:  c.slowness,
 		failures:  c.failures,
 	}
-	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
-	c.connectPreviousLeaders()
-	c.connectHealth()
-	c.connectIntake()
-	c.connectAdmission()
-	c.cluster.SetCatalog(types)
-	return c
 }
 
 // connectPreviousLeaders makes the bounds on what previous leaders still do.
