--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -146,8 +146,6 @@
 		registry:        c.registry,
 		commands:        c.commands,
 		autoscaler:      c.autoscaler,
-		lifecycle:       c.lifecycle,
-		zoneLosses:      c.zones,
 	}
 }
 
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -29,8 +29,6 @@
 	registry     machineTerminator
 	commands     heartbeatRequester
 	autoscaler   spotLossRecorder
-	lifecycle    taskReleaser
-	zoneLosses   lossObserver
 	// checkedAt is when the last check began.
 	checkedAt monotonic.Instant
 	// checkRequested asks for a check in the next step.
@@ -49,12 +47,14 @@
 	previousLeader bool
 }
 
-// machineTerminator terminates machines and removes those that are terminated.
+// machineTerminator terminates machines, and drops what has ended with them.
 type machineTerminator interface {
 	returnMachine(m *cluster.Machine, why returnReason)
 	// returnAgain repeats a call to the cloud that failed.
 	returnAgain(m *cluster.Machine)
 	removeMachine(m *cluster.Machine)
+	// releaseTasks releases the tasks of a machine on which nothing runs any more.
+	releaseTasks(m *cluster.Machine)
 }
 
 // heartbeatRequester asks agents for heartbeats.
--- a/scheduler/machine_check.go
+++ b/scheduler/machine_check.go
@@ -45,7 +45,9 @@
 		return
 	}
 	if c.holdsExpiredTasks(m) {
-		c.releaseTasks(m)
+		// A later check releases the tasks whose records are being written.
+		c.registry.releaseTasks(m)
+		c.commands.queueCommands(m)
 		return
 	}
 	if why := c.reasonUseless(m); why != keepMachine {
@@ -139,16 +141,3 @@
 func (c *machineCheck) holdsExpiredTasks(m *cluster.Machine) bool {
 	return len(m.Assignments()) > 0 && c.leases.expired(m) && c.silentFor(m, monotonic.AddDriftMargin(c.settings.agentLease))
 }
-
-// releaseTasks releases the tasks of a machine whose lease has expired, except those whose
-// records are being written: a later check releases them.
-func (c *machineCheck) releaseTasks(m *cluster.Machine) {
-	for _, a := range m.AssignmentsSnapshot() {
-		if a.Record.InFlight {
-			continue
-		}
-		c.zoneLosses.lost(a)
-		c.lifecycle.release(a)
-	}
-	c.commands.queueCommands(m)
-}
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -160,14 +160,20 @@
 	}
 }
 
-// removeMachine drops a machine that is terminated, and releases its tasks.
-func (r *machineRegistry) removeMachine(m *cluster.Machine) {
+// releaseTasks releases the tasks of a machine on which nothing runs any more, except those
+// whose records are being written.
+func (r *machineRegistry) releaseTasks(m *cluster.Machine) {
 	for _, a := range m.AssignmentsSnapshot() {
 		if !a.Record.InFlight {
 			r.zones.lost(a)
 			r.lifecycle.release(a)
 		}
 	}
+}
+
+// removeMachine drops a machine that is terminated, and releases its tasks.
+func (r *machineRegistry) removeMachine(m *cluster.Machine) {
+	r.releaseTasks(m)
 	if len(m.Assignments()) > 0 {
 		return // a record is being written; the next check removes the machine
 	}
