--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -59,7 +59,7 @@
 // The next leader does not know which machines were terminated before, and a duplicate
 // heartbeat may be of one of them. It places work on a machine that shows its token.
 func TestNextLeaderNeedsProofThatAMachineExists(t *testing.T) {
-	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
+	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
 	b.c.Begin(b.now)
 	b.heartbeat("n-1", "a", ids.NewFencingToken(4, 7))
 	b.submit("job-1", wire.JobSpec{Tasks: 1})
--- a/scheduler/reservations_test.go
+++ b/scheduler/reservations_test.go
@@ -25,9 +25,15 @@
 func playGuestDay(t *testing.T, reserveAfter time.Duration) guestDay {
 	t.Helper()
 	const guest = "job-guest"
-	b := newHarness(t, Options{ReserveAfter: reserveAfter, ReserveFor: 90 * time.Second, Teams: []quota.Team{
-		{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: quota.Amount{CPUs: 48}, LendingLimit: quota.Amount{CPUs: 40}},
-		{Name: "guest", Limit: quota.Unlimited}}})
+	b := newHarness(t, Options{
+		Teams: []quota.Team{
+			{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: quota.Amount{CPUs: 48}, LendingLimit: quota.Amount{CPUs: 40}},
+			{Name: "guest", Limit: quota.Unlimited}},
+		AdmissionOptions: AdmissionOptions{
+			ReserveAfter: reserveAfter,
+			ReserveFor:   90 * time.Second,
+		},
+	})
 	b.c.Begin(b.now)
 	var day guestDay
 	var submittedAt, startedAt monotonic.Instant
@@ -93,7 +99,7 @@
 // long after its submission that one started; 0: never.
 func startOfLargeJob(t *testing.T, reserveAfter time.Duration) time.Duration {
 	t.Helper()
-	b := newHarness(t, Options{ReserveAfter: reserveAfter, ReserveFor: time.Minute})
+	b := newHarness(t, Options{AdmissionOptions: AdmissionOptions{ReserveAfter: reserveAfter, ReserveFor: time.Minute}})
 	b.c.Begin(b.now)
 	tick := 0
 	runTime := func(_ string, count int) time.Duration { return staggeredRunTime(tick, count) }
@@ -145,7 +151,7 @@
 // started; 0: never.
 func (d lateJobDay) startOfLateJob(t *testing.T, reserveAfter time.Duration) time.Duration {
 	t.Helper()
-	opt := Options{ReserveAfter: reserveAfter, ReserveFor: time.Minute}
+	opt := Options{AdmissionOptions: AdmissionOptions{ReserveAfter: reserveAfter, ReserveFor: time.Minute}}
 	agents := newTestAgents(func(string, int) time.Duration { return 10 * time.Second }, "n-1")
 	if d.quotaIsShort {
 		eight := quota.Amount{CPUs: 8}
