--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -103,7 +103,7 @@
 	// their jobs did, as a power of 2.
 	Slowness   float64
 	SlowUntil  monotonic.Instant
-	SlowStreak int // jobs in a row that found the machine slow
+	SlowStreak int // jobs in a row that left Slowness at the limit or above
 }
 
 // MachineAdmission is what admission notes about a machine.
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -119,3 +121,78 @@
 	b.sequence++
 	b.c.Heartbeat(b.now, newHeartbeat("n-1", 2, b.sequence, token))
 }
+
+// countingTokens counts how often a machine was given a new fencing token.
+type countingTokens struct{ raised uint64 }
+
+func (c *countingTokens) tokenOf(*cluster.Machine) ids.FencingToken {
+	return ids.NewFencingToken(5, c.raised)
+}
+
+func (c *countingTokens) raiseToken(*cluster.Machine) { c.raised++ }
+
+// A new incarnation shows that the agent lost its lease. Only if a heartbeat was answered
+// lately, the answer cannot have arrived.
+func TestNewIncarnationAfterAnAnswer(t *testing.T) {
+	const answeredAt = monotonic.Instant(time.Hour)
+	for _, c := range []struct {
+		name        string
+		incarnation ids.AgentIncarnation
+		after       time.Duration // since the answer
+		unreachable bool
+	}{
+		{"same incarnation", 1, time.Second, false},
+		{"new incarnation, answered lately", 2, simAgentLease*2/3 - 1, true},
+		{"new incarnation, answered long ago", 2, simAgentLease * 2 / 3, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			present, tokens := clock.New(0), &countingTokens{}
+			present.Set(answeredAt.Add(c.after))
+			d := &reachabilityDetector{clock: present, rounds: &clock.RoundTrigger{}, tokens: tokens, settings: testHealthSettings}
+			m := &cluster.Machine{Agent: cluster.AgentStatus{Reported: true, Incarnation: 1, AnsweredAt: answeredAt}}
+			d.observe(m, newHeartbeat("n-1", c.incarnation, 7, tokens.tokenOf(m)))
+			if m.Health.Unreachable != c.unreachable {
+				t.Errorf("unreachable %v", m.Health.Unreachable)
+			}
+			if raised := tokens.raised > 0; raised != c.unreachable {
+				t.Errorf("new fencing token %v", raised)
+			}
+		})
+	}
+}
+
+// An unreachable machine counts as reachable again once it shows its newest token or answers
+// a call, and is overdue otherwise.
+func TestUnreachableMachineShowsThatItReceives(t *testing.T) {
+	const since = monotonic.Instant(time.Hour)
+	newest := ids.NewFencingToken(5, 3)
+	for _, c := range []struct {
+		name    string
+		show    func(d *reachabilityDetector, m *cluster.Machine)
+		overdue bool
+	}{
+		{"an older token", func(d *reachabilityDetector, m *cluster.Machine) {
+			d.observe(m, newHeartbeat("n-1", 1, 7, newest-1))
+		}, true},
+		{"the newest token", func(d *reachabilityDetector, m *cluster.Machine) {
+			d.observe(m, newHeartbeat("n-1", 1, 7, newest))
+		}, false},
+		{"an answered call", (*reachabilityDetector).confirm, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			present := clock.New(0)
+			d := &reachabilityDetector{clock: present, rounds: &clock.RoundTrigger{}, tokens: &countingTokens{raised: 3}, settings: testHealthSettings}
+			m := &cluster.Machine{Agent: cluster.AgentStatus{Reported: true, Incarnation: 1}}
+			m.Health.Unreachable, m.Health.UnreachableSince = true, since
+			present.Set(since.Add(d.acknowledgeTimeout()))
+			c.show(d, m)
+			if d.overdue(m) {
+				t.Error("overdue within its time")
+			}
+			present.Set(since.Add(d.acknowledgeTimeout() + 1))
+			if got := d.overdue(m); got != c.overdue {
+				t.Errorf("overdue %v", got)
+			}
+		})
+	}
+}
--- a/scheduler/slow_machines.go
+++ b/scheduler/slow_machines.go
@@ -18,8 +18,8 @@
 	slownessWeight = 0.4
 	// slowPeriod is how long a machine that was found slow is ranked behind all others.
 	slowPeriod = time.Minute
-	// slowStreakLimit is how many jobs in a row must find a machine slow until it is
-	// quarantined.
+	// slowStreakLimit is for how many jobs in a row a machine's running mean must be at
+	// slownessLimit or above until it is quarantined.
 	slowStreakLimit = 4
 	// minTasksToCompare is the least number of tasks of a job that is compared. Fewer say
 	// too little.
--- a/scheduler/slow_machines_test.go
+++ b/scheduler/slow_machines_test.go
@@ -6,6 +6,9 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/monotonic"
+	"ospreystile.example/ospreystile/scheduler/clock"
+	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 )
@@ -90,3 +93,38 @@
 	}
 	r.heartbeat(machine, "a", r.token, tasks...)
 }
+
+// One slow job ranks a machine behind the others, and it is quarantined once its running mean
+// has been high for several jobs in a row.
+func TestRateOfSlowMachines(t *testing.T) {
+	const slow, ordinary = 8, 1 // times as long as elsewhere
+	for _, c := range []struct {
+		name        string
+		ratios      []float64
+		slow        bool
+		quarantined bool
+	}{
+		{"ordinary", []float64{ordinary, ordinary}, false, false},
+		{"slow once", []float64{slow}, true, false},
+		{"slow until one before the limit", []float64{slow, slow, slow}, true, false},
+		{"slow up to the limit", []float64{slow, slow, slow, slow}, true, true},
+		{"the mean is still high at the limit", []float64{slow, slow, slow, ordinary}, true, true},
+		{"the mean fell in between", []float64{slow, ordinary, ordinary, slow, ordinary}, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			present := clock.New(0)
+			present.Set(monotonic.Instant(time.Hour))
+			d := &slownessDetector{clock: present}
+			m := &cluster.Machine{}
+			for _, ratio := range c.ratios {
+				d.rate(m, ratio)
+			}
+			if got := m.Health.SlowUntil != 0; got != c.slow {
+				t.Errorf("slow %v", got)
+			}
+			if got := m.Health.QuarantinedUntil != 0; got != c.quarantined {
+				t.Errorf("quarantined %v", got)
+			}
+		})
+	}
+}
