--- a/scheduler/spot_reclaim.go
+++ b/scheduler/spot_reclaim.go
@@ -1,8 +1,6 @@
 package scheduler
 
 import (
-	"time"
-
 	"ospreystile.example/ospreystile/monotonic"
 	"ospreystile.example/ospreystile/scheduler/cluster"
 	"ospreystile.example/ospreystile/wire"
@@ -12,15 +10,10 @@
 // health check calls it. It does not terminate the machines: the cloud does.
 type spotDrainer struct {
 	cluster   *cluster.State
-	estimates runEstimator
+	estimates runTimeEstimates
 	lifecycle taskStopper
 }
 
-// runEstimator tells how long a task of a job should run.
-type runEstimator interface {
-	expectedRun(s *wire.JobSpec) time.Duration
-}
-
 // taskStopper tells tasks to leave their machines.
 type taskStopper interface {
 	stop(a *cluster.Assignment, why cluster.StopReason)
