--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -32,17 +32,18 @@
 // heartbeatIntake takes heartbeats in: what they show of the machine, and of each task that is
 // assigned to it.
 type heartbeatIntake struct {
-	cluster    *cluster.State
-	clock      *clock.Clock
-	rounds     *clock.RoundTrigger
-	sites      siteRecorder
-	health     heartbeatHealth
-	commands   heartbeatCommands
-	autoscaler heartbeatObserver
-	failures   failureRecorder
-	lifecycle  taskEnder
-	zones      zoneTaskObserver
-	leaders    *previousLeaders
+	cluster      *cluster.State
+	clock        *clock.Clock
+	rounds       *clock.RoundTrigger
+	sites        siteRecorder
+	health       heartbeatHealth
+	reachability heartbeatReachability
+	commands     heartbeatCommands
+	autoscaler   heartbeatObserver
+	failures     failureRecorder
+	lifecycle    taskEnder
+	zones        zoneTaskObserver
+	leaders      *previousLeaders
 	// revision is that of the leader's key; all fencing tokens of the term contain it.
 	revision ids.Revision
 	// interval is the time between two heartbeats of a machine.
@@ -59,11 +60,18 @@
 // heartbeatHealth judges machines by their heartbeats.
 type heartbeatHealth interface {
 	usable(m *cluster.Machine) bool
-	updateReachability(m *cluster.Machine, heartbeat *wire.Heartbeat, direct bool)
 	// heard notes that a machine of a zone was heard now.
 	heard(zone ids.Zone)
-	// requestCheck asks for a check of the machines in the next step.
-	requestCheck()
+	// noticeReclaim notes that the cloud takes a spot instance back after a time.
+	noticeReclaim(m *cluster.Machine, after time.Duration)
+}
+
+// heartbeatReachability judges from heartbeats whether commands reach a machine.
+type heartbeatReachability interface {
+	// observe takes a heartbeat that waits for an answer, and confirm notes one that came as
+	// the answer to a call.
+	observe(m *cluster.Machine, heartbeat *wire.Heartbeat)
+	confirm(m *cluster.Machine)
 }
 
 // heartbeatCommands answers heartbeats.
@@ -75,10 +83,9 @@
 	allowCalls(m *cluster.Machine)
 }
 
-// heartbeatObserver learns from boots and from losses of spot instances.
+// heartbeatObserver learns from boots.
 type heartbeatObserver interface {
 	recordBoot(m *cluster.Machine)
-	recordSpotLoss()
 }
 
 // failureRecorder weighs failures of tasks.
@@ -121,7 +128,7 @@
 		return noCommands(h.commands.tokenOf(m)), true
 	}
 	h.sites.setSite(m, siteOf(heartbeat), heartbeat.Endpoint)
-	h.health.updateReachability(m, heartbeat, false)
+	h.reachability.observe(m, heartbeat)
 	h.apply(m, heartbeat)
 	if !mayAnswer(m) {
 		return wire.HeartbeatResponse{}, false
@@ -143,7 +150,7 @@
 		return true
 	}
 	h.sites.setSite(m, siteOf(heartbeat), heartbeat.Endpoint)
-	h.health.updateReachability(m, heartbeat, true)
+	h.reachability.confirm(m)
 	h.apply(m, heartbeat)
 	m.Agent.AnsweredCall = true
 	return true
@@ -182,7 +189,9 @@
 	h.health.heard(heartbeat.Zone)
 	h.commands.allowCalls(m)
 	h.updateAgent(m, heartbeat)
-	h.updateSpotNotice(m, heartbeat)
+	if heartbeat.SpotNoticeS != nil {
+		h.health.noticeReclaim(m, monotonic.Seconds(*heartbeat.SpotNoticeS))
+	}
 	m.Agent.ReportedTasks = m.Agent.ReportedTasks[:0]
 	for _, t := range heartbeat.Tasks {
 		if ref, ok := ids.ParseTask(t.Name); ok {
@@ -209,19 +218,6 @@
 	}
 }
 
-// updateSpotNotice notes when the cloud will take a spot instance back.
-func (h *heartbeatIntake) updateSpotNotice(m *cluster.Machine, heartbeat *wire.Heartbeat) {
-	if heartbeat.SpotNoticeS == nil {
-		return
-	}
-	if m.Health.SpotReclaimAt == 0 {
-		h.rounds.MarkDue()
-		h.health.requestCheck()
-		h.autoscaler.recordSpotLoss()
-	}
-	m.Health.SpotReclaimAt = h.clock.Now().Add(monotonic.Seconds(*heartbeat.SpotNoticeS))
-}
-
 // updateAssignments compares the machine's assignments with its newest heartbeat.
 func (h *heartbeatIntake) updateAssignments(m *cluster.Machine) {
 	for _, a := range m.AssignmentsSnapshot() {
@@ -297,7 +293,6 @@
 	case wire.CauseDone:
 		h.zones.running(a) // it ran, if only between two heartbeats
 		h.lifecycle.complete(a)
-		clear(m.Health.FailuresByJob)
 		return
 	case wire.CauseError:
 		h.failures.recordFailure(a)
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -53,8 +53,8 @@
 type zoneMachineHealth interface {
 	// silentFor tells whether a machine has sent no heartbeat for longer than d.
 	silentFor(m *cluster.Machine, d time.Duration) bool
-	// reportOverdue is after how long without one a heartbeat is overdue.
-	reportOverdue() time.Duration
+	// heartbeatTimeout is how long a machine may be silent between two heartbeats.
+	heartbeatTimeout() time.Duration
 	takesTasks(m *cluster.Machine) bool
 }
 
--- a/scheduler/zone_observation.go
+++ b/scheduler/zone_observation.go
@@ -36,7 +36,7 @@
 // that came meanwhile may be still unread.
 func (g *zoneGate) processResumed() bool {
 	resumedAt := g.clock.ResumedAt()
-	return resumedAt != 0 && g.clock.Now() < resumedAt.Add(g.health.reportOverdue())
+	return resumedAt != 0 && g.clock.Now() < resumedAt.Add(g.health.heartbeatTimeout())
 }
 
 // zoneHealth counts the machines of each zone.
@@ -67,7 +67,7 @@
 func (g *zoneGate) countMachine(health *zonerecovery.ZoneHealth, m *cluster.Machine) {
 	health.Machines++
 	switch {
-	case g.health.silentFor(m, g.health.reportOverdue()):
+	case g.health.silentFor(m, g.health.heartbeatTimeout()):
 		health.Unreachable++
 	case m.Agent.Reported:
 		health.Reachable++
