--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -50,6 +50,8 @@
 	preemption      *preemption.Policy
 	autoscaler      *autoscaler
 	estimates       *runEstimates
+	failures        *failureHistory
+	slowness        *slownessDetector
 	// zones watches zones that fall silent and return; nil: it is turned off.
 	zones *zoneGate
 }
@@ -62,7 +64,7 @@
 		clock:     clock.New(opt.WallClockMS),
 		rounds:    &clock.RoundTrigger{},
 		quotas:    quota.NewTracker(opt.Teams),
-		estimates: &runEstimates{estimateFactors: map[string]float64{}},
+		estimates: newRunEstimates(),
 	}
 	settings := cluster.Settings{SliceTasks: opt.SliceTasks, BootFactor: opt.BootFactor, ListLag: opt.ListLag}
 	c.cluster = cluster.NewState(settings, c.clock, c.rounds, c.quotas)
@@ -74,21 +76,13 @@
 		settings:     registrySettings{previousLeader: opt.PreviousLeader, listLag: opt.ListLag},
 		returnCounts: map[returnReason]int{},
 	}
-	c.health = &healthMonitor{core: c, zoneStates: map[ids.Zone]*zoneState{}}
 	c.connectDispatch()
 	c.autoscaler = newAutoscaler(autoscalerSettingsOf(&opt), c.cluster, c.clock, c.rounds)
 	c.zones = c.newZoneGate()
-	c.lifecycle = &taskLifecycle{
-		cluster:   c.cluster,
-		clock:     c.clock,
-		rounds:    c.rounds,
-		records:   c.records,
-		commands:  c.commands,
-		zones:     c.zones,
-		estimates: c.estimates,
-		slowness:  c,
-	}
+	c.connectLifecycle()
 	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
+	c.connectPreviousLeaders()
+	c.connectHealth()
 	c.connectIntake()
 	c.records.tasks, c.records.commands, c.records.jobs = c.lifecycle, c.commands, c.jobRecords
 	c.connectAdmission()
@@ -99,6 +93,23 @@
 	return c
 }
 
+// connectLifecycle makes the part that ends tasks, and those that learn from how tasks end.
+func (c *Core) connectLifecycle() {
+	c.failures = &failureHistory{cluster: c.cluster, clock: c.clock, rounds: c.rounds, zones: c.zones}
+	c.slowness = &slownessDetector{cluster: c.cluster, clock: c.clock}
+	c.lifecycle = &taskLifecycle{
+		cluster:   c.cluster,
+		clock:     c.clock,
+		rounds:    c.rounds,
+		records:   c.records,
+		commands:  c.commands,
+		zones:     c.zones,
+		estimates: c.estimates,
+		slowness:  c.slowness,
+		failures:  c.failures,
+	}
+}
+
 // connectDispatch makes the part that decides what agents are told.
 func (c *Core) connectDispatch() {
 	c.commands = &commandDispatcher{
@@ -113,8 +124,8 @@
 	}
 }
 
-// connectIntake makes the parts that take heartbeats and records in, from the others.
-func (c *Core) connectIntake() {
+// connectPreviousLeaders makes the bounds on what previous leaders still do.
+func (c *Core) connectPreviousLeaders() {
 	c.previousLeaders = &previousLeaders{
 		cluster: c.cluster,
 		clock:   c.clock,
@@ -126,20 +137,49 @@
 			agentLease:           c.opt.AgentLease,
 		},
 	}
+}
+
+// connectHealth makes the parts that judge machines, from the others.
+func (c *Core) connectHealth() {
+	settings := healthSettings{
+		agentLease:        c.opt.AgentLease,
+		heartbeatInterval: c.opt.HeartbeatInterval,
+		cancelDeadline:    c.opt.CancelDeadline,
+		previousLeader:    c.opt.PreviousLeader,
+	}
+	c.health = &healthMonitor{
+		machineLiveness: &machineLiveness{clock: c.clock, settings: settings},
+		zoneOutages:     newZoneOutages(c.cluster, c.clock, settings),
+		cluster:         c.cluster,
+		clock:           c.clock,
+		rounds:          c.rounds,
+		settings:        settings,
+		leases:          &leaseExpiry{clock: c.clock, leaders: c.previousLeaders, agentLease: settings.agentLease},
+		reachability:    &reachabilityDetector{clock: c.clock, rounds: c.rounds, tokens: c.commands, settings: settings},
+		reclaims:        &spotDrainer{cluster: c.cluster, estimates: c.estimates, lifecycle: c.lifecycle},
+		registry:        c.registry,
+		commands:        c.commands,
+		autoscaler:      c.autoscaler,
+	}
+}
+
+// connectIntake makes the parts that take heartbeats and records in, from the others.
+func (c *Core) connectIntake() {
 	c.heartbeats = &heartbeatIntake{
-		cluster:    c.cluster,
-		clock:      c.clock,
-		rounds:     c.rounds,
-		sites:      c.registry,
-		health:     c.health,
-		commands:   c.commands,
-		autoscaler: c.autoscaler,
-		failures:   c,
-		lifecycle:  c.lifecycle,
-		zones:      c.zones,
-		leaders:    c.previousLeaders,
-		revision:   c.opt.Revision,
-		interval:   c.opt.HeartbeatInterval,
+		cluster:      c.cluster,
+		clock:        c.clock,
+		rounds:       c.rounds,
+		sites:        c.registry,
+		health:       c.health,
+		reachability: c.health.reachability,
+		commands:     c.commands,
+		autoscaler:   c.autoscaler,
+		failures:     c.failures,
+		lifecycle:    c.lifecycle,
+		zones:        c.zones,
+		leaders:      c.previousLeaders,
+		revision:     c.opt.Revision,
+		interval:     c.opt.HeartbeatInterval,
 	}
 	c.jobRecords = &jobIntake{
 		cluster:    c.cluster,
@@ -209,7 +249,7 @@
 		reservations: c.reservations,
 		searches:     c.searches,
 		zones:        c.zones,
-		failures:     c,
+		failures:     c.failures,
 		lifecycle:    c.lifecycle,
 	})
 }
@@ -249,9 +289,7 @@
 // Step runs what time and events call for and hands out the decisions.
 func (c *Core) Step(now monotonic.Instant) Decisions {
 	c.clock.Advance(now)
-	if c.health.healthCheckDue || now >= c.health.healthCheckedAt.Add(healthCheckInterval) {
-		c.health.healthCheckDue, c.health.healthCheckedAt = false, now
-		c.health.checkMachines()
+	if c.health.checkIfDue() {
 		c.zones.observe()
 	}
 	if c.rounds.Start(now) {
--- a/scheduler/core_zones.go
+++ b/scheduler/core_zones.go
@@ -31,7 +31,7 @@
 	g.latency = c.queue
 	g.estimates = c.estimates
 	g.reservations = c.reservations
-	g.failures = c
+	g.failures = c.failures
 	g.lifecycle = c.lifecycle
 	g.records.writer = c.records
 }
