--- a/internal/kvtest/control.go
+++ b/internal/kvtest/control.go
@@ -21,6 +21,9 @@
 	Refuse
 	// Reject means that the transaction fails with kv.ErrRejected.
 	Reject
+	// MalformResponse means that the transaction is applied and fails with
+	// kv.ErrMalformedResponse.
+	MalformResponse
 )
 
 // lateDelay is after how long a transaction with the fault ApplyLate is applied.
--- a/internal/kvtest/server.go
+++ b/internal/kvtest/server.go
@@ -115,6 +115,8 @@
 		w.WriteHeader(http.StatusGone)
 	case errors.Is(err, kv.ErrLeaseExpired), errors.Is(err, kv.ErrRejected):
 		respond(w, http.StatusBadRequest, errorResponse{err.Error()})
+	case errors.Is(err, kv.ErrMalformedResponse):
+		respond(w, http.StatusOK, "not a response of the protocol")
 	default:
 		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
--- a/internal/kvtest/store.go
+++ b/internal/kvtest/store.go
@@ -125,6 +125,9 @@
 		return kv.TxnResult{}, kv.ErrUnavailable
 	case Reject:
 		return kv.TxnResult{}, kv.ErrRejected
+	case MalformResponse:
+		_, _ = s.apply(txn) // the caller gets no result, whatever it is
+		return kv.TxnResult{}, kv.ErrMalformedResponse
 	}
 	return s.apply(txn)
 }
--- a/internal/kvtest/store_test.go
+++ b/internal/kvtest/store_test.go
@@ -213,6 +213,7 @@
 		{"applied late", ApplyLate, kv.ErrIndeterminate, false},
 		{"refused", Refuse, kv.ErrUnavailable, false},
 		{"rejected", Reject, kv.ErrRejected, false},
+		{"response malformed", MalformResponse, kv.ErrMalformedResponse, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			forEachAccess(t, func(t *testing.T, store *Store, caller access) {
--- a/records/commit/committer_test.go
+++ b/records/commit/committer_test.go
@@ -11,27 +11,29 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
 )
 
-// Whatever happens to answers, results are true: a change reported as applied is in the
+// Results are true whichever responses are lost: a change reported as applied is in the
 // store at the revision reported, and one reported as a conflict never gets there.
 func TestIndeterminateResultsAreResolved(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { commitWithRandomFates(t, seed) })
+			synctest.Test(t, func(t *testing.T) { commitWithRandomFaults(t, seed) })
 		})
 	}
 }
 
-func commitWithRandomFates(t *testing.T, seed uint64) {
+func commitWithRandomFaults(t *testing.T, seed uint64) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 3))
-	store := newFakeStore()
-	fence := store.setLeader("a")
-	store.nextFate = func() fate { return fate(rng.IntN(4)) }
-	c := newTestCommitter(store, fence)
+	store := kvtest.NewStore()
+	fence := setLeader(store, "a")
+	faults := []kvtest.Fault{kvtest.NoFault, kvtest.LoseResponse, kvtest.ApplyLate, kvtest.Refuse}
+	log := recordCommits(store, func(kv.Txn) kvtest.Fault { return faults[rng.IntN(len(faults))] })
+	c := newTestCommitter(newTestClient(store), fence)
 	stop := startCommitter(t, c)
 	conflicts := func(n int) bool { return n%7 == 3 }
 	results := make([]records.CommitResult, 30)
@@ -46,7 +48,7 @@
 	synctest.Wait()
 	stop()
 	for n, result := range results {
-		entry, found := store.entries[records.JobKey(testJobID(n))]
+		entry, found := store.Entry(records.JobKey(testJobID(n)))
 		want := !conflicts(n)
 		if !result.Resolved() || (result.Err == nil) != want || found != want {
 			t.Errorf("change %d: reported %+v; in the store: %v", n, result, found)
@@ -55,7 +57,7 @@
 			t.Errorf("change %d: reported revision %d, the store has %d", n, result.Revision, entry.Revision)
 		}
 	}
-	for _, txn := range store.sent {
+	for _, txn := range log.sent {
 		if txn.operations > 4 {
 			t.Errorf("a transaction had %d operations", txn.operations)
 		}
@@ -67,11 +69,10 @@
 // for ever. A change of an indeterminate batch is not reported as rejected if it was applied.
 func TestRejectedChangeFailsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newFakeStore()
-		store.mostOperations = 3
-		store.rejectedKeys = map[string]int{records.JobKey("job-4"): 0}
-		store.nextFate = fates(answerLost)
-		c := New(store, Limits{Operations: 8, Bytes: 48 << 10}, nil, quietLogger())
+		store := kvtest.NewStore()
+		limits := storeLimits{operations: 3, tooLarge: map[string]int{records.JobKey("job-4"): 0}}
+		store.SetCommitFault(limits.rejectOr(faultsInOrder(kvtest.LoseResponse)))
+		c := New(newTestClient(store), Limits{Operations: 8, Bytes: 48 << 10}, nil, quietLogger())
 		results := map[ids.JobID]records.CommitResult{}
 		submit := func(n int) {
 			id := testJobID(n)
@@ -82,12 +83,11 @@
 				results[id] = result
 			})
 		}
-		submit(0) // its answer is lost, and the same again is rejected once it was applied
+		submit(0) // its response is lost, and the repeat is rejected although the first was applied
 		stop := startCommitter(t, c)
+		time.Sleep(2 * storeLatency) // until the store has applied the first
 		synctest.Wait()
-		store.mu.Lock()
-		store.rejectedKeys[records.JobKey("job-0")] = 0
-		store.mu.Unlock()
+		limits.lower(records.JobKey("job-0"))
 		for n := 1; n < 8; n++ {
 			submit(n)
 		}
@@ -100,7 +100,7 @@
 				t.Errorf("job-%d: reported %v, %+v", n, reported, result)
 			}
 		}
-		if sent := store.rejectedKeys[records.JobKey("job-4")]; sent != 2 {
+		if sent := limits.tooLarge[records.JobKey("job-4")]; sent != 2 {
 			t.Errorf("the change that is too large was sent %d times, want once in the batch and once alone", sent)
 		}
 	})
@@ -109,11 +109,12 @@
 // After a lost answer, a record with another nonce is another's: the change was not applied.
 func TestRecordOfAnotherIsNotTakenForOwn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newFakeStore()
-		store.apply(kv.Txn{Operations: createTestJob(1).Operations})
-		store.nextFate = fates(appliedLate)
+		store := kvtest.NewStore()
+		stored := createTestJob(1).Operations[0]
+		store.Put(stored.PutKey, stored.Value)
+		store.SetCommitFault(faultsInOrder(kvtest.ApplyLate))
 		change := records.CreateJobChange(testJobID(1), records.Job{Nonce: 77})
-		c := newTestCommitter(store, nil)
+		c := newTestCommitter(newTestClient(store), nil)
 		var got error
 		c.Submit(change, time.Time{}, func(result records.CommitResult) { got = result.Err })
 		stop := startCommitter(t, c)
@@ -129,10 +130,12 @@
 // changes go one by one: they must be reported as applied, not as conflicts with themselves.
 func TestLateBatchResolvesItsSingleChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newFakeStore()
+		store := kvtest.NewStore()
 		// Unavailable until the late batch was applied.
-		store.nextFate = fates(append([]fate{appliedLate, rejected}, slices.Repeat([]fate{unavailable}, 20)...)...)
-		c := newTestCommitter(store, nil)
+		faults := []kvtest.Fault{kvtest.ApplyLate, kvtest.Reject}
+		faults = append(faults, slices.Repeat([]kvtest.Fault{kvtest.Refuse}, 20)...)
+		store.SetCommitFault(faultsInOrder(faults...))
+		c := newTestCommitter(newTestClient(store), nil)
 		results := make([]records.CommitResult, 2)
 		for n := range results {
 			results[n].Err = errors.New("not reported")
@@ -141,8 +144,9 @@
 		stop := startCommitter(t, c)
 		time.Sleep(time.Minute)
 		stop()
+		revision := storeRevision(t, store)
 		for n, result := range results {
-			if result.Err != nil || result.Revision != store.revision {
+			if result.Err != nil || result.Revision != revision {
 				t.Errorf("change %d: reported %+v", n, result)
 			}
 		}
@@ -152,9 +156,9 @@
 // A deposed leader's change must not get through, and ends its committer.
 func TestFenceEndsTheCommitter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newFakeStore()
-		c := newTestCommitter(store, store.setLeader("a"))
-		store.setLeader("b")
+		store := kvtest.NewStore()
+		c := newTestCommitter(newTestClient(store), setLeader(store, "a"))
+		setLeader(store, "b")
 		var got error
 		c.Submit(createTestJob(1), time.Time{}, func(result records.CommitResult) { got = result.Err })
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -162,7 +166,7 @@
 		if err := c.Run(ctx); !errors.Is(err, records.ErrFenced) || !errors.Is(got, records.ErrFenced) {
 			t.Fatalf("ended with %v, reported %v", err, got)
 		}
-		if _, found := store.entries[records.JobKey("job-1")]; found {
+		if _, found := store.Entry(records.JobKey("job-1")); found {
 			t.Fatal("the change got through")
 		}
 	})
@@ -172,9 +176,9 @@
 // told at once.
 func TestOutageIsReportedAtOnceToClientsThatWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newFakeStore()
-		store.nextFate = func() fate { return unavailable }
-		c := newTestCommitter(store, nil)
+		store := kvtest.NewStore()
+		store.SetCommitFault(func(kv.Txn) kvtest.Fault { return kvtest.Refuse })
+		c := newTestCommitter(newTestClient(store), nil)
 		startCommitter(t, c)
 		start := time.Now()
 		results := make(chan records.CommitResult, 1)
@@ -192,31 +196,31 @@
 func TestResultsFollowFromAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		fates    []fate
+		faults   []kvtest.Fault
 		deadline time.Duration // 0: none
 		want     error         // nil: applied
 		resolved bool
 		sent     int
 	}{
 		{name: "answered", want: nil, resolved: true, sent: 1},
-		{name: "unavailable twice", fates: []fate{unavailable, unavailable}, resolved: true, sent: 3},
-		{name: "unavailable, with a deadline", fates: []fate{unavailable}, deadline: time.Minute, want: kv.ErrUnavailable, sent: 1},
-		{name: "answer lost after it was applied", fates: []fate{answerLost}, resolved: true, sent: 2},
-		{name: "answer lost, with a deadline", fates: []fate{answerLost}, deadline: time.Minute, resolved: true, sent: 2},
-		{name: "answer lost, then unavailable", fates: []fate{answerLost, unavailable, unavailable}, resolved: true, sent: 4},
-		{name: "answer lost, deadline passed", fates: []fate{appliedLate}, deadline: time.Second, want: records.ErrIndeterminate, sent: 1},
-		{name: "answer lost, unavailable until the deadline", fates: []fate{appliedLate, unavailable, unavailable}, deadline: 1100 * time.Millisecond,
+		{name: "unavailable twice", faults: []kvtest.Fault{kvtest.Refuse, kvtest.Refuse}, resolved: true, sent: 3},
+		{name: "unavailable, with a deadline", faults: []kvtest.Fault{kvtest.Refuse}, deadline: time.Minute, want: kv.ErrUnavailable, sent: 1},
+		{name: "answer lost after it was applied", faults: []kvtest.Fault{kvtest.LoseResponse}, resolved: true, sent: 2},
+		{name: "answer lost, with a deadline", faults: []kvtest.Fault{kvtest.LoseResponse}, deadline: time.Minute, resolved: true, sent: 2},
+		{name: "answer lost, then unavailable", faults: []kvtest.Fault{kvtest.LoseResponse, kvtest.Refuse, kvtest.Refuse}, resolved: true, sent: 4},
+		{name: "answer lost, deadline passed", faults: []kvtest.Fault{kvtest.ApplyLate}, deadline: time.Second, want: records.ErrIndeterminate, sent: 1},
+		{name: "answer lost, unavailable until the deadline", faults: []kvtest.Fault{kvtest.ApplyLate, kvtest.Refuse, kvtest.Refuse}, deadline: 1100 * time.Millisecond,
 			want: records.ErrIndeterminate, sent: 3},
-		{name: "answer lost, then rejected, applied", fates: []fate{answerLost, rejected}, resolved: true, sent: 2},
-		{name: "answer lost, then rejected, not applied", fates: []fate{appliedLate, rejected}, want: records.ErrRejected, resolved: true, sent: 2},
-		{name: "rejected", fates: []fate{rejected}, want: records.ErrRejected, resolved: true, sent: 1},
-		{name: "malformed answer", fates: []fate{malformed}, want: records.ErrIndeterminate, sent: 1},
+		{name: "answer lost, then rejected, applied", faults: []kvtest.Fault{kvtest.LoseResponse, kvtest.Reject}, resolved: true, sent: 2},
+		{name: "answer lost, then rejected, not applied", faults: []kvtest.Fault{kvtest.ApplyLate, kvtest.Reject}, want: records.ErrRejected, resolved: true, sent: 2},
+		{name: "rejected", faults: []kvtest.Fault{kvtest.Reject}, want: records.ErrRejected, resolved: true, sent: 1},
+		{name: "malformed answer", faults: []kvtest.Fault{kvtest.MalformResponse}, want: records.ErrIndeterminate, sent: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := newFakeStore()
-				store.nextFate = fates(c.fates...)
-				committer := newTestCommitter(store, nil)
+				store := kvtest.NewStore()
+				log := recordCommits(store, faultsInOrder(c.faults...))
+				committer := newTestCommitter(newTestClient(store), nil)
 				stop := startCommitter(t, committer)
 				var deadline time.Time
 				if c.deadline > 0 {
@@ -229,8 +233,8 @@
 				if len(results) != 1 || !errors.Is(results[0].Err, c.want) || results[0].Resolved() != c.resolved {
 					t.Errorf("reported %+v, want %v, resolved %v", results, c.want, c.resolved)
 				}
-				if len(store.sent) != c.sent {
-					t.Errorf("sent %d times, want %d", len(store.sent), c.sent)
+				if len(log.sent) != c.sent {
+					t.Errorf("sent %d times, want %d", len(log.sent), c.sent)
 				}
 			})
 		})
@@ -240,8 +244,9 @@
 // A conflict names the keys of the change, and the other changes of the batch are applied.
 func TestConflictFailsItsChangeAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newFakeStore()
-		c := newTestCommitter(store, store.setLeader("a"))
+		store := kvtest.NewStore()
+		log := recordCommits(store, faultsInOrder())
+		c := newTestCommitter(newTestClient(store), setLeader(store, "a"))
 		results := make([]records.CommitResult, 3)
 		for n := range results {
 			change := createTestJob(n)
@@ -255,8 +260,8 @@
 		if !ok || len(conflict.Keys) != 1 || conflict.Keys[0] != "jobs/job-1" {
 			t.Errorf("the conflict was reported as %v", results[1].Err)
 		}
-		if results[0].Err != nil || results[2].Err != nil || len(store.sent) != 2 {
-			t.Errorf("the other changes: %v, %v, after %d transactions", results[0].Err, results[2].Err, len(store.sent))
+		if results[0].Err != nil || results[2].Err != nil || len(log.sent) != 2 {
+			t.Errorf("the other changes: %v, %v, after %d transactions", results[0].Err, results[2].Err, len(log.sent))
 		}
 	})
 }
@@ -264,20 +269,20 @@
 // Retries come after 50 ms, and then later and later, but never later than 500 ms.
 func TestRetriesBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newFakeStore()
-		store.nextFate = fates(unavailable, unavailable, unavailable, unavailable, unavailable, unavailable)
-		c := newTestCommitter(store, nil)
+		store := kvtest.NewStore()
+		log := recordCommits(store, faultsInOrder(slices.Repeat([]kvtest.Fault{kvtest.Refuse}, 6)...))
+		c := newTestCommitter(newTestClient(store), nil)
 		stop := startCommitter(t, c)
 		c.Submit(createTestJob(1), time.Time{}, func(records.CommitResult) {})
 		time.Sleep(time.Minute)
 		stop()
 		waits := []time.Duration{50, 100, 200, 400, 500, 500}
-		if len(store.sent) != len(waits)+1 {
-			t.Fatalf("sent %d times, want %d", len(store.sent), len(waits)+1)
+		if len(log.sent) != len(waits)+1 {
+			t.Fatalf("sent %d times, want %d", len(log.sent), len(waits)+1)
 		}
 		for i, wait := range waits {
-			want := wait*time.Millisecond + 5*time.Millisecond // with the store's own time
-			if took := store.sent[i+1].at.Sub(store.sent[i].at); took != want {
+			want := wait*time.Millisecond + 2*storeLatency
+			if took := log.sent[i+1].receivedAt.Sub(log.sent[i].receivedAt); took != want {
 				t.Errorf("retry %d came after %v, want %v", i+1, took, want)
 			}
 		}
--- a/records/commit/store_test.go
+++ b/records/commit/store_test.go
@@ -9,133 +9,105 @@
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/kvtest"
 	"ospreystile.example/ospreystile/kv"
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/wire"
 )
 
-// fate is what becomes of a transaction that is sent to the fakeStore.
-type fate int
+// storeLatency is how long a request to the store takes, and its response as well.
+const storeLatency = 2500 * time.Microsecond
 
-const (
-	answered    fate = iota
-	answerLost       // applied, but not answered
-	appliedLate      // not answered, applied after a while
-	unavailable      // not executed
-	malformed        // applied, and answered with something malformed
-	rejected         // refused for good
-)
+// newTestClient returns a client of a store with storeLatency.
+func newTestClient(store *kvtest.Store) *kvtest.Client {
+	return store.NewClient(func() time.Duration { return storeLatency })
+}
+
+// setLeader writes the leader key, and returns the fence of that leader.
+func setLeader(store *kvtest.Store, name string) *kv.Precondition {
+	return &kv.Precondition{Key: records.LeaderKey, Revision: store.Put(records.LeaderKey, name)}
+}
 
-// fakeStore is a key-value store in memory whose answers can be lost.
-type fakeStore struct {
-	mu       sync.Mutex
-	revision ids.Revision
-	entries  map[string]kv.Entry
-	// nextFate decides about the next transaction; nil means that all are answered.
-	nextFate func() fate
-	// mostOperations is the limit of a transaction; 0 means none.
-	mostOperations int
-	// rejectedKeys are keys whose values are too large, with how often they were sent.
-	rejectedKeys map[string]int
-	sent         []sentTransaction
+// storeRevision returns the revision of a store.
+func storeRevision(t *testing.T, store *kvtest.Store) ids.Revision {
+	t.Helper()
+	revision, err := store.List(t.Context(), "", func(kv.Entry) error { return nil })
+	if err != nil {
+		t.Fatal(err)
+	}
+	return revision
 }
 
-// sentTransaction is a transaction that the store received.
+// faultsInOrder returns the faults one after another, and kvtest.NoFault once none is left.
+func faultsInOrder(faults ...kvtest.Fault) func(kv.Txn) kvtest.Fault {
+	return func(kv.Txn) (next kvtest.Fault) {
+		if len(faults) > 0 {
+			next, faults = faults[0], faults[1:]
+		}
+		return next
+	}
+}
+
+// sentTransaction is a transaction that a store received.
 type sentTransaction struct {
-	at         time.Time
+	receivedAt time.Time
 	operations int
 }
 
-func newFakeStore() *fakeStore { return &fakeStore{entries: map[string]kv.Entry{}} }
+// commitLog lists the transactions that a store received. It must be read only after the
+// committer has ended.
+type commitLog struct{ sent []sentTransaction }
+
+// recordCommits has a store treat later transactions as choose says, and lists them.
+func recordCommits(store *kvtest.Store, choose func(kv.Txn) kvtest.Fault) *commitLog {
+	log := &commitLog{}
+	store.SetCommitFault(func(txn kv.Txn) kvtest.Fault {
+		log.sent = append(log.sent, sentTransaction{receivedAt: time.Now(), operations: len(txn.Operations)})
+		return choose(txn)
+	})
+	return log
+}
 
-// setLeader writes the leader key, and returns the fence of that leader.
-func (s *fakeStore) setLeader(name string) *kv.Precondition {
-	s.apply(kv.Txn{Operations: []kv.Operation{{PutKey: records.LeaderKey, Value: name}}})
-	return &kv.Precondition{Key: records.LeaderKey, Revision: s.revision}
+// storeLimits are the limits of a store, which are lower than those that the committer knows.
+type storeLimits struct {
+	operations int
+
+	mu sync.Mutex
+	// tooLarge holds the keys whose values are too large, with how often each was sent.
+	tooLarge map[string]int
 }
 
-func (s *fakeStore) apply(txn kv.Txn) kv.TxnResult {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	var failed []string
-	for _, precondition := range txn.Preconditions {
-		if s.entries[precondition.Key].Revision != precondition.Revision {
-			failed = append(failed, precondition.Key)
-		}
-	}
-	if failed != nil {
-		return kv.TxnResult{Revision: s.revision, FailedKeys: failed}
-	}
-	s.revision++
-	for _, operation := range txn.Operations {
-		if operation.PutKey == "" {
-			delete(s.entries, operation.DeleteKey)
-			continue
+// rejectOr returns a function that has transactions beyond the limits rejected, and others
+// treated as choose says. It calls choose for every transaction.
+func (l *storeLimits) rejectOr(choose func(kv.Txn) kvtest.Fault) func(kv.Txn) kvtest.Fault {
+	return func(txn kv.Txn) kvtest.Fault {
+		fault := choose(txn)
+		if l.exceeded(txn) {
+			return kvtest.Reject
 		}
-		s.entries[operation.PutKey] = kv.Entry{Key: operation.PutKey, Value: wire.Encode(operation.Value), Revision: s.revision}
+		return fault
 	}
-	return kv.TxnResult{Applied: true, Revision: s.revision}
 }
 
-// receive notes a transaction, and returns its fate.
-func (s *fakeStore) receive(txn kv.Txn) fate {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.sent = append(s.sent, sentTransaction{at: time.Now(), operations: len(txn.Operations)})
-	next := answered
-	if s.nextFate != nil {
-		next = s.nextFate()
-	}
-	if s.mostOperations > 0 && len(txn.Operations) > s.mostOperations {
-		next = rejected
-	}
+// exceeded reports whether a transaction exceeds the limits, and counts its keys that are too large.
+func (l *storeLimits) exceeded(txn kv.Txn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	exceeded := len(txn.Operations) > l.operations
 	for _, operation := range txn.Operations {
-		if _, tooLarge := s.rejectedKeys[operation.PutKey]; tooLarge {
-			s.rejectedKeys[operation.PutKey]++
-			next = rejected
+		if _, tooLarge := l.tooLarge[operation.PutKey]; tooLarge {
+			l.tooLarge[operation.PutKey]++
+			exceeded = true
 		}
 	}
-	return next
+	return exceeded
 }
 
-func (s *fakeStore) Commit(_ context.Context, txn kv.Txn) (kv.TxnResult, error) {
-	next := s.receive(txn)
-	time.Sleep(5 * time.Millisecond)
-	switch next {
-	case rejected:
-		return kv.TxnResult{}, kv.ErrRejected
-	case answerLost:
-		s.apply(txn)
-		time.Sleep(time.Second)
-		return kv.TxnResult{}, kv.ErrIndeterminate
-	case appliedLate:
-		time.AfterFunc(7*time.Second, func() { s.apply(txn) })
-		time.Sleep(time.Second)
-		return kv.TxnResult{}, kv.ErrIndeterminate
-	case unavailable:
-		return kv.TxnResult{}, kv.ErrUnavailable
-	case malformed:
-		s.apply(txn)
-		return kv.TxnResult{}, kv.ErrMalformedResponse
-	}
-	return s.apply(txn), nil
-}
-
-func (s *fakeStore) Get(_ context.Context, key string) (kv.Entry, bool, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	entry, found := s.entries[key]
-	return entry, found, nil
-}
-
-// fates returns the fates one after another, and answered once none is left.
-func fates(list ...fate) func() fate {
-	return func() (next fate) {
-		if len(list) > 0 {
-			next, list = list[0], list[1:]
-		}
-		return next
-	}
+// lower makes the value of a key too large from now on.
+func (l *storeLimits) lower(key string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.tooLarge[key] = 0
 }
 
 // newTestCommitter makes a committer of small transactions that logs nothing.
