--- a/controller/acknowledgements_test.go
+++ b/controller/acknowledgements_test.go
@@ -140,7 +140,7 @@
 	address := startLeading(t, c)
 	term := c.election.Term()
 	acknowledged := state.Put(records.JobKey("job-0"), records.Job{Status: wire.JobDone, Tasks: 1})
-	until(t, "all is acknowledged", func() bool { return c.pinger.message().Acked >= acknowledged })
+	until(t, "all is acknowledged", func() bool { return c.pinger.message().AcknowledgedRevision >= acknowledged })
 	leaderState.Refuse("/grants")
 	until(t, "the lease may have expired", func() bool { return !term.HoldsLease() })
 	unacknowledged := state.Put(records.JobKey("job-00"), records.Job{Status: wire.JobDone, Tasks: 1})
@@ -152,7 +152,7 @@
 		revision, _ := c.ownLeader.get().AcknowledgedRevision()
 		return revision >= unacknowledged
 	})
-	if got := c.pinger.message().Acked; got >= unacknowledged {
+	if got := c.pinger.message().AcknowledgedRevision; got >= unacknowledged {
 		t.Errorf("acknowledged up to %d without the lease", got)
 	}
 }
@@ -167,8 +167,8 @@
 	c := newTestController(t, platform)
 	storeTestCatalog(c)
 	startLeading(t, c)
-	if ping := c.pinger.message(); ping.Up <= 0 {
-		t.Errorf("up for %v", ping.Up)
+	if ping := c.pinger.message(); ping.Uptime <= 0 {
+		t.Errorf("up for %v", ping.Uptime)
 	}
 	term := c.election.Term()
 	// A peer that has seen a later leader ends the term, though it does not know who leads
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -103,7 +103,7 @@
 
 // identity names this process in the leader's key.
 func identity(platform *config.Platform) election.Identity {
-	return election.Identity{Name: platform.HostName, MeshAddress: platform.PeerAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
+	return election.Identity{Name: platform.HostName, PeerAddress: platform.PeerAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
 }
 
 // leaseBounds are how long this controller may lead without renewing its lease.
--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -126,7 +126,7 @@
 	for i, heartbeat := range batch {
 		response := server.Response{Status: http.StatusServiceUnavailable}
 		if i < len(answers) && answers[i].OK {
-			response = server.Response{Status: http.StatusOK, Body: answers[i].Orders}
+			response = server.Response{Status: http.StatusOK, Body: answers[i].Response}
 		}
 		heartbeat.reply <- response
 	}
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -61,7 +61,7 @@
 	if err != nil || !answers[0].OK {
 		return server.Response{Status: http.StatusServiceUnavailable}
 	}
-	return server.Response{Status: http.StatusOK, Body: answers[0].Orders}
+	return server.Response{Status: http.StatusOK, Body: answers[0].Response}
 }
 
 // ownLoad is the load of this controller; own is the leader in this process, or nil.
--- a/controller/kv_routes.go
+++ b/controller/kv_routes.go
@@ -110,7 +110,7 @@
 		return httpclient.ErrNoResponse
 	case answer.NotSent:
 		return httpclient.ErrNotSent
-	case answer.Unknown:
+	case answer.Indeterminate:
 		return httpclient.ErrNoResponse
 	}
 	return nil
--- a/controller/kv_routes_test.go
+++ b/controller/kv_routes_test.go
@@ -47,7 +47,7 @@
 	if a := n.service.Status(ctx, "job-1"); a.Status != 503 || a.RetryAfter == 0 {
 		t.Errorf("a cancellation that no leader may know of: %+v", a)
 	}
-	n.pinger.observe(peerapi.Ping{Acked: 7})
+	n.pinger.observe(peerapi.Ping{AcknowledgedRevision: 7})
 	a := n.service.Status(ctx, "job-1")
 	if s, ok := a.Body.(wire.JobStatus); a.Status != 200 || !ok || s.Status != wire.JobCancelled {
 		t.Fatalf("through the peer: %+v", a)
--- a/controller/leader/events.go
+++ b/controller/leader/events.go
@@ -120,7 +120,7 @@
 	answers := make([]peerapi.HeartbeatAnswer, len(e.heartbeats))
 	for i, heartbeat := range e.heartbeats {
 		if heartbeat != nil {
-			answers[i].Orders, answers[i].OK = loop.core.Heartbeat(loop.clock.Now(), heartbeat)
+			answers[i].Response, answers[i].OK = loop.core.Heartbeat(loop.clock.Now(), heartbeat)
 		}
 	}
 	e.reply <- heartbeatAnswers{answers: answers, replicasOnly: replicasOnly}
--- a/controller/peer_handler.go
+++ b/controller/peer_handler.go
@@ -67,7 +67,7 @@
 	timeout := time.Duration(call.TimeoutMS) * time.Millisecond
 	status, body, err := h.direct.Do(ctx, call.Method, call.Path, call.Body, timeout)
 	if err != nil {
-		return peerapi.StoreAnswer{NotSent: kv.IsNotSent(err), Unknown: !kv.IsNotSent(err)}
+		return peerapi.StoreAnswer{NotSent: kv.IsNotSent(err), Indeterminate: !kv.IsNotSent(err)}
 	}
 	return peerapi.StoreAnswer{Status: status, Body: body}
 }
--- a/controller/peerapi/golden_test.go
+++ b/controller/peerapi/golden_test.go
@@ -26,24 +26,24 @@
 
 // The request and the answer of each operation between controllers keep their bytes.
 func TestMessagesKeepTheirBytes(t *testing.T) {
-	every := Ping{From: "perch-1", Leader: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StateOK: true,
-		Workers: 231, Up: 90 * time.Second, Acked: 411, Versions: Versions{Format: RecordFormat, Seen: []ids.ControllerName{"perch-0", "perch-2"}, Durable: true}}
+	every := Ping{From: "perch-1", Leader: "perch-0", LeaderPeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StoreReachable: true,
+		Workers: 231, Uptime: 90 * time.Second, AcknowledgedRevision: 411, Versions: Versions{Format: RecordFormat, Seen: []ids.ControllerName{"perch-0", "perch-2"}, Durable: true}}
 	old := every
-	old.Up, old.Acked, old.Versions = 0, 0, Versions{}
+	old.Uptime, old.AcknowledgedRevision, old.Versions = 0, 0, Versions{}
 	record := records.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70, DoneMS: 1764640000456}
 	golden.Check(t, "messages.json", golden.Codec{Encode: cbor.Marshal, Decode: peerrpc.Decode}, []golden.Case{
 		{Name: "ping", Value: every},
 		{Name: "ping of an older version", Value: old, Partial: true},
 		{Name: "state request", Value: StoreCall{Method: "POST", Path: "/commit", Body: []byte{1, 2}, TimeoutMS: 1000}},
-		{Name: "state answer", Value: StoreAnswer{Status: 200, Body: []byte{3}, NotSent: true, Unknown: true}},
+		{Name: "state answer", Value: StoreAnswer{Status: 200, Body: []byte{3}, NotSent: true, Indeterminate: true}},
 		{Name: "state answer, not sent", Value: StoreAnswer{NotSent: true}, Partial: true},
-		{Name: "state answer, unknown", Value: StoreAnswer{Unknown: true}, Partial: true},
+		{Name: "state answer, unknown", Value: StoreAnswer{Indeterminate: true}, Partial: true},
 		{Name: "progress request", Value: []ids.JobID{"job-1", "job-2"}},
 		{Name: "progress answer", Value: []JobProgress{{Done: 3, Running: 13}, {Done: 300, Running: 70000}}},
 		{Name: "job notice", Value: NewJobNotice("job-1", &record, 412)},
 		{Name: "job notice answer", Value: true},
 		{Name: "heartbeats request", Value: [][]byte{{1, 2, 3}, {4}}},
-		{Name: "heartbeats answer", Value: []HeartbeatAnswer{{OK: true, Orders: wire.HeartbeatResponse{FencingToken: ids.NewFencingToken(412, 3), Commands: []wire.Command{
+		{Name: "heartbeats answer", Value: []HeartbeatAnswer{{OK: true, Response: wire.HeartbeatResponse{FencingToken: ids.NewFencingToken(412, 3), Commands: []wire.Command{
 			{Verb: wire.VerbRun, Name: "job-1/3", Attempt: 2, GraceS: 5.5}}}}}},
 		{Name: "heartbeats answer, refused", Value: []HeartbeatAnswer{{}}, Partial: true},
 		{Name: "zones request", Value: struct{}{}},
--- a/controller/peerapi/operations.go
+++ b/controller/peerapi/operations.go
@@ -1,7 +1,7 @@
-// Package peerapi holds the requests and answers that controllers exchange over peerrpc, and
-// those of operators' commands: names of operations, messages and refusals. Controllers of two
-// versions talk to each other during an upgrade, so names, tags and texts of refusals must not
-// change. The package does no I/O.
+// Package peerapi defines the requests and answers that controllers, and operators' commands,
+// send to controllers over peerrpc: names of operations, messages and refusals. Controllers of
+// two versions talk to each other during an upgrade, so names, tags and texts of refusals must
+// not change. The package does no I/O.
 package peerapi
 
 import (
@@ -36,7 +36,7 @@
 	ErrUnknownOperation = peerrpc.Refusal("unknown operation")
 	// ErrZoneRecoveryDisabled refuses a ZoneOverride where zones are not watched.
 	ErrZoneRecoveryDisabled = peerrpc.Refusal("zone_return.enabled is false in the operators' settings")
-	// ErrOverrideNotRecorded tells that a ZoneOverride was not known to be recorded in time.
+	// ErrOverrideNotRecorded means that a ZoneOverride was not known to be recorded in time.
 	// It may still take effect.
 	ErrOverrideNotRecorded = peerrpc.Refusal("not recorded in time: look at the zones, and decide again")
 )
--- a/controller/peerapi/production_test.go
+++ b/controller/peerapi/production_test.go
@@ -69,7 +69,7 @@
 		"job done":      records.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70},
 		"slice": records.AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"a", "b"},
 			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 3, -1}, Done: []int{67, 69}},
-		"leader": election.Identity{Name: "perch-0", MeshAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3},
+		"leader": election.Identity{Name: "perch-0", PeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3},
 	} {
 		t.Run(name, func(t *testing.T) { checkProduction(t, old[name], want, wire.Decode, encode) })
 	}
@@ -79,7 +79,7 @@
 func TestReadsAndWritesMessagesOfProduction(t *testing.T) {
 	old := production(t)
 	for name, want := range map[string]any{
-		"ping":         Ping{From: "perch-1", Leader: "perch-0", Mesh: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StateOK: true, Workers: 231},
+		"ping":         Ping{From: "perch-1", Leader: "perch-0", LeaderPeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StoreReachable: true, Workers: 231},
 		"state call":   StoreCall{"POST", "/commit", []byte{1, 2}, 1000},
 		"state answer": StoreAnswer{200, []byte{3}, false, true},
 		"announcement": JobNotice{"job-1", old["job queued"], 412},
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -41,7 +41,7 @@
 // observeAnswer takes in the answer to a ping.
 func (p *peer) observeAnswer(now monotonic.Instant, answer peerapi.Ping) {
 	p.lastHeard.Store(int64(now))
-	p.storeReachable.Store(answer.StateOK)
+	p.storeReachable.Store(answer.StoreReachable)
 	p.leaderRevision.Store(uint64(answer.Revision))
 	p.workers.Store(int32(answer.Workers))
 	p.observeVersions(answer.Versions)
--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -74,16 +74,16 @@
 func (p *pinger) message() peerapi.Ping {
 	known, _ := p.election.Leader()
 	return peerapi.Ping{
-		From:        p.self,
-		Leader:      known.Name,
-		Mesh:        known.MeshAddress,
-		Incarnation: known.Incarnation,
-		Revision:    known.Revision,
-		StateOK:     p.health.reachable(),
-		Workers:     p.balancer.lastCount(),
-		Up:          p.clock.Now().Sub(p.startedAt),
-		Acked:       p.acknowledgements.revision(),
-		Versions:    p.gate.versions(),
+		From:                 p.self,
+		Leader:               known.Name,
+		LeaderPeerAddress:    known.PeerAddress,
+		Incarnation:          known.Incarnation,
+		Revision:             known.Revision,
+		StoreReachable:       p.health.reachable(),
+		Workers:              p.balancer.lastCount(),
+		Uptime:               p.clock.Now().Sub(p.startedAt),
+		AcknowledgedRevision: p.acknowledgements.revision(),
+		Versions:             p.gate.versions(),
 	}
 }
 
@@ -91,19 +91,19 @@
 // revision, since the key is gone already, ends earlier terms as well.
 func (p *pinger) observe(ping peerapi.Ping) {
 	p.election.Observe(election.Leader{
-		Identity: election.Identity{Name: ping.Leader, MeshAddress: ping.Mesh, Incarnation: ping.Incarnation},
+		Identity: election.Identity{Name: ping.Leader, PeerAddress: ping.LeaderPeerAddress, Incarnation: ping.Incarnation},
 		Revision: ping.Revision,
 	})
-	p.acknowledgements.advanceTo(ping.Acked)
+	p.acknowledgements.advanceTo(ping.AcknowledgedRevision)
 }
 
 // confirmTerm tells this controller's own term that a peer knew of no later leader when it was
 // asked, and when the peer's process was started, at the latest.
 func (p *pinger) confirmTerm(asked monotonic.Instant, answer peerapi.Ping) {
 	term := p.election.Term()
-	if term == nil || answer.Revision > term.Revision || answer.Up <= 0 {
+	if term == nil || answer.Revision > term.Revision || answer.Uptime <= 0 {
 		return
 	}
-	started := p.clock.Now().Add(answer.Up/clockRateMargin - answer.Up)
+	started := p.clock.Now().Add(answer.Uptime/clockRateMargin - answer.Uptime)
 	term.RecordPeerAck(answer.From, asked, started)
 }
--- a/election/golden_test.go
+++ b/election/golden_test.go
@@ -11,6 +11,6 @@
 func TestLeaderLeaseKeepsItsBytes(t *testing.T) {
 	codec := golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
 	golden.Check(t, "records.json", codec, []golden.Case{
-		{Name: "leader lease", Value: Identity{Name: "perch-0", MeshAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3}},
+		{Name: "leader lease", Value: Identity{Name: "perch-0", PeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3}},
 	})
 }
--- a/election/leader.go
+++ b/election/leader.go
@@ -5,7 +5,7 @@
 // Identity is the value of the leader key. It names one process of a controller.
 type Identity struct {
 	Name        ids.ControllerName        `msgpack:"n"`
-	MeshAddress string                    `msgpack:"m"`
+	PeerAddress string                    `msgpack:"m"`
 	Incarnation ids.ControllerIncarnation `msgpack:"i"`
 }
 
