--- a/election/authority.go
+++ b/election/authority.go
@@ -12,8 +12,8 @@
 	// to act without it: the term has ended, no renewal started recently, or OutageGrace
 	// expired. A later leader was ruled out within IsolatedGrace.
 	AuthorityExpired Authority = iota
-	// AuthorityExpiredIsolated is the same, but a later leader could not be ruled out for
-	// IsolatedGrace or longer.
+	// AuthorityExpiredIsolated is AuthorityExpired when a later leader could not be ruled out
+	// for IsolatedGrace or longer.
 	AuthorityExpiredIsolated
 	// AuthorityEnded means that the term has ended before its lease expires. The lease may
 	// have been revoked since.
@@ -60,7 +60,7 @@
 func (a Authority) MayAnswerHeartbeats() bool { return authorityGrants[a].answersHeartbeats }
 
 // MayAnswerReplicasOnly reports whether machines without replicas must not be answered.
-// Whether the others may be answered is for MayAnswerHeartbeats to say.
+// For machines with replicas see MayAnswerHeartbeats.
 func (a Authority) MayAnswerReplicasOnly() bool { return authorityGrants[a].replicasOnly }
 
 // Authority derives what the leader may do now from the validity of its lease, the age of the
@@ -90,8 +90,8 @@
 	}
 }
 
-// withinOutageGrace reports whether a leader without a valid lease may act as far as the
-// store is concerned: the grace goes on, and the leader has asked the store recently.
+// withinOutageGrace reports whether OutageGrace has not expired and the leader has asked the
+// store recently.
 func (t *Term) withinOutageGrace(now, leaseValidUntil monotonic.Instant) bool {
 	return now < leaseValidUntil.Add(t.bounds.OutageGrace) &&
 		now < t.lastRenewalStarted.Load().Add(renewalWindow)
--- a/election/campaign.go
+++ b/election/campaign.go
@@ -33,8 +33,8 @@
 		Operations:    []kv.Operation{{PutKey: records.LeaderKey, Value: e.self, Lease: lease}},
 	})
 	if err != nil {
-		// The result may be indeterminate and the key ours. The next round would wait for
-		// it to change.
+		// The result may be indeterminate, and the key may be this controller's. The next
+		// round would wait for the key to change.
 		e.revokeLease(ctx, lease)
 		return fmt.Errorf("take key %s at revision %d: %w", records.LeaderKey, expected, err)
 	}
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// beginTerm makes the term the controller's own. It fails if a later leader was observed
+// beginTerm makes the term the current one of this controller. It fails if a later leader was observed
 // since the campaign started: the answer to the commit was late, or the process was paused,
-// and peers may have been told of that leader.
+// and this controller may have announced that leader to its peers.
 func (e *Election) beginTerm(t *Term) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/election/doc.go
+++ b/election/doc.go
@@ -32,11 +32,11 @@
 //
 // Process pause. A process that was paused finds its lease expired, without having asked the
 // store. It may act again only once a renewal that started within the last 5 seconds has
-// completed, with whatever result.
+// completed, successfully or not.
 //
 // Indeterminate result. A commit or revocation without an answer may have been executed, or
 // may yet be. A candidate whose commit gave no answer does not lead. It revokes the lease,
 // so that a key which was taken after all disappears, at the latest when the lease expires.
 // A commit whose answer arrives after a later leader was observed begins no term, because
-// peers may have been told that this controller follows that leader.
+// this controller may have announced to its peers that it follows that leader.
 package election
--- a/election/election.go
+++ b/election/election.go
@@ -68,14 +68,14 @@
 	return &Election{store: store, self: self, bounds: bounds, clock: clock, log: log, work: work}
 }
 
-// Leader returns the latest leader that is known. It returns false if there is none.
+// Leader returns the latest known leader. It returns false if none is known.
 func (e *Election) Leader() (Leader, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leader, e.leader.Name != ""
 }
 
-// Term returns the controller's own term, or nil while it does not lead.
+// Term returns the current term of this controller, or nil while it does not lead.
 func (e *Election) Term() *Term {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/election/lease.go
+++ b/election/lease.go
@@ -14,8 +14,8 @@
 	// leaseSafetyMargin covers the resolution of timers and the store's own delay in
 	// starting and ending a lease.
 	leaseSafetyMargin = 50 * time.Millisecond
-	// renewalWindow is how recently a renewal must have started, whatever its result, for a
-	// leader to act with an expired lease. It is longer than a renewal that times out.
+	// renewalWindow is how recently a completed renewal, successful or not, must have started
+	// for a leader to act with an expired lease. It is longer than a renewal that times out.
 	renewalWindow = 5 * time.Second
 )
 
@@ -29,8 +29,8 @@
 	// IsolatedGrace is for how long a leader may answer heartbeats of machines without
 	// replicas after the last instant at which a later leader was ruled out: the lease was
 	// valid, or all Peers acknowledged. IsolatedReplicaGrace is the same for machines with
-	// replicas. A later leader counts on both, because it may have told users of
-	// cancellations that this leader does not know.
+	// replicas. A later leader relies on both, because it may have reported cancellations
+	// to users that this leader does not know.
 	IsolatedGrace, IsolatedReplicaGrace time.Duration
 	// Peers are the other controllers.
 	Peers []ids.ControllerName
--- a/election/term.go
+++ b/election/term.go
@@ -20,8 +20,7 @@
 	ended  atomic.Bool
 	// leaseValidUntil is until when the lease is valid on this machine's clock.
 	leaseValidUntil atomicInstant
-	// lastRenewalStarted is when the last renewal started that has completed, whatever its
-	// result.
+	// lastRenewalStarted is when the last completed renewal, successful or not, started.
 	lastRenewalStarted atomicInstant
 	acknowledgements   *peerAcknowledgements
 }
@@ -33,12 +32,12 @@
 
 // MayAnswerHeartbeats reports whether workers may be answered now: while the lease is valid,
 // and in a store outage for a bounded grace, which is shorter while a later leader cannot be
-// ruled out. The next leader counts on these bounds. After a process pause it is false until
-// the store was asked again. It is false once the term has ended.
+// ruled out. The next leader relies on these bounds. After a process pause it is false until
+// a renewal has completed. It is false once the term has ended.
 func (t *Term) MayAnswerHeartbeats() bool { return t.Authority().MayAnswerHeartbeats() }
 
 // MayAnswerReplicasOnly reports whether machines without replicas must not be answered now.
-// Whether the others may be answered is for MayAnswerHeartbeats to say.
+// For machines with replicas see MayAnswerHeartbeats.
 func (t *Term) MayAnswerReplicasOnly() bool { return t.Authority().MayAnswerReplicasOnly() }
 
 // RecordPeerAck notes that a peer, asked at the instant asked, knew of no later leader. The
@@ -54,8 +53,8 @@
 }
 
 // End ends the term. The context of the leader's work is cancelled with the cause, unless the
-// term had ended before. From its return on MayAnswerHeartbeats is false, also for work that
-// does not look at its context: other controllers rely on this one following a later leader.
+// term had ended before. MayAnswerHeartbeats is false once End has returned, also for work that
+// ignores its context: other controllers rely on this one following a later leader.
 func (t *Term) End(cause error) {
 	t.ended.Store(true)
 	t.cancel(cause)
--- a/election/watch.go
+++ b/election/watch.go
@@ -14,9 +14,9 @@
 // watchTimeout is for how long the store holds one watch request without a change.
 const watchTimeout = 10 * time.Second
 
-// Observe takes in a leader that the store or a peer names. A leader with a larger revision
-// than the own term ends the term. A leader without a name is not followed: its key is gone,
-// and it only shows that earlier terms are over.
+// Observe records a leader that the store or a peer names. A leader with a larger revision
+// than the current term ends that term. A leader without a name is not followed: its key was
+// deleted, and its revision only shows that earlier terms have ended.
 func (e *Election) Observe(l Leader) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -31,8 +31,8 @@
 	}
 }
 
-// forgetLeader forgets the leader whose key was deleted at a revision. Its own revision stays
-// known.
+// forgetLeader forgets the leader whose key was deleted at a revision. The revision of the
+// leader stays known.
 func (e *Election) forgetLeader(deletedAt ids.Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -68,8 +68,8 @@
 
 // verifyKeyUnchanged returns a revision of the store at which the leader key is still at the
 // revision that was read, from which it can be watched. It returns errKeyChanged if the key
-// is not. It is needed when the leader has held the key for longer than the store keeps
-// changes: reading the key again would only give its old revision.
+// is at another revision. It is needed when the leader has held the key for longer than the
+// store keeps changes: reading the key again would only return its old revision.
 func (e *Election) verifyKeyUnchanged(ctx context.Context, read ids.Revision) (ids.Revision, error) {
 	result, err := e.store.Commit(ctx, kv.Txn{
 		Preconditions: []kv.Precondition{{Key: records.LeaderKey, Revision: read}},
