--- a/records/changes.go
+++ b/records/changes.go
@@ -10,7 +10,7 @@
 // Change is one atomic change to the records: if all preconditions hold, all operations are
 // applied at one revision.
 type Change struct {
-	// ID is for the submitter, which recognises the result by it.
+	// ID identifies the change to its submitter; it is not stored.
 	ID            uint64
 	Preconditions []kv.Precondition
 	Operations    []kv.Operation
@@ -21,13 +21,13 @@
 	c.Preconditions = append(c.Preconditions, kv.Precondition{Key: key, Revision: revision})
 }
 
-// put adds the writing of a record over the one at the revision.
+// put adds an operation that replaces the record at the revision.
 func (c *Change) put(key string, revision ids.Revision, record any) {
 	c.require(key, revision)
 	c.Operations = append(c.Operations, kv.Operation{PutKey: key, Value: record})
 }
 
-// delete adds the deletion of the record at the revision.
+// delete adds an operation that deletes the record at the revision.
 func (c *Change) delete(key string, revision ids.Revision) {
 	c.require(key, revision)
 	c.Operations = append(c.Operations, kv.Operation{DeleteKey: key})
@@ -47,8 +47,8 @@
 }
 
 // PutSlicesChange writes admission slices of a job: one, or all parts of one that is split,
-// so that no task is ever without a record or in two. The job's revision is a precondition
-// too, so that nothing is admitted for a job that was cancelled.
+// so that each task is in exactly one record at all times. The job's revision is a
+// precondition too, so that nothing is admitted for a job that was cancelled.
 func PutSlicesChange(id ids.JobID, jobRevision ids.Revision, writes []SliceWrite) Change {
 	var c Change
 	c.require(JobKey(id), jobRevision)
@@ -121,7 +121,7 @@
 	return c
 }
 
-// DeleteZoneChange deletes the record of a zone that needs none any more.
+// DeleteZoneChange deletes the record of a zone that no longer needs one.
 func DeleteZoneChange(zone ids.Zone, revision ids.Revision) Change {
 	var c Change
 	c.delete(ZoneKey(zone), revision)
--- a/records/commit/batch.go
+++ b/records/commit/batch.go
@@ -11,14 +11,14 @@
 )
 
 // batchState is what is known about the transactions that were sent for a batch without a
-// definite answer. While one is in flight the state is that of those before it; a batch
-// that is resolved has an answer.
+// definite answer. While a transaction is in flight, the state is that of the transactions
+// before it. A batch that is resolved has an answer.
 type batchState int
 
 const (
-	// queued: none was executed, nor will be.
+	// queued means that none was executed, and none will be.
 	queued batchState = iota
-	// indeterminate: one may have been executed, or may yet be.
+	// indeterminate means that one may have been executed, or may yet be.
 	indeterminate
 )
 
@@ -108,7 +108,7 @@
 	return others
 }
 
-// queuedChange is a change with where its result goes.
+// queuedChange is a submitted change that has no result yet.
 type queuedChange struct {
 	change records.Change
 	size   size
@@ -130,7 +130,7 @@
 	return keys
 }
 
-// fail reports that the change was not applied, or that it is not known.
+// fail reports a change as failed with an error that names its first key.
 func (c queuedChange) fail(err error) {
 	key := c.change.Operations[0].PutKey
 	if key == "" {
--- a/records/commit/committer.go
+++ b/records/commit/committer.go
@@ -2,20 +2,20 @@
 // batched, and with indeterminate results resolved.
 //
 // A Committer owns a queue of changes. Its Run method takes as many changes as one
-// transaction may hold, brings that batch to its end, and goes on with the next one. A
+// transaction may hold, resolves that batch, and goes on with the next one. A
 // batch passes through these states:
 //
-//   - queued: the store has executed nothing of it.
+//   - queued: no transaction of it was executed.
 //   - in flight: its transaction was sent, and the answer is awaited.
 //   - indeterminate: an answer was lost. The transaction may have been executed, or may
 //     yet be, and is sent again until the answer is definite. When a repeat is refused,
 //     the nonce of what it would write tells whether an earlier sending was applied.
-//   - resolved: the store's answer is definite, and each change gets its result or goes
-//     into a smaller batch.
+//   - resolved: the store's answer is definite. Each change gets its result or goes into
+//     a smaller batch.
 //
 // The committer decides nothing about the records. It must never send a batch before the
-// one ahead of it has ended, and it must never report a change as refused that the store
-// may have applied.
+// previous one is resolved or given up, and it must never report a change as refused that
+// the store may have applied.
 package commit
 
 import (
@@ -76,8 +76,8 @@
 // being committed.
 func (c *Committer) QueueLength() int { return c.queue.length() }
 
-// Run commits until the context ends, whose error it then returns, or until the fence has
-// moved: then it returns records.ErrFenced. It must be called once.
+// Run commits until the context ends, and returns the context's error. It returns
+// records.ErrFenced if the fence has another revision. It must be called once.
 func (c *Committer) Run(ctx context.Context) error {
 	for {
 		changes := c.queue.take()
@@ -113,8 +113,8 @@
 			a.batch.fail(records.ErrFenced)
 			return records.ErrFenced
 		}
-		// The others go again. Their state is what it was before this transaction, which
-		// was definitely not applied.
+		// The others are sent again. Their state is what it was before this transaction,
+		// which was definitely not applied.
 		b.changes = a.batch.failConflicting(a.result.FailedKeys)
 		if len(b.changes) == len(a.batch.changes) && !c.holdBack(ctx, a.result) {
 			return ctx.Err()
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// isFenced reports whether a transaction was refused because the fence has moved.
+// isFenced reports whether a transaction was refused because the fence has another revision.
 func (c *Committer) isFenced(result kv.TxnResult) bool {
 	return c.fence != nil && slices.Contains(result.FailedKeys, c.fence.Key)
 }
@@ -135,8 +135,8 @@
 	return monotonic.Sleep(ctx, unknownKeyDelay)
 }
 
-// commitSingly commits the changes of a rejected batch one by one, so that only those fail
-// that the store does not take by themselves. A single change is not sent again.
+// commitSingly commits the changes of a rejected batch in a transaction each, so that only
+// those fail that the store rejects on their own. A single change is not sent again.
 func (c *Committer) commitSingly(ctx context.Context, rejected batch, refusal error) error {
 	if len(rejected.changes) == 1 {
 		c.log.Warn("change rejected", "err", refusal)
--- a/records/commit/committer_test.go
+++ b/records/commit/committer_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// The store's limits fall without notice. A batch that it rejects goes again one by one; a
-// change that is too large by itself fails alone, is reported as rejected, and is not sent
-// for ever. A change of an indeterminate batch is not reported as rejected if it was applied.
+// The store's limits may be lowered at any time. The changes of a batch that it rejects are
+// sent one at a time. A change that is too large on its own fails alone, is reported as
+// rejected, and is not sent again. A change of an indeterminate batch is not reported as rejected if it was applied.
 func TestRejectedChangeFailsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
@@ -106,7 +106,8 @@
 	})
 }
 
-// After a lost answer, a record with another nonce is another's: the change was not applied.
+// After a lost response, a record with another nonce is another writer's: the change was not
+// applied.
 func TestRecordOfAnotherIsNotTakenForOwn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
@@ -127,7 +128,8 @@
 }
 
 // A batch whose answer was lost is rejected, and the first sending of it is applied while its
-// changes go one by one: they must be reported as applied, not as conflicts with themselves.
+// changes are sent one at a time: they must be reported as applied, not as conflicts with
+// themselves.
 func TestLateBatchResolvesItsSingleChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
@@ -172,8 +174,8 @@
 	})
 }
 
-// A user's submission is not held during an outage of the store: a client that waits is
-// told at once.
+// During an outage of the store, a change with a deadline fails at once, so that its client can
+// retry elsewhere.
 func TestOutageIsReportedAtOnceToClientsThatWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
@@ -266,7 +268,7 @@
 	})
 }
 
-// Retries come after 50 ms, and then later and later, but never later than 500 ms.
+// The delay before a retry starts at 50 ms, doubles, and is at most 500 ms.
 func TestRetriesBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
--- a/records/commit/queue.go
+++ b/records/commit/queue.go
@@ -8,8 +8,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Limits are the limits of one transaction. A change that is beyond them by itself is sent
-// nevertheless, alone: the store decides.
+// Limits are the limits of one transaction. A change that exceeds them on its own is still
+// sent, in a transaction of its own: the store decides.
 type Limits struct {
 	// Operations is the largest number of puts and deletes.
 	Operations int
@@ -21,12 +21,12 @@
 // each operation that it allows.
 const preconditionsPerOperation = 4
 
-// The store measures a transaction as JSON, which is not what goes over the wire. Writing
-// each change out as JSON would cost more than it gains, so its size is estimated. Limits
-// leave room for estimates that are too low, and a batch that is too large nevertheless is
-// rejected and goes again one by one.
+// The store measures a transaction as JSON, which is not its form on the wire. Encoding each
+// change as JSON would cost more than it gains, so its size is estimated. Limits leave a margin
+// for estimates that are too low. If a batch is too large all the same, the store rejects it,
+// and its changes are sent one at a time.
 const (
-	// bytesPerKey is what a precondition or operation takes beside its key and value:
+	// bytesPerKey is the size of a precondition or operation without its key and value:
 	// braces, field names, and a revision.
 	bytesPerKey = 40
 	// jsonBytes is how many bytes of JSON a record takes for messagePackBytes of
@@ -77,7 +77,7 @@
 	// added receives a value after a change was added; one value may stand for many changes.
 	added chan struct{}
 
-	mu      sync.Mutex // guards changes
+	mu      sync.Mutex
 	changes []queuedChange
 }
 
--- a/records/commit/resolve.go
+++ b/records/commit/resolve.go
@@ -9,9 +9,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// resolve finds out what the refusal of a repeated transaction means: that an earlier
-// sending of it was applied and moved the revisions itself, or that none was. definite is
-// false if the store could not be read.
+// resolve determines what the refusal of a repeated transaction means: an earlier sending of
+// it was applied and changed the revisions, or none was applied. definite is false if the store
+// could not be read.
 func (c *Committer) resolve(ctx context.Context, refusal answer, txn kv.Txn) (a answer, definite bool) {
 	revision, applied, err := c.findApplied(ctx, txn)
 	switch {
@@ -20,8 +20,9 @@
 	case applied:
 		return answer{batch: refusal.batch, result: kv.TxnResult{Applied: true, Revision: revision}}, true
 	case !errors.Is(refusal.err, kv.ErrRejected):
-		// Preconditions that failed fail for late copies too. A rejection says nothing
-		// about them: the store may yet execute a copy that it took before.
+		// Preconditions that failed also fail for copies that are executed later. A
+		// rejection says nothing about preconditions: the store may yet execute a copy
+		// that it accepted before.
 		refusal.batch.state = queued
 	}
 	return refusal, true
@@ -40,8 +41,8 @@
 	return entry.Revision, err == nil && !found, err
 }
 
-// findPut reports whether the store has the very record that an operation puts, and at
-// which revision.
+// findPut reports whether the store holds the record that an operation puts, and at which
+// revision. Records are compared by nonce.
 func (c *Committer) findPut(ctx context.Context, put kv.Operation) (revision ids.Revision, applied bool, err error) {
 	entry, found, err := c.store.Get(ctx, put.PutKey)
 	if err != nil {
@@ -52,7 +53,7 @@
 		return 0, false, err
 	}
 	if stored, err := nonceOf(entry.Value); err != nil || stored != own {
-		return 0, false, nil // a record without a readable nonce is not ours
+		return 0, false, nil // a record without a readable nonce is another writer's
 	}
 	return entry.Revision, true, nil
 }
--- a/records/commit/send.go
+++ b/records/commit/send.go
@@ -22,8 +22,8 @@
 	batch batch
 	// result is the store's if err is nil: applied, or a conflict.
 	result kv.TxnResult
-	// err wraps kv.ErrRejected if the store does not take the transaction. All other errors
-	// are the reason why the batch was given up.
+	// err wraps kv.ErrRejected if the store rejects the transaction. All other errors are the
+	// reason why the batch was given up.
 	err error
 }
 
@@ -32,7 +32,7 @@
 	return a.err == nil && !a.result.Applied || errors.Is(a.err, kv.ErrRejected)
 }
 
-// send sends a batch until the answer is definite, or until nothing waits for it any more.
+// send sends a batch until the answer is definite, or until the batch is given up.
 // The same transaction is safe to repeat: its preconditions let it through at most once.
 func (c *Committer) send(ctx context.Context, b batch) answer {
 	txn := b.transaction(c.fence)
@@ -56,8 +56,8 @@
 	}
 }
 
-// sendWithoutDeadlines goes on after the store did not execute a transaction: clients that
-// wait are told at once, and the other changes are sent again without a pause.
+// sendWithoutDeadlines continues after the store did not execute a transaction: changes with a
+// deadline fail at once, and the others are sent again without a pause.
 func (c *Committer) sendWithoutDeadlines(ctx context.Context, b batch, cause error) answer {
 	b.changes = b.failWithDeadlines(cause)
 	if len(b.changes) == 0 {
--- a/records/keys.go
+++ b/records/keys.go
@@ -16,9 +16,10 @@
 	// ZonePrefix is the prefix of the keys of zones. Such records exist only where
 	// operators have zones watched; versions that do not know them do not read them.
 	ZonePrefix = "zones/"
-	// LeaderKey holds the lease of the leader. Its revision is the leader's fence.
+	// LeaderKey names the leader and is attached to its lease. Commits of the leader are fenced
+	// by its revision.
 	LeaderKey = "leader"
-	// FleetKey exists once a leader has ever led.
+	// FleetKey exists once any controller has led.
 	FleetKey = "fleet"
 	// FormatKey exists once every controller is known to handle dependencies of jobs and
 	// admission slices that were split.
--- a/records/records.go
+++ b/records/records.go
@@ -24,7 +24,7 @@
 	Status wire.JobState `msgpack:"s"`
 	// Tasks is the number of tasks.
 	Tasks int `msgpack:"n"`
-	// Spec is nil in the records of jobs whose description nothing needs any more.
+	// Spec is nil in the records of jobs whose description is no longer needed.
 	Spec *wire.JobSpec `msgpack:"p,omitempty"`
 	// SubmittedMS is the Unix time of the submission in milliseconds. Jobs are ordered by it.
 	SubmittedMS int64 `msgpack:"t,omitempty"`
@@ -53,15 +53,16 @@
 
 // AdmissionSlice is the durable record of some of a job's tasks: the machine to which each
 // was admitted, and with which attempt. It is committed before any of these tasks is
-// started, so a task can be only where its record says. The tasks that it lists are the
-// tasks that it is for. Its number does not tell them: slices are split when they grow too
-// large, and the setting slice_tasks may change.
+// started, so a task can run only where its record says. Tasks alone determines which tasks
+// the slice covers. They do not follow from its number, because slices are split when they
+// grow too large, and the setting slice_tasks may change.
 type AdmissionSlice struct {
 	// Nonce identifies the change that wrote the record, as in Job.
-	Nonce uint64          `msgpack:"w"`
+	Nonce uint64 `msgpack:"w"`
+	// Hosts lists the machines to which tasks were admitted.
 	Hosts []ids.MachineID `msgpack:"h"`
-	// Zones holds the zone of each host, so that the next leader can keep oneZone and
-	// spread before it receives heartbeats of the hosts.
+	// Zones holds the zone of each machine, so that the next leader can keep oneZone and
+	// spread before it receives heartbeats of the machines.
 	Zones []ids.Zone `msgpack:"z"`
 	// Tasks holds triples: task index, last attempt, and index in Hosts or -1.
 	Tasks []int `msgpack:"t"`
--- a/records/result.go
+++ b/records/result.go
@@ -9,10 +9,10 @@
 
 var (
 	// ErrRejected means that the store does not take the change for its size or form,
-	// whatever the revisions. The change was not applied, and the same change would be
+	// not for its preconditions. The change was not applied, and the same change would be
 	// rejected again.
 	ErrRejected = errors.New("change rejected by the store")
-	// ErrFenced means that the leader key has moved on: this leader has been replaced.
+	// ErrFenced means that the leader key is no longer at this leader's revision.
 	ErrFenced = errors.New("fenced: the leader key has a later revision")
 	// ErrIndeterminate means that the change may have been applied, or may yet be. The
 	// records must be read again to know.
