--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -1,5 +1,5 @@
 // Package cloud is the client of the cloud that machines are provisioned from. It sends each
-// request once, within a request budget, and tells by its errors whether the request was
+// request once, within a request budget, and its errors distinguish whether the request was
 // executed. Retries belong to the callers.
 package cloud
 
@@ -49,8 +49,8 @@
 }
 
 // AuthorizedBy returns a client with the same budget that sends requests only while authorized
-// returns true. It asks just before each request is sent: the cloud knows no fencing tokens,
-// and the caller may lose its authorization while the request waits for the budget.
+// returns true. It calls authorized just before each request is sent: the cloud has no fencing
+// tokens, and the caller may lose its authorization while the request waits for the budget.
 func (c *Client) AuthorizedBy(authorized func() bool) *Client {
 	transport := authorizedTransport{Transport: c.transport, authorized: authorized}
 	return &Client{transport: c.transport, service: c.service.WithTransport(transport)}
@@ -86,15 +86,16 @@
 	return t.Name != "" && t.CPUs > 0 && t.MemoryGB >= 0 && t.Price >= 0 && t.SpotPrice >= 0 && t.BootS >= 0
 }
 
-// Provision asks for machines. The same request may be repeated until it is answered: its
-// RequestID makes it idempotent. After a success the RequestID must not be used again.
+// Provision requests machines. A request may be repeated until its result is definite, since
+// its RequestID makes it idempotent. After a success the RequestID must not be used again.
 func (c *Client) Provision(ctx context.Context, request wire.ProvisionRequest) ([]ids.MachineID, error) {
 	var machines wire.MachineIDs
 	_, err := c.do(ctx, httpclient.Request{Method: http.MethodPost, Path: "/hosts", Body: request}, &machines)
 	return machines.IDs, err
 }
 
-// Terminate ends machines, at most MaxTerminateBatch. After a success they are terminated.
+// Terminate terminates at most MaxTerminateBatch machines. After a success all of them are
+// terminated.
 func (c *Client) Terminate(ctx context.Context, machines []ids.MachineID) error {
 	body := wire.MachineIDs{IDs: machines}
 	_, err := c.service.Do(ctx, httpclient.Request{Method: http.MethodPost, Path: "/hosts/return", Body: body, Timeout: requestTimeout})
--- a/cloud/errors.go
+++ b/cloud/errors.go
@@ -10,7 +10,7 @@
 // Errors of requests wrap one of these. ErrNoCapacity is a condition of the cloud; all others
 // come with a *httpclient.RequestError that names the request.
 var (
-	// ErrNoCapacity means that the cloud has no such machine now.
+	// ErrNoCapacity means that the cloud has no machine of the requested kind now.
 	ErrNoCapacity = errors.New("no capacity")
 	// ErrUnavailable means that the cloud did not execute the request.
 	ErrUnavailable = errors.New("cloud unavailable")
@@ -20,10 +20,10 @@
 	ErrRejected = errors.New("request rejected by the cloud")
 )
 
-// errNotAuthorized means that the caller may not call the cloud any more.
+// errNotAuthorized means that the caller may no longer call the cloud.
 var errNotAuthorized = errors.New("the caller is no longer authorized")
 
-// protocol is what the cloud's statuses mean. An answer that cannot be decoded does not tell
+// protocol maps the cloud's statuses to errors. An answer that cannot be decoded leaves open
 // whether the request was executed.
 var protocol = httpclient.Protocol{
 	Accepted:      []int{http.StatusOK},
@@ -34,10 +34,10 @@
 	Condition:     condition,
 }
 
-// noCapacityMessage is the message of the cloud when it has no such machine.
+// noCapacityMessage is the message of the cloud for ErrNoCapacity.
 const noCapacityMessage = "no capacity"
 
-// condition returns the sentinel of a status and message with a meaning of their own.
+// condition returns the sentinel of a status and message that stand for a condition, or nil.
 func condition(status int, message string) error {
 	if status == http.StatusServiceUnavailable && message == noCapacityMessage {
 		return ErrNoCapacity
--- a/kv/client.go
+++ b/kv/client.go
@@ -1,5 +1,5 @@
 // Package kv is the client of the consensus-backed key-value store. It sends each request
-// once, within a request budget, and tells by its errors whether the request was executed.
+// once, within a request budget, and its errors distinguish whether the request was executed.
 // Retries, and the resolution of indeterminate results, belong to the callers.
 package kv
 
@@ -80,9 +80,9 @@
 	return entry, true, nil
 }
 
-// List hands all entries whose keys have a prefix to each, in the order of keys, and ends with
-// the first error of each. It returns the revision of the first page, so that a watch from
-// there misses no change.
+// List calls each with every entry whose key has a prefix, in the order of keys, and returns the
+// first error of each. It returns the revision of the first page, so that a watch from there
+// misses no change.
 func (c *Client) List(ctx context.Context, prefix string, each func(Entry) error) (ids.Revision, error) {
 	var first ids.Revision
 	after := ""
@@ -122,7 +122,7 @@
 	return TxnResult{}, answer.Malformed(nil)
 }
 
-// GrantLease makes a lease that ends unless it is renewed within ttl.
+// GrantLease makes a lease that expires unless it is renewed within ttl.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (ids.LeaseID, error) {
 	var response grantResponse
 	if err := c.doOK(ctx, grantRequest(ttl), &response); err != nil {
@@ -131,8 +131,8 @@
 	return response.Lease, nil
 }
 
-// RenewLease gives a lease its full time again. It returns ErrLeaseExpired if the lease has
-// ended.
+// RenewLease renews a lease for its full TTL. It returns ErrLeaseExpired if the lease has
+// expired or was revoked.
 func (c *Client) RenewLease(ctx context.Context, id ids.LeaseID) error {
 	answer, err := c.do(ctx, renewRequest(id), nil)
 	if err == nil && answer.Status != http.StatusOK {
@@ -141,7 +141,7 @@
 	return err
 }
 
-// RevokeLease ends a lease and deletes its keys. It succeeds if the lease has ended before.
+// RevokeLease ends a lease and deletes its keys. It succeeds also if the lease has expired before.
 func (c *Client) RevokeLease(ctx context.Context, id ids.LeaseID) error {
 	_, err := c.do(ctx, revokeRequest(id), nil)
 	return err
--- a/kv/errors.go
+++ b/kv/errors.go
@@ -14,20 +14,20 @@
 	ErrUnavailable = errors.New("key-value store unavailable")
 	// ErrIndeterminate means that the request may have been executed, or may yet be.
 	ErrIndeterminate = errors.New("no response from the key-value store")
-	// ErrLeaseExpired means that a lease has ended.
+	// ErrLeaseExpired means that a lease has expired or was revoked.
 	ErrLeaseExpired = errors.New("no such lease")
 	// ErrCompacted means that the store no longer keeps the changes that a watch asks for.
 	// The watch must start again from a list.
 	ErrCompacted = errors.New("watch revision too old")
-	// ErrRejected means that the store does not accept the request as it is, for its size or
-	// form. It would be rejected again.
+	// ErrRejected means that the store rejects the request for its size or form. It would be
+	// rejected again.
 	ErrRejected = errors.New("request rejected by the key-value store")
 	// ErrMalformedResponse means that the response of the store cannot be decoded, or does not
 	// belong to the request.
 	ErrMalformedResponse = errors.New("malformed response from the key-value store")
 )
 
-// protocol is what the store's statuses mean.
+// protocol maps the store's statuses to errors.
 var protocol = httpclient.Protocol{
 	Accepted:      []int{http.StatusOK, http.StatusNotFound, http.StatusConflict},
 	Unavailable:   ErrUnavailable,
@@ -37,10 +37,10 @@
 	Condition:     condition,
 }
 
-// leaseExpiredMessage is the message of the store for a lease that has ended.
+// leaseExpiredMessage is the message of the store for a lease that it does not hold.
 const leaseExpiredMessage = "no such lease"
 
-// condition returns the sentinel of a status and message with a meaning of their own.
+// condition returns the sentinel of a status and message that stand for a condition, or nil.
 func condition(status int, message string) error {
 	switch {
 	case status == http.StatusGone:
--- a/kv/types.go
+++ b/kv/types.go
@@ -11,7 +11,7 @@
 	Key      string             `msgpack:"key"`
 	Value    msgpack.RawMessage `msgpack:"v"`
 	Revision ids.Revision       `msgpack:"stamp"`
-	// Lease is the lease that the key ends with; 0 means none.
+	// Lease is the lease that the key is attached to; 0 means none.
 	Lease ids.LeaseID `msgpack:"hold"`
 }
 
@@ -26,7 +26,7 @@
 type Operation struct {
 	PutKey string `msgpack:"write,omitempty"`
 	Value  any    `msgpack:"v,omitempty"`
-	// Lease is the lease that the key ends with; 0 means none.
+	// Lease is the lease that the key is attached to; 0 means none.
 	Lease     ids.LeaseID `msgpack:"hold,omitempty"`
 	DeleteKey string      `msgpack:"drop,omitempty"`
 }
@@ -41,7 +41,7 @@
 // TxnResult is the definite result of a transaction.
 type TxnResult struct {
 	Applied bool
-	// Revision is that of the transaction if it was applied, and else the store's.
+	// Revision is that of the transaction if it was applied, and otherwise the store's.
 	Revision ids.Revision
 	// FailedKeys are the keys whose preconditions did not hold.
 	FailedKeys []string
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,5 +1,5 @@
-// Package worker is the client of the agents on machines. The leader sends them commands and
-// asks for heartbeats.
+// Package worker is the client of the agents that run tasks on machines. The leader sends them
+// commands and requests heartbeats. Each request is sent once; retries belong to the leader.
 package worker
 
 import (
@@ -47,7 +47,7 @@
 	return transport
 }
 
-// Forget closes the connections to an address of a machine that is terminated.
+// Forget closes the connections to the address of a terminated machine.
 func (c *Client) Forget(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +57,7 @@
 	}
 }
 
-// SendCommands sends commands and returns the heartbeat after them, which tells whether the
+// SendCommands sends commands and returns the agent's next heartbeat, which shows whether the
 // agent executed or refused them. After an error the commands may have been executed, unless
 // it wraps httpclient.ErrNotSent.
 func (c *Client) SendCommands(ctx context.Context, address string, batch wire.CommandBatch, timeout time.Duration) (*wire.Heartbeat, error) {
@@ -81,8 +81,8 @@
 	return heartbeat, nil
 }
 
-// exchange sends one request and reads the heartbeat from its response. An agent sends one
-// also when it refuses commands. Any other response leaves the result open.
+// exchange sends one request over a transport. An agent answers with a heartbeat also when it
+// refuses commands. Any other response leaves the result indeterminate.
 func exchange(ctx context.Context, transport httpclient.Transport, request httpclient.Request) (*wire.Heartbeat, error) {
 	var body []byte
 	if request.Body != nil {
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -11,7 +11,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A response that is no heartbeat leaves the result open, whatever its status.
+// A response without a heartbeat leaves the result indeterminate, also with status 200.
 func TestResponsesWithoutAHeartbeat(t *testing.T) {
 	heartbeat := wire.Encode(map[string]any{"host": "n-1"})
 	for _, c := range []struct {
