--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,5 +1,5 @@
-// Package httpclient sends requests to the services outside: the key-value store, the cloud
-// and the agents on machines. Client is the HTTP transport to one address, with open
+// Package httpclient sends requests to external services: the key-value store, the cloud and
+// the agents on machines. Client is the HTTP transport to one address, with open
 // connections and a deadline on every request. Service adds the request budget and the
 // mapping of statuses to errors that the clients of services share. Neither repeats a
 // request: only the caller knows how to resolve an indeterminate result.
@@ -67,8 +67,8 @@
 func (c *Client) SetIdleTimeout(timeout time.Duration) { c.host.MaxIdleConnDuration = timeout }
 
 // Do sends one request and returns the status and a copy of the response's body. The request
-// ends with its timeout or the context's deadline, the earlier of both; a context canceled
-// later does not end it. An error is a *RequestError of the kind ErrNotSent or ErrNoResponse.
+// ends with its timeout or the context's deadline, whichever is earlier. Cancelling the context
+// does not end a request that was sent. An error is a *RequestError of the kind ErrNotSent or ErrNoResponse.
 func (c *Client) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
 	if err := ctx.Err(); err != nil {
 		return 0, nil, &RequestError{Kind: ErrNotSent, Method: method, Path: path, Cause: err}
@@ -88,8 +88,8 @@
 	return response.StatusCode(), append([]byte(nil), response.Body()...), nil
 }
 
-// earliestDeadline is the end of a timeout that starts now, or the context's deadline if that
-// is earlier.
+// earliestDeadline returns the end of a timeout that starts now, or the context's deadline if
+// that is earlier.
 func earliestDeadline(ctx context.Context, timeout time.Duration) time.Time {
 	deadline := time.Now().Add(timeout)
 	if ofContext, ok := ctx.Deadline(); ok && ofContext.Before(deadline) {
@@ -98,7 +98,7 @@
 	return deadline
 }
 
-// transportErrorKind tells whether a request without a response was sent.
+// transportErrorKind returns ErrNotSent or ErrNoResponse for an error of the transport.
 func transportErrorKind(err error) error {
 	if errors.Is(err, errNoConnection) || errors.Is(err, fasthttp.ErrNoFreeConns) {
 		return ErrNotSent
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// A request that finds all connections in use does not wait for ever, and was not sent.
+// A request that finds all connections in use fails after connectionWait, and was not sent.
 func TestNoFreeConnection(t *testing.T) {
 	release := make(chan struct{})
 	arrived := make(chan struct{})
--- a/internal/httpclient/errors.go
+++ b/internal/httpclient/errors.go
@@ -15,16 +15,16 @@
 
 // RequestError says which request failed and how. It wraps Kind and Cause.
 type RequestError struct {
-	// Kind is the sentinel that tells the caller what to conclude: ErrNotSent, ErrNoResponse,
-	// or one of a Protocol.
+	// Kind is the sentinel that callers test for: ErrNotSent, ErrNoResponse, or one of a
+	// Protocol.
 	Kind   error
 	Method string
 	Path   string
 	// Status is the status of the response; 0 if there was none.
 	Status int
-	// Message is what the service said about it, if anything.
+	// Message is the service's error message, "" if there was none.
 	Message string
-	// Cause is the underlying error, nil if the status is all there is.
+	// Cause is the underlying error; nil if only the status shows the failure.
 	Cause error
 }
 
--- a/internal/httpclient/service.go
+++ b/internal/httpclient/service.go
@@ -14,13 +14,14 @@
 )
 
 // Transport carries one request to a service, once. Its errors are *RequestError of the kind
-// ErrNotSent or ErrNoResponse. An error that does not wrap ErrNotSent leaves the result open.
+// ErrNotSent or ErrNoResponse. An error that does not wrap ErrNotSent leaves the result
+// indeterminate.
 type Transport interface {
 	Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (status int, response []byte, err error)
 }
 
-// Protocol is what the statuses of one service mean. The error kinds are sentinels of the
-// service's own package.
+// Protocol maps the statuses of one service to errors. The error kinds are sentinels of the
+// package of the service's client.
 type Protocol struct {
 	// Accepted lists the statuses that are answers. All others are errors.
 	Accepted []int
@@ -33,8 +34,9 @@
 	Rejected error
 	// Malformed is the kind of an error for an answer that cannot be decoded.
 	Malformed error
-	// Condition returns the sentinel for a status and message with a meaning of their own in
-	// this protocol, nil for all others. It is returned without further wrapping.
+	// Condition returns the sentinel for a status and message that stand for a condition of
+	// the service, such as an expired lease, and nil for all others. The sentinel is returned
+	// to callers without a *RequestError.
 	Condition func(status int, message string) error
 }
 
@@ -44,12 +46,12 @@
 	Path   string
 	// Body is encoded as MessagePack; nil sends none.
 	Body any
-	// Timeout bounds the exchange; it starts when the request gets its turn.
+	// Timeout bounds the exchange; it starts once the budget admits the request.
 	Timeout time.Duration
 }
 
-// Service sends requests to one service within a request budget and tells by the service's
-// protocol how each ended. It repeats none. It is safe for concurrent use.
+// Service sends requests to one service within a request budget and maps the results by the
+// service's protocol. It repeats no request. It is safe for concurrent use.
 type Service struct {
 	transport Transport
 	budget    *rate.Limiter
@@ -95,7 +97,7 @@
 	return &Answer{Status: status, Body: response, request: request, malformed: s.protocol.Malformed}, nil
 }
 
-// statusError is the error of a response that is no answer.
+// statusError returns the error of a response whose status is not accepted.
 func (s *Service) statusError(request Request, status int, response []byte) error {
 	message := errorMessage(response)
 	if err := s.protocol.Condition(status, message); err != nil {
--- a/peerrpc/client_connection.go
+++ b/peerrpc/client_connection.go
@@ -26,8 +26,8 @@
 	mu     sync.Mutex
 	writer *bufio.Writer
 	lastID uint64
-	// inFlight holds where the response to each request goes. A closed channel stands for the
-	// end of the connection.
+	// inFlight holds the channel for the response to each request. It is closed when the
+	// connection ends.
 	inFlight map[uint64]chan *frame
 	closed   bool
 }
@@ -90,7 +90,7 @@
 	return responses, err
 }
 
-// write is send but for the end of the connection.
+// write gives a request its ID and writes it. It leaves a connection open that failed.
 func (c *clientConnection) write(ctx context.Context, request *frame) (<-chan *frame, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +110,7 @@
 	return responses, nil
 }
 
-// failed is the error of a request of a kind, ErrNotSent or ErrNoResponse.
+// failed returns the error of a request; kind is ErrNotSent or ErrNoResponse.
 func (c *clientConnection) failed(kind, cause error) error {
 	return fmt.Errorf("%w: %s: %w", kind, c.peer, cause)
 }
--- a/peerrpc/errors.go
+++ b/peerrpc/errors.go
@@ -8,17 +8,17 @@
 )
 
 var (
-	// ErrNotSent means that the peer did not get the request.
+	// ErrNotSent means that the peer did not receive the request.
 	ErrNotSent = errors.New("peer not reached")
-	// ErrNoResponse means that the peer may have got the request and may have executed it.
+	// ErrNoResponse means that the peer may have received and executed the request.
 	ErrNoResponse = errors.New("no answer from the peer")
 	// ErrRemote means that the peer answered with an error. Such errors are *RemoteError.
 	ErrRemote = errors.New("refused by the peer")
 )
 
 // Refusal is an error that a handler may return, and that callers on other controllers can
-// test for with errors.Is. Of an error only the text crosses the wire; Refusals are equal if
-// their texts are.
+// test for with errors.Is. Only the text of an error is sent; Refusals are equal if their texts
+// are.
 type Refusal string
 
 // Error returns the text.
--- a/peerrpc/peer.go
+++ b/peerrpc/peer.go
@@ -1,7 +1,7 @@
-// Package peerrpc carries requests between controllers: CBOR frames over TCP, many requests at
-// a time on one connection. Peer is the client and Serve the server. The package knows nothing
-// of the requests' meaning, and never repeats one: an error tells whether the peer may have
-// executed it.
+// Package peerrpc carries requests between controllers: CBOR frames over TCP, with many requests
+// in flight on one connection. Peer is the client and Serve the server. The package does not
+// interpret requests, and never repeats one: an error shows whether the peer may have executed
+// it. The requests themselves are in package controller/peerapi.
 package peerrpc
 
 import (
@@ -43,8 +43,8 @@
 // Call sends a request and decodes its response into out, unless out is nil. Requests have no
 // time limit but the context's. An error wraps ErrNotSent, ErrNoResponse or ErrRemote.
 //
-// A network partition shows no error: a caller that finds a peer's requests timing out calls
-// Close, and the next call opens another connection.
+// A network partition causes no connection error. A caller whose requests to a peer time out
+// calls Close, and the next call opens another connection.
 func (p *Peer) Call(ctx context.Context, op Operation, in, out any) error {
 	body, err := cbor.Marshal(in)
 	if err != nil {
--- a/peerrpc/server.go
+++ b/peerrpc/server.go
@@ -25,14 +25,14 @@
 	responseTimeout = 5 * time.Second
 )
 
-// Handler answers one request. The result is encoded as CBOR. Of an error the caller gets the
-// text: see Refusal. The context ends with the connection. Handlers run concurrently.
+// Handler answers one request. The result is encoded as CBOR. The caller receives only the text
+// of an error: see Refusal. The context ends with the connection. Handlers run concurrently.
 type Handler func(ctx context.Context, op Operation, body []byte) (any, error)
 
 // Serve answers requests on a listener until the context ends. It closes the listener then, and
 // returns once that is closed and all handlers have ended.
 func Serve(ctx context.Context, listener net.Listener, handler Handler, log *slog.Logger) error {
-	// Accept fails a moment before the listener refuses connections, so its closing is awaited.
+	// Accept fails before the listener refuses connections, so Serve waits for Close to return.
 	closed := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(closed)
