--- a/controller/catalog.go
+++ b/controller/catalog.go
@@ -18,8 +18,8 @@
 	catalogRetryDelay = time.Second
 )
 
-// catalog keeps the cloud's machine types and prices. Its method run writes them; any goroutine
-// may read them.
+// catalog caches the cloud's machine types and prices. The goroutine of run writes them; any
+// goroutine may read them.
 type catalog struct {
 	cloud     *cloud.Client
 	ownLeader *localLeader
@@ -37,7 +37,7 @@
 	return *stored, true
 }
 
-// run reads the catalog again and again until the context ends.
+// run reads the catalog periodically until the context ends.
 func (c *catalog) run(ctx context.Context) error {
 	for {
 		wait := catalogInterval
--- a/controller/connection_balancer.go
+++ b/controller/connection_balancer.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// redirectInterval is the least time between two workers that are sent elsewhere. Moving
-	// all at once would only overload the next controller.
+	// redirectInterval is the least time between two redirects of workers. Redirecting all at
+	// once would only overload the next controller.
 	redirectInterval = 100 * time.Millisecond
 	// overloadRatio and overloadReserve are by how much a controller's workers may exceed its
-	// share before it sends some elsewhere.
+	// share before it redirects some.
 	overloadRatio   = 1.2
 	overloadReserve = 16
-	// followerWeight and leaderWeight are the relative shares of workers. The leader takes
-	// fewer, since it decides for all of them.
+	// followerWeight and leaderWeight are the relative shares of workers. The leader gets fewer,
+	// since it also decides for the workers of all others.
 	followerWeight = 1
 	leaderWeight   = 0.5
 	// balancerWindowIntervals is for how many heartbeat intervals after a heartbeat a worker
@@ -26,9 +26,9 @@
 	balancerWindowIntervals = 2
 )
 
-// connectionBalancer counts the workers that send heartbeats to this controller, and sends some
-// to other controllers when they are too many: after a restart they would all stay where they
-// went. It is safe for concurrent use.
+// connectionBalancer counts the workers that send heartbeats to this controller, and redirects
+// some to other controllers if they are too many: workers that connected elsewhere during a
+// restart would stay there. It is safe for concurrent use.
 type connectionBalancer struct {
 	// window is for how long after a heartbeat a worker is counted.
 	window time.Duration
@@ -39,7 +39,7 @@
 	mu sync.Mutex
 	// lastHeartbeat is when each worker last sent a heartbeat here.
 	lastHeartbeat map[ids.MachineID]monotonic.Instant
-	// redirectedAt is when a worker was last sent elsewhere.
+	// redirectedAt is when a worker was last redirected.
 	redirectedAt monotonic.Instant
 }
 
@@ -47,8 +47,8 @@
 	return &connectionBalancer{window: window, lastHeartbeat: map[ids.MachineID]monotonic.Instant{}}
 }
 
-// reported takes note of a worker's heartbeat.
-func (b *connectionBalancer) reported(machine ids.MachineID, now monotonic.Instant) {
+// recordHeartbeat records that a worker sent a heartbeat to this controller.
+func (b *connectionBalancer) recordHeartbeat(machine ids.MachineID, now monotonic.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lastHeartbeat[machine] = now
@@ -66,7 +66,7 @@
 	b.count.Store(int32(len(b.lastHeartbeat)))
 }
 
-// lastCount is the number of workers as of the last recount.
+// lastCount returns the number of workers as of the last recount.
 func (b *connectionBalancer) lastCount() int { return int(b.count.Load()) }
 
 // controllerLoad is how many workers a controller has, and its relative share of workers.
@@ -76,7 +76,8 @@
 	weight  float64
 }
 
-// chooseTarget tells to which controller a worker should go; ok is false if it should stay.
+// chooseTarget returns the controller to which a worker should be redirected; ok is false if it
+// should stay.
 func (b *connectionBalancer) chooseTarget(self controllerLoad, others []controllerLoad, now monotonic.Instant) (target ids.ControllerName, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -87,10 +88,10 @@
 	if float64(self.workers) <= overloadRatio*share*self.weight+overloadReserve {
 		return "", false
 	}
-	largestRoom := 0.0
+	largestCapacity := 0.0
 	for _, other := range others {
-		if room := share*other.weight - float64(other.workers); room > largestRoom {
-			target, largestRoom = other.name, room
+		if capacity := share*other.weight - float64(other.workers); capacity > largestCapacity {
+			target, largestCapacity = other.name, capacity
 		}
 	}
 	if target == "" {
@@ -100,7 +101,7 @@
 	return target, true
 }
 
-// workersPerWeight is how many workers a controller of weight 1 should have.
+// workersPerWeight returns how many workers a controller of weight 1 should have.
 func workersPerWeight(self controllerLoad, others []controllerLoad) float64 {
 	workers, weights := float64(self.workers), self.weight
 	for _, other := range others {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,13 +1,13 @@
-// Package controller wires one controller together and runs it. Every controller answers users,
-// workers and its peers; the one that is elected also leads, which is the work of package
-// leader. Requests go one way:
+// Package controller assembles one controller and runs it. Every controller answers users,
+// workers and its peers. The elected one also leads, which package leader implements. Requests
+// flow one way:
 //
 //	user -> service -> submissionHandler, statusHandler or cancellationHandler
 //	     -> userCommitter (changes) or statusReader (queries) -> key-value store
 //	worker -> service -> heartbeatHandler -> leader.Leader, or heartbeatRelay -> leading peer
 //	peer -> peerHandler -> pinger, leader.Leader or directRoute
 //
-// Nothing here decides where a task runs.
+// The package never decides where a task runs: package scheduler does, on behalf of the leader.
 package controller
 
 import (
@@ -37,8 +37,8 @@
 	"ospreystile.example/ospreystile/worker"
 )
 
-// Controller is one controller. It owns the parts below and runs their goroutines; the parts
-// hold only what they need of each other.
+// Controller is one controller. It owns the parts below and runs their goroutines. A part refers
+// only to the parts that it uses.
 type Controller struct {
 	platform *config.Platform
 	log      *slog.Logger
@@ -49,8 +49,8 @@
 	catalog     *catalog
 	gate        *versionGate
 	storeHealth *storeHealth
-	// userStore takes the route through a peer while the key-value store refuses this
-	// controller alone.
+	// userStore is the client for users' requests. It goes through a peer while only this
+	// controller cannot reach the key-value store.
 	userStore        *kv.Client
 	acknowledgements *acknowledgements
 	statusReader     *statusReader
@@ -101,12 +101,12 @@
 	return c
 }
 
-// identity names this process in the leader's key.
+// identity returns the value of the leader key while this process leads.
 func identity(platform *config.Platform) election.Identity {
 	return election.Identity{Name: platform.HostName, PeerAddress: platform.PeerAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
 }
 
-// leaseBounds are how long this controller may lead without renewing its lease.
+// leaseBounds returns for how long this controller may lead without renewing its lease.
 func leaseBounds(platform *config.Platform, operator *config.Operator) election.LeaseBounds {
 	bounds := election.LeaseBounds{
 		TTL:                  operator.LeaseTTL(),
@@ -138,7 +138,7 @@
 	}
 }
 
-// wirePeers makes the parts that talk with the other controllers.
+// wirePeers makes the parts that communicate with the other controllers.
 func (c *Controller) wirePeers(direct *directRoute, clock monotonic.Clock) {
 	c.pinger = &pinger{self: c.platform.HostName, clock: clock, startedAt: clock.Now(), election: c.election, peers: c.peers,
 		health: c.storeHealth, balancer: c.balancer, acknowledgements: c.acknowledgements, gate: c.gate}
@@ -150,19 +150,20 @@
 	// and the runtime itself need the rest.
 	memoryShare = 0.66
 	// garbageCollectionPercent lets the heap grow further than by default between two
-	// collections. Their work is a good part of a small share of a core, and the memory
-	// limit is the ceiling.
+	// collections. Their cost is noticeable on a small share of a core, and the memory limit
+	// bounds the heap.
 	garbageCollectionPercent = 250
 	// minAPIConnections is the least bound of connections of users and workers.
 	minAPIConnections = 16
 	// minIdleTimeout is the least time after which an idle connection is closed.
 	minIdleTimeout = 15 * time.Second
-	// idleHeartbeatIntervals is the same in heartbeat intervals.
+	// idleHeartbeatIntervals is after how many heartbeat intervals an idle connection is
+	// closed, if that is longer than minIdleTimeout.
 	idleHeartbeatIntervals = 3
 )
 
-// Run serves until the context ends, and then returns nil. It returns early with an error if an
-// address cannot be listened on, or if a part fails for good.
+// Run serves until the context ends, and then returns nil. It returns an error if it cannot
+// listen on an address, or if a part fails permanently.
 func (c *Controller) Run(ctx context.Context) error {
 	debug.SetGCPercent(garbageCollectionPercent)
 	debug.SetMemoryLimit(int64(c.platform.Settings.Resources.RAMMB * memoryShare * (1 << 20)))
@@ -176,7 +177,7 @@
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	c.start(ctx, group, apiListener, peerListener)
-	c.log.Info("serving", "controller", c.platform.HostName, "api_address", c.platform.APIAddr, "mesh_address", c.platform.PeerAddr)
+	c.log.Info("serving", "controller", c.platform.HostName, "api_address", c.platform.APIAddr, "peer_address", c.platform.PeerAddr)
 	err = group.Wait()
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -184,7 +185,7 @@
 	return err
 }
 
-// start starts the goroutines of all parts in a group; they end with its context.
+// start starts the goroutines of all parts in a group. They end when ctx does.
 func (c *Controller) start(ctx context.Context, group *errgroup.Group, apiListener, peerListener net.Listener) {
 	api := server.New(c.service, c.serverLimits(), c.log)
 	group.Go(func() error { return server.Serve(ctx, api, retryListener{apiListener, c.log}) })
@@ -202,7 +203,7 @@
 	}
 }
 
-// serverLimits are the bounds of connections of users and workers.
+// serverLimits returns the bounds of connections of users and workers.
 func (c *Controller) serverLimits() server.Limits {
 	s := &c.platform.Settings
 	return server.Limits{
--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -19,9 +19,9 @@
 	// relayTimeout is how long a heartbeat may take at the follower and at the leader, of the
 	// 4 s that workers wait.
 	relayTimeout = 2500 * time.Millisecond
-	// minWaitingHeartbeats is how many heartbeats may wait on the smallest controller. A
-	// larger one lets one wait for each socket: each holds one, so a fleet that comes back
-	// all at once is not refused for a limit below its connections.
+	// minWaitingHeartbeats is how many heartbeats may wait on the smallest controller. On a
+	// larger one as many may wait as it has sockets. Each waiting heartbeat holds a socket, so
+	// no heartbeat is refused that has a connection when all workers reconnect at once.
 	minWaitingHeartbeats = 1000
 )
 
@@ -32,15 +32,14 @@
 	reply chan<- server.Response
 }
 
-// heartbeatRelay passes heartbeats on to the leader, so that one controller's sockets and
-// processor need not do for all workers. Heartbeats are sent in batches, and each waits for the
-// leader's answer: the leader alone decides, and no other controller renews a worker's lease.
-// Its method run owns the goroutines that send batches.
+// heartbeatRelay forwards heartbeats to the leader, so that the sockets of all controllers serve
+// workers. Heartbeats are sent in batches, and each waits for the leader's answer: only the
+// leader renews the leases of workers. The method run owns the goroutines that send batches.
 type heartbeatRelay struct {
 	leaders    *leaderClient
 	maxWaiting int
 	log        *slog.Logger
-	// wake tells run that a heartbeat waits.
+	// wake receives a value after a heartbeat was queued.
 	wake chan struct{}
 
 	// mu guards waiting, the heartbeats that are in no batch yet.
@@ -48,13 +47,13 @@
 	waiting []relayedHeartbeat
 }
 
-// newHeartbeatRelay makes the relay of a controller with so many sockets.
+// newHeartbeatRelay makes the relay of a controller that may open a number of sockets.
 func newHeartbeatRelay(leaders *leaderClient, sockets int, log *slog.Logger) *heartbeatRelay {
 	return &heartbeatRelay{leaders: leaders, maxWaiting: max(minWaitingHeartbeats, sockets), log: log, wake: make(chan struct{}, 1)}
 }
 
-// relay hands a heartbeat to the leader and waits for its answer. It answers 503 at once if too
-// many wait, and when there is no answer in time.
+// relay forwards a heartbeat to the leader and waits for its answer. It responds with 503 at
+// once if too many heartbeats wait, and if there is no answer in time.
 func (r *heartbeatRelay) relay(ctx context.Context, encoded []byte) server.Response {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -70,7 +69,7 @@
 	}
 }
 
-// enqueue queues a heartbeat and wakes run. It refuses if too many wait.
+// enqueue queues a heartbeat and wakes run. It returns false if too many heartbeats wait.
 func (r *heartbeatRelay) enqueue(heartbeat relayedHeartbeat) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,7 +119,7 @@
 	}
 }
 
-// send passes one batch on and answers its heartbeats.
+// send forwards one batch and answers its heartbeats.
 func (r *heartbeatRelay) send(ctx context.Context, batch []relayedHeartbeat) {
 	answers := r.callLeader(ctx, batch)
 	for i, heartbeat := range batch {
@@ -132,7 +131,7 @@
 	}
 }
 
-// callLeader returns the leader's answers to a batch; none if no leader answers in time.
+// callLeader returns the leader's answers to a batch, or none without an answer in time.
 func (r *heartbeatRelay) callLeader(ctx context.Context, batch []relayedHeartbeat) []peerapi.HeartbeatAnswer {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -17,13 +17,13 @@
 	// heartbeatTimeout is how long a heartbeat may take in this process, of the 4 s that
 	// workers wait.
 	heartbeatTimeout = 3 * time.Second
-	// redirectPeerTimeout is after how long without an answer to a ping no worker is sent to
-	// a peer.
+	// redirectPeerTimeout is after how long without an answer to a ping no worker is redirected
+	// to a peer.
 	redirectPeerTimeout = 1500 * time.Millisecond
 )
 
-// heartbeatHandler answers workers' heartbeats. Only the leader decides on an answer: in this
-// process if this controller leads, else the heartbeat is relayed.
+// heartbeatHandler answers workers' heartbeats. Only the leader decides on an answer. The
+// heartbeat is relayed unless this controller leads.
 type heartbeatHandler struct {
 	self      ids.ControllerName
 	clock     monotonic.Clock
@@ -43,7 +43,7 @@
 	if own == nil && (!ok || known.Name == h.self) {
 		return server.Response{Status: http.StatusServiceUnavailable}
 	}
-	h.balancer.reported(heartbeat.Machine, now)
+	h.balancer.recordHeartbeat(heartbeat.Machine, now)
 	if target, ok := h.balancer.chooseTarget(h.ownLoad(own), h.peerLoads(now, known), now); ok {
 		return server.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Leader: target}}
 	}
@@ -64,7 +64,7 @@
 	return server.Response{Status: http.StatusOK, Body: answers[0].Response}
 }
 
-// ownLoad is the load of this controller; own is the leader in this process, or nil.
+// ownLoad returns the load of this controller; own is the leader in this process, or nil.
 func (h *heartbeatHandler) ownLoad(own *leader.Leader) controllerLoad {
 	load := controllerLoad{name: h.self, workers: h.balancer.lastCount(), weight: followerWeight}
 	if own != nil {
@@ -73,7 +73,7 @@
 	return load
 }
 
-// peerLoads are the loads of the peers that can relay heartbeats to the same leader.
+// peerLoads returns the loads of the peers that can relay heartbeats to the same leader.
 func (h *heartbeatHandler) peerLoads(now monotonic.Instant, known election.Leader) []controllerLoad {
 	var loads []controllerLoad
 	for _, p := range h.peers {
--- a/controller/job_replica.go
+++ b/controller/job_replica.go
@@ -23,35 +23,37 @@
 	Status   wire.JobState
 	Tasks    int
 	revision ids.Revision
-	// cancelledByDependency tells that the job is cancelled together with a dependency, and
-	// so never had a task, whether or not its own record says so yet.
+	// cancelledByDependency is set if the job is cancelled because a dependency is, so that it
+	// never had a task. Its own record may not say so yet.
 	cancelledByDependency bool
 }
 
-// snapshotOf is what a job's own record tells.
+// snapshotOf returns the snapshot of a job by its own record alone.
 func snapshotOf(record *records.Job, revision ids.Revision) jobSnapshot {
-	// Only the leader cancels without the specification: jobs that never had a task.
+	// Records of cancelled jobs lack the specification only if the leader cancelled them with a
+	// dependency.
 	return jobSnapshot{Status: record.Status, Tasks: record.Tasks, revision: revision,
 		cancelledByDependency: record.Status == wire.JobCancelled && record.Spec == nil}
 }
 
-// terminal tells whether the job is done or cancelled, for good.
+// terminal reports whether the job is done or cancelled, which is final.
 func (s jobSnapshot) terminal() bool {
 	return s.Status == wire.JobDone || s.Status == wire.JobCancelled
 }
 
-// jobReplica is a controller's replica of all jobs. One goroutine at a time may use it.
+// jobReplica is a controller's replica of all jobs. It is not safe for concurrent use.
 type jobReplica struct {
 	store jobStore
 	jobs  map[ids.JobID]jobSnapshot
 	graph *dependency.Graph
-	// revision is that up to which the replica has every change.
+	// revision is the store's revision up to which all changes were applied.
 	revision ids.Revision
 	loaded   bool
 }
 
-// refresh is a barrier read: it makes the replica at least as new as the moment of the call. It
-// returns the store's errors; the replica must not be read after one.
+// refresh is a barrier read: it applies all changes that were committed before the call. It
+// returns the store's errors. After an error the replica must not be read until a refresh
+// succeeds.
 func (r *jobReplica) refresh(ctx context.Context) error {
 	if !r.loaded {
 		if err := r.load(ctx); err != nil {
@@ -74,7 +76,7 @@
 	return nil
 }
 
-// load reads all jobs anew.
+// load replaces the replica by a list of all jobs.
 func (r *jobReplica) load(ctx context.Context) error {
 	r.jobs, r.graph = map[ids.JobID]jobSnapshot{}, dependency.New()
 	revision, err := r.store.List(ctx, records.JobPrefix, func(entry kv.Entry) error {
@@ -88,8 +90,8 @@
 	return nil
 }
 
-// put takes in a record. One that cannot be decoded is still that of a job that was accepted:
-// its user must never be told that it is unknown.
+// put applies a record. A record that cannot be decoded counts as a queued job, since that job
+// was accepted and must never be reported as unknown.
 func (r *jobReplica) put(key string, value []byte, revision ids.Revision) {
 	var record records.Job
 	if err := wire.Decode(value, &record); err != nil || record.Status == "" {
@@ -100,8 +102,8 @@
 	r.graph.Put(id, record.Dependencies())
 }
 
-// get tells what is known of a job. It is cancelled as soon as a dependency is, whether or not
-// its own record says so yet.
+// get returns the snapshot of a job. A job is cancelled as soon as a dependency is, even if its
+// own record does not say so yet.
 func (r *jobReplica) get(id ids.JobID) (job jobSnapshot, found bool) {
 	job, found = r.jobs[id]
 	if found && !job.terminal() && r.graph.ReadinessOf(id).State == dependency.Cancelled {
@@ -110,7 +112,7 @@
 	return job, found
 }
 
-// dependencyState tells whether all jobs of a list were accepted, and whether one of them is
+// dependencyState reports whether all jobs of a list were accepted, and whether one of them is
 // cancelled.
 func (r *jobReplica) dependencyState(list []ids.JobID) (accepted, cancelled bool) {
 	accepted = true
--- a/controller/kv_routes.go
+++ b/controller/kv_routes.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// maxStoreFailures is how many direct calls to the key-value store may fail in a row
+	// maxStoreFailures is how many consecutive direct calls to the key-value store may fail
 	// before it counts as unreachable.
 	maxStoreFailures = 1
-	// routePeerTimeout is after how long without an answer to a ping no call takes the route
-	// through a peer.
+	// routePeerTimeout is after how long without an answer to a ping no call goes through a
+	// peer.
 	routePeerTimeout = 2 * time.Second
 	// routeReserve is how much longer a call through a peer may take than a direct call.
 	routeReserve = 200 * time.Millisecond
 )
 
-// storeHealth remembers how the last direct calls to the key-value store went. It is safe for
+// storeHealth tracks whether direct calls to the key-value store succeed. It is safe for
 // concurrent use.
 type storeHealth struct {
-	// failures is how many calls in a row have failed.
+	// failures is how many consecutive calls have failed.
 	failures atomic.Int32
 }
 
-// observe takes in the result of a direct call.
+// observe records the result of a direct call. Calls that ended with their context and throttled
+// calls do not count.
 func (h *storeHealth) observe(ctx context.Context, status int, err error) {
 	switch {
 	case err != nil && ctx.Err() == nil || status == http.StatusServiceUnavailable:
@@ -41,10 +42,10 @@
 	}
 }
 
-// reachable tells whether this controller reaches the key-value store.
+// reachable reports whether this controller reaches the key-value store.
 func (h *storeHealth) reachable() bool { return h.failures.Load() <= maxStoreFailures }
 
-// directRoute calls the key-value store itself.
+// directRoute is the transport that calls the key-value store directly.
 type directRoute struct {
 	store  *httpclient.Client
 	health *storeHealth
@@ -57,9 +58,9 @@
 	return status, answer, err
 }
 
-// userRoute calls the key-value store itself, or through a peer while the store refuses this
-// controller and serves the peer. One call takes one route only, so that its outcome stays as
-// definite as it was.
+// userRoute is the transport that calls the key-value store directly, or through a peer while
+// only the peer reaches the store. A call never uses both routes: a retry over the other one
+// would hide an indeterminate result.
 type userRoute struct {
 	direct *directRoute
 	health *storeHealth
@@ -77,7 +78,7 @@
 	return r.direct.Do(ctx, method, path, body, timeout)
 }
 
-// peerWithStore finds a peer that reaches the key-value store, or returns nil.
+// peerWithStore returns a peer that reaches the key-value store, or nil.
 func (r *userRoute) peerWithStore() *peer {
 	now := r.clock.Now()
 	for _, p := range r.peers {
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// callThrough has a peer forward a request. Its errors tell like those of a direct call whether
-// the request was sent.
+// callThrough has a peer forward a request. Its errors distinguish, like those of a direct call,
+// whether the request was sent.
 func callThrough(ctx context.Context, p *peer, call peerapi.StoreCall, timeout time.Duration) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout+routeReserve)
 	defer cancel()
@@ -101,7 +102,7 @@
 	return answer.Status, answer.Body, nil
 }
 
-// forwardFailure returns what kind of failure a forwarded request ended with, nil for none.
+// forwardFailure returns the kind of error of a forwarded request, or nil if it was answered.
 func forwardFailure(err error, answer peerapi.StoreAnswer) error {
 	switch {
 	case errors.Is(err, peerrpc.ErrNotSent):
--- a/controller/leader_client.go
+++ b/controller/leader_client.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// progressTimeout is how long the leader may take to tell jobs' progress.
+	// progressTimeout is how long the leader may take to return jobs' progress.
 	progressTimeout = 400 * time.Millisecond
 	// noticeTimeout is how long a notice of a submission may take to reach the leader.
 	noticeTimeout = time.Second
@@ -20,7 +20,7 @@
 	acknowledgeTimeout = 700 * time.Millisecond
 )
 
-// leaderClient reaches the leader: in this process if this controller leads, else at a peer.
+// leaderClient calls the leader, in this process if this controller leads and otherwise at a peer.
 type leaderClient struct {
 	ownLeader *localLeader
 	election  *election.Election
@@ -34,8 +34,8 @@
 	return c.peers.named(known.Name)
 }
 
-// progress returns the progress of each of the jobs. It is for display: without an answer
-// nothing is known to run, and the result is nil.
+// progress returns the progress of each of the jobs, or nil if the leader does not answer. It is
+// for display only.
 func (c *leaderClient) progress(ctx context.Context, jobs []ids.JobID) []peerapi.JobProgress {
 	ctx, cancel := context.WithTimeout(ctx, progressTimeout)
 	defer cancel()
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// progressAt asks the leader in this process for the progress of each of the jobs. One that it
-// does not know has none.
+// progressAt returns the progress of each of the jobs from the leader in this process. It is zero
+// for jobs that the leader does not know.
 func progressAt(ctx context.Context, own *leader.Leader, jobs []ids.JobID) ([]peerapi.JobProgress, error) {
 	known, err := own.Progress(ctx, jobs)
 	if err != nil {
@@ -67,8 +67,8 @@
 	return answer, nil
 }
 
-// notifyJob tells the leader of a submission without waiting. The leader's watch brings the
-// record too, so the notice may be lost.
+// notifyJob sends the record of a submission to the leader without waiting. The notice may be
+// lost, since the leader's watch returns the record too.
 func (c *leaderClient) notifyJob(job leader.JobRecord) {
 	if own := c.ownLeader.get(); own != nil {
 		own.NotifyJob(job)
@@ -90,8 +90,8 @@
 	}
 }
 
-// acknowledgeCancellation has the leader take in the record of a cancelled job, and tells
-// whether users may be told. It is false without a leader that answers in time.
+// acknowledgeCancellation has the leader observe the record of a cancelled job, and reports
+// whether the cancellation may be reported to users. It returns false without an answer in time.
 func (c *leaderClient) acknowledgeCancellation(ctx context.Context, job leader.JobRecord) bool {
 	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
 	defer cancel()
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -8,7 +8,7 @@
 	"ospreystile.example/ospreystile/election"
 )
 
-// localLeader holds the leader in this process, while this controller leads. It is safe for
+// localLeader holds the leader in this process while this controller leads. It is safe for
 // concurrent use.
 type localLeader struct{ current atomic.Pointer[leader.Leader] }
 
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// leadership makes a leader for each term that this controller wins.
+// leadership runs a leader for each term of this controller.
 type leadership struct {
 	ownLeader    *localLeader
 	dependencies leader.Dependencies
--- a/controller/peer_handler.go
+++ b/controller/peer_handler.go
@@ -36,7 +36,7 @@
 	return handleAsLeader(ctx, own, op, body)
 }
 
-// handleAsLeader answers the operations that are the leader's.
+// handleAsLeader answers the operations that only a leader answers.
 func handleAsLeader(ctx context.Context, own *leader.Leader, op peerrpc.Operation, body []byte) (any, error) {
 	switch op {
 	case peerapi.OpProgress:
@@ -53,7 +53,7 @@
 	return nil, fmt.Errorf("%w: %s", peerapi.ErrUnknownOperation, op)
 }
 
-// handleBody decodes a request's body and hands it to its handler.
+// handleBody decodes a request's body and calls its handler.
 func handleBody[T any](body []byte, handler func(T) (any, error)) (any, error) {
 	var request T
 	if err := peerrpc.Decode(body, &request); err != nil {
@@ -62,7 +62,8 @@
 	return handler(request)
 }
 
-// forwardStoreCall sends a peer's request to the key-value store, directly.
+// forwardStoreCall sends a peer's request to the key-value store by the direct route, so that a
+// request is never forwarded twice.
 func (h *peerHandler) forwardStoreCall(ctx context.Context, call peerapi.StoreCall) peerapi.StoreAnswer {
 	timeout := time.Duration(call.TimeoutMS) * time.Millisecond
 	status, body, err := h.direct.Do(ctx, call.Method, call.Path, call.Body, timeout)
@@ -72,7 +73,7 @@
 	return peerapi.StoreAnswer{Status: status, Body: body}
 }
 
-// acknowledgeNotice hands a follower's notice of a job to the leader in this process.
+// acknowledgeNotice has the leader in this process observe a job's record that a follower sent.
 func acknowledgeNotice(ctx context.Context, own *leader.Leader, notice peerapi.JobNotice) (bool, error) {
 	record := new(records.Job)
 	if err := wire.Decode(notice.Record, record); err != nil {
@@ -81,8 +82,8 @@
 	return own.AcknowledgeCancellation(ctx, leader.JobRecord{ID: notice.ID, Record: record, Revision: notice.Revision}), nil
 }
 
-// answerRelayed has the leader in this process answer heartbeats that a follower relays. One
-// that cannot be decoded gets no answer.
+// answerRelayed has the leader in this process answer heartbeats that a follower relays. A
+// heartbeat that cannot be decoded gets no answer.
 func answerRelayed(ctx context.Context, own *leader.Leader, encoded [][]byte) ([]peerapi.HeartbeatAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -12,20 +12,20 @@
 	"ospreystile.example/ospreystile/peerrpc"
 )
 
-// peer is another controller and what its pings told. The pinger writes it; every field may be
-// read concurrently.
+// peer is another controller and its state as of its last ping. The pinger writes it; all fields
+// may be read concurrently.
 type peer struct {
 	*peerrpc.Peer
-	// lastHeard is the monotonic.Instant of the last answer to a ping; 0: none yet.
+	// lastHeard is the monotonic.Instant of the last answer to a ping; 0 means none yet.
 	lastHeard atomic.Int64
-	// storeReachable tells that the peer reaches the key-value store.
+	// storeReachable is set while the peer reaches the key-value store.
 	storeReachable atomic.Bool
 	// leaderRevision is the revision of the leader that the peer follows.
 	leaderRevision atomic.Uint64
 	// workers is how many workers send their heartbeats to the peer.
 	workers atomic.Int32
-	// versions is what the peer told of versions; nil: it is older than this version, or was
-	// not heard yet.
+	// versions are the versions in the peer's last ping; nil means that the peer is older than
+	// this version, or that no ping was exchanged yet.
 	versions atomic.Pointer[peerapi.Versions]
 }
 
@@ -38,7 +38,7 @@
 	return heard != 0 && now < heard.Add(d)
 }
 
-// observeAnswer takes in the answer to a ping.
+// observeAnswer records the answer to a ping.
 func (p *peer) observeAnswer(now monotonic.Instant, answer peerapi.Ping) {
 	p.lastHeard.Store(int64(now))
 	p.storeReachable.Store(answer.StoreReachable)
@@ -47,7 +47,7 @@
 	p.observeVersions(answer.Versions)
 }
 
-// observeVersions takes in what the peer's latest ping told of versions.
+// observeVersions records the versions in a ping of the peer.
 func (p *peer) observeVersions(versions peerapi.Versions) {
 	if versions.Format < peerapi.RecordFormat {
 		p.versions.Store(nil)
@@ -68,7 +68,7 @@
 	return peers
 }
 
-// named finds a peer; nil if there is none of the name.
+// named returns the peer with a name, or nil.
 func (s peerSet) named(name ids.ControllerName) *peer {
 	for _, p := range s {
 		if p.Name == name {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// forLeader lists the peers as the leader sees them.
+// forLeader returns the peers as the interface of package leader.
 func (s peerSet) forLeader() []leader.Peer {
 	peers := make([]leader.Peer, len(s))
 	for i, p := range s {
--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -15,12 +15,13 @@
 	pingInterval = 500 * time.Millisecond
 	// pingTimeout is how long a peer may take to answer a ping.
 	pingTimeout = 1500 * time.Millisecond
-	// clockRateMargin is one divided by the part by which a peer's clock may run fast.
-	clockRateMargin = 500
+	// clockDriftDivisor gives the share of an interval by which a peer's clock may run fast,
+	// 1/500, as in monotonic.AddDriftMargin.
+	clockDriftDivisor = 500
 )
 
-// pinger exchanges pings with the peers: who leads, how each controller fares, which
-// cancellations are acknowledged, and which versions are known.
+// pinger exchanges pings with the peers. A ping has the known leader, the state of the sender, the
+// acknowledged revision and the known versions.
 type pinger struct {
 	self             ids.ControllerName
 	clock            monotonic.Clock
@@ -46,7 +47,7 @@
 	}
 }
 
-// exchange sends one ping and takes in the answer.
+// exchange sends one ping and applies the answer.
 func (p *pinger) exchange(ctx context.Context, to *peer) error {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -57,11 +58,11 @@
 	}
 	to.observeAnswer(p.clock.Now(), answer)
 	p.observe(answer)
-	p.confirmTerm(asked, answer)
+	p.recordAcknowledgement(asked, answer)
 	return nil
 }
 
-// answer takes in a peer's ping and answers it.
+// answer applies a peer's ping and returns the answer.
 func (p *pinger) answer(request peerapi.Ping) peerapi.Ping {
 	p.observe(request)
 	if from := p.peers.named(request.From); from != nil {
@@ -70,7 +71,7 @@
 	return p.message()
 }
 
-// message is what this controller tells the others now.
+// message returns the ping with this controller's present state.
 func (p *pinger) message() peerapi.Ping {
 	known, _ := p.election.Leader()
 	return peerapi.Ping{
@@ -87,8 +88,8 @@
 	}
 }
 
-// observe takes in what a peer tells about the leader. A leader that the peer knows only by its
-// revision, since the key is gone already, ends earlier terms as well.
+// observe applies the leader and the acknowledged revision of a ping. A leader whose name is
+// unknown to the peer, because its key was deleted, ends earlier terms all the same.
 func (p *pinger) observe(ping peerapi.Ping) {
 	p.election.Observe(election.Leader{
 		Identity: election.Identity{Name: ping.Leader, PeerAddress: ping.LeaderPeerAddress, Incarnation: ping.Incarnation},
@@ -97,13 +98,13 @@
 	p.acknowledgements.advanceTo(ping.AcknowledgedRevision)
 }
 
-// confirmTerm tells this controller's own term that a peer knew of no later leader when it was
-// asked, and when the peer's process was started, at the latest.
-func (p *pinger) confirmTerm(asked monotonic.Instant, answer peerapi.Ping) {
+// recordAcknowledgement records in this controller's term that a peer knew of no later leader
+// when it was asked, and the latest instant at which the peer's process can have started.
+func (p *pinger) recordAcknowledgement(asked monotonic.Instant, answer peerapi.Ping) {
 	term := p.election.Term()
 	if term == nil || answer.Revision > term.Revision || answer.Uptime <= 0 {
 		return
 	}
-	started := p.clock.Now().Add(answer.Uptime/clockRateMargin - answer.Uptime)
+	started := p.clock.Now().Add(answer.Uptime/clockDriftDivisor - answer.Uptime)
 	term.RecordPeerAck(answer.From, asked, started)
 }
--- a/controller/retry_listener.go
+++ b/controller/retry_listener.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// retryListener is a listener that goes on after errors. While the process is out of sockets
-// accepting fails; that passes, and must not end the process.
+// retryListener is a listener that retries Accept after errors. Accept fails while the process has
+// no free sockets; this is temporary and must not end the process.
 type retryListener struct {
 	net.Listener
 	log *slog.Logger
--- a/controller/service.go
+++ b/controller/service.go
@@ -6,8 +6,7 @@
 	"ospreystile.example/ospreystile/server"
 )
 
-// service implements server.Service. Each kind of request has a handler of its own, whose
-// method has the name of the request.
+// service implements server.Service. It has one handler for each kind of request.
 type service struct {
 	*submissionHandler
 	*statusHandler
@@ -18,10 +17,10 @@
 var _ server.Service = service{}
 
 const (
-	// retryDelay is when users should repeat a request that could not be answered.
+	// retryDelay is after how long users should repeat a request that could not be answered.
 	retryDelay = time.Second
 	// rejectedRetryDelay is the same for a change that the key-value store rejected although
-	// it keeps to all known limits.
+	// it is within all known limits.
 	rejectedRetryDelay = 5 * time.Second
 	// changeTimeout is how long a submission or cancellation may take here, of the 5 s that
 	// users wait.
--- a/controller/status_reader.go
+++ b/controller/status_reader.go
@@ -11,14 +11,13 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// maxWaitingQueries bounds the queries that wait.
+// maxWaitingQueries bounds the queue of queries.
 const maxWaitingQueries = 512
 
-// errOverloaded refuses a query when too many wait.
+// errOverloaded refuses a query while the queue is full.
 var errOverloaded = errors.New("too many status queries wait")
 
-// statusQuery is one query that waits: about a job and, before the job is accepted, about its
-// dependencies.
+// statusQuery asks for the state of a job and, before the job is accepted, of its dependencies.
 type statusQuery struct {
 	id        ids.JobID
 	dependsOn []ids.JobID
@@ -26,13 +25,13 @@
 	reply chan<- queryAnswer
 }
 
-// queryAnswer is the answer to a statusQuery. The other fields count only if err is nil.
+// queryAnswer is the answer to a statusQuery. The other fields are valid only if err is nil.
 type queryAnswer struct {
 	job   jobSnapshot
 	found bool
 	err   error
-	// accepted tells that all dependencies were, and dependencyCancelled that one of them is
-	// cancelled.
+	// accepted is set if all dependencies were accepted, and dependencyCancelled if one of them
+	// is cancelled.
 	accepted, dependencyCancelled bool
 	progress                      peerapi.JobProgress
 }
@@ -40,19 +39,19 @@
 // progressSource returns the progress of each of the jobs, or nil if it is not known.
 type progressSource func(ctx context.Context, jobs []ids.JobID) []peerapi.JobProgress
 
-// statusReader answers queries from a replica that is brought up to date first. One read of the
-// key-value store does that for every query that came before the read was sent, so the cost does
-// not grow with the queries. If another controller told a user something newer before a query
-// came, that was committed before this read was sent, so the read brings it.
+// statusReader answers queries by barrier reads: it refreshes its replica of the jobs, and then
+// answers all queries that arrived before the refresh was sent. So the load on the key-value store
+// does not grow with the queries, and answers are linearizable: what another controller returned
+// before a query arrived was committed before the refresh was sent, and is in the replica.
 //
-// Its method run owns the replica and all goroutines; any goroutine may call ask.
+// The method run owns the replica and all goroutines; any goroutine may call ask.
 type statusReader struct {
 	replica jobReplica
-	// gap is the least time between two reads, so that all controllers together leave the
-	// key-value store to requests that change something.
+	// gap is the least time between two reads. It bounds the share of the key-value store's
+	// request rate that the status reads of all controllers take.
 	gap      time.Duration
 	progress progressSource
-	// wake tells run that a query waits.
+	// wake receives a value after a query was queued.
 	wake chan struct{}
 
 	// mu guards waiting, the queries that are in no round yet.
@@ -74,8 +73,8 @@
 	}
 	select {
 	case answer := <-reply:
-		// After this process was paused, the answer and the deadline may both have come.
-		// The answer may then be older than what other controllers told meanwhile.
+		// After a process pause the deadline may have passed when the answer arrives. The
+		// answer may then be older than what other controllers have returned since.
 		if deadline, ok := ctx.Deadline(); ok && time.Now().After(deadline) {
 			return queryAnswer{err: context.DeadlineExceeded}
 		}
@@ -85,7 +84,7 @@
 	}
 }
 
-// enqueue queues a query and wakes run. It refuses if too many wait.
+// enqueue queues a query and wakes run. It returns false if the queue is full.
 func (r *statusReader) enqueue(query statusQuery) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,8 +108,8 @@
 	return round
 }
 
-// run answers until the context ends. One read is in flight at a time; queries that come
-// meanwhile wait for the next.
+// run answers queries until the context ends. One read is in flight at a time; queries that
+// arrive meanwhile wait for the next.
 func (r *statusReader) run(ctx context.Context) error {
 	var answering sync.WaitGroup
 	defer answering.Wait()
@@ -125,7 +124,7 @@
 			continue
 		}
 		if active := r.answerRound(ctx, round); len(active.queries) > 0 {
-			// The leader may be slow to answer; the next round need not wait for it.
+			// The leader may be slow to answer. The next round does not wait for it.
 			answering.Go(func() { r.answerActive(ctx, active) })
 		}
 		if !monotonic.Sleep(ctx, r.gap) {
@@ -142,8 +141,8 @@
 	answers []queryAnswer
 }
 
-// answerRound refreshes the replica and answers the queries of a round, but for those about
-// active jobs, which it returns: the leader knows their progress.
+// answerRound refreshes the replica and answers the queries of a round. It returns those about
+// active jobs unanswered, since only the leader knows their progress.
 func (r *statusReader) answerRound(ctx context.Context, round []statusQuery) (active activeQueries) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -166,7 +165,7 @@
 	return active
 }
 
-// lookUp is what the replica knows about a query.
+// lookUp answers a query from the replica, without progress.
 func (r *statusReader) lookUp(query statusQuery) (answer queryAnswer) {
 	answer.job, answer.found = r.replica.get(query.id)
 	answer.accepted, answer.dependencyCancelled = r.replica.dependencyState(query.dependsOn)
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -20,7 +20,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// recordReserveBytes is by how much rewriting a job's record, as for a cancellation, may
+// recordReserveBytes is by how much a later change of a job's record, such as a cancellation, may
 // lengthen it.
 const recordReserveBytes = 64
 
@@ -37,14 +37,14 @@
 	log           *slog.Logger
 }
 
-// Healthy implements server.Service. A controller without the catalog cannot judge submissions
-// yet.
+// Healthy implements server.Service. A controller without the catalog cannot validate
+// submissions.
 func (h *submissionHandler) Healthy() bool {
 	_, ok := h.catalog.MachineTypes()
 	return ok
 }
 
-// Submit implements server.Service. It may change the specification, which it keeps.
+// Submit implements server.Service. It retains the specification and may modify it.
 func (h *submissionHandler) Submit(ctx context.Context, id ids.JobID, spec *wire.JobSpec) server.Response {
 	if response, ok := h.terminal.cached(id); ok {
 		return response
@@ -58,7 +58,7 @@
 	if !h.canRun(spec, types) {
 		return h.refuseUnlessKnown(ctx, id)
 	}
-	// Names that no machine type has would only make the record larger.
+	// Unknown machine types would only make the record larger.
 	spec.Types = slices.DeleteFunc(spec.Types, func(name ids.MachineType) bool {
 		return !slices.ContainsFunc(types, func(t wire.MachineType) bool { return t.Name == name })
 	})
@@ -73,14 +73,14 @@
 			return *refusal
 		}
 	}
-	// A list of dependencies that is too long to be stored is refused whole.
+	// A job whose list of dependencies makes the record too large is refused.
 	if wire.ExceedsJSONSize(record, h.maxValueBytes-recordReserveBytes) {
 		return h.refuseUnlessKnown(ctx, id)
 	}
 	return h.commitRecord(ctx, id, &record)
 }
 
-// canRun tells whether a job could ever run within its team's limit on one of the types.
+// canRun reports whether a job fits within its team's limit and on one of the machine types.
 func (h *submissionHandler) canRun(spec *wire.JobSpec, types []wire.MachineType) bool {
 	team := slices.IndexFunc(h.teams, func(t config.Team) bool { return t.Name == spec.Team })
 	if team < 0 {
@@ -98,8 +98,8 @@
 	})
 }
 
-// refuseUnlessKnown answers a submission that can never run. A job that was accepted before
-// stays accepted, whatever has changed since.
+// refuseUnlessKnown answers a submission of a job that can never run. A job that was accepted
+// before stays accepted, even if it would be refused now.
 func (h *submissionHandler) refuseUnlessKnown(ctx context.Context, id ids.JobID) server.Response {
 	if response := h.statuses.Status(ctx, id); response.Status != http.StatusNotFound {
 		return response
@@ -107,10 +107,10 @@
 	return server.Response{Status: http.StatusUnprocessableEntity}
 }
 
-// checkDependencies returns the status in which a job with dependencies is accepted, or the
-// response with which the submission ends here. A job that was accepted before is answered from
-// its record, whatever dependencies are named now. That a dependency was never accepted is said
-// only by a replica that is as new as the question.
+// checkDependencies returns the status with which a job with dependencies is accepted, or the
+// response that refuses the submission. For a job that was accepted before, the response follows
+// from its record, not from the dependencies of this request. The check is a barrier read, so a
+// dependency that was accepted before the request is always found.
 func (h *submissionHandler) checkDependencies(ctx context.Context, id ids.JobID, dependsOn []ids.JobID) (wire.JobState, *server.Response) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -125,7 +125,7 @@
 	case !answer.accepted:
 		refusal = server.Response{Status: http.StatusUnprocessableEntity}
 	case !h.gate.Open():
-		// An older leader would not wait for the dependencies.
+		// An older leader would start the job without waiting for the dependencies.
 		refusal = server.RetryLater(retryDelay)
 	case answer.dependencyCancelled:
 		return wire.JobCancelled, nil
@@ -135,8 +135,8 @@
 	return "", &refusal
 }
 
-// commitRecord commits a new job's record. If the job has a record already, the request is a
-// repetition, and the response is the job's status.
+// commitRecord commits a new job's record. If the job already has a record, the request is a
+// duplicate, and the response is the job's status.
 func (h *submissionHandler) commitRecord(ctx context.Context, id ids.JobID, record *records.Job) server.Response {
 	result := h.commits.commit(ctx, records.CreateJobChange(id, *record))
 	switch {
--- a/controller/terminal_jobs.go
+++ b/controller/terminal_jobs.go
@@ -12,15 +12,15 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// maxCachedTerminalJobs bounds the memory of the cache; a job that was dropped is read again.
+// maxCachedTerminalJobs bounds the cache. The records of evicted jobs are read again.
 const maxCachedTerminalJobs = 20_000
 
-// terminalJobs answers requests about jobs that are done or cancelled. That is final, so every
-// controller may answer from its cache at any time. It is safe for concurrent use.
+// terminalJobs answers requests about jobs that are done or cancelled. These states are final, so
+// a controller may always answer from its cache. It is safe for concurrent use.
 type terminalJobs struct {
 	acknowledgements *acknowledgements
 
-	// mu guards cache, the final status of jobs about which a user was told.
+	// mu guards cache, the final statuses that were returned to users.
 	mu    sync.Mutex
 	cache map[ids.JobID]wire.JobStatus
 }
@@ -29,7 +29,7 @@
 	return &terminalJobs{acknowledgements: acknowledgements, cache: map[ids.JobID]wire.JobStatus{}}
 }
 
-// cached returns the answer about a job that is known to be done or cancelled.
+// cached returns the response for a job whose final status is in the cache.
 func (t *terminalJobs) cached(id ids.JobID) (server.Response, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,11 +47,11 @@
 	t.cache[status.ID] = status
 }
 
-// answer is the answer about a job that is done or cancelled. A cancellation that is not
-// acknowledged must not be told yet; the user should ask again, at another controller, which
-// may reach the leader.
+// answer returns the response for a job that is done or cancelled. A cancellation that is not
+// acknowledged must not be reported yet. The client should retry on a new connection, so that it
+// may get a controller that reaches the leader.
 func (t *terminalJobs) answer(ctx context.Context, id ids.JobID, job jobSnapshot) server.Response {
-	if !t.mayTell(ctx, id, job) {
+	if !t.mayReport(ctx, id, job) {
 		response := server.RetryLater(retryDelay)
 		response.Close = true
 		return response
@@ -64,8 +64,8 @@
 	return server.Response{Status: http.StatusOK, Body: status}
 }
 
-// mayTell tells whether users may be told that a job is done or cancelled.
-func (t *terminalJobs) mayTell(ctx context.Context, id ids.JobID, job jobSnapshot) bool {
+// mayReport reports whether the final status of a job may be reported to users.
+func (t *terminalJobs) mayReport(ctx context.Context, id ids.JobID, job jobSnapshot) bool {
 	if job.Status == wire.JobDone || job.cancelledByDependency {
 		return true
 	}
--- a/controller/user_commits.go
+++ b/controller/user_commits.go
@@ -10,17 +10,18 @@
 // maxQueuedCommits bounds the changes that wait before submissions are refused.
 const maxQueuedCommits = 128
 
-// userCommitter commits the changes that users ask for. Its committer has no fence: any
+// userCommitter commits the changes of users' requests. Its committer has no fence, because every
 // controller may write jobs' records.
 type userCommitter struct{ committer *commit.Committer }
 
 // run commits until the context ends.
 func (c *userCommitter) run(ctx context.Context) error { return c.committer.Run(ctx) }
 
-// overloaded tells whether too many changes wait.
+// overloaded reports whether too many changes are queued.
 func (c *userCommitter) overloaded() bool { return c.committer.QueueLength() >= maxQueuedCommits }
 
-// commit brings a change to its result. If the result is not resolved, the user must ask again.
+// commit commits a change and returns its result. If the result is not resolved, the user must
+// retry.
 func (c *userCommitter) commit(ctx context.Context, change records.Change) records.CommitResult {
 	results := make(chan records.CommitResult, 1)
 	deadline, _ := ctx.Deadline()
--- a/controller/version_gate.go
+++ b/controller/version_gate.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// gateCheckInterval is how often it is looked whether the gate opens.
+	// gateCheckInterval is the time between two checks whether the gate can open.
 	gateCheckInterval = 500 * time.Millisecond
-	// gateReadInterval is how often the key-value store is read meanwhile.
+	// gateReadInterval is the least time between two reads of records.FormatKey.
 	gateReadInterval = 10 * time.Second
 )
 
-// versionGate is all there is of compatibility with controllers that know neither dependencies
-// of jobs nor split records. Until each of them is known to have been replaced, the gate is
-// closed: no job with dependencies is accepted and no record is split. Everything else is
-// written as those controllers write and read it. While the gate is closed an earlier leader may
-// be an older one, which goes on alone for the whole grace: package leader counts on that. An
-// older leader acknowledges cancellations without saying whether it holds its lease;
-// leaderClient takes that, as older followers do.
+// versionGate implements the compatibility with controllers of versions that know neither
+// dependencies of jobs nor split records. Until all of them are known to have been replaced, the
+// gate is closed: no job with dependencies is accepted and no record is split. All other records
+// have a form that those versions can read. While the gate is closed, an earlier leader may be of
+// such a version, and may answer heartbeats for the whole outage grace; package leader allows
+// for that. Such a leader acknowledges cancellations without checking its lease; leaderClient
+// accepts that, as followers of those versions do.
 //
-// The gate can go, with scheduler.Core.EnableSplitRecords and scheduler.Options.SplitRecords,
-// once no deployment is left whose store lacks records.FormatKey; what calls Open then takes it
-// for true.
+// The gate can be removed, with scheduler.Core.EnableSplitRecords and
+// scheduler.Options.SplitRecords, once every deployment's store has records.FormatKey. Callers of
+// Open then behave as if it returned true.
 //
-// It is safe for concurrent use. It never closes again.
+// It is safe for concurrent use. Once open, it stays open.
 type versionGate struct {
 	peers     peerSet
 	store     *kv.Client
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// versions is what this controller's pings tell of versions.
+// versions returns the versions in this controller's pings.
 func (g *versionGate) versions() peerapi.Versions {
 	versions := peerapi.Versions{Format: peerapi.RecordFormat, Durable: g.Open()}
 	if versions.Durable {
@@ -86,8 +86,8 @@
 	return versions
 }
 
-// allUpgraded tells whether each peer was heard with this version or a later one, by this
-// controller or by a peer that was.
+// allUpgraded reports whether each peer has sent a ping of this version or a later one, to this
+// controller or to a peer of such a version.
 func (g *versionGate) allUpgraded() bool {
 	for _, p := range g.peers {
 		if p.versions.Load() == nil && !g.seenByPeer(p) {
@@ -97,7 +97,7 @@
 	return true
 }
 
-// seenByPeer tells whether a peer that was heard has heard the given one.
+// seenByPeer reports whether a peer has received such a ping from the sought one.
 func (g *versionGate) seenByPeer(sought *peer) bool {
 	return slices.ContainsFunc(g.peers, func(p *peer) bool {
 		versions := p.versions.Load()
@@ -105,7 +105,7 @@
 	})
 }
 
-// durable tells whether a peer knows that records.FormatKey is written.
+// durable reports whether a peer knows that records.FormatKey is written.
 func (g *versionGate) durable() bool {
 	return slices.ContainsFunc(g.peers, func(p *peer) bool {
 		versions := p.versions.Load()
@@ -113,7 +113,7 @@
 	})
 }
 
-// run waits until the gate opens, and tells the leader in this process.
+// run waits until the gate opens, and notifies the leader in this process.
 func (g *versionGate) run(ctx context.Context) error {
 	var readAt monotonic.Instant
 	for !g.Open() {
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// record makes it durable that every controller is of this version, so that no later process
-// need learn it again, and opens the gate.
+// record writes records.FormatKey, so that later processes need not wait for the pings of all
+// peers, and opens the gate.
 func (g *versionGate) record(ctx context.Context) error {
 	_, err := g.store.Commit(ctx, kv.Txn{
 		Preconditions: []kv.Precondition{{Key: records.FormatKey}},
