--- a/controller/leader/event_loop.go
+++ b/controller/leader/event_loop.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// stepInterval is how often the core takes a step while no event comes.
+	// stepInterval is the time between two steps of the core without events.
 	stepInterval = 200 * time.Millisecond
 	// summaryInterval is the least time between two status summaries in the log.
 	summaryInterval = 5 * time.Second
 )
 
-// eventLoop owns the scheduler core: only the goroutine of run, and the events that it
-// applies, touch the core. It blocks on nothing but its mailbox.
+// eventLoop owns the scheduler core. Only the goroutine of run uses the core, also through the
+// events that it applies. It blocks only on its mailbox.
 type eventLoop struct {
 	core      *scheduler.Core
 	executors *executors
@@ -29,9 +29,10 @@
 	clock     monotonic.Clock
 	mailbox   *mailbox
 	log       *slog.Logger
-	// observed is the revision up to which the core has taken in the jobs' records.
+	// observed is the revision up to which the core has observed the jobs' records.
 	observed ids.Revision
-	// applied is the same once every cancellation up to it may be told to users.
+	// applied is the revision up to which every cancellation may be reported to users; see
+	// Leader.applied.
 	applied *atomic.Uint64
 	// summaryAt is when the last status summary was logged.
 	summaryAt monotonic.Instant
@@ -57,8 +58,8 @@
 	}
 }
 
-// applyQueued applies the events that wait, but no more than the mailbox holds: steps have
-// their turn at any rate of events.
+// applyQueued applies the queued events, but at most as many as the mailbox holds, so that no rate
+// of events prevents steps.
 func (l *eventLoop) applyQueued() {
 	for range cap(l.mailbox.events) {
 		select {
@@ -70,7 +71,7 @@
 	}
 }
 
-// step has the core decide, and hands its decisions to the executors. An error ends the term.
+// step takes a step of the core and dispatches its decisions. An error ends the term.
 func (l *eventLoop) step(ctx context.Context) error {
 	if err := l.core.RecordsError(); err != nil {
 		return err
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// dispatch hands decisions to the executors. It never waits.
+// dispatch passes decisions to the executors. It does not block.
 func (l *eventLoop) dispatch(ctx context.Context, decisions scheduler.Decisions) {
 	for _, change := range decisions.RecordChanges {
 		l.executors.records.write(ctx, change)
@@ -104,9 +105,9 @@
 	l.executors.execute(ctx, &decisions)
 }
 
-// publishApplied lets users be told of all cancellations that the core has taken in, once no
-// earlier leader can keep tasks of cancelled jobs. Until then each cancellation is asked for
-// on its own; see Leader.AcknowledgeCancellation.
+// publishApplied acknowledges all cancellations that the core has observed, once no earlier leader
+// can keep tasks of cancelled jobs. Until then each is acknowledged separately; see
+// Leader.AcknowledgeCancellation.
 func (l *eventLoop) publishApplied() {
 	observed := uint64(l.observed)
 	if observed > l.applied.Load() && l.core.PreviousLeadersHarmless(l.clock.Now()) {
--- a/controller/leader/events.go
+++ b/controller/leader/events.go
@@ -8,18 +8,17 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// The events without an answer. Each is applied to the core at the time at which the event
-// loop takes it.
+// Events without an answer. The core gets the time at which the event loop applies the event.
 
-// commitResolved tells the definite result of a change of records.
+// commitResolved has the definite result of a change of records.
 type commitResolved struct{ result records.CommitResult }
 
 func (e commitResolved) applyTo(loop *eventLoop) {
 	loop.core.CommitResult(loop.clock.Now(), e.result)
 }
 
-// workerCallFinished brings the heartbeat with which a worker answered its commands; nil if
-// there was no answer.
+// workerCallFinished has the heartbeat with which a worker answered its commands, or nil without
+// an answer.
 type workerCallFinished struct {
 	machine   ids.MachineID
 	heartbeat *wire.Heartbeat
@@ -29,8 +28,8 @@
 	loop.core.CommandsResult(loop.clock.Now(), e.machine, e.heartbeat)
 }
 
-// heartbeatRequestFinished brings the heartbeat for which a worker was asked; nil if there was
-// no answer.
+// heartbeatRequestFinished has the heartbeat that was requested from a worker, or nil without an
+// answer.
 type heartbeatRequestFinished struct {
 	machine   ids.MachineID
 	heartbeat *wire.Heartbeat
@@ -40,8 +39,8 @@
 	loop.core.HeartbeatRequestResult(loop.clock.Now(), e.machine, e.heartbeat)
 }
 
-// provisioningFinished brings the machines that the cloud granted. Granted is false if it had
-// no capacity or rejected the request.
+// provisioningFinished has the machines that the cloud granted. granted is false if it had no
+// capacity or rejected the request.
 type provisioningFinished struct {
 	request  wire.ProvisionRequest
 	machines []ids.MachineID
@@ -52,14 +51,14 @@
 	loop.core.ProvisionResult(loop.clock.Now(), e.request, e.machines, e.granted)
 }
 
-// terminationFinished tells that the cloud confirmed the end of machines.
+// terminationFinished has machines whose termination the cloud confirmed.
 type terminationFinished struct{ machines []ids.MachineID }
 
 func (e terminationFinished) applyTo(loop *eventLoop) {
 	loop.core.MachinesTerminated(loop.clock.Now(), e.machines)
 }
 
-// machineListRead brings the cloud's list of machines, and when it was asked for.
+// machineListRead has the cloud's list of machines, and when it was requested.
 type machineListRead struct {
 	asked    monotonic.Instant
 	machines []wire.Machine
@@ -69,32 +68,32 @@
 	loop.core.MachineList(loop.clock.Now(), e.asked, e.machines)
 }
 
-// catalogRead brings the cloud's machine types and prices.
+// catalogRead has the cloud's machine types and prices.
 type catalogRead struct{ types []wire.MachineType }
 
 func (e catalogRead) applyTo(loop *eventLoop) { loop.core.SetCatalog(e.types) }
 
-// jobRecordObserved brings a job's record: from a notice, from the watch, or read again. The
-// core compares revisions, so it treats all of them alike.
+// jobRecordObserved has a job's record from a notice, from the watch, or from a read. The core
+// ignores outdated revisions, so records may arrive in any order.
 type jobRecordObserved struct{ job JobRecord }
 
 func (e jobRecordObserved) applyTo(loop *eventLoop) {
 	loop.core.ObserveJob(loop.clock.Now(), e.job.ID, e.job.Record, e.job.Revision)
 }
 
-// watchAdvanced tells that all changes of jobs up to a revision were posted before.
+// watchAdvanced follows the events of all changes of jobs up to a revision.
 type watchAdvanced struct{ revision ids.Revision }
 
 func (e watchAdvanced) applyTo(loop *eventLoop) { loop.observed = e.revision }
 
-// followersConfirmed tells that every other controller follows this leader.
+// followersConfirmed means that every other controller follows this leader.
 type followersConfirmed struct{}
 
 func (followersConfirmed) applyTo(loop *eventLoop) {
 	loop.core.AllControllersFollow(loop.clock.Now())
 }
 
-// versionGateOpened tells that every controller can read split records.
+// versionGateOpened means that every controller can read split records.
 type versionGateOpened struct{}
 
 func (versionGateOpened) applyTo(loop *eventLoop) {
@@ -102,13 +101,13 @@
 }
 
 // heartbeatAnswers are the answers to heartbeats, and whether only machines with replicas could
-// be answered when they were made.
+// be answered when the core decided.
 type heartbeatAnswers struct {
 	answers      []peerapi.HeartbeatAnswer
 	replicasOnly bool
 }
 
-// heartbeatsReceived brings heartbeats that workers sent; a nil one is left unanswered.
+// heartbeatsReceived has heartbeats of workers. A nil heartbeat is not answered.
 type heartbeatsReceived struct {
 	heartbeats []*wire.Heartbeat
 	reply      chan<- heartbeatAnswers
--- a/controller/leader/executors.go
+++ b/controller/leader/executors.go
@@ -11,8 +11,8 @@
 	"ospreystile.example/ospreystile/scheduler"
 )
 
-// executors carry out the core's decisions. They belong to the event loop, which calls them;
-// none of them waits. What they start ends with the context, and reports back as events.
+// executors execute the core's decisions. Only the event loop calls them, and no method blocks.
+// The goroutines that they start end with the context, and post their results as events.
 type executors struct {
 	records      recordWriter
 	workers      workerCaller
@@ -22,7 +22,7 @@
 	log          *slog.Logger
 }
 
-// execute carries out the decisions that need nothing more of the core.
+// execute executes the decisions that need no further query of the core.
 func (x *executors) execute(ctx context.Context, decisions *scheduler.Decisions) {
 	for _, id := range decisions.RereadJobs {
 		x.jobs.reread(ctx, id)
@@ -41,7 +41,7 @@
 	}
 }
 
-// recordWriter commits changes of records, fenced by the leader's key.
+// recordWriter commits changes of records, fenced by the leader key.
 type recordWriter struct {
 	committer *commit.Committer
 	term      *election.Term
@@ -49,8 +49,8 @@
 	log       *slog.Logger
 }
 
-// write queues one change. If its result cannot be known the term ends, and the next leader
-// reads the records again.
+// write queues one change. If its result is not definite, the term ends, and the next leader reads
+// the records again.
 func (w *recordWriter) write(ctx context.Context, change records.Change) {
 	w.committer.Submit(change, time.Time{}, func(result records.CommitResult) {
 		switch {
--- a/controller/leader/jobs.go
+++ b/controller/leader/jobs.go
@@ -16,7 +16,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// JobRecord is a job's record as of a revision. The record must not be changed any more.
+// JobRecord is a job's record at a revision. The record must not be modified.
 type JobRecord struct {
 	ID       ids.JobID
 	Record   *records.Job
@@ -24,15 +24,15 @@
 }
 
 const (
-	// rereadRetryDelay is how long after a failure a job's record is read again.
+	// rereadRetryDelay is the delay before a failed read of a job's record is retried.
 	rereadRetryDelay = 300 * time.Millisecond
 	// watchHold is how long the store may hold a watch without changes.
 	watchHold = 10 * time.Second
-	// watchRetryDelay is how long after a failure the jobs are watched again.
+	// watchRetryDelay is the delay before a failed watch on jobs is retried.
 	watchRetryDelay = 200 * time.Millisecond
 )
 
-// jobReader brings jobs' records from the store to the event loop.
+// jobReader reads jobs' records from the store and posts them to the event loop.
 type jobReader struct {
 	store   *kv.Client
 	group   *errgroup.Group
@@ -40,7 +40,7 @@
 	log     *slog.Logger
 }
 
-// reread reads a job's record in a goroutine of the group, and posts it if there is one.
+// reread reads a job's record in a goroutine of the group, and posts it if it exists.
 func (r *jobReader) reread(ctx context.Context, id ids.JobID) {
 	r.group.Go(func() error {
 		for ctx.Err() == nil {
@@ -71,8 +71,9 @@
 	return JobRecord{ID: id, Record: record, Revision: entry.Revision}, true, nil
 }
 
-// watch posts every change of jobs after a revision until the context ends. Notices bring
-// most changes earlier; the watch misses none.
+// watch posts every change of jobs after a revision until the context ends. Most changes arrive
+// earlier as notices, which may be lost. The watch returns kv.ErrCompacted if the store no longer
+// keeps all changes since.
 func (r *jobReader) watch(ctx context.Context, since ids.Revision) error {
 	for {
 		revision, changes, err := r.store.Watch(ctx, records.JobPrefix, since, watchHold)
@@ -93,7 +94,7 @@
 	}
 }
 
-// postChange posts a job's new record. A deletion brings no record, so it is passed over.
+// postChange posts a job's new record. It ignores deletions, which have no record.
 func (r *jobReader) postChange(ctx context.Context, change kv.Event) {
 	if change.PutKey == "" {
 		return
--- a/controller/leader/leader.go
+++ b/controller/leader/leader.go
@@ -1,8 +1,8 @@
-// Package leader does the work of the elected leader during one term. A Leader loads the
-// records, feeds everything that happens to the scheduler core as events, and has the core's
-// decisions carried out: records written, workers called, machines provisioned and terminated.
-// The controller that was elected makes one Leader for each term; it never outlives the term,
-// and it decides nothing itself: decisions are those of package scheduler.
+// Package leader does the work of the elected leader during one term. A Leader loads the records
+// and passes events to the scheduler core: heartbeats, results of commits and calls, changes of
+// jobs. It executes the core's decisions: it writes records, calls workers, and provisions and
+// terminates machines. The elected controller makes one Leader for each term. A Leader never
+// outlives its term, and it makes no scheduling decisions itself: package scheduler does.
 package leader
 
 import (
@@ -34,24 +34,25 @@
 	MachineTypes() (types []wire.MachineType, ok bool)
 }
 
-// VersionGate tells whether every controller can read all forms of records that this version
+// VersionGate reports whether every controller can read all forms of records that this version
 // writes. It is safe for concurrent use.
 type VersionGate interface {
-	// Open tells whether that is known. It never goes back to false.
+	// Open reports whether that is known. Once true, it stays true.
 	Open() bool
-	// Load opens the gate if the store says so. It returns the store's errors.
+	// Load opens the gate if records.FormatKey in the store shows that it may open. It returns
+	// the store's errors.
 	Load(ctx context.Context, store *kv.Client) error
 }
 
 // Peer is another controller, as known from its pings. It is safe for concurrent use.
 type Peer interface {
-	// FollowedRevision is the revision of the leader that the peer follows.
+	// FollowedRevision returns the revision of the leader that the peer follows.
 	FollowedRevision() ids.Revision
-	// HeardWithin tells whether the peer answered a ping within d before now.
+	// HeardWithin reports whether the peer answered a ping within d before now.
 	HeardWithin(now monotonic.Instant, d time.Duration) bool
 }
 
-// Dependencies are what leaders work with. The controller owns them; they outlive each term.
+// Dependencies are what a Leader needs. The controller owns them; they outlive each term.
 type Dependencies struct {
 	Platform    *config.Platform
 	Operator    *config.Operator
@@ -65,24 +66,24 @@
 	Peers       []Peer
 }
 
-// Leader is the leader of one term. Its event loop owns the scheduler core; all methods but
-// Run hand it events, and are safe for concurrent use.
+// Leader is the leader of one term. Its event loop owns the scheduler core. All methods but Run
+// post events to it, and are safe for concurrent use.
 type Leader struct {
 	dependencies Dependencies
 	term         *election.Term
 	mailbox      *mailbox
-	// core is handed to the event loop by Run; nothing else uses it from then on.
+	// core belongs to the event loop once Run has started it.
 	core *scheduler.Core
 	// loadedRevision is the revision of the store at which the jobs were listed.
 	loadedRevision ids.Revision
-	// applied is the revision up to which all cancellations may be told to users, as far as
-	// the scheduler core goes. The event loop writes it.
+	// applied is the revision up to which the scheduler core allows all cancellations to be
+	// reported to users. The event loop writes it. See AcknowledgedRevision.
 	applied atomic.Uint64
 }
 
-// Load prepares the leader of a term: it reads the records, which no other controller can
-// change any more. Run must follow. Load fails with the store's errors, with
-// records.ErrFenced if a later leader is found, and with the context's error.
+// Load prepares the leader of a term by reading the records. Run must follow. Load fails with the
+// store's errors, with records.ErrFenced if a later leader was elected, and with the context's
+// error.
 func Load(ctx context.Context, term *election.Term, dependencies Dependencies) (*Leader, error) {
 	load := &loader{Dependencies: dependencies, term: term}
 	if err := load.load(ctx); err != nil {
@@ -91,8 +92,8 @@
 	return &Leader{dependencies: dependencies, term: term, mailbox: newMailbox(), core: load.core, loadedRevision: load.revision}, nil
 }
 
-// Run leads until the context ends, the term is superseded, or the records are found not to be
-// as this leader left them; it returns the cause.
+// Run leads until the context ends, the term is superseded, or another writer has changed the
+// records that only this leader may change. It returns the cause.
 func (l *Leader) Run(ctx context.Context) error {
 	if l.dependencies.VersionGate.Open() { // it may have been opened while the records were read
 		l.core.EnableSplitRecords(l.dependencies.Clock.Now())
@@ -108,7 +109,7 @@
 	return err
 }
 
-// start starts the goroutines of the term in a group; they end with its context.
+// start starts the goroutines of the term in a group. They end when ctx does.
 func (l *Leader) start(ctx context.Context, group *errgroup.Group) {
 	d := &l.dependencies
 	// The cloud does not fence calls, so the client checks the term before each.
--- a/controller/leader/load.go
+++ b/controller/leader/load.go
@@ -17,23 +17,23 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// catalogRetryDelay is how often a new leader looks for the catalog.
+// catalogRetryDelay is the time between two checks whether the catalog was read.
 const catalogRetryDelay = 100 * time.Millisecond
 
-// loader makes a scheduler core from the records. It is used once, by one goroutine, before
-// the event loop starts.
+// loader makes a scheduler core from the records. One goroutine uses it once, before the event
+// loop starts.
 type loader struct {
 	Dependencies
 	term *election.Term
 	core *scheduler.Core
-	// revision is that at which the jobs were listed. Users' requests go on changing jobs,
-	// so they are watched from there on.
+	// revision is the store's revision at which the jobs were listed. Users' requests may have
+	// changed jobs since, so the watch starts there.
 	revision ids.Revision
 }
 
-// load reads all records. This leader's commits are fenced by its revision, and so are those of
-// earlier leaders by theirs, so nothing but jobs changes meanwhile. Jobs come before
-// admissions, and zones too, so that tasks count where they are.
+// load reads all records. Commits of earlier leaders are fenced by the revisions of their terms, so
+// only jobs change meanwhile. Jobs and zones are loaded before admissions, so that each admitted
+// task is counted for its job and its zone.
 func (l *loader) load(ctx context.Context) error {
 	types, err := l.awaitCatalog(ctx)
 	if err != nil {
@@ -74,8 +74,7 @@
 	}
 }
 
-// claimFleet tells whether another leader led before. If none did, it records that one has
-// from now on.
+// claimFleet reports whether any leader led before. If none did, it records that this one does.
 func (l *loader) claimFleet(ctx context.Context) (previousLeader bool, err error) {
 	if _, found, err := l.Store.Get(ctx, records.FleetKey); found || err != nil {
 		return found, err
@@ -106,7 +105,7 @@
 	return nil
 }
 
-// loadZones loads the records of zones, where the operators' settings have zones watched.
+// loadZones loads the records of zones if the operators' settings enable zone recovery.
 func (l *loader) loadZones(ctx context.Context) error {
 	if l.Operator.ZoneRecoveryPolicy == nil {
 		return nil
@@ -128,7 +127,7 @@
 	return nil
 }
 
-// loadAdmission loads a record of where tasks of a job are.
+// loadAdmission loads an admission slice. If that is unreadable, its job is suspended.
 func (l *loader) loadAdmission(entry kv.Entry) error {
 	id, number, ok := records.ParseAdmissionKey(entry.Key)
 	if !ok {
@@ -146,9 +145,8 @@
 	return nil
 }
 
-// logUnreadable reports a record that cannot be decoded. Such a record is never treated as
-// absent, and never ends a term: it would end every later term too, and all other jobs would
-// be forgotten.
+// logUnreadable logs a record that cannot be decoded. Such a record is never treated as absent, and
+// never ends a term: it would end every later term too, and no job would be scheduled.
 func logUnreadable(log *slog.Logger, key string, err error) {
 	log.Error("record unreadable", "key", key, "err", err)
 }
--- a/controller/leader/machines.go
+++ b/controller/leader/machines.go
@@ -13,7 +13,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// cloudRetryDelay is how long after an indeterminate result a call to the cloud is repeated.
+// cloudRetryDelay is the delay before a call to the cloud with an indeterminate result is repeated.
 const cloudRetryDelay = time.Second
 
 // provisioner provisions machines, each request in a goroutine of the group.
@@ -24,7 +24,7 @@
 	log     *slog.Logger
 }
 
-// provision brings one request to a definite result, and posts provisioningFinished.
+// provision repeats a request until its result is definite, and posts provisioningFinished.
 func (p *provisioner) provision(ctx context.Context, request wire.ProvisionRequest) {
 	p.group.Go(func() error {
 		if finished, ok := p.resolve(ctx, request); ok {
@@ -34,8 +34,8 @@
 	})
 }
 
-// resolve repeats a request until its result is definite. It keeps the request ID, so the
-// cloud provisions nothing twice. ok is false if the context ended first.
+// resolve repeats a request until its result is definite. The request ID makes it idempotent. ok
+// is false if the context ended first.
 func (p *provisioner) resolve(ctx context.Context, request wire.ProvisionRequest) (finished provisioningFinished, ok bool) {
 	for ctx.Err() == nil {
 		machines, err := p.cloud.Provision(ctx, request)
@@ -59,7 +59,7 @@
 	listCallShare = 5
 )
 
-// machineLister reads the cloud's list of machines again and again.
+// machineLister reads the cloud's list of machines periodically.
 type machineLister struct {
 	cloud          *cloud.Client
 	callsPerSecond float64
@@ -84,7 +84,8 @@
 	}
 }
 
-// pause is the time between two reads of a list of so many machines, one call a page.
+// pause returns the time to the next read after a list of a number of machines. Each page of the
+// list takes one call.
 func (m *machineLister) pause(machines int) time.Duration {
 	pages := float64(1 + machines/cloud.PageSize)
 	return max(listInterval, monotonic.Seconds(listCallShare*pages/m.callsPerSecond))
--- a/controller/leader/mailbox.go
+++ b/controller/leader/mailbox.go
@@ -9,14 +9,14 @@
 // maxQueuedEvents bounds the events that wait for the event loop.
 const maxQueuedEvents = 64
 
-// event is one thing that happened, or one request that needs an answer.
+// event is an input of the event loop: something that happened, or a request that needs an answer.
 type event interface {
 	// applyTo is called by the event loop alone, so it may use the scheduler core. It must
 	// not block.
 	applyTo(loop *eventLoop)
 }
 
-// mailbox hands events to the event loop in the order in which they are posted.
+// mailbox is the queue of events between other goroutines and the event loop.
 type mailbox struct {
 	events chan event
 	closed chan struct{}
@@ -26,11 +26,11 @@
 	return &mailbox{events: make(chan event, maxQueuedEvents), closed: make(chan struct{})}
 }
 
-// close releases everything that waits for the event loop. It must be called once.
+// close ends all calls of post and request that wait. It must be called once.
 func (m *mailbox) close() { close(m.closed) }
 
-// post queues an event. While the event loop is behind it waits; this is the backpressure on
-// the sender. The result is false if the context or the term ended first.
+// post queues an event. It blocks while the queue is full, as backpressure on the sender. It
+// returns false if the context or the term ended first.
 func (m *mailbox) post(ctx context.Context, e event) bool {
 	select {
 	case m.events <- e:
@@ -43,7 +43,7 @@
 
 // request queues an event and waits for the answer that the event loop sends on its reply
 // channel, which must have a buffer. It fails with peerapi.ErrNotLeading if the context or the
-// term ends first; the event may be applied all the same.
+// term ends first; the event may still be applied.
 func request[A any](ctx context.Context, m *mailbox, e event, reply <-chan A) (A, error) {
 	if m.post(ctx, e) {
 		select {
--- a/controller/leader/options.go
+++ b/controller/leader/options.go
@@ -13,29 +13,30 @@
 )
 
 const (
+	// roundInterval is the least time between two scheduling rounds.
 	roundInterval = 50 * time.Millisecond
-	// roundCostPerMachine is what looking at one machine costs a whole core, three times
-	// over: rounds take a third of the processor at most.
+	// roundCostPerMachine is three times the time that a round takes for each machine on a
+	// whole core, so that rounds take at most a third of the processor.
 	roundCostPerMachine = 300 * time.Nanosecond
-	// lazyWriteDelay is how long the record of a task that ended may wait. Were its
-	// machine lost together with the leader, the task would run again.
+	// lazyWriteDelay is how long the record of a task that ended may be delayed. The task runs
+	// again if both its machine and the leader are lost in that time.
 	lazyWriteDelay = 3 * time.Second
-	// maxWorkerCalls and minWorkerCalls bound the calls to workers in flight; in between
-	// there is one for so many sockets.
+	// maxWorkerCalls and minWorkerCalls bound the calls to workers in flight. Between these
+	// bounds, one call is allowed for each socketsPerWorkerCall sockets.
 	maxWorkerCalls       = 64
 	minWorkerCalls       = 8
 	socketsPerWorkerCall = 16
-	// recordWriteShare is the part of the key-value store's write rate that the leader's
-	// records may take; users' submissions and cancellations need the rest.
+	// recordWriteShare is the part of the key-value store's write rate for the leader's
+	// records. Users' submissions and cancellations need the rest.
 	recordWriteShare = 0.7
 )
 
-// transactionLimits are the bounds of one transaction.
+// transactionLimits returns the bounds of one transaction.
 func (d *Dependencies) transactionLimits() commit.Limits {
 	return settings.TransactionLimits(d.Platform)
 }
 
-// schedulerOptions are the scheduler core's options for a term, but for the time of day.
+// schedulerOptions returns the scheduler core's options for a term, without the time of day.
 func (d *Dependencies) schedulerOptions(revision ids.Revision, previousLeader bool) scheduler.Options {
 	options := scheduler.Options{
 		Revision:       revision,
@@ -50,8 +51,8 @@
 	return options
 }
 
-// setGrace sets for how long earlier leaders may answer heartbeats. It follows from their
-// version: one that is older than the version gate answers for the whole grace.
+// setGrace sets for how long earlier leaders may answer heartbeats. Leaders of versions without the
+// version gate may do so for the whole outage grace.
 func (d *Dependencies) setGrace(options *scheduler.Options) {
 	options.PreviousLeaderGrace, options.PreviousLeaderGraceWithoutReplicas = d.Operator.Grace(), d.Operator.Grace()
 	if d.VersionGate.Open() {
@@ -60,7 +61,7 @@
 	}
 }
 
-// setWorkerOptions sets the times of workers, and the bounds of work on them.
+// setWorkerOptions sets the times of the protocol with workers, and the bounds of calls to them.
 func setWorkerOptions(options *scheduler.Options, platform *config.Platform) {
 	s := &platform.Settings
 	options.HeartbeatInterval = monotonic.Seconds(s.Workers.HeartbeatIntervalS)
@@ -109,11 +110,12 @@
 // objectiveWait is the kind of service-level objective that bounds how long tasks wait to start.
 const objectiveWait = "wait"
 
-// fastestBootS is below any machine's boot time in seconds, whatever the catalog says: what
-// must start sooner cannot wait for a machine to boot.
+// fastestBootS is a lower bound of machines' boot times in seconds, independent of the catalog.
+// Tasks that must start sooner cannot wait for a machine to boot.
 const fastestBootS = 10
 
-// latencySensitive finds the classes whose tasks must start sooner than a machine boots.
+// latencySensitive returns the classes whose tasks must start sooner than a machine boots, and
+// within which time.
 func latencySensitive(objectives []config.ServiceLevelObjective) map[string]time.Duration {
 	classes := map[string]time.Duration{}
 	for _, objective := range objectives {
@@ -124,7 +126,7 @@
 	return classes
 }
 
-// quotaOf is a team's quota. Without a lending limit the whole nominal quota is lent while idle.
+// quotaOf returns a team's quota. Without a lending limit the whole nominal quota is lent while idle.
 func quotaOf(team config.Team, lendingLimits map[ids.Team]float64) quota.Team {
 	nominal := quota.Amount{CPUs: team.CPUs, GPUs: team.GPUs}
 	lend := nominal
--- a/controller/leader/peers.go
+++ b/controller/leader/peers.go
@@ -12,11 +12,12 @@
 const (
 	// peerTimeout is after how long without an answer to a ping a peer counts as unreachable.
 	peerTimeout = 5 * time.Second
-	// followerCheckInterval is how often it is looked whether a peer follows this leader.
+	// followerCheckInterval is the time between two checks whether a peer follows this leader.
 	followerCheckInterval = 200 * time.Millisecond
 )
 
-// connectivity is what the leader knows of its own place among the controllers.
+// connectivity returns the leader's view of its own connections: whether it holds its lease, and
+// how many peers it reaches.
 func connectivity(leaseConfirmed bool, peers []Peer, now monotonic.Instant) zonerecovery.Connectivity {
 	view := zonerecovery.Connectivity{LeaseConfirmed: leaseConfirmed, Peers: len(peers)}
 	for _, peer := range peers {
@@ -27,8 +28,8 @@
 	return view
 }
 
-// awaitFollowers waits until each peer has told that it follows this leader or a later one,
-// and posts followersConfirmed.
+// awaitFollowers waits until the pings of each peer show that it follows this leader or a later
+// one, and posts followersConfirmed.
 func awaitFollowers(ctx context.Context, peers []Peer, revision ids.Revision, mailbox *mailbox) error {
 	for _, peer := range peers {
 		for peer.FollowedRevision() < revision {
--- a/controller/leader/request_events.go
+++ b/controller/leader/request_events.go
@@ -6,11 +6,11 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// The events that ask the core for something. Each reply channel has a buffer of one, so the
-// event loop never waits for a requester that has given up.
+// Events with an answer. Each reply channel has a buffer of one, so the event loop never blocks on
+// a requester that has given up.
 
-// cancellationAcknowledgementAsked has the core take in the record of a cancelled job, and
-// asks whether the cancellation may be acknowledged.
+// cancellationAcknowledgementAsked has the core observe the record of a cancelled job, and asks
+// whether the cancellation may be acknowledged.
 type cancellationAcknowledgementAsked struct {
 	job   JobRecord
 	reply chan<- bool
@@ -47,14 +47,14 @@
 	e.reply <- loop.core.ZoneStatus(loop.clock.Now())
 }
 
-// overrideTicket names an override that the core has taken in; see zoneOverrideRecordedAsked.
-// Watched is false where zones are not watched: nothing was taken in then.
+// overrideTicket identifies an override that the core has accepted; see zoneOverrideRecordedAsked.
+// watched is false if zone recovery is disabled; the core ignores the override then.
 type overrideTicket struct {
 	number  uint64
 	watched bool
 }
 
-// zoneOverrideAsked has the core carry out an operator's override.
+// zoneOverrideAsked has the core apply an operator's override.
 type zoneOverrideAsked struct {
 	zone     ids.Zone
 	override zonerecovery.Override
--- a/controller/leader/termination.go
+++ b/controller/leader/termination.go
@@ -14,16 +14,16 @@
 // terminationInterval is the least time between two calls that terminate machines.
 const terminationInterval = 400 * time.Millisecond
 
-// terminator collects machines to terminate, so that those that become due one by one share a
-// call: provisioning needs the other calls.
+// terminator collects machines to terminate in batches, to leave most of the cloud's request rate
+// to provisioning.
 type terminator struct {
 	cloud   *cloud.Client
 	mailbox *mailbox
 	log     *slog.Logger
-	// wake tells run that machines were added.
+	// wake receives a value after machines were added.
 	wake chan struct{}
 
-	// mu guards machines, those that wait for a call.
+	// mu guards machines, those that are in no call yet.
 	mu       sync.Mutex
 	machines []ids.MachineID
 }
--- a/controller/leader/workers.go
+++ b/controller/leader/workers.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// requestHeartbeat asks a worker for a heartbeat, and posts heartbeatRequestFinished.
+// requestHeartbeat requests a heartbeat from a worker, and posts heartbeatRequestFinished.
 func (c *workerCaller) requestHeartbeat(ctx context.Context, machine ids.MachineID, endpoint string) {
 	c.group.Go(func() error {
 		heartbeat, err := c.client.RequestHeartbeat(ctx, endpoint, workerCallTimeout)
--- a/controller/leader/zones.go
+++ b/controller/leader/zones.go
@@ -14,11 +14,11 @@
 const (
 	// overrideTimeout is how long an override may take to be recorded.
 	overrideTimeout = 5 * time.Second
-	// overrideCheckInterval is how often it is looked whether an override is recorded.
+	// overrideCheckInterval is the time between two checks whether an override is recorded.
 	overrideCheckInterval = 100 * time.Millisecond
 )
 
-// Zones answers with the conditions of all zones. It fails with peerapi.ErrNotLeading if the
+// Zones returns the conditions of all zones. It fails with peerapi.ErrNotLeading if the
 // context or the term ends first.
 func (l *Leader) Zones(ctx context.Context) (peerapi.ZonesResponse, error) {
 	reply := make(chan []zonerecovery.Status, 1)
@@ -29,8 +29,8 @@
 	return peerapi.ZonesResponse{Enabled: l.dependencies.Operator.ZoneRecoveryPolicy != nil, Leader: l.dependencies.Platform.HostName, Zones: zones}, nil
 }
 
-// OverrideZone carries out an operator's override, and answers with the conditions of all zones
-// once it is recorded. It fails with peerapi.ErrZoneRecoveryDisabled, with
+// OverrideZone applies an operator's override, and returns the conditions of all zones once it is
+// recorded. It fails with peerapi.ErrZoneRecoveryDisabled, with
 // peerapi.ErrOverrideNotRecorded if that is not known in time, and with
 // peerapi.ErrNotLeading if the override did not reach the core.
 func (l *Leader) OverrideZone(ctx context.Context, override peerapi.ZoneOverride) (peerapi.ZonesResponse, error) {
@@ -49,7 +49,7 @@
 	return l.Zones(ctx)
 }
 
-// startOverride has the core take in an override.
+// startOverride has the core apply an override.
 func (l *Leader) startOverride(ctx context.Context, override peerapi.ZoneOverride) (overrideTicket, error) {
 	reply := make(chan overrideTicket, 1)
 	ticket, err := request(ctx, l.mailbox, zoneOverrideAsked{
