--- a/controller/operatorclient/client.go
+++ b/controller/operatorclient/client.go
@@ -1,5 +1,5 @@
-// Package operatorclient is the client by which operators' commands ask the controllers of a
-// deployment: they find the leader, and have it answer.
+// Package operatorclient is the client that operators' commands use to call the leader of a
+// deployment. It tries each controller in turn until the leader answers.
 package operatorclient
 
 import (
@@ -22,8 +22,8 @@
 // may use it.
 type Client struct{ peers []*peerrpc.Peer }
 
-// New makes a client of the controllers that the platform's settings name: this host's
-// own, and the seeds with their addresses.
+// New makes a client of the controllers in the platform's settings: the one on this machine, and
+// the seeds with their addresses.
 func New(self ids.ControllerName, selfAddress string, seeds map[ids.ControllerName]string) *Client {
 	c := &Client{peers: []*peerrpc.Peer{peerrpc.NewPeer(self, selfAddress)}}
 	for _, name := range slices.Sorted(maps.Keys(seeds)) {
@@ -37,14 +37,14 @@
 	return c.callLeader(ctx, peerapi.OpZones, struct{}{})
 }
 
-// OverrideZone has the leader carry out an override, and returns the conditions of all zones
+// OverrideZone has the leader apply an override, and returns the conditions of all zones
 // once it is recorded.
 func (c *Client) OverrideZone(ctx context.Context, override peerapi.ZoneOverride) (peerapi.ZonesResponse, error) {
 	return c.callLeader(ctx, peerapi.OpZoneOverride, override)
 }
 
-// callLeader asks one controller after the other until the leader answers or refuses. Without
-// an answer the error joins those of all controllers.
+// callLeader calls one controller after the other until the leader answers or refuses. Without an
+// answer it returns the joined errors of all controllers.
 func (c *Client) callLeader(ctx context.Context, op peerrpc.Operation, request any) (peerapi.ZonesResponse, error) {
 	var answer peerapi.ZonesResponse
 	var failures []error
@@ -69,7 +69,7 @@
 	return peer.Call(ctx, op, request, answer)
 }
 
-// refusedByLeader tells whether an error is the leader's refusal.
+// refusedByLeader reports whether an error is the leader's refusal.
 func refusedByLeader(err error) bool {
 	return errors.Is(err, peerrpc.ErrRemote) && !errors.Is(err, peerapi.ErrNotLeading)
 }
