--- a/server/handlers.go
+++ b/server/handlers.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// workerConnectionShare is the share of all connections up to which those of workers
-	// stay open. Beyond it a worker's connection is closed after the response: there may be
-	// more workers than sockets, each must send a heartbeat within its lease, and users and
-	// health checks need sockets too.
+	// workerConnectionShare is the share of MaxConnections up to which connections of workers
+	// stay open. Beyond it they are closed after the response: there may be more workers than
+	// sockets, each must send a heartbeat within its lease, and users and health checks need
+	// sockets too.
 	workerConnectionShare = 0.7
-	// healthRetryDelay is when an unhealthy controller should be asked again.
+	// healthRetryDelay is after how long a health check that failed should be repeated.
 	healthRetryDelay = time.Second
 )
 
@@ -31,7 +31,7 @@
 	log     *slog.Logger
 }
 
-// handleError responds to requests that no handler responded to.
+// handleError responds to requests that no handler answered.
 func (h *handlers) handleError(c fiber.Ctx, err error) error {
 	status := fiber.StatusInternalServerError
 	var refusal *fiber.Error
@@ -78,8 +78,8 @@
 	return send(c, h.service.Submit(c.Context(), id, spec))
 }
 
-// jobHandler handles requests about the job that their path names. An id that no job can
-// have was never accepted.
+// jobHandler handles requests about the job in their path. No job with an invalid ID was ever
+// accepted, so the response for such an ID is 404.
 func jobHandler(call func(context.Context, ids.JobID) Response) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		id := ids.JobID(strings.Clone(c.Params("id"))) // the framework reuses the parameter's memory
--- a/server/server.go
+++ b/server/server.go
@@ -1,6 +1,6 @@
 // Package server serves the HTTP interface of a controller for users, workers and health
-// checks. It owns the connections and their limits, decodes and checks requests, and
-// encodes responses. It decides nothing: a Service, which the controller implements, does.
+// checks. It owns the connections and their limits, decodes and validates requests, and
+// encodes responses. All decisions are made by a Service, which the controller implements.
 package server
 
 import (
@@ -16,10 +16,10 @@
 
 // Limits bound what the connections of users and workers may take.
 type Limits struct {
-	// MaxConnections is the most open connections.
+	// MaxConnections bounds the open connections.
 	MaxConnections int
 	// IdleTimeout is how long a connection stays open without a request. A machine that
-	// loses its power or the network never closes its connections.
+	// loses power or the network never closes its connections.
 	IdleTimeout time.Duration
 }
 
@@ -59,7 +59,7 @@
 // It returns the context's error, or that of the listener if it fails before.
 func Serve(ctx context.Context, app *fiber.App, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() {
-		// The error tells that requests were cut off, which clients retry.
+		// An error means that requests were aborted; clients retry them.
 		_ = app.ShutdownWithTimeout(shutdownTimeout)
 	})
 	defer stop()
--- a/server/service.go
+++ b/server/service.go
@@ -9,7 +9,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Service handles the requests that the server has decoded and checked. Its methods are
+// Service handles the requests that the server has decoded and validated. Its methods are
 // called from many goroutines at once; the context ends with the request.
 type Service interface {
 	Submit(ctx context.Context, id ids.JobID, spec *wire.JobSpec) Response
@@ -17,7 +17,7 @@
 	Cancel(ctx context.Context, id ids.JobID) Response
 	// Heartbeat gets the heartbeat and its encoded form, which the service may keep.
 	Heartbeat(ctx context.Context, raw []byte, heartbeat *wire.Heartbeat) Response
-	// Healthy reports whether the controller can take requests.
+	// Healthy reports whether the controller can serve requests.
 	Healthy() bool
 }
 
