--- a/config/former_names.go
+++ b/config/former_names.go
@@ -11,9 +11,8 @@
 	{section: "quota", former: "keep_for_s", name: "reserve_for_s"},
 }
 
-// renameFormerNames gives the settings of a document their present names, and returns a
-// warning for each that had a former one. A file that has a setting under both names is
-// an error.
+// renameFormerNames replaces the former names of settings in a document by the present ones, and
+// returns a warning for each. It is an error if a setting is there under both names.
 func renameFormerNames(document any) (warnings []string, err error) {
 	sections, _ := document.(map[string]any)
 	for _, renamed := range renamedSettings {
--- a/config/kv_limits.go
+++ b/config/kv_limits.go
@@ -8,14 +8,14 @@
 	TxnOps   int     `toml:"txn_ops"`  // operations in one transaction
 }
 
-// KVLimits holds the present limits of the key-value store and those that it will have
-// from a time that is not announced.
+// KVLimits holds the present limits of the key-value store and its next ones. The time of the
+// change is not known.
 type KVLimits struct {
 	Limits
 	Next NextLimits `toml:"next"`
 }
 
-// NextLimits are the limits that will change; nil means that a limit stays.
+// NextLimits are the limits that will change; nil means that a limit does not.
 type NextLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -34,7 +34,7 @@
 	}
 }
 
-// smaller returns the smaller of a limit and the next one; nil: there is no next one.
+// smaller returns the smaller of a limit and the next one, which is nil if there is none.
 func smaller[T float64 | int](present T, next *T) T {
 	if next == nil {
 		return present
@@ -42,8 +42,8 @@
 	return min(present, *next)
 }
 
-// The least limits with which records can be stored. A value must hold the description of
-// a job, and a transaction the two halves of a record that is split.
+// The least limits with which records can be stored. A value must be large enough for the
+// description of a job, and a transaction for both parts of a record that is split.
 const (
 	minRPS     = 1.0
 	minValueKB = 0.5
--- a/config/operator.go
+++ b/config/operator.go
@@ -20,7 +20,7 @@
 	// ZoneRecovery is how zone outages are detected and how work returns to a zone.
 	ZoneRecovery zonerecovery.Settings `json:"zone_return"`
 
-	// ZoneRecoveryPolicy is made of ZoneRecovery; nil if that is turned off.
+	// ZoneRecoveryPolicy is derived from ZoneRecovery; nil if zone recovery is disabled.
 	ZoneRecoveryPolicy *zonerecovery.Policy `json:"-"`
 	// Warnings name the settings that the file calls by a former name.
 	Warnings []string `json:"-"`
@@ -64,8 +64,8 @@
 //go:embed operator.default.json
 var operatorDefault []byte
 
-// LoadOperator reads the operators' settings over the defaults. An empty path gives the
-// defaults.
+// LoadOperator reads the operators' settings and merges them into the defaults. With an empty
+// path it returns the defaults.
 func LoadOperator(path string) (*Operator, error) {
 	var raw []byte
 	if path != "" {
@@ -81,8 +81,8 @@
 	return operator, nil
 }
 
-// ParseOperator checks the operators' settings against the schema and lays them over the
-// defaults. Nil gives the defaults.
+// ParseOperator checks the operators' settings against the schema and merges them into the
+// defaults. Without settings (nil) it returns the defaults.
 func ParseOperator(raw []byte) (*Operator, error) {
 	var operator Operator
 	if err := json.Unmarshal(operatorDefault, &operator); err != nil {
@@ -100,7 +100,7 @@
 	return &operator, nil
 }
 
-// overlay sets what a file contains.
+// overlay sets the settings of a file.
 func (o *Operator) overlay(raw []byte) error {
 	document, err := parseDocument(raw)
 	if err != nil {
@@ -119,8 +119,8 @@
 	return json.Unmarshal(renamed, o)
 }
 
-// setZonePolicy makes the policy of zone recovery. It checks the settings even if they are
-// turned off.
+// setZonePolicy sets the policy of zone recovery if that is enabled. It checks the settings in any
+// case.
 func (o *Operator) setZonePolicy() error {
 	policy, err := o.ZoneRecovery.Policy()
 	if err != nil {
@@ -137,12 +137,12 @@
 	return o.ZoneRecovery.CheckZones(p.Settings.Zones)
 }
 
-// LeaseTTL is how long the leader's key outlives its last renewal.
+// LeaseTTL returns the time to live of the leader lease.
 func (o *Operator) LeaseTTL() time.Duration {
 	return time.Duration(o.Leadership.LeaseMS) * time.Millisecond
 }
 
-// Grace is the longest that a leader answers heartbeats while it cannot reach the
+// Grace returns for how long a leader may answer heartbeats at most while it cannot reach the
 // key-value store.
 func (o *Operator) Grace() time.Duration {
 	return time.Duration(o.Leadership.GraceS) * time.Second
--- a/config/settings.go
+++ b/config/settings.go
@@ -30,12 +30,13 @@
 	Share   float64 `toml:"share"`
 }
 
-// WorkerSettings are the times that the protocol with workers goes by.
+// WorkerSettings are the times of the protocol with workers.
 type WorkerSettings struct {
 	HeartbeatIntervalS float64 `toml:"report_s"`
 	// LeaseS is how long a worker keeps its tasks without an answered heartbeat.
 	LeaseS float64 `toml:"lease_s"`
-	// CancelDeadlineS is how soon after a cancellation the job must have no task left.
+	// CancelDeadlineS is the time after a cancellation within which all tasks of the job must
+	// have ended.
 	CancelDeadlineS float64 `toml:"cancel_s"`
 }
 
@@ -53,7 +54,7 @@
 	Sockets  int     `toml:"sockets"`
 }
 
-// setDefaults sets what the file left out.
+// setDefaults sets the defaults of settings that the file does not have.
 func (r *Resources) setDefaults() {
 	if r.CPUShare == 0 {
 		r.CPUShare = 1
