--- a/dependency/graph.go
+++ b/dependency/graph.go
@@ -5,14 +5,14 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Graph holds all jobs and their dependencies. The cost of a change is in proportion to
-// the jobs whose readiness changes; chains may be long and fans wide.
+// Graph holds all jobs and their dependencies. The cost of a change is proportional to the
+// jobs whose readiness changes, also with long chains and many dependents.
 type Graph struct{ jobs map[ids.JobID]*job }
 
 // New returns an empty graph.
 func New() *Graph { return &Graph{jobs: map[ids.JobID]*job{}} }
 
-// ReadinessOf returns what is known about a job.
+// ReadinessOf returns the readiness of a job. It is the zero value for unknown jobs.
 func (g *Graph) ReadinessOf(id ids.JobID) Readiness {
 	j := g.jobs[id]
 	if j == nil {
@@ -21,8 +21,8 @@
 	return Readiness{State: j.state, Priority: j.priority, ReadyMS: j.readyMS, StartByMS: j.startByMS()}
 }
 
-// Put applies a job's record, and lists the jobs whose readiness changed, each once and
-// the job itself first. Records may come in any order, and outdated ones again.
+// Put applies a job's record, and returns the jobs whose readiness changed, each once and the
+// job itself first. Records may be put in any order; outdated and repeated ones change nothing.
 func (g *Graph) Put(id ids.JobID, record Record) []ids.JobID {
 	j := g.job(id)
 	if j.ended() {
--- a/dependency/job.go
+++ b/dependency/job.go
@@ -16,18 +16,18 @@
 	state State
 	// dependencies and dependents are the edges. Jobs that ended may still be among them.
 	dependencies, dependents []*job
-	// unfinished counts the dependencies that are not done. The counts are small types
-	// because a controller holds a great many jobs.
+	// unfinished counts the dependencies that are not done. Counts have small types because a
+	// controller holds very many jobs.
 	unfinished int32
 
 	ownPriority, priority wire.Priority
 	// waitingDependents counts the dependents that still wait, by their effective priority.
-	// A change of one of many dependents then needs no look at the others.
+	// With it a change of one dependent does not require a visit of the others.
 	waitingDependents [priorityLevels]int32
 
 	// Unix times in milliseconds; see Record and Readiness.
 	readyMS, doneMS int64
-	// endByMS is the latest end with which all deadlines can be met; 0: there is none.
+	// endByMS is the latest end with which all deadlines can be met; 0 means that there is none.
 	endByMS       int64
 	expectedRunMS int64
 }
@@ -35,7 +35,8 @@
 // ended reports whether the job is done or cancelled.
 func (j *job) ended() bool { return j.state >= Done }
 
-// startByMS is the latest start with which the job ends by endByMS; 0: there is none.
+// startByMS returns the latest start with which the job ends by endByMS; 0 means that there is
+// none.
 func (j *job) startByMS() int64 {
 	if j.endByMS == 0 {
 		return 0
@@ -43,8 +44,7 @@
 	return j.endByMS - j.expectedRunMS
 }
 
-// tightenEndBy sets a latest end, and reports whether it is earlier than the one before.
-// 0 is not a latest end.
+// tightenEndBy lowers endByMS, and reports whether the new value is earlier. It ignores 0.
 func (j *job) tightenEndBy(endByMS int64) bool {
 	if endByMS == 0 || j.endByMS != 0 && endByMS >= j.endByMS {
 		return false
@@ -53,8 +53,8 @@
 	return true
 }
 
-// effectivePriority returns the highest of the job's own priority and of its waiting
-// dependents'.
+// effectivePriority returns the highest of the job's own priority and the effective priorities of
+// its waiting dependents.
 func (j *job) effectivePriority() wire.Priority {
 	for level := priorityLevels - 1; level > int(j.ownPriority); level-- {
 		if j.waitingDependents[level] > 0 {
--- a/dependency/state.go
+++ b/dependency/state.go
@@ -25,7 +25,7 @@
 	Cancelled
 )
 
-// Record is the part of a job's record that the graph is made of.
+// Record is the part of a job's record that the graph needs.
 type Record struct {
 	Status    wire.JobState
 	DependsOn []ids.JobID
@@ -39,7 +39,7 @@
 	ExpectedRun time.Duration
 }
 
-// Readiness is what all records together say about a job. The zero value is that of an
+// Readiness is the state of a job as derived from all records. The zero value is that of an
 // unknown job.
 type Readiness struct {
 	State State
--- a/dependency/update.go
+++ b/dependency/update.go
@@ -6,8 +6,8 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// update is the change of one record with all that follows from it. Chains may be long, so
-// it keeps lists of the jobs to visit and never recurses.
+// update applies one record and propagates its consequences. Chains may be long, so it keeps
+// lists of the jobs to visit in place of recursion.
 type update struct {
 	graph   *Graph
 	changed []ids.JobID
@@ -69,7 +69,7 @@
 	return cancelled
 }
 
-// finish marks a job as done, and as ready the jobs that waited for it alone.
+// finish marks a job as done, and marks as ready the jobs for which it was the last dependency.
 func (u *update) finish(j *job, doneMS int64) {
 	u.markChanged(j)
 	j.state, j.doneMS = Done, doneMS
