--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -15,9 +15,6 @@
 	pingInterval = 500 * time.Millisecond
 	// pingTimeout is how long a peer may take to answer a ping.
 	pingTimeout = 1500 * time.Millisecond
-	// clockDriftDivisor gives the share of an interval by which a peer's clock may run fast,
-	// 1/500, as in monotonic.AddDriftMargin.
-	clockDriftDivisor = 500
 )
 
 // pinger exchanges pings with the peers. A ping has the known leader, the state of the sender, the
@@ -105,6 +102,7 @@
 	if term == nil || answer.Revision > term.Revision || answer.Uptime <= 0 {
 		return
 	}
-	started := p.clock.Now().Add(answer.Uptime/clockDriftDivisor - answer.Uptime)
+	// The peer's clock may run fast, so that it counts too long an uptime.
+	started := p.clock.Now().Add(monotonic.MaxDrift(answer.Uptime) - answer.Uptime)
 	term.RecordPeerAck(answer.From, asked, started)
 }
--- a/election/lease.go
+++ b/election/lease.go
@@ -8,9 +8,6 @@
 )
 
 const (
-	// clockDriftDivisor gives the share of an interval by which the clocks of two machines
-	// may differ, 1/500, as in monotonic.AddDriftMargin.
-	clockDriftDivisor = 500
 	// leaseSafetyMargin covers the resolution of timers and the store's own delay in
 	// starting and ending a lease.
 	leaseSafetyMargin = 50 * time.Millisecond
@@ -39,6 +36,5 @@
 // leaseValidUntil returns until when a lease is valid that was granted or renewed by a
 // request sent at started.
 func (b *LeaseBounds) leaseValidUntil(started monotonic.Instant) monotonic.Instant {
-	clockDrift := b.TTL / clockDriftDivisor
-	return started.Add(b.TTL - clockDrift - leaseSafetyMargin)
+	return started.Add(b.TTL - monotonic.MaxDrift(b.TTL) - leaseSafetyMargin)
 }
--- a/monotonic/monotonic.go
+++ b/monotonic/monotonic.go
@@ -43,16 +43,19 @@
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 const (
-	// driftDivisor makes the margin 0.2% of the wait. Each of the two clocks may be off by
+	// driftDivisor makes the drift 0.2% of the interval. Each of the two clocks may be off by
 	// 0.05%, so this is twice what they need.
 	driftDivisor = 500
 	// timerResolution is how late a timer may fire.
 	timerResolution = 10 * time.Millisecond
 )
 
+// MaxDrift returns by how much the clocks of two machines may differ over an interval.
+func MaxDrift(interval time.Duration) time.Duration { return interval / driftDivisor }
+
 // AddDriftMargin lengthens a wait so that it has passed on the clock of every other
 // machine too.
-func AddDriftMargin(d time.Duration) time.Duration { return d + d/driftDivisor + timerResolution }
+func AddDriftMargin(wait time.Duration) time.Duration { return wait + MaxDrift(wait) + timerResolution }
 
 // Sleep waits for d. It returns false, early, if the context ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
