--- a/controller/job_replica.go
+++ b/controller/job_replica.go
@@ -36,11 +36,6 @@
 		cancelledByDependency: record.Status == wire.JobCancelled && record.Spec == nil}
 }
 
-// terminal reports whether the job is done or cancelled, which is final.
-func (s jobSnapshot) terminal() bool {
-	return s.Status == wire.JobDone || s.Status == wire.JobCancelled
-}
-
 // jobReplica is a controller's replica of all jobs. It is not safe for concurrent use.
 type jobReplica struct {
 	store jobStore
@@ -106,7 +101,7 @@
 // own record does not say so yet.
 func (r *jobReplica) get(id ids.JobID) (job jobSnapshot, found bool) {
 	job, found = r.jobs[id]
-	if found && !job.terminal() && r.graph.ReadinessOf(id).State == dependency.Cancelled {
+	if found && !job.Status.Terminal() && r.graph.ReadinessOf(id).State == dependency.Cancelled {
 		job.Status, job.cancelledByDependency = wire.JobCancelled, true
 	}
 	return job, found
--- a/controller/peer_handler.go
+++ b/controller/peer_handler.go
@@ -89,8 +89,7 @@
 	defer cancel()
 	heartbeats := make([]*wire.Heartbeat, len(encoded))
 	for i := range encoded {
-		heartbeat := new(wire.Heartbeat)
-		if err := wire.Decode(encoded[i], heartbeat); err == nil && heartbeat.Machine != "" && heartbeat.Incarnation != 0 {
+		if heartbeat, err := wire.ParseHeartbeat(encoded[i]); err == nil {
 			heartbeats[i] = heartbeat
 		}
 	}
--- a/controller/status.go
+++ b/controller/status.go
@@ -38,7 +38,7 @@
 
 // respond returns the response for a job that was found.
 func (h *statusHandler) respond(ctx context.Context, id ids.JobID, answer queryAnswer) server.Response {
-	if answer.job.terminal() {
+	if answer.job.Status.Terminal() {
 		return h.terminal.answer(ctx, id, answer.job)
 	}
 	status := wire.JobStatus{ID: id, Status: answer.job.Status, Done: answer.progress.Done, Running: answer.progress.Running}
--- a/controller/status_reader.go
+++ b/controller/status_reader.go
@@ -154,7 +154,7 @@
 	}
 	for _, query := range round {
 		answer := r.lookUp(query)
-		if !answer.found || answer.job.terminal() {
+		if !answer.found || answer.job.Status.Terminal() {
 			query.reply <- answer
 			continue
 		}
--- a/records/records.go
+++ b/records/records.go
@@ -49,7 +49,7 @@
 }
 
 // Terminal reports whether the job is done or cancelled, which is final.
-func (j *Job) Terminal() bool { return j.Status == wire.JobDone || j.Status == wire.JobCancelled }
+func (j *Job) Terminal() bool { return j.Status.Terminal() }
 
 // AdmissionSlice is the durable record of some of a job's tasks: the machine to which each
 // was admitted, and with which attempt. It is committed before any of these tasks is
--- a/server/handlers.go
+++ b/server/handlers.go
@@ -93,8 +93,8 @@
 // heartbeat handles a worker's heartbeat.
 func (h *handlers) heartbeat(c fiber.Ctx) error {
 	raw := bytes.Clone(c.Body()) // the framework reuses the body's memory
-	heartbeat := new(wire.Heartbeat)
-	if err := wire.Decode(raw, heartbeat); err != nil || heartbeat.Machine == "" || heartbeat.Incarnation == 0 {
+	heartbeat, err := wire.ParseHeartbeat(raw)
+	if err != nil {
 		return send(c, Response{Status: fiber.StatusBadRequest})
 	}
 	open := float64(c.App().Server().GetOpenConnectionsCount())
--- a/wire/users.go
+++ b/wire/users.go
@@ -36,6 +36,9 @@
 	JobCancelled JobState = "withdrawn"
 )
 
+// Terminal reports whether the state is done or cancelled, which are final.
+func (s JobState) Terminal() bool { return s == JobDone || s == JobCancelled }
+
 // JobStatus is the response to a request about a job.
 type JobStatus struct {
 	ID      ids.JobID `msgpack:"nameId"`
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -1,6 +1,10 @@
 package wire
 
-import "ospreystile.example/ospreystile/ids"
+import (
+	"fmt"
+
+	"ospreystile.example/ospreystile/ids"
+)
 
 // TaskState is the state of a task in a worker's heartbeat.
 type TaskState string
@@ -65,6 +69,19 @@
 	Tasks       []TaskStatus `msgpack:"legs"`
 }
 
+// ParseHeartbeat decodes a heartbeat, which must name its machine and incarnation. An error wraps
+// ErrMalformedBody.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	heartbeat := new(Heartbeat)
+	if err := Decode(body, heartbeat); err != nil {
+		return nil, err
+	}
+	if heartbeat.Machine == "" || heartbeat.Incarnation == 0 {
+		return nil, fmt.Errorf("%w: heartbeat without machine or incarnation", ErrMalformedBody)
+	}
+	return heartbeat, nil
+}
+
 // Newer reports whether the heartbeat was made after the message of the same worker that
 // has the given incarnation and sequence number.
 func (h *Heartbeat) Newer(incarnation ids.AgentIncarnation, sequence ids.Sequence) bool {
--- a/wire/workers_test.go
+++ b/wire/workers_test.go
@@ -1,6 +1,7 @@
 package wire
 
 import (
+	"errors"
 	"testing"
 
 	"ospreystile.example/ospreystile/ids"
@@ -25,3 +26,27 @@
 		}
 	}
 }
+
+func TestParseHeartbeat(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		body  []byte
+		valid bool
+	}{
+		{"valid", Encode(Heartbeat{Machine: "n-1", Incarnation: 6}), true},
+		{"without machine", Encode(Heartbeat{Incarnation: 6}), false},
+		{"without incarnation", Encode(Heartbeat{Machine: "n-1"}), false},
+		{"no map", Encode(7), false},
+		{"empty", nil, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			heartbeat, err := ParseHeartbeat(c.body)
+			if c.valid && (err != nil || heartbeat.Machine != "n-1" || heartbeat.Incarnation != 6) {
+				t.Errorf("%+v, %v", heartbeat, err)
+			}
+			if !c.valid && (heartbeat != nil || !errors.Is(err, ErrMalformedBody)) {
+				t.Errorf("%+v, %v, want %v", heartbeat, err, ErrMalformedBody)
+			}
+		})
+	}
+}
