--- a/zonerecovery/detector.go
+++ b/zonerecovery/detector.go
@@ -13,7 +13,7 @@
 	someZoneReachable bool
 }
 
-// outageDetector owns the latest health of a zone, and judges whether it means an outage. It never
+// outageDetector owns the latest health of a zone, and decides whether it means an outage. It never
 // changes the condition.
 type outageDetector struct {
 	policy *Policy
@@ -29,7 +29,7 @@
 	clearSince monotonic.Instant
 }
 
-// observe takes in the health and the leader's view.
+// observe records the health and the leader's view.
 func (d *outageDetector) observe(now monotonic.Instant, health ZoneHealth, view leaderView) {
 	d.health, d.view = health, view
 	d.excluded = min(d.excluded, health.lost())
--- a/zonerecovery/displacements.go
+++ b/zonerecovery/displacements.go
@@ -129,8 +129,8 @@
 	return most
 }
 
-// load replaces the jobs by recorded ones. How long they have waited is not recorded: they wait
-// anew from now on.
+// load replaces the jobs by recorded ones. How long they have waited is not recorded, so
+// their wait starts again now.
 func (d *displacements) load(jobs map[ids.JobID]*displacedJob, now monotonic.Instant) {
 	for _, entry := range jobs {
 		entry.lostAt = now
@@ -138,7 +138,7 @@
 	d.jobs = jobs
 }
 
-// clear removes all jobs, as the incident is over.
+// clear removes all jobs at the end of an incident.
 func (d *displacements) clear() { d.jobs = map[ids.JobID]*displacedJob{} }
 
 // byRelevance lists the jobs in the order in which a record has room for them: by failbacks, then
--- a/zonerecovery/manager.go
+++ b/zonerecovery/manager.go
@@ -13,7 +13,7 @@
 // may start and which machines may be provisioned in a zone, and hands out the records to write.
 // It starts, stops and writes nothing itself, and is not safe for use by several goroutines.
 //
-// A zone that no method was told of serves.
+// A zone that no method has named serves.
 type Manager struct {
 	policy *Policy
 	zones  map[ids.Zone]*zone
@@ -59,8 +59,8 @@
 	return z
 }
 
-// Load takes in the record of a zone that an earlier leader wrote. It must come before any other
-// method is told of the zone.
+// Load applies the record of a zone that an earlier leader wrote. It must be called before any other
+// method for the zone.
 func (m *Manager) Load(name ids.Zone, record *Record, revision ids.Revision, at ClockReading) {
 	m.zoneNamed(name, at.Now).loadRecord(record, revision, at)
 }
@@ -71,7 +71,7 @@
 	m.zoneNamed(name, at.Now).loadUnreadable(revision, at)
 }
 
-// Observe takes in what is known of all zones, and moves their conditions on. It reports whether
+// Observe applies the health of all zones, and updates their conditions. It reports whether
 // the limits on starts have changed.
 func (m *Manager) Observe(at ClockReading, observation Observation) (changed bool) {
 	m.connectivity = observation.Connectivity
@@ -87,7 +87,7 @@
 	return changed
 }
 
-// Override carries out an operator's decision about a zone. The returned number is recorded once
+// Override applies an operator's decision about a zone. The returned number is recorded once
 // RecordedOverride has reached it.
 func (m *Manager) Override(name ids.Zone, override Override, at ClockReading) (number uint64) {
 	z := m.zoneNamed(name, at.Now)
--- a/zonerecovery/policy.go
+++ b/zonerecovery/policy.go
@@ -28,7 +28,7 @@
 	// HoldDownFactor, up to MaxHoldDown.
 	HoldDown, MaxHoldDown time.Duration
 	HoldDownFactor        float64
-	// QuietPeriod is how long a zone must serve until its incident is over.
+	// QuietPeriod is how long a zone must serve until its incident ends.
 	QuietPeriod time.Duration
 	// ProbeTasks is how many small tasks may start at a time in the probe, the first step of a
 	// recovery. MaxProbeRun is how long they are expected to run at most.
--- a/zonerecovery/state_machine.go
+++ b/zonerecovery/state_machine.go
@@ -48,8 +48,8 @@
 	startsInFlight int
 }
 
-// observe takes in an observation, and changes the condition if time and evidence require it. It
-// reports whether the present incident is over.
+// observe applies an observation, and changes the condition if time and evidence require it. It
+// reports whether the present incident has ended.
 func (m *stateMachine) observe(at ClockReading, observation zoneObservation) (incidentOver bool) {
 	elapsed := max(0, at.Now.Sub(m.observedAt))
 	m.observedAt = at.Now
--- a/zonerecovery/zone.go
+++ b/zonerecovery/zone.go
@@ -38,7 +38,7 @@
 // condition returns the present condition.
 func (z *zone) condition() Condition { return z.machine.state.condition }
 
-// observe takes in the health of the zone's machines.
+// observe applies the health of the zone's machines.
 func (z *zone) observe(at ClockReading, health ZoneHealth, view leaderView) {
 	if z.override.current.expired(at.Wall) {
 		z.setOverride(Override{Reason: "the hold is over"})
