--- a/dependency/graph_test.go
+++ b/dependency/graph_test.go
@@ -12,8 +12,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// The deadline of a job bounds the starts of all jobs that it depends on, in whatever
-// order their records come.
+// The deadline of a job bounds the starts of all jobs that it depends on, in any order of
+// their records.
 func TestDeadlinesPropagateToDependencies(t *testing.T) {
 	records := map[ids.JobID]Record{
 		"job-1": {Status: wire.JobQueued, ExpectedRun: 5 * time.Second},
--- a/election/failover_test.go
+++ b/election/failover_test.go
@@ -35,7 +35,7 @@
 	})
 }
 
-// In a store outage no other controller can be elected. The leader goes on afterwards.
+// In a store outage no other controller can be elected. The leader keeps its term.
 func TestLeaderKeepsItsTermInStoreOutage(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		startThree(t, c)
--- a/election/term_test.go
+++ b/election/term_test.go
@@ -85,7 +85,7 @@
 }
 
 // A candidate whose commit is answered after a later leader was observed begins no term:
-// peers may have been told that it follows that leader.
+// it may have announced to its peers that it follows that leader.
 func TestLateCommitBeginsNoTerm(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		delayed := newClient(c.store)
@@ -99,7 +99,7 @@
 	})
 }
 
-// The context of the leader's work tells why the term ended.
+// The cause of the work's context is the reason why the term ended.
 func TestCauseOfTheEnd(t *testing.T) {
 	untilEnd := func(ctx context.Context, _ *Term) error {
 		<-ctx.Done()
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// update writes the files anew. Use it only if it is known what the change means for
+// update rewrites the files. Use it only if it is known what the change means for
 // stored records and for controllers of other versions.
 var update = flag.Bool("update", false, "write the golden files anew")
 
--- a/internal/kvtest/control.go
+++ b/internal/kvtest/control.go
@@ -69,7 +69,7 @@
 	s.wakeWatches()
 }
 
-// SuspendExpiry has no lease end by its time any more. Leases that are revoked end.
+// SuspendExpiry stops the expiry of leases. Revoked leases still end.
 func (s *Store) SuspendExpiry() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,8 +84,8 @@
 	s.retention = revisions
 }
 
-// SetMaxHold has later watches wait for at most a time, whatever they ask for. A kv.Client cannot
-// give up a watch, so a test that uses one over HTTP would end only with the longest watch.
+// SetMaxHold bounds the hold of later watches. A kv.Client cannot cancel a watch, so a test that
+// uses one over HTTP would end only with the longest watch.
 func (s *Store) SetMaxHold(hold time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/kvtest/leases.go
+++ b/internal/kvtest/leases.go
@@ -60,7 +60,7 @@
 // leasesExpire reports whether leases end by their time.
 func (s *Store) leasesExpire() bool { return !s.outage && !s.expirySuspended }
 
-// expireLeases ends the leases whose time is over.
+// expireLeases ends the leases that have expired.
 func (s *Store) expireLeases() {
 	if !s.leasesExpire() {
 		return
--- a/internal/kvtest/server.go
+++ b/internal/kvtest/server.go
@@ -17,8 +17,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Server serves a Store on loopback, at an address of its own: callers that the store is to
-// refuse one by one get a server each.
+// Server serves a Store at an address on loopback. Callers that the store is to refuse separately
+// get a server each.
 type Server struct {
 	*Store
 	http *httptest.Server
--- a/internal/kvtest/store.go
+++ b/internal/kvtest/store.go
@@ -2,10 +2,10 @@
 //
 // Store holds keys, leases and changes in memory and has the methods of kv.Client. It starts no
 // goroutine and reads the time from package time, so that it can be used within a bubble of
-// testing/synctest. Client is the access of one caller, with latency and with faults that
-// concern this caller alone. Server serves a Store over HTTP, for callers that use kv.Client
-// and for processes. The limits of the real store for requests and sizes are not there; a
-// test brings refusals about by SetCommitFault.
+// testing/synctest. Client is the access of one caller, with latency and with faults of this
+// caller alone. Server serves a Store over HTTP, for callers that use kv.Client and for
+// processes. The limits of the real store for requests and sizes are not implemented; a test
+// causes refusals by SetCommitFault.
 package kvtest
 
 import (
@@ -116,7 +116,7 @@
 func (s *Store) applyWithFault(txn kv.Txn) (kv.TxnResult, error) {
 	switch s.commitFault(txn) {
 	case LoseResponse:
-		_, _ = s.apply(txn) // the caller gets no result, whatever it is
+		_, _ = s.apply(txn) // the caller gets no result
 		return kv.TxnResult{}, kv.ErrIndeterminate
 	case ApplyLate:
 		s.applyAfter(lateDelay, txn)
@@ -126,7 +126,7 @@
 	case Reject:
 		return kv.TxnResult{}, kv.ErrRejected
 	case MalformResponse:
-		_, _ = s.apply(txn) // the caller gets no result, whatever it is
+		_, _ = s.apply(txn) // the caller gets no result
 		return kv.TxnResult{}, kv.ErrMalformedResponse
 	}
 	return s.apply(txn)
@@ -138,7 +138,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.expireLeases()
-		_, _ = s.apply(txn) // nobody waits for the result any more
+		_, _ = s.apply(txn) // the caller has returned already
 	})
 }
 
--- a/internal/kvtest/watch.go
+++ b/internal/kvtest/watch.go
@@ -72,7 +72,7 @@
 	return update
 }
 
-// wait returns when there may be a change, or when a deadline is over.
+// wait returns when there may be a change, or when a deadline has passed.
 func (u watchUpdate) wait(ctx context.Context, deadline time.Time) error {
 	if !u.nextExpiry.IsZero() && u.nextExpiry.Before(deadline) {
 		deadline = u.nextExpiry
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -17,7 +17,7 @@
 	TaskEnded         TaskState = "ended"
 )
 
-// ExitCause tells why a task ended.
+// ExitCause is the reason why a task ended.
 type ExitCause string
 
 // The causes of a task's end. The last three mean that the worker refused the start.
@@ -30,7 +30,7 @@
 	CauseNoSuch  ExitCause = "no_such" // the worker found no such job or task
 )
 
-// Verb tells what a command asks of a worker.
+// Verb is what a command asks of a worker.
 type Verb string
 
 // The verbs of commands. VerbReap has the worker forget a task that ended.
