--- a/controller/acknowledgements_test.go
+++ b/controller/acknowledgements_test.go
@@ -45,8 +45,7 @@
 	until(t, "the leader knows the job", func() bool { return knownToLeader(t, a.leader, id) })
 }
 
-// answers asks both followers about a job in every way. The cancellation comes first: before it
-// there is nothing to tell.
+// answers sends every kind of request about a job to both followers, the cancellation first.
 func (a *acknowledgementTest) answers(t *testing.T, id ids.JobID) map[string]server.Response {
 	t.Helper()
 	answers := map[string]server.Response{}
@@ -59,8 +58,8 @@
 	return answers
 }
 
-// checkTold checks that every answer tells of a job's cancellation.
-func (a *acknowledgementTest) checkTold(t *testing.T, id ids.JobID) {
+// checkReported checks that every answer reports a job as cancelled.
+func (a *acknowledgementTest) checkReported(t *testing.T, id ids.JobID) {
 	t.Helper()
 	for way, answer := range a.answers(t, id) {
 		if s, _ := answer.Body.(wire.JobStatus); answer.Status != 200 || s.Status != wire.JobCancelled {
@@ -79,11 +78,10 @@
 	}
 }
 
-// The key-value store refuses the leader alone, and jobs are cancelled at another controller. If
-// the user were told, and the store then failed for every controller, the leader would go on
-// renewing the leases of the tasks for longer than the cancel deadline. So no user is told, in
-// whatever way, before a leader that holds its lease has taken the cancellation in; and no user
-// is told anything older.
+// The key-value store refuses only the leader, and jobs are cancelled at another controller. If
+// that were reported, and the store then failed for every controller, the leader would renew the
+// leases of the tasks for longer than the cancel deadline. So no answer reports a cancellation
+// before a leader that holds its lease has observed it, and no answer has an older status.
 func TestCancellationIsVisibleOnceALeaderAcknowledgedIt(t *testing.T) {
 	a := newAcknowledgementTest(t)
 	term := a.leader.election.Term()
@@ -94,17 +92,17 @@
 		t.Errorf("the leader holds its lease: %+v", answer)
 	}
 	if knownToLeader(t, a.leader, "job-1") {
-		t.Error("told before the leader has taken it in")
+		t.Error("reported before the leader has observed it")
 	}
-	a.checkTold(t, "job-1")
+	a.checkReported(t, "job-1")
 
 	a.leaderState.Refuse("/")
 	until(t, "the leader's lease may have expired", func() bool { return !term.HoldsLease() })
 	a.checkNotTold(t, "job-2")
 	if knownToLeader(t, a.leader, "job-2") || !term.MayAnswerHeartbeats() {
-		t.Error("the leader goes on, and did not take in what it was told")
+		t.Error("the leader still leads, and did not observe the record")
 	}
-	a.checkTold(t, "job-1")
+	a.checkReported(t, "job-1")
 	// Nor while no controller leads, as far as this one knows.
 	a.asked.election.Observe(election.Leader{Identity: election.Identity{Name: "n-9"}, Revision: term.Revision + 1})
 	if answer := a.asked.service.Cancel(t.Context(), "job-3"); answer.Status != 503 {
@@ -116,20 +114,20 @@
 	if answer := a.asked.service.Status(t.Context(), "job-2"); answer.Status != 503 {
 		t.Errorf("no known leader: %+v", answer)
 	}
-	// The leader reads the record by itself, and pings tell of it.
+	// The leader's watch returns the record, and pings raise the acknowledged revision.
 	until(t, "the leader has read all", func() bool {
 		record, _ := a.state.Entry("jobs/job-3")
 		revision, ok := a.leader.ownLeader.get().AcknowledgedRevision()
 		return ok && revision >= record.Revision
 	})
 	a.asked.pinger.observe(a.leader.pinger.message())
-	a.checkTold(t, "job-2")
-	a.checkTold(t, "job-3")
+	a.checkReported(t, "job-2")
+	a.checkReported(t, "job-3")
 }
 
 // A leader acknowledges cancellations only while it holds its lease: a later leader may not know
-// what it takes in after that. Here the store refuses to renew the lease, and nothing else, so
-// the leader goes on reading changes of jobs.
+// what it observes after that. Here the store refuses only renewals of the lease, so the leader
+// continues to read changes of jobs.
 func TestLeaderWithoutItsLeaseAcknowledgesNothing(t *testing.T) {
 	state := newTestStore(t)
 	leaderState := serveStore(t, state.Store)
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -16,7 +16,7 @@
 type historyChecker struct {
 	id ids.JobID
 
-	// mu guards newest, the rank of the newest status that a user was told.
+	// mu guards newest, the rank of the newest status in any answer.
 	mu     sync.Mutex
 	newest int
 }
@@ -42,8 +42,8 @@
 	}
 }
 
-// askOften queries and submits a job at one controller again and again, and cancels it in
-// between if so asked.
+// askOften submits a job at one controller and queries it repeatedly, before and after the given
+// requests.
 func (h *historyChecker) askOften(t *testing.T, c *Controller, requests ...func(context.Context) server.Response) {
 	t.Helper()
 	const repetitions = 5
@@ -89,7 +89,7 @@
 		users.Wait()
 		history.ask(t, "cancelled again", cancel)
 		if history.newest != cancelled {
-			t.Errorf("%s: told %d", history.id, history.newest)
+			t.Errorf("%s: newest status %d", history.id, history.newest)
 		}
 	}
 }
--- a/controller/heartbeat_relay_test.go
+++ b/controller/heartbeat_relay_test.go
@@ -15,9 +15,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A follower relays heartbeats, and answers with what the leader decides; it has no answer of
-// its own. When the leader must not answer, or there is none, the worker is told at once to go
-// elsewhere.
+// A follower relays heartbeats, and answers only with what the leader decides. If the leader must
+// not answer, or there is none, the worker gets an error at once, so that it tries another
+// controller.
 func TestFollowerRelaysHeartbeats(t *testing.T) {
 	leading := newTestController(t, testConfig(emptyStore(t)))
 	storeTestCatalog(leading)
--- a/controller/helpers_test.go
+++ b/controller/helpers_test.go
@@ -108,7 +108,7 @@
 	t.Fatalf("never: %s", what)
 }
 
-// knownToLeader tells whether the leader in a controller's process knows a job.
+// knownToLeader reports whether the leader in a controller's process knows a job.
 func knownToLeader(t *testing.T, c *Controller, id ids.JobID) bool {
 	t.Helper()
 	own := c.ownLeader.get()
--- a/controller/kv_routes_test.go
+++ b/controller/kv_routes_test.go
@@ -43,7 +43,7 @@
 	if a := n.service.Status(ctx, "job-2"); a.Status != 404 {
 		t.Errorf("an unknown job: %+v", a)
 	}
-	// Users are told of the cancellation only once a leader has acknowledged it.
+	// The cancellation is reported to users only once a leader has acknowledged it.
 	if a := n.service.Status(ctx, "job-1"); a.Status != 503 || a.RetryAfter == 0 {
 		t.Errorf("a cancellation that no leader may know of: %+v", a)
 	}
--- a/controller/leader/event_loop_test.go
+++ b/controller/leader/event_loop_test.go
@@ -10,8 +10,8 @@
 	"ospreystile.example/ospreystile/scheduler"
 )
 
-// A leader publishes that all cancellations up to a revision may be told only once no earlier
-// leader can keep tasks of jobs that are cancelled meanwhile.
+// A leader publishes a revision up to which all cancellations may be reported only once no earlier
+// leader can keep tasks of cancelled jobs.
 func TestNothingIsPublishedBesideAnEarlierLeader(t *testing.T) {
 	dependencies := testDependencies(t, "127.0.0.1:1")
 	options := dependencies.schedulerOptions(5, true)
--- a/controller/leader/machines_test.go
+++ b/controller/leader/machines_test.go
@@ -12,8 +12,8 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// The cloud does not fence calls: a call that waited for its turn while its leader was replaced,
-// or was paused, is not made any more.
+// The cloud does not fence calls: a call that waited for the request budget while its leader was
+// replaced or paused is not sent.
 func TestCallsOfAnEndedTermAreNotMade(t *testing.T) {
 	var calls atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
--- a/controller/leader/peers_test.go
+++ b/controller/leader/peers_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The core is told that all controllers follow only when each has said so: one that has not may
-// be an earlier leader that goes on answering.
+// followersConfirmed is posted only once all peers follow this leader: one that does not may be an
+// earlier leader that still answers heartbeats.
 func TestAllPeersMustFollow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second := new(testPeer), new(testPeer)
@@ -18,13 +18,13 @@
 		go func() { done <- awaitFollowers(ctx, []Peer{first, second}, 7, inbox) }()
 		for _, step := range []struct {
 			first, second uint64
-			told          int
+			posted        int
 		}{{0, 0, 0}, {9, 0, 0}, {9, 6, 0}, {9, 7, 1}} {
 			first.followed.Store(step.first)
 			second.followed.Store(step.second)
 			time.Sleep(time.Second)
-			if told := len(inbox.events); told != step.told {
-				t.Errorf("%+v: told %d times", step, told)
+			if posted := len(inbox.events); posted != step.posted {
+				t.Errorf("%+v: posted %d times", step, posted)
 			}
 		}
 		if e, ok := (<-inbox.events).(followersConfirmed); !ok {
--- a/controller/operatorclient/client_test.go
+++ b/controller/operatorclient/client_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// Without a leader the error tells what each controller said.
+// Without a leader the error joins the answers of all controllers.
 func TestClientWithoutALeader(t *testing.T) {
 	follower := serve(t, nil, peerapi.ErrNotLeading)
 	client := New("n-0", "127.0.0.1:1", map[ids.ControllerName]string{"n-1": follower})
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -11,8 +11,7 @@
 	"ospreystile.example/ospreystile/server"
 )
 
-// overload has so many changes and queries wait at a controller that it can take no more, until
-// the context ends.
+// overload fills the queues of changes and queries of a controller until the context ends.
 func overload(ctx context.Context, t *testing.T, c *Controller) {
 	t.Helper()
 	for range maxQueuedCommits { // nothing commits here
--- a/controller/retry_listener_test.go
+++ b/controller/retry_listener_test.go
@@ -22,7 +22,7 @@
 	return l.Listener.Accept()
 }
 
-// A controller that is out of sockets goes on once it has some again.
+// A controller without free sockets accepts connections again once it has some.
 func TestAcceptsAgainOnceThereAreSockets(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/controller/settings/settings_test.go
+++ b/controller/settings/settings_test.go
@@ -7,8 +7,8 @@
 	"ospreystile.example/ospreystile/config"
 )
 
-// A leader that may be isolated goes on for less than the cancel deadline less a lease, and for
-// machines with replicas 45 s longer.
+// A leader that may be isolated answers for less than the cancel deadline less a lease, and 45 s
+// longer for machines with replicas.
 func TestIsolatedGraces(t *testing.T) {
 	operator, err := config.ParseOperator(nil)
 	if err != nil {
--- a/controller/status_reader_test.go
+++ b/controller/status_reader_test.go
@@ -23,8 +23,7 @@
 	return store
 }
 
-// newJobStoreClient returns a client of a store whose requests take effect at some moment
-// between their start and their answer, up to 30 ms from either.
+// newJobStoreClient returns a client of a store whose requests and responses take up to 30 ms each.
 func newJobStoreClient(store *kvtest.Store) *kvtest.Client {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(1, 9))
@@ -39,26 +38,26 @@
 	return newStatusReader(store, 50*time.Millisecond, noProgress)
 }
 
-// freshnessTest is users of two controllers that share a store, and what they were told.
+// freshnessTest has two controllers' readers of one store, and the answers of both.
 type freshnessTest struct {
 	store   *kvtest.Store
 	readers [2]*statusReader
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// told is the rank of the newest status that any user was told of a job.
-	told            map[ids.JobID]int
+	// newest is the rank of the newest status in any answer about a job.
+	newest          map[ids.JobID]int
 	asked, failures int
 }
 
-// query asks a random controller about a job, and checks that the answer is not older than what
-// was told before.
+// query asks a random controller about a job, and checks that the answer is not older than an
+// earlier answer.
 func (f *freshnessTest) query(ctx context.Context, t *testing.T, rng *rand.Rand) {
 	t.Helper()
 	rank := map[wire.JobState]int{"": 0, wire.JobQueued: 1, wire.JobCancelled: 2, wire.JobDone: 2}
 	id := ids.JobID(fmt.Sprintf("job-%d", rng.IntN(60)))
 	f.mu.Lock()
-	before := f.told[id]
+	before := f.newest[id]
 	f.asked++
 	f.mu.Unlock()
 	answer := f.readers[rng.IntN(2)].ask(ctx, id, nil)
@@ -70,19 +69,19 @@
 	}
 	now := rank[answer.job.Status]
 	if now < before {
-		t.Errorf("%s: told %d after %d", id, now, before)
+		t.Errorf("%s: status %d after %d", id, now, before)
 	}
-	f.told[id] = max(f.told[id], now)
+	f.newest[id] = max(f.newest[id], now)
 }
 
-// change submits and ends jobs, and tells their users so. From time to time the store fails.
+// change submits and ends jobs as another controller would. From time to time the store fails.
 func (f *freshnessTest) change(rng *rand.Rand) {
 	for n := range 60 {
 		id := ids.JobID(fmt.Sprintf("job-%d", n))
 		for i, status := range []wire.JobState{wire.JobQueued, []wire.JobState{wire.JobDone, wire.JobCancelled}[n%2]} {
 			f.store.Put(records.JobKey(id), records.Job{Status: status, Tasks: 2})
 			f.mu.Lock()
-			f.told[id] = max(f.told[id], i+1)
+			f.newest[id] = max(f.newest[id], i+1)
 			f.mu.Unlock()
 			time.Sleep(time.Duration(rng.IntN(150)) * time.Millisecond)
 		}
@@ -95,14 +94,13 @@
 	f.store.EndOutage()
 }
 
-// Once any controller has told a user something, no controller may tell an older thing, also
-// when the other controller's answer came just before the question. And the reads of the store
-// do not grow with the questions.
+// Status reads are linearizable: once any controller has returned a status, no controller returns
+// an older one to a later query. The reads of the store do not grow with the queries.
 func TestAnswersOfTwoControllersNeverGoBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newJobStore()
 		client := newJobStoreClient(store)
-		f := &freshnessTest{store: store, readers: [2]*statusReader{newTestReader(client), newTestReader(client)}, told: map[ids.JobID]int{}}
+		f := &freshnessTest{store: store, readers: [2]*statusReader{newTestReader(client), newTestReader(client)}, newest: map[ids.JobID]int{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		var running, users sync.WaitGroup
 		for _, reader := range f.readers {
@@ -130,8 +128,8 @@
 	})
 }
 
-// A record that cannot be read is still that of an accepted job: its user must not be told that
-// it is unknown, nor be refused an answer for ever, and other jobs' users must get theirs.
+// A record that cannot be decoded is still that of an accepted job. The job must not be reported
+// as unknown, and queries about it and about other jobs must be answered.
 func TestUnreadableRecordIsNotForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newJobStore()
@@ -164,7 +162,7 @@
 func (stoodStill) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
 
 // An answer that was ready before a process was paused may be older than what other controllers
-// told meanwhile, so it is not given.
+// have returned since, so it is not given.
 func TestAnswersFromBeforeAPauseAreNotGiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newJobStore()
--- a/controller/submissions_test.go
+++ b/controller/submissions_test.go
@@ -90,7 +90,7 @@
 	checkSubmission(t, d.a, "job-3", 201, "queued", "job-2", "job-1")
 	checkSubmission(t, d.b, "job-4", 422, "", "job-1", "job-none")
 	checkSubmission(t, d.b, "job-5", 422, "", "job-5")
-	checkSubmission(t, d.a, "job-3", 200, "queued", "job-none") // accepted before, whatever it names now
+	checkSubmission(t, d.a, "job-3", 200, "queued", "job-none") // accepted before: the dependencies of this request do not count
 	checkSubmission(t, d.a, "job-3", 200, "queued", "job-3")
 	d.checkStatus(t, "job-5", "")
 
