--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/controller/peerapi"
+	"ospreystile.example/ospreystile/internal/workqueue"
 	"ospreystile.example/ospreystile/server"
 )
 
@@ -36,29 +37,28 @@
 // workers. Heartbeats are sent in batches, and each waits for the leader's answer: only the
 // leader renews the leases of workers. The method run owns the goroutines that send batches.
 type heartbeatRelay struct {
-	leaders    *leaderClient
-	maxWaiting int
-	log        *slog.Logger
-	// wake receives a value after a heartbeat was queued.
-	wake chan struct{}
-
-	// mu guards waiting, the heartbeats that are in no batch yet.
-	mu      sync.Mutex
-	waiting []relayedHeartbeat
+	leaders *leaderClient
+	log     *slog.Logger
+	// waiting holds the heartbeats that are in no batch yet.
+	waiting *workqueue.Queue[relayedHeartbeat]
 }
 
 // newHeartbeatRelay makes the relay of a controller that may open a number of sockets.
 func newHeartbeatRelay(leaders *leaderClient, sockets int, log *slog.Logger) *heartbeatRelay {
-	return &heartbeatRelay{leaders: leaders, maxWaiting: max(minWaitingHeartbeats, sockets), log: log, wake: make(chan struct{}, 1)}
+	return &heartbeatRelay{leaders: leaders, log: log, waiting: workqueue.New[relayedHeartbeat](maxWaitingHeartbeats(sockets))}
 }
 
+// maxWaitingHeartbeats returns how many heartbeats may wait on a controller that may open a number
+// of sockets.
+func maxWaitingHeartbeats(sockets int) int { return max(minWaitingHeartbeats, sockets) }
+
 // relay forwards a heartbeat to the leader and waits for its answer. It responds with 503 at
 // once if too many heartbeats wait, and if there is no answer in time.
 func (r *heartbeatRelay) relay(ctx context.Context, encoded []byte) server.Response {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	reply := make(chan server.Response, 1)
-	if !r.enqueue(relayedHeartbeat{encoded: encoded, reply: reply}) {
+	if !r.waiting.Add(relayedHeartbeat{encoded: encoded, reply: reply}) {
 		return server.Response{Status: http.StatusServiceUnavailable}
 	}
 	select {
@@ -69,31 +69,6 @@
 	}
 }
 
-// enqueue queues a heartbeat and wakes run. It returns false if too many heartbeats wait.
-func (r *heartbeatRelay) enqueue(heartbeat relayedHeartbeat) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.waiting) >= r.maxWaiting {
-		return false
-	}
-	r.waiting = append(r.waiting, heartbeat)
-	select {
-	case r.wake <- struct{}{}:
-	default:
-	}
-	return true
-}
-
-// take removes the next batch from the queue.
-func (r *heartbeatRelay) take() []relayedHeartbeat {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	n := min(len(r.waiting), maxBatch)
-	batch := r.waiting[:n:n]
-	r.waiting = r.waiting[n:]
-	return batch
-}
-
 // run sends batches until the context ends, and waits for those in flight.
 func (r *heartbeatRelay) run(ctx context.Context) error {
 	var inFlight sync.WaitGroup
@@ -103,9 +78,9 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-r.wake:
+		case <-r.waiting.Added():
 		}
-		for batch := r.take(); len(batch) > 0; batch = r.take() {
+		for batch := r.waiting.Take(maxBatch); len(batch) > 0; batch = r.waiting.Take(maxBatch) {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
--- a/controller/heartbeat_relay_test.go
+++ b/controller/heartbeat_relay_test.go
@@ -64,7 +64,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(t, testConfig("127.0.0.1:1"))
 		waiting, stop := context.WithCancel(t.Context())
-		for range c.relay.maxWaiting { // nothing answers here
+		for range maxWaitingHeartbeats(c.platform.Settings.Resources.Sockets) { // nothing answers here
 			go c.relay.relay(waiting, nil)
 		}
 		synctest.Wait()
--- a/controller/leader/termination.go
+++ b/controller/leader/termination.go
@@ -3,11 +3,12 @@
 import (
 	"context"
 	"log/slog"
-	"sync"
+	"math"
 	"time"
 
 	"ospreystile.example/ospreystile/cloud"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/workqueue"
 	"ospreystile.example/ospreystile/monotonic"
 )
 
@@ -20,38 +21,20 @@
 	cloud   *cloud.Client
 	mailbox *mailbox
 	log     *slog.Logger
-	// wake receives a value after machines were added.
-	wake chan struct{}
-
-	// mu guards machines, those that are in no call yet.
-	mu       sync.Mutex
-	machines []ids.MachineID
+	// waiting holds the machines that are in no call yet. It has no limit, because a decision of
+	// the core must not be dropped.
+	waiting *workqueue.Queue[ids.MachineID]
 }
 
 func newTerminator(client *cloud.Client, mailbox *mailbox, log *slog.Logger) *terminator {
-	return &terminator{cloud: client, mailbox: mailbox, log: log, wake: make(chan struct{}, 1)}
+	return &terminator{cloud: client, mailbox: mailbox, log: log, waiting: workqueue.New[ids.MachineID](math.MaxInt)}
 }
 
-// add queues machines and wakes run.
-func (t *terminator) add(machines []ids.MachineID) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.machines = append(t.machines, machines...)
-	select {
-	case t.wake <- struct{}{}:
-	default:
-	}
-}
+// add queues machines. It does not block.
+func (t *terminator) add(machines []ids.MachineID) { t.waiting.Add(machines...) }
 
-// take removes as many machines from the queue as one call may terminate.
-func (t *terminator) take() []ids.MachineID {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	n := min(len(t.machines), cloud.MaxTerminateBatch)
-	batch := t.machines[:n:n]
-	t.machines = t.machines[n:]
-	return batch
-}
+// takeBatch removes as many machines from the queue as one call may terminate.
+func (t *terminator) takeBatch() []ids.MachineID { return t.waiting.Take(cloud.MaxTerminateBatch) }
 
 // run terminates the queued machines until the context ends.
 func (t *terminator) run(ctx context.Context) error {
@@ -59,9 +42,9 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-t.wake:
+		case <-t.waiting.Added():
 		}
-		for batch := t.take(); len(batch) > 0; batch = t.take() {
+		for batch := t.takeBatch(); len(batch) > 0; batch = t.takeBatch() {
 			if err := t.terminate(ctx, batch); err != nil {
 				return err
 			}
--- a/controller/status_reader.go
+++ b/controller/status_reader.go
@@ -8,6 +8,7 @@
 
 	"ospreystile.example/ospreystile/controller/peerapi"
 	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/internal/workqueue"
 	"ospreystile.example/ospreystile/monotonic"
 )
 
@@ -51,24 +52,20 @@
 	// request rate that the status reads of all controllers take.
 	gap      time.Duration
 	progress progressSource
-	// wake receives a value after a query was queued.
-	wake chan struct{}
-
-	// mu guards waiting, the queries that are in no round yet.
-	mu      sync.Mutex
-	waiting []statusQuery
+	// waiting holds the queries that are in no round yet.
+	waiting *workqueue.Queue[statusQuery]
 }
 
 // newStatusReader makes a reader whose reads are at least gap apart.
 func newStatusReader(store jobStore, gap time.Duration, progress progressSource) *statusReader {
-	return &statusReader{replica: jobReplica{store: store}, gap: gap, progress: progress, wake: make(chan struct{}, 1)}
+	return &statusReader{replica: jobReplica{store: store}, gap: gap, progress: progress, waiting: workqueue.New[statusQuery](maxWaitingQueries)}
 }
 
 // ask waits for the answer to one query. The error of the answer is errOverloaded, the
 // context's, or the store's.
 func (r *statusReader) ask(ctx context.Context, id ids.JobID, dependsOn []ids.JobID) queryAnswer {
 	reply := make(chan queryAnswer, 1)
-	if !r.enqueue(statusQuery{id: id, dependsOn: dependsOn, reply: reply}) {
+	if !r.waiting.Add(statusQuery{id: id, dependsOn: dependsOn, reply: reply}) {
 		return queryAnswer{err: errOverloaded}
 	}
 	select {
@@ -84,30 +81,6 @@
 	}
 }
 
-// enqueue queues a query and wakes run. It returns false if the queue is full.
-func (r *statusReader) enqueue(query statusQuery) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.waiting) >= maxWaitingQueries {
-		return false
-	}
-	r.waiting = append(r.waiting, query)
-	select {
-	case r.wake <- struct{}{}:
-	default:
-	}
-	return true
-}
-
-// takeAll removes all queries from the queue.
-func (r *statusReader) takeAll() []statusQuery {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	round := r.waiting
-	r.waiting = nil
-	return round
-}
-
 // run answers queries until the context ends. One read is in flight at a time; queries that
 // arrive meanwhile wait for the next.
 func (r *statusReader) run(ctx context.Context) error {
@@ -117,9 +90,9 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-r.wake:
+		case <-r.waiting.Added():
 		}
-		round := r.takeAll()
+		round := r.waiting.Take(maxWaitingQueries)
 		if len(round) == 0 {
 			continue
 		}
