--- a/controller/leader/options.go
+++ b/controller/leader/options.go
@@ -39,9 +39,11 @@
 // schedulerOptions returns the scheduler core's options for a term, without the time of day.
 func (d *Dependencies) schedulerOptions(revision ids.Revision, previousLeader bool) scheduler.Options {
 	options := scheduler.Options{
-		Revision:       revision,
-		PreviousLeader: previousLeader,
-		ZoneRecovery:   d.Operator.ZoneRecoveryPolicy,
+		Revision:     revision,
+		ZoneRecovery: d.Operator.ZoneRecoveryPolicy,
+		LeaseOptions: scheduler.LeaseOptions{
+			PreviousLeader: previousLeader,
+		},
 	}
 	d.setGrace(&options)
 	setWorkerOptions(&options, d.Platform)
--- a/scheduler/autoscaler_test.go
+++ b/scheduler/autoscaler_test.go
@@ -1,8 +1,8 @@
 package scheduler
 
 import (
+	"fmt"
 	"testing"
-
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
@@ -14,7 +14,7 @@
 // and then waited for a boot as well. The next leader may never have heard of the machine.
 func TestProvisionsAheadForServicesOnSilentMachines(t *testing.T) {
 	for _, inherited := range []bool{false, true} {
-		b := newHarness(t, Options{PreviousLeader: inherited})
+		b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: inherited}})
 		if inherited {
 			b.inherit(wire.JobSpec{Tasks: 1, Service: true}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 			b.c.Begin(b.now)
@@ -42,7 +42,7 @@
 // Headroom for latency-sensitive classes was once looked for in free capacity that had already
 // been counted, and so never provisioned.
 func TestHeadroomIsProvisionedBesideFreeCapacity(t *testing.T) {
-	b := newHarness(t, Options{Headroom: 3, LatencySensitive: map[string]time.Duration{"hasty": time.Second}})
+	b := newHarness(t, Options{FleetOptions: FleetOptions{Headroom: 3}, AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
 	b.c.Begin(b.now)
 	b.heartbeat("n-1", "a", 0)
 	b.submit("job-1", wire.JobSpec{Class: "hasty", Tasks: 2, CPUs: 2})
@@ -88,3 +88,45 @@
 	}
 	t.Fatal("no machine was provisioned for work that had waited for a boot")
 }
+
+// A machine that is late against the recent boot times of its type is not waited for:
+// another is provisioned. When all take as long, no other is.
+func TestLateMachinesAreReplaced(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		bootFactor float64 // of the type's recent boots
+		after      time.Duration
+		replaced   int
+	}{
+		{"in its usual time", 1, 15 * time.Second, 0},
+		{"late", 1, 22 * time.Second, 1},
+		{"all are slow", 2.5, 22 * time.Second, 0},
+		{"late although all are slow", 2.5, 48 * time.Second, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := newHarness(t, Options{})
+			b.c.autoscaler.bootFactors["m"] = c.bootFactor
+			b.submit("job-1", wire.JobSpec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
+			if requests := b.provisionFor(c.after); len(requests) != 1+c.replaced {
+				t.Errorf("provisioned %v, want %d replacements", requests, c.replaced)
+			}
+		})
+	}
+}
+
+// provisionFor steps for a time and grants each request for machines, which never boot.
+func (b *harness) provisionFor(d time.Duration) []wire.ProvisionRequest {
+	var requests []wire.ProvisionRequest
+	for until := b.now.Add(d); b.now < until; {
+		b.now = b.now.Add(500 * time.Millisecond)
+		for _, r := range b.step().Provision {
+			requests = append(requests, r)
+			var machines []ids.MachineID
+			for i := range r.Count {
+				machines = append(machines, ids.MachineID(fmt.Sprintf("%s-%d", r.RequestID, i)))
+			}
+			b.c.ProvisionResult(b.now, r, machines, true)
+		}
+	}
+	return requests
+}
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -17,6 +17,7 @@
 	"ospreystile.example/ospreystile/records"
 	"ospreystile.example/ospreystile/scheduler/clock"
 	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/scheduler/preemption"
 	"ospreystile.example/ospreystile/scheduler/quota"
 	"ospreystile.example/ospreystile/wire"
 	"ospreystile.example/ospreystile/zonerecovery"
@@ -39,22 +40,22 @@
 	records         *recordWriter
 	registry        *machineRegistry
 	health          *healthMonitor
-	commands        *commandQueue
+	commands        *commandDispatcher
 	candidates      *candidateList
 	queue           *jobQueue
 	quota           *quotaCheck
 	reservations    *reservations
 	searches        *searcher
 	admission       *admitter
-	preemption      *evictor
+	preemption      *preemption.Policy
 	autoscaler      *autoscaler
 	estimates       *runEstimates
+	failures        *failureHistory
+	slowness        *slownessDetector
 	// zones watches zones that fall silent and return; nil: it is turned off.
 	zones *zoneGate
 
 	decisions Decisions
-	// recordsErr is set when the records are not as this leader left them.
-	recordsErr error
 }
 
 // New makes the core of a term. Records follow through LoadJob and LoadSlice,
@@ -65,11 +66,11 @@
 		clock:     clock.New(opt.WallClockMS),
 		rounds:    &clock.RoundTrigger{},
 		quotas:    quota.NewTracker(opt.Teams),
-		estimates: &runEstimates{estimateFactors: map[string]float64{}},
+		estimates: newRunEstimates(),
 	}
 	settings := cluster.Settings{SliceTasks: opt.SliceTasks, BootFactor: opt.BootFactor, ListLag: opt.ListLag}
 	c.cluster = cluster.NewState(settings, c.clock, c.rounds, c.quotas)
-	c.records = newRecordWriter(c)
+	c.records = newRecordWriter(c.cluster, c.clock, c.rounds, newRecordSettings(opt))
 	c.registry = &machineRegistry{
 		cluster:      c.cluster,
 		clock:        c.clock,
@@ -77,11 +78,26 @@
 		settings:     registrySettings{previousLeader: opt.PreviousLeader, listLag: opt.ListLag},
 		returnCounts: map[returnReason]int{},
 	}
-	c.health = &healthMonitor{core: c, zoneStates: map[ids.Zone]*zoneState{}}
-	c.commands = &commandQueue{core: c}
-	c.preemption = &evictor{core: c}
+	c.connectDispatch()
 	c.autoscaler = newAutoscaler(c)
-	c.zones = newZoneGate(c, opt.ZoneRecovery)
+	c.zones = c.newZoneGate()
+	c.connectLifecycle()
+	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
+	c.connectPreviousLeaders()
+	c.connectHealth()
+	c.connectIntake()
+	c.records.tasks, c.records.commands, c.records.jobs = c.lifecycle, c.commands, c.jobRecords
+	c.connectAdmission()
+	c.connectPreemption()
+	c.connectZones()
+	c.cluster.SetCatalog(types)
+	return c
+}
+
+// connectLifecycle makes the part that ends tasks, and those that learn from how tasks end.
+func (c *Core) connectLifecycle() {
+	c.failures = &failureHistory{cluster: c.cluster, clock: c.clock, rounds: c.rounds, zones: c.zones}
+	c.slowness = &slownessDetector{cluster: c.cluster, clock: c.clock}
 	c.lifecycle = &taskLifecycle{
 		cluster:   c.cluster,
 		clock:     c.clock,
@@ -90,17 +106,27 @@
 		commands:  c.commands,
 		zones:     c.zones,
 		estimates: c.estimates,
-		slowness:  c,
+		slowness:  c.slowness,
+		failures:  c.failures,
 	}
-	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
-	c.connectIntake()
-	c.connectAdmission()
-	c.cluster.SetCatalog(types)
-	return c
 }
 
-// connectIntake makes the parts that take heartbeats and records in, from the others.
-func (c *Core) connectIntake() {
+// connectDispatch makes the part that decides what agents are told.
+func (c *Core) connectDispatch() {
+	c.commands = &commandDispatcher{
+		cluster: c.cluster,
+		clock:   c.clock,
+		records: c.records,
+		settings: dispatchSettings{
+			revision:          c.opt.Revision,
+			maxCallsInFlight:  c.opt.MaxWorkerCalls,
+			heartbeatInterval: c.opt.HeartbeatInterval,
+		},
+	}
+}
+
+// connectPreviousLeaders makes the bounds on what previous leaders still do.
+func (c *Core) connectPreviousLeaders() {
 	c.previousLeaders = &previousLeaders{
 		cluster: c.cluster,
 		clock:   c.clock,
@@ -112,20 +138,49 @@
 			agentLease:           c.opt.AgentLease,
 		},
 	}
+}
+
+// connectHealth makes the parts that judge machines, from the others.
+func (c *Core) connectHealth() {
+	settings := healthSettings{
+		agentLease:        c.opt.AgentLease,
+		heartbeatInterval: c.opt.HeartbeatInterval,
+		cancelDeadline:    c.opt.CancelDeadline,
+		previousLeader:    c.opt.PreviousLeader,
+	}
+	c.health = &healthMonitor{
+		machineLiveness: &machineLiveness{clock: c.clock, settings: settings},
+		zoneOutages:     newZoneOutages(c.cluster, c.clock, settings),
+		cluster:         c.cluster,
+		clock:           c.clock,
+		rounds:          c.rounds,
+		settings:        settings,
+		leases:          &leaseExpiry{clock: c.clock, leaders: c.previousLeaders, agentLease: settings.agentLease},
+		reachability:    &reachabilityDetector{clock: c.clock, rounds: c.rounds, tokens: c.commands, settings: settings},
+		reclaims:        &spotDrainer{cluster: c.cluster, estimates: c.estimates, lifecycle: c.lifecycle},
+		registry:        c.registry,
+		commands:        c.commands,
+		autoscaler:      c.autoscaler,
+	}
+}
+
+// connectIntake makes the parts that take heartbeats and records in, from the others.
+func (c *Core) connectIntake() {
 	c.heartbeats = &heartbeatIntake{
-		cluster:    c.cluster,
-		clock:      c.clock,
-		rounds:     c.rounds,
-		sites:      c.registry,
-		health:     c.health,
-		commands:   c.commands,
-		autoscaler: c.autoscaler,
-		failures:   c,
-		lifecycle:  c.lifecycle,
-		zones:      c.zones,
-		leaders:    c.previousLeaders,
-		revision:   c.opt.Revision,
-		interval:   c.opt.HeartbeatInterval,
+		cluster:      c.cluster,
+		clock:        c.clock,
+		rounds:       c.rounds,
+		sites:        c.registry,
+		health:       c.health,
+		reachability: c.health.reachability,
+		commands:     c.commands,
+		autoscaler:   c.autoscaler,
+		failures:     c.failures,
+		lifecycle:    c.lifecycle,
+		zones:        c.zones,
+		leaders:      c.previousLeaders,
+		revision:     c.opt.Revision,
+		interval:     c.opt.HeartbeatInterval,
 	}
 	c.jobRecords = &jobIntake{
 		cluster:    c.cluster,
@@ -186,6 +241,20 @@
 	}
 }
 
+// connectPreemption makes preemption from the other parts.
+func (c *Core) connectPreemption() {
+	settings := preemption.Settings{LendingSuspension: c.opt.LendingSuspension}
+	c.preemption = preemption.New(settings, c.cluster, c.clock, c.rounds, c.quotas, &preemptionScheduler{
+		clock:        c.clock,
+		queue:        c.queue,
+		reservations: c.reservations,
+		searches:     c.searches,
+		zones:        c.zones,
+		failures:     c.failures,
+		lifecycle:    c.lifecycle,
+	})
+}
+
 // SetCatalog takes the cloud's machine types and current prices.
 func (c *Core) SetCatalog(types []wire.MachineType) { c.cluster.SetCatalog(types) }
 
@@ -194,14 +263,14 @@
 
 // RecordsError is set when the records are not as this leader left them. The term
 // must then end and the records be read again.
-func (c *Core) RecordsError() error { return c.recordsErr }
+func (c *Core) RecordsError() error { return c.records.err }
 
 // Begin begins the term once the records are loaded.
 func (c *Core) Begin(now monotonic.Instant) {
 	c.clock.Begin(now)
 	c.previousLeaders.begin()
 	c.autoscaler.plannedAt = now
-	c.records.budgetRefilledAt = now
+	c.records.begin()
 	c.jobRecords.begin()
 	c.registry.begin()
 	c.zones.begin()
@@ -221,9 +290,7 @@
 // Step runs what time and events call for and hands out the decisions.
 func (c *Core) Step(now monotonic.Instant) Decisions {
 	c.clock.Advance(now)
-	if c.health.healthCheckDue || now >= c.health.healthCheckedAt.Add(healthCheckInterval) {
-		c.health.healthCheckDue, c.health.healthCheckedAt = false, now
-		c.health.checkMachines()
+	if c.health.checkIfDue() {
 		c.zones.observe()
 	}
 	if c.rounds.Start(now) {
@@ -237,9 +304,12 @@
 	c.records.refillBudget()
 	c.zones.writeRecords()
 	c.records.writeRecords()
-	c.commands.dispatchCommands()
+	calls := c.commands.dispatch()
 	out := c.decisions
 	c.decisions = Decisions{}
+	out.ZoneEvents = c.zones.takeTransitions()
+	out.SendCommands, out.RequestHeartbeats = calls.sendCommands, calls.requestHeartbeats
+	out.RecordChanges, out.RereadJobs = c.records.takeDecisions()
 	out.Terminate, out.ForgetAddresses = c.registry.takeDecisions()
 	return out
 }
@@ -255,7 +325,7 @@
 	}
 	c.quota.updateSurplus()
 	c.admission.admitAll(waiting)
-	c.preemption.preempt(waiting)
+	c.candidates.examined += c.preemption.Preempt(waiting, c.candidates.machines)
 	c.reservations.update(waiting)
 }
 
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -53,16 +53,7 @@
 // beyond what the state service may take at any moment are split from now on.
 func (c *Core) EnableSplitRecords(now monotonic.Instant) {
 	c.clock.Set(now)
-	if c.opt.SplitRecords {
-		return
-	}
-	c.opt.SplitRecords = true
-	for _, j := range c.cluster.SortedJobs() {
-		j.Records.Refusals = 0 // what could not be split may be now
-		for _, s := range j.Slices() {
-			c.records.markOversized(j, s)
-		}
-	}
+	c.records.enableSplitting()
 }
 
 // jobIntake takes in the records of jobs and of their tasks, and keeps the jobs in line with
@@ -238,7 +229,7 @@
 
 // syncDependencies brings a job in line with the graph: its priority, whether it may run,
 // and whether it is cancelled because one that it depends on is. Such a job never had a
-// task and nobody answers otherwise any more; its own record is written when there is
+// task, and this is what users are told at once; its own record is written when there is
 // time.
 func (r *jobIntake) syncDependencies(j *cluster.Job) {
 	if j.Terminal() {
@@ -251,7 +242,6 @@
 	}
 	switch {
 	case s.State == dependency.Cancelled:
-		j.Records.CancelUnrecorded = true
 		r.records.markOrphanCancel(j)
 		r.lifecycle.endJob(j, wire.JobCancelled)
 	case s.State == dependency.Ready && !j.Queue.Ready:
--- a/scheduler/task_lifecycle.go
+++ b/scheduler/task_lifecycle.go
@@ -20,13 +20,14 @@
 	zones     taskEndObserver
 	estimates runRecorder
 	slowness  runTimeComparer
+	failures  successRecorder
 	// lostWork counts tasks that were stopped or lost, by reason.
 	lostWork [cluster.StopDrained + 1]lostWorkTally
 }
 
 // taskRecords notes which records of a job are behind.
 type taskRecords interface {
-	markTaskDirty(j *cluster.Job, index int, urgent bool)
+	markTaskDirty(j *cluster.Job, index int)
 	// discard forgets unwritten changes of a job that is over.
 	discard(j *cluster.Job)
 	markCompletable(j *cluster.Job)
@@ -49,6 +50,11 @@
 	compareRunTimes(a *cluster.Assignment)
 }
 
+// successRecorder notes that a task succeeded.
+type successRecorder interface {
+	recordSuccess(a *cluster.Assignment)
+}
+
 // lostWorkTally counts tasks that were taken off machines before they were done, and the
 // CPU seconds that they had run.
 type lostWorkTally struct {
@@ -70,7 +76,7 @@
 		l.records.markDroppable(a.Job)
 		return
 	}
-	l.records.markTaskDirty(a.Job, a.Index, false)
+	l.records.markTaskDirty(a.Job, a.Index)
 }
 
 // withdraw takes back a placement of the present round.
@@ -82,6 +88,7 @@
 // complete takes a task that succeeded off its machine.
 func (l *taskLifecycle) complete(a *cluster.Assignment) {
 	l.zones.detached(a)
+	l.failures.recordSuccess(a)
 	j := a.Job
 	if j.Terminal() {
 		l.cluster.Complete(a)
@@ -93,9 +100,7 @@
 		l.estimates.recordRun(j.Spec, runTime(l.clock, a))
 	}
 	l.cluster.Complete(a)
-	j.Failures.Succeeded++
-	j.Failures.Rounds, j.Failures.Backoff = 0, 0
-	l.records.markTaskDirty(j, a.Index, false)
+	l.records.markTaskDirty(j, a.Index)
 	if j.Done() == len(j.Tasks()) {
 		l.records.markCompletable(j)
 	}
