--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ospreystile.example/ospreystile/controller/peerapi"
+	"ospreystile.example/ospreystile/internal/workqueue"
 	"ospreystile.example/ospreystile/server"
 )
 
@@ -19,9 +20,9 @@
 	// relayTimeout is how long a heartbeat may take at the follower and at the leader, of the
 	// 4 s that workers wait.
 	relayTimeout = 2500 * time.Millisecond
-	// minWaitingHeartbeats is how many heartbeats may wait on the smallest controller. A
-	// larger one lets one wait for each socket: each holds one, so a fleet that comes back
-	// all at once is not refused for a limit below its connections.
+	// minWaitingHeartbeats is how many heartbeats may wait on the smallest controller. On a
+	// larger one as many may wait as it has sockets. Each waiting heartbeat holds a socket, so
+	// no heartbeat is refused that has a connection when all workers reconnect at once.
 	minWaitingHeartbeats = 1000
 )
 
@@ -32,34 +33,32 @@
 	reply chan<- server.Response
 }
 
-// heartbeatRelay passes heartbeats on to the leader, so that one controller's sockets and
-// processor need not do for all workers. Heartbeats are sent in batches, and each waits for the
-// leader's answer: the leader alone decides, and no other controller renews a worker's lease.
-// Its method run owns the goroutines that send batches.
+// heartbeatRelay forwards heartbeats to the leader, so that the sockets of all controllers serve
+// workers. Heartbeats are sent in batches, and each waits for the leader's answer: only the
+// leader renews the leases of workers. The method run owns the goroutines that send batches.
 type heartbeatRelay struct {
-	leaders    *leaderClient
-	maxWaiting int
-	log        *slog.Logger
-	// wake tells run that a heartbeat waits.
-	wake chan struct{}
-
-	// mu guards waiting, the heartbeats that are in no batch yet.
-	mu      sync.Mutex
-	waiting []relayedHeartbeat
+	leaders *leaderClient
+	log     *slog.Logger
+	// waiting holds the heartbeats that are in no batch yet.
+	waiting *workqueue.Queue[relayedHeartbeat]
 }
 
-// newHeartbeatRelay makes the relay of a controller with so many sockets.
+// newHeartbeatRelay makes the relay of a controller that may open a number of sockets.
 func newHeartbeatRelay(leaders *leaderClient, sockets int, log *slog.Logger) *heartbeatRelay {
-	return &heartbeatRelay{leaders: leaders, maxWaiting: max(minWaitingHeartbeats, sockets), log: log, wake: make(chan struct{}, 1)}
+	return &heartbeatRelay{leaders: leaders, log: log, waiting: workqueue.New[relayedHeartbeat](maxWaitingHeartbeats(sockets))}
 }
 
-// relay hands a heartbeat to the leader and waits for its answer. It answers 503 at once if too
-// many wait, and when there is no answer in time.
+// maxWaitingHeartbeats returns how many heartbeats may wait on a controller that may open a number
+// of sockets.
+func maxWaitingHeartbeats(sockets int) int { return max(minWaitingHeartbeats, sockets) }
+
+// relay forwards a heartbeat to the leader and waits for its answer. It responds with 503 at
+// once if too many heartbeats wait, and if there is no answer in time.
 func (r *heartbeatRelay) relay(ctx context.Context, encoded []byte) server.Response {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	reply := make(chan server.Response, 1)
-	if !r.enqueue(relayedHeartbeat{encoded: encoded, reply: reply}) {
+	if !r.waiting.Add(relayedHeartbeat{encoded: encoded, reply: reply}) {
 		return server.Response{Status: http.StatusServiceUnavailable}
 	}
 	select {
@@ -70,31 +69,6 @@
 	}
 }
 
-// enqueue queues a heartbeat and wakes run. It refuses if too many wait.
-func (r *heartbeatRelay) enqueue(heartbeat relayedHeartbeat) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.waiting) >= r.maxWaiting {
-		return false
-	}
-	r.waiting = append(r.waiting, heartbeat)
-	select {
-	case r.wake <- struct{}{}:
-	default:
-	}
-	return true
-}
-
-// take removes the next batch from the queue.
-func (r *heartbeatRelay) take() []relayedHeartbeat {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	n := min(len(r.waiting), maxBatch)
-	batch := r.waiting[:n:n]
-	r.waiting = r.waiting[n:]
-	return batch
-}
-
 // run sends batches until the context ends, and waits for those in flight.
 func (r *heartbeatRelay) run(ctx context.Context) error {
 	var inFlight sync.WaitGroup
@@ -104,9 +78,9 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-r.wake:
+		case <-r.waiting.Added():
 		}
-		for batch := r.take(); len(batch) > 0; batch = r.take() {
+		for batch := r.waiting.Take(maxBatch); len(batch) > 0; batch = r.waiting.Take(maxBatch) {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
@@ -120,19 +94,19 @@
 	}
 }
 
-// send passes one batch on and answers its heartbeats.
+// send forwards one batch and answers its heartbeats.
 func (r *heartbeatRelay) send(ctx context.Context, batch []relayedHeartbeat) {
 	answers := r.callLeader(ctx, batch)
 	for i, heartbeat := range batch {
 		response := server.Response{Status: http.StatusServiceUnavailable}
 		if i < len(answers) && answers[i].OK {
-			response = server.Response{Status: http.StatusOK, Body: answers[i].Orders}
+			response = server.Response{Status: http.StatusOK, Body: answers[i].Response}
 		}
 		heartbeat.reply <- response
 	}
 }
 
-// callLeader returns the leader's answers to a batch; none if no leader answers in time.
+// callLeader returns the leader's answers to a batch, or none without an answer in time.
 func (r *heartbeatRelay) callLeader(ctx context.Context, batch []relayedHeartbeat) []peerapi.HeartbeatAnswer {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -1,6 +1,10 @@
 package wire
 
-import "ospreystile.example/ospreystile/ids"
+import (
+	"fmt"
+
+	"ospreystile.example/ospreystile/ids"
+)
 
 // TaskState is the state of a task in a worker's heartbeat.
 type TaskState string
@@ -13,7 +17,7 @@
 	TaskEnded         TaskState = "ended"
 )
 
-// ExitCause tells why a task ended.
+// ExitCause is the reason why a task ended.
 type ExitCause string
 
 // The causes of a task's end. The last three mean that the worker refused the start.
@@ -26,7 +30,7 @@
 	CauseNoSuch  ExitCause = "no_such" // the worker found no such job or task
 )
 
-// Verb tells what a command asks of a worker.
+// Verb is what a command asks of a worker.
 type Verb string
 
 // The verbs of commands. VerbReap has the worker forget a task that ended.
@@ -65,6 +69,19 @@
 	Tasks       []TaskStatus `msgpack:"legs"`
 }
 
+// ParseHeartbeat decodes a heartbeat, which must name its machine and incarnation. An error wraps
+// ErrMalformedBody.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	heartbeat := new(Heartbeat)
+	if err := Decode(body, heartbeat); err != nil {
+		return nil, err
+	}
+	if heartbeat.Machine == "" || heartbeat.Incarnation == 0 {
+		return nil, fmt.Errorf("%w: heartbeat without machine or incarnation", ErrMalformedBody)
+	}
+	return heartbeat, nil
+}
+
 // Newer reports whether the heartbeat was made after the message of the same worker that
 // has the given incarnation and sequence number.
 func (h *Heartbeat) Newer(incarnation ids.AgentIncarnation, sequence ids.Sequence) bool {
