--- a/election/cluster_test.go
+++ b/election/cluster_test.go
@@ -51,10 +51,12 @@
 // candidate is one process of a controller.
 type candidate struct {
 	cluster  *cluster
-	name     ids.ControllerName
+	self     Identity
 	election *Election
 	client   *kvtest.Client
 	stopRun  func()
+	// ended is set once the process counts as ended. The cluster's lock guards it.
+	ended bool
 }
 
 // start starts a candidate with a client of its own. It is stopped when the test ends.
@@ -67,21 +69,17 @@
 // startWith starts a candidate that reaches the store through another layer over its client.
 func (c *cluster) startWith(t *testing.T, self Identity, client *kvtest.Client, store Store) *candidate {
 	t.Helper()
-	election := newElection(store, self, func(ctx context.Context, term *Term) error {
-		c.beginTerm(self, term)
+	m := &candidate{cluster: c, self: self, client: client}
+	m.election = newElection(store, self, func(ctx context.Context, term *Term) error {
+		c.beginTerm(m, term)
 		for ctx.Err() == nil {
 			c.checkLeases()
 			monotonic.Sleep(ctx, 20*time.Millisecond)
 		}
 		return context.Cause(ctx)
 	})
-	return &candidate{
-		cluster:  c,
-		name:     self.Name,
-		election: election,
-		client:   client,
-		stopRun:  run(t, election),
-	}
+	m.stopRun = run(t, m.election)
+	return m
 }
 
 // newElection returns an election without peers.
@@ -109,7 +107,7 @@
 
 // stop ends the process, which revokes its lease if it can.
 func (m *candidate) stop() {
-	m.cluster.forgetTerm(m.name)
+	m.cluster.end(m)
 	m.stopRun()
 }
 
@@ -119,21 +117,27 @@
 	m.stop()
 }
 
-func (c *cluster) beginTerm(self Identity, term *Term) {
+// beginTerm notes a term. A process that has ended holds no lease: the response to its last
+// commit may still arrive here, while its goroutines stop, but a killed process would not see it.
+func (c *cluster) beginTerm(m *candidate, term *Term) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.terms[self.Name] = term
-	process := fmt.Sprintf("%s#%d", self.Name, self.Incarnation)
+	if !m.ended {
+		c.terms[m.self.Name] = term
+	}
+	process := fmt.Sprintf("%s#%d", m.self.Name, m.self.Incarnation)
 	if earlier, found := c.processes[term.Revision]; found {
 		c.violations = append(c.violations, fmt.Sprintf("revision %d served %s and %s", term.Revision, earlier, process))
 	}
 	c.processes[term.Revision] = process
 }
 
-func (c *cluster) forgetTerm(name ids.ControllerName) {
+// end notes that a process has ended.
+func (c *cluster) end(m *candidate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.terms, name)
+	m.ended = true
+	delete(c.terms, m.self.Name)
 }
 
 func (c *cluster) checkLeases() {
