--- a/scheduler/record_completion_test.go
+++ b/scheduler/record_completion_test.go
@@ -177,3 +177,24 @@
 		})
 	}
 }
+
+func TestRefusedCompletionDeletesFewerSlices(t *testing.T) {
+	f, _ := finishedJob(t, 4*14)
+	first := f.writeOne(0)
+	f.refuse(first)
+	if second := f.writeOne(time.Minute); len(first.Operations) != 7 || len(second.Operations) != 4 {
+		t.Errorf("%d operations, then %d", len(first.Operations), len(second.Operations))
+	}
+}
+
+func TestJobIsKeptUntilItsCancellationIsRecorded(t *testing.T) {
+	f := newRecordFixture(t, recordSettings{})
+	j := f.addJob("job-1", 1)
+	f.cluster.EndJob(j, wire.JobCancelled)
+	f.markOrphanCancel(j)
+	f.markDroppable(j)
+	f.writeOne(0)
+	if f.write(0); f.cluster.Job("job-1") == nil {
+		t.Error("the job was removed while its cancellation was in flight")
+	}
+}
--- a/scheduler/record_outcomes_test.go
+++ b/scheduler/record_outcomes_test.go
@@ -139,3 +139,14 @@
 		t.Errorf("the job is %v", j.Status())
 	}
 }
+
+func TestResultsCallForASchedulingRound(t *testing.T) {
+	f := newRecordFixture(t, recordSettings{})
+	f.place(f.addJob("job-1", 1), "n-1")
+	change := f.writeOne(0)
+	f.rounds.Start(f.clock.Now())
+	f.commit(change, 7)
+	if !f.rounds.Start(f.clock.Now()) {
+		t.Error("no round is due")
+	}
+}
--- a/scheduler/record_slices_test.go
+++ b/scheduler/record_slices_test.go
@@ -152,3 +152,15 @@
 		t.Errorf("change %+v", drops)
 	}
 }
+
+func TestPartsAreWrittenAgainIfTheSliceChangedMeanwhile(t *testing.T) {
+	f := newRecordFixture(t, recordSettings{valueBytes: 1, splitRecords: true})
+	j := f.addJob("job-1", 2)
+	f.place(j, "n-1")
+	change := f.writeOne(0)
+	f.markTaskDirty(j, 1)
+	f.commit(change, 7)
+	if got := f.write(0); len(got) != 2 {
+		t.Errorf("%d changes, want one of each part", len(got))
+	}
+}
