--- a/controller/heartbeat_relay_test.go
+++ b/controller/heartbeat_relay_test.go
@@ -15,9 +15,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A follower relays heartbeats, and answers with what the leader decides; it has no answer of
-// its own. When the leader must not answer, or there is none, the worker is told at once to go
-// elsewhere.
+// A follower relays heartbeats, and answers only with what the leader decides. If the leader must
+// not answer, or there is none, the worker gets an error at once, so that it tries another
+// controller.
 func TestFollowerRelaysHeartbeats(t *testing.T) {
 	leading := newTestController(t, testConfig(emptyStore(t)))
 	storeTestCatalog(leading)
@@ -64,7 +64,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(t, testConfig("127.0.0.1:1"))
 		waiting, stop := context.WithCancel(t.Context())
-		for range c.relay.maxWaiting { // nothing answers here
+		for range maxWaitingHeartbeats(c.platform.Settings.Resources.Sockets) { // nothing answers here
 			go c.relay.relay(waiting, nil)
 		}
 		synctest.Wait()
--- a/internal/kvtest/server.go
+++ b/internal/kvtest/server.go
@@ -17,8 +17,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Server serves a Store on loopback, at an address of its own: callers that the store is to
-// refuse one by one get a server each.
+// Server serves a Store at an address on loopback. Callers that the store is to refuse separately
+// get a server each.
 type Server struct {
 	*Store
 	http *httptest.Server
@@ -115,6 +115,8 @@
 		w.WriteHeader(http.StatusGone)
 	case errors.Is(err, kv.ErrLeaseExpired), errors.Is(err, kv.ErrRejected):
 		respond(w, http.StatusBadRequest, errorResponse{err.Error()})
+	case errors.Is(err, kv.ErrMalformedResponse):
+		respond(w, http.StatusOK, "not a response of the protocol")
 	default:
 		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -103,7 +103,7 @@
 	// their jobs did, as a power of 2.
 	Slowness   float64
 	SlowUntil  monotonic.Instant
-	SlowStreak int // jobs in a row that found the machine slow
+	SlowStreak int // jobs in a row that left Slowness at the limit or above
 }
 
 // MachineAdmission is what admission notes about a machine.
@@ -112,14 +112,17 @@
 	ReservedFor *Job
 }
 
-// MachinePreemption is what one round of preemption notes about a machine.
+// MachinePreemption is what one round of preemption notes about a machine. The preemption
+// policy writes it.
 type MachinePreemption struct {
-	Round        uint64
+	Round uint64 // of the notes; those of an earlier round are out of date
+	// ExpectedFree is the room once all tasks that were told to stop are gone and all tasks
+	// that room was made for are placed.
 	ExpectedFree placement.Resources
-	Victims      []Victim
+	Victims      []Victim // by ascending cost; nil: not listed in this round
 }
 
-// Victim is a task that may be preempted, and the cost of that.
+// Victim is a task that may be preempted, and the cost of that in weighted CPU seconds.
 type Victim struct {
 	Assignment *Assignment
 	Cost       float64
@@ -204,6 +207,12 @@
 	return nil
 }
 
+// AssignsAttempt tells whether a reported attempt is the one that is assigned to the machine.
+func (m *Machine) AssignsAttempt(reported *ReportedTask) bool {
+	a := m.byRef[reported.Ref]
+	return a != nil && a.Attempt == reported.Attempt
+}
+
 // ReportsTask tells whether the newest heartbeat shows any attempt of a task.
 func (m *Machine) ReportsTask(ref ids.TaskRef) bool {
 	for i := range m.Agent.ReportedTasks {
--- a/scheduler/failover_test.go
+++ b/scheduler/failover_test.go
@@ -16,7 +16,7 @@
 // it had no heartbeat from the machines yet and counted their tasks in no zone.
 func TestNextLeaderKeepsSpreadBeforeTheFirstHeartbeats(t *testing.T) {
 	for _, zones := range [][]ids.Zone{{"a", "a"}, nil} {
-		b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
+		b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
 		b.inherit(wire.JobSpec{Service: true, Spread: true, Tasks: 3},
 			records.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
 		b.c.Begin(b.now)
@@ -36,7 +36,7 @@
 // A previous leader without the store may go on answering workers. Until its grace and a lease
 // are over, its tasks may run.
 func TestTasksCountDuringThePreviousLeadersGrace(t *testing.T) {
-	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: time.Minute})
+	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for _, step := range []struct {
@@ -55,7 +55,7 @@
 // dead machine are released without the grace, but after a lease: a heartbeat sent just before
 // may have been answered.
 func TestNoGraceOnceAllControllersFollow(t *testing.T) {
-	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 10 * time.Minute})
+	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: 10 * time.Minute}})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	followed := 5 * time.Second
@@ -89,7 +89,7 @@
 // A machine died around a failover. The new leader had no heartbeat from it, never saw it
 // listed, and counted its tasks for two minutes.
 func TestMachineThatDiedAtTheFailoverIsDetected(t *testing.T) {
-	b := newHarness(t, Options{PreviousLeader: true, PreviousLeaderGrace: 90 * time.Second, ListLag: 3 * time.Second})
+	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: 90 * time.Second}, FleetOptions: FleetOptions{ListLag: 3 * time.Second}})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for s := range 20 {
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -32,17 +32,18 @@
 // heartbeatIntake takes heartbeats in: what they show of the machine, and of each task that is
 // assigned to it.
 type heartbeatIntake struct {
-	cluster    *cluster.State
-	clock      *clock.Clock
-	rounds     *clock.RoundTrigger
-	sites      siteRecorder
-	health     heartbeatHealth
-	commands   heartbeatCommands
-	autoscaler heartbeatObserver
-	failures   failureRecorder
-	lifecycle  taskEnder
-	zones      zoneTaskObserver
-	leaders    *previousLeaders
+	cluster      *cluster.State
+	clock        *clock.Clock
+	rounds       *clock.RoundTrigger
+	sites        siteRecorder
+	health       heartbeatHealth
+	reachability heartbeatReachability
+	commands     heartbeatCommands
+	autoscaler   heartbeatObserver
+	failures     failureRecorder
+	lifecycle    taskEnder
+	zones        zoneTaskObserver
+	leaders      *previousLeaders
 	// revision is that of the leader's key; all fencing tokens of the term contain it.
 	revision ids.Revision
 	// interval is the time between two heartbeats of a machine.
@@ -59,24 +60,32 @@
 // heartbeatHealth judges machines by their heartbeats.
 type heartbeatHealth interface {
 	usable(m *cluster.Machine) bool
-	updateReachability(m *cluster.Machine, heartbeat *wire.Heartbeat, direct bool)
 	// heard notes that a machine of a zone was heard now.
 	heard(zone ids.Zone)
-	// requestCheck asks for a check of the machines in the next step.
-	requestCheck()
+	// noticeReclaim notes that the cloud takes a spot instance back after a time.
+	noticeReclaim(m *cluster.Machine, after time.Duration)
+}
+
+// heartbeatReachability judges from heartbeats whether commands reach a machine.
+type heartbeatReachability interface {
+	// observe takes a heartbeat that waits for an answer, and confirm notes one that came as
+	// the answer to a call.
+	observe(m *cluster.Machine, heartbeat *wire.Heartbeat)
+	confirm(m *cluster.Machine)
 }
 
 // heartbeatCommands answers heartbeats.
 type heartbeatCommands interface {
 	machineQueue
 	tokenOf(m *cluster.Machine) ids.FencingToken
-	answerReport(m *cluster.Machine) wire.HeartbeatResponse
+	answerHeartbeat(m *cluster.Machine) wire.HeartbeatResponse
+	// allowCalls has a machine called again although its last call failed.
+	allowCalls(m *cluster.Machine)
 }
 
-// heartbeatObserver learns from boots and from losses of spot instances.
+// heartbeatObserver learns from boots.
 type heartbeatObserver interface {
 	recordBoot(m *cluster.Machine)
-	recordSpotLoss()
 }
 
 // failureRecorder weighs failures of tasks.
@@ -119,13 +128,13 @@
 		return noCommands(h.commands.tokenOf(m)), true
 	}
 	h.sites.setSite(m, siteOf(heartbeat), heartbeat.Endpoint)
-	h.health.updateReachability(m, heartbeat, false)
+	h.reachability.observe(m, heartbeat)
 	h.apply(m, heartbeat)
 	if !mayAnswer(m) {
 		return wire.HeartbeatResponse{}, false
 	}
 	m.Agent.AnsweredAt = h.clock.Now()
-	return h.commands.answerReport(m), true
+	return h.commands.answerHeartbeat(m), true
 }
 
 // receiveFromCall takes a heartbeat that came as the answer to a call.
@@ -141,7 +150,7 @@
 		return true
 	}
 	h.sites.setSite(m, siteOf(heartbeat), heartbeat.Endpoint)
-	h.health.updateReachability(m, heartbeat, true)
+	h.reachability.confirm(m)
 	h.apply(m, heartbeat)
 	m.Agent.AnsweredCall = true
 	return true
@@ -178,9 +187,11 @@
 	}
 	m.Agent.LastHeard = now
 	h.health.heard(heartbeat.Zone)
-	m.Commands.CallFailed = false
+	h.commands.allowCalls(m)
 	h.updateAgent(m, heartbeat)
-	h.updateSpotNotice(m, heartbeat)
+	if heartbeat.SpotNoticeS != nil {
+		h.health.noticeReclaim(m, monotonic.Seconds(*heartbeat.SpotNoticeS))
+	}
 	m.Agent.ReportedTasks = m.Agent.ReportedTasks[:0]
 	for _, t := range heartbeat.Tasks {
 		if ref, ok := ids.ParseTask(t.Name); ok {
@@ -207,19 +218,6 @@
 	}
 }
 
-// updateSpotNotice notes when the cloud will take a spot instance back.
-func (h *heartbeatIntake) updateSpotNotice(m *cluster.Machine, heartbeat *wire.Heartbeat) {
-	if heartbeat.SpotNoticeS == nil {
-		return
-	}
-	if m.Health.SpotReclaimAt == 0 {
-		h.rounds.MarkDue()
-		h.health.requestCheck()
-		h.autoscaler.recordSpotLoss()
-	}
-	m.Health.SpotReclaimAt = h.clock.Now().Add(monotonic.Seconds(*heartbeat.SpotNoticeS))
-}
-
 // updateAssignments compares the machine's assignments with its newest heartbeat.
 func (h *heartbeatIntake) updateAssignments(m *cluster.Machine) {
 	for _, a := range m.AssignmentsSnapshot() {
@@ -235,68 +233,71 @@
 	}
 }
 
-// handleMissingTask handles a recorded task that the newest report does not show.
+// handleMissingTask handles an assignment that the newest heartbeat does not show.
 func (h *heartbeatIntake) handleMissingTask(a *cluster.Assignment) {
-	m := a.Machine
 	switch {
 	case !a.MayRun():
 		// Not sent yet.
-	case a.Delivery.Sent && m.Agent.Incarnation > a.Delivery.Incarnation,
-		// The worker's lease ran out since; it forgot all its tasks, and the
-		// new session takes no command meant for the old one.
-		m.Agent.FencingToken > a.Delivery.Token:
-		// Whatever carried run under a lower token can have no effect now.
-		if a.Delivery.Sent && !a.Delivery.Inherited && a.StopReason() == cluster.StopNone && m.Agent.Incarnation == a.Delivery.Incarnation && !a.Delivery.Seen {
-			// Only the message was voided. The place still stands, and the
-			// same attempt goes out again.
+	case a.Delivery.Sent && a.Machine.Agent.Incarnation > a.Delivery.Incarnation,
+		// The agent's lease expired since. It forgot all its tasks, and its new incarnation
+		// takes no command meant for the old one.
+		a.Machine.Agent.FencingToken > a.Delivery.Token:
+		// A run command under a lower token can have no effect any more.
+		if onlyCommandVoided(a) {
+			// The assignment stands, and the same attempt is sent again.
 			a.Delivery.Sent = false
 			return
 		}
 		h.zones.lost(a)
 		h.lifecycle.release(a)
 	case a.Delivery.Seen && a.StopReason() == cluster.StopNone:
-		// A worker keeps what it has until reap. Should one vanish all the
-		// same, it is not started elsewhere before old commands are void.
+		// An agent keeps a task until it is told to reap it. If one vanishes all the same,
+		// it is not started elsewhere before old commands are void.
 		h.lifecycle.stop(a, cluster.StopDrained)
 	}
 }
 
-// handleActiveTask handles a recorded task that the newest report shows before its end.
-func (h *heartbeatIntake) handleActiveTask(a *cluster.Assignment, s *cluster.ReportedTask) {
+// onlyCommandVoided tells whether a higher token voided the run command for an assignment
+// that the agent never had, and nothing else happened to it.
+func onlyCommandVoided(a *cluster.Assignment) bool {
+	if !a.Delivery.Sent || a.Delivery.Inherited || a.Delivery.Seen {
+		return false
+	}
+	return a.StopReason() == cluster.StopNone && a.Machine.Agent.Incarnation == a.Delivery.Incarnation
+}
+
+// handleActiveTask handles an assignment that the newest heartbeat shows before its end.
+func (h *heartbeatIntake) handleActiveTask(a *cluster.Assignment, reported *cluster.ReportedTask) {
 	a.Delivery.Seen = true
 	if !a.Delivery.Sent {
-		// Inherited: it surely runs here now, and newer tokens speak for it.
+		// An inherited task is known to run here now, and is told under newer tokens.
 		a.Delivery.Sent, a.Delivery.Inherited = true, false
 		a.Delivery.Incarnation = a.Machine.Agent.Incarnation
 	}
-	if a.Run.Phase != s.State {
-		a.Run.Phase = s.State
-		a.Run.PhaseSince, a.Run.PausedBefore = h.clock.Now(), h.clock.TotalPause()
-		if s.State == wire.TaskRunning {
-			h.cluster.RecordImage(a.Machine, a.Job.Spec)
-			h.zones.running(a)
-		}
+	if a.Run.Phase == reported.State {
+		return
+	}
+	a.Run.Phase = reported.State
+	a.Run.PhaseSince, a.Run.PausedBefore = h.clock.Now(), h.clock.TotalPause()
+	if reported.State == wire.TaskRunning {
+		h.cluster.RecordImage(a.Machine, a.Job.Spec)
+		h.zones.running(a)
 	}
 }
 
-// handleEndedTask handles a recorded task that the newest report shows as ended.
+// handleEndedTask handles an assignment that the newest heartbeat shows as ended.
 func (h *heartbeatIntake) handleEndedTask(a *cluster.Assignment, cause wire.ExitCause) {
 	m, j := a.Machine, a.Job
-	if im := m.Image(j.Spec.Image); im != nil {
-		im.UsedAt = h.clock.Now()
-	}
+	h.cluster.TouchImage(m, j.Spec.Image)
 	switch cause {
 	case wire.CauseDone:
-		h.zones.running(a) // it did, if only between two reports
+		h.zones.running(a) // it ran, if only between two heartbeats
 		h.lifecycle.complete(a)
-		clear(m.Health.FailuresByJob)
 		return
 	case wire.CauseError:
 		h.failures.recordFailure(a)
-	case wire.CauseFull:
-		// Our view of the machine was wrong; give it a moment.
-		h.failures.addAntiAffinity(j, m)
-	case wire.CauseInUse:
+	case wire.CauseFull, wire.CauseInUse:
+		// What is known of the machine was wrong; other machines go first for a while.
 		h.failures.addAntiAffinity(j, m)
 	case wire.CauseNoSuch:
 		j.Queue.RetryAt = h.clock.Now().Add(unknownTaskBackoff)
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -229,7 +229,7 @@
 
 // syncDependencies brings a job in line with the graph: its priority, whether it may run,
 // and whether it is cancelled because one that it depends on is. Such a job never had a
-// task and nobody answers otherwise any more; its own record is written when there is
+// task, and this is what users are told at once; its own record is written when there is
 // time.
 func (r *jobIntake) syncDependencies(j *cluster.Job) {
 	if j.Terminal() {
--- /dev/null
+++ b/scheduler/preemption/planner.go
@@ -0,0 +1,108 @@
+package preemption
+
+import (
+	"maps"
+	"slices"
+
+	"ospreystile.example/ospreystile/scheduler/cluster"
+	"ospreystile.example/ospreystile/scheduler/placement"
+)
+
+// planner plans room for the pending tasks of one job, one task after the other.
+type planner struct {
+	round     *round
+	scheduler Scheduler
+	job       *cluster.Job
+	// zones counts the job's tasks with those that room was planned for.
+	zones placement.TasksByZone
+	// plans has a plan for each machine that can make room under plansClaim; nil: not
+	// listed yet. Their costs may be out of date: they only rise during a round.
+	plans      []plan
+	plansClaim claim
+}
+
+// newPlanner makes the planner for a job in a round.
+func newPlanner(r *round, j *cluster.Job) planner {
+	return planner{round: r, scheduler: r.policy.scheduler, job: j, zones: maps.Clone(j.Zones())}
+}
+
+// planAllTasks plans room for all pending tasks of the job. If one finds none, it takes back
+// what the round counts for the others.
+func (p *planner) planAllTasks() ([]plan, error) {
+	saved := p.round.ledger.clone()
+	var plans []plan
+	for range p.job.Pending() {
+		planned, err := p.planTask()
+		if err != nil {
+			p.round.ledger = saved
+			p.restoreFree(plans)
+			return nil, err
+		}
+		plans = append(plans, planned)
+	}
+	return plans, nil
+}
+
+// restoreFree takes back what plans count on their machines, the last plan first.
+func (p *planner) restoreFree(plans []plan) {
+	for _, planned := range slices.Backward(plans) {
+		p.round.notes(planned.machine).ExpectedFree = planned.freeBefore
+	}
+}
+
+// planTask plans room for one more pending task of the job, at the least cost, and counts it
+// in the round. The error is one of the reasons in plan.go.
+func (p *planner) planTask() (plan, error) {
+	by := p.round.claimOf(p.job)
+	if by == claimNone {
+		return plan{}, errNoClaim
+	}
+	if by == claimOwn && !p.round.anyPreemptible(p.job, by) {
+		return plan{}, errNothingPreemptible
+	}
+	class, hasClass := p.scheduler.RequestClass(p.job, p.zones)
+	request := infeasibleRequest{class, p.job.Spec.Team, by}
+	if hasClass && p.round.infeasible[request] {
+		return plan{}, errKnownInfeasible
+	}
+	cheapest := p.cheapestPlan(by)
+	if cheapest == nil {
+		if hasClass {
+			p.round.infeasible[request] = true
+		}
+		return plan{}, errNoMachine
+	}
+	planned := *cheapest
+	planned.freeBefore = p.round.notes(planned.machine).ExpectedFree
+	p.allowColdStart(planned.machine)
+	p.commit(planned)
+	p.update(cheapest)
+	return planned, nil
+}
+
+// allowColdStart lets admission place a latency-sensitive job on machines without its image,
+// when room is made on such a machine.
+func (p *planner) allowColdStart(m *cluster.Machine) {
+	j := p.job
+	if j.Queue.AllowColdStart || m.HasImage(j.Spec.Image) || !p.scheduler.LatencySensitive(j) {
+		return
+	}
+	j.Queue.AllowColdStart = true
+	p.round.policy.rounds.MarkDue()
+}
+
+// commit counts a plan in the round: the zone, the quota and the room that the task is to
+// take, and what the victims are to free.
+func (p *planner) commit(planned plan) {
+	// The job's zones count only tasks that are placed. Room for two replicas could be made
+	// in a zone that may take one.
+	p.zones[planned.machine.Zone()]++
+	notes, ledger := p.round.notes(planned.machine), &p.round.ledger
+	ledger.promise(p.job.Spec.Team, p.job.Amount())
+	for _, a := range planned.victims {
+		ledger.victims[a] = true
+		ledger.free(a.Job.Spec.Team, a.Job.Amount())
+		notes.ExpectedFree = notes.ExpectedFree.Plus(placement.TaskResources(a.Job.Spec))
+	}
+	notes.ExpectedFree = notes.ExpectedFree.Minus(placement.TaskResources(p.job.Spec))
+}
