--- /dev/null
+++ b/scheduler/decisions.go
@@ -0,0 +1,25 @@
+package scheduler
+
+import (
+	"ospreystile.example/ospreystile/ids"
+	"ospreystile.example/ospreystile/records"
+	"ospreystile.example/ospreystile/wire"
+	"ospreystile.example/ospreystile/zonerecovery"
+)
+
+// Decisions are the decisions since the last Step.
+type Decisions struct {
+	RecordChanges []records.Change
+	// SendCommands lists machines to which commands should be sent now; see TakeCommands.
+	SendCommands []ids.MachineID
+	// RequestHeartbeats lists machines that should be asked for a heartbeat.
+	RequestHeartbeats []ids.MachineID
+	Provision         []wire.ProvisionRequest
+	Terminate         []ids.MachineID
+	// RereadJobs lists jobs whose records should be read again and passed to ObserveJob.
+	RereadJobs []ids.JobID
+	// ForgetAddresses lists addresses of machines that are terminated.
+	ForgetAddresses []string
+	// ZoneEvents are changes of zones' conditions, for the log.
+	ZoneEvents []zonerecovery.Transition
+}
--- a/scheduler/core_zones.go
+++ b/scheduler/zone_events.go
@@ -6,36 +6,6 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// newZoneGate makes the gate of a term; nil if zone recovery is off.
-func (c *Core) newZoneGate() *zoneGate {
-	if c.opt.ZoneRecovery == nil {
-		return nil
-	}
-	return &zoneGate{
-		manager: zonerecovery.NewManager(c.opt.ZoneRecovery),
-		cluster: c.cluster,
-		clock:   c.clock,
-		rounds:  c.rounds,
-		records: zoneRecords{maxBytes: c.opt.ValueBytes, inFlight: map[uint64]zoneWrite{}},
-	}
-}
-
-// connectZones gives the gate the other policies that it asks. They must all be made.
-func (c *Core) connectZones() {
-	g := c.zones
-	if g == nil {
-		return
-	}
-	g.health = c.health
-	g.provisioning = c.autoscaler
-	g.latency = c.queue
-	g.estimates = c.estimates
-	g.reservations = c.reservations
-	g.failures = c.failures
-	g.lifecycle = c.lifecycle
-	g.records.writer = c.records
-}
-
 // LoadZone takes in the record of a zone that a previous leader wrote. It must come before
 // Begin. It does nothing where zone recovery is off.
 func (c *Core) LoadZone(now monotonic.Instant, zone ids.Zone, record *zonerecovery.Record, revision ids.Revision) {
