--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -11,7 +11,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Machine is one machine that was requested, listed or heard, until it is known to be
+// Machine is one machine that was requested, listed or sent a heartbeat, until it is known to be
 // terminated.
 type Machine struct {
 	ID ids.MachineID // never changes
@@ -28,7 +28,7 @@
 
 	byRef map[ids.TaskRef]*Assignment
 	// assignments holds the same by job and index. staying, replicas and fetches count
-	// those that were not told to stop, fetches by image.
+	// those that are not stopping, fetches by image.
 	assignments []*Assignment
 	staying     int
 	replicas    int
@@ -43,7 +43,7 @@
 	Preemption MachinePreemption
 }
 
-// MachineLifecycle is what is known of a machine's rental. The machine registry and the
+// MachineLifecycle follows a machine from provisioning to termination. The machine registry and the
 // autoscaler write it.
 type MachineLifecycle struct {
 	KnownSince   monotonic.Instant
@@ -53,8 +53,8 @@
 	RentedThisTerm bool // it cannot have been terminated before
 	ListedStatus   wire.MachineStatus
 	MissingLists   int // machine lists in a row without it, after it was listed
-	// Terminating tells that the machine is given up, TerminateInFlight that a call to
-	// terminate it is in flight, and Terminated that the cloud has confirmed it.
+	// Terminating: it is decided to terminate the machine. TerminateInFlight: a call to
+	// terminate it is in flight. Terminated: the cloud has confirmed it.
 	Terminating, TerminateInFlight, Terminated bool
 }
 
@@ -116,8 +116,8 @@
 // policy writes it.
 type MachinePreemption struct {
 	Round uint64 // of the notes; those of an earlier round are out of date
-	// ExpectedFree is the room once all tasks that were told to stop are gone and all tasks
-	// that room was made for are placed.
+	// ExpectedFree is what will be free when all stopping tasks have ended and the tasks for
+	// which resources were freed are placed.
 	ExpectedFree placement.Resources
 	Victims      []Victim // by ascending cost; nil: not listed in this round
 }
@@ -163,7 +163,7 @@
 // Unrecorded is what the machine runs beside its assignments.
 func (m *Machine) Unrecorded() placement.Resources { return m.unrecorded }
 
-// Free is the room that is left on the machine.
+// Free is the capacity that is not in use.
 func (m *Machine) Free() placement.Resources { return m.total.Minus(m.used).Minus(m.unrecorded) }
 
 // Assignments lists the assignments by job and index. The caller must not change the list,
@@ -177,22 +177,24 @@
 // Assignment finds the assignment of a task, or returns nil.
 func (m *Machine) Assignment(ref ids.TaskRef) *Assignment { return m.byRef[ref] }
 
-// Staying counts the assignments that were not told to stop.
+// Staying counts the assignments that are not stopping.
 func (m *Machine) Staying() int { return m.staying }
 
-// Replicas counts the replicas of services that were not told to stop.
+// Replicas counts the replicas of services that are not stopping.
 func (m *Machine) Replicas() int { return m.replicas }
 
-// Fetches counts the assignments with an image that were not told to stop.
+// Fetches counts the assignments with an image that are not stopping.
 func (m *Machine) Fetches(image ids.Image) int { return m.fetches[image] }
 
-// Booting tells whether the machine has yet to send its first heartbeat of the term.
+// Booting tells whether the machine has sent no heartbeat in this term and is not being
+// terminated.
 func (m *Machine) Booting() bool { return !m.Agent.Reported && !m.Lifecycle.Terminating }
 
-// Up tells whether the machine has sent a heartbeat and is not given up.
+// Up tells whether the machine has sent a heartbeat in this term and is not being terminated.
 func (m *Machine) Up() bool { return m.Agent.Reported && !m.Lifecycle.Terminating }
 
-// SilentFor tells whether the machine has not been heard for longer than d.
+// SilentFor tells whether the machine has sent no heartbeat for longer than d. The time before
+// its first heartbeat counts from when it became known.
 func (m *Machine) SilentFor(now monotonic.Instant, d time.Duration) bool {
 	return now > max(m.Agent.LastHeard, m.Lifecycle.KnownSince).Add(d)
 }
@@ -262,7 +264,7 @@
 	}
 }
 
-// countStaying keeps the counts of assignments that were not told to stop.
+// countStaying keeps the counts of assignments that are not stopping.
 func (m *Machine) countStaying(a *Assignment, n int) {
 	m.staying += n
 	if a.Job.Spec.Service {
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -55,7 +55,7 @@
 // commands the batch still fences the agent.
 func (d *commandDispatcher) takeBatch(machine ids.MachineID) (batch wire.CommandBatch, endpoint string, ok bool) {
 	m := d.cluster.Machine(machine)
-	if m == nil || m.Commands.CallInFlight || !m.Agent.Reported || m.Lifecycle.Terminating {
+	if m == nil || m.Commands.CallInFlight || !m.Up() {
 		return wire.CommandBatch{}, "", false
 	}
 	commands := d.killCommands(m)
--- a/scheduler/fleet_demand.go
+++ b/scheduler/fleet_demand.go
@@ -112,7 +112,7 @@
 	var silent []*cluster.Machine
 	late := as.core.clock.Now() > as.core.clock.ResumedAt().Add(as.core.opt.HeartbeatInterval*3/2) // all have had their turn
 	for _, m := range as.core.cluster.Machines() {
-		if m.Replicas() > 0 && !as.core.health.takesTasks(m) && (as.core.health.zonePartitioned(m.Zone()) || late && as.core.health.silentFor(m, silentReports*as.core.opt.HeartbeatInterval) || m.Health.SpotReclaimAt != 0) {
+		if m.Replicas() > 0 && !as.core.health.takesTasks(m) && (as.core.health.zonePartitioned(m.Zone()) || late && m.SilentFor(as.core.clock.Now(), silentReports*as.core.opt.HeartbeatInterval) || m.Health.SpotReclaimAt != 0) {
 			silent = append(silent, m)
 		}
 	}
@@ -212,7 +212,7 @@
 					}
 				}
 			}
-			as.core.registry.returnMachine(m, returnIdleMachine)
+			as.core.registry.terminateMachine(m, terminateIdle)
 		}
 	}
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -49,9 +49,9 @@
 
 // machineTerminator terminates machines, and drops what has ended with them.
 type machineTerminator interface {
-	returnMachine(m *cluster.Machine, why returnReason)
-	// returnAgain repeats a call to the cloud that failed.
-	returnAgain(m *cluster.Machine)
+	terminateMachine(m *cluster.Machine, why terminateReason)
+	// requestTermination repeats a call to the cloud that failed.
+	requestTermination(m *cluster.Machine)
 	removeMachine(m *cluster.Machine)
 	// releaseTasks releases the tasks of a machine on which nothing runs any more.
 	releaseTasks(m *cluster.Machine)
@@ -107,7 +107,7 @@
 			terminated = append(terminated, m)
 		case m.Lifecycle.Terminating:
 			hm.requestHeartbeat(m)
-			hm.registry.returnAgain(m)
+			hm.registry.requestTermination(m)
 		default:
 			hm.requestHeartbeat(m)
 			check.run(m)
--- a/scheduler/liveness.go
+++ b/scheduler/liveness.go
@@ -23,11 +23,6 @@
 	settings healthSettings
 }
 
-// silentFor tells whether a machine has not been heard for longer than d.
-func (l *machineLiveness) silentFor(m *cluster.Machine, d time.Duration) bool {
-	return l.clock.Now() > max(m.Agent.LastHeard, m.Lifecycle.KnownSince).Add(d)
-}
-
 // mostSilent tells whether most of the machines that were heard before have been silent for
 // half a lease.
 func (l *machineLiveness) mostSilent(machines []*cluster.Machine) bool {
@@ -37,7 +32,7 @@
 			continue
 		}
 		heard++
-		if l.silentFor(m, l.settings.agentLease/2) {
+		if m.SilentFor(l.clock.Now(), l.settings.agentLease/2) {
 			silent++
 		}
 	}
@@ -70,7 +65,7 @@
 }
 
 // provenAlive tells whether a machine's heartbeats cannot all be delayed messages. A previous
-// leader may have terminated any machine that was not rented in this term. Only an answered
+// leader may have terminated any machine that was not provisioned in this term. Only an answered
 // call, or a fencing token of this leader, shows that such a machine exists.
 func (l *machineLiveness) provenAlive(m *cluster.Machine) bool {
 	return m.Lifecycle.RentedThisTerm || m.Agent.AnsweredCall || m.Agent.Fenced || !l.settings.previousLeader
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -47,7 +47,7 @@
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	b.heartbeat("n-1", "a", 0)
-	b.c.registry.returnMachine(b.c.cluster.Machine("n-1"), "test")
+	b.c.registry.terminateMachine(b.c.cluster.Machine("n-1"), "test")
 	b.step()
 	b.c.MachinesTerminated(b.now, []ids.MachineID{"n-1"})
 	b.heartbeat("n-1", "a", 0)
--- a/scheduler/machine_check.go
+++ b/scheduler/machine_check.go
@@ -26,8 +26,8 @@
 	cancelOverduePercent = 45
 )
 
-// keepMachine stands in place of a reason for terminating a machine.
-const keepMachine returnReason = ""
+// keepMachine means that there is no reason to terminate a machine.
+const keepMachine terminateReason = ""
 
 // machineCheck is the state of one check of all machines.
 type machineCheck struct {
@@ -57,42 +57,42 @@
 
 // terminate has a machine terminated. A spot instance that is missing without notice was
 // taken back by the cloud.
-func (c *machineCheck) terminate(m *cluster.Machine, why returnReason) {
-	if why == returnMissing && m.Spot() && m.Health.SpotReclaimAt == 0 {
+func (c *machineCheck) terminate(m *cluster.Machine, why terminateReason) {
+	if why == terminateMissing && m.Spot() && m.Health.SpotReclaimAt == 0 {
 		c.autoscaler.recordSpotLoss()
 	}
-	c.registry.returnMachine(m, why)
+	c.registry.terminateMachine(m, why)
 }
 
 // reasonGone is why a machine is terminated that does not exist any more or never came up,
 // or keepMachine.
-func (c *machineCheck) reasonGone(m *cluster.Machine) returnReason {
+func (c *machineCheck) reasonGone(m *cluster.Machine) terminateReason {
 	switch {
 	case m.Lifecycle.ListedStatus == wire.MachineFailed:
-		return returnFailed
-	case m.Lifecycle.MissingLists >= missingListsLimit && c.silentFor(m, missingHeartbeats*c.settings.heartbeatInterval):
+		return terminateFailed
+	case m.Lifecycle.MissingLists >= missingListsLimit && m.SilentFor(c.clock.Now(), missingHeartbeats*c.settings.heartbeatInterval):
 		// To terminate a machine that is gone does nothing. The cloud's answer then proves
 		// that it is gone.
-		return returnMissing
+		return terminateMissing
 	case c.bootFailed(m):
-		return returnBootFailed
+		return terminateBootFailed
 	}
 	return keepMachine
 }
 
 // reasonUseless is why a machine is terminated that may still exist, or keepMachine.
-func (c *machineCheck) reasonUseless(m *cluster.Machine) returnReason {
+func (c *machineCheck) reasonUseless(m *cluster.Machine) terminateReason {
 	switch {
 	case c.silentTooLong(m):
-		return returnSilent
+		return terminateSilent
 	case c.cancelOverdue(m):
 		// Whether the machine is silent or does not follow commands, only its termination
 		// ends the task for certain.
-		return returnCancelled
+		return terminateCancelled
 	case c.reachability.overdue(m):
 		// No other controller can reach it either. Once it is terminated, its tasks have
 		// ended and may go elsewhere.
-		return returnUnreachable
+		return terminateUnreachable
 	}
 	return keepMachine
 }
@@ -117,7 +117,7 @@
 	if !m.Agent.Reported || len(m.Assignments()) > 0 || c.mostSilent || c.zonePartitionedRecently(m.Zone()) {
 		return false
 	}
-	return c.silentFor(m, silentLeases*c.settings.agentLease)
+	return m.SilentFor(c.clock.Now(), silentLeases*c.settings.agentLease)
 }
 
 // cancelOverdue tells whether a machine holds a task of a cancelled job that must end soon.
@@ -139,5 +139,5 @@
 // holdsExpiredTasks tells whether a machine with tasks has lost its lease, so that the tasks
 // have ended.
 func (c *machineCheck) holdsExpiredTasks(m *cluster.Machine) bool {
-	return len(m.Assignments()) > 0 && c.leases.expired(m) && c.silentFor(m, monotonic.AddDriftMargin(c.settings.agentLease))
+	return len(m.Assignments()) > 0 && c.leases.expired(m) && m.SilentFor(c.clock.Now(), monotonic.AddDriftMargin(c.settings.agentLease))
 }
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -12,7 +12,7 @@
 )
 
 // machineRegistry follows machines from the cloud's list until the cloud has confirmed that
-// they are terminated, and gives up those that are of no use any more.
+// they are terminated, and terminates those that are not needed any more.
 type machineRegistry struct {
 	cluster   *cluster.State
 	clock     *clock.Clock
@@ -21,8 +21,8 @@
 	lifecycle taskReleaser
 	zones     lossObserver
 	settings  registrySettings
-	// returnCounts counts the machines that were given up by reason, for the log.
-	returnCounts map[returnReason]int
+	// terminateCounts counts the terminated machines by reason, for the log.
+	terminateCounts map[terminateReason]int
 	// terminate and forgotten are decisions of the present step.
 	terminate []ids.MachineID
 	forgotten []string
@@ -41,7 +41,7 @@
 	release(a *cluster.Assignment)
 }
 
-// lossObserver is told that a task was lost with its machine.
+// lossObserver learns that a task was lost with its machine.
 type lossObserver interface {
 	lost(a *cluster.Assignment)
 }
@@ -54,7 +54,7 @@
 	}
 }
 
-// takeDecisions hands out the machines to terminate and the addresses to forget.
+// takeDecisions returns the machines to terminate and the addresses to forget.
 func (r *machineRegistry) takeDecisions() (terminate []ids.MachineID, forget []string) {
 	terminate, forget = r.terminate, r.forgotten
 	r.terminate, r.forgotten = nil, nil
@@ -70,8 +70,8 @@
 	r.cluster.SetSite(m, site)
 }
 
-// MachineList takes the cloud's list. It lags and may be older than the one
-// before, so absence proves nothing by itself. asked is when it was requested.
+// MachineList takes the cloud's list of machines. It lags and may be older than the previous
+// one, so absence proves nothing by itself. asked is when it was requested.
 func (c *Core) MachineList(now, asked monotonic.Instant, list []wire.Machine) {
 	c.clock.Set(now)
 	c.registry.observeList(asked, list)
@@ -99,9 +99,9 @@
 	r.countMissing(asked, listed)
 }
 
-// countMissing counts for each machine the lists in a row without it. A machine on which a
-// previous leader placed tasks is known for longer than the list lags: unless it counts
-// too, one that died with that leader keeps its tasks for the whole grace and a lease.
+// countMissing counts for each machine the lists in a row without it. Machines on
+// which a previous leader placed tasks count too, once the list must show them. Otherwise one
+// that failed together with that leader would keep its tasks for the whole grace and a lease.
 func (r *machineRegistry) countMissing(asked monotonic.Instant, listed map[ids.MachineID]bool) {
 	began := r.clock.TermBegan()
 	caughtUp := asked > began.Add(2*r.settings.listLag+time.Second)
@@ -113,30 +113,31 @@
 	}
 }
 
-// returnReason tells why a machine is returned, for the log.
-type returnReason string
+// terminateReason tells why a machine is terminated, for the log.
+type terminateReason string
 
-// The reasons for returning a machine.
+// The reasons for terminating a machine.
 const (
-	returnFailed      returnReason = "failed"
-	returnMissing     returnReason = "missing"
-	returnBootFailed  returnReason = "boot-failed"
-	returnSilent      returnReason = "silent"
-	returnCancelled   returnReason = "cancelled"
-	returnUnreachable returnReason = "unreachable"
-	returnIdleMachine returnReason = "idle"
+	terminateFailed      terminateReason = "failed"
+	terminateMissing     terminateReason = "missing"
+	terminateBootFailed  terminateReason = "boot-failed"
+	terminateSilent      terminateReason = "silent"
+	terminateCancelled   terminateReason = "cancelled"
+	terminateUnreachable terminateReason = "unreachable"
+	terminateIdle        terminateReason = "idle"
 )
 
-// returnMachine gives a machine up. What is still being recorded was never sent, so nothing
-// has to wait for the key-value store here: a cancelled job's task beside it must have ended
-// in time.
-func (r *machineRegistry) returnMachine(m *cluster.Machine, why returnReason) {
-	r.returnCounts[why]++
-	r.returnAgain(m)
+// terminateMachine decides to terminate a machine. It does not wait for records in flight:
+// tasks whose placement is being recorded were never started, and a cancelled job's task on
+// the same machine must end in time.
+func (r *machineRegistry) terminateMachine(m *cluster.Machine, why terminateReason) {
+	r.terminateCounts[why]++
+	r.requestTermination(m)
 }
 
-// returnAgain decides to call the cloud to terminate a machine.
-func (r *machineRegistry) returnAgain(m *cluster.Machine) {
+// requestTermination decides to call the cloud to terminate a machine, also if a call failed
+// before.
+func (r *machineRegistry) requestTermination(m *cluster.Machine) {
 	m.Lifecycle.Terminating, m.Lifecycle.TerminateInFlight = true, true
 	r.terminate = append(r.terminate, m.ID)
 	r.rounds.MarkDue()
@@ -184,8 +185,8 @@
 }
 
 // Endpoint is the address of a machine's agent; "" if it is not known.
-func (c *Core) Endpoint(h ids.MachineID) string {
-	if m := c.cluster.Machine(h); m != nil {
+func (c *Core) Endpoint(id ids.MachineID) string {
+	if m := c.cluster.Machine(id); m != nil {
 		return m.Endpoint()
 	}
 	return ""
--- a/scheduler/quota/quota.go
+++ b/scheduler/quota/quota.go
@@ -75,9 +75,6 @@
 // Teams lists the names of all teams, sorted. The caller may change the list.
 func (q *Tracker) Teams() []ids.Team { return slices.Clone(q.names) }
 
-// HasTeam tells whether a team is known.
-func (q *Tracker) HasTeam(team ids.Team) bool { return q.accounts[team] != nil }
-
 // Limit is the most that a team may use at any time.
 func (q *Tracker) Limit(team ids.Team) Amount {
 	if a := q.accounts[team]; a != nil {
@@ -145,9 +142,6 @@
 	return a.used.Minus(a.Nominal).nonNegative()
 }
 
-// IsBorrowing tells whether a team uses more than its nominal quota.
-func (q *Tracker) IsBorrowing(team ids.Team) bool { return !q.Borrowed(team).FitsIn(Amount{}) }
-
 // SuspendLending keeps a team's idle quota from being lent until a time, so that a team which
 // has just reclaimed quota does not see it lent again at once. It never shortens a suspension.
 func (q *Tracker) SuspendLending(team ids.Team, until monotonic.Instant) {
--- a/scheduler/quota/quota_test.go
+++ b/scheduler/quota/quota_test.go
@@ -71,8 +71,8 @@
 	if got := q.Borrowed("red"); got != cpus(3) {
 		t.Errorf("Borrowed = %v, want 3 CPUs", got)
 	}
-	if !q.IsBorrowing("red") || q.IsBorrowing("blue") {
-		t.Errorf("red borrows: %v, blue borrows: %v", q.IsBorrowing("red"), q.IsBorrowing("blue"))
+	if got := q.Borrowed("blue"); got != cpus(0) {
+		t.Errorf("Borrowed = %v for a team without use, want nothing", got)
 	}
 }
 
@@ -88,7 +88,7 @@
 func TestUnknownTeamHasNoQuota(t *testing.T) {
 	q := twoTeams(8)
 	q.Charge("green", cpus(5))
-	if q.HasTeam("green") || q.Used("green") != cpus(0) || q.FitsBorrowing("green", cpus(0), 0) {
+	if q.accounts["green"] != nil || q.Used("green") != cpus(0) || q.FitsBorrowing("green", cpus(0), 0) {
 		t.Error("an unknown team has quota")
 	}
 }
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -24,8 +24,8 @@
 		fmt.Fprintf(&b, " partitioned=%s", zone)
 	}
 	c.zones.summarize(&b)
-	for _, why := range slices.Sorted(maps.Keys(c.registry.returnCounts)) {
-		fmt.Fprintf(&b, " returned-%s=%d", why, c.registry.returnCounts[why])
+	for _, why := range slices.Sorted(maps.Keys(c.registry.terminateCounts)) {
+		fmt.Fprintf(&b, " returned-%s=%d", why, c.registry.terminateCounts[why])
 	}
 	c.summarizeMachines(&b)
 	return b.String()
--- a/scheduler/wiring.go
+++ b/scheduler/wiring.go
@@ -28,11 +28,11 @@
 	c.cluster = cluster.NewState(settings, c.clock, c.rounds, c.quotas)
 	c.records = newRecordWriter(c.cluster, c.clock, c.rounds, newRecordSettings(opt))
 	c.registry = &machineRegistry{
-		cluster:      c.cluster,
-		clock:        c.clock,
-		rounds:       c.rounds,
-		settings:     registrySettings{previousLeader: opt.PreviousLeader, listLag: opt.ListLag},
-		returnCounts: map[returnReason]int{},
+		cluster:         c.cluster,
+		clock:           c.clock,
+		rounds:          c.rounds,
+		settings:        registrySettings{previousLeader: opt.PreviousLeader, listLag: opt.ListLag},
+		terminateCounts: map[terminateReason]int{},
 	}
 	c.connectDispatch()
 	c.autoscaler = newAutoscaler(c)
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -51,8 +51,6 @@
 
 // zoneMachineHealth judges which machines can be used.
 type zoneMachineHealth interface {
-	// silentFor tells whether a machine has sent no heartbeat for longer than d.
-	silentFor(m *cluster.Machine, d time.Duration) bool
 	// heartbeatTimeout is how long a machine may be silent between two heartbeats.
 	heartbeatTimeout() time.Duration
 	takesTasks(m *cluster.Machine) bool
--- a/scheduler/zone_observation.go
+++ b/scheduler/zone_observation.go
@@ -67,7 +67,7 @@
 func (g *zoneGate) countMachine(health *zonerecovery.ZoneHealth, m *cluster.Machine) {
 	health.Machines++
 	switch {
-	case g.health.silentFor(m, g.health.heartbeatTimeout()):
+	case m.SilentFor(g.clock.Now(), g.health.heartbeatTimeout()):
 		health.Unreachable++
 	case m.Agent.Reported:
 		health.Reachable++
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -72,7 +72,7 @@
 func (o *zoneOutages) updateZones() {
 	up := map[ids.Zone]int{}
 	for _, m := range o.cluster.Machines() {
-		if m.Agent.Reported && !m.Lifecycle.Terminating {
+		if m.Up() {
 			up[m.Zone()]++
 		}
 	}
