--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -9,7 +9,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// admitter admits waiting jobs against the quotas and places their tasks.
+// admitter admits waiting jobs against the quotas and places their tasks. Each scheduling round
+// calls admitAll. It must not place a task beyond its team's quota, nor some tasks of a gang
+// without the others.
 type admitter struct {
 	cluster    *cluster.State
 	rounds     *clock.RoundTrigger
@@ -21,7 +23,7 @@
 	zones      zoneAdmission
 	lifecycle  placementStopper
 	records    placementRecords
-	// maxSkippedJobs is after how many jobs that did not fit a pass over the queue ends.
+	// maxSkippedJobs is how many jobs that do not fit a pass over the queue may skip.
 	maxSkippedJobs int
 }
 
@@ -29,14 +31,14 @@
 type zoneAdmission interface {
 	// admits tells whether a task may start on a machine now.
 	admits(j *cluster.Job, index int, m *cluster.Machine) bool
-	// requestPart tells what of a job the bound depends on now; ok is false if no other job
-	// is like this one.
+	// requestPart returns the properties of a job that admits depends on now; ok is false if
+	// the result for this job may differ from that for an equal one.
 	requestPart(j *cluster.Job) (part gateClass, ok bool)
 	unproven(zone ids.Zone) bool
 	started(a *cluster.Assignment)
 }
 
-// placementStopper stops tasks, or takes back placements of the present round.
+// placementStopper stops tasks, or undoes placements of the present round.
 type placementStopper interface {
 	stop(a *cluster.Assignment, why cluster.StopReason)
 	withdraw(a *cluster.Assignment)
@@ -58,12 +60,12 @@
 type placementResult uint8
 
 const (
-	placementEnded  placementResult = iota // all were placed, or a limit was met
-	placementNoRoom                        // no machine had room for the next task
+	placementEnded     placementResult = iota // all were placed, or a limit was met
+	placementNoMachine                        // no machine fits the next task
 )
 
-// admitAll places what fits of the waiting jobs: first within the teams' nominal quotas,
-// then with what they borrow.
+// admitAll places as many tasks of the waiting jobs as fit, first within the teams' nominal
+// quotas, then with borrowed quota.
 func (adm *admitter) admitAll(waiting []*cluster.Job) {
 	adm.candidates.collect(adm.cluster.Machines(), adm.health)
 	pass := &admissionPass{
@@ -72,7 +74,7 @@
 		borrowPriority: map[ids.Team]wire.Priority{},
 	}
 	pass.admitNominal(waiting)
-	// What is lent goes to the jobs that starve first.
+	// Starving jobs may borrow first.
 	pass.admitBorrowed(adm.queue.starvingFirst(waiting))
 }
 
@@ -81,9 +83,9 @@
 	*admitter
 	// infeasible are the requests that found no machine in this round.
 	infeasible map[placementRequest]bool
-	// borrowPriority is the highest priority of a team's work that has to borrow. The team's
-	// lower work must not slip into the rest of its nominal quota past it: the higher
-	// would stop it again.
+	// borrowPriority is the highest priority of a team's jobs that must borrow. The team's
+	// jobs of lower priority must not use the rest of its nominal quota first: they would be
+	// preempted again.
 	borrowPriority map[ids.Team]wire.Priority
 }
 
@@ -111,7 +113,7 @@
 	}
 }
 
-// admitBorrowed admits jobs with what their teams may borrow.
+// admitBorrowed admits jobs with the quota that their teams may borrow.
 func (p *admissionPass) admitBorrowed(waiting []*cluster.Job) {
 	skipped := 0
 	for _, j := range waiting {
@@ -126,26 +128,27 @@
 	}
 }
 
-// try places what fits of a job, unless its like found no machine in this round.
+// try admits a job, unless an equal request found no machine in this round.
 func (p *admissionPass) try(j *cluster.Job, source quotaSource) (tried bool) {
-	if request, alike := p.searches.requestOf(j, j.Zones()); alike && p.infeasible[request] {
+	if request, cacheable := p.searches.requestOf(j, j.Zones()); cacheable && p.infeasible[request] {
 		return false
 	}
-	if p.admitJob(j, source) != placementNoRoom {
+	if p.admitJob(j, source) != placementNoMachine {
 		return true
 	}
-	// The request of what is left: some tasks may have been placed.
-	if request, alike := p.searches.requestOf(j, j.Zones()); alike {
+	// Some tasks may have been placed, so the request may have changed.
+	if request, cacheable := p.searches.requestOf(j, j.Zones()); cacheable {
 		p.infeasible[request] = true
 	}
 	return true
 }
 
-// admitJob places what fits of a job: a service or a gang whole, an array task by task.
+// admitJob places the pending tasks of a job that fit: all or none of a gang or of a service
+// that starts, otherwise task by task.
 func (adm *admitter) admitJob(j *cluster.Job, source quotaSource) placementResult {
 	if j.Spec.Gang && len(j.Active()) > 0 {
-		// The rest of the gang waits for the tasks that it lost. It starts
-		// again together, so it is stopped whole first.
+		// The gang has lost tasks. All its tasks start again together, so the others are
+		// stopped first.
 		for _, a := range j.Assignments() {
 			adm.lifecycle.stop(a, cluster.StopPreempted)
 		}
@@ -162,12 +165,12 @@
 }
 
 // admitInOneZone places all tasks of a job in one zone. The best machine for the first task
-// may stand in a zone that cannot hold the rest, so every zone has its turn, that one first.
+// may be in a zone that cannot hold the others, so all zones are tried, that one first.
 func (adm *admitter) admitInOneZone(attempt admissionAttempt) placementResult {
 	j := attempt.job
 	first := adm.searches.newSearch(j).next(j.Pending()[len(j.Pending())-1])
 	if first == nil {
-		return placementNoRoom
+		return placementNoMachine
 	}
 	defer func() { j.Queue.OnlyZone = "" }()
 	zones := []ids.Zone{first.Zone()}
@@ -178,15 +181,15 @@
 	}
 	for _, zone := range zones {
 		j.Queue.OnlyZone = zone
-		if adm.admitTasks(attempt) != placementNoRoom {
+		if adm.admitTasks(attempt) != placementNoMachine {
 			return placementEnded
 		}
 	}
-	return placementNoRoom
+	return placementNoMachine
 }
 
-// admitTasks places what fits of a job's pending tasks, in the one zone that the job is held
-// to, if any.
+// admitTasks places the pending tasks of a job that fit, in JobQueue.OnlyZone if that is set.
+// It keeps none if the attempt needs all and one did not fit.
 func (adm *admitter) admitTasks(attempt admissionAttempt) placementResult {
 	j := attempt.job
 	placed, result := adm.placeTasks(attempt)
@@ -218,7 +221,7 @@
 		index := j.Pending()[k]
 		m := search.next(index)
 		if m == nil {
-			return placed, placementNoRoom
+			return placed, placementNoMachine
 		}
 		placed = append(placed, adm.assign(j, index, m))
 		search.reinsert(m)
@@ -227,14 +230,14 @@
 		}
 		if aged && !attempt.whole {
 			adm.rounds.MarkDue()
-			break // it has started, so the rest goes before no other job
+			break // it has started, so its other tasks have no precedence
 		}
 	}
 	return placed, placementEnded
 }
 
-// assign places a task on a machine. It counts as used at once; the command to run it is
-// sent when the record is committed.
+// assign places a task on a machine. Its resources count as used at once. The run command is
+// sent once the placement is committed.
 func (adm *admitter) assign(j *cluster.Job, index int, m *cluster.Machine) *cluster.Assignment {
 	protected := j.Priority() == wire.BestEffort && adm.queue.starving(j)
 	a := adm.cluster.Assign(j, index, m)
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -25,12 +25,12 @@
 	return c.heartbeats.receiveFromCall(heartbeat)
 }
 
-// unknownTaskBackoff is how long a job is not admitted after a machine knew nothing of its
-// task's job.
+// unknownTaskBackoff is how long a job is not admitted after an agent did not know its task.
 const unknownTaskBackoff = 2 * time.Second
 
-// heartbeatIntake takes heartbeats in: what they show of the machine, and of each task that is
-// assigned to it.
+// heartbeatIntake applies heartbeats to the state: what they show of the machine, and of each
+// task that is assigned to it. Core.Heartbeat and Core.HeartbeatFromCall call it. It must not
+// act on a heartbeat that is stale, nor on any once a later leader is known.
 type heartbeatIntake struct {
 	cluster      *cluster.State
 	clock        *clock.Clock
@@ -74,16 +74,16 @@
 	confirm(m *cluster.Machine)
 }
 
-// heartbeatCommands answers heartbeats.
+// heartbeatCommands makes the answers to heartbeats.
 type heartbeatCommands interface {
 	machineQueue
 	tokenOf(m *cluster.Machine) ids.FencingToken
 	answerHeartbeat(m *cluster.Machine) wire.HeartbeatResponse
-	// allowCalls has a machine called again although its last call failed.
+	// allowCalls lets a machine be called again although its last call failed.
 	allowCalls(m *cluster.Machine)
 }
 
-// heartbeatObserver learns from boots.
+// heartbeatObserver learns how long machines take to boot.
 type heartbeatObserver interface {
 	recordBoot(m *cluster.Machine)
 }
@@ -101,13 +101,13 @@
 	complete(a *cluster.Assignment)
 }
 
-// zoneTaskObserver is told what becomes of tasks in a zone.
+// zoneTaskObserver learns which tasks of a zone run and which are lost.
 type zoneTaskObserver interface {
 	lost(a *cluster.Assignment)
 	running(a *cluster.Assignment)
 }
 
-// receive takes a heartbeat that waits for an answer.
+// receive applies a heartbeat that waits for an answer, and makes the answer.
 func (h *heartbeatIntake) receive(heartbeat *wire.Heartbeat) (answer wire.HeartbeatResponse, ok bool) {
 	if h.supersededBy(heartbeat) {
 		return wire.HeartbeatResponse{}, false
@@ -119,8 +119,8 @@
 	m := h.cluster.EnsureMachine(heartbeat.Machine)
 	mayAnswer := h.leaders.mayAnswer
 	if stale(m, heartbeat) {
-		// The agent may still wait for the answer: that renews the lease from when the
-		// message was sent, which is before the newest came.
+		// The agent may still wait for the answer. It renews the lease from when the
+		// message was sent, which was before the newest heartbeat arrived.
 		if !mayAnswer(m) {
 			return wire.HeartbeatResponse{}, false
 		}
@@ -137,7 +137,7 @@
 	return h.commands.answerHeartbeat(m), true
 }
 
-// receiveFromCall takes a heartbeat that came as the answer to a call.
+// receiveFromCall applies a heartbeat that came as the answer to a call.
 func (h *heartbeatIntake) receiveFromCall(heartbeat *wire.Heartbeat) bool {
 	if h.supersededBy(heartbeat) {
 		return false
@@ -163,8 +163,8 @@
 	return later
 }
 
-// stale tells whether a heartbeat is a copy, or was overtaken by a newer one. It is no sign
-// of life and tells nothing.
+// stale tells whether a heartbeat is a duplicate or older than the newest. It does not show
+// that the machine is alive now.
 func stale(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
 	return m.Agent.Reported && !heartbeat.Newer(m.Agent.Incarnation, m.Agent.Sequence)
 }
@@ -179,11 +179,11 @@
 	return placement.Site{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
 }
 
-// apply takes in a heartbeat that is newer than all before it.
+// apply updates the state from a heartbeat that is newer than all before it.
 func (h *heartbeatIntake) apply(m *cluster.Machine, heartbeat *wire.Heartbeat) {
 	now := h.clock.Now()
 	if now > m.Agent.LastHeard.Add(h.interval) && !h.health.usable(m) {
-		h.rounds.MarkDue() // it may be usable from here on
+		h.rounds.MarkDue() // it may be usable now
 	}
 	m.Agent.LastHeard = now
 	h.health.heard(heartbeat.Zone)
@@ -239,20 +239,20 @@
 	case !a.MayRun():
 		// Not sent yet.
 	case a.Delivery.Sent && a.Machine.Agent.Incarnation > a.Delivery.Incarnation,
-		// The agent's lease expired since. It forgot all its tasks, and its new incarnation
-		// takes no command meant for the old one.
+		// The agent's lease has expired. It has dropped all its tasks, and its new incarnation
+		// refuses commands for the old one.
 		a.Machine.Agent.FencingToken > a.Delivery.Token:
-		// A run command under a lower token can have no effect any more.
+		// The agent now refuses a run command under the lower token.
 		if onlyCommandVoided(a) {
-			// The assignment stands, and the same attempt is sent again.
+			// The assignment remains, and the same attempt is sent again.
 			a.Delivery.Sent = false
 			return
 		}
 		h.zones.lost(a)
 		h.lifecycle.release(a)
 	case a.Delivery.Seen && a.StopReason() == cluster.StopNone:
-		// An agent keeps a task until it is told to reap it. If one vanishes all the same,
-		// it is not started elsewhere before old commands are void.
+		// An agent keeps a task until it gets a reap command. If a task is missing without
+		// one, it is not started elsewhere before old commands are void.
 		h.lifecycle.stop(a, cluster.StopDrained)
 	}
 }
@@ -266,11 +266,11 @@
 	return a.StopReason() == cluster.StopNone && a.Machine.Agent.Incarnation == a.Delivery.Incarnation
 }
 
-// handleActiveTask handles an assignment that the newest heartbeat shows before its end.
+// handleActiveTask handles an assignment that the newest heartbeat shows as not ended.
 func (h *heartbeatIntake) handleActiveTask(a *cluster.Assignment, reported *cluster.ReportedTask) {
 	a.Delivery.Seen = true
 	if !a.Delivery.Sent {
-		// An inherited task is known to run here now, and is told under newer tokens.
+		// An inherited task is now known to be here. Commands for it carry new tokens.
 		a.Delivery.Sent, a.Delivery.Inherited = true, false
 		a.Delivery.Incarnation = a.Machine.Agent.Incarnation
 	}
@@ -291,13 +291,13 @@
 	h.cluster.TouchImage(m, j.Spec.Image)
 	switch cause {
 	case wire.CauseDone:
-		h.zones.running(a) // it ran, if only between two heartbeats
+		h.zones.running(a) // it ran between two heartbeats
 		h.lifecycle.complete(a)
 		return
 	case wire.CauseError:
 		h.failures.recordFailure(a)
 	case wire.CauseFull, wire.CauseInUse:
-		// What is known of the machine was wrong; other machines go first for a while.
+		// The state of the machine was wrong. Other machines are preferred for a while.
 		h.failures.addAntiAffinity(j, m)
 	case wire.CauseNoSuch:
 		j.Queue.RetryAt = h.clock.Now().Add(unknownTaskBackoff)
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -14,27 +14,27 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// LoadJob takes a job's record at the start of the term. Jobs come before
+// LoadJob loads a job's record at the start of the term. All jobs must be loaded before
 // slices.
 func (c *Core) LoadJob(id ids.JobID, rec *records.Job, revision ids.Revision) {
 	c.jobRecords.loadJob(id, rec, revision)
 }
 
 // LoadUnreadableJob notes a job whose own record cannot be read. Its admission
-// records are left as they are: they say where its tasks may be, for the time when
-// its record is repaired.
+// records are kept: they name the machines of its tasks, which are needed once the record is
+// repaired.
 func (c *Core) LoadUnreadableJob(id ids.JobID) {
 	c.jobRecords.unreadable[id] = true
 	c.previousLeaders.unclear = true
 }
 
-// LoadSlice takes an admission record at the start of the term.
+// LoadSlice loads an admission record at the start of the term.
 func (c *Core) LoadSlice(id ids.JobID, n int, rec *records.AdmissionSlice, revision ids.Revision) error {
 	return c.jobRecords.loadSlice(id, n, rec, revision)
 }
 
-// Suspend keeps a job from being placed, because it is not known where all
-// its tasks may be. It stays known, and the others go on.
+// Suspend keeps a job from being placed, because it is not known where all its tasks may be.
+// Other jobs are not affected.
 func (c *Core) Suspend(id ids.JobID) {
 	c.previousLeaders.unclear = true
 	if j := c.cluster.Job(id); j != nil {
@@ -49,15 +49,15 @@
 	c.jobRecords.observe(id, rec, revision)
 }
 
-// EnableSplitRecords tells that every controller can read slices that were split. Records
-// beyond what the state service may take at any moment are split from now on.
+// EnableSplitRecords tells that every controller can read slices that were split. From now on
+// records are split if they exceed the limit of the key-value store.
 func (c *Core) EnableSplitRecords(now monotonic.Instant) {
 	c.clock.Set(now)
 	c.records.enableSplitting()
 }
 
-// jobIntake takes in the records of jobs and of their tasks, and keeps the jobs in line with
-// their dependencies.
+// jobIntake loads and observes the records of jobs and slices, and updates jobs when one that
+// they depend on changes. It writes no record: recordWriter does.
 type jobIntake struct {
 	cluster *cluster.State
 	clock   *clock.Clock
@@ -85,7 +85,7 @@
 type jobRecordMarks interface {
 	// markOrphanCancel notes that a job's own record has yet to say that it is cancelled.
 	markOrphanCancel(j *cluster.Job)
-	// cancelRecorded notes that it does.
+	// cancelRecorded notes that the job's own record says so.
 	cancelRecorded(j *cluster.Job)
 	markOversized(j *cluster.Job, s *cluster.AdmissionSlice)
 	markCompletable(j *cluster.Job)
@@ -96,8 +96,7 @@
 	recordArrival(spec *wire.JobSpec)
 }
 
-// loadJob takes a job's record at the start of the term. Jobs come before
-// slices.
+// loadJob loads a job's record at the start of the term.
 func (r *jobIntake) loadJob(id ids.JobID, rec *records.Job, revision ids.Revision) {
 	r.graph.Put(id, rec.Dependencies())
 	if rec.Status == wire.JobDone || rec.Spec == nil {
@@ -106,18 +105,17 @@
 	r.cluster.AddJob(id, rec, revision)
 }
 
-// loadSlice takes an admission record at the start of the term.
+// loadSlice loads an admission record at the start of the term, after the jobs.
 func (r *jobIntake) loadSlice(id ids.JobID, n int, rec *records.AdmissionSlice, revision ids.Revision) error {
 	if r.unreadable[id] {
 		return nil
 	}
 	j := r.cluster.Job(id)
 	if j == nil {
-		// What is left of a done job; it only has to be dropped.
+		// The job is done. The slice only has to be deleted.
 		j = r.cluster.AddJob(id, &records.Job{Status: wire.JobDone}, 0)
 	}
-	// Splits make a slice for each task at most, beside those there are, and leave
-	// out numbers that were not used.
+	// Splits add at most one slice for each task. Numbers may be unused.
 	if !j.Terminal() && n >= len(j.Slices())+2*len(j.Tasks()) {
 		return fmt.Errorf("admission record %s/%d lies outside its job", id, n)
 	}
@@ -134,23 +132,24 @@
 	return r.loadPlacements(j, s, rec)
 }
 
-// loadPlacements takes in where the tasks of a slice were placed by a predecessor.
+// loadPlacements assigns the tasks of a slice to the machines on which a previous leader
+// placed them.
 func (r *jobIntake) loadPlacements(j *cluster.Job, s *cluster.AdmissionSlice, rec *records.AdmissionSlice) error {
 	for k := 0; k+2 < len(rec.Tasks); k += 3 {
-		i, attempt, place := rec.Tasks[k], ids.Attempt(rec.Tasks[k+1]), rec.Tasks[k+2]
-		if i < 0 || i >= len(j.Tasks()) || place >= len(rec.Hosts) {
-			return fmt.Errorf("admission record %s/%d names task %d on place %d", j.ID, s.Number, i, place)
+		index, attempt, machineIndex := rec.Tasks[k], ids.Attempt(rec.Tasks[k+1]), rec.Tasks[k+2]
+		if index < 0 || index >= len(j.Tasks()) || machineIndex >= len(rec.Hosts) {
+			return fmt.Errorf("admission record %s/%d names task %d on place %d", j.ID, s.Number, index, machineIndex)
 		}
-		t := j.Task(i)
-		j.LoadAttempt(s, i, attempt)
-		if place < 0 || t.State() == cluster.TaskDone {
+		t := j.Task(index)
+		j.LoadAttempt(s, index, attempt)
+		if machineIndex < 0 || t.State() == cluster.TaskDone {
 			continue
 		}
-		m := r.cluster.EnsureMachine(rec.Hosts[place])
-		if m.Zone() == "" && place < len(rec.Zones) {
-			r.sites.setSite(m, placement.Site{Zone: rec.Zones[place]}, "")
+		m := r.cluster.EnsureMachine(rec.Hosts[machineIndex])
+		if m.Zone() == "" && machineIndex < len(rec.Zones) {
+			r.sites.setSite(m, placement.Site{Zone: rec.Zones[machineIndex]}, "")
 		}
-		r.cluster.Inherit(j, i, m, ids.NewFencingToken(r.revision, 0)-1)
+		r.cluster.Inherit(j, index, m, ids.NewFencingToken(r.revision, 0)-1)
 	}
 	return nil
 }
@@ -164,7 +163,7 @@
 	}
 	if j == nil {
 		if s := r.graph.ReadinessOf(id).State; rec.Terminal() || s == dependency.Done || s == dependency.Cancelled {
-			r.applyJobRecord(id, rec) // or an older record, delivered late
+			r.applyJobRecord(id, rec) // the job has ended; the record may be an older one
 			return
 		}
 		j = r.cluster.AddJob(id, rec, revision)
@@ -182,8 +181,8 @@
 	}
 }
 
-// begin makes the jobs ready for the term once all records are loaded. It goes by ID: that
-// decides what is stopped, sent and written first.
+// begin makes the jobs ready for the term once all records are loaded. It visits them by ID,
+// since the order decides what is stopped, sent and written first.
 func (r *jobIntake) begin() {
 	for _, j := range r.cluster.SortedJobs() {
 		j.RebuildSlices()
@@ -217,8 +216,8 @@
 	return now.Add(-min(max(age, 0), maxInheritedWait))
 }
 
-// applyJobRecord takes a record into the dependency graph and updates all jobs whose
-// standing changes.
+// applyJobRecord puts a job's record into the dependency graph and updates all jobs whose
+// readiness or priority changes.
 func (r *jobIntake) applyJobRecord(id ids.JobID, rec *records.Job) {
 	for _, other := range r.graph.Put(id, rec.Dependencies()) {
 		if j := r.cluster.Job(other); j != nil {
@@ -227,10 +226,9 @@
 	}
 }
 
-// syncDependencies brings a job in line with the graph: its priority, whether it may run,
-// and whether it is cancelled because one that it depends on is. Such a job never had a
-// task, and this is what users are told at once; its own record is written when there is
-// time.
+// syncDependencies updates a job from the dependency graph: its priority, whether it may run,
+// and whether it is cancelled because one that it depends on is. Such a job never had a task.
+// Users see it as cancelled at once. Its own record is written later.
 func (r *jobIntake) syncDependencies(j *cluster.Job) {
 	if j.Terminal() {
 		return
--- a/scheduler/reservations.go
+++ b/scheduler/reservations.go
@@ -11,10 +11,13 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// reservations keeps machines for jobs that could not start for too long. Later jobs that
-// fit pass one that does not, so a large one might wait for ever while small ones take each
-// gap as it opens. Once it has waited too long, machines that it could use take no other
-// work of its priority or below, until their room has grown to what it needs.
+// reservations keeps machines for jobs that could not start for too long. Later jobs
+// that fit are admitted before one that does not, so a large job might wait forever while small
+// ones take all resources that become free. Once it has waited too long, some machines that it
+// could use take no other work of its priority or below, until enough is free there.
+//
+// Each scheduling round calls update after admission and preemption. It must not place or stop
+// a task, nor reserve more than maxReservedShare of the machines.
 type reservations struct {
 	cluster    *cluster.State
 	clock      *clock.Clock
@@ -29,20 +32,20 @@
 // reservationSettings are the settings of reservations.
 type reservationSettings struct {
 	// after is how long a job waits for its start until machines are reserved for it; 0:
-	// none ever are. lasting is how long a reservation lasts.
+	// nothing is reserved. lasting is how long a reservation lasts.
 	after, lasting time.Duration
 }
 
 const (
-	// maxReservedShare bounds the reserved machines, as a part of all.
+	// maxReservedShare bounds the reserved machines, as a fraction of all.
 	maxReservedShare = 0.1
-	// reservationRecheck is how soon a job that waits to start is looked at again: time
-	// alone lets it gain a reservation, or lose it.
+	// reservationRecheck is how soon a job that waits to start is examined again: it may
+	// gain or lose a reservation by time alone.
 	reservationRecheck = time.Second
 )
 
-// reservedForOther tells whether a machine is reserved for another job. Critical work, and
-// what must start sooner than a machine boots, goes before those that starve.
+// reservedForOther tells whether a machine is reserved for another job. Critical and
+// latency-sensitive jobs do not yield to the reservations of starving jobs.
 func (r *reservations) reservedForOther(m *cluster.Machine, j *cluster.Job) bool {
 	owner := m.Admission.ReservedFor
 	if owner == nil || owner == j {
@@ -53,8 +56,8 @@
 }
 
 // update drops the reservations that ended and reserves machines for the jobs that need
-// them. What another job waits for is not reserved twice, and room that did not suffice in
-// time is given up for a while.
+// them. No machine is reserved for two jobs. A reservation that did not suffice in time is
+// dropped for a while.
 func (r *reservations) update(waiting []*cluster.Job) {
 	if r.settings.after <= 0 {
 		return
@@ -74,8 +77,9 @@
 		}
 		n := j.TasksTogether()
 		if !r.quota.fits(j, borrowedQuota, n) && !(j.Priority() == wire.BestEffort && r.queue.starving(j)) {
-			// It does not wait for room. What is lent comes and goes, though, and
-			// best-effort work lives on it alone: it must find room when it comes.
+			// The job waits for quota, not for machines. Only a starving best-effort job
+			// keeps its machines: it runs on borrowed quota alone, which may be available
+			// only for a short time.
 			continue
 		}
 		kept += r.reserve(j, n, held[j], kept)
@@ -87,8 +91,8 @@
 	return r.clock.Now() > j.Queue.ReservedSince.Add(r.settings.lasting)
 }
 
-// dropEnded ends the reservations that are over or of no use, and lists the machines of the
-// others by job, with their number.
+// dropEnded drops the reservations that have ended or that are not needed any more. It returns
+// the machines of the others by job, and their number.
 func (r *reservations) dropEnded() (held map[*cluster.Job][]*cluster.Machine, kept int) {
 	held = map[*cluster.Job][]*cluster.Machine{}
 	for _, m := range r.cluster.Machines() {
@@ -107,16 +111,16 @@
 	return held, kept
 }
 
-// reserve keeps machines for n tasks of a job, beside those it holds: those with most room
-// go first. kept is how many machines are reserved for any job; the result is how many were
-// added. With hundreds of jobs waiting it must look at the machines only for those that need
-// more, and not at all once no more may be kept.
+// reserve reserves machines for n tasks of a job, beside those it holds, those with most free
+// CPUs first. kept is how many machines are reserved for any job; the result is how many were
+// added. Hundreds of jobs may wait, so it lists the machines only for jobs that need more, and
+// not once the limit is reached.
 func (r *reservations) reserve(j *cluster.Job, n int, held []*cluster.Machine, kept int) (added int) {
 	need := placement.TaskResources(j.Spec)
 	zones := placement.TasksByZone{}
 	hold := func(m *cluster.Machine) {
-		for room := m.Total(); n > 0 && need.FitsIn(room) && zones.Allows(j.Spec, m.Zone()); n-- {
-			room = room.Minus(need)
+		for left := m.Total(); n > 0 && need.FitsIn(left) && zones.Allows(j.Spec, m.Zone()); n-- {
+			left = left.Minus(need)
 			zones[m.Zone()]++
 		}
 	}
@@ -145,7 +149,7 @@
 }
 
 // reservable lists the unreserved machines that could hold a task of a job if they were
-// empty, those with most room first.
+// empty, those with most free CPUs first.
 func (r *reservations) reservable(j *cluster.Job) []*cluster.Machine {
 	need := placement.TaskResources(j.Spec)
 	r.candidates.examined += uint64(len(r.candidates.machines))
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -11,21 +11,22 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// placementRequest is all that decides whether a task finds a machine. Once one task found
-// none, the rest of the round need not look again for its like: room only shrinks during a
+// placementRequest is all that decides whether a task finds a machine. After one task found
+// none, equal requests need no search in the same round: free resources only shrink during a
 // round.
 type placementRequest struct {
 	resources     placement.Resources
 	priority      wire.Priority
 	spot          bool
 	zone          ids.Zone
-	image         ids.Image // where only machines that hold it will do
-	openZones     uint64    // the zones that the job's other tasks leave open
-	gate          gateClass // what zones that return look at
-	tasksTogether int       // how many must find room together
+	image         ids.Image // "" unless the machine must hold the image or a zone recovers
+	openZones     uint64    // bit set of the zones that the spread of the job allows
+	gate          gateClass // what the gates of recovering zones depend on
+	tasksTogether int       // how many tasks must fit at once
 }
 
-// searcher makes the searches for machines, and knows what their scores depend on.
+// searcher makes the searches for machines and scores them for tasks. It changes no state
+// but the count of machines examined.
 type searcher struct {
 	clock        *clock.Clock
 	candidates   *candidateList
@@ -43,13 +44,13 @@
 // maxRequestZones is how many zones a placementRequest can tell apart.
 const maxRequestZones = 64
 
-// requestOf is the request of a job's next task, given where its others are; ok is
-// false for a job that is like no other.
+// requestOf is the request of a job's next task while its other tasks are in the given zones;
+// ok is false if the result for this job may differ from that for an equal request.
 func (s *searcher) requestOf(j *cluster.Job, at placement.TasksByZone) (request placementRequest, ok bool) {
 	spec := j.Spec
 	if len(spec.Types) > 0 || len(s.candidates.zones) > maxRequestZones || j.Queue.ReservedSince != 0 {
-		// Machines that are reserved for a job are there for no other: one like it
-		// that found none must not keep the job from them.
+		// Machines may be reserved for this job alone, so an equal request of another job
+		// says nothing about it.
 		return placementRequest{}, false
 	}
 	request = placementRequest{resources: placement.TaskResources(spec), priority: j.Priority(), spot: spec.Spot, zone: spec.Zone}
@@ -70,14 +71,14 @@
 	return request, ok
 }
 
-// needsImage tells whether only machines that hold its image will do for a job: fetching it
-// takes longer than making room where it is.
+// needsImage tells whether a job may only use machines that hold its image. To fetch it takes
+// longer than to preempt tasks where it is.
 func (s *searcher) needsImage(j *cluster.Job) bool {
 	return s.queue.latencySensitive(j) && !j.Queue.AllowColdStart
 }
 
-// candidateSearch finds machines for the tasks of one job, one after the other. All
-// machines are looked at once; after that only those that took a task.
+// candidateSearch finds machines for the tasks of one job, one after the other. It scores all
+// machines once, and later only those that took a task.
 type candidateSearch struct {
 	*searcher
 	job        *cluster.Job
@@ -86,11 +87,11 @@
 	replicasOn map[*cluster.Machine]int // tasks of a service by machine
 }
 
-// candidate is a machine with its score, less what the zone counts for.
+// candidate is a machine with its score, without the part that depends on the zone.
 type candidate struct {
 	machine  *cluster.Machine
 	score    float64
-	position int // in the order of hosts, which decides between equals
+	position int // in the list of machines; decides between equal scores
 }
 
 // zoneHeap holds the candidates of a zone, the best on top.
@@ -145,7 +146,8 @@
 	return search
 }
 
-// allows tells whether a machine has room for a task of the job and may be used for it.
+// allows tells whether a machine has free resources for a task of the job and may be used for
+// it.
 func (s *candidateSearch) allows(m *cluster.Machine) bool {
 	j := s.job
 	if !s.need.FitsIn(m.Free()) || !placement.Allowed(j.Spec, m.Site()) {
@@ -195,26 +197,26 @@
 	return best.machine
 }
 
-// bestIn finds the best machine of a zone for a task, with its present score. Machines that
-// still report an earlier attempt of the task are passed over.
+// bestIn finds the best machine of a zone for a task, with its present score. It skips
+// machines whose newest heartbeat shows an earlier attempt of the task.
 func (s *candidateSearch) bestIn(z *zoneHeap, index int) (top candidate, ok bool) {
 	ref := ids.TaskRef{Job: s.job.ID, Index: index}
-	var aside []candidate
+	var skipped []candidate
 	for z.Len() > 0 && z.list[0].machine.ReportsTask(ref) {
-		aside = append(aside, heap.Pop(z).(candidate))
+		skipped = append(skipped, heap.Pop(z).(candidate))
 	}
 	if z.Len() > 0 && s.zones.admits(s.job, index, z.list[0].machine) {
 		top, ok = z.list[0], true
 		s.candidates.examined++
 		top.score = s.score(top.machine, s.job.Zones()[z.zone])
 	}
-	for _, a := range aside {
-		heap.Push(z, a)
+	for _, c := range skipped {
+		heap.Push(z, c)
 	}
 	return top, ok
 }
 
-// reinsert brings a machine that was given a task back to its rank.
+// reinsert updates the rank of a machine that was given a task.
 func (s *candidateSearch) reinsert(m *cluster.Machine) {
 	if s.replicasOn != nil {
 		s.replicasOn[m]++
@@ -229,16 +231,16 @@
 	heap.Fix(z, i)
 }
 
-// offer describes a machine to the scoring.
+// offer describes a machine for the scoring.
 func (s *searcher) offer(j *cluster.Job, m *cluster.Machine) placement.Candidate {
 	now := s.clock.Now()
-	failedLately := len(m.Health.FailuresByJob) > 0 && now < m.Health.LastFailure.Add(quarantinePeriod)
+	failedRecently := len(m.Health.FailuresByJob) > 0 && now < m.Health.LastFailure.Add(quarantinePeriod)
 	o := placement.Candidate{
 		Site:             m.Site(),
 		Free:             m.Free(),
 		Total:            m.Total(),
 		Cached:           m.HasImage(j.Spec.Image),
-		Suspect:          j.Failures.AntiAffinity[m.ID] != 0 || now < m.Health.SlowUntil || failedLately,
+		Suspect:          j.Failures.AntiAffinity[m.ID] != 0 || now < m.Health.SlowUntil || failedRecently,
 		LatencySensitive: s.queue.latencySensitive(j),
 		Unproven:         s.zones.unproven(m.Zone()),
 		Preferred:        j.Queue.PreferredZone == m.Zone() && m.Zone() != "" && now < j.Queue.PreferredUntil,
