--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -22,7 +22,7 @@
 	factors map[string]float64
 }
 
-// newRunEstimates makes estimates that have seen no run yet.
+// newRunEstimates makes estimates without any run recorded.
 func newRunEstimates() *runEstimates {
 	return &runEstimates{factors: map[string]float64{}}
 }
@@ -37,7 +37,8 @@
 	return monotonic.Seconds(factor * s.EstimateS)
 }
 
-// recordRun learns from how long a task ran. A job without an estimate teaches nothing.
+// recordRun updates the factor of a class from how long a task ran. It ignores jobs without an
+// estimate.
 func (e *runEstimates) recordRun(s *wire.JobSpec, ran time.Duration) {
 	if s.EstimateS <= 0 {
 		return
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -32,7 +32,7 @@
 
 // failureHistory keeps the failures of jobs and machines, and weighs which of the two is at
 // fault. Heartbeats and the task lifecycle record how tasks ended. Placement asks it for a
-// job's anti-affinity. It quarantines machines and has jobs wait, but ends neither.
+// job's anti-affinity. It quarantines machines and delays jobs, but terminates no machine and ends no job.
 type failureHistory struct {
 	cluster *cluster.State
 	clock   *clock.Clock
@@ -40,12 +40,12 @@
 	zones   taskFailureObserver
 }
 
-// taskFailureObserver is told that a task failed.
+// taskFailureObserver learns that a task failed.
 type taskFailureObserver interface{ failed(a *cluster.Assignment) }
 
 // recordFailure weighs whether the machine or the job is at fault for a failed task.
 // Failures of several jobs on one machine quarantine the machine. Failures of one job on
-// several machines make the job wait, but it is never given up.
+// several machines make the job wait, but it is tried again without end.
 func (f *failureHistory) recordFailure(a *cluster.Assignment) {
 	m, j := a.Machine, a.Job
 	f.zones.failed(a)
@@ -62,7 +62,7 @@
 }
 
 // recordSuccess clears the machine's failures after a task that succeeded, and the job's
-// unless it is over. The count of a job's successes stays.
+// unless it has ended. The count of a job's successes stays.
 func (*failureHistory) recordSuccess(a *cluster.Assignment) {
 	clear(a.Machine.Health.FailuresByJob)
 	j := a.Job
@@ -90,7 +90,7 @@
 	}
 }
 
-// backOff has a job that fails everywhere wait. Only the first failure of a round counts:
+// backOff delays a job that fails everywhere. Only the first failure of a round counts:
 // the other tasks of the round fail with it.
 func (f *failureHistory) backOff(j *cluster.Job) {
 	if f.clock.Now() < j.Queue.RetryAt {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -9,8 +9,8 @@
 )
 
 // healthMonitor checks all machines for what changes with time alone: silence, lease expiry,
-// boots that take too long, spot reclaims, quarantines that end. It terminates machines that
-// are of no use any more and releases the tasks of those whose lease has expired.
+// boots that take too long, spot reclaims, quarantines that end. It terminates machines
+// that cannot be used any more and releases the tasks of those whose lease has expired.
 //
 // The other policies ask it for the health of machines and zones, which machineLiveness and
 // zoneOutages answer. Core.Step calls checkIfDue. It must never release a task that may still
@@ -47,7 +47,7 @@
 	previousLeader bool
 }
 
-// machineTerminator terminates machines, and drops what has ended with them.
+// machineTerminator terminates machines, and releases the tasks that ended with them.
 type machineTerminator interface {
 	terminateMachine(m *cluster.Machine, why terminateReason)
 	// requestTermination repeats a call to the cloud that failed.
@@ -118,7 +118,7 @@
 	}
 }
 
-// endQuarantine ends a machine's quarantine when its time is over.
+// endQuarantine ends a machine's quarantine when its time has passed.
 func (hm *healthMonitor) endQuarantine(m *cluster.Machine) {
 	if m.Health.QuarantinedUntil != 0 && hm.clock.Now() >= m.Health.QuarantinedUntil {
 		m.Health.QuarantinedUntil = 0
--- a/scheduler/lease_expiry.go
+++ b/scheduler/lease_expiry.go
@@ -12,8 +12,8 @@
 // docs/design.md relies on it where it proves that a task has ended.
 const leaseExpirySlack = time.Second
 
-// leaseExpiry tells which agents have lost their lease for certain, so that the tasks on
-// their machines have ended. It changes nothing.
+// leaseExpiry tells which agents' leases have certainly expired, so that the tasks on their
+// machines have ended. It changes nothing.
 type leaseExpiry struct {
 	clock   *clock.Clock
 	leaders previousAnswers
@@ -36,7 +36,7 @@
 }
 
 // lastAnswered is the latest time at which any leader can have answered an agent's heartbeat.
-// A previous leader without the key-value store may have gone on answering for its grace,
+// A previous leader without the key-value store may have answered during its grace,
 // until the agent was fenced or that leader followed this one.
 func (e *leaseExpiry) lastAnswered(m *cluster.Machine) monotonic.Instant {
 	if m.Agent.Fenced {
--- a/scheduler/liveness.go
+++ b/scheduler/liveness.go
@@ -16,8 +16,8 @@
 	minSilentMachines = 3
 )
 
-// machineLiveness tells from heartbeats which machines are heard and may get tasks. It
-// changes nothing. All other policies may ask it.
+// machineLiveness tells from heartbeats which machines are alive and may get tasks. It changes
+// nothing. All other policies may ask it.
 type machineLiveness struct {
 	clock    *clock.Clock
 	settings healthSettings
--- a/scheduler/machine_check.go
+++ b/scheduler/machine_check.go
@@ -8,12 +8,12 @@
 
 const (
 	// silentLeases is for how many leases a machine without tasks may be silent until it is
-	// terminated. One that hung or lost the network often comes back soon after its lease
-	// expired, sooner than another one boots, and holds its images. One that died costs
+	// terminated. One that hung or lost the network often sends heartbeats again soon after its
+	// lease expired, before another one could boot, and holds its images. One that failed costs
 	// nothing more, and the cloud's list shows that.
 	silentLeases = 2
 	// missingListsLimit is in how many of the cloud's lists in a row a machine must be
-	// missing until it is taken to be gone.
+	// missing until it counts as gone.
 	missingListsLimit = 2
 	// missingHeartbeats is for how many heartbeat intervals such a machine must be silent
 	// as well.
@@ -37,7 +37,7 @@
 	mostSilent bool
 }
 
-// run terminates a machine that is of no use any more, or releases the tasks of one whose
+// run terminates a machine that cannot be used any more, or releases the tasks of one whose
 // lease has expired.
 func (c *machineCheck) run(m *cluster.Machine) {
 	if why := c.reasonGone(m); why != keepMachine {
@@ -55,7 +55,7 @@
 	}
 }
 
-// terminate has a machine terminated. A spot instance that is missing without notice was
+// terminate terminates a machine. A spot instance that is missing without notice was
 // taken back by the cloud.
 func (c *machineCheck) terminate(m *cluster.Machine, why terminateReason) {
 	if why == terminateMissing && m.Spot() && m.Health.SpotReclaimAt == 0 {
@@ -71,7 +71,7 @@
 	case m.Lifecycle.ListedStatus == wire.MachineFailed:
 		return terminateFailed
 	case m.Lifecycle.MissingLists >= missingListsLimit && m.SilentFor(c.clock.Now(), missingHeartbeats*c.settings.heartbeatInterval):
-		// To terminate a machine that is gone does nothing. The cloud's answer then proves
+		// To terminate a machine that is gone has no effect, and the cloud's answer proves
 		// that it is gone.
 		return terminateMissing
 	case c.bootFailed(m):
@@ -111,8 +111,8 @@
 	return c.clock.Now() > deadline
 }
 
-// silentTooLong tells whether a machine without tasks is silent for longer than machines that
-// come back mostly are, while others are heard.
+// silentTooLong tells whether a machine without tasks has been silent for longer than machines
+// usually are that send heartbeats again, while others are heard.
 func (c *machineCheck) silentTooLong(m *cluster.Machine) bool {
 	if !m.Agent.Reported || len(m.Assignments()) > 0 || c.mostSilent || c.zonePartitionedRecently(m.Zone()) {
 		return false
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -8,11 +8,10 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// Options are the settings of one term of leadership, by the policy that they are for. The
-// scheduler sets no defaults: 0 means what the field says, and where it says nothing the
-// field must be set.
+// Options are the settings of one term of leadership, grouped by policy. The scheduler sets no
+// defaults: a field must be set unless its comment says what 0 means.
 type Options struct {
-	// Revision is the revision of the leader's key; fencing tokens are made of it.
+	// Revision is the revision of the leader's key; all fencing tokens of the term contain it.
 	Revision ids.Revision
 	// WallClockMS is the time of day in Unix milliseconds when the term begins, to tell how
 	// long jobs have waited already; 0: not known.
@@ -25,27 +24,27 @@
 	RecordOptions
 	CommandOptions
 
-	// ZoneRecovery is how zones that fall silent are watched and return; nil: they are not.
+	// ZoneRecovery is the policy for zone outages and recovery; nil: zone recovery is off.
 	ZoneRecovery *zonerecovery.Policy
 }
 
-// LeaseOptions are the timing of heartbeats and leases, and what earlier leaders may still do.
+// LeaseOptions are the timing of heartbeats and leases, and how long previous leaders may act.
 type LeaseOptions struct {
 	// HeartbeatInterval is the time between two heartbeats of a machine, AgentLease how long
 	// an agent keeps its tasks without an answer, and CancelDeadline the time in which a
 	// cancelled job's tasks must have ended.
 	HeartbeatInterval, AgentLease, CancelDeadline time.Duration
-	// PreviousLeader tells that another leader may have acted before.
+	// PreviousLeader tells that another leader may have acted before this term.
 	PreviousLeader bool
-	// PreviousLeaderGrace is how long a previous leader without the key-value store may go
-	// on answering machines after this term began, and PreviousLeaderGraceWithoutReplicas
+	// PreviousLeaderGrace is how long a previous leader without the key-value store may
+	// answer machines after this term began, and PreviousLeaderGraceWithoutReplicas
 	// the same for machines on which no replica of a service is recorded.
 	PreviousLeaderGrace, PreviousLeaderGraceWithoutReplicas time.Duration
 }
 
 // AdmissionOptions are the settings of scheduling rounds.
 type AdmissionOptions struct {
-	// MaxSkippedJobs is after how many jobs that did not fit a pass over the queue ends.
+	// MaxSkippedJobs is how many jobs that do not fit a pass over the queue may skip.
 	MaxSkippedJobs int
 	// LatencySensitive names the classes whose tasks must start sooner than a machine
 	// boots, with their objectives.
@@ -54,11 +53,11 @@
 	LendingSuspension time.Duration
 	// ReserveAfter is how long a job waits to start until machines are reserved for it;
 	// 0: never. ReserveFor is how long a reservation lasts. After twice ReserveAfter a
-	// job starts before others go on.
+	// job goes before jobs of its priority that have started.
 	ReserveAfter, ReserveFor time.Duration
 	// RoundInterval is the least time between two scheduling rounds, and
 	// RoundCostPerMachine the time that each machine examined in a round delays the next
-	// one. Heartbeats and renewals have their turn in between, however much work waits.
+	// one. Heartbeats and renewals are handled in between, however many jobs wait.
 	RoundInterval, RoundCostPerMachine time.Duration
 }
 
@@ -71,16 +70,17 @@
 	// BootFactor is how many times as long as its type's boot time a machine may take to
 	// boot.
 	BootFactor float64
-	// CapacityBackoff is how long a site that lacked capacity is first left alone.
+	// CapacityBackoff is how long no machine is requested at a site after its first lack of
+	// capacity.
 	CapacityBackoff time.Duration
-	// IdleTimeout is how long a machine may stand idle. SpotIdleFactor is how many times as
-	// long a spot instance may. HeadroomIdleTimeout holds for spare machines of latency
-	// sensitive classes.
+	// IdleTimeout is how long a machine may be idle. SpotIdleFactor is how many times as
+	// long a spot instance may. HeadroomIdleTimeout is for spare machines of
+	// latency-sensitive classes.
 	IdleTimeout         time.Duration
 	SpotIdleFactor      float64
 	HeadroomIdleTimeout time.Duration
-	// Headroom is the room kept free for latency sensitive classes, as a part of the most
-	// tasks that they had lately.
+	// Headroom is the capacity kept free for latency-sensitive classes, as a fraction of
+	// their recent peak of tasks.
 	Headroom float64
 }
 
@@ -94,10 +94,10 @@
 	SplitRecords bool
 	// SliceTasks is how many tasks share one admission record.
 	SliceTasks int
-	// LazyWriteDelay is how long a record may lag behind tasks that ended. A placement is
-	// recorded at once, since it is sent only then.
+	// LazyWriteDelay is how long a record may lag behind tasks that ended. Placements are
+	// recorded at once, since tasks start only after that.
 	LazyWriteDelay time.Duration
-	// WriteRate is how many operations a second the records may take; 0: no bound.
+	// WriteRate bounds the operations on records per second; 0: no bound.
 	WriteRate float64
 }
 
--- a/scheduler/previous_leaders.go
+++ b/scheduler/previous_leaders.go
@@ -9,46 +9,46 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// A leader that lost the state service and its peers, but not its workers, cannot tell
-// an outage from a successor. It goes on answering workers for a while, so that a zone
-// which is cut off together with its leader keeps its services. Machines without a replica
-// are answered for CancelMargin only, as their tasks may as well run elsewhere; the others
+// A leader that is cut off from the key-value store and its peers, but not from its agents,
+// cannot tell an outage from a later leader. It answers heartbeats for a while, so that a
+// zone which is cut off together with its leader keeps its services. It answers machines
+// without a replica for CancelMargin only, since their tasks may run elsewhere, and the others
 // for longer (election.LeaseBounds).
 //
-// Such a leader does not know of jobs that are cancelled through its successor meanwhile,
-// and renews the leases of their tasks. So a successor acknowledges the cancellation of a
-// job only once no earlier leader can keep one of its tasks for longer than cancel_s from
-// then.
-
-// CancelMargin is for how long an earlier leader may go on answering workers after a user
-// was told that a job is cancelled: the lease that it renews last must have ended within
-// cancel from then. It is 0 where cancel is no longer than a lease.
+// Such a leader does not know which jobs a later leader has cancelled, and renews the leases of
+// agents that run them. So a leader acknowledges the cancellation of a job only once no
+// previous leader can keep one of its tasks running for longer than the cancel deadline.
+
+// CancelMargin is how long a previous leader may answer heartbeats after a cancellation was
+// acknowledged: the last lease that it renews must expire within cancel from then. It is 0
+// where cancel is no longer than a lease.
 func CancelMargin(cancel, lease time.Duration) time.Duration {
 	return max(0, cancel-cancel/500-monotonic.AddDriftMargin(lease)-time.Second)
 }
 
-// previousLeaders is until when earlier leaders can have received heartbeats that they then
-// answered, and which heartbeats this leader may answer itself.
+// previousLeaders knows until when previous leaders can have received heartbeats that they then
+// answered, and which heartbeats this leader may answer itself. It changes nothing but its own
+// bounds, and Machine.Agent.HadReplicas when the term begins.
 type previousLeaders struct {
 	cluster  *cluster.State
 	clock    *clock.Clock
 	settings previousLeaderSettings
-	// withReplicas bounds answers to machines on which a replica was recorded when this
-	// term began, and others those to all others.
+	// withReplicas is the latest time at which a previous leader answers machines on which a
+	// replica was recorded when this term began, and others the same for all other machines.
 	withReplicas, others monotonic.Instant
-	// unclear tells that some records could not be read: any machine may have replicas.
+	// unclear tells that some records could not be read, so that any machine may have replicas.
 	unclear bool
-	// restrictedToReplicas tells that no machine may be answered but those with replicas;
-	// see RestrictToReplicas.
+	// restrictedToReplicas tells that only machines with replicas may be answered; see
+	// RestrictToReplicas.
 	restrictedToReplicas bool
 }
 
 // previousLeaderSettings are the settings of previousLeaders.
 type previousLeaderSettings struct {
-	// exists tells that another leader may have acted before.
+	// exists tells that another leader may have acted before this term.
 	exists bool
-	// grace is how long a previous leader without the key-value store may go on answering
-	// machines after this term began, and graceWithoutReplicas the same for machines on
+	// grace is how long a previous leader without the key-value store may answer machines
+	// after this term began, and graceWithoutReplicas the same for machines on
 	// which no replica is recorded.
 	grace, graceWithoutReplicas time.Duration
 	// cancelDeadline is the time in which a cancelled job's tasks must have ended.
@@ -68,13 +68,13 @@
 	}
 }
 
-// end notes that there is no earlier leader any more.
+// end notes that no previous leader answers any machine any more.
 func (p *previousLeaders) end() {
 	now := p.clock.Now()
 	p.withReplicas, p.others = min(p.withReplicas, now), min(p.others, now)
 }
 
-// until is the latest time at which an earlier leader answered a machine.
+// until is the latest time at which a previous leader answered a machine.
 func (p *previousLeaders) until(m *cluster.Machine) monotonic.Instant {
 	if m.Agent.HadReplicas || p.unclear {
 		return p.withReplicas
@@ -82,9 +82,9 @@
 	return p.others
 }
 
-// mayAnswer tells whether a machine's heartbeat may be answered. The records that place
-// a replica on it are those that the next leader reads: nothing that a leader without the
-// key-value store decided since is recorded, and neither is what it has found ended.
+// mayAnswer tells whether a machine's heartbeat may be answered. It goes by the committed
+// records, since the next leader reads the same: what a leader without the key-value store has
+// decided or observed is not recorded.
 func (p *previousLeaders) mayAnswer(m *cluster.Machine) bool {
 	return !p.restrictedToReplicas || m.HasRecordedReplica()
 }
@@ -92,20 +92,20 @@
 // mayAnswerRemoved tells whether the heartbeat of a machine that was removed may be answered.
 func (p *previousLeaders) mayAnswerRemoved() bool { return !p.restrictedToReplicas }
 
-// allHarmless tells whether no earlier leader answers machines any more, or for no longer
-// than CancelMargin.
+// allHarmless tells whether no previous leader answers any machine for longer than
+// CancelMargin.
 func (p *previousLeaders) allHarmless(now monotonic.Instant) bool {
 	return p.harmless(now, max(p.withReplicas, p.others))
 }
 
-// harmless tells whether an earlier leader that answers until a time does so for no longer
+// harmless tells whether a previous leader that answers until a time does so for no longer
 // than CancelMargin.
 func (p *previousLeaders) harmless(now, until monotonic.Instant) bool {
 	return now.Add(CancelMargin(p.settings.cancelDeadline, p.settings.agentLease)) >= until
 }
 
-// harmlessFor tells whether no earlier leader can keep a task of a job for too long. A
-// machine that has seen a token of this leader drops all that earlier ones answer.
+// harmlessFor tells whether no previous leader can keep a task of a job running for too long.
+// An agent that has seen a token of this leader ignores the answers of previous ones.
 func (p *previousLeaders) harmlessFor(now monotonic.Instant, j *cluster.Job) bool {
 	for _, a := range j.Active() {
 		if !a.Machine.Agent.Fenced && !p.harmless(now, p.until(a.Machine)) {
@@ -115,20 +115,20 @@
 	return true
 }
 
-// RestrictToReplicas sets whether this leader, which cannot rule out a later one, has to
-// leave all heartbeats unanswered but those of machines with recorded replicas.
+// RestrictToReplicas sets whether this leader answers only machines with recorded replicas. It
+// must do so while it cannot rule out a later leader.
 func (c *Core) RestrictToReplicas(only bool) { c.previousLeaders.restrictedToReplicas = only }
 
-// PreviousLeadersHarmless tells whether no earlier leader answers machines any more, or for
-// no longer than CancelMargin: then every cancellation may be acknowledged.
+// PreviousLeadersHarmless tells whether no previous leader answers any machine for longer than
+// CancelMargin. Then every cancellation may be acknowledged.
 func (c *Core) PreviousLeadersHarmless(now monotonic.Instant) bool {
 	return c.previousLeaders.allHarmless(now)
 }
 
-// CanAcknowledgeCancel tells whether the cancellation of a job, which the core has taken
-// in, may be told to users: this leader acts on it, and no earlier one can keep any of
-// the job's tasks for too long. A machine that was terminated has no tasks. What is not
-// recorded was never started, so the recorded tasks are all there are.
+// CanAcknowledgeCancel tells whether the cancellation of a job, which the core must have
+// observed, may be acknowledged to users: this leader acts on it, and no previous one can keep
+// any of the job's tasks running for too long. A machine that was terminated has no tasks. A
+// task without a record was never started, so the recorded tasks are all there are.
 func (c *Core) CanAcknowledgeCancel(now monotonic.Instant, id ids.JobID) bool {
 	if c.previousLeaders.allHarmless(now) {
 		return true
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -9,7 +9,8 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// jobQueue orders the jobs that wait for admission, and tells which have waited too long.
+// jobQueue orders the jobs that wait for admission, and tells which have waited too long. It
+// changes no job.
 type jobQueue struct {
 	cluster  *cluster.State
 	clock    *clock.Clock
@@ -28,12 +29,12 @@
 	reserveAfter time.Duration
 }
 
-// evacuationStatus tells whether work of some zone may have to find room elsewhere.
+// evacuationStatus tells whether work of some zone may need machines in other zones.
 type evacuationStatus interface{ evacuating() bool }
 
-// waitingJobs lists the jobs with tasks to place: by priority, then those that have
-// waited too long, then by creation time, or for pipelines by when they should start. While
-// a zone's work may have to move, services go before other jobs of their priority.
+// waitingJobs lists the jobs with tasks to place, by priority. Among equals those that have
+// waited too long come first, then services while work of a zone may have to move, then the
+// others by creation time, or by the time at which a late pipeline should start.
 func (q *jobQueue) waitingJobs() []*cluster.Job {
 	var out []*cluster.Job
 	for _, j := range q.cluster.Jobs() {
@@ -41,7 +42,7 @@
 			continue
 		}
 		if q.clock.Now() < j.Queue.RetryAt {
-			q.rounds.RecheckAt(j.Queue.RetryAt) // nothing else may happen until then
+			q.rounds.RecheckAt(j.Queue.RetryAt) // there may be no other event until then
 			continue
 		}
 		out = append(out, j)
@@ -85,28 +86,28 @@
 	// agedFactor is after how many times reserveAfter a job that could not start goes
 	// before the jobs of its priority that have started.
 	agedFactor = 2
-	// starvationFactor is after how many times reserveAfter a job that could not start has
-	// room reserved against work of higher priority too.
+	// starvationFactor is after how many times reserveAfter a job that could not start keeps
+	// its reserved machines from work of higher priority too.
 	starvationFactor = 2.5
 )
 
 // agedToFront tells whether a job has waited to start for so long that it goes before the
-// jobs of its priority that have started. A team's quota may all go to its older jobs,
-// task by task: reserved machines are of no use to a later one then.
+// jobs of its priority that have started. Otherwise a team's quota may all go to its
+// older jobs, task by task, and reserved machines are of no use to a later one.
 func (q *jobQueue) agedToFront(j *cluster.Job) bool { return q.waitedToStart(j, agedFactor) }
 
-// starving tells whether a job of any priority has waited to start for so long that
-// it must, as every job does within four minutes where limits allow. Best-effort work
-// would never see room where more urgent work takes each gap. One task is little.
+// starving tells whether a job has waited to start for so long that it goes before work of
+// higher priority. Every job must start within four minutes where limits allow. Otherwise
+// best-effort jobs might never start while other work takes all resources that become free.
 func (q *jobQueue) starving(j *cluster.Job) bool { return q.waitedToStart(j, starvationFactor) }
 
-// waitedToStart tells whether a job could not start for so many times reserveAfter.
+// waitedToStart tells whether a job could not start for the given multiple of reserveAfter.
 func (q *jobQueue) waitedToStart(j *cluster.Job, times float64) bool {
 	after := q.settings.reserveAfter
 	return !j.Started() && after > 0 && q.clock.Now() > j.Queue.ReadyAt.Add(time.Duration(times*float64(after)))
 }
 
-// starvingFirst lists waiting jobs with those that starve before all others.
+// starvingFirst lists waiting jobs, those that starve before all others.
 func (q *jobQueue) starvingFirst(waiting []*cluster.Job) []*cluster.Job {
 	if !slices.ContainsFunc(waiting, q.starving) {
 		return waiting
--- a/scheduler/quota_check.go
+++ b/scheduler/quota_check.go
@@ -14,7 +14,8 @@
 	borrowedQuota                    // also what the cohort lends
 )
 
-// quotaCheck tells which tasks fit the teams' quotas.
+// quotaCheck tells which tasks fit the teams' quotas. It charges nothing: the cluster state
+// does when a task is placed.
 type quotaCheck struct {
 	cluster *cluster.State
 	clock   *clock.Clock
@@ -30,8 +31,8 @@
 	takesTasks(m *cluster.Machine) bool
 }
 
-// updateSurplus gives the cohort what the machines have beyond the sum of the nominal
-// quotas: no team could use it otherwise.
+// updateSurplus sets the cohort quota to what the usable machines offer beyond the sum of the
+// nominal quotas. Otherwise no team could use that.
 func (c *quotaCheck) updateSurplus() {
 	var have quota.Amount
 	for _, m := range c.cluster.Machines() {
--- a/scheduler/reachability.go
+++ b/scheduler/reachability.go
@@ -15,9 +15,9 @@
 const acknowledgeSlack = 2 * time.Second
 
 // reachabilityDetector detects one-way partitions: a machine's heartbeats arrive, but no
-// command reaches it. Such a machine looks healthy, takes tasks and never runs them. Two
-// signs show it: its lease expires although every heartbeat was answered, or a task that it
-// was told to start does not appear.
+// command reaches it. Such a machine looks healthy, takes tasks and never runs them. It
+// shows in one of two ways: the machine's lease expires although every heartbeat was answered,
+// or a task for which a run command was sent does not appear.
 //
 // Each heartbeat that is newer than all before it goes to observe, or to confirm if the
 // machine sent it in answer to a call. The detector terminates no machine: the health check
@@ -45,25 +45,25 @@
 	m.Health.Unreachable = false
 }
 
-// observe judges from a heartbeat whether commands reach the machine. m is as it was before
-// the heartbeat.
+// observe judges from a heartbeat whether commands reach the machine. The heartbeat must not
+// have been applied to m yet.
 func (d *reachabilityDetector) observe(m *cluster.Machine, heartbeat *wire.Heartbeat) {
 	switch {
 	case m.Health.Unreachable:
 		if heartbeat.FencingToken >= d.tokens.tokenOf(m) {
-			d.confirm(m) // it shows the token that it was given since
+			d.confirm(m) // it has received the newer token
 		}
 	case !m.Agent.Reported:
-		// It was told nothing yet.
+		// No command was sent to it yet.
 	case d.lostAnsweredLease(m, heartbeat) || d.startUnacknowledged(m, heartbeat):
 		m.Health.Unreachable, m.Health.UnreachableSince = true, d.clock.Now()
-		// If the machine receives the new token, it soon shows it.
+		// A machine that receives the new token shows it in its next heartbeats.
 		d.tokens.raiseToken(m)
 		d.rounds.MarkDue()
 	}
 }
 
-// overdue tells whether an unreachable machine has had its time to show that it is not.
+// overdue tells whether an unreachable machine has had enough time to show that it is not.
 func (d *reachabilityDetector) overdue(m *cluster.Machine) bool {
 	return m.Health.Unreachable && d.clock.Now() > m.Health.UnreachableSince.Add(d.acknowledgeTimeout())
 }
@@ -76,12 +76,12 @@
 // lostAnsweredLease tells whether an agent lost its lease, and so began a new incarnation,
 // although a heartbeat was answered within the last two thirds of a lease.
 func (d *reachabilityDetector) lostAnsweredLease(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
-	answeredLately := d.clock.Now() < m.Agent.AnsweredAt.Add(d.settings.agentLease*2/3)
-	return heartbeat.Incarnation > m.Agent.Incarnation && answeredLately
+	answeredRecently := d.clock.Now() < m.Agent.AnsweredAt.Add(d.settings.agentLease*2/3)
+	return heartbeat.Incarnation > m.Agent.Incarnation && answeredRecently
 }
 
-// startUnacknowledged tells whether a heartbeat still lacks a task that its machine was told
-// to start longer ago than acknowledgeTimeout.
+// startUnacknowledged tells whether a heartbeat lacks a task for which a run command was
+// sent longer ago than acknowledgeTimeout.
 func (d *reachabilityDetector) startUnacknowledged(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
 	for _, a := range m.Assignments() {
 		if !a.Delivery.Sent || a.Delivery.Seen || a.StopReason() != cluster.StopNone {
--- a/scheduler/slow_machines.go
+++ b/scheduler/slow_machines.go
@@ -21,11 +21,11 @@
 	// slowStreakLimit is for how many jobs in a row a machine's running mean must be at
 	// slownessLimit or above until it is quarantined.
 	slowStreakLimit = 4
-	// minTasksToCompare is the least number of tasks of a job that is compared. Fewer say
-	// too little.
+	// minTasksToCompare is the least number of tasks of a job that is compared. The
+	// results of fewer are not significant.
 	minTasksToCompare = 4
-	// minRunTime is the least run time that is compared. Heartbeats tell no shorter times
-	// apart.
+	// minRunTime is the least run time that is compared. Heartbeats cannot show
+	// shorter times.
 	minRunTime = 100 * time.Millisecond
 )
 
@@ -39,8 +39,8 @@
 
 // compareRunTimes records the run time of a task that succeeded, before the cluster state
 // marks the task as done. With the last task of a job it compares the machines that the tasks
-// ran on: while some still run, those look slow beside the quick ones that are done. Tasks of
-// one job differ too, so one job alone says little. One slow job ranks a machine behind all
+// ran on: as long as some run, only the quick ones are known. Tasks of one job differ too, so one
+// job alone is weak evidence. One slow job ranks a machine behind all
 // others, and several in a row quarantine it.
 func (d *slownessDetector) compareRunTimes(a *cluster.Assignment) {
 	j := a.Job
--- a/scheduler/spot_reclaim.go
+++ b/scheduler/spot_reclaim.go
@@ -14,7 +14,7 @@
 	lifecycle taskStopper
 }
 
-// taskStopper tells tasks to leave their machines.
+// taskStopper stops tasks.
 type taskStopper interface {
 	stop(a *cluster.Assignment, why cluster.StopReason)
 }
--- a/scheduler/task_lifecycle.go
+++ b/scheduler/task_lifecycle.go
@@ -8,9 +8,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// taskLifecycle ends tasks: it stops them, releases what is known to have ended, and notes
-// what follows for records, commands, zones and estimates. The cluster state keeps the
-// assignments themselves.
+// taskLifecycle ends tasks: it stops them, releases those that are known to have ended, and
+// notifies record writing, command dispatch, the zone gate and the estimates. All policies end
+// tasks through it. It must not release a task that may still run.
 type taskLifecycle struct {
 	cluster   *cluster.State
 	clock     *clock.Clock
@@ -28,16 +28,16 @@
 // taskRecords notes which records of a job are behind.
 type taskRecords interface {
 	markTaskDirty(j *cluster.Job, index int)
-	// discard forgets unwritten changes of a job that is over.
+	// discard forgets unwritten changes of a job that has ended.
 	discard(j *cluster.Job)
 	markCompletable(j *cluster.Job)
 	markDroppable(j *cluster.Job)
 }
 
-// machineQueue takes the machines to which a command may have to go.
+// machineQueue queues machines to which a command may have to be sent.
 type machineQueue interface{ queueCommands(m *cluster.Machine) }
 
-// taskEndObserver is told that a task is off its machine.
+// taskEndObserver learns that a task was taken off its machine.
 type taskEndObserver interface{ detached(a *cluster.Assignment) }
 
 // runRecorder learns from how long tasks ran.
@@ -63,7 +63,7 @@
 }
 
 // release takes a task that is known to have ended off its machine; it is pending again
-// unless its job is over.
+// unless its job has ended.
 func (l *taskLifecycle) release(a *cluster.Assignment) {
 	if a.Run.Phase == wire.TaskRunning && !a.Job.Spec.Service {
 		lost := &l.lostWork[a.StopReason()]
@@ -79,7 +79,7 @@
 	l.records.markTaskDirty(a.Job, a.Index)
 }
 
-// withdraw takes back a placement of the present round.
+// withdraw undoes a placement of the present round.
 func (l *taskLifecycle) withdraw(a *cluster.Assignment) {
 	l.zones.detached(a)
 	l.cluster.Withdraw(a)
@@ -107,14 +107,14 @@
 }
 
 const (
-	// checkpointGraceFactor is how many times the time for a checkpoint a stopped task is
-	// given to write one, and checkpointGraceSlackS the seconds added to that.
+	// A stopped task gets checkpointGraceFactor times the time that a checkpoint takes, and
+	// checkpointGraceSlackS seconds more, to write one.
 	checkpointGraceFactor = 1.25
 	checkpointGraceSlackS = 0.5
 )
 
 // stop decides that a task must leave its machine. One that was never sent is released at
-// once, unless its record is in flight: then the outcome of that is awaited first.
+// once, or when the result of its record is known if that is in flight.
 func (l *taskLifecycle) stop(a *cluster.Assignment, why cluster.StopReason) {
 	a.Delivery.KillGraceS = 0
 	if why != cluster.StopCancelled && a.StopReason() != cluster.StopCancelled && a.Job.Spec.CheckpointEveryS > 0 {
@@ -128,7 +128,7 @@
 	l.rounds.MarkDue()
 }
 
-// endJob gives a job its terminal state and stops what it has on machines.
+// endJob gives a job its terminal state and stops its tasks on machines.
 func (l *taskLifecycle) endJob(j *cluster.Job, status wire.JobState) {
 	l.cluster.EndJob(j, status)
 	l.records.discard(j)
@@ -139,8 +139,8 @@
 	l.rounds.MarkDue()
 }
 
-// runTime is how long a task has been in its phase, less the pauses of this process: what
-// began or ended during a pause is heard of only after it.
+// runTime is how long a task has been in its phase, less the pauses of this process. Changes
+// during a pause are observed only after it.
 func runTime(now *clock.Clock, a *cluster.Assignment) time.Duration {
 	return now.Now().Sub(a.Run.PhaseSince) - (now.TotalPause() - a.Run.PausedBefore)
 }
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -22,8 +22,8 @@
 	// zone is added to zoneSilence.
 	zoneSilenceHeartbeats = 10
 	// zoneOutageLimit is how long after its last heartbeat a zone counts as partitioned. Its
-	// machines are kept for that time, since they come back without a boot, and with their
-	// images. After that the zone is tried again.
+	// machines are kept for that time, since they need no boot when the zone is heard again, and
+	// hold their images. After that the zone may be used again.
 	zoneOutageLimit = 3 * time.Minute
 	// partitionEndHeartbeats is how many heartbeat intervals the machines of a zone have
 	// to be heard once the first of them is heard again. A partition that lasted for longer
@@ -51,7 +51,7 @@
 	partitionedAt monotonic.Instant
 }
 
-// newZoneOutages makes a detector that has heard of no zone yet.
+// newZoneOutages makes a detector that has observed no zone yet.
 func newZoneOutages(state *cluster.State, now *clock.Clock, settings healthSettings) *zoneOutages {
 	return &zoneOutages{cluster: state, clock: now, settings: settings, zoneStates: map[ids.Zone]*zoneState{}}
 }
@@ -87,8 +87,8 @@
 }
 
 // zonePartitioned tells whether a whole zone fell silent at once while others are heard.
-// Machines provisioned there could not send heartbeats. They would cost, count as capacity
-// that is coming, and keep others from being provisioned elsewhere.
+// Machines provisioned there could not send heartbeats. They would cost money and count as
+// capacity that boots, which would keep others from being provisioned elsewhere.
 func (o *zoneOutages) zonePartitioned(zone ids.Zone) bool {
 	z := o.zoneStates[zone]
 	if z == nil || z.machinesUp < minZoneMachines || !o.silent(z) {
