--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -8,11 +8,11 @@
 )
 
 // candidateList holds the machines that take tasks in the present scheduling round. It also
-// measures the work of all rounds, without a clock.
+// counts the machines that rounds examine, as a measure of their work without a clock.
 type candidateList struct {
 	machines []*cluster.Machine // by ID
 	zones    []ids.Zone
-	// examined counts the machines that all rounds so far have looked at.
+	// examined counts the machines that all rounds of the term have examined.
 	examined uint64
 }
 
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -9,12 +9,12 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// commandDispatcher decides what each agent is told, and under which fencing token: in the
-// answer to its heartbeat, or by a direct call where the next heartbeat would be too late. It
+// commandDispatcher decides which commands each agent gets, and under which fencing token: in
+// the answer to its heartbeat, or by a direct call where the next heartbeat would be too late. It
 // also decides which agents are asked for a heartbeat, and bounds the calls in flight.
 //
 // Heartbeats, health checks, the task lifecycle and record writing queue the machines to
-// which a command may have to go; each step of the core dispatches to them. The dispatcher
+// which a command may have to be sent; each step of the core dispatches to them. The dispatcher
 // makes no call itself. It writes the notes in Machine.Commands and Assignment.Delivery. It
 // never starts a task whose record is not committed, and never lets an agent forget an
 // attempt whose end is not recorded.
@@ -23,7 +23,7 @@
 	clock    *clock.Clock
 	records  taskRecordStatus
 	settings dispatchSettings
-	// queue holds the machines to which a command may have to go, in the order in which
+	// queue holds the machines to which a command may have to be sent, in the order in which
 	// they were queued.
 	queue []*cluster.Machine
 	// callsInFlight counts the calls to agents that have not ended.
@@ -48,7 +48,7 @@
 }
 
 // Bounds of the commands in one message. They keep it within the protocol's limit for
-// bodies, and leave room for reaping beside many kill commands.
+// bodies, and leave space for reap commands beside many kill commands.
 const (
 	maxCommands     = 300
 	maxKillCommands = maxCommands / 2
@@ -60,7 +60,7 @@
 	return ids.NewFencingToken(d.settings.revision, m.Commands.TokenCounter)
 }
 
-// raiseToken has commands to a machine carry a higher token from now on. An agent that has
+// raiseToken makes commands to a machine carry a higher token from now on. An agent that has
 // seen it refuses every command under a lower one.
 func (*commandDispatcher) raiseToken(m *cluster.Machine) { m.Commands.TokenCounter++ }
 
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -55,14 +55,14 @@
 	decisions Decisions
 }
 
-// SetCatalog takes the cloud's machine types and current prices.
+// SetCatalog sets the cloud's machine types with their current prices.
 func (c *Core) SetCatalog(types []wire.MachineType) { c.cluster.SetCatalog(types) }
 
 // Superseded tells that an agent has seen a later leader.
 func (c *Core) Superseded() bool { return c.heartbeats.superseded }
 
-// RecordsError is set when the records are not as this leader left them. The term
-// must then end and the records be read again.
+// RecordsError is not nil once the records are not as this leader left them. The term must then
+// end, and the records must be read again.
 func (c *Core) RecordsError() error { return c.records.err }
 
 // Begin begins the term once the records are loaded.
@@ -77,11 +77,11 @@
 	c.rounds.MarkDue()
 }
 
-// AllControllersFollow is called when every other controller has confirmed, since this term
-// began, that it follows this leader. A process that knows of a later leader answers no
-// heartbeat for an earlier one, nor does one that was started since. So no other leader can
-// renew an agent's lease for a heartbeat sent from now on, and tasks on silent machines need
-// not wait for the grace of previous leaders.
+// AllControllersFollow notes that every other controller has confirmed, since this term began,
+// that it follows this leader. A process that knows of a later leader answers no heartbeat for
+// an earlier one, and neither does a process that starts after that. So no previous leader can
+// renew an agent's lease for a heartbeat sent from now on, and tasks on silent machines need not
+// wait for the grace of previous leaders.
 func (c *Core) AllControllersFollow(now monotonic.Instant) {
 	c.clock.Set(now)
 	c.previousLeaders.end()
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -12,7 +12,7 @@
 // callRetryDelay is how long a machine is not called after a call failed.
 const callRetryDelay = time.Second
 
-// TakeCommands hands out the commands that should be sent to a machine now, and its agent's
+// TakeCommands returns the commands that should be sent to a machine now, and its agent's
 // address. ok is false if nothing may be sent. Otherwise the call counts as in flight until
 // CommandsResult.
 func (c *Core) TakeCommands(now monotonic.Instant, machine ids.MachineID) (batch wire.CommandBatch, endpoint string, ok bool) {
@@ -21,8 +21,8 @@
 }
 
 // CommandsResult ends a call that TakeCommands began. heartbeat is the agent's answer, or nil
-// if there was none. Without an answer the commands may still be carried out later; fencing
-// tokens keep that from doing harm.
+// if there was none. Without an answer the agent may still carry the commands out later; fencing
+// tokens make that harmless.
 func (c *Core) CommandsResult(now monotonic.Instant, machine ids.MachineID, heartbeat *wire.Heartbeat) {
 	c.clock.Set(now)
 	if heartbeat == nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// receiveCallAnswer takes in the heartbeat with which an agent answered a call, unless the
+// receiveCallAnswer applies the heartbeat with which an agent answered a call, unless the
 // machine was removed or another machine has its address now.
 func (c *Core) receiveCallAnswer(machine ids.MachineID, heartbeat *wire.Heartbeat) {
 	if heartbeat.Machine == machine && c.cluster.Machine(machine) != nil {
@@ -88,8 +88,8 @@
 	m.Commands.CallRetryAt = d.clock.Now().Add(callRetryDelay)
 }
 
-// allowCalls has a machine called again although its last call failed: it has sent a heartbeat
-// since.
+// allowCalls lets a machine be called again although its last call failed, since it has sent a
+// heartbeat.
 func (*commandDispatcher) allowCalls(m *cluster.Machine) { m.Commands.CallFailed = false }
 
 // heartbeatRequested counts a request for a machine's heartbeat as in flight.
--- a/scheduler/dispatch_queue.go
+++ b/scheduler/dispatch_queue.go
@@ -29,7 +29,7 @@
 	requestHeartbeat
 )
 
-// queueCommands notes that a command may have to go to a machine. Only such machines are
+// queueCommands notes that a command may have to be sent to a machine. Only such machines are
 // examined: to examine a thousand machines after every event would take too much processor
 // time.
 func (d *commandDispatcher) queueCommands(m *cluster.Machine) {
@@ -39,9 +39,9 @@
 	}
 }
 
-// dispatch lists the agents that should be called now, those that were queued first in front.
-// After a failover or a partition hundreds of machines are queued while events keep coming, so
-// the bound of calls in flight also keeps a step short.
+// dispatch lists the agents that should be called now, in the order in which they were queued.
+// After a failover or a partition hundreds of machines are queued while events arrive, so the
+// bound of calls in flight also keeps a step short.
 func (d *commandDispatcher) dispatch() agentCalls {
 	var calls agentCalls
 	free := d.freeCalls()
@@ -91,7 +91,7 @@
 	case d.needsDirectCall(m):
 		return sendCommands
 	case needsFencing(m):
-		return stayQueued // it will need a call unless a heartbeat comes first
+		return stayQueued // it needs a call unless it sends a heartbeat first
 	}
 	return leaveQueue
 }
@@ -104,8 +104,8 @@
 // needsHeartbeatRequest tells whether the agent of a machine that a previous leader left should
 // be asked for a heartbeat now. After a failover the agent's incarnation is not known, and the
 // agent may take seconds to find this leader. A previous leader that lost the key-value store
-// and this leader, but not its agents, keeps them from doing so; the first agent that shows it
-// a token of this leader makes it step down.
+// and this leader, but not its agents, keeps them from doing so. It steps down when an agent
+// shows it a token of this leader.
 func (d *commandDispatcher) needsHeartbeatRequest(m *cluster.Machine) bool {
 	if m.Agent.Reported || m.Commands.HeartbeatRequested || !mayBeCalled(m) {
 		return false
@@ -113,17 +113,18 @@
 	if d.clock.Now() < m.Commands.RequestHeartbeatAt {
 		return false
 	}
-	runs := m.Lifecycle.ListedStatus == wire.MachineRunning && !m.Lifecycle.RentedThisTerm
-	return runs || len(m.Assignments()) > 0
+	running := m.Lifecycle.ListedStatus == wire.MachineRunning && !m.Lifecycle.RentedThisTerm
+	return running || len(m.Assignments()) > 0
 }
 
-// needsFencing tells whether a machine with tasks has yet to show a token of this leader. The
-// answer to its heartbeat contains one. An agent that sends none here must be called.
+// needsFencing tells whether a machine has tasks and has not shown a token of this leader. The
+// answer to its heartbeat contains one. An agent that sends no heartbeats here must be called.
 func needsFencing(m *cluster.Machine) bool {
 	return !m.Agent.Fenced && len(m.Assignments()) > 0
 }
 
-// needsDirectCall tells whether an agent must be told something before its next heartbeat.
+// needsDirectCall tells whether an agent must get a command or a token before its next
+// heartbeat.
 func (d *commandDispatcher) needsDirectCall(m *cluster.Machine) bool {
 	if needsFencing(m) && d.answerOverdue(m) {
 		return true
--- a/scheduler/kill_commands.go
+++ b/scheduler/kill_commands.go
@@ -6,8 +6,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// killCommands lists what must end on a machine; the list is never nil. It also sees that no
-// run command in flight starts a stopped task later.
+// killCommands lists the commands that kill what must end on a machine; the list is never nil.
+// It also makes sure that no run command in flight starts a stopped task later.
 func (d *commandDispatcher) killCommands(m *cluster.Machine) []wire.Command {
 	d.outdateRunsOfStoppedTasks(m)
 	commands := d.killStoppedTasks(m)
@@ -20,7 +20,7 @@
 }
 
 // outdateRunsOfStoppedTasks raises a machine's token if the message that would start a stopped
-// task may still be in flight. While a direct call is in flight its outcome is awaited. A run
+// task may still be in flight. While a direct call is in flight it waits for the result. A run
 // command that a previous leader sent has an older token anyway.
 func (d *commandDispatcher) outdateRunsOfStoppedTasks(m *cluster.Machine) {
 	if m.Commands.CallInFlight {
--- a/scheduler/preemption_scheduler.go
+++ b/scheduler/preemption_scheduler.go
@@ -21,7 +21,7 @@
 	lifecycle    *taskLifecycle
 }
 
-// failedMachines tells whether a job keeps off a machine where its tasks failed.
+// failedMachines tells whether a job avoids a machine where its tasks failed.
 type failedMachines interface {
 	hasAntiAffinity(j *cluster.Job, m *cluster.Machine) bool
 }
@@ -35,8 +35,8 @@
 func (*preemptionScheduler) Probing(j *cluster.Job) bool { return probing(j) }
 
 // MayUse tells whether the next pending task of a job could go to a machine with enough
-// room. A reservation counts only while its job starves: until then room may be made on the
-// machine for others.
+// free resources. A reservation counts only while its job starves. Until then tasks may be
+// preempted on the machine for other jobs.
 func (s *preemptionScheduler) MayUse(j *cluster.Job, m *cluster.Machine) bool {
 	next := j.Pending()[len(j.Pending())-1]
 	if !s.zones.admits(j, next, m) || s.failures.hasAntiAffinity(j, m) {
@@ -46,8 +46,8 @@
 }
 
 // RequestClass classifies the next task of a job. How many tasks must be placed together
-// matters for admission, not for the one task that room is made for. A machine without the
-// image costs more for a latency-sensitive job.
+// matters for admission, but not here, where each task is planned for alone. A machine without
+// the image costs more for a latency-sensitive job.
 func (s *preemptionScheduler) RequestClass(j *cluster.Job, zones placement.TasksByZone) (preemption.RequestClass, bool) {
 	request, ok := s.searches.requestOf(j, zones)
 	request.tasksTogether = 0
@@ -62,7 +62,7 @@
 	return runTime(s.clock, a)
 }
 
-// Stop tells a task to leave its machine.
+// Stop stops a task.
 func (s *preemptionScheduler) Stop(a *cluster.Assignment, why cluster.StopReason) {
 	s.lifecycle.stop(a, why)
 }
--- a/scheduler/reachability.go
+++ b/scheduler/reachability.go
@@ -33,7 +33,7 @@
 type fencingTokens interface {
 	// tokenOf is the token that commands to a machine carry now.
 	tokenOf(m *cluster.Machine) ids.FencingToken
-	// raiseToken has commands to a machine carry a higher token from now on.
+	// raiseToken makes commands to a machine carry a higher token from now on.
 	raiseToken(m *cluster.Machine)
 }
 
--- a/scheduler/reap_commands.go
+++ b/scheduler/reap_commands.go
@@ -25,8 +25,8 @@
 	return commands
 }
 
-// endRecorded tells whether the end of an attempt is recorded, or has no consequence since its
-// job is over.
+// endRecorded tells whether the end of an attempt is recorded, or has no effect since its
+// job has ended.
 func (d *commandDispatcher) endRecorded(reported *cluster.ReportedTask) bool {
 	j := d.cluster.Job(reported.Ref.Job)
 	if j == nil || j.Terminal() {
--- a/scheduler/record_cancel.go
+++ b/scheduler/record_cancel.go
@@ -11,7 +11,7 @@
 type orphanCancel struct{ job *cluster.Job }
 
 // recordOrphanCancels records that jobs are cancelled with one that they depend on. None of
-// them ever had a task, so nothing else of them has to be kept. There may be thousands, so
+// them ever had a task, so no other record of them is needed. There may be thousands, so
 // each is visited once, in order. False means that the write budget is spent.
 func (w *recordWriter) recordOrphanCancels() bool {
 	for range len(w.orphanCancels) {
@@ -55,10 +55,10 @@
 	w.cancelRecorded(p.job)
 }
 
-// rollBack tries again later, unless the job's user cancels it too until then.
+// rollBack tries again later, unless the job's user cancels it in the meantime.
 func (p *orphanCancel) rollBack(w *recordWriter) {
 	w.orphanCancels = append(w.orphanCancels, p.job)
 }
 
-// outstanding is true although the job is over: its record does not say so.
+// outstanding is true although the job has ended: its record does not say so.
 func (*orphanCancel) outstanding() bool { return true }
--- a/scheduler/record_completion.go
+++ b/scheduler/record_completion.go
@@ -58,8 +58,8 @@
 	clearInFlight(p.deleted)
 }
 
-// applied ends the job. Jobs that depend on it may start only now, since the next leader
-// would find it done too.
+// applied ends the job. Jobs that depend on it may start only now, when the next leader would
+// read that it is done.
 func (p *completion) applied(w *recordWriter, revision ids.Revision) {
 	w.cluster.EndJob(p.job, wire.JobDone)
 	p.job.Records.Revision = revision
--- a/scheduler/record_deletion.go
+++ b/scheduler/record_deletion.go
@@ -6,13 +6,13 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// sliceDeletion is the deletion of admission slices of a job that is over.
+// sliceDeletion is the deletion of admission slices of a job that has ended.
 type sliceDeletion struct {
 	job     *cluster.Job
 	deleted []*cluster.AdmissionSlice
 }
 
-// deleteRecords deletes admission records of jobs that are over. False means that the write
+// deleteRecords deletes admission records of jobs that have ended. False means that the write
 // budget is spent.
 func (w *recordWriter) deleteRecords() bool {
 	for _, j := range cluster.SortedByID(w.droppable) {
@@ -24,9 +24,9 @@
 	return true
 }
 
-// deleteSlices deletes as many admission slices of a job that is over as one change may, once
+// deleteSlices deletes as many admission slices of a job that has ended as one change may, once
 // none of its tasks can be on a machine. A job without slices is removed from the state. A
-// job that has to wait is marked again by the event that it waits for.
+// job that has to wait is marked again by the event for which it waits.
 func (w *recordWriter) deleteSlices(j *cluster.Job) {
 	if w.delayed(j) {
 		return
@@ -56,7 +56,7 @@
 
 func (p *sliceDeletion) rollBack(w *recordWriter) { w.markDroppable(p.job) }
 
-// outstanding is false: no record of the job's own is to be written.
+// outstanding is false: the job's own record is not written.
 func (*sliceDeletion) outstanding() bool { return false }
 
 // sliceInFlight tells whether a change of one of a job's slices is in flight.
@@ -69,7 +69,7 @@
 	return false
 }
 
-// recordedSlices lists the first slices of a job that have a record, at most so many.
+// recordedSlices lists the first slices of a job that have a record, at most the given number.
 func recordedSlices(j *cluster.Job, most int) []*cluster.AdmissionSlice {
 	var recorded []*cluster.AdmissionSlice
 	for _, s := range j.Slices() {
--- a/scheduler/record_dirty.go
+++ b/scheduler/record_dirty.go
@@ -10,7 +10,7 @@
 )
 
 // dirtySlices are the admission slices whose records are behind the cluster state. A slice
-// stays marked until its record is submitted or its job is over.
+// stays marked until its record is submitted or its job has ended.
 type dirtySlices map[*cluster.AdmissionSlice]dirtyMark
 
 // dirtyMark notes how a slice is behind.
--- a/scheduler/record_marks.go
+++ b/scheduler/record_marks.go
@@ -2,13 +2,13 @@
 
 import "ospreystile.example/ospreystile/scheduler/cluster"
 
-// markTaskDirty notes that a task's record must be written when there is time.
+// markTaskDirty notes that a task's record must be written, within the delay for lazy writes.
 func (w *recordWriter) markTaskDirty(j *cluster.Job, index int) {
 	w.dirty.mark(j.Task(index).Slice(), j, w.clock.Now())
 }
 
 // markPlacementDirty notes that the placement of a task must be recorded at once. No command
-// is sent for it before.
+// is sent for it before that.
 func (w *recordWriter) markPlacementDirty(j *cluster.Job, index int) {
 	w.dirty.markUrgent(j.Task(index).Slice(), j, w.clock.Now())
 }
@@ -39,17 +39,17 @@
 // markCompletable notes that all tasks of a job are done.
 func (w *recordWriter) markCompletable(j *cluster.Job) { w.completable[j] = true }
 
-// markDroppable notes that a job is over and its admission records may be deleted.
+// markDroppable notes that a job has ended and its admission records may be deleted.
 func (w *recordWriter) markDroppable(j *cluster.Job) { w.droppable[j] = true }
 
 // markOrphanCancel notes that a job is cancelled with one that it depends on. Its own record
-// does not say so yet, and is written when there is time.
+// does not say so yet and must be written.
 func (w *recordWriter) markOrphanCancel(j *cluster.Job) {
 	j.Records.CancelUnrecorded = true
 	w.orphanCancels = append(w.orphanCancels, j)
 }
 
-// discard forgets unwritten changes of a job that is over.
+// discard forgets unwritten changes of a job that has ended.
 func (w *recordWriter) discard(j *cluster.Job) {
 	w.dirty.clearJob(j)
 	delete(w.completable, j)
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -33,10 +33,10 @@
 	settled()
 	// applied takes note of what is recorded now, at a revision.
 	applied(w *recordWriter, revision ids.Revision)
-	// rollBack takes back what the change would have recorded and marks the records dirty
-	// again.
+	// rollBack undoes the placements that the change would have recorded and marks the
+	// records dirty again.
 	rollBack(w *recordWriter)
-	// outstanding tells after rollBack whether the job's own revision is needed to try
+	// outstanding tells, after rollBack, whether the job's own revision is needed to try
 	// again.
 	outstanding() bool
 }
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -91,27 +91,27 @@
 // sliceRecord returns the record of some of a job's tasks.
 func (w *recordWriter) sliceRecord(j *cluster.Job, tasks []int) records.AdmissionSlice {
 	record := records.AdmissionSlice{Nonce: w.nextNonce()}
-	hostIndexes := map[ids.MachineID]int{}
+	machineIndexes := map[ids.MachineID]int{}
 	for _, i := range tasks {
 		t := j.Task(i)
 		switch {
 		case t.State() == cluster.TaskDone:
 			record.Done = append(record.Done, i)
 		case t.Attempt() > 0:
-			record.Tasks = append(record.Tasks, i, int(t.Attempt()), hostIndex(&record, hostIndexes, t.Assignment()))
+			record.Tasks = append(record.Tasks, i, int(t.Attempt()), machineIndex(&record, machineIndexes, t.Assignment()))
 		}
 	}
 	return record
 }
 
-// noHost is the index of the host of a task that is not placed.
-const noHost = -1
+// noMachine is the machine index of a task that is not placed.
+const noMachine = -1
 
-// hostIndex returns the index of an assignment's machine among the hosts of a record, and
-// adds the machine if the record does not have it yet.
-func hostIndex(record *records.AdmissionSlice, known map[ids.MachineID]int, a *cluster.Assignment) int {
+// machineIndex returns the index of an assignment's machine in the list of a record, and adds
+// the machine if the list does not have it yet.
+func machineIndex(record *records.AdmissionSlice, known map[ids.MachineID]int, a *cluster.Assignment) int {
 	if a == nil {
-		return noHost
+		return noMachine
 	}
 	index, ok := known[a.Machine.ID]
 	if !ok {
@@ -132,7 +132,7 @@
 
 func (p *sliceWrite) settled() { p.slice.InFlight = false }
 
-// applied lets the recorded placements be sent.
+// applied queues run commands for the recorded placements.
 func (p *sliceWrite) applied(w *recordWriter, revision ids.Revision) {
 	p.slice.Revision = revision
 	p.applySplit(w, revision)
@@ -159,7 +159,7 @@
 	}
 }
 
-// rollBack takes back the placements that were not recorded.
+// rollBack releases the placements that were not recorded.
 func (p *sliceWrite) rollBack(w *recordWriter) {
 	for _, a := range p.placed {
 		a.Record.InFlight = false
--- a/scheduler/record_slices_test.go
+++ b/scheduler/record_slices_test.go
@@ -20,7 +20,7 @@
 		Nonce: uint64(ids.NewFencingToken(5, 1)),
 		Hosts: []ids.MachineID{"n-1", "n-2"},
 		Zones: []ids.Zone{"a", "a"},
-		Tasks: []int{1, 1, noHost, 2, 1, 0, 3, 1, 1},
+		Tasks: []int{1, 1, noMachine, 2, 1, 0, 3, 1, 1},
 		Done:  []int{0},
 	}
 	if got := f.sliceRecord(j, []int{0, 1, 2, 3}); !reflect.DeepEqual(got, want) {
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -31,7 +31,7 @@
 
 	budget writeBudget
 	dirty  dirtySlices
-	// completable are the jobs whose tasks are all done, and droppable those that are over
+	// completable are the jobs whose tasks are all done, and droppable those that have ended
 	// and may have admission records to be deleted.
 	completable map[*cluster.Job]bool
 	droppable   map[*cluster.Job]bool
@@ -96,10 +96,10 @@
 // begin begins the term.
 func (w *recordWriter) begin() { w.budget.begin(w.clock.Now()) }
 
-// refillBudget adds what the write rate allows since the last call. It comes before anything
-// is written in a step. If zones' records came before it and job records after it,
-// placements would take all of the budget while thousands of them wait, and the record of a
-// zone that recovers would never be written.
+// refillBudget adds what the write rate allows since the last call. It is called before any
+// record is written in a step. If it were called between the records of zones and those of
+// jobs, thousands of waiting placements would take the whole budget, and the record of a zone
+// that recovers would never be written.
 func (w *recordWriter) refillBudget() { w.budget.refill(w.clock.Now()) }
 
 // mayWrite tells whether the write budget allows one more change now.
@@ -107,8 +107,8 @@
 
 // writeRecords submits changes of the records that are behind until the write budget is
 // spent: placements first, then the ends of jobs, then the rest. While the budget is scarce,
-// as for half a minute after the loss of a zone, the completion of jobs goes before
-// placements: each is one operation, and users and dependent jobs wait for it.
+// for instance for half a minute after a zone outage, completions of jobs go before placements:
+// each is one operation, and users and dependent jobs wait for it.
 func (w *recordWriter) writeRecords() {
 	if !w.mayWrite() {
 		return
@@ -134,8 +134,7 @@
 	return changes, rereads
 }
 
-// submit decides on a change and returns its ID. The caller takes its result from
-// Core.CommitResult.
+// submit decides on a change and returns its ID, under which Core.CommitResult gets the result.
 func (w *recordWriter) submit(change records.Change) (id uint64) {
 	w.lastChange++
 	change.ID = w.lastChange
@@ -144,7 +143,7 @@
 	return change.ID
 }
 
-// submitPending decides on a change whose result settle takes.
+// submitPending decides on a change whose result goes to settle.
 func (w *recordWriter) submitPending(p pendingChange, change records.Change) {
 	w.pending[w.submit(change)] = p
 }
@@ -166,8 +165,8 @@
 	w.writeSlices(w.dirty.overdue(w.clock.Now(), w.settings.lazyWriteDelay))
 }
 
-// writeSlices writes those of some dirty slices that may be written now, by priority, until
-// the budget is spent.
+// writeSlices writes the given slices that may be written now, by priority, until the budget is
+// spent.
 func (w *recordWriter) writeSlices(dirty []dirtySlice) {
 	dirty = slices.DeleteFunc(dirty, func(d dirtySlice) bool { return !w.writable(d) })
 	sortByPriority(dirty)
--- a/scheduler/zone_admission.go
+++ b/scheduler/zone_admission.go
@@ -34,7 +34,7 @@
 // evacuating tells whether work of some zone may need capacity elsewhere.
 func (g *zoneGate) evacuating() bool { return g != nil && g.manager.Evacuating() }
 
-// unproven tells whether a zone recovers, so that it has yet to show that tasks start there.
+// unproven tells whether a zone recovers, so that it is not known yet whether tasks start there.
 func (g *zoneGate) unproven(zone ids.Zone) bool {
 	return g != nil && g.manager.Condition(zone) == zonerecovery.Recovering
 }
@@ -51,8 +51,8 @@
 	return part, !g.manager.FailbackDenied(j.ID)
 }
 
-// startRequest describes a task that is to start on a machine. What the manager needs only
-// for a zone that recovers is left out for other zones.
+// startRequest describes a task that is to start on a machine. The fields that
+// the manager needs only for a zone that recovers are not set for other zones.
 func (g *zoneGate) startRequest(j *cluster.Job, index int, m *cluster.Machine) *zonerecovery.StartRequest {
 	request := &zonerecovery.StartRequest{
 		Task:       ids.TaskRef{Job: j.ID, Index: index},
@@ -118,7 +118,7 @@
 }
 
 // lost notes that a task was lost with its machine. It counts as displaced only if it may
-// have run there and would have gone on.
+// have run there and was not to be stopped.
 func (g *zoneGate) lost(a *cluster.Assignment) {
 	if g != nil && a.StopReason() == cluster.StopNone && !a.Job.Terminal() && a.MayRun() {
 		g.manager.TaskDisplaced(a.Machine.Zone(), a.Job.ID)
--- a/scheduler/zone_events.go
+++ b/scheduler/zone_events.go
@@ -6,7 +6,7 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// LoadZone takes in the record of a zone that a previous leader wrote. It must come before
+// LoadZone loads the record of a zone that a previous leader wrote. It must be called before
 // Begin. It does nothing where zone recovery is off.
 func (c *Core) LoadZone(now monotonic.Instant, zone ids.Zone, record *zonerecovery.Record, revision ids.Revision) {
 	if c.zones == nil {
@@ -16,8 +16,8 @@
 	c.zones.manager.Load(zone, record, revision, c.zones.clockReading())
 }
 
-// LoadUnreadableZone takes the place of LoadZone for a record that cannot be decoded: the
-// zone counts as in outage.
+// LoadUnreadableZone is called instead of LoadZone for a record that cannot be decoded. The
+// zone then counts as in outage.
 func (c *Core) LoadUnreadableZone(now monotonic.Instant, zone ids.Zone, revision ids.Revision) {
 	if c.zones == nil {
 		return
@@ -26,8 +26,8 @@
 	c.zones.manager.LoadUnreadable(zone, revision, c.zones.clockReading())
 }
 
-// ObserveConnectivity takes in what the leader knows of its connections to the key-value
-// store and to the other controllers.
+// ObserveConnectivity sets what the leader knows of its connections to the key-value store and
+// to the other controllers.
 func (c *Core) ObserveConnectivity(connectivity zonerecovery.Connectivity) {
 	if c.zones != nil {
 		c.zones.connectivity = connectivity
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -14,7 +14,7 @@
 
 // zoneGate connects the scheduler with the state machines of package zonerecovery. It owns
 // the manager of one term. The core and the other policies ask it whether a task may start
-// or a machine may be provisioned in a zone, and tell it what becomes of tasks. It passes
+// or a machine may be provisioned in a zone, and notify it when tasks start, run and end. It passes
 // the health of zones to the manager, writes zones' records, and moves replicas back.
 //
 // The gate can only deny: it never places or preempts a task, and the only tasks that it
@@ -26,7 +26,7 @@
 	clock   *clock.Clock
 	rounds  *clock.RoundTrigger
 
-	// health and provisioning know the machines and those that are to come.
+	// health and provisioning know the machines, and those that are requested or boot.
 	health       zoneMachineHealth
 	provisioning zoneProvisioningState
 	// latency and estimates tell which work is critical, and which may be a probe.
@@ -64,8 +64,8 @@
 	zoneRefused(zone ids.Zone) bool
 }
 
-// clockReading reads both clocks. Where the wall clock is not known the monotonic one takes
-// its place: it is good enough to compare times that one process wrote.
+// clockReading reads both clocks. If the wall time is not known, the monotonic time is used
+// for it, which suffices to compare times that one process wrote.
 func (g *zoneGate) clockReading() zonerecovery.ClockReading {
 	wallMS := g.clock.WallMS()
 	if wallMS == 0 {
@@ -82,7 +82,7 @@
 	}
 	for _, m := range g.cluster.Machines() {
 		if m.Zone() == "" {
-			continue // its record is of an older version; its heartbeat names the zone
+			continue // an older version wrote its record without the zone; its heartbeat names it
 		}
 		for _, a := range m.Assignments() {
 			g.manager.TaskInherited(m.Zone(), g.startRequest(a.Job, a.Index, m), g.clock.Now())
@@ -90,8 +90,8 @@
 	}
 }
 
-// summarize adds the zones that do not simply serve, and the counts of moved tasks, to the
-// status summary.
+// summarize adds the zones that are not serving or are overridden, and the counts of moved
+// tasks, to the summary.
 func (g *zoneGate) summarize(b *strings.Builder) {
 	if g == nil {
 		return
--- a/scheduler/zone_records.go
+++ b/scheduler/zone_records.go
@@ -15,7 +15,7 @@
 	writer zoneRecordWriter
 	// maxBytes limits the size of a record; 0 means no limit.
 	maxBytes int
-	// inFlight are the writes without a result, by the id of their change.
+	// inFlight are the writes without a result, by the ID of their change.
 	inFlight map[uint64]zoneWrite
 }
 
@@ -25,13 +25,13 @@
 	deletes bool
 }
 
-// zoneRecordWriter hands changes out, no faster than the write rate allows.
+// zoneRecordWriter submits changes within the write rate.
 type zoneRecordWriter interface {
 	// mayWrite tells whether the write rate allows one more change now.
 	mayWrite() bool
-	// nextNonce names the next change.
+	// nextNonce returns the nonce of the next change.
 	nextNonce() uint64
-	// submit hands a change out, and returns the id under which its result comes back.
+	// submit decides on a change, and returns the ID under which settle gets its result.
 	submit(change records.Change) (id uint64)
 	// fail notes that the records are not as this leader left them, which ends the term.
 	fail(err error)
@@ -56,7 +56,7 @@
 	return !wire.ExceedsJSONSize(record, r.maxBytes)
 }
 
-// submit hands out the change that writes or deletes a record.
+// submit decides on the change that writes or deletes a record.
 func (r *zoneRecords) submit(write zonerecovery.RecordWrite) {
 	change := records.DeleteZoneChange(write.Zone, write.Revision)
 	if write.Record != nil {
--- a/scheduler/zone_restore.go
+++ b/scheduler/zone_restore.go
@@ -35,7 +35,7 @@
 
 // restore moves a replica of a service back to a zone that displaced it, where operators want
 // the spread restored. The replica is stopped. Its service then starts another one, as for
-// any replica that is lost, and prefers the zone for that.
+// any lost replica, and prefers the zone that it is moved to.
 func (g *zoneGate) restore() {
 	if g == nil || g.clock.Now() < g.restorePlannedAt.Add(restoreInterval) {
 		return
@@ -118,7 +118,7 @@
 }
 
 // fitsWithoutFetch tells whether a machine has free resources for a task of a job, holds its
-// image, and is open to it.
+// image, and may be used for it.
 func (g *zoneGate) fitsWithoutFetch(j *cluster.Job, m *cluster.Machine) bool {
 	fits := m.HasImage(j.Spec.Image) && placement.TaskResources(j.Spec).FitsIn(m.Free())
 	if !fits || !placement.Allowed(j.Spec, m.Site()) || !g.health.takesTasks(m) {
