--- a/scheduler/clock/clock.go
+++ b/scheduler/clock/clock.go
@@ -9,8 +9,8 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// pauseThreshold is the time without a step after which the process counts as paused. What
-// the machines reported meanwhile is still to be read, so their silence means nothing.
+// pauseThreshold is the time without a step after which the process counts as paused. Heartbeats
+// that arrived meanwhile have not been read yet, so silence of machines means nothing.
 const pauseThreshold = time.Second
 
 // Clock is the scheduler's present time. Policies read it; only the core moves it.
--- a/scheduler/clock/trigger.go
+++ b/scheduler/clock/trigger.go
@@ -3,7 +3,7 @@
 import "ospreystile.example/ospreystile/monotonic"
 
 // RoundTrigger tells when the next scheduling round is due: when a change was marked, or at
-// a time that a policy asked for, and never before the last round's pause is over.
+// a time that a policy asked for, and never before the pause after the last round has passed.
 type RoundTrigger struct {
 	due       bool
 	recheckAt monotonic.Instant // 0: none
--- a/scheduler/cluster/assignment.go
+++ b/scheduler/cluster/assignment.go
@@ -10,7 +10,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// TaskState is where a task of a job stands.
+// TaskState is the state of a task of a job.
 type TaskState uint8
 
 // The states of a task.
@@ -71,11 +71,11 @@
 
 // RecordStatus is the state of an assignment's admission record. Record writing writes it.
 type RecordStatus struct {
-	Committed bool // nothing is sent before
+	Committed bool // no command is sent before
 	InFlight  bool // a change that holds the assignment is in flight
 }
 
-// Delivery is what the machine was told of an assignment. Command dispatch, heartbeats and the
+// Delivery is which commands for an assignment were sent to the machine. Command dispatch, heartbeats and the
 // task lifecycle write it.
 type Delivery struct {
 	// Inherited tells that a previous leader recorded the assignment and may have sent it.
@@ -84,11 +84,11 @@
 	// agent that shows a higher one without the attempt will never start it.
 	Token       ids.FencingToken
 	Incarnation ids.AgentIncarnation // of the agent to which it was sent
-	SentAt      monotonic.Instant    // first, since it was last known not to be there
-	Sent        bool
-	Seen        bool // a heartbeat has shown it
-	KillGraceS  float64
-	KillSentAt  monotonic.Instant
+	SentAt      monotonic.Instant    // of the first run command, since Sent was last false
+	Sent        bool                 // a run command was sent and may have an effect
+	Seen        bool                 // a heartbeat has shown the attempt
+	KillGraceS  float64              // seconds that the task gets to write a checkpoint
+	KillSentAt  monotonic.Instant    // of the first kill command; 0: none was sent
 }
 
 // RunStatus is the state that heartbeats show. Heartbeats write it.
@@ -101,7 +101,7 @@
 // Ref names the task.
 func (a *Assignment) Ref() ids.TaskRef { return ids.TaskRef{Job: a.Job.ID, Index: a.Index} }
 
-// MayRun tells whether the machine may have the task.
+// MayRun tells whether the attempt may run on the machine or start there.
 func (a *Assignment) MayRun() bool { return a.Delivery.Sent || a.Delivery.Inherited }
 
 // StopReason tells why the task must leave its machine; StopNone if it may stay.
@@ -120,7 +120,7 @@
 	return a
 }
 
-// Admit takes the n lowest pending tasks, which Assign has placed, off the list of pending
+// Admit removes the n lowest pending tasks, which Assign has placed, from the list of pending
 // tasks.
 func (*State) Admit(j *Job, n int) { j.pending = j.pending[:len(j.pending)-n] }
 
@@ -140,7 +140,7 @@
 	return a
 }
 
-// Release takes a task off its machine. It is pending again unless its job is over. The
+// Release takes a task off its machine. It is pending again unless its job has ended. The
 // caller has shown that the attempt has ended or was never sent.
 func (s *State) Release(a *Assignment) {
 	s.detach(a)
@@ -152,7 +152,7 @@
 	j.pending = slices.Insert(j.pending, k, a.Index)
 }
 
-// Complete takes a task that succeeded off its machine. It is done unless its job is over.
+// Complete takes a task that succeeded off its machine. It is done unless its job has ended.
 func (s *State) Complete(a *Assignment) {
 	s.detach(a)
 	j := a.Job
--- a/scheduler/cluster/cluster.go
+++ b/scheduler/cluster/cluster.go
@@ -9,8 +9,8 @@
 // assignments and of what machines run beside them, and every index agrees with the whole.
 //
 // The package decides nothing. Policies query the state and ask it for changes. What a
-// policy notes about a job or a machine stands in a struct named for that policy, such as
-// Machine.Health; only the owner that its comment names writes it.
+// policy notes about a job or a machine is in a struct named for that policy, such as
+// Machine.Health. Only the policies that the comment of the struct names write it.
 //
 // All types belong to the goroutine that runs the scheduler.
 package cluster
@@ -98,8 +98,8 @@
 // Job finds a job, or returns nil.
 func (s *State) Job(id ids.JobID) *Job { return s.jobs[id] }
 
-// Jobs are all known jobs, in no order. The caller must not change the map. What may reach
-// a decision goes through SortedJobs.
+// Jobs are all known jobs, in no order. The caller must not change the map. Code
+// whose order may affect a decision uses SortedJobs.
 func (s *State) Jobs() map[ids.JobID]*Job { return s.jobs }
 
 // SortedJobs lists all jobs by ID. Decisions follow this order, never that of a map: the
--- a/scheduler/cluster/images.go
+++ b/scheduler/cluster/images.go
@@ -9,7 +9,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// CachedImage is an image that a machine's cache is expected to hold.
+// CachedImage is an image that a machine's cache is expected to hold. SizeGB is in gigabytes.
 type CachedImage struct {
 	SizeGB float64
 	UsedAt monotonic.Instant
@@ -39,8 +39,8 @@
 	}
 }
 
-// RecordImage notes that a machine holds a job's image, and forgets the images that its
-// cache, which drops the least recently used, no longer has room for.
+// RecordImage notes that a machine holds a job's image, and forgets the least recently used
+// images that exceed the size of its cache, as the agent does.
 func (s *State) RecordImage(m *Machine, spec *wire.JobSpec) {
 	m.images[spec.Image] = &CachedImage{spec.ImageGB, s.clock.Now()}
 	if m.machineType == nil || m.machineType.CacheGB <= 0 {
--- a/scheduler/cluster/invariants.go
+++ b/scheduler/cluster/invariants.go
@@ -58,7 +58,7 @@
 	return j.checkCounts()
 }
 
-// checkPending verifies the list of pending tasks. A job that is over has none.
+// checkPending verifies the list of pending tasks. A job that has ended has none.
 func (j *Job) checkPending() error {
 	if j.Terminal() {
 		if len(j.pending) > 0 {
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// checkStaying verifies the counts of assignments that were not told to stop.
+// checkStaying verifies the counts of assignments that are not stopping.
 func (m *Machine) checkStaying() error {
 	var staying, replicas, fetches int
 	for _, a := range m.assignments {
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// countStayingWith counts the assignments with an image that were not told to stop.
+// countStayingWith counts the assignments with an image that are not stopping.
 func (m *Machine) countStayingWith(image ids.Image) int {
 	n := 0
 	for _, a := range m.assignments {
--- a/scheduler/cluster/job.go
+++ b/scheduler/cluster/job.go
@@ -15,7 +15,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Job is one job that is not over, or one that is over and still has tasks or records.
+// Job is a job that has not ended, or one that has ended and still has tasks or records.
 type Job struct {
 	ID   ids.JobID
 	Spec *wire.JobSpec
@@ -51,13 +51,13 @@
 	// may be.
 	Suspended bool
 	ReadyAt   monotonic.Instant
-	// WaitingSince is when the job began to wait for its start. A reservation that did not
-	// suffice moves it.
+	// WaitingSince is when the job began to wait for its start. Admission sets it to
+	// a later time when a reservation did not suffice.
 	WaitingSince  monotonic.Instant
 	ReservedSince monotonic.Instant // 0: no machine is reserved for the job
 	RetryAt       monotonic.Instant // no admission before
-	Deferred      bool              // admitted with the borrowers, behind higher work of its team
-	OnlyZone      ids.Zone          // set while a zone is tried for a job that needs one zone
+	Deferred      bool              // must borrow: a job of its team with a higher priority must
+	OnlyZone      ids.Zone          // set while admission tries one zone for a job that needs all tasks in one
 	// AllowColdStart tells that no machine with the image can take the job's tasks, so
 	// others may.
 	AllowColdStart bool
@@ -104,7 +104,7 @@
 // Status is the job's state.
 func (j *Job) Status() wire.JobState { return j.status }
 
-// Terminal tells whether the job is done or cancelled, for good.
+// Terminal tells whether the job is done or cancelled, which are final.
 func (j *Job) Terminal() bool { return j.status != wire.JobQueued }
 
 // Priority is the job's effective priority: the highest of its own and of the jobs that
@@ -151,7 +151,7 @@
 	return j.Spec.Gang || j.Spec.Service && len(j.active) == 0
 }
 
-// TasksTogether is how many of the pending tasks must find room at once.
+// TasksTogether is how many of the pending tasks must be placed at once.
 func (j *Job) TasksTogether() int {
 	if j.NeedsAllTasks() {
 		return len(j.pending)
@@ -162,14 +162,14 @@
 // Slices lists the job's admission records by number. The caller must not change the list.
 func (j *Job) Slices() []*AdmissionSlice { return j.slices }
 
-// GrowSlices makes room for admission records with numbers below n.
+// GrowSlices adds admission records until there are at least n.
 func (j *Job) GrowSlices(n int) {
 	for len(j.slices) < n {
 		j.slices = append(j.slices, &AdmissionSlice{Number: len(j.slices)})
 	}
 }
 
-// RebuildSlices lists the tasks of each admission record anew.
+// RebuildSlices updates the list of tasks of each admission record.
 func (j *Job) RebuildSlices() {
 	for _, s := range j.slices {
 		s.Tasks = s.Tasks[:0]
@@ -180,7 +180,7 @@
 	}
 }
 
-// MoveToSlice makes an admission record the one of some tasks.
+// MoveToSlice moves tasks to an admission record, as its only ones.
 func (j *Job) MoveToSlice(s *AdmissionSlice, tasks []int) {
 	s.Tasks = tasks
 	for _, i := range tasks {
@@ -188,7 +188,8 @@
 	}
 }
 
-// LoadDone takes in which tasks an admission record says are done.
+// LoadDone marks the tasks that an admission record says are done. It fails if one is not a task
+// of the job.
 func (j *Job) LoadDone(s *AdmissionSlice, done []int) error {
 	for _, i := range done {
 		if i < 0 || i >= len(j.tasks) {
@@ -203,12 +204,12 @@
 	return nil
 }
 
-// LoadAttempt takes in the attempt of a task that an admission record tells.
+// LoadAttempt sets the last attempt of a task from its admission record.
 func (j *Job) LoadAttempt(s *AdmissionSlice, index int, attempt ids.Attempt) {
 	j.tasks[index].attempt, j.tasks[index].slice = attempt, s
 }
 
-// RebuildPending lists the tasks that wait to be placed anew.
+// RebuildPending updates the list of tasks that wait to be placed.
 func (j *Job) RebuildPending() {
 	j.pending = j.pending[:0]
 	for i := len(j.tasks) - 1; i >= 0; i-- {
@@ -239,8 +240,8 @@
 	return j
 }
 
-// EndJob sets a job's terminal state. None of its tasks waits any more; those on machines
-// are still to be stopped.
+// EndJob sets a job's terminal state. None of its tasks is pending any more. The caller stops
+// those on machines.
 func (s *State) EndJob(j *Job, status wire.JobState) {
 	j.status = status
 	j.pending = nil
--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -47,10 +47,10 @@
 // autoscaler write it.
 type MachineLifecycle struct {
 	KnownSince   monotonic.Instant
-	BootDeadline monotonic.Instant // 0: not known
+	BootDeadline monotonic.Instant // by when it must send a heartbeat; 0: not known
 	// IdleSince is when the machine last had an assignment.
 	IdleSince      monotonic.Instant
-	RentedThisTerm bool // it cannot have been terminated before
+	RentedThisTerm bool // this leader provisioned it, so no previous one can have terminated it
 	ListedStatus   wire.MachineStatus
 	MissingLists   int // machine lists in a row without it, after it was listed
 	// Terminating: it is decided to terminate the machine. TerminateInFlight: a call to
@@ -58,7 +58,8 @@
 	Terminating, TerminateInFlight, Terminated bool
 }
 
-// AgentStatus is what the machine's agent has shown and was answered. Heartbeats write it.
+// AgentStatus is what the machine's agent has sent and what it was answered. Heartbeats write
+// it.
 type AgentStatus struct {
 	Reported     bool // a heartbeat has come in this term
 	Incarnation  ids.AgentIncarnation
@@ -78,7 +79,7 @@
 // MachineCommands is the state of calls to the machine. Command dispatch writes it.
 type MachineCommands struct {
 	TokenCounter       uint64
-	Queued             bool // in the queue of machines to which a command may have to go
+	Queued             bool // in the queue of machines to which a command may have to be sent
 	CallInFlight       bool
 	CallRetryAt        monotonic.Instant
 	CallFailed         bool             // no heartbeat since a call failed
@@ -103,7 +104,7 @@
 	// their jobs did, as a power of 2.
 	Slowness   float64
 	SlowUntil  monotonic.Instant
-	SlowStreak int // jobs in a row that left Slowness at the limit or above
+	SlowStreak int // jobs in a row after which Slowness was at the limit or above
 }
 
 // MachineAdmission is what admission notes about a machine.
--- a/scheduler/cluster/machines.go
+++ b/scheduler/cluster/machines.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// CountUnrecorded counts what the newest heartbeat shows beside the assignments: its
-// resources on the machine and its team's quota.
+// CountUnrecorded counts the tasks that the newest heartbeat shows beside the assignments:
+// their resources on the machine and their teams' quota.
 func (s *State) CountUnrecorded(m *Machine) {
 	s.releaseUnrecorded(m)
 	for i := range m.Agent.ReportedTasks {
@@ -83,7 +83,7 @@
 	}
 }
 
-// releaseUnrecorded gives back what CountUnrecorded counted.
+// releaseUnrecorded undoes CountUnrecorded.
 func (s *State) releaseUnrecorded(m *Machine) {
 	for _, j := range m.unrecordedJobs {
 		s.quotas.Release(j.Spec.Team, j.Amount())
--- a/scheduler/cluster/workload.go
+++ b/scheduler/cluster/workload.go
@@ -20,9 +20,9 @@
 	return cmp.Or(strings.Compare(string(w.Team), string(o.Team)), cmp.Compare(w.Priority, o.Priority))
 }
 
-// WorkloadCount counts the assignments of a workload that were not told to stop, and those
-// that were, with the quota that they will free. Counting them anew in each round took a
-// fifth of the processor with ten thousand tasks.
+// WorkloadCount counts the assignments of a workload that are not stopping, and those that
+// are, with the quota that they will free. The counts are kept up to date because counting ten
+// thousand tasks in each round took a fifth of the processor time.
 type WorkloadCount struct {
 	Staying, Leaving int
 	Freeing          quota.Amount
--- a/scheduler/preemption/cheapest_plan.go
+++ b/scheduler/preemption/cheapest_plan.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// listPlans lists the plans of all machines that can make room under a claim.
+// listPlans lists the plans of all machines on which the task fits under a claim.
 func (p *planner) listPlans(by claim) {
 	const initialCapacity = 16
 	p.plans, p.plansClaim = make([]plan, 0, initialCapacity), by
--- a/scheduler/preemption/claim.go
+++ b/scheduler/preemption/claim.go
@@ -6,7 +6,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// claim is the right by which room may be made for a task.
+// claim is the right by which a task may preempt others.
 type claim uint8
 
 const (
--- a/scheduler/preemption/cost.go
+++ b/scheduler/preemption/cost.go
@@ -9,7 +9,7 @@
 
 // The costs of a plan are in CPU seconds of lost work, weighted by priority.
 const (
-	// costWithoutVictims ranks machines that have room for a task before all others.
+	// costWithoutVictims ranks machines on which a task fits as it is before all others.
 	costWithoutVictims = -1
 	// missingImageCost is added where the image would have to be fetched.
 	missingImageCost = 80
@@ -21,8 +21,8 @@
 	restartSeconds = 2
 )
 
-// evictionCost is what is lost when a task stops: its work since the last checkpoint, and
-// more for higher priorities and later attempts. A job ends with its last task, so that a
+// evictionCost is the cost of stopping a task: its work since the last checkpoint, weighted for
+// higher priorities and later attempts. A job ends with its last task, so that a
 // task that was restarted before delays its job and is stopped after others.
 func (p *Policy) evictionCost(a *cluster.Assignment) float64 {
 	spec := a.Job.Spec
--- a/scheduler/preemption/plan.go
+++ b/scheduler/preemption/plan.go
@@ -15,33 +15,33 @@
 	errNothingPreemptible = errors.New("nothing that runs may be preempted for the job")
 	// errKnownInfeasible: an equal request failed with errNoMachine in this round.
 	errKnownInfeasible = errors.New("an equal request found no machine in this round")
-	// errNoMachine: no candidate has room for the task or can make it.
+	// errNoMachine: the task fits on no candidate, whatever is preempted there.
 	errNoMachine = errors.New("no machine can make room")
 )
 
-// plan is the machine on which room is made for one task, and the tasks that stop for it.
+// plan is the machine for one task, and the tasks that stop for it there.
 type plan struct {
-	machine *cluster.Machine // nil: the machine can make no room
+	machine *cluster.Machine // nil: the task does not fit there any more
 	victims []*cluster.Assignment
 	cost    float64 // in weighted CPU seconds; see evictionCost
-	// freeBefore is the expected room on the machine before the round counts the plan.
+	// freeBefore is what was expected to be free on the machine before the round counts the plan.
 	freeBefore placement.Resources
 }
 
-// planOn plans room for one task on a machine under the claim of the list; ok is false if
-// the machine can make none.
+// planOn plans for one task on a machine under the claim of the list; ok is false if the task
+// cannot fit there.
 func (p *planner) planOn(m *cluster.Machine) (planned plan, ok bool) {
 	if !placement.Allowed(p.job.Spec, m.Site()) || !p.scheduler.MayUse(p.job, m) {
 		return plan{}, false
 	}
 	need := placement.TaskResources(p.job.Spec)
-	hasRoom := p.plansClaim != claimOwn && need.FitsIn(p.round.notes(m).ExpectedFree)
+	fits := p.plansClaim != claimOwn && need.FitsIn(p.round.notes(m).ExpectedFree)
 	hasImage := m.HasImage(p.job.Spec.Image)
-	if hasRoom && (hasImage || !p.scheduler.LatencySensitive(p.job)) {
+	if fits && (hasImage || !p.scheduler.LatencySensitive(p.job)) {
 		return plan{machine: m, cost: costWithoutVictims}, true
 	}
 	planned = plan{machine: m}
-	if !hasRoom {
+	if !fits {
 		if !need.FitsIn(m.Total()) {
 			return plan{}, false
 		}
--- a/scheduler/preemption/planner.go
+++ b/scheduler/preemption/planner.go
@@ -8,14 +8,14 @@
 	"ospreystile.example/ospreystile/scheduler/placement"
 )
 
-// planner plans room for the pending tasks of one job, one task after the other.
+// planner plans preemption for the pending tasks of one job, one task after the other.
 type planner struct {
 	round     *round
 	scheduler Scheduler
 	job       *cluster.Job
-	// zones counts the job's tasks with those that room was planned for.
+	// zones counts the job's tasks by zone, including those that are planned.
 	zones placement.TasksByZone
-	// plans has a plan for each machine that can make room under plansClaim; nil: not
+	// plans has a plan for each machine on which the task fits under plansClaim; nil: not
 	// listed yet. Their costs may be out of date: they only rise during a round.
 	plans      []plan
 	plansClaim claim
@@ -26,8 +26,8 @@
 	return planner{round: r, scheduler: r.policy.scheduler, job: j, zones: maps.Clone(j.Zones())}
 }
 
-// planAllTasks plans room for all pending tasks of the job. If one finds none, it takes back
-// what the round counts for the others.
+// planAllTasks plans for all pending tasks of the job. If there is no plan for one of them, it
+// undoes what the round counts for the others.
 func (p *planner) planAllTasks() ([]plan, error) {
 	saved := p.round.ledger.clone()
 	var plans []plan
@@ -43,15 +43,15 @@
 	return plans, nil
 }
 
-// restoreFree takes back what plans count on their machines, the last plan first.
+// restoreFree undoes what plans count on their machines, the last plan first.
 func (p *planner) restoreFree(plans []plan) {
 	for _, planned := range slices.Backward(plans) {
 		p.round.notes(planned.machine).ExpectedFree = planned.freeBefore
 	}
 }
 
-// planTask plans room for one more pending task of the job, at the least cost, and counts it
-// in the round. The error is one of the reasons in plan.go.
+// planTask plans for one more pending task of the job, at the least cost, and counts the plan in
+// the round. The error is one of the reasons in plan.go.
 func (p *planner) planTask() (plan, error) {
 	by := p.round.claimOf(p.job)
 	if by == claimNone {
@@ -81,7 +81,7 @@
 }
 
 // allowColdStart lets admission place a latency-sensitive job on machines without its image,
-// when room is made on such a machine.
+// when one is planned on such a machine.
 func (p *planner) allowColdStart(m *cluster.Machine) {
 	j := p.job
 	if j.Queue.AllowColdStart || m.HasImage(j.Spec.Image) || !p.scheduler.LatencySensitive(j) {
@@ -91,11 +91,11 @@
 	p.round.policy.rounds.MarkDue()
 }
 
-// commit counts a plan in the round: the zone, the quota and the room that the task is to
-// take, and what the victims are to free.
+// commit counts a plan in the round: the zone, the quota and the resources that the task
+// will use, and what the victims will free.
 func (p *planner) commit(planned plan) {
-	// The job's zones count only tasks that are placed. Room for two replicas could be made
-	// in a zone that may take one.
+	// The job's own counts include only placed tasks. With those alone, two replicas could be
+	// planned in a zone that may take one.
 	p.zones[planned.machine.Zone()]++
 	notes, ledger := p.round.notes(planned.machine), &p.round.ledger
 	ledger.promise(p.job.Spec.Team, p.job.Amount())
--- a/scheduler/preemption/round.go
+++ b/scheduler/preemption/round.go
@@ -14,15 +14,15 @@
 	policy     *Policy
 	candidates []*cluster.Machine
 	ledger     ledger
-	// workloads are those with tasks that were not told to stop when the round began.
+	// workloads are those with tasks that were not stopping when the round began.
 	workloads []cluster.Workload
-	// infeasible holds the requests for which no machine could make room. Resources and
+	// infeasible holds the requests for which no machine was found. Resources and
 	// quota only shrink during a round, so an equal request is not tried again.
 	infeasible       map[infeasibleRequest]bool
 	machinesExamined uint64
 }
 
-// infeasibleRequest is all that decides whether room can be made for a task.
+// infeasibleRequest is all that decides whether there is a plan for a task.
 type infeasibleRequest struct {
 	class RequestClass
 	team  ids.Team
@@ -60,7 +60,7 @@
 	return notes
 }
 
-// freeOnceStopped is the room on a machine when all tasks that were told to stop are gone.
+// freeOnceStopped is what is free on a machine when all stopping tasks have ended.
 func freeOnceStopped(m *cluster.Machine) placement.Resources {
 	free := m.Free()
 	for _, a := range m.Assignments() {
--- a/scheduler/preemption/victims.go
+++ b/scheduler/preemption/victims.go
@@ -17,8 +17,8 @@
 	claim   claim
 	victims []*cluster.Assignment
 	cost    float64
-	// free is the room on the machine once the victims are gone, and missingQuota what they
-	// must free yet of the team's quota.
+	// free is what is free on the machine once the victims have ended, and missingQuota what
+	// more victims must free of the team's quota.
 	free         placement.Resources
 	missingQuota quota.Amount
 	// reclaimed is what the victims free of the quota that their teams borrow.
@@ -26,7 +26,7 @@
 }
 
 // selectVictims selects the tasks on a machine that are cheapest to stop for a task of a
-// job; ok is false if all that may stop do not make enough room.
+// job; ok is false if all that may stop do not free enough.
 func (r *round) selectVictims(j *cluster.Job, by claim, m *cluster.Machine) (s victimSelection, ok bool) {
 	s = victimSelection{round: r, job: j, claim: by, free: r.notes(m).ExpectedFree}
 	if by == claimOwn {
