--- a/scheduler/cluster/invariants.go
+++ b/scheduler/cluster/invariants.go
@@ -15,7 +15,7 @@
 // ErrInvariant is wrapped by all errors of CheckInvariants.
 var ErrInvariant = errors.New("cluster state is inconsistent")
 
-// sumTolerance is how far a kept sum may differ from one that is counted anew: sums of
+// sumTolerance is how far a stored sum may differ from a recomputed one: the sums of
 // decimals depend on their order.
 const sumTolerance = 1e-6
 
--- a/scheduler/preemption/plan.go
+++ b/scheduler/preemption/plan.go
@@ -16,7 +16,7 @@
 	// errKnownInfeasible: an equal request failed with errNoMachine in this round.
 	errKnownInfeasible = errors.New("an equal request found no machine in this round")
 	// errNoMachine: the task fits on no candidate, whatever is preempted there.
-	errNoMachine = errors.New("no machine can make room")
+	errNoMachine = errors.New("no machine fits, whatever is preempted there")
 )
 
 // plan is the machine for one task, and the tasks that stop for it there.
--- a/scheduler/wiring.go
+++ b/scheduler/wiring.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// connectDispatch makes the part that decides what agents are told.
+// connectDispatch makes the part that decides which commands agents get.
 func (c *Core) connectDispatch() {
 	c.commands = &commandDispatcher{
 		cluster: c.cluster,
