--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -51,8 +51,6 @@
 	autoscaler *autoscaler
 	records    *recordWriter
 	commands   *commandDispatcher
-
-	decisions Decisions
 }
 
 // SetCatalog sets the cloud's machine types with their current prices.
@@ -69,7 +67,7 @@
 func (c *Core) Begin(now monotonic.Instant) {
 	c.clock.Begin(now)
 	c.previousLeaders.begin()
-	c.autoscaler.plannedAt = now
+	c.autoscaler.begin()
 	c.records.begin()
 	c.jobRecords.begin()
 	c.registry.begin()
@@ -92,7 +90,7 @@
 	c.clock.Advance(now)
 	c.checkHealth()
 	c.scheduleIfDue()
-	c.autoscaler.planFleet()
+	c.autoscaler.plan()
 	c.zones.restore()
 	c.records.refillBudget()
 	c.zones.writeRecords()
@@ -138,10 +136,12 @@
 
 // takeDecisions gathers the decisions of all parts since the last step.
 func (c *Core) takeDecisions(calls agentCalls) Decisions {
-	out := c.decisions
-	c.decisions = Decisions{}
-	out.ZoneEvents = c.zones.takeTransitions()
-	out.SendCommands, out.RequestHeartbeats = calls.sendCommands, calls.requestHeartbeats
+	out := Decisions{
+		SendCommands:      calls.sendCommands,
+		RequestHeartbeats: calls.requestHeartbeats,
+		Provision:         c.autoscaler.takeDecisions(),
+		ZoneEvents:        c.zones.takeTransitions(),
+	}
 	out.RecordChanges, out.RereadJobs = c.records.takeDecisions()
 	out.Terminate, out.ForgetAddresses = c.registry.takeDecisions()
 	return out
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -25,7 +25,7 @@
 		return wire.TaskStatus{}
 	}
 	task := run()
-	b.c.ProvisionResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-1"}, true)
+	b.c.ProvisioningGranted(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-1"})
 	b.c.cluster.Machine("n-1").Lifecycle.BootDeadline = b.now.Add(10 * time.Second)
 
 	b.now = b.now.Add(20 * time.Second) // it is paused
--- a/scheduler/machine_check_test.go
+++ b/scheduler/machine_check_test.go
@@ -31,7 +31,7 @@
 // A machine that never boots is terminated in the end, and costs no more.
 func TestMachineThatNeverBootsIsTerminated(t *testing.T) {
 	b := newHarness(t, Options{})
-	b.c.ProvisionResult(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"}, true)
+	b.c.ProvisioningGranted(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"})
 	for range 120 {
 		b.now = b.now.Add(500 * time.Millisecond)
 		if len(b.step().Terminate) > 0 {
--- a/scheduler/wiring.go
+++ b/scheduler/wiring.go
@@ -35,7 +35,7 @@
 		terminateCounts: map[terminateReason]int{},
 	}
 	c.connectDispatch()
-	c.autoscaler = newAutoscaler(c)
+	c.autoscaler = newAutoscaler(autoscalerSettingsOf(&opt), c.cluster, c.clock, c.rounds)
 	c.zones = c.newZoneGate()
 	c.connectLifecycle()
 	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
@@ -45,6 +45,7 @@
 	c.records.tasks, c.records.commands, c.records.jobs = c.lifecycle, c.commands, c.jobRecords
 	c.connectAdmission()
 	c.connectPreemption()
+	c.connectAutoscaler()
 	c.connectZones()
 	c.cluster.SetCatalog(types)
 	return c
@@ -211,6 +212,19 @@
 	})
 }
 
+// connectAutoscaler gives the autoscaler the policies that it asks.
+func (c *Core) connectAutoscaler() {
+	c.autoscaler.connect(autoscalerPeers{
+		queue:     c.queue,
+		quota:     c.quota,
+		quotas:    c.quotas,
+		estimates: c.estimates,
+		health:    c.health,
+		zones:     c.zones,
+		registry:  c.registry,
+	})
+}
+
 // newZoneGate makes the gate of a term; nil if zone recovery is off.
 func (c *Core) newZoneGate() *zoneGate {
 	if c.opt.ZoneRecovery == nil {
--- a/scheduler/zone_admission_test.go
+++ b/scheduler/zone_admission_test.go
@@ -27,7 +27,7 @@
 	services = services[3:] // spread services may not use every machine
 	arrays = append(arrays, m.submitJob(zoneArray(200)))
 	m.run(60 * second)
-	m.core.opt.MaxMachines = len(m.core.cluster.Machines())
+	m.core.autoscaler.settings.maxMachines = len(m.core.cluster.Machines())
 	m.loseZone("b", 10*time.Minute)
 	for !m.leasesExpiredIn("b") {
 		m.run(100 * time.Millisecond)
@@ -102,7 +102,7 @@
 	low.Priority = wire.BestEffort
 	m.submitJob(low)
 	m.run(60 * second)
-	m.core.opt.MaxMachines = len(m.core.cluster.Machines())
+	m.core.autoscaler.settings.maxMachines = len(m.core.cluster.Machines())
 	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold})
 	m.run(second)
 	high := zoneArray(4)
@@ -128,7 +128,7 @@
 	restricted, free := zoneArray(300), zoneArray(2)
 	m.submitJob(restricted)
 	m.run(30 * second)
-	m.core.opt.MaxMachines = len(m.core.cluster.Machines())
+	m.core.autoscaler.settings.maxMachines = len(m.core.cluster.Machines())
 	for range 2 {
 		m.loseZone("b", 40*second)
 		m.await("b", zonerecovery.Serving, 3*time.Minute)
--- a/scheduler/zone_outage_test.go
+++ b/scheduler/zone_outage_test.go
@@ -14,7 +14,7 @@
 	m.fillZones()
 	m.submitJob(zoneArray(300)) // waits for every place
 	m.run(30 * second)
-	m.core.opt.MaxMachines = len(m.core.cluster.Machines())
+	m.core.autoscaler.settings.maxMachines = len(m.core.cluster.Machines())
 	var held []time.Duration
 	for range 3 {
 		m.loseZone("b", 45*second)
