--- a/scheduler/wiring.go
+++ b/scheduler/wiring.go
@@ -14,8 +14,9 @@
 // New makes the core of a term. The caller then loads the records with LoadJob, LoadSlice and
 // LoadZone, and calls Begin.
 //
-// Each connect function makes parts from those that are made before it. Parts that need each
-// other are connected in a second step: the registry, the record writer and the zone gate.
+// The parts refer to each other, so they are made in three steps. The new functions make the
+// parts that others need before their own peers are made. The make functions make the other
+// parts, each from those above it. The connect functions then give the first parts their peers.
 func New(opt Options, types []wire.MachineType) *Core {
 	c := &Core{
 		opt:       opt,
@@ -27,49 +28,53 @@
 	settings := cluster.Settings{SliceTasks: opt.SliceTasks, BootFactor: opt.BootFactor, ListLag: opt.ListLag}
 	c.cluster = cluster.NewState(settings, c.clock, c.rounds, c.quotas)
 	c.records = newRecordWriter(c.cluster, c.clock, c.rounds, newRecordSettings(opt))
-	c.registry = &machineRegistry{
-		cluster:         c.cluster,
-		clock:           c.clock,
-		rounds:          c.rounds,
-		settings:        registrySettings{previousLeader: opt.PreviousLeader, listLag: opt.ListLag},
-		terminateCounts: map[terminateReason]int{},
-	}
-	c.connectDispatch()
+	c.registry = c.newRegistry()
 	c.autoscaler = newAutoscaler(autoscalerSettingsOf(&opt), c.cluster, c.clock, c.rounds)
 	c.zones = c.newZoneGate()
-	c.connectLifecycle()
-	c.registry.commands, c.registry.lifecycle, c.registry.zones = c.commands, c.lifecycle, c.zones
-	c.connectPreviousLeaders()
-	c.connectHealth()
-	c.connectIntake()
-	c.records.tasks, c.records.commands, c.records.jobs = c.lifecycle, c.commands, c.jobRecords
-	c.connectAdmission()
-	c.connectPreemption()
+
+	c.makeDispatch()
+	c.makeLifecycle()
+	c.makePreviousLeaders()
+	c.makeHealth()
+	c.makeIntake()
+	c.makeAdmission()
+	c.makePreemption()
+
+	c.connectRecords()
+	c.connectRegistry()
 	c.connectAutoscaler()
 	c.connectZones()
 	c.cluster.SetCatalog(types)
 	return c
 }
 
-// connectLifecycle makes the part that ends tasks, and those that learn from how tasks end.
-func (c *Core) connectLifecycle() {
-	c.failures = &failureHistory{cluster: c.cluster, clock: c.clock, rounds: c.rounds, zones: c.zones}
-	c.slowness = &slownessDetector{cluster: c.cluster, clock: c.clock}
-	c.lifecycle = &taskLifecycle{
-		cluster:   c.cluster,
-		clock:     c.clock,
-		rounds:    c.rounds,
-		records:   c.records,
-		commands:  c.commands,
-		zones:     c.zones,
-		estimates: c.estimates,
-		slowness:  c.slowness,
-		failures:  c.failures,
+// newRegistry makes the registry of machines.
+func (c *Core) newRegistry() *machineRegistry {
+	return &machineRegistry{
+		cluster:         c.cluster,
+		clock:           c.clock,
+		rounds:          c.rounds,
+		settings:        registrySettings{previousLeader: c.opt.PreviousLeader, listLag: c.opt.ListLag},
+		terminateCounts: map[terminateReason]int{},
+	}
+}
+
+// newZoneGate makes the gate of a term; nil if zone recovery is off.
+func (c *Core) newZoneGate() *zoneGate {
+	if c.opt.ZoneRecovery == nil {
+		return nil
+	}
+	return &zoneGate{
+		manager: zonerecovery.NewManager(c.opt.ZoneRecovery),
+		cluster: c.cluster,
+		clock:   c.clock,
+		rounds:  c.rounds,
+		records: zoneRecords{maxBytes: c.opt.ValueBytes, inFlight: map[uint64]zoneWrite{}},
 	}
 }
 
-// connectDispatch makes the part that decides which commands agents get.
-func (c *Core) connectDispatch() {
+// makeDispatch makes the part that decides which commands agents get.
+func (c *Core) makeDispatch() {
 	c.commands = &commandDispatcher{
 		cluster: c.cluster,
 		clock:   c.clock,
@@ -82,8 +87,25 @@
 	}
 }
 
-// connectPreviousLeaders makes the bounds on what previous leaders still do.
-func (c *Core) connectPreviousLeaders() {
+// makeLifecycle makes the part that ends tasks, and those that learn from how tasks end.
+func (c *Core) makeLifecycle() {
+	c.failures = &failureHistory{cluster: c.cluster, clock: c.clock, rounds: c.rounds, zones: c.zones}
+	c.slowness = &slownessDetector{cluster: c.cluster, clock: c.clock}
+	c.lifecycle = &taskLifecycle{
+		cluster:   c.cluster,
+		clock:     c.clock,
+		rounds:    c.rounds,
+		records:   c.records,
+		commands:  c.commands,
+		zones:     c.zones,
+		estimates: c.estimates,
+		slowness:  c.slowness,
+		failures:  c.failures,
+	}
+}
+
+// makePreviousLeaders makes the part that bounds how long previous leaders may act.
+func (c *Core) makePreviousLeaders() {
 	c.previousLeaders = &previousLeaders{
 		cluster: c.cluster,
 		clock:   c.clock,
@@ -97,8 +119,8 @@
 	}
 }
 
-// connectHealth makes the parts that judge machines, from the others.
-func (c *Core) connectHealth() {
+// makeHealth makes the parts that judge machines.
+func (c *Core) makeHealth() {
 	settings := healthSettings{
 		agentLease:        c.opt.AgentLease,
 		heartbeatInterval: c.opt.HeartbeatInterval,
@@ -121,8 +143,8 @@
 	}
 }
 
-// connectIntake makes the parts that take heartbeats and records in, from the others.
-func (c *Core) connectIntake() {
+// makeIntake makes the parts that receive heartbeats and job records.
+func (c *Core) makeIntake() {
 	c.heartbeats = &heartbeatIntake{
 		cluster:      c.cluster,
 		clock:        c.clock,
@@ -154,8 +176,8 @@
 	}
 }
 
-// connectAdmission makes the parts that admit jobs, from the others.
-func (c *Core) connectAdmission() {
+// makeAdmission makes the parts that admit jobs.
+func (c *Core) makeAdmission() {
 	c.candidates = &candidateList{}
 	c.queue = &jobQueue{
 		cluster:  c.cluster,
@@ -198,8 +220,8 @@
 	}
 }
 
-// connectPreemption makes preemption from the other parts.
-func (c *Core) connectPreemption() {
+// makePreemption makes the policy that preempts tasks.
+func (c *Core) makePreemption() {
 	settings := preemption.Settings{LendingSuspension: c.opt.LendingSuspension}
 	c.preemption = preemption.New(settings, c.cluster, c.clock, c.rounds, c.quotas, &preemptionScheduler{
 		clock:        c.clock,
@@ -212,6 +234,20 @@
 	})
 }
 
+// connectRecords gives the record writer the policies that it notifies of results.
+func (c *Core) connectRecords() {
+	c.records.tasks = c.lifecycle
+	c.records.commands = c.commands
+	c.records.jobs = c.jobRecords
+}
+
+// connectRegistry gives the registry the policies that it notifies of machines.
+func (c *Core) connectRegistry() {
+	c.registry.commands = c.commands
+	c.registry.lifecycle = c.lifecycle
+	c.registry.zones = c.zones
+}
+
 // connectAutoscaler gives the autoscaler the policies that it asks.
 func (c *Core) connectAutoscaler() {
 	c.autoscaler.connect(autoscalerPeers{
@@ -225,21 +261,7 @@
 	})
 }
 
-// newZoneGate makes the gate of a term; nil if zone recovery is off.
-func (c *Core) newZoneGate() *zoneGate {
-	if c.opt.ZoneRecovery == nil {
-		return nil
-	}
-	return &zoneGate{
-		manager: zonerecovery.NewManager(c.opt.ZoneRecovery),
-		cluster: c.cluster,
-		clock:   c.clock,
-		rounds:  c.rounds,
-		records: zoneRecords{maxBytes: c.opt.ValueBytes, inFlight: map[uint64]zoneWrite{}},
-	}
-}
-
-// connectZones gives the gate the other policies that it asks. They must all be made.
+// connectZones gives the gate the policies that it asks.
 func (c *Core) connectZones() {
 	g := c.zones
 	if g == nil {
