--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -60,7 +60,7 @@
 // begin begins the term; the first plan is due one interval later.
 func (as *autoscaler) begin() { as.plannedAt = as.clock.Now() }
 
-// plan requests machines for tasks that find no room, and gives up idle machines. It does
+// plan requests machines for tasks that fit nowhere, and terminates idle machines. It does
 // nothing until its interval has passed.
 func (as *autoscaler) plan() {
 	now := as.clock.Now()
@@ -76,11 +76,11 @@
 	planner := as.newPlanner()
 	as.waiting.addTo(planner)
 	as.headroom.addTo(planner)
-	as.replacements.addTo(planner) // last: it offers free room that the others do not count
+	as.replacements.addTo(planner) // last: it adds free resources that the others must not count
 	for _, machines := range planner.MachineRequests() {
 		as.provisioner.request(machines)
 	}
-	as.scaleIn.giveUpIdle()
+	as.scaleIn.terminateIdleMachines()
 }
 
 // machinesKnown tells whether the list of machines has caught up with what a previous
@@ -92,7 +92,7 @@
 	return as.clock.Now() >= as.clock.TermBegan().Add(2*as.settings.listLag)
 }
 
-// newPlanner makes a planner that knows of the machines that boot or are requested.
+// newPlanner makes a planner that counts the machines that boot or are requested.
 func (as *autoscaler) newPlanner() *fleet.Planner {
 	planner := &fleet.Planner{
 		Types:          as.cluster.Types(),
@@ -144,7 +144,7 @@
 	return as.health.zonePartitioned(site.Zone) || as.zones.blocksProvisioning(site.Zone) || as.provisioner.backsOff(site)
 }
 
-// takeDecisions hands out the requests for machines since the last call.
+// takeDecisions returns the requests for machines since the last call.
 func (as *autoscaler) takeDecisions() []wire.ProvisionRequest { return as.provisioner.takeDecisions() }
 
 // recordArrival counts a job that became ready.
@@ -163,5 +163,5 @@
 // zoneRefused tells whether the cloud recently lacked every kind of machine in a zone.
 func (as *autoscaler) zoneRefused(zone ids.Zone) bool { return as.provisioner.zoneRefused(zone) }
 
-// comingByZone counts the machines that were requested or have yet to send a heartbeat.
-func (as *autoscaler) comingByZone() map[ids.Zone]int { return as.provisioner.comingByZone() }
+// bootingByZone counts the machines that are requested or boot.
+func (as *autoscaler) bootingByZone() map[ids.Zone]int { return as.provisioner.bootingByZone() }
--- a/scheduler/autoscaler_parts.go
+++ b/scheduler/autoscaler_parts.go
@@ -57,7 +57,7 @@
 	estimates *runEstimates
 	health    autoscalerHealth
 	zones     zoneProvisioning
-	registry  machineReturner
+	registry  idleMachineTerminator
 }
 
 // newAutoscaler makes an autoscaler that has observed nothing yet. connect must follow
--- a/scheduler/boot_times.go
+++ b/scheduler/boot_times.go
@@ -12,7 +12,7 @@
 )
 
 // bootTimes learns how long machines take to boot, and tells which of them are late.
-// Machines of previous leaders teach nothing: when they were provisioned is not known.
+// It ignores machines of previous leaders, since it is not known when they were provisioned.
 type bootTimes struct {
 	cluster  *cluster.State
 	clock    *clock.Clock
@@ -40,7 +40,7 @@
 
 // record learns from the first heartbeat of a machine.
 func (b *bootTimes) record(m *cluster.Machine) {
-	if m.MachineType() == nil || !m.Lifecycle.RentedThisTerm || m.MachineType().BootS <= 0 {
+	if m.MachineType() == nil || !m.Lifecycle.ProvisionedThisTerm || m.MachineType().BootS <= 0 {
 		return
 	}
 	took := b.clock.Now().Sub(m.Lifecycle.KnownSince).Seconds()
@@ -55,7 +55,7 @@
 // then provisioned for the tasks that wait for it, unless all machines of its type take as
 // long now: another would come up no sooner.
 func (b *bootTimes) late(m *cluster.Machine) bool {
-	if m.Agent.Reported || m.MachineType() == nil || !m.Lifecycle.RentedThisTerm {
+	if m.Agent.Reported || m.MachineType() == nil || !m.Lifecycle.ProvisionedThisTerm {
 		return false
 	}
 	recent := max(1, b.factors[m.Type()])
--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -49,10 +49,10 @@
 	KnownSince   monotonic.Instant
 	BootDeadline monotonic.Instant // by when it must send a heartbeat; 0: not known
 	// IdleSince is when the machine last had an assignment.
-	IdleSince      monotonic.Instant
-	RentedThisTerm bool // this leader provisioned it, so no previous one can have terminated it
-	ListedStatus   wire.MachineStatus
-	MissingLists   int // machine lists in a row without it, after it was listed
+	IdleSince           monotonic.Instant
+	ProvisionedThisTerm bool // by this leader, so no previous one can have terminated it
+	ListedStatus        wire.MachineStatus
+	MissingLists        int // machine lists in a row without it, after it was listed
 	// Terminating: it is decided to terminate the machine. TerminateInFlight: a call to
 	// terminate it is in flight. Terminated: the cloud has confirmed it.
 	Terminating, TerminateInFlight, Terminated bool
--- a/scheduler/dispatch_queue.go
+++ b/scheduler/dispatch_queue.go
@@ -113,7 +113,7 @@
 	if d.clock.Now() < m.Commands.RequestHeartbeatAt {
 		return false
 	}
-	running := m.Lifecycle.ListedStatus == wire.MachineRunning && !m.Lifecycle.RentedThisTerm
+	running := m.Lifecycle.ListedStatus == wire.MachineRunning && !m.Lifecycle.ProvisionedThisTerm
 	return running || len(m.Assignments()) > 0
 }
 
--- a/scheduler/dispatch_queue_test.go
+++ b/scheduler/dispatch_queue_test.go
@@ -66,7 +66,7 @@
 		want   dispatchAction
 	}{
 		{"booting", func(_ *dispatchFixture, m *cluster.Machine) {
-			m.Lifecycle.ListedStatus, m.Lifecycle.RentedThisTerm = wire.MachineRunning, true
+			m.Lifecycle.ListedStatus, m.Lifecycle.ProvisionedThisTerm = wire.MachineRunning, true
 		}, leaveQueue},
 		{"left running by a previous leader", func(_ *dispatchFixture, m *cluster.Machine) {
 			m.Lifecycle.ListedStatus = wire.MachineRunning
--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -38,13 +38,13 @@
 	// MaxMachines is the most machines that may still be requested.
 	MaxMachines int
 
-	// BinsExamined counts how often a bin was looked at, a measure of the work.
+	// BinsExamined counts how often a bin was examined, as a measure of the work.
 	BinsExamined int
 
 	bins     []*bin
 	requests map[placement.Site]int
-	// firstBin is, by requirements, the first bin that may still have room for them. Room only
-	// shrinks, so bins before it need not be looked at again: with thousands of waiting jobs
+	// firstBin is, by requirements, the first bin that may still hold such a task. Free
+	// resources only shrink, so bins before it need not be examined again: with thousands of waiting jobs
 	// and booting machines that would be millions of comparisons.
 	firstBin map[requirements]int
 }
@@ -54,8 +54,8 @@
 	p.bins = append(p.bins, &bin{s, free})
 }
 
-// Add packs the tasks of a job into the bins, and requests machines for those that find no
-// room as long as there is a site for them.
+// Add packs the tasks of a job into the bins, and requests machines for those that do not
+// fit, as long as there is a site for them.
 func (p *Planner) Add(d Demand) {
 	if p.requests == nil {
 		p.requests, p.firstBin = map[placement.Site]int{}, map[requirements]int{}
@@ -76,7 +76,7 @@
 	}
 }
 
-// fillBins packs the tasks of a job into the bins, and returns how many found no room.
+// fillBins packs the tasks of a job into the bins, and returns how many did not fit.
 func (p *Planner) fillBins(d Demand, zones placement.TasksByZone) int {
 	left := d.Count
 	for _, b := range p.bins[p.skipFullBins(d.Spec):] {
@@ -89,7 +89,7 @@
 	return left
 }
 
-// skipFullBins finds the first bin that may have room for a task.
+// skipFullBins finds the first bin that may hold a task.
 func (p *Planner) skipFullBins(s *wire.JobSpec) int {
 	key := requirementsOf(s)
 	first := p.firstBin[key]
--- a/scheduler/headroom.go
+++ b/scheduler/headroom.go
@@ -21,7 +21,7 @@
 	extraHeadroomTasks = 2
 )
 
-// headroom is the demand for free room on behalf of latency-sensitive classes, whose tasks
+// headroom is the demand for free resources for latency-sensitive classes, whose tasks
 // cannot wait for a machine to boot.
 type headroom struct {
 	cluster  *cluster.State
@@ -76,7 +76,7 @@
 	return int(math.Ceil(wanted)) + extraHeadroomTasks
 }
 
-// freeTasks counts the tasks of a job for which usable machines have room. The count
+// freeTasks counts how many tasks of a job fit on usable machines. The count
 // ends once it reaches what is needed.
 func (h *headroom) freeTasks(spec *wire.JobSpec, needed int) int {
 	n := 0
@@ -91,7 +91,8 @@
 	return n
 }
 
-// headroomSurplus is the free room of a class beyond the headroom that it should have.
+// headroomSurplus is how far the free resources for a class exceed the headroom that it should
+// have.
 type headroomSurplus struct {
 	spec  *wire.JobSpec
 	tasks int // negative if headroom is missing
@@ -107,7 +108,7 @@
 	return surpluses
 }
 
-// tasksOn is how many tasks of the class a machine has room for.
+// tasksOn is how many tasks of the class fit on a machine.
 func (s *headroomSurplus) tasksOn(m *cluster.Machine) int {
 	if !placement.Allowed(s.spec, m.Site()) {
 		return 0
--- a/scheduler/liveness.go
+++ b/scheduler/liveness.go
@@ -68,5 +68,5 @@
 // leader may have terminated any machine that was not provisioned in this term. Only an answered
 // call, or a fencing token of this leader, shows that such a machine exists.
 func (l *machineLiveness) provenAlive(m *cluster.Machine) bool {
-	return m.Lifecycle.RentedThisTerm || m.Agent.AnsweredCall || m.Agent.Fenced || !l.settings.previousLeader
+	return m.Lifecycle.ProvisionedThisTerm || m.Agent.AnsweredCall || m.Agent.Fenced || !l.settings.previousLeader
 }
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -121,7 +121,7 @@
 	}{
 		{"no previous leader", false, cluster.Machine{}, true},
 		{"previous leader, heartbeats alone", true, cluster.Machine{Agent: cluster.AgentStatus{Reported: true}}, false},
-		{"provisioned in this term", true, cluster.Machine{Lifecycle: cluster.MachineLifecycle{RentedThisTerm: true}}, true},
+		{"provisioned in this term", true, cluster.Machine{Lifecycle: cluster.MachineLifecycle{ProvisionedThisTerm: true}}, true},
 		{"answered a call", true, cluster.Machine{Agent: cluster.AgentStatus{AnsweredCall: true}}, true},
 		{"showed this leader's token", true, cluster.Machine{Agent: cluster.AgentStatus{Fenced: true}}, true},
 	} {
--- a/scheduler/placement/placement.go
+++ b/scheduler/placement/placement.go
@@ -1,5 +1,5 @@
 // Package placement decides which machine a task goes to: which machines a job allows, which
-// have room, and which of them is best. It is pure: its functions hold no state, and the
+// have free resources, and which of them is best. It is pure: its functions hold no state, and the
 // scheduler calls them with what it knows of jobs and machines.
 package placement
 
--- a/scheduler/placement/score.go
+++ b/scheduler/placement/score.go
@@ -32,8 +32,8 @@
 	servicesBonus = 20.0
 
 	// spotBonus is for spot work on a spot machine, less spotRiskWeight times its risk up to
-	// maxSpotRiskPenalty. Spot work on ordinary machines takes room from work that may not
-	// use spot.
+	// maxSpotRiskPenalty. Spot work on ordinary machines takes resources from work that
+	// may not use spot.
 	spotBonus          = 60.0
 	spotRiskWeight     = 800.0
 	maxSpotRiskPenalty = 200.0
--- a/scheduler/provisioning.go
+++ b/scheduler/provisioning.go
@@ -58,8 +58,8 @@
 }
 
 // mayRequest tells whether one more request may be in flight for a site. Where the cloud
-// lacked capacity at the last request, one at a time is enough: more of them took all calls
-// to the cloud for seconds, only to be refused too.
+// lacked capacity at the last request, only one may be in flight: more of them
+// occupied all calls to the cloud for seconds and were refused too.
 func (p *provisioner) mayRequest(site placement.Site) bool {
 	if p.backoff.RecentlyRefused(site) {
 		return p.requestsInFlight[site] == 0
@@ -81,7 +81,7 @@
 	})
 }
 
-// takeDecisions hands out the requests that were decided on since the last call.
+// takeDecisions returns the requests that were decided on since the last call.
 func (p *provisioner) takeDecisions() []wire.ProvisionRequest {
 	decided := p.decided
 	p.decided = nil
@@ -111,7 +111,7 @@
 			continue
 		}
 		m := p.cluster.EnsureMachine(id)
-		m.Lifecycle.RentedThisTerm = true
+		m.Lifecycle.ProvisionedThisTerm = true
 		p.cluster.SetSite(m, site)
 	}
 	if len(machines) < request.Count {
@@ -167,16 +167,16 @@
 	return offered
 }
 
-// comingByZone counts the machines that were requested or have yet to send a heartbeat.
-func (p *provisioner) comingByZone() map[ids.Zone]int {
-	coming := map[ids.Zone]int{}
+// bootingByZone counts the machines that are requested or boot.
+func (p *provisioner) bootingByZone() map[ids.Zone]int {
+	booting := map[ids.Zone]int{}
 	for site, n := range p.machinesInFlight {
-		coming[site.Zone] += n
+		booting[site.Zone] += n
 	}
 	for _, m := range p.cluster.Machines() {
 		if m.Booting() {
-			coming[m.Zone()]++
+			booting[m.Zone()]++
 		}
 	}
-	return coming
+	return booting
 }
--- a/scheduler/quota/amount.go
+++ b/scheduler/quota/amount.go
@@ -3,7 +3,7 @@
 import "math"
 
 // slack absorbs the rounding of sums of decimal amounts in comparisons. It is far smaller
-// than any amount that is asked for, so it lets nobody exceed a limit by a task.
+// than any amount that is asked for, so it lets no team exceed a limit by a task.
 const slack = 1e-9
 
 // Amount is the resources that quota counts.
--- a/scheduler/replacements.go
+++ b/scheduler/replacements.go
@@ -13,8 +13,8 @@
 const silentHeartbeats = 3
 
 // replacements is the demand of services on machines that are likely to be lost. Their
-// leases expire about when a machine requested now is up; a boot begun only then would be
-// downtime. If a machine comes back, its replacement is idle and is terminated.
+// leases expire about when a machine requested now is up; a boot begun only then would mean
+// downtime. If a machine sends heartbeats again, its replacement is idle and is terminated.
 type replacements struct {
 	cluster           *cluster.State
 	clock             *clock.Clock
@@ -22,8 +22,8 @@
 	heartbeatInterval time.Duration
 }
 
-// addTo adds the demand to a plan, with all free room in which it may go. It comes last
-// because the other kinds of demand must not count that room.
+// addTo adds the demand to a plan, with all free resources that it may use. It must be called
+// last, because the other kinds of demand must not count those resources.
 func (r *replacements) addTo(planner *fleet.Planner) {
 	endangered := r.endangered()
 	if len(endangered) == 0 {
--- a/scheduler/scale_in.go
+++ b/scheduler/scale_in.go
@@ -11,14 +11,14 @@
 // quarantinedIdleTimeout is how long a quarantined machine may be idle.
 const quarantinedIdleTimeout = 5 * time.Second
 
-// scaleIn gives up machines that have been idle for too long. It never gives up a machine
+// scaleIn terminates machines that have been idle for too long. It never terminates a machine
 // with an assignment.
 type scaleIn struct {
 	cluster  *cluster.State
 	clock    *clock.Clock
 	headroom *headroom
 	health   machineUsability
-	registry machineReturner
+	registry idleMachineTerminator
 	settings scaleInSettings
 }
 
@@ -31,13 +31,13 @@
 	spotIdleFactor float64
 }
 
-// machineReturner gives machines up.
-type machineReturner interface {
+// idleMachineTerminator terminates machines.
+type idleMachineTerminator interface {
 	terminateMachine(m *cluster.Machine, why terminateReason)
 }
 
-// giveUpIdle gives up the machines that have been idle for too long.
-func (s *scaleIn) giveUpIdle() {
+// terminateIdleMachines terminates the machines that have been idle for too long.
+func (s *scaleIn) terminateIdleMachines() {
 	surpluses := s.headroom.surpluses()
 	for _, m := range s.cluster.Machines() {
 		if !idle(m) || !s.idleTooLong(m, surpluses) {
@@ -57,7 +57,7 @@
 	return m.Up() && len(m.Assignments()) == 0 && m.Unrecorded().CPUs <= 0
 }
 
-// idleTooLong tells whether an idle machine should be given up.
+// idleTooLong tells whether an idle machine should be terminated.
 func (s *scaleIn) idleTooLong(m *cluster.Machine, surpluses []headroomSurplus) bool {
 	now, since := s.clock.Now(), m.Lifecycle.IdleSince
 	if now > since.Add(s.timeout(m, surpluses)) {
--- a/scheduler/waiting_demand.go
+++ b/scheduler/waiting_demand.go
@@ -32,7 +32,7 @@
 	// which they were counted.
 	tasks map[*cluster.Job]int
 	jobs  []*cluster.Job
-	// urgent is provisioned for at once. deferrable may have the room of tasks that end
+	// urgent is provisioned for at once. deferrable may use the resources of tasks that end
 	// before a machine would be up.
 	urgent, deferrable []fleet.Demand
 }
@@ -94,9 +94,9 @@
 	}
 }
 
-// urgent tells whether a job's tasks are provisioned for at once. Others may have the room
-// of tasks that end before a machine would be up, unless they have waited for a boot time
-// already: then they have seen others take that room.
+// urgent tells whether a job's tasks are provisioned for at once. Others may use the
+// resources of tasks that end before a machine would be up, unless they have waited for a boot
+// time already: then other tasks have used those resources.
 func (w *waitingDemand) urgent(j *cluster.Job) bool {
 	if j.NeedsAllTasks() || w.queue.latencySensitive(j) {
 		return true
@@ -118,8 +118,8 @@
 	return n
 }
 
-// freeSoonShare is the part of a boot time within which a task must end for its room to
-// count as free soon.
+// freeSoonShare is the part of a boot time within which a task must end for its
+// resources to count as free soon.
 const freeSoonShare = 0.8
 
 // freeSoon is what will be free on a machine before another of its type could be up, as far
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -58,8 +58,8 @@
 
 // zoneProvisioningState tells what the cloud was asked for in a zone.
 type zoneProvisioningState interface {
-	// comingByZone counts the machines that are requested or boot.
-	comingByZone() map[ids.Zone]int
+	// bootingByZone counts the machines that are requested or boot.
+	bootingByZone() map[ids.Zone]int
 	// zoneRefused tells whether the cloud recently refused every type of machine in a zone.
 	zoneRefused(zone ids.Zone) bool
 }
--- a/scheduler/zone_provisioning.go
+++ b/scheduler/zone_provisioning.go
@@ -33,7 +33,7 @@
 		return 0, limited
 	}
 	if g.bootingAt != g.clock.Now() || g.booting == nil {
-		g.bootingAt, g.booting = g.clock.Now(), g.provisioning.comingByZone()
+		g.bootingAt, g.booting = g.clock.Now(), g.provisioning.bootingByZone()
 	}
 	return max(0, limit-g.booting[zone]), limited
 }
