--- a/scheduler/cluster/assignment.go
+++ b/scheduler/cluster/assignment.go
@@ -75,8 +75,8 @@
 	InFlight  bool // a change that holds the assignment is in flight
 }
 
-// Delivery is which commands for an assignment were sent to the machine. Command dispatch, heartbeats and the
-// task lifecycle write it.
+// Delivery is which commands for an assignment were sent to the machine. Command dispatch,
+// heartbeats and the task lifecycle write it.
 type Delivery struct {
 	// Inherited tells that a previous leader recorded the assignment and may have sent it.
 	Inherited bool
--- a/scheduler/cluster/job.go
+++ b/scheduler/cluster/job.go
@@ -220,13 +220,13 @@
 }
 
 // AddJob adds a job from its record.
-func (s *State) AddJob(id ids.JobID, rec *records.Job, revision ids.Revision) *Job {
+func (s *State) AddJob(id ids.JobID, record *records.Job, revision ids.Revision) *Job {
 	now := s.clock.Now()
-	j := &Job{ID: id, Spec: rec.Spec, status: rec.Status, active: map[int]*Assignment{}, zones: placement.TasksByZone{},
-		Queue:   JobQueue{ReadyMS: rec.SubmittedMS, OrderMS: rec.SubmittedMS, ReadyAt: now, WaitingSince: now},
+	j := &Job{ID: id, Spec: record.Spec, status: record.Status, active: map[int]*Assignment{}, zones: placement.TasksByZone{},
+		Queue:   JobQueue{ReadyMS: record.SubmittedMS, OrderMS: record.SubmittedMS, ReadyAt: now, WaitingSince: now},
 		Records: JobRecords{Revision: revision}}
 	if j.Spec == nil {
-		j.Spec = &wire.JobSpec{Tasks: rec.Tasks}
+		j.Spec = &wire.JobSpec{Tasks: record.Tasks}
 	}
 	j.priority = j.Spec.Priority
 	j.tasks = make([]Task, j.Spec.Tasks)
--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -43,8 +43,8 @@
 	Preemption MachinePreemption
 }
 
-// MachineLifecycle follows a machine from provisioning to termination. The machine registry and the
-// autoscaler write it.
+// MachineLifecycle follows a machine from provisioning to termination. The machine registry and
+// the autoscaler write it.
 type MachineLifecycle struct {
 	KnownSince   monotonic.Instant
 	BootDeadline monotonic.Instant // by when it must send a heartbeat; 0: not known
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -32,7 +32,8 @@
 
 // failureHistory keeps the failures of jobs and machines, and weighs which of the two is at
 // fault. Heartbeats and the task lifecycle record how tasks ended. Placement asks it for a
-// job's anti-affinity. It quarantines machines and delays jobs, but terminates no machine and ends no job.
+// job's anti-affinity. It quarantines machines and delays jobs, but terminates no machine and
+// ends no job.
 type failureHistory struct {
 	cluster *cluster.State
 	clock   *clock.Clock
--- a/scheduler/fleet/bins.go
+++ b/scheduler/fleet/bins.go
@@ -38,8 +38,8 @@
 	return n
 }
 
-// requirements are all that decides whether a bin with enough free resources may hold a task, except
-// where the job's other tasks are.
+// requirements are all that decides whether a bin with enough free resources may hold a task,
+// except where the job's other tasks are.
 type requirements struct {
 	need  placement.Resources
 	spot  bool
--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -44,8 +44,8 @@
 	bins     []*bin
 	requests map[placement.Site]int
 	// firstBin is, by requirements, the first bin that may still hold such a task. Free
-	// resources only shrink, so bins before it need not be examined again: with thousands of waiting jobs
-	// and booting machines that would be millions of comparisons.
+	// resources only shrink, so bins before it need not be examined again: with thousands of
+	// waiting jobs and booting machines that would be millions of comparisons.
 	firstBin map[requirements]int
 }
 
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -16,8 +16,8 @@
 
 // LoadJob loads a job's record at the start of the term. All jobs must be loaded before
 // slices.
-func (c *Core) LoadJob(id ids.JobID, rec *records.Job, revision ids.Revision) {
-	c.jobRecords.loadJob(id, rec, revision)
+func (c *Core) LoadJob(id ids.JobID, record *records.Job, revision ids.Revision) {
+	c.jobRecords.loadJob(id, record, revision)
 }
 
 // LoadUnreadableJob notes a job whose own record cannot be read. Its admission
@@ -29,8 +29,8 @@
 }
 
 // LoadSlice loads an admission record at the start of the term.
-func (c *Core) LoadSlice(id ids.JobID, n int, rec *records.AdmissionSlice, revision ids.Revision) error {
-	return c.jobRecords.loadSlice(id, n, rec, revision)
+func (c *Core) LoadSlice(id ids.JobID, n int, record *records.AdmissionSlice, revision ids.Revision) error {
+	return c.jobRecords.loadSlice(id, n, record, revision)
 }
 
 // Suspend keeps a job from being placed, because it is not known where all its tasks may be.
@@ -44,9 +44,9 @@
 
 // ObserveJob takes a job's record as found in the key-value store: new, cancelled or with a
 // version that this leader did not know.
-func (c *Core) ObserveJob(now monotonic.Instant, id ids.JobID, rec *records.Job, revision ids.Revision) {
+func (c *Core) ObserveJob(now monotonic.Instant, id ids.JobID, record *records.Job, revision ids.Revision) {
 	c.clock.Set(now)
-	c.jobRecords.observe(id, rec, revision)
+	c.jobRecords.observe(id, record, revision)
 }
 
 // EnableSplitRecords tells that every controller can read slices that were split. From now on
@@ -97,16 +97,16 @@
 }
 
 // loadJob loads a job's record at the start of the term.
-func (r *jobIntake) loadJob(id ids.JobID, rec *records.Job, revision ids.Revision) {
-	r.graph.Put(id, rec.Dependencies())
-	if rec.Status == wire.JobDone || rec.Spec == nil {
+func (r *jobIntake) loadJob(id ids.JobID, record *records.Job, revision ids.Revision) {
+	r.graph.Put(id, record.Dependencies())
+	if record.Status == wire.JobDone || record.Spec == nil {
 		return
 	}
-	r.cluster.AddJob(id, rec, revision)
+	r.cluster.AddJob(id, record, revision)
 }
 
 // loadSlice loads an admission record at the start of the term, after the jobs.
-func (r *jobIntake) loadSlice(id ids.JobID, n int, rec *records.AdmissionSlice, revision ids.Revision) error {
+func (r *jobIntake) loadSlice(id ids.JobID, n int, record *records.AdmissionSlice, revision ids.Revision) error {
 	if r.unreadable[id] {
 		return nil
 	}
@@ -125,19 +125,19 @@
 	if j.Status() == wire.JobDone {
 		return nil
 	}
-	s.Oversized = wire.ExceedsJSONSize(rec, r.valueBytes)
-	if err := j.LoadDone(s, rec.Done); err != nil {
+	s.Oversized = wire.ExceedsJSONSize(record, r.valueBytes)
+	if err := j.LoadDone(s, record.Done); err != nil {
 		return err
 	}
-	return r.loadPlacements(j, s, rec)
+	return r.loadPlacements(j, s, record)
 }
 
 // loadPlacements assigns the tasks of a slice to the machines on which a previous leader
 // placed them.
-func (r *jobIntake) loadPlacements(j *cluster.Job, s *cluster.AdmissionSlice, rec *records.AdmissionSlice) error {
-	for k := 0; k+2 < len(rec.Tasks); k += 3 {
-		index, attempt, machineIndex := rec.Tasks[k], ids.Attempt(rec.Tasks[k+1]), rec.Tasks[k+2]
-		if index < 0 || index >= len(j.Tasks()) || machineIndex >= len(rec.Hosts) {
+func (r *jobIntake) loadPlacements(j *cluster.Job, s *cluster.AdmissionSlice, record *records.AdmissionSlice) error {
+	for k := 0; k+2 < len(record.Tasks); k += 3 {
+		index, attempt, machineIndex := record.Tasks[k], ids.Attempt(record.Tasks[k+1]), record.Tasks[k+2]
+		if index < 0 || index >= len(j.Tasks()) || machineIndex >= len(record.Hosts) {
 			return fmt.Errorf("admission record %s/%d names task %d on place %d", j.ID, s.Number, index, machineIndex)
 		}
 		t := j.Task(index)
@@ -145,9 +145,9 @@
 		if machineIndex < 0 || t.State() == cluster.TaskDone {
 			continue
 		}
-		m := r.cluster.EnsureMachine(rec.Hosts[machineIndex])
-		if m.Zone() == "" && machineIndex < len(rec.Zones) {
-			r.sites.setSite(m, placement.Site{Zone: rec.Zones[machineIndex]}, "")
+		m := r.cluster.EnsureMachine(record.Hosts[machineIndex])
+		if m.Zone() == "" && machineIndex < len(record.Zones) {
+			r.sites.setSite(m, placement.Site{Zone: record.Zones[machineIndex]}, "")
 		}
 		r.cluster.Inherit(j, index, m, ids.NewFencingToken(r.revision, 0)-1)
 	}
@@ -156,28 +156,28 @@
 
 // observe takes a job's record as found in the key-value store: new, cancelled or with a
 // version that this leader did not know.
-func (r *jobIntake) observe(id ids.JobID, rec *records.Job, revision ids.Revision) {
+func (r *jobIntake) observe(id ids.JobID, record *records.Job, revision ids.Revision) {
 	j := r.cluster.Job(id)
 	if j != nil && revision <= j.Records.Revision {
 		return
 	}
 	if j == nil {
-		if s := r.graph.ReadinessOf(id).State; rec.Terminal() || s == dependency.Done || s == dependency.Cancelled {
-			r.applyJobRecord(id, rec) // the job has ended; the record may be an older one
+		if s := r.graph.ReadinessOf(id).State; record.Terminal() || s == dependency.Done || s == dependency.Cancelled {
+			r.applyJobRecord(id, record) // the job has ended; the record may be an older one
 			return
 		}
-		j = r.cluster.AddJob(id, rec, revision)
+		j = r.cluster.AddJob(id, record, revision)
 		j.RebuildPending()
-		r.applyJobRecord(id, rec)
+		r.applyJobRecord(id, record)
 		return
 	}
 	j.Records.Revision = revision
-	if rec.Terminal() {
+	if record.Terminal() {
 		if !j.Terminal() {
-			r.lifecycle.endJob(j, rec.Status)
+			r.lifecycle.endJob(j, record.Status)
 		}
 		r.records.cancelRecorded(j)
-		r.applyJobRecord(id, rec)
+		r.applyJobRecord(id, record)
 	}
 }
 
@@ -218,8 +218,8 @@
 
 // applyJobRecord puts a job's record into the dependency graph and updates all jobs whose
 // readiness or priority changes.
-func (r *jobIntake) applyJobRecord(id ids.JobID, rec *records.Job) {
-	for _, other := range r.graph.Put(id, rec.Dependencies()) {
+func (r *jobIntake) applyJobRecord(id ids.JobID, record *records.Job) {
+	for _, other := range r.graph.Put(id, record.Dependencies()) {
 		if j := r.cluster.Job(other); j != nil {
 			r.syncDependencies(j)
 		}
--- a/scheduler/preemption/preemption.go
+++ b/scheduler/preemption/preemption.go
@@ -10,9 +10,10 @@
 // the victims. The round (round.go, ledger.go) counts the quota and the resources that its
 // plans use, so that no two of them use the same.
 //
-// The policy stops no more than the waiting work needs. Tasks that are stopping already count as
-// free. It must never place a task: admission uses the freed resources in a later round. It must never
-// stop a protected task, nor let a borrowing team stop work within another's nominal quota.
+// The policy stops no more than the waiting work needs. Tasks that are stopping already count
+// as free. It must never place a task: admission uses the freed resources in a later round. It
+// must never stop a protected task, nor let a borrowing team stop work within another's nominal
+// quota.
 //
 // All types belong to the goroutine that runs the scheduler.
 package preemption
--- a/scheduler/provisioning_test.go
+++ b/scheduler/provisioning_test.go
@@ -92,14 +92,14 @@
 			p := newTestProvisioner(t, 1000)
 			p.send(testSite, 2)
 			if got := p.bootingByZone()["a"]; got != 2 {
-				t.Errorf("%d machines are coming while the request is in flight, want 2", got)
+				t.Errorf("%d machines boot or are requested while the request is in flight, want 2", got)
 			}
 			c.finish(p, p.takeDecisions()[0])
 			if got := len(p.cluster.Machines()); got != c.machines {
 				t.Errorf("%d machines are known, want %d", got, c.machines)
 			}
 			if got := p.bootingByZone()["a"]; got != c.machines {
-				t.Errorf("%d machines are coming after the result, want %d", got, c.machines)
+				t.Errorf("%d machines boot or are requested after the result, want %d", got, c.machines)
 			}
 			if got := p.backsOff(testSite); got != c.backsOff {
 				t.Errorf("the site backs off: %v, want %v", got, c.backsOff)
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -12,9 +12,9 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// zoneGate connects the scheduler with the state machines of package zonerecovery. It owns
-// the manager of one term. The core and the other policies ask it whether a task may start
-// or a machine may be provisioned in a zone, and notify it when tasks start, run and end. It passes
+// zoneGate connects the scheduler with the state machines of package zonerecovery. It owns the
+// manager of one term. The core and the other policies ask it whether a task may start or a
+// machine may be provisioned in a zone, and notify it when tasks start, run and end. It passes
 // the health of zones to the manager, writes zones' records, and moves replicas back.
 //
 // The gate can only deny: it never places or preempts a task, and the only tasks that it
