--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -83,7 +83,7 @@
 
 // jobRecordMarks notes which records of jobs are to be written.
 type jobRecordMarks interface {
-	// markOrphanCancel notes that a job's own record has yet to say that it is cancelled.
+	// markOrphanCancel notes that a job's own record does not say yet that it is cancelled.
 	markOrphanCancel(j *cluster.Job)
 	// cancelRecorded notes that the job's own record says so.
 	cancelRecorded(j *cluster.Job)
--- a/scheduler/machine_check.go
+++ b/scheduler/machine_check.go
@@ -98,7 +98,7 @@
 }
 
 // bootFailed tells whether a machine takes too long to boot. A previous leader's machines
-// are up already and have yet to find this leader. During a pause of this process no
+// have booted already and need time to find this leader. During a pause of this process no
 // heartbeat could arrive.
 func (c *machineCheck) bootFailed(m *cluster.Machine) bool {
 	if m.Agent.Reported || m.Lifecycle.BootDeadline == 0 || len(m.Assignments()) > 0 {
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -12,7 +12,10 @@
 )
 
 // machineRegistry follows machines from the cloud's list until the cloud has confirmed that
-// they are terminated, and terminates those that are not needed any more.
+// they are terminated, and decides on calls to terminate them. The core passes the cloud's
+// lists and confirmations to it; the health check and scale in choose the machines to
+// terminate. It must not conclude from one list that a machine is gone, nor remove a machine
+// that still has tasks.
 type machineRegistry struct {
 	cluster   *cluster.State
 	clock     *clock.Clock
@@ -46,7 +49,7 @@
 	lost(a *cluster.Assignment)
 }
 
-// begin takes the machines that records name as known since the term began.
+// begin marks the machines that records name as known since the term began.
 func (r *machineRegistry) begin() {
 	for _, m := range r.cluster.Machines() {
 		m.Lifecycle.KnownSince = r.clock.Now()
@@ -77,24 +80,25 @@
 	c.registry.observeList(asked, list)
 }
 
-// observeList takes the cloud's list into account.
+// observeList updates the machines from the cloud's list.
 func (r *machineRegistry) observeList(asked monotonic.Instant, list []wire.Machine) {
 	listed := map[ids.MachineID]bool{}
-	for _, w := range list {
-		listed[w.ID] = true
-		if r.cluster.WasRemoved(w.ID) {
+	for i := range list {
+		entry := &list[i]
+		listed[entry.ID] = true
+		if r.cluster.WasRemoved(entry.ID) {
 			continue
 		}
-		m := r.cluster.Machine(w.ID)
+		m := r.cluster.Machine(entry.ID)
 		if m == nil {
-			m = r.cluster.EnsureMachine(w.ID)
-			m.Lifecycle.KnownSince = asked.Add(-monotonic.Seconds(w.AgeS))
+			m = r.cluster.EnsureMachine(entry.ID)
+			m.Lifecycle.KnownSince = asked.Add(-monotonic.Seconds(entry.AgeS))
 		}
-		r.setSite(m, placement.Site{Type: w.Type, Zone: w.Zone, Spot: w.Spot}, w.Endpoint)
-		if m.Lifecycle.ListedStatus != w.Status && !m.Agent.Reported && r.settings.previousLeader {
+		r.setSite(m, placement.Site{Type: entry.Type, Zone: entry.Zone, Spot: entry.Spot}, entry.Endpoint)
+		if m.Lifecycle.ListedStatus != entry.Status && !m.Agent.Reported && r.settings.previousLeader {
 			r.commands.queueCommands(m)
 		}
-		m.Lifecycle.ListedStatus, m.Lifecycle.MissingLists = w.Status, 0
+		m.Lifecycle.ListedStatus, m.Lifecycle.MissingLists = entry.Status, 0
 	}
 	r.countMissing(asked, listed)
 }
--- a/scheduler/preemption/ledger.go
+++ b/scheduler/preemption/ledger.go
@@ -11,10 +11,10 @@
 // ledger counts the quota that the plans of a round promise and free, and the tasks that
 // they stop.
 type ledger struct {
-	// borrowed is what teams use beyond their nominal quota, less what they are to free.
+	// borrowed is what teams use beyond their nominal quota, less what they will free.
 	borrowed map[ids.Team]quota.Amount
-	// committed is the quota promised to teams, less what they are to free. It comes on top
-	// of what they use.
+	// committed is the quota promised to teams, less what they will free, in addition to
+	// what they use.
 	committed map[ids.Team]quota.Amount
 	victims   map[*cluster.Assignment]bool
 }
@@ -41,12 +41,12 @@
 	}
 }
 
-// promise counts quota that a team is to use.
+// promise counts quota that a team will use.
 func (l *ledger) promise(team ids.Team, amount quota.Amount) {
 	l.committed[team] = l.committed[team].Plus(amount)
 }
 
-// free counts quota that a team is to free.
+// free counts quota that a team will free.
 func (l *ledger) free(team ids.Team, amount quota.Amount) {
 	l.borrowed[team] = l.borrowed[team].Minus(amount)
 	l.committed[team] = l.committed[team].Minus(amount)
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -31,7 +31,7 @@
 	target() *cluster.Job
 	// settled notes that the change is not in flight any more.
 	settled()
-	// applied takes note of what is recorded now, at a revision.
+	// applied notes that the change is committed at a revision.
 	applied(w *recordWriter, revision ids.Revision)
 	// rollBack undoes the placements that the change would have recorded and marks the
 	// records dirty again.
