--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -61,13 +61,13 @@
 // AgentStatus is what the machine's agent has sent and what it was answered. Heartbeats write
 // it.
 type AgentStatus struct {
-	Reported     bool // a heartbeat has come in this term
-	Incarnation  ids.AgentIncarnation
-	Sequence     ids.Sequence
-	FencingToken ids.FencingToken // highest that the agent has shown
-	LastHeard    monotonic.Instant
-	AnsweredAt   monotonic.Instant
-	AnsweredCall bool // it answered a call of this leader
+	HeardThisTerm bool // a heartbeat was received in this term
+	Incarnation   ids.AgentIncarnation
+	Sequence      ids.Sequence
+	FencingToken  ids.FencingToken // highest that the agent has shown
+	LastHeard     monotonic.Instant
+	AnsweredAt    monotonic.Instant
+	AnsweredCall  bool // it answered a call of this leader
 	// Fenced tells that the agent has shown a token of this leader.
 	Fenced   bool
 	FencedAt monotonic.Instant
@@ -189,10 +189,10 @@
 
 // Booting tells whether the machine has sent no heartbeat in this term and is not being
 // terminated.
-func (m *Machine) Booting() bool { return !m.Agent.Reported && !m.Lifecycle.Terminating }
+func (m *Machine) Booting() bool { return !m.Agent.HeardThisTerm && !m.Lifecycle.Terminating }
 
 // Up tells whether the machine has sent a heartbeat in this term and is not being terminated.
-func (m *Machine) Up() bool { return m.Agent.Reported && !m.Lifecycle.Terminating }
+func (m *Machine) Up() bool { return m.Agent.HeardThisTerm && !m.Lifecycle.Terminating }
 
 // SilentFor tells whether the machine has sent no heartbeat for longer than d. The time before
 // its first heartbeat counts from when it became known.
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -166,7 +166,7 @@
 // stale tells whether a heartbeat is a duplicate or older than the newest. It does not show
 // that the machine is alive now.
 func stale(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
-	return m.Agent.Reported && !heartbeat.Newer(m.Agent.Incarnation, m.Agent.Sequence)
+	return m.Agent.HeardThisTerm && !heartbeat.Newer(m.Agent.Incarnation, m.Agent.Sequence)
 }
 
 // noCommands is an answer without commands.
@@ -205,8 +205,8 @@
 
 // updateAgent notes what a heartbeat shows of the machine's agent.
 func (h *heartbeatIntake) updateAgent(m *cluster.Machine, heartbeat *wire.Heartbeat) {
-	if !m.Agent.Reported {
-		m.Agent.Reported = true
+	if !m.Agent.HeardThisTerm {
+		m.Agent.HeardThisTerm = true
 		m.Lifecycle.IdleSince = h.clock.Now()
 		h.autoscaler.recordBoot(m)
 		h.rounds.MarkDue()
--- a/scheduler/liveness.go
+++ b/scheduler/liveness.go
@@ -28,7 +28,7 @@
 func (l *machineLiveness) mostSilent(machines []*cluster.Machine) bool {
 	heard, silent := 0, 0
 	for _, m := range machines {
-		if !m.Agent.Reported {
+		if !m.Agent.HeardThisTerm {
 			continue
 		}
 		heard++
@@ -48,7 +48,7 @@
 // usable tells whether tasks may run on a machine.
 func (l *machineLiveness) usable(m *cluster.Machine) bool {
 	switch {
-	case !m.Agent.Reported || m.MachineType() == nil:
+	case !m.Agent.HeardThisTerm || m.MachineType() == nil:
 		return false
 	case m.Lifecycle.Terminating || m.Health.SpotReclaimAt != 0:
 		return false
--- a/scheduler/machine_check.go
+++ b/scheduler/machine_check.go
@@ -101,7 +101,7 @@
 // have booted already and need time to find this leader. During a pause of this process no
 // heartbeat could arrive.
 func (c *machineCheck) bootFailed(m *cluster.Machine) bool {
-	if m.Agent.Reported || m.Lifecycle.BootDeadline == 0 || len(m.Assignments()) > 0 {
+	if m.Agent.HeardThisTerm || m.Lifecycle.BootDeadline == 0 || len(m.Assignments()) > 0 {
 		return false
 	}
 	deadline := max(m.Lifecycle.BootDeadline, c.clock.ResumedAt().Add(resumedHeartbeats*c.settings.heartbeatInterval))
@@ -114,7 +114,7 @@
 // silentTooLong tells whether a machine without tasks has been silent for longer than machines
 // usually are that send heartbeats again, while others are heard.
 func (c *machineCheck) silentTooLong(m *cluster.Machine) bool {
-	if !m.Agent.Reported || len(m.Assignments()) > 0 || c.mostSilent || c.zonePartitionedRecently(m.Zone()) {
+	if !m.Agent.HeardThisTerm || len(m.Assignments()) > 0 || c.mostSilent || c.zonePartitionedRecently(m.Zone()) {
 		return false
 	}
 	return m.SilentFor(c.clock.Now(), silentLeases*c.settings.agentLease)
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -95,7 +95,7 @@
 			m.Lifecycle.KnownSince = asked.Add(-monotonic.Seconds(entry.AgeS))
 		}
 		r.setSite(m, placement.Site{Type: entry.Type, Zone: entry.Zone, Spot: entry.Spot}, entry.Endpoint)
-		if m.Lifecycle.ListedStatus != entry.Status && !m.Agent.Reported && r.settings.previousLeader {
+		if m.Lifecycle.ListedStatus != entry.Status && !m.Agent.HeardThisTerm && r.settings.previousLeader {
 			r.commands.queueCommands(m)
 		}
 		m.Lifecycle.ListedStatus, m.Lifecycle.MissingLists = entry.Status, 0
--- a/scheduler/reachability.go
+++ b/scheduler/reachability.go
@@ -53,7 +53,7 @@
 		if heartbeat.FencingToken >= d.tokens.tokenOf(m) {
 			d.confirm(m) // it has received the newer token
 		}
-	case !m.Agent.Reported:
+	case !m.Agent.HeardThisTerm:
 		// No command was sent to it yet.
 	case d.lostAnsweredLease(m, heartbeat) || d.startUnacknowledged(m, heartbeat):
 		m.Health.Unreachable, m.Health.UnreachableSince = true, d.clock.Now()
