--- a/scheduler/autoscaler_parts.go
+++ b/scheduler/autoscaler_parts.go
@@ -57,20 +57,7 @@
 	estimates *runEstimates
 	health    autoscalerHealth
 	zones     zoneProvisioning
-	registry  machineReturner
-}
-
-// connectAutoscaler gives the autoscaler the policies that it asks.
-func (c *Core) connectAutoscaler() {
-	c.autoscaler.connect(autoscalerPeers{
-		queue:     c.queue,
-		quota:     c.quota,
-		quotas:    c.quotas,
-		estimates: c.estimates,
-		health:    c.health,
-		zones:     c.zones,
-		registry:  c.registry,
-	})
+	registry  idleMachineTerminator
 }
 
 // newAutoscaler makes an autoscaler that has observed nothing yet. connect must follow
--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -11,7 +11,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Machine is one machine that was requested, listed or heard, until it is known to be
+// Machine is one machine that was requested, listed or sent a heartbeat, until it is known to be
 // terminated.
 type Machine struct {
 	ID ids.MachineID // never changes
@@ -28,7 +28,7 @@
 
 	byRef map[ids.TaskRef]*Assignment
 	// assignments holds the same by job and index. staying, replicas and fetches count
-	// those that were not told to stop, fetches by image.
+	// those that are not stopping, fetches by image.
 	assignments []*Assignment
 	staying     int
 	replicas    int
@@ -43,30 +43,31 @@
 	Preemption MachinePreemption
 }
 
-// MachineLifecycle is what is known of a machine's rental. The machine registry and the
-// autoscaler write it.
+// MachineLifecycle follows a machine from provisioning to termination. The machine registry and
+// the autoscaler write it.
 type MachineLifecycle struct {
 	KnownSince   monotonic.Instant
-	BootDeadline monotonic.Instant // 0: not known
+	BootDeadline monotonic.Instant // by when it must send a heartbeat; 0: not known
 	// IdleSince is when the machine last had an assignment.
-	IdleSince      monotonic.Instant
-	RentedThisTerm bool // it cannot have been terminated before
-	ListedStatus   wire.MachineStatus
-	MissingLists   int // machine lists in a row without it, after it was listed
-	// Terminating tells that the machine is given up, TerminateInFlight that a call to
-	// terminate it is in flight, and Terminated that the cloud has confirmed it.
+	IdleSince           monotonic.Instant
+	ProvisionedThisTerm bool // by this leader, so no previous one can have terminated it
+	ListedStatus        wire.MachineStatus
+	MissingLists        int // machine lists in a row without it, after it was listed
+	// Terminating: it is decided to terminate the machine. TerminateInFlight: a call to
+	// terminate it is in flight. Terminated: the cloud has confirmed it.
 	Terminating, TerminateInFlight, Terminated bool
 }
 
-// AgentStatus is what the machine's agent has shown and was answered. Heartbeats write it.
+// AgentStatus is what the machine's agent has sent and what it was answered. Heartbeats write
+// it.
 type AgentStatus struct {
-	Reported     bool // a heartbeat has come in this term
-	Incarnation  ids.AgentIncarnation
-	Sequence     ids.Sequence
-	FencingToken ids.FencingToken // highest that the agent has shown
-	LastHeard    monotonic.Instant
-	AnsweredAt   monotonic.Instant
-	AnsweredCall bool // it answered a call of this leader
+	HeardThisTerm bool // a heartbeat was received in this term
+	Incarnation   ids.AgentIncarnation
+	Sequence      ids.Sequence
+	FencingToken  ids.FencingToken // highest that the agent has shown
+	LastHeard     monotonic.Instant
+	AnsweredAt    monotonic.Instant
+	AnsweredCall  bool // it answered a call of this leader
 	// Fenced tells that the agent has shown a token of this leader.
 	Fenced   bool
 	FencedAt monotonic.Instant
@@ -78,7 +79,7 @@
 // MachineCommands is the state of calls to the machine. Command dispatch writes it.
 type MachineCommands struct {
 	TokenCounter       uint64
-	Queued             bool // in the queue of machines to which a command may have to go
+	Queued             bool // in the queue of machines to which a command may have to be sent
 	CallInFlight       bool
 	CallRetryAt        monotonic.Instant
 	CallFailed         bool             // no heartbeat since a call failed
@@ -103,7 +104,7 @@
 	// their jobs did, as a power of 2.
 	Slowness   float64
 	SlowUntil  monotonic.Instant
-	SlowStreak int // jobs in a row that left Slowness at the limit or above
+	SlowStreak int // jobs in a row after which Slowness was at the limit or above
 }
 
 // MachineAdmission is what admission notes about a machine.
@@ -116,8 +117,8 @@
 // policy writes it.
 type MachinePreemption struct {
 	Round uint64 // of the notes; those of an earlier round are out of date
-	// ExpectedFree is the room once all tasks that were told to stop are gone and all tasks
-	// that room was made for are placed.
+	// ExpectedFree is what will be free when all stopping tasks have ended and the tasks for
+	// which resources were freed are placed.
 	ExpectedFree placement.Resources
 	Victims      []Victim // by ascending cost; nil: not listed in this round
 }
@@ -163,7 +164,7 @@
 // Unrecorded is what the machine runs beside its assignments.
 func (m *Machine) Unrecorded() placement.Resources { return m.unrecorded }
 
-// Free is the room that is left on the machine.
+// Free is the capacity that is not in use.
 func (m *Machine) Free() placement.Resources { return m.total.Minus(m.used).Minus(m.unrecorded) }
 
 // Assignments lists the assignments by job and index. The caller must not change the list,
@@ -177,22 +178,24 @@
 // Assignment finds the assignment of a task, or returns nil.
 func (m *Machine) Assignment(ref ids.TaskRef) *Assignment { return m.byRef[ref] }
 
-// Staying counts the assignments that were not told to stop.
+// Staying counts the assignments that are not stopping.
 func (m *Machine) Staying() int { return m.staying }
 
-// Replicas counts the replicas of services that were not told to stop.
+// Replicas counts the replicas of services that are not stopping.
 func (m *Machine) Replicas() int { return m.replicas }
 
-// Fetches counts the assignments with an image that were not told to stop.
+// Fetches counts the assignments with an image that are not stopping.
 func (m *Machine) Fetches(image ids.Image) int { return m.fetches[image] }
 
-// Booting tells whether the machine has yet to send its first heartbeat of the term.
-func (m *Machine) Booting() bool { return !m.Agent.Reported && !m.Lifecycle.Terminating }
+// Booting tells whether the machine has sent no heartbeat in this term and is not being
+// terminated.
+func (m *Machine) Booting() bool { return !m.Agent.HeardThisTerm && !m.Lifecycle.Terminating }
 
-// Up tells whether the machine has sent a heartbeat and is not given up.
-func (m *Machine) Up() bool { return m.Agent.Reported && !m.Lifecycle.Terminating }
+// Up tells whether the machine has sent a heartbeat in this term and is not being terminated.
+func (m *Machine) Up() bool { return m.Agent.HeardThisTerm && !m.Lifecycle.Terminating }
 
-// SilentFor tells whether the machine has not been heard for longer than d.
+// SilentFor tells whether the machine has sent no heartbeat for longer than d. The time before
+// its first heartbeat counts from when it became known.
 func (m *Machine) SilentFor(now monotonic.Instant, d time.Duration) bool {
 	return now > max(m.Agent.LastHeard, m.Lifecycle.KnownSince).Add(d)
 }
@@ -262,7 +265,7 @@
 	}
 }
 
-// countStaying keeps the counts of assignments that were not told to stop.
+// countStaying keeps the counts of assignments that are not stopping.
 func (m *Machine) countStaying(a *Assignment, n int) {
 	m.staying += n
 	if a.Job.Spec.Service {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -9,8 +9,8 @@
 )
 
 // healthMonitor checks all machines for what changes with time alone: silence, lease expiry,
-// boots that take too long, spot reclaims, quarantines that end. It terminates machines that
-// are of no use any more and releases the tasks of those whose lease has expired.
+// boots that take too long, spot reclaims, quarantines that end. It terminates machines
+// that cannot be used any more and releases the tasks of those whose lease has expired.
 //
 // The other policies ask it for the health of machines and zones, which machineLiveness and
 // zoneOutages answer. Core.Step calls checkIfDue. It must never release a task that may still
@@ -47,11 +47,11 @@
 	previousLeader bool
 }
 
-// machineTerminator terminates machines, and drops what has ended with them.
+// machineTerminator terminates machines, and releases the tasks that ended with them.
 type machineTerminator interface {
-	returnMachine(m *cluster.Machine, why returnReason)
-	// returnAgain repeats a call to the cloud that failed.
-	returnAgain(m *cluster.Machine)
+	terminateMachine(m *cluster.Machine, why terminateReason)
+	// requestTermination repeats a call to the cloud that failed.
+	requestTermination(m *cluster.Machine)
 	removeMachine(m *cluster.Machine)
 	// releaseTasks releases the tasks of a machine on which nothing runs any more.
 	releaseTasks(m *cluster.Machine)
@@ -107,7 +107,7 @@
 			terminated = append(terminated, m)
 		case m.Lifecycle.Terminating:
 			hm.requestHeartbeat(m)
-			hm.registry.returnAgain(m)
+			hm.registry.requestTermination(m)
 		default:
 			hm.requestHeartbeat(m)
 			check.run(m)
@@ -118,7 +118,7 @@
 	}
 }
 
-// endQuarantine ends a machine's quarantine when its time is over.
+// endQuarantine ends a machine's quarantine when its time has passed.
 func (hm *healthMonitor) endQuarantine(m *cluster.Machine) {
 	if m.Health.QuarantinedUntil != 0 && hm.clock.Now() >= m.Health.QuarantinedUntil {
 		m.Health.QuarantinedUntil = 0
--- a/scheduler/liveness.go
+++ b/scheduler/liveness.go
@@ -16,28 +16,23 @@
 	minSilentMachines = 3
 )
 
-// machineLiveness tells from heartbeats which machines are heard and may get tasks. It
-// changes nothing. All other policies may ask it.
+// machineLiveness tells from heartbeats which machines are alive and may get tasks. It changes
+// nothing. All other policies may ask it.
 type machineLiveness struct {
 	clock    *clock.Clock
 	settings healthSettings
 }
 
-// silentFor tells whether a machine has not been heard for longer than d.
-func (l *machineLiveness) silentFor(m *cluster.Machine, d time.Duration) bool {
-	return l.clock.Now() > max(m.Agent.LastHeard, m.Lifecycle.KnownSince).Add(d)
-}
-
 // mostSilent tells whether most of the machines that were heard before have been silent for
 // half a lease.
 func (l *machineLiveness) mostSilent(machines []*cluster.Machine) bool {
 	heard, silent := 0, 0
 	for _, m := range machines {
-		if !m.Agent.Reported {
+		if !m.Agent.HeardThisTerm {
 			continue
 		}
 		heard++
-		if l.silentFor(m, l.settings.agentLease/2) {
+		if m.SilentFor(l.clock.Now(), l.settings.agentLease/2) {
 			silent++
 		}
 	}
@@ -53,7 +48,7 @@
 // usable tells whether tasks may run on a machine.
 func (l *machineLiveness) usable(m *cluster.Machine) bool {
 	switch {
-	case !m.Agent.Reported || m.MachineType() == nil:
+	case !m.Agent.HeardThisTerm || m.MachineType() == nil:
 		return false
 	case m.Lifecycle.Terminating || m.Health.SpotReclaimAt != 0:
 		return false
@@ -70,8 +65,8 @@
 }
 
 // provenAlive tells whether a machine's heartbeats cannot all be delayed messages. A previous
-// leader may have terminated any machine that was not rented in this term. Only an answered
+// leader may have terminated any machine that was not provisioned in this term. Only an answered
 // call, or a fencing token of this leader, shows that such a machine exists.
 func (l *machineLiveness) provenAlive(m *cluster.Machine) bool {
-	return m.Lifecycle.RentedThisTerm || m.Agent.AnsweredCall || m.Agent.Fenced || !l.settings.previousLeader
+	return m.Lifecycle.ProvisionedThisTerm || m.Agent.AnsweredCall || m.Agent.Fenced || !l.settings.previousLeader
 }
--- a/scheduler/machine_check.go
+++ b/scheduler/machine_check.go
@@ -8,12 +8,12 @@
 
 const (
 	// silentLeases is for how many leases a machine without tasks may be silent until it is
-	// terminated. One that hung or lost the network often comes back soon after its lease
-	// expired, sooner than another one boots, and holds its images. One that died costs
+	// terminated. One that hung or lost the network often sends heartbeats again soon after its
+	// lease expired, before another one could boot, and holds its images. One that failed costs
 	// nothing more, and the cloud's list shows that.
 	silentLeases = 2
 	// missingListsLimit is in how many of the cloud's lists in a row a machine must be
-	// missing until it is taken to be gone.
+	// missing until it counts as gone.
 	missingListsLimit = 2
 	// missingHeartbeats is for how many heartbeat intervals such a machine must be silent
 	// as well.
@@ -26,8 +26,8 @@
 	cancelOverduePercent = 45
 )
 
-// keepMachine stands in place of a reason for terminating a machine.
-const keepMachine returnReason = ""
+// keepMachine means that there is no reason to terminate a machine.
+const keepMachine terminateReason = ""
 
 // machineCheck is the state of one check of all machines.
 type machineCheck struct {
@@ -37,7 +37,7 @@
 	mostSilent bool
 }
 
-// run terminates a machine that is of no use any more, or releases the tasks of one whose
+// run terminates a machine that cannot be used any more, or releases the tasks of one whose
 // lease has expired.
 func (c *machineCheck) run(m *cluster.Machine) {
 	if why := c.reasonGone(m); why != keepMachine {
@@ -55,53 +55,53 @@
 	}
 }
 
-// terminate has a machine terminated. A spot instance that is missing without notice was
+// terminate terminates a machine. A spot instance that is missing without notice was
 // taken back by the cloud.
-func (c *machineCheck) terminate(m *cluster.Machine, why returnReason) {
-	if why == returnMissing && m.Spot() && m.Health.SpotReclaimAt == 0 {
+func (c *machineCheck) terminate(m *cluster.Machine, why terminateReason) {
+	if why == terminateMissing && m.Spot() && m.Health.SpotReclaimAt == 0 {
 		c.autoscaler.recordSpotLoss()
 	}
-	c.registry.returnMachine(m, why)
+	c.registry.terminateMachine(m, why)
 }
 
 // reasonGone is why a machine is terminated that does not exist any more or never came up,
 // or keepMachine.
-func (c *machineCheck) reasonGone(m *cluster.Machine) returnReason {
+func (c *machineCheck) reasonGone(m *cluster.Machine) terminateReason {
 	switch {
 	case m.Lifecycle.ListedStatus == wire.MachineFailed:
-		return returnFailed
-	case m.Lifecycle.MissingLists >= missingListsLimit && c.silentFor(m, missingHeartbeats*c.settings.heartbeatInterval):
-		// To terminate a machine that is gone does nothing. The cloud's answer then proves
+		return terminateFailed
+	case m.Lifecycle.MissingLists >= missingListsLimit && m.SilentFor(c.clock.Now(), missingHeartbeats*c.settings.heartbeatInterval):
+		// To terminate a machine that is gone has no effect, and the cloud's answer proves
 		// that it is gone.
-		return returnMissing
+		return terminateMissing
 	case c.bootFailed(m):
-		return returnBootFailed
+		return terminateBootFailed
 	}
 	return keepMachine
 }
 
 // reasonUseless is why a machine is terminated that may still exist, or keepMachine.
-func (c *machineCheck) reasonUseless(m *cluster.Machine) returnReason {
+func (c *machineCheck) reasonUseless(m *cluster.Machine) terminateReason {
 	switch {
 	case c.silentTooLong(m):
-		return returnSilent
+		return terminateSilent
 	case c.cancelOverdue(m):
 		// Whether the machine is silent or does not follow commands, only its termination
 		// ends the task for certain.
-		return returnCancelled
+		return terminateCancelled
 	case c.reachability.overdue(m):
 		// No other controller can reach it either. Once it is terminated, its tasks have
 		// ended and may go elsewhere.
-		return returnUnreachable
+		return terminateUnreachable
 	}
 	return keepMachine
 }
 
 // bootFailed tells whether a machine takes too long to boot. A previous leader's machines
-// are up already and have yet to find this leader. During a pause of this process no
+// have booted already and need time to find this leader. During a pause of this process no
 // heartbeat could arrive.
 func (c *machineCheck) bootFailed(m *cluster.Machine) bool {
-	if m.Agent.Reported || m.Lifecycle.BootDeadline == 0 || len(m.Assignments()) > 0 {
+	if m.Agent.HeardThisTerm || m.Lifecycle.BootDeadline == 0 || len(m.Assignments()) > 0 {
 		return false
 	}
 	deadline := max(m.Lifecycle.BootDeadline, c.clock.ResumedAt().Add(resumedHeartbeats*c.settings.heartbeatInterval))
@@ -111,13 +111,13 @@
 	return c.clock.Now() > deadline
 }
 
-// silentTooLong tells whether a machine without tasks is silent for longer than machines that
-// come back mostly are, while others are heard.
+// silentTooLong tells whether a machine without tasks has been silent for longer than machines
+// usually are that send heartbeats again, while others are heard.
 func (c *machineCheck) silentTooLong(m *cluster.Machine) bool {
-	if !m.Agent.Reported || len(m.Assignments()) > 0 || c.mostSilent || c.zonePartitionedRecently(m.Zone()) {
+	if !m.Agent.HeardThisTerm || len(m.Assignments()) > 0 || c.mostSilent || c.zonePartitionedRecently(m.Zone()) {
 		return false
 	}
-	return c.silentFor(m, silentLeases*c.settings.agentLease)
+	return m.SilentFor(c.clock.Now(), silentLeases*c.settings.agentLease)
 }
 
 // cancelOverdue tells whether a machine holds a task of a cancelled job that must end soon.
@@ -139,5 +139,5 @@
 // holdsExpiredTasks tells whether a machine with tasks has lost its lease, so that the tasks
 // have ended.
 func (c *machineCheck) holdsExpiredTasks(m *cluster.Machine) bool {
-	return len(m.Assignments()) > 0 && c.leases.expired(m) && c.silentFor(m, monotonic.AddDriftMargin(c.settings.agentLease))
+	return len(m.Assignments()) > 0 && c.leases.expired(m) && m.SilentFor(c.clock.Now(), monotonic.AddDriftMargin(c.settings.agentLease))
 }
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -31,12 +31,12 @@
 	target() *cluster.Job
 	// settled notes that the change is not in flight any more.
 	settled()
-	// applied takes note of what is recorded now, at a revision.
+	// applied notes that the change is committed at a revision.
 	applied(w *recordWriter, revision ids.Revision)
-	// rollBack takes back what the change would have recorded and marks the records dirty
-	// again.
+	// rollBack undoes the placements that the change would have recorded and marks the
+	// records dirty again.
 	rollBack(w *recordWriter)
-	// outstanding tells after rollBack whether the job's own revision is needed to try
+	// outstanding tells, after rollBack, whether the job's own revision is needed to try
 	// again.
 	outstanding() bool
 }
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -12,9 +12,9 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// zoneGate connects the scheduler with the state machines of package zonerecovery. It owns
-// the manager of one term. The core and the other policies ask it whether a task may start
-// or a machine may be provisioned in a zone, and tell it what becomes of tasks. It passes
+// zoneGate connects the scheduler with the state machines of package zonerecovery. It owns the
+// manager of one term. The core and the other policies ask it whether a task may start or a
+// machine may be provisioned in a zone, and notify it when tasks start, run and end. It passes
 // the health of zones to the manager, writes zones' records, and moves replicas back.
 //
 // The gate can only deny: it never places or preempts a task, and the only tasks that it
@@ -26,7 +26,7 @@
 	clock   *clock.Clock
 	rounds  *clock.RoundTrigger
 
-	// health and provisioning know the machines and those that are to come.
+	// health and provisioning know the machines, and those that are requested or boot.
 	health       zoneMachineHealth
 	provisioning zoneProvisioningState
 	// latency and estimates tell which work is critical, and which may be a probe.
@@ -51,8 +51,6 @@
 
 // zoneMachineHealth judges which machines can be used.
 type zoneMachineHealth interface {
-	// silentFor tells whether a machine has sent no heartbeat for longer than d.
-	silentFor(m *cluster.Machine, d time.Duration) bool
 	// heartbeatTimeout is how long a machine may be silent between two heartbeats.
 	heartbeatTimeout() time.Duration
 	takesTasks(m *cluster.Machine) bool
@@ -60,14 +58,14 @@
 
 // zoneProvisioningState tells what the cloud was asked for in a zone.
 type zoneProvisioningState interface {
-	// comingByZone counts the machines that are requested or boot.
-	comingByZone() map[ids.Zone]int
+	// bootingByZone counts the machines that are requested or boot.
+	bootingByZone() map[ids.Zone]int
 	// zoneRefused tells whether the cloud recently refused every type of machine in a zone.
 	zoneRefused(zone ids.Zone) bool
 }
 
-// clockReading reads both clocks. Where the wall clock is not known the monotonic one takes
-// its place: it is good enough to compare times that one process wrote.
+// clockReading reads both clocks. If the wall time is not known, the monotonic time is used
+// for it, which suffices to compare times that one process wrote.
 func (g *zoneGate) clockReading() zonerecovery.ClockReading {
 	wallMS := g.clock.WallMS()
 	if wallMS == 0 {
@@ -84,7 +82,7 @@
 	}
 	for _, m := range g.cluster.Machines() {
 		if m.Zone() == "" {
-			continue // its record is of an older version; its heartbeat names the zone
+			continue // an older version wrote its record without the zone; its heartbeat names it
 		}
 		for _, a := range m.Assignments() {
 			g.manager.TaskInherited(m.Zone(), g.startRequest(a.Job, a.Index, m), g.clock.Now())
@@ -92,8 +90,8 @@
 	}
 }
 
-// summarize adds the zones that do not simply serve, and the counts of moved tasks, to the
-// status summary.
+// summarize adds the zones that are not serving or are overridden, and the counts of moved
+// tasks, to the summary.
 func (g *zoneGate) summarize(b *strings.Builder) {
 	if g == nil {
 		return
