--- a/scheduler/preemption/plan.go
+++ b/scheduler/preemption/plan.go
@@ -24,7 +24,13 @@
 	machine *cluster.Machine // nil: the task does not fit there any more
 	victims []*cluster.Assignment
 	cost    float64 // in weighted CPU seconds; see evictionCost
-	// freeBefore is what was expected to be free on the machine before the round counts the plan.
+}
+
+// countedPlan is a plan that the round counts.
+type countedPlan struct {
+	plan
+	// freeBefore is what was expected to be free on the machine before the round counted the
+	// plan.
 	freeBefore placement.Resources
 }
 
--- a/scheduler/preemption/planner.go
+++ b/scheduler/preemption/planner.go
@@ -28,9 +28,9 @@
 
 // planAllTasks plans for all pending tasks of the job. If there is no plan for one of them, it
 // undoes what the round counts for the others.
-func (p *planner) planAllTasks() ([]plan, error) {
+func (p *planner) planAllTasks() ([]countedPlan, error) {
 	saved := p.round.ledger.clone()
-	var plans []plan
+	var plans []countedPlan
 	for range p.job.Pending() {
 		planned, err := p.planTask()
 		if err != nil {
@@ -44,7 +44,7 @@
 }
 
 // restoreFree undoes what plans count on their machines, the last plan first.
-func (p *planner) restoreFree(plans []plan) {
+func (p *planner) restoreFree(plans []countedPlan) {
 	for _, planned := range slices.Backward(plans) {
 		p.round.notes(planned.machine).ExpectedFree = planned.freeBefore
 	}
@@ -52,32 +52,31 @@
 
 // planTask plans for one more pending task of the job, at the least cost, and counts the plan in
 // the round. The error is one of the reasons in plan.go.
-func (p *planner) planTask() (plan, error) {
+func (p *planner) planTask() (countedPlan, error) {
 	by := p.round.claimOf(p.job)
 	if by == claimNone {
-		return plan{}, errNoClaim
+		return countedPlan{}, errNoClaim
 	}
 	if by == claimOwn && !p.round.anyPreemptible(p.job, by) {
-		return plan{}, errNothingPreemptible
+		return countedPlan{}, errNothingPreemptible
 	}
 	class, hasClass := p.scheduler.RequestClass(p.job, p.zones)
 	request := infeasibleRequest{class, p.job.Spec.Team, by}
 	if hasClass && p.round.infeasible[request] {
-		return plan{}, errKnownInfeasible
+		return countedPlan{}, errKnownInfeasible
 	}
 	cheapest := p.cheapestPlan(by)
 	if cheapest == nil {
 		if hasClass {
 			p.round.infeasible[request] = true
 		}
-		return plan{}, errNoMachine
+		return countedPlan{}, errNoMachine
 	}
-	planned := *cheapest
-	planned.freeBefore = p.round.notes(planned.machine).ExpectedFree
-	p.allowColdStart(planned.machine)
-	p.commit(planned)
+	counted := countedPlan{plan: *cheapest, freeBefore: p.round.notes(cheapest.machine).ExpectedFree}
+	p.allowColdStart(counted.machine)
+	p.commit(counted.plan)
 	p.update(cheapest)
-	return planned, nil
+	return counted, nil
 }
 
 // allowColdStart lets admission place a latency-sensitive job on machines without its image,
