--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -31,9 +31,9 @@
 type zoneAdmission interface {
 	// admits tells whether a task may start on a machine now.
 	admits(j *cluster.Job, index int, m *cluster.Machine) bool
-	// requestPart returns the properties of a job that admits depends on now; ok is false if
+	// gateClassOf returns the properties of a job that admits depends on now; ok is false if
 	// the result for this job may differ from that for an equal one.
-	requestPart(j *cluster.Job) (part gateClass, ok bool)
+	gateClassOf(j *cluster.Job) (part gateClass, ok bool)
 	unproven(zone ids.Zone) bool
 	started(a *cluster.Assignment)
 }
@@ -53,7 +53,7 @@
 type admissionAttempt struct {
 	job    *cluster.Job
 	source quotaSource
-	whole  bool // all pending tasks are placed, or none
+	allOrNothing  bool // all pending tasks are placed, or none
 }
 
 // placementResult tells why an attempt to place tasks ended.
@@ -154,11 +154,11 @@
 		}
 		return placementEnded
 	}
-	attempt := admissionAttempt{job: j, source: source, whole: j.NeedsAllTasks()}
+	attempt := admissionAttempt{job: j, source: source, allOrNothing: j.NeedsAllTasks()}
 	switch {
-	case attempt.whole && !adm.quota.fits(j, source, len(j.Pending())):
+	case attempt.allOrNothing && !adm.quota.fits(j, source, len(j.Pending())):
 		return placementEnded
-	case attempt.whole && j.Spec.OneZone:
+	case attempt.allOrNothing && j.Spec.OneZone:
 		return adm.admitInOneZone(attempt)
 	}
 	return adm.admitTasks(attempt)
@@ -193,7 +193,7 @@
 func (adm *admitter) admitTasks(attempt admissionAttempt) placementResult {
 	j := attempt.job
 	placed, result := adm.placeTasks(attempt)
-	if attempt.whole && len(placed) < len(j.Pending()) {
+	if attempt.allOrNothing && len(placed) < len(j.Pending()) {
 		for _, a := range placed {
 			adm.lifecycle.withdraw(a)
 		}
@@ -210,7 +210,7 @@
 func (adm *admitter) placeTasks(attempt admissionAttempt) (placed []*cluster.Assignment, result placementResult) {
 	j := attempt.job
 	var search *candidateSearch
-	aged := adm.queue.agedToFront(j)
+	aged := adm.queue.aged(j)
 	for k := len(j.Pending()) - 1; k >= 0; k-- {
 		if !adm.quota.fits(j, attempt.source, 1) {
 			break
@@ -224,11 +224,11 @@
 			return placed, placementNoMachine
 		}
 		placed = append(placed, adm.assign(j, index, m))
-		search.reinsert(m)
+		search.updateRank(m)
 		if probing(j) {
 			break
 		}
-		if aged && !attempt.whole {
+		if aged && !attempt.allOrNothing {
 			adm.rounds.MarkDue()
 			break // it has started, so its other tasks have no precedence
 		}
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -54,7 +54,7 @@
 
 // While a zone was partitioned hundreds of services waited for it, and each round ended with
 // them: arrays behind them waited beside idle machines.
-func TestJobsThatFitNowhereDoNotEndTheRound(t *testing.T) {
+func TestInfeasibleJobsDoNotEndTheRound(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 6400}, Limit: quota.Amount{CPUs: 6400}}}})
 	b.c.Begin(b.now)
 	b.heartbeat("n-1", "a", 0)
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -35,7 +35,7 @@
 	// waiting, headroom and replacements each add one kind of demand to a plan.
 	waiting      *waitingDemand
 	headroom     *headroom
-	replacements *replacements
+	replacements *replacementDemand
 	provisioner  *provisioner
 	scaleIn      *scaleIn
 
--- a/scheduler/autoscaler_parts.go
+++ b/scheduler/autoscaler_parts.go
@@ -110,7 +110,7 @@
 		health:   peers.health,
 		settings: as.settings.headroom,
 	}
-	as.replacements = &replacements{
+	as.replacements = &replacementDemand{
 		cluster:           as.cluster,
 		clock:             as.clock,
 		health:            peers.health,
--- a/scheduler/class_demand_test.go
+++ b/scheduler/class_demand_test.go
@@ -9,7 +9,7 @@
 
 const demandSlotLength = demandWindow / demandSlots
 
-func TestClassDemandForgets(t *testing.T) {
+func TestClassDemandWindowExpires(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		after time.Duration
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -24,7 +24,7 @@
 
 	// The parts that receive events, and bound what previous leaders may still do.
 	heartbeats      *heartbeatIntake
-	jobRecords      *jobIntake
+	jobRecords      *jobRecordReader
 	registry        *machineRegistry
 	previousLeaders *previousLeaders
 
--- a/scheduler/estimates_test.go
+++ b/scheduler/estimates_test.go
@@ -41,7 +41,7 @@
 	return runs
 }
 
-func TestJobsWithoutEstimateTeachNothing(t *testing.T) {
+func TestRunsWithoutEstimateAreIgnored(t *testing.T) {
 	e := newRunEstimates()
 	e.recordRun(&wire.JobSpec{Class: "d"}, time.Hour)
 	if got := e.expectedRun(&wire.JobSpec{Class: "d", EstimateS: 10}); got != 10*time.Second {
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -85,7 +85,7 @@
 
 // Failures of different jobs still quarantine a machine that is at fault, also where a
 // permanently failing job has failed.
-func TestUnhealthyMachineBesideAPermanentlyFailingJob(t *testing.T) {
+func TestUnhealthyMachineIsQuarantinedDespitePermanentlyFailingJob(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.heartbeat("n-0", "a", 0)
 	m := b.c.cluster.Machine("n-0")
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -56,9 +56,9 @@
 	c.records.enableSplitting()
 }
 
-// jobIntake loads and observes the records of jobs and slices, and updates jobs when one that
+// jobRecordReader loads and observes the records of jobs and slices, and updates jobs when one that
 // they depend on changes. It writes no record: recordWriter does.
-type jobIntake struct {
+type jobRecordReader struct {
 	cluster *cluster.State
 	clock   *clock.Clock
 	rounds  *clock.RoundTrigger
@@ -97,7 +97,7 @@
 }
 
 // loadJob loads a job's record at the start of the term.
-func (r *jobIntake) loadJob(id ids.JobID, record *records.Job, revision ids.Revision) {
+func (r *jobRecordReader) loadJob(id ids.JobID, record *records.Job, revision ids.Revision) {
 	r.graph.Put(id, record.Dependencies())
 	if record.Status == wire.JobDone || record.Spec == nil {
 		return
@@ -106,7 +106,7 @@
 }
 
 // loadSlice loads an admission record at the start of the term, after the jobs.
-func (r *jobIntake) loadSlice(id ids.JobID, n int, record *records.AdmissionSlice, revision ids.Revision) error {
+func (r *jobRecordReader) loadSlice(id ids.JobID, n int, record *records.AdmissionSlice, revision ids.Revision) error {
 	if r.unreadable[id] {
 		return nil
 	}
@@ -134,7 +134,7 @@
 
 // loadPlacements assigns the tasks of a slice to the machines on which a previous leader
 // placed them.
-func (r *jobIntake) loadPlacements(j *cluster.Job, s *cluster.AdmissionSlice, record *records.AdmissionSlice) error {
+func (r *jobRecordReader) loadPlacements(j *cluster.Job, s *cluster.AdmissionSlice, record *records.AdmissionSlice) error {
 	for k := 0; k+2 < len(record.Tasks); k += 3 {
 		index, attempt, machineIndex := record.Tasks[k], ids.Attempt(record.Tasks[k+1]), record.Tasks[k+2]
 		if index < 0 || index >= len(j.Tasks()) || machineIndex >= len(record.Hosts) {
@@ -156,7 +156,7 @@
 
 // observe takes a job's record as found in the key-value store: new, cancelled or with a
 // version that this leader did not know.
-func (r *jobIntake) observe(id ids.JobID, record *records.Job, revision ids.Revision) {
+func (r *jobRecordReader) observe(id ids.JobID, record *records.Job, revision ids.Revision) {
 	j := r.cluster.Job(id)
 	if j != nil && revision <= j.Records.Revision {
 		return
@@ -183,7 +183,7 @@
 
 // begin makes the jobs ready for the term once all records are loaded. It visits them by ID,
 // since the order decides what is stopped, sent and written first.
-func (r *jobIntake) begin() {
+func (r *jobRecordReader) begin() {
 	for _, j := range r.cluster.SortedJobs() {
 		j.RebuildSlices()
 		r.syncDependencies(j)
@@ -207,7 +207,7 @@
 const maxInheritedWait = time.Hour
 
 // readySince is when a loaded job became ready to run, as far as the time of day tells.
-func (r *jobIntake) readySince(j *cluster.Job) monotonic.Instant {
+func (r *jobRecordReader) readySince(j *cluster.Job) monotonic.Instant {
 	now := r.clock.Now()
 	if r.clock.WallAtBeginMS() <= 0 {
 		return now
@@ -218,7 +218,7 @@
 
 // applyJobRecord puts a job's record into the dependency graph and updates all jobs whose
 // readiness or priority changes.
-func (r *jobIntake) applyJobRecord(id ids.JobID, record *records.Job) {
+func (r *jobRecordReader) applyJobRecord(id ids.JobID, record *records.Job) {
 	for _, other := range r.graph.Put(id, record.Dependencies()) {
 		if j := r.cluster.Job(other); j != nil {
 			r.syncDependencies(j)
@@ -229,7 +229,7 @@
 // syncDependencies updates a job from the dependency graph: its priority, whether it may run,
 // and whether it is cancelled because one that it depends on is. Such a job never had a task.
 // Users see it as cancelled at once. Its own record is written later.
-func (r *jobIntake) syncDependencies(j *cluster.Job) {
+func (r *jobRecordReader) syncDependencies(j *cluster.Job) {
 	if j.Terminal() {
 		return
 	}
--- a/scheduler/preemption_test.go
+++ b/scheduler/preemption_test.go
@@ -14,7 +14,7 @@
 
 // A job of higher priority preempts work of its own team when the team is at its limit, and
 // no more than it needs.
-func TestPreemptsInsideATeamAtItsLimit(t *testing.T) {
+func TestPreemptsWithinTeamAtItsLimit(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4}, Limit: quota.Amount{CPUs: 4}}}})
 	b.c.Begin(b.now)
 	b.heartbeat("n-1", "a", 0)
@@ -46,7 +46,7 @@
 // task was placed and preempted thousands of times: borrowers preempted work within its
 // nominal quota, and room for a second replica was made in the zone that only the first may
 // use.
-func TestNoTaskIsPlacedAndPreemptedOverAndOver(t *testing.T) {
+func TestNoTaskIsRepeatedlyPlacedAndPreempted(t *testing.T) {
 	preempted := 0
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -53,7 +53,7 @@
 		if a.Priority() != b.Priority() {
 			return a.Priority() > b.Priority()
 		}
-		if x, y := q.agedToFront(a), q.agedToFront(b); x != y {
+		if x, y := q.aged(a), q.aged(b); x != y {
 			return x
 		}
 		if servicesFirst && a.Spec.Service != b.Spec.Service {
@@ -83,18 +83,18 @@
 }
 
 const (
-	// agedFactor is after how many times reserveAfter a job that could not start goes
+	// agingFactor is after how many times reserveAfter a job that could not start goes
 	// before the jobs of its priority that have started.
-	agedFactor = 2
+	agingFactor = 2
 	// starvationFactor is after how many times reserveAfter a job that could not start keeps
 	// its reserved machines from work of higher priority too.
 	starvationFactor = 2.5
 )
 
-// agedToFront tells whether a job has waited to start for so long that it goes before the
+// aged tells whether a job has waited to start for so long that it goes before the
 // jobs of its priority that have started. Otherwise a team's quota may all go to its
 // older jobs, task by task, and reserved machines are of no use to a later one.
-func (q *jobQueue) agedToFront(j *cluster.Job) bool { return q.waitedToStart(j, agedFactor) }
+func (q *jobQueue) aged(j *cluster.Job) bool { return q.waitedToStart(j, agingFactor) }
 
 // starving tells whether a job has waited to start for so long that it goes before work of
 // higher priority. Every job must start within four minutes where limits allow. Otherwise
--- a/scheduler/replacements.go
+++ b/scheduler/replacements.go
@@ -8,14 +8,14 @@
 	"ospreystile.example/ospreystile/scheduler/fleet"
 )
 
-// silentHeartbeats is after how many heartbeat intervals the silence of a single machine is
+// missedHeartbeatLimit is after how many heartbeat intervals the silence of a single machine is
 // longer than its agent needs to find another controller.
-const silentHeartbeats = 3
+const missedHeartbeatLimit = 3
 
-// replacements is the demand of services on machines that are likely to be lost. Their
+// replacementDemand is the demand of services on machines that are likely to be lost. Their
 // leases expire about when a machine requested now is up; a boot begun only then would mean
 // downtime. If a machine sends heartbeats again, its replacement is idle and is terminated.
-type replacements struct {
+type replacementDemand struct {
 	cluster           *cluster.State
 	clock             *clock.Clock
 	health            autoscalerHealth
@@ -24,8 +24,8 @@
 
 // addTo adds the demand to a plan, with all free resources that it may use. It must be called
 // last, because the other kinds of demand must not count those resources.
-func (r *replacements) addTo(planner *fleet.Planner) {
-	endangered := r.endangered()
+func (r *replacementDemand) addTo(planner *fleet.Planner) {
+	endangered := r.machinesAtRisk()
 	if len(endangered) == 0 {
 		return
 	}
@@ -43,8 +43,8 @@
 	}
 }
 
-// endangered lists the machines with replicas that are likely to be lost.
-func (r *replacements) endangered() []*cluster.Machine {
+// machinesAtRisk lists the machines with replicas that are likely to be lost.
+func (r *replacementDemand) machinesAtRisk() []*cluster.Machine {
 	var endangered []*cluster.Machine
 	for _, m := range r.cluster.Machines() {
 		if m.Replicas() > 0 && !r.health.takesTasks(m) && r.likelyLost(m) {
@@ -55,14 +55,14 @@
 }
 
 // likelyLost tells whether a machine is in a partitioned zone, silent, or reclaimed soon.
-func (r *replacements) likelyLost(m *cluster.Machine) bool {
-	return r.health.zonePartitioned(m.Zone()) || r.silent(m) || m.Health.SpotReclaimAt != 0
+func (r *replacementDemand) likelyLost(m *cluster.Machine) bool {
+	return r.health.zonePartitioned(m.Zone()) || r.missedHeartbeats(m) || m.Health.SpotReclaimAt != 0
 }
 
-// silent tells whether a machine has missed several heartbeats. After a pause of this
+// missedHeartbeats tells whether a machine has missed several heartbeats. After a pause of this
 // process every machine first gets the time to send one.
-func (r *replacements) silent(m *cluster.Machine) bool {
+func (r *replacementDemand) missedHeartbeats(m *cluster.Machine) bool {
 	now := r.clock.Now()
 	allHadTime := now > r.clock.ResumedAt().Add(r.heartbeatInterval*3/2)
-	return allHadTime && m.SilentFor(now, silentHeartbeats*r.heartbeatInterval)
+	return allHadTime && m.SilentFor(now, missedHeartbeatLimit*r.heartbeatInterval)
 }
--- a/scheduler/replacements_test.go
+++ b/scheduler/replacements_test.go
@@ -11,7 +11,7 @@
 
 // A service on a partitioned machine was replaced only once the machine's lease had expired,
 // and then waited for a boot as well. The next leader may never have heard of the machine.
-func TestProvisionsAheadForServicesOnSilentMachines(t *testing.T) {
+func TestProvisionsReplacementBeforeLeaseExpires(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		begin func(*testing.T) *harness
@@ -22,7 +22,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := c.begin(t)
 			start := b.now
-			requests := b.firstRequests(simAgentLease)
+			requests := b.firstProvisionRequests(simAgentLease)
 			if len(requests) == 0 {
 				t.Fatal("nothing was provisioned before the lease expired")
 			}
@@ -30,7 +30,7 @@
 				t.Errorf("provisioned %+v", requests)
 			}
 			after := b.now.Sub(start)
-			if after < silentHeartbeats*simHeartbeatInterval || after > simAgentLease/2 {
+			if after < missedHeartbeatLimit*simHeartbeatInterval || after > simAgentLease/2 {
 				t.Errorf("provisioned after %v", after)
 			}
 		})
@@ -57,9 +57,9 @@
 	return b
 }
 
-// firstRequests steps until machines are requested, or a time has passed. The harness is
+// firstProvisionRequests steps until machines are requested, or a time has passed. The harness is
 // left at the time of that step.
-func (b *harness) firstRequests(within time.Duration) []wire.ProvisionRequest {
+func (b *harness) firstProvisionRequests(within time.Duration) []wire.ProvisionRequest {
 	for end := b.now.Add(within); b.now < end; b.now = b.now.Add(500 * time.Millisecond) {
 		if requests := b.step().Provision; len(requests) > 0 {
 			return requests
--- a/scheduler/reservations.go
+++ b/scheduler/reservations.go
@@ -32,8 +32,8 @@
 // reservationSettings are the settings of reservations.
 type reservationSettings struct {
 	// after is how long a job waits for its start until machines are reserved for it; 0:
-	// nothing is reserved. lasting is how long a reservation lasts.
-	after, lasting time.Duration
+	// nothing is reserved. duration is how long a reservation lasts.
+	after, duration time.Duration
 }
 
 const (
@@ -71,7 +71,7 @@
 		if r.clock.Now() < j.Queue.WaitingSince.Add(r.settings.after) {
 			continue
 		}
-		if j.Queue.ReservedSince != 0 && r.ended(j) {
+		if j.Queue.ReservedSince != 0 && r.expired(j) {
 			j.Queue.WaitingSince, j.Queue.ReservedSince = r.clock.Now().Add(-r.settings.after/2), 0
 			continue
 		}
@@ -86,9 +86,9 @@
 	}
 }
 
-// ended tells whether a job's reservation has lasted for long enough.
-func (r *reservations) ended(j *cluster.Job) bool {
-	return r.clock.Now() > j.Queue.ReservedSince.Add(r.settings.lasting)
+// expired tells whether a job's reservation has lasted for long enough.
+func (r *reservations) expired(j *cluster.Job) bool {
+	return r.clock.Now() > j.Queue.ReservedSince.Add(r.settings.duration)
 }
 
 // dropEnded drops the reservations that have ended or that are not needed any more. It returns
@@ -100,7 +100,7 @@
 		if owner == nil {
 			continue
 		}
-		if owner.Started() || owner.Terminal() || r.ended(owner) || !r.health.takesTasks(m) {
+		if owner.Started() || owner.Terminal() || r.expired(owner) || !r.health.takesTasks(m) {
 			m.Admission.ReservedFor = nil
 			r.rounds.MarkDue()
 			continue
--- a/scheduler/reservations_test.go
+++ b/scheduler/reservations_test.go
@@ -13,16 +13,16 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// guestDay is what became of a best-effort job of a team without nominal quota.
-type guestDay struct {
+// bestEffortResult is what became of a best-effort job of a team without nominal quota.
+type bestEffortResult struct {
 	startedAfter time.Duration // from its submission; 0: never
 	stoppedAfter time.Duration // from its first start; 0: never
-	mostTasks    int           // at once
+	maxTasks    int           // at once
 }
 
-// playGuestDay submits small arrays of one team without end, and a best-effort array of a
+// runBestEffortScenario submits small arrays of one team without end, and a best-effort array of a
 // team without nominal quota.
-func playGuestDay(t *testing.T, reserveAfter time.Duration) guestDay {
+func runBestEffortScenario(t *testing.T, reserveAfter time.Duration) bestEffortResult {
 	t.Helper()
 	const guest = "job-guest"
 	b := newHarness(t, Options{
@@ -35,7 +35,7 @@
 		},
 	})
 	b.c.Begin(b.now)
-	var day guestDay
+	var day bestEffortResult
 	var submittedAt, startedAt monotonic.Instant
 	tick := 0
 	runTime := func(name string, count int) time.Duration {
@@ -63,7 +63,7 @@
 			b.submit(guest, wire.JobSpec{Class: "g", Team: "guest", Tasks: 9, CPUs: 8})
 		}
 		b.step()
-		day.mostTasks = max(day.mostTasks, agents.count(guest))
+		day.maxTasks = max(day.maxTasks, agents.count(guest))
 		agents.heartbeats(b)
 	}
 	return day
@@ -79,10 +79,10 @@
 // higher priority, and began after seven and ten minutes. Its first task must begin within
 // four, and run on for a while; beyond that it takes nothing from the others.
 func TestBestEffortWorkStarts(t *testing.T) {
-	if day := playGuestDay(t, 0); day.startedAfter != 0 {
+	if day := runBestEffortScenario(t, 0); day.startedAfter != 0 {
 		t.Fatalf("without reservations it began after %v: the day tests nothing", day.startedAfter)
 	}
-	day := playGuestDay(t, time.Minute)
+	day := runBestEffortScenario(t, time.Minute)
 	t.Logf("%+v", day)
 	if day.startedAfter == 0 || day.startedAfter >= 4*time.Minute {
 		t.Errorf("it began after %v", day.startedAfter)
@@ -90,14 +90,14 @@
 	if day.stoppedAfter != 0 && day.stoppedAfter < 30*time.Second {
 		t.Errorf("it was stopped after %v", day.stoppedAfter)
 	}
-	if day.mostTasks > 1 {
-		t.Errorf("it had %d tasks at once", day.mostTasks)
+	if day.maxTasks > 1 {
+		t.Errorf("it had %d tasks at once", day.maxTasks)
 	}
 }
 
-// startOfLargeJob plays small arrays without end beside one of large tasks, and returns how
+// largeJobStartDelay plays small arrays without end beside one of large tasks, and returns how
 // long after its submission that one started; 0: never.
-func startOfLargeJob(t *testing.T, reserveAfter time.Duration) time.Duration {
+func largeJobStartDelay(t *testing.T, reserveAfter time.Duration) time.Duration {
 	t.Helper()
 	b := newHarness(t, Options{AdmissionOptions: AdmissionOptions{ReserveAfter: reserveAfter, ReserveFor: time.Minute}})
 	b.c.Begin(b.now)
@@ -124,36 +124,36 @@
 // Later jobs that fit overtake one that does not, but not for ever: without a reservation a
 // large task would find every gap taken by small ones.
 func TestLargeJobsStart(t *testing.T) {
-	if after := startOfLargeJob(t, 0); after != 0 {
+	if after := largeJobStartDelay(t, 0); after != 0 {
 		t.Fatalf("without reservations it started after %v: the day tests nothing", after)
 	}
-	after := startOfLargeJob(t, time.Minute)
+	after := largeJobStartDelay(t, time.Minute)
 	t.Logf("started after %v", after)
 	if after == 0 || after >= 4*time.Minute {
 		t.Fatalf("it started after %v", after)
 	}
 }
 
-// lateJobDay is a day on which an array is submitted while an older one, which is too large
+// lateJobScenario is a day on which an array is submitted while an older one, which is too large
 // for the machines, takes every gap.
-type lateJobDay struct {
-	quotaIsShort bool // there are free machines, but no quota
+type lateJobScenario struct {
+	limitedByQuota bool // there are free machines, but no quota
 	failsOver    bool // a new leader takes over while the late job waits
 }
 
 const (
-	lateJobSubmitted  = 20 // seconds after the day began
-	lateJobFailover   = 50
-	lateJobDaySeconds = 300
+	lateJobSubmitSecond  = 20 // seconds after the day began
+	lateJobFailoverSecond   = 50
+	lateJobScenarioSeconds = 300
 )
 
-// startOfLateJob plays the day and returns how long after its submission the late job
+// startDelay plays the day and returns how long after its submission the late job
 // started; 0: never.
-func (d lateJobDay) startOfLateJob(t *testing.T, reserveAfter time.Duration) time.Duration {
+func (d lateJobScenario) startDelay(t *testing.T, reserveAfter time.Duration) time.Duration {
 	t.Helper()
 	opt := Options{AdmissionOptions: AdmissionOptions{ReserveAfter: reserveAfter, ReserveFor: time.Minute}}
 	agents := newTestAgents(func(string, int) time.Duration { return 10 * time.Second }, "n-1")
-	if d.quotaIsShort {
+	if d.limitedByQuota {
 		eight := quota.Amount{CPUs: 8}
 		opt.Teams = []quota.Team{{Name: "red", Nominal: eight, Limit: eight, LendingLimit: eight}}
 		agents.machines = append(agents.machines, "n-2")
@@ -162,19 +162,19 @@
 	b.c.Begin(b.now)
 	start := b.now
 	b.submitAt(start, "job-old", 200)
-	for second := range lateJobDaySeconds {
+	for second := range lateJobScenarioSeconds {
 		b.now = b.now.Add(time.Second)
-		if second == lateJobSubmitted {
+		if second == lateJobSubmitSecond {
 			b.submitAt(start, "job-late", 4)
 		}
-		if second == lateJobFailover && d.failsOver {
+		if second == lateJobFailoverSecond && d.failsOver {
 			b = b.nextLeader(opt, start)
 			agents.tasks["n-1"] = nil
 		}
 		b.step()
 		agents.heartbeats(b)
 		if j := b.c.cluster.Job("job-late"); j != nil && j.Started() {
-			return time.Duration(second-lateJobSubmitted) * time.Second
+			return time.Duration(second-lateJobSubmitSecond) * time.Second
 		}
 	}
 	return 0
@@ -203,22 +203,22 @@
 // as an older job like it had found no room; and where a team's quota was short, each slot
 // that came free went to the next task of its oldest jobs, and the largest began after seven
 // minutes. The next leader must know how long a job has waited.
-func TestEveryJobStartsThoughOlderOnesGoOn(t *testing.T) {
+func TestLateJobStartsWhileOlderJobContinues(t *testing.T) {
 	const reserveAfter = 40 * time.Second
 	for _, c := range []struct {
 		name   string
-		day    lateJobDay
+		day    lateJobScenario
 		within time.Duration
 	}{
-		{"too few machines", lateJobDay{}, reserveAfter + 20*time.Second},
-		{"too few machines and a failover", lateJobDay{failsOver: true}, reserveAfter + 20*time.Second},
-		{"too little quota", lateJobDay{quotaIsShort: true}, 2*reserveAfter + 20*time.Second},
+		{"too few machines", lateJobScenario{}, reserveAfter + 20*time.Second},
+		{"too few machines and a failover", lateJobScenario{failsOver: true}, reserveAfter + 20*time.Second},
+		{"too little quota", lateJobScenario{limitedByQuota: true}, 2*reserveAfter + 20*time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if after := c.day.startOfLateJob(t, 0); after != 0 {
+			if after := c.day.startDelay(t, 0); after != 0 {
 				t.Errorf("without reservations it started after %v: the day tests nothing", after)
 			}
-			after := c.day.startOfLateJob(t, reserveAfter)
+			after := c.day.startDelay(t, reserveAfter)
 			t.Logf("started after %v", after)
 			if after == 0 || after > c.within {
 				t.Errorf("it started after %v", after)
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -20,7 +20,7 @@
 	spot          bool
 	zone          ids.Zone
 	image         ids.Image // "" unless the machine must hold the image or a zone recovers
-	openZones     uint64    // bit set of the zones that the spread of the job allows
+	allowedZones     uint64    // bit set of the zones that the spread of the job allows
 	gate          gateClass // what the gates of recovering zones depend on
 	tasksTogether int       // how many tasks must fit at once
 }
@@ -62,10 +62,10 @@
 	}
 	for i, zone := range s.candidates.zones {
 		if at.Allows(spec, zone) {
-			request.openZones |= 1 << i
+			request.allowedZones |= 1 << i
 		}
 	}
-	if request.gate, ok = s.zones.requestPart(j); request.gate.evaluated {
+	if request.gate, ok = s.zones.gateClassOf(j); request.gate.evaluated {
 		request.image = spec.Image
 	}
 	return request, ok
@@ -174,7 +174,7 @@
 // score rates a machine for a task of the job; sameZone counts the job's tasks in its
 // zone.
 func (s *candidateSearch) score(m *cluster.Machine, sameZone int) float64 {
-	o := s.offer(s.job, m)
+	o := s.placementCandidate(s.job, m)
 	o.SameJob, o.SameZone = s.replicasOn[m], sameZone
 	return placement.Score(s.job.Spec, &o)
 }
@@ -216,8 +216,8 @@
 	return top, ok
 }
 
-// reinsert updates the rank of a machine that was given a task.
-func (s *candidateSearch) reinsert(m *cluster.Machine) {
+// updateRank updates the rank of a machine that was given a task.
+func (s *candidateSearch) updateRank(m *cluster.Machine) {
 	if s.replicasOn != nil {
 		s.replicasOn[m]++
 	}
@@ -231,8 +231,8 @@
 	heap.Fix(z, i)
 }
 
-// offer describes a machine for the scoring.
-func (s *searcher) offer(j *cluster.Job, m *cluster.Machine) placement.Candidate {
+// placementCandidate describes a machine for the scoring.
+func (s *searcher) placementCandidate(j *cluster.Job, m *cluster.Machine) placement.Candidate {
 	now := s.clock.Now()
 	failedRecently := len(m.Health.FailuresByJob) > 0 && now < m.Health.LastFailure.Add(quarantinePeriod)
 	o := placement.Candidate{
--- a/scheduler/slow_machines.go
+++ b/scheduler/slow_machines.go
@@ -73,13 +73,13 @@
 		}
 		here := sumOf(runs)
 		usual := float64(total-here) / float64(elsewhere)
-		d.rate(m, float64(here)/float64(len(runs))/usual)
+		d.updateSlowness(m, float64(here)/float64(len(runs))/usual)
 	}
 }
 
-// rate updates a machine's slowness with how many times as long as elsewhere one job's tasks
+// updateSlowness updates a machine's slowness with how many times as long as elsewhere one job's tasks
 // took there.
-func (d *slownessDetector) rate(m *cluster.Machine, ratio float64) {
+func (d *slownessDetector) updateSlowness(m *cluster.Machine, ratio float64) {
 	health := &m.Health
 	health.Slowness = (1-slownessWeight)*health.Slowness + slownessWeight*math.Log2(ratio)
 	if health.Slowness < slownessLimit {
--- a/scheduler/slow_machines_test.go
+++ b/scheduler/slow_machines_test.go
@@ -15,7 +15,7 @@
 
 // A machine on which tasks take much longer than their siblings elsewhere is taken last, and
 // after more of them not at all.
-func TestSlowMachinesAreTakenLast(t *testing.T) {
+func TestSlowMachineIsQuarantined(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 640}, Limit: quota.Amount{CPUs: 640}}}})
 	b.c.Begin(b.now)
 	for round := range 8 {
@@ -26,7 +26,7 @@
 			}
 			return
 		}
-		slow.play()
+		slow.runTasks()
 	}
 	t.Fatalf("the slow machine was never quarantined: slowness %v", b.c.cluster.Machine("n-3").Health.Slowness)
 }
@@ -55,8 +55,8 @@
 	return r
 }
 
-// play has the tasks start and end.
-func (r *slowMachineRound) play() {
+// runTasks has the tasks start and end.
+func (r *slowMachineRound) runTasks() {
 	for _, machine := range r.machines {
 		r.heartbeat(machine, "a", r.token)
 		r.heartbeat(machine, "a", r.token, r.tasks[machine]...)
@@ -96,7 +96,7 @@
 
 // One slow job ranks a machine behind the others, and it is quarantined once its running mean
 // has been high for several jobs in a row.
-func TestRateOfSlowMachines(t *testing.T) {
+func TestUpdateSlowness(t *testing.T) {
 	const slow, ordinary = 8, 1 // times as long as elsewhere
 	for _, c := range []struct {
 		name        string
@@ -117,7 +117,7 @@
 			d := &slownessDetector{clock: present}
 			m := &cluster.Machine{}
 			for _, ratio := range c.ratios {
-				d.rate(m, ratio)
+				d.updateSlowness(m, ratio)
 			}
 			if got := m.Health.SlowUntil != 0; got != c.slow {
 				t.Errorf("slow %v", got)
--- a/scheduler/waiting_demand.go
+++ b/scheduler/waiting_demand.go
@@ -118,15 +118,15 @@
 	return n
 }
 
-// freeSoonShare is the part of a boot time within which a task must end for its
+// freeSoonFraction is the part of a boot time within which a task must end for its
 // resources to count as free soon.
-const freeSoonShare = 0.8
+const freeSoonFraction = 0.8
 
 // freeSoon is what will be free on a machine before another of its type could be up, as far
 // as the estimates tell.
 func (w *waitingDemand) freeSoon(m *cluster.Machine) placement.Resources {
 	free := m.Free()
-	by := w.clock.Now().Add(monotonic.Seconds(freeSoonShare * m.MachineType().BootS))
+	by := w.clock.Now().Add(monotonic.Seconds(freeSoonFraction * m.MachineType().BootS))
 	for _, a := range m.Assignments() {
 		if w.endsBy(a, by) {
 			free = free.Plus(placement.TaskResources(a.Job.Spec))
--- a/scheduler/waiting_demand_test.go
+++ b/scheduler/waiting_demand_test.go
@@ -10,7 +10,7 @@
 // No machines are provisioned for work that fits once tasks end within a boot time. But work
 // that has waited for a boot time has seen others take that capacity: a backlog stayed for a
 // minute while hardly any machine was provisioned.
-func TestMachinesAreProvisionedForWorkThatWaitedForABoot(t *testing.T) {
+func TestProvisionsForTasksThatWaitedABootTime(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	o := b.heartbeat("n-1", "a", 0)
--- a/scheduler/wiring.go
+++ b/scheduler/wiring.go
@@ -161,7 +161,7 @@
 		revision:     c.opt.Revision,
 		interval:     c.opt.HeartbeatInterval,
 	}
-	c.jobRecords = &jobIntake{
+	c.jobRecords = &jobRecordReader{
 		cluster:    c.cluster,
 		clock:      c.clock,
 		rounds:     c.rounds,
@@ -195,7 +195,7 @@
 		quota:      c.quota,
 		health:     c.health,
 		candidates: c.candidates,
-		settings:   reservationSettings{after: c.opt.ReserveAfter, lasting: c.opt.ReserveFor},
+		settings:   reservationSettings{after: c.opt.ReserveAfter, duration: c.opt.ReserveFor},
 	}
 	c.searches = &searcher{
 		clock:        c.clock,
--- a/scheduler/zone_admission.go
+++ b/scheduler/zone_admission.go
@@ -39,9 +39,9 @@
 	return g != nil && g.manager.Condition(zone) == zonerecovery.Recovering
 }
 
-// requestPart returns what admits depends on for a job now. ok is false if its result for this
+// gateClassOf returns what admits depends on for a job now. ok is false if its result for this
 // job may differ from that for others with the same request.
-func (g *zoneGate) requestPart(j *cluster.Job) (part gateClass, ok bool) {
+func (g *zoneGate) gateClassOf(j *cluster.Job) (part gateClass, ok bool) {
 	if g == nil || !g.manager.AnyGated() {
 		return gateClass{}, true
 	}
--- a/scheduler/zone_gate_test.go
+++ b/scheduler/zone_gate_test.go
@@ -52,7 +52,7 @@
 	g.observe()
 	g.restore()
 	g.writeRecords()
-	if part, ok := g.requestPart(nil); !g.admits(nil, 0, nil) || part != (gateClass{}) || !ok {
+	if part, ok := g.gateClassOf(nil); !g.admits(nil, 0, nil) || part != (gateClass{}) || !ok {
 		t.Error("a task is denied")
 	}
 	if g.blocksProvisioning("a") || g.limitProvisioning("a", 3) != 3 {
