--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -9,9 +9,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// admitter admits waiting jobs against the quotas and places their tasks. Each scheduling round
-// calls admitAll. It must not place a task beyond its team's quota, nor some tasks of a gang
-// without the others.
+// admitter admits waiting jobs against the team quotas and places their tasks. Each scheduling
+// round calls admitAll. It must not place a task that exceeds its team's quota, and it must not
+// place some tasks of a gang without the others.
 type admitter struct {
 	cluster    *cluster.State
 	rounds     *clock.RoundTrigger
@@ -23,44 +23,46 @@
 	zones      zoneAdmission
 	lifecycle  placementStopper
 	records    placementRecords
-	// maxSkippedJobs is how many jobs that do not fit a pass over the queue may skip.
+	// maxSkippedJobs is the number of jobs that do not fit that one pass over the queue may skip.
 	maxSkippedJobs int
 }
 
-// zoneAdmission bounds what may start in a zone that recovers.
+// zoneAdmission limits which tasks may start in a recovering zone.
 type zoneAdmission interface {
-	// admits tells whether a task may start on a machine now.
+	// admits reports whether a task may start on a machine now.
 	admits(j *cluster.Job, index int, m *cluster.Machine) bool
-	// gateClassOf returns the properties of a job that admits depends on now; ok is false if
-	// the result for this job may differ from that for an equal one.
-	gateClassOf(j *cluster.Job) (part gateClass, ok bool)
+	// gateClassOf returns the properties of a job that the result of admits depends on now. ok
+	// is false if admits may return different results for two jobs with equal properties.
+	gateClassOf(j *cluster.Job) (class gateClass, ok bool)
+	// unproven reports whether a zone is recovering, so that tasks may still fail to start there.
 	unproven(zone ids.Zone) bool
+	// started records that a task was placed.
 	started(a *cluster.Assignment)
 }
 
-// placementStopper stops tasks, or undoes placements of the present round.
+// placementStopper stops tasks, or undoes placements of the current round.
 type placementStopper interface {
-	stop(a *cluster.Assignment, why cluster.StopReason)
+	stop(a *cluster.Assignment, reason cluster.StopReason)
 	withdraw(a *cluster.Assignment)
 }
 
-// placementRecords notes which placements must be recorded.
+// placementRecords tracks which placements must be written to the key-value store.
 type placementRecords interface {
 	markPlacementDirty(j *cluster.Job, index int)
 }
 
-// admissionAttempt is one attempt to place tasks of a job.
+// admissionAttempt represents one attempt to place tasks of a job.
 type admissionAttempt struct {
-	job    *cluster.Job
-	source quotaSource
-	allOrNothing  bool // all pending tasks are placed, or none
+	job          *cluster.Job
+	source       quotaSource
+	allOrNothing bool // all pending tasks are placed, or none
 }
 
-// placementResult tells why an attempt to place tasks ended.
+// placementResult is the reason why an attempt to place tasks ended.
 type placementResult uint8
 
 const (
-	placementEnded     placementResult = iota // all were placed, or a limit was met
+	placementEnded     placementResult = iota // all tasks were placed or a limit was reached
 	placementNoMachine                        // no machine fits the next task
 )
 
@@ -78,14 +80,14 @@
 	pass.admitBorrowed(adm.queue.starvingFirst(waiting))
 }
 
-// admissionPass is the state of the two passes over the queue in one round.
+// admissionPass holds the state of the two passes over the queue in one round.
 type admissionPass struct {
 	*admitter
-	// infeasible are the requests that found no machine in this round.
+	// infeasible holds the requests for which no machine was found in this round.
 	infeasible map[placementRequest]bool
-	// borrowPriority is the highest priority of a team's jobs that must borrow. The team's
-	// jobs of lower priority must not use the rest of its nominal quota first: they would be
-	// preempted again.
+	// borrowPriority holds, by team, the highest priority of the jobs that must borrow. The
+	// team's jobs of lower priority must not use the rest of its nominal quota first, because
+	// they would be preempted again.
 	borrowPriority map[ids.Team]wire.Priority
 }
 
@@ -113,7 +115,7 @@
 	}
 }
 
-// admitBorrowed admits jobs with the quota that their teams may borrow.
+// admitBorrowed admits jobs against the quota that their teams may borrow.
 func (p *admissionPass) admitBorrowed(waiting []*cluster.Job) {
 	skipped := 0
 	for _, j := range waiting {
@@ -128,7 +130,8 @@
 	}
 }
 
-// try admits a job, unless an equal request found no machine in this round.
+// try attempts to admit a job, unless no machine was found for an equal request in this round.
+// It reports whether an attempt was made.
 func (p *admissionPass) try(j *cluster.Job, source quotaSource) (tried bool) {
 	if request, cacheable := p.searches.requestOf(j, j.Zones()); cacheable && p.infeasible[request] {
 		return false
@@ -143,12 +146,12 @@
 	return true
 }
 
-// admitJob places the pending tasks of a job that fit: all or none of a gang or of a service
-// that starts, otherwise task by task.
+// admitJob places the pending tasks of a job that fit. A gang and a service that starts are
+// placed as a whole or not at all, other jobs task by task.
 func (adm *admitter) admitJob(j *cluster.Job, source quotaSource) placementResult {
 	if j.Spec.Gang && len(j.Active()) > 0 {
-		// The gang has lost tasks. All its tasks start again together, so the others are
-		// stopped first.
+		// The gang has lost tasks. All its tasks must restart together, so the remaining
+		// ones are stopped first.
 		for _, a := range j.Assignments() {
 			adm.lifecycle.stop(a, cluster.StopPreempted)
 		}
@@ -165,7 +168,8 @@
 }
 
 // admitInOneZone places all tasks of a job in one zone. The best machine for the first task
-// may be in a zone that cannot hold the others, so all zones are tried, that one first.
+// may be in a zone without capacity for the other tasks. Therefore all zones are tried,
+// beginning with the zone of that machine.
 func (adm *admitter) admitInOneZone(attempt admissionAttempt) placementResult {
 	j := attempt.job
 	first := adm.searches.newSearch(j).next(j.Pending()[len(j.Pending())-1])
@@ -189,7 +193,7 @@
 }
 
 // admitTasks places the pending tasks of a job that fit, in JobQueue.OnlyZone if that is set.
-// It keeps none if the attempt needs all and one did not fit.
+// It undoes all placements if the attempt is all-or-nothing and a task did not fit.
 func (adm *admitter) admitTasks(attempt admissionAttempt) placementResult {
 	j := attempt.job
 	placed, result := adm.placeTasks(attempt)
@@ -206,7 +210,7 @@
 	return result
 }
 
-// placeTasks places a job's pending tasks in order until one does not fit.
+// placeTasks places a job's pending tasks in order until one does not fit or a limit is reached.
 func (adm *admitter) placeTasks(attempt admissionAttempt) (placed []*cluster.Assignment, result placementResult) {
 	j := attempt.job
 	var search *candidateSearch
@@ -230,14 +234,14 @@
 		}
 		if aged && !attempt.allOrNothing {
 			adm.rounds.MarkDue()
-			break // it has started, so its other tasks have no precedence
+			break // the job has started, so its other tasks do not go first
 		}
 	}
 	return placed, placementEnded
 }
 
-// assign places a task on a machine. Its resources count as used at once. The run command is
-// sent once the placement is committed.
+// assign places a task on a machine. Its resources count as used immediately. The run command is
+// sent once the placement is committed to the key-value store.
 func (adm *admitter) assign(j *cluster.Job, index int, m *cluster.Machine) *cluster.Assignment {
 	protected := j.Priority() == wire.BestEffort && adm.queue.starving(j)
 	a := adm.cluster.Assign(j, index, m)
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -10,8 +10,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// At over a thousand machines a round still decides as the plain model does, and its work
-// grows with machines times jobs at most, not times tasks. Work is counted, not timed.
+// With more than a thousand machines, a round still makes the same decisions as the plain model. Its
+// work grows at most with the product of machines and jobs, not with the number of tasks. The test
+// counts examined machines rather than measuring time.
 func TestAdmissionAtScale(t *testing.T) {
 	const machines = 1100
 	rng := rand.New(rand.NewPCG(3, 1))
@@ -33,14 +34,14 @@
 		placed += b.compareWithModel()
 	}
 	if placed < 100 {
-		t.Fatalf("only %d tasks placed", placed)
+		t.Fatalf("placed %d tasks, want at least 100", placed)
 	}
 	// All machines twice, for nominal quota and for borrowing, and a few more for each task.
-	if most := uint64((2*jobs+3)*machines + 8*placed); b.c.candidates.examined > most {
-		t.Errorf("examined %d machines for %d jobs and %d tasks, at most %d", b.c.candidates.examined, jobs, placed, most)
+	if limit := uint64((2*jobs+3)*machines + 8*placed); b.c.candidates.examined > limit {
+		t.Errorf("examined %d machines for %d jobs and %d tasks, want at most %d", b.c.candidates.examined, jobs, placed, limit)
 	}
-	// However many jobs fit nowhere, each machine is examined a few times: jobs alike are not
-	// tried twice.
+	// If many equal jobs fit on no machine, each machine is still examined only a few times,
+	// because equal requests are not tried twice in a round.
 	for n := range 300 {
 		b.submit(ids.JobID(fmt.Sprintf("job-w%d", n)), wire.JobSpec{Class: "c", Team: "t0", Tasks: 200, CPUs: 7})
 	}
@@ -48,12 +49,12 @@
 	before := b.c.candidates.examined
 	b.c.scheduleRound()
 	if work := b.c.candidates.examined - before; work > 20*machines {
-		t.Errorf("a pass in which nothing fits examined %d machines", work)
+		t.Errorf("a round in which no job fits examined %d machines, want at most %d", work, 20*machines)
 	}
 }
 
-// While a zone was partitioned hundreds of services waited for it, and each round ended with
-// them: arrays behind them waited beside idle machines.
+// While a zone is partitioned, hundreds of services that are pinned to it may wait. They must not
+// end the round before the arrays behind them in the queue are placed on idle machines.
 func TestInfeasibleJobsDoNotEndTheRound(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 6400}, Limit: quota.Amount{CPUs: 6400}}}})
 	b.c.Begin(b.now)
@@ -64,6 +65,6 @@
 	b.submit("job-array", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
 	b.step()
 	if n := len(b.c.cluster.Job("job-array").Active()); n != 2 {
-		t.Fatalf("%d tasks of the array were placed", n)
+		t.Fatalf("placed %d tasks of the array, want 2", n)
 	}
 }
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -7,16 +7,16 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// candidateList holds the machines that take tasks in the present scheduling round. It also
-// counts the machines that rounds examine, as a measure of their work without a clock.
+// candidateList holds the machines that take tasks in the current scheduling round. It also counts
+// the machines that rounds examine. This count measures the work of rounds without a clock.
 type candidateList struct {
-	machines []*cluster.Machine // by ID
+	machines []*cluster.Machine // sorted by ID
 	zones    []ids.Zone
-	// examined counts the machines that all rounds of the term have examined.
+	// examined is the number of machines that all rounds of the leadership term have examined.
 	examined uint64
 }
 
-// collect lists the machines that take tasks now.
+// collect updates the list to the machines that take tasks now.
 func (l *candidateList) collect(all []*cluster.Machine, health machineUsability) {
 	l.machines, l.zones = l.machines[:0], l.zones[:0]
 	for _, m := range all {
--- a/scheduler/class_demand.go
+++ b/scheduler/class_demand.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// demandWindow is how long a class's peak and its arrivals are remembered.
+	// demandWindow is the period over which the peak and the arrivals of a class are counted.
 	demandWindow = 2 * time.Minute
-	// demandSlots is the number of parts of the window, which are forgotten one by one.
+	// demandSlots is the number of slots into which the window is divided. Slots expire one by one.
 	demandSlots = 4
-	// arrivalDeviations is how many standard deviations above the mean are expected.
+	// arrivalDeviations is the number of standard deviations that are added to the mean of the
+	// arrivals.
 	arrivalDeviations = 3
 )
 
-// classDemands follows the recent demand of each class of jobs.
+// classDemands tracks the recent demand of each class of jobs.
 type classDemands struct {
 	cluster *cluster.State
 	clock   *clock.Clock
 	byClass map[string]*classDemand
 }
 
-// recordArrival counts a job that became ready. A class that no update has seen yet is not
-// followed.
+// recordArrival counts a job that became ready. It ignores classes that no update has added yet.
 func (c *classDemands) recordArrival(spec *wire.JobSpec) {
 	demand := c.byClass[spec.Class]
 	if demand == nil {
@@ -37,10 +37,10 @@
 	demand.countArrival(spec.Tasks)
 }
 
-// update counts the tasks of each class that wait or run, and follows classes that are new.
+// update counts the tasks of each class that wait or run, and starts to track new classes.
 func (c *classDemands) update() {
 	tasks := map[string]int{}
-	first := map[string]*cluster.Job{} // by ID, of each new class
+	first := map[string]*cluster.Job{} // the job with the lowest ID of each new class
 	for _, j := range c.cluster.Jobs() {
 		class := j.Spec.Class
 		if j.Terminal() || !j.Queue.Ready {
@@ -60,41 +60,41 @@
 	}
 }
 
-// classDemand is the recent demand of one class of jobs. Its arrays hold one value for each
-// slot of the window.
+// classDemand holds the recent demand of one class of jobs. Its arrays hold one value for each slot
+// of the window.
 type classDemand struct {
-	spec  *wire.JobSpec // of one job of the class, which stands for all
-	tasks int           // that wait or run now
-	slot  int           // number of the present slot, counted from instant 0
+	spec  *wire.JobSpec // of one job, which represents the class
+	tasks int           // number of tasks that wait or run now
+	slot  int           // number of the current slot, counted from instant 0
 	peaks [demandSlots]int
-	// arrivedJobs and arrivedTasks count the jobs that became ready, and their tasks.
+	// arrivedJobs and arrivedTasks count the jobs that became ready and their tasks.
 	arrivedJobs, arrivedTasks [demandSlots]int
 }
 
-// advance moves the window on to a time. Slots that it passes are forgotten.
+// advance moves the window forward to an instant and clears the slots that it enters.
 func (d *classDemand) advance(now monotonic.Instant) {
 	slot := int(time.Duration(now) / (demandWindow / demandSlots))
-	d.slot = max(d.slot, slot-demandSlots) // the loop clears every slot then
+	d.slot = max(d.slot, slot-demandSlots) // after a longer gap, the loop clears every slot once
 	for ; d.slot < slot; d.slot++ {
 		next := (d.slot + 1) % demandSlots
 		d.peaks[next], d.arrivedJobs[next], d.arrivedTasks[next] = 0, 0, 0
 	}
 }
 
-// countArrival counts a job that became ready in the present slot.
+// countArrival counts a job that became ready in the current slot.
 func (d *classDemand) countArrival(tasks int) {
 	d.arrivedJobs[d.slot%demandSlots]++
 	d.arrivedTasks[d.slot%demandSlots] += tasks
 }
 
-// setTasks sets how many tasks wait or run now.
+// setTasks sets the number of tasks that wait or run now, and updates the peak of the current slot.
 func (d *classDemand) setTasks(tasks int) {
 	d.tasks = tasks
 	peak := &d.peaks[d.slot%demandSlots]
 	*peak = max(*peak, tasks)
 }
 
-// peakTasks is the largest number of tasks at once in the window.
+// peakTasks returns the largest number of tasks that waited or ran at the same time in the window.
 func (d *classDemand) peakTasks() int {
 	peak := d.tasks
 	for _, p := range d.peaks {
@@ -103,9 +103,9 @@
 	return peak
 }
 
-// expectedArrivals is how many tasks to expect within a time: as many as arrived in the
-// window on average, and three times their spread. Tasks arrive in jobs, which widens the
-// spread.
+// expectedArrivals returns an upper estimate of the number of tasks that arrive within a duration:
+// the mean that follows from the arrivals in the window, plus arrivalDeviations standard deviations.
+// The deviation is computed for jobs, because tasks arrive in jobs, which increases their variance.
 func (d *classDemand) expectedArrivals(within time.Duration) float64 {
 	jobs, tasks := 0, 0
 	for i := range d.arrivedJobs {
--- a/scheduler/class_demand_test.go
+++ b/scheduler/class_demand_test.go
@@ -9,6 +9,8 @@
 
 const demandSlotLength = demandWindow / demandSlots
 
+// Peaks and arrivals that are older than the window must not count, however long the time between two
+// updates is.
 func TestClassDemandWindowExpires(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -25,24 +27,26 @@
 			d := demandOfFourJobs()
 			d.advance(monotonic.Instant(demandSlotLength + c.after))
 			if got := d.peakTasks(); got != c.peak {
-				t.Errorf("the peak is %d, want %d", got, c.peak)
+				t.Errorf("peak of %d tasks, want %d", got, c.peak)
 			}
 			if got := d.expectedArrivals(demandSlotLength); (got > 0) != (c.peak > 0) {
-				t.Errorf("%v tasks are expected", got)
+				t.Errorf("expected arrivals: %v tasks, while the peak is %d", got, c.peak)
 			}
 		})
 	}
 }
 
-func TestExpectedArrivalsIncludeTheSpread(t *testing.T) {
+// The mean number of arrivals alone would underestimate the demand in about half of all windows, so
+// expected arrivals include standard deviations.
+func TestExpectedArrivalsIncludeDeviations(t *testing.T) {
 	d := demandOfFourJobs()
 	if got := d.expectedArrivals(demandWindow); got < 12 || got > 31 {
-		t.Errorf("after 12 tasks of 4 jobs in a window, %v are expected in another", got)
+		t.Errorf("expected arrivals after 12 tasks of 4 jobs in a window: %v, want 12 to 31", got)
 	}
 }
 
-// demandOfFourJobs is the demand of a class of which 4 jobs with 12 tasks arrived in one
-// slot, and 7 tasks were there at once.
+// demandOfFourJobs returns the demand of a class of which 4 jobs with 12 tasks arrived in one slot,
+// with a peak of 7 tasks.
 func demandOfFourJobs() *classDemand {
 	d := &classDemand{}
 	d.advance(monotonic.Instant(demandSlotLength))
--- a/scheduler/decisions.go
+++ b/scheduler/decisions.go
@@ -7,10 +7,10 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// Decisions are the decisions since the last Step.
+// Decisions holds the decisions made since the last Step.
 type Decisions struct {
 	RecordChanges []records.Change
-	// SendCommands lists machines to which commands should be sent now; see TakeCommands.
+	// SendCommands lists machines to which commands should be sent now. See TakeCommands.
 	SendCommands []ids.MachineID
 	// RequestHeartbeats lists machines that should be asked for a heartbeat.
 	RequestHeartbeats []ids.MachineID
@@ -18,8 +18,8 @@
 	Terminate         []ids.MachineID
 	// RereadJobs lists jobs whose records should be read again and passed to ObserveJob.
 	RereadJobs []ids.JobID
-	// ForgetAddresses lists addresses of machines that are terminated.
+	// ForgetAddresses lists the addresses of machines that are being terminated.
 	ForgetAddresses []string
-	// ZoneEvents are changes of zones' conditions, for the log.
+	// ZoneEvents lists changes of zones' conditions, for logging.
 	ZoneEvents []zonerecovery.Transition
 }
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -8,44 +8,45 @@
 )
 
 const (
-	// estimateWeight is the weight of the newest run in a class's running mean.
+	// estimateWeight is the weight of the newest run in the exponential moving average of a class.
 	estimateWeight = 0.02
-	// maxEstimateFactor bounds how many times its estimate a single run counts for.
+	// maxEstimateFactor limits the ratio of run time to estimate that a single run contributes.
 	maxEstimateFactor = 10
 )
 
-// runEstimates learns how long the tasks of each class run, compared with their owners'
-// estimates. The task lifecycle records runs. Health, autoscaling and zone recovery ask for
-// expected run times. It changes no job.
+// runEstimates tracks how long the tasks of each class run compared with their owners' estimates.
+// The task lifecycle records runs. Health checks, autoscaling and zone recovery query expected run
+// times. runEstimates does not modify jobs.
 type runEstimates struct {
-	// factors holds the running mean, by class, of run time divided by estimate.
+	// factors holds, by class, the exponential moving average of run time divided by estimate.
 	factors map[string]float64
 }
 
-// newRunEstimates makes estimates without any run recorded.
+// newRunEstimates returns estimates without any recorded run.
 func newRunEstimates() *runEstimates {
 	return &runEstimates{factors: map[string]float64{}}
 }
 
-// expectedRun is how long a task of a job should run. On most days, the owners' estimates
-// for a class are all too high or all too low, so they are corrected by the class's factor.
+// expectedRun returns the expected run time of a task of a job. The owners' estimates for a class
+// tend to be all too high or all too low on a given day, so they are multiplied by the class's
+// factor.
 func (e *runEstimates) expectedRun(s *wire.JobSpec) time.Duration {
 	factor := 1.0
-	if learned := e.factors[s.Class]; learned > 0 {
-		factor = learned
+	if average := e.factors[s.Class]; average > 0 {
+		factor = average
 	}
 	return monotonic.Seconds(factor * s.EstimateS)
 }
 
-// recordRun updates the factor of a class from how long a task ran. It ignores jobs without an
+// recordRun updates the factor of a class with the run time of a task. It ignores jobs without an
 // estimate.
 func (e *runEstimates) recordRun(s *wire.JobSpec, ran time.Duration) {
 	if s.EstimateS <= 0 {
 		return
 	}
 	factor := min(maxEstimateFactor, ran.Seconds()/s.EstimateS)
-	if learned := e.factors[s.Class]; learned > 0 {
-		factor = (1-estimateWeight)*learned + estimateWeight*factor
+	if average := e.factors[s.Class]; average > 0 {
+		factor = (1-estimateWeight)*average + estimateWeight*factor
 	}
 	e.factors[s.Class] = factor
 }
--- a/scheduler/estimates_test.go
+++ b/scheduler/estimates_test.go
@@ -7,6 +7,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
+// Owners' estimates may be far off. Expected run times must follow the recorded runs of the class, but
+// a single extreme run must have a limited effect.
 func TestExpectedRunFollowsRecordedRuns(t *testing.T) {
 	const class, estimateS = "c", 10
 	for _, c := range []struct {
@@ -32,7 +34,7 @@
 	}
 }
 
-// repeated is a number of runs of the same length.
+// repeated returns n equal run times.
 func repeated(n int, ran time.Duration) []time.Duration {
 	runs := make([]time.Duration, n)
 	for i := range runs {
@@ -41,6 +43,7 @@
 	return runs
 }
 
+// A run of a job without an estimate has no ratio to one, so it must not change expected run times.
 func TestRunsWithoutEstimateAreIgnored(t *testing.T) {
 	e := newRunEstimates()
 	e.recordRun(&wire.JobSpec{Class: "d"}, time.Hour)
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// antiAffinityPeriod is how long a job keeps off a machine where one of its tasks failed.
+	// antiAffinityPeriod is how long a job avoids a machine where one of its tasks failed.
 	antiAffinityPeriod = 45 * time.Second
-	// quarantinePeriod is how long a machine that is at fault gets no tasks.
+	// quarantinePeriod is how long no tasks are placed on a machine that is taken to be at fault.
 	quarantinePeriod = 2 * time.Minute
-	// quarantineJobs is how many jobs must fail on a machine until it is quarantined, and
-	// quarantineFailures how many tasks of jobs that fail nowhere else.
+	// A machine is quarantined once tasks of quarantineJobs different jobs have failed on it. It
+	// is also quarantined after quarantineFailures failures if the job that failed last has
+	// failed on no other machine.
 	quarantineJobs     = 2
 	quarantineFailures = 2
-	// initialBackoff is how long a job that fails everywhere waits after its first such
-	// round. The wait doubles with each further round, up to maxBackoff.
+	// initialBackoff is how long a job that fails on all machines waits after its first round of
+	// failures. The backoff doubles with each further round, up to maxBackoff.
 	initialBackoff = 2 * time.Second
 	maxBackoff     = time.Minute
-	// failedMachinesLimit is on how many machines a job must fail, without one success, until
-	// the fault is taken to be its own.
+	// failedMachinesLimit is the number of machines on which a job must fail, without any
+	// successful task, before the job rather than the machines is taken to be at fault.
 	failedMachinesLimit = 3
-	// probingAfterRounds is after how many rounds of failing everywhere a job is tried task
-	// by task.
+	// probingAfterRounds is the number of rounds of failures on all machines after which only
+	// one task of a job is tried at a time.
 	probingAfterRounds = 2
 )
 
-// failureHistory keeps the failures of jobs and machines, and weighs which of the two is at
-// fault. Heartbeats and the task lifecycle record how tasks ended. Placement asks it for a
-// job's anti-affinity. It quarantines machines and delays jobs, but terminates no machine and
-// ends no job.
+// failureHistory records the failures of jobs and machines and determines which of the two is at
+// fault. Heartbeats and the task lifecycle report how tasks ended. Placement queries a job's
+// anti-affinity. failureHistory quarantines machines and delays jobs, but it terminates no machine
+// and ends no job.
 type failureHistory struct {
 	cluster *cluster.State
 	clock   *clock.Clock
@@ -41,12 +42,12 @@
 	zones   taskFailureObserver
 }
 
-// taskFailureObserver learns that a task failed.
+// taskFailureObserver is notified when a task fails.
 type taskFailureObserver interface{ failed(a *cluster.Assignment) }
 
-// recordFailure weighs whether the machine or the job is at fault for a failed task.
-// Failures of several jobs on one machine quarantine the machine. Failures of one job on
-// several machines make the job wait, but it is tried again without end.
+// recordFailure records a failed task and determines whether the machine or the job is at fault.
+// Failures of several jobs on one machine quarantine the machine. Failures of one job on several
+// machines delay the job, but it is retried indefinitely.
 func (f *failureHistory) recordFailure(a *cluster.Assignment) {
 	m, j := a.Machine, a.Job
 	f.zones.failed(a)
@@ -62,8 +63,9 @@
 	f.backOff(j)
 }
 
-// recordSuccess clears the machine's failures after a task that succeeded, and the job's
-// unless it has ended. The count of a job's successes stays.
+// recordSuccess clears the machine's failures after a task that succeeded. Unless the job has ended,
+// it also counts the success and resets the job's failure rounds and backoff. The count of a job's
+// successes is never reset.
 func (*failureHistory) recordSuccess(a *cluster.Assignment) {
 	clear(a.Machine.Health.FailuresByJob)
 	j := a.Job
@@ -74,8 +76,8 @@
 	j.Failures.Rounds, j.Failures.Backoff = 0, 0
 }
 
-// countAgainstMachine counts a failure of a job's task against its machine, and quarantines
-// the machine if the fault is likely its own.
+// countAgainstMachine counts a failure of a job's task against its machine and quarantines the
+// machine if it is likely to be at fault.
 func (f *failureHistory) countAgainstMachine(m *cluster.Machine, j *cluster.Job) {
 	health := &m.Health
 	health.FailuresByJob[j.ID]++
@@ -91,8 +93,8 @@
 	}
 }
 
-// backOff delays a job that fails everywhere. Only the first failure of a round counts:
-// the other tasks of the round fail with it.
+// backOff delays a job that fails on all machines. Only the first failure of a round counts,
+// because the other tasks of the round fail for the same reason.
 func (f *failureHistory) backOff(j *cluster.Job) {
 	if f.clock.Now() < j.Queue.RetryAt {
 		return
@@ -102,9 +104,8 @@
 	j.Queue.RetryAt = f.clock.Now().Add(j.Failures.Backoff)
 }
 
-// clearFailureHistory removes the failures of a job that fails everywhere from the machines'
-// histories. Otherwise a few jobs that were submitted with a mistake would quarantine one
-// healthy machine after another.
+// clearFailureHistory removes the failures of a job that fails on all machines from the histories
+// of the machines. Otherwise a few faulty jobs would quarantine one healthy machine after another.
 func (f *failureHistory) clearFailureHistory(j *cluster.Job) {
 	for _, m := range f.cluster.Machines() {
 		health := &m.Health
@@ -119,7 +120,7 @@
 	f.rounds.MarkDue()
 }
 
-// addAntiAffinity keeps a job off a machine for antiAffinityPeriod.
+// addAntiAffinity makes a job avoid a machine for antiAffinityPeriod.
 func (f *failureHistory) addAntiAffinity(j *cluster.Job, m *cluster.Machine) {
 	if j.Failures.AntiAffinity == nil {
 		j.Failures.AntiAffinity = map[ids.MachineID]monotonic.Instant{}
@@ -128,16 +129,16 @@
 	f.rounds.RecheckAt(f.clock.Now().Add(antiAffinityPeriod))
 }
 
-// hasAntiAffinity tells whether a job keeps off a machine. It does so for antiAffinityPeriod
-// only: there may be no other machine for it.
+// hasAntiAffinity reports whether a job avoids a machine. The anti-affinity ends after
+// antiAffinityPeriod, because there may be no other machine for the job.
 func (f *failureHistory) hasAntiAffinity(j *cluster.Job, m *cluster.Machine) bool {
 	since, failed := j.Failures.AntiAffinity[m.ID]
 	return failed && f.clock.Now() < since.Add(antiAffinityPeriod)
 }
 
-// probing tells whether a job has failed everywhere for so long that only one task at a
-// time is tried, like a half-open circuit breaker. Until its user cancels it, it must not
-// hold resources that others need.
+// probing reports whether a job has failed on all machines for so many rounds that only one task
+// is tried at a time, like a half-open circuit breaker. Until its user cancels it, such a job must
+// not hold resources that others need.
 func probing(j *cluster.Job) bool {
 	return j.Failures.Rounds >= probingAfterRounds && !j.NeedsAllTasks()
 }
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -11,9 +11,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Jobs that were submitted with a mistake fail on every machine until their users
-// cancel them. Two of them used to quarantine each machine that both had tried, for two
-// minutes, and an array of one tried all of its tasks in each round.
+// Jobs that were submitted with a mistake fail on every machine until their users cancel them. Two
+// such jobs must not quarantine, for two minutes, each machine on which both have failed. An array
+// that fails on every machine must not start all of its tasks in each round.
 func TestPermanentlyFailingJobsQuarantineNoMachine(t *testing.T) {
 	b, agents := newFailingJobs(t)
 	const settled = 40 * time.Second
@@ -35,19 +35,19 @@
 	}
 }
 
-// A first success of a job that failed everywhere frees the rest: the mistake was mended
-// elsewhere, or the fault was another.
+// After the first success of a job that failed on all machines, its remaining tasks start. The cause of
+// the failures may have been repaired outside the job, or it may not have been the job.
 func TestSuccessEndsTheBackoffOfFailingJobs(t *testing.T) {
 	b, agents := newFailingJobs(t)
-	nothing := func() {}
-	agents.play(b, wire.CauseError, 3*time.Minute, nothing)
-	starts := agents.play(b, wire.CauseDone, 75*time.Second, nothing)
+	noInspection := func() {}
+	agents.play(b, wire.CauseError, 3*time.Minute, noInspection)
+	starts := agents.play(b, wire.CauseDone, 75*time.Second, noInspection)
 	if starts == 0 || len(b.c.cluster.Jobs()) > 0 {
-		t.Errorf("after %d starts that succeed, %d jobs are not done", starts, len(b.c.cluster.Jobs()))
+		t.Errorf("after %d successful starts, %d jobs are not done", starts, len(b.c.cluster.Jobs()))
 	}
 }
 
-// newFailingJobs is a harness with six machines and three arrays.
+// newFailingJobs returns a harness with six machines and three arrays.
 func newFailingJobs(t *testing.T) (*harness, *instantAgents) {
 	t.Helper()
 	b := newHarness(t, Options{})
@@ -63,7 +63,7 @@
 	return b, agents
 }
 
-// activeTasks counts the tasks that are assigned to machines.
+// activeTasks returns the number of tasks that are assigned to machines.
 func (b *harness) activeTasks() int {
 	active := 0
 	for _, j := range b.c.cluster.Jobs() {
@@ -72,7 +72,7 @@
 	return active
 }
 
-// quarantinedMachines counts the machines that are in quarantine.
+// quarantinedMachines returns the number of machines that are in quarantine.
 func (b *harness) quarantinedMachines() int {
 	count := 0
 	for _, m := range b.c.cluster.Machines() {
@@ -83,8 +83,8 @@
 	return count
 }
 
-// Failures of different jobs still quarantine a machine that is at fault, also where a
-// permanently failing job has failed.
+// Failures of different jobs quarantine a machine that is at fault even if a permanently failing job
+// has failed there as well. The failures of that job must not count against the machine.
 func TestUnhealthyMachineIsQuarantinedDespitePermanentlyFailingJob(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.heartbeat("n-0", "a", 0)
@@ -107,11 +107,11 @@
 	}
 	b.c.failures.clearFailureHistory(b.c.cluster.Job("job-2"))
 	if b.c.clock.Now() < m.Health.QuarantinedUntil {
-		t.Error("still quarantined although one of them fails everywhere")
+		t.Error("still quarantined although one of the jobs fails on all machines")
 	}
 }
 
-// A machine that fails tasks of two jobs gets no more of them.
+// A machine on which tasks of two jobs failed is quarantined: no more tasks are placed there.
 func TestUnhealthyMachineIsQuarantined(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
@@ -123,7 +123,7 @@
 		o := b.heartbeat("n-1", "a", 0)
 		run := commandsWith(o.Commands, wire.VerbRun)
 		if len(run) != 1 {
-			t.Fatalf("job %d: runs %v", n, run)
+			t.Fatalf("job %d: run commands %v, want one", n, run)
 		}
 		b.heartbeat("n-1", "a", o.FencingToken, wire.TaskStatus{Name: string(id) + "/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseError})
 		b.c.ObserveJob(b.now, id, &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.cluster.Job(id).Spec}, 900)
@@ -133,6 +133,6 @@
 	b.submit("job-9", wire.JobSpec{Tasks: 1})
 	b.step()
 	if a := b.c.cluster.Job("job-9").Task(0).Assignment(); a != nil {
-		t.Fatalf("placed on %s, which fails everything", a.Machine.ID)
+		t.Fatalf("placed on %s, where all tasks failed", a.Machine.ID)
 	}
 }
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -14,27 +14,26 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// LoadJob loads a job's record at the start of the term. All jobs must be loaded before
-// slices.
+// LoadJob loads a job's record at the start of the leadership term. All jobs must be loaded before
+// any admission slice.
 func (c *Core) LoadJob(id ids.JobID, record *records.Job, revision ids.Revision) {
 	c.jobRecords.loadJob(id, record, revision)
 }
 
-// LoadUnreadableJob notes a job whose own record cannot be read. Its admission
-// records are kept: they name the machines of its tasks, which are needed once the record is
-// repaired.
+// LoadUnreadableJob registers a job whose own record cannot be read. Its admission records are
+// kept, because they name the machines of its tasks, which are needed once the record is repaired.
 func (c *Core) LoadUnreadableJob(id ids.JobID) {
 	c.jobRecords.unreadable[id] = true
 	c.previousLeaders.unclear = true
 }
 
-// LoadSlice loads an admission record at the start of the term.
-func (c *Core) LoadSlice(id ids.JobID, n int, record *records.AdmissionSlice, revision ids.Revision) error {
-	return c.jobRecords.loadSlice(id, n, record, revision)
+// LoadSlice loads an admission record at the start of the leadership term.
+func (c *Core) LoadSlice(id ids.JobID, number int, record *records.AdmissionSlice, revision ids.Revision) error {
+	return c.jobRecords.loadSlice(id, number, record, revision)
 }
 
-// Suspend keeps a job from being placed, because it is not known where all its tasks may be.
-// Other jobs are not affected.
+// Suspend prevents the placement of a job's tasks, because it is not known on which machines all its
+// tasks may be. Other jobs are not affected.
 func (c *Core) Suspend(id ids.JobID) {
 	c.previousLeaders.unclear = true
 	if j := c.cluster.Job(id); j != nil {
@@ -42,37 +41,38 @@
 	}
 }
 
-// ObserveJob takes a job's record as found in the key-value store: new, cancelled or with a
-// version that this leader did not know.
+// ObserveJob processes a job's record as read from the key-value store. The job may be new or
+// cancelled, or its record may have a revision that this leader has not seen.
 func (c *Core) ObserveJob(now monotonic.Instant, id ids.JobID, record *records.Job, revision ids.Revision) {
 	c.clock.Set(now)
 	c.jobRecords.observe(id, record, revision)
 }
 
-// EnableSplitRecords tells that every controller can read slices that were split. From now on
-// records are split if they exceed the limit of the key-value store.
+// EnableSplitRecords allows records to be split. It must be called only once every controller can
+// read split slices. From then on, records that exceed the size limit of the key-value store are
+// split.
 func (c *Core) EnableSplitRecords(now monotonic.Instant) {
 	c.clock.Set(now)
 	c.records.enableSplitting()
 }
 
-// jobRecordReader loads and observes the records of jobs and slices, and updates jobs when one that
-// they depend on changes. It writes no record: recordWriter does.
+// jobRecordReader processes the records of jobs and slices that are read from the key-value store.
+// It updates jobs when a job that they depend on changes. It writes no records: recordWriter does.
 type jobRecordReader struct {
 	cluster *cluster.State
 	clock   *clock.Clock
 	rounds  *clock.RoundTrigger
-	// graph holds all jobs with their dependencies.
+	// graph holds the dependencies of all jobs.
 	graph *dependency.Graph
-	// unreadable are the jobs whose own record cannot be read.
+	// unreadable holds the jobs whose own record cannot be read.
 	unreadable map[ids.JobID]bool
 	lifecycle  jobEnder
 	records    jobRecordMarks
 	sites      siteRecorder
 	arrivals   arrivalObserver
-	// revision is that of the leader's key.
+	// revision is the revision of the leader's key.
 	revision ids.Revision
-	// valueBytes bounds the JSON form of a record; 0: no bound.
+	// valueBytes is the maximum size of a record in JSON form, in bytes. Zero means no limit.
 	valueBytes int
 }
 
@@ -81,22 +81,23 @@
 	endJob(j *cluster.Job, status wire.JobState)
 }
 
-// jobRecordMarks notes which records of jobs are to be written.
+// jobRecordMarks tracks which records of jobs must be written.
 type jobRecordMarks interface {
-	// markOrphanCancel notes that a job's own record does not say yet that it is cancelled.
+	// markOrphanCancel records that a cancelled job's own record does not show the cancellation
+	// yet.
 	markOrphanCancel(j *cluster.Job)
-	// cancelRecorded notes that the job's own record says so.
+	// cancelRecorded records that the job's own record shows the cancellation.
 	cancelRecorded(j *cluster.Job)
 	markOversized(j *cluster.Job, s *cluster.AdmissionSlice)
 	markCompletable(j *cluster.Job)
 }
 
-// arrivalObserver learns from jobs that become ready.
+// arrivalObserver is notified of jobs that become ready.
 type arrivalObserver interface {
 	recordArrival(spec *wire.JobSpec)
 }
 
-// loadJob loads a job's record at the start of the term.
+// loadJob loads a job's record at the start of the leadership term.
 func (r *jobRecordReader) loadJob(id ids.JobID, record *records.Job, revision ids.Revision) {
 	r.graph.Put(id, record.Dependencies())
 	if record.Status == wire.JobDone || record.Spec == nil {
@@ -105,22 +106,22 @@
 	r.cluster.AddJob(id, record, revision)
 }
 
-// loadSlice loads an admission record at the start of the term, after the jobs.
-func (r *jobRecordReader) loadSlice(id ids.JobID, n int, record *records.AdmissionSlice, revision ids.Revision) error {
+// loadSlice loads an admission record at the start of the leadership term, after the jobs.
+func (r *jobRecordReader) loadSlice(id ids.JobID, number int, record *records.AdmissionSlice, revision ids.Revision) error {
 	if r.unreadable[id] {
 		return nil
 	}
 	j := r.cluster.Job(id)
 	if j == nil {
-		// The job is done. The slice only has to be deleted.
+		// The job is done. The slice only needs to be deleted.
 		j = r.cluster.AddJob(id, &records.Job{Status: wire.JobDone}, 0)
 	}
-	// Splits add at most one slice for each task. Numbers may be unused.
-	if !j.Terminal() && n >= len(j.Slices())+2*len(j.Tasks()) {
-		return fmt.Errorf("admission record %s/%d lies outside its job", id, n)
+	// Splits add at most one slice for each task. Slice numbers may be unused.
+	if !j.Terminal() && number >= len(j.Slices())+2*len(j.Tasks()) {
+		return fmt.Errorf("load admission record %s/%d: slice number out of range", id, number)
 	}
-	j.GrowSlices(n + 1)
-	s := j.Slices()[n]
+	j.GrowSlices(number + 1)
+	s := j.Slices()[number]
 	s.Revision = revision
 	if j.Status() == wire.JobDone {
 		return nil
@@ -138,7 +139,8 @@
 	for k := 0; k+2 < len(record.Tasks); k += 3 {
 		index, attempt, machineIndex := record.Tasks[k], ids.Attempt(record.Tasks[k+1]), record.Tasks[k+2]
 		if index < 0 || index >= len(j.Tasks()) || machineIndex >= len(record.Hosts) {
-			return fmt.Errorf("admission record %s/%d names task %d on place %d", j.ID, s.Number, index, machineIndex)
+			return fmt.Errorf("load admission record %s/%d: task index %d or machine index %d out of range",
+				j.ID, s.Number, index, machineIndex)
 		}
 		t := j.Task(index)
 		j.LoadAttempt(s, index, attempt)
@@ -154,8 +156,8 @@
 	return nil
 }
 
-// observe takes a job's record as found in the key-value store: new, cancelled or with a
-// version that this leader did not know.
+// observe processes a job's record as read from the key-value store. The job may be new or
+// cancelled, or its record may have a revision that this leader has not seen.
 func (r *jobRecordReader) observe(id ids.JobID, record *records.Job, revision ids.Revision) {
 	j := r.cluster.Job(id)
 	if j != nil && revision <= j.Records.Revision {
@@ -163,7 +165,7 @@
 	}
 	if j == nil {
 		if s := r.graph.ReadinessOf(id).State; record.Terminal() || s == dependency.Done || s == dependency.Cancelled {
-			r.applyJobRecord(id, record) // the job has ended; the record may be an older one
+			r.applyJobRecord(id, record) // the job has ended, but the record may be an older revision
 			return
 		}
 		j = r.cluster.AddJob(id, record, revision)
@@ -181,8 +183,8 @@
 	}
 }
 
-// begin makes the jobs ready for the term once all records are loaded. It visits them by ID,
-// since the order decides what is stopped, sent and written first.
+// begin prepares the jobs for the leadership term once all records are loaded. It visits the jobs in
+// order of their IDs, because the order determines what is stopped, sent and written first.
 func (r *jobRecordReader) begin() {
 	for _, j := range r.cluster.SortedJobs() {
 		j.RebuildSlices()
@@ -203,10 +205,12 @@
 	}
 }
 
-// maxInheritedWait bounds how long a job counts as having waited before the term began.
+// maxInheritedWait limits how long a job counts as having waited before the leadership term began.
 const maxInheritedWait = time.Hour
 
-// readySince is when a loaded job became ready to run, as far as the time of day tells.
+// readySince returns the instant at which a loaded job became ready to run, derived from the wall
+// clock. It is at most maxInheritedWait before the current time, and it is the current time if the
+// wall clock is not known.
 func (r *jobRecordReader) readySince(j *cluster.Job) monotonic.Instant {
 	now := r.clock.Now()
 	if r.clock.WallAtBeginMS() <= 0 {
@@ -216,8 +220,8 @@
 	return now.Add(-min(max(age, 0), maxInheritedWait))
 }
 
-// applyJobRecord puts a job's record into the dependency graph and updates all jobs whose
-// readiness or priority changes.
+// applyJobRecord adds a job's record to the dependency graph and updates all jobs whose readiness or
+// priority changes.
 func (r *jobRecordReader) applyJobRecord(id ids.JobID, record *records.Job) {
 	for _, other := range r.graph.Put(id, record.Dependencies()) {
 		if j := r.cluster.Job(other); j != nil {
@@ -226,9 +230,9 @@
 	}
 }
 
-// syncDependencies updates a job from the dependency graph: its priority, whether it may run,
-// and whether it is cancelled because one that it depends on is. Such a job never had a task.
-// Users see it as cancelled at once. Its own record is written later.
+// syncDependencies updates a job from the dependency graph: its priority, whether it may run, and
+// whether it is cancelled because a job that it depends on is cancelled. A job that is cancelled this
+// way never had a placed task. Users see it as cancelled immediately. Its own record is written later.
 func (r *jobRecordReader) syncDependencies(j *cluster.Job) {
 	if j.Terminal() {
 		return
--- a/scheduler/preemption_scheduler.go
+++ b/scheduler/preemption_scheduler.go
@@ -9,8 +9,8 @@
 	"ospreystile.example/ospreystile/scheduler/preemption"
 )
 
-// preemptionScheduler answers what preemption asks of the other policies. It implements
-// preemption.Scheduler.
+// preemptionScheduler gives the preemption policy access to the other scheduling policies. It
+// implements preemption.Scheduler.
 type preemptionScheduler struct {
 	clock        *clock.Clock
 	queue        *jobQueue
@@ -21,22 +21,22 @@
 	lifecycle    *taskLifecycle
 }
 
-// failedMachines tells whether a job avoids a machine where its tasks failed.
+// failedMachines reports whether a job avoids a machine on which its tasks failed.
 type failedMachines interface {
 	hasAntiAffinity(j *cluster.Job, m *cluster.Machine) bool
 }
 
-// LatencySensitive tells whether a job must start sooner than a machine boots.
+// LatencySensitive reports whether a job must start in less time than a machine takes to boot.
 func (s *preemptionScheduler) LatencySensitive(j *cluster.Job) bool {
 	return s.queue.latencySensitive(j)
 }
 
-// Probing tells whether a job may place only one task at a time.
+// Probing reports whether only one task of a job may be placed at a time.
 func (*preemptionScheduler) Probing(j *cluster.Job) bool { return probing(j) }
 
-// MayUse tells whether the next pending task of a job could go to a machine with enough
-// free resources. A reservation counts only while its job starves. Until then tasks may be
-// preempted on the machine for other jobs.
+// MayUse reports whether the next pending task of a job could be placed on a machine if the machine
+// had enough free resources. A reservation for another job is respected only while that job is
+// starving. Before that, tasks on the machine may be preempted for other jobs.
 func (s *preemptionScheduler) MayUse(j *cluster.Job, m *cluster.Machine) bool {
 	next := j.Pending()[len(j.Pending())-1]
 	if !s.zones.admits(j, next, m) || s.failures.hasAntiAffinity(j, m) {
@@ -45,9 +45,10 @@
 	return !s.reservations.reservedForOther(m, j) || !s.queue.starving(m.Admission.ReservedFor)
 }
 
-// RequestClass classifies the next task of a job. How many tasks must be placed together
-// matters for admission, but not here, where each task is planned for alone. A machine without
-// the image costs more for a latency-sensitive job.
+// RequestClass returns the class of the request for the next task of a job. The number of tasks that
+// must be placed together matters for admission but not for preemption, which plans for each task
+// separately. The class of a latency-sensitive job includes its image, because a machine without
+// the image has a higher cost for such a job.
 func (s *preemptionScheduler) RequestClass(j *cluster.Job, zones placement.TasksByZone) (preemption.RequestClass, bool) {
 	request, ok := s.searches.requestOf(j, zones)
 	request.tasksTogether = 0
@@ -57,12 +58,12 @@
 	return request, ok && len(j.Failures.AntiAffinity) == 0
 }
 
-// RunTime is how long a task has been in its phase, less the pauses of this process.
+// RunTime returns how long a task has been in its phase, excluding pauses of this process.
 func (s *preemptionScheduler) RunTime(a *cluster.Assignment) time.Duration {
 	return runTime(s.clock, a)
 }
 
 // Stop stops a task.
-func (s *preemptionScheduler) Stop(a *cluster.Assignment, why cluster.StopReason) {
-	s.lifecycle.stop(a, why)
+func (s *preemptionScheduler) Stop(a *cluster.Assignment, reason cluster.StopReason) {
+	s.lifecycle.stop(a, reason)
 }
--- a/scheduler/preemption_test.go
+++ b/scheduler/preemption_test.go
@@ -12,8 +12,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A job of higher priority preempts work of its own team when the team is at its limit, and
-// no more than it needs.
+// A job of higher priority preempts tasks of its own team if the team is at its limit, but no more
+// tasks than it needs.
 func TestPreemptsWithinTeamAtItsLimit(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4}, Limit: quota.Amount{CPUs: 4}}}})
 	b.c.Begin(b.now)
@@ -31,7 +31,7 @@
 	o = b.heartbeat("n-1", "a", o.FencingToken, shown...)
 	kills := commandsWith(o.Commands, wire.VerbKill)
 	if len(kills) != 1 {
-		t.Fatalf("killed: %v", kills)
+		t.Fatalf("kill commands %v, want one", kills)
 	}
 	i := slices.IndexFunc(shown, func(s wire.TaskStatus) bool { return s.Name+"#1" == kills[0] })
 	shown[i].State, shown[i].Cause = wire.TaskEnded, wire.CauseStopped
@@ -42,10 +42,10 @@
 	}
 }
 
-// Admission and the search for victims must agree on who goes first. Where they did not, a
-// task was placed and preempted thousands of times: borrowers preempted work within its
-// nominal quota, and room for a second replica was made in the zone that only the first may
-// use.
+// Admission and preemption must agree on the order of jobs. Otherwise a task may be placed and
+// preempted thousands of times. This happens if borrowing jobs preempt tasks within their team's
+// nominal quota. It also happens if tasks are preempted for a second replica in a zone in which the
+// spread allows only the first.
 func TestNoTaskIsRepeatedlyPlacedAndPreempted(t *testing.T) {
 	preempted := 0
 	for seed := range uint64(200) {
@@ -61,7 +61,7 @@
 			before := b.attempts()
 			settled := b.attemptsAfterRounds(8)
 			if now := b.attemptsAfterRounds(8); now != settled {
-				t.Fatalf("seed %d round %d: %d attempts at first, then %d, then %d, without an event", seed, round, before, settled, now)
+				t.Fatalf("seed %d round %d: %d attempts at first, then %d, then %d, without any event", seed, round, before, settled, now)
 			}
 		}
 		for _, j := range b.c.cluster.Jobs() {
@@ -71,11 +71,11 @@
 		}
 	}
 	if preempted == 0 {
-		t.Fatal("nothing was ever preempted, so nothing was tested")
+		t.Fatal("no task was preempted: the scenario is ineffective")
 	}
 }
 
-// randomPreemptionSpec is a random job of one of three teams, which may be in a hurry.
+// randomPreemptionSpec returns a random job of one of three teams, which may be latency-sensitive.
 func randomPreemptionSpec(rng *rand.Rand, teams []quota.Team) wire.JobSpec {
 	spec := wire.JobSpec{Class: []string{"hasty", "calm"}[rng.IntN(2)], Team: teams[rng.IntN(3)].Name, Priority: wire.Priority(rng.IntN(4)),
 		Tasks: 1 + rng.IntN(5), CPUs: float64(1 + rng.IntN(5)), Spread: rng.IntN(3) == 0, OneZone: rng.IntN(5) == 0}
@@ -84,7 +84,7 @@
 	return spec
 }
 
-// attempts sums up the attempts of all tasks.
+// attempts returns the sum of the attempts of all tasks.
 func (b *harness) attempts() int {
 	sum := 0
 	for _, j := range b.c.cluster.Jobs() {
@@ -95,7 +95,7 @@
 	return sum
 }
 
-// attemptsAfterRounds runs rounds of scheduling and sums up the attempts of all tasks.
+// attemptsAfterRounds runs scheduling rounds and returns the sum of the attempts of all tasks.
 func (b *harness) attemptsAfterRounds(rounds int) int {
 	for range rounds {
 		b.c.rounds.MarkDue()
--- a/scheduler/progress.go
+++ b/scheduler/progress.go
@@ -5,7 +5,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Progress tells a job's progress for display; false if the job is not known.
+// Progress returns a job's progress for display. It returns false if the job is not known.
 func (c *Core) Progress(id ids.JobID) (Progress, bool) {
 	j := c.cluster.Job(id)
 	if j == nil {
@@ -20,5 +20,6 @@
 	return s, true
 }
 
-// Progress counts the tasks of a job that are done, and those that run or write a checkpoint.
+// Progress holds the number of a job's tasks that are done, and of those that run or write a
+// checkpoint.
 type Progress struct{ Done, Running int }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -9,8 +9,8 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// jobQueue orders the jobs that wait for admission, and tells which have waited too long. It
-// changes no job.
+// jobQueue orders the jobs that wait for admission and determines which have waited too long.
+// It does not modify jobs.
 type jobQueue struct {
 	cluster  *cluster.State
 	clock    *clock.Clock
@@ -19,22 +19,23 @@
 	settings queueSettings
 }
 
-// queueSettings are the settings of the job queue.
+// queueSettings holds the settings of the job queue.
 type queueSettings struct {
-	// latencySensitive names the classes whose tasks must start sooner than a machine
-	// boots, with their objectives.
+	// latencySensitive holds the start latency objectives of the classes whose tasks must
+	// start in less time than a machine takes to boot.
 	latencySensitive map[string]time.Duration
-	// reserveAfter is how long a job waits for its start until it counts as starved; 0:
-	// no job ever does.
+	// reserveAfter is how long a job waits for its start before it counts as starved. Zero
+	// disables this: no job ever counts as starved.
 	reserveAfter time.Duration
 }
 
-// evacuationStatus tells whether work of some zone may need machines in other zones.
+// evacuationStatus reports whether the tasks of some zone may need machines in other zones.
 type evacuationStatus interface{ evacuating() bool }
 
-// waitingJobs lists the jobs with tasks to place, by priority. Among equals those that have
-// waited too long come first, then services while work of a zone may have to move, then the
-// others by creation time, or by the time at which a late pipeline should start.
+// waitingJobs returns the jobs with tasks to place, in descending order of priority. Among jobs
+// of equal priority, those that have waited too long come first. They are followed by services
+// while the tasks of a zone may have to move to other zones. The remaining jobs are ordered by
+// creation time, or by the time at which a late pipeline should start.
 func (q *jobQueue) waitingJobs() []*cluster.Job {
 	var out []*cluster.Job
 	for _, j := range q.cluster.Jobs() {
@@ -42,7 +43,7 @@
 			continue
 		}
 		if q.clock.Now() < j.Queue.RetryAt {
-			q.rounds.RecheckAt(j.Queue.RetryAt) // there may be no other event until then
+			q.rounds.RecheckAt(j.Queue.RetryAt) // otherwise no round may be due then
 			continue
 		}
 		out = append(out, j)
@@ -67,7 +68,7 @@
 	return out
 }
 
-// admissible tells whether a job has tasks that may be placed.
+// admissible reports whether a job has tasks that may be placed.
 func admissible(j *cluster.Job) bool {
 	switch {
 	case !j.Queue.Ready, j.Terminal(), j.Queue.Suspended, j.Records.Refusals >= maxRefusals, len(j.Pending()) == 0:
@@ -76,38 +77,40 @@
 	return len(j.Active()) == 0 || !probing(j)
 }
 
-// latencySensitive tells whether a job's class must start sooner than a machine boots.
+// latencySensitive reports whether tasks of a job's class must start in less time than a machine
+// takes to boot.
 func (q *jobQueue) latencySensitive(j *cluster.Job) bool {
 	_, ok := q.settings.latencySensitive[j.Spec.Class]
 	return ok
 }
 
 const (
-	// agingFactor is after how many times reserveAfter a job that could not start goes
-	// before the jobs of its priority that have started.
+	// agingFactor is the multiple of reserveAfter after which a job that could not start is
+	// ordered before the jobs of its priority that have started.
 	agingFactor = 2
-	// starvationFactor is after how many times reserveAfter a job that could not start keeps
-	// its reserved machines from work of higher priority too.
+	// starvationFactor is the multiple of reserveAfter after which the machines reserved for a
+	// job that could not start are also withheld from jobs of higher priority.
 	starvationFactor = 2.5
 )
 
-// aged tells whether a job has waited to start for so long that it goes before the
-// jobs of its priority that have started. Otherwise a team's quota may all go to its
-// older jobs, task by task, and reserved machines are of no use to a later one.
+// aged reports whether a job has waited to start for so long that it is ordered before the jobs
+// of its priority that have started. Otherwise the older jobs of a team may use all of its quota,
+// task by task, and a later job cannot use the machines reserved for it.
 func (q *jobQueue) aged(j *cluster.Job) bool { return q.waitedToStart(j, agingFactor) }
 
-// starving tells whether a job has waited to start for so long that it goes before work of
-// higher priority. Every job must start within four minutes where limits allow. Otherwise
-// best-effort jobs might never start while other work takes all resources that become free.
+// starving reports whether a job has waited to start for so long that it goes before jobs of
+// higher priority. Every job must start within four minutes if limits allow. Without this rule,
+// best-effort jobs might never start while other jobs take all resources that become free.
 func (q *jobQueue) starving(j *cluster.Job) bool { return q.waitedToStart(j, starvationFactor) }
 
-// waitedToStart tells whether a job could not start for the given multiple of reserveAfter.
-func (q *jobQueue) waitedToStart(j *cluster.Job, times float64) bool {
+// waitedToStart reports whether a job has waited for its start for longer than the given multiple
+// of reserveAfter.
+func (q *jobQueue) waitedToStart(j *cluster.Job, multiple float64) bool {
 	after := q.settings.reserveAfter
-	return !j.Started() && after > 0 && q.clock.Now() > j.Queue.ReadyAt.Add(time.Duration(times*float64(after)))
+	return !j.Started() && after > 0 && q.clock.Now() > j.Queue.ReadyAt.Add(time.Duration(multiple*float64(after)))
 }
 
-// starvingFirst lists waiting jobs, those that starve before all others.
+// starvingFirst returns the waiting jobs with the starving ones before all others.
 func (q *jobQueue) starvingFirst(waiting []*cluster.Job) []*cluster.Job {
 	if !slices.ContainsFunc(waiting, q.starving) {
 		return waiting
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -9,6 +9,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
+// Jobs are admitted in the wrong order if priority, age or start time is ignored. Suspended jobs and
+// jobs in backoff must not be listed.
 func TestWaitingJobsAreOrdered(t *testing.T) {
 	b := newHarness(t, Options{AdmissionOptions: AdmissionOptions{ReserveAfter: time.Minute}})
 	add := func(id ids.JobID, priority wire.Priority, orderMS int64, age time.Duration) *cluster.Job {
@@ -28,14 +30,14 @@
 	want := []ids.JobID{"job-urgent", "job-aged", "job-early", "job-same", "job-late"}
 	waiting := b.c.queue.waitingJobs()
 	if len(waiting) != len(want) {
-		t.Fatalf("%d jobs wait", len(waiting))
+		t.Fatalf("%d jobs wait, want %d", len(waiting), len(want))
 	}
 	for i, j := range waiting {
 		if j.ID != want[i] {
-			t.Errorf("%s is number %d, want %s", j.ID, i, want[i])
+			t.Errorf("job %d is %s, want %s", i, j.ID, want[i])
 		}
 	}
 	if first := b.c.queue.starvingFirst(waiting)[0].ID; first != "job-aged" {
-		t.Errorf("%s goes before those that starve", first)
+		t.Errorf("%s is ordered before the starving job", first)
 	}
 }
--- a/scheduler/quota_check.go
+++ b/scheduler/quota_check.go
@@ -6,16 +6,16 @@
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
 
-// quotaSource is what a job's tasks may be charged to.
+// quotaSource is the quota to which a job's tasks may be charged.
 type quotaSource uint8
 
 const (
-	nominalQuota  quotaSource = iota // the team's nominal quota alone
-	borrowedQuota                    // also what the cohort lends
+	nominalQuota  quotaSource = iota // only the team's nominal quota
+	borrowedQuota                    // also quota that the cohort lends
 )
 
-// quotaCheck tells which tasks fit the teams' quotas. It charges nothing: the cluster state
-// does when a task is placed.
+// quotaCheck checks which tasks fit the teams' quotas. It does not charge quota: the cluster state
+// does so when a task is placed.
 type quotaCheck struct {
 	cluster *cluster.State
 	clock   *clock.Clock
@@ -23,27 +23,28 @@
 	health  machineUsability
 }
 
-// machineUsability tells which machines new tasks may go to.
+// machineUsability determines which machines may run tasks and which may be given new ones.
 type machineUsability interface {
-	// usable tells whether tasks may run on a machine, and takesTasks whether new ones may
-	// be placed there: it is usable and not quarantined.
+	// usable reports whether tasks may run on a machine.
 	usable(m *cluster.Machine) bool
+	// takesTasks reports whether new tasks may be placed on a machine, which requires that it is
+	// usable and not quarantined.
 	takesTasks(m *cluster.Machine) bool
 }
 
-// updateSurplus sets the cohort quota to what the usable machines offer beyond the sum of the
-// nominal quotas. Otherwise no team could use that.
+// updateSurplus sets the cohort quota to the resources of the usable machines beyond the sum of the
+// nominal quotas. Otherwise no team could use these resources.
 func (c *quotaCheck) updateSurplus() {
-	var have quota.Amount
+	var capacity quota.Amount
 	for _, m := range c.cluster.Machines() {
 		if c.health.usable(m) {
-			have = have.Plus(quota.Amount{CPUs: m.Total().CPUs, GPUs: m.Total().GPUs})
+			capacity = capacity.Plus(quota.Amount{CPUs: m.Total().CPUs, GPUs: m.Total().GPUs})
 		}
 	}
-	c.quotas.SetCohortQuota(have.Minus(c.quotas.Nominal()))
+	c.quotas.SetCohortQuota(capacity.Minus(c.quotas.Nominal()))
 }
 
-// fits tells whether n more tasks of a job fit its team's quota.
+// fits reports whether n more tasks of a job fit its team's quota.
 func (c *quotaCheck) fits(j *cluster.Job, source quotaSource, n int) bool {
 	amount := j.Amount().Times(n)
 	if source == nominalQuota {
@@ -52,7 +53,7 @@
 	return c.quotas.FitsBorrowing(j.Spec.Team, amount, c.clock.Now())
 }
 
-// mustBorrow tells whether a job's waiting tasks fit quota, but not the nominal quota.
+// mustBorrow reports whether a job's pending tasks fit its team's quota only with borrowing.
 func (c *quotaCheck) mustBorrow(j *cluster.Job) bool {
 	n := j.TasksTogether()
 	return len(j.Pending()) > 0 && !c.fits(j, nominalQuota, n) && c.fits(j, borrowedQuota, n)
--- a/scheduler/replacements.go
+++ b/scheduler/replacements.go
@@ -8,13 +8,15 @@
 	"ospreystile.example/ospreystile/scheduler/fleet"
 )
 
-// missedHeartbeatLimit is after how many heartbeat intervals the silence of a single machine is
-// longer than its agent needs to find another controller.
+// missedHeartbeatLimit is the number of heartbeat intervals after which a single machine without
+// a heartbeat counts as likely to be lost. This is longer than its agent needs to find another
+// controller.
 const missedHeartbeatLimit = 3
 
-// replacementDemand is the demand of services on machines that are likely to be lost. Their
-// leases expire about when a machine requested now is up; a boot begun only then would mean
-// downtime. If a machine sends heartbeats again, its replacement is idle and is terminated.
+// replacementDemand computes the demand of the services on machines that are likely to be lost.
+// The leases of these machines expire at about the time when a machine requested now has booted.
+// Provisioning a replacement only after the lease expiry would add the boot time to the downtime.
+// If a machine sends heartbeats again, its replacement is idle and is terminated.
 type replacementDemand struct {
 	cluster           *cluster.State
 	clock             *clock.Clock
@@ -22,11 +24,11 @@
 	heartbeatInterval time.Duration
 }
 
-// addTo adds the demand to a plan, with all free resources that it may use. It must be called
-// last, because the other kinds of demand must not count those resources.
+// addTo adds the demand to a plan, together with all free resources that may satisfy it. It must be
+// called last, because the other kinds of demand must not use those resources.
 func (r *replacementDemand) addTo(planner *fleet.Planner) {
-	endangered := r.machinesAtRisk()
-	if len(endangered) == 0 {
+	atRisk := r.machinesAtRisk()
+	if len(atRisk) == 0 {
 		return
 	}
 	for _, m := range r.cluster.Machines() {
@@ -34,7 +36,7 @@
 			planner.AddCapacity(m.Site(), m.Free())
 		}
 	}
-	for _, m := range endangered {
+	for _, m := range atRisk {
 		for _, a := range m.Assignments() {
 			if a.Job.Spec.Service && a.StopReason() == cluster.StopNone {
 				planner.Add(fleet.Demand{Spec: a.Job.Spec, Count: 1})
@@ -43,26 +45,27 @@
 	}
 }
 
-// machinesAtRisk lists the machines with replicas that are likely to be lost.
+// machinesAtRisk returns the machines that run replicas and are likely to be lost.
 func (r *replacementDemand) machinesAtRisk() []*cluster.Machine {
-	var endangered []*cluster.Machine
+	var atRisk []*cluster.Machine
 	for _, m := range r.cluster.Machines() {
 		if m.Replicas() > 0 && !r.health.takesTasks(m) && r.likelyLost(m) {
-			endangered = append(endangered, m)
+			atRisk = append(atRisk, m)
 		}
 	}
-	return endangered
+	return atRisk
 }
 
-// likelyLost tells whether a machine is in a partitioned zone, silent, or reclaimed soon.
+// likelyLost reports whether a machine is in a partitioned zone, has missed several heartbeats or is
+// about to be reclaimed as a spot instance.
 func (r *replacementDemand) likelyLost(m *cluster.Machine) bool {
 	return r.health.zonePartitioned(m.Zone()) || r.missedHeartbeats(m) || m.Health.SpotReclaimAt != 0
 }
 
-// missedHeartbeats tells whether a machine has missed several heartbeats. After a pause of this
-// process every machine first gets the time to send one.
+// missedHeartbeats reports whether a machine has missed several heartbeats. After a pause of this
+// process, every machine first gets enough time to send one.
 func (r *replacementDemand) missedHeartbeats(m *cluster.Machine) bool {
 	now := r.clock.Now()
-	allHadTime := now > r.clock.ResumedAt().Add(r.heartbeatInterval*3/2)
-	return allHadTime && m.SilentFor(now, missedHeartbeatLimit*r.heartbeatInterval)
+	allCouldReport := now > r.clock.ResumedAt().Add(r.heartbeatInterval*3/2)
+	return allCouldReport && m.SilentFor(now, missedHeartbeatLimit*r.heartbeatInterval)
 }
--- a/scheduler/replacements_test.go
+++ b/scheduler/replacements_test.go
@@ -9,8 +9,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A service on a partitioned machine was replaced only once the machine's lease had expired,
-// and then waited for a boot as well. The next leader may never have heard of the machine.
+// A replacement for a service on a partitioned machine must be provisioned before the machine's lease
+// expires. Otherwise the downtime of the service includes the boot time of the new machine. A new
+// leader may not have received any heartbeat of the machine.
 func TestProvisionsReplacementBeforeLeaseExpires(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -27,11 +28,11 @@
 				t.Fatal("nothing was provisioned before the lease expired")
 			}
 			if requests[0].Count != 1 || requests[0].Spot {
-				t.Errorf("provisioned %+v", requests)
+				t.Errorf("provisioned %+v, want one on-demand machine", requests)
 			}
 			after := b.now.Sub(start)
 			if after < missedHeartbeatLimit*simHeartbeatInterval || after > simAgentLease/2 {
-				t.Errorf("provisioned after %v", after)
+				t.Errorf("provisioned after %v, want %v to %v", after, missedHeartbeatLimit*simHeartbeatInterval, simAgentLease/2)
 			}
 		})
 	}
@@ -48,7 +49,7 @@
 	return b
 }
 
-// beginWithInheritedService has a previous leader's records place a service on n-1.
+// beginWithInheritedService loads records in which a previous leader placed a service on n-1.
 func beginWithInheritedService(t *testing.T) *harness {
 	t.Helper()
 	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true}})
@@ -57,8 +58,8 @@
 	return b
 }
 
-// firstProvisionRequests steps until machines are requested, or a time has passed. The harness is
-// left at the time of that step.
+// firstProvisionRequests runs steps until machines are requested or the duration has passed. On
+// return, the harness time is that of the step with the requests.
 func (b *harness) firstProvisionRequests(within time.Duration) []wire.ProvisionRequest {
 	for end := b.now.Add(within); b.now < end; b.now = b.now.Add(500 * time.Millisecond) {
 		if requests := b.step().Provision; len(requests) > 0 {
--- a/scheduler/reservations.go
+++ b/scheduler/reservations.go
@@ -11,13 +11,14 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// reservations keeps machines for jobs that could not start for too long. Later jobs
-// that fit are admitted before one that does not, so a large job might wait forever while small
-// ones take all resources that become free. Once it has waited too long, some machines that it
-// could use take no other work of its priority or below, until enough is free there.
+// reservations reserves machines for jobs that have waited too long for their start. Jobs that
+// fit are admitted before an earlier job that does not. Without reservations, a large job might
+// wait indefinitely while small jobs take all resources that become free. Once a job has waited too
+// long, some machines that it could use take no other tasks of its priority or below until enough
+// resources are free there.
 //
 // Each scheduling round calls update after admission and preemption. It must not place or stop
-// a task, nor reserve more than maxReservedShare of the machines.
+// a task, and it must not reserve more than maxReservedFraction of the machines.
 type reservations struct {
 	cluster    *cluster.State
 	clock      *clock.Clock
@@ -29,23 +30,24 @@
 	settings   reservationSettings
 }
 
-// reservationSettings are the settings of reservations.
+// reservationSettings holds the settings of reservations.
 type reservationSettings struct {
-	// after is how long a job waits for its start until machines are reserved for it; 0:
-	// nothing is reserved. duration is how long a reservation lasts.
-	after, duration time.Duration
+	// reserveAfter is how long a job waits for its start before machines are reserved for it.
+	// Zero disables reservations. reserveFor is how long a reservation lasts.
+	reserveAfter, reserveFor time.Duration
 }
 
 const (
-	// maxReservedShare bounds the reserved machines, as a fraction of all.
-	maxReservedShare = 0.1
-	// reservationRecheck is how soon a job that waits to start is examined again: it may
-	// gain or lose a reservation by time alone.
-	reservationRecheck = time.Second
+	// maxReservedFraction limits the reserved machines, as a fraction of all machines.
+	maxReservedFraction = 0.1
+	// reservationRecheckInterval is the interval at which jobs that wait to start are examined
+	// again, because a reservation may begin or end without any event.
+	reservationRecheckInterval = time.Second
 )
 
-// reservedForOther tells whether a machine is reserved for another job. Critical and
-// latency-sensitive jobs do not yield to the reservations of starving jobs.
+// reservedForOther reports whether a machine is reserved for another job of the same or a higher
+// priority, or for a starving job. Critical and latency-sensitive jobs do not yield to reservations
+// of starving jobs that have a lower priority.
 func (r *reservations) reservedForOther(m *cluster.Machine, j *cluster.Job) bool {
 	owner := m.Admission.ReservedFor
 	if owner == nil || owner == j {
@@ -55,46 +57,46 @@
 	return owner.Priority() >= j.Priority() || yields
 }
 
-// update drops the reservations that ended and reserves machines for the jobs that need
-// them. No machine is reserved for two jobs. A reservation that did not suffice in time is
-// dropped for a while.
+// update releases the reservations that have ended and reserves machines for the jobs that need
+// them. No machine is reserved for two jobs. A job that did not start before its reservation
+// expired loses it and gets a new one only after a further wait.
 func (r *reservations) update(waiting []*cluster.Job) {
-	if r.settings.after <= 0 {
+	if r.settings.reserveAfter <= 0 {
 		return
 	}
-	held, kept := r.dropEnded()
+	machinesByJob, reserved := r.releaseEnded()
 	for _, j := range r.queue.starvingFirst(waiting) {
 		if j.Started() {
 			continue
 		}
-		r.rounds.RecheckAt(r.clock.Now().Add(reservationRecheck))
-		if r.clock.Now() < j.Queue.WaitingSince.Add(r.settings.after) {
+		r.rounds.RecheckAt(r.clock.Now().Add(reservationRecheckInterval))
+		if r.clock.Now() < j.Queue.WaitingSince.Add(r.settings.reserveAfter) {
 			continue
 		}
 		if j.Queue.ReservedSince != 0 && r.expired(j) {
-			j.Queue.WaitingSince, j.Queue.ReservedSince = r.clock.Now().Add(-r.settings.after/2), 0
+			j.Queue.WaitingSince, j.Queue.ReservedSince = r.clock.Now().Add(-r.settings.reserveAfter/2), 0
 			continue
 		}
 		n := j.TasksTogether()
 		if !r.quota.fits(j, borrowedQuota, n) && !(j.Priority() == wire.BestEffort && r.queue.starving(j)) {
 			// The job waits for quota, not for machines. Only a starving best-effort job
-			// keeps its machines: it runs on borrowed quota alone, which may be available
-			// only for a short time.
+			// still gets reservations, because it runs only on borrowed quota, which may be
+			// available only for a short time.
 			continue
 		}
-		kept += r.reserve(j, n, held[j], kept)
+		reserved += r.reserve(j, n, machinesByJob[j], reserved)
 	}
 }
 
-// expired tells whether a job's reservation has lasted for long enough.
+// expired reports whether a job's reservation has lasted for the configured duration.
 func (r *reservations) expired(j *cluster.Job) bool {
-	return r.clock.Now() > j.Queue.ReservedSince.Add(r.settings.duration)
+	return r.clock.Now() > j.Queue.ReservedSince.Add(r.settings.reserveFor)
 }
 
-// dropEnded drops the reservations that have ended or that are not needed any more. It returns
-// the machines of the others by job, and their number.
-func (r *reservations) dropEnded() (held map[*cluster.Job][]*cluster.Machine, kept int) {
-	held = map[*cluster.Job][]*cluster.Machine{}
+// releaseEnded releases the machines whose reservation has expired, whose job no longer needs them,
+// or that take no tasks now. It returns the machines that remain reserved, by job, and their number.
+func (r *reservations) releaseEnded() (machinesByJob map[*cluster.Job][]*cluster.Machine, reserved int) {
+	machinesByJob = map[*cluster.Job][]*cluster.Machine{}
 	for _, m := range r.cluster.Machines() {
 		owner := m.Admission.ReservedFor
 		if owner == nil {
@@ -105,34 +107,34 @@
 			r.rounds.MarkDue()
 			continue
 		}
-		kept++
-		held[owner] = append(held[owner], m)
+		reserved++
+		machinesByJob[owner] = append(machinesByJob[owner], m)
 	}
-	return held, kept
+	return machinesByJob, reserved
 }
 
-// reserve reserves machines for n tasks of a job, beside those it holds, those with most free
-// CPUs first. kept is how many machines are reserved for any job; the result is how many were
-// added. Hundreds of jobs may wait, so it lists the machines only for jobs that need more, and
-// not once the limit is reached.
-func (r *reservations) reserve(j *cluster.Job, n int, held []*cluster.Machine, kept int) (added int) {
+// reserve reserves machines for n tasks of a job, in addition to the machines already reserved for
+// it. Machines with the most free CPUs are reserved first. reserved is the number of machines
+// reserved for any job. The result is the number of machines added. Hundreds of jobs may wait,
+// so the machines are listed only for jobs that need more of them and only below the limit.
+func (r *reservations) reserve(j *cluster.Job, n int, own []*cluster.Machine, reserved int) (added int) {
 	need := placement.TaskResources(j.Spec)
 	zones := placement.TasksByZone{}
-	hold := func(m *cluster.Machine) {
-		for left := m.Total(); n > 0 && need.FitsIn(left) && zones.Allows(j.Spec, m.Zone()); n-- {
-			left = left.Minus(need)
+	countTasksOn := func(m *cluster.Machine) {
+		for remaining := m.Total(); n > 0 && need.FitsIn(remaining) && zones.Allows(j.Spec, m.Zone()); n-- {
+			remaining = remaining.Minus(need)
 			zones[m.Zone()]++
 		}
 	}
-	for _, m := range held {
-		hold(m)
+	for _, m := range own {
+		countTasksOn(m)
 	}
-	most := maxReservedShare * float64(len(r.candidates.machines))
-	if n <= 0 || float64(kept) > most {
+	limit := maxReservedFraction * float64(len(r.candidates.machines))
+	if n <= 0 || float64(reserved) > limit {
 		return 0
 	}
 	for _, m := range r.reservable(j) {
-		if n <= 0 || float64(kept+added) > most {
+		if n <= 0 || float64(reserved+added) > limit {
 			break
 		}
 		if !zones.Allows(j.Spec, m.Zone()) {
@@ -143,22 +145,22 @@
 		if j.Queue.ReservedSince == 0 {
 			j.Queue.ReservedSince = r.clock.Now()
 		}
-		hold(m)
+		countTasksOn(m)
 	}
 	return added
 }
 
-// reservable lists the unreserved machines that could hold a task of a job if they were
-// empty, those with most free CPUs first.
+// reservable returns the unreserved machines that could hold a task of a job if they were empty, in
+// descending order of free CPUs.
 func (r *reservations) reservable(j *cluster.Job) []*cluster.Machine {
 	need := placement.TaskResources(j.Spec)
 	r.candidates.examined += uint64(len(r.candidates.machines))
-	var free []*cluster.Machine
+	var machines []*cluster.Machine
 	for _, m := range r.candidates.machines {
 		if m.Admission.ReservedFor == nil && placement.Allowed(j.Spec, m.Site()) && need.FitsIn(m.Total()) {
-			free = append(free, m)
+			machines = append(machines, m)
 		}
 	}
-	slices.SortStableFunc(free, func(a, b *cluster.Machine) int { return cmp.Compare(b.Free().CPUs, a.Free().CPUs) })
-	return free
+	slices.SortStableFunc(machines, func(a, b *cluster.Machine) int { return cmp.Compare(b.Free().CPUs, a.Free().CPUs) })
+	return machines
 }
--- a/scheduler/reservations_test.go
+++ b/scheduler/reservations_test.go
@@ -13,15 +13,15 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// bestEffortResult is what became of a best-effort job of a team without nominal quota.
+// bestEffortResult holds the outcome for a best-effort job of a team without nominal quota.
 type bestEffortResult struct {
 	startedAfter time.Duration // from its submission; 0: never
 	stoppedAfter time.Duration // from its first start; 0: never
-	maxTasks    int           // at once
+	maxTasks     int           // the largest number of tasks at the same time
 }
 
-// runBestEffortScenario submits small arrays of one team without end, and a best-effort array of a
-// team without nominal quota.
+// runBestEffortScenario continually submits small arrays of one team, and submits one best-effort
+// array of a team without nominal quota.
 func runBestEffortScenario(t *testing.T, reserveAfter time.Duration) bestEffortResult {
 	t.Helper()
 	const guest = "job-guest"
@@ -35,7 +35,7 @@
 		},
 	})
 	b.c.Begin(b.now)
-	var day bestEffortResult
+	var result bestEffortResult
 	var submittedAt, startedAt monotonic.Instant
 	tick := 0
 	runTime := func(name string, count int) time.Duration {
@@ -48,9 +48,9 @@
 	agents.observe = func(command wire.Command) {
 		switch isGuest := strings.HasPrefix(command.Name, guest); {
 		case isGuest && command.Verb == wire.VerbRun && startedAt == 0:
-			startedAt, day.startedAfter = b.now, b.now.Sub(submittedAt)
-		case isGuest && command.Verb == wire.VerbKill && day.stoppedAfter == 0:
-			day.stoppedAfter = b.now.Sub(startedAt)
+			startedAt, result.startedAfter = b.now, b.now.Sub(submittedAt)
+		case isGuest && command.Verb == wire.VerbKill && result.stoppedAfter == 0:
+			result.stoppedAfter = b.now.Sub(startedAt)
 		}
 	}
 	for ; tick < 420; tick++ {
@@ -63,40 +63,41 @@
 			b.submit(guest, wire.JobSpec{Class: "g", Team: "guest", Tasks: 9, CPUs: 8})
 		}
 		b.step()
-		day.maxTasks = max(day.maxTasks, agents.count(guest))
+		result.maxTasks = max(result.maxTasks, agents.count(guest))
 		agents.heartbeats(b)
 	}
-	return day
+	return result
 }
 
-// staggeredRunTime makes tasks end one after the other, so that no machine is ever empty by
-// chance.
+// staggeredRunTime returns run times that make tasks end one after the other, so that no machine
+// becomes empty by chance.
 func staggeredRunTime(tick, count int) time.Duration {
 	return time.Duration(5+(tick*7+count*3)%11) * time.Second
 }
 
-// Best-effort work of a team without nominal quota found each gap taken by others' work of
-// higher priority, and began after seven and ten minutes. Its first task must begin within
-// four, and run on for a while; beyond that it takes nothing from the others.
+// If other teams' jobs of higher priority take all resources that become free, a best-effort job of a
+// team without nominal quota may start only after seven to ten minutes. Its first task must start
+// within four minutes and run for at least half a minute. Apart from that task, the job must not
+// take resources from other jobs.
 func TestBestEffortWorkStarts(t *testing.T) {
-	if day := runBestEffortScenario(t, 0); day.startedAfter != 0 {
-		t.Fatalf("without reservations it began after %v: the day tests nothing", day.startedAfter)
+	if result := runBestEffortScenario(t, 0); result.startedAfter != 0 {
+		t.Fatalf("started after %v without reservations: the scenario is ineffective", result.startedAfter)
 	}
-	day := runBestEffortScenario(t, time.Minute)
-	t.Logf("%+v", day)
-	if day.startedAfter == 0 || day.startedAfter >= 4*time.Minute {
-		t.Errorf("it began after %v", day.startedAfter)
+	result := runBestEffortScenario(t, time.Minute)
+	t.Logf("%+v", result)
+	if result.startedAfter == 0 || result.startedAfter >= 4*time.Minute {
+		t.Errorf("started after %v, want less than 4m; 0 means never", result.startedAfter)
 	}
-	if day.stoppedAfter != 0 && day.stoppedAfter < 30*time.Second {
-		t.Errorf("it was stopped after %v", day.stoppedAfter)
+	if result.stoppedAfter != 0 && result.stoppedAfter < 30*time.Second {
+		t.Errorf("stopped %v after its start, want at least 30s", result.stoppedAfter)
 	}
-	if day.maxTasks > 1 {
-		t.Errorf("it had %d tasks at once", day.maxTasks)
+	if result.maxTasks > 1 {
+		t.Errorf("%d tasks at the same time, want at most 1", result.maxTasks)
 	}
 }
 
-// largeJobStartDelay plays small arrays without end beside one of large tasks, and returns how
-// long after its submission that one started; 0: never.
+// largeJobStartDelay continually submits small arrays, and submits one array of large tasks. It
+// returns how long after its submission the large one started, or 0 if it did not start.
 func largeJobStartDelay(t *testing.T, reserveAfter time.Duration) time.Duration {
 	t.Helper()
 	b := newHarness(t, Options{AdmissionOptions: AdmissionOptions{ReserveAfter: reserveAfter, ReserveFor: time.Minute}})
@@ -121,34 +122,34 @@
 	return 0
 }
 
-// Later jobs that fit overtake one that does not, but not for ever: without a reservation a
-// large task would find every gap taken by small ones.
+// Later jobs that fit are placed before one that does not fit, but not indefinitely. Without a
+// reservation, small tasks would take all resources that become free, and a large task would starve.
 func TestLargeJobsStart(t *testing.T) {
 	if after := largeJobStartDelay(t, 0); after != 0 {
-		t.Fatalf("without reservations it started after %v: the day tests nothing", after)
+		t.Fatalf("started after %v without reservations: the scenario is ineffective", after)
 	}
 	after := largeJobStartDelay(t, time.Minute)
 	t.Logf("started after %v", after)
 	if after == 0 || after >= 4*time.Minute {
-		t.Fatalf("it started after %v", after)
+		t.Fatalf("started after %v, want less than 4m; 0 means never", after)
 	}
 }
 
-// lateJobScenario is a day on which an array is submitted while an older one, which is too large
-// for the machines, takes every gap.
+// lateJobScenario submits an array while an older array, which has more tasks than the machines can
+// run, takes all resources that become free.
 type lateJobScenario struct {
 	limitedByQuota bool // there are free machines, but no quota
-	failsOver    bool // a new leader takes over while the late job waits
+	failsOver      bool // a new leader takes over while the late job waits
 }
 
 const (
-	lateJobSubmitSecond  = 20 // seconds after the day began
-	lateJobFailoverSecond   = 50
+	lateJobSubmitSecond    = 20 // seconds after the scenario began
+	lateJobFailoverSecond  = 50
 	lateJobScenarioSeconds = 300
 )
 
-// startDelay plays the day and returns how long after its submission the late job
-// started; 0: never.
+// startDelay runs the scenario. It returns how long after its submission the late job started, or 0
+// if it did not start.
 func (d lateJobScenario) startDelay(t *testing.T, reserveAfter time.Duration) time.Duration {
 	t.Helper()
 	opt := Options{AdmissionOptions: AdmissionOptions{ReserveAfter: reserveAfter, ReserveFor: time.Minute}}
@@ -162,31 +163,32 @@
 	b.c.Begin(b.now)
 	start := b.now
 	b.submitAt(start, "job-old", 200)
-	for second := range lateJobScenarioSeconds {
+	for elapsedS := range lateJobScenarioSeconds {
 		b.now = b.now.Add(time.Second)
-		if second == lateJobSubmitSecond {
+		if elapsedS == lateJobSubmitSecond {
 			b.submitAt(start, "job-late", 4)
 		}
-		if second == lateJobFailoverSecond && d.failsOver {
+		if elapsedS == lateJobFailoverSecond && d.failsOver {
 			b = b.nextLeader(opt, start)
 			agents.tasks["n-1"] = nil
 		}
 		b.step()
 		agents.heartbeats(b)
 		if j := b.c.cluster.Job("job-late"); j != nil && j.Started() {
-			return time.Duration(second-lateJobSubmitSecond) * time.Second
+			return time.Duration(elapsedS-lateJobSubmitSecond) * time.Second
 		}
 	}
 	return 0
 }
 
-// submitAt submits a job with the wall clock of a day that began at start.
+// submitAt submits a job whose submission time is measured by a wall clock that began at start.
 func (b *harness) submitAt(start monotonic.Instant, id ids.JobID, tasks int) {
 	b.c.ObserveJob(b.now, id, &records.Job{Status: wire.JobQueued, Tasks: tasks, SubmittedMS: b.now.Sub(start).Milliseconds(),
 		Spec: &wire.JobSpec{Team: "red", Tasks: tasks, CPUs: 2}}, ids.Revision(100+len(b.c.cluster.Jobs())))
 }
 
-// nextLeader is a new leader that has read the records of the jobs, and no others.
+// nextLeader returns the harness of a new leader that has loaded the records of the jobs, but no
+// admission records.
 func (b *harness) nextLeader(opt Options, start monotonic.Instant) *harness {
 	b.t.Helper()
 	opt.Revision, opt.WallClockMS = 9, b.now.Sub(start).Milliseconds()
@@ -199,29 +201,30 @@
 	return next
 }
 
-// A small deployment was short of machines for minutes. A reservation was refused to a job,
-// as an older job like it had found no room; and where a team's quota was short, each slot
-// that came free went to the next task of its oldest jobs, and the largest began after seven
-// minutes. The next leader must know how long a job has waited.
+// While machines or quota are scarce, a late job must still start in time. This fails if a job gets no
+// reservation because an equal request of an older job found no machine. It also fails if, in a team
+// at its quota limit, all quota that becomes free goes to the next tasks of the team's oldest jobs: a
+// large job may then start only after seven minutes. A new leader must know how long a job has
+// waited.
 func TestLateJobStartsWhileOlderJobContinues(t *testing.T) {
 	const reserveAfter = 40 * time.Second
 	for _, c := range []struct {
-		name   string
-		day    lateJobScenario
-		within time.Duration
+		name     string
+		scenario lateJobScenario
+		within   time.Duration
 	}{
 		{"too few machines", lateJobScenario{}, reserveAfter + 20*time.Second},
 		{"too few machines and a failover", lateJobScenario{failsOver: true}, reserveAfter + 20*time.Second},
 		{"too little quota", lateJobScenario{limitedByQuota: true}, 2*reserveAfter + 20*time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if after := c.day.startDelay(t, 0); after != 0 {
-				t.Errorf("without reservations it started after %v: the day tests nothing", after)
+			if after := c.scenario.startDelay(t, 0); after != 0 {
+				t.Errorf("started after %v without reservations: the scenario is ineffective", after)
 			}
-			after := c.day.startDelay(t, reserveAfter)
+			after := c.scenario.startDelay(t, reserveAfter)
 			t.Logf("started after %v", after)
 			if after == 0 || after > c.within {
-				t.Errorf("it started after %v", after)
+				t.Errorf("started after %v, want at most %v; 0 means never", after, c.within)
 			}
 		})
 	}
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -11,22 +11,22 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// placementRequest is all that decides whether a task finds a machine. After one task found
-// none, equal requests need no search in the same round: free resources only shrink during a
-// round.
+// placementRequest holds all properties that decide whether a machine is found for a task. After
+// no machine was found for one task, equal requests need no search in the same round, because
+// free resources only shrink during a round.
 type placementRequest struct {
 	resources     placement.Resources
 	priority      wire.Priority
 	spot          bool
 	zone          ids.Zone
-	image         ids.Image // "" unless the machine must hold the image or a zone recovers
-	allowedZones     uint64    // bit set of the zones that the spread of the job allows
-	gate          gateClass // what the gates of recovering zones depend on
-	tasksTogether int       // how many tasks must fit at once
+	image         ids.Image // "" unless the machine must hold the image or a zone is recovering
+	allowedZones  uint64    // bit set of the zones in which the spread of the job allows a task
+	gate          gateClass // properties that the admission of recovering zones depends on
+	tasksTogether int       // number of tasks that must be placed at once; 0: task by task
 }
 
-// searcher makes the searches for machines and scores them for tasks. It changes no state
-// but the count of machines examined.
+// searcher creates searches for machines and scores machines for tasks. The only state that it
+// changes is the count of machines examined.
 type searcher struct {
 	clock        *clock.Clock
 	candidates   *candidateList
@@ -36,21 +36,22 @@
 	spot         spotRisks
 }
 
-// spotRisks estimates how likely a job's tasks are to lose a spot instance.
+// spotRisks estimates how likely it is that a job's tasks lose a spot instance.
 type spotRisks interface {
 	spotRisk(j *cluster.Job) float64
 }
 
-// maxRequestZones is how many zones a placementRequest can tell apart.
+// maxRequestZones is the number of zones that a placementRequest can distinguish.
 const maxRequestZones = 64
 
-// requestOf is the request of a job's next task while its other tasks are in the given zones;
-// ok is false if the result for this job may differ from that for an equal request.
-func (s *searcher) requestOf(j *cluster.Job, at placement.TasksByZone) (request placementRequest, ok bool) {
+// requestOf returns the request of a job's next task while its other tasks are in the given
+// zones. ok is false if a search for this job may have a different result than a search for an
+// equal request.
+func (s *searcher) requestOf(j *cluster.Job, tasksByZone placement.TasksByZone) (request placementRequest, ok bool) {
 	spec := j.Spec
 	if len(spec.Types) > 0 || len(s.candidates.zones) > maxRequestZones || j.Queue.ReservedSince != 0 {
 		// Machines may be reserved for this job alone, so an equal request of another job
-		// says nothing about it.
+		// may have a different result.
 		return placementRequest{}, false
 	}
 	request = placementRequest{resources: placement.TaskResources(spec), priority: j.Priority(), spot: spec.Spot, zone: spec.Zone}
@@ -61,7 +62,7 @@
 		request.tasksTogether = len(j.Pending())
 	}
 	for i, zone := range s.candidates.zones {
-		if at.Allows(spec, zone) {
+		if tasksByZone.Allows(spec, zone) {
 			request.allowedZones |= 1 << i
 		}
 	}
@@ -71,30 +72,31 @@
 	return request, ok
 }
 
-// needsImage tells whether a job may only use machines that hold its image. To fetch it takes
-// longer than to preempt tasks where it is.
+// needsImage reports whether a job may only use machines that hold its image. Fetching the image
+// takes longer than preempting tasks on a machine that holds it.
 func (s *searcher) needsImage(j *cluster.Job) bool {
 	return s.queue.latencySensitive(j) && !j.Queue.AllowColdStart
 }
 
-// candidateSearch finds machines for the tasks of one job, one after the other. It scores all
-// machines once, and later only those that took a task.
+// candidateSearch finds machines for the tasks of one job, one task after the other. It scores
+// all machines once, and afterwards only those on which a task was placed.
 type candidateSearch struct {
 	*searcher
 	job        *cluster.Job
 	need       placement.Resources
 	heaps      []*zoneHeap
-	replicasOn map[*cluster.Machine]int // tasks of a service by machine
+	replicasOn map[*cluster.Machine]int // replicas of the job by machine; nil unless it is a service
 }
 
-// candidate is a machine with its score, without the part that depends on the zone.
+// candidate holds a machine and its score, without the part of the score that depends on how many
+// of the job's tasks are in the zone.
 type candidate struct {
 	machine  *cluster.Machine
 	score    float64
-	position int // in the list of machines; decides between equal scores
+	position int // in the list of machines; breaks ties between equal scores
 }
 
-// zoneHeap holds the candidates of a zone, the best on top.
+// zoneHeap holds the candidates of a zone as a heap with the best candidate on top.
 type zoneHeap struct {
 	zone ids.Zone
 	list []candidate
@@ -103,7 +105,7 @@
 // Len implements heap.Interface.
 func (z *zoneHeap) Len() int { return len(z.list) }
 
-// Less implements heap.Interface; the best candidate is the least.
+// Less implements heap.Interface. The best candidate is the least element.
 func (z *zoneHeap) Less(i, k int) bool {
 	a, b := &z.list[i], &z.list[k]
 	return a.score > b.score || a.score == b.score && a.position < b.position
@@ -122,7 +124,7 @@
 	return last
 }
 
-// newSearch ranks the machines that may take a task of a job.
+// newSearch returns a search that ranks the machines on which a task of a job may be placed.
 func (s *searcher) newSearch(j *cluster.Job) *candidateSearch {
 	search := &candidateSearch{searcher: s, job: j, need: placement.TaskResources(j.Spec)}
 	if j.Spec.Service {
@@ -146,8 +148,8 @@
 	return search
 }
 
-// allows tells whether a machine has free resources for a task of the job and may be used for
-// it.
+// allows reports whether a machine has free resources for a task of the job and the job may use
+// the machine.
 func (s *candidateSearch) allows(m *cluster.Machine) bool {
 	j := s.job
 	if !s.need.FitsIn(m.Free()) || !placement.Allowed(j.Spec, m.Site()) {
@@ -159,7 +161,7 @@
 	return !s.reservations.reservedForOther(m, j)
 }
 
-// heapOf finds the heap of a zone, or makes one.
+// heapOf returns the heap of a zone. It creates the heap if there is none.
 func (s *candidateSearch) heapOf(zone ids.Zone) *zoneHeap {
 	for _, z := range s.heaps {
 		if z.zone == zone {
@@ -171,15 +173,15 @@
 	return z
 }
 
-// score rates a machine for a task of the job; sameZone counts the job's tasks in its
-// zone.
+// score returns the score of a machine for a task of the job. sameZone is the number of the job's
+// tasks in the machine's zone.
 func (s *candidateSearch) score(m *cluster.Machine, sameZone int) float64 {
-	o := s.placementCandidate(s.job, m)
-	o.SameJob, o.SameZone = s.replicasOn[m], sameZone
-	return placement.Score(s.job.Spec, &o)
+	c := s.placementCandidate(s.job, m)
+	c.SameJob, c.SameZone = s.replicasOn[m], sameZone
+	return placement.Score(s.job.Spec, &c)
 }
 
-// next chooses the best machine for a task, or nil.
+// next returns the best machine for a task, or nil if no machine fits.
 func (s *candidateSearch) next(index int) *cluster.Machine {
 	var best candidate
 	for _, z := range s.heaps {
@@ -197,7 +199,7 @@
 	return best.machine
 }
 
-// bestIn finds the best machine of a zone for a task, with its present score. It skips
+// bestIn returns the best candidate of a zone for a task, with its current score. It skips
 // machines whose newest heartbeat shows an earlier attempt of the task.
 func (s *candidateSearch) bestIn(z *zoneHeap, index int) (top candidate, ok bool) {
 	ref := ids.TaskRef{Job: s.job.ID, Index: index}
@@ -216,7 +218,8 @@
 	return top, ok
 }
 
-// updateRank updates the rank of a machine that was given a task.
+// updateRank updates the rank of a machine on which a task was placed. It removes the machine if no
+// further task fits.
 func (s *candidateSearch) updateRank(m *cluster.Machine) {
 	if s.replicasOn != nil {
 		s.replicasOn[m]++
@@ -231,11 +234,11 @@
 	heap.Fix(z, i)
 }
 
-// placementCandidate describes a machine for the scoring.
+// placementCandidate returns the properties of a machine that its score depends on.
 func (s *searcher) placementCandidate(j *cluster.Job, m *cluster.Machine) placement.Candidate {
 	now := s.clock.Now()
 	failedRecently := len(m.Health.FailuresByJob) > 0 && now < m.Health.LastFailure.Add(quarantinePeriod)
-	o := placement.Candidate{
+	c := placement.Candidate{
 		Site:             m.Site(),
 		Free:             m.Free(),
 		Total:            m.Total(),
@@ -248,7 +251,7 @@
 		Fetching:         m.Fetches(j.Spec.Image) > 0,
 	}
 	if m.Spot() {
-		o.SpotRisk = s.spot.spotRisk(j)
+		c.SpotRisk = s.spot.spotRisk(j)
 	}
-	return o
+	return c
 }
--- a/scheduler/slow_machines_test.go
+++ b/scheduler/slow_machines_test.go
@@ -13,8 +13,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A machine on which tasks take much longer than their siblings elsewhere is taken last, and
-// after more of them not at all.
+// A machine on which tasks take much longer than other tasks of the same jobs on other machines is
+// ranked last. After several such jobs it is quarantined and gets no tasks.
 func TestSlowMachineIsQuarantined(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 640}, Limit: quota.Amount{CPUs: 640}}}})
 	b.c.Begin(b.now)
@@ -22,16 +22,16 @@
 		slow := newSlowMachineRound(b, ids.JobID(fmt.Sprintf("job-%d", round)))
 		if b.c.cluster.Machine("n-3").Health.SlowStreak >= slowStreakLimit {
 			if tasks := len(slow.tasks["n-3"]); tasks > 0 {
-				t.Fatalf("round %d: the slow machine was quarantined and got %d tasks", round, tasks)
+				t.Fatalf("round %d: the slow machine got %d tasks, although it was quarantined", round, tasks)
 			}
 			return
 		}
 		slow.runTasks()
 	}
-	t.Fatalf("the slow machine was never quarantined: slowness %v", b.c.cluster.Machine("n-3").Health.Slowness)
+	t.Fatalf("the slow machine was not quarantined: slowness %v", b.c.cluster.Machine("n-3").Health.Slowness)
 }
 
-// slowMachineRound is a job on three machines of which n-3 takes three times as long.
+// slowMachineRound represents a job on three machines. Its tasks take three times as long on n-3.
 type slowMachineRound struct {
 	*harness
 	machines []ids.MachineID
@@ -39,7 +39,7 @@
 	tasks    map[ids.MachineID][]wire.TaskStatus
 }
 
-// newSlowMachineRound submits the job and has it placed.
+// newSlowMachineRound submits the job and runs a step that places its tasks.
 func newSlowMachineRound(b *harness, id ids.JobID) *slowMachineRound {
 	r := &slowMachineRound{harness: b, machines: []ids.MachineID{"n-1", "n-2", "n-3"}, token: ids.NewFencingToken(5, 0),
 		tasks: map[ids.MachineID][]wire.TaskStatus{}}
@@ -55,7 +55,7 @@
 	return r
 }
 
-// runTasks has the tasks start and end.
+// runTasks reports the start of the tasks and their ends, with those on n-3 ending last.
 func (r *slowMachineRound) runTasks() {
 	for _, machine := range r.machines {
 		r.heartbeat(machine, "a", r.token)
@@ -69,14 +69,15 @@
 	r.step()
 }
 
-// heartbeats has each machine send a heartbeat.
+// heartbeats sends a heartbeat of each machine.
 func (r *slowMachineRound) heartbeats() {
 	for _, machine := range r.machines {
 		r.heartbeat(machine, "a", r.token, r.tasks[machine]...)
 	}
 }
 
-// runFor has the tasks run for a time, in steps: a pause of the leader would not count.
+// runFor lets the tasks run for a duration in short steps, because the run time of a task excludes
+// pauses of the leader.
 func (r *slowMachineRound) runFor(d time.Duration) {
 	for until := r.now.Add(d); r.now < until; {
 		r.now = r.now.Add(500 * time.Millisecond)
@@ -85,7 +86,7 @@
 	}
 }
 
-// end ends the tasks of a machine.
+// end reports the successful end of the tasks on a machine.
 func (r *slowMachineRound) end(machine ids.MachineID) {
 	tasks := r.tasks[machine]
 	for i := range tasks {
@@ -94,10 +95,10 @@
 	r.heartbeat(machine, "a", r.token, tasks...)
 }
 
-// One slow job ranks a machine behind the others, and it is quarantined once its running mean
-// has been high for several jobs in a row.
+// A machine is ranked behind the others after one slow job. It is quarantined once its slowness has been
+// high after several consecutive jobs.
 func TestUpdateSlowness(t *testing.T) {
-	const slow, ordinary = 8, 1 // times as long as elsewhere
+	const slow, ordinary = 8, 1 // run time relative to other machines
 	for _, c := range []struct {
 		name        string
 		ratios      []float64
@@ -120,10 +121,10 @@
 				d.updateSlowness(m, ratio)
 			}
 			if got := m.Health.SlowUntil != 0; got != c.slow {
-				t.Errorf("slow %v", got)
+				t.Errorf("slow: %v, want %v", got, c.slow)
 			}
 			if got := m.Health.QuarantinedUntil != 0; got != c.quarantined {
-				t.Errorf("quarantined %v", got)
+				t.Errorf("quarantined: %v, want %v", got, c.quarantined)
 			}
 		})
 	}
--- a/scheduler/waiting_demand.go
+++ b/scheduler/waiting_demand.go
@@ -13,8 +13,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// waitingDemand is the demand of the waiting tasks that quota would admit. It charges quota
-// only while it counts.
+// waitingDemand computes the demand of the waiting tasks that quota would admit. It charges quota
+// only temporarily, while it counts these tasks.
 type waitingDemand struct {
 	cluster   *cluster.State
 	clock     *clock.Clock
@@ -26,14 +26,14 @@
 	boots     *bootTimes
 }
 
-// admissibleDemand is what one count of the waiting tasks found.
+// admissibleDemand holds the result of one count of the waiting tasks.
 type admissibleDemand struct {
-	// tasks counts the admissible tasks by job, and jobs holds these jobs in the order in
+	// tasks holds the number of admissible tasks by job. jobs holds these jobs in the order in
 	// which they were counted.
 	tasks map[*cluster.Job]int
 	jobs  []*cluster.Job
-	// urgent is provisioned for at once. deferrable may use the resources of tasks that end
-	// before a machine would be up.
+	// Machines are provisioned immediately for urgent. Tasks in deferrable may use the resources
+	// of tasks that end before a new machine would have booted.
 	urgent, deferrable []fleet.Demand
 }
 
@@ -57,8 +57,8 @@
 	}
 }
 
-// count finds the waiting tasks that quota would admit. For tasks that borrow, machines may
-// be provisioned up to the limits of the teams, so the cohort's quota does not bound them.
+// count returns the waiting tasks that quota would admit. For tasks that borrow, machines may be
+// provisioned up to the borrowing limits of the teams, so the cohort's quota does not limit them.
 func (w *waitingDemand) count() *admissibleDemand {
 	w.quotas.SetCohortQuota(quota.Amount{CPUs: math.MaxInt32, GPUs: math.MaxInt32})
 	defer w.quota.updateSurplus()
@@ -75,7 +75,7 @@
 	return demand
 }
 
-// countJob adds the tasks of a job that quota would admit beside those counted before.
+// countJob adds the tasks of a job that quota would admit in addition to those already counted.
 func (w *waitingDemand) countJob(demand *admissibleDemand, j *cluster.Job, source quotaSource) {
 	n := w.admissibleTasks(j, source, demand.tasks[j])
 	if n <= 0 {
@@ -94,9 +94,9 @@
 	}
 }
 
-// urgent tells whether a job's tasks are provisioned for at once. Others may use the
-// resources of tasks that end before a machine would be up, unless they have waited for a boot
-// time already: then other tasks have used those resources.
+// urgent reports whether machines are provisioned for a job's tasks immediately. Other jobs may use
+// the resources of tasks that end before a new machine would have booted. A job that has already
+// waited for a boot time is urgent, because other tasks have used those resources.
 func (w *waitingDemand) urgent(j *cluster.Job) bool {
 	if j.NeedsAllTasks() || w.queue.latencySensitive(j) {
 		return true
@@ -104,13 +104,13 @@
 	return w.clock.Now() > j.Queue.WaitingSince.Add(w.boots.fastest(j.Spec))
 }
 
-// admissibleTasks is how many more of a job's waiting tasks quota would admit, beside those
-// counted already.
+// admissibleTasks returns how many of a job's waiting tasks quota would admit in addition to those
+// already counted.
 func (w *waitingDemand) admissibleTasks(j *cluster.Job, source quotaSource, counted int) int {
 	if j.NeedsAllTasks() && !w.quota.fits(j, source, len(j.Pending())) {
 		return 0
 	}
-	// A binary search is right because fewer tasks fit whenever more do.
+	// A binary search is correct because any smaller number of tasks also fits.
 	n := sort.Search(len(j.Pending())-counted, func(n int) bool { return !w.quota.fits(j, source, n+1) })
 	if probing(j) {
 		n = min(n, 1-counted)
@@ -118,25 +118,25 @@
 	return n
 }
 
-// freeSoonFraction is the part of a boot time within which a task must end for its
-// resources to count as free soon.
+// freeSoonFraction is the fraction of a boot time within which a task must end for its resources to
+// count as free soon.
 const freeSoonFraction = 0.8
 
-// freeSoon is what will be free on a machine before another of its type could be up, as far
-// as the estimates tell.
+// freeSoon returns the resources that are expected to be free on a machine before another machine of
+// its type could have booted, according to the run time estimates.
 func (w *waitingDemand) freeSoon(m *cluster.Machine) placement.Resources {
 	free := m.Free()
-	by := w.clock.Now().Add(monotonic.Seconds(freeSoonFraction * m.MachineType().BootS))
+	deadline := w.clock.Now().Add(monotonic.Seconds(freeSoonFraction * m.MachineType().BootS))
 	for _, a := range m.Assignments() {
-		if w.endsBy(a, by) {
+		if w.endsBy(a, deadline) {
 			free = free.Plus(placement.TaskResources(a.Job.Spec))
 		}
 	}
 	return free
 }
 
-// endsBy tells whether a task is expected to leave its machine before an instant.
-func (w *waitingDemand) endsBy(a *cluster.Assignment, by monotonic.Instant) bool {
+// endsBy reports whether a task is expected to end and free its resources before a deadline.
+func (w *waitingDemand) endsBy(a *cluster.Assignment, deadline monotonic.Instant) bool {
 	switch {
 	case a.Job.Spec.Service:
 		return false
@@ -145,5 +145,5 @@
 	case a.Run.Phase != wire.TaskRunning:
 		return false
 	}
-	return a.Run.PhaseSince.Add(w.estimates.expectedRun(a.Job.Spec)) < by
+	return a.Run.PhaseSince.Add(w.estimates.expectedRun(a.Job.Spec)) < deadline
 }
--- a/scheduler/waiting_demand_test.go
+++ b/scheduler/waiting_demand_test.go
@@ -7,9 +7,10 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// No machines are provisioned for work that fits once tasks end within a boot time. But work
-// that has waited for a boot time has seen others take that capacity: a backlog stayed for a
-// minute while hardly any machine was provisioned.
+// No machines are provisioned for tasks that will fit once other tasks end within a boot time. If tasks
+// have already waited for a boot time, other tasks have taken that capacity, so machines must be
+// provisioned. Otherwise a backlog may remain for a minute while hardly any machine is
+// provisioned.
 func TestProvisionsForTasksThatWaitedABootTime(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
@@ -17,21 +18,21 @@
 	b.submit("job-1", wire.JobSpec{Tasks: 4, CPUs: 2, EstimateS: 3})
 	b.step()
 	o = b.heartbeat("n-1", "a", o.FencingToken)
-	var on []wire.TaskStatus
-	for _, order := range o.Commands {
-		on = append(on, wire.TaskStatus{Name: order.Name, Attempt: order.Attempt, State: wire.TaskRunning})
+	var running []wire.TaskStatus
+	for _, command := range o.Commands {
+		running = append(running, wire.TaskStatus{Name: command.Name, Attempt: command.Attempt, State: wire.TaskRunning})
 	}
-	b.heartbeat("n-1", "a", o.FencingToken, on...)
+	b.heartbeat("n-1", "a", o.FencingToken, running...)
 	b.submit("job-2", wire.JobSpec{Tasks: 4, CPUs: 2, EstimateS: 3})
-	for s := range 15 { // the type boots in 10 s
+	for elapsedS := range 15 { // the machine type boots in 10 s
 		b.now = b.now.Add(time.Second)
-		b.heartbeat("n-1", "a", o.FencingToken, on...)
-		if e := b.step(); len(e.Provision) > 0 {
-			if s < 9 {
-				t.Fatalf("provisioned after %d s, although capacity was about to become free", s+1)
+		b.heartbeat("n-1", "a", o.FencingToken, running...)
+		if decisions := b.step(); len(decisions.Provision) > 0 {
+			if elapsedS < 9 {
+				t.Fatalf("provisioned after %d s, although capacity was about to become free", elapsedS+1)
 			}
 			return
 		}
 	}
-	t.Fatal("no machine was provisioned for work that had waited for a boot")
+	t.Fatal("no machine was provisioned for tasks that had waited for a boot time")
 }
--- a/scheduler/wiring.go
+++ b/scheduler/wiring.go
@@ -195,7 +195,7 @@
 		quota:      c.quota,
 		health:     c.health,
 		candidates: c.candidates,
-		settings:   reservationSettings{after: c.opt.ReserveAfter, duration: c.opt.ReserveFor},
+		settings:   reservationSettings{reserveAfter: c.opt.ReserveAfter, reserveFor: c.opt.ReserveFor},
 	}
 	c.searches = &searcher{
 		clock:        c.clock,
