--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -49,7 +49,7 @@
 	before := b.c.candidates.examined
 	b.c.scheduleRound()
 	if work := b.c.candidates.examined - before; work > 20*machines {
-		t.Errorf("a round in which no job fits examined %d machines, want at most %d", work, 20*machines)
+		t.Errorf("a round in which no job fits examined %d machines, want at most 20 times their number", work)
 	}
 }
 
--- a/scheduler/class_demand_test.go
+++ b/scheduler/class_demand_test.go
@@ -30,7 +30,7 @@
 				t.Errorf("peak of %d tasks, want %d", got, c.peak)
 			}
 			if got := d.expectedArrivals(demandSlotLength); (got > 0) != (c.peak > 0) {
-				t.Errorf("expected arrivals: %v tasks, while the peak is %d", got, c.peak)
+				t.Errorf("expected arrivals: %v tasks; want some only while the peak counts", got)
 			}
 		})
 	}
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("healthy machines were quarantined in %d steps", quarantines)
 	}
 	if mostActive > 4 || starts < 30 || starts > 100 {
-		t.Errorf("%d tasks started, up to %d at once", starts, mostActive)
+		t.Errorf("%d tasks started, up to %d at the same time", starts, mostActive)
 	}
 }
 
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -30,11 +30,11 @@
 	want := []ids.JobID{"job-urgent", "job-aged", "job-early", "job-same", "job-late"}
 	waiting := b.c.queue.waitingJobs()
 	if len(waiting) != len(want) {
-		t.Fatalf("%d jobs wait, want %d", len(waiting), len(want))
+		t.Fatalf("%d jobs wait", len(waiting))
 	}
 	for i, j := range waiting {
 		if j.ID != want[i] {
-			t.Errorf("job %d is %s, want %s", i, j.ID, want[i])
+			t.Errorf("%s is at position %d, want %s", j.ID, i, want[i])
 		}
 	}
 	if first := b.c.queue.starvingFirst(waiting)[0].ID; first != "job-aged" {
--- a/scheduler/replacements_test.go
+++ b/scheduler/replacements_test.go
@@ -32,7 +32,7 @@
 			}
 			after := b.now.Sub(start)
 			if after < missedHeartbeatLimit*simHeartbeatInterval || after > simAgentLease/2 {
-				t.Errorf("provisioned after %v, want %v to %v", after, missedHeartbeatLimit*simHeartbeatInterval, simAgentLease/2)
+				t.Errorf("provisioned after %v, want missedHeartbeatLimit heartbeat intervals to half a lease", after)
 			}
 		})
 	}
--- a/scheduler/reservations_test.go
+++ b/scheduler/reservations_test.go
@@ -224,7 +224,7 @@
 			after := c.scenario.startDelay(t, reserveAfter)
 			t.Logf("started after %v", after)
 			if after == 0 || after > c.within {
-				t.Errorf("started after %v, want at most %v; 0 means never", after, c.within)
+				t.Errorf("started after %v, which is too late; 0 means never", after)
 			}
 		})
 	}
--- a/scheduler/slow_machines_test.go
+++ b/scheduler/slow_machines_test.go
@@ -121,10 +121,10 @@
 				d.updateSlowness(m, ratio)
 			}
 			if got := m.Health.SlowUntil != 0; got != c.slow {
-				t.Errorf("slow: %v, want %v", got, c.slow)
+				t.Errorf("found slow: %v", got)
 			}
 			if got := m.Health.QuarantinedUntil != 0; got != c.quarantined {
-				t.Errorf("quarantined: %v, want %v", got, c.quarantined)
+				t.Errorf("quarantined: %v", got)
 			}
 		})
 	}
