--- a/scheduler/preemption_test.go
+++ b/scheduler/preemption_test.go
@@ -21,21 +21,21 @@
 	b.submit("job-low", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
 	b.step()
 	o := b.heartbeat("n-1", "a", 0)
-	var shown []wire.TaskStatus
+	var statuses []wire.TaskStatus
 	for i := range 2 {
-		shown = append(shown, wire.TaskStatus{Name: fmt.Sprintf("job-low/%d", i), Attempt: 1, State: wire.TaskRunning})
+		statuses = append(statuses, wire.TaskStatus{Name: fmt.Sprintf("job-low/%d", i), Attempt: 1, State: wire.TaskRunning})
 	}
-	b.heartbeat("n-1", "a", o.FencingToken, shown...)
+	b.heartbeat("n-1", "a", o.FencingToken, statuses...)
 	b.submit("job-high", wire.JobSpec{Tasks: 1, Priority: wire.High})
 	b.step()
-	o = b.heartbeat("n-1", "a", o.FencingToken, shown...)
+	o = b.heartbeat("n-1", "a", o.FencingToken, statuses...)
 	kills := commandsWith(o.Commands, wire.VerbKill)
 	if len(kills) != 1 {
 		t.Fatalf("kill commands %v, want one", kills)
 	}
-	i := slices.IndexFunc(shown, func(s wire.TaskStatus) bool { return s.Name+"#1" == kills[0] })
-	shown[i].State, shown[i].Cause = wire.TaskEnded, wire.CauseStopped
-	b.heartbeat("n-1", "a", o.FencingToken, shown...)
+	i := slices.IndexFunc(statuses, func(s wire.TaskStatus) bool { return s.Name+"#1" == kills[0] })
+	statuses[i].State, statuses[i].Cause = wire.TaskEnded, wire.CauseStopped
+	b.heartbeat("n-1", "a", o.FencingToken, statuses...)
 	b.step()
 	if b.c.cluster.Job("job-high").Task(0).Assignment() == nil {
 		t.Fatal("the job of higher priority was not placed")
--- a/scheduler/reservations_test.go
+++ b/scheduler/reservations_test.go
@@ -24,7 +24,7 @@
 // array of a team without nominal quota.
 func runBestEffortScenario(t *testing.T, reserveAfter time.Duration) bestEffortResult {
 	t.Helper()
-	const guest = "job-guest"
+	const bestEffortJob = "job-guest"
 	b := newHarness(t, Options{
 		Teams: []quota.Team{
 			{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: quota.Amount{CPUs: 48}, LendingLimit: quota.Amount{CPUs: 40}},
@@ -39,17 +39,17 @@
 	var submittedAt, startedAt monotonic.Instant
 	tick := 0
 	runTime := func(name string, count int) time.Duration {
-		if strings.HasPrefix(name, guest) {
+		if strings.HasPrefix(name, bestEffortJob) {
 			return 0
 		}
 		return staggeredRunTime(tick, count)
 	}
 	agents := newTestAgents(runTime, "n-0", "n-1", "n-2", "n-3", "n-4", "n-5")
 	agents.observe = func(command wire.Command) {
-		switch isGuest := strings.HasPrefix(command.Name, guest); {
-		case isGuest && command.Verb == wire.VerbRun && startedAt == 0:
+		switch isBestEffort := strings.HasPrefix(command.Name, bestEffortJob); {
+		case isBestEffort && command.Verb == wire.VerbRun && startedAt == 0:
 			startedAt, result.startedAfter = b.now, b.now.Sub(submittedAt)
-		case isGuest && command.Verb == wire.VerbKill && result.stoppedAfter == 0:
+		case isBestEffort && command.Verb == wire.VerbKill && result.stoppedAfter == 0:
 			result.stoppedAfter = b.now.Sub(startedAt)
 		}
 	}
@@ -60,10 +60,10 @@
 		}
 		if tick == 20 {
 			submittedAt = b.now
-			b.submit(guest, wire.JobSpec{Class: "g", Team: "guest", Tasks: 9, CPUs: 8})
+			b.submit(bestEffortJob, wire.JobSpec{Class: "g", Team: "guest", Tasks: 9, CPUs: 8})
 		}
 		b.step()
-		result.maxTasks = max(result.maxTasks, agents.count(guest))
+		result.maxTasks = max(result.maxTasks, agents.count(bestEffortJob))
 		agents.heartbeats(b)
 	}
 	return result
