--- a/scheduler/replacements_test.go
+++ b/scheduler/replacements_test.go
@@ -9,9 +9,10 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A service on a partitioned machine was replaced only once the machine's lease had expired,
-// and then waited for a boot as well. The next leader may never have heard of the machine.
-func TestProvisionsAheadForServicesOnSilentMachines(t *testing.T) {
+// A replacement for a service on a partitioned machine must be provisioned before the machine's lease
+// expires. Otherwise the downtime of the service includes the boot time of the new machine. A new
+// leader may not have received any heartbeat of the machine.
+func TestProvisionsReplacementBeforeLeaseExpires(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		begin func(*testing.T) *harness
@@ -22,16 +23,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := c.begin(t)
 			start := b.now
-			requests := b.firstRequests(simAgentLease)
+			requests := b.firstProvisionRequests(simAgentLease)
 			if len(requests) == 0 {
 				t.Fatal("nothing was provisioned before the lease expired")
 			}
 			if requests[0].Count != 1 || requests[0].Spot {
-				t.Errorf("provisioned %+v", requests)
+				t.Errorf("provisioned %+v, want one on-demand machine", requests)
 			}
 			after := b.now.Sub(start)
-			if after < silentHeartbeats*simHeartbeatInterval || after > simAgentLease/2 {
-				t.Errorf("provisioned after %v", after)
+			if after < missedHeartbeatLimit*simHeartbeatInterval || after > simAgentLease/2 {
+				t.Errorf("provisioned after %v, want missedHeartbeatLimit heartbeat intervals to half a lease", after)
 			}
 		})
 	}
@@ -48,7 +49,7 @@
 	return b
 }
 
-// beginWithInheritedService has a previous leader's records place a service on n-1.
+// beginWithInheritedService loads records in which a previous leader placed a service on n-1.
 func beginWithInheritedService(t *testing.T) *harness {
 	t.Helper()
 	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true}})
@@ -57,9 +58,9 @@
 	return b
 }
 
-// firstRequests steps until machines are requested, or a time has passed. The harness is
-// left at the time of that step.
-func (b *harness) firstRequests(within time.Duration) []wire.ProvisionRequest {
+// firstProvisionRequests runs steps until machines are requested or the duration has passed. On
+// return, the harness time is that of the step with the requests.
+func (b *harness) firstProvisionRequests(within time.Duration) []wire.ProvisionRequest {
 	for end := b.now.Add(within); b.now < end; b.now = b.now.Add(500 * time.Millisecond) {
 		if requests := b.step().Provision; len(requests) > 0 {
 			return requests
