--- a/controller/leader/event_loop.go
+++ b/controller/leader/event_loop.go
@@ -110,7 +110,7 @@
 // Leader.AcknowledgeCancellation.
 func (l *eventLoop) publishApplied() {
 	observed := uint64(l.observed)
-	if observed > l.applied.Load() && l.core.PreviousLeadersHarmless(l.clock.Now()) {
+	if observed > l.applied.Load() && l.core.PreviousLeadersWithinCancelMargin(l.clock.Now()) {
 		l.applied.Store(observed)
 	}
 }
--- a/scheduler/agents_test.go
+++ b/scheduler/agents_test.go
@@ -99,9 +99,9 @@
 	ended    map[ids.MachineID][]wire.TaskStatus
 }
 
-// play has the machines send heartbeats for a time, in which each task ends with a cause,
+// run has the machines send heartbeats for a time, in which each task ends with a cause,
 // and returns the number of starts. After each step of the core it calls inspect.
-func (g *instantAgents) play(b *harness, cause wire.ExitCause, d time.Duration, inspect func()) int {
+func (g *instantAgents) run(b *harness, cause wire.ExitCause, d time.Duration, inspect func()) int {
 	b.t.Helper()
 	starts := 0
 	for until := b.now.Add(d); b.now < until; {
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -23,7 +23,7 @@
 	quotas  *quota.Tracker
 
 	// The parts that receive events, and bound what previous leaders may still do.
-	heartbeats      *heartbeatIntake
+	heartbeats      *heartbeatHandler
 	jobRecords      *jobIntake
 	registry        *machineRegistry
 	previousLeaders *previousLeaders
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -29,7 +29,7 @@
 //   - recordWriter writes jobs and admission slices to the key-value store.
 //   - commandDispatcher decides which agents are called and which commands they get.
 //
-// Between steps, heartbeatIntake, jobIntake and machineRegistry receive events, and
+// Between steps, heartbeatHandler, jobIntake and machineRegistry receive events, and
 // taskLifecycle ends tasks. failureHistory, slownessDetector and runEstimates learn from how
 // tasks end. previousLeaders bounds what earlier leaders may still do.
 //
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -26,7 +26,7 @@
 		mostActive = max(mostActive, b.activeTasks())
 		quarantines += b.quarantinedMachines()
 	}
-	starts := agents.play(b, wire.CauseError, 3*time.Minute, inspect)
+	starts := agents.run(b, wire.CauseError, 3*time.Minute, inspect)
 	if quarantines > 0 {
 		t.Errorf("healthy machines were quarantined in %d steps", quarantines)
 	}
@@ -40,8 +40,8 @@
 func TestSuccessEndsTheBackoffOfFailingJobs(t *testing.T) {
 	b, agents := newFailingJobs(t)
 	nothing := func() {}
-	agents.play(b, wire.CauseError, 3*time.Minute, nothing)
-	starts := agents.play(b, wire.CauseDone, 75*time.Second, nothing)
+	agents.run(b, wire.CauseError, 3*time.Minute, nothing)
+	starts := agents.run(b, wire.CauseDone, 75*time.Second, nothing)
 	if starts == 0 || len(b.c.cluster.Jobs()) > 0 {
 		t.Errorf("after %d starts that succeed, %d jobs are not done", starts, len(b.c.cluster.Jobs()))
 	}
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -70,9 +70,9 @@
 // healthCheckInterval is the time between two checks of the machines.
 const healthCheckInterval = 200 * time.Millisecond
 
-// noticeReclaim notes that the cloud takes a spot instance back after a time. The next step
+// recordReclaimNotice notes that the cloud takes a spot instance back after a time. The next step
 // then checks the machines, and drains this one.
-func (hm *healthMonitor) noticeReclaim(m *cluster.Machine, after time.Duration) {
+func (hm *healthMonitor) recordReclaimNotice(m *cluster.Machine, after time.Duration) {
 	if m.Health.SpotReclaimAt == 0 {
 		hm.rounds.MarkDue()
 		hm.checkRequested = true
@@ -97,7 +97,7 @@
 func (hm *healthMonitor) checkMachines() {
 	hm.reclaims.drain()
 	hm.updateZones()
-	check := machineCheck{healthMonitor: hm, mostSilent: hm.mostSilent(hm.cluster.Machines())}
+	check := machineCheck{healthMonitor: hm, widespreadHeartbeatLoss: hm.mostMissHeartbeats(hm.cluster.Machines())}
 	var terminated []*cluster.Machine // removed after the walk over the list that they are in
 	for _, m := range hm.cluster.Machines() {
 		hm.endQuarantine(m)
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -10,7 +10,7 @@
 
 // What began or ended while the leader itself was paused is reported only after it: tasks did
 // not run for that long, machines are not unreachable, and none took too long to boot.
-func TestProcessPauseIsNoRunTimeAndNoSilence(t *testing.T) {
+func TestProcessPauseCountsAsNeitherRunTimeNorMissedHeartbeats(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.heartbeat("n-0", "a", 0)
 	b.submit("job-1", wire.JobSpec{Class: "c", Tasks: 1, EstimateS: 5})
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -28,10 +28,10 @@
 // unknownTaskBackoff is how long a job is not admitted after an agent did not know its task.
 const unknownTaskBackoff = 2 * time.Second
 
-// heartbeatIntake applies heartbeats to the state: what they show of the machine, and of each
+// heartbeatHandler applies heartbeats to the state: what they show of the machine, and of each
 // task that is assigned to it. Core.Heartbeat and Core.HeartbeatFromCall call it. It must not
 // act on a heartbeat that is stale, nor on any once a later leader is known.
-type heartbeatIntake struct {
+type heartbeatHandler struct {
 	cluster      *cluster.State
 	clock        *clock.Clock
 	rounds       *clock.RoundTrigger
@@ -39,7 +39,7 @@
 	health       heartbeatHealth
 	reachability heartbeatReachability
 	commands     heartbeatCommands
-	autoscaler   heartbeatObserver
+	autoscaler   bootRecorder
 	failures     failureRecorder
 	lifecycle    taskEnder
 	zones        zoneTaskObserver
@@ -60,10 +60,10 @@
 // heartbeatHealth judges machines by their heartbeats.
 type heartbeatHealth interface {
 	usable(m *cluster.Machine) bool
-	// heard notes that a machine of a zone was heard now.
-	heard(zone ids.Zone)
-	// noticeReclaim notes that the cloud takes a spot instance back after a time.
-	noticeReclaim(m *cluster.Machine, after time.Duration)
+	// recordHeartbeat notes that a machine of a zone was recordHeartbeat now.
+	recordHeartbeat(zone ids.Zone)
+	// recordReclaimNotice notes that the cloud takes a spot instance back after a time.
+	recordReclaimNotice(m *cluster.Machine, after time.Duration)
 }
 
 // heartbeatReachability judges from heartbeats whether commands reach a machine.
@@ -71,7 +71,7 @@
 	// observe takes a heartbeat that waits for an answer, and confirm notes one that came as
 	// the answer to a call.
 	observe(m *cluster.Machine, heartbeat *wire.Heartbeat)
-	confirm(m *cluster.Machine)
+	markReachable(m *cluster.Machine)
 }
 
 // heartbeatCommands makes the answers to heartbeats.
@@ -83,8 +83,8 @@
 	allowCalls(m *cluster.Machine)
 }
 
-// heartbeatObserver learns how long machines take to boot.
-type heartbeatObserver interface {
+// bootRecorder learns how long machines take to boot.
+type bootRecorder interface {
 	recordBoot(m *cluster.Machine)
 }
 
@@ -108,7 +108,7 @@
 }
 
 // receive applies a heartbeat that waits for an answer, and makes the answer.
-func (h *heartbeatIntake) receive(heartbeat *wire.Heartbeat) (answer wire.HeartbeatResponse, ok bool) {
+func (h *heartbeatHandler) receive(heartbeat *wire.Heartbeat) (answer wire.HeartbeatResponse, ok bool) {
 	if h.supersededBy(heartbeat) {
 		return wire.HeartbeatResponse{}, false
 	}
@@ -138,7 +138,7 @@
 }
 
 // receiveFromCall applies a heartbeat that came as the answer to a call.
-func (h *heartbeatIntake) receiveFromCall(heartbeat *wire.Heartbeat) bool {
+func (h *heartbeatHandler) receiveFromCall(heartbeat *wire.Heartbeat) bool {
 	if h.supersededBy(heartbeat) {
 		return false
 	}
@@ -150,14 +150,14 @@
 		return true
 	}
 	h.sites.setSite(m, siteOf(heartbeat), heartbeat.Endpoint)
-	h.reachability.confirm(m)
+	h.reachability.markReachable(m)
 	h.apply(m, heartbeat)
 	m.Agent.AnsweredCall = true
 	return true
 }
 
 // supersededBy tells whether a heartbeat shows a later leader's token, and notes it.
-func (h *heartbeatIntake) supersededBy(heartbeat *wire.Heartbeat) bool {
+func (h *heartbeatHandler) supersededBy(heartbeat *wire.Heartbeat) bool {
 	later := heartbeat.FencingToken.Revision() > h.revision
 	h.superseded = h.superseded || later
 	return later
@@ -180,17 +180,17 @@
 }
 
 // apply updates the state from a heartbeat that is newer than all before it.
-func (h *heartbeatIntake) apply(m *cluster.Machine, heartbeat *wire.Heartbeat) {
+func (h *heartbeatHandler) apply(m *cluster.Machine, heartbeat *wire.Heartbeat) {
 	now := h.clock.Now()
 	if now > m.Agent.LastHeard.Add(h.interval) && !h.health.usable(m) {
 		h.rounds.MarkDue() // it may be usable now
 	}
 	m.Agent.LastHeard = now
-	h.health.heard(heartbeat.Zone)
+	h.health.recordHeartbeat(heartbeat.Zone)
 	h.commands.allowCalls(m)
 	h.updateAgent(m, heartbeat)
 	if heartbeat.SpotNoticeS != nil {
-		h.health.noticeReclaim(m, monotonic.Seconds(*heartbeat.SpotNoticeS))
+		h.health.recordReclaimNotice(m, monotonic.Seconds(*heartbeat.SpotNoticeS))
 	}
 	m.Agent.ReportedTasks = m.Agent.ReportedTasks[:0]
 	for _, t := range heartbeat.Tasks {
@@ -204,7 +204,7 @@
 }
 
 // updateAgent notes what a heartbeat shows of the machine's agent.
-func (h *heartbeatIntake) updateAgent(m *cluster.Machine, heartbeat *wire.Heartbeat) {
+func (h *heartbeatHandler) updateAgent(m *cluster.Machine, heartbeat *wire.Heartbeat) {
 	if !m.Agent.HeardThisTerm {
 		m.Agent.HeardThisTerm = true
 		m.Lifecycle.IdleSince = h.clock.Now()
@@ -219,7 +219,7 @@
 }
 
 // updateAssignments compares the machine's assignments with its newest heartbeat.
-func (h *heartbeatIntake) updateAssignments(m *cluster.Machine) {
+func (h *heartbeatHandler) updateAssignments(m *cluster.Machine) {
 	for _, a := range m.AssignmentsSnapshot() {
 		reported := m.FindReported(a.Ref(), a.Attempt)
 		switch {
@@ -234,7 +234,7 @@
 }
 
 // handleMissingTask handles an assignment that the newest heartbeat does not show.
-func (h *heartbeatIntake) handleMissingTask(a *cluster.Assignment) {
+func (h *heartbeatHandler) handleMissingTask(a *cluster.Assignment) {
 	switch {
 	case !a.MayRun():
 		// Not sent yet.
@@ -267,7 +267,7 @@
 }
 
 // handleActiveTask handles an assignment that the newest heartbeat shows as not ended.
-func (h *heartbeatIntake) handleActiveTask(a *cluster.Assignment, reported *cluster.ReportedTask) {
+func (h *heartbeatHandler) handleActiveTask(a *cluster.Assignment, reported *cluster.ReportedTask) {
 	a.Delivery.Seen = true
 	if !a.Delivery.Sent {
 		// An inherited task is now known to be here. Commands for it carry new tokens.
@@ -286,7 +286,7 @@
 }
 
 // handleEndedTask handles an assignment that the newest heartbeat shows as ended.
-func (h *heartbeatIntake) handleEndedTask(a *cluster.Assignment, cause wire.ExitCause) {
+func (h *heartbeatHandler) handleEndedTask(a *cluster.Assignment, cause wire.ExitCause) {
 	m, j := a.Machine, a.Job
 	h.cluster.TouchImage(m, j.Spec.Image)
 	switch cause {
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -25,7 +25,7 @@
 // repaired.
 func (c *Core) LoadUnreadableJob(id ids.JobID) {
 	c.jobRecords.unreadable[id] = true
-	c.previousLeaders.unclear = true
+	c.previousLeaders.recordsUnreadable = true
 }
 
 // LoadSlice loads an admission record at the start of the term.
@@ -36,7 +36,7 @@
 // Suspend keeps a job from being placed, because it is not known where all its tasks may be.
 // Other jobs are not affected.
 func (c *Core) Suspend(id ids.JobID) {
-	c.previousLeaders.unclear = true
+	c.previousLeaders.recordsUnreadable = true
 	if j := c.cluster.Job(id); j != nil {
 		j.Queue.Suspended = true
 	}
--- a/scheduler/lease_expiry.go
+++ b/scheduler/lease_expiry.go
@@ -16,16 +16,16 @@
 // machines have ended. It changes nothing.
 type leaseExpiry struct {
 	clock   *clock.Clock
-	leaders previousAnswers
+	leaders previousLeaderBounds
 	// agentLease is how long an agent runs tasks after its last answered heartbeat.
 	agentLease time.Duration
 }
 
-// previousAnswers tells until when previous leaders can have answered heartbeats.
-type previousAnswers interface {
-	// until is the latest time at which a previous leader can have received a heartbeat of
+// previousLeaderBounds tells until when previous leaders can have answered heartbeats.
+type previousLeaderBounds interface {
+	// answeredUntil is the latest time at which a previous leader can have received a heartbeat of
 	// a machine that it then answered.
-	until(m *cluster.Machine) monotonic.Instant
+	answeredUntil(m *cluster.Machine) monotonic.Instant
 }
 
 // expired tells whether no leader can have answered an agent's heartbeat for longer than a
@@ -42,5 +42,5 @@
 	if m.Agent.Fenced {
 		return max(m.Agent.FencedAt, m.Agent.AnsweredAt)
 	}
-	return max(e.leaders.until(m), m.Agent.AnsweredAt)
+	return max(e.leaders.answeredUntil(m), m.Agent.AnsweredAt)
 }
--- a/scheduler/lease_expiry_test.go
+++ b/scheduler/lease_expiry_test.go
@@ -9,10 +9,10 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// answeredUntil has previous leaders answer heartbeats until an instant.
-type answeredUntil monotonic.Instant
+// fixedBound has previous leaders answer heartbeats until an instant.
+type fixedBound monotonic.Instant
 
-func (u answeredUntil) until(*cluster.Machine) monotonic.Instant { return monotonic.Instant(u) }
+func (u fixedBound) answeredUntil(*cluster.Machine) monotonic.Instant { return monotonic.Instant(u) }
 
 // A lease has expired once no leader can have answered the agent for a lease, drift and a
 // second. Previous leaders count until the agent is fenced.
@@ -33,7 +33,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			present := clock.New(0)
-			leases := &leaseExpiry{clock: present, leaders: answeredUntil(c.previousUntil), agentLease: simAgentLease}
+			leases := &leaseExpiry{clock: present, leaders: fixedBound(c.previousUntil), agentLease: simAgentLease}
 			m := &cluster.Machine{Agent: c.agent}
 			bound := c.lastAnswered.Add(monotonic.AddDriftMargin(simAgentLease) + time.Second)
 			present.Set(bound)
--- a/scheduler/liveness.go
+++ b/scheduler/liveness.go
@@ -11,9 +11,9 @@
 	// overdueHeartbeatSlack is added to one and a half heartbeat intervals until a heartbeat
 	// is overdue.
 	overdueHeartbeatSlack = 1500 * time.Millisecond
-	// minSilentMachines is the least number of silent machines that together point to this
+	// minMachinesMissingHeartbeats is the least number of silent machines that together point to this
 	// controller's network.
-	minSilentMachines = 3
+	minMachinesMissingHeartbeats = 3
 )
 
 // machineLiveness tells from heartbeats which machines are alive and may get tasks. It changes
@@ -23,9 +23,9 @@
 	settings healthSettings
 }
 
-// mostSilent tells whether most of the machines that were heard before have been silent for
+// mostMissHeartbeats tells whether most of the machines that were heard before have been silent for
 // half a lease.
-func (l *machineLiveness) mostSilent(machines []*cluster.Machine) bool {
+func (l *machineLiveness) mostMissHeartbeats(machines []*cluster.Machine) bool {
 	heard, silent := 0, 0
 	for _, m := range machines {
 		if !m.Agent.HeardThisTerm {
@@ -36,7 +36,7 @@
 			silent++
 		}
 	}
-	return silent >= minSilentMachines && 2*silent > heard
+	return silent >= minMachinesMissingHeartbeats && 2*silent > heard
 }
 
 // heartbeatTimeout is how long a machine may be silent between two heartbeats until it gets no
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -77,7 +77,7 @@
 
 // Most machines count as silent only if they are at least three and more than half of those
 // that were heard before.
-func TestMostSilent(t *testing.T) {
+func TestMostMissHeartbeats(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
 		silent, heard, booting int
@@ -103,7 +103,7 @@
 			add(c.silent, cluster.AgentStatus{HeardThisTerm: true, LastHeard: now.Add(-simAgentLease/2 - 1)})
 			add(c.heard, cluster.AgentStatus{HeardThisTerm: true, LastHeard: now.Add(-simAgentLease / 2)})
 			add(c.booting, cluster.AgentStatus{})
-			if got := l.mostSilent(machines); got != c.mostSilent {
+			if got := l.mostMissHeartbeats(machines); got != c.mostSilent {
 				t.Errorf("most silent %v", got)
 			}
 		})
--- a/scheduler/machine_check_test.go
+++ b/scheduler/machine_check_test.go
@@ -12,14 +12,14 @@
 
 // A silent machine whose lease has expired runs nothing any more, but often comes back sooner
 // than another one boots: it hung, or was partitioned.
-func TestSilentMachineIsKeptForAWhile(t *testing.T) {
+func TestMachineThatMissesHeartbeatsIsNotTerminatedImmediately(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	b.heartbeat("n-1", "a", 0)
 	start := b.now
 	for ; b.now < start.Add(3*simAgentLease); b.now = b.now.Add(time.Second) {
 		if e := b.step(); len(e.Terminate) > 0 {
-			if silent := b.now.Sub(start); silent < silentLeases*simAgentLease {
+			if silent := b.now.Sub(start); silent < missedHeartbeatLeases*simAgentLease {
 				t.Errorf("terminated after %v", silent)
 			}
 			return
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -27,8 +27,8 @@
 	// terminateCounts counts the terminated machines by reason, for the log.
 	terminateCounts map[terminateReason]int
 	// terminate and forgotten are decisions of the present step.
-	terminate []ids.MachineID
-	forgotten []string
+	terminate         []ids.MachineID
+	addressesToForget []string
 }
 
 // registrySettings are the settings of the machine registry.
@@ -59,8 +59,8 @@
 
 // takeDecisions returns the machines to terminate and the addresses to forget.
 func (r *machineRegistry) takeDecisions() (terminate []ids.MachineID, forget []string) {
-	terminate, forget = r.terminate, r.forgotten
-	r.terminate, r.forgotten = nil, nil
+	terminate, forget = r.terminate, r.addressesToForget
+	r.terminate, r.addressesToForget = nil, nil
 	return terminate, forget
 }
 
@@ -122,13 +122,13 @@
 
 // The reasons for terminating a machine.
 const (
-	terminateFailed      terminateReason = "failed"
-	terminateMissing     terminateReason = "missing"
-	terminateBootFailed  terminateReason = "boot-failed"
-	terminateSilent      terminateReason = "silent"
-	terminateCancelled   terminateReason = "cancelled"
-	terminateUnreachable terminateReason = "unreachable"
-	terminateIdle        terminateReason = "idle"
+	terminateFailed           terminateReason = "failed"
+	terminateMissing          terminateReason = "missing"
+	terminateBootFailed       terminateReason = "boot-failed"
+	terminateMissedHeartbeats terminateReason = "silent"
+	terminateCancelled        terminateReason = "cancelled"
+	terminateUnreachable      terminateReason = "unreachable"
+	terminateIdle             terminateReason = "idle"
 )
 
 // terminateMachine decides to terminate a machine. It does not wait for records in flight:
@@ -151,11 +151,11 @@
 // everything on them.
 func (c *Core) MachinesTerminated(now monotonic.Instant, machines []ids.MachineID) {
 	c.clock.Set(now)
-	c.registry.terminated(machines)
+	c.registry.recordTerminated(machines)
 }
 
-// terminated notes that machines are terminated.
-func (r *machineRegistry) terminated(machines []ids.MachineID) {
+// recordTerminated notes that machines are recordTerminated.
+func (r *machineRegistry) recordTerminated(machines []ids.MachineID) {
 	for _, id := range machines {
 		if m := r.cluster.Machine(id); m != nil {
 			m.Lifecycle.TerminateInFlight = false
@@ -184,7 +184,7 @@
 	}
 	r.cluster.RemoveMachine(m)
 	if m.Endpoint() != "" {
-		r.forgotten = append(r.forgotten, m.Endpoint())
+		r.addressesToForget = append(r.addressesToForget, m.Endpoint())
 	}
 }
 
--- a/scheduler/previous_leaders.go
+++ b/scheduler/previous_leaders.go
@@ -33,11 +33,11 @@
 	cluster  *cluster.State
 	clock    *clock.Clock
 	settings previousLeaderSettings
-	// withReplicas is the latest time at which a previous leader answers machines on which a
-	// replica was recorded when this term began, and others the same for all other machines.
-	withReplicas, others monotonic.Instant
-	// unclear tells that some records could not be read, so that any machine may have replicas.
-	unclear bool
+	// replicasAnsweredUntil is the latest time at which a previous leader answers machines on which a
+	// replica was recorded when this term began, and othersAnsweredUntil the same for all other machines.
+	replicasAnsweredUntil, othersAnsweredUntil monotonic.Instant
+	// recordsUnreadable tells that some records could not be read, so that any machine may have replicas.
+	recordsUnreadable bool
 	// restrictedToReplicas tells that only machines with replicas may be answered; see
 	// RestrictToReplicas.
 	restrictedToReplicas bool
@@ -58,10 +58,10 @@
 // begin sets the bounds. It is called once the records are loaded.
 func (p *previousLeaders) begin() {
 	now := p.clock.Now()
-	p.withReplicas, p.others = now, now
+	p.replicasAnsweredUntil, p.othersAnsweredUntil = now, now
 	if p.settings.exists {
-		p.withReplicas = now.Add(p.settings.grace)
-		p.others = now.Add(min(p.settings.grace, p.settings.graceWithoutReplicas))
+		p.replicasAnsweredUntil = now.Add(p.settings.grace)
+		p.othersAnsweredUntil = now.Add(min(p.settings.grace, p.settings.graceWithoutReplicas))
 	}
 	for _, m := range p.cluster.Machines() {
 		m.Agent.HadReplicas = m.HasRecordedReplica()
@@ -71,15 +71,15 @@
 // end notes that no previous leader answers any machine any more.
 func (p *previousLeaders) end() {
 	now := p.clock.Now()
-	p.withReplicas, p.others = min(p.withReplicas, now), min(p.others, now)
+	p.replicasAnsweredUntil, p.othersAnsweredUntil = min(p.replicasAnsweredUntil, now), min(p.othersAnsweredUntil, now)
 }
 
-// until is the latest time at which a previous leader answered a machine.
-func (p *previousLeaders) until(m *cluster.Machine) monotonic.Instant {
-	if m.Agent.HadReplicas || p.unclear {
-		return p.withReplicas
+// answeredUntil is the latest time at which a previous leader answered a machine.
+func (p *previousLeaders) answeredUntil(m *cluster.Machine) monotonic.Instant {
+	if m.Agent.HadReplicas || p.recordsUnreadable {
+		return p.replicasAnsweredUntil
 	}
-	return p.others
+	return p.othersAnsweredUntil
 }
 
 // mayAnswer tells whether a machine's heartbeat may be answered. It goes by the committed
@@ -92,23 +92,23 @@
 // mayAnswerRemoved tells whether the heartbeat of a machine that was removed may be answered.
 func (p *previousLeaders) mayAnswerRemoved() bool { return !p.restrictedToReplicas }
 
-// allHarmless tells whether no previous leader answers any machine for longer than
+// allWithinCancelMargin tells whether no previous leader answers any machine for longer than
 // CancelMargin.
-func (p *previousLeaders) allHarmless(now monotonic.Instant) bool {
-	return p.harmless(now, max(p.withReplicas, p.others))
+func (p *previousLeaders) allWithinCancelMargin(now monotonic.Instant) bool {
+	return p.withinCancelMargin(now, max(p.replicasAnsweredUntil, p.othersAnsweredUntil))
 }
 
-// harmless tells whether a previous leader that answers until a time does so for no longer
+// withinCancelMargin tells whether a previous leader that answers until a time does so for no longer
 // than CancelMargin.
-func (p *previousLeaders) harmless(now, until monotonic.Instant) bool {
+func (p *previousLeaders) withinCancelMargin(now, until monotonic.Instant) bool {
 	return now.Add(CancelMargin(p.settings.cancelDeadline, p.settings.agentLease)) >= until
 }
 
-// harmlessFor tells whether no previous leader can keep a task of a job running for too long.
+// jobWithinCancelMargin tells whether no previous leader can keep a task of a job running for too long.
 // An agent that has seen a token of this leader ignores the answers of previous ones.
-func (p *previousLeaders) harmlessFor(now monotonic.Instant, j *cluster.Job) bool {
+func (p *previousLeaders) jobWithinCancelMargin(now monotonic.Instant, j *cluster.Job) bool {
 	for _, a := range j.Active() {
-		if !a.Machine.Agent.Fenced && !p.harmless(now, p.until(a.Machine)) {
+		if !a.Machine.Agent.Fenced && !p.withinCancelMargin(now, p.answeredUntil(a.Machine)) {
 			return false
 		}
 	}
@@ -119,10 +119,10 @@
 // must do so while it cannot rule out a later leader.
 func (c *Core) RestrictToReplicas(only bool) { c.previousLeaders.restrictedToReplicas = only }
 
-// PreviousLeadersHarmless tells whether no previous leader answers any machine for longer than
+// PreviousLeadersWithinCancelMargin tells whether no previous leader answers any machine for longer than
 // CancelMargin. Then every cancellation may be acknowledged.
-func (c *Core) PreviousLeadersHarmless(now monotonic.Instant) bool {
-	return c.previousLeaders.allHarmless(now)
+func (c *Core) PreviousLeadersWithinCancelMargin(now monotonic.Instant) bool {
+	return c.previousLeaders.allWithinCancelMargin(now)
 }
 
 // CanAcknowledgeCancel tells whether the cancellation of a job, which the core must have
@@ -130,11 +130,11 @@
 // any of the job's tasks running for too long. A machine that was terminated has no tasks. A
 // task without a record was never started, so the recorded tasks are all there are.
 func (c *Core) CanAcknowledgeCancel(now monotonic.Instant, id ids.JobID) bool {
-	if c.previousLeaders.allHarmless(now) {
+	if c.previousLeaders.allWithinCancelMargin(now) {
 		return true
 	}
 	if j := c.cluster.Job(id); j != nil {
-		return c.previousLeaders.harmlessFor(now, j)
+		return c.previousLeaders.jobWithinCancelMargin(now, j)
 	}
 	return !c.jobRecords.unreadable[id]
 }
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -51,7 +51,7 @@
 	}
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	if !b.c.PreviousLeadersHarmless(b.now) {
+	if !b.c.PreviousLeadersWithinCancelMargin(b.now) {
 		t.Error("the first leader waits for previous ones")
 	}
 }
@@ -129,7 +129,7 @@
 // A leader that lost the store and its peers, but not its workers, goes on answering them. The
 // next leader sends the workers its fencing token, and their next heartbeat ends the previous
 // leader's term.
-func TestNextLeaderTakesWorkersFromAnActivePreviousLeader(t *testing.T) {
+func TestNextLeaderFencesAgentsOfAnActivePreviousLeader(t *testing.T) {
 	old := newHarness(t, Options{Revision: 5})
 	oldToken, run := old.runTask()
 
--- a/scheduler/reachability.go
+++ b/scheduler/reachability.go
@@ -37,8 +37,8 @@
 	raiseToken(m *cluster.Machine)
 }
 
-// confirm notes that a machine answered a call, so that commands reach it.
-func (d *reachabilityDetector) confirm(m *cluster.Machine) {
+// markReachable notes that a machine answered a call, so that commands reach it.
+func (d *reachabilityDetector) markReachable(m *cluster.Machine) {
 	if m.Health.Unreachable {
 		d.rounds.MarkDue()
 	}
@@ -51,11 +51,11 @@
 	switch {
 	case m.Health.Unreachable:
 		if heartbeat.FencingToken >= d.tokens.tokenOf(m) {
-			d.confirm(m) // it has received the newer token
+			d.markReachable(m) // it has received the newer token
 		}
 	case !m.Agent.HeardThisTerm:
 		// No command was sent to it yet.
-	case d.lostAnsweredLease(m, heartbeat) || d.startUnacknowledged(m, heartbeat):
+	case d.lostAnsweredLease(m, heartbeat) || d.runCommandUnacknowledged(m, heartbeat):
 		m.Health.Unreachable, m.Health.UnreachableSince = true, d.clock.Now()
 		// A machine that receives the new token shows it in its next heartbeats.
 		d.tokens.raiseToken(m)
@@ -80,24 +80,24 @@
 	return heartbeat.Incarnation > m.Agent.Incarnation && answeredRecently
 }
 
-// startUnacknowledged tells whether a heartbeat lacks a task for which a run command was
+// runCommandUnacknowledged tells whether a heartbeat lacks a task for which a run command was
 // sent longer ago than acknowledgeTimeout.
-func (d *reachabilityDetector) startUnacknowledged(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
+func (d *reachabilityDetector) runCommandUnacknowledged(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
 	for _, a := range m.Assignments() {
 		if !a.Delivery.Sent || a.Delivery.Seen || a.StopReason() != cluster.StopNone {
 			continue
 		}
 		// During a pause of this process no heartbeat could show it.
 		waitingSince := max(a.Delivery.SentAt, d.clock.ResumedAt())
-		if d.clock.Now() > waitingSince.Add(d.acknowledgeTimeout()) && !showsTask(heartbeat, a) {
+		if d.clock.Now() > waitingSince.Add(d.acknowledgeTimeout()) && !reportsTask(heartbeat, a) {
 			return true
 		}
 	}
 	return false
 }
 
-// showsTask tells whether a heartbeat shows an attempt of a task.
-func showsTask(heartbeat *wire.Heartbeat, a *cluster.Assignment) bool {
+// reportsTask tells whether a heartbeat shows an attempt of a task.
+func reportsTask(heartbeat *wire.Heartbeat, a *cluster.Assignment) bool {
 	name := a.Ref().String()
 	return slices.ContainsFunc(heartbeat.Tasks, func(t wire.TaskStatus) bool {
 		return t.Attempt == a.Attempt && t.Name == name
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -82,7 +82,7 @@
 
 // A lease that expires although every heartbeat was answered shows that the machine receives
 // nothing. One that then shows the new token has only missed something.
-func TestLeaseLostWhileAnswered(t *testing.T) {
+func TestLeaseExpiryDespiteAnsweredHeartbeats(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		shows      ids.FencingToken // 0: the first one it was told
@@ -163,7 +163,7 @@
 
 // An unreachable machine counts as reachable again once it shows its newest token or answers
 // a call, and is overdue otherwise.
-func TestUnreachableMachineShowsThatItReceives(t *testing.T) {
+func TestUnreachableMachineBecomesReachableAgain(t *testing.T) {
 	const since = monotonic.Instant(time.Hour)
 	newest := ids.NewFencingToken(5, 3)
 	for _, c := range []struct {
@@ -177,7 +177,7 @@
 		{"the newest token", func(d *reachabilityDetector, m *cluster.Machine) {
 			d.observe(m, newHeartbeat("n-1", 1, 7, newest))
 		}, false},
-		{"an answered call", (*reachabilityDetector).confirm, false},
+		{"an answered call", (*reachabilityDetector).markReachable, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			present := clock.New(0)
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -64,13 +64,13 @@
 		if kinds[kind] == nil {
 			kinds[kind] = &tally{}
 		}
-		held := kinds[kind]
-		held.count++
+		tallied := kinds[kind]
+		tallied.count++
 		if len(m.Assignments()) == 0 {
-			held.idle++
+			tallied.idle++
 		}
-		held.used += m.Used().CPUs
-		held.total += m.Total().CPUs
+		tallied.used += m.Used().CPUs
+		tallied.total += m.Total().CPUs
 	}
 	for _, kind := range slices.SortedFunc(maps.Keys(kinds), placement.Site.Compare) {
 		suffix, held := "", kinds[kind]
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -18,8 +18,8 @@
 const (
 	upgradeValueBytes = 170
 	upgradeTxnOps     = 4
-	// upgradeRound is the round in which the last old leader is replaced.
-	upgradeRound = 10
+	// upgradeCompletedRound is the round in which the last old leader is replaced.
+	upgradeCompletedRound = 10
 )
 
 // TestUpgradeUnderFaults plays fleets through an upgrade. First leaders of the old version
@@ -35,9 +35,9 @@
 		for seed := range uint64(days) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				d := newUpgradeDay(t, 1000+seed)
+				d := newUpgradeSim(t, 1000+seed)
 				for round := range 30 {
-					d.playRound(round)
+					d.runRound(round)
 				}
 				d.lowerStoreLimits()
 				d.runToCompletion(d.all, 40*time.Minute)
@@ -54,14 +54,14 @@
 	}
 }
 
-// upgradeDay is a day on which the controllers are upgraded.
-type upgradeDay struct {
+// upgradeSim is a day on which the controllers are upgraded.
+type upgradeSim struct {
 	*sim
 	all []ids.JobID
 }
 
-func newUpgradeDay(t *testing.T, seed uint64) *upgradeDay {
-	d := &upgradeDay{sim: newSim(t, seed)}
+func newUpgradeSim(t *testing.T, seed uint64) *upgradeSim {
+	d := &upgradeSim{sim: newSim(t, seed)}
 	d.opt.SliceTasks, d.opt.TxnOps = 16, upgradeTxnOps
 	d.failOver()
 	d.unsplitRecordsOnly = true
@@ -69,17 +69,17 @@
 }
 
 // lowerStoreLimits has the store take no more than small changes.
-func (d *upgradeDay) lowerStoreLimits() { d.valueBytes, d.txnOps = upgradeValueBytes, upgradeTxnOps }
+func (d *upgradeSim) lowerStoreLimits() { d.valueBytes, d.txnOps = upgradeValueBytes, upgradeTxnOps }
 
-// playRound changes versions, leaders and limits as the round has it, and submits jobs.
-func (d *upgradeDay) playRound(round int) {
+// runRound changes versions, leaders and limits as the round has it, and submits jobs.
+func (d *upgradeSim) runRound(round int) {
 	switch round {
-	case upgradeRound:
+	case upgradeCompletedRound:
 		d.completeUpgrade()
-	case upgradeRound + 1 + d.rng.IntN(6):
+	case upgradeCompletedRound + 1 + d.rng.IntN(6):
 		d.lowerStoreLimits()
 	}
-	if round < upgradeRound && d.rng.IntN(3) == 0 {
+	if round < upgradeCompletedRound && d.rng.IntN(3) == 0 {
 		d.opt.ValueBytes = []int{0, upgradeValueBytes}[d.rng.IntN(2)] // an old leader, or a new one
 		d.failOver()
 	}
@@ -98,7 +98,7 @@
 }
 
 // completeUpgrade replaces the last old leader and allows split records.
-func (d *upgradeDay) completeUpgrade() {
+func (d *upgradeSim) completeUpgrade() {
 	d.opt.ValueBytes = upgradeValueBytes
 	if d.core.opt.ValueBytes == 0 {
 		d.failOver()
@@ -108,9 +108,9 @@
 }
 
 // spec is a random job. Arrays have many small tasks; dependencies need the new version.
-func (d *upgradeDay) spec(round int) *wire.JobSpec {
+func (d *upgradeSim) spec(round int) *wire.JobSpec {
 	spec := d.randomSpec()
-	if round > upgradeRound {
+	if round > upgradeCompletedRound {
 		spec = d.waitingSpec(d.all)
 	}
 	if !spec.Service && !spec.Gang {
@@ -193,7 +193,7 @@
 
 // While a split is in flight its tasks go on: a task that is placed meanwhile belongs to one of
 // the parts, and would wait for ever if that part were not written again.
-func TestPlacedWhileTheRecordIsSplit(t *testing.T) {
+func TestPlacementWhileTheRecordIsSplit(t *testing.T) {
 	b := newHarness(t, Options{RecordOptions: RecordOptions{ValueBytes: 50, SplitRecords: true}})
 	b.submit("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
 	b.heartbeat("n-1", "a", 0)
--- a/scheduler/wiring.go
+++ b/scheduler/wiring.go
@@ -145,7 +145,7 @@
 
 // makeIntake makes the parts that receive heartbeats and job records.
 func (c *Core) makeIntake() {
-	c.heartbeats = &heartbeatIntake{
+	c.heartbeats = &heartbeatHandler{
 		cluster:      c.cluster,
 		clock:        c.clock,
 		rounds:       c.rounds,
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -27,7 +27,7 @@
 	zoneOutageLimit = 3 * time.Minute
 	// partitionEndHeartbeats is how many heartbeat intervals the machines of a zone have
 	// to be heard once the first of them is heard again. A partition that lasted for longer
-	// than silentLeases would otherwise cost all machines but that one.
+	// than missedHeartbeatLeases would otherwise cost all machines but that one.
 	partitionEndHeartbeats = 3
 )
 
@@ -56,8 +56,8 @@
 	return &zoneOutages{cluster: state, clock: now, settings: settings, zoneStates: map[ids.Zone]*zoneState{}}
 }
 
-// heard notes that a machine of a zone was heard now.
-func (o *zoneOutages) heard(zone ids.Zone) {
+// recordHeartbeat records that a machine of a zone sent a heartbeat now.
+func (o *zoneOutages) recordHeartbeat(zone ids.Zone) {
 	z := o.zoneStates[zone]
 	if z == nil {
 		z = &zoneState{}
--- a/scheduler/zones_test.go
+++ b/scheduler/zones_test.go
@@ -192,7 +192,7 @@
 		}
 	}
 	tell("b")
-	for start := b.now; b.now < start.Add(silentLeases*simAgentLease+10*time.Second); b.now = b.now.Add(500 * time.Millisecond) {
+	for start := b.now; b.now < start.Add(missedHeartbeatLeases*simAgentLease+10*time.Second); b.now = b.now.Add(500 * time.Millisecond) {
 		tell("a")
 		if e := b.step(); len(e.Terminate) > 0 {
 			t.Fatalf("terminated %v in the partition", e.Terminate)
