--- a/scheduler/agents_test.go
+++ b/scheduler/agents_test.go
@@ -10,19 +10,19 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// agentsTokenCounter is above the counters that a core reaches in a test, so that agents
+// agentsTokenCounter is higher than any token counter that a core reaches in a test, so that agents
 // which show it have seen every command.
 const agentsTokenCounter = 900
 
-// testAgents stands in for the agents of machines in zone a beside a harness. They carry
-// out each command when they get it and run tasks for a set time. They inject no faults.
+// testAgents simulates the agents of machines in zone a for a harness. The agents carry out each
+// command when they receive it and run tasks for a set time. They inject no faults.
 type testAgents struct {
 	machines []ids.MachineID
 	tasks    map[ids.MachineID][]wire.TaskStatus
-	endsAt   map[string]monotonic.Instant // by name of a running task; missing: it does not end
-	// runTime is how long a task runs that is the count-th on its machine; 0: for ever.
+	endsAt   map[string]monotonic.Instant // by name of a running task; a task without an entry does not end
+	// runTime returns how long a task runs that is the count-th on its machine; 0 means indefinitely.
 	runTime func(name string, count int) time.Duration
-	// observe sees each command before it is carried out; nil: no observer.
+	// observe is called with each command before it is carried out; nil means no observer.
 	observe func(wire.Command)
 }
 
@@ -30,9 +30,9 @@
 	return &testAgents{machines: machines, tasks: map[ids.MachineID][]wire.TaskStatus{}, endsAt: map[string]monotonic.Instant{}, runTime: runTime}
 }
 
-// heartbeats has each machine end the tasks whose time is over, send a heartbeat, and carry
+// sendHeartbeats makes each machine end the tasks whose run time is over, send a heartbeat, and carry
 // out the commands of the response.
-func (g *testAgents) heartbeats(b *harness) {
+func (g *testAgents) sendHeartbeats(b *harness) {
 	b.t.Helper()
 	for _, machine := range g.machines {
 		g.endTasks(machine, b.now)
@@ -46,7 +46,7 @@
 	}
 }
 
-// endTasks ends the tasks of a machine whose time is over.
+// endTasks ends the tasks of a machine whose run time is over.
 func (g *testAgents) endTasks(machine ids.MachineID, now monotonic.Instant) {
 	tasks := g.tasks[machine]
 	for i := range tasks {
@@ -56,7 +56,7 @@
 	}
 }
 
-// execute carries a command out.
+// execute carries out a command on a machine.
 func (g *testAgents) execute(machine ids.MachineID, command wire.Command, now monotonic.Instant) {
 	tasks := g.tasks[machine]
 	switch command.Verb {
@@ -79,7 +79,7 @@
 	g.tasks[machine] = tasks
 }
 
-// count counts the tasks on all machines whose names begin with a prefix.
+// count returns the number of tasks on all machines whose names begin with prefix.
 func (g *testAgents) count(prefix string) int {
 	count := 0
 	for _, tasks := range g.tasks {
@@ -92,15 +92,15 @@
 	return count
 }
 
-// instantAgents stands in for agents whose tasks end as soon as they start. The end of a
-// task is in one heartbeat alone. They inject no faults but the failures of tasks.
+// instantAgents simulates agents whose tasks end as soon as they start. Only one heartbeat reports the
+// end of each task. The agents inject no faults other than task failures.
 type instantAgents struct {
 	machines []ids.MachineID
 	ended    map[ids.MachineID][]wire.TaskStatus
 }
 
-// run has the machines send heartbeats for a time, in which each task ends with a cause,
-// and returns the number of starts. After each step of the core it calls inspect.
+// run simulates the machines' heartbeats for a duration, in which each task ends with the given cause.
+// It calls inspect after each step of the core, and returns the number of task starts.
 func (g *instantAgents) run(b *harness, cause wire.ExitCause, d time.Duration, inspect func()) int {
 	b.t.Helper()
 	starts := 0
--- a/scheduler/boot_times.go
+++ b/scheduler/boot_times.go
@@ -11,34 +11,34 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// bootTimes learns how long machines take to boot, and tells which of them are late.
-// It ignores machines of previous leaders, since it is not known when they were provisioned.
+// bootTimes tracks how long machines take to boot and detects machines that are late. It ignores
+// machines of previous leaders, since the time at which they were provisioned is not known.
 type bootTimes struct {
 	cluster  *cluster.State
 	clock    *clock.Clock
 	settings bootTimeSettings
-	// factors holds, by machine type, a running mean of how many times the catalog's boot
-	// time recent boots took.
+	// factors holds, by machine type, a running mean of the ratio of recent boot times to the boot
+	// time in the catalog.
 	factors map[ids.MachineType]float64
 }
 
-// bootTimeSettings are the settings of boot times.
+// bootTimeSettings holds the settings of bootTimes.
 type bootTimeSettings struct {
-	// maxFactor bounds how many times the catalog's boot time one boot counts for.
+	// maxFactor is the maximum ratio to the catalog's boot time that a single boot contributes.
 	maxFactor float64
 	// heartbeatInterval is the time between two heartbeats of a machine.
 	heartbeatInterval time.Duration
 }
 
 const (
-	// lateBootFactor is how many times as long as recent boots of its type a machine may
-	// take before it counts as late.
+	// lateBootFactor is the ratio to the recent boot times of its type above which a machine's boot
+	// counts as late.
 	lateBootFactor = 1.7
 	// newBootWeight is the weight of the newest boot in the running mean.
 	newBootWeight = 0.2
 )
 
-// record learns from the first heartbeat of a machine.
+// record updates the running mean of a machine's type at the machine's first heartbeat.
 func (b *bootTimes) record(m *cluster.Machine) {
 	if m.MachineType() == nil || !m.Lifecycle.ProvisionedThisTerm || m.MachineType().BootS <= 0 {
 		return
@@ -51,9 +51,9 @@
 	b.factors[m.Type()] = factor
 }
 
-// late tells whether a machine takes so long to boot that it may never come up. Another is
-// then provisioned for the tasks that wait for it, unless all machines of its type take as
-// long now: another would come up no sooner.
+// late reports whether a machine takes so long to boot that it may never come up. Another machine is
+// then provisioned for the tasks that wait for it. If all machines of its type currently take as long,
+// the machine is not late, since another one would come up no sooner.
 func (b *bootTimes) late(m *cluster.Machine) bool {
 	if m.Agent.HeardThisTerm || m.MachineType() == nil || !m.Lifecycle.ProvisionedThisTerm {
 		return false
@@ -63,8 +63,8 @@
 	return b.clock.Now() > m.Lifecycle.KnownSince.Add(allowed)
 }
 
-// fastest is the shortest boot time among the types that can hold a task of a job; 0 if
-// none can.
+// fastest returns the shortest boot time among the machine types that can hold a task of a job, or 0
+// if there is none.
 func (b *bootTimes) fastest(spec *wire.JobSpec) time.Duration {
 	fastest := time.Duration(0)
 	types := b.cluster.Types()
--- a/scheduler/boot_times_test.go
+++ b/scheduler/boot_times_test.go
@@ -9,16 +9,17 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A machine that is late against the recent boot times of its type is not waited for:
-// another is provisioned. When all take as long, no other is.
+// If a machine takes much longer to boot than recent machines of its type, another machine must be
+// provisioned, since the first may never come up. If all machines of the type currently take as long,
+// no other machine must be provisioned, since it would come up no sooner.
 func TestLateMachinesAreReplaced(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		bootFactor float64 // of the type's recent boots
+		bootFactor float64 // ratio of the type's recent boot times to the catalog's
 		after      time.Duration
 		replaced   int
 	}{
-		{"in its usual time", 1, 15 * time.Second, 0},
+		{"within the usual boot time", 1, 15 * time.Second, 0},
 		{"late", 1, 22 * time.Second, 1},
 		{"all are slow", 2.5, 22 * time.Second, 0},
 		{"late although all are slow", 2.5, 48 * time.Second, 1},
@@ -28,13 +29,14 @@
 			b.c.autoscaler.boots.factors["m"] = c.bootFactor
 			b.submit("job-1", wire.JobSpec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
 			if requests := b.provisionFor(c.after); len(requests) != 1+c.replaced {
-				t.Errorf("provisioned %v, want %d replacements", requests, c.replaced)
+				t.Errorf("provisioning requests are %v, want %d replacements", requests, c.replaced)
 			}
 		})
 	}
 }
 
-// provisionFor steps for a time and grants each request for machines, which never boot.
+// provisionFor steps for a duration and grants each provisioning request. The machines never boot. It
+// returns the requests.
 func (b *harness) provisionFor(d time.Duration) []wire.ProvisionRequest {
 	var requests []wire.ProvisionRequest
 	for until := b.now.Add(d); b.now < until; {
--- a/scheduler/failover_test.go
+++ b/scheduler/failover_test.go
@@ -12,8 +12,10 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A new leader placed a replacement replica into a zone that already held half of the service:
-// it had no heartbeat from the machines yet and counted their tasks in no zone.
+// A new leader may have no heartbeat yet from the machines that run a service. It must take the zones of
+// their replicas from the records, and must place no replica while it does not know these zones.
+// Otherwise it counts the replicas in no zone, and places a replacement in a zone that already holds half
+// of the service.
 func TestNextLeaderKeepsSpreadBeforeTheFirstHeartbeats(t *testing.T) {
 	for _, zones := range [][]ids.Zone{{"a", "a"}, nil} {
 		b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
@@ -23,37 +25,37 @@
 		b.heartbeat("n-3", "a", ids.NewFencingToken(5, 0))
 		b.step()
 		if a := b.c.cluster.Job("job-1").Task(2).Assignment(); a != nil {
-			t.Errorf("zones %v: the third replica went to %s in zone %s", zones, a.Machine.ID, a.Machine.Zone())
+			t.Errorf("zones %v: the third replica was placed on %s in zone %s", zones, a.Machine.ID, a.Machine.Zone())
 		}
 		b.heartbeat("n-4", "b", ids.NewFencingToken(5, 0))
 		b.step()
 		if a := b.c.cluster.Job("job-1").Task(2).Assignment(); zones != nil && (a == nil || a.Machine.Zone() != "b") {
-			t.Errorf("zones %v: the third replica did not go to zone b", zones)
+			t.Errorf("zones %v: the third replica was not placed in zone b", zones)
 		}
 	}
 }
 
-// A previous leader without the store may go on answering workers. Until its grace and a lease
-// are over, its tasks may run.
-func TestTasksCountDuringThePreviousLeadersGrace(t *testing.T) {
+// A previous leader that is partitioned from the key-value store may continue to answer agents. Its
+// tasks may run until its grace period and a lease have elapsed, and must use quota until then.
+func TestTasksUseQuotaDuringThePreviousLeadersGrace(t *testing.T) {
 	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
 	for _, step := range []struct {
 		after time.Duration
-		held  bool
+		used  bool
 	}{{simAgentLease + 5*time.Second, true}, {time.Minute + simAgentLease - time.Second, true}, {time.Minute + simAgentLease + 5*time.Second, false}} {
 		b.now = monotonic.Instant(time.Hour).Add(step.after)
 		b.step()
-		if held := b.c.quotas.Used("red").CPUs > 0; held != step.held {
-			t.Errorf("after %v: still counted %v, want %v", step.after, held, step.held)
+		if used := b.c.quotas.Used("red").CPUs > 0; used != step.used {
+			t.Errorf("after %v: quota used %v, want %v", step.after, used, step.used)
 		}
 	}
 }
 
-// Once all other controllers follow this leader none of them answers workers, and tasks of a
-// dead machine are released without the grace, but after a lease: a heartbeat sent just before
-// may have been answered.
+// Once all other controllers follow this leader, none of them answers agents. The tasks of a failed
+// machine must then be released without waiting for the grace period, but only after a lease, since a
+// heartbeat sent just before may have been answered.
 func TestNoGraceOnceAllControllersFollow(t *testing.T) {
 	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: 10 * time.Minute}})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
@@ -62,18 +64,19 @@
 	b.c.AllControllersFollow(b.now.Add(followed))
 	for _, step := range []struct {
 		after time.Duration
-		held  bool
+		used  bool
 	}{{followed + simAgentLease, true}, {followed + simAgentLease + 2*time.Second, false}} {
 		b.now = monotonic.Instant(time.Hour).Add(step.after)
 		b.step()
-		if held := b.c.quotas.Used("red").CPUs > 0; held != step.held {
-			t.Errorf("after %v: still counted %v, want %v", step.after, held, step.held)
+		if used := b.c.quotas.Used("red").CPUs > 0; used != step.used {
+			t.Errorf("after %v: quota used %v, want %v", step.after, used, step.used)
 		}
 	}
 }
 
-// A late record of a submission must not bring back a job that is over.
-func TestOlderRecordDoesNotReviveAJob(t *testing.T) {
+// A delayed record of a submission must not recreate a job that is terminal. Records of a job can be
+// observed out of order.
+func TestOlderRecordDoesNotRecreateAJob(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	spec := wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1}
@@ -82,13 +85,14 @@
 	b.heartbeat("n-1", "a", 0)
 	b.step()
 	if b.c.cluster.Job("job-1") != nil {
-		t.Fatal("the job came back")
+		t.Fatal("the older record recreated the job")
 	}
 }
 
-// A machine died around a failover. The new leader had no heartbeat from it, never saw it
-// listed, and counted its tasks for two minutes.
-func TestMachineThatDiedAtTheFailoverIsDetected(t *testing.T) {
+// A machine can fail at the same time as the leader. The new leader then gets no heartbeat from the
+// machine and never sees it listed. It must terminate the machine once the list must contain it.
+// Otherwise the machine's tasks use quota for about two minutes, the grace period and a lease.
+func TestMachineThatFailedDuringFailoverIsTerminated(t *testing.T) {
 	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: 90 * time.Second}, FleetOptions: FleetOptions{ListLag: 3 * time.Second}})
 	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	b.c.Begin(b.now)
@@ -101,10 +105,10 @@
 			}
 			b.c.MachinesTerminated(b.now, e.Terminate)
 			if b.c.quotas.Used("red").CPUs != 0 {
-				t.Fatal("the task still counts")
+				t.Fatal("the task still uses quota")
 			}
 			return
 		}
 	}
-	t.Fatal("the machine was never terminated")
+	t.Fatal("the failed machine was not terminated")
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -8,14 +8,14 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// healthMonitor checks all machines for what changes with time alone: silence, lease expiry,
-// boots that take too long, spot reclaims, quarantines that end. It terminates machines
-// that cannot be used any more and releases the tasks of those whose lease has expired.
+// healthMonitor checks all machines periodically for conditions that depend only on time: missed
+// heartbeats, lease expiry, boot timeouts, spot reclaims and the end of quarantines. It terminates
+// machines that can no longer be used and releases the tasks of machines whose lease has expired.
 //
-// The other policies ask it for the health of machines and zones, which machineLiveness and
-// zoneOutages answer. Core.Step calls checkIfDue. It must never release a task that may still
-// run: only lease expiry, or the cloud's confirmation that the machine is terminated, proves
-// that it does not.
+// The other policies query it for the health of machines and zones, which the embedded
+// machineLiveness and zoneOutages implement. Core.Step calls checkIfDue. healthMonitor must never
+// release a task that may still be running. Only lease expiry, or the cloud's confirmation that the
+// machine is terminated, proves that a task has ended.
 type healthMonitor struct {
 	*machineLiveness
 	*zoneOutages
@@ -29,49 +29,49 @@
 	registry     machineTerminator
 	commands     heartbeatRequester
 	autoscaler   spotLossRecorder
-	// checkedAt is when the last check began.
+	// checkedAt is the time at which the last check began.
 	checkedAt monotonic.Instant
-	// checkRequested asks for a check in the next step.
+	// checkRequested reports whether the next step must run a check even if none is due.
 	checkRequested bool
 }
 
-// healthSettings are the settings that all parts of the health policy share.
+// healthSettings holds the settings that all parts of the health policy share.
 type healthSettings struct {
-	// agentLease is how long an agent runs tasks after its last answered heartbeat.
+	// agentLease is how long an agent keeps running tasks after its last answered heartbeat.
 	agentLease time.Duration
 	// heartbeatInterval is the time between two heartbeats of an agent.
 	heartbeatInterval time.Duration
-	// cancelDeadline is the time within which a cancelled job's tasks must have ended.
+	// cancelDeadline is the time within which the tasks of a cancelled job must have ended.
 	cancelDeadline time.Duration
-	// previousLeader tells that another leader may have acted before this term.
+	// previousLeader reports whether another leader may have acted before this term.
 	previousLeader bool
 }
 
-// machineTerminator terminates machines, and releases the tasks that ended with them.
+// machineTerminator terminates machines and releases the tasks that ended with them.
 type machineTerminator interface {
-	terminateMachine(m *cluster.Machine, why terminateReason)
-	// requestTermination repeats a call to the cloud that failed.
+	terminateMachine(m *cluster.Machine, reason terminateReason)
+	// requestTermination retries a termination call to the cloud that failed.
 	requestTermination(m *cluster.Machine)
 	removeMachine(m *cluster.Machine)
-	// releaseTasks releases the tasks of a machine on which nothing runs any more.
+	// releaseTasks releases the tasks of a machine on which no task runs any more.
 	releaseTasks(m *cluster.Machine)
 }
 
-// heartbeatRequester asks agents for heartbeats.
+// heartbeatRequester requests heartbeats from agents.
 type heartbeatRequester interface {
 	machineQueue
-	// needsHeartbeatRequest tells whether a machine should be asked for a heartbeat now.
+	// needsHeartbeatRequest reports whether a heartbeat should be requested from the machine now.
 	needsHeartbeatRequest(m *cluster.Machine) bool
 }
 
-// spotLossRecorder counts spot instances that the cloud took back.
+// spotLossRecorder counts the spot instances that the cloud reclaimed.
 type spotLossRecorder interface{ recordSpotLoss() }
 
 // healthCheckInterval is the time between two checks of the machines.
 const healthCheckInterval = 200 * time.Millisecond
 
-// recordReclaimNotice notes that the cloud takes a spot instance back after a time. The next step
-// then checks the machines, and drains this one.
+// recordReclaimNotice records that the cloud will reclaim a spot instance after the given time.
+// The next step then checks all machines, and drains this one.
 func (hm *healthMonitor) recordReclaimNotice(m *cluster.Machine, after time.Duration) {
 	if m.Health.SpotReclaimAt == 0 {
 		hm.rounds.MarkDue()
@@ -81,8 +81,8 @@
 	m.Health.SpotReclaimAt = hm.clock.Now().Add(after)
 }
 
-// checkIfDue checks all machines if a check is due or was requested, and tells whether it
-// did.
+// checkIfDue checks all machines if a check is due or was requested. It reports whether it ran
+// the check.
 func (hm *healthMonitor) checkIfDue() bool {
 	now := hm.clock.Now()
 	if !hm.checkRequested && now < hm.checkedAt.Add(healthCheckInterval) {
@@ -93,12 +93,12 @@
 	return true
 }
 
-// checkMachines checks all machines.
+// checkMachines drains reclaimed spot instances, updates the zones, and then checks each machine.
 func (hm *healthMonitor) checkMachines() {
 	hm.reclaims.drain()
 	hm.updateZones()
 	check := machineCheck{healthMonitor: hm, widespreadHeartbeatLoss: hm.mostMissHeartbeats(hm.cluster.Machines())}
-	var terminated []*cluster.Machine // removed after the walk over the list that they are in
+	var terminated []*cluster.Machine // removed after the loop, which iterates over the list that holds them
 	for _, m := range hm.cluster.Machines() {
 		hm.endQuarantine(m)
 		switch {
@@ -118,7 +118,7 @@
 	}
 }
 
-// endQuarantine ends a machine's quarantine when its time has passed.
+// endQuarantine ends a machine's quarantine once its duration has elapsed.
 func (hm *healthMonitor) endQuarantine(m *cluster.Machine) {
 	if m.Health.QuarantinedUntil != 0 && hm.clock.Now() >= m.Health.QuarantinedUntil {
 		m.Health.QuarantinedUntil = 0
@@ -126,7 +126,7 @@
 	}
 }
 
-// requestHeartbeat has a machine asked for a heartbeat if command dispatch needs one.
+// requestHeartbeat queues the machine for a heartbeat request if command dispatch needs one.
 func (hm *healthMonitor) requestHeartbeat(m *cluster.Machine) {
 	if hm.commands.needsHeartbeatRequest(m) {
 		hm.commands.queueCommands(m)
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -11,26 +11,26 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Heartbeat takes a machine's heartbeat and returns the answer. ok is false if this leader
+// Heartbeat applies a machine's heartbeat and returns the response. ok is false if this leader
 // must not answer.
-func (c *Core) Heartbeat(now monotonic.Instant, heartbeat *wire.Heartbeat) (answer wire.HeartbeatResponse, ok bool) {
+func (c *Core) Heartbeat(now monotonic.Instant, heartbeat *wire.Heartbeat) (response wire.HeartbeatResponse, ok bool) {
 	c.clock.Advance(now)
 	return c.heartbeats.receive(heartbeat)
 }
 
-// HeartbeatFromCall takes a heartbeat with which a machine answered a call. It renews no
-// lease. It returns false if this leader must not act on it.
+// HeartbeatFromCall applies a heartbeat that a machine returned in response to a call. Such a
+// heartbeat renews no lease. It returns false if this leader must not act on the heartbeat.
 func (c *Core) HeartbeatFromCall(now monotonic.Instant, heartbeat *wire.Heartbeat) bool {
 	c.clock.Advance(now)
 	return c.heartbeats.receiveFromCall(heartbeat)
 }
 
-// unknownTaskBackoff is how long a job is not admitted after an agent did not know its task.
+// unknownTaskBackoff is how long a job is not admitted after an agent reported its task as unknown.
 const unknownTaskBackoff = 2 * time.Second
 
-// heartbeatHandler applies heartbeats to the state: what they show of the machine, and of each
-// task that is assigned to it. Core.Heartbeat and Core.HeartbeatFromCall call it. It must not
-// act on a heartbeat that is stale, nor on any once a later leader is known.
+// heartbeatHandler updates the state of a machine, and of each task that is assigned to it, from
+// the machine's heartbeats. Core.Heartbeat and Core.HeartbeatFromCall call it. It must not act on a
+// stale heartbeat, nor on any heartbeat once a later leader is known.
 type heartbeatHandler struct {
 	cluster      *cluster.State
 	clock        *clock.Clock
@@ -44,51 +44,51 @@
 	lifecycle    taskEnder
 	zones        zoneTaskObserver
 	leaders      *previousLeaders
-	// revision is that of the leader's key; all fencing tokens of the term contain it.
+	// revision is the revision of the leader's key. All fencing tokens of the term contain it.
 	revision ids.Revision
 	// interval is the time between two heartbeats of a machine.
 	interval time.Duration
-	// superseded is set when a machine shows a later leader's token.
+	// superseded reports whether a machine has shown a later leader's fencing token.
 	superseded bool
 }
 
-// siteRecorder notes what a machine is and where its agent listens.
+// siteRecorder records a machine's site and the address of its agent.
 type siteRecorder interface {
 	setSite(m *cluster.Machine, site placement.Site, endpoint string)
 }
 
-// heartbeatHealth judges machines by their heartbeats.
+// heartbeatHealth updates the health of machines and zones from heartbeats.
 type heartbeatHealth interface {
 	usable(m *cluster.Machine) bool
-	// recordHeartbeat notes that a machine of a zone was recordHeartbeat now.
+	// recordHeartbeat records that a machine of the zone sent a heartbeat now.
 	recordHeartbeat(zone ids.Zone)
-	// recordReclaimNotice notes that the cloud takes a spot instance back after a time.
+	// recordReclaimNotice records that the cloud will reclaim a spot instance after the given time.
 	recordReclaimNotice(m *cluster.Machine, after time.Duration)
 }
 
-// heartbeatReachability judges from heartbeats whether commands reach a machine.
+// heartbeatReachability determines from heartbeats whether commands reach a machine.
 type heartbeatReachability interface {
-	// observe takes a heartbeat that waits for an answer, and confirm notes one that came as
-	// the answer to a call.
+	// observe examines a heartbeat that is waiting for a response.
 	observe(m *cluster.Machine, heartbeat *wire.Heartbeat)
+	// markReachable records that the machine sent a heartbeat in response to a call.
 	markReachable(m *cluster.Machine)
 }
 
-// heartbeatCommands makes the answers to heartbeats.
+// heartbeatCommands builds the responses to heartbeats.
 type heartbeatCommands interface {
 	machineQueue
 	tokenOf(m *cluster.Machine) ids.FencingToken
 	answerHeartbeat(m *cluster.Machine) wire.HeartbeatResponse
-	// allowCalls lets a machine be called again although its last call failed.
+	// allowCalls allows calls to the machine again after its last call failed.
 	allowCalls(m *cluster.Machine)
 }
 
-// bootRecorder learns how long machines take to boot.
+// bootRecorder records how long machines take to boot.
 type bootRecorder interface {
 	recordBoot(m *cluster.Machine)
 }
 
-// failureRecorder weighs failures of tasks.
+// failureRecorder records task failures and the anti-affinity that follows from them.
 type failureRecorder interface {
 	recordFailure(a *cluster.Assignment)
 	addAntiAffinity(j *cluster.Job, m *cluster.Machine)
@@ -96,31 +96,31 @@
 
 // taskEnder ends tasks.
 type taskEnder interface {
-	stop(a *cluster.Assignment, why cluster.StopReason)
+	stop(a *cluster.Assignment, reason cluster.StopReason)
 	release(a *cluster.Assignment)
 	complete(a *cluster.Assignment)
 }
 
-// zoneTaskObserver learns which tasks of a zone run and which are lost.
+// zoneTaskObserver records which tasks of a zone are running and which are lost.
 type zoneTaskObserver interface {
 	lost(a *cluster.Assignment)
 	running(a *cluster.Assignment)
 }
 
-// receive applies a heartbeat that waits for an answer, and makes the answer.
-func (h *heartbeatHandler) receive(heartbeat *wire.Heartbeat) (answer wire.HeartbeatResponse, ok bool) {
+// receive applies a heartbeat that is waiting for a response, and returns that response.
+func (h *heartbeatHandler) receive(heartbeat *wire.Heartbeat) (response wire.HeartbeatResponse, ok bool) {
 	if h.supersededBy(heartbeat) {
 		return wire.HeartbeatResponse{}, false
 	}
 	if h.cluster.WasRemoved(heartbeat.Machine) {
-		// A delayed message; the machine was terminated since.
+		// The message was delayed, and the machine has been terminated in the meantime.
 		return noCommands(ids.NewFencingToken(h.revision, 0)), h.leaders.mayAnswerRemoved()
 	}
 	m := h.cluster.EnsureMachine(heartbeat.Machine)
 	mayAnswer := h.leaders.mayAnswer
 	if stale(m, heartbeat) {
-		// The agent may still wait for the answer. It renews the lease from when the
-		// message was sent, which was before the newest heartbeat arrived.
+		// The agent may still be waiting for the response. It renews its lease from the time
+		// at which it sent the message, which is before the newest heartbeat arrived.
 		if !mayAnswer(m) {
 			return wire.HeartbeatResponse{}, false
 		}
@@ -137,7 +137,8 @@
 	return h.commands.answerHeartbeat(m), true
 }
 
-// receiveFromCall applies a heartbeat that came as the answer to a call.
+// receiveFromCall applies a heartbeat that was returned in response to a call. It returns false if
+// this leader must not act on the heartbeat.
 func (h *heartbeatHandler) receiveFromCall(heartbeat *wire.Heartbeat) bool {
 	if h.supersededBy(heartbeat) {
 		return false
@@ -156,34 +157,34 @@
 	return true
 }
 
-// supersededBy tells whether a heartbeat shows a later leader's token, and notes it.
+// supersededBy reports whether a heartbeat shows a later leader's fencing token, and records it.
 func (h *heartbeatHandler) supersededBy(heartbeat *wire.Heartbeat) bool {
 	later := heartbeat.FencingToken.Revision() > h.revision
 	h.superseded = h.superseded || later
 	return later
 }
 
-// stale tells whether a heartbeat is a duplicate or older than the newest. It does not show
-// that the machine is alive now.
+// stale reports whether a heartbeat is a duplicate of the newest one, or older than it. A stale
+// heartbeat does not prove that the machine is alive now.
 func stale(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
 	return m.Agent.HeardThisTerm && !heartbeat.Newer(m.Agent.Incarnation, m.Agent.Sequence)
 }
 
-// noCommands is an answer without commands.
+// noCommands returns a response without commands.
 func noCommands(token ids.FencingToken) wire.HeartbeatResponse {
 	return wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}
 }
 
-// siteOf is the site that a heartbeat names.
+// siteOf returns the site that a heartbeat names.
 func siteOf(heartbeat *wire.Heartbeat) placement.Site {
 	return placement.Site{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
 }
 
-// apply updates the state from a heartbeat that is newer than all before it.
+// apply updates the state from a heartbeat that is newer than all previous ones.
 func (h *heartbeatHandler) apply(m *cluster.Machine, heartbeat *wire.Heartbeat) {
 	now := h.clock.Now()
 	if now > m.Agent.LastHeard.Add(h.interval) && !h.health.usable(m) {
-		h.rounds.MarkDue() // it may be usable now
+		h.rounds.MarkDue() // the machine may have become usable
 	}
 	m.Agent.LastHeard = now
 	h.health.recordHeartbeat(heartbeat.Zone)
@@ -203,7 +204,7 @@
 	h.commands.queueCommands(m)
 }
 
-// updateAgent notes what a heartbeat shows of the machine's agent.
+// updateAgent updates the status of the machine's agent from a heartbeat.
 func (h *heartbeatHandler) updateAgent(m *cluster.Machine, heartbeat *wire.Heartbeat) {
 	if !m.Agent.HeardThisTerm {
 		m.Agent.HeardThisTerm = true
@@ -218,7 +219,7 @@
 	}
 }
 
-// updateAssignments compares the machine's assignments with its newest heartbeat.
+// updateAssignments reconciles the machine's assignments with its newest heartbeat.
 func (h *heartbeatHandler) updateAssignments(m *cluster.Machine) {
 	for _, a := range m.AssignmentsSnapshot() {
 		reported := m.FindReported(a.Ref(), a.Attempt)
@@ -233,32 +234,32 @@
 	}
 }
 
-// handleMissingTask handles an assignment that the newest heartbeat does not show.
+// handleMissingTask handles an assignment whose task is missing from the newest heartbeat.
 func (h *heartbeatHandler) handleMissingTask(a *cluster.Assignment) {
 	switch {
 	case !a.MayRun():
 		// Not sent yet.
 	case a.Delivery.Sent && a.Machine.Agent.Incarnation > a.Delivery.Incarnation,
-		// The agent's lease has expired. It has dropped all its tasks, and its new incarnation
-		// refuses commands for the old one.
+		// The agent's lease has expired. The agent has dropped all its tasks, and its new
+		// incarnation rejects commands for the old one.
 		a.Machine.Agent.FencingToken > a.Delivery.Token:
-		// The agent now refuses a run command under the lower token.
+		// The agent now rejects a run command that carries the lower token.
 		if onlyCommandVoided(a) {
-			// The assignment remains, and the same attempt is sent again.
+			// The assignment is kept, and the run command for the same attempt is sent again.
 			a.Delivery.Sent = false
 			return
 		}
 		h.zones.lost(a)
 		h.lifecycle.release(a)
 	case a.Delivery.Seen && a.StopReason() == cluster.StopNone:
-		// An agent keeps a task until it gets a reap command. If a task is missing without
-		// one, it is not started elsewhere before old commands are void.
+		// An agent reports a task until it gets a reap command. If a task is missing without
+		// one, it is not started elsewhere until earlier commands are void.
 		h.lifecycle.stop(a, cluster.StopDrained)
 	}
 }
 
-// onlyCommandVoided tells whether a higher token voided the run command for an assignment
-// that the agent never had, and nothing else happened to it.
+// onlyCommandVoided reports whether the only event since the run command for an assignment was sent
+// is that a higher fencing token voided the command. The agent has then never had the task.
 func onlyCommandVoided(a *cluster.Assignment) bool {
 	if !a.Delivery.Sent || a.Delivery.Inherited || a.Delivery.Seen {
 		return false
@@ -266,11 +267,12 @@
 	return a.StopReason() == cluster.StopNone && a.Machine.Agent.Incarnation == a.Delivery.Incarnation
 }
 
-// handleActiveTask handles an assignment that the newest heartbeat shows as not ended.
+// handleActiveTask handles an assignment whose task the newest heartbeat reports as not ended.
 func (h *heartbeatHandler) handleActiveTask(a *cluster.Assignment, reported *cluster.ReportedTask) {
 	a.Delivery.Seen = true
 	if !a.Delivery.Sent {
-		// An inherited task is now known to be here. Commands for it carry new tokens.
+		// An inherited task is now known to be on this machine. Commands for it carry tokens of
+		// this term.
 		a.Delivery.Sent, a.Delivery.Inherited = true, false
 		a.Delivery.Incarnation = a.Machine.Agent.Incarnation
 	}
@@ -285,19 +287,20 @@
 	}
 }
 
-// handleEndedTask handles an assignment that the newest heartbeat shows as ended.
+// handleEndedTask handles an assignment whose task the newest heartbeat reports as ended.
 func (h *heartbeatHandler) handleEndedTask(a *cluster.Assignment, cause wire.ExitCause) {
 	m, j := a.Machine, a.Job
 	h.cluster.TouchImage(m, j.Spec.Image)
 	switch cause {
 	case wire.CauseDone:
-		h.zones.running(a) // it ran between two heartbeats
+		h.zones.running(a) // no heartbeat reported it as running if it ran between two heartbeats
 		h.lifecycle.complete(a)
 		return
 	case wire.CauseError:
 		h.failures.recordFailure(a)
 	case wire.CauseFull, wire.CauseInUse:
-		// The state of the machine was wrong. Other machines are preferred for a while.
+		// The recorded state of the machine is wrong. Anti-affinity makes the job prefer other
+		// machines temporarily.
 		h.failures.addAntiAffinity(j, m)
 	case wire.CauseNoSuch:
 		j.Queue.RetryAt = h.clock.Now().Add(unknownTaskBackoff)
--- a/scheduler/lease_expiry_test.go
+++ b/scheduler/lease_expiry_test.go
@@ -9,13 +9,14 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// fixedBound has previous leaders answer heartbeats until an instant.
+// fixedBound is the instant until which previous leaders may answer heartbeats, for all machines.
 type fixedBound monotonic.Instant
 
 func (u fixedBound) answeredUntil(*cluster.Machine) monotonic.Instant { return monotonic.Instant(u) }
 
-// A lease has expired once no leader can have answered the agent for a lease, drift and a
-// second. Previous leaders count until the agent is fenced.
+// A lease counts as expired only once it is certain that no leader has answered the agent for a lease,
+// the drift margin and a second. Before that, tasks that are still running would be released. Previous
+// leaders count until the agent is fenced.
 func TestLeaseExpiry(t *testing.T) {
 	const began = monotonic.Instant(time.Hour)
 	at := func(d time.Duration) monotonic.Instant { return began.Add(d) }
@@ -32,15 +33,15 @@
 		{"answered, then fenced", cluster.AgentStatus{Fenced: true, FencedAt: at(time.Minute), AnsweredAt: at(time.Second)}, at(time.Hour), at(time.Minute)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			present := clock.New(0)
-			leases := &leaseExpiry{clock: present, leaders: fixedBound(c.previousUntil), agentLease: simAgentLease}
+			testClock := clock.New(0)
+			leases := &leaseExpiry{clock: testClock, leaders: fixedBound(c.previousUntil), agentLease: simAgentLease}
 			m := &cluster.Machine{Agent: c.agent}
 			bound := c.lastAnswered.Add(monotonic.AddDriftMargin(simAgentLease) + time.Second)
-			present.Set(bound)
+			testClock.Set(bound)
 			if leases.expired(m) {
 				t.Error("expired at the bound")
 			}
-			present.Set(bound + 1)
+			testClock.Set(bound + 1)
 			if !leases.expired(m) {
 				t.Error("not expired after the bound")
 			}
--- a/scheduler/liveness.go
+++ b/scheduler/liveness.go
@@ -8,44 +8,44 @@
 )
 
 const (
-	// overdueHeartbeatSlack is added to one and a half heartbeat intervals until a heartbeat
-	// is overdue.
+	// overdueHeartbeatSlack is added to one and a half heartbeat intervals. A heartbeat is overdue
+	// after that time.
 	overdueHeartbeatSlack = 1500 * time.Millisecond
-	// minMachinesMissingHeartbeats is the least number of silent machines that together point to this
-	// controller's network.
+	// minMachinesMissingHeartbeats is the minimum number of machines that must miss heartbeats at
+	// once before this controller's network is the likelier cause.
 	minMachinesMissingHeartbeats = 3
 )
 
-// machineLiveness tells from heartbeats which machines are alive and may get tasks. It changes
-// nothing. All other policies may ask it.
+// machineLiveness determines from heartbeats which machines are alive and may get tasks. It does not
+// modify any state. All other policies may query it.
 type machineLiveness struct {
 	clock    *clock.Clock
 	settings healthSettings
 }
 
-// mostMissHeartbeats tells whether most of the machines that were heard before have been silent for
-// half a lease.
+// mostMissHeartbeats reports whether most of the machines that sent a heartbeat in this term have
+// sent none for half a lease.
 func (l *machineLiveness) mostMissHeartbeats(machines []*cluster.Machine) bool {
-	heard, silent := 0, 0
+	known, missing := 0, 0
 	for _, m := range machines {
 		if !m.Agent.HeardThisTerm {
 			continue
 		}
-		heard++
+		known++
 		if m.SilentFor(l.clock.Now(), l.settings.agentLease/2) {
-			silent++
+			missing++
 		}
 	}
-	return silent >= minMachinesMissingHeartbeats && 2*silent > heard
+	return missing >= minMachinesMissingHeartbeats && 2*missing > known
 }
 
-// heartbeatTimeout is how long a machine may be silent between two heartbeats until it gets no
-// new tasks and counts as silent for its zone.
+// heartbeatTimeout returns the maximum time between two heartbeats of a machine. After it, the
+// machine gets no new tasks and counts as unreachable in its zone.
 func (l *machineLiveness) heartbeatTimeout() time.Duration {
 	return l.settings.heartbeatInterval*3/2 + overdueHeartbeatSlack
 }
 
-// usable tells whether tasks may run on a machine.
+// usable reports whether tasks may run on a machine.
 func (l *machineLiveness) usable(m *cluster.Machine) bool {
 	switch {
 	case !m.Agent.HeardThisTerm || m.MachineType() == nil:
@@ -58,15 +58,15 @@
 	return l.provenAlive(m) && l.clock.Now() < m.Agent.LastHeard.Add(l.heartbeatTimeout())
 }
 
-// takesTasks tells whether new tasks may be placed on a machine: it is usable and not
+// takesTasks reports whether new tasks may be placed on a machine, which must be usable and not
 // quarantined.
 func (l *machineLiveness) takesTasks(m *cluster.Machine) bool {
 	return l.usable(m) && l.clock.Now() >= m.Health.QuarantinedUntil
 }
 
-// provenAlive tells whether a machine's heartbeats cannot all be delayed messages. A previous
-// leader may have terminated any machine that was not provisioned in this term. Only an answered
-// call, or a fencing token of this leader, shows that such a machine exists.
+// provenAlive reports whether it is certain that a machine's heartbeats are not all delayed
+// messages. A previous leader may have terminated any machine that was not provisioned in this term.
+// Only an answered call, or a fencing token of this leader, proves that such a machine exists.
 func (l *machineLiveness) provenAlive(m *cluster.Machine) bool {
 	return m.Lifecycle.ProvisionedThisTerm || m.Agent.AnsweredCall || m.Agent.Fenced || !l.settings.previousLeader
 }
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -11,39 +11,39 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A duplicate heartbeat that comes late does not renew a lease: its machine may be long dead,
-// and its tasks must be able to move.
+// A delayed duplicate heartbeat must not renew a lease. Its machine may have failed long before, and
+// the machine's tasks must then be released so that they can be placed elsewhere.
 func TestDuplicateHeartbeatsDoNotRenewALease(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	o := b.heartbeat("n-1", "a", 0)
+	response := b.heartbeat("n-1", "a", 0)
 	b.submit("job-1", wire.JobSpec{Tasks: 1, Service: true})
 	b.step()
-	o = b.heartbeat("n-1", "a", o.FencingToken)
+	response = b.heartbeat("n-1", "a", response.FencingToken)
 	run := wire.TaskStatus{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
-	b.heartbeat("n-1", "a", o.FencingToken, run)
+	b.heartbeat("n-1", "a", response.FencingToken, run)
 	last := b.sequence
 	for s := range 60 {
 		b.now = b.now.Add(time.Second)
-		for tick := last - 1; tick <= last; tick++ { // older ones, and the newest once more
-			b.c.Heartbeat(b.now, newHeartbeat("n-1", 1, tick, o.FencingToken, run))
+		for sequence := last - 1; sequence <= last; sequence++ { // an older heartbeat, and the newest one again
+			b.c.Heartbeat(b.now, newHeartbeat("n-1", 1, sequence, response.FencingToken, run))
 		}
 		b.step()
 		if m := b.c.cluster.Machine("n-1"); m == nil || len(m.Assignments()) == 0 {
 			if time.Duration(s)*time.Second < simAgentLease {
-				t.Fatalf("its task was released after %d s, within the lease", s)
+				t.Fatalf("the task was released after %d s, within the lease", s)
 			}
 			return
 		}
 		if s > 3 && b.c.health.usable(b.c.cluster.Machine("n-1")) && time.Duration(s)*time.Second > 2*simHeartbeatInterval {
-			t.Fatalf("after %d s of duplicates alone it counts as usable", s)
+			t.Fatalf("the machine is usable after %d s of duplicates alone", s)
 		}
 	}
-	t.Fatal("duplicates renewed a dead machine's lease")
+	t.Fatal("duplicate heartbeats renewed the lease of a failed machine")
 }
 
-// A duplicate heartbeat must not bring back a machine that this leader terminated.
-func TestDuplicateHeartbeatsDoNotReviveTerminatedMachines(t *testing.T) {
+// A duplicate heartbeat must not make the leader recreate a machine that it has terminated.
+func TestDuplicateHeartbeatsDoNotRecreateTerminatedMachines(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
 	b.heartbeat("n-1", "a", 0)
@@ -52,12 +52,13 @@
 	b.c.MachinesTerminated(b.now, []ids.MachineID{"n-1"})
 	b.heartbeat("n-1", "a", 0)
 	if b.c.cluster.Machine("n-1") != nil {
-		t.Fatal("it came back at the leader that terminated it")
+		t.Fatal("the terminated machine was recreated")
 	}
 }
 
-// The next leader does not know which machines were terminated before, and a duplicate
-// heartbeat may be of one of them. It places work on a machine that shows its token.
+// A new leader does not know which machines were terminated before its term, and a delayed heartbeat
+// may come from one of them. It must place tasks only on a machine that shows the leader's fencing
+// token.
 func TestNextLeaderNeedsProofThatAMachineExists(t *testing.T) {
 	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
 	b.c.Begin(b.now)
@@ -65,23 +66,24 @@
 	b.submit("job-1", wire.JobSpec{Tasks: 1})
 	b.step()
 	if b.c.cluster.Job("job-1").Task(0).Assignment() != nil {
-		t.Fatal("the next leader placed work on a machine of which it has only an old heartbeat")
+		t.Fatal("the next leader placed a task on a machine that showed only an old fencing token")
 	}
 	b.heartbeat("n-1", "a", ids.NewFencingToken(5, 0))
 	b.c.rounds.MarkDue()
 	b.step()
 	if b.c.cluster.Job("job-1").Task(0).Assignment() == nil {
-		t.Fatal("a machine that shows this leader's token is not used")
+		t.Fatal("no task was placed on a machine that showed this leader's fencing token")
 	}
 }
 
-// Most machines count as silent only if they are at least three and more than half of those
-// that were heard before.
+// Most machines count as missing heartbeats only if at least three do, and more than half of those
+// that sent a heartbeat in this term. Otherwise the failure of a few machines would be attributed to
+// the controller's network, and the machines would not be terminated.
 func TestMostMissHeartbeats(t *testing.T) {
 	for _, c := range []struct {
-		name                   string
-		silent, heard, booting int
-		mostSilent             bool
+		name                    string
+		missing, alive, booting int
+		want                    bool
 	}{
 		{"all of three", 3, 0, 0, true},
 		{"both of two", 2, 0, 0, false},
@@ -91,27 +93,27 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := monotonic.Instant(time.Hour)
-			present := clock.New(0)
-			present.Set(now)
-			l := &machineLiveness{clock: present, settings: testHealthSettings}
+			testClock := clock.New(0)
+			testClock.Set(now)
+			l := &machineLiveness{clock: testClock, settings: testHealthSettings}
 			var machines []*cluster.Machine
 			add := func(count int, agent cluster.AgentStatus) {
 				for range count {
 					machines = append(machines, &cluster.Machine{Agent: agent})
 				}
 			}
-			add(c.silent, cluster.AgentStatus{HeardThisTerm: true, LastHeard: now.Add(-simAgentLease/2 - 1)})
-			add(c.heard, cluster.AgentStatus{HeardThisTerm: true, LastHeard: now.Add(-simAgentLease / 2)})
+			add(c.missing, cluster.AgentStatus{HeardThisTerm: true, LastHeard: now.Add(-simAgentLease/2 - 1)})
+			add(c.alive, cluster.AgentStatus{HeardThisTerm: true, LastHeard: now.Add(-simAgentLease / 2)})
 			add(c.booting, cluster.AgentStatus{})
-			if got := l.mostMissHeartbeats(machines); got != c.mostSilent {
-				t.Errorf("most silent %v", got)
+			if got := l.mostMissHeartbeats(machines); got != c.want {
+				t.Errorf("mostMissHeartbeats = %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A machine that a previous leader may have terminated takes tasks only once it has shown that
-// it exists.
+// A machine that a previous leader may have terminated must get tasks only once it has proved that it
+// exists. Its heartbeats may otherwise all be delayed messages.
 func TestProvenAlive(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -128,7 +130,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			l := &machineLiveness{clock: clock.New(0), settings: healthSettings{previousLeader: c.previousLeader}}
 			if got := l.provenAlive(&c.machine); got != c.proven {
-				t.Errorf("proven alive %v", got)
+				t.Errorf("provenAlive = %v, want %v", got, c.proven)
 			}
 		})
 	}
--- a/scheduler/machine_check.go
+++ b/scheduler/machine_check.go
@@ -7,72 +7,74 @@
 )
 
 const (
-	// missedHeartbeatLeases is for how many leases a machine without tasks may be silent until it is
-	// terminated. One that hung or lost the network often sends heartbeats again soon after its
-	// lease expired, before another one could boot, and holds its images. One that failed costs
-	// nothing more, and the cloud's list shows that.
+	// missedHeartbeatLeases is the number of leases for which a machine without tasks may miss
+	// heartbeats before it is terminated. A machine that hung or lost its network often sends
+	// heartbeats again soon after its lease expires, before a replacement could boot, and still has
+	// its images cached. A machine that failed incurs no further cost, and the cloud's list shows
+	// that it failed.
 	missedHeartbeatLeases = 2
-	// missingListsLimit is in how many of the cloud's lists in a row a machine must be
-	// missing until it counts as gone.
+	// missingListsLimit is the number of the cloud's lists in a row from which a machine must be
+	// missing before it counts as gone.
 	missingListsLimit = 2
-	// missingHeartbeatIntervals is for how many heartbeat intervals such a machine must be silent
-	// as well.
+	// missingHeartbeatIntervals is the number of heartbeat intervals for which such a machine must
+	// also have sent no heartbeat.
 	missingHeartbeatIntervals = 2
-	// resumeHeartbeatIntervals is how many heartbeat intervals after a pause of this process a
-	// machine still has to send its first heartbeat.
+	// resumeHeartbeatIntervals is the number of heartbeat intervals that a booting machine still has
+	// to send its first heartbeat after this process resumes from a pause.
 	resumeHeartbeatIntervals = 2
-	// cancelOverduePercent is the part of the cancel deadline after which a machine that
-	// still holds a cancelled task is terminated. The rest of the deadline is for the cloud.
+	// cancelOverduePercent is the percentage of the cancel deadline after which a machine that still
+	// holds a cancelled task is terminated. The cloud needs the rest of the deadline for the
+	// termination.
 	cancelOverduePercent = 45
 )
 
-// keepMachine means that there is no reason to terminate a machine.
+// keepMachine means that there is no reason to terminate the machine.
 const keepMachine terminateReason = ""
 
-// machineCheck is the state of one check of all machines.
+// machineCheck holds the state of one check of all machines.
 type machineCheck struct {
 	*healthMonitor
-	// widespreadHeartbeatLoss tells that most machines fell silent at once. The cause is then more likely
-	// this controller's network than the machines, which are not terminated for it.
+	// widespreadHeartbeatLoss reports whether most machines miss heartbeats at the same time. The
+	// likelier cause is then this controller's network, so machines are not terminated for it.
 	widespreadHeartbeatLoss bool
 }
 
-// run terminates a machine that cannot be used any more, or releases the tasks of one whose
-// lease has expired.
+// run terminates a machine that can no longer be used, or releases the tasks of a machine whose lease
+// has expired.
 func (c *machineCheck) run(m *cluster.Machine) {
-	if why := c.goneReason(m); why != keepMachine {
-		c.terminate(m, why)
+	if reason := c.goneReason(m); reason != keepMachine {
+		c.terminate(m, reason)
 		return
 	}
 	if c.hasExpiredTasks(m) {
-		// A later check releases the tasks whose records are being written.
+		// Tasks whose records are being written are released by a later check.
 		c.registry.releaseTasks(m)
 		c.commands.queueCommands(m)
 		return
 	}
-	if why := c.unusableReason(m); why != keepMachine {
-		c.terminate(m, why)
+	if reason := c.unusableReason(m); reason != keepMachine {
+		c.terminate(m, reason)
 	}
 }
 
-// terminate terminates a machine. A spot instance that is missing without notice was
-// taken back by the cloud.
-func (c *machineCheck) terminate(m *cluster.Machine, why terminateReason) {
-	if why == terminateMissing && m.Spot() && m.Health.SpotReclaimAt == 0 {
+// terminate terminates a machine. A spot instance that goes missing without a reclaim notice counts
+// as reclaimed by the cloud.
+func (c *machineCheck) terminate(m *cluster.Machine, reason terminateReason) {
+	if reason == terminateMissing && m.Spot() && m.Health.SpotReclaimAt == 0 {
 		c.autoscaler.recordSpotLoss()
 	}
-	c.registry.terminateMachine(m, why)
+	c.registry.terminateMachine(m, reason)
 }
 
-// goneReason is why a machine is terminated that does not exist any more or never came up,
-// or keepMachine.
+// goneReason returns the reason to terminate a machine that no longer exists or failed to boot, or
+// keepMachine if there is none.
 func (c *machineCheck) goneReason(m *cluster.Machine) terminateReason {
 	switch {
 	case m.Lifecycle.ListedStatus == wire.MachineFailed:
 		return terminateFailed
 	case m.Lifecycle.MissingLists >= missingListsLimit && m.SilentFor(c.clock.Now(), missingHeartbeatIntervals*c.settings.heartbeatInterval):
-		// To terminate a machine that is gone has no effect, and the cloud's answer proves
-		// that it is gone.
+		// Terminating a machine that no longer exists has no effect, and the cloud's response
+		// proves that the machine no longer exists.
 		return terminateMissing
 	case c.bootFailed(m):
 		return terminateBootFailed
@@ -80,26 +82,27 @@
 	return keepMachine
 }
 
-// unusableReason is why a machine is terminated that may still exist, or keepMachine.
+// unusableReason returns the reason to terminate a machine that may still exist but cannot be used,
+// or keepMachine if there is none.
 func (c *machineCheck) unusableReason(m *cluster.Machine) terminateReason {
 	switch {
 	case c.missedHeartbeatsTooLong(m):
 		return terminateMissedHeartbeats
 	case c.cancelOverdue(m):
-		// Whether the machine is silent or does not follow commands, only its termination
-		// ends the task for certain.
+		// Whether the machine misses heartbeats or does not carry out commands, only its
+		// termination is certain to end the task.
 		return terminateCancelled
 	case c.reachability.overdue(m):
-		// No other controller can reach it either. Once it is terminated, its tasks have
-		// ended and may go elsewhere.
+		// No other controller can reach the machine either. Once the machine is terminated,
+		// its tasks have ended and may be placed elsewhere.
 		return terminateUnreachable
 	}
 	return keepMachine
 }
 
-// bootFailed tells whether a machine takes too long to boot. A previous leader's machines
-// have booted already and need time to find this leader. During a pause of this process no
-// heartbeat could arrive.
+// bootFailed reports whether a machine has exceeded its boot deadline. Machines of a previous leader
+// may already have booted and need time to find this leader. No heartbeat can arrive while this
+// process is paused, so the deadline is extended after a pause.
 func (c *machineCheck) bootFailed(m *cluster.Machine) bool {
 	if m.Agent.HeardThisTerm || m.Lifecycle.BootDeadline == 0 || len(m.Assignments()) > 0 {
 		return false
@@ -111,8 +114,8 @@
 	return c.clock.Now() > deadline
 }
 
-// missedHeartbeatsTooLong tells whether a machine without tasks has been silent for longer than machines
-// usually are that send heartbeats again, while others are heard.
+// missedHeartbeatsTooLong reports whether a machine without tasks has missed heartbeats for longer
+// than machines that recover usually do, while other machines still send heartbeats.
 func (c *machineCheck) missedHeartbeatsTooLong(m *cluster.Machine) bool {
 	if !m.Agent.HeardThisTerm || len(m.Assignments()) > 0 || c.widespreadHeartbeatLoss || c.zonePartitionedRecently(m.Zone()) {
 		return false
@@ -120,10 +123,11 @@
 	return m.SilentFor(c.clock.Now(), missedHeartbeatLeases*c.settings.agentLease)
 }
 
-// cancelOverdue tells whether a machine holds a task of a cancelled job that must end soon.
+// cancelOverdue reports whether a machine still holds a task of a cancelled job for which
+// cancelOverduePercent of the cancel deadline has passed.
 func (c *machineCheck) cancelOverdue(m *cluster.Machine) bool {
 	if m.Staying() == len(m.Assignments()) {
-		return false // nothing is stopped
+		return false // no task is stopping
 	}
 	for _, a := range m.Assignments() {
 		if a.StopReason() != cluster.StopCancelled {
@@ -136,7 +140,7 @@
 	return false
 }
 
-// hasExpiredTasks tells whether a machine with tasks has lost its lease, so that the tasks
+// hasExpiredTasks reports whether a machine has tasks and its lease has expired, so that the tasks
 // have ended.
 func (c *machineCheck) hasExpiredTasks(m *cluster.Machine) bool {
 	return len(m.Assignments()) > 0 && c.leases.expired(m) && m.SilentFor(c.clock.Now(), monotonic.AddDriftMargin(c.settings.agentLease))
--- a/scheduler/machine_check_test.go
+++ b/scheduler/machine_check_test.go
@@ -10,8 +10,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A silent machine whose lease has expired runs nothing any more, but often comes back sooner
-// than another one boots: it hung, or was partitioned.
+// A machine that misses heartbeats runs no tasks once its lease has expired. If it hung or was
+// partitioned, it often sends heartbeats again before a replacement could boot, so it must not be
+// terminated as soon as its lease expires.
 func TestMachineThatMissesHeartbeatsIsNotTerminatedImmediately(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
@@ -19,8 +20,8 @@
 	start := b.now
 	for ; b.now < start.Add(3*simAgentLease); b.now = b.now.Add(time.Second) {
 		if e := b.step(); len(e.Terminate) > 0 {
-			if silent := b.now.Sub(start); silent < missedHeartbeatLeases*simAgentLease {
-				t.Errorf("terminated after %v", silent)
+			if after := b.now.Sub(start); after < missedHeartbeatLeases*simAgentLease {
+				t.Errorf("terminated after %v, want at least %v", after, missedHeartbeatLeases*simAgentLease)
 			}
 			return
 		}
@@ -28,7 +29,8 @@
 	t.Error("never terminated")
 }
 
-// A machine that never boots is terminated in the end, and costs no more.
+// A machine that never boots must be terminated after its boot deadline. Otherwise it incurs costs
+// indefinitely.
 func TestMachineThatNeverBootsIsTerminated(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.ProvisioningGranted(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"})
@@ -41,8 +43,8 @@
 	t.Error("never terminated")
 }
 
-// A cancelled job's task on a machine that sends heartbeats but does not carry out commands must
-// end in time as well.
+// The task of a cancelled job must end within the cancel deadline even if its machine sends heartbeats
+// but does not carry out commands. The machine must then be terminated.
 func TestCancelledTaskOnAnUnreachableMachine(t *testing.T) {
 	b := newHarness(t, Options{})
 	token, running := b.runTask()
@@ -52,10 +54,10 @@
 		b.heartbeat("n-1", "a", token, running)
 		if slices.Contains(b.step().Terminate, "n-1") {
 			if s < 10 {
-				t.Fatalf("terminated after %d s, before it could end the task", s)
+				t.Fatalf("terminated after %d s, before the agent had time to end the task", s)
 			}
 			return
 		}
 	}
-	t.Fatal("the task was left on its machine beyond the time for cancellations")
+	t.Fatal("the machine with the cancelled task was not terminated within the cancel deadline")
 }
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -11,11 +11,11 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// machineRegistry follows machines from the cloud's list until the cloud has confirmed that
-// they are terminated, and decides on calls to terminate them. The core passes the cloud's
-// lists and confirmations to it; the health check and scale in choose the machines to
-// terminate. It must not conclude from one list that a machine is gone, nor remove a machine
-// that still has tasks.
+// machineRegistry tracks machines from their appearance in the cloud's list until the cloud confirms
+// their termination, and decides when the cloud is called to terminate them. The core passes the
+// cloud's lists and confirmations to the registry. The health check and scale in choose the machines
+// to terminate. The registry must not conclude from a single list that a machine is gone, and must
+// not remove a machine that still has tasks.
 type machineRegistry struct {
 	cluster   *cluster.State
 	clock     *clock.Clock
@@ -24,32 +24,32 @@
 	lifecycle taskReleaser
 	zones     lossObserver
 	settings  registrySettings
-	// terminateCounts counts the terminated machines by reason, for the log.
+	// terminateCounts holds the number of terminated machines by reason, for the log.
 	terminateCounts map[terminateReason]int
-	// terminate and forgotten are decisions of the present step.
+	// terminate and addressesToForget hold the decisions that takeDecisions has not returned yet.
 	terminate         []ids.MachineID
 	addressesToForget []string
 }
 
-// registrySettings are the settings of the machine registry.
+// registrySettings holds the settings of the machine registry.
 type registrySettings struct {
-	// previousLeader tells that another leader may have acted before.
+	// previousLeader reports whether another leader may have acted before this term.
 	previousLeader bool
-	// listLag is how far the cloud's list of machines may lag behind.
+	// listLag is the maximum staleness of the cloud's list of machines.
 	listLag time.Duration
 }
 
-// taskReleaser takes tasks that are known to have ended off their machines.
+// taskReleaser releases tasks that are known to have ended from their machines.
 type taskReleaser interface {
 	release(a *cluster.Assignment)
 }
 
-// lossObserver learns that a task was lost with its machine.
+// lossObserver records that a task was lost with its machine.
 type lossObserver interface {
 	lost(a *cluster.Assignment)
 }
 
-// begin marks the machines that records name as known since the term began.
+// begin marks the machines that the records name as known since the term began.
 func (r *machineRegistry) begin() {
 	for _, m := range r.cluster.Machines() {
 		m.Lifecycle.KnownSince = r.clock.Now()
@@ -57,14 +57,15 @@
 	}
 }
 
-// takeDecisions returns the machines to terminate and the addresses to forget.
+// takeDecisions returns the machines to terminate and the addresses to forget since the last call,
+// and clears them.
 func (r *machineRegistry) takeDecisions() (terminate []ids.MachineID, forget []string) {
 	terminate, forget = r.terminate, r.addressesToForget
 	r.terminate, r.addressesToForget = nil, nil
 	return terminate, forget
 }
 
-// setSite notes what a machine is, and its agent's address unless that is "".
+// setSite records a machine's site, and its agent's address unless that is "".
 func (r *machineRegistry) setSite(m *cluster.Machine, site placement.Site, endpoint string) {
 	if endpoint != "" {
 		r.cluster.SetEndpoint(m, endpoint)
@@ -73,15 +74,15 @@
 	r.cluster.SetSite(m, site)
 }
 
-// MachineList takes the cloud's list of machines. It lags and may be older than the previous
-// one, so absence proves nothing by itself. asked is when it was requested.
-func (c *Core) MachineList(now, asked monotonic.Instant, list []wire.Machine) {
+// MachineList updates the machines from the cloud's list, which was requested at requestedAt. The
+// list lags and may be older than the previous one, so the absence of a machine alone proves nothing.
+func (c *Core) MachineList(now, requestedAt monotonic.Instant, list []wire.Machine) {
 	c.clock.Set(now)
-	c.registry.observeList(asked, list)
+	c.registry.observeList(requestedAt, list)
 }
 
 // observeList updates the machines from the cloud's list.
-func (r *machineRegistry) observeList(asked monotonic.Instant, list []wire.Machine) {
+func (r *machineRegistry) observeList(requestedAt monotonic.Instant, list []wire.Machine) {
 	listed := map[ids.MachineID]bool{}
 	for i := range list {
 		entry := &list[i]
@@ -92,7 +93,7 @@
 		m := r.cluster.Machine(entry.ID)
 		if m == nil {
 			m = r.cluster.EnsureMachine(entry.ID)
-			m.Lifecycle.KnownSince = asked.Add(-monotonic.Seconds(entry.AgeS))
+			m.Lifecycle.KnownSince = requestedAt.Add(-monotonic.Seconds(entry.AgeS))
 		}
 		r.setSite(m, placement.Site{Type: entry.Type, Zone: entry.Zone, Spot: entry.Spot}, entry.Endpoint)
 		if m.Lifecycle.ListedStatus != entry.Status && !m.Agent.HeardThisTerm && r.settings.previousLeader {
@@ -100,24 +101,25 @@
 		}
 		m.Lifecycle.ListedStatus, m.Lifecycle.MissingLists = entry.Status, 0
 	}
-	r.countMissing(asked, listed)
+	r.countMissing(requestedAt, listed)
 }
 
-// countMissing counts for each machine the lists in a row without it. Machines on
-// which a previous leader placed tasks count too, once the list must show them. Otherwise one
-// that failed together with that leader would keep its tasks for the whole grace and a lease.
-func (r *machineRegistry) countMissing(asked monotonic.Instant, listed map[ids.MachineID]bool) {
-	began := r.clock.TermBegan()
-	caughtUp := asked > began.Add(2*r.settings.listLag+time.Second)
+// countMissing counts, for each machine, the consecutive lists that do not contain it. It includes
+// machines on which a previous leader placed tasks, once the list is recent enough to show them.
+// Otherwise a machine that fails together with that leader keeps its tasks for the whole grace period
+// and a lease.
+func (r *machineRegistry) countMissing(requestedAt monotonic.Instant, listed map[ids.MachineID]bool) {
+	termBegan := r.clock.TermBegan()
+	caughtUp := requestedAt > termBegan.Add(2*r.settings.listLag+time.Second)
 	for _, m := range r.cluster.Machines() {
-		inherited := m.Lifecycle.KnownSince <= began && caughtUp
+		inherited := m.Lifecycle.KnownSince <= termBegan && caughtUp
 		if (m.Lifecycle.ListedStatus != "" || inherited) && !listed[m.ID] {
 			m.Lifecycle.MissingLists++
 		}
 	}
 }
 
-// terminateReason tells why a machine is terminated, for the log.
+// terminateReason represents why a machine is terminated, for the log.
 type terminateReason string
 
 // The reasons for terminating a machine.
@@ -131,30 +133,30 @@
 	terminateIdle             terminateReason = "idle"
 )
 
-// terminateMachine decides to terminate a machine. It does not wait for records in flight:
-// tasks whose placement is being recorded were never started, and a cancelled job's task on
-// the same machine must end in time.
-func (r *machineRegistry) terminateMachine(m *cluster.Machine, why terminateReason) {
-	r.terminateCounts[why]++
+// terminateMachine decides to terminate a machine. It does not wait for records in flight: tasks
+// whose placement is being recorded were never started, and a task of a cancelled job on the same
+// machine must end before the cancel deadline.
+func (r *machineRegistry) terminateMachine(m *cluster.Machine, reason terminateReason) {
+	r.terminateCounts[reason]++
 	r.requestTermination(m)
 }
 
-// requestTermination decides to call the cloud to terminate a machine, also if a call failed
-// before.
+// requestTermination decides to call the cloud to terminate a machine. It also retries after a
+// failed call.
 func (r *machineRegistry) requestTermination(m *cluster.Machine) {
 	m.Lifecycle.Terminating, m.Lifecycle.TerminateInFlight = true, true
 	r.terminate = append(r.terminate, m.ID)
 	r.rounds.MarkDue()
 }
 
-// MachinesTerminated takes the cloud's confirmation that machines are terminated, with
-// everything on them.
+// MachinesTerminated records the cloud's confirmation that machines, and all tasks on them, are
+// terminated.
 func (c *Core) MachinesTerminated(now monotonic.Instant, machines []ids.MachineID) {
 	c.clock.Set(now)
 	c.registry.recordTerminated(machines)
 }
 
-// recordTerminated notes that machines are recordTerminated.
+// recordTerminated records that machines are terminated, and removes them.
 func (r *machineRegistry) recordTerminated(machines []ids.MachineID) {
 	for _, id := range machines {
 		if m := r.cluster.Machine(id); m != nil {
@@ -165,8 +167,8 @@
 	}
 }
 
-// releaseTasks releases the tasks of a machine on which nothing runs any more, except those
-// whose records are being written.
+// releaseTasks releases the tasks of a machine on which no task runs any more, except those whose
+// records are being written.
 func (r *machineRegistry) releaseTasks(m *cluster.Machine) {
 	for _, a := range m.AssignmentsSnapshot() {
 		if !a.Record.InFlight {
@@ -176,7 +178,8 @@
 	}
 }
 
-// removeMachine drops a machine that is terminated, and releases its tasks.
+// removeMachine releases the tasks of a terminated machine and removes the machine. If a task cannot
+// be released yet, the machine is kept.
 func (r *machineRegistry) removeMachine(m *cluster.Machine) {
 	r.releaseTasks(m)
 	if len(m.Assignments()) > 0 {
@@ -188,7 +191,7 @@
 	}
 }
 
-// Endpoint is the address of a machine's agent; "" if it is not known.
+// Endpoint returns the address of a machine's agent, or "" if it is not known.
 func (c *Core) Endpoint(id ids.MachineID) string {
 	if m := c.cluster.Machine(id); m != nil {
 		return m.Endpoint()
--- a/scheduler/reachability.go
+++ b/scheduler/reachability.go
@@ -10,18 +10,18 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// acknowledgeSlack is added to two heartbeat intervals until a machine must have shown that
-// a command reached it.
+// acknowledgeSlack is added to two heartbeat intervals. Within that time a machine must have shown
+// that a command reached it.
 const acknowledgeSlack = 2 * time.Second
 
-// reachabilityDetector detects one-way partitions: a machine's heartbeats arrive, but no
-// command reaches it. Such a machine looks healthy, takes tasks and never runs them. It
-// shows in one of two ways: the machine's lease expires although every heartbeat was answered,
-// or a task for which a run command was sent does not appear.
+// reachabilityDetector detects one-way partitions, in which a machine's heartbeats arrive but no
+// command reaches the machine. Such a machine looks healthy, is assigned tasks and never runs them.
+// There are two symptoms: the machine's lease expires although every heartbeat was answered, or
+// heartbeats do not report a task for which a run command was sent.
 //
-// Each heartbeat that is newer than all before it goes to observe, or to confirm if the
-// machine sent it in answer to a call. The detector terminates no machine: the health check
-// does, once a machine is overdue.
+// Each heartbeat that is newer than all previous ones is passed to observe, or to markReachable if
+// the machine sent it in response to a call. The detector itself terminates no machine. The health
+// check does so once a machine is overdue.
 type reachabilityDetector struct {
 	clock    *clock.Clock
 	rounds   *clock.RoundTrigger
@@ -29,15 +29,16 @@
 	settings healthSettings
 }
 
-// fencingTokens gives machines new fencing tokens.
+// fencingTokens issues fencing tokens to machines.
 type fencingTokens interface {
-	// tokenOf is the token that commands to a machine carry now.
+	// tokenOf returns the token that commands to a machine carry now.
 	tokenOf(m *cluster.Machine) ids.FencingToken
-	// raiseToken makes commands to a machine carry a higher token from now on.
+	// raiseToken makes all further commands to a machine carry a higher token.
 	raiseToken(m *cluster.Machine)
 }
 
-// markReachable notes that a machine answered a call, so that commands reach it.
+// markReachable records that commands reach a machine, as an answered call or its newest fencing
+// token shows.
 func (d *reachabilityDetector) markReachable(m *cluster.Machine) {
 	if m.Health.Unreachable {
 		d.rounds.MarkDue()
@@ -45,49 +46,50 @@
 	m.Health.Unreachable = false
 }
 
-// observe judges from a heartbeat whether commands reach the machine. The heartbeat must not
+// observe determines from a heartbeat whether commands reach the machine. The heartbeat must not
 // have been applied to m yet.
 func (d *reachabilityDetector) observe(m *cluster.Machine, heartbeat *wire.Heartbeat) {
 	switch {
 	case m.Health.Unreachable:
 		if heartbeat.FencingToken >= d.tokens.tokenOf(m) {
-			d.markReachable(m) // it has received the newer token
+			d.markReachable(m) // the machine has received the raised token
 		}
 	case !m.Agent.HeardThisTerm:
-		// No command was sent to it yet.
+		// No command has been sent to the machine yet.
 	case d.lostAnsweredLease(m, heartbeat) || d.runCommandUnacknowledged(m, heartbeat):
 		m.Health.Unreachable, m.Health.UnreachableSince = true, d.clock.Now()
-		// A machine that receives the new token shows it in its next heartbeats.
+		// A machine that receives the raised token shows it in its next heartbeats.
 		d.tokens.raiseToken(m)
 		d.rounds.MarkDue()
 	}
 }
 
-// overdue tells whether an unreachable machine has had enough time to show that it is not.
+// overdue reports whether an unreachable machine has had enough time to show that commands reach it.
 func (d *reachabilityDetector) overdue(m *cluster.Machine) bool {
 	return m.Health.Unreachable && d.clock.Now() > m.Health.UnreachableSince.Add(d.acknowledgeTimeout())
 }
 
-// acknowledgeTimeout is how long a machine has to show that a command reached it.
+// acknowledgeTimeout returns the time within which a machine must show that a command reached it.
 func (d *reachabilityDetector) acknowledgeTimeout() time.Duration {
 	return 2*d.settings.heartbeatInterval + acknowledgeSlack
 }
 
-// lostAnsweredLease tells whether an agent lost its lease, and so began a new incarnation,
+// lostAnsweredLease reports whether an agent lost its lease, and so began a new incarnation,
 // although a heartbeat was answered within the last two thirds of a lease.
 func (d *reachabilityDetector) lostAnsweredLease(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
 	answeredRecently := d.clock.Now() < m.Agent.AnsweredAt.Add(d.settings.agentLease*2/3)
 	return heartbeat.Incarnation > m.Agent.Incarnation && answeredRecently
 }
 
-// runCommandUnacknowledged tells whether a heartbeat lacks a task for which a run command was
-// sent longer ago than acknowledgeTimeout.
+// runCommandUnacknowledged reports whether a heartbeat lacks a task for which a run command was sent
+// longer ago than acknowledgeTimeout.
 func (d *reachabilityDetector) runCommandUnacknowledged(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
 	for _, a := range m.Assignments() {
 		if !a.Delivery.Sent || a.Delivery.Seen || a.StopReason() != cluster.StopNone {
 			continue
 		}
-		// During a pause of this process no heartbeat could show it.
+		// No heartbeat can arrive while this process is paused, so the time before it resumed
+		// does not count.
 		waitingSince := max(a.Delivery.SentAt, d.clock.ResumedAt())
 		if d.clock.Now() > waitingSince.Add(d.acknowledgeTimeout()) && !reportsTask(heartbeat, a) {
 			return true
@@ -96,7 +98,7 @@
 	return false
 }
 
-// reportsTask tells whether a heartbeat shows an attempt of a task.
+// reportsTask reports whether a heartbeat contains the assignment's attempt of its task.
 func reportsTask(heartbeat *wire.Heartbeat, a *cluster.Assignment) bool {
 	name := a.Ref().String()
 	return slices.ContainsFunc(heartbeat.Tasks, func(t wire.TaskStatus) bool {
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -13,13 +13,15 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// newHeartbeat is a heartbeat as an agent in zone a would send it, for messages out of order.
-func newHeartbeat(host ids.MachineID, tenure ids.AgentIncarnation, tick ids.Sequence, token ids.FencingToken, tasks ...wire.TaskStatus) *wire.Heartbeat {
-	return &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: "a", Incarnation: tenure, Sequence: tick, FencingToken: token, Tasks: tasks}
+// newHeartbeat returns a heartbeat of an agent in zone a with the given incarnation and sequence
+// number, so that tests can deliver heartbeats out of order.
+func newHeartbeat(machine ids.MachineID, incarnation ids.AgentIncarnation, sequence ids.Sequence, token ids.FencingToken, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: machine, Endpoint: string(machine), Type: "m", Zone: "a", Incarnation: incarnation, Sequence: sequence, FencingToken: token, Tasks: tasks}
 }
 
-// A machine whose heartbeats arrive, but which receives nothing, would take work for ever
-// and do none. It gets no more, is terminated, and its work moves only then.
+// A machine whose heartbeats arrive, but which receives no commands, could be assigned tasks
+// indefinitely without running any. It must get no further tasks and must be terminated. Its tasks
+// must be placed elsewhere only after the termination.
 func TestUnreachableMachineIsTerminated(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
@@ -32,18 +34,18 @@
 	b.c.MachinesTerminated(b.now, []ids.MachineID{"n-1"})
 	b.step()
 	if a := b.assignmentOf("job-1"); a == nil || a.Machine.ID != "n-2" {
-		t.Fatal("its task did not move")
+		t.Fatal("the task was not placed on the other machine")
 	}
 }
 
-// awaitTerminationOfUnreachable steps until n-1 is terminated, which gets no command. The
-// task of job-1 stays on it, and job-2, submitted meanwhile, is not placed on it.
+// awaitTerminationOfUnreachable steps until n-1, which receives no command, is terminated. It fails the
+// test if the task of job-1 is released before, or if job-2, submitted in the meantime, is placed.
 func (b *harness) awaitTerminationOfUnreachable() {
 	b.t.Helper()
 	for s := range 40 {
 		b.now = b.now.Add(time.Second)
 		e := b.step()
-		b.loseCommands(e)
+		b.dropCommands(e)
 		if s%3 == 0 {
 			b.heartbeat("n-1", "a", 0)
 		}
@@ -51,20 +53,20 @@
 			b.submit("job-2", wire.JobSpec{Tasks: 1})
 		}
 		if b.assignmentOf("job-2") != nil {
-			b.t.Fatalf("after %d s: new work was placed on it", s)
+			b.t.Fatalf("after %d s: a new task was placed on the unreachable machine", s)
 		}
 		if b.assignmentOf("job-1") == nil {
-			b.t.Fatalf("after %d s: its task was released before it was terminated", s)
+			b.t.Fatalf("after %d s: the task was released before its machine was terminated", s)
 		}
 		if slices.Contains(e.Terminate, "n-1") {
 			return
 		}
 	}
-	b.t.Fatal("never terminated")
+	b.t.Fatal("the unreachable machine was not terminated")
 }
 
-// loseCommands takes the commands that a step sends, and gives no response to them.
-func (b *harness) loseCommands(e Decisions) {
+// dropCommands takes the commands that a step sends, and reports that no call got a response.
+func (b *harness) dropCommands(e Decisions) {
 	for _, machine := range e.SendCommands {
 		if _, _, ok := b.c.TakeCommands(b.now, machine); ok {
 			b.c.CommandsResult(b.now, machine, nil)
@@ -72,7 +74,8 @@
 	}
 }
 
-// assignmentOf is the assignment of a job's first task, or nil if it or the job has none.
+// assignmentOf returns the assignment of a job's first task, or nil if the job does not exist or the
+// task has no assignment.
 func (b *harness) assignmentOf(id ids.JobID) *cluster.Assignment {
 	if j := b.c.cluster.Job(id); j != nil {
 		return j.Task(0).Assignment()
@@ -80,16 +83,17 @@
 	return nil
 }
 
-// A lease that expires although every heartbeat was answered shows that the machine receives
-// nothing. One that then shows the new token has only missed something.
+// A lease that expires although every heartbeat was answered shows that the machine receives no
+// messages. It must get no tasks, and must be terminated unless it shows the raised fencing token,
+// which proves that it receives messages again.
 func TestLeaseExpiryDespiteAnsweredHeartbeats(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		shows      ids.FencingToken // 0: the first one it was told
+		shows      ids.FencingToken // 0: the first token that the machine was given
 		terminated bool
 	}{
-		{"receives nothing", 0, true},
-		{"receives again", ids.NewFencingToken(5, 1), false},
+		{"receives no messages", 0, true},
+		{"receives messages again", ids.NewFencingToken(5, 1), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newHarness(t, Options{})
@@ -101,7 +105,7 @@
 			b.submit("job-1", wire.JobSpec{Tasks: 1})
 			b.step()
 			if b.assignmentOf("job-1") != nil {
-				t.Fatal("work was placed on a machine that may receive nothing")
+				t.Fatal("a task was placed on a machine that may receive no messages")
 			}
 			var terminated bool
 			for s := 0; s < 20 && b.assignmentOf("job-1") == nil; s++ {
@@ -110,19 +114,19 @@
 				terminated = terminated || slices.Contains(b.step().Terminate, "n-1")
 			}
 			if placed := b.assignmentOf("job-1") != nil; terminated != c.terminated || placed == c.terminated {
-				t.Errorf("terminated %v, work placed %v", terminated, placed)
+				t.Errorf("terminated: %v, task placed: %v", terminated, placed)
 			}
 		})
 	}
 }
 
-// secondIncarnation has n-1 send a heartbeat of its agent's second incarnation.
+// secondIncarnation sends a heartbeat of the second incarnation of n-1's agent.
 func (b *harness) secondIncarnation(token ids.FencingToken) {
 	b.sequence++
 	b.c.Heartbeat(b.now, newHeartbeat("n-1", 2, b.sequence, token))
 }
 
-// countingTokens counts how often a machine was given a new fencing token.
+// countingTokens counts how often the fencing token was raised.
 type countingTokens struct{ raised uint64 }
 
 func (c *countingTokens) tokenOf(*cluster.Machine) ids.FencingToken {
@@ -131,38 +135,38 @@
 
 func (c *countingTokens) raiseToken(*cluster.Machine) { c.raised++ }
 
-// A new incarnation shows that the agent lost its lease. Only if a heartbeat was answered
-// lately, the answer cannot have arrived.
+// A new incarnation shows that the agent lost its lease. Only if a heartbeat was answered recently does
+// this prove that the response did not arrive, and only then must the machine become unreachable.
 func TestNewIncarnationAfterAnAnswer(t *testing.T) {
 	const answeredAt = monotonic.Instant(time.Hour)
 	for _, c := range []struct {
 		name        string
 		incarnation ids.AgentIncarnation
-		after       time.Duration // since the answer
+		after       time.Duration // since the response
 		unreachable bool
 	}{
 		{"same incarnation", 1, time.Second, false},
-		{"new incarnation, answered lately", 2, simAgentLease*2/3 - 1, true},
+		{"new incarnation, answered recently", 2, simAgentLease*2/3 - 1, true},
 		{"new incarnation, answered long ago", 2, simAgentLease * 2 / 3, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			present, tokens := clock.New(0), &countingTokens{}
-			present.Set(answeredAt.Add(c.after))
-			d := &reachabilityDetector{clock: present, rounds: &clock.RoundTrigger{}, tokens: tokens, settings: testHealthSettings}
+			testClock, tokens := clock.New(0), &countingTokens{}
+			testClock.Set(answeredAt.Add(c.after))
+			d := &reachabilityDetector{clock: testClock, rounds: &clock.RoundTrigger{}, tokens: tokens, settings: testHealthSettings}
 			m := &cluster.Machine{Agent: cluster.AgentStatus{HeardThisTerm: true, Incarnation: 1, AnsweredAt: answeredAt}}
 			d.observe(m, newHeartbeat("n-1", c.incarnation, 7, tokens.tokenOf(m)))
 			if m.Health.Unreachable != c.unreachable {
-				t.Errorf("unreachable %v", m.Health.Unreachable)
+				t.Errorf("Unreachable = %v, want %v", m.Health.Unreachable, c.unreachable)
 			}
 			if raised := tokens.raised > 0; raised != c.unreachable {
-				t.Errorf("new fencing token %v", raised)
+				t.Errorf("fencing token raised: %v, want %v", raised, c.unreachable)
 			}
 		})
 	}
 }
 
-// An unreachable machine counts as reachable again once it shows its newest token or answers
-// a call, and is overdue otherwise.
+// An unreachable machine must become reachable again once it shows its newest fencing token or answers
+// a call. Otherwise it must become overdue after the acknowledge timeout, so that it is terminated.
 func TestUnreachableMachineBecomesReachableAgain(t *testing.T) {
 	const since = monotonic.Instant(time.Hour)
 	newest := ids.NewFencingToken(5, 3)
@@ -180,18 +184,18 @@
 		{"an answered call", (*reachabilityDetector).markReachable, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			present := clock.New(0)
-			d := &reachabilityDetector{clock: present, rounds: &clock.RoundTrigger{}, tokens: &countingTokens{raised: 3}, settings: testHealthSettings}
+			testClock := clock.New(0)
+			d := &reachabilityDetector{clock: testClock, rounds: &clock.RoundTrigger{}, tokens: &countingTokens{raised: 3}, settings: testHealthSettings}
 			m := &cluster.Machine{Agent: cluster.AgentStatus{HeardThisTerm: true, Incarnation: 1}}
 			m.Health.Unreachable, m.Health.UnreachableSince = true, since
-			present.Set(since.Add(d.acknowledgeTimeout()))
+			testClock.Set(since.Add(d.acknowledgeTimeout()))
 			c.show(d, m)
 			if d.overdue(m) {
-				t.Error("overdue within its time")
+				t.Error("overdue within the acknowledge timeout")
 			}
-			present.Set(since.Add(d.acknowledgeTimeout() + 1))
+			testClock.Set(since.Add(d.acknowledgeTimeout() + 1))
 			if got := d.overdue(m); got != c.overdue {
-				t.Errorf("overdue %v", got)
+				t.Errorf("overdue = %v, want %v", got, c.overdue)
 			}
 		})
 	}
--- a/scheduler/reservations_test.go
+++ b/scheduler/reservations_test.go
@@ -64,7 +64,7 @@
 		}
 		b.step()
 		day.mostTasks = max(day.mostTasks, agents.count(guest))
-		agents.heartbeats(b)
+		agents.sendHeartbeats(b)
 	}
 	return day
 }
@@ -113,7 +113,7 @@
 			b.submit("job-large", wire.JobSpec{Tasks: 3, CPUs: 8})
 		}
 		b.step()
-		agents.heartbeats(b)
+		agents.sendHeartbeats(b)
 		if j := b.c.cluster.Job("job-large"); j != nil && j.Started() {
 			return b.now.Sub(submittedAt)
 		}
@@ -172,7 +172,7 @@
 			agents.tasks["n-1"] = nil
 		}
 		b.step()
-		agents.heartbeats(b)
+		agents.sendHeartbeats(b)
 		if j := b.c.cluster.Job("job-late"); j != nil && j.Started() {
 			return time.Duration(second-lateJobSubmitted) * time.Second
 		}
--- a/scheduler/spot_losses.go
+++ b/scheduler/spot_losses.go
@@ -6,27 +6,28 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// spotLosses learns how often the cloud reclaims spot instances, and estimates the risk for
-// a task from that.
+// spotLosses tracks how often the cloud reclaims spot instances, and estimates from that how often a
+// task loses its machine.
 type spotLosses struct {
 	cluster *cluster.State
-	// uptime is the time that spot instances were up, added over all of them.
+	// uptime is the total time for which spot instances were up, summed over all of them.
 	uptime time.Duration
-	// count is how many of them were lost meanwhile.
+	// count is the number of spot instances lost during that uptime.
 	count int
 }
 
 const (
-	// Before anything is observed, one loss in this uptime is assumed.
+	// priorSpotLosses and priorSpotUptimeHours are added to the observed values. Before any
+	// observation, the loss rate is thus one loss per half an hour of uptime.
 	priorSpotLosses      = 1.0
 	priorSpotUptimeHours = 0.5
 	secondsPerHour       = 3600
 )
 
-// record counts a spot instance that the cloud took back, or announced to take back.
+// record counts a spot instance that the cloud has reclaimed or has announced to reclaim.
 func (l *spotLosses) record() { l.count++ }
 
-// countUptime adds an interval in which the present spot instances were up.
+// countUptime adds an interval of uptime for each spot instance that is up.
 func (l *spotLosses) countUptime(interval time.Duration) {
 	for _, m := range l.cluster.Machines() {
 		if m.Spot() && m.Up() {
@@ -35,8 +36,8 @@
 	}
 }
 
-// risk is the expected number of times that a spot instance is reclaimed while one task of
-// a job runs on it.
+// risk returns the expected number of times that a spot instance is reclaimed while one task of a job
+// runs on it.
 func (l *spotLosses) risk(j *cluster.Job) float64 {
 	perHour := (priorSpotLosses + float64(l.count)) / (priorSpotUptimeHours + l.uptime.Hours())
 	return perHour * j.Spec.EstimateS / secondsPerHour
--- a/scheduler/spot_losses_test.go
+++ b/scheduler/spot_losses_test.go
@@ -9,6 +9,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
+// The expected number of reclaims of a task's spot instance must follow the observed loss rate and the
+// task's estimate, with the prior of one loss in half an hour before anything is observed.
 func TestSpotRisk(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/scheduler/spot_reclaim.go
+++ b/scheduler/spot_reclaim.go
@@ -6,8 +6,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// spotDrainer evicts tasks gracefully from spot instances that the cloud will take back. The
-// health check calls it. It does not terminate the machines: the cloud does.
+// spotDrainer gracefully evicts tasks from spot instances that the cloud will reclaim. The health
+// check calls it. It does not terminate the machines, since the cloud does.
 type spotDrainer struct {
 	cluster   *cluster.State
 	estimates runTimeEstimates
@@ -16,10 +16,10 @@
 
 // taskStopper stops tasks.
 type taskStopper interface {
-	stop(a *cluster.Assignment, why cluster.StopReason)
+	stop(a *cluster.Assignment, reason cluster.StopReason)
 }
 
-// drain stops the tasks that will not complete before their machine is taken back.
+// drain stops the tasks that are not expected to complete before their machine is reclaimed.
 func (d *spotDrainer) drain() {
 	for _, m := range d.cluster.Machines() {
 		if m.Health.SpotReclaimAt == 0 {
@@ -33,10 +33,10 @@
 	}
 }
 
-// completesBy estimates whether a task will complete before a time.
-func (d *spotDrainer) completesBy(a *cluster.Assignment, by monotonic.Instant) bool {
+// completesBy reports whether a task is expected to complete before the given time.
+func (d *spotDrainer) completesBy(a *cluster.Assignment, deadline monotonic.Instant) bool {
 	if a.Job.Spec.Service || a.Run.Phase != wire.TaskRunning {
 		return false
 	}
-	return a.Run.PhaseSince.Add(d.estimates.expectedRun(a.Job.Spec)) < by
+	return a.Run.PhaseSince.Add(d.estimates.expectedRun(a.Job.Spec)) < deadline
 }
--- a/scheduler/spot_reclaim_test.go
+++ b/scheduler/spot_reclaim_test.go
@@ -9,8 +9,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A task stays on a spot instance that is taken back only if it runs already and is expected
-// to complete in time.
+// A task may be kept on a spot instance that is about to be reclaimed only if it is running and
+// expected to complete before the reclaim. Any other task must be evicted gracefully before its machine
+// is lost.
 func TestCompletesBeforeSpotReclaim(t *testing.T) {
 	const began = monotonic.Instant(time.Hour)
 	reclaim := began.Add(time.Minute)
@@ -20,8 +21,8 @@
 		phase     wire.TaskState
 		completes bool
 	}{
-		{"runs, short enough", wire.JobSpec{EstimateS: 59}, wire.TaskRunning, true},
-		{"runs, too long", wire.JobSpec{EstimateS: 60}, wire.TaskRunning, false},
+		{"running, short enough", wire.JobSpec{EstimateS: 59}, wire.TaskRunning, true},
+		{"running, too long", wire.JobSpec{EstimateS: 60}, wire.TaskRunning, false},
 		{"fetches its image", wire.JobSpec{EstimateS: 1}, wire.TaskFetching, false},
 		{"writes a checkpoint", wire.JobSpec{EstimateS: 1}, wire.TaskCheckpointing, false},
 		{"service", wire.JobSpec{EstimateS: 1, Service: true}, wire.TaskRunning, false},
@@ -31,7 +32,7 @@
 			a := &cluster.Assignment{Job: &cluster.Job{Spec: &c.spec}}
 			a.Run.Phase, a.Run.PhaseSince = c.phase, began
 			if got := d.completesBy(a, reclaim); got != c.completes {
-				t.Errorf("completes in time: %v", got)
+				t.Errorf("completesBy = %v, want %v", got, c.completes)
 			}
 		})
 	}
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -10,7 +10,7 @@
 	"ospreystile.example/ospreystile/scheduler/placement"
 )
 
-// Summary is one line about the state of the core, for the log.
+// Summary returns a one-line summary of the state of the core, for the log.
 func (c *Core) Summary() string {
 	var b strings.Builder
 	c.summarizeJobs(&b)
@@ -24,13 +24,14 @@
 		fmt.Fprintf(&b, " partitioned=%s", zone)
 	}
 	c.zones.summarize(&b)
-	for _, why := range slices.Sorted(maps.Keys(c.registry.terminateCounts)) {
-		fmt.Fprintf(&b, " returned-%s=%d", why, c.registry.terminateCounts[why])
+	for _, reason := range slices.Sorted(maps.Keys(c.registry.terminateCounts)) {
+		fmt.Fprintf(&b, " returned-%s=%d", reason, c.registry.terminateCounts[reason])
 	}
 	c.summarizeMachines(&b)
 	return b.String()
 }
 
+// summarizeJobs writes the numbers of jobs, of their waiting and placed tasks, and of machines.
 func (c *Core) summarizeJobs(b *strings.Builder) {
 	var pending, placed, usable, booting, starving int
 	for _, j := range c.cluster.Jobs() {
@@ -51,8 +52,8 @@
 		len(c.cluster.Jobs()), pending, starving, placed, len(c.cluster.Machines()), usable, booting)
 }
 
-// summarizeMachines tells by type and kind how many machines there are, how many have no
-// task, and the part of their CPUs that is in use.
+// summarizeMachines writes, by machine type and market, the number of machines, the number of machines
+// without tasks, and the fraction of their CPUs that is in use.
 func (c *Core) summarizeMachines(b *strings.Builder) {
 	type tally struct {
 		count, idle int
@@ -73,10 +74,10 @@
 		tallied.total += m.Total().CPUs
 	}
 	for _, kind := range slices.SortedFunc(maps.Keys(kinds), placement.Site.Compare) {
-		suffix, held := "", kinds[kind]
+		suffix, tallied := "", kinds[kind]
 		if kind.Spot {
 			suffix = "/spot"
 		}
-		fmt.Fprintf(b, " %s%s=%d/%d/%.2f", kind.Type, suffix, held.count, held.idle, held.used/max(1, held.total))
+		fmt.Fprintf(b, " %s%s=%d/%d/%.2f", kind.Type, suffix, tallied.count, tallied.idle, tallied.used/max(1, tallied.total))
 	}
 }
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -14,25 +14,25 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Limits of the store during the upgrade days.
+// Limits of the key-value store during the simulated upgrades.
 const (
 	upgradeValueBytes = 170
 	upgradeTxnOps     = 4
-	// upgradeCompletedRound is the round in which the last old leader is replaced.
+	// upgradeCompletedRound is the round in which the last leader of the old version is replaced.
 	upgradeCompletedRound = 10
 )
 
-// TestUpgradeUnderFaults plays fleets through an upgrade. First leaders of the old version
-// and new ones take turns: they write alike, so the old is played by a core that knows no
-// limits. Then all are new, and jobs depend on others; then the limits of the store fall, at
-// any moment, and leaders fail over between any two steps. Nothing written may then be too
-// large, though old records are; no task may be in two records or in none; and all work
-// completes.
+// TestUpgradeUnderFaults simulates fleets during an upgrade. First, leaders of the old and the new
+// version alternate. Both write records in the same form, so a core without limits simulates the old
+// version. Then all leaders are new, and jobs depend on others. Then the limits of the key-value store are
+// lowered at a random time, and leaders fail over between any two steps. From then on no change may
+// exceed the limits, although old records do; no task may be in two records or in none; and all jobs
+// must complete.
 func TestUpgradeUnderFaults(t *testing.T) {
-	const days = 24
+	const simulations = 24
 	var split atomic.Int64
 	t.Run("days", func(t *testing.T) {
-		for seed := range uint64(days) {
+		for seed := range uint64(simulations) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				d := newUpgradeSim(t, 1000+seed)
@@ -43,20 +43,21 @@
 				d.runToCompletion(d.all, 40*time.Minute)
 				d.checkCancelledDependents(d.all)
 				if d.oversizedChanges > 0 {
-					t.Errorf("%d changes were beyond the limits", d.oversizedChanges)
+					t.Errorf("%d changes exceeded the limits of the key-value store", d.oversizedChanges)
 				}
 				split.Add(int64(d.splitRecords))
 			})
 		}
 	})
-	if n := split.Load(); n < days {
-		t.Errorf("only %d records were split", n)
+	if n := split.Load(); n < simulations {
+		t.Errorf("%d records were split, want at least %d", n, simulations)
 	}
 }
 
-// upgradeSim is a day on which the controllers are upgraded.
+// upgradeSim simulates a fleet while the controllers are upgraded.
 type upgradeSim struct {
 	*sim
+	// all holds the jobs that were submitted.
 	all []ids.JobID
 }
 
@@ -68,10 +69,11 @@
 	return d
 }
 
-// lowerStoreLimits has the store take no more than small changes.
+// lowerStoreLimits makes the key-value store accept only small changes.
 func (d *upgradeSim) lowerStoreLimits() { d.valueBytes, d.txnOps = upgradeValueBytes, upgradeTxnOps }
 
-// runRound changes versions, leaders and limits as the round has it, and submits jobs.
+// runRound simulates a round: it changes versions, leaders and limits as the round requires, and submits
+// jobs.
 func (d *upgradeSim) runRound(round int) {
 	switch round {
 	case upgradeCompletedRound:
@@ -80,7 +82,7 @@
 		d.lowerStoreLimits()
 	}
 	if round < upgradeCompletedRound && d.rng.IntN(3) == 0 {
-		d.opt.ValueBytes = []int{0, upgradeValueBytes}[d.rng.IntN(2)] // an old leader, or a new one
+		d.opt.ValueBytes = []int{0, upgradeValueBytes}[d.rng.IntN(2)] // an old or a new version
 		d.failOver()
 	}
 	if d.rng.IntN(5) == 0 {
@@ -97,7 +99,7 @@
 	d.run(time.Duration(1+d.rng.IntN(6)) * time.Second)
 }
 
-// completeUpgrade replaces the last old leader and allows split records.
+// completeUpgrade replaces the last leader of the old version and allows split records.
 func (d *upgradeSim) completeUpgrade() {
 	d.opt.ValueBytes = upgradeValueBytes
 	if d.core.opt.ValueBytes == 0 {
@@ -107,7 +109,8 @@
 	d.core.EnableSplitRecords(d.now)
 }
 
-// spec is a random job. Arrays have many small tasks; dependencies need the new version.
+// spec returns a random job. Arrays have many small tasks. Jobs have dependencies only after the
+// upgrade, since dependencies need the new version.
 func (d *upgradeSim) spec(round int) *wire.JobSpec {
 	spec := d.randomSpec()
 	if round > upgradeCompletedRound {
@@ -119,8 +122,8 @@
 	return spec
 }
 
-// The limits of the store fall below the configured ones: a change that is too large is rejected
-// for good. Only its job waits for it, and it is not sent for ever.
+// If the limits of the key-value store fall below the configured limits, a change that is too large is
+// rejected permanently. It must not be retried indefinitely, and must delay no job but its own.
 func TestRejectedChangeDelaysNoOtherJob(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.submit("job-1", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
@@ -133,66 +136,68 @@
 		}
 		return out
 	}
-	tries := 0
+	attempts := 0
 	for range 3000 {
 		for _, ch := range sent(b.c.Step(b.now), "job-1") {
-			tries++
+			attempts++
 			b.c.CommitResult(b.now, records.CommitResult{Change: ch, Err: records.ErrRejected})
 		}
 		b.now = b.now.Add(500 * time.Millisecond)
 		b.heartbeat("n-1", "a", 0)
 	}
-	if tries < 2 || tries > maxRefusals {
-		t.Errorf("the change was sent %d times in 25 minutes", tries)
+	if attempts < 2 || attempts > maxRefusals {
+		t.Errorf("the change was sent %d times in 25 minutes", attempts)
 	}
 	b.submit("job-2", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
 	if got := sent(b.c.Step(b.now), "job-2"); len(got) != 1 {
-		t.Errorf("the next job wrote %d changes", len(got))
+		t.Errorf("the next job wrote %d changes, want 1", len(got))
 	}
 	if _, known := b.c.Progress("job-1"); !known {
-		t.Error("the job is forgotten")
+		t.Error("the progress of the delayed job is unknown")
 	}
 	b.c.EnableSplitRecords(b.now)
 	b.now = b.now.Add(time.Minute)
 	b.heartbeat("n-1", "a", 0)
 	if got := sent(b.c.Step(b.now), "job-1"); len(got) != 1 {
-		t.Errorf("once records may be split, it wrote %d changes", len(got))
+		t.Errorf("after splitting was enabled, the job wrote %d changes, want 1", len(got))
 	}
 }
 
-// Two jobs compete for one machine, and others depend on each. The one that is preempted must
-// not preempt the other in turn, and a job without dependents has its own priority again.
+// A job takes the priority of the jobs that depend on it. Otherwise, of two jobs that compete for one
+// machine, the preempted job could preempt the other in turn. Once its dependents are gone, a job must
+// have its own priority again.
 func TestPriorityPropagatesToDependencies(t *testing.T) {
 	b := newHarness(t, Options{})
 	low := wire.JobSpec{Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1}
-	last := low
-	last.Priority, last.DependsOn = wire.High, []ids.JobID{"job-1"}
+	dependent := low
+	dependent.Priority, dependent.DependsOn = wire.High, []ids.JobID{"job-1"}
 	other := low
 	other.Priority = wire.Normal
 	b.submit("job-1", low)
-	b.submit("job-2", last)
+	b.submit("job-2", dependent)
 	b.submit("job-3", other)
-	first := b.c.cluster.Job("job-1")
-	if first.Priority() != wire.High {
-		t.Fatalf("the first job has priority %d", first.Priority())
+	prerequisite := b.c.cluster.Job("job-1")
+	if prerequisite.Priority() != wire.High {
+		t.Fatalf("the first job has priority %d", prerequisite.Priority())
 	}
 	b.heartbeat("n-1", "a", 0)
 	b.step()
-	if len(first.Active()) != 1 || len(b.c.cluster.Job("job-2").Active()) != 0 {
-		t.Fatal("the first job of the pipeline must go first, the last not at all")
+	if len(prerequisite.Active()) != 1 || len(b.c.cluster.Job("job-2").Active()) != 0 {
+		t.Fatal("the dependency was not placed, or its dependent was placed before it completed")
 	}
 	on := b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.High}]
 	if on.Staying != 1 {
-		t.Errorf("counted %+v", on)
+		t.Errorf("workload is %+v", on)
 	}
 	b.c.ObserveJob(b.now, "job-2", &records.Job{Status: wire.JobCancelled, Tasks: 1}, 999)
-	if first.Priority() != wire.BestEffort || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.High}].Staying != 0 || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.BestEffort}].Staying != 1 {
-		t.Errorf("after the last job is gone the first has priority %d, counted %+v", first.Priority(), b.c.cluster.Workloads())
+	if prerequisite.Priority() != wire.BestEffort || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.High}].Staying != 0 || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.BestEffort}].Staying != 1 {
+		t.Errorf("after the dependent was cancelled, the dependency has priority %d, workloads %+v", prerequisite.Priority(), b.c.cluster.Workloads())
 	}
 }
 
-// While a split is in flight its tasks go on: a task that is placed meanwhile belongs to one of
-// the parts, and would wait for ever if that part were not written again.
+// While the split of a record is in flight, tasks of the record can still be placed. A task that is
+// placed in the meantime belongs to one of the parts. If that part is not written again, the task waits
+// indefinitely.
 func TestPlacementWhileTheRecordIsSplit(t *testing.T) {
 	b := newHarness(t, Options{RecordOptions: RecordOptions{ValueBytes: 50, SplitRecords: true}})
 	b.submit("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
@@ -206,17 +211,17 @@
 	b.step()
 	b.c.CommitResult(b.now, records.CommitResult{Change: split[0], Revision: 500})
 	var runs []string
-	for _, h := range []ids.MachineID{"n-1", "n-2"} {
+	for _, machine := range []ids.MachineID{"n-1", "n-2"} {
 		b.step()
-		runs = append(runs, commandsWith(b.heartbeat(h, "a", 0).Commands, wire.VerbRun)...)
+		runs = append(runs, commandsWith(b.heartbeat(machine, "a", 0).Commands, wire.VerbRun)...)
 	}
 	if len(runs) != 4 {
 		t.Errorf("started %v", runs)
 	}
 }
 
-// A record that was too large when it could not be split is split once that is allowed, without
-// another event of its tasks.
+// A record that exceeds the limit while splitting is not allowed must be split once it is allowed, even
+// without another event of its tasks.
 func TestLargeRecordsAreSplitAfterTheUpgrade(t *testing.T) {
 	b := newHarness(t, Options{RecordOptions: RecordOptions{ValueBytes: 50}})
 	b.submit("job-1", wire.JobSpec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
@@ -231,8 +236,8 @@
 	}
 }
 
-// When a zone is lost, thousands of placements wait for the write rate. A completed job must
-// not wait behind them, as its user and its dependents wait for it.
+// When a zone is lost, thousands of placement records wait for the write rate limit. The record of a
+// completed job must not be queued behind them, since its user and its dependents wait for it.
 func TestCompletionsAreWrittenFirst(t *testing.T) {
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4096}, Limit: quota.Amount{CPUs: 4096}}}, RecordOptions: RecordOptions{WriteRate: 4}})
 	b.submit("job-0", wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Normal})
@@ -250,9 +255,9 @@
 		b.step()
 	}
 	if s := b.c.jobRecords.graph.ReadinessOf("job-0").State; s != dependency.Done {
-		t.Errorf("after 2 s the job is %d", s)
+		t.Errorf("the job's state after 2 s is %d, want %d", s, dependency.Done)
 	}
 	if len(b.c.records.dirty) == 0 {
-		t.Error("no placement waited")
+		t.Error("no placement record was waiting for the write rate limit")
 	}
 }
--- a/scheduler/zones_test.go
+++ b/scheduler/zones_test.go
@@ -152,7 +152,7 @@
 	d.c.Begin(d.now)
 	forEver := func(string, int) time.Duration { return 0 }
 	d.agents = newTestAgents(forEver, "n-a0", "n-a1", "n-a2", "n-a3", "n-a4")
-	d.agents.heartbeats(d.harness)
+	d.agents.sendHeartbeats(d.harness)
 	for n := range 5 {
 		d.heartbeat(ids.MachineID(fmt.Sprintf("n-b%d", n)), "b", ids.NewFencingToken(5, 0))
 	}
@@ -165,7 +165,7 @@
 	for end := d.seconds + seconds; d.seconds < end; d.seconds++ {
 		d.now = d.now.Add(time.Second)
 		if d.seconds%3 == 0 {
-			d.agents.heartbeats(d.harness)
+			d.agents.sendHeartbeats(d.harness)
 		}
 		if d.seconds == 20 || d.seconds == 200 {
 			d.submit(ids.JobID(fmt.Sprintf("job-%d", d.seconds)), wire.JobSpec{Tasks: 30, CPUs: 2, EstimateS: 1000})
