--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -24,7 +24,7 @@
 // kept, because they name the machines of its tasks, which are needed once the record is repaired.
 func (c *Core) LoadUnreadableJob(id ids.JobID) {
 	c.jobRecords.unreadable[id] = true
-	c.previousLeaders.unclear = true
+	c.previousLeaders.recordsUnreadable = true
 }
 
 // LoadSlice loads an admission record at the start of the leadership term.
@@ -35,7 +35,7 @@
 // Suspend prevents the placement of a job's tasks, because it is not known on which machines all its
 // tasks may be. Other jobs are not affected.
 func (c *Core) Suspend(id ids.JobID) {
-	c.previousLeaders.unclear = true
+	c.previousLeaders.recordsUnreadable = true
 	if j := c.cluster.Job(id); j != nil {
 		j.Queue.Suspended = true
 	}
--- a/scheduler/reservations_test.go
+++ b/scheduler/reservations_test.go
@@ -64,7 +64,7 @@
 		}
 		b.step()
 		result.maxTasks = max(result.maxTasks, agents.count(bestEffortJob))
-		agents.heartbeats(b)
+		agents.sendHeartbeats(b)
 	}
 	return result
 }
@@ -114,7 +114,7 @@
 			b.submit("job-large", wire.JobSpec{Tasks: 3, CPUs: 8})
 		}
 		b.step()
-		agents.heartbeats(b)
+		agents.sendHeartbeats(b)
 		if j := b.c.cluster.Job("job-large"); j != nil && j.Started() {
 			return b.now.Sub(submittedAt)
 		}
@@ -173,7 +173,7 @@
 			agents.tasks["n-1"] = nil
 		}
 		b.step()
-		agents.heartbeats(b)
+		agents.sendHeartbeats(b)
 		if j := b.c.cluster.Job("job-late"); j != nil && j.Started() {
 			return time.Duration(elapsedS-lateJobSubmitSecond) * time.Second
 		}
