--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -55,8 +55,8 @@
 	maxReapCommands = maxCommands / 2
 )
 
-// tokenOf is the fencing token that commands to a machine carry now.
-func (d *commandDispatcher) tokenOf(m *cluster.Machine) ids.FencingToken {
+// fencingToken is the fencing token that commands to a machine carry now.
+func (d *commandDispatcher) fencingToken(m *cluster.Machine) ids.FencingToken {
 	return ids.NewFencingToken(d.settings.revision, m.Commands.TokenCounter)
 }
 
@@ -70,19 +70,19 @@
 	if !m.Commands.CallInFlight {
 		reaps := d.reapCommands(m)
 		if len(reaps) > 0 {
-			d.outdateDirectRuns(m)
+			d.invalidateDirectRuns(m)
 		}
 		commands = append(commands, reaps...)
 	}
 	runs := d.runCommands(m, maxCommands-len(commands))
-	return wire.HeartbeatResponse{FencingToken: d.tokenOf(m), Commands: append(commands, runs...)}
+	return wire.HeartbeatResponse{FencingToken: d.fencingToken(m), Commands: append(commands, runs...)}
 }
 
-// outdateDirectRuns raises a machine's token above every one under which a direct call carried
+// invalidateDirectRuns raises a machine's token above every one under which a direct call carried
 // a run command. An agent that has reaped an attempt would start it again if such a command
 // arrived late or twice.
-func (d *commandDispatcher) outdateDirectRuns(m *cluster.Machine) {
-	if m.Commands.DirectRunToken >= d.tokenOf(m) {
+func (d *commandDispatcher) invalidateDirectRuns(m *cluster.Machine) {
+	if m.Commands.DirectRunToken >= d.fencingToken(m) {
 		d.raiseToken(m)
 	}
 }
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -59,8 +59,8 @@
 		return wire.CommandBatch{}, "", false
 	}
 	commands := d.killCommands(m)
-	token := d.tokenOf(m)
-	if runs := d.firstRunCommands(m, maxCommands-len(commands)); len(runs) > 0 {
+	token := d.fencingToken(m)
+	if runs := d.unsentRunCommands(m, maxCommands-len(commands)); len(runs) > 0 {
 		commands = append(commands, runs...)
 		m.Commands.DirectRunToken = max(m.Commands.DirectRunToken, token)
 	}
@@ -92,8 +92,8 @@
 // heartbeat.
 func (*commandDispatcher) allowCalls(m *cluster.Machine) { m.Commands.CallFailed = false }
 
-// heartbeatRequested counts a request for a machine's heartbeat as in flight.
-func (d *commandDispatcher) heartbeatRequested(m *cluster.Machine) {
+// heartbeatRequestStarted counts a request for a machine's heartbeat as in flight.
+func (d *commandDispatcher) heartbeatRequestStarted(m *cluster.Machine) {
 	m.Commands.HeartbeatRequested = true
 	m.Commands.RequestHeartbeatAt = d.clock.Now().Add(heartbeatRequestInterval)
 	d.callsInFlight++
@@ -112,7 +112,7 @@
 	d.callsInFlight--
 	m := d.cluster.Machine(machine)
 	if m != nil {
-		d.queueCommands(m)
+		d.queueMachine(m)
 	}
 	return m
 }
--- a/scheduler/direct_calls_test.go
+++ b/scheduler/direct_calls_test.go
@@ -58,7 +58,7 @@
 		t.Fatalf("called without a heartbeat: %+v", calls)
 	}
 	f.allowCalls(f.machine)
-	f.queueCommands(f.machine)
+	f.queueMachine(f.machine)
 	if calls := f.dispatch(); len(calls.sendCommands) != 0 {
 		t.Fatalf("called before the delay has passed: %+v", calls)
 	}
--- a/scheduler/dispatch_fixture_test.go
+++ b/scheduler/dispatch_fixture_test.go
@@ -19,14 +19,14 @@
 	*commandDispatcher
 	machine *cluster.Machine
 	job     *cluster.Job
-	behind  recordsBehind
+	stale  staleRecords
 }
 
-// recordsBehind stands in for record writing. It holds the tasks whose records are not up to
+// staleRecords stands in for record writing. It holds the tasks whose records are not up to
 // date.
-type recordsBehind map[ids.TaskRef]bool
+type staleRecords map[ids.TaskRef]bool
 
-func (b recordsBehind) upToDate(j *cluster.Job, index int) bool {
+func (b staleRecords) upToDate(j *cluster.Job, index int) bool {
 	return !b[ids.TaskRef{Job: j.ID, Index: index}]
 }
 
@@ -39,7 +39,7 @@
 	enough := quota.Amount{CPUs: 64}
 	quotas := quota.NewTracker([]quota.Team{{Name: "red", Nominal: enough, Limit: enough}})
 	state := cluster.NewState(cluster.Settings{SliceTasks: 4, BootFactor: 4}, now, &clock.RoundTrigger{}, quotas)
-	behind := recordsBehind{}
+	behind := staleRecords{}
 	f := &dispatchFixture{
 		commandDispatcher: &commandDispatcher{
 			cluster:  state,
@@ -47,7 +47,7 @@
 			records:  behind,
 			settings: dispatchSettings{revision: fixtureRevision, heartbeatInterval: 2 * time.Second},
 		},
-		behind: behind,
+		stale: behind,
 	}
 	f.machine = f.addMachine("n-1")
 	spec := &wire.JobSpec{Tasks: 4, Team: "red", CPUs: 2, Image: "i"}
@@ -79,7 +79,7 @@
 func (f *dispatchFixture) assignSent() *cluster.Assignment {
 	a := f.assign()
 	a.Delivery.Sent, a.Delivery.SentAt = true, f.clock.Now()
-	a.Delivery.Token, a.Delivery.Incarnation = f.tokenOf(f.machine), f.machine.Agent.Incarnation
+	a.Delivery.Token, a.Delivery.Incarnation = f.fencingToken(f.machine), f.machine.Agent.Incarnation
 	return a
 }
 
--- a/scheduler/dispatch_queue.go
+++ b/scheduler/dispatch_queue.go
@@ -21,18 +21,18 @@
 type dispatchAction uint8
 
 const (
-	// leaveQueue: there is nothing to do until an event queues the machine again.
-	leaveQueue dispatchAction = iota
-	// stayQueued: a call may be needed later, without another event.
-	stayQueued
+	// dequeue: there is nothing to do until an event queues the machine again.
+	dequeue dispatchAction = iota
+	// keepQueued: a call may be needed later, without another event.
+	keepQueued
 	sendCommands
 	requestHeartbeat
 )
 
-// queueCommands notes that a command may have to be sent to a machine. Only such machines are
+// queueMachine notes that a command may have to be sent to a machine. Only such machines are
 // examined: to examine a thousand machines after every event would take too much processor
 // time.
-func (d *commandDispatcher) queueCommands(m *cluster.Machine) {
+func (d *commandDispatcher) queueMachine(m *cluster.Machine) {
 	if !m.Commands.Queued {
 		m.Commands.Queued = true
 		d.queue = append(d.queue, m)
@@ -44,7 +44,7 @@
 // bound of calls in flight also keeps a step short.
 func (d *commandDispatcher) dispatch() agentCalls {
 	var calls agentCalls
-	free := d.freeCalls()
+	free := d.availableCalls()
 	queue := d.queue[:0]
 	for _, m := range d.queue {
 		action := d.nextAction(m)
@@ -54,9 +54,9 @@
 			calls.sendCommands = append(calls.sendCommands, m.ID)
 		case action == requestHeartbeat && free > 0:
 			free--
-			d.heartbeatRequested(m)
+			d.heartbeatRequestStarted(m)
 			calls.requestHeartbeats = append(calls.requestHeartbeats, m.ID)
-		case action != leaveQueue:
+		case action != dequeue:
 			queue = append(queue, m)
 			continue
 		}
@@ -67,8 +67,8 @@
 	return calls
 }
 
-// freeCalls is how many calls may begin now.
-func (d *commandDispatcher) freeCalls() int {
+// availableCalls is how many calls may begin now.
+func (d *commandDispatcher) availableCalls() int {
 	if d.settings.maxCallsInFlight <= 0 {
 		return len(d.queue)
 	}
@@ -79,21 +79,21 @@
 func (d *commandDispatcher) nextAction(m *cluster.Machine) dispatchAction {
 	switch {
 	case d.cluster.Machine(m.ID) != m || !mayBeCalled(m):
-		return leaveQueue
+		return dequeue
 	case d.needsHeartbeatRequest(m):
 		return requestHeartbeat
 	case !m.Agent.HeardThisTerm:
-		return leaveQueue
+		return dequeue
 	case m.Commands.CallInFlight || m.Commands.CallFailed:
-		return leaveQueue
+		return dequeue
 	case d.clock.Now() < m.Commands.CallRetryAt:
-		return stayQueued
+		return keepQueued
 	case d.needsDirectCall(m):
 		return sendCommands
 	case needsFencing(m):
-		return stayQueued // it needs a call unless it sends a heartbeat first
+		return keepQueued // it needs a call unless it sends a heartbeat first
 	}
-	return leaveQueue
+	return dequeue
 }
 
 // mayBeCalled tells whether a machine has an agent that a call may reach.
@@ -133,7 +133,7 @@
 		if mayBeSent(a) && !a.Delivery.Sent {
 			return true
 		}
-		if mustEnd(a) && a.Delivery.KillSentAt == 0 {
+		if mustBeKilled(a) && a.Delivery.KillSentAt == 0 {
 			return true
 		}
 	}
--- a/scheduler/dispatch_queue_test.go
+++ b/scheduler/dispatch_queue_test.go
@@ -17,29 +17,29 @@
 		change func(f *dispatchFixture, m *cluster.Machine)
 		want   dispatchAction
 	}{
-		{"idle", func(*dispatchFixture, *cluster.Machine) {}, leaveQueue},
+		{"idle", func(*dispatchFixture, *cluster.Machine) {}, dequeue},
 		{"a task to run", func(f *dispatchFixture, _ *cluster.Machine) { f.assign() }, sendCommands},
-		{"a task that was sent", func(f *dispatchFixture, _ *cluster.Machine) { f.assignSent() }, leaveQueue},
+		{"a task that was sent", func(f *dispatchFixture, _ *cluster.Machine) { f.assignSent() }, dequeue},
 		{"a task to kill", func(f *dispatchFixture, _ *cluster.Machine) {
 			f.cluster.Stop(f.assignSent(), cluster.StopPreempted)
 		}, sendCommands},
 		{"terminating", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assign()
 			m.Lifecycle.Terminating = true
-		}, leaveQueue},
-		{"removed", func(f *dispatchFixture, m *cluster.Machine) { f.cluster.RemoveMachine(m) }, leaveQueue},
+		}, dequeue},
+		{"removed", func(f *dispatchFixture, m *cluster.Machine) { f.cluster.RemoveMachine(m) }, dequeue},
 		{"call in flight", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assign()
 			m.Commands.CallInFlight = true
-		}, leaveQueue},
+		}, dequeue},
 		{"silent since a call failed", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assign()
 			m.Commands.CallFailed = true
-		}, leaveQueue},
+		}, dequeue},
 		{"a call failed a moment ago", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assign()
 			m.Commands.CallRetryAt = f.clock.Now().Add(time.Millisecond)
-		}, stayQueued},
+		}, keepQueued},
 		{"not fenced, never answered", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assignSent()
 			m.Agent.Fenced = false
@@ -47,7 +47,7 @@
 		{"not fenced, answered", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assignSent()
 			m.Agent.Fenced, m.Agent.AnsweredAt = false, f.clock.Now()
-		}, stayQueued},
+		}, keepQueued},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newDispatchFixture(t)
@@ -67,7 +67,7 @@
 	}{
 		{"booting", func(_ *dispatchFixture, m *cluster.Machine) {
 			m.Lifecycle.ListedStatus, m.Lifecycle.ProvisionedThisTerm = wire.MachineRunning, true
-		}, leaveQueue},
+		}, dequeue},
 		{"left running by a previous leader", func(_ *dispatchFixture, m *cluster.Machine) {
 			m.Lifecycle.ListedStatus = wire.MachineRunning
 		}, requestHeartbeat},
@@ -77,7 +77,7 @@
 		{"already asked for a heartbeat", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assign().Delivery.Inherited = true
 			m.Commands.HeartbeatRequested = true
-		}, leaveQueue},
+		}, dequeue},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newDispatchFixture(t)
@@ -99,8 +99,8 @@
 		m := f.addMachine(ids.MachineID(fmt.Sprintf("left-%d", n)))
 		m.Agent.HeardThisTerm = false
 		m.Lifecycle.ListedStatus = wire.MachineRunning
-		f.queueCommands(m)
-		f.queueCommands(m) // a machine is queued once
+		f.queueMachine(m)
+		f.queueMachine(m) // a machine is queued once
 		machines = append(machines, m.ID)
 	}
 	if got := f.dispatch().requestHeartbeats; !slices.Equal(got, machines[:2]) {
@@ -120,7 +120,7 @@
 	f := newDispatchFixture(t)
 	f.machine.Agent.HeardThisTerm = false
 	f.machine.Lifecycle.ListedStatus = wire.MachineRunning
-	f.queueCommands(f.machine)
+	f.queueMachine(f.machine)
 	f.dispatch()
 	f.heartbeatRequestEnded("n-1")
 	f.advance(heartbeatRequestInterval - time.Millisecond)
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -129,6 +129,6 @@
 // requestHeartbeat has a machine asked for a heartbeat if command dispatch needs one.
 func (hm *healthMonitor) requestHeartbeat(m *cluster.Machine) {
 	if hm.commands.needsHeartbeatRequest(m) {
-		hm.commands.queueCommands(m)
+		hm.commands.queueMachine(m)
 	}
 }
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -77,7 +77,7 @@
 // heartbeatCommands makes the answers to heartbeats.
 type heartbeatCommands interface {
 	machineQueue
-	tokenOf(m *cluster.Machine) ids.FencingToken
+	fencingToken(m *cluster.Machine) ids.FencingToken
 	answerHeartbeat(m *cluster.Machine) wire.HeartbeatResponse
 	// allowCalls lets a machine be called again although its last call failed.
 	allowCalls(m *cluster.Machine)
@@ -125,7 +125,7 @@
 			return wire.HeartbeatResponse{}, false
 		}
 		m.Agent.AnsweredAt = max(m.Agent.AnsweredAt, m.Agent.LastHeard)
-		return noCommands(h.commands.tokenOf(m)), true
+		return noCommands(h.commands.fencingToken(m)), true
 	}
 	h.sites.setSite(m, siteOf(heartbeat), heartbeat.Endpoint)
 	h.reachability.observe(m, heartbeat)
@@ -200,7 +200,7 @@
 	}
 	h.updateAssignments(m)
 	h.cluster.CountUnrecorded(m)
-	h.commands.queueCommands(m)
+	h.commands.queueMachine(m)
 }
 
 // updateAgent notes what a heartbeat shows of the machine's agent.
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -83,8 +83,8 @@
 
 // jobRecordMarks notes which records of jobs are to be written.
 type jobRecordMarks interface {
-	// markOrphanCancel notes that a job's own record does not say yet that it is cancelled.
-	markOrphanCancel(j *cluster.Job)
+	// markCascadedCancel notes that a job's own record does not say yet that it is cancelled.
+	markCascadedCancel(j *cluster.Job)
 	// cancelRecorded notes that the job's own record says so.
 	cancelRecorded(j *cluster.Job)
 	markOversized(j *cluster.Job, s *cluster.AdmissionSlice)
@@ -240,7 +240,7 @@
 	}
 	switch {
 	case s.State == dependency.Cancelled:
-		r.records.markOrphanCancel(j)
+		r.records.markCascadedCancel(j)
 		r.lifecycle.endJob(j, wire.JobCancelled)
 	case s.State == dependency.Ready && !j.Queue.Ready:
 		j.Queue.Ready, j.Queue.ReadyMS = true, s.ReadyMS
--- a/scheduler/kill_commands.go
+++ b/scheduler/kill_commands.go
@@ -9,28 +9,28 @@
 // killCommands lists the commands that kill what must end on a machine; the list is never nil.
 // It also makes sure that no run command in flight starts a stopped task later.
 func (d *commandDispatcher) killCommands(m *cluster.Machine) []wire.Command {
-	d.outdateRunsOfStoppedTasks(m)
+	d.invalidateRunsOfStoppedTasks(m)
 	commands := d.killStoppedTasks(m)
 	return append(commands, killUnassignedTasks(m, maxKillCommands-len(commands))...)
 }
 
-// mustEnd tells whether a task was stopped and may run on its machine.
-func mustEnd(a *cluster.Assignment) bool {
+// mustBeKilled tells whether a task was stopped and may run on its machine.
+func mustBeKilled(a *cluster.Assignment) bool {
 	return a.StopReason() != cluster.StopNone && a.MayRun()
 }
 
-// outdateRunsOfStoppedTasks raises a machine's token if the message that would start a stopped
+// invalidateRunsOfStoppedTasks raises a machine's token if the message that would start a stopped
 // task may still be in flight. While a direct call is in flight it waits for the result. A run
 // command that a previous leader sent has an older token anyway.
-func (d *commandDispatcher) outdateRunsOfStoppedTasks(m *cluster.Machine) {
+func (d *commandDispatcher) invalidateRunsOfStoppedTasks(m *cluster.Machine) {
 	if m.Commands.CallInFlight {
 		return
 	}
 	for _, a := range m.Assignments() {
-		if !mustEnd(a) || a.Delivery.Inherited || m.FindReported(a.Ref(), a.Attempt) != nil {
+		if !mustBeKilled(a) || a.Delivery.Inherited || m.FindReported(a.Ref(), a.Attempt) != nil {
 			continue
 		}
-		if a.Delivery.Token >= d.tokenOf(m) {
+		if a.Delivery.Token >= d.fencingToken(m) {
 			d.raiseToken(m)
 		}
 	}
@@ -43,7 +43,7 @@
 		if len(commands) >= maxKillCommands {
 			break
 		}
-		if !mustEnd(a) {
+		if !mustBeKilled(a) {
 			continue
 		}
 		commands = append(commands, wire.Command{
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -53,7 +53,7 @@
 				}
 			}
 		}
-		b.heartbeat(largeFleetHost(n), largeFleetZone(n), b.c.commands.tokenOf(b.c.cluster.EnsureMachine(largeFleetHost(n))), tasks...)
+		b.heartbeat(largeFleetHost(n), largeFleetZone(n), b.c.commands.fencingToken(b.c.cluster.EnsureMachine(largeFleetHost(n))), tasks...)
 	}
 }
 
--- a/scheduler/machine_check.go
+++ b/scheduler/machine_check.go
@@ -47,7 +47,7 @@
 	if c.holdsExpiredTasks(m) {
 		// A later check releases the tasks whose records are being written.
 		c.registry.releaseTasks(m)
-		c.commands.queueCommands(m)
+		c.commands.queueMachine(m)
 		return
 	}
 	if why := c.reasonUseless(m); why != keepMachine {
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -53,7 +53,7 @@
 func (r *machineRegistry) begin() {
 	for _, m := range r.cluster.Machines() {
 		m.Lifecycle.KnownSince = r.clock.Now()
-		r.commands.queueCommands(m)
+		r.commands.queueMachine(m)
 	}
 }
 
@@ -68,7 +68,7 @@
 func (r *machineRegistry) setSite(m *cluster.Machine, site placement.Site, endpoint string) {
 	if endpoint != "" {
 		r.cluster.SetEndpoint(m, endpoint)
-		r.commands.queueCommands(m)
+		r.commands.queueMachine(m)
 	}
 	r.cluster.SetSite(m, site)
 }
@@ -96,7 +96,7 @@
 		}
 		r.setSite(m, placement.Site{Type: entry.Type, Zone: entry.Zone, Spot: entry.Spot}, entry.Endpoint)
 		if m.Lifecycle.ListedStatus != entry.Status && !m.Agent.HeardThisTerm && r.settings.previousLeader {
-			r.commands.queueCommands(m)
+			r.commands.queueMachine(m)
 		}
 		m.Lifecycle.ListedStatus, m.Lifecycle.MissingLists = entry.Status, 0
 	}
--- a/scheduler/reachability.go
+++ b/scheduler/reachability.go
@@ -31,8 +31,8 @@
 
 // fencingTokens gives machines new fencing tokens.
 type fencingTokens interface {
-	// tokenOf is the token that commands to a machine carry now.
-	tokenOf(m *cluster.Machine) ids.FencingToken
+	// fencingToken is the token that commands to a machine carry now.
+	fencingToken(m *cluster.Machine) ids.FencingToken
 	// raiseToken makes commands to a machine carry a higher token from now on.
 	raiseToken(m *cluster.Machine)
 }
@@ -50,7 +50,7 @@
 func (d *reachabilityDetector) observe(m *cluster.Machine, heartbeat *wire.Heartbeat) {
 	switch {
 	case m.Health.Unreachable:
-		if heartbeat.FencingToken >= d.tokens.tokenOf(m) {
+		if heartbeat.FencingToken >= d.tokens.fencingToken(m) {
 			d.confirm(m) // it has received the newer token
 		}
 	case !m.Agent.HeardThisTerm:
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -125,7 +125,7 @@
 // countingTokens counts how often a machine was given a new fencing token.
 type countingTokens struct{ raised uint64 }
 
-func (c *countingTokens) tokenOf(*cluster.Machine) ids.FencingToken {
+func (c *countingTokens) fencingToken(*cluster.Machine) ids.FencingToken {
 	return ids.NewFencingToken(5, c.raised)
 }
 
@@ -150,7 +150,7 @@
 			present.Set(answeredAt.Add(c.after))
 			d := &reachabilityDetector{clock: present, rounds: &clock.RoundTrigger{}, tokens: tokens, settings: testHealthSettings}
 			m := &cluster.Machine{Agent: cluster.AgentStatus{HeardThisTerm: true, Incarnation: 1, AnsweredAt: answeredAt}}
-			d.observe(m, newHeartbeat("n-1", c.incarnation, 7, tokens.tokenOf(m)))
+			d.observe(m, newHeartbeat("n-1", c.incarnation, 7, tokens.fencingToken(m)))
 			if m.Health.Unreachable != c.unreachable {
 				t.Errorf("unreachable %v", m.Health.Unreachable)
 			}
--- a/scheduler/reap_commands_test.go
+++ b/scheduler/reap_commands_test.go
@@ -22,15 +22,15 @@
 		{"still assigned", func(f *dispatchFixture, r *cluster.ReportedTask) { r.Attempt = f.assign().Attempt }, false},
 		{"of an unknown job", func(_ *dispatchFixture, r *cluster.ReportedTask) { r.Ref.Job = "job-unknown" }, true},
 		{"of a job that is over", func(f *dispatchFixture, _ *cluster.ReportedTask) {
-			f.behind[ids.TaskRef{Job: "job-1", Index: 0}] = true
+			f.stale[ids.TaskRef{Job: "job-1", Index: 0}] = true
 			f.cluster.EndJob(f.job, wire.JobCancelled)
 		}, true},
 		{"of a task that the job does not have", func(_ *dispatchFixture, r *cluster.ReportedTask) { r.Ref.Index = 4 }, false},
 		{"in a record that is behind", func(f *dispatchFixture, _ *cluster.ReportedTask) {
-			f.behind[ids.TaskRef{Job: "job-1", Index: 0}] = true
+			f.stale[ids.TaskRef{Job: "job-1", Index: 0}] = true
 		}, false},
 		{"beside a task whose record is behind", func(f *dispatchFixture, _ *cluster.ReportedTask) {
-			f.behind[ids.TaskRef{Job: "job-1", Index: 1}] = true
+			f.stale[ids.TaskRef{Job: "job-1", Index: 1}] = true
 		}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/scheduler/record_completion.go
+++ b/scheduler/record_completion.go
@@ -53,27 +53,27 @@
 
 func (p *completion) target() *cluster.Job { return p.job }
 
-func (p *completion) settled() {
+func (p *completion) resolved() {
 	p.job.Records.Completing = false
 	clearInFlight(p.deleted)
 }
 
-// applied ends the job. Jobs that depend on it may start only now, when the next leader would
+// committed ends the job. Jobs that depend on it may start only now, when the next leader would
 // read that it is done.
-func (p *completion) applied(w *recordWriter, revision ids.Revision) {
+func (p *completion) committed(w *recordWriter, revision ids.Revision) {
 	w.cluster.EndJob(p.job, wire.JobDone)
 	p.job.Records.Revision = revision
 	w.jobs.applyJobRecord(p.job.ID, &records.Job{Status: wire.JobDone, DoneMS: p.doneMS})
 	setDeleted(p.deleted)
-	w.markDroppable(p.job)
+	w.markDeletable(p.job)
 }
 
 func (p *completion) rollBack(w *recordWriter) {
 	if p.job.Terminal() {
-		w.markDroppable(p.job)
+		w.markDeletable(p.job)
 		return
 	}
 	w.markCompletable(p.job)
 }
 
-func (p *completion) outstanding() bool { return !p.job.Terminal() }
+func (p *completion) needsJobRevision() bool { return !p.job.Terminal() }
--- a/scheduler/record_completion_test.go
+++ b/scheduler/record_completion_test.go
@@ -77,7 +77,7 @@
 	if j.Records.Completing || j.Status() != wire.JobQueued {
 		t.Errorf("the job is %v, records %+v", j.Status(), j.Records)
 	}
-	f.commit(f.writeOne(rereadWait), 9)
+	f.commit(f.writeOne(rereadDelay), 9)
 	if j.Status() != wire.JobDone {
 		t.Errorf("the job is %v", j.Status())
 	}
@@ -87,9 +87,9 @@
 	f, j := finishedJob(t, 1)
 	change := f.writeOne(0)
 	f.cluster.EndJob(j, wire.JobCancelled)
-	f.discard(j)
+	f.discardUnwritten(j)
 	f.conflict(change, records.JobKey("job-1"))
-	drops := f.writeOne(rereadWait)
+	drops := f.writeOne(rereadDelay)
 	if got := drops.Operations[0].DeleteKey; len(drops.Operations) != 1 || got != records.AdmissionKey("job-1", 0) {
 		t.Errorf("change %+v", drops)
 	}
@@ -119,8 +119,8 @@
 	f.place(j, "n-1")
 	f.commit(f.writeOne(0), 7)
 	f.cluster.EndJob(j, wire.JobCancelled)
-	f.discard(j)
-	f.markDroppable(j)
+	f.discardUnwritten(j)
+	f.markDeletable(j)
 	if got := f.write(time.Hour); len(got) != 0 {
 		t.Fatalf("changes %+v while the task is on its machine", got)
 	}
@@ -132,8 +132,8 @@
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 1)
 	f.cluster.EndJob(j, wire.JobCancelled)
-	f.markOrphanCancel(j)
-	f.markDroppable(j)
+	f.markCascadedCancel(j)
+	f.markDeletable(j)
 	f.commit(f.writeOne(0), 8)
 	if j.Records.CancelUnrecorded || j.Records.Revision != 8 {
 		t.Errorf("records %+v", j.Records)
@@ -152,15 +152,15 @@
 		withdraw bool
 		changes  int
 	}{
-		{"conflict", func(f *recordFixture, ch records.Change) { f.conflict(ch, records.JobKey("job-1")) }, rereadWait, []ids.JobID{"job-1"}, false, 1},
+		{"conflict", func(f *recordFixture, ch records.Change) { f.conflict(ch, records.JobKey("job-1")) }, rereadDelay, []ids.JobID{"job-1"}, false, 1},
 		{"refusal", (*recordFixture).refuse, 2 * time.Second, nil, false, 1},
-		{"conflict with its user", func(f *recordFixture, ch records.Change) { f.conflict(ch, records.JobKey("job-1")) }, rereadWait, []ids.JobID{"job-1"}, true, 0},
+		{"conflict with its user", func(f *recordFixture, ch records.Change) { f.conflict(ch, records.JobKey("job-1")) }, rereadDelay, []ids.JobID{"job-1"}, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newRecordFixture(t, recordSettings{})
 			j := f.addJob("job-1", 1)
 			f.cluster.EndJob(j, wire.JobCancelled)
-			f.markOrphanCancel(j)
+			f.markCascadedCancel(j)
 			c.fail(f, f.writeOne(0))
 			if _, rereads := f.takeDecisions(); len(rereads) != len(c.rereads) {
 				t.Errorf("rereads %v, want %v", rereads, c.rereads)
@@ -191,8 +191,8 @@
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 1)
 	f.cluster.EndJob(j, wire.JobCancelled)
-	f.markOrphanCancel(j)
-	f.markDroppable(j)
+	f.markCascadedCancel(j)
+	f.markDeletable(j)
 	f.writeOne(0)
 	if f.write(0); f.cluster.Job("job-1") == nil {
 		t.Error("the job was removed while its cancellation was in flight")
--- a/scheduler/record_deletion.go
+++ b/scheduler/record_deletion.go
@@ -15,7 +15,7 @@
 // deleteRecords deletes admission records of jobs that have ended. False means that the write
 // budget is spent.
 func (w *recordWriter) deleteRecords() bool {
-	for _, j := range cluster.SortedByID(w.droppable) {
+	for _, j := range cluster.SortedByID(w.deletable) {
 		if !w.mayWrite() {
 			return false
 		}
@@ -31,7 +31,7 @@
 	if w.delayed(j) {
 		return
 	}
-	delete(w.droppable, j)
+	delete(w.deletable, j)
 	if !j.Terminal() || len(j.Active()) > 0 || j.Records.CancelUnrecorded || sliceInFlight(j) {
 		return
 	}
@@ -47,17 +47,17 @@
 
 func (p *sliceDeletion) target() *cluster.Job { return p.job }
 
-func (p *sliceDeletion) settled() { clearInFlight(p.deleted) }
+func (p *sliceDeletion) resolved() { clearInFlight(p.deleted) }
 
-func (p *sliceDeletion) applied(w *recordWriter, _ ids.Revision) {
+func (p *sliceDeletion) committed(w *recordWriter, _ ids.Revision) {
 	setDeleted(p.deleted)
-	w.markDroppable(p.job)
+	w.markDeletable(p.job)
 }
 
-func (p *sliceDeletion) rollBack(w *recordWriter) { w.markDroppable(p.job) }
+func (p *sliceDeletion) rollBack(w *recordWriter) { w.markDeletable(p.job) }
 
-// outstanding is false: the job's own record is not written.
-func (*sliceDeletion) outstanding() bool { return false }
+// needsJobRevision is false: the job's own record is not written.
+func (*sliceDeletion) needsJobRevision() bool { return false }
 
 // sliceInFlight tells whether a change of one of a job's slices is in flight.
 func sliceInFlight(j *cluster.Job) bool {
--- a/scheduler/record_fixture_test.go
+++ b/scheduler/record_fixture_test.go
@@ -51,13 +51,13 @@
 	f.released = append(f.released, a.Ref())
 	f.cluster.Release(a)
 	if a.Job.Terminal() {
-		f.markDroppable(a.Job)
+		f.markDeletable(a.Job)
 		return
 	}
 	f.markTaskDirty(a.Job, a.Index)
 }
 
-func (f *recordFixture) queueCommands(m *cluster.Machine) { f.queued = append(f.queued, m.ID) }
+func (f *recordFixture) queueMachine(m *cluster.Machine) { f.queued = append(f.queued, m.ID) }
 
 func (f *recordFixture) applyJobRecord(id ids.JobID, record *records.Job) { f.observed[id] = record }
 
@@ -114,15 +114,15 @@
 
 // commit applies a change at a revision.
 func (f *recordFixture) commit(change records.Change, revision ids.Revision) {
-	f.settle(records.CommitResult{Change: change, Revision: revision})
+	f.handleResult(records.CommitResult{Change: change, Revision: revision})
 }
 
 // conflict fails a change for preconditions on some keys.
 func (f *recordFixture) conflict(change records.Change, keys ...string) {
-	f.settle(records.CommitResult{Change: change, Err: &records.ConflictError{Keys: keys}})
+	f.handleResult(records.CommitResult{Change: change, Err: &records.ConflictError{Keys: keys}})
 }
 
 // refuse has the store reject a change.
 func (f *recordFixture) refuse(change records.Change) {
-	f.settle(records.CommitResult{Change: change, Err: records.ErrRejected})
+	f.handleResult(records.CommitResult{Change: change, Err: records.ErrRejected})
 }
--- a/scheduler/record_marks.go
+++ b/scheduler/record_marks.go
@@ -39,18 +39,18 @@
 // markCompletable notes that all tasks of a job are done.
 func (w *recordWriter) markCompletable(j *cluster.Job) { w.completable[j] = true }
 
-// markDroppable notes that a job has ended and its admission records may be deleted.
-func (w *recordWriter) markDroppable(j *cluster.Job) { w.droppable[j] = true }
+// markDeletable notes that a job has ended and its admission records may be deleted.
+func (w *recordWriter) markDeletable(j *cluster.Job) { w.deletable[j] = true }
 
-// markOrphanCancel notes that a job is cancelled with one that it depends on. Its own record
+// markCascadedCancel notes that a job is cancelled with one that it depends on. Its own record
 // does not say so yet and must be written.
-func (w *recordWriter) markOrphanCancel(j *cluster.Job) {
+func (w *recordWriter) markCascadedCancel(j *cluster.Job) {
 	j.Records.CancelUnrecorded = true
-	w.orphanCancels = append(w.orphanCancels, j)
+	w.cascadedCancels = append(w.cascadedCancels, j)
 }
 
-// discard forgets unwritten changes of a job that has ended.
-func (w *recordWriter) discard(j *cluster.Job) {
+// discardUnwritten forgets unwritten changes of a job that has ended.
+func (w *recordWriter) discardUnwritten(j *cluster.Job) {
 	w.dirty.clearJob(j)
 	delete(w.completable, j)
 }
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -15,13 +15,13 @@
 	// maxRefusals is how many changes of one job in a row the key-value store may refuse
 	// until nothing more is written or placed for the job.
 	maxRefusals = 8
-	// firstRefusalWait is doubled at each refusal of a change, up to maxRefusalWait, and is
+	// refusalBackoffBase is doubled at each refusal of a change, up to maxRefusalWait, and is
 	// the time until the job's next change.
-	firstRefusalWait = time.Second
-	maxRefusalWait   = time.Minute
-	// rereadWait is the time for which no change of a job is made so that its record can be
+	refusalBackoffBase = time.Second
+	maxRefusalBackoff   = time.Minute
+	// rereadDelay is the time for which no change of a job is made so that its record can be
 	// read again.
-	rereadWait = 500 * time.Millisecond
+	rereadDelay = 500 * time.Millisecond
 )
 
 // pendingChange is a change in flight. When its result is known, settled is called and then
@@ -29,16 +29,16 @@
 type pendingChange interface {
 	// target is the job whose records are changed.
 	target() *cluster.Job
-	// settled notes that the change is not in flight any more.
-	settled()
-	// applied notes that the change is committed at a revision.
-	applied(w *recordWriter, revision ids.Revision)
+	// resolved notes that the change is not in flight any more.
+	resolved()
+	// committed notes that the change is committed at a revision.
+	committed(w *recordWriter, revision ids.Revision)
 	// rollBack undoes the placements that the change would have recorded and marks the
 	// records dirty again.
 	rollBack(w *recordWriter)
-	// outstanding tells, after rollBack, whether the job's own revision is needed to try
+	// needsJobRevision tells, after rollBack, whether the job's own revision is needed to try
 	// again.
-	outstanding() bool
+	needsJobRevision() bool
 }
 
 // CommitResult applies the result of a change, which must be resolved.
@@ -47,41 +47,41 @@
 	if c.zones.settle(result) {
 		return
 	}
-	c.records.settle(result)
+	c.records.handleResult(result)
 }
 
-// settle takes the result of a change. It ignores changes of other parts.
-func (w *recordWriter) settle(result records.CommitResult) {
+// handleResult takes the result of a change. It ignores changes of other parts.
+func (w *recordWriter) handleResult(result records.CommitResult) {
 	p, ok := w.pending[result.Change.ID]
 	if !ok {
 		return
 	}
 	delete(w.pending, result.Change.ID)
 	w.rounds.MarkDue()
-	p.settled()
+	p.resolved()
 	switch {
 	case result.Err == nil:
 		p.target().Records.Refusals = 0
-		p.applied(w, result.Revision)
+		p.committed(w, result.Revision)
 	case errors.Is(result.Err, records.ErrRejected):
-		w.refused(p)
+		w.handleRefusal(p)
 	default:
-		w.conflicted(p, result.Err)
+		w.handleConflict(p, result.Err)
 	}
 }
 
-// conflicted handles a change whose preconditions did not hold. Only the job's own record may
+// handleConflict handles a change whose preconditions did not hold. Only the job's own record may
 // have changed, by a cancellation. Anything else means that the records are not as this
 // leader left them.
-func (w *recordWriter) conflicted(p pendingChange, err error) {
+func (w *recordWriter) handleConflict(p pendingChange, err error) {
 	j := p.target()
 	if !onlyJobChanged(j, err) {
-		w.fail(fmt.Errorf("records of %s moved without this leader: %w", j.ID, err))
+		w.abortTerm(fmt.Errorf("records of %s moved without this leader: %w", j.ID, err))
 		return
 	}
 	p.rollBack(w)
-	if p.outstanding() {
-		j.Records.RereadAt = w.clock.Now().Add(rereadWait)
+	if p.needsJobRevision() {
+		j.Records.RereadAt = w.clock.Now().Add(rereadDelay)
 		w.rereads = append(w.rereads, j.ID)
 	}
 }
@@ -95,19 +95,19 @@
 	return len(conflict.Keys) == 1 && conflict.Keys[0] == records.JobKey(j.ID)
 }
 
-// refused handles a change that the key-value store does not take at all, for instance
-// because its limits are lower than it said. The same change would be refused again, so the
+// handleRefusal handles a change that the key-value store does not take at all, for instance
+// because its limits are lower than it said. The same change would be handleRefusal again, so the
 // job's next change is half as large and is made later. After maxRefusals the job waits
 // until slices may be split or another controller leads. Other jobs are not delayed.
-func (w *recordWriter) refused(p pendingChange) {
+func (w *recordWriter) handleRefusal(p pendingChange) {
 	p.rollBack(w)
 	j := p.target()
 	j.Records.Refusals++
-	wait := min(maxRefusalWait, firstRefusalWait<<min(j.Records.Refusals, maxRefusals))
+	wait := min(maxRefusalBackoff, refusalBackoffBase<<min(j.Records.Refusals, maxRefusals))
 	retryAt := w.clock.Now().Add(wait)
 	j.Records.RereadAt = retryAt
 	j.Queue.RetryAt = retryAt
 }
 
-// fail notes that the records are not as this leader left them. The term must end.
-func (w *recordWriter) fail(err error) { w.err = err }
+// abortTerm notes that the records are not as this leader left them. The term must end.
+func (w *recordWriter) abortTerm(err error) { w.err = err }
--- a/scheduler/record_outcomes_test.go
+++ b/scheduler/record_outcomes_test.go
@@ -53,7 +53,7 @@
 	if len(f.released) != 1 {
 		t.Errorf("released %v", f.released)
 	}
-	if got := f.write(rereadWait - 1); len(got) != 0 {
+	if got := f.write(rereadDelay - 1); len(got) != 0 {
 		t.Errorf("changes %+v before the record was read", got)
 	}
 	f.writeOne(1)
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -130,21 +130,21 @@
 
 func (p *sliceWrite) target() *cluster.Job { return p.job }
 
-func (p *sliceWrite) settled() { p.slice.InFlight = false }
+func (p *sliceWrite) resolved() { p.slice.InFlight = false }
 
-// applied queues run commands for the recorded placements.
-func (p *sliceWrite) applied(w *recordWriter, revision ids.Revision) {
+// committed queues run commands for the recorded placements.
+func (p *sliceWrite) committed(w *recordWriter, revision ids.Revision) {
 	p.slice.Revision = revision
 	p.applySplit(w, revision)
 	for _, a := range p.placed {
 		a.Record.Committed, a.Record.InFlight = true, false
-		w.commands.queueCommands(a.Machine)
+		w.commands.queueMachine(a.Machine)
 		if a.StopReason() != cluster.StopNone && a.Current() {
 			w.tasks.release(a) // it was never sent
 		}
 	}
 	if p.job.Terminal() {
-		w.markDroppable(p.job)
+		w.markDeletable(p.job)
 	}
 }
 
@@ -168,10 +168,10 @@
 		}
 	}
 	if p.job.Terminal() {
-		w.markDroppable(p.job)
+		w.markDeletable(p.job)
 		return
 	}
 	w.dirty.markUrgent(p.slice, p.job, w.clock.Now())
 }
 
-func (p *sliceWrite) outstanding() bool { return !p.job.Terminal() }
+func (p *sliceWrite) needsJobRevision() bool { return !p.job.Terminal() }
--- a/scheduler/record_slices_test.go
+++ b/scheduler/record_slices_test.go
@@ -143,7 +143,7 @@
 	f.place(j, "n-1")
 	change := f.writeOne(0)
 	f.cluster.EndJob(j, wire.JobCancelled)
-	f.discard(j)
+	f.discardUnwritten(j)
 	for _, a := range j.Assignments() {
 		f.cluster.Stop(a, cluster.StopCancelled)
 	}
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -34,10 +34,10 @@
 	// completable are the jobs whose tasks are all done, and droppable those that have ended
 	// and may have admission records to be deleted.
 	completable map[*cluster.Job]bool
-	droppable   map[*cluster.Job]bool
-	// orphanCancels are jobs that are cancelled with one that they depend on and whose own
+	deletable   map[*cluster.Job]bool
+	// cascadedCancels are jobs that are cancelled with one that they depend on and whose own
 	// records do not say so yet.
-	orphanCancels []*cluster.Job
+	cascadedCancels []*cluster.Job
 
 	pending    map[uint64]pendingChange // changes in flight by ID
 	lastChange uint64                   // ID of the last change
@@ -88,7 +88,7 @@
 		budget:      newWriteBudget(settings.writesPerSecond),
 		dirty:       dirtySlices{},
 		completable: map[*cluster.Job]bool{},
-		droppable:   map[*cluster.Job]bool{},
+		deletable:   map[*cluster.Job]bool{},
 		pending:     map[uint64]pendingChange{},
 	}
 }
@@ -117,7 +117,7 @@
 		return
 	}
 	w.writePlacements()
-	if !w.completeJobs(w.settings.maxOperations-reservedOperations) || !w.recordOrphanCancels() {
+	if !w.completeJobs(w.settings.maxOperations-reservedOperations) || !w.recordCascadedCancels() {
 		return
 	}
 	if !w.deleteRecords() {
--- a/scheduler/run_commands.go
+++ b/scheduler/run_commands.go
@@ -10,14 +10,14 @@
 // runCommands lists up to limit commands that start tasks on a machine. It repeats those that
 // were sent before and have had no effect so far.
 func (d *commandDispatcher) runCommands(m *cluster.Machine, limit int) []wire.Command {
-	return d.sendRuns(m, unstartedTasks(m), limit)
+	return d.buildRunCommands(m, unstartedTasks(m), limit)
 }
 
-// firstRunCommands lists up to limit commands that start tasks on a machine. It leaves out
+// unsentRunCommands lists up to limit commands that start tasks on a machine. It leaves out
 // what was sent before.
-func (d *commandDispatcher) firstRunCommands(m *cluster.Machine, limit int) []wire.Command {
+func (d *commandDispatcher) unsentRunCommands(m *cluster.Machine, limit int) []wire.Command {
 	unsent := slices.DeleteFunc(unstartedTasks(m), func(a *cluster.Assignment) bool { return a.Delivery.Sent })
-	return d.sendRuns(m, unsent, limit)
+	return d.buildRunCommands(m, unsent, limit)
 }
 
 // mayBeSent tells whether a task may be started on its machine. One that a previous leader
@@ -41,11 +41,11 @@
 	return unstarted
 }
 
-// sendRuns lists the commands that start the first tasks of a list, and notes on each task
+// buildRunCommands lists the commands that start the first tasks of a list, and notes on each task
 // that it was sent.
-func (d *commandDispatcher) sendRuns(m *cluster.Machine, tasks []*cluster.Assignment, limit int) []wire.Command {
+func (d *commandDispatcher) buildRunCommands(m *cluster.Machine, tasks []*cluster.Assignment, limit int) []wire.Command {
 	var commands []wire.Command
-	token := d.tokenOf(m)
+	token := d.fencingToken(m)
 	for _, a := range tasks[:min(limit, len(tasks))] {
 		if !a.Delivery.Sent {
 			a.Delivery.SentAt = d.clock.Now()
--- a/scheduler/run_commands_test.go
+++ b/scheduler/run_commands_test.go
@@ -36,7 +36,7 @@
 				t.Errorf("run in the answer to a heartbeat: %v, want %v", got, tc.inAnswer)
 			}
 			tc.change(direct, direct.assign())
-			if got := len(direct.firstRunCommands(direct.machine, maxCommands)) == 1; got != tc.first {
+			if got := len(direct.unsentRunCommands(direct.machine, maxCommands)) == 1; got != tc.first {
 				t.Errorf("run by a direct call: %v, want %v", got, tc.first)
 			}
 		})
@@ -67,7 +67,7 @@
 	f.machine.Agent.Incarnation++
 	f.advance(time.Second)
 	f.runCommands(f.machine, maxCommands)
-	want := cluster.Delivery{Sent: true, SentAt: sentAt, Token: f.tokenOf(f.machine), Incarnation: 2}
+	want := cluster.Delivery{Sent: true, SentAt: sentAt, Token: f.fencingToken(f.machine), Incarnation: 2}
 	if a.Delivery != want {
 		t.Errorf("delivery: %+v, want %+v", a.Delivery, want)
 	}
--- a/scheduler/task_lifecycle.go
+++ b/scheduler/task_lifecycle.go
@@ -22,20 +22,20 @@
 	slowness  runTimeComparer
 	failures  successRecorder
 	// lostWork counts tasks that were stopped or lost, by reason.
-	lostWork [cluster.StopDrained + 1]lostWorkTally
+	lostWork [cluster.StopDrained + 1]lostWorkCount
 }
 
 // taskRecords notes which records of a job are behind.
 type taskRecords interface {
 	markTaskDirty(j *cluster.Job, index int)
-	// discard forgets unwritten changes of a job that has ended.
-	discard(j *cluster.Job)
+	// discardUnwritten forgets unwritten changes of a job that has ended.
+	discardUnwritten(j *cluster.Job)
 	markCompletable(j *cluster.Job)
-	markDroppable(j *cluster.Job)
+	markDeletable(j *cluster.Job)
 }
 
 // machineQueue queues machines to which a command may have to be sent.
-type machineQueue interface{ queueCommands(m *cluster.Machine) }
+type machineQueue interface{ queueMachine(m *cluster.Machine) }
 
 // taskEndObserver learns that a task was taken off its machine.
 type taskEndObserver interface{ detached(a *cluster.Assignment) }
@@ -55,9 +55,9 @@
 	recordSuccess(a *cluster.Assignment)
 }
 
-// lostWorkTally counts tasks that were taken off machines before they were done, and the
+// lostWorkCount counts tasks that were taken off machines before they were done, and the
 // CPU seconds that they had run.
-type lostWorkTally struct {
+type lostWorkCount struct {
 	tasks int
 	cpuS  float64
 }
@@ -73,7 +73,7 @@
 	l.zones.detached(a)
 	l.cluster.Release(a)
 	if a.Job.Terminal() {
-		l.records.markDroppable(a.Job)
+		l.records.markDeletable(a.Job)
 		return
 	}
 	l.records.markTaskDirty(a.Job, a.Index)
@@ -92,7 +92,7 @@
 	j := a.Job
 	if j.Terminal() {
 		l.cluster.Complete(a)
-		l.records.markDroppable(j)
+		l.records.markDeletable(j)
 		return
 	}
 	l.slowness.compareRunTimes(a)
@@ -121,7 +121,7 @@
 		a.Delivery.KillGraceS = a.Job.Spec.CheckpointS*checkpointGraceFactor + checkpointGraceSlackS
 	}
 	l.cluster.Stop(a, why)
-	l.commands.queueCommands(a.Machine)
+	l.commands.queueMachine(a.Machine)
 	if !a.MayRun() && !a.Record.InFlight {
 		l.release(a)
 	}
@@ -131,11 +131,11 @@
 // endJob gives a job its terminal state and stops its tasks on machines.
 func (l *taskLifecycle) endJob(j *cluster.Job, status wire.JobState) {
 	l.cluster.EndJob(j, status)
-	l.records.discard(j)
+	l.records.discardUnwritten(j)
 	for _, a := range j.Assignments() {
 		l.stop(a, cluster.StopCancelled)
 	}
-	l.records.markDroppable(j)
+	l.records.markDeletable(j)
 	l.rounds.MarkDue()
 }
 
--- a/scheduler/zone_records.go
+++ b/scheduler/zone_records.go
@@ -33,8 +33,8 @@
 	nextNonce() uint64
 	// submit decides on a change, and returns the ID under which settle gets its result.
 	submit(change records.Change) (id uint64)
-	// fail notes that the records are not as this leader left them, which ends the term.
-	fail(err error)
+	// abortTerm notes that the records are not as this leader left them, which ends the term.
+	abortTerm(err error)
 }
 
 // writeRecords writes the records that are due, as far as the write rate allows.
@@ -82,7 +82,7 @@
 	case errors.Is(result.Err, records.ErrRejected):
 		g.manager.WriteRejected(write.zone)
 	default:
-		g.records.writer.fail(fmt.Errorf("record of zone %s moved without this leader: %w", write.zone, result.Err))
+		g.records.writer.abortTerm(fmt.Errorf("record of zone %s moved without this leader: %w", write.zone, result.Err))
 	}
 	return true
 }
--- a/scheduler/zone_records_test.go
+++ b/scheduler/zone_records_test.go
@@ -68,7 +68,7 @@
 	return change.ID
 }
 
-func (w *fakeZoneRecordWriter) fail(err error) { w.err = err }
+func (w *fakeZoneRecordWriter) abortTerm(err error) { w.err = err }
 
 // newHeldZone makes a gate without a core, and has it write that zone b is on hold.
 func newHeldZone(t *testing.T) (*zoneGate, *fakeZoneRecordWriter) {
