--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -9,20 +9,20 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// callRetryDelay is how long a machine is not called after a call failed.
+// callRetryDelay is the minimum time until a machine is called again after a failed call.
 const callRetryDelay = time.Second
 
-// TakeCommands returns the commands that should be sent to a machine now, and its agent's
-// address. ok is false if nothing may be sent. Otherwise the call counts as in flight until
-// CommandsResult.
+// TakeCommands returns the commands that should be sent to a machine now, and the address of its
+// agent. ok is false if nothing may be sent. Otherwise the call counts as in flight until
+// CommandsResult is called.
 func (c *Core) TakeCommands(now monotonic.Instant, machine ids.MachineID) (batch wire.CommandBatch, endpoint string, ok bool) {
 	c.clock.Set(now)
 	return c.commands.takeBatch(machine)
 }
 
-// CommandsResult ends a call that TakeCommands began. heartbeat is the agent's answer, or nil
-// if there was none. Without an answer the agent may still carry the commands out later; fencing
-// tokens make that harmless.
+// CommandsResult records the end of a call that TakeCommands started. heartbeat is the agent's
+// answer, or nil if there was none. Without an answer the agent may still execute the commands
+// later. Fencing tokens make late execution harmless.
 func (c *Core) CommandsResult(now monotonic.Instant, machine ids.MachineID, heartbeat *wire.Heartbeat) {
 	c.clock.Set(now)
 	if heartbeat == nil {
@@ -33,8 +33,8 @@
 	c.receiveCallAnswer(machine, heartbeat)
 }
 
-// HeartbeatRequestResult ends a request for a heartbeat. heartbeat is the agent's answer, or
-// nil if there was none.
+// HeartbeatRequestResult records the end of a request for a heartbeat. heartbeat is the agent's
+// answer, or nil if there was none.
 func (c *Core) HeartbeatRequestResult(now monotonic.Instant, machine ids.MachineID, heartbeat *wire.Heartbeat) {
 	c.clock.Set(now)
 	c.commands.heartbeatRequestEnded(machine)
@@ -43,16 +43,16 @@
 	}
 }
 
-// receiveCallAnswer applies the heartbeat with which an agent answered a call, unless the
-// machine was removed or another machine has its address now.
+// receiveCallAnswer applies the heartbeat with which an agent answered a call. It ignores the
+// heartbeat if the machine was removed or another machine has its address now.
 func (c *Core) receiveCallAnswer(machine ids.MachineID, heartbeat *wire.Heartbeat) {
 	if heartbeat.Machine == machine && c.cluster.Machine(machine) != nil {
 		c.HeartbeatFromCall(c.clock.Now(), heartbeat)
 	}
 }
 
-// takeBatch makes the commands for a machine and counts the call as in flight. Without
-// commands the batch still fences the agent.
+// takeBatch returns the commands for a machine and counts the call as in flight. A batch without
+// commands still fences the agent.
 func (d *commandDispatcher) takeBatch(machine ids.MachineID) (batch wire.CommandBatch, endpoint string, ok bool) {
 	m := d.cluster.Machine(machine)
 	if m == nil || m.Commands.CallInFlight || !m.Up() {
@@ -69,15 +69,15 @@
 	return wire.CommandBatch{FencingToken: token, Incarnation: m.Agent.Incarnation, Commands: commands}, m.Endpoint(), true
 }
 
-// commandCallAnswered ends a call with commands that the agent answered.
+// commandCallAnswered records the end of a call with commands that the agent answered.
 func (d *commandDispatcher) commandCallAnswered(machine ids.MachineID) {
 	if m := d.endCall(machine); m != nil {
 		m.Commands.CallInFlight = false
 	}
 }
 
-// commandCallFailed ends a call with commands that had no answer. The machine is called again
-// after a delay, and not before its next heartbeat.
+// commandCallFailed records the end of a call with commands that the agent did not answer. The
+// machine is called again after callRetryDelay, and not before its next heartbeat.
 func (d *commandDispatcher) commandCallFailed(machine ids.MachineID) {
 	m := d.endCall(machine)
 	if m == nil {
@@ -88,8 +88,7 @@
 	m.Commands.CallRetryAt = d.clock.Now().Add(callRetryDelay)
 }
 
-// allowCalls lets a machine be called again although its last call failed, since it has sent a
-// heartbeat.
+// allowCalls allows calls to a machine again after a failed call, since it has sent a heartbeat.
 func (*commandDispatcher) allowCalls(m *cluster.Machine) { m.Commands.CallFailed = false }
 
 // heartbeatRequestStarted counts a request for a machine's heartbeat as in flight.
@@ -99,15 +98,15 @@
 	d.callsInFlight++
 }
 
-// heartbeatRequestEnded ends a request for a machine's heartbeat.
+// heartbeatRequestEnded records the end of a request for a machine's heartbeat.
 func (d *commandDispatcher) heartbeatRequestEnded(machine ids.MachineID) {
 	if m := d.endCall(machine); m != nil {
 		m.Commands.HeartbeatRequested = false
 	}
 }
 
-// endCall counts a call as ended and queues its machine, which it returns; nil if the machine
-// was removed.
+// endCall removes a call from those in flight, and queues and returns its machine. It returns nil
+// if the machine was removed.
 func (d *commandDispatcher) endCall(machine ids.MachineID) *cluster.Machine {
 	d.callsInFlight--
 	m := d.cluster.Machine(machine)
--- a/scheduler/dispatch_fixture_test.go
+++ b/scheduler/dispatch_fixture_test.go
@@ -19,7 +19,7 @@
 	*commandDispatcher
 	machine *cluster.Machine
 	job     *cluster.Job
-	stale  staleRecords
+	stale   staleRecords
 }
 
 // staleRecords stands in for record writing. It holds the tasks whose records are not up to
--- a/scheduler/dispatch_queue.go
+++ b/scheduler/dispatch_queue.go
@@ -8,30 +8,29 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// heartbeatRequestInterval is the least time between two requests for a machine's heartbeat.
+// heartbeatRequestInterval is the minimum time between two requests for a machine's heartbeat.
 const heartbeatRequestInterval = 2 * time.Second
 
-// agentCalls lists the agents that should be called now.
+// agentCalls holds the machines whose agents should be called now.
 type agentCalls struct {
 	sendCommands      []ids.MachineID
 	requestHeartbeats []ids.MachineID
 }
 
-// dispatchAction is what command dispatch does about a queued machine.
+// dispatchAction represents what command dispatch does about a queued machine.
 type dispatchAction uint8
 
 const (
-	// dequeue: there is nothing to do until an event queues the machine again.
+	// dequeue means that there is nothing to do until an event queues the machine again.
 	dequeue dispatchAction = iota
-	// keepQueued: a call may be needed later, without another event.
+	// keepQueued means that a call may be needed later without another event.
 	keepQueued
 	sendCommands
 	requestHeartbeat
 )
 
-// queueMachine notes that a command may have to be sent to a machine. Only such machines are
-// examined: to examine a thousand machines after every event would take too much processor
-// time.
+// queueMachine queues a machine to which a command may have to be sent. Only queued machines are
+// examined, since examining a thousand machines after every event would take too much CPU time.
 func (d *commandDispatcher) queueMachine(m *cluster.Machine) {
 	if !m.Commands.Queued {
 		m.Commands.Queued = true
@@ -39,21 +38,21 @@
 	}
 }
 
-// dispatch lists the agents that should be called now, in the order in which they were queued.
-// After a failover or a partition hundreds of machines are queued while events arrive, so the
-// bound of calls in flight also keeps a step short.
+// dispatch returns the machines whose agents should be called now, in the order in which they
+// were queued. After a failover or a network partition, hundreds of machines are queued while
+// events arrive. The limit on calls in flight therefore also bounds the duration of a step.
 func (d *commandDispatcher) dispatch() agentCalls {
 	var calls agentCalls
-	free := d.availableCalls()
+	available := d.availableCalls()
 	queue := d.queue[:0]
 	for _, m := range d.queue {
 		action := d.nextAction(m)
 		switch {
-		case action == sendCommands && free > 0:
-			free--
+		case action == sendCommands && available > 0:
+			available--
 			calls.sendCommands = append(calls.sendCommands, m.ID)
-		case action == requestHeartbeat && free > 0:
-			free--
+		case action == requestHeartbeat && available > 0:
+			available--
 			d.heartbeatRequestStarted(m)
 			calls.requestHeartbeats = append(calls.requestHeartbeats, m.ID)
 		case action != dequeue:
@@ -67,7 +66,7 @@
 	return calls
 }
 
-// availableCalls is how many calls may begin now.
+// availableCalls returns the number of calls that may start now.
 func (d *commandDispatcher) availableCalls() int {
 	if d.settings.maxCallsInFlight <= 0 {
 		return len(d.queue)
@@ -75,7 +74,7 @@
 	return d.settings.maxCallsInFlight - d.callsInFlight
 }
 
-// nextAction decides what to do about a queued machine if a call is free.
+// nextAction returns what to do about a queued machine, provided that a call is available.
 func (d *commandDispatcher) nextAction(m *cluster.Machine) dispatchAction {
 	switch {
 	case d.cluster.Machine(m.ID) != m || !mayBeCalled(m):
@@ -91,21 +90,21 @@
 	case d.needsDirectCall(m):
 		return sendCommands
 	case needsFencing(m):
-		return keepQueued // it needs a call unless it sends a heartbeat first
+		return keepQueued // the agent must be called unless it sends a heartbeat first
 	}
 	return dequeue
 }
 
-// mayBeCalled tells whether a machine has an agent that a call may reach.
+// mayBeCalled reports whether a machine has an agent that a call may reach.
 func mayBeCalled(m *cluster.Machine) bool {
 	return !m.Lifecycle.Terminating && m.Endpoint() != ""
 }
 
-// needsHeartbeatRequest tells whether the agent of a machine that a previous leader left should
-// be asked for a heartbeat now. After a failover the agent's incarnation is not known, and the
-// agent may take seconds to find this leader. A previous leader that lost the key-value store
-// and this leader, but not its agents, keeps them from doing so. It steps down when an agent
-// shows it a token of this leader.
+// needsHeartbeatRequest reports whether the agent of a machine from a previous leader's term
+// should be asked for a heartbeat now. After a failover the agent's incarnation is not known, and
+// the agent may take seconds to find this leader. A previous leader that is cut off from the
+// key-value store and from this leader, but not from its agents, keeps them from finding this
+// leader. It steps down when an agent shows it a token of this leader.
 func (d *commandDispatcher) needsHeartbeatRequest(m *cluster.Machine) bool {
 	if m.Agent.HeardThisTerm || m.Commands.HeartbeatRequested || !mayBeCalled(m) {
 		return false
@@ -117,13 +116,14 @@
 	return running || len(m.Assignments()) > 0
 }
 
-// needsFencing tells whether a machine has tasks and has not shown a token of this leader. The
-// answer to its heartbeat contains one. An agent that sends no heartbeats here must be called.
+// needsFencing reports whether a machine has tasks and its agent has not shown a token of this
+// leader. The response to a heartbeat contains one. An agent that sends no heartbeats to this
+// leader must be called.
 func needsFencing(m *cluster.Machine) bool {
 	return !m.Agent.Fenced && len(m.Assignments()) > 0
 }
 
-// needsDirectCall tells whether an agent must get a command or a token before its next
+// needsDirectCall reports whether an agent must receive a command or a token before its next
 // heartbeat.
 func (d *commandDispatcher) needsDirectCall(m *cluster.Machine) bool {
 	if needsFencing(m) && d.answerOverdue(m) {
@@ -140,7 +140,8 @@
 	return false
 }
 
-// answerOverdue tells whether no heartbeat of a machine was answered in the last interval.
+// answerOverdue reports whether no heartbeat of a machine was answered within the last heartbeat
+// interval.
 func (d *commandDispatcher) answerOverdue(m *cluster.Machine) bool {
 	return m.Agent.AnsweredAt == 0 || d.clock.Now() > m.Agent.AnsweredAt.Add(d.settings.heartbeatInterval)
 }
--- a/scheduler/kill_commands.go
+++ b/scheduler/kill_commands.go
@@ -6,22 +6,23 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// killCommands lists the commands that kill what must end on a machine; the list is never nil.
-// It also makes sure that no run command in flight starts a stopped task later.
+// killCommands returns the commands that kill the stopped and unassigned tasks on a machine. The
+// list is never nil. killCommands also ensures that no run command in flight starts a stopped
+// task later.
 func (d *commandDispatcher) killCommands(m *cluster.Machine) []wire.Command {
 	d.invalidateRunsOfStoppedTasks(m)
 	commands := d.killStoppedTasks(m)
 	return append(commands, killUnassignedTasks(m, maxKillCommands-len(commands))...)
 }
 
-// mustBeKilled tells whether a task was stopped and may run on its machine.
+// mustBeKilled reports whether a task was stopped and may still run on its machine.
 func mustBeKilled(a *cluster.Assignment) bool {
 	return a.StopReason() != cluster.StopNone && a.MayRun()
 }
 
 // invalidateRunsOfStoppedTasks raises a machine's token if the message that would start a stopped
-// task may still be in flight. While a direct call is in flight it waits for the result. A run
-// command that a previous leader sent has an older token anyway.
+// task may still be in flight. While a direct call is in flight, it waits for the result. Run
+// commands of previous leaders need no higher token, since theirs are lower than this leader's.
 func (d *commandDispatcher) invalidateRunsOfStoppedTasks(m *cluster.Machine) {
 	if m.Commands.CallInFlight {
 		return
@@ -36,7 +37,7 @@
 	}
 }
 
-// killStoppedTasks lists the commands that kill the stopped tasks of a machine.
+// killStoppedTasks returns the commands that kill the stopped tasks of a machine.
 func (d *commandDispatcher) killStoppedTasks(m *cluster.Machine) []wire.Command {
 	commands := []wire.Command{}
 	for _, a := range m.Assignments() {
@@ -59,8 +60,8 @@
 	return commands
 }
 
-// killGraceS is the time in seconds that a stopped task gets to write its checkpoint; 0 once
-// it has had that time.
+// killGraceS returns the grace period in seconds in which a stopped task may write its checkpoint.
+// It returns 0 once the grace period has passed.
 func (d *commandDispatcher) killGraceS(a *cluster.Assignment) float64 {
 	grace := a.Delivery.KillGraceS
 	if a.Delivery.KillSentAt != 0 && d.clock.Now() > a.Delivery.KillSentAt.Add(monotonic.Seconds(grace)) {
@@ -69,7 +70,7 @@
 	return grace
 }
 
-// killUnassignedTasks lists the commands that kill up to limit attempts that a machine runs
+// killUnassignedTasks returns the commands that kill up to limit attempts that a machine runs
 // without an assignment.
 func killUnassignedTasks(m *cluster.Machine, limit int) []wire.Command {
 	var commands []wire.Command
--- a/scheduler/reap_commands.go
+++ b/scheduler/reap_commands.go
@@ -5,7 +5,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// reapCommands lists the ended attempts that an agent may forget.
+// reapCommands returns the commands that let an agent forget ended attempts.
 func (d *commandDispatcher) reapCommands(m *cluster.Machine) []wire.Command {
 	var commands []wire.Command
 	for i := range m.Agent.ReportedTasks {
@@ -25,7 +25,7 @@
 	return commands
 }
 
-// endRecorded tells whether the end of an attempt is recorded, or has no effect since its
+// endRecorded reports whether the end of an attempt is recorded, or does not matter because its
 // job has ended.
 func (d *commandDispatcher) endRecorded(reported *cluster.ReportedTask) bool {
 	j := d.cluster.Job(reported.Ref.Job)
--- a/scheduler/record_cancel.go
+++ b/scheduler/record_cancel.go
@@ -6,13 +6,14 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// cascadedCancel is the change that records that a job is cancelled with one that it depends
-// on.
+// cascadedCancel represents the change that records that a job is cancelled because a job that it
+// depends on is cancelled.
 type cascadedCancel struct{ job *cluster.Job }
 
-// recordCascadedCancels records that jobs are cancelled with one that they depend on. None of
-// them ever had a task, so no other record of them is needed. There may be thousands, so
-// each is visited once, in order. False means that the write budget is spent.
+// recordCascadedCancels records the cancellation of jobs that depend on a cancelled job. None of
+// their tasks was ever started, so no other record of them is needed. There may be thousands of
+// such jobs, so each is visited once, in order. recordCascadedCancels returns false if the write
+// budget is spent.
 func (w *recordWriter) recordCascadedCancels() bool {
 	for range len(w.cascadedCancels) {
 		if !w.mayWrite() {
@@ -21,7 +22,7 @@
 		j := w.cascadedCancels[0]
 		w.cascadedCancels = w.cascadedCancels[1:]
 		switch {
-		case !j.Records.CancelUnrecorded: // its user cancelled it too
+		case !j.Records.CancelUnrecorded: // recorded already, since its user cancelled it too
 		case w.delayed(j):
 			w.cascadedCancels = append(w.cascadedCancels, j)
 		default:
@@ -37,7 +38,7 @@
 	w.submitPending(&cascadedCancel{job: j}, records.CancelJobChange(j.ID, j.Records.Revision, w.nextNonce(), record, noLimit))
 }
 
-// cancelRecorded notes that a job's own record says that it is cancelled.
+// cancelRecorded handles that a job's own record says that it is cancelled.
 func (w *recordWriter) cancelRecorded(j *cluster.Job) {
 	if j.Records.CancelUnrecorded {
 		j.Records.CancelUnrecorded = false
@@ -47,7 +48,7 @@
 
 func (p *cascadedCancel) target() *cluster.Job { return p.job }
 
-// resolved does nothing: the change holds no slice.
+// resolved does nothing, since the change writes no slice.
 func (*cascadedCancel) resolved() {}
 
 func (p *cascadedCancel) committed(w *recordWriter, revision ids.Revision) {
@@ -55,10 +56,11 @@
 	w.cancelRecorded(p.job)
 }
 
-// rollBack tries again later, unless the job's user cancels it in the meantime.
+// rollBack queues the cancellation to be recorded later, unless the job's user cancels it in the
+// meantime.
 func (p *cascadedCancel) rollBack(w *recordWriter) {
 	w.cascadedCancels = append(w.cascadedCancels, p.job)
 }
 
-// needsJobRevision is true although the job has ended: its record does not say so.
+// needsJobRevision returns true although the job has ended, since its record does not say so.
 func (*cascadedCancel) needsJobRevision() bool { return true }
--- a/scheduler/record_completion.go
+++ b/scheduler/record_completion.go
@@ -7,20 +7,20 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// reservedOperations is how many operations of a change that completes a job are not used to
-// delete slices: one writes the job's own record, and one stays unused.
+// reservedOperations is the number of operations of a change that completes a job that are not
+// used to delete slices: one writes the job's own record, and one is unused.
 const reservedOperations = 2
 
-// completion is the change that records that a job is done.
+// completion represents the change that records that a job is done.
 type completion struct {
 	job    *cluster.Job
 	doneMS int64 // time of day in Unix milliseconds
-	// deleted are the slices whose records the change deletes.
+	// deleted holds the slices whose records the change deletes.
 	deleted []*cluster.AdmissionSlice
 }
 
-// completeJobs records the end of the jobs whose tasks are all done, and deletes at most
-// maxDeletions slices of each in the same change. False means that the write budget is spent.
+// completeJobs records the completion of the jobs whose tasks are all done, and deletes at most
+// maxDeletions slices of each in the same change. It returns false if the write budget is spent.
 func (w *recordWriter) completeJobs(maxDeletions int) bool {
 	for _, j := range cluster.SortedByID(w.completable) {
 		if !w.mayWrite() {
@@ -31,10 +31,10 @@
 	return true
 }
 
-// completeJob records that a job is done, and deletes at most maxDeletions of its slices in
-// the same change, fewer after a refusal. The others are deleted later.
+// completeJob records that a job is done, and deletes at most maxDeletions of its slices in the
+// same change. Each refusal halves this number. The other slices are deleted later.
 func (w *recordWriter) completeJob(j *cluster.Job, maxDeletions int) {
-	// The revision of a slice in flight is not known yet.
+	// While a slice is in flight, its revision is not known.
 	if sliceInFlight(j) || j.Records.Completing || j.Terminal() || w.delayed(j) {
 		return
 	}
@@ -58,8 +58,8 @@
 	clearInFlight(p.deleted)
 }
 
-// committed ends the job. Jobs that depend on it may start only now, when the next leader would
-// read that it is done.
+// committed ends the job. Jobs that depend on it may start only now, since only now would the
+// next leader read that it is done.
 func (p *completion) committed(w *recordWriter, revision ids.Revision) {
 	w.cluster.EndJob(p.job, wire.JobDone)
 	p.job.Records.Revision = revision
--- a/scheduler/record_deletion.go
+++ b/scheduler/record_deletion.go
@@ -6,13 +6,13 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// sliceDeletion is the deletion of admission slices of a job that has ended.
+// sliceDeletion represents the change that deletes admission slices of a job that has ended.
 type sliceDeletion struct {
 	job     *cluster.Job
 	deleted []*cluster.AdmissionSlice
 }
 
-// deleteRecords deletes admission records of jobs that have ended. False means that the write
+// deleteRecords deletes admission records of jobs that have ended. It returns false if the write
 // budget is spent.
 func (w *recordWriter) deleteRecords() bool {
 	for _, j := range cluster.SortedByID(w.deletable) {
@@ -24,9 +24,10 @@
 	return true
 }
 
-// deleteSlices deletes as many admission slices of a job that has ended as one change may, once
-// none of its tasks can be on a machine. A job without slices is removed from the state. A
-// job that has to wait is marked again by the event for which it waits.
+// deleteSlices deletes admission slices of a job that has ended, as many as one change allows. It
+// waits until none of the job's tasks can be on a machine. A job without recorded slices is
+// removed from the cluster state. A job that has to wait is marked again by the event that it
+// waits for.
 func (w *recordWriter) deleteSlices(j *cluster.Job) {
 	if w.delayed(j) {
 		return
@@ -35,8 +36,8 @@
 	if !j.Terminal() || len(j.Active()) > 0 || j.Records.CancelUnrecorded || sliceInFlight(j) {
 		return
 	}
-	most := max(1, w.settings.maxOperations>>j.Records.Refusals-1)
-	deleted := recordedSlices(j, most)
+	limit := max(1, w.settings.maxOperations>>j.Records.Refusals-1)
+	deleted := recordedSlices(j, limit)
 	if len(deleted) == 0 {
 		w.cluster.RemoveJob(j)
 		return
@@ -56,10 +57,10 @@
 
 func (p *sliceDeletion) rollBack(w *recordWriter) { w.markDeletable(p.job) }
 
-// needsJobRevision is false: the job's own record is not written.
+// needsJobRevision returns false, since the job's own record is not written.
 func (*sliceDeletion) needsJobRevision() bool { return false }
 
-// sliceInFlight tells whether a change of one of a job's slices is in flight.
+// sliceInFlight reports whether a change of one of a job's slices is in flight.
 func sliceInFlight(j *cluster.Job) bool {
 	for _, s := range j.Slices() {
 		if s.InFlight {
@@ -69,18 +70,18 @@
 	return false
 }
 
-// recordedSlices lists the first slices of a job that have a record, at most the given number.
-func recordedSlices(j *cluster.Job, most int) []*cluster.AdmissionSlice {
+// recordedSlices returns the first slices of a job that have a record, at most limit of them.
+func recordedSlices(j *cluster.Job, limit int) []*cluster.AdmissionSlice {
 	var recorded []*cluster.AdmissionSlice
 	for _, s := range j.Slices() {
-		if s.Revision != 0 && len(recorded) < most {
+		if s.Revision != 0 && len(recorded) < limit {
 			recorded = append(recorded, s)
 		}
 	}
 	return recorded
 }
 
-// sliceVersions names slices and the revisions of their records.
+// sliceVersions returns the numbers of slices with the revisions of their records.
 func sliceVersions(list []*cluster.AdmissionSlice) []records.SliceVersion {
 	var versions []records.SliceVersion
 	for _, s := range list {
@@ -89,19 +90,21 @@
 	return versions
 }
 
+// setInFlight marks slices as changed by a change in flight.
 func setInFlight(list []*cluster.AdmissionSlice) {
 	for _, s := range list {
 		s.InFlight = true
 	}
 }
 
+// clearInFlight marks slices as not changed by a change in flight.
 func clearInFlight(list []*cluster.AdmissionSlice) {
 	for _, s := range list {
 		s.InFlight = false
 	}
 }
 
-// setDeleted notes that slices have no record any more.
+// setDeleted marks slices as having no record.
 func setDeleted(list []*cluster.AdmissionSlice) {
 	for _, s := range list {
 		s.Revision = 0
--- a/scheduler/record_dirty.go
+++ b/scheduler/record_dirty.go
@@ -9,39 +9,39 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// dirtySlices are the admission slices whose records are behind the cluster state. A slice
-// stays marked until its record is submitted or its job has ended.
+// dirtySlices holds the admission slices whose records are out of date. A slice remains marked
+// until its record is submitted or its job has ended.
 type dirtySlices map[*cluster.AdmissionSlice]dirtyMark
 
-// dirtyMark notes how a slice is behind.
+// dirtyMark holds since when a slice is dirty, and whether it is urgent.
 type dirtyMark struct {
 	job   *cluster.Job
 	since monotonic.Instant
-	// urgent tells that the slice has placements without a record. No command is sent for
-	// them before they are recorded.
+	// urgent reports whether the slice has placements without a record. No command is sent
+	// for a placement before it is recorded.
 	urgent bool
 }
 
-// dirtySlice is a slice to be written, and its job.
+// dirtySlice holds a slice to be written and its job.
 type dirtySlice struct {
 	job   *cluster.Job
 	slice *cluster.AdmissionSlice
 }
 
-// contains tells whether a slice is marked.
+// contains reports whether a slice is marked.
 func (d dirtySlices) contains(s *cluster.AdmissionSlice) bool {
 	_, marked := d[s]
 	return marked
 }
 
-// mark notes that a slice is behind since now, unless it was marked earlier.
+// mark marks a slice as dirty since now, unless it is already marked.
 func (d dirtySlices) mark(s *cluster.AdmissionSlice, j *cluster.Job, now monotonic.Instant) {
 	if !d.contains(s) {
 		d[s] = dirtyMark{job: j, since: now}
 	}
 }
 
-// markUrgent notes that a slice has placements without a record.
+// markUrgent marks a slice as having placements without a record.
 func (d dirtySlices) markUrgent(s *cluster.AdmissionSlice, j *cluster.Job, now monotonic.Instant) {
 	d.mark(s, j, now)
 	mark := d[s]
@@ -49,7 +49,7 @@
 	d[s] = mark
 }
 
-// copyMark gives a slice the urgency of another one of its job, if that one is marked.
+// copyMark marks a slice with the urgency of another slice of its job, if that one is marked.
 func (d dirtySlices) copyMark(from, to *cluster.AdmissionSlice, now monotonic.Instant) {
 	mark, marked := d[from]
 	switch {
@@ -61,17 +61,17 @@
 	}
 }
 
-// clear takes the mark off a slice.
+// clear removes the mark of a slice.
 func (d dirtySlices) clear(s *cluster.AdmissionSlice) { delete(d, s) }
 
-// clearJob takes the marks off all slices of a job.
+// clearJob removes the marks of all slices of a job.
 func (d dirtySlices) clearJob(j *cluster.Job) {
 	for _, s := range j.Slices() {
 		d.clear(s)
 	}
 }
 
-// urgent lists the slices with placements without a record, in no order.
+// urgent returns the slices with placements without a record, in no particular order.
 func (d dirtySlices) urgent() []dirtySlice {
 	var list []dirtySlice
 	for s, mark := range d {
@@ -82,8 +82,8 @@
 	return list
 }
 
-// overdue lists the slices that are not urgent and have been behind for the delay, in no
-// order.
+// overdue returns the slices that are not urgent and have been dirty for at least the delay, in no
+// particular order.
 func (d dirtySlices) overdue(now monotonic.Instant, delay time.Duration) []dirtySlice {
 	var list []dirtySlice
 	for s, mark := range d {
@@ -94,7 +94,7 @@
 	return list
 }
 
-// sortByPriority orders slices by the priority of their jobs, highest first, then by the
+// sortByPriority sorts slices by the priority of their jobs, highest first, then by the
 // jobs' IDs and the slices' numbers.
 func sortByPriority(list []dirtySlice) {
 	slices.SortFunc(list, func(a, b dirtySlice) int {
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// maxRefusals is how many changes of one job in a row the key-value store may refuse
-	// until nothing more is written or placed for the job.
+	// maxRefusals is the number of changes of one job in a row that the key-value store may
+	// refuse before the scheduler stops writing and placing tasks for the job.
 	maxRefusals = 8
-	// refusalBackoffBase is doubled at each refusal of a change, up to maxRefusalWait, and is
-	// the time until the job's next change.
+	// refusalBackoffBase, doubled at each refusal of a change up to maxRefusalBackoff, is the
+	// time until the job's next change.
 	refusalBackoffBase = time.Second
-	maxRefusalBackoff   = time.Minute
-	// rereadDelay is the time for which no change of a job is made so that its record can be
-	// read again.
+	maxRefusalBackoff  = time.Minute
+	// rereadDelay is the time after a conflict in which no change of a job is made, so that
+	// its record can be read again.
 	rereadDelay = 500 * time.Millisecond
 )
 
-// pendingChange is a change in flight. When its result is known, settled is called and then
-// either applied or rollBack.
+// pendingChange represents a change in flight. When its result is known, resolved is called. Then,
+// unless the result ends the term, either committed or rollBack is called.
 type pendingChange interface {
-	// target is the job whose records are changed.
+	// target returns the job whose records are changed.
 	target() *cluster.Job
-	// resolved notes that the change is not in flight any more.
+	// resolved records that the change is no longer in flight.
 	resolved()
-	// committed notes that the change is committed at a revision.
+	// committed updates the state after the change was committed at a revision.
 	committed(w *recordWriter, revision ids.Revision)
-	// rollBack undoes the placements that the change would have recorded and marks the
-	// records dirty again.
+	// rollBack undoes the placements that the change would have recorded, and marks its
+	// records to be written again.
 	rollBack(w *recordWriter)
-	// needsJobRevision tells, after rollBack, whether the job's own revision is needed to try
-	// again.
+	// needsJobRevision reports, after rollBack, whether a retry needs the current revision of
+	// the job's own record.
 	needsJobRevision() bool
 }
 
-// CommitResult applies the result of a change, which must be resolved.
+// CommitResult applies the result of a change. The result must be resolved.
 func (c *Core) CommitResult(now monotonic.Instant, result records.CommitResult) {
 	c.clock.Set(now)
 	if c.zones.settle(result) {
@@ -50,7 +50,8 @@
 	c.records.handleResult(result)
 }
 
-// handleResult takes the result of a change. It ignores changes of other parts.
+// handleResult applies the result of a change. It ignores changes that are not pending in the
+// record writer.
 func (w *recordWriter) handleResult(result records.CommitResult) {
 	p, ok := w.pending[result.Change.ID]
 	if !ok {
@@ -70,13 +71,13 @@
 	}
 }
 
-// handleConflict handles a change whose preconditions did not hold. Only the job's own record may
-// have changed, by a cancellation. Anything else means that the records are not as this
-// leader left them.
+// handleConflict handles a change whose preconditions failed. The only record that another writer
+// may change is the job's own, by a cancellation. Any other conflict means that the records are
+// not as this leader last wrote them.
 func (w *recordWriter) handleConflict(p pendingChange, err error) {
 	j := p.target()
 	if !onlyJobChanged(j, err) {
-		w.abortTerm(fmt.Errorf("records of %s moved without this leader: %w", j.ID, err))
+		w.abortTerm(fmt.Errorf("write records of job %s: changed by another writer: %w", j.ID, err))
 		return
 	}
 	p.rollBack(w)
@@ -86,7 +87,7 @@
 	}
 }
 
-// onlyJobChanged tells whether a conflict is with the job's own record alone.
+// onlyJobChanged reports whether the job's own record is the only one in a conflict.
 func onlyJobChanged(j *cluster.Job, err error) bool {
 	conflict, ok := errors.AsType[*records.ConflictError](err)
 	if !ok || j.Records.Revision == 0 {
@@ -95,19 +96,21 @@
 	return len(conflict.Keys) == 1 && conflict.Keys[0] == records.JobKey(j.ID)
 }
 
-// handleRefusal handles a change that the key-value store does not take at all, for instance
-// because its limits are lower than it said. The same change would be handleRefusal again, so the
-// job's next change is half as large and is made later. After maxRefusals the job waits
-// until slices may be split or another controller leads. Other jobs are not delayed.
+// handleRefusal handles a change that the key-value store rejects for its size or form, for
+// instance because the store's limits are lower than announced. The same change would be refused
+// again, so the job's next change is half as large and is made after a backoff. After maxRefusals
+// the job waits until slices may be split or another controller is the leader. Other jobs are not
+// delayed.
 func (w *recordWriter) handleRefusal(p pendingChange) {
 	p.rollBack(w)
 	j := p.target()
 	j.Records.Refusals++
-	wait := min(maxRefusalBackoff, refusalBackoffBase<<min(j.Records.Refusals, maxRefusals))
-	retryAt := w.clock.Now().Add(wait)
+	backoff := min(maxRefusalBackoff, refusalBackoffBase<<min(j.Records.Refusals, maxRefusals))
+	retryAt := w.clock.Now().Add(backoff)
 	j.Records.RereadAt = retryAt
 	j.Queue.RetryAt = retryAt
 }
 
-// abortTerm notes that the records are not as this leader left them. The term must end.
+// abortTerm sets the error that Core.RecordsError returns: the records are not as this leader last
+// wrote them. The term must end.
 func (w *recordWriter) abortTerm(err error) { w.err = err }
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -9,23 +9,24 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// sliceWrite is the writing of an admission slice, or of all parts into which it is split.
+// sliceWrite represents the change that writes an admission slice, or all parts into which it is
+// split.
 type sliceWrite struct {
 	job   *cluster.Job
 	slice *cluster.AdmissionSlice
-	parts []slicePart // the first is the slice itself; nil: it is not split
-	// placed are the placements that the change records.
+	parts []slicePart // the first is the slice itself; nil: the slice is not split
+	// placed holds the placements that the change records.
 	placed []*cluster.Assignment
 }
 
-// slicePart is one part of a slice that is split.
+// slicePart holds one part of a split slice.
 type slicePart struct {
 	slice *cluster.AdmissionSlice
 	tasks []int // ascending
 }
 
-// writeSlice submits a slice's record, in parts if it is too large. After each refusal the
-// job's next records are half as large.
+// writeSlice submits a slice's record, in parts if it is too large. Each refusal halves the size
+// limit of the job's next records.
 func (w *recordWriter) writeSlice(j *cluster.Job, s *cluster.AdmissionSlice) {
 	w.dirty.clear(s)
 	s.InFlight = true
@@ -44,7 +45,7 @@
 	w.submitPending(write, records.PutSlicesChange(j.ID, j.Records.Revision, writes))
 }
 
-// unrecordedPlacements lists the placements of a slice's tasks that are not recorded.
+// unrecordedPlacements returns the placements of a slice's tasks that are not recorded.
 func unrecordedPlacements(j *cluster.Job, s *cluster.AdmissionSlice) []*cluster.Assignment {
 	var placed []*cluster.Assignment
 	for _, i := range s.Tasks {
@@ -55,8 +56,8 @@
 	return placed
 }
 
-// splitSlice divides a slice into parts and adds slices to the job for all but the first.
-// Its tasks stay with the slice until the parts are recorded.
+// splitSlice divides a slice into parts and adds a slice to the job for each part but the first.
+// The tasks belong to the original slice until the parts are recorded.
 func (w *recordWriter) splitSlice(j *cluster.Job, s *cluster.AdmissionSlice, limit int) ([]slicePart, []records.SliceWrite) {
 	var parts []slicePart
 	var writes []records.SliceWrite
@@ -72,8 +73,8 @@
 	return parts, writes
 }
 
-// splitTasks halves lists of tasks until the record of each is within the limit in bytes or
-// has one task, or until there are as many as one change may write.
+// splitTasks halves lists of tasks until the record of each list is within the limit in bytes or
+// has one task, or until there are as many lists as one change may write.
 func (w *recordWriter) splitTasks(j *cluster.Job, tasks []int, limit int) [][]int {
 	lists := [][]int{tasks}
 	for k := 0; k < len(lists); {
@@ -107,8 +108,8 @@
 // noMachine is the machine index of a task that is not placed.
 const noMachine = -1
 
-// machineIndex returns the index of an assignment's machine in the list of a record, and adds
-// the machine if the list does not have it yet.
+// machineIndex returns the index of an assignment's machine in the list of machines of a record,
+// and adds the machine if it is not in the list. known holds the indexes of the listed machines.
 func machineIndex(record *records.AdmissionSlice, known map[ids.MachineID]int, a *cluster.Assignment) int {
 	if a == nil {
 		return noMachine
@@ -123,7 +124,7 @@
 	return index
 }
 
-// sliceVersion names a slice and the revision of its record.
+// sliceVersion returns the number of a slice with the revision of its record.
 func sliceVersion(s *cluster.AdmissionSlice) records.SliceVersion {
 	return records.SliceVersion{Number: s.Number, Revision: s.Revision}
 }
@@ -132,7 +133,8 @@
 
 func (p *sliceWrite) resolved() { p.slice.InFlight = false }
 
-// committed queues run commands for the recorded placements.
+// committed marks the placements as recorded and queues their machines, so that run commands are
+// sent.
 func (p *sliceWrite) committed(w *recordWriter, revision ids.Revision) {
 	p.slice.Revision = revision
 	p.applySplit(w, revision)
@@ -140,7 +142,7 @@
 		a.Record.Committed, a.Record.InFlight = true, false
 		w.commands.queueMachine(a.Machine)
 		if a.StopReason() != cluster.StopNone && a.Current() {
-			w.tasks.release(a) // it was never sent
+			w.tasks.release(a) // a task that was stopped before it was recorded was never sent
 		}
 	}
 	if p.job.Terminal() {
@@ -148,9 +150,9 @@
 	}
 }
 
-// applySplit moves the tasks to the parts of a split that is recorded. If something happened
-// to a task since the change was submitted, the part that it belongs to now is as dirty as
-// the slice.
+// applySplit moves the tasks to the parts of a recorded split. If a task changed after the change
+// was submitted, the slice is dirty. Its mark is copied to every part, since the task may now
+// belong to any of them.
 func (p *sliceWrite) applySplit(w *recordWriter, revision ids.Revision) {
 	for _, part := range p.parts {
 		part.slice.Revision = revision
@@ -159,7 +161,8 @@
 	}
 }
 
-// rollBack releases the placements that were not recorded.
+// rollBack releases the placements that were not recorded, and marks the slice as urgent unless the
+// job has ended.
 func (p *sliceWrite) rollBack(w *recordWriter) {
 	for _, a := range p.placed {
 		a.Record.InFlight = false
--- a/scheduler/run_commands.go
+++ b/scheduler/run_commands.go
@@ -7,26 +7,28 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// runCommands lists up to limit commands that start tasks on a machine. It repeats those that
-// were sent before and have had no effect so far.
+// runCommands returns up to limit commands that start tasks on a machine. It repeats commands that
+// were already sent and have had no visible effect.
 func (d *commandDispatcher) runCommands(m *cluster.Machine, limit int) []wire.Command {
 	return d.buildRunCommands(m, unstartedTasks(m), limit)
 }
 
-// unsentRunCommands lists up to limit commands that start tasks on a machine. It leaves out
-// what was sent before.
+// unsentRunCommands returns up to limit commands that start tasks on a machine. It omits commands
+// that were already sent.
 func (d *commandDispatcher) unsentRunCommands(m *cluster.Machine, limit int) []wire.Command {
 	unsent := slices.DeleteFunc(unstartedTasks(m), func(a *cluster.Assignment) bool { return a.Delivery.Sent })
 	return d.buildRunCommands(m, unsent, limit)
 }
 
-// mayBeSent tells whether a task may be started on its machine. One that a previous leader
-// recorded is not: that leader may have sent it, and the agent may have ended it since.
+// mayBeSent reports whether a run command for a task may be sent to its machine. A task that a
+// previous leader recorded must not be sent: that leader may have sent it, and the task may have
+// ended on the agent since.
 func mayBeSent(a *cluster.Assignment) bool {
 	return a.Record.Committed && a.StopReason() == cluster.StopNone && !a.Delivery.Inherited
 }
 
-// unstartedTasks lists the tasks that should start on a machine and were not seen there.
+// unstartedTasks returns the tasks that should start on a machine and that no heartbeat has shown
+// there.
 func unstartedTasks(m *cluster.Machine) []*cluster.Assignment {
 	if m.Lifecycle.Terminating {
 		return nil
@@ -41,8 +43,8 @@
 	return unstarted
 }
 
-// buildRunCommands lists the commands that start the first tasks of a list, and notes on each task
-// that it was sent.
+// buildRunCommands returns the commands that start up to limit of the given tasks, and records in
+// the delivery of each that it was sent.
 func (d *commandDispatcher) buildRunCommands(m *cluster.Machine, tasks []*cluster.Assignment, limit int) []wire.Command {
 	var commands []wire.Command
 	token := d.fencingToken(m)
--- a/scheduler/task_lifecycle.go
+++ b/scheduler/task_lifecycle.go
@@ -8,9 +8,10 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// taskLifecycle ends tasks: it stops them, releases those that are known to have ended, and
-// notifies record writing, command dispatch, the zone gate and the estimates. All policies end
-// tasks through it. It must not release a task that may still run.
+// taskLifecycle stops tasks, releases those that are known to have ended, and notifies the record
+// writer, command dispatch, the zone gate, the run time estimates, and the detection of slow
+// machines and failures. All policies end tasks through it. It must not release a task that may
+// still run.
 type taskLifecycle struct {
 	cluster   *cluster.State
 	clock     *clock.Clock
@@ -21,14 +22,14 @@
 	estimates runRecorder
 	slowness  runTimeComparer
 	failures  successRecorder
-	// lostWork counts tasks that were stopped or lost, by reason.
+	// lostWork holds the work of stopped and lost tasks by stop reason.
 	lostWork [cluster.StopDrained + 1]lostWorkCount
 }
 
-// taskRecords notes which records of a job are behind.
+// taskRecords marks records of a job that must be written or deleted.
 type taskRecords interface {
 	markTaskDirty(j *cluster.Job, index int)
-	// discardUnwritten forgets unwritten changes of a job that has ended.
+	// discardUnwritten discards the unwritten changes of a job that has ended.
 	discardUnwritten(j *cluster.Job)
 	markCompletable(j *cluster.Job)
 	markDeletable(j *cluster.Job)
@@ -37,33 +38,33 @@
 // machineQueue queues machines to which a command may have to be sent.
 type machineQueue interface{ queueMachine(m *cluster.Machine) }
 
-// taskEndObserver learns that a task was taken off its machine.
+// taskEndObserver is notified when a task is removed from its machine.
 type taskEndObserver interface{ detached(a *cluster.Assignment) }
 
-// runRecorder learns from how long tasks ran.
+// runRecorder records how long tasks ran.
 type runRecorder interface {
 	recordRun(s *wire.JobSpec, ran time.Duration)
 }
 
-// runTimeComparer compares machines by how long tasks of a job ran there.
+// runTimeComparer compares machines by the run times of a job's tasks on them.
 type runTimeComparer interface {
 	compareRunTimes(a *cluster.Assignment)
 }
 
-// successRecorder notes that a task succeeded.
+// successRecorder records that a task succeeded.
 type successRecorder interface {
 	recordSuccess(a *cluster.Assignment)
 }
 
-// lostWorkCount counts tasks that were taken off machines before they were done, and the
-// CPU seconds that they had run.
+// lostWorkCount holds the number of tasks that were removed from machines before they were done,
+// and the CPU seconds that they had used.
 type lostWorkCount struct {
 	tasks int
 	cpuS  float64
 }
 
-// release takes a task that is known to have ended off its machine; it is pending again
-// unless its job has ended.
+// release removes a task that is known to have ended from its machine. The task becomes pending
+// again unless its job has ended.
 func (l *taskLifecycle) release(a *cluster.Assignment) {
 	if a.Run.Phase == wire.TaskRunning && !a.Job.Spec.Service {
 		lost := &l.lostWork[a.StopReason()]
@@ -79,13 +80,13 @@
 	l.records.markTaskDirty(a.Job, a.Index)
 }
 
-// withdraw undoes a placement of the present round.
+// withdraw undoes a placement of the current round.
 func (l *taskLifecycle) withdraw(a *cluster.Assignment) {
 	l.zones.detached(a)
 	l.cluster.Withdraw(a)
 }
 
-// complete takes a task that succeeded off its machine.
+// complete removes a task that succeeded from its machine.
 func (l *taskLifecycle) complete(a *cluster.Assignment) {
 	l.zones.detached(a)
 	l.failures.recordSuccess(a)
@@ -107,14 +108,15 @@
 }
 
 const (
-	// A stopped task gets checkpointGraceFactor times the time that a checkpoint takes, and
-	// checkpointGraceSlackS seconds more, to write one.
+	// The grace period of a stopped task is the time that a checkpoint takes, multiplied by
+	// checkpointGraceFactor, plus checkpointGraceSlackS in seconds.
 	checkpointGraceFactor = 1.25
 	checkpointGraceSlackS = 0.5
 )
 
-// stop decides that a task must leave its machine. One that was never sent is released at
-// once, or when the result of its record is known if that is in flight.
+// stop stops a task on its machine. A task that was never sent is released immediately, or, if its
+// record is in flight, when the result of the write is known. A stopped task gets a grace period
+// in which to write a checkpoint, unless it is cancelled or writes no checkpoints.
 func (l *taskLifecycle) stop(a *cluster.Assignment, why cluster.StopReason) {
 	a.Delivery.KillGraceS = 0
 	if why != cluster.StopCancelled && a.StopReason() != cluster.StopCancelled && a.Job.Spec.CheckpointEveryS > 0 {
@@ -128,7 +130,7 @@
 	l.rounds.MarkDue()
 }
 
-// endJob gives a job its terminal state and stops its tasks on machines.
+// endJob sets the terminal state of a job and stops its tasks on machines.
 func (l *taskLifecycle) endJob(j *cluster.Job, status wire.JobState) {
 	l.cluster.EndJob(j, status)
 	l.records.discardUnwritten(j)
@@ -139,8 +141,8 @@
 	l.rounds.MarkDue()
 }
 
-// runTime is how long a task has been in its phase, less the pauses of this process. Changes
-// during a pause are observed only after it.
-func runTime(now *clock.Clock, a *cluster.Assignment) time.Duration {
-	return now.Now().Sub(a.Run.PhaseSince) - (now.TotalPause() - a.Run.PausedBefore)
+// runTime returns how long a task has been in its phase, less the pauses of this process. The
+// pauses are subtracted because changes during a pause are observed only after it.
+func runTime(clk *clock.Clock, a *cluster.Assignment) time.Duration {
+	return clk.Now().Sub(a.Run.PhaseSince) - (clk.TotalPause() - a.Run.PausedBefore)
 }
