--- a/scheduler/direct_calls_test.go
+++ b/scheduler/direct_calls_test.go
@@ -8,6 +8,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
+// No commands are sent to a machine that is removed or terminating, whose agent's incarnation is not
+// known, or to which a call is in flight. Such a batch must not count as a call.
 func TestTakeBatchRefuses(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -16,7 +18,7 @@
 		{"a removed machine", func(f *dispatchFixture, m *cluster.Machine) { f.cluster.RemoveMachine(m) }},
 		{"a call in flight", func(_ *dispatchFixture, m *cluster.Machine) { m.Commands.CallInFlight = true }},
 		{"an agent whose incarnation is not known", func(_ *dispatchFixture, m *cluster.Machine) { m.Agent.HeardThisTerm = false }},
-		{"a machine that is given up", func(_ *dispatchFixture, m *cluster.Machine) { m.Lifecycle.Terminating = true }},
+		{"a terminating machine", func(_ *dispatchFixture, m *cluster.Machine) { m.Lifecycle.Terminating = true }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newDispatchFixture(t)
@@ -28,7 +30,7 @@
 	}
 }
 
-// A batch is for one incarnation of the agent, and goes out under the machine's token.
+// A batch names one incarnation of the agent and carries the machine's fencing token.
 func TestTakeBatch(t *testing.T) {
 	f := newDispatchFixture(t)
 	f.assign()
@@ -42,7 +44,7 @@
 		t.Errorf("run commands: %v", got)
 	}
 	if f.machine.Commands.DirectRunToken != token || f.callsInFlight != 1 {
-		t.Errorf("notes: %+v, %d calls in flight", f.machine.Commands, f.callsInFlight)
+		t.Errorf("commands state: %+v, %d calls in flight", f.machine.Commands, f.callsInFlight)
 	}
 }
 
@@ -68,7 +70,8 @@
 	}
 }
 
-// Calls are counted also when their machine is removed meanwhile.
+// A call is counted as ended even if its machine was removed in the meantime. Otherwise it would
+// count against the limit on calls in flight indefinitely.
 func TestCallOfARemovedMachineEnds(t *testing.T) {
 	f := newDispatchFixture(t)
 	f.takeBatch("n-1")
@@ -79,8 +82,8 @@
 	}
 }
 
-// Another machine may have got the address of one that was called. Its answer says nothing of
-// either.
+// The address of a called machine may belong to another machine now. The answer of that machine
+// must not count as a heartbeat of either.
 func TestAnswerOfAnotherMachineIsIgnored(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
@@ -88,7 +91,7 @@
 	b.c.TakeCommands(b.now, "n-1")
 	b.c.CommandsResult(b.now, "n-1", &wire.Heartbeat{Machine: "n-2", Incarnation: 1, Sequence: 1})
 	if b.c.cluster.Machine("n-2") != nil {
-		t.Error("the answer was taken for a heartbeat")
+		t.Error("the answer was applied as a heartbeat")
 	}
 	if m := b.c.cluster.Machine("n-1"); m.Commands.CallInFlight || m.Agent.AnsweredCall {
 		t.Errorf("call in flight: %v, answered: %v", m.Commands.CallInFlight, m.Agent.AnsweredCall)
--- a/scheduler/dispatch_fixture_test.go
+++ b/scheduler/dispatch_fixture_test.go
@@ -13,41 +13,41 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// dispatchFixture is a command dispatcher without a core. Machine n-1 is up and job-1 has
-// four tasks, none of which is assigned.
+// dispatchFixture holds a command dispatcher without a core. Machine n-1 is up, and job-1 has four
+// tasks, none of which is assigned.
 type dispatchFixture struct {
 	*commandDispatcher
-	machine *cluster.Machine
-	job     *cluster.Job
-	stale   staleRecords
+	machine      *cluster.Machine
+	job          *cluster.Job
+	staleRecords fakeRecordStatus
 }
 
-// staleRecords stands in for record writing. It holds the tasks whose records are not up to
+// fakeRecordStatus is a fake of the record writer. It holds the tasks whose records are not up to
 // date.
-type staleRecords map[ids.TaskRef]bool
+type fakeRecordStatus map[ids.TaskRef]bool
 
-func (b staleRecords) upToDate(j *cluster.Job, index int) bool {
-	return !b[ids.TaskRef{Job: j.ID, Index: index}]
+func (s fakeRecordStatus) upToDate(j *cluster.Job, index int) bool {
+	return !s[ids.TaskRef{Job: j.ID, Index: index}]
 }
 
 const fixtureRevision ids.Revision = 5
 
 func newDispatchFixture(t *testing.T) *dispatchFixture {
 	t.Helper()
-	now := clock.New(0)
-	now.Begin(monotonic.Instant(time.Hour))
-	enough := quota.Amount{CPUs: 64}
-	quotas := quota.NewTracker([]quota.Team{{Name: "red", Nominal: enough, Limit: enough}})
-	state := cluster.NewState(cluster.Settings{SliceTasks: 4, BootFactor: 4}, now, &clock.RoundTrigger{}, quotas)
-	behind := staleRecords{}
+	clk := clock.New(0)
+	clk.Begin(monotonic.Instant(time.Hour))
+	teamQuota := quota.Amount{CPUs: 64}
+	quotas := quota.NewTracker([]quota.Team{{Name: "red", Nominal: teamQuota, Limit: teamQuota}})
+	state := cluster.NewState(cluster.Settings{SliceTasks: 4, BootFactor: 4}, clk, &clock.RoundTrigger{}, quotas)
+	staleRecords := fakeRecordStatus{}
 	f := &dispatchFixture{
 		commandDispatcher: &commandDispatcher{
 			cluster:  state,
-			clock:    now,
-			records:  behind,
+			clock:    clk,
+			records:  staleRecords,
 			settings: dispatchSettings{revision: fixtureRevision, heartbeatInterval: 2 * time.Second},
 		},
-		stale: behind,
+		staleRecords: staleRecords,
 	}
 	f.machine = f.addMachine("n-1")
 	spec := &wire.JobSpec{Tasks: 4, Team: "red", CPUs: 2, Image: "i"}
@@ -66,7 +66,7 @@
 	return m
 }
 
-// assign assigns the next task to the machine. Its record is committed.
+// assign assigns the next pending task to the machine and marks its record as committed.
 func (f *dispatchFixture) assign() *cluster.Assignment {
 	pending := f.job.Pending()
 	a := f.cluster.Assign(f.job, pending[len(pending)-1], f.machine)
@@ -75,7 +75,8 @@
 	return a
 }
 
-// assignSent assigns the next task to the machine, as if it was sent under the present token.
+// assignSent assigns the next pending task to the machine and marks its run command as sent under
+// the current token.
 func (f *dispatchFixture) assignSent() *cluster.Assignment {
 	a := f.assign()
 	a.Delivery.Sent, a.Delivery.SentAt = true, f.clock.Now()
@@ -83,11 +84,11 @@
 	return a
 }
 
-// report has the machine's newest heartbeat show a task in a state.
+// report adds an attempt with its state to the machine's newest heartbeat.
 func (f *dispatchFixture) report(ref ids.TaskRef, attempt ids.Attempt, state wire.TaskState) {
 	reported := cluster.ReportedTask{Ref: ref, Attempt: attempt, State: state}
 	f.machine.Agent.ReportedTasks = append(f.machine.Agent.ReportedTasks, reported)
 }
 
-// advance moves the clock on.
+// advance advances the clock.
 func (f *dispatchFixture) advance(d time.Duration) { f.clock.Set(f.clock.Now().Add(d)) }
--- a/scheduler/dispatch_queue.go
+++ b/scheduler/dispatch_queue.go
@@ -43,16 +43,16 @@
 // events arrive. The limit on calls in flight therefore also bounds the duration of a step.
 func (d *commandDispatcher) dispatch() agentCalls {
 	var calls agentCalls
-	available := d.availableCalls()
+	remaining := d.availableCalls()
 	queue := d.queue[:0]
 	for _, m := range d.queue {
 		action := d.nextAction(m)
 		switch {
-		case action == sendCommands && available > 0:
-			available--
+		case action == sendCommands && remaining > 0:
+			remaining--
 			calls.sendCommands = append(calls.sendCommands, m.ID)
-		case action == requestHeartbeat && available > 0:
-			available--
+		case action == requestHeartbeat && remaining > 0:
+			remaining--
 			d.heartbeatRequestStarted(m)
 			calls.requestHeartbeats = append(calls.requestHeartbeats, m.ID)
 		case action != dequeue:
--- a/scheduler/dispatch_queue_test.go
+++ b/scheduler/dispatch_queue_test.go
@@ -11,6 +11,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
+// A machine that is up is called only if its agent needs a command or a token before its next
+// heartbeat and may be called now.
 func TestNextActionOfAMachineThatIsUp(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -32,11 +34,11 @@
 			f.assign()
 			m.Commands.CallInFlight = true
 		}, dequeue},
-		{"silent since a call failed", func(f *dispatchFixture, m *cluster.Machine) {
+		{"no heartbeat since a call failed", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assign()
 			m.Commands.CallFailed = true
 		}, dequeue},
-		{"a call failed a moment ago", func(f *dispatchFixture, m *cluster.Machine) {
+		{"within the retry delay of a failed call", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assign()
 			m.Commands.CallRetryAt = f.clock.Now().Add(time.Millisecond)
 		}, keepQueued},
@@ -59,6 +61,8 @@
 	}
 }
 
+// Only a machine from a previous leader's term is asked for a heartbeat. A booting machine sends
+// its first heartbeat unasked.
 func TestNextActionOfAMachineWithoutHeartbeat(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -68,7 +72,7 @@
 		{"booting", func(_ *dispatchFixture, m *cluster.Machine) {
 			m.Lifecycle.ListedStatus, m.Lifecycle.ProvisionedThisTerm = wire.MachineRunning, true
 		}, dequeue},
-		{"left running by a previous leader", func(_ *dispatchFixture, m *cluster.Machine) {
+		{"running since a previous leader's term", func(_ *dispatchFixture, m *cluster.Machine) {
 			m.Lifecycle.ListedStatus = wire.MachineRunning
 		}, requestHeartbeat},
 		{"tasks of a previous leader", func(f *dispatchFixture, _ *cluster.Machine) {
@@ -90,7 +94,7 @@
 	}
 }
 
-// Machines beyond the bound of calls wait in the queue, in order, until calls have ended.
+// Machines beyond the limit on calls in flight wait in the queue, in order, until calls have ended.
 func TestDispatchBoundsCallsInFlight(t *testing.T) {
 	f := newDispatchFixture(t)
 	f.settings.maxCallsInFlight = 2
@@ -107,7 +111,7 @@
 		t.Fatalf("first requests: %v", got)
 	}
 	if got := f.dispatch().requestHeartbeats; len(got) != 0 {
-		t.Fatalf("requests beyond the bound: %v", got)
+		t.Fatalf("requests beyond the limit: %v", got)
 	}
 	f.heartbeatRequestEnded(machines[0])
 	if got := f.dispatch().requestHeartbeats; !slices.Equal(got, machines[2:3]) {
@@ -115,7 +119,8 @@
 	}
 }
 
-// A machine that was asked in vain is asked again after an interval, not at once.
+// A machine that did not answer a request for a heartbeat is asked again after
+// heartbeatRequestInterval, not immediately.
 func TestHeartbeatIsRequestedAgain(t *testing.T) {
 	f := newDispatchFixture(t)
 	f.machine.Agent.HeardThisTerm = false
@@ -125,10 +130,10 @@
 	f.heartbeatRequestEnded("n-1")
 	f.advance(heartbeatRequestInterval - time.Millisecond)
 	if f.needsHeartbeatRequest(f.machine) {
-		t.Error("asked again before the interval ended")
+		t.Error("requested again before the interval ended")
 	}
 	f.advance(time.Millisecond)
 	if !f.needsHeartbeatRequest(f.machine) {
-		t.Error("not asked again after the interval")
+		t.Error("not requested again after the interval")
 	}
 }
--- a/scheduler/kill_commands_test.go
+++ b/scheduler/kill_commands_test.go
@@ -9,14 +9,15 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A task has its grace period once, from the first kill command on.
+// A task has one grace period, which starts with the first kill command. Repeated kill commands do
+// not extend it.
 func TestKillGraceEndsAfterItsTime(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		elapsed time.Duration
 		want    float64
 	}{
-		{"repeated at once", 0, 5},
+		{"repeated immediately", 0, 5},
 		{"repeated within the grace period", 5 * time.Second, 5},
 		{"repeated after the grace period", 5*time.Second + time.Millisecond, 0},
 	} {
@@ -47,7 +48,7 @@
 		{"the machine reports it", func(f *dispatchFixture, a *cluster.Assignment) {
 			f.report(a.Ref(), a.Attempt, wire.TaskRunning)
 		}, 0},
-		{"the outcome of a call is awaited", func(f *dispatchFixture, _ *cluster.Assignment) {
+		{"a call is in flight", func(f *dispatchFixture, _ *cluster.Assignment) {
 			f.machine.Commands.CallInFlight = true
 		}, 0},
 		{"a previous leader sent it", func(_ *dispatchFixture, a *cluster.Assignment) {
@@ -87,7 +88,7 @@
 	}
 }
 
-// Stopped tasks come first, and all kill commands together stay within their bound.
+// Stopped tasks come first, and all kill commands together are within maxKillCommands.
 func TestKillCommandsAreBounded(t *testing.T) {
 	f := newDispatchFixture(t)
 	a := f.assignSent()
@@ -104,7 +105,7 @@
 	}
 }
 
-// The protocol has a list in each message, also where there is nothing to tell.
+// The protocol requires a list of commands in each message, even an empty one.
 func TestKillCommandsAreNeverNil(t *testing.T) {
 	f := newDispatchFixture(t)
 	if commands := f.killCommands(f.machine); commands == nil || len(commands) != 0 {
--- a/scheduler/reap_commands_test.go
+++ b/scheduler/reap_commands_test.go
@@ -9,8 +9,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// An agent must keep an ended attempt until its end is recorded: the next leader would start
-// the task again.
+// An agent must keep an ended attempt until its end is recorded. Otherwise the next leader would
+// start the task again.
 func TestReapsOnlyWhatIsRecorded(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -21,16 +21,16 @@
 		{"not ended", func(_ *dispatchFixture, r *cluster.ReportedTask) { r.State = wire.TaskRunning }, false},
 		{"still assigned", func(f *dispatchFixture, r *cluster.ReportedTask) { r.Attempt = f.assign().Attempt }, false},
 		{"of an unknown job", func(_ *dispatchFixture, r *cluster.ReportedTask) { r.Ref.Job = "job-unknown" }, true},
-		{"of a job that is over", func(f *dispatchFixture, _ *cluster.ReportedTask) {
-			f.stale[ids.TaskRef{Job: "job-1", Index: 0}] = true
+		{"of an ended job", func(f *dispatchFixture, _ *cluster.ReportedTask) {
+			f.staleRecords[ids.TaskRef{Job: "job-1", Index: 0}] = true
 			f.cluster.EndJob(f.job, wire.JobCancelled)
 		}, true},
 		{"of a task that the job does not have", func(_ *dispatchFixture, r *cluster.ReportedTask) { r.Ref.Index = 4 }, false},
-		{"in a record that is behind", func(f *dispatchFixture, _ *cluster.ReportedTask) {
-			f.stale[ids.TaskRef{Job: "job-1", Index: 0}] = true
+		{"with a stale record", func(f *dispatchFixture, _ *cluster.ReportedTask) {
+			f.staleRecords[ids.TaskRef{Job: "job-1", Index: 0}] = true
 		}, false},
-		{"beside a task whose record is behind", func(f *dispatchFixture, _ *cluster.ReportedTask) {
-			f.stale[ids.TaskRef{Job: "job-1", Index: 1}] = true
+		{"with another task's record stale", func(f *dispatchFixture, _ *cluster.ReportedTask) {
+			f.staleRecords[ids.TaskRef{Job: "job-1", Index: 1}] = true
 		}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -57,29 +57,29 @@
 			b := newHarness(t, Options{})
 			token, ended := b.runTask()
 			ended.State, ended.Cause = wire.TaskEnded, tc.cause
-			reaps := func() int {
+			countReaps := func() int {
 				answer := b.heartbeat("n-1", "a", token, ended)
 				token = answer.FencingToken
 				return len(commandsWith(answer.Commands, wire.VerbReap))
 			}
-			if n := reaps(); n != 0 {
+			if n := countReaps(); n != 0 {
 				t.Errorf("%d reaped before the end is written", n)
 			}
 			changes := b.c.Step(b.now).RecordChanges
-			if n := reaps(); len(changes) == 0 || n != 0 {
+			if n := countReaps(); len(changes) == 0 || n != 0 {
 				t.Errorf("%d reaped while %d changes are in flight", n, len(changes))
 			}
 			for _, change := range changes {
 				b.c.CommitResult(b.now, records.CommitResult{Change: change, Revision: 1000})
 			}
-			if n := reaps(); n != 1 {
+			if n := countReaps(); n != 1 {
 				t.Errorf("%d reaped after the commit", n)
 			}
 		})
 	}
 }
 
-// Also an attempt whose own record is up to date waits until its job is recorded as done.
+// An attempt whose own record is up to date is not reaped until its job is recorded as done.
 func TestReapWaitsForTheEndOfTheJob(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
@@ -90,12 +90,12 @@
 	}
 	b.c.records.markCompletable(b.c.cluster.Job("job-1"))
 	if answer := b.heartbeat("n-1", "a", 0, ended); len(commandsWith(answer.Commands, wire.VerbReap)) != 0 {
-		t.Errorf("reaped while the end of the job is to be recorded: %+v", answer.Commands)
+		t.Errorf("reaped before the end of the job is recorded: %+v", answer.Commands)
 	}
 }
 
-// While a direct call is in flight it is not known which run commands it carries, so nothing
-// is reaped.
+// While a direct call is in flight, the run commands that it carries are not known. Nothing is
+// reaped until it has ended.
 func TestNothingIsReapedDuringACall(t *testing.T) {
 	f := newDispatchFixture(t)
 	f.report(ids.TaskRef{Job: "job-1", Index: 0}, 1, wire.TaskEnded)
--- a/scheduler/record_budget_test.go
+++ b/scheduler/record_budget_test.go
@@ -7,6 +7,8 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
+// The budget is refilled at the write rate, up to the operations of one interval. An overdrawn
+// budget allows no change until it is refilled.
 func TestWriteBudget(t *testing.T) {
 	now := monotonic.Instant(time.Hour)
 	for _, c := range []struct {
@@ -17,9 +19,9 @@
 		after  float64
 	}{
 		{"spent", 0, 0, false, 0},
-		{"a part of a write", 0, 50 * time.Millisecond, false, 0.5},
+		{"a fraction of a write", 0, 50 * time.Millisecond, false, 0.5},
 		{"one write", 0, 100 * time.Millisecond, true, 1},
-		{"no more than a second's worth", 9, time.Hour, true, 10},
+		{"at most the writes of one second", 9, time.Hour, true, 10},
 		{"overdrawn", -3, 300 * time.Millisecond, false, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -33,11 +35,12 @@
 	}
 }
 
+// A rate of 0 means that there is no limit, not that no write is allowed.
 func TestWritesAreAllowedWithoutALimit(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.records.budget.spend(1000)
 	if !b.c.records.mayWrite() {
-		t.Error("no rate, no write")
+		t.Error("a write is not allowed although there is no limit")
 	}
 }
 
--- a/scheduler/record_cancel.go
+++ b/scheduler/record_cancel.go
@@ -38,7 +38,8 @@
 	w.submitPending(&cascadedCancel{job: j}, records.CancelJobChange(j.ID, j.Records.Revision, w.nextNonce(), record, noLimit))
 }
 
-// cancelRecorded handles that a job's own record says that it is cancelled.
+// cancelRecorded updates the state once a job's own record says that it is cancelled: no cascaded
+// cancel has to be recorded any more, and the job's admission records may be deleted.
 func (w *recordWriter) cancelRecorded(j *cluster.Job) {
 	if j.Records.CancelUnrecorded {
 		j.Records.CancelUnrecorded = false
--- a/scheduler/record_completion_test.go
+++ b/scheduler/record_completion_test.go
@@ -25,7 +25,8 @@
 	return f, j
 }
 
-func TestCompletedJobLeavesNoSlice(t *testing.T) {
+// The change that completes a job deletes its slices. The job ends only when it is committed.
+func TestCompletionDeletesTheSlices(t *testing.T) {
 	f, j := finishedJob(t, 8)
 	change := f.writeOne(0)
 	if len(change.Operations) != 3 || j.Status() != wire.JobQueued {
@@ -40,6 +41,8 @@
 	}
 }
 
+// A change has a limited number of operations, so slices that exceed it are deleted by later
+// changes.
 func TestSlicesBeyondOneChangeAreDeletedLater(t *testing.T) {
 	f, _ := finishedJob(t, 4*14)
 	var operations []int
@@ -58,6 +61,8 @@
 	}
 }
 
+// While the write budget is scarce, a completion takes one operation. Its slices are deleted after
+// it.
 func TestScarceCompletionsDeleteNoSlice(t *testing.T) {
 	f, j := finishedJob(t, 1)
 	f.budget.available = f.budget.perSecond/2 - 1
@@ -66,12 +71,13 @@
 		t.Errorf("change %+v", change)
 	}
 	f.commit(change, 8)
-	if drops := f.writeOne(0); len(drops.Operations) != 1 || drops.Operations[0].DeleteKey != records.AdmissionKey(j.ID, 0) {
-		t.Errorf("change %+v", drops)
+	if deletion := f.writeOne(0); len(deletion.Operations) != 1 || deletion.Operations[0].DeleteKey != records.AdmissionKey(j.ID, 0) {
+		t.Errorf("change %+v", deletion)
 	}
 }
 
-func TestCompletionThatConflictsIsTriedAgain(t *testing.T) {
+// A completion that conflicts with the job's record is retried once that record is read again.
+func TestConflictingCompletionIsRetried(t *testing.T) {
 	f, j := finishedJob(t, 1)
 	f.conflict(f.writeOne(0), records.JobKey("job-1"))
 	if j.Records.Completing || j.Status() != wire.JobQueued {
@@ -83,22 +89,26 @@
 	}
 }
 
-func TestCompletionOfACancelledJobIsNotTriedAgain(t *testing.T) {
+// If a completion conflicts because the job was cancelled, it is not retried, and the job's slices
+// are deleted.
+func TestCompletionOfACancelledJobIsNotRetried(t *testing.T) {
 	f, j := finishedJob(t, 1)
 	change := f.writeOne(0)
 	f.cluster.EndJob(j, wire.JobCancelled)
 	f.discardUnwritten(j)
 	f.conflict(change, records.JobKey("job-1"))
-	drops := f.writeOne(rereadDelay)
-	if got := drops.Operations[0].DeleteKey; len(drops.Operations) != 1 || got != records.AdmissionKey("job-1", 0) {
-		t.Errorf("change %+v", drops)
+	deletion := f.writeOne(rereadDelay)
+	if got := deletion.Operations[0].DeleteKey; len(deletion.Operations) != 1 || got != records.AdmissionKey("job-1", 0) {
+		t.Errorf("change %+v", deletion)
 	}
 	if _, rereads := f.takeDecisions(); len(rereads) != 0 {
 		t.Errorf("rereads %v", rereads)
 	}
 }
 
-func TestJobIsCompletedOnceItsSlicesAreSettled(t *testing.T) {
+// A completion deletes slices at their revisions. It waits while a slice is in flight, since the
+// revision of that slice is not known.
+func TestJobIsNotCompletedWhileASliceIsInFlight(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 1)
 	f.place(j, "n-1")
@@ -113,6 +123,7 @@
 	}
 }
 
+// The slices of a cancelled job are kept while one of its tasks may still be on a machine.
 func TestSlicesAreKeptWhileATaskMayBeOnAMachine(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 1)
@@ -128,7 +139,9 @@
 	f.writeOne(0)
 }
 
-func TestCancellationWithADependencyIsRecorded(t *testing.T) {
+// A job that is cancelled because a job that it depends on is cancelled is removed once its own
+// record says so.
+func TestCascadedCancelIsRecorded(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 1)
 	f.cluster.EndJob(j, wire.JobCancelled)
@@ -143,18 +156,20 @@
 	}
 }
 
-func TestCancellationWithADependencyIsTriedAgain(t *testing.T) {
+// A cascaded cancel that fails is retried after a delay, unless the job's user has cancelled it in
+// the meantime.
+func TestCascadedCancelIsRetried(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		fail     func(f *recordFixture, change records.Change)
-		wait     time.Duration
-		rereads  []ids.JobID
-		withdraw bool
-		changes  int
+		name            string
+		fail            func(f *recordFixture, change records.Change)
+		wait            time.Duration
+		rereads         []ids.JobID
+		cancelledByUser bool
+		changes         int
 	}{
 		{"conflict", func(f *recordFixture, ch records.Change) { f.conflict(ch, records.JobKey("job-1")) }, rereadDelay, []ids.JobID{"job-1"}, false, 1},
 		{"refusal", (*recordFixture).refuse, 2 * time.Second, nil, false, 1},
-		{"conflict with its user", func(f *recordFixture, ch records.Change) { f.conflict(ch, records.JobKey("job-1")) }, rereadDelay, []ids.JobID{"job-1"}, true, 0},
+		{"conflict with the user's cancellation", func(f *recordFixture, ch records.Change) { f.conflict(ch, records.JobKey("job-1")) }, rereadDelay, []ids.JobID{"job-1"}, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newRecordFixture(t, recordSettings{})
@@ -168,7 +183,7 @@
 			if got := f.write(c.wait - 1); len(got) != 0 {
 				t.Errorf("changes %+v too early", got)
 			}
-			if c.withdraw {
+			if c.cancelledByUser {
 				f.cancelRecorded(j)
 			}
 			if got := f.write(1); len(got) != c.changes {
@@ -178,6 +193,7 @@
 	}
 }
 
+// After a refusal a completion deletes half as many slices, so that the change is smaller.
 func TestRefusedCompletionDeletesFewerSlices(t *testing.T) {
 	f, _ := finishedJob(t, 4*14)
 	first := f.writeOne(0)
@@ -187,6 +203,7 @@
 	}
 }
 
+// A job is not removed from the cluster state while its cascaded cancel is in flight.
 func TestJobIsKeptUntilItsCancellationIsRecorded(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 1)
--- a/scheduler/record_dirty_test.go
+++ b/scheduler/record_dirty_test.go
@@ -10,10 +10,12 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// dirtyTestNow is the time at which the slices of these tests are marked.
+// dirtyTestNow is the time at which these tests mark slices.
 const dirtyTestNow = monotonic.Instant(time.Hour)
 
-func TestDirtySlicesAreWrittenInTime(t *testing.T) {
+// An urgent slice must be written immediately, and remains urgent if it is marked again. Another
+// slice must be written when the delay since its first mark has passed.
+func TestUrgentAndOverdueSlices(t *testing.T) {
 	const delay = time.Second
 	for _, c := range []struct {
 		name            string
@@ -61,7 +63,8 @@
 
 func markOnce(d dirtySlices, s *cluster.AdmissionSlice) { d.mark(s, nil, dirtyTestNow) }
 
-func TestPartsOfASliceTakeItsMark(t *testing.T) {
+// A part of a split slice is as urgent as the slice.
+func TestCopyMarkKeepsTheUrgency(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		mark            func(d dirtySlices, s *cluster.AdmissionSlice)
@@ -83,6 +86,8 @@
 	}
 }
 
+// Slices are sorted by the priority of their jobs, then by job ID and slice number, so that the
+// same events give the same decisions.
 func TestSlicesAreWrittenByPriority(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.submit("job-1", wire.JobSpec{Tasks: 8, Priority: wire.Normal})
@@ -97,7 +102,7 @@
 	sortByPriority(list)
 	for k := range want {
 		if list[k] != want[k] {
-			t.Errorf("place %d has %s/%d, want %s/%d", k, list[k].job.ID, list[k].slice.Number, want[k].job.ID, want[k].slice.Number)
+			t.Errorf("position %d has %s/%d, want %s/%d", k, list[k].job.ID, list[k].slice.Number, want[k].job.ID, want[k].slice.Number)
 		}
 	}
 }
--- a/scheduler/record_fixture_test.go
+++ b/scheduler/record_fixture_test.go
@@ -14,34 +14,35 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// recordFixture is a record writer with a cluster state and stand-ins for the other policies.
+// recordFixture holds a record writer with a cluster state. It is itself the fake of the other
+// policies that the record writer calls.
 type recordFixture struct {
 	*recordWriter
 	t *testing.T
-	// observed are the job records that the writer has passed on, by job.
+	// observed holds the job records that the writer has passed to applyJobRecord, by job.
 	observed map[ids.JobID]*records.Job
-	// queued are the machines to which commands may have to go.
+	// queued holds the machines that the writer has queued for commands.
 	queued []ids.MachineID
-	// released are the tasks that the writer has released.
+	// released holds the tasks that the writer has released.
 	released []ids.TaskRef
 }
 
-// recordFixtureNow is the time at which fixtures begin.
+// recordFixtureNow is the time at which the term of a fixture begins.
 const recordFixtureNow = monotonic.Instant(time.Hour)
 
-// newRecordFixture makes a record writer with four tasks in a slice, unless other settings
-// are made.
+// newRecordFixture returns a record writer with four tasks per slice and, unless settings says
+// otherwise, eight operations per change.
 func newRecordFixture(t *testing.T, settings recordSettings) *recordFixture {
 	t.Helper()
 	settings.leaderRevision = 5
 	if settings.maxOperations == 0 {
 		settings.maxOperations = 8
 	}
-	now, rounds := clock.New(0), &clock.RoundTrigger{}
-	now.Begin(recordFixtureNow)
-	state := cluster.NewState(cluster.Settings{SliceTasks: 4, BootFactor: 4}, now, rounds, quota.NewTracker(nil))
+	clk, rounds := clock.New(0), &clock.RoundTrigger{}
+	clk.Begin(recordFixtureNow)
+	state := cluster.NewState(cluster.Settings{SliceTasks: 4, BootFactor: 4}, clk, rounds, quota.NewTracker(nil))
 	f := &recordFixture{t: t, observed: map[ids.JobID]*records.Job{}}
-	f.recordWriter = newRecordWriter(state, now, rounds, settings)
+	f.recordWriter = newRecordWriter(state, clk, rounds, settings)
 	f.tasks, f.commands, f.jobs = f, f, f
 	f.begin()
 	return f
@@ -70,7 +71,7 @@
 	return j
 }
 
-// place places all tasks of a job on the machines in turn.
+// place assigns all tasks of a job to the machines in turn.
 func (f *recordFixture) place(j *cluster.Job, machines ...ids.MachineID) {
 	f.t.Helper()
 	for index := range j.Tasks() {
@@ -82,7 +83,7 @@
 	f.cluster.Admit(j, len(j.Tasks()))
 }
 
-// finish completes all tasks of a job, whose placements must be recorded.
+// finish completes all tasks of a job. Their placements must be recorded.
 func (f *recordFixture) finish(j *cluster.Job) {
 	f.t.Helper()
 	for _, a := range j.Assignments() {
@@ -92,37 +93,37 @@
 	f.markCompletable(j)
 }
 
-// write returns the changes that are due after some time.
-func (f *recordFixture) write(later time.Duration) []records.Change {
+// write advances the clock and returns the changes that are due then.
+func (f *recordFixture) write(after time.Duration) []records.Change {
 	f.t.Helper()
-	f.clock.Set(f.clock.Now().Add(later))
+	f.clock.Set(f.clock.Now().Add(after))
 	f.refillBudget()
 	f.writeRecords()
 	changes, _ := f.takeDecisions()
 	return changes
 }
 
-// writeOne returns the one change that is due after some time.
-func (f *recordFixture) writeOne(later time.Duration) records.Change {
+// writeOne advances the clock and returns the one change that is due then.
+func (f *recordFixture) writeOne(after time.Duration) records.Change {
 	f.t.Helper()
-	changes := f.write(later)
+	changes := f.write(after)
 	if len(changes) != 1 {
 		f.t.Fatalf("%d changes, want one: %+v", len(changes), changes)
 	}
 	return changes[0]
 }
 
-// commit applies a change at a revision.
+// commit passes the result of a change that was committed at a revision to the writer.
 func (f *recordFixture) commit(change records.Change, revision ids.Revision) {
 	f.handleResult(records.CommitResult{Change: change, Revision: revision})
 }
 
-// conflict fails a change for preconditions on some keys.
+// conflict passes the result of a change whose preconditions on some keys failed to the writer.
 func (f *recordFixture) conflict(change records.Change, keys ...string) {
 	f.handleResult(records.CommitResult{Change: change, Err: &records.ConflictError{Keys: keys}})
 }
 
-// refuse has the store reject a change.
+// refuse passes the result of a change that the store rejected to the writer.
 func (f *recordFixture) refuse(change records.Change) {
 	f.handleResult(records.CommitResult{Change: change, Err: records.ErrRejected})
 }
--- a/scheduler/record_outcomes_test.go
+++ b/scheduler/record_outcomes_test.go
@@ -10,13 +10,15 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-func TestConflicts(t *testing.T) {
+// The only record of a job that another writer may change is the job's own. Any other conflict ends
+// the term.
+func TestOnlyConflictsWithTheJobRecordAreTolerated(t *testing.T) {
 	jobKey, sliceKey := records.JobKey("job-1"), records.AdmissionKey("job-1", 0)
 	for _, c := range []struct {
 		name        string
 		jobRevision ids.Revision
 		keys        []string
-		fails       bool
+		endsTerm    bool
 	}{
 		{"the job alone", 3, []string{jobKey}, false},
 		{"the slice", 3, []string{sliceKey}, true},
@@ -32,17 +34,19 @@
 			change := f.writeOne(0)
 			j.Records.Revision = c.jobRevision
 			f.conflict(change, c.keys...)
-			if (f.err != nil) != c.fails {
+			if (f.err != nil) != c.endsTerm {
 				t.Fatalf("error %v", f.err)
 			}
-			if _, ok := errors.AsType[*records.ConflictError](f.err); ok != c.fails {
+			if _, ok := errors.AsType[*records.ConflictError](f.err); ok != c.endsTerm {
 				t.Errorf("%v does not wrap the conflict", f.err)
 			}
 		})
 	}
 }
 
-func TestConflictWithTheJobDelaysItsChangesUntilItIsRead(t *testing.T) {
+// After a conflict with the job's record, its placements are released, and no change of the job is
+// made until the record can be read again.
+func TestConflictDelaysTheJobUntilItsRecordIsReread(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 1)
 	f.place(j, "n-1")
@@ -54,12 +58,13 @@
 		t.Errorf("released %v", f.released)
 	}
 	if got := f.write(rereadDelay - 1); len(got) != 0 {
-		t.Errorf("changes %+v before the record was read", got)
+		t.Errorf("changes %+v before the record was read again", got)
 	}
 	f.writeOne(1)
 }
 
-func TestResultsOfOtherPartsAreIgnored(t *testing.T) {
+// The zone gate submits changes through the record writer and handles their results itself.
+func TestResultsOfOtherWritersAreIgnored(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	id := f.submit(records.DeleteZoneChange("a", 3))
 	f.conflict(records.Change{ID: id}, records.ZoneKey("a"))
@@ -68,11 +73,13 @@
 	}
 }
 
+// Each refusal doubles the backoff of the job's changes and of its admission, up to
+// maxRefusalBackoff.
 func TestRefusalsDelayTheJob(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		refusals int
-		wait     time.Duration
+		backoff  time.Duration
 	}{
 		{"first", 1, 2 * time.Second},
 		{"third", 3, 8 * time.Second},
@@ -85,7 +92,7 @@
 			f.place(j, "n-1")
 			j.Records.Refusals = c.refusals - 1
 			f.refuse(f.writeOne(0))
-			retryAt := f.clock.Now().Add(c.wait)
+			retryAt := f.clock.Now().Add(c.backoff)
 			if j.Records.Refusals != c.refusals || j.Records.RereadAt != retryAt || j.Queue.RetryAt != retryAt {
 				t.Errorf("records %+v, retry at %v, want %v", j.Records, j.Queue.RetryAt, retryAt)
 			}
@@ -93,6 +100,7 @@
 	}
 }
 
+// After maxRefusals refused changes, nothing more is written for the job.
 func TestJobIsNotWrittenAfterTooManyRefusals(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 1)
@@ -103,6 +111,7 @@
 	}
 }
 
+// Only refusals in a row count.
 func TestCommittedChangeClearsRefusals(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 1)
@@ -114,6 +123,8 @@
 	}
 }
 
+// A record is not up to date while a change of it, or the completion of its job, is marked or in
+// flight. An agent could otherwise forget an attempt whose end is not recorded.
 func TestRecordsAreUpToDate(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 1)
@@ -140,7 +151,8 @@
 	}
 }
 
-func TestResultsCallForASchedulingRound(t *testing.T) {
+// The result of a change may release tasks or end a job, so it makes a scheduling round due.
+func TestResultMakesARoundDue(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	f.place(f.addJob("job-1", 1), "n-1")
 	change := f.writeOne(0)
--- a/scheduler/record_slices_test.go
+++ b/scheduler/record_slices_test.go
@@ -10,6 +10,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
+// A record lists the machines of its tasks once each. It names done tasks, and tasks that were
+// placed before but have no machine now.
 func TestRecordOfASlice(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 4)
@@ -36,6 +38,8 @@
 	}
 }
 
+// Lists of tasks are halved until each record is within the limit, but never into more lists than
+// one change may write.
 func TestSplitTasks(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -47,7 +51,7 @@
 		{"no limit", []int{0, 1, 2, 3}, 0, 8, [][]int{{0, 1, 2, 3}}},
 		{"within the limit", []int{0, 1, 2, 3}, 1000, 8, [][]int{{0, 1, 2, 3}}},
 		{"down to single tasks", []int{0, 1, 2, 3}, 1, 8, [][]int{{0}, {1}, {2}, {3}}},
-		{"no more than a change may write", []int{0, 1, 2, 3}, 1, 3, [][]int{{0}, {1}, {2, 3}}},
+		{"at most as many as a change may write", []int{0, 1, 2, 3}, 1, 3, [][]int{{0}, {1}, {2, 3}}},
 		{"an odd number", []int{0, 1, 2}, 1, 8, [][]int{{0}, {1}, {2}}},
 		{"one task", []int{2}, 1, 8, [][]int{{2}}},
 	} {
@@ -62,6 +66,8 @@
 	}
 }
 
+// A run command may be sent only when the placement is committed. Otherwise the next leader would
+// not know of the task.
 func TestPlacementsAreSentOnceRecorded(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 1)
@@ -80,6 +86,8 @@
 	}
 }
 
+// A task that is stopped while its placement is in flight was never sent. It is released when the
+// result is known.
 func TestTaskStoppedWhileItsRecordIsInFlightIsReleased(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 1)
@@ -92,7 +100,9 @@
 	}
 }
 
-func TestSliceIsNotWrittenTwiceAtOnce(t *testing.T) {
+// Two changes of one slice must not be in flight together: the second would have an old revision
+// as its precondition.
+func TestSliceIsNotWrittenWhileInFlight(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	j := f.addJob("job-1", 1)
 	f.place(j, "n-1")
@@ -105,6 +115,8 @@
 	f.writeOne(0)
 }
 
+// The tasks of a split slice belong to the original slice until the parts are recorded, and then
+// to the parts.
 func TestSplitSlicesKeepTheirTasks(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{valueBytes: 1, splitRecords: true})
 	j := f.addJob("job-1", 2)
@@ -122,6 +134,8 @@
 	}
 }
 
+// While some controllers cannot read split slices, an oversized slice is written whole. It is
+// written again in parts once splitting is enabled.
 func TestOversizedSliceIsWrittenWholeUntilItMayBeSplit(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{valueBytes: 1})
 	j := f.addJob("job-1", 2)
@@ -137,7 +151,8 @@
 	}
 }
 
-func TestSplitJobThatIsOverIsDropped(t *testing.T) {
+// If a job ends while the split of its slice is in flight, all recorded parts are deleted.
+func TestSplitSlicesOfAnEndedJobAreDeleted(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{valueBytes: 1, splitRecords: true})
 	j := f.addJob("job-1", 2)
 	f.place(j, "n-1")
@@ -148,12 +163,14 @@
 		f.cluster.Stop(a, cluster.StopCancelled)
 	}
 	f.commit(change, 7)
-	if drops := f.writeOne(0); len(drops.Operations) != 2 {
-		t.Errorf("change %+v", drops)
+	if deletion := f.writeOne(0); len(deletion.Operations) != 2 {
+		t.Errorf("change %+v", deletion)
 	}
 }
 
-func TestPartsAreWrittenAgainIfTheSliceChangedMeanwhile(t *testing.T) {
+// If a task changes while the split of its slice is in flight, every part is written again, since
+// the task may belong to any of them.
+func TestPartsAreRewrittenIfTheSliceChangedInFlight(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{valueBytes: 1, splitRecords: true})
 	j := f.addJob("job-1", 2)
 	f.place(j, "n-1")
@@ -161,6 +178,6 @@
 	f.markTaskDirty(j, 1)
 	f.commit(change, 7)
 	if got := f.write(0); len(got) != 2 {
-		t.Errorf("%d changes, want one of each part", len(got))
+		t.Errorf("%d changes, want one per part", len(got))
 	}
 }
--- a/scheduler/run_commands_test.go
+++ b/scheduler/run_commands_test.go
@@ -9,12 +9,13 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Answers to heartbeats repeat run commands; direct calls do not.
+// Responses to heartbeats repeat run commands that were already sent. Direct calls do not. A task
+// that is not recorded, or may have run already, is not sent at all.
 func TestRunCommands(t *testing.T) {
 	for _, tc := range []struct {
-		name            string
-		change          func(f *dispatchFixture, a *cluster.Assignment)
-		inAnswer, first bool
+		name                   string
+		change                 func(f *dispatchFixture, a *cluster.Assignment)
+		inAnswer, inDirectCall bool
 	}{
 		{"recorded", func(*dispatchFixture, *cluster.Assignment) {}, true, true},
 		{"sent before", func(_ *dispatchFixture, a *cluster.Assignment) { a.Delivery.Sent = true }, true, false},
@@ -25,7 +26,7 @@
 		{"in the newest heartbeat", func(f *dispatchFixture, a *cluster.Assignment) {
 			f.report(a.Ref(), a.Attempt, wire.TaskFetching)
 		}, false, false},
-		{"on a machine that is given up", func(f *dispatchFixture, _ *cluster.Assignment) {
+		{"on a terminating machine", func(f *dispatchFixture, _ *cluster.Assignment) {
 			f.machine.Lifecycle.Terminating = true
 		}, false, false},
 	} {
@@ -33,16 +34,17 @@
 			answer, direct := newDispatchFixture(t), newDispatchFixture(t)
 			tc.change(answer, answer.assign())
 			if got := len(answer.runCommands(answer.machine, maxCommands)) == 1; got != tc.inAnswer {
-				t.Errorf("run in the answer to a heartbeat: %v, want %v", got, tc.inAnswer)
+				t.Errorf("run command in the response to a heartbeat: %v, want %v", got, tc.inAnswer)
 			}
 			tc.change(direct, direct.assign())
-			if got := len(direct.unsentRunCommands(direct.machine, maxCommands)) == 1; got != tc.first {
-				t.Errorf("run by a direct call: %v, want %v", got, tc.first)
+			if got := len(direct.unsentRunCommands(direct.machine, maxCommands)) == 1; got != tc.inDirectCall {
+				t.Errorf("run command in a direct call: %v, want %v", got, tc.inDirectCall)
 			}
 		})
 	}
 }
 
+// A task beyond the limit on run commands does not count as sent.
 func TestRunCommandsStayWithinTheirLimit(t *testing.T) {
 	f := newDispatchFixture(t)
 	for range 3 {
@@ -57,8 +59,8 @@
 	}
 }
 
-// A repeated run command keeps the time of the first, and the highest token.
-func TestRepeatedRunIsNoted(t *testing.T) {
+// Repeating a run command keeps the time of the first one, and records the highest token.
+func TestRepeatedRunUpdatesTheDelivery(t *testing.T) {
 	f := newDispatchFixture(t)
 	a := f.assign()
 	f.runCommands(f.machine, maxCommands)
