--- a/scheduler/kill_commands.go
+++ b/scheduler/kill_commands.go
@@ -11,8 +11,8 @@
 // task later.
 func (d *commandDispatcher) killCommands(m *cluster.Machine) []wire.Command {
 	d.invalidateRunsOfStoppedTasks(m)
-	commands := d.killStoppedTasks(m)
-	return append(commands, killUnassignedTasks(m, maxKillCommands-len(commands))...)
+	commands := d.killCommandsForStopped(m)
+	return append(commands, killCommandsForUnassigned(m, maxKillCommands-len(commands))...)
 }
 
 // mustBeKilled reports whether a task was stopped and may still run on its machine.
@@ -37,8 +37,8 @@
 	}
 }
 
-// killStoppedTasks returns the commands that kill the stopped tasks of a machine.
-func (d *commandDispatcher) killStoppedTasks(m *cluster.Machine) []wire.Command {
+// killCommandsForStopped returns the commands that kill the stopped tasks of a machine.
+func (d *commandDispatcher) killCommandsForStopped(m *cluster.Machine) []wire.Command {
 	commands := []wire.Command{}
 	for _, a := range m.Assignments() {
 		if len(commands) >= maxKillCommands {
@@ -70,9 +70,9 @@
 	return grace
 }
 
-// killUnassignedTasks returns the commands that kill up to limit attempts that a machine runs
+// killCommandsForUnassigned returns the commands that kill up to limit attempts that a machine runs
 // without an assignment.
-func killUnassignedTasks(m *cluster.Machine, limit int) []wire.Command {
+func killCommandsForUnassigned(m *cluster.Machine, limit int) []wire.Command {
 	var commands []wire.Command
 	for i := range m.Agent.ReportedTasks {
 		if len(commands) >= limit {
--- a/scheduler/record_cancel.go
+++ b/scheduler/record_cancel.go
@@ -11,7 +11,7 @@
 type cascadedCancel struct{ job *cluster.Job }
 
 // recordCascadedCancels records the cancellation of jobs that depend on a cancelled job. None of
-// their tasks was ever started, so no other record of them is needed. There may be thousands of
+// their tasks was ever placed, so no other record of them is needed. There may be thousands of
 // such jobs, so each is visited once, in order. recordCascadedCancels returns false if the write
 // budget is spent.
 func (w *recordWriter) recordCascadedCancels() bool {
@@ -47,7 +47,7 @@
 	}
 }
 
-func (p *cascadedCancel) target() *cluster.Job { return p.job }
+func (p *cascadedCancel) targetJob() *cluster.Job { return p.job }
 
 // resolved does nothing, since the change writes no slice.
 func (*cascadedCancel) resolved() {}
--- a/scheduler/record_completion.go
+++ b/scheduler/record_completion.go
@@ -51,7 +51,7 @@
 	w.submitPending(p, records.CompleteJobChange(j.ID, j.Records.Revision, record, sliceVersions(p.deleted)))
 }
 
-func (p *completion) target() *cluster.Job { return p.job }
+func (p *completion) targetJob() *cluster.Job { return p.job }
 
 func (p *completion) resolved() {
 	p.job.Records.Completing = false
--- a/scheduler/record_deletion.go
+++ b/scheduler/record_deletion.go
@@ -46,7 +46,7 @@
 	w.submitPending(&sliceDeletion{job: j, deleted: deleted}, records.DeleteSlicesChange(j.ID, sliceVersions(deleted)))
 }
 
-func (p *sliceDeletion) target() *cluster.Job { return p.job }
+func (p *sliceDeletion) targetJob() *cluster.Job { return p.job }
 
 func (p *sliceDeletion) resolved() { clearInFlight(p.deleted) }
 
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -27,8 +27,8 @@
 // pendingChange represents a change in flight. When its result is known, resolved is called. Then,
 // unless the result ends the term, either committed or rollBack is called.
 type pendingChange interface {
-	// target returns the job whose records are changed.
-	target() *cluster.Job
+	// targetJob returns the job whose records are changed.
+	targetJob() *cluster.Job
 	// resolved records that the change is no longer in flight.
 	resolved()
 	// committed updates the state after the change was committed at a revision.
@@ -62,7 +62,7 @@
 	p.resolved()
 	switch {
 	case result.Err == nil:
-		p.target().Records.Refusals = 0
+		p.targetJob().Records.Refusals = 0
 		p.committed(w, result.Revision)
 	case errors.Is(result.Err, records.ErrRejected):
 		w.handleRefusal(p)
@@ -75,7 +75,7 @@
 // may change is the job's own, by a cancellation. Any other conflict means that the records are
 // not as this leader last wrote them.
 func (w *recordWriter) handleConflict(p pendingChange, err error) {
-	j := p.target()
+	j := p.targetJob()
 	if !onlyJobChanged(j, err) {
 		w.abortTerm(fmt.Errorf("write records of job %s: changed by another writer: %w", j.ID, err))
 		return
@@ -103,7 +103,7 @@
 // delayed.
 func (w *recordWriter) handleRefusal(p pendingChange) {
 	p.rollBack(w)
-	j := p.target()
+	j := p.targetJob()
 	j.Records.Refusals++
 	backoff := min(maxRefusalBackoff, refusalBackoffBase<<min(j.Records.Refusals, maxRefusals))
 	retryAt := w.clock.Now().Add(backoff)
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -129,7 +129,7 @@
 	return records.SliceVersion{Number: s.Number, Revision: s.Revision}
 }
 
-func (p *sliceWrite) target() *cluster.Job { return p.job }
+func (p *sliceWrite) targetJob() *cluster.Job { return p.job }
 
 func (p *sliceWrite) resolved() { p.slice.InFlight = false }
 
