--- a/scheduler/dispatch_queue_test.go
+++ b/scheduler/dispatch_queue_test.go
@@ -11,35 +11,37 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
+// A machine that is up is called only if its agent needs a command or a token before its next
+// heartbeat and may be called now.
 func TestNextActionOfAMachineThatIsUp(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		change func(f *dispatchFixture, m *cluster.Machine)
 		want   dispatchAction
 	}{
-		{"idle", func(*dispatchFixture, *cluster.Machine) {}, leaveQueue},
+		{"idle", func(*dispatchFixture, *cluster.Machine) {}, dequeue},
 		{"a task to run", func(f *dispatchFixture, _ *cluster.Machine) { f.assign() }, sendCommands},
-		{"a task that was sent", func(f *dispatchFixture, _ *cluster.Machine) { f.assignSent() }, leaveQueue},
+		{"a task that was sent", func(f *dispatchFixture, _ *cluster.Machine) { f.assignSent() }, dequeue},
 		{"a task to kill", func(f *dispatchFixture, _ *cluster.Machine) {
 			f.cluster.Stop(f.assignSent(), cluster.StopPreempted)
 		}, sendCommands},
 		{"terminating", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assign()
 			m.Lifecycle.Terminating = true
-		}, leaveQueue},
-		{"removed", func(f *dispatchFixture, m *cluster.Machine) { f.cluster.RemoveMachine(m) }, leaveQueue},
+		}, dequeue},
+		{"removed", func(f *dispatchFixture, m *cluster.Machine) { f.cluster.RemoveMachine(m) }, dequeue},
 		{"call in flight", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assign()
 			m.Commands.CallInFlight = true
-		}, leaveQueue},
-		{"silent since a call failed", func(f *dispatchFixture, m *cluster.Machine) {
+		}, dequeue},
+		{"no heartbeat since a call failed", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assign()
 			m.Commands.CallFailed = true
-		}, leaveQueue},
-		{"a call failed a moment ago", func(f *dispatchFixture, m *cluster.Machine) {
+		}, dequeue},
+		{"within the retry delay of a failed call", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assign()
 			m.Commands.CallRetryAt = f.clock.Now().Add(time.Millisecond)
-		}, stayQueued},
+		}, keepQueued},
 		{"not fenced, never answered", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assignSent()
 			m.Agent.Fenced = false
@@ -47,7 +49,7 @@
 		{"not fenced, answered", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assignSent()
 			m.Agent.Fenced, m.Agent.AnsweredAt = false, f.clock.Now()
-		}, stayQueued},
+		}, keepQueued},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newDispatchFixture(t)
@@ -59,6 +61,8 @@
 	}
 }
 
+// Only a machine from a previous leader's term is asked for a heartbeat. A booting machine sends
+// its first heartbeat unasked.
 func TestNextActionOfAMachineWithoutHeartbeat(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -67,8 +71,8 @@
 	}{
 		{"booting", func(_ *dispatchFixture, m *cluster.Machine) {
 			m.Lifecycle.ListedStatus, m.Lifecycle.ProvisionedThisTerm = wire.MachineRunning, true
-		}, leaveQueue},
-		{"left running by a previous leader", func(_ *dispatchFixture, m *cluster.Machine) {
+		}, dequeue},
+		{"running since a previous leader's term", func(_ *dispatchFixture, m *cluster.Machine) {
 			m.Lifecycle.ListedStatus = wire.MachineRunning
 		}, requestHeartbeat},
 		{"tasks of a previous leader", func(f *dispatchFixture, _ *cluster.Machine) {
@@ -77,7 +81,7 @@
 		{"already asked for a heartbeat", func(f *dispatchFixture, m *cluster.Machine) {
 			f.assign().Delivery.Inherited = true
 			m.Commands.HeartbeatRequested = true
-		}, leaveQueue},
+		}, dequeue},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newDispatchFixture(t)
@@ -90,7 +94,7 @@
 	}
 }
 
-// Machines beyond the bound of calls wait in the queue, in order, until calls have ended.
+// Machines beyond the limit on calls in flight wait in the queue, in order, until calls have ended.
 func TestDispatchBoundsCallsInFlight(t *testing.T) {
 	f := newDispatchFixture(t)
 	f.settings.maxCallsInFlight = 2
@@ -99,15 +103,15 @@
 		m := f.addMachine(ids.MachineID(fmt.Sprintf("left-%d", n)))
 		m.Agent.HeardThisTerm = false
 		m.Lifecycle.ListedStatus = wire.MachineRunning
-		f.queueCommands(m)
-		f.queueCommands(m) // a machine is queued once
+		f.queueMachine(m)
+		f.queueMachine(m) // a machine is queued once
 		machines = append(machines, m.ID)
 	}
 	if got := f.dispatch().requestHeartbeats; !slices.Equal(got, machines[:2]) {
 		t.Fatalf("first requests: %v", got)
 	}
 	if got := f.dispatch().requestHeartbeats; len(got) != 0 {
-		t.Fatalf("requests beyond the bound: %v", got)
+		t.Fatalf("requests beyond the limit: %v", got)
 	}
 	f.heartbeatRequestEnded(machines[0])
 	if got := f.dispatch().requestHeartbeats; !slices.Equal(got, machines[2:3]) {
@@ -115,20 +119,21 @@
 	}
 }
 
-// A machine that was asked in vain is asked again after an interval, not at once.
+// A machine that did not answer a request for a heartbeat is asked again after
+// heartbeatRequestInterval, not immediately.
 func TestHeartbeatIsRequestedAgain(t *testing.T) {
 	f := newDispatchFixture(t)
 	f.machine.Agent.HeardThisTerm = false
 	f.machine.Lifecycle.ListedStatus = wire.MachineRunning
-	f.queueCommands(f.machine)
+	f.queueMachine(f.machine)
 	f.dispatch()
 	f.heartbeatRequestEnded("n-1")
 	f.advance(heartbeatRequestInterval - time.Millisecond)
 	if f.needsHeartbeatRequest(f.machine) {
-		t.Error("asked again before the interval ended")
+		t.Error("requested again before the interval ended")
 	}
 	f.advance(time.Millisecond)
 	if !f.needsHeartbeatRequest(f.machine) {
-		t.Error("not asked again after the interval")
+		t.Error("not requested again after the interval")
 	}
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -129,6 +129,6 @@
 // requestHeartbeat queues the machine for a heartbeat request if command dispatch needs one.
 func (hm *healthMonitor) requestHeartbeat(m *cluster.Machine) {
 	if hm.commands.needsHeartbeatRequest(m) {
-		hm.commands.queueCommands(m)
+		hm.commands.queueMachine(m)
 	}
 }
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -77,7 +77,7 @@
 // heartbeatCommands builds the responses to heartbeats.
 type heartbeatCommands interface {
 	machineQueue
-	tokenOf(m *cluster.Machine) ids.FencingToken
+	fencingToken(m *cluster.Machine) ids.FencingToken
 	answerHeartbeat(m *cluster.Machine) wire.HeartbeatResponse
 	// allowCalls allows calls to the machine again after its last call failed.
 	allowCalls(m *cluster.Machine)
@@ -125,7 +125,7 @@
 			return wire.HeartbeatResponse{}, false
 		}
 		m.Agent.AnsweredAt = max(m.Agent.AnsweredAt, m.Agent.LastHeard)
-		return noCommands(h.commands.tokenOf(m)), true
+		return noCommands(h.commands.fencingToken(m)), true
 	}
 	h.sites.setSite(m, siteOf(heartbeat), heartbeat.Endpoint)
 	h.reachability.observe(m, heartbeat)
@@ -201,7 +201,7 @@
 	}
 	h.updateAssignments(m)
 	h.cluster.CountUnrecorded(m)
-	h.commands.queueCommands(m)
+	h.commands.queueMachine(m)
 }
 
 // updateAgent updates the status of the machine's agent from a heartbeat.
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -83,9 +83,9 @@
 
 // jobRecordMarks tracks which records of jobs must be written.
 type jobRecordMarks interface {
-	// markOrphanCancel records that a cancelled job's own record does not show the cancellation
+	// markCascadedCancel records that a cancelled job's own record does not show the cancellation
 	// yet.
-	markOrphanCancel(j *cluster.Job)
+	markCascadedCancel(j *cluster.Job)
 	// cancelRecorded records that the job's own record shows the cancellation.
 	cancelRecorded(j *cluster.Job)
 	markOversized(j *cluster.Job, s *cluster.AdmissionSlice)
@@ -244,7 +244,7 @@
 	}
 	switch {
 	case s.State == dependency.Cancelled:
-		r.records.markOrphanCancel(j)
+		r.records.markCascadedCancel(j)
 		r.lifecycle.endJob(j, wire.JobCancelled)
 	case s.State == dependency.Ready && !j.Queue.Ready:
 		j.Queue.Ready, j.Queue.ReadyMS = true, s.ReadyMS
--- a/scheduler/kill_commands.go
+++ b/scheduler/kill_commands.go
@@ -6,44 +6,45 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// killCommands lists the commands that kill what must end on a machine; the list is never nil.
-// It also makes sure that no run command in flight starts a stopped task later.
+// killCommands returns the commands that kill the stopped and unassigned tasks on a machine. The
+// list is never nil. killCommands also ensures that no run command in flight starts a stopped
+// task later.
 func (d *commandDispatcher) killCommands(m *cluster.Machine) []wire.Command {
-	d.outdateRunsOfStoppedTasks(m)
-	commands := d.killStoppedTasks(m)
-	return append(commands, killUnassignedTasks(m, maxKillCommands-len(commands))...)
+	d.invalidateRunsOfStoppedTasks(m)
+	commands := d.killCommandsForStopped(m)
+	return append(commands, killCommandsForUnassigned(m, maxKillCommands-len(commands))...)
 }
 
-// mustEnd tells whether a task was stopped and may run on its machine.
-func mustEnd(a *cluster.Assignment) bool {
+// mustBeKilled reports whether a task was stopped and may still run on its machine.
+func mustBeKilled(a *cluster.Assignment) bool {
 	return a.StopReason() != cluster.StopNone && a.MayRun()
 }
 
-// outdateRunsOfStoppedTasks raises a machine's token if the message that would start a stopped
-// task may still be in flight. While a direct call is in flight it waits for the result. A run
-// command that a previous leader sent has an older token anyway.
-func (d *commandDispatcher) outdateRunsOfStoppedTasks(m *cluster.Machine) {
+// invalidateRunsOfStoppedTasks raises a machine's token if the message that would start a stopped
+// task may still be in flight. While a direct call is in flight, it waits for the result. Run
+// commands of previous leaders need no higher token, since theirs are lower than this leader's.
+func (d *commandDispatcher) invalidateRunsOfStoppedTasks(m *cluster.Machine) {
 	if m.Commands.CallInFlight {
 		return
 	}
 	for _, a := range m.Assignments() {
-		if !mustEnd(a) || a.Delivery.Inherited || m.FindReported(a.Ref(), a.Attempt) != nil {
+		if !mustBeKilled(a) || a.Delivery.Inherited || m.FindReported(a.Ref(), a.Attempt) != nil {
 			continue
 		}
-		if a.Delivery.Token >= d.tokenOf(m) {
+		if a.Delivery.Token >= d.fencingToken(m) {
 			d.raiseToken(m)
 		}
 	}
 }
 
-// killStoppedTasks lists the commands that kill the stopped tasks of a machine.
-func (d *commandDispatcher) killStoppedTasks(m *cluster.Machine) []wire.Command {
+// killCommandsForStopped returns the commands that kill the stopped tasks of a machine.
+func (d *commandDispatcher) killCommandsForStopped(m *cluster.Machine) []wire.Command {
 	commands := []wire.Command{}
 	for _, a := range m.Assignments() {
 		if len(commands) >= maxKillCommands {
 			break
 		}
-		if !mustEnd(a) {
+		if !mustBeKilled(a) {
 			continue
 		}
 		commands = append(commands, wire.Command{
@@ -59,8 +60,8 @@
 	return commands
 }
 
-// killGraceS is the time in seconds that a stopped task gets to write its checkpoint; 0 once
-// it has had that time.
+// killGraceS returns the grace period in seconds in which a stopped task may write its checkpoint.
+// It returns 0 once the grace period has passed.
 func (d *commandDispatcher) killGraceS(a *cluster.Assignment) float64 {
 	grace := a.Delivery.KillGraceS
 	if a.Delivery.KillSentAt != 0 && d.clock.Now() > a.Delivery.KillSentAt.Add(monotonic.Seconds(grace)) {
@@ -69,9 +70,9 @@
 	return grace
 }
 
-// killUnassignedTasks lists the commands that kill up to limit attempts that a machine runs
+// killCommandsForUnassigned returns the commands that kill up to limit attempts that a machine runs
 // without an assignment.
-func killUnassignedTasks(m *cluster.Machine, limit int) []wire.Command {
+func killCommandsForUnassigned(m *cluster.Machine, limit int) []wire.Command {
 	var commands []wire.Command
 	for i := range m.Agent.ReportedTasks {
 		if len(commands) >= limit {
--- a/scheduler/machine_check.go
+++ b/scheduler/machine_check.go
@@ -49,7 +49,7 @@
 	if c.hasExpiredTasks(m) {
 		// Tasks whose records are being written are released by a later check.
 		c.registry.releaseTasks(m)
-		c.commands.queueCommands(m)
+		c.commands.queueMachine(m)
 		return
 	}
 	if reason := c.unusableReason(m); reason != keepMachine {
--- a/scheduler/reachability.go
+++ b/scheduler/reachability.go
@@ -31,8 +31,8 @@
 
 // fencingTokens issues fencing tokens to machines.
 type fencingTokens interface {
-	// tokenOf returns the token that commands to a machine carry now.
-	tokenOf(m *cluster.Machine) ids.FencingToken
+	// fencingToken returns the token that commands to a machine carry now.
+	fencingToken(m *cluster.Machine) ids.FencingToken
 	// raiseToken makes all further commands to a machine carry a higher token.
 	raiseToken(m *cluster.Machine)
 }
@@ -51,7 +51,7 @@
 func (d *reachabilityDetector) observe(m *cluster.Machine, heartbeat *wire.Heartbeat) {
 	switch {
 	case m.Health.Unreachable:
-		if heartbeat.FencingToken >= d.tokens.tokenOf(m) {
+		if heartbeat.FencingToken >= d.tokens.fencingToken(m) {
 			d.markReachable(m) // the machine has received the raised token
 		}
 	case !m.Agent.HeardThisTerm:
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -129,7 +129,7 @@
 // countingTokens counts how often the fencing token was raised.
 type countingTokens struct{ raised uint64 }
 
-func (c *countingTokens) tokenOf(*cluster.Machine) ids.FencingToken {
+func (c *countingTokens) fencingToken(*cluster.Machine) ids.FencingToken {
 	return ids.NewFencingToken(5, c.raised)
 }
 
@@ -154,7 +154,7 @@
 			testClock.Set(answeredAt.Add(c.after))
 			d := &reachabilityDetector{clock: testClock, rounds: &clock.RoundTrigger{}, tokens: tokens, settings: testHealthSettings}
 			m := &cluster.Machine{Agent: cluster.AgentStatus{HeardThisTerm: true, Incarnation: 1, AnsweredAt: answeredAt}}
-			d.observe(m, newHeartbeat("n-1", c.incarnation, 7, tokens.tokenOf(m)))
+			d.observe(m, newHeartbeat("n-1", c.incarnation, 7, tokens.fencingToken(m)))
 			if m.Health.Unreachable != c.unreachable {
 				t.Errorf("Unreachable = %v", m.Health.Unreachable)
 			}
--- a/scheduler/record_cancel.go
+++ b/scheduler/record_cancel.go
@@ -6,59 +6,62 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// orphanCancel is the change that records that a job is cancelled with one that it depends
-// on.
-type orphanCancel struct{ job *cluster.Job }
+// cascadedCancel represents the change that records that a job is cancelled because a job that it
+// depends on is cancelled.
+type cascadedCancel struct{ job *cluster.Job }
 
-// recordOrphanCancels records that jobs are cancelled with one that they depend on. None of
-// them ever had a task, so no other record of them is needed. There may be thousands, so
-// each is visited once, in order. False means that the write budget is spent.
-func (w *recordWriter) recordOrphanCancels() bool {
-	for range len(w.orphanCancels) {
+// recordCascadedCancels records the cancellation of jobs that depend on a cancelled job. None of
+// their tasks was ever placed, so no other record of them is needed. There may be thousands of
+// such jobs, so each is visited once, in order. recordCascadedCancels returns false if the write
+// budget is spent.
+func (w *recordWriter) recordCascadedCancels() bool {
+	for range len(w.cascadedCancels) {
 		if !w.mayWrite() {
 			return false
 		}
-		j := w.orphanCancels[0]
-		w.orphanCancels = w.orphanCancels[1:]
+		j := w.cascadedCancels[0]
+		w.cascadedCancels = w.cascadedCancels[1:]
 		switch {
-		case !j.Records.CancelUnrecorded: // its user cancelled it too
+		case !j.Records.CancelUnrecorded: // recorded already, since its user cancelled it too
 		case w.delayed(j):
-			w.orphanCancels = append(w.orphanCancels, j)
+			w.cascadedCancels = append(w.cascadedCancels, j)
 		default:
-			w.recordOrphanCancel(j)
+			w.recordCascadedCancel(j)
 		}
 	}
 	return true
 }
 
-func (w *recordWriter) recordOrphanCancel(j *cluster.Job) {
+func (w *recordWriter) recordCascadedCancel(j *cluster.Job) {
 	const noLimit = 0
 	record := records.Job{Tasks: len(j.Tasks()), SubmittedMS: j.Queue.ReadyMS}
-	w.submitPending(&orphanCancel{job: j}, records.CancelJobChange(j.ID, j.Records.Revision, w.nextNonce(), record, noLimit))
+	w.submitPending(&cascadedCancel{job: j}, records.CancelJobChange(j.ID, j.Records.Revision, w.nextNonce(), record, noLimit))
 }
 
-// cancelRecorded notes that a job's own record says that it is cancelled.
+// cancelRecorded updates the state once a job's own record says that it is cancelled: no cascaded
+// cancel has to be recorded any more, and the job's admission records may be deleted.
 func (w *recordWriter) cancelRecorded(j *cluster.Job) {
 	if j.Records.CancelUnrecorded {
 		j.Records.CancelUnrecorded = false
-		w.markDroppable(j)
+		w.markDeletable(j)
 	}
 }
 
-func (p *orphanCancel) target() *cluster.Job { return p.job }
+func (p *cascadedCancel) targetJob() *cluster.Job { return p.job }
 
-// settled does nothing: the change holds no slice.
-func (*orphanCancel) settled() {}
+// resolved does nothing, since the change writes no slice.
+func (*cascadedCancel) resolved() {}
 
-func (p *orphanCancel) applied(w *recordWriter, revision ids.Revision) {
+func (p *cascadedCancel) committed(w *recordWriter, revision ids.Revision) {
 	p.job.Records.Revision = revision
 	w.cancelRecorded(p.job)
 }
 
-// rollBack tries again later, unless the job's user cancels it in the meantime.
-func (p *orphanCancel) rollBack(w *recordWriter) {
-	w.orphanCancels = append(w.orphanCancels, p.job)
+// rollBack queues the cancellation to be recorded later, unless the job's user cancels it in the
+// meantime.
+func (p *cascadedCancel) rollBack(w *recordWriter) {
+	w.cascadedCancels = append(w.cascadedCancels, p.job)
 }
 
-// outstanding is true although the job has ended: its record does not say so.
-func (*orphanCancel) outstanding() bool { return true }
+// needsJobRevision returns true although the job has ended, since its record does not say so.
+func (*cascadedCancel) needsJobRevision() bool { return true }
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -12,81 +12,82 @@
 )
 
 const (
-	// maxRefusals is how many changes of one job in a row the key-value store may refuse
-	// until nothing more is written or placed for the job.
+	// maxRefusals is the number of changes of one job in a row that the key-value store may
+	// refuse before the scheduler stops writing and placing tasks for the job.
 	maxRefusals = 8
-	// firstRefusalWait is doubled at each refusal of a change, up to maxRefusalWait, and is
-	// the time until the job's next change.
-	firstRefusalWait = time.Second
-	maxRefusalWait   = time.Minute
-	// rereadWait is the time for which no change of a job is made so that its record can be
-	// read again.
-	rereadWait = 500 * time.Millisecond
+	// refusalBackoffBase, doubled at each refusal of a change up to maxRefusalBackoff, is the
+	// time until the job's next change.
+	refusalBackoffBase = time.Second
+	maxRefusalBackoff  = time.Minute
+	// rereadDelay is the time after a conflict in which no change of a job is made, so that
+	// its record can be read again.
+	rereadDelay = 500 * time.Millisecond
 )
 
-// pendingChange is a change in flight. When its result is known, settled is called and then
-// either applied or rollBack.
+// pendingChange represents a change in flight. When its result is known, resolved is called. Then,
+// unless the result ends the term, either committed or rollBack is called.
 type pendingChange interface {
-	// target is the job whose records are changed.
-	target() *cluster.Job
-	// settled notes that the change is not in flight any more.
-	settled()
-	// applied notes that the change is committed at a revision.
-	applied(w *recordWriter, revision ids.Revision)
-	// rollBack undoes the placements that the change would have recorded and marks the
-	// records dirty again.
+	// targetJob returns the job whose records are changed.
+	targetJob() *cluster.Job
+	// resolved records that the change is no longer in flight.
+	resolved()
+	// committed updates the state after the change was committed at a revision.
+	committed(w *recordWriter, revision ids.Revision)
+	// rollBack undoes the placements that the change would have recorded, and marks its
+	// records to be written again.
 	rollBack(w *recordWriter)
-	// outstanding tells, after rollBack, whether the job's own revision is needed to try
-	// again.
-	outstanding() bool
+	// needsJobRevision reports, after rollBack, whether a retry needs the current revision of
+	// the job's own record.
+	needsJobRevision() bool
 }
 
-// CommitResult applies the result of a change, which must be resolved.
+// CommitResult applies the result of a change. The result must be resolved.
 func (c *Core) CommitResult(now monotonic.Instant, result records.CommitResult) {
 	c.clock.Set(now)
 	if c.zones.settle(result) {
 		return
 	}
-	c.records.settle(result)
+	c.records.handleResult(result)
 }
 
-// settle takes the result of a change. It ignores changes of other parts.
-func (w *recordWriter) settle(result records.CommitResult) {
+// handleResult applies the result of a change. It ignores changes that are not pending in the
+// record writer.
+func (w *recordWriter) handleResult(result records.CommitResult) {
 	p, ok := w.pending[result.Change.ID]
 	if !ok {
 		return
 	}
 	delete(w.pending, result.Change.ID)
 	w.rounds.MarkDue()
-	p.settled()
+	p.resolved()
 	switch {
 	case result.Err == nil:
-		p.target().Records.Refusals = 0
-		p.applied(w, result.Revision)
+		p.targetJob().Records.Refusals = 0
+		p.committed(w, result.Revision)
 	case errors.Is(result.Err, records.ErrRejected):
-		w.refused(p)
+		w.handleRefusal(p)
 	default:
-		w.conflicted(p, result.Err)
+		w.handleConflict(p, result.Err)
 	}
 }
 
-// conflicted handles a change whose preconditions did not hold. Only the job's own record may
-// have changed, by a cancellation. Anything else means that the records are not as this
-// leader left them.
-func (w *recordWriter) conflicted(p pendingChange, err error) {
-	j := p.target()
+// handleConflict handles a change whose preconditions failed. The only record that another writer
+// may change is the job's own, by a cancellation. Any other conflict means that the records are
+// not as this leader last wrote them.
+func (w *recordWriter) handleConflict(p pendingChange, err error) {
+	j := p.targetJob()
 	if !onlyJobChanged(j, err) {
-		w.fail(fmt.Errorf("records of %s moved without this leader: %w", j.ID, err))
+		w.abortTerm(fmt.Errorf("write records of job %s: changed by another writer: %w", j.ID, err))
 		return
 	}
 	p.rollBack(w)
-	if p.outstanding() {
-		j.Records.RereadAt = w.clock.Now().Add(rereadWait)
+	if p.needsJobRevision() {
+		j.Records.RereadAt = w.clock.Now().Add(rereadDelay)
 		w.rereads = append(w.rereads, j.ID)
 	}
 }
 
-// onlyJobChanged tells whether a conflict is with the job's own record alone.
+// onlyJobChanged reports whether the job's own record is the only one in a conflict.
 func onlyJobChanged(j *cluster.Job, err error) bool {
 	conflict, ok := errors.AsType[*records.ConflictError](err)
 	if !ok || j.Records.Revision == 0 {
@@ -95,19 +96,21 @@
 	return len(conflict.Keys) == 1 && conflict.Keys[0] == records.JobKey(j.ID)
 }
 
-// refused handles a change that the key-value store does not take at all, for instance
-// because its limits are lower than it said. The same change would be refused again, so the
-// job's next change is half as large and is made later. After maxRefusals the job waits
-// until slices may be split or another controller leads. Other jobs are not delayed.
-func (w *recordWriter) refused(p pendingChange) {
+// handleRefusal handles a change that the key-value store rejects for its size or form, for
+// instance because the store's limits are lower than announced. The same change would be refused
+// again, so the job's next change is half as large and is made after a backoff. After maxRefusals
+// the job waits until slices may be split or another controller is the leader. Other jobs are not
+// delayed.
+func (w *recordWriter) handleRefusal(p pendingChange) {
 	p.rollBack(w)
-	j := p.target()
+	j := p.targetJob()
 	j.Records.Refusals++
-	wait := min(maxRefusalWait, firstRefusalWait<<min(j.Records.Refusals, maxRefusals))
-	retryAt := w.clock.Now().Add(wait)
+	backoff := min(maxRefusalBackoff, refusalBackoffBase<<min(j.Records.Refusals, maxRefusals))
+	retryAt := w.clock.Now().Add(backoff)
 	j.Records.RereadAt = retryAt
 	j.Queue.RetryAt = retryAt
 }
 
-// fail notes that the records are not as this leader left them. The term must end.
-func (w *recordWriter) fail(err error) { w.err = err }
+// abortTerm sets the error that Core.RecordsError returns: the records are not as this leader last
+// wrote them. The term must end.
+func (w *recordWriter) abortTerm(err error) { w.err = err }
