--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -97,8 +97,8 @@
 			continue
 		}
 		team := j.Spec.Team
-		j.Queue.Deferred = j.Priority() < p.borrowPriority[team]
-		if j.Queue.Deferred {
+		j.Queue.BorrowOnly = j.Priority() < p.borrowPriority[team]
+		if j.Queue.BorrowOnly {
 			continue
 		}
 		tried := p.try(j, nominalQuota)
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -89,7 +89,7 @@
 	if !as.settings.previousLeader {
 		return true
 	}
-	return as.clock.Now() >= as.clock.TermBegan().Add(2*as.settings.listLag)
+	return as.clock.Now() >= as.clock.TermStart().Add(2*as.settings.listLag)
 }
 
 // newPlanner makes a planner that counts the machines that boot or are requested.
--- a/scheduler/boot_times.go
+++ b/scheduler/boot_times.go
@@ -55,7 +55,7 @@
 // then provisioned for the tasks that wait for it, unless all machines of its type take as
 // long now: another would come up no sooner.
 func (b *bootTimes) late(m *cluster.Machine) bool {
-	if m.Agent.HeardThisTerm || m.MachineType() == nil || !m.Lifecycle.ProvisionedThisTerm {
+	if m.Agent.HeartbeatThisTerm || m.MachineType() == nil || !m.Lifecycle.ProvisionedThisTerm {
 		return false
 	}
 	recent := max(1, b.factors[m.Type()])
--- a/scheduler/clock/clock.go
+++ b/scheduler/clock/clock.go
@@ -46,8 +46,8 @@
 // Now is the present time.
 func (c *Clock) Now() monotonic.Instant { return c.now }
 
-// TermBegan is when the term began.
-func (c *Clock) TermBegan() monotonic.Instant { return c.termBegan }
+// TermStart is when the term began.
+func (c *Clock) TermStart() monotonic.Instant { return c.termBegan }
 
 // ResumedAt is when steps went on after the last pause of the process; 0 if there was none.
 func (c *Clock) ResumedAt() monotonic.Instant { return c.resumedAt }
--- a/scheduler/clock/clock_test.go
+++ b/scheduler/clock/clock_test.go
@@ -68,8 +68,8 @@
 		"a time has come":           {prepare: func(r *RoundTrigger) { r.RecheckAt(start) }, want: true},
 		"a time is yet to come":     {prepare: func(r *RoundTrigger) { r.RecheckAt(start + 1) }},
 		"the earlier of two times":  {prepare: func(r *RoundTrigger) { r.RecheckAt(start); r.RecheckAt(start + 1) }, want: true},
-		"the last is too short ago": {prepare: func(r *RoundTrigger) { r.MarkDue(); r.HoldUntil(start + 1) }},
-		"the last is long ago":      {prepare: func(r *RoundTrigger) { r.MarkDue(); r.HoldUntil(start) }, want: true},
+		"the last is too short ago": {prepare: func(r *RoundTrigger) { r.MarkDue(); r.DelayUntil(start + 1) }},
+		"the last is long ago":      {prepare: func(r *RoundTrigger) { r.MarkDue(); r.DelayUntil(start) }, want: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/scheduler/clock/trigger.go
+++ b/scheduler/clock/trigger.go
@@ -31,5 +31,5 @@
 	return true
 }
 
-// HoldUntil keeps the next round from starting before a time.
-func (t *RoundTrigger) HoldUntil(at monotonic.Instant) { t.notBefore = at }
+// DelayUntil keeps the next round from starting before a time.
+func (t *RoundTrigger) DelayUntil(at monotonic.Instant) { t.notBefore = at }
--- a/scheduler/cluster/assignment.go
+++ b/scheduler/cluster/assignment.go
@@ -86,7 +86,7 @@
 	Incarnation ids.AgentIncarnation // of the agent to which it was sent
 	SentAt      monotonic.Instant    // of the first run command, since Sent was last false
 	Sent        bool                 // a run command was sent and may have an effect
-	Seen        bool                 // a heartbeat has shown the attempt
+	Reported    bool                 // a heartbeat has shown the attempt
 	KillGraceS  float64              // seconds that the task gets to write a checkpoint
 	KillSentAt  monotonic.Instant    // of the first kill command; 0: none was sent
 }
@@ -111,7 +111,7 @@
 func (a *Assignment) Current() bool { return a.Machine.byRef[a.Ref()] == a }
 
 // Assign places a pending task on a machine. The task stays in the job's list of pending
-// tasks until Admit confirms all that were placed together; Withdraw undoes it.
+// tasks until Admit confirms all that were placed together; UndoAssign undoes it.
 func (s *State) Assign(j *Job, index int, m *Machine) *Assignment {
 	j.tasks[index].attempt++
 	a := &Assignment{Job: j, Index: index, Attempt: j.tasks[index].attempt, Machine: m}
@@ -124,8 +124,8 @@
 // tasks.
 func (*State) Admit(j *Job, n int) { j.pending = j.pending[:len(j.pending)-n] }
 
-// Withdraw undoes Assign before Admit.
-func (s *State) Withdraw(a *Assignment) {
+// UndoAssign undoes Assign before Admit.
+func (s *State) UndoAssign(a *Assignment) {
 	s.detach(a)
 	a.Job.tasks[a.Index].attempt--
 }
--- a/scheduler/cluster/cluster_test.go
+++ b/scheduler/cluster/cluster_test.go
@@ -21,7 +21,7 @@
 		},
 		"stop, release":   func(s *State, j *Job, _ *Machine) { s.Stop(j.Active()[0], StopPreempted); s.Release(j.Active()[0]) },
 		"assign":          func(s *State, j *Job, m *Machine) { s.Assign(j, 2, m); s.Admit(j, 1) },
-		"withdraw":        func(s *State, j *Job, m *Machine) { s.Withdraw(s.Assign(j, 2, m)) },
+		"withdraw":        func(s *State, j *Job, m *Machine) { s.UndoAssign(s.Assign(j, 2, m)) },
 		"end the job":     func(s *State, j *Job, _ *Machine) { s.EndJob(j, wire.JobCancelled); s.Release(j.Active()[0]) },
 		"change priority": func(s *State, j *Job, _ *Machine) { s.Stop(j.Active()[0], StopDrained); s.SetPriority(j, wire.High) },
 		"change the zone": func(s *State, _ *Job, m *Machine) { s.SetSite(m, placement.Site{Type: "large", Zone: "b"}) },
--- a/scheduler/cluster/images.go
+++ b/scheduler/cluster/images.go
@@ -22,8 +22,8 @@
 // caller must not change it.
 func (m *Machine) Image(image ids.Image) *CachedImage { return m.images[image] }
 
-// FetchesAnother tells whether the machine fetches an image other than the given one.
-func (m *Machine) FetchesAnother(but ids.Image) bool {
+// FetchesImageOtherThan tells whether the machine fetches an image other than the given one.
+func (m *Machine) FetchesImageOtherThan(but ids.Image) bool {
 	for _, a := range m.assignments {
 		if image := a.Job.Spec.Image; image != but && a.stopReason == StopNone && a.Run.Phase != wire.TaskRunning && m.images[image] == nil {
 			return true
--- a/scheduler/cluster/invariants.go
+++ b/scheduler/cluster/invariants.go
@@ -243,16 +243,16 @@
 			w := Workload{a.Job.Spec.Team, a.Job.priority}
 			count := want[w]
 			if a.stopReason == StopNone {
-				count.Staying++
+				count.NotStopping++
 			} else {
-				count.Leaving++
-				count.Freeing = count.Freeing.Plus(a.Job.Amount())
+				count.Stopping++
+				count.StoppingQuota = count.StoppingQuota.Plus(a.Job.Amount())
 			}
 			want[w] = count
 		}
 	}
 	for w, count := range s.workloads {
-		if e := want[w]; e.Staying != count.Staying || e.Leaving != count.Leaving || !closeAmounts(e.Freeing, count.Freeing) {
+		if e := want[w]; e.NotStopping != count.NotStopping || e.Stopping != count.Stopping || !closeAmounts(e.StoppingQuota, count.StoppingQuota) {
 			return fmt.Errorf("team %s has %+v at priority %d, counted %+v", w.Team, e, w.Priority, count)
 		}
 		delete(want, w)
--- a/scheduler/cluster/job.go
+++ b/scheduler/cluster/job.go
@@ -56,7 +56,7 @@
 	WaitingSince  monotonic.Instant
 	ReservedSince monotonic.Instant // 0: no machine is reserved for the job
 	RetryAt       monotonic.Instant // no admission before
-	Deferred      bool              // must borrow: a job of its team with a higher priority must
+	BorrowOnly    bool              // must borrow: a job of its team with a higher priority must
 	OnlyZone      ids.Zone          // set while admission tries one zone for a job that needs all tasks in one
 	// AllowColdStart tells that no machine with the image can take the job's tasks, so
 	// others may.
@@ -72,7 +72,7 @@
 type JobFailures struct {
 	AntiAffinity map[ids.MachineID]monotonic.Instant // where tasks failed, and when last
 	Succeeded    int                                 // tasks
-	Rounds       int                                 // in which it failed everywhere, since a task last succeeded
+	FailedRounds int                                 // in which it failed everywhere, since a task last succeeded
 	Backoff      time.Duration
 	RunTimes     map[ids.MachineID][]time.Duration // of tasks that were seen from start to end
 }
@@ -83,10 +83,10 @@
 	Revision ids.Revision // of the job's own record
 	// CancelUnrecorded tells that the job is cancelled with one that it depends on, but its
 	// own record does not say so yet.
-	CancelUnrecorded bool
-	Refusals         int               // changes in a row that the key-value store refused
-	Completing       bool              // the change that completes the job is in flight
-	RereadAt         monotonic.Instant // no change before: the record is being read again
+	CancelUnrecorded   bool
+	Refusals           int               // changes in a row that the key-value store refused
+	CompletionInFlight bool              // the change that completes the job is in flight
+	RereadAt           monotonic.Instant // no change before: the record is being read again
 }
 
 // AdmissionSlice is one admission record of a job and the tasks that it is for. Record
@@ -136,8 +136,8 @@
 // Zones counts the job's assignments by zone. The caller must not change it.
 func (j *Job) Zones() placement.TasksByZone { return j.zones }
 
-// CancelledAt is when the job ended.
-func (j *Job) CancelledAt() monotonic.Instant { return j.cancelledAt }
+// EndedAt is when the job ended.
+func (j *Job) EndedAt() monotonic.Instant { return j.cancelledAt }
 
 // Started tells whether a task of the job was ever placed.
 func (j *Job) Started() bool { return j.started }
--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -61,13 +61,13 @@
 // AgentStatus is what the machine's agent has sent and what it was answered. Heartbeats write
 // it.
 type AgentStatus struct {
-	HeardThisTerm bool // a heartbeat was received in this term
-	Incarnation   ids.AgentIncarnation
-	Sequence      ids.Sequence
-	FencingToken  ids.FencingToken // highest that the agent has shown
-	LastHeard     monotonic.Instant
-	AnsweredAt    monotonic.Instant
-	AnsweredCall  bool // it answered a call of this leader
+	HeartbeatThisTerm bool // a heartbeat was received in this term
+	Incarnation       ids.AgentIncarnation
+	Sequence          ids.Sequence
+	FencingToken      ids.FencingToken // highest that the agent has shown
+	LastHeartbeat     monotonic.Instant
+	AnsweredAt        monotonic.Instant
+	AnsweredCall      bool // it answered a call of this leader
 	// Fenced tells that the agent has shown a token of this leader.
 	Fenced   bool
 	FencedAt monotonic.Instant
@@ -178,26 +178,26 @@
 // Assignment finds the assignment of a task, or returns nil.
 func (m *Machine) Assignment(ref ids.TaskRef) *Assignment { return m.byRef[ref] }
 
-// Staying counts the assignments that are not stopping.
-func (m *Machine) Staying() int { return m.staying }
+// NotStopping counts the assignments that are not stopping.
+func (m *Machine) NotStopping() int { return m.staying }
 
 // Replicas counts the replicas of services that are not stopping.
 func (m *Machine) Replicas() int { return m.replicas }
 
-// Fetches counts the assignments with an image that are not stopping.
-func (m *Machine) Fetches(image ids.Image) int { return m.fetches[image] }
+// NotStoppingWithImage counts the assignments with an image that are not stopping.
+func (m *Machine) NotStoppingWithImage(image ids.Image) int { return m.fetches[image] }
 
 // Booting tells whether the machine has sent no heartbeat in this term and is not being
 // terminated.
-func (m *Machine) Booting() bool { return !m.Agent.HeardThisTerm && !m.Lifecycle.Terminating }
+func (m *Machine) Booting() bool { return !m.Agent.HeartbeatThisTerm && !m.Lifecycle.Terminating }
 
 // Up tells whether the machine has sent a heartbeat in this term and is not being terminated.
-func (m *Machine) Up() bool { return m.Agent.HeardThisTerm && !m.Lifecycle.Terminating }
+func (m *Machine) Up() bool { return m.Agent.HeartbeatThisTerm && !m.Lifecycle.Terminating }
 
-// SilentFor tells whether the machine has sent no heartbeat for longer than d. The time before
+// NoHeartbeatFor tells whether the machine has sent no heartbeat for longer than d. The time before
 // its first heartbeat counts from when it became known.
-func (m *Machine) SilentFor(now monotonic.Instant, d time.Duration) bool {
-	return now > max(m.Agent.LastHeard, m.Lifecycle.KnownSince).Add(d)
+func (m *Machine) NoHeartbeatFor(now monotonic.Instant, d time.Duration) bool {
+	return now > max(m.Agent.LastHeartbeat, m.Lifecycle.KnownSince).Add(d)
 }
 
 // FindReported finds an attempt of a task in the newest heartbeat, or returns nil.
--- a/scheduler/cluster/workload.go
+++ b/scheduler/cluster/workload.go
@@ -24,8 +24,8 @@
 // are, with the quota that they will free. The counts are kept up to date because counting ten
 // thousand tasks in each round took a fifth of the processor time.
 type WorkloadCount struct {
-	Staying, Leaving int
-	Freeing          quota.Amount
+	NotStopping, Stopping int
+	StoppingQuota         quota.Amount
 }
 
 // Workloads counts the assignments by team and priority. The caller must not change the
@@ -37,13 +37,13 @@
 	w := Workload{a.Job.Spec.Team, a.Job.priority}
 	count := s.workloads[w]
 	if a.stopReason == StopNone {
-		count.Staying += n
+		count.NotStopping += n
 	} else {
-		count.Leaving += n
-		count.Freeing = count.Freeing.Plus(a.Job.Amount().Times(n))
+		count.Stopping += n
+		count.StoppingQuota = count.StoppingQuota.Plus(a.Job.Amount().Times(n))
 	}
-	if count.Leaving == 0 {
-		count.Freeing = quota.Amount{} // drops what rounding left
+	if count.Stopping == 0 {
+		count.StoppingQuota = quota.Amount{} // drops what rounding left
 	}
 	s.workloads[w] = count
 }
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -116,7 +116,7 @@
 	before := c.candidates.examined
 	c.scheduleRound()
 	cost := time.Duration(c.candidates.examined-before) * c.opt.RoundCostPerMachine
-	c.rounds.HoldUntil(now.Add(max(c.opt.RoundInterval, cost)))
+	c.rounds.DelayUntil(now.Add(max(c.opt.RoundInterval, cost)))
 }
 
 // scheduleRound is one scheduling round. First it admits the jobs that stay within their
--- a/scheduler/direct_calls_test.go
+++ b/scheduler/direct_calls_test.go
@@ -15,7 +15,7 @@
 	}{
 		{"a removed machine", func(f *dispatchFixture, m *cluster.Machine) { f.cluster.RemoveMachine(m) }},
 		{"a call in flight", func(_ *dispatchFixture, m *cluster.Machine) { m.Commands.CallInFlight = true }},
-		{"an agent whose incarnation is not known", func(_ *dispatchFixture, m *cluster.Machine) { m.Agent.HeardThisTerm = false }},
+		{"an agent whose incarnation is not known", func(_ *dispatchFixture, m *cluster.Machine) { m.Agent.HeartbeatThisTerm = false }},
 		{"a machine that is given up", func(_ *dispatchFixture, m *cluster.Machine) { m.Lifecycle.Terminating = true }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/scheduler/dispatch_fixture_test.go
+++ b/scheduler/dispatch_fixture_test.go
@@ -61,7 +61,7 @@
 func (f *dispatchFixture) addMachine(id ids.MachineID) *cluster.Machine {
 	m := f.cluster.EnsureMachine(id)
 	f.cluster.SetEndpoint(m, string(id)+":80")
-	m.Agent.HeardThisTerm, m.Agent.Fenced = true, true
+	m.Agent.HeartbeatThisTerm, m.Agent.Fenced = true, true
 	m.Agent.Incarnation = 1
 	return m
 }
--- a/scheduler/dispatch_queue.go
+++ b/scheduler/dispatch_queue.go
@@ -82,7 +82,7 @@
 		return leaveQueue
 	case d.needsHeartbeatRequest(m):
 		return requestHeartbeat
-	case !m.Agent.HeardThisTerm:
+	case !m.Agent.HeartbeatThisTerm:
 		return leaveQueue
 	case m.Commands.CallInFlight || m.Commands.CallFailed:
 		return leaveQueue
@@ -107,7 +107,7 @@
 // and this leader, but not its agents, keeps them from doing so. It steps down when an agent
 // shows it a token of this leader.
 func (d *commandDispatcher) needsHeartbeatRequest(m *cluster.Machine) bool {
-	if m.Agent.HeardThisTerm || m.Commands.HeartbeatRequested || !mayBeCalled(m) {
+	if m.Agent.HeartbeatThisTerm || m.Commands.HeartbeatRequested || !mayBeCalled(m) {
 		return false
 	}
 	if d.clock.Now() < m.Commands.RequestHeartbeatAt {
--- a/scheduler/dispatch_queue_test.go
+++ b/scheduler/dispatch_queue_test.go
@@ -81,7 +81,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newDispatchFixture(t)
-			f.machine.Agent.HeardThisTerm = false
+			f.machine.Agent.HeartbeatThisTerm = false
 			tc.change(f, f.machine)
 			if got := f.nextAction(f.machine); got != tc.want {
 				t.Errorf("action %d, want %d", got, tc.want)
@@ -97,7 +97,7 @@
 	var machines []ids.MachineID
 	for n := range 5 {
 		m := f.addMachine(ids.MachineID(fmt.Sprintf("left-%d", n)))
-		m.Agent.HeardThisTerm = false
+		m.Agent.HeartbeatThisTerm = false
 		m.Lifecycle.ListedStatus = wire.MachineRunning
 		f.queueCommands(m)
 		f.queueCommands(m) // a machine is queued once
@@ -118,7 +118,7 @@
 // A machine that was asked in vain is asked again after an interval, not at once.
 func TestHeartbeatIsRequestedAgain(t *testing.T) {
 	f := newDispatchFixture(t)
-	f.machine.Agent.HeardThisTerm = false
+	f.machine.Agent.HeartbeatThisTerm = false
 	f.machine.Lifecycle.ListedStatus = wire.MachineRunning
 	f.queueCommands(f.machine)
 	f.dispatch()
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -51,7 +51,7 @@
 	m, j := a.Machine, a.Job
 	f.zones.failed(a)
 	f.addAntiAffinity(j, m)
-	if j.Failures.Rounds == 0 {
+	if j.Failures.FailedRounds == 0 {
 		f.countAgainstMachine(m, j)
 		if j.Failures.Succeeded > 0 || len(j.Failures.AntiAffinity) < failedMachinesLimit {
 			return
@@ -71,7 +71,7 @@
 		return
 	}
 	j.Failures.Succeeded++
-	j.Failures.Rounds, j.Failures.Backoff = 0, 0
+	j.Failures.FailedRounds, j.Failures.Backoff = 0, 0
 }
 
 // countAgainstMachine counts a failure of a job's task against its machine, and quarantines
@@ -97,7 +97,7 @@
 	if f.clock.Now() < j.Queue.RetryAt {
 		return
 	}
-	j.Failures.Rounds++
+	j.Failures.FailedRounds++
 	j.Failures.Backoff = min(max(2*j.Failures.Backoff, initialBackoff), maxBackoff)
 	j.Queue.RetryAt = f.clock.Now().Add(j.Failures.Backoff)
 }
@@ -139,5 +139,5 @@
 // time is tried, like a half-open circuit breaker. Until its user cancels it, it must not
 // hold resources that others need.
 func probing(j *cluster.Job) bool {
-	return j.Failures.Rounds >= probingAfterRounds && !j.NeedsAllTasks()
+	return j.Failures.FailedRounds >= probingAfterRounds && !j.NeedsAllTasks()
 }
--- a/scheduler/failures_test.go
+++ b/scheduler/failures_test.go
@@ -95,7 +95,7 @@
 	b.submit("job-bad", wire.JobSpec{Class: "c", Tasks: 1})
 	b.submit("job-1", wire.JobSpec{Class: "c", Tasks: 4})
 	b.submit("job-2", wire.JobSpec{Class: "c", Tasks: 4})
-	b.c.cluster.Job("job-bad").Failures.Rounds = 1
+	b.c.cluster.Job("job-bad").Failures.FailedRounds = 1
 	fail("job-bad")
 	fail("job-1")
 	if b.c.clock.Now() < m.Health.QuarantinedUntil {
--- a/scheduler/headroom.go
+++ b/scheduler/headroom.go
@@ -69,7 +69,7 @@
 func (h *headroom) wantedTasks(demand *classDemand) int {
 	wanted := h.settings.peakShare * float64(demand.peakTasks())
 	// Earlier in the term, most arrivals of the window are not known.
-	if h.clock.Now() > h.clock.TermBegan().Add(demandWindow/2) {
+	if h.clock.Now() > h.clock.TermStart().Add(demandWindow/2) {
 		within := headroomBoots * h.boots.fastest(demand.spec)
 		wanted = min(wanted, demand.expectedArrivals(within))
 	}
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -124,7 +124,7 @@
 		if !mayAnswer(m) {
 			return wire.HeartbeatResponse{}, false
 		}
-		m.Agent.AnsweredAt = max(m.Agent.AnsweredAt, m.Agent.LastHeard)
+		m.Agent.AnsweredAt = max(m.Agent.AnsweredAt, m.Agent.LastHeartbeat)
 		return noCommands(h.commands.tokenOf(m)), true
 	}
 	h.sites.setSite(m, siteOf(heartbeat), heartbeat.Endpoint)
@@ -166,7 +166,7 @@
 // stale tells whether a heartbeat is a duplicate or older than the newest. It does not show
 // that the machine is alive now.
 func stale(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
-	return m.Agent.HeardThisTerm && !heartbeat.Newer(m.Agent.Incarnation, m.Agent.Sequence)
+	return m.Agent.HeartbeatThisTerm && !heartbeat.Newer(m.Agent.Incarnation, m.Agent.Sequence)
 }
 
 // noCommands is an answer without commands.
@@ -182,10 +182,10 @@
 // apply updates the state from a heartbeat that is newer than all before it.
 func (h *heartbeatIntake) apply(m *cluster.Machine, heartbeat *wire.Heartbeat) {
 	now := h.clock.Now()
-	if now > m.Agent.LastHeard.Add(h.interval) && !h.health.usable(m) {
+	if now > m.Agent.LastHeartbeat.Add(h.interval) && !h.health.usable(m) {
 		h.rounds.MarkDue() // it may be usable now
 	}
-	m.Agent.LastHeard = now
+	m.Agent.LastHeartbeat = now
 	h.health.heard(heartbeat.Zone)
 	h.commands.allowCalls(m)
 	h.updateAgent(m, heartbeat)
@@ -205,8 +205,8 @@
 
 // updateAgent notes what a heartbeat shows of the machine's agent.
 func (h *heartbeatIntake) updateAgent(m *cluster.Machine, heartbeat *wire.Heartbeat) {
-	if !m.Agent.HeardThisTerm {
-		m.Agent.HeardThisTerm = true
+	if !m.Agent.HeartbeatThisTerm {
+		m.Agent.HeartbeatThisTerm = true
 		m.Lifecycle.IdleSince = h.clock.Now()
 		h.autoscaler.recordBoot(m)
 		h.rounds.MarkDue()
@@ -250,7 +250,7 @@
 		}
 		h.zones.lost(a)
 		h.lifecycle.release(a)
-	case a.Delivery.Seen && a.StopReason() == cluster.StopNone:
+	case a.Delivery.Reported && a.StopReason() == cluster.StopNone:
 		// An agent keeps a task until it gets a reap command. If a task is missing without
 		// one, it is not started elsewhere before old commands are void.
 		h.lifecycle.stop(a, cluster.StopDrained)
@@ -260,7 +260,7 @@
 // onlyCommandVoided tells whether a higher token voided the run command for an assignment
 // that the agent never had, and nothing else happened to it.
 func onlyCommandVoided(a *cluster.Assignment) bool {
-	if !a.Delivery.Sent || a.Delivery.Inherited || a.Delivery.Seen {
+	if !a.Delivery.Sent || a.Delivery.Inherited || a.Delivery.Reported {
 		return false
 	}
 	return a.StopReason() == cluster.StopNone && a.Machine.Agent.Incarnation == a.Delivery.Incarnation
@@ -268,7 +268,7 @@
 
 // handleActiveTask handles an assignment that the newest heartbeat shows as not ended.
 func (h *heartbeatIntake) handleActiveTask(a *cluster.Assignment, reported *cluster.ReportedTask) {
-	a.Delivery.Seen = true
+	a.Delivery.Reported = true
 	if !a.Delivery.Sent {
 		// An inherited task is now known to be here. Commands for it carry new tokens.
 		a.Delivery.Sent, a.Delivery.Inherited = true, false
--- a/scheduler/liveness.go
+++ b/scheduler/liveness.go
@@ -28,11 +28,11 @@
 func (l *machineLiveness) mostSilent(machines []*cluster.Machine) bool {
 	heard, silent := 0, 0
 	for _, m := range machines {
-		if !m.Agent.HeardThisTerm {
+		if !m.Agent.HeartbeatThisTerm {
 			continue
 		}
 		heard++
-		if m.SilentFor(l.clock.Now(), l.settings.agentLease/2) {
+		if m.NoHeartbeatFor(l.clock.Now(), l.settings.agentLease/2) {
 			silent++
 		}
 	}
@@ -48,14 +48,14 @@
 // usable tells whether tasks may run on a machine.
 func (l *machineLiveness) usable(m *cluster.Machine) bool {
 	switch {
-	case !m.Agent.HeardThisTerm || m.MachineType() == nil:
+	case !m.Agent.HeartbeatThisTerm || m.MachineType() == nil:
 		return false
 	case m.Lifecycle.Terminating || m.Health.SpotReclaimAt != 0:
 		return false
 	case m.Commands.CallFailed || m.Health.Unreachable:
 		return false
 	}
-	return l.provenAlive(m) && l.clock.Now() < m.Agent.LastHeard.Add(l.heartbeatTimeout())
+	return l.provenAlive(m) && l.clock.Now() < m.Agent.LastHeartbeat.Add(l.heartbeatTimeout())
 }
 
 // takesTasks tells whether new tasks may be placed on a machine: it is usable and not
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -100,8 +100,8 @@
 					machines = append(machines, &cluster.Machine{Agent: agent})
 				}
 			}
-			add(c.silent, cluster.AgentStatus{HeardThisTerm: true, LastHeard: now.Add(-simAgentLease/2 - 1)})
-			add(c.heard, cluster.AgentStatus{HeardThisTerm: true, LastHeard: now.Add(-simAgentLease / 2)})
+			add(c.silent, cluster.AgentStatus{HeartbeatThisTerm: true, LastHeartbeat: now.Add(-simAgentLease/2 - 1)})
+			add(c.heard, cluster.AgentStatus{HeartbeatThisTerm: true, LastHeartbeat: now.Add(-simAgentLease / 2)})
 			add(c.booting, cluster.AgentStatus{})
 			if got := l.mostSilent(machines); got != c.mostSilent {
 				t.Errorf("most silent %v", got)
@@ -120,7 +120,7 @@
 		proven         bool
 	}{
 		{"no previous leader", false, cluster.Machine{}, true},
-		{"previous leader, heartbeats alone", true, cluster.Machine{Agent: cluster.AgentStatus{HeardThisTerm: true}}, false},
+		{"previous leader, heartbeats alone", true, cluster.Machine{Agent: cluster.AgentStatus{HeartbeatThisTerm: true}}, false},
 		{"provisioned in this term", true, cluster.Machine{Lifecycle: cluster.MachineLifecycle{ProvisionedThisTerm: true}}, true},
 		{"answered a call", true, cluster.Machine{Agent: cluster.AgentStatus{AnsweredCall: true}}, true},
 		{"showed this leader's token", true, cluster.Machine{Agent: cluster.AgentStatus{Fenced: true}}, true},
--- a/scheduler/machine_check.go
+++ b/scheduler/machine_check.go
@@ -70,7 +70,7 @@
 	switch {
 	case m.Lifecycle.ListedStatus == wire.MachineFailed:
 		return terminateFailed
-	case m.Lifecycle.MissingLists >= missingListsLimit && m.SilentFor(c.clock.Now(), missingHeartbeats*c.settings.heartbeatInterval):
+	case m.Lifecycle.MissingLists >= missingListsLimit && m.NoHeartbeatFor(c.clock.Now(), missingHeartbeats*c.settings.heartbeatInterval):
 		// To terminate a machine that is gone has no effect, and the cloud's answer proves
 		// that it is gone.
 		return terminateMissing
@@ -101,12 +101,12 @@
 // have booted already and need time to find this leader. During a pause of this process no
 // heartbeat could arrive.
 func (c *machineCheck) bootFailed(m *cluster.Machine) bool {
-	if m.Agent.HeardThisTerm || m.Lifecycle.BootDeadline == 0 || len(m.Assignments()) > 0 {
+	if m.Agent.HeartbeatThisTerm || m.Lifecycle.BootDeadline == 0 || len(m.Assignments()) > 0 {
 		return false
 	}
 	deadline := max(m.Lifecycle.BootDeadline, c.clock.ResumedAt().Add(resumedHeartbeats*c.settings.heartbeatInterval))
 	if c.settings.previousLeader {
-		deadline = max(deadline, c.clock.TermBegan().Add(c.settings.agentLease))
+		deadline = max(deadline, c.clock.TermStart().Add(c.settings.agentLease))
 	}
 	return c.clock.Now() > deadline
 }
@@ -114,22 +114,22 @@
 // silentTooLong tells whether a machine without tasks has been silent for longer than machines
 // usually are that send heartbeats again, while others are heard.
 func (c *machineCheck) silentTooLong(m *cluster.Machine) bool {
-	if !m.Agent.HeardThisTerm || len(m.Assignments()) > 0 || c.mostSilent || c.zonePartitionedRecently(m.Zone()) {
+	if !m.Agent.HeartbeatThisTerm || len(m.Assignments()) > 0 || c.mostSilent || c.zonePartitionedRecently(m.Zone()) {
 		return false
 	}
-	return m.SilentFor(c.clock.Now(), silentLeases*c.settings.agentLease)
+	return m.NoHeartbeatFor(c.clock.Now(), silentLeases*c.settings.agentLease)
 }
 
 // cancelOverdue tells whether a machine holds a task of a cancelled job that must end soon.
 func (c *machineCheck) cancelOverdue(m *cluster.Machine) bool {
-	if m.Staying() == len(m.Assignments()) {
+	if m.NotStopping() == len(m.Assignments()) {
 		return false // nothing is stopped
 	}
 	for _, a := range m.Assignments() {
 		if a.StopReason() != cluster.StopCancelled {
 			continue
 		}
-		if c.clock.Now() > a.Job.CancelledAt().Add(c.settings.cancelDeadline*cancelOverduePercent/100) {
+		if c.clock.Now() > a.Job.EndedAt().Add(c.settings.cancelDeadline*cancelOverduePercent/100) {
 			return true
 		}
 	}
@@ -139,5 +139,5 @@
 // holdsExpiredTasks tells whether a machine with tasks has lost its lease, so that the tasks
 // have ended.
 func (c *machineCheck) holdsExpiredTasks(m *cluster.Machine) bool {
-	return len(m.Assignments()) > 0 && c.leases.expired(m) && m.SilentFor(c.clock.Now(), monotonic.AddDriftMargin(c.settings.agentLease))
+	return len(m.Assignments()) > 0 && c.leases.expired(m) && m.NoHeartbeatFor(c.clock.Now(), monotonic.AddDriftMargin(c.settings.agentLease))
 }
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -95,7 +95,7 @@
 			m.Lifecycle.KnownSince = asked.Add(-monotonic.Seconds(entry.AgeS))
 		}
 		r.setSite(m, placement.Site{Type: entry.Type, Zone: entry.Zone, Spot: entry.Spot}, entry.Endpoint)
-		if m.Lifecycle.ListedStatus != entry.Status && !m.Agent.HeardThisTerm && r.settings.previousLeader {
+		if m.Lifecycle.ListedStatus != entry.Status && !m.Agent.HeartbeatThisTerm && r.settings.previousLeader {
 			r.commands.queueCommands(m)
 		}
 		m.Lifecycle.ListedStatus, m.Lifecycle.MissingLists = entry.Status, 0
@@ -107,7 +107,7 @@
 // which a previous leader placed tasks count too, once the list must show them. Otherwise one
 // that failed together with that leader would keep its tasks for the whole grace and a lease.
 func (r *machineRegistry) countMissing(asked monotonic.Instant, listed map[ids.MachineID]bool) {
-	began := r.clock.TermBegan()
+	began := r.clock.TermStart()
 	caughtUp := asked > began.Add(2*r.settings.listLag+time.Second)
 	for _, m := range r.cluster.Machines() {
 		inherited := m.Lifecycle.KnownSince <= began && caughtUp
--- a/scheduler/placement/score.go
+++ b/scheduler/placement/score.go
@@ -14,8 +14,8 @@
 	LatencySensitive bool    // tasks of the job's class must start within seconds
 	SpotRisk         float64 // chance that a spot machine is reclaimed during the task
 	Suspect          bool    // the machine failed tasks or runs them slowly
-	Preferred        bool    // a replica was stopped to be moved to this zone
-	Unproven         bool    // the zone had an outage and its recovery is not proven
+	PreferredZone    bool    // a replica was stopped to be moved to this zone
+	ZoneUnproven     bool    // the zone had an outage and its recovery is not proven
 }
 
 // Weights of Score, in points. Only their proportions count.
@@ -69,7 +69,7 @@
 	if c.Suspect {
 		score -= suspectPenalty
 	}
-	if c.Preferred {
+	if c.PreferredZone {
 		score += preferredZoneBonus
 	}
 	if s.Service {
@@ -97,7 +97,7 @@
 
 // unprovenPenalty is the penalty of a service for the zone of a machine.
 func unprovenPenalty(c *Candidate) float64 {
-	if c.Unproven {
+	if c.ZoneUnproven {
 		return unprovenZonePenalty
 	}
 	return 0
--- a/scheduler/preemption/claim.go
+++ b/scheduler/preemption/claim.go
@@ -21,7 +21,7 @@
 	team, quotas := j.Spec.Team, r.policy.quotas
 	more := r.ledger.committed[team].Plus(j.Amount())
 	switch {
-	case !j.Queue.Deferred && quotas.FitsNominal(team, more):
+	case !j.Queue.BorrowOnly && quotas.FitsNominal(team, more):
 		return claimNominal
 	case quotas.FitsBorrowing(team, more, r.policy.clock.Now()):
 		return claimBorrow
--- a/scheduler/preemption/claim_test.go
+++ b/scheduler/preemption/claim_test.go
@@ -64,7 +64,7 @@
 func TestDeferredJobBorrows(t *testing.T) {
 	f := newFixture(t)
 	j := f.addJob("job-1", wire.JobSpec{})
-	j.Queue.Deferred = true
+	j.Queue.BorrowOnly = true
 	if got := f.policy.newRound(nil).claimOf(j); got != claimBorrow {
 		t.Errorf("claim %d, want %d", got, claimBorrow)
 	}
--- a/scheduler/preemption/round.go
+++ b/scheduler/preemption/round.go
@@ -41,10 +41,10 @@
 	counts := p.cluster.Workloads()
 	for _, w := range slices.SortedFunc(maps.Keys(counts), cluster.Workload.Compare) {
 		count := counts[w]
-		if count.Leaving > 0 {
-			r.ledger.free(w.Team, count.Freeing)
+		if count.Stopping > 0 {
+			r.ledger.free(w.Team, count.StoppingQuota)
 		}
-		if count.Staying > 0 {
+		if count.NotStopping > 0 {
 			r.workloads = append(r.workloads, w)
 		}
 	}
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -158,7 +158,7 @@
 			}
 		}
 	}
-	if m := next.c.cluster.Machine("n-2"); m == nil || !m.Agent.HeardThisTerm {
+	if m := next.c.cluster.Machine("n-2"); m == nil || !m.Agent.HeartbeatThisTerm {
 		t.Error("a machine without tasks was not asked")
 	}
 	if token["n-1"].Revision() != 9 || !next.c.cluster.Machine("n-1").Agent.Fenced {
--- a/scheduler/reachability.go
+++ b/scheduler/reachability.go
@@ -53,7 +53,7 @@
 		if heartbeat.FencingToken >= d.tokens.tokenOf(m) {
 			d.confirm(m) // it has received the newer token
 		}
-	case !m.Agent.HeardThisTerm:
+	case !m.Agent.HeartbeatThisTerm:
 		// No command was sent to it yet.
 	case d.lostAnsweredLease(m, heartbeat) || d.startUnacknowledged(m, heartbeat):
 		m.Health.Unreachable, m.Health.UnreachableSince = true, d.clock.Now()
@@ -84,7 +84,7 @@
 // sent longer ago than acknowledgeTimeout.
 func (d *reachabilityDetector) startUnacknowledged(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
 	for _, a := range m.Assignments() {
-		if !a.Delivery.Sent || a.Delivery.Seen || a.StopReason() != cluster.StopNone {
+		if !a.Delivery.Sent || a.Delivery.Reported || a.StopReason() != cluster.StopNone {
 			continue
 		}
 		// During a pause of this process no heartbeat could show it.
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -149,7 +149,7 @@
 			present, tokens := clock.New(0), &countingTokens{}
 			present.Set(answeredAt.Add(c.after))
 			d := &reachabilityDetector{clock: present, rounds: &clock.RoundTrigger{}, tokens: tokens, settings: testHealthSettings}
-			m := &cluster.Machine{Agent: cluster.AgentStatus{HeardThisTerm: true, Incarnation: 1, AnsweredAt: answeredAt}}
+			m := &cluster.Machine{Agent: cluster.AgentStatus{HeartbeatThisTerm: true, Incarnation: 1, AnsweredAt: answeredAt}}
 			d.observe(m, newHeartbeat("n-1", c.incarnation, 7, tokens.tokenOf(m)))
 			if m.Health.Unreachable != c.unreachable {
 				t.Errorf("unreachable %v", m.Health.Unreachable)
@@ -182,7 +182,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			present := clock.New(0)
 			d := &reachabilityDetector{clock: present, rounds: &clock.RoundTrigger{}, tokens: &countingTokens{raised: 3}, settings: testHealthSettings}
-			m := &cluster.Machine{Agent: cluster.AgentStatus{HeardThisTerm: true, Incarnation: 1}}
+			m := &cluster.Machine{Agent: cluster.AgentStatus{HeartbeatThisTerm: true, Incarnation: 1}}
 			m.Health.Unreachable, m.Health.UnreachableSince = true, since
 			present.Set(since.Add(d.acknowledgeTimeout()))
 			c.show(d, m)
--- a/scheduler/record_completion.go
+++ b/scheduler/record_completion.go
@@ -35,12 +35,12 @@
 // the same change, fewer after a refusal. The others are deleted later.
 func (w *recordWriter) completeJob(j *cluster.Job, maxDeletions int) {
 	// The revision of a slice in flight is not known yet.
-	if sliceInFlight(j) || j.Records.Completing || j.Terminal() || w.delayed(j) {
+	if sliceInFlight(j) || j.Records.CompletionInFlight || j.Terminal() || w.delayed(j) {
 		return
 	}
 	delete(w.completable, j)
 	w.dirty.clearJob(j)
-	j.Records.Completing = true
+	j.Records.CompletionInFlight = true
 	p := &completion{
 		job:     j,
 		doneMS:  w.clock.WallMS(),
@@ -54,7 +54,7 @@
 func (p *completion) target() *cluster.Job { return p.job }
 
 func (p *completion) settled() {
-	p.job.Records.Completing = false
+	p.job.Records.CompletionInFlight = false
 	clearInFlight(p.deleted)
 }
 
--- a/scheduler/record_completion_test.go
+++ b/scheduler/record_completion_test.go
@@ -74,7 +74,7 @@
 func TestCompletionThatConflictsIsTriedAgain(t *testing.T) {
 	f, j := finishedJob(t, 1)
 	f.conflict(f.writeOne(0), records.JobKey("job-1"))
-	if j.Records.Completing || j.Status() != wire.JobQueued {
+	if j.Records.CompletionInFlight || j.Status() != wire.JobQueued {
 		t.Errorf("the job is %v, records %+v", j.Status(), j.Records)
 	}
 	f.commit(f.writeOne(rereadWait), 9)
--- a/scheduler/record_marks.go
+++ b/scheduler/record_marks.go
@@ -59,5 +59,5 @@
 // nor the end of its job is still to be written.
 func (w *recordWriter) upToDate(j *cluster.Job, index int) bool {
 	s := j.Task(index).Slice()
-	return !j.Records.Completing && !w.completable[j] && !w.dirty.contains(s) && !s.InFlight
+	return !j.Records.CompletionInFlight && !w.completable[j] && !w.dirty.contains(s) && !s.InFlight
 }
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -181,7 +181,7 @@
 // writable tells whether a slice may be written now.
 func (w *recordWriter) writable(d dirtySlice) bool {
 	j := d.job
-	ending := j.Terminal() || j.Records.Completing || w.completable[j]
+	ending := j.Terminal() || j.Records.CompletionInFlight || w.completable[j]
 	refused := j.Records.Refusals >= maxRefusals
 	return !d.slice.InFlight && !ending && !refused && !w.delayed(j)
 }
--- a/scheduler/replacements.go
+++ b/scheduler/replacements.go
@@ -64,5 +64,5 @@
 func (r *replacements) silent(m *cluster.Machine) bool {
 	now := r.clock.Now()
 	allHadTime := now > r.clock.ResumedAt().Add(r.heartbeatInterval*3/2)
-	return allHadTime && m.SilentFor(now, silentHeartbeats*r.heartbeatInterval)
+	return allHadTime && m.NoHeartbeatFor(now, silentHeartbeats*r.heartbeatInterval)
 }
--- a/scheduler/run_commands.go
+++ b/scheduler/run_commands.go
@@ -33,7 +33,7 @@
 	}
 	var unstarted []*cluster.Assignment
 	for _, a := range m.Assignments() {
-		if !mayBeSent(a) || a.Delivery.Seen || m.FindReported(a.Ref(), a.Attempt) != nil {
+		if !mayBeSent(a) || a.Delivery.Reported || m.FindReported(a.Ref(), a.Attempt) != nil {
 			continue
 		}
 		unstarted = append(unstarted, a)
--- a/scheduler/run_commands_test.go
+++ b/scheduler/run_commands_test.go
@@ -21,7 +21,7 @@
 		{"not recorded", func(_ *dispatchFixture, a *cluster.Assignment) { a.Record.Committed = false }, false, false},
 		{"stopped", func(f *dispatchFixture, a *cluster.Assignment) { f.cluster.Stop(a, cluster.StopDrained) }, false, false},
 		{"inherited", func(_ *dispatchFixture, a *cluster.Assignment) { a.Delivery.Inherited = true }, false, false},
-		{"seen", func(_ *dispatchFixture, a *cluster.Assignment) { a.Delivery.Seen = true }, false, false},
+		{"seen", func(_ *dispatchFixture, a *cluster.Assignment) { a.Delivery.Reported = true }, false, false},
 		{"in the newest heartbeat", func(f *dispatchFixture, a *cluster.Assignment) {
 			f.report(a.Ref(), a.Attempt, wire.TaskFetching)
 		}, false, false},
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -242,10 +242,10 @@
 		Cached:           m.HasImage(j.Spec.Image),
 		Suspect:          j.Failures.AntiAffinity[m.ID] != 0 || now < m.Health.SlowUntil || failedRecently,
 		LatencySensitive: s.queue.latencySensitive(j),
-		Unproven:         s.zones.unproven(m.Zone()),
-		Preferred:        j.Queue.PreferredZone == m.Zone() && m.Zone() != "" && now < j.Queue.PreferredUntil,
+		ZoneUnproven:     s.zones.unproven(m.Zone()),
+		PreferredZone:    j.Queue.PreferredZone == m.Zone() && m.Zone() != "" && now < j.Queue.PreferredUntil,
 		RunsServices:     m.Replicas() > 0,
-		Fetching:         m.Fetches(j.Spec.Image) > 0,
+		Fetching:         m.NotStoppingWithImage(j.Spec.Image) > 0,
 	}
 	if m.Spot() {
 		o.SpotRisk = s.spot.spotRisk(j)
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -173,7 +173,7 @@
 // checkZoneOpen checks that a new assignment was not made after its zone was closed.
 func (s *sim) checkZoneOpen(a *cluster.Assignment, st zonerecovery.Status) {
 	closed := st.Condition == zonerecovery.Suspect || st.Condition == zonerecovery.Outage
-	isNew := !a.Delivery.Inherited && !a.Delivery.Seen
+	isNew := !a.Delivery.Inherited && !a.Delivery.Reported
 	if closed && isNew && a.Run.PhaseSince > s.core.zones.clockReading().Now.Add(-s.sinceChange(st)) {
 		s.violation("ramp: %s was placed in %s, which is %s", a.Ref(), st.Zone, st.Condition)
 	}
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -43,7 +43,7 @@
 	for _, m := range c.cluster.Machines() {
 		if c.health.usable(m) {
 			usable++
-		} else if !m.Agent.HeardThisTerm {
+		} else if !m.Agent.HeartbeatThisTerm {
 			booting++
 		}
 	}
--- a/scheduler/task_lifecycle.go
+++ b/scheduler/task_lifecycle.go
@@ -82,7 +82,7 @@
 // withdraw undoes a placement of the present round.
 func (l *taskLifecycle) withdraw(a *cluster.Assignment) {
 	l.zones.detached(a)
-	l.cluster.Withdraw(a)
+	l.cluster.UndoAssign(a)
 }
 
 // complete takes a task that succeeded off its machine.
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -182,11 +182,11 @@
 		t.Fatal("the first job of the pipeline must go first, the last not at all")
 	}
 	on := b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.High}]
-	if on.Staying != 1 {
+	if on.NotStopping != 1 {
 		t.Errorf("counted %+v", on)
 	}
 	b.c.ObserveJob(b.now, "job-2", &records.Job{Status: wire.JobCancelled, Tasks: 1}, 999)
-	if first.Priority() != wire.BestEffort || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.High}].Staying != 0 || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.BestEffort}].Staying != 1 {
+	if first.Priority() != wire.BestEffort || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.High}].NotStopping != 0 || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.BestEffort}].NotStopping != 1 {
 		t.Errorf("after the last job is gone the first has priority %d, counted %+v", first.Priority(), b.c.cluster.Workloads())
 	}
 }
--- a/scheduler/zone_admission.go
+++ b/scheduler/zone_admission.go
@@ -65,7 +65,7 @@
 	request.Machine, request.Image = m.ID, j.Spec.Image
 	request.ProbeEligible = g.probeEligible(j)
 	request.NeedsFetch = g.needsFetch(j, m)
-	request.MachineFetching = request.NeedsFetch && m.FetchesAnother(j.Spec.Image)
+	request.MachineFetching = request.NeedsFetch && m.FetchesImageOtherThan(j.Spec.Image)
 	return request
 }
 
@@ -112,7 +112,7 @@
 // failed notes that a task failed. A job that fails on all machines is no evidence against
 // a zone.
 func (g *zoneGate) failed(a *cluster.Assignment) {
-	if g != nil && a.Job.Failures.Rounds == 0 {
+	if g != nil && a.Job.Failures.FailedRounds == 0 {
 		g.manager.TaskFailed(a.Machine.Zone(), a.Job.ID)
 	}
 }
--- a/scheduler/zone_observation.go
+++ b/scheduler/zone_observation.go
@@ -59,7 +59,7 @@
 // countsAsEvidence tells whether a machine says something about its zone: it sent this
 // leader a heartbeat or holds tasks by the records, and is not being terminated.
 func countsAsEvidence(m *cluster.Machine) bool {
-	known := m.Agent.HeardThisTerm || len(m.Assignments()) > 0
+	known := m.Agent.HeartbeatThisTerm || len(m.Assignments()) > 0
 	return known && m.Zone() != "" && !m.Lifecycle.Terminating
 }
 
@@ -67,9 +67,9 @@
 func (g *zoneGate) countMachine(health *zonerecovery.ZoneHealth, m *cluster.Machine) {
 	health.Machines++
 	switch {
-	case m.SilentFor(g.clock.Now(), g.health.heartbeatTimeout()):
+	case m.NoHeartbeatFor(g.clock.Now(), g.health.heartbeatTimeout()):
 		health.Unreachable++
-	case m.Agent.HeardThisTerm:
+	case m.Agent.HeartbeatThisTerm:
 		health.Reachable++
 	}
 	if m.Lifecycle.ListedStatus == wire.MachineFailed {
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -93,7 +93,7 @@
 func (m *scenario) machinesIn(zone ids.Zone) int {
 	n := 0
 	for _, w := range m.core.cluster.Machines() {
-		if w.Zone() == zone && w.Agent.HeardThisTerm {
+		if w.Zone() == zone && w.Agent.HeartbeatThisTerm {
 			n++
 		}
 	}
