--- a/scheduler/clock/clock.go
+++ b/scheduler/clock/clock.go
@@ -1,6 +1,7 @@
-// Package clock keeps the time of one term of leadership as the scheduler sees it, and
-// when its next scheduling round is due. It reads no clock: the owner of the scheduler
-// passes the time in. All types belong to the goroutine that runs the scheduler.
+// Package clock holds the scheduler's time during one term of leadership, and determines when its
+// next scheduling round is due. It doesn't read the system clock: the owner of the scheduler passes
+// the time in. Its types aren't safe for concurrent use; they belong to the goroutine that runs the
+// scheduler.
 package clock
 
 import (
@@ -9,28 +10,29 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// pauseThreshold is the time without a step after which the process counts as paused. Heartbeats
-// that arrived meanwhile have not been read yet, so silence of machines means nothing.
+// pauseThreshold is the interval without a step after which the process counts as paused. Heartbeats
+// that arrived during a pause have not been read yet, so a missing heartbeat does not mean that a
+// machine has failed.
 const pauseThreshold = time.Second
 
-// Clock is the scheduler's present time. Policies read it; only the core moves it.
+// Clock holds the scheduler's current time. Policies read it; only the core advances it.
 type Clock struct {
-	now, termBegan, lastStep, resumedAt monotonic.Instant
+	now, termStart, lastStep, resumedAt monotonic.Instant
 	totalPause                          time.Duration
 	wallAtBeginMS                       int64
 }
 
-// New makes the clock of a term. wallMS is the time of day in Unix milliseconds when the
+// New returns the clock of a term. wallMS is the time of day in Unix milliseconds when the
 // term begins; 0 means unknown.
 func New(wallMS int64) *Clock { return &Clock{wallAtBeginMS: wallMS} }
 
 // Begin sets the time at which the term begins.
-func (c *Clock) Begin(now monotonic.Instant) { c.now, c.termBegan = now, now }
+func (c *Clock) Begin(now monotonic.Instant) { c.now, c.termStart = now, now }
 
-// Set moves the clock to the time of an event.
+// Set sets the clock to the time of an event.
 func (c *Clock) Set(now monotonic.Instant) { c.now = now }
 
-// Advance moves the clock to the time of a step or heartbeat, and detects pauses of the
+// Advance sets the clock to the time of a step or heartbeat, and detects pauses of the
 // process.
 func (c *Clock) Advance(now monotonic.Instant) {
 	c.now = now
@@ -43,26 +45,27 @@
 	c.lastStep = now
 }
 
-// Now is the present time.
+// Now returns the current time.
 func (c *Clock) Now() monotonic.Instant { return c.now }
 
-// TermStart is when the term began.
-func (c *Clock) TermStart() monotonic.Instant { return c.termBegan }
+// TermStart returns the time at which the term began.
+func (c *Clock) TermStart() monotonic.Instant { return c.termStart }
 
-// ResumedAt is when steps went on after the last pause of the process; 0 if there was none.
+// ResumedAt returns the time of the first step after the last pause of the process; 0 if there was
+// none.
 func (c *Clock) ResumedAt() monotonic.Instant { return c.resumedAt }
 
-// TotalPause is the sum of all pauses of the process.
+// TotalPause returns the total duration of all pauses of the process.
 func (c *Clock) TotalPause() time.Duration { return c.totalPause }
 
-// WallMS is the time of day in Unix milliseconds; 0 if it is unknown.
+// WallMS returns the current time of day in Unix milliseconds; 0 if it is unknown.
 func (c *Clock) WallMS() int64 {
 	if c.wallAtBeginMS == 0 {
 		return 0
 	}
-	return c.wallAtBeginMS + c.now.Sub(c.termBegan).Milliseconds()
+	return c.wallAtBeginMS + c.now.Sub(c.termStart).Milliseconds()
 }
 
-// WallAtBeginMS is the time of day in Unix milliseconds when the term began; 0 if it is
+// WallAtBeginMS returns the time of day in Unix milliseconds when the term began; 0 if it is
 // unknown.
 func (c *Clock) WallAtBeginMS() int64 { return c.wallAtBeginMS }
--- a/scheduler/clock/clock_test.go
+++ b/scheduler/clock/clock_test.go
@@ -15,36 +15,36 @@
 		wantPause   time.Duration
 		wantResumed monotonic.Instant
 	}{
-		"steps in a row":       {gap: 100 * time.Millisecond, wantResumed: start},
-		"as long as is usual":  {gap: pauseThreshold, wantResumed: start},
-		"the process was held": {gap: 3 * time.Second, wantPause: 3 * time.Second, wantResumed: start.Add(3 * time.Second)},
+		"frequent steps":       {gap: 100 * time.Millisecond, wantResumed: start},
+		"gap at the threshold": {gap: pauseThreshold, wantResumed: start},
+		"paused process":       {gap: 3 * time.Second, wantPause: 3 * time.Second, wantResumed: start.Add(3 * time.Second)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := New(0)
-			c.Advance(start) // the first step counts as resumed, and no pause is known
+			c.Advance(start) // the first step sets ResumedAt and is not counted as a pause
 			c.Advance(start.Add(test.gap))
 			if c.TotalPause() != test.wantPause || c.ResumedAt() != test.wantResumed {
-				t.Errorf("paused for %v, resumed at %v", c.TotalPause(), c.ResumedAt())
+				t.Errorf("TotalPause = %v, ResumedAt = %v, want %v and %v", c.TotalPause(), c.ResumedAt(), test.wantPause, test.wantResumed)
 			}
 		})
 	}
 }
 
-func TestSetIsNoStep(t *testing.T) {
+func TestSetIsNotCountedAsStep(t *testing.T) {
 	c := New(0)
 	c.Advance(start)
 	c.Set(start.Add(900 * time.Millisecond))
 	c.Advance(start.Add(1800 * time.Millisecond))
 	if got, want := c.TotalPause(), 1800*time.Millisecond; got != want {
-		t.Errorf("paused for %v, want %v", got, want)
+		t.Errorf("TotalPause = %v, want %v", got, want)
 	}
 }
 
 func TestWallMS(t *testing.T) {
 	tests := map[string]struct{ begin, want int64 }{
-		"not known": {begin: 0, want: 0},
-		"known":     {begin: 5000, want: 7000},
+		"unknown": {begin: 0, want: 0},
+		"known":   {begin: 5000, want: 7000},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 			c.Begin(start)
 			c.Set(start.Add(2 * time.Second))
 			if got := c.WallMS(); got != test.want {
-				t.Errorf("%d ms, want %d", got, test.want)
+				t.Errorf("WallMS = %d, want %d", got, test.want)
 			}
 		})
 	}
@@ -63,23 +63,23 @@
 		prepare func(*RoundTrigger)
 		want    bool
 	}{
-		"nothing was asked for":     {prepare: func(*RoundTrigger) {}},
-		"something changed":         {prepare: func(r *RoundTrigger) { r.MarkDue() }, want: true},
-		"a time has come":           {prepare: func(r *RoundTrigger) { r.RecheckAt(start) }, want: true},
-		"a time is yet to come":     {prepare: func(r *RoundTrigger) { r.RecheckAt(start + 1) }},
-		"the earlier of two times":  {prepare: func(r *RoundTrigger) { r.RecheckAt(start); r.RecheckAt(start + 1) }, want: true},
-		"the last is too short ago": {prepare: func(r *RoundTrigger) { r.MarkDue(); r.DelayUntil(start + 1) }},
-		"the last is long ago":      {prepare: func(r *RoundTrigger) { r.MarkDue(); r.DelayUntil(start) }, want: true},
+		"no request":               {prepare: func(*RoundTrigger) {}},
+		"marked as due":            {prepare: func(r *RoundTrigger) { r.MarkDue() }, want: true},
+		"recheck time reached":     {prepare: func(r *RoundTrigger) { r.RecheckAt(start) }, want: true},
+		"recheck time not reached": {prepare: func(r *RoundTrigger) { r.RecheckAt(start + 1) }},
+		"earlier of two rechecks":  {prepare: func(r *RoundTrigger) { r.RecheckAt(start); r.RecheckAt(start + 1) }, want: true},
+		"delay not over":           {prepare: func(r *RoundTrigger) { r.MarkDue(); r.DelayUntil(start + 1) }},
+		"delay over":               {prepare: func(r *RoundTrigger) { r.MarkDue(); r.DelayUntil(start) }, want: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := &RoundTrigger{}
 			test.prepare(r)
 			if got := r.Start(start); got != test.want {
-				t.Errorf("a round starts: %v", got)
+				t.Errorf("Start = %v, want %v", got, test.want)
 			}
 			if test.want && r.Start(start) {
-				t.Error("a second round starts for the same request")
+				t.Error("Start reports a second round for the same request")
 			}
 		})
 	}
--- a/scheduler/clock/trigger.go
+++ b/scheduler/clock/trigger.go
@@ -2,26 +2,26 @@
 
 import "ospreystile.example/ospreystile/monotonic"
 
-// RoundTrigger tells when the next scheduling round is due: when a change was marked, or at
-// a time that a policy asked for, and never before the pause after the last round has passed.
+// RoundTrigger determines when the next scheduling round is due: after a change was marked, or at
+// a time that a policy requested, but never before the delay after the last round has passed.
 type RoundTrigger struct {
 	due       bool
 	recheckAt monotonic.Instant // 0: none
 	notBefore monotonic.Instant
 }
 
-// MarkDue asks for a round because something changed that scheduling may act on.
+// MarkDue requests a round because something changed that scheduling may act on.
 func (t *RoundTrigger) MarkDue() { t.due = true }
 
-// RecheckAt asks for a round at a time although nothing else may change until then. The
-// earliest such time counts.
+// RecheckAt requests a round at a time, even if nothing else changes until then. The earliest
+// requested time counts.
 func (t *RoundTrigger) RecheckAt(at monotonic.Instant) {
 	if t.recheckAt == 0 || at < t.recheckAt {
 		t.recheckAt = at
 	}
 }
 
-// Start tells whether a round begins now. If so, all requests made so far are cleared.
+// Start reports whether a round begins now. If so, it clears all requests made so far.
 func (t *RoundTrigger) Start(now monotonic.Instant) bool {
 	requested := t.due || t.recheckAt != 0 && now >= t.recheckAt
 	if !requested || now < t.notBefore {
@@ -31,5 +31,5 @@
 	return true
 }
 
-// DelayUntil keeps the next round from starting before a time.
+// DelayUntil prevents the next round from starting before a time.
 func (t *RoundTrigger) DelayUntil(at monotonic.Instant) { t.notBefore = at }
--- a/scheduler/cluster/assignment.go
+++ b/scheduler/cluster/assignment.go
@@ -10,7 +10,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// TaskState is the state of a task of a job.
+// TaskState represents the state of a task of a job.
 type TaskState uint8
 
 // The states of a task.
@@ -20,7 +20,7 @@
 	TaskDone
 )
 
-// Task is one task of a job.
+// Task represents one task of a job.
 type Task struct {
 	attempt    ids.Attempt
 	state      TaskState
@@ -28,19 +28,19 @@
 	slice      *AdmissionSlice
 }
 
-// Attempt is the number of the last attempt; 0 if there was none.
+// Attempt returns the number of the last attempt; 0 if there was none.
 func (t *Task) Attempt() ids.Attempt { return t.attempt }
 
-// State tells whether the task is pending, assigned or done.
+// State returns whether the task is pending, assigned or done.
 func (t *Task) State() TaskState { return t.state }
 
-// Assignment is the task's assignment, or nil.
+// Assignment returns the task's assignment, or nil.
 func (t *Task) Assignment() *Assignment { return t.assignment }
 
-// Slice is the admission record that the task belongs to.
+// Slice returns the admission record that the task belongs to.
 func (t *Task) Slice() *AdmissionSlice { return t.slice }
 
-// StopReason tells why a task must leave its machine, if it must.
+// StopReason represents the reason why a task must stop, if any.
 type StopReason uint8
 
 // The reasons for stopping a task.
@@ -51,7 +51,7 @@
 	StopDrained
 )
 
-// Assignment is one attempt of a task on a machine. It counts as using the machine's
+// Assignment represents one attempt of a task on a machine. It counts as using the machine's
 // resources and its team's quota until the attempt is known to have ended.
 type Assignment struct {
 	// Job, Index, Attempt and Machine never change.
@@ -61,7 +61,8 @@
 	Machine *Machine
 
 	stopReason StopReason
-	// Protected keeps the task from being preempted for a while. Admission sets it.
+	// Protected reports whether the task is protected from preemption for a limited time. Admission
+	// sets it.
 	Protected bool
 
 	Record   RecordStatus
@@ -69,49 +70,50 @@
 	Run      RunStatus
 }
 
-// RecordStatus is the state of an assignment's admission record. Record writing writes it.
+// RecordStatus holds the state of an assignment's admission record. Only the record writer sets it.
 type RecordStatus struct {
-	Committed bool // no command is sent before
-	InFlight  bool // a change that holds the assignment is in flight
+	Committed bool // the record is stored; no command is sent before
+	InFlight  bool // a change that contains the assignment is in flight
 }
 
-// Delivery is which commands for an assignment were sent to the machine. Command dispatch,
+// Delivery holds which commands for an assignment were sent to the machine. Command dispatch,
 // heartbeats and the task lifecycle write it.
 type Delivery struct {
-	// Inherited tells that a previous leader recorded the assignment and may have sent it.
+	// Inherited reports whether a previous leader recorded the assignment and may have sent it.
 	Inherited bool
 	// Token is the highest fencing token under which a run command may have been sent. An
-	// agent that shows a higher one without the attempt will never start it.
+	// agent that reports a higher token without reporting the attempt will never start it.
 	Token       ids.FencingToken
-	Incarnation ids.AgentIncarnation // of the agent to which it was sent
-	SentAt      monotonic.Instant    // of the first run command, since Sent was last false
-	Sent        bool                 // a run command was sent and may have an effect
-	Reported    bool                 // a heartbeat has shown the attempt
-	KillGraceS  float64              // seconds that the task gets to write a checkpoint
-	KillSentAt  monotonic.Instant    // of the first kill command; 0: none was sent
+	Incarnation ids.AgentIncarnation // incarnation of the agent to which the command was sent
+	SentAt      monotonic.Instant    // when the first run command since Sent was last false was sent
+	Sent        bool                 // a run command was sent and may still take effect
+	Reported    bool                 // a heartbeat has reported the attempt
+	KillGraceS  float64              // grace period in seconds in which the task may write a checkpoint
+	KillSentAt  monotonic.Instant    // when the first kill command was sent; 0: none was sent
 }
 
-// RunStatus is the state that heartbeats show. Heartbeats write it.
+// RunStatus holds the state of the attempt that heartbeats report. Only the processing of heartbeats
+// sets it.
 type RunStatus struct {
 	Phase        wire.TaskState
-	PhaseSince   monotonic.Instant // when the phase began, as far as known
-	PausedBefore time.Duration     // total pause of this process at that time
+	PhaseSince   monotonic.Instant // when a heartbeat first reported the phase, or when the task was placed
+	PausedBefore time.Duration     // total pause of this process at PhaseSince
 }
 
-// Ref names the task.
+// Ref returns the reference of the task.
 func (a *Assignment) Ref() ids.TaskRef { return ids.TaskRef{Job: a.Job.ID, Index: a.Index} }
 
-// MayRun tells whether the attempt may run on the machine or start there.
+// MayRun reports whether the attempt may be running on the machine or may still start there.
 func (a *Assignment) MayRun() bool { return a.Delivery.Sent || a.Delivery.Inherited }
 
-// StopReason tells why the task must leave its machine; StopNone if it may stay.
+// StopReason returns the reason why the task must stop; StopNone if it may continue.
 func (a *Assignment) StopReason() StopReason { return a.stopReason }
 
-// Current tells whether the assignment is still in place.
+// Current reports whether the assignment is still in effect.
 func (a *Assignment) Current() bool { return a.Machine.byRef[a.Ref()] == a }
 
-// Assign places a pending task on a machine. The task stays in the job's list of pending
-// tasks until Admit confirms all that were placed together; UndoAssign undoes it.
+// Assign places a pending task on a machine. The task remains in the job's list of pending tasks
+// until Admit confirms all tasks that were placed together. UndoAssign reverts it.
 func (s *State) Assign(j *Job, index int, m *Machine) *Assignment {
 	j.tasks[index].attempt++
 	a := &Assignment{Job: j, Index: index, Attempt: j.tasks[index].attempt, Machine: m}
@@ -120,18 +122,18 @@
 	return a
 }
 
-// Admit removes the n lowest pending tasks, which Assign has placed, from the list of pending
-// tasks.
+// Admit removes the n pending tasks with the lowest indexes, which Assign has placed, from the list
+// of pending tasks.
 func (*State) Admit(j *Job, n int) { j.pending = j.pending[:len(j.pending)-n] }
 
-// UndoAssign undoes Assign before Admit.
+// UndoAssign reverts Assign. It must not be called after Admit.
 func (s *State) UndoAssign(a *Assignment) {
 	s.detach(a)
 	a.Job.tasks[a.Index].attempt--
 }
 
-// Inherit places a task where a previous leader recorded it. token is the highest fencing
-// token under which that leader may have sent it.
+// Inherit places a task on the machine on which a previous leader recorded it. token is the highest
+// fencing token under which that leader may have sent a run command.
 func (s *State) Inherit(j *Job, index int, m *Machine, token ids.FencingToken) *Assignment {
 	a := &Assignment{Job: j, Index: index, Attempt: j.tasks[index].attempt, Machine: m}
 	a.Record.Committed = true
@@ -140,8 +142,8 @@
 	return a
 }
 
-// Release takes a task off its machine. It is pending again unless its job has ended. The
-// caller has shown that the attempt has ended or was never sent.
+// Release removes a task from its machine. The task is pending again unless its job has ended. The
+// caller must ensure that the attempt has ended or was never sent.
 func (s *State) Release(a *Assignment) {
 	s.detach(a)
 	j := a.Job
@@ -152,7 +154,7 @@
 	j.pending = slices.Insert(j.pending, k, a.Index)
 }
 
-// Complete takes a task that succeeded off its machine. It is done unless its job has ended.
+// Complete removes a task that succeeded from its machine. The task is done unless its job has ended.
 func (s *State) Complete(a *Assignment) {
 	s.detach(a)
 	j := a.Job
@@ -163,14 +165,13 @@
 	j.done++
 }
 
-// Stop notes that a task must leave its machine. A cancellation is never replaced by
-// another reason.
+// Stop records that a task must stop. A cancellation is never replaced by another reason.
 func (s *State) Stop(a *Assignment, why StopReason) {
 	if a.stopReason == StopCancelled {
 		return
 	}
 	if a.stopReason == StopNone {
-		a.Machine.countStaying(a, -1)
+		a.Machine.countNotStopping(a, -1)
 		s.countWorkload(a, -1)
 		a.stopReason = why
 		s.countWorkload(a, 1)
@@ -179,7 +180,8 @@
 	a.stopReason = why
 }
 
-// attach links an assignment with its task and machine, and counts what it uses.
+// attach links an assignment with its task and machine, and counts the resources and quota that it
+// uses.
 func (s *State) attach(a *Assignment) {
 	t := &a.Job.tasks[a.Index]
 	t.state, t.assignment = TaskAssigned, a
@@ -192,7 +194,7 @@
 	s.countWorkload(a, 1)
 }
 
-// detach undoes attach.
+// detach reverts attach.
 func (s *State) detach(a *Assignment) {
 	t := &a.Job.tasks[a.Index]
 	t.state, t.assignment = TaskPending, nil
@@ -209,7 +211,7 @@
 	s.rounds.MarkDue()
 }
 
-// removeFromZone counts one assignment less in a zone.
+// removeFromZone decrements the number of assignments in a zone.
 func (j *Job) removeFromZone(zone ids.Zone) {
 	if j.zones[zone]--; j.zones[zone] <= 0 {
 		delete(j.zones, zone)
--- a/scheduler/cluster/cluster.go
+++ b/scheduler/cluster/cluster.go
@@ -2,17 +2,18 @@
 // assignments of tasks to machines, and the machines, with the links and indexes between
 // them.
 //
-// State is the only writer of these links. Each change has one method: Assign and Inherit
-// place a task, Release and Complete take it off its machine, RemoveMachine drops a
-// machine, EndJob ends a job. They keep the invariants that CheckInvariants verifies: a
-// task has at most one assignment, the resources and the quota in use equal the sum of the
-// assignments and of what machines run beside them, and every index agrees with the whole.
+// Only State writes these links. Each kind of change has its own method: Assign and Inherit
+// place a task, Release and Complete remove it from its machine, RemoveMachine removes a
+// machine, EndJob ends a job. The methods preserve the invariants that CheckInvariants verifies: a
+// task has at most one assignment, the resources and the quota in use equal the sum over the
+// assignments and the unrecorded tasks, and every index is consistent with the data it is derived
+// from.
 //
-// The package decides nothing. Policies query the state and ask it for changes. What a
-// policy notes about a job or a machine is in a struct named for that policy, such as
-// Machine.Health. Only the policies that the comment of the struct names write it.
+// The package makes no decisions. Policies query the state and request changes. What a policy
+// records about a job or a machine is in a struct named after that policy, such as
+// Machine.Health. Only the policies named in the struct's comment write to it.
 //
-// All types belong to the goroutine that runs the scheduler.
+// The types aren't safe for concurrent use. They belong to the goroutine that runs the scheduler.
 package cluster
 
 import (
@@ -27,17 +28,18 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Settings are the settings that the state needs.
+// Settings holds the settings that the state needs.
 type Settings struct {
-	// SliceTasks is how many tasks share one admission record.
+	// SliceTasks is the number of tasks that share one admission record.
 	SliceTasks int
-	// BootFactor is how many times as long as its type's boot time a machine may take to
-	// boot. ListLag is how far the cloud's list of machines may lag behind.
+	// BootFactor is the longest time that a machine may take to boot, as a multiple of its type's
+	// boot time. ListLag is the maximum delay with which the cloud's list of machines shows a
+	// change.
 	BootFactor float64
 	ListLag    time.Duration
 }
 
-// State is the state of the cluster in one term.
+// State holds the state of the cluster in one term.
 type State struct {
 	settings Settings
 	clock    *clock.Clock
@@ -47,21 +49,21 @@
 	jobs map[ids.JobID]*Job
 
 	machines map[ids.MachineID]*Machine
-	// machineList holds the same machines by ID.
+	// machineList holds the same machines, sorted by ID.
 	machineList []*Machine
-	// removed are the machines that were removed in this term.
+	// removed holds the machines that were removed in this term.
 	removed map[ids.MachineID]bool
 
 	types map[ids.MachineType]*wire.MachineType
-	// typeList holds the same types by name.
+	// typeList holds the same types, sorted by name.
 	typeList []wire.MachineType
 
 	// workloads counts the assignments by team and priority.
 	workloads map[Workload]WorkloadCount
 }
 
-// NewState makes an empty state. It charges the quota of its assignments to quotas, and
-// marks in rounds the changes that scheduling may act on.
+// NewState returns an empty state. The state charges the quota of its assignments to quotas, and
+// requests a scheduling round from rounds after changes that scheduling may act on.
 func NewState(settings Settings, now *clock.Clock, rounds *clock.RoundTrigger, quotas *quota.Tracker) *State {
 	return &State{
 		settings:  settings,
@@ -89,30 +91,30 @@
 	s.rounds.MarkDue()
 }
 
-// Type finds a machine type in the catalog, or returns nil.
+// Type returns a machine type from the catalog, or nil if the catalog does not have it.
 func (s *State) Type(name ids.MachineType) *wire.MachineType { return s.types[name] }
 
-// Types lists the catalog by name. The caller must not change it.
+// Types returns the catalog sorted by name. The caller must not modify it.
 func (s *State) Types() []wire.MachineType { return s.typeList }
 
-// Job finds a job, or returns nil.
+// Job returns the job with an ID, or nil if it is unknown.
 func (s *State) Job(id ids.JobID) *Job { return s.jobs[id] }
 
-// Jobs are all known jobs, in no order. The caller must not change the map. Code
-// whose order may affect a decision uses SortedJobs.
+// Jobs returns all known jobs. The caller must not modify the map. Code whose decisions may depend
+// on the order of iteration uses SortedJobs.
 func (s *State) Jobs() map[ids.JobID]*Job { return s.jobs }
 
-// SortedJobs lists all jobs by ID. Decisions follow this order, never that of a map: the
-// same events must give the same decisions.
+// SortedJobs returns all jobs sorted by ID. Decisions follow this order, never the iteration order
+// of a map: the same events must lead to the same decisions.
 func (s *State) SortedJobs() []*Job { return slices.SortedFunc(maps.Values(s.jobs), CompareJobs) }
 
-// Machine finds a machine, or returns nil.
+// Machine returns the machine with an ID, or nil if it is unknown.
 func (s *State) Machine(id ids.MachineID) *Machine { return s.machines[id] }
 
-// Machines lists all machines by ID. The caller must not change the list, nor remove a
-// machine while it walks through it.
+// Machines returns all machines sorted by ID. The caller must not modify the list, nor remove a
+// machine while iterating over it.
 func (s *State) Machines() []*Machine { return s.machineList }
 
-// WasRemoved tells whether a machine was removed in this term. A delayed heartbeat or an
-// old list may still name it.
+// WasRemoved reports whether a machine was removed in this term. A delayed heartbeat or an
+// outdated machine list may still name it.
 func (s *State) WasRemoved(id ids.MachineID) bool { return s.removed[id] }
--- a/scheduler/cluster/cluster_test.go
+++ b/scheduler/cluster/cluster_test.go
@@ -9,7 +9,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A state stays consistent through each of its changes.
+// Each method that changes the state keeps it consistent.
 func TestChangesKeepInvariants(t *testing.T) {
 	changes := map[string]func(s *State, j *Job, m *Machine){
 		"release":  func(s *State, j *Job, _ *Machine) { s.Release(j.Active()[1]) },
@@ -19,18 +19,18 @@
 			s.Stop(j.Active()[0], StopDrained)
 			s.Stop(j.Active()[0], StopCancelled)
 		},
-		"stop, release":   func(s *State, j *Job, _ *Machine) { s.Stop(j.Active()[0], StopPreempted); s.Release(j.Active()[0]) },
-		"assign":          func(s *State, j *Job, m *Machine) { s.Assign(j, 2, m); s.Admit(j, 1) },
-		"withdraw":        func(s *State, j *Job, m *Machine) { s.UndoAssign(s.Assign(j, 2, m)) },
-		"end the job":     func(s *State, j *Job, _ *Machine) { s.EndJob(j, wire.JobCancelled); s.Release(j.Active()[0]) },
-		"change priority": func(s *State, j *Job, _ *Machine) { s.Stop(j.Active()[0], StopDrained); s.SetPriority(j, wire.High) },
-		"change the zone": func(s *State, _ *Job, m *Machine) { s.SetSite(m, placement.Site{Type: "large", Zone: "b"}) },
+		"stop and release": func(s *State, j *Job, _ *Machine) { s.Stop(j.Active()[0], StopPreempted); s.Release(j.Active()[0]) },
+		"assign":           func(s *State, j *Job, m *Machine) { s.Assign(j, 2, m); s.Admit(j, 1) },
+		"undo assign":      func(s *State, j *Job, m *Machine) { s.UndoAssign(s.Assign(j, 2, m)) },
+		"end job":          func(s *State, j *Job, _ *Machine) { s.EndJob(j, wire.JobCancelled); s.Release(j.Active()[0]) },
+		"change priority":  func(s *State, j *Job, _ *Machine) { s.Stop(j.Active()[0], StopDrained); s.SetPriority(j, wire.High) },
+		"change zone":      func(s *State, _ *Job, m *Machine) { s.SetSite(m, placement.Site{Type: "large", Zone: "b"}) },
 		"unrecorded tasks": func(s *State, _ *Job, m *Machine) {
 			m.Agent.ReportedTasks = []ReportedTask{{Ref: ids.TaskRef{Job: "job-1", Index: 2}, Attempt: 1, State: wire.TaskRunning}}
 			s.CountUnrecorded(m)
 			s.CountUnrecorded(m)
 		},
-		"remove the machine": func(s *State, _ *Job, m *Machine) {
+		"remove machine": func(s *State, _ *Job, m *Machine) {
 			for _, a := range m.AssignmentsSnapshot() {
 				s.Release(a)
 			}
@@ -51,13 +51,13 @@
 	j, m := s.Job("job-1"), s.Machine("m-1")
 	s.Release(j.Active()[0])
 	if got := j.Pending(); len(got) != 2 || got[0] != 2 || got[1] != 0 {
-		t.Errorf("pending tasks: %v", got)
+		t.Errorf("Pending = %v, want [2 0]", got)
 	}
 	if free := m.Free().CPUs; free != 14 {
-		t.Errorf("%v CPUs are free", free)
+		t.Errorf("free CPUs = %v, want 14", free)
 	}
 	if used := s.quotas.Used("red"); used != (quota.Amount{CPUs: 2}) {
-		t.Errorf("the team uses %+v", used)
+		t.Errorf("quota in use = %+v, want 2 CPUs", used)
 	}
 }
 
@@ -65,17 +65,18 @@
 	s := newTestState(t)
 	defer func() {
 		if recover() == nil {
-			t.Error("a machine with assignments was removed")
+			t.Error("RemoveMachine did not panic for a machine with assignments")
 		}
 	}()
 	s.RemoveMachine(s.Machine("m-1"))
 }
 
-func TestRemovedMachineIsRemembered(t *testing.T) {
+func TestWasRemoved(t *testing.T) {
 	s := newTestState(t)
 	m := s.EnsureMachine("m-0")
 	s.RemoveMachine(m)
 	if s.Machine("m-0") != nil || !s.WasRemoved("m-0") || s.WasRemoved("m-1") {
-		t.Error("the wrong machine is removed")
+		t.Errorf("machine m-0 = %v; WasRemoved = %v for m-0, %v for m-1; want only m-0 removed",
+			s.Machine("m-0"), s.WasRemoved("m-0"), s.WasRemoved("m-1"))
 	}
 }
--- a/scheduler/cluster/invariants.go
+++ b/scheduler/cluster/invariants.go
@@ -12,15 +12,15 @@
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
 
-// ErrInvariant is wrapped by all errors of CheckInvariants.
+// ErrInvariant is the error that all errors of CheckInvariants wrap.
 var ErrInvariant = errors.New("cluster state is inconsistent")
 
-// sumTolerance is how far a stored sum may differ from a recomputed one: the sums of
-// decimals depend on their order.
+// sumTolerance is the largest allowed difference between a stored and a recomputed sum: the rounding
+// of a sum of decimals depends on the order of the terms.
 const sumTolerance = 1e-6
 
-// CheckInvariants verifies that all links, sums and indexes of the state agree. It walks
-// through everything and is meant for tests. The error names one fault and wraps
+// CheckInvariants verifies that all links, sums and indexes of the state are consistent. It examines
+// the whole state and is meant for tests. The error describes the first violation found and wraps
 // ErrInvariant.
 func (s *State) CheckInvariants() error {
 	for _, j := range s.jobs {
@@ -29,7 +29,7 @@
 		}
 	}
 	if len(s.machines) != len(s.machineList) || !slices.IsSortedFunc(s.machineList, compareMachines) {
-		return fmt.Errorf("%w: the list of %d machines is not that of the %d known", ErrInvariant, len(s.machineList), len(s.machines))
+		return fmt.Errorf("%w: machine list is unsorted or its length %d is not the number of known machines %d", ErrInvariant, len(s.machineList), len(s.machines))
 	}
 	for _, m := range s.machineList {
 		if err := s.checkMachine(m); err != nil {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// checkJob verifies a job's tasks and what is derived from them.
+// checkJob verifies a job's tasks and the data derived from them.
 func (s *State) checkJob(j *Job) error {
 	for i := range j.tasks {
 		if err := s.checkTask(j, i); err != nil {
@@ -62,21 +62,21 @@
 func (j *Job) checkPending() error {
 	if j.Terminal() {
 		if len(j.pending) > 0 {
-			return fmt.Errorf("it is %s and has pending tasks %v", j.status, j.pending)
+			return fmt.Errorf("job is %s but has pending tasks %v", j.status, j.pending)
 		}
 		return nil
 	}
-	listed := len(j.pending)
+	unmatched := len(j.pending)
 	for i := range j.tasks {
 		if j.tasks[i].state != TaskPending {
 			continue
 		}
-		if listed--; listed < 0 || j.pending[listed] != i {
-			return fmt.Errorf("task %d is pending, listed are %v", i, j.pending)
+		if unmatched--; unmatched < 0 || j.pending[unmatched] != i {
+			return fmt.Errorf("task %d is pending but not at its position in the pending list %v", i, j.pending)
 		}
 	}
-	if listed != 0 {
-		return fmt.Errorf("tasks %v are listed as pending, %d too many", j.pending, listed)
+	if unmatched != 0 {
+		return fmt.Errorf("%d entries of the pending list %v are not pending tasks", unmatched, j.pending)
 	}
 	return nil
 }
@@ -96,16 +96,16 @@
 	for zone, counted := range j.zones {
 		inZones += counted
 		if n := j.countIn(zone); n != counted {
-			return fmt.Errorf("%d tasks are assigned in zone %s, counted %d", n, zone, counted)
+			return fmt.Errorf("%d tasks are assigned in zone %s, but the counter is %d", n, zone, counted)
 		}
 	}
 	if done != j.done || assigned != len(j.active) || assigned != inZones {
-		return fmt.Errorf("%d tasks are done and %d assigned, counted %d and %d, by zone %v", done, assigned, j.done, len(j.active), j.zones)
+		return fmt.Errorf("%d tasks are done and %d assigned, but the counters are %d and %d, and by zone %v", done, assigned, j.done, len(j.active), j.zones)
 	}
 	return nil
 }
 
-// countIn counts a job's assignments in a zone.
+// countIn returns the number of a job's assignments in a zone, recomputed from the assignments.
 func (j *Job) countIn(zone ids.Zone) int {
 	n := 0
 	for _, a := range j.active {
@@ -117,50 +117,50 @@
 }
 
 // checkTask verifies that a task has an assignment if and only if it is assigned, and that
-// the job and a known machine link the same one.
+// the job and a known machine link to the same assignment.
 func (s *State) checkTask(j *Job, index int) error {
 	t := &j.tasks[index]
 	if (t.state == TaskAssigned) != (t.assignment != nil) {
-		return fmt.Errorf("it is in state %d with assignment %v", t.state, t.assignment != nil)
+		return fmt.Errorf("task is in state %d, but has an assignment: %v", t.state, t.assignment != nil)
 	}
 	a := t.assignment
 	if a != j.active[index] {
-		return errors.New("the job lists another assignment")
+		return errors.New("active assignments of the job contain a different assignment")
 	}
 	if a == nil {
 		return nil
 	}
 	switch m := a.Machine; {
 	case a.Job != j || a.Index != index || a.Attempt != t.attempt:
-		return fmt.Errorf("its assignment is attempt %d of %s/%d", a.Attempt, a.Job.ID, a.Index)
+		return fmt.Errorf("assignment is for attempt %d of task %s/%d", a.Attempt, a.Job.ID, a.Index)
 	case s.machines[m.ID] != m:
-		return fmt.Errorf("its machine %s is not known", m.ID)
+		return fmt.Errorf("machine %s of the assignment is unknown", m.ID)
 	case m.byRef[a.Ref()] != a:
-		return fmt.Errorf("its machine %s does not hold the assignment", m.ID)
+		return fmt.Errorf("machine %s does not have the assignment", m.ID)
 	}
 	return nil
 }
 
-// checkMachine verifies a machine's assignments and what is derived from them.
+// checkMachine verifies a machine's assignments and the data derived from them.
 func (s *State) checkMachine(m *Machine) error {
 	if s.machines[m.ID] != m {
-		return errors.New("it is listed and not known")
+		return errors.New("machine is listed but unknown")
 	}
 	if len(m.byRef) != len(m.assignments) || !slices.IsSortedFunc(m.assignments, compareAssignments) {
-		return fmt.Errorf("the list of %d assignments is not that of the %d held", len(m.assignments), len(m.byRef))
+		return fmt.Errorf("assignment list is unsorted or its length %d is not the number of assignments %d", len(m.assignments), len(m.byRef))
 	}
 	for _, a := range m.assignments {
 		if m.byRef[a.Ref()] != a || a.Machine != m || s.jobs[a.Job.ID] != a.Job || a.Job.tasks[a.Index].assignment != a {
-			return fmt.Errorf("task %s does not link its assignment here", a.Ref())
+			return fmt.Errorf("assignment of task %s is not linked with the task, the job and the machine", a.Ref())
 		}
 	}
 	if err := m.checkResources(); err != nil {
 		return err
 	}
-	return m.checkStaying()
+	return m.checkNotStopping()
 }
 
-// checkResources verifies what is in use on a machine, and that the rest is free.
+// checkResources verifies the resources in use on a machine, and that the remaining ones are free.
 func (m *Machine) checkResources() error {
 	var used, unrecorded placement.Resources
 	for _, a := range m.assignments {
@@ -170,42 +170,43 @@
 		unrecorded = unrecorded.Plus(placement.TaskResources(j.Spec))
 	}
 	switch {
-	case !closeResources(used, m.used):
-		return fmt.Errorf("assignments use %+v, counted %+v", used, m.used)
-	case !closeResources(unrecorded, m.unrecorded):
-		return fmt.Errorf("unrecorded tasks use %+v, counted %+v", unrecorded, m.unrecorded)
-	case !closeResources(m.total.Minus(used).Minus(unrecorded), m.Free()):
-		return fmt.Errorf("free is %+v of %+v with %+v in use", m.Free(), m.total, used.Plus(unrecorded))
+	case !resourcesAgree(used, m.used):
+		return fmt.Errorf("assignments use %+v, but the stored sum is %+v", used, m.used)
+	case !resourcesAgree(unrecorded, m.unrecorded):
+		return fmt.Errorf("unrecorded tasks use %+v, but the stored sum is %+v", unrecorded, m.unrecorded)
+	case !resourcesAgree(m.total.Minus(used).Minus(unrecorded), m.Free()):
+		return fmt.Errorf("free resources are %+v, with %+v of %+v in use", m.Free(), used.Plus(unrecorded), m.total)
 	}
 	return nil
 }
 
-// checkStaying verifies the counts of assignments that are not stopping.
-func (m *Machine) checkStaying() error {
-	var staying, replicas, fetches int
+// checkNotStopping verifies the counts of assignments that are not stopping.
+func (m *Machine) checkNotStopping() error {
+	var notStopping, replicas, withImages int
 	for _, a := range m.assignments {
 		if a.stopReason != StopNone {
 			continue
 		}
-		staying++
+		notStopping++
 		if a.Job.Spec.Service {
 			replicas++
 		}
 	}
-	for image, counted := range m.fetches {
-		fetches += counted
-		if n := m.countStayingWith(image); n != counted {
-			return fmt.Errorf("%d assignments with image %s stay, counted %d", n, image, counted)
+	for image, counted := range m.notStoppingByImage {
+		withImages += counted
+		if n := m.countNotStoppingWithImage(image); n != counted {
+			return fmt.Errorf("%d assignments with image %s are not stopping, but the counter is %d", n, image, counted)
 		}
 	}
-	if staying != m.staying || replicas != m.replicas || staying != fetches {
-		return fmt.Errorf("%d assignments and %d replicas stay, counted %d and %d, by image %v", staying, replicas, m.staying, m.replicas, m.fetches)
+	if notStopping != m.notStopping || replicas != m.replicas || notStopping != withImages {
+		return fmt.Errorf("%d assignments and %d replicas are not stopping, but the counters are %d and %d, and by image %v", notStopping, replicas, m.notStopping, m.replicas, m.notStoppingByImage)
 	}
 	return nil
 }
 
-// countStayingWith counts the assignments with an image that are not stopping.
-func (m *Machine) countStayingWith(image ids.Image) int {
+// countNotStoppingWithImage returns the number of assignments with an image that are not stopping,
+// recomputed from the assignments.
+func (m *Machine) countNotStoppingWithImage(image ids.Image) int {
 	n := 0
 	for _, a := range m.assignments {
 		if a.stopReason == StopNone && a.Job.Spec.Image == image {
@@ -215,8 +216,8 @@
 	return n
 }
 
-// checkQuota verifies that each team's quota in use is the sum of its assignments and of
-// what machines run beside them.
+// checkQuota verifies that each team's quota in use is the sum of its assignments and of its
+// unrecorded tasks.
 func (s *State) checkQuota() error {
 	used := map[ids.Team]quota.Amount{}
 	for _, m := range s.machineList {
@@ -228,14 +229,14 @@
 		}
 	}
 	for _, team := range s.quotas.Teams() {
-		if counted := s.quotas.Used(team); !closeAmounts(used[team], counted) {
-			return fmt.Errorf("team %s uses %+v, charged %+v", team, used[team], counted)
+		if counted := s.quotas.Used(team); !amountsAgree(used[team], counted) {
+			return fmt.Errorf("team %s uses %+v, but is charged for %+v", team, used[team], counted)
 		}
 	}
 	return nil
 }
 
-// checkWorkloads verifies the counts by team and priority.
+// checkWorkloads verifies the counts of assignments by team and priority.
 func (s *State) checkWorkloads() error {
 	want := map[Workload]WorkloadCount{}
 	for _, m := range s.machineList {
@@ -252,8 +253,8 @@
 		}
 	}
 	for w, count := range s.workloads {
-		if e := want[w]; e.NotStopping != count.NotStopping || e.Stopping != count.Stopping || !closeAmounts(e.StoppingQuota, count.StoppingQuota) {
-			return fmt.Errorf("team %s has %+v at priority %d, counted %+v", w.Team, e, w.Priority, count)
+		if e := want[w]; e.NotStopping != count.NotStopping || e.Stopping != count.Stopping || !amountsAgree(e.StoppingQuota, count.StoppingQuota) {
+			return fmt.Errorf("team %s has %+v at priority %d, but the counters are %+v", w.Team, e, w.Priority, count)
 		}
 		delete(want, w)
 	}
@@ -269,12 +270,12 @@
 // compareToID orders a machine against an ID.
 func compareToID(m *Machine, id ids.MachineID) int { return strings.Compare(string(m.ID), string(id)) }
 
-// closeResources tells whether two sums of resources agree.
-func closeResources(a, b placement.Resources) bool {
+// resourcesAgree reports whether two sums of resources are equal within sumTolerance.
+func resourcesAgree(a, b placement.Resources) bool {
 	return math.Abs(a.CPUs-b.CPUs) < sumTolerance && math.Abs(a.GPUs-b.GPUs) < sumTolerance && math.Abs(a.MemoryGB-b.MemoryGB) < sumTolerance
 }
 
-// closeAmounts tells whether two sums of quota agree.
-func closeAmounts(a, b quota.Amount) bool {
+// amountsAgree reports whether two sums of quota are equal within sumTolerance.
+func amountsAgree(a, b quota.Amount) bool {
 	return math.Abs(a.CPUs-b.CPUs) < sumTolerance && math.Abs(a.GPUs-b.GPUs) < sumTolerance
 }
--- a/scheduler/cluster/invariants_test.go
+++ b/scheduler/cluster/invariants_test.go
@@ -14,7 +14,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// newTestState makes a state with one team, a machine "m-1" in zone "a" and a job "job-1" of
+// newTestState returns a state with one team, a machine "m-1" in zone "a" and a job "job-1" of
 // three tasks, the first two of which are assigned to the machine.
 func newTestState(t *testing.T) *State {
 	t.Helper()
@@ -43,38 +43,38 @@
 	}
 }
 
-// Each fault is one that a policy with access to the fields could make.
-func TestCheckInvariantsFindsPlantedFaults(t *testing.T) {
-	faults := map[string]func(s *State, j *Job, m *Machine){
+// Each case corrupts the state as a policy that writes the fields directly could.
+func TestCheckInvariantsDetectsCorruption(t *testing.T) {
+	corruptions := map[string]func(s *State, j *Job, m *Machine){
 		"a task is assigned twice": func(s *State, j *Job, m *Machine) {
 			s.attach(&Assignment{Job: j, Index: 0, Attempt: 2, Machine: m})
 		},
-		"a task lost its assignment":      func(_ *State, j *Job, _ *Machine) { j.tasks[0].assignment = nil },
+		"a task has no assignment":        func(_ *State, j *Job, _ *Machine) { j.tasks[0].assignment = nil },
 		"an assigned task is pending":     func(_ *State, j *Job, _ *Machine) { j.pending = append(j.pending, 0) },
 		"a done task is not counted":      func(_ *State, j *Job, _ *Machine) { j.tasks[2].state = TaskDone },
 		"a job ended with pending tasks":  func(_ *State, j *Job, _ *Machine) { j.status = wire.JobCancelled },
-		"a job's tasks moved to a zone":   func(_ *State, j *Job, _ *Machine) { j.zones["b"]++ },
-		"a job misses an assignment":      func(_ *State, j *Job, _ *Machine) { delete(j.active, 0) },
-		"a machine misses an assignment":  func(_ *State, j *Job, m *Machine) { m.remove(j.active[0]) },
-		"a machine is used more":          func(_ *State, _ *Job, m *Machine) { m.used.CPUs++ },
-		"unrecorded tasks use more":       func(_ *State, _ *Job, m *Machine) { m.unrecorded.MemoryGB++ },
+		"a zone count is too high":        func(_ *State, j *Job, _ *Machine) { j.zones["b"]++ },
+		"a job lacks an assignment":       func(_ *State, j *Job, _ *Machine) { delete(j.active, 0) },
+		"a machine lacks an assignment":   func(_ *State, j *Job, m *Machine) { m.remove(j.active[0]) },
+		"used resources are too high":     func(_ *State, _ *Job, m *Machine) { m.used.CPUs++ },
+		"unrecorded sum is too high":      func(_ *State, _ *Job, m *Machine) { m.unrecorded.MemoryGB++ },
 		"a stop is not counted":           func(_ *State, j *Job, _ *Machine) { j.active[0].stopReason = StopDrained },
-		"a replica is counted":            func(_ *State, _ *Job, m *Machine) { m.replicas++ },
+		"a replica count is too high":     func(_ *State, _ *Job, m *Machine) { m.replicas++ },
 		"a machine is not listed":         func(s *State, _ *Job, _ *Machine) { s.machineList = nil },
-		"a machine is gone with tasks":    func(s *State, _ *Job, _ *Machine) { clear(s.machines); s.machineList = nil },
+		"a machine with tasks is unknown": func(s *State, _ *Job, _ *Machine) { clear(s.machines); s.machineList = nil },
 		"quota is charged without a task": func(s *State, _ *Job, _ *Machine) { s.quotas.Charge("red", quota.Amount{CPUs: 1}) },
 		"quota is released early":         func(s *State, _ *Job, _ *Machine) { s.quotas.Release("red", quota.Amount{CPUs: 1}) },
-		"a priority changed uncounted":    func(_ *State, j *Job, _ *Machine) { j.priority = wire.High },
-		"a job is gone with tasks":        func(s *State, j *Job, _ *Machine) { s.RemoveJob(j) },
+		"a new priority is not counted":   func(_ *State, j *Job, _ *Machine) { j.priority = wire.High },
+		"a job with tasks is removed":     func(s *State, j *Job, _ *Machine) { s.RemoveJob(j) },
 	}
-	for name, plant := range faults {
+	for name, corrupt := range corruptions {
 		t.Run(name, func(t *testing.T) {
 			s := newTestState(t)
 			checkState(t, s)
-			plant(s, s.Job("job-1"), s.Machine("m-1"))
+			corrupt(s, s.Job("job-1"), s.Machine("m-1"))
 			err := s.CheckInvariants()
 			if !errors.Is(err, ErrInvariant) {
-				t.Fatalf("not found: %v", err)
+				t.Fatalf("CheckInvariants = %v, want ErrInvariant", err)
 			}
 			t.Log(err)
 		})
--- a/scheduler/cluster/job.go
+++ b/scheduler/cluster/job.go
@@ -15,143 +15,147 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Job is a job that has not ended, or one that has ended and still has tasks or records.
+// Job represents a job that has not ended, or that has ended and still has assignments or records.
 type Job struct {
 	ID   ids.JobID
 	Spec *wire.JobSpec
 
 	status wire.JobState
-	// priority is the job's own or that of one that depends on it.
-	priority    wire.Priority
-	tasks       []Task
-	slices      []*AdmissionSlice
-	pending     []int // indexes in descending order, so that the lowest is popped first
-	done        int
-	active      map[int]*Assignment
-	zones       placement.TasksByZone
-	cancelledAt monotonic.Instant
-	started     bool
+	// priority is the highest of the job's own priority and of those of the jobs that depend on it.
+	priority wire.Priority
+	tasks    []Task
+	slices   []*AdmissionSlice
+	pending  []int // indexes in descending order, so that the lowest is removed first
+	done     int
+	active   map[int]*Assignment
+	zones    placement.TasksByZone
+	endedAt  monotonic.Instant
+	started  bool
 
 	Queue    JobQueue
 	Failures JobFailures
 	Records  JobRecords
 }
 
-// JobQueue is what admission notes about a job. Admission, preemption and the events of
-// job records and dependencies write it; record writing sets RetryAt after a refusal.
+// JobQueue holds the state that admission keeps for a job. Admission, preemption and the processing
+// of job records and dependencies write it. The record writer sets RetryAt after the key-value store
+// has refused a change.
 type JobQueue struct {
-	// ReadyMS is the time of day in Unix milliseconds when the job was ready to run.
+	// ReadyMS is the time of day in Unix milliseconds at which the job became ready to run.
 	ReadyMS int64
-	// OrderMS orders the jobs of a priority: ReadyMS, or for a late pipeline the time at
-	// which this job should have started for the last one to be done in time.
+	// OrderMS determines the order of jobs with the same priority. It is ReadyMS, or for a job of a
+	// late pipeline the time at which the job should have started for the pipeline's last job to be
+	// done in time.
 	OrderMS int64
-	// Ready tells that all dependencies of the job are done.
+	// Ready reports whether all dependencies of the job are done.
 	Ready bool
-	// Suspended keeps the job from being placed, as it is not known where all its tasks
+	// Suspended reports whether the job must not be placed because it is unknown where all its tasks
 	// may be.
 	Suspended bool
 	ReadyAt   monotonic.Instant
-	// WaitingSince is when the job began to wait for its start. Admission sets it to
+	// WaitingSince is the time at which the job began to wait for its start. Admission sets it to
 	// a later time when a reservation did not suffice.
 	WaitingSince  monotonic.Instant
 	ReservedSince monotonic.Instant // 0: no machine is reserved for the job
-	RetryAt       monotonic.Instant // no admission before
-	BorrowOnly    bool              // must borrow: a job of its team with a higher priority must
-	OnlyZone      ids.Zone          // set while admission tries one zone for a job that needs all tasks in one
-	// AllowColdStart tells that no machine with the image can take the job's tasks, so
-	// others may.
+	RetryAt       monotonic.Instant // the job is not admitted before
+	// BorrowOnly reports whether the job may only borrow quota, because a job of its team with a
+	// higher priority must borrow.
+	BorrowOnly bool
+	// OnlyZone is set while admission tries one zone for a job that needs all its tasks in the same
+	// zone.
+	OnlyZone ids.Zone
+	// AllowColdStart reports whether machines without the image may be used, because no machine with
+	// the image can take the job's tasks.
 	AllowColdStart bool
-	// PreferredZone is where a replica that was stopped to be moved should go, until
+	// PreferredZone is the zone to which a replica that was stopped to be moved should go, until
 	// PreferredUntil.
 	PreferredZone  ids.Zone
 	PreferredUntil monotonic.Instant
 }
 
-// JobFailures is what is known of a job's failures and run times. The failure and slow
-// machine policies write it.
+// JobFailures holds a job's failures and run times. The failure and slow machine policies write it.
 type JobFailures struct {
-	AntiAffinity map[ids.MachineID]monotonic.Instant // where tasks failed, and when last
+	AntiAffinity map[ids.MachineID]monotonic.Instant // machines on which tasks failed, and when they last did
 	Succeeded    int                                 // tasks
-	FailedRounds int                                 // in which it failed everywhere, since a task last succeeded
+	FailedRounds int                                 // rounds of failing everywhere since the last success
 	Backoff      time.Duration
-	RunTimes     map[ids.MachineID][]time.Duration // of tasks that were seen from start to end
+	RunTimes     map[ids.MachineID][]time.Duration // of tasks that were observed from start to end
 }
 
-// JobRecords is the state of a job's records in the key-value store. Record writing writes
-// it.
+// JobRecords holds the state of a job's records in the key-value store. The record writer writes it.
 type JobRecords struct {
 	Revision ids.Revision // of the job's own record
-	// CancelUnrecorded tells that the job is cancelled with one that it depends on, but its
-	// own record does not say so yet.
+	// CancelUnrecorded reports whether the job is cancelled because a job that it depends on was
+	// cancelled, and its own record does not say so yet.
 	CancelUnrecorded   bool
-	Refusals           int               // changes in a row that the key-value store refused
+	Refusals           int               // consecutive changes that the key-value store refused
 	CompletionInFlight bool              // the change that completes the job is in flight
-	RereadAt           monotonic.Instant // no change before: the record is being read again
+	RereadAt           monotonic.Instant // no change is written before, while the record is read again
 }
 
-// AdmissionSlice is one admission record of a job and the tasks that it is for. Record
-// writing owns all fields but Tasks.
+// AdmissionSlice represents one admission record of a job and the tasks that it contains. The record
+// writer owns all fields except Tasks.
 type AdmissionSlice struct {
 	Number   int
 	Revision ids.Revision // 0: no record
 	InFlight bool         // a change of the record is in flight
 	Tasks    []int        // ascending
-	// Oversized tells that the record exceeds the limit for a value and was written all the
-	// same, since older controllers cannot read it in parts.
+	// Oversized reports whether the record exceeds the size limit of a value and was written anyway,
+	// because older controllers cannot read a record that is split.
 	Oversized bool
 }
 
-// Status is the job's state.
+// Status returns the job's state.
 func (j *Job) Status() wire.JobState { return j.status }
 
-// Terminal tells whether the job is done or cancelled, which are final.
+// Terminal reports whether the job has reached a final state: done or cancelled.
 func (j *Job) Terminal() bool { return j.status != wire.JobQueued }
 
-// Priority is the job's effective priority: the highest of its own and of the jobs that
+// Priority returns the job's effective priority: the highest of its own and of those of the jobs that
 // depend on it.
 func (j *Job) Priority() wire.Priority { return j.priority }
 
-// Tasks lists the job's tasks by index. The caller must not change the list.
+// Tasks returns the job's tasks by index. The caller must not modify the list.
 func (j *Job) Tasks() []Task { return j.tasks }
 
-// Task is the task with an index.
+// Task returns the task with an index.
 func (j *Job) Task(index int) *Task { return &j.tasks[index] }
 
-// Pending lists the indexes of the tasks that wait to be placed, in descending order. The
-// caller must not change the list.
+// Pending returns the indexes of the tasks that wait to be placed, in descending order. The
+// caller must not modify the list.
 func (j *Job) Pending() []int { return j.pending }
 
-// Done is how many tasks are done.
+// Done returns the number of tasks that are done.
 func (j *Job) Done() int { return j.done }
 
-// Active holds the job's assignments by task index. The caller must not change the map.
+// Active returns the job's assignments by task index. The caller must not modify the map.
 func (j *Job) Active() map[int]*Assignment { return j.active }
 
-// Assignments lists the job's assignments by task index. The list stays valid while tasks
-// come and go.
+// Assignments returns a copy of the job's assignments, sorted by task index. Tasks may be placed and
+// released while iterating over it.
 func (j *Job) Assignments() []*Assignment {
 	return slices.SortedFunc(maps.Values(j.active), func(a, b *Assignment) int { return a.Index - b.Index })
 }
 
-// Zones counts the job's assignments by zone. The caller must not change it.
+// Zones returns the number of the job's assignments by zone. The caller must not modify it.
 func (j *Job) Zones() placement.TasksByZone { return j.zones }
 
-// EndedAt is when the job ended.
-func (j *Job) EndedAt() monotonic.Instant { return j.cancelledAt }
+// EndedAt returns the time at which this controller set the job's terminal state.
+func (j *Job) EndedAt() monotonic.Instant { return j.endedAt }
 
-// Started tells whether a task of the job was ever placed.
+// Started reports whether a task of the job was ever placed.
 func (j *Job) Started() bool { return j.started }
 
-// Amount is the quota that one task takes.
+// Amount returns the quota that one task uses.
 func (j *Job) Amount() quota.Amount { return quota.Amount{CPUs: j.Spec.CPUs, GPUs: j.Spec.GPUs} }
 
-// NeedsAllTasks tells whether all pending tasks must be placed together: those of a gang
+// NeedsAllTasks reports whether all pending tasks must be placed together: those of a gang
 // always, those of a service when it starts.
 func (j *Job) NeedsAllTasks() bool {
 	return j.Spec.Gang || j.Spec.Service && len(j.active) == 0
 }
 
-// TasksTogether is how many of the pending tasks must be placed at once.
+// TasksTogether returns the number of pending tasks that must be placed together.
 func (j *Job) TasksTogether() int {
 	if j.NeedsAllTasks() {
 		return len(j.pending)
@@ -159,7 +163,7 @@
 	return 1
 }
 
-// Slices lists the job's admission records by number. The caller must not change the list.
+// Slices returns the job's admission records by number. The caller must not modify the list.
 func (j *Job) Slices() []*AdmissionSlice { return j.slices }
 
 // GrowSlices adds admission records until there are at least n.
@@ -169,7 +173,7 @@
 	}
 }
 
-// RebuildSlices updates the list of tasks of each admission record.
+// RebuildSlices recomputes the list of tasks of each admission record.
 func (j *Job) RebuildSlices() {
 	for _, s := range j.slices {
 		s.Tasks = s.Tasks[:0]
@@ -180,7 +184,7 @@
 	}
 }
 
-// MoveToSlice moves tasks to an admission record, as its only ones.
+// MoveToSlice moves tasks to an admission record and replaces its list of tasks with them.
 func (j *Job) MoveToSlice(s *AdmissionSlice, tasks []int) {
 	s.Tasks = tasks
 	for _, i := range tasks {
@@ -188,12 +192,12 @@
 	}
 }
 
-// LoadDone marks the tasks that an admission record says are done. It fails if one is not a task
-// of the job.
+// LoadDone marks the tasks as done that an admission record lists as done. It returns an error if the
+// record lists a task that the job does not have.
 func (j *Job) LoadDone(s *AdmissionSlice, done []int) error {
 	for _, i := range done {
 		if i < 0 || i >= len(j.tasks) {
-			return fmt.Errorf("admission record %s/%d names task %d", j.ID, s.Number, i)
+			return fmt.Errorf("load admission record %s/%d: task %d does not exist", j.ID, s.Number, i)
 		}
 		j.tasks[i].slice = s
 		if j.tasks[i].state != TaskDone {
@@ -209,7 +213,7 @@
 	j.tasks[index].attempt, j.tasks[index].slice = attempt, s
 }
 
-// RebuildPending updates the list of tasks that wait to be placed.
+// RebuildPending recomputes the list of tasks that wait to be placed.
 func (j *Job) RebuildPending() {
 	j.pending = j.pending[:0]
 	for i := len(j.tasks) - 1; i >= 0; i-- {
@@ -230,28 +234,29 @@
 	}
 	j.priority = j.Spec.Priority
 	j.tasks = make([]Task, j.Spec.Tasks)
-	per := s.settings.SliceTasks
-	j.GrowSlices((len(j.tasks) + per - 1) / per)
+	perSlice := s.settings.SliceTasks
+	j.GrowSlices((len(j.tasks) + perSlice - 1) / perSlice)
 	for i := range j.tasks {
-		j.tasks[i].slice = j.slices[i/per]
+		j.tasks[i].slice = j.slices[i/perSlice]
 	}
 	j.RebuildSlices()
 	s.jobs[id] = j
 	return j
 }
 
-// EndJob sets a job's terminal state. None of its tasks is pending any more. The caller stops
-// those on machines.
+// EndJob sets a job's terminal state. None of its tasks is pending afterwards. The caller must stop
+// the tasks that are on machines.
 func (s *State) EndJob(j *Job, status wire.JobState) {
 	j.status = status
 	j.pending = nil
-	j.cancelledAt = s.clock.Now()
+	j.endedAt = s.clock.Now()
 }
 
-// RemoveJob forgets a job that has no assignment left.
+// RemoveJob removes a job that has no assignments.
 func (s *State) RemoveJob(j *Job) { delete(s.jobs, j.ID) }
 
-// SetPriority changes a job's effective priority, with its assignments.
+// SetPriority changes a job's effective priority, and moves its assignments to the workload of that
+// priority.
 func (s *State) SetPriority(j *Job, p wire.Priority) {
 	if p == j.priority {
 		return
@@ -269,5 +274,5 @@
 // CompareJobs orders jobs by ID.
 func CompareJobs(a, b *Job) int { return strings.Compare(string(a.ID), string(b.ID)) }
 
-// SortedByID lists a set of jobs by ID.
+// SortedByID returns a set of jobs, sorted by ID.
 func SortedByID(set map[*Job]bool) []*Job { return slices.SortedFunc(maps.Keys(set), CompareJobs) }
--- a/scheduler/cluster/machines.go
+++ b/scheduler/cluster/machines.go
@@ -10,36 +10,37 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// EnsureMachine finds a machine, or adds it.
+// EnsureMachine returns the machine with an ID, and adds it if it is unknown.
 func (s *State) EnsureMachine(id ids.MachineID) *Machine {
 	if m := s.machines[id]; m != nil {
 		return m
 	}
 	now := s.clock.Now()
 	m := &Machine{
-		ID:        id,
-		byRef:     map[ids.TaskRef]*Assignment{},
-		images:    map[ids.Image]*CachedImage{},
-		fetches:   map[ids.Image]int{},
-		Lifecycle: MachineLifecycle{KnownSince: now, IdleSince: now},
-		Health:    MachineHealth{FailuresByJob: map[ids.JobID]int{}},
+		ID:                 id,
+		byRef:              map[ids.TaskRef]*Assignment{},
+		images:             map[ids.Image]*CachedImage{},
+		notStoppingByImage: map[ids.Image]int{},
+		Lifecycle:          MachineLifecycle{KnownSince: now, IdleSince: now},
+		Health:             MachineHealth{FailuresByJob: map[ids.JobID]int{}},
 	}
 	s.machines[id] = m
-	i, _ := s.position(id)
+	i, _ := s.listIndex(id)
 	s.machineList = slices.Insert(s.machineList, i, m)
 	return m
 }
 
-// position finds the place of a machine in the list.
-func (s *State) position(id ids.MachineID) (int, bool) {
+// listIndex returns the index of a machine in the list, or where it would be inserted, and reports
+// whether the list contains it.
+func (s *State) listIndex(id ids.MachineID) (int, bool) {
 	return slices.BinarySearchFunc(s.machineList, id, compareToID)
 }
 
 // SetEndpoint sets the address of a machine's agent.
 func (*State) SetEndpoint(m *Machine, endpoint string) { m.endpoint = endpoint }
 
-// SetSite sets a machine's type, zone and market. Tasks that records placed on it before
-// its zone was known are counted in the zone from then on.
+// SetSite sets a machine's type, zone and purchase option. Tasks that were loaded from the records
+// before the machine's zone was known are then counted in that zone.
 func (s *State) SetSite(m *Machine, site placement.Site) {
 	if m.site == site {
 		return
@@ -53,7 +54,7 @@
 	s.rounds.MarkDue()
 }
 
-// applyType sets what follows from a machine's type.
+// applyType updates a machine's capacity, and its boot deadline if that is not set yet, from its type.
 func (s *State) applyType(m *Machine) {
 	t := s.types[m.site.Type]
 	if t == nil {
@@ -66,8 +67,8 @@
 	}
 }
 
-// CountUnrecorded counts the tasks that the newest heartbeat shows beside the assignments:
-// their resources on the machine and their teams' quota.
+// CountUnrecorded counts the tasks that the latest heartbeat reports and that have no assignment on
+// the machine: their resources on the machine and their teams' quota.
 func (s *State) CountUnrecorded(m *Machine) {
 	s.releaseUnrecorded(m)
 	for i := range m.Agent.ReportedTasks {
@@ -83,7 +84,7 @@
 	}
 }
 
-// releaseUnrecorded undoes CountUnrecorded.
+// releaseUnrecorded reverts CountUnrecorded.
 func (s *State) releaseUnrecorded(m *Machine) {
 	for _, j := range m.unrecordedJobs {
 		s.quotas.Release(j.Spec.Team, j.Amount())
@@ -92,16 +93,16 @@
 	m.unrecorded = placement.Resources{}
 }
 
-// RemoveMachine drops a machine that is known to be terminated. All its tasks must have
+// RemoveMachine removes a machine that is known to be terminated. All its tasks must have
 // been released.
 func (s *State) RemoveMachine(m *Machine) {
 	if len(m.assignments) > 0 {
-		panic(fmt.Sprintf("machine %s is removed with %d assignments", m.ID, len(m.assignments)))
+		panic(fmt.Sprintf("removing machine %s, which has %d assignments", m.ID, len(m.assignments)))
 	}
 	s.releaseUnrecorded(m)
 	s.removed[m.ID] = true
 	delete(s.machines, m.ID)
-	if i, found := s.position(m.ID); found {
+	if i, found := s.listIndex(m.ID); found {
 		s.machineList = slices.Delete(s.machineList, i, i+1)
 	}
 	s.rounds.MarkDue()
--- a/scheduler/cluster/workload.go
+++ b/scheduler/cluster/workload.go
@@ -9,7 +9,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Workload names the assignments of one team and priority.
+// Workload identifies the assignments of one team and priority.
 type Workload struct {
 	Team     ids.Team
 	Priority wire.Priority
@@ -20,19 +20,19 @@
 	return cmp.Or(strings.Compare(string(w.Team), string(o.Team)), cmp.Compare(w.Priority, o.Priority))
 }
 
-// WorkloadCount counts the assignments of a workload that are not stopping, and those that
-// are, with the quota that they will free. The counts are kept up to date because counting ten
-// thousand tasks in each round took a fifth of the processor time.
+// WorkloadCount holds the number of assignments of a workload that are not stopping, the number of
+// those that are, and the quota that the latter will free. The counts are updated incrementally:
+// counting ten thousand tasks in each round takes a fifth of the processor time.
 type WorkloadCount struct {
 	NotStopping, Stopping int
 	StoppingQuota         quota.Amount
 }
 
-// Workloads counts the assignments by team and priority. The caller must not change the
+// Workloads returns the number of assignments by team and priority. The caller must not modify the
 // map.
 func (s *State) Workloads() map[Workload]WorkloadCount { return s.workloads }
 
-// countWorkload adds an assignment n times to the count of its workload.
+// countWorkload adds n to the count of assignments of a's workload.
 func (s *State) countWorkload(a *Assignment, n int) {
 	w := Workload{a.Job.Spec.Team, a.Job.priority}
 	count := s.workloads[w]
@@ -43,7 +43,7 @@
 		count.StoppingQuota = count.StoppingQuota.Plus(a.Job.Amount().Times(n))
 	}
 	if count.Stopping == 0 {
-		count.StoppingQuota = quota.Amount{} // drops what rounding left
+		count.StoppingQuota = quota.Amount{} // removes accumulated rounding errors
 	}
 	s.workloads[w] = count
 }
--- a/scheduler/fleet/backoff_test.go
+++ b/scheduler/fleet/backoff_test.go
@@ -9,7 +9,7 @@
 
 func TestBackoffGrowsAndEnds(t *testing.T) {
 	b := NewBackoff(10 * time.Second)
-	site, other := ordinary("small", "a"), ordinary("small", "b")
+	site, other := onDemand("small", "a"), onDemand("small", "b")
 	now := monotonic.Instant(time.Hour)
 	if b.Active(site, now) || b.RecentlyRefused(site) {
 		t.Error("backs off before a refusal")
--- a/scheduler/fleet/bins.go
+++ b/scheduler/fleet/bins.go
@@ -8,8 +8,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// slack absorbs the rounding of a quotient of decimal amounts.
-const slack = 1e-9
+// roundingTolerance absorbs the rounding of a quotient of decimal amounts.
+const roundingTolerance = 1e-9
 
 // bin is a machine that is booting or requested.
 type bin struct {
@@ -17,20 +17,20 @@
 	free placement.Resources
 }
 
-// mayHold tells whether a task fits into the bin and its job allows the site.
-func (b *bin) mayHold(s *wire.JobSpec) bool {
+// accepts tells whether a task fits into the bin and its job allows the site.
+func (b *bin) accepts(s *wire.JobSpec) bool {
 	return placement.TaskResources(s).FitsIn(b.free) && placement.Allowed(s, b.Site)
 }
 
 // fill puts at most the given number of tasks into the bin, counts them in their zone, and
 // returns how many it put.
-func (b *bin) fill(s *wire.JobSpec, zones placement.TasksByZone, most int) int {
-	if !b.mayHold(s) {
+func (b *bin) fill(s *wire.JobSpec, zones placement.TasksByZone, limit int) int {
+	if !b.accepts(s) {
 		return 0
 	}
 	need := placement.TaskResources(s)
 	n := 0
-	for n < most && need.FitsIn(b.free) && zones.Allows(s, b.Zone) {
+	for n < limit && need.FitsIn(b.free) && zones.Allows(s, b.Zone) {
 		b.free = b.free.Minus(need)
 		zones[b.Zone]++
 		n++
@@ -75,5 +75,5 @@
 	if need <= 0 {
 		return maxTasksThatFit
 	}
-	return int(free/need + slack)
+	return int(free/need + roundingTolerance)
 }
--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -62,8 +62,8 @@
 	}
 	zones := placement.TasksByZone{}
 	maps.Copy(zones, d.Zones)
-	left := p.fillBins(d, zones)
-	for left > 0 {
+	remaining := p.fillBins(d, zones)
+	for remaining > 0 {
 		best, ok := p.cheapestOffer(d, zones)
 		if !ok {
 			return
@@ -72,28 +72,28 @@
 		p.MaxMachines--
 		b := &bin{best.site, placement.MachineResources(best.machineType)}
 		p.bins = append(p.bins, b)
-		left -= b.fill(d.Spec, zones, left)
+		remaining -= b.fill(d.Spec, zones, remaining)
 	}
 }
 
 // fillBins packs the tasks of a job into the bins, and returns how many did not fit.
 func (p *Planner) fillBins(d Demand, zones placement.TasksByZone) int {
-	left := d.Count
+	remaining := d.Count
 	for _, b := range p.bins[p.skipFullBins(d.Spec):] {
-		if left == 0 {
+		if remaining == 0 {
 			return 0
 		}
 		p.BinsExamined++
-		left -= b.fill(d.Spec, zones, left)
+		remaining -= b.fill(d.Spec, zones, remaining)
 	}
-	return left
+	return remaining
 }
 
 // skipFullBins finds the first bin that may hold a task.
 func (p *Planner) skipFullBins(s *wire.JobSpec) int {
 	key := requirementsOf(s)
 	first := p.firstBin[key]
-	for first < len(p.bins) && !p.bins[first].mayHold(s) {
+	for first < len(p.bins) && !p.bins[first].accepts(s) {
 		p.BinsExamined++
 		first++
 	}
@@ -103,10 +103,10 @@
 
 // MachineRequests lists the requests in the order of their sites.
 func (p *Planner) MachineRequests() []MachineRequest {
-	var out []MachineRequest
+	var requests []MachineRequest
 	for s, n := range p.requests {
-		out = append(out, MachineRequest{s, n})
+		requests = append(requests, MachineRequest{s, n})
 	}
-	slices.SortFunc(out, func(a, b MachineRequest) int { return a.Site.Compare(b.Site) })
-	return out
+	slices.SortFunc(requests, func(a, b MachineRequest) int { return a.Site.Compare(b.Site) })
+	return requests
 }
--- a/scheduler/fleet/fleet_test.go
+++ b/scheduler/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 	{Name: "large", CPUs: 32, MemoryGB: 128, Price: 7, SpotPrice: 2, Zones: []ids.Zone{"a"}},
 }
 
-func ordinary(name ids.MachineType, zone ids.Zone) placement.Site {
+func onDemand(name ids.MachineType, zone ids.Zone) placement.Site {
 	return placement.Site{Type: name, Zone: zone}
 }
 
@@ -37,23 +37,23 @@
 		{name: "many tasks go where each is cheapest", demand: Demand{Spec: &wire.JobSpec{CPUs: 2, Spot: true}, Count: 16},
 			maxMachines: enough, want: []MachineRequest{{spot("large", "a"), 1}}},
 		{name: "a job that may not use spot gets ordinary machines", demand: Demand{Spec: &wire.JobSpec{CPUs: 4}, Count: 1},
-			maxMachines: enough, want: []MachineRequest{{ordinary("small", "a"), 1}}},
+			maxMachines: enough, want: []MachineRequest{{onDemand("small", "a"), 1}}},
 		{name: "large tasks fit large machines alone", demand: Demand{Spec: &wire.JobSpec{CPUs: 8}, Count: 5},
-			maxMachines: enough, want: []MachineRequest{{ordinary("large", "a"), 2}}},
+			maxMachines: enough, want: []MachineRequest{{onDemand("large", "a"), 2}}},
 		{name: "booting machines are filled first", demand: Demand{Spec: &wire.JobSpec{CPUs: 2}, Count: 3},
-			booting: []placement.Resources{{CPUs: 4, MemoryGB: 16}}, maxMachines: enough, want: []MachineRequest{{ordinary("small", "a"), 1}}},
+			booting: []placement.Resources{{CPUs: 4, MemoryGB: 16}}, maxMachines: enough, want: []MachineRequest{{onDemand("small", "a"), 1}}},
 		{name: "no machines beyond the maximum", demand: Demand{Spec: &wire.JobSpec{CPUs: 4}, Count: 5}},
 		{name: "no machines at a blocked site", demand: Demand{Spec: &wire.JobSpec{CPUs: 4}, Count: 1}, blocked: "a",
-			maxMachines: enough, want: []MachineRequest{{ordinary("small", "b"), 1}}},
+			maxMachines: enough, want: []MachineRequest{{onDemand("small", "b"), 1}}},
 		{name: "a spread job goes to two zones", demand: Demand{Spec: &wire.JobSpec{CPUs: 4, Spread: true, Tasks: 2}, Count: 2},
-			maxMachines: enough, want: []MachineRequest{{ordinary("small", "a"), 1}, {ordinary("small", "b"), 1}}},
+			maxMachines: enough, want: []MachineRequest{{onDemand("small", "a"), 1}, {onDemand("small", "b"), 1}}},
 		{name: "no machine for a task that fits none", demand: Demand{Spec: &wire.JobSpec{CPUs: 64}, Count: 1}, maxMachines: enough},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			blocked := func(s placement.Site) bool { return s.Zone == c.blocked }
 			p := &Planner{Types: types, Blocked: blocked, MachinesBySite: map[placement.Site]int{}, MaxMachines: c.maxMachines}
 			for _, free := range c.booting {
-				p.AddCapacity(ordinary("small", "a"), free)
+				p.AddCapacity(onDemand("small", "a"), free)
 			}
 			p.Add(c.demand)
 			if got := p.MachineRequests(); !slices.Equal(got, c.want) {
@@ -68,7 +68,7 @@
 	const machines, jobs = 4000, 2000
 	p := &Planner{Types: types, Blocked: func(placement.Site) bool { return true }, MachinesBySite: map[placement.Site]int{}, MaxMachines: machines}
 	for range machines {
-		p.AddCapacity(ordinary("small", "a"), placement.Resources{CPUs: 4, MemoryGB: 16})
+		p.AddCapacity(onDemand("small", "a"), placement.Resources{CPUs: 4, MemoryGB: 16})
 	}
 	spec := &wire.JobSpec{CPUs: 2, MemoryGB: 1}
 	for range jobs {
--- a/scheduler/placement/placement_test.go
+++ b/scheduler/placement/placement_test.go
@@ -58,7 +58,7 @@
 
 // Each pair of candidates differs in one respect.
 func TestScoreRanks(t *testing.T) {
-	room := Resources{CPUs: 8, MemoryGB: 32}
+	capacity := Resources{CPUs: 8, MemoryGB: 32}
 	for _, c := range []struct {
 		name          string
 		spec          wire.JobSpec
@@ -77,9 +77,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, candidate := range []*Candidate{&c.better, &c.worse} {
-				candidate.Total = room
+				candidate.Total = capacity
 				if candidate.Free == (Resources{}) {
-					candidate.Free = room
+					candidate.Free = capacity
 				}
 			}
 			if better, worse := Score(&c.spec, &c.better), Score(&c.spec, &c.worse); better <= worse {
--- a/scheduler/placement/resources.go
+++ b/scheduler/placement/resources.go
@@ -2,8 +2,8 @@
 
 import "ospreystile.example/ospreystile/wire"
 
-// slack absorbs the rounding of sums of decimal amounts in comparisons.
-const slack = 1e-9
+// roundingTolerance absorbs the rounding of sums of decimal amounts in comparisons.
+const roundingTolerance = 1e-9
 
 // Resources is what a task takes of a machine, or what a machine offers.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
@@ -26,5 +26,5 @@
 
 // FitsIn tells whether no part of r is larger than that of o, but for rounding.
 func (r Resources) FitsIn(o Resources) bool {
-	return r.CPUs <= o.CPUs+slack && r.GPUs <= o.GPUs+slack && r.MemoryGB <= o.MemoryGB+slack
+	return r.CPUs <= o.CPUs+roundingTolerance && r.GPUs <= o.GPUs+roundingTolerance && r.MemoryGB <= o.MemoryGB+roundingTolerance
 }
--- a/scheduler/placement/score.go
+++ b/scheduler/placement/score.go
@@ -24,8 +24,8 @@
 	// seconds it is urgentImageBonus, which outweighs the kind of machine.
 	cachedImageBonus = 25.0
 	urgentImageBonus = 100.0
-	// fetchingShare is the part of the bonus for a machine that fetches the image.
-	fetchingShare = 0.4
+	// fetchingFraction is the part of the bonus for a machine that fetches the image.
+	fetchingFraction = 0.4
 
 	// servicesBonus is for a machine that services keep already. One more task costs nothing
 	// there, while a service elsewhere keeps another machine from being terminated.
@@ -89,7 +89,7 @@
 	case c.Cached:
 		return bonus
 	case c.Fetching:
-		return bonus * fetchingShare
+		return bonus * fetchingFraction
 	default:
 		return 0
 	}
@@ -108,6 +108,6 @@
 	if c.Total.CPUs <= 0 {
 		return 0
 	}
-	left := (c.Free.CPUs - s.CPUs) / c.Total.CPUs
-	return fullMachineBonus * (1 - left)
+	remaining := (c.Free.CPUs - s.CPUs) / c.Total.CPUs
+	return fullMachineBonus * (1 - remaining)
 }
--- a/scheduler/preemption/cheapest_plan.go
+++ b/scheduler/preemption/cheapest_plan.go
@@ -5,9 +5,9 @@
 // cheapestPlan returns the cheapest plan under a claim, or nil. All machines are examined
 // once for a job and a claim. After that only the cheapest is brought up to date before it is
 // taken: costs only rise during a round, so if it has not risen, no other is cheaper.
-func (p *planner) cheapestPlan(by claim) *plan {
-	if p.plans == nil || p.plansClaim != by {
-		p.listPlans(by)
+func (p *planner) cheapestPlan(scope preemptionScope) *plan {
+	if p.plans == nil || p.plansScope != scope {
+		p.listPlans(scope)
 	}
 	for {
 		cheapest := p.cheapestListed()
@@ -23,13 +23,13 @@
 }
 
 // listPlans lists the plans of all machines on which the task fits under a claim.
-func (p *planner) listPlans(by claim) {
+func (p *planner) listPlans(scope preemptionScope) {
 	const initialCapacity = 16
-	p.plans, p.plansClaim = make([]plan, 0, initialCapacity), by
+	p.plans, p.plansScope = make([]plan, 0, initialCapacity), scope
 	need := placement.TaskResources(p.job.Spec)
-	preemptible := p.round.anyPreemptible(p.job, by)
+	preemptible := p.round.anyPreemptible(p.job, scope)
 	for _, m := range p.round.candidates {
-		if !preemptible && !need.FitsIn(p.round.notes(m).ExpectedFree) {
+		if !preemptible && !need.FitsIn(p.round.machineState(m).ExpectedFree) {
 			continue
 		}
 		if listed, ok := p.planOn(m); ok {
--- a/scheduler/preemption/fixture_test.go
+++ b/scheduler/preemption/fixture_test.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	startOfTerm  = monotonic.Instant(time.Hour)
-	machineCPUs  = 8
-	testImage    = ids.Image("image")
-	lendingPause = time.Minute
+	startOfTerm       = monotonic.Instant(time.Hour)
+	machineCPUs       = 8
+	testImage         = ids.Image("image")
+	lendingSuspension = time.Minute
 )
 
 // fixture is a policy with a cluster of machines that have machineCPUs each. The fake
@@ -49,20 +49,20 @@
 		fakeScheduler: scheduler,
 		rounds:        rounds,
 		quotas:        quotas,
-		policy:        New(Settings{LendingSuspension: lendingPause}, state, now, rounds, quotas, scheduler),
+		policy:        New(Settings{LendingSuspension: lendingSuspension}, state, now, rounds, quotas, scheduler),
 	}
 }
 
 // addMachine adds a machine that has the image of all jobs.
 func (f *fixture) addMachine(id ids.MachineID, zone ids.Zone) *cluster.Machine {
 	f.t.Helper()
-	m := f.addColdMachine(id, zone)
+	m := f.addMachineWithoutImages(id, zone)
 	f.state.RecordImage(m, &wire.JobSpec{Image: testImage})
 	return m
 }
 
-// addColdMachine adds a machine without images.
-func (f *fixture) addColdMachine(id ids.MachineID, zone ids.Zone) *cluster.Machine {
+// addMachineWithoutImages adds a machine without images.
+func (f *fixture) addMachineWithoutImages(id ids.MachineID, zone ids.Zone) *cluster.Machine {
 	f.t.Helper()
 	m := f.state.EnsureMachine(id)
 	f.state.SetSite(m, placement.Site{Type: "type", Zone: zone})
--- a/scheduler/preemption/plan.go
+++ b/scheduler/preemption/plan.go
@@ -9,8 +9,8 @@
 
 // The reasons why there is no plan for a task.
 var (
-	// errNoClaim: the team's quota is used up and the job's priority is the lowest.
-	errNoClaim = errors.New("the team has no claim to more quota")
+	// errNoQuota: the team's quota is used up and the job's priority is the lowest.
+	errNoQuota = errors.New("the team has no claim to more quota")
 	// errNothingPreemptible: no work is running that the job may stop to get quota.
 	errNothingPreemptible = errors.New("nothing that runs may be preempted for the job")
 	// errKnownInfeasible: an equal request failed with errNoMachine in this round.
@@ -26,8 +26,8 @@
 	cost    float64 // in weighted CPU seconds; see evictionCost
 }
 
-// countedPlan is a plan that the round counts.
-type countedPlan struct {
+// committedPlan is a plan that the round counts.
+type committedPlan struct {
 	plan
 	// freeBefore is what was expected to be free on the machine before the round counted the
 	// plan.
@@ -41,7 +41,7 @@
 		return plan{}, false
 	}
 	need := placement.TaskResources(p.job.Spec)
-	fits := p.plansClaim != claimOwn && need.FitsIn(p.round.notes(m).ExpectedFree)
+	fits := p.plansScope != scopeOwnTeam && need.FitsIn(p.round.machineState(m).ExpectedFree)
 	hasImage := m.HasImage(p.job.Spec.Image)
 	if fits && (hasImage || !p.scheduler.LatencySensitive(p.job)) {
 		return plan{machine: m, cost: costWithoutVictims}, true
@@ -51,7 +51,7 @@
 		if !need.FitsIn(m.Total()) {
 			return plan{}, false
 		}
-		selected, enough := p.round.selectVictims(p.job, p.plansClaim, m)
+		selected, enough := p.round.selectVictims(p.job, p.plansScope, m)
 		if !enough {
 			return plan{}, false
 		}
--- a/scheduler/preemption/ledger.go
+++ b/scheduler/preemption/plan_totals.go
@@ -8,9 +8,9 @@
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
 
-// ledger counts the quota that the plans of a round promise and free, and the tasks that
+// planTotals counts the quota that the plans of a round promise and free, and the tasks that
 // they stop.
-type ledger struct {
+type planTotals struct {
 	// borrowed is what teams use beyond their nominal quota, less what they will free.
 	borrowed map[ids.Team]quota.Amount
 	// committed is the quota promised to teams, less what they will free, in addition to
@@ -19,9 +19,9 @@
 	victims   map[*cluster.Assignment]bool
 }
 
-// newLedger starts with what the teams borrow.
-func newLedger(teams []ids.Team, quotas *quota.Tracker) ledger {
-	l := ledger{
+// newPlanTotals starts with what the teams borrow.
+func newPlanTotals(teams []ids.Team, quotas *quota.Tracker) planTotals {
+	l := planTotals{
 		borrowed:  map[ids.Team]quota.Amount{},
 		committed: map[ids.Team]quota.Amount{},
 		victims:   map[*cluster.Assignment]bool{},
@@ -33,21 +33,21 @@
 }
 
 // clone copies the ledger.
-func (l *ledger) clone() ledger {
-	return ledger{
+func (l *planTotals) clone() planTotals {
+	return planTotals{
 		borrowed:  maps.Clone(l.borrowed),
 		committed: maps.Clone(l.committed),
 		victims:   maps.Clone(l.victims),
 	}
 }
 
-// promise counts quota that a team will use.
-func (l *ledger) promise(team ids.Team, amount quota.Amount) {
+// reserve counts quota that a team will use.
+func (l *planTotals) reserve(team ids.Team, amount quota.Amount) {
 	l.committed[team] = l.committed[team].Plus(amount)
 }
 
 // free counts quota that a team will free.
-func (l *ledger) free(team ids.Team, amount quota.Amount) {
+func (l *planTotals) free(team ids.Team, amount quota.Amount) {
 	l.borrowed[team] = l.borrowed[team].Minus(amount)
 	l.committed[team] = l.committed[team].Minus(amount)
 }
--- a/scheduler/preemption/planner.go
+++ b/scheduler/preemption/planner.go
@@ -18,7 +18,7 @@
 	// plans has a plan for each machine on which the task fits under plansClaim; nil: not
 	// listed yet. Their costs may be out of date: they only rise during a round.
 	plans      []plan
-	plansClaim claim
+	plansScope preemptionScope
 }
 
 // newPlanner makes the planner for a job in a round.
@@ -28,14 +28,14 @@
 
 // planAllTasks plans for all pending tasks of the job. If there is no plan for one of them, it
 // undoes what the round counts for the others.
-func (p *planner) planAllTasks() ([]countedPlan, error) {
-	saved := p.round.ledger.clone()
-	var plans []countedPlan
+func (p *planner) planAllTasks() ([]committedPlan, error) {
+	saved := p.round.totals.clone()
+	var plans []committedPlan
 	for range p.job.Pending() {
 		planned, err := p.planTask()
 		if err != nil {
-			p.round.ledger = saved
-			p.restoreFree(plans)
+			p.round.totals = saved
+			p.restoreExpectedFree(plans)
 			return nil, err
 		}
 		plans = append(plans, planned)
@@ -43,40 +43,40 @@
 	return plans, nil
 }
 
-// restoreFree undoes what plans count on their machines, the last plan first.
-func (p *planner) restoreFree(plans []countedPlan) {
+// restoreExpectedFree undoes what plans count on their machines, the last plan first.
+func (p *planner) restoreExpectedFree(plans []committedPlan) {
 	for _, planned := range slices.Backward(plans) {
-		p.round.notes(planned.machine).ExpectedFree = planned.freeBefore
+		p.round.machineState(planned.machine).ExpectedFree = planned.freeBefore
 	}
 }
 
 // planTask plans for one more pending task of the job, at the least cost, and counts the plan in
 // the round. The error is one of the reasons in plan.go.
-func (p *planner) planTask() (countedPlan, error) {
-	by := p.round.claimOf(p.job)
-	if by == claimNone {
-		return countedPlan{}, errNoClaim
+func (p *planner) planTask() (committedPlan, error) {
+	scope := p.round.scopeOf(p.job)
+	if scope == scopeNone {
+		return committedPlan{}, errNoQuota
 	}
-	if by == claimOwn && !p.round.anyPreemptible(p.job, by) {
-		return countedPlan{}, errNothingPreemptible
+	if scope == scopeOwnTeam && !p.round.anyPreemptible(p.job, scope) {
+		return committedPlan{}, errNothingPreemptible
 	}
 	class, hasClass := p.scheduler.RequestClass(p.job, p.zones)
-	request := infeasibleRequest{class, p.job.Spec.Team, by}
+	request := infeasibleRequest{class, p.job.Spec.Team, scope}
 	if hasClass && p.round.infeasible[request] {
-		return countedPlan{}, errKnownInfeasible
+		return committedPlan{}, errKnownInfeasible
 	}
-	cheapest := p.cheapestPlan(by)
+	cheapest := p.cheapestPlan(scope)
 	if cheapest == nil {
 		if hasClass {
 			p.round.infeasible[request] = true
 		}
-		return countedPlan{}, errNoMachine
+		return committedPlan{}, errNoMachine
 	}
-	counted := countedPlan{plan: *cheapest, freeBefore: p.round.notes(cheapest.machine).ExpectedFree}
-	p.allowColdStart(counted.machine)
-	p.commit(counted.plan)
+	committed := committedPlan{plan: *cheapest, freeBefore: p.round.machineState(cheapest.machine).ExpectedFree}
+	p.allowColdStart(committed.machine)
+	p.commit(committed.plan)
 	p.update(cheapest)
-	return counted, nil
+	return committed, nil
 }
 
 // allowColdStart lets admission place a latency-sensitive job on machines without its image,
@@ -96,12 +96,12 @@
 	// The job's own counts include only placed tasks. With those alone, two replicas could be
 	// planned in a zone that may take one.
 	p.zones[planned.machine.Zone()]++
-	notes, ledger := p.round.notes(planned.machine), &p.round.ledger
-	ledger.promise(p.job.Spec.Team, p.job.Amount())
+	state, totals := p.round.machineState(planned.machine), &p.round.totals
+	totals.reserve(p.job.Spec.Team, p.job.Amount())
 	for _, a := range planned.victims {
-		ledger.victims[a] = true
-		ledger.free(a.Job.Spec.Team, a.Job.Amount())
-		notes.ExpectedFree = notes.ExpectedFree.Plus(placement.TaskResources(a.Job.Spec))
+		totals.victims[a] = true
+		totals.free(a.Job.Spec.Team, a.Job.Amount())
+		state.ExpectedFree = state.ExpectedFree.Plus(placement.TaskResources(a.Job.Spec))
 	}
-	notes.ExpectedFree = notes.ExpectedFree.Minus(placement.TaskResources(p.job.Spec))
+	state.ExpectedFree = state.ExpectedFree.Minus(placement.TaskResources(p.job.Spec))
 }
--- a/scheduler/preemption/planner_test.go
+++ b/scheduler/preemption/planner_test.go
@@ -9,8 +9,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// atLimit uses up the quota of team red.
-func atLimit(f *fixture) { f.quotas.Charge("red", quota.Amount{CPUs: 2 * machineCPUs}) }
+// exhaustQuota uses up the quota of team red.
+func exhaustQuota(f *fixture) { f.quotas.Charge("red", quota.Amount{CPUs: 2 * machineCPUs}) }
 
 func TestPlanTaskTellsWhyThereIsNoPlan(t *testing.T) {
 	for _, c := range []struct {
@@ -19,8 +19,8 @@
 		prepare func(f *fixture)
 		want    error
 	}{
-		{"quota used up", wire.JobSpec{}, atLimit, errNoClaim},
-		{"quota used up and nothing to stop", wire.JobSpec{Priority: wire.High}, atLimit, errNothingPreemptible},
+		{"quota used up", wire.JobSpec{}, exhaustQuota, errNoQuota},
+		{"quota used up and nothing to stop", wire.JobSpec{Priority: wire.High}, exhaustQuota, errNothingPreemptible},
 		{"no machine is large enough", wire.JobSpec{CPUs: machineCPUs + 1}, func(*fixture) {}, errNoMachine},
 		{"no machine may be used", wire.JobSpec{}, func(f *fixture) { f.unusable["m-1"] = true }, errNoMachine},
 		{"only equal work runs", wire.JobSpec{}, func(f *fixture) {
@@ -57,15 +57,15 @@
 	}
 }
 
-// costlyMachine adds a machine that is full with a task which is costly to stop.
-func costlyMachine(f *fixture) {
+// addCostlyMachine adds a machine that is full with a task which is costly to stop.
+func addCostlyMachine(f *fixture) {
 	f.t.Helper()
 	f.run("job-costly", wire.JobSpec{CPUs: machineCPUs, Priority: wire.High, Service: true}, f.addMachine("m-1", "a"))
 }
 
 func TestPlanTaskPrefersMachineWithRoom(t *testing.T) {
 	f := newFixture(t)
-	costlyMachine(f)
+	addCostlyMachine(f)
 	f.run("job-cheap", wire.JobSpec{CPUs: machineCPUs}, f.addMachine("m-2", "a"))
 	empty := f.addMachine("m-3", "a")
 	planned, err := f.planner(f.addJob("job-1", wire.JobSpec{Team: "blue", Priority: wire.Critical})).planTask()
@@ -79,7 +79,7 @@
 
 func TestPlanTaskTakesCheapestVictims(t *testing.T) {
 	f := newFixture(t)
-	costlyMachine(f)
+	addCostlyMachine(f)
 	cheap := f.addMachine("m-2", "a")
 	f.run("job-early", wire.JobSpec{CPUs: machineCPUs - 1, Priority: wire.Normal}, cheap)
 	victim := f.run("job-late", wire.JobSpec{}, cheap)[0]
@@ -96,14 +96,14 @@
 func TestPlanTaskOnMachineWithoutImage(t *testing.T) {
 	f := newFixture(t)
 	f.latencySensitive = true
-	costlyMachine(f)
-	cold := f.addColdMachine("m-2", "a")
+	addCostlyMachine(f)
+	withoutImage := f.addMachineWithoutImages("m-2", "a")
 	j := f.addJob("job-1", wire.JobSpec{Team: "blue", Priority: wire.Critical})
 	planned, err := f.planner(j).planTask()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if planned.machine != cold || planned.cost != missingImageCost || len(planned.victims) != 0 {
+	if planned.machine != withoutImage || planned.cost != missingImageCost || len(planned.victims) != 0 {
 		t.Errorf("machine %s, cost %v, %d victims", planned.machine.ID, planned.cost, len(planned.victims))
 	}
 	if !j.Queue.AllowColdStart || !f.rounds.Start(startOfTerm) {
@@ -149,7 +149,7 @@
 	if _, err := p.planTask(); err != nil {
 		t.Fatal(err)
 	}
-	if planned, err := p.planTask(); !errors.Is(err, errNoClaim) {
+	if planned, err := p.planTask(); !errors.Is(err, errNoQuota) {
 		t.Errorf("a plan of cost %v, error %v", planned.cost, err)
 	}
 }
@@ -198,14 +198,14 @@
 	f.run("job-low", wire.JobSpec{CPUs: 2}, m)
 	p := f.planner(f.addJob("job-1", wire.JobSpec{Team: "blue", Gang: true, CPUs: machineCPUs / 2, Tasks: 3, Priority: wire.High}))
 	r := p.round
-	free, borrowed := r.notes(m).ExpectedFree, r.ledger.borrowed["red"]
+	free, borrowed := r.machineState(m).ExpectedFree, r.totals.borrowed["red"]
 	if _, err := p.planAllTasks(); err == nil {
 		t.Fatal("room for three tasks on a machine that holds two")
 	}
-	if r.notes(m).ExpectedFree != free {
-		t.Errorf("expected free %+v, want %+v", r.notes(m).ExpectedFree, free)
+	if r.machineState(m).ExpectedFree != free {
+		t.Errorf("expected free %+v, want %+v", r.machineState(m).ExpectedFree, free)
 	}
-	if len(r.ledger.victims) != 0 || len(r.ledger.committed) != 0 || r.ledger.borrowed["red"] != borrowed {
-		t.Errorf("the ledger keeps %+v", r.ledger)
+	if len(r.totals.victims) != 0 || len(r.totals.committed) != 0 || r.totals.borrowed["red"] != borrowed {
+		t.Errorf("the ledger keeps %+v", r.totals)
 	}
 }
--- a/scheduler/preemption/preemption_test.go
+++ b/scheduler/preemption/preemption_test.go
@@ -123,7 +123,7 @@
 			if got := f.quotas.FitsBorrowing("green", quota.Amount{CPUs: 1}, startOfTerm); got != c.lends {
 				t.Errorf("blue lends: %v", got)
 			}
-			if !f.quotas.FitsBorrowing("green", quota.Amount{CPUs: 1}, startOfTerm.Add(lendingPause)) {
+			if !f.quotas.FitsBorrowing("green", quota.Amount{CPUs: 1}, startOfTerm.Add(lendingSuspension)) {
 				t.Error("blue does not lend after the suspension")
 			}
 		})
--- a/scheduler/preemption/round.go
+++ b/scheduler/preemption/round.go
@@ -13,7 +13,7 @@
 type round struct {
 	policy     *Policy
 	candidates []*cluster.Machine
-	ledger     ledger
+	totals     planTotals
 	// workloads are those with tasks that were not stopping when the round began.
 	workloads []cluster.Workload
 	// infeasible holds the requests for which no machine was found. Resources and
@@ -26,7 +26,7 @@
 type infeasibleRequest struct {
 	class RequestClass
 	team  ids.Team
-	claim claim
+	scope preemptionScope
 }
 
 // newRound begins a round. Tasks that are being stopped count as free quota.
@@ -35,14 +35,14 @@
 	r := &round{
 		policy:     p,
 		candidates: candidates,
-		ledger:     newLedger(p.teams, p.quotas),
+		totals:     newPlanTotals(p.teams, p.quotas),
 		infeasible: map[infeasibleRequest]bool{},
 	}
 	counts := p.cluster.Workloads()
 	for _, w := range slices.SortedFunc(maps.Keys(counts), cluster.Workload.Compare) {
 		count := counts[w]
 		if count.Stopping > 0 {
-			r.ledger.free(w.Team, count.StoppingQuota)
+			r.totals.free(w.Team, count.StoppingQuota)
 		}
 		if count.NotStopping > 0 {
 			r.workloads = append(r.workloads, w)
@@ -51,13 +51,13 @@
 	return r
 }
 
-// notes returns the notes on a machine, renewed when they are of an earlier round.
-func (r *round) notes(m *cluster.Machine) *cluster.MachinePreemption {
-	notes := &m.Preemption
-	if notes.Round != r.policy.roundNumber {
-		*notes = cluster.MachinePreemption{Round: r.policy.roundNumber, ExpectedFree: freeOnceStopped(m)}
+// machineState returns the machineState on a machine, renewed when they are of an earlier round.
+func (r *round) machineState(m *cluster.Machine) *cluster.MachinePreemption {
+	state := &m.Preemption
+	if state.Round != r.policy.roundNumber {
+		*state = cluster.MachinePreemption{Round: r.policy.roundNumber, ExpectedFree: freeOnceStopped(m)}
 	}
-	return notes
+	return state
 }
 
 // freeOnceStopped is what is free on a machine when all stopping tasks have ended.
--- a/scheduler/preemption/victims.go
+++ b/scheduler/preemption/victims.go
@@ -14,7 +14,7 @@
 type victimSelection struct {
 	round   *round
 	job     *cluster.Job
-	claim   claim
+	scope   preemptionScope
 	victims []*cluster.Assignment
 	cost    float64
 	// free is what is free on the machine once the victims have ended, and missingQuota what
@@ -27,13 +27,13 @@
 
 // selectVictims selects the tasks on a machine that are cheapest to stop for a task of a
 // job; ok is false if all that may stop do not free enough.
-func (r *round) selectVictims(j *cluster.Job, by claim, m *cluster.Machine) (s victimSelection, ok bool) {
-	s = victimSelection{round: r, job: j, claim: by, free: r.notes(m).ExpectedFree}
-	if by == claimOwn {
+func (r *round) selectVictims(j *cluster.Job, scope preemptionScope, m *cluster.Machine) (s victimSelection, ok bool) {
+	s = victimSelection{round: r, job: j, scope: scope, free: r.machineState(m).ExpectedFree}
+	if scope == scopeOwnTeam {
 		s.missingQuota = j.Amount() // the team is at its limit
 	}
 	for _, v := range r.victimsByCost(m) {
-		if !s.take(v) {
+		if !s.tryAdd(v) {
 			continue
 		}
 		if s.sufficient() {
@@ -46,30 +46,30 @@
 // victimsByCost lists the tasks on a machine that are not stopping and not protected, the
 // cheapest first. The list is made once in a round.
 func (r *round) victimsByCost(m *cluster.Machine) []cluster.Victim {
-	notes := r.notes(m)
-	if notes.Victims != nil {
-		return notes.Victims
+	state := r.machineState(m)
+	if state.Victims != nil {
+		return state.Victims
 	}
-	notes.Victims = make([]cluster.Victim, 0, len(m.Assignments()))
+	state.Victims = make([]cluster.Victim, 0, len(m.Assignments()))
 	for _, a := range m.Assignments() {
 		if a.StopReason() == cluster.StopNone && !r.policy.protected(a) {
-			notes.Victims = append(notes.Victims, cluster.Victim{Assignment: a, Cost: r.policy.evictionCost(a)})
+			state.Victims = append(state.Victims, cluster.Victim{Assignment: a, Cost: r.policy.evictionCost(a)})
 		}
 	}
-	slices.SortStableFunc(notes.Victims, func(a, b cluster.Victim) int { return cmp.Compare(a.Cost, b.Cost) })
+	slices.SortStableFunc(state.Victims, func(a, b cluster.Victim) int { return cmp.Compare(a.Cost, b.Cost) })
 	r.machinesExamined++
-	return notes.Victims
+	return state.Victims
 }
 
-// take adds a task to the victims if the claim allows to stop it.
-func (s *victimSelection) take(v cluster.Victim) bool {
+// tryAdd adds a task to the victims if the claim allows to stop it.
+func (s *victimSelection) tryAdd(v cluster.Victim) bool {
 	a := v.Assignment
-	if s.round.ledger.victims[a] || a.StopReason() != cluster.StopNone {
+	if s.round.totals.victims[a] || a.StopReason() != cluster.StopNone {
 		return false // it stops already
 	}
 	workload := cluster.Workload{Team: a.Job.Spec.Team, Priority: a.Job.Priority()}
-	if !mayPreempt(s.job, s.claim, workload) {
-		if !mayReclaim(s.job, s.claim, workload) || !s.reclaim(workload.Team, a.Job.Amount()) {
+	if !mayPreempt(s.job, s.scope, workload) {
+		if !mayReclaim(s.job, s.scope, workload) || !s.reclaim(workload.Team, a.Job.Amount()) {
 			return false
 		}
 	}
@@ -83,7 +83,7 @@
 // reclaim counts quota as taken back from a team, if the team still borrows as much.
 func (s *victimSelection) reclaim(team ids.Team, amount quota.Amount) bool {
 	reclaimed := s.reclaimed[team].Plus(amount)
-	if !reclaimed.FitsIn(s.round.ledger.borrowed[team]) {
+	if !reclaimed.FitsIn(s.round.totals.borrowed[team]) {
 		return false
 	}
 	if s.reclaimed == nil {
--- a/scheduler/quota/quota.go
+++ b/scheduler/quota/quota.go
@@ -1,9 +1,9 @@
-// Package quota tracks what each team uses of its quota, and decides whether more of it fits:
-// within the team's nominal quota, or by borrowing what other teams of the cohort leave idle
-// and lend. All teams are one cohort.
+// Package quota tracks how much of its quota each team uses, and decides whether more fits: within
+// the team's nominal quota, or by borrowing idle quota that other teams of the cohort lend. All
+// teams belong to a single cohort.
 //
-// The scheduler's core owns the only tracker. The package has no clock and no goroutine, and
-// a tracker must not be used by two goroutines at once.
+// The scheduler's core owns the only tracker. The package reads no clock and starts no goroutine. A
+// tracker isn't safe for concurrent use.
 package quota
 
 import (
@@ -13,42 +13,42 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// Team is a team's quota.
+// Team holds a team's quota settings.
 type Team struct {
 	Name ids.Team
-	// Nominal is what the team may always use.
+	// Nominal is the amount that the team may always use.
 	Nominal Amount
-	// Limit is the most that the team may use, borrowed quota included.
+	// Limit is the borrowing limit: the most that the team may use, including borrowed quota.
 	Limit Amount
-	// LendingLimit is the most of its idle nominal quota that other teams may borrow.
+	// LendingLimit is the maximum of the team's idle nominal quota that other teams may borrow.
 	LendingLimit Amount
 }
 
-// account is a team with what it uses.
+// account holds a team's quota settings and its usage.
 type account struct {
 	Team
 	used                  Amount
 	lendingSuspendedUntil monotonic.Instant
 }
 
-// lends is what others may borrow while the team uses an amount.
-func (a *account) lends(used Amount, now monotonic.Instant) Amount {
+// lendable returns the amount that other teams may borrow while the team uses the given amount.
+func (a *account) lendable(used Amount, now monotonic.Instant) Amount {
 	if now < a.lendingSuspendedUntil {
 		return Amount{}
 	}
-	return smallerParts(a.Nominal.Minus(used).nonNegative(), a.LendingLimit)
+	return componentMin(a.Nominal.Minus(used).nonNegative(), a.LendingLimit)
 }
 
-// Tracker counts what each team uses. A task counts from its placement until it is certain
-// that it no longer runs; it is for the caller to release it only then. Methods ignore teams
-// that are not known, and report that nothing fits them.
+// Tracker tracks the quota that each team uses. A task counts from its placement until it is certain
+// that it no longer runs; the caller must not release its quota earlier. Methods ignore unknown
+// teams, and report that nothing fits their quota.
 type Tracker struct {
 	accounts    map[ids.Team]*account
 	names       []ids.Team // sorted
 	cohortQuota Amount
 }
 
-// NewTracker returns a tracker for the teams, which use nothing yet.
+// NewTracker returns a tracker for teams that do not use any quota yet.
 func NewTracker(teams []Team) *Tracker {
 	q := &Tracker{accounts: map[ids.Team]*account{}}
 	for _, team := range teams {
@@ -60,22 +60,22 @@
 }
 
 // SetCohortQuota sets the quota that belongs to no team and that any team may borrow: the
-// resources beyond the sum of the nominal quotas. Negative parts count as 0.
+// resources beyond the sum of the nominal quotas. Negative components count as 0.
 func (q *Tracker) SetCohortQuota(amount Amount) { q.cohortQuota = amount.nonNegative() }
 
-// Nominal is the sum of all nominal quotas.
+// Nominal returns the sum of all nominal quotas.
 func (q *Tracker) Nominal() Amount {
 	var sum Amount
-	for _, name := range q.names { // in a fixed order, on which the sum of decimals depends
+	for _, name := range q.names { // a fixed order, since rounding depends on the order of summation
 		sum = sum.Plus(q.accounts[name].Nominal)
 	}
 	return sum
 }
 
-// Teams lists the names of all teams, sorted. The caller may change the list.
+// Teams returns the sorted names of all teams. The caller may modify the result.
 func (q *Tracker) Teams() []ids.Team { return slices.Clone(q.names) }
 
-// Limit is the most that a team may use at any time.
+// Limit returns the most that a team may use, including borrowed quota.
 func (q *Tracker) Limit(team ids.Team) Amount {
 	if a := q.accounts[team]; a != nil {
 		return a.Limit
@@ -83,7 +83,7 @@
 	return Amount{}
 }
 
-// Used is what a team uses.
+// Used returns the amount that a team uses.
 func (q *Tracker) Used(team ids.Team) Amount {
 	if a := q.accounts[team]; a != nil {
 		return a.used
@@ -91,36 +91,36 @@
 	return Amount{}
 }
 
-// Charge counts an amount as used, whether or not it fits: what records show to run counts
-// even if a limit has been lowered since.
+// Charge counts an amount as used, whether or not it fits: tasks that run according to the records
+// count even if a limit has been lowered since.
 func (q *Tracker) Charge(team ids.Team, amount Amount) {
 	if a := q.accounts[team]; a != nil {
 		a.used = a.used.Plus(amount)
 	}
 }
 
-// Release undoes a charge. What a team uses never becomes negative.
+// Release reverts a charge. A team's usage never becomes negative.
 func (q *Tracker) Release(team ids.Team, amount Amount) {
 	if a := q.accounts[team]; a != nil {
 		a.used = a.used.Minus(amount).nonNegative()
 	}
 }
 
-// FitsNominal tells whether a team stays within its nominal quota with more used.
+// FitsNominal reports whether a team remains within its nominal quota when it uses more.
 func (q *Tracker) FitsNominal(team ids.Team, more Amount) bool {
 	a := q.accounts[team]
 	return a != nil && a.used.Plus(more).FitsIn(a.Nominal) && a.used.Plus(more).FitsIn(a.Limit)
 }
 
-// FitsBorrowing tells whether a team may use more, within its limit and with what the other
-// teams lend. What all teams borrow together must not exceed what all lend.
+// FitsBorrowing reports whether a team may use more, within its limit and with the quota that the
+// other teams lend. The total that all teams borrow must not exceed the total that can be lent.
 func (q *Tracker) FitsBorrowing(team ids.Team, more Amount, now monotonic.Instant) bool {
 	borrower := q.accounts[team]
 	if borrower == nil || !borrower.used.Plus(more).FitsIn(borrower.Limit) {
 		return false
 	}
 	var borrowed Amount
-	lent := q.cohortQuota
+	lendable := q.cohortQuota
 	for _, name := range q.names {
 		a := q.accounts[name]
 		used := a.used
@@ -128,12 +128,12 @@
 			used = used.Plus(more)
 		}
 		borrowed = borrowed.Plus(used.Minus(a.Nominal).nonNegative())
-		lent = lent.Plus(a.lends(used, now))
+		lendable = lendable.Plus(a.lendable(used, now))
 	}
-	return borrowed.FitsIn(lent)
+	return borrowed.FitsIn(lendable)
 }
 
-// Borrowed is how much a team uses beyond its nominal quota.
+// Borrowed returns the amount that a team uses beyond its nominal quota.
 func (q *Tracker) Borrowed(team ids.Team) Amount {
 	a := q.accounts[team]
 	if a == nil {
@@ -142,8 +142,8 @@
 	return a.used.Minus(a.Nominal).nonNegative()
 }
 
-// SuspendLending keeps a team's idle quota from being lent until a time, so that a team which
-// has just reclaimed quota does not see it lent again at once. It never shortens a suspension.
+// SuspendLending prevents a team's idle quota from being lent until a time. Otherwise quota that the
+// team has just reclaimed would be lent again immediately. It never shortens a suspension.
 func (q *Tracker) SuspendLending(team ids.Team, until monotonic.Instant) {
 	if a := q.accounts[team]; a != nil && until > a.lendingSuspendedUntil {
 		a.lendingSuspendedUntil = until
--- a/scheduler/quota/quota_test.go
+++ b/scheduler/quota/quota_test.go
@@ -9,8 +9,8 @@
 
 func cpus(n float64) Amount { return Amount{CPUs: n} }
 
-// twoTeams is a cohort of two that lend the same: red has a nominal quota of 8 and a limit of
-// 16, blue one of 8 and a limit of 12.
+// twoTeams returns a tracker for two teams with the same lending limit. Team red has a nominal quota
+// of 8 CPUs and a limit of 16, team blue a nominal quota of 8 CPUs and a limit of 12.
 func twoTeams(lendingLimit float64) *Tracker {
 	return NewTracker([]Team{
 		{Name: "red", Nominal: cpus(8), Limit: cpus(16), LendingLimit: cpus(lendingLimit)},
@@ -22,19 +22,19 @@
 	for _, c := range []struct {
 		name                      string
 		lendingLimit, cohortQuota float64
-		red, blue                 float64 // used already
-		more                      float64 // for red
+		red, blue                 float64 // CPUs already in use
+		more                      float64 // CPUs requested for red
 		nominal, borrowing        bool
 	}{
-		{"within the nominal quota", 8, 0, 0, 0, 8, true, true},
-		{"beyond it, from an idle team", 8, 0, 8, 0, 8, false, true},
-		{"beyond what the other team leaves idle", 8, 0, 8, 4, 5, false, false},
-		{"as much as the other team leaves idle", 8, 0, 8, 4, 4, false, true},
-		{"beyond what the other team lends", 2, 0, 8, 0, 3, false, false},
-		{"from the cohort's own quota", 0, 4, 8, 8, 4, false, true},
-		{"beyond the limit, whatever is idle", 8, 100, 8, 0, 9, false, false},
-		{"nominal quota of which the other team has borrowed a part", 8, 0, 4, 12, 4, true, false},
-		{"decimals that add up", 8, 0, 7.9, 0, 0.1, true, true},
+		{"within nominal quota", 8, 0, 0, 0, 8, true, true},
+		{"borrowing from an idle team", 8, 0, 8, 0, 8, false, true},
+		{"more than the other team's idle quota", 8, 0, 8, 4, 5, false, false},
+		{"exactly the other team's idle quota", 8, 0, 8, 4, 4, false, true},
+		{"more than the other team's lending limit", 2, 0, 8, 0, 3, false, false},
+		{"borrowing from the cohort quota", 0, 4, 8, 8, 4, false, true},
+		{"beyond the limit despite idle quota", 8, 100, 8, 0, 9, false, false},
+		{"nominal quota partly borrowed by the other team", 8, 0, 4, 12, 4, true, false},
+		{"rounded sum equal to the quota", 8, 0, 7.9, 0, 0.1, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := twoTeams(c.lendingLimit)
@@ -55,7 +55,7 @@
 	q := twoTeams(8)
 	until := monotonic.Instant(time.Hour)
 	q.SuspendLending("blue", until)
-	q.SuspendLending("blue", until.Add(-time.Minute)) // shortens nothing
+	q.SuspendLending("blue", until.Add(-time.Minute)) // must not shorten the suspension
 	q.Charge("red", cpus(8))
 	if q.FitsBorrowing("red", cpus(1), until.Add(-time.Second)) {
 		t.Error("quota is lent while lending is suspended")
@@ -72,7 +72,7 @@
 		t.Errorf("Borrowed = %v, want 3 CPUs", got)
 	}
 	if got := q.Borrowed("blue"); got != cpus(0) {
-		t.Errorf("Borrowed = %v for a team without use, want nothing", got)
+		t.Errorf("Borrowed = %v for a team without usage, want 0", got)
 	}
 }
 
@@ -81,7 +81,7 @@
 	q.Charge("red", cpus(11))
 	q.Release("red", cpus(20))
 	if got := q.Used("red"); got != cpus(0) {
-		t.Errorf("Used = %v, want nothing", got)
+		t.Errorf("Used = %v, want 0", got)
 	}
 }
 
