--- a/scheduler/fleet/backoff.go
+++ b/scheduler/fleet/backoff.go
@@ -7,28 +7,29 @@
 	"ospreystile.example/ospreystile/scheduler/placement"
 )
 
-// maxBackoffFactor bounds the wait of a site at this many times the first one.
+// maxBackoffFactor is the maximum backoff of a site, as a multiple of the first backoff.
 const maxBackoffFactor = 6
 
-// Backoff remembers which sites lacked capacity recently, and for how long not to ask them. The
-// wait of a site doubles with each refusal until it succeeds.
+// Backoff holds which sites recently lacked capacity, and until when no machines are requested from
+// them. The backoff of a site doubles with each refusal until a request succeeds.
 type Backoff struct {
 	firstWait time.Duration
 	sites     map[placement.Site]siteBackoff
 }
 
-// siteBackoff is the state of a site that was refused. A site without one was not.
+// siteBackoff holds the state of a site that has refused requests since its last success. Other sites
+// have none.
 type siteBackoff struct {
-	until    monotonic.Instant // the site is not asked before
-	nextWait time.Duration     // the wait after another refusal
+	until    monotonic.Instant // no machine is requested from the site before
+	nextWait time.Duration     // the backoff after the next refusal
 }
 
-// NewBackoff returns a backoff in which a site's first wait takes the given time.
+// NewBackoff returns a Backoff whose first backoff for a site has the given duration.
 func NewBackoff(first time.Duration) *Backoff {
 	return &Backoff{first, map[placement.Site]siteBackoff{}}
 }
 
-// RecordRefusal notes that a site had no capacity.
+// RecordRefusal records that a site had no capacity.
 func (b *Backoff) RecordRefusal(s placement.Site, now monotonic.Instant) {
 	wait := b.sites[s].nextWait
 	if wait == 0 {
@@ -37,11 +38,11 @@
 	b.sites[s] = siteBackoff{until: now.Add(wait), nextWait: min(2*wait, maxBackoffFactor*b.firstWait)}
 }
 
-// RecordSuccess notes that a site had capacity, which ends its backoff.
+// RecordSuccess records that a site had capacity, which ends its backoff.
 func (b *Backoff) RecordSuccess(s placement.Site) { delete(b.sites, s) }
 
-// RecentlyRefused tells whether a site lacked capacity when it was last asked.
+// RecentlyRefused reports whether a site lacked capacity at the last request.
 func (b *Backoff) RecentlyRefused(s placement.Site) bool { return b.sites[s].nextWait > 0 }
 
-// Active tells whether a site should not be asked yet.
+// Active reports whether no machine should be requested from a site yet.
 func (b *Backoff) Active(s placement.Site, now monotonic.Instant) bool { return now < b.sites[s].until }
--- a/scheduler/fleet/bins.go
+++ b/scheduler/fleet/bins.go
@@ -11,19 +11,19 @@
 // roundingTolerance absorbs the rounding of a quotient of decimal amounts.
 const roundingTolerance = 1e-9
 
-// bin is a machine that is booting or requested.
+// bin represents a machine that is booting or requested.
 type bin struct {
 	placement.Site
 	free placement.Resources
 }
 
-// accepts tells whether a task fits into the bin and its job allows the site.
+// accepts reports whether a task fits into the bin and its job may use the site.
 func (b *bin) accepts(s *wire.JobSpec) bool {
 	return placement.TaskResources(s).FitsIn(b.free) && placement.Allowed(s, b.Site)
 }
 
-// fill puts at most the given number of tasks into the bin, counts them in their zone, and
-// returns how many it put.
+// fill places as many tasks as fit in the bin, up to limit, counts them in their zone, and returns
+// their number.
 func (b *bin) fill(s *wire.JobSpec, zones placement.TasksByZone, limit int) int {
 	if !b.accepts(s) {
 		return 0
@@ -38,16 +38,16 @@
 	return n
 }
 
-// requirements are all that decides whether a bin with enough free resources may hold a task,
-// except where the job's other tasks are.
+// requirements holds everything that decides whether a bin accepts a task, except the bin's free
+// resources and the zones of the job's other tasks.
 type requirements struct {
 	need  placement.Resources
 	spot  bool
 	zone  ids.Zone
-	types string // each with a zero byte after it
+	types string // names, each terminated by a zero byte
 }
 
-// requirementsOf are the requirements of a job's tasks.
+// requirementsOf returns the requirements of a job's tasks.
 func requirementsOf(s *wire.JobSpec) requirements {
 	var types strings.Builder
 	for _, name := range s.Types {
@@ -57,11 +57,11 @@
 	return requirements{placement.TaskResources(s), s.Spot, s.Zone, types.String()}
 }
 
-// maxTasksThatFit is the result of TasksThatFit for tasks that need nothing.
+// maxTasksThatFit is the result of TasksThatFit for tasks that need no resources.
 const maxTasksThatFit = 1 << 20
 
-// TasksThatFit tells how many tasks of a job fit into free resources, whatever else the job
-// requires.
+// TasksThatFit returns how many tasks of a job fit in free resources. It ignores the job's other
+// requirements.
 func TasksThatFit(s *wire.JobSpec, free placement.Resources) int {
 	n := maxTasksThatFit
 	n = min(n, quotient(free.CPUs, s.CPUs))
@@ -70,7 +70,7 @@
 	return max(0, n)
 }
 
-// quotient is how many times a need fits into a free amount. It may be negative.
+// quotient returns how many times need fits in free. It may be negative.
 func quotient(free, need float64) int {
 	if need <= 0 {
 		return maxTasksThatFit
--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet decides which machines to provision for tasks that found no place.
+// Package fleet decides which machines to provision for tasks that could not be placed.
 //
-// The scheduler's autoscaler makes a Planner for each decision, tells it of the machines that
-// are booting, adds the demand job by job, and reads the machines to request. A Backoff lives
-// as long as the autoscaler. Nothing here has a clock or a goroutine, and no value may be used
-// by two goroutines at once.
+// The scheduler's autoscaler creates a Planner for each decision, adds the machines that are booting,
+// adds the demand job by job, and reads the machines to request. A Backoff lives as long as the
+// autoscaler. The package reads no clock and starts no goroutine. Its types aren't safe for
+// concurrent use.
 package fleet
 
 import (
@@ -14,14 +14,14 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Demand is a number of tasks of one job that found no place.
+// Demand represents a number of tasks of one job that could not be placed.
 type Demand struct {
 	Spec  *wire.JobSpec
 	Count int
-	Zones placement.TasksByZone // the job's tasks by zone so far
+	Zones placement.TasksByZone // the tasks of the job that are already placed
 }
 
-// MachineRequest is a number of machines to provision at a site.
+// MachineRequest represents a number of machines to provision at a site.
 type MachineRequest struct {
 	placement.Site
 	Count int
@@ -31,31 +31,31 @@
 // The exported fields are set before the first Add.
 type Planner struct {
 	Types []wire.MachineType
-	// Blocked tells whether no machine may be requested at a site.
+	// Blocked reports whether no machine may be requested at a site.
 	Blocked func(placement.Site) bool
-	// MachinesBySite counts the machines that there are, so that requests spread over zones.
+	// MachinesBySite holds the number of existing machines, so that requests spread over zones.
 	MachinesBySite map[placement.Site]int
-	// MaxMachines is the most machines that may still be requested.
+	// MaxMachines is the number of machines that may still be requested.
 	MaxMachines int
 
-	// BinsExamined counts how often a bin was examined, as a measure of the work.
+	// BinsExamined is the number of times that a bin was examined, as a measure of the work done.
 	BinsExamined int
 
 	bins     []*bin
 	requests map[placement.Site]int
-	// firstBin is, by requirements, the first bin that may still hold such a task. Free
-	// resources only shrink, so bins before it need not be examined again: with thousands of
-	// waiting jobs and booting machines that would be millions of comparisons.
+	// firstBin holds the index of the first bin that may still accept a task with the given
+	// requirements. Free resources only shrink, so earlier bins are not examined again: with
+	// thousands of waiting jobs and booting machines, that would take millions of comparisons.
 	firstBin map[requirements]int
 }
 
-// AddCapacity adds a machine that is booting, with what is free on it.
+// AddCapacity adds a machine that is booting, with its free resources.
 func (p *Planner) AddCapacity(s placement.Site, free placement.Resources) {
 	p.bins = append(p.bins, &bin{s, free})
 }
 
 // Add packs the tasks of a job into the bins, and requests machines for those that do not
-// fit, as long as there is a site for them.
+// fit, as long as a site is available for them.
 func (p *Planner) Add(d Demand) {
 	if p.requests == nil {
 		p.requests, p.firstBin = map[placement.Site]int{}, map[requirements]int{}
@@ -89,7 +89,7 @@
 	return remaining
 }
 
-// skipFullBins finds the first bin that may hold a task.
+// skipFullBins returns the index of the first bin that may accept a task of a job.
 func (p *Planner) skipFullBins(s *wire.JobSpec) int {
 	key := requirementsOf(s)
 	first := p.firstBin[key]
@@ -101,7 +101,7 @@
 	return first
 }
 
-// MachineRequests lists the requests in the order of their sites.
+// MachineRequests returns the requests in the order of their sites.
 func (p *Planner) MachineRequests() []MachineRequest {
 	var requests []MachineRequest
 	for s, n := range p.requests {
--- a/scheduler/fleet/fleet_test.go
+++ b/scheduler/fleet/fleet_test.go
@@ -32,22 +32,22 @@
 		maxMachines int
 		want        []MachineRequest
 	}{
-		{name: "a single task goes to the cheapest machine that holds it", demand: Demand{Spec: &wire.JobSpec{CPUs: 2, Spot: true}, Count: 1},
+		{name: "one task uses the cheapest machine that fits it", demand: Demand{Spec: &wire.JobSpec{CPUs: 2, Spot: true}, Count: 1},
 			maxMachines: enough, want: []MachineRequest{{spot("small", "a"), 1}}},
-		{name: "many tasks go where each is cheapest", demand: Demand{Spec: &wire.JobSpec{CPUs: 2, Spot: true}, Count: 16},
+		{name: "many tasks use the machine with the lowest cost per task", demand: Demand{Spec: &wire.JobSpec{CPUs: 2, Spot: true}, Count: 16},
 			maxMachines: enough, want: []MachineRequest{{spot("large", "a"), 1}}},
-		{name: "a job that may not use spot gets ordinary machines", demand: Demand{Spec: &wire.JobSpec{CPUs: 4}, Count: 1},
+		{name: "job that may not use spot instances uses on-demand machines", demand: Demand{Spec: &wire.JobSpec{CPUs: 4}, Count: 1},
 			maxMachines: enough, want: []MachineRequest{{onDemand("small", "a"), 1}}},
-		{name: "large tasks fit large machines alone", demand: Demand{Spec: &wire.JobSpec{CPUs: 8}, Count: 5},
+		{name: "large tasks fit only on large machines", demand: Demand{Spec: &wire.JobSpec{CPUs: 8}, Count: 5},
 			maxMachines: enough, want: []MachineRequest{{onDemand("large", "a"), 2}}},
 		{name: "booting machines are filled first", demand: Demand{Spec: &wire.JobSpec{CPUs: 2}, Count: 3},
 			booting: []placement.Resources{{CPUs: 4, MemoryGB: 16}}, maxMachines: enough, want: []MachineRequest{{onDemand("small", "a"), 1}}},
-		{name: "no machines beyond the maximum", demand: Demand{Spec: &wire.JobSpec{CPUs: 4}, Count: 5}},
-		{name: "no machines at a blocked site", demand: Demand{Spec: &wire.JobSpec{CPUs: 4}, Count: 1}, blocked: "a",
+		{name: "no machine beyond the maximum", demand: Demand{Spec: &wire.JobSpec{CPUs: 4}, Count: 5}},
+		{name: "no machine at a blocked site", demand: Demand{Spec: &wire.JobSpec{CPUs: 4}, Count: 1}, blocked: "a",
 			maxMachines: enough, want: []MachineRequest{{onDemand("small", "b"), 1}}},
-		{name: "a spread job goes to two zones", demand: Demand{Spec: &wire.JobSpec{CPUs: 4, Spread: true, Tasks: 2}, Count: 2},
+		{name: "spread job uses two zones", demand: Demand{Spec: &wire.JobSpec{CPUs: 4, Spread: true, Tasks: 2}, Count: 2},
 			maxMachines: enough, want: []MachineRequest{{onDemand("small", "a"), 1}, {onDemand("small", "b"), 1}}},
-		{name: "no machine for a task that fits none", demand: Demand{Spec: &wire.JobSpec{CPUs: 64}, Count: 1}, maxMachines: enough},
+		{name: "no machine for a task that fits on no type", demand: Demand{Spec: &wire.JobSpec{CPUs: 64}, Count: 1}, maxMachines: enough},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			blocked := func(s placement.Site) bool { return s.Zone == c.blocked }
@@ -63,8 +63,8 @@
 	}
 }
 
-// Thousands of alike jobs that find no room must not each look at all booting machines.
-func TestFullBinsAreSkipped(t *testing.T) {
+// Each of thousands of equal jobs that cannot be placed must not examine all booting machines again.
+func TestAddSkipsFullBins(t *testing.T) {
 	const machines, jobs = 4000, 2000
 	p := &Planner{Types: types, Blocked: func(placement.Site) bool { return true }, MachinesBySite: map[placement.Site]int{}, MaxMachines: machines}
 	for range machines {
@@ -78,6 +78,6 @@
 		t.Errorf("examined %d bins, want at most %d", p.BinsExamined, most)
 	}
 	if full := p.firstBin[requirementsOf(spec)]; full != machines {
-		t.Errorf("%d bins are full, want all %d", full, machines)
+		t.Errorf("%d bins are skipped as full, want all %d", full, machines)
 	}
 }
--- a/scheduler/fleet/offers.go
+++ b/scheduler/fleet/offers.go
@@ -5,19 +5,19 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// spreadSurcharge is the part of its price by which each machine at a site makes the next
-// one there look dearer, so that requests of one price spread over zones.
+// spreadSurcharge is the fraction of the price that is added to the cost of a site for each machine
+// that exists or is requested there, so that requests at equal prices spread over zones.
 const spreadSurcharge = 0.02
 
-// offer is a machine that could be requested for a job.
+// offer represents a machine that could be requested for a job.
 type offer struct {
 	site        placement.Site
 	machineType *wire.MachineType
-	cost        float64 // of one task, in the unit of the prices
+	cost        float64 // per task, in the unit of the prices
 }
 
-// betterThan tells whether an offer is cheaper than another, or its site goes first at the
-// same cost. Any offer is better than the zero one.
+// betterThan reports whether an offer is cheaper than another, or has the same cost and its site
+// sorts first. Any offer is better than the zero value.
 func (o offer) betterThan(other offer) bool {
 	if other.machineType == nil || o.cost < other.cost {
 		return true
@@ -25,8 +25,8 @@
 	return o.cost == other.cost && o.site.Compare(other.site) < 0
 }
 
-// cheapestOffer finds the site that is cheapest for a task of a job. There is none if no type
-// fits, all sites are blocked or not allowed, or no machine may be requested any more.
+// cheapestOffer returns the offer that is cheapest per task of a job. ok is false if no type fits, all
+// sites are blocked or not allowed, or no more machines may be requested.
 func (p *Planner) cheapestOffer(d Demand, zones placement.TasksByZone) (best offer, ok bool) {
 	if p.MaxMachines <= 0 {
 		return offer{}, false
@@ -48,7 +48,7 @@
 	return best, best.machineType != nil
 }
 
-// offerAt is the offer of a site, if the job may use it and it is not blocked.
+// offerAt returns the offer of a site. ok is false if the job may not use the site or it is blocked.
 func (p *Planner) offerAt(site placement.Site, t *wire.MachineType, d Demand, zones placement.TasksByZone) (o offer, ok bool) {
 	if !placement.Allowed(d.Spec, site) || !zones.Allows(d.Spec, site.Zone) || p.Blocked(site) {
 		return offer{}, false
@@ -56,8 +56,8 @@
 	return offer{site, t, p.costPerTask(site, t, d)}, true
 }
 
-// costPerTask is the price of a machine divided by the tasks of the job that it would hold,
-// with the surcharge for the machines that are there already.
+// costPerTask returns the price of a machine divided by the number of tasks of the job that it would
+// run, plus the surcharge for the machines that exist or are requested at the site.
 func (p *Planner) costPerTask(site placement.Site, t *wire.MachineType, d Demand) float64 {
 	price := t.Price
 	if site.Spot {
--- a/scheduler/placement/placement.go
+++ b/scheduler/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement decides which machine a task goes to: which machines a job allows, which
-// have free resources, and which of them is best. It is pure: its functions hold no state, and the
-// scheduler calls them with what it knows of jobs and machines.
+// Package placement decides on which machine a task is placed: which machines a job may use, which
+// have enough free resources, and which of them scores best. Its functions are pure: the scheduler
+// passes in the state of jobs and machines.
 package placement
 
 import (
@@ -11,19 +11,19 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Site is the type, zone and purchase option of machines.
+// Site represents the type, zone and purchase option of machines.
 type Site struct {
 	Type ids.MachineType
 	Zone ids.Zone
 	Spot bool
 }
 
-// Compare orders sites: by type, then zone, ordinary machines before spot.
+// Compare orders sites by type, then zone, with on-demand machines before spot instances.
 func (s Site) Compare(o Site) int {
 	return cmp.Or(cmp.Compare(s.Type, o.Type), cmp.Compare(s.Zone, o.Zone), compareSpot(s.Spot, o.Spot))
 }
 
-// compareSpot orders ordinary machines before spot.
+// compareSpot orders on-demand machines before spot instances.
 func compareSpot(a, b bool) int {
 	switch {
 	case a == b:
@@ -35,7 +35,7 @@
 	}
 }
 
-// Allowed tells whether a job may use machines of a site.
+// Allowed reports whether a job may use machines of a site.
 func Allowed(s *wire.JobSpec, at Site) bool {
 	if at.Spot && !s.Spot {
 		return false
@@ -46,22 +46,23 @@
 	return allowsType(s, at.Type)
 }
 
-// allowsType tells whether a job may use a machine type.
+// allowsType reports whether a job may use a machine type.
 func allowsType(s *wire.JobSpec, name ids.MachineType) bool {
 	return len(s.Types) == 0 || slices.Contains(s.Types, name)
 }
 
-// Fits tells whether a task of the job fits an empty machine of a type that the job allows.
+// Fits reports whether the job may use a machine type, and a task of the job fits on an empty machine
+// of that type.
 func Fits(s *wire.JobSpec, t *wire.MachineType) bool {
 	return allowsType(s, t.Name) && TaskResources(s).FitsIn(MachineResources(t))
 }
 
-// TasksByZone counts a job's tasks by zone, with those that may still run. Under the empty
-// name it counts tasks whose zone is not known, which may be in any.
+// TasksByZone holds the number of a job's tasks in each zone, including tasks that may still run. The
+// empty zone name counts tasks whose zone is unknown. They may be in any zone.
 type TasksByZone map[ids.Zone]int
 
-// Allows tells whether one more task in a zone keeps the job's OneZone and Spread. A spread
-// job has at most half of its tasks, rounded up, in one zone.
+// Allows reports whether one more task in a zone satisfies the job's OneZone and Spread constraints.
+// A spread job has at most half of its tasks, rounded up, in one zone.
 func (z TasksByZone) Allows(s *wire.JobSpec, zone ids.Zone) bool {
 	if s.OneZone && z.anyOutside(zone) {
 		return false
@@ -72,7 +73,7 @@
 	return true
 }
 
-// anyOutside tells whether a task is, or may be, outside a zone.
+// anyOutside reports whether a task is, or may be, outside a zone.
 func (z TasksByZone) anyOutside(zone ids.Zone) bool {
 	for other, n := range z {
 		if other != zone && n > 0 {
--- a/scheduler/placement/score.go
+++ b/scheduler/placement/score.go
@@ -2,62 +2,63 @@
 
 import "ospreystile.example/ospreystile/wire"
 
-// Candidate is one machine as it looks to a task that needs a place.
+// Candidate holds the properties of a machine that matter for the placement of a task on it.
 type Candidate struct {
 	Site
 	Free, Total      Resources
 	Cached           bool    // the machine has the image
-	Fetching         bool    // the machine fetches the image
+	Fetching         bool    // the machine is fetching the image
 	SameJob          int     // tasks of the same job on the machine
 	SameZone         int     // tasks of the same job in the zone
-	RunsServices     bool    // services keep the machine from being terminated
-	LatencySensitive bool    // tasks of the job's class must start within seconds
-	SpotRisk         float64 // chance that a spot machine is reclaimed during the task
-	Suspect          bool    // the machine failed tasks or runs them slowly
-	PreferredZone    bool    // a replica was stopped to be moved to this zone
-	ZoneUnproven     bool    // the zone had an outage and its recovery is not proven
+	RunsServices     bool    // the machine runs services, so it is not terminated
+	LatencySensitive bool    // the job's tasks must start within seconds
+	SpotRisk         float64 // probability that a spot instance is reclaimed while the task runs
+	Suspect          bool    // tasks failed on the machine, or it runs them slowly
+	PreferredZone    bool    // the task is a replica that was stopped to be moved to this zone
+	ZoneUnproven     bool    // the zone had an outage and its recovery is not proven yet
 }
 
-// Weights of Score, in points. Only their proportions count.
+// The weights of Score, in points. Only their ratios matter.
 const (
 	// cachedImageBonus is for a machine that has the image. For tasks that must start within
-	// seconds it is urgentImageBonus, which outweighs the kind of machine.
+	// seconds, urgentImageBonus applies instead. It outweighs the difference between spot and
+	// on-demand machines.
 	cachedImageBonus = 25.0
 	urgentImageBonus = 100.0
-	// fetchingFraction is the part of the bonus for a machine that fetches the image.
+	// fetchingFraction is the fraction of the bonus for a machine that is fetching the image.
 	fetchingFraction = 0.4
 
-	// servicesBonus is for a machine that services keep already. One more task costs nothing
-	// there, while a service elsewhere keeps another machine from being terminated.
+	// servicesBonus is for a machine that already runs services. One more task costs nothing there,
+	// while a service on another machine prevents that machine from being terminated.
 	servicesBonus = 20.0
 
-	// spotBonus is for spot work on a spot machine, less spotRiskWeight times its risk up to
-	// maxSpotRiskPenalty. Spot work on ordinary machines takes resources from work that
-	// may not use spot.
+	// spotBonus is for a job that may use spot instances on a spot instance. It is reduced by
+	// spotRiskWeight times the risk of a reclaim, at most by maxSpotRiskPenalty. On an on-demand
+	// machine, such a job takes resources from jobs that may not use spot instances.
 	spotBonus          = 60.0
 	spotRiskWeight     = 800.0
 	maxSpotRiskPenalty = 200.0
 
-	// suspectPenalty outweighs all else together.
+	// suspectPenalty outweighs all other weights together.
 	suspectPenalty = 500.0
-	// preferredZoneBonus outweighs all but suspectPenalty.
+	// preferredZoneBonus outweighs all other weights except suspectPenalty.
 	preferredZoneBonus = 300.0
-	// unprovenZonePenalty is for a service in a zone whose recovery is not proven: more than
-	// a cached image, less than one where tasks must start within seconds.
+	// unprovenZonePenalty is for a service in a zone whose recovery is not proven yet. It outweighs
+	// cachedImageBonus, but not urgentImageBonus.
 	unprovenZonePenalty = 40.0
 
-	// sameMachinePenalty and sameZonePenalty are for each replica of a service that is
-	// already there.
+	// sameMachinePenalty and sameZonePenalty apply for each replica of the service that is already
+	// on the machine or in the zone.
 	sameMachinePenalty = 15.0
 	sameZonePenalty    = 5.0
 
-	// fullMachineBonus is for a machine that the task fills, in proportion to its CPUs.
+	// fullMachineBonus is for a machine that the task fills, in proportion to the CPUs in use.
 	fullMachineBonus = 10.0
 )
 
-// Score ranks candidates for a task of a job; the largest goes first. It does not check
-// whether the task fits. The terms are added in a fixed order, since the rounding of their sum
-// decides between candidates that are nearly alike.
+// Score returns the score of a candidate for a task of a job. The candidate with the highest score is
+// tried first. Score does not check whether the task fits. The terms are added in a fixed order,
+// because the rounding of their sum decides between candidates that are nearly equal.
 func Score(s *wire.JobSpec, c *Candidate) float64 {
 	score := imageScore(c)
 	if c.RunsServices && !c.Spot {
@@ -79,7 +80,7 @@
 	return score + packingScore(s, c)
 }
 
-// imageScore prefers machines that have the image, or will have it soon.
+// imageScore returns the bonus of a machine that has the image or is fetching it.
 func imageScore(c *Candidate) float64 {
 	bonus := cachedImageBonus
 	if c.LatencySensitive {
@@ -95,7 +96,7 @@
 	}
 }
 
-// unprovenPenalty is the penalty of a service for the zone of a machine.
+// unprovenPenalty returns the penalty of a service for a zone whose recovery is not proven yet.
 func unprovenPenalty(c *Candidate) float64 {
 	if c.ZoneUnproven {
 		return unprovenZonePenalty
@@ -103,7 +104,7 @@
 	return 0
 }
 
-// packingScore prefers the machine that the task leaves fullest.
+// packingScore returns a bonus for bin packing: the fewer CPUs remain free on the machine, the higher.
 func packingScore(s *wire.JobSpec, c *Candidate) float64 {
 	if c.Total.CPUs <= 0 {
 		return 0
--- a/scheduler/preemption/cheapest_plan.go
+++ b/scheduler/preemption/cheapest_plan.go
@@ -2,9 +2,9 @@
 
 import "ospreystile.example/ospreystile/scheduler/placement"
 
-// cheapestPlan returns the cheapest plan under a claim, or nil. All machines are examined
-// once for a job and a claim. After that only the cheapest is brought up to date before it is
-// taken: costs only rise during a round, so if it has not risen, no other is cheaper.
+// cheapestPlan returns the cheapest plan within a scope, or nil. All machines are examined once per
+// job and scope. Afterwards only the cheapest listed plan is updated before it is used: costs only
+// rise during a round, so if its cost has not risen, no other plan is cheaper.
 func (p *planner) cheapestPlan(scope preemptionScope) *plan {
 	if p.plans == nil || p.plansScope != scope {
 		p.listPlans(scope)
@@ -22,7 +22,7 @@
 	}
 }
 
-// listPlans lists the plans of all machines on which the task fits under a claim.
+// listPlans lists the plans of all machines on which the task fits within a scope.
 func (p *planner) listPlans(scope preemptionScope) {
 	const initialCapacity = 16
 	p.plans, p.plansScope = make([]plan, 0, initialCapacity), scope
@@ -39,8 +39,8 @@
 	p.round.machinesExamined += uint64(len(p.round.candidates))
 }
 
-// cheapestListed returns the cheapest of the listed plans whose zone the job may use, or
-// nil. The first of equals wins.
+// cheapestListed returns the cheapest of the listed plans whose zone the job may use, or nil. If
+// several are equally cheap, it returns the first.
 func (p *planner) cheapestListed() *plan {
 	var cheapest *plan
 	for i := range p.plans {
@@ -55,7 +55,7 @@
 	return cheapest
 }
 
-// update brings a listed plan up to date with what the round has counted since.
+// update recomputes a listed plan, as other plans may have been committed in the round since.
 func (p *planner) update(listed *plan) {
 	current, ok := p.planOn(listed.machine)
 	if !ok {
--- a/scheduler/preemption/cost_test.go
+++ b/scheduler/preemption/cost_test.go
@@ -18,7 +18,7 @@
 	}{
 		{"best effort", wire.JobSpec{}, wire.TaskRunning, 12},
 		{"not running yet", wire.JobSpec{}, wire.TaskFetching, 2},
-		{"CPUs", wire.JobSpec{CPUs: 4}, wire.TaskRunning, 48},
+		{"several CPUs", wire.JobSpec{CPUs: 4}, wire.TaskRunning, 48},
 		{"normal priority", wire.JobSpec{Priority: wire.Normal}, wire.TaskRunning, 36},
 		{"critical priority", wire.JobSpec{Priority: wire.Critical}, wire.TaskRunning, 324},
 		{"checkpoint within the run", wire.JobSpec{CheckpointEveryS: 5, CheckpointS: 1}, wire.TaskRunning, 8},
@@ -31,7 +31,7 @@
 			a.Run.Phase = c.phase
 			f.clock.Set(startOfTerm.Add(ran))
 			if got := f.policy.evictionCost(a); got != c.want {
-				t.Errorf("cost %v, want %v", got, c.want)
+				t.Errorf("evictionCost = %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 	second := f.state.Assign(first.Job, 0, m)
 	second.Run.Phase = wire.TaskRunning
 	if once, twice := f.policy.evictionCost(first), f.policy.evictionCost(second); twice != 2*once {
-		t.Errorf("cost %v in the second attempt, %v in the first", twice, once)
+		t.Errorf("evictionCost = %v for the second attempt, want twice the %v of the first", twice, once)
 	}
 }
 
@@ -57,10 +57,10 @@
 		ran       time.Duration
 		want      bool
 	}{
-		{"not marked", false, wire.TaskRunning, 0, false},
-		{"marked, fetches its image", true, wire.TaskFetching, time.Hour, true},
-		{"marked, began to run", true, wire.TaskRunning, protectionPeriod - 1, true},
-		{"marked, has run for the period", true, wire.TaskRunning, protectionPeriod, false},
+		{"not protected", false, wire.TaskRunning, 0, false},
+		{"protected, fetching its image", true, wire.TaskFetching, time.Hour, true},
+		{"protected, running for less than the period", true, wire.TaskRunning, protectionPeriod - 1, true},
+		{"protected, running for the period", true, wire.TaskRunning, protectionPeriod, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -68,13 +68,13 @@
 			a.Protected, a.Run.Phase = c.protected, c.phase
 			f.clock.Set(startOfTerm.Add(c.ran))
 			if got := f.policy.protected(a); got != c.want {
-				t.Errorf("protected: %v", got)
+				t.Errorf("protected = %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-func TestProtectedTaskIsNoVictim(t *testing.T) {
+func TestPreemptDoesNotStopProtectedTask(t *testing.T) {
 	f := newFixture(t)
 	a := f.run("job-1", wire.JobSpec{CPUs: machineCPUs}, f.addMachine("m-1", "a"))[0]
 	a.Protected = true
--- a/scheduler/preemption/fixture_test.go
+++ b/scheduler/preemption/fixture_test.go
@@ -21,8 +21,8 @@
 	lendingSuspension = time.Minute
 )
 
-// fixture is a policy with a cluster of machines that have machineCPUs each. The fake
-// scheduler holds the cluster state.
+// fixture holds a policy and a cluster of machines with machineCPUs each. The fake scheduler
+// holds the cluster state.
 type fixture struct {
 	*fakeScheduler
 	rounds *clock.RoundTrigger
@@ -30,8 +30,8 @@
 	policy *Policy
 }
 
-// newFixture makes a policy over an empty cluster. Teams have a nominal quota of machineCPUs
-// and a limit of twice as much, unless others are given.
+// newFixture returns a policy for an empty cluster. Without the argument teams, there are two teams,
+// blue and red, that have a nominal quota of machineCPUs and a limit of twice as much.
 func newFixture(t *testing.T, teams ...quota.Team) *fixture {
 	t.Helper()
 	if teams == nil {
@@ -61,7 +61,7 @@
 	return m
 }
 
-// addMachineWithoutImages adds a machine without images.
+// addMachineWithoutImages adds a machine whose image cache is empty.
 func (f *fixture) addMachineWithoutImages(id ids.MachineID, zone ids.Zone) *cluster.Machine {
 	f.t.Helper()
 	m := f.state.EnsureMachine(id)
@@ -69,7 +69,8 @@
 	return m
 }
 
-// addJob adds a job of team red with one task of 1 CPU, unless spec says otherwise.
+// addJob adds a job. Unless spec sets other values, it belongs to team red and has one task with 1
+// CPU.
 func (f *fixture) addJob(id ids.JobID, spec wire.JobSpec) *cluster.Job {
 	f.t.Helper()
 	if spec.Team == "" {
@@ -83,7 +84,7 @@
 	return j
 }
 
-// run adds a job whose tasks have all begun to run on a machine at the start of the term.
+// run adds a job whose tasks have all been running on a machine since the start of the term.
 func (f *fixture) run(id ids.JobID, spec wire.JobSpec, m *cluster.Machine) []*cluster.Assignment {
 	f.t.Helper()
 	j := f.addJob(id, spec)
@@ -96,13 +97,14 @@
 	return j.Assignments()
 }
 
-// planner makes a planner for a job in a new round over all machines.
+// planner returns a planner for a job in a new round with all machines as candidates.
 func (f *fixture) planner(j *cluster.Job) *planner {
 	p := newPlanner(f.policy.newRound(f.state.Machines()), j)
 	return &p
 }
 
-// preempt runs a round for some jobs over all machines, and checks the cluster state.
+// preempt runs a round for the waiting jobs with all machines as candidates, and checks the cluster
+// state.
 func (f *fixture) preempt(waiting ...*cluster.Job) {
 	f.t.Helper()
 	f.policy.Preempt(waiting, f.state.Machines())
@@ -111,8 +113,8 @@
 	}
 }
 
-// fakeScheduler stands in for the other policies. It releases stopped tasks only when they
-// were never sent.
+// fakeScheduler implements Scheduler instead of the other policies. It releases stopped tasks only
+// if they were never sent.
 type fakeScheduler struct {
 	t                *testing.T
 	clock            *clock.Clock
@@ -140,7 +142,7 @@
 func (s *fakeScheduler) Stop(a *cluster.Assignment, why cluster.StopReason) {
 	s.t.Helper()
 	if a.StopReason() != cluster.StopNone {
-		s.t.Errorf("task %d of %s is stopped twice", a.Index, a.Job.ID)
+		s.t.Errorf("Stop called twice for task %d of %s", a.Index, a.Job.ID)
 	}
 	s.stopped = append(s.stopped, a)
 	s.state.Stop(a, why)
--- a/scheduler/preemption/plan.go
+++ b/scheduler/preemption/plan.go
@@ -9,33 +9,31 @@
 
 // The reasons why there is no plan for a task.
 var (
-	// errNoQuota: the team's quota is used up and the job's priority is the lowest.
-	errNoQuota = errors.New("the team has no claim to more quota")
-	// errNothingPreemptible: no work is running that the job may stop to get quota.
-	errNothingPreemptible = errors.New("nothing that runs may be preempted for the job")
-	// errKnownInfeasible: an equal request failed with errNoMachine in this round.
-	errKnownInfeasible = errors.New("an equal request found no machine in this round")
-	// errNoMachine: the task fits on no candidate, whatever is preempted there.
-	errNoMachine = errors.New("no machine fits, whatever is preempted there")
+	// errNoQuota is returned if the team's quota is used up and the job has the lowest priority.
+	errNoQuota = errors.New("plan preemption: team has no quota left and job has the lowest priority")
+	// errNothingPreemptible is returned if no task is running that the job may preempt to get quota.
+	errNothingPreemptible = errors.New("plan preemption: no running task may be preempted for the job")
+	// errKnownInfeasible is returned if an equal request failed with errNoMachine in this round.
+	errKnownInfeasible = errors.New("plan preemption: equal request found no machine in this round")
+	// errNoMachine is returned if the task does not fit on any candidate, whatever is preempted there.
+	errNoMachine = errors.New("plan preemption: task does not fit on any machine, whatever is preempted")
 )
 
-// plan is the machine for one task, and the tasks that stop for it there.
+// plan represents the machine for one task and the tasks that are stopped there for it.
 type plan struct {
-	machine *cluster.Machine // nil: the task does not fit there any more
+	machine *cluster.Machine // nil: the task no longer fits there
 	victims []*cluster.Assignment
 	cost    float64 // in weighted CPU seconds; see evictionCost
 }
 
-// committedPlan is a plan that the round counts.
+// committedPlan represents a plan that is counted in the round.
 type committedPlan struct {
 	plan
-	// freeBefore is what was expected to be free on the machine before the round counted the
-	// plan.
+	// freeBefore is the machine's expected free resources before the plan was committed.
 	freeBefore placement.Resources
 }
 
-// planOn plans for one task on a machine under the claim of the list; ok is false if the task
-// cannot fit there.
+// planOn plans for one task on a machine within plansScope; ok is false if the task cannot fit there.
 func (p *planner) planOn(m *cluster.Machine) (planned plan, ok bool) {
 	if !placement.Allowed(p.job.Spec, m.Site()) || !p.scheduler.MayUse(p.job, m) {
 		return plan{}, false
--- a/scheduler/preemption/plan_totals.go
+++ b/scheduler/preemption/plan_totals.go
@@ -8,18 +8,19 @@
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
 
-// planTotals counts the quota that the plans of a round promise and free, and the tasks that
+// planTotals holds the quota that the plans of a round reserve and free, and the tasks that
 // they stop.
 type planTotals struct {
-	// borrowed is what teams use beyond their nominal quota, less what they will free.
+	// borrowed is the quota that each team uses beyond its nominal quota, less the quota that it
+	// will free.
 	borrowed map[ids.Team]quota.Amount
-	// committed is the quota promised to teams, less what they will free, in addition to
-	// what they use.
+	// committed is the quota that is reserved for each team in addition to what it uses, less the
+	// quota that it will free.
 	committed map[ids.Team]quota.Amount
 	victims   map[*cluster.Assignment]bool
 }
 
-// newPlanTotals starts with what the teams borrow.
+// newPlanTotals returns the totals of a round without plans: the quota that the teams borrow.
 func newPlanTotals(teams []ids.Team, quotas *quota.Tracker) planTotals {
 	l := planTotals{
 		borrowed:  map[ids.Team]quota.Amount{},
@@ -32,7 +33,7 @@
 	return l
 }
 
-// clone copies the ledger.
+// clone returns a copy of the totals.
 func (l *planTotals) clone() planTotals {
 	return planTotals{
 		borrowed:  maps.Clone(l.borrowed),
@@ -41,12 +42,12 @@
 	}
 }
 
-// reserve counts quota that a team will use.
+// reserve adds quota that a team will use.
 func (l *planTotals) reserve(team ids.Team, amount quota.Amount) {
 	l.committed[team] = l.committed[team].Plus(amount)
 }
 
-// free counts quota that a team will free.
+// free subtracts quota that a team will free.
 func (l *planTotals) free(team ids.Team, amount quota.Amount) {
 	l.borrowed[team] = l.borrowed[team].Minus(amount)
 	l.committed[team] = l.committed[team].Minus(amount)
--- a/scheduler/preemption/planner.go
+++ b/scheduler/preemption/planner.go
@@ -13,21 +13,21 @@
 	round     *round
 	scheduler Scheduler
 	job       *cluster.Job
-	// zones counts the job's tasks by zone, including those that are planned.
+	// zones holds the number of the job's tasks in each zone, including planned tasks.
 	zones placement.TasksByZone
-	// plans has a plan for each machine on which the task fits under plansClaim; nil: not
-	// listed yet. Their costs may be out of date: they only rise during a round.
+	// plans holds a plan for each machine on which the task fits within plansScope; nil: not listed
+	// yet. Their costs may be stale. They only rise during a round.
 	plans      []plan
 	plansScope preemptionScope
 }
 
-// newPlanner makes the planner for a job in a round.
+// newPlanner returns the planner for a job in a round.
 func newPlanner(r *round, j *cluster.Job) planner {
 	return planner{round: r, scheduler: r.policy.scheduler, job: j, zones: maps.Clone(j.Zones())}
 }
 
 // planAllTasks plans for all pending tasks of the job. If there is no plan for one of them, it
-// undoes what the round counts for the others.
+// reverts the changes to the round for the others.
 func (p *planner) planAllTasks() ([]committedPlan, error) {
 	saved := p.round.totals.clone()
 	var plans []committedPlan
@@ -43,15 +43,16 @@
 	return plans, nil
 }
 
-// restoreExpectedFree undoes what plans count on their machines, the last plan first.
+// restoreExpectedFree reverts the expected free resources of the plans' machines, starting with the
+// last plan.
 func (p *planner) restoreExpectedFree(plans []committedPlan) {
 	for _, planned := range slices.Backward(plans) {
 		p.round.machineState(planned.machine).ExpectedFree = planned.freeBefore
 	}
 }
 
-// planTask plans for one more pending task of the job, at the least cost, and counts the plan in
-// the round. The error is one of the reasons in plan.go.
+// planTask plans for one more pending task of the job at the lowest cost, and commits the plan. The
+// error is one of the reasons in plan.go.
 func (p *planner) planTask() (committedPlan, error) {
 	scope := p.round.scopeOf(p.job)
 	if scope == scopeNone {
@@ -79,8 +80,8 @@
 	return committed, nil
 }
 
-// allowColdStart lets admission place a latency-sensitive job on machines without its image,
-// when one is planned on such a machine.
+// allowColdStart allows admission to place tasks of a latency-sensitive job on machines without its
+// image if the planned machine lacks the image.
 func (p *planner) allowColdStart(m *cluster.Machine) {
 	j := p.job
 	if j.Queue.AllowColdStart || m.HasImage(j.Spec.Image) || !p.scheduler.LatencySensitive(j) {
@@ -91,10 +92,10 @@
 }
 
 // commit counts a plan in the round: the zone, the quota and the resources that the task
-// will use, and what the victims will free.
+// will use, and the quota and resources that the victims will free.
 func (p *planner) commit(planned plan) {
 	// The job's own counts include only placed tasks. With those alone, two replicas could be
-	// planned in a zone that may take one.
+	// planned in a zone that may only have one.
 	p.zones[planned.machine.Zone()]++
 	state, totals := p.round.machineState(planned.machine), &p.round.totals
 	totals.reserve(p.job.Spec.Team, p.job.Amount())
--- a/scheduler/preemption/planner_test.go
+++ b/scheduler/preemption/planner_test.go
@@ -9,21 +9,21 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// exhaustQuota uses up the quota of team red.
+// exhaustQuota charges team red for as much quota as its limit.
 func exhaustQuota(f *fixture) { f.quotas.Charge("red", quota.Amount{CPUs: 2 * machineCPUs}) }
 
-func TestPlanTaskTellsWhyThereIsNoPlan(t *testing.T) {
+func TestPlanTaskErrors(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		job     wire.JobSpec
 		prepare func(f *fixture)
 		want    error
 	}{
-		{"quota used up", wire.JobSpec{}, exhaustQuota, errNoQuota},
-		{"quota used up and nothing to stop", wire.JobSpec{Priority: wire.High}, exhaustQuota, errNothingPreemptible},
+		{"quota used up, lowest priority", wire.JobSpec{}, exhaustQuota, errNoQuota},
+		{"quota used up, no preemptible task", wire.JobSpec{Priority: wire.High}, exhaustQuota, errNothingPreemptible},
 		{"no machine is large enough", wire.JobSpec{CPUs: machineCPUs + 1}, func(*fixture) {}, errNoMachine},
 		{"no machine may be used", wire.JobSpec{}, func(f *fixture) { f.unusable["m-1"] = true }, errNoMachine},
-		{"only equal work runs", wire.JobSpec{}, func(f *fixture) {
+		{"only tasks of equal priority run", wire.JobSpec{}, func(f *fixture) {
 			f.run("job-0", wire.JobSpec{CPUs: machineCPUs - 0.5}, f.state.Machine("m-1"))
 		}, errNoMachine},
 	} {
@@ -32,14 +32,14 @@
 			f.addMachine("m-1", "a")
 			c.prepare(f)
 			if _, err := f.planner(f.addJob("job-1", c.job)).planTask(); !errors.Is(err, c.want) {
-				t.Errorf("error %v, want %v", err, c.want)
+				t.Errorf("planTask error = %v, want %v", err, c.want)
 			}
 		})
 	}
 }
 
-// A request for which no machine could make room is not tried again in the round.
-func TestInfeasibleRequestIsRemembered(t *testing.T) {
+// A request for which no machine was found is not tried again in the same round.
+func TestPlanTaskSkipsInfeasibleRequest(t *testing.T) {
 	f := newFixture(t)
 	f.addMachine("m-1", "a")
 	f.unusable["m-1"] = true
@@ -48,22 +48,22 @@
 	for _, j := range []*cluster.Job{f.addJob("job-1", wire.JobSpec{}), f.addJob("job-2", wire.JobSpec{})} {
 		p := newPlanner(r, j)
 		if _, err := p.planTask(); !errors.Is(err, want) {
-			t.Errorf("%s: error %v, want %v", j.ID, err, want)
+			t.Errorf("%s: planTask error = %v, want %v", j.ID, err, want)
 		}
 		want = errKnownInfeasible
 	}
 	if r.machinesExamined != 1 {
-		t.Errorf("%d machines examined", r.machinesExamined)
+		t.Errorf("examined %d machines, want 1", r.machinesExamined)
 	}
 }
 
-// addCostlyMachine adds a machine that is full with a task which is costly to stop.
+// addCostlyMachine adds a machine whose capacity is used by a single task that is costly to stop.
 func addCostlyMachine(f *fixture) {
 	f.t.Helper()
 	f.run("job-costly", wire.JobSpec{CPUs: machineCPUs, Priority: wire.High, Service: true}, f.addMachine("m-1", "a"))
 }
 
-func TestPlanTaskPrefersMachineWithRoom(t *testing.T) {
+func TestPlanTaskPrefersMachineWithFreeResources(t *testing.T) {
 	f := newFixture(t)
 	addCostlyMachine(f)
 	f.run("job-cheap", wire.JobSpec{CPUs: machineCPUs}, f.addMachine("m-2", "a"))
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestPlanTaskTakesCheapestVictims(t *testing.T) {
+func TestPlanTaskSelectsCheapestVictims(t *testing.T) {
 	f := newFixture(t)
 	addCostlyMachine(f)
 	cheap := f.addMachine("m-2", "a")
@@ -92,7 +92,8 @@
 	}
 }
 
-// Latency-sensitive work pays for a missing image, and admission is told to do without it.
+// For a latency-sensitive job, a machine without the image costs more, and admission is allowed to
+// use it.
 func TestPlanTaskOnMachineWithoutImage(t *testing.T) {
 	f := newFixture(t)
 	f.latencySensitive = true
@@ -107,12 +108,12 @@
 		t.Errorf("machine %s, cost %v, %d victims", planned.machine.ID, planned.cost, len(planned.victims))
 	}
 	if !j.Queue.AllowColdStart || !f.rounds.Start(startOfTerm) {
-		t.Error("admission is not told to start without the image")
+		t.Error("planTask did not allow a cold start or did not request a scheduling round")
 	}
 }
 
-// Two plans must not count on the same borrowed quota.
-func TestPlanTaskExaminesStalePlanAgain(t *testing.T) {
+// Two plans must not reclaim the same borrowed quota: a listed plan is updated before it is used.
+func TestPlanTaskUpdatesStalePlan(t *testing.T) {
 	f := newFixture(t, quota.Team{Name: "red", Nominal: quota.Amount{CPUs: 2 * machineCPUs}, Limit: quota.Amount{CPUs: 2 * machineCPUs}},
 		quota.Team{Name: "blue", Nominal: quota.Amount{CPUs: machineCPUs}, Limit: quota.Amount{CPUs: 2 * machineCPUs}})
 	f.run("job-a", wire.JobSpec{Team: "blue", CPUs: machineCPUs}, f.addMachine("m-1", "a"))
@@ -122,13 +123,13 @@
 		t.Fatal(err)
 	}
 	if planned, err := p.planTask(); !errors.Is(err, errNoMachine) {
-		t.Errorf("a plan with %d victims, error %v", len(planned.victims), err)
+		t.Errorf("planTask = plan with %d victims, error %v, want %v", len(planned.victims), err, errNoMachine)
 	}
 }
 
-// Two plans must not count on the same room.
-func TestPlanTaskCountsRoomOfEarlierPlans(t *testing.T) {
-	nominal := quota.Amount{CPUs: 2 * machineCPUs} // the claim stays the same
+// Two plans must not use the same free resources.
+func TestPlanTaskCountsResourcesOfEarlierPlans(t *testing.T) {
+	nominal := quota.Amount{CPUs: 2 * machineCPUs} // enough for both tasks, so that the scope does not change
 	f := newFixture(t, quota.Team{Name: "red", Nominal: nominal, Limit: nominal})
 	f.addMachine("m-1", "a")
 	p := f.planner(f.addJob("job-1", wire.JobSpec{Tasks: 2, CPUs: machineCPUs - 1}))
@@ -136,11 +137,11 @@
 		t.Fatal(err)
 	}
 	if planned, err := p.planTask(); !errors.Is(err, errNoMachine) {
-		t.Errorf("a plan of cost %v, error %v", planned.cost, err)
+		t.Errorf("planTask = plan of cost %v, error %v, want %v", planned.cost, err, errNoMachine)
 	}
 }
 
-// Two plans must not count on the same quota.
+// Two plans must not use the same quota.
 func TestPlanTaskCountsQuotaOfEarlierPlans(t *testing.T) {
 	nominal := quota.Amount{CPUs: 1}
 	f := newFixture(t, quota.Team{Name: "red", Nominal: nominal, Limit: nominal})
@@ -150,13 +151,13 @@
 		t.Fatal(err)
 	}
 	if planned, err := p.planTask(); !errors.Is(err, errNoQuota) {
-		t.Errorf("a plan of cost %v, error %v", planned.cost, err)
+		t.Errorf("planTask = plan of cost %v, error %v, want %v", planned.cost, err, errNoQuota)
 	}
 }
 
-// Once a team's nominal quota is used up, its job borrows: plans that a stronger claim
-// allowed are of no use then.
-func TestPlanTaskFollowsWeakerClaim(t *testing.T) {
+// Once a team's nominal quota is used up, its job must borrow. Plans that were listed within the wider
+// scope must not be used then.
+func TestPlanTaskListsPlansAgainForNarrowerScope(t *testing.T) {
 	one, half := quota.Amount{CPUs: machineCPUs}, quota.Amount{CPUs: machineCPUs / 2}
 	f := newFixture(t,
 		quota.Team{Name: "blue", Nominal: one, Limit: one},
@@ -168,11 +169,11 @@
 		t.Fatal(err)
 	}
 	if planned, err := p.planTask(); !errors.Is(err, errNoMachine) {
-		t.Errorf("a borrower stops %d tasks within nominal quota, error %v", len(planned.victims), err)
+		t.Errorf("borrowing job has a plan to stop %d tasks within nominal quota, error %v, want %v", len(planned.victims), err, errNoMachine)
 	}
 }
 
-// A replica that room was planned for counts in its zone.
+// A planned replica counts in the zone of its machine, although it is not placed yet.
 func TestPlanTaskSpreadsReplicas(t *testing.T) {
 	f := newFixture(t)
 	f.addMachine("m-1", "a")
@@ -187,12 +188,13 @@
 		t.Fatal(err)
 	}
 	if first.machine.Zone() == second.machine.Zone() {
-		t.Errorf("both replicas in zone %s", first.machine.Zone())
+		t.Errorf("both replicas are planned in zone %s", first.machine.Zone())
 	}
 }
 
-// A gang for which there is not enough room leaves the round as it found it.
-func TestPlanAllTasksTakesBackPartOfAGang(t *testing.T) {
+// If some tasks of a gang cannot be planned, the round must be as it was before. Otherwise quota and
+// resources remain counted for tasks that are not planned.
+func TestPlanAllTasksRevertsPartOfGang(t *testing.T) {
 	f := newFixture(t)
 	m := f.addMachine("m-1", "a")
 	f.run("job-low", wire.JobSpec{CPUs: 2}, m)
@@ -200,12 +202,12 @@
 	r := p.round
 	free, borrowed := r.machineState(m).ExpectedFree, r.totals.borrowed["red"]
 	if _, err := p.planAllTasks(); err == nil {
-		t.Fatal("room for three tasks on a machine that holds two")
+		t.Fatal("planAllTasks found a plan for three tasks on a machine that fits two")
 	}
 	if r.machineState(m).ExpectedFree != free {
 		t.Errorf("expected free %+v, want %+v", r.machineState(m).ExpectedFree, free)
 	}
 	if len(r.totals.victims) != 0 || len(r.totals.committed) != 0 || r.totals.borrowed["red"] != borrowed {
-		t.Errorf("the ledger keeps %+v", r.totals)
+		t.Errorf("totals after the failed plan = %+v, want those before", r.totals)
 	}
 }
--- a/scheduler/preemption/preemption.go
+++ b/scheduler/preemption/preemption.go
@@ -1,21 +1,21 @@
 // Package preemption frees resources for waiting jobs that are entitled to them, by stopping
-// tasks that run.
+// running tasks.
 //
 // The scheduler calls Policy.Preempt once in each round, after admission, for the jobs that
-// still wait. For each waiting task a planner looks for the machine on which preemption costs
-// least (planner.go, cheapest_plan.go). What a machine offers (plan.go) depends on the claim by
-// which the job may preempt (claim.go), the tasks that would have to stop (victims.go), and the
-// cost of that (cost.go). The result is a plan with the machine,
-// the victims and the cost, or an error that says why there is none. The policy then stops
-// the victims. The round (round.go, ledger.go) counts the quota and the resources that its
-// plans use, so that no two of them use the same.
+// still wait. For each waiting task a planner searches for the machine with the lowest preemption
+// cost (planner.go, cheapest_plan.go). The plan for a machine (plan.go) depends on the scope within
+// which the job may preempt (scope.go), the tasks that would have to stop (victims.go), and the cost
+// of stopping them (cost.go). The result is a plan with the machine, the victims and the cost, or an
+// error with the reason why there is none. The policy then stops the victims. The round (round.go,
+// plan_totals.go) counts the quota and the resources that its plans use, so that no two plans use
+// the same.
 //
-// The policy stops no more than the waiting work needs. Tasks that are stopping already count
-// as free. It must never place a task: admission uses the freed resources in a later round. It
-// must never stop a protected task, nor let a borrowing team stop work within another's nominal
-// quota.
+// The policy stops no more tasks than the waiting jobs need. The resources and quota of tasks that
+// are already stopping count as free. The policy must never place a task: admission uses the freed
+// resources in a later round. It must never stop a protected task, nor let a borrowing team stop
+// tasks within another team's nominal quota.
 //
-// All types belong to the goroutine that runs the scheduler.
+// The types aren't safe for concurrent use. They belong to the goroutine that runs the scheduler.
 package preemption
 
 import (
@@ -28,38 +28,37 @@
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
 
-// evictionBackoff is how long the job of a victim stays out of admission, so that the
+// evictionBackoff is the interval for which the job of a victim is not admitted, so that the
 // freed resources go to the preemptor.
 const evictionBackoff = 500 * time.Millisecond
 
-// Settings are the settings of preemption.
+// Settings holds the settings of preemption.
 type Settings struct {
-	// LendingSuspension is how long a team lends none of its quota after it has preempted a
-	// task of another team.
+	// LendingSuspension is the interval for which a team does not lend its quota after it has
+	// preempted a task of another team.
 	LendingSuspension time.Duration
 }
 
-// RequestClass identifies waiting tasks that the same machines can take. Classes are
-// comparable. Of tasks with equal classes, all can be placed or none.
+// RequestClass identifies waiting tasks that fit on the same machines. Classes are comparable. Of
+// tasks with equal classes, either all can be placed or none.
 type RequestClass any
 
-// Scheduler is what preemption asks of the scheduler that it is a part of.
+// Scheduler is the interface to the other policies of the scheduler.
 type Scheduler interface {
-	// LatencySensitive tells whether a job must start sooner than a machine boots.
+	// LatencySensitive reports whether a job must start in less time than a machine takes to boot.
 	LatencySensitive(j *cluster.Job) bool
-	// Probing tells whether a job may place only one task at a time, as it has failed
-	// everywhere. Nothing is preempted for it.
+	// Probing reports whether only one task of a job may be placed at a time, because the job has
+	// failed everywhere. No task is preempted for such a job.
 	Probing(j *cluster.Job) bool
-	// MayUse tells whether the next pending task of a job could go to a machine with
-	// enough free resources, as far as other policies are concerned. The job must have a pending
-	// task.
+	// MayUse reports whether the other policies allow the next pending task of a job on a machine,
+	// provided that the machine has enough free resources. The job must have a pending task.
 	MayUse(j *cluster.Job, m *cluster.Machine) bool
-	// RequestClass classifies the next task of a job whose other tasks are in the given
+	// RequestClass returns the class of the next task of a job whose other tasks are in the given
 	// zones; ok is false if the result may differ from that for an equal job.
 	RequestClass(j *cluster.Job, zones placement.TasksByZone) (class RequestClass, ok bool)
-	// RunTime is how long a task has been in its phase, less the pauses of this process.
+	// RunTime returns the time that a task has been in its phase, less the pauses of this process.
 	RunTime(a *cluster.Assignment) time.Duration
-	// Stop stops a task. One that never started is released at once.
+	// Stop stops a task. A task that never started is released immediately.
 	Stop(a *cluster.Assignment, why cluster.StopReason)
 }
 
@@ -72,11 +71,12 @@
 	quotas    *quota.Tracker
 	teams     []ids.Team
 	scheduler Scheduler
-	// roundNumber tells which notes on machines are of the present round.
+	// roundNumber identifies the current round. The state that earlier rounds kept for a machine is
+	// stale.
 	roundNumber uint64
 }
 
-// New makes the policy of one term of leadership.
+// New returns the policy for one term of leadership.
 func New(settings Settings, state *cluster.State, now *clock.Clock, rounds *clock.RoundTrigger, quotas *quota.Tracker, scheduler Scheduler) *Policy {
 	return &Policy{
 		settings:  settings,
@@ -89,10 +89,10 @@
 	}
 }
 
-// Preempt stops tasks for waiting jobs, in the given order: tasks of lower priority for jobs
-// of higher, and tasks on borrowed quota for a team below its nominal quota. Candidates are
-// the machines that take tasks. It returns how many machines it has examined, which measures
-// its work without a clock.
+// Preempt stops tasks for waiting jobs, in the given order: tasks of lower priority for jobs of
+// higher priority, and tasks on borrowed quota for a team below its nominal quota. Candidates are
+// the machines that accept tasks. It returns the number of machines that it has examined, which
+// measures its work without a clock.
 func (p *Policy) Preempt(waiting []*cluster.Job, candidates []*cluster.Machine) (machinesExamined uint64) {
 	r := p.newRound(candidates)
 	for _, j := range waiting {
@@ -108,8 +108,8 @@
 	return r.machinesExamined
 }
 
-// preemptForEachTask frees resources for as many of a job's pending tasks as possible. Victims
-// stop before the next task is planned for, as it may use the quota that they free.
+// preemptForEachTask frees resources for as many of a job's pending tasks as possible. The victims of
+// a task are stopped before the next task is planned, because it may use the quota that they free.
 func (p *Policy) preemptForEachTask(r *round, j *cluster.Job) {
 	planner := newPlanner(r, j)
 	for range j.Pending() {
@@ -121,7 +121,7 @@
 	}
 }
 
-// preemptForAllTasks frees resources for all pending tasks of a job, or for none.
+// preemptForAllTasks frees resources for either all pending tasks of a job or none.
 func (p *Policy) preemptForAllTasks(r *round, j *cluster.Job) {
 	planner := newPlanner(r, j)
 	plans, err := planner.planAllTasks()
--- a/scheduler/preemption/preemption_test.go
+++ b/scheduler/preemption/preemption_test.go
@@ -18,11 +18,11 @@
 		want  int
 	}{
 		{"one task", 1, 1, false, 1},
-		{"a task that needs the room of three", 1, 3, false, 3},
-		{"an array", 2, 1, false, 2},
-		{"an array that finds room in part", 3, 4, false, 8},
-		{"a gang", 2, 2, true, 4},
-		{"a gang that finds no room", 3, 4, true, 0},
+		{"task that needs the resources of three", 1, 3, false, 3},
+		{"array", 2, 1, false, 2},
+		{"array of which only a part fits", 3, 4, false, 8},
+		{"gang", 2, 2, true, 4},
+		{"gang that does not fit", 3, 4, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -35,8 +35,9 @@
 	}
 }
 
-// Tasks that are stopping already leave room for waiting work in later rounds.
-func TestPreemptCountsRoomThatIsLeaving(t *testing.T) {
+// The resources of tasks that are already stopping count as free in later rounds. Otherwise each round
+// would stop more tasks for the same waiting job.
+func TestPreemptCountsResourcesOfStoppingTasks(t *testing.T) {
 	f := newFixture(t)
 	f.run("job-low", wire.JobSpec{Tasks: machineCPUs}, f.addMachine("m-1", "a"))
 	j := f.addJob("job-1", wire.JobSpec{Team: "blue", Priority: wire.High})
@@ -47,8 +48,9 @@
 	}
 }
 
-// Tasks that are stopping already free quota for waiting work in later rounds.
-func TestPreemptCountsQuotaThatIsLeaving(t *testing.T) {
+// The quota of tasks that are already stopping counts as free in later rounds. Otherwise each round
+// would stop more tasks for the same waiting job.
+func TestPreemptCountsQuotaOfStoppingTasks(t *testing.T) {
 	limit := quota.Amount{CPUs: machineCPUs}
 	f := newFixture(t, quota.Team{Name: "red", Nominal: limit, Limit: limit})
 	f.run("job-low", wire.JobSpec{Tasks: machineCPUs}, f.addMachine("m-1", "a"))
@@ -60,8 +62,8 @@
 	}
 }
 
-// A team at its limit gets no more quota, so its lower work must free what the job takes even
-// where machines have room.
+// A team at its limit gets no more quota. Its tasks of lower priority must therefore free the quota
+// that the job needs, even if machines have free resources.
 func TestPreemptFreesQuotaOfTeamAtItsLimit(t *testing.T) {
 	limit := quota.Amount{CPUs: machineCPUs}
 	f := newFixture(t, quota.Team{Name: "red", Nominal: limit, Limit: limit})
@@ -80,28 +82,28 @@
 	f.run("job-low", wire.JobSpec{Tasks: machineCPUs}, f.addMachine("m-1", "a"))
 	f.preempt(f.addJob("job-1", wire.JobSpec{Team: "blue", Priority: wire.High}))
 	if len(f.stopped) != 0 {
-		t.Errorf("%d tasks stopped for a job that probes", len(f.stopped))
+		t.Errorf("%d tasks stopped for a probing job, want 0", len(f.stopped))
 	}
 }
 
-func TestPreemptKeepsVictimsOutOfAdmission(t *testing.T) {
+func TestPreemptDelaysAdmissionOfVictims(t *testing.T) {
 	f := newFixture(t)
 	victim := f.run("job-low", wire.JobSpec{CPUs: machineCPUs}, f.addMachine("m-1", "a"))[0]
 	f.preempt(f.addJob("job-1", wire.JobSpec{Priority: wire.High}))
 	if victim.StopReason() != cluster.StopPreempted {
-		t.Fatal("nothing was preempted")
+		t.Fatal("the task was not preempted")
 	}
 	if got, want := victim.Job.Queue.RetryAt, startOfTerm.Add(evictionBackoff); got != want {
-		t.Errorf("the victim may be admitted at %v, want %v", got, want)
+		t.Errorf("RetryAt of the victim's job = %v, want %v", got, want)
 	}
 }
 
-// A team that takes room from another lends none of its quota for a while. A team that takes
-// it from its own work lends as before.
+// A team that preempts a task of another team does not lend its quota for a limited time. A team that
+// preempts its own task continues to lend.
 func TestPreemptSuspendsLending(t *testing.T) {
 	one, all := quota.Amount{CPUs: machineCPUs}, quota.Amount{CPUs: 2 * machineCPUs}
 	teams := []quota.Team{
-		{Name: "blue", Nominal: all, Limit: all, LendingLimit: all}, // the only one that lends
+		{Name: "blue", Nominal: all, Limit: all, LendingLimit: all}, // the only team that lends
 		{Name: "green", Limit: one},
 		{Name: "red", Nominal: one, Limit: one},
 	}
@@ -110,21 +112,21 @@
 		victim ids.Team
 		lends  bool
 	}{
-		{"from its own team", "blue", true},
-		{"from another team", "red", false},
+		{"victim of the same team", "blue", true},
+		{"victim of another team", "red", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t, teams...)
 			f.run("job-low", wire.JobSpec{Team: c.victim, CPUs: machineCPUs}, f.addMachine("m-1", "a"))
 			f.preempt(f.addJob("job-1", wire.JobSpec{Team: "blue", Priority: wire.High}))
 			if len(f.stopped) != 1 {
-				t.Fatalf("%d tasks stopped", len(f.stopped))
+				t.Fatalf("%d tasks stopped, want 1", len(f.stopped))
 			}
 			if got := f.quotas.FitsBorrowing("green", quota.Amount{CPUs: 1}, startOfTerm); got != c.lends {
-				t.Errorf("blue lends: %v", got)
+				t.Errorf("blue lends = %v, want %v", got, c.lends)
 			}
 			if !f.quotas.FitsBorrowing("green", quota.Amount{CPUs: 1}, startOfTerm.Add(lendingSuspension)) {
-				t.Error("blue does not lend after the suspension")
+				t.Error("blue does not lend after its lending suspension")
 			}
 		})
 	}
--- a/scheduler/preemption/round.go
+++ b/scheduler/preemption/round.go
@@ -9,27 +9,27 @@
 	"ospreystile.example/ospreystile/scheduler/placement"
 )
 
-// round is the state of one round of preemption, for all waiting jobs.
+// round holds the state of one round of preemption for all waiting jobs.
 type round struct {
 	policy     *Policy
 	candidates []*cluster.Machine
 	totals     planTotals
-	// workloads are those with tasks that were not stopping when the round began.
+	// workloads holds the workloads with tasks that were not stopping when the round began.
 	workloads []cluster.Workload
-	// infeasible holds the requests for which no machine was found. Resources and
-	// quota only shrink during a round, so an equal request is not tried again.
+	// infeasible holds the requests for which no machine was found. Free resources and quota only
+	// shrink during a round, so an equal request is not tried again.
 	infeasible       map[infeasibleRequest]bool
 	machinesExamined uint64
 }
 
-// infeasibleRequest is all that decides whether there is a plan for a task.
+// infeasibleRequest holds everything that decides whether there is a plan for a task.
 type infeasibleRequest struct {
 	class RequestClass
 	team  ids.Team
 	scope preemptionScope
 }
 
-// newRound begins a round. Tasks that are being stopped count as free quota.
+// newRound returns a new round. The quota of tasks that are already stopping counts as free.
 func (p *Policy) newRound(candidates []*cluster.Machine) *round {
 	p.roundNumber++
 	r := &round{
@@ -51,7 +51,7 @@
 	return r
 }
 
-// machineState returns the machineState on a machine, renewed when they are of an earlier round.
+// machineState returns the preemption state of a machine, reset if it belongs to an earlier round.
 func (r *round) machineState(m *cluster.Machine) *cluster.MachinePreemption {
 	state := &m.Preemption
 	if state.Round != r.policy.roundNumber {
@@ -60,7 +60,7 @@
 	return state
 }
 
-// freeOnceStopped is what is free on a machine when all stopping tasks have ended.
+// freeOnceStopped returns the resources that are free on a machine once all stopping tasks have ended.
 func freeOnceStopped(m *cluster.Machine) placement.Resources {
 	free := m.Free()
 	for _, a := range m.Assignments() {
--- a/scheduler/preemption/scope.go
+++ b/scheduler/preemption/scope.go
@@ -6,17 +6,22 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// preemptionScope is the right by which a task may preempt others.
+// preemptionScope represents which tasks a job may preempt, depending on its team's quota.
 type preemptionScope uint8
 
 const (
-	scopeNone      preemptionScope = iota
-	scopeOwnTeam                   // its team is at its limit: only lower work of the team may stop
-	scopeBorrowing                 // lower work of the team, and lower work of teams that borrow
-	scopeNominal                   // all lower work, and all that other teams borrow
+	scopeNone preemptionScope = iota
+	// scopeOwnTeam allows only lower-priority tasks of the same team, which is at its limit.
+	scopeOwnTeam
+	// scopeBorrowing allows lower-priority tasks of the same team, and lower-priority tasks on quota
+	// that other teams borrow.
+	scopeBorrowing
+	// scopeNominal allows all lower-priority tasks, and tasks of any priority on quota that other
+	// teams borrow.
+	scopeNominal
 )
 
-// scopeOf is the strongest claim that a job's team has for one more task.
+// scopeOf returns the widest scope that the quota of a job's team allows for one more task.
 func (r *round) scopeOf(j *cluster.Job) preemptionScope {
 	team, quotas := j.Spec.Team, r.policy.quotas
 	more := r.totals.committed[team].Plus(j.Amount())
@@ -31,17 +36,17 @@
 	return scopeNone
 }
 
-// mayPreempt tells whether a job with a claim may stop a workload, whatever quota the
-// workload's team uses.
+// mayPreempt reports whether a job may preempt a workload within a scope, regardless of how much
+// quota the workload's team uses.
 func mayPreempt(j *cluster.Job, scope preemptionScope, victim cluster.Workload) bool {
 	lower := victim.Priority < j.Priority()
 	return lower && (victim.Team == j.Spec.Team || scope == scopeNominal)
 }
 
-// mayReclaim tells whether a job with a claim may stop a workload as far as the workload's
-// team uses more than its nominal quota. Admission lets jobs within nominal quota go before
-// borrowers of any priority. If a borrower could stop them for its priority, the two would
-// preempt each other forever.
+// mayReclaim reports whether a job may preempt a workload within a scope to the extent that the
+// workload's team uses more than its nominal quota. Admission prefers jobs within nominal quota over
+// borrowing jobs of any priority. If a borrowing job could preempt them because of its priority, the
+// two would preempt each other indefinitely.
 func mayReclaim(j *cluster.Job, scope preemptionScope, victim cluster.Workload) bool {
 	if victim.Team == j.Spec.Team {
 		return false
@@ -49,7 +54,7 @@
 	return scope == scopeNominal || scope == scopeBorrowing && victim.Priority < j.Priority()
 }
 
-// anyPreemptible tells whether a claim allows a job to stop any of the work that runs.
+// anyPreemptible reports whether a job may preempt any of the running workloads within a scope.
 func (r *round) anyPreemptible(j *cluster.Job, scope preemptionScope) bool {
 	for _, w := range r.workloads {
 		if mayPreempt(j, scope, w) {
--- a/scheduler/preemption/scope_test.go
+++ b/scheduler/preemption/scope_test.go
@@ -9,8 +9,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A job may preempt exactly the work that is admitted after it.
-func TestMayPreempt(t *testing.T) {
+// A job may preempt exactly those tasks that are admitted after its own.
+func TestMayPreemptAndReclaim(t *testing.T) {
 	j := newFixture(t).addJob("job-1", wire.JobSpec{Team: "red", Priority: wire.High})
 	for _, c := range []struct {
 		name             string
@@ -19,28 +19,28 @@
 		priority         wire.Priority
 		preempt, reclaim bool
 	}{
-		{"own lower work, at the team's limit", scopeOwnTeam, "red", wire.Normal, true, false},
-		{"own equal work", scopeNominal, "red", wire.High, false, false},
-		{"others' work, at the team's limit", scopeOwnTeam, "blue", wire.Normal, false, false},
-		{"others' lower work, borrowing", scopeBorrowing, "blue", wire.Normal, false, true},
-		{"others' equal work, borrowing", scopeBorrowing, "blue", wire.High, false, false},
-		{"others' lower work, within nominal quota", scopeNominal, "blue", wire.Normal, true, true},
-		{"others' higher work, within nominal quota", scopeNominal, "blue", wire.Critical, false, true},
+		{"at the limit, same team, lower priority", scopeOwnTeam, "red", wire.Normal, true, false},
+		{"within nominal quota, same team, equal priority", scopeNominal, "red", wire.High, false, false},
+		{"at the limit, other team, lower priority", scopeOwnTeam, "blue", wire.Normal, false, false},
+		{"borrowing, other team, lower priority", scopeBorrowing, "blue", wire.Normal, false, true},
+		{"borrowing, other team, equal priority", scopeBorrowing, "blue", wire.High, false, false},
+		{"within nominal quota, other team, lower priority", scopeNominal, "blue", wire.Normal, true, true},
+		{"within nominal quota, other team, higher priority", scopeNominal, "blue", wire.Critical, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			victim := cluster.Workload{Team: c.team, Priority: c.priority}
 			preempt, reclaim := mayPreempt(j, c.scope, victim), mayReclaim(j, c.scope, victim)
 			if preempt != c.preempt || reclaim != c.reclaim {
-				t.Errorf("freely %v, as a borrower %v", preempt, reclaim)
+				t.Errorf("mayPreempt = %v, mayReclaim = %v, want %v and %v", preempt, reclaim, c.preempt, c.reclaim)
 			}
 		})
 	}
 }
 
-func TestClaimOf(t *testing.T) {
+func TestScopeOf(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		used float64 // CPUs of team red, of its nominal quota and its limit
+		used float64 // CPUs that team red already uses
 		job  wire.JobSpec
 		want preemptionScope
 	}{
@@ -54,18 +54,19 @@
 			f.quotas.Charge("red", quota.Amount{CPUs: c.used})
 			j := f.addJob("job-1", c.job)
 			if got := f.policy.newRound(nil).scopeOf(j); got != c.want {
-				t.Errorf("claim %d, want %d", got, c.want)
+				t.Errorf("scopeOf = %d, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// A job that admission put behind higher work of its team has no claim to nominal quota.
-func TestDeferredJobBorrows(t *testing.T) {
+// A job that may only borrow, because a job of its team with a higher priority must borrow, has the
+// borrowing scope even if its team's nominal quota is not used up.
+func TestScopeOfBorrowOnlyJob(t *testing.T) {
 	f := newFixture(t)
 	j := f.addJob("job-1", wire.JobSpec{})
 	j.Queue.BorrowOnly = true
 	if got := f.policy.newRound(nil).scopeOf(j); got != scopeBorrowing {
-		t.Errorf("claim %d, want %d", got, scopeBorrowing)
+		t.Errorf("scopeOf = %d, want %d", got, scopeBorrowing)
 	}
 }
--- a/scheduler/preemption/victims.go
+++ b/scheduler/preemption/victims.go
@@ -10,23 +10,23 @@
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
 
-// victimSelection collects the tasks on one machine that would stop for a task of a job.
+// victimSelection holds the tasks on one machine that would be stopped for a task of a job.
 type victimSelection struct {
 	round   *round
 	job     *cluster.Job
 	scope   preemptionScope
 	victims []*cluster.Assignment
 	cost    float64
-	// free is what is free on the machine once the victims have ended, and missingQuota what
-	// more victims must free of the team's quota.
+	// free is the resources that are free on the machine once the victims have ended, and
+	// missingQuota the quota of the team that further victims must free.
 	free         placement.Resources
 	missingQuota quota.Amount
-	// reclaimed is what the victims free of the quota that their teams borrow.
+	// reclaimed is the borrowed quota of each team that the victims free.
 	reclaimed map[ids.Team]quota.Amount
 }
 
-// selectVictims selects the tasks on a machine that are cheapest to stop for a task of a
-// job; ok is false if all that may stop do not free enough.
+// selectVictims selects the tasks on a machine that are cheapest to stop for a task of a job; ok is
+// false if stopping all tasks that may be preempted does not free enough.
 func (r *round) selectVictims(j *cluster.Job, scope preemptionScope, m *cluster.Machine) (s victimSelection, ok bool) {
 	s = victimSelection{round: r, job: j, scope: scope, free: r.machineState(m).ExpectedFree}
 	if scope == scopeOwnTeam {
@@ -43,8 +43,8 @@
 	return victimSelection{}, false
 }
 
-// victimsByCost lists the tasks on a machine that are not stopping and not protected, the
-// cheapest first. The list is made once in a round.
+// victimsByCost returns the tasks on a machine that are neither stopping nor protected, in order of
+// ascending cost. The list is computed once in a round.
 func (r *round) victimsByCost(m *cluster.Machine) []cluster.Victim {
 	state := r.machineState(m)
 	if state.Victims != nil {
@@ -61,11 +61,11 @@
 	return state.Victims
 }
 
-// tryAdd adds a task to the victims if the claim allows to stop it.
+// tryAdd adds a task to the victims if the scope allows preempting it, and reports whether it did.
 func (s *victimSelection) tryAdd(v cluster.Victim) bool {
 	a := v.Assignment
 	if s.round.totals.victims[a] || a.StopReason() != cluster.StopNone {
-		return false // it stops already
+		return false // already stopping
 	}
 	workload := cluster.Workload{Team: a.Job.Spec.Team, Priority: a.Job.Priority()}
 	if !mayPreempt(s.job, s.scope, workload) {
@@ -80,7 +80,8 @@
 	return true
 }
 
-// reclaim counts quota as taken back from a team, if the team still borrows as much.
+// reclaim counts quota as reclaimed from a team if the team still borrows at least as much, and
+// reports whether it does.
 func (s *victimSelection) reclaim(team ids.Team, amount quota.Amount) bool {
 	reclaimed := s.reclaimed[team].Plus(amount)
 	if !reclaimed.FitsIn(s.round.totals.borrowed[team]) {
@@ -93,7 +94,7 @@
 	return true
 }
 
-// sufficient tells whether the victims free enough for the task.
+// sufficient reports whether the victims free enough resources and quota for the task.
 func (s *victimSelection) sufficient() bool {
 	return placement.TaskResources(s.job.Spec).FitsIn(s.free) && s.missingQuota.FitsIn(quota.Amount{})
 }
