--- a/scheduler/clock/clock_test.go
+++ b/scheduler/clock/clock_test.go
@@ -25,7 +25,7 @@
 			c.Advance(start) // the first step sets ResumedAt and is not counted as a pause
 			c.Advance(start.Add(test.gap))
 			if c.TotalPause() != test.wantPause || c.ResumedAt() != test.wantResumed {
-				t.Errorf("TotalPause = %v, ResumedAt = %v, want %v and %v", c.TotalPause(), c.ResumedAt(), test.wantPause, test.wantResumed)
+				t.Errorf("TotalPause = %v, ResumedAt = %v", c.TotalPause(), c.ResumedAt())
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 			r := &RoundTrigger{}
 			test.prepare(r)
 			if got := r.Start(start); got != test.want {
-				t.Errorf("Start = %v, want %v", got, test.want)
+				t.Errorf("Start = %v", got)
 			}
 			if test.want && r.Start(start) {
 				t.Error("Start reports a second round for the same request")
--- a/scheduler/cluster/cluster_test.go
+++ b/scheduler/cluster/cluster_test.go
@@ -76,7 +76,6 @@
 	m := s.EnsureMachine("m-0")
 	s.RemoveMachine(m)
 	if s.Machine("m-0") != nil || !s.WasRemoved("m-0") || s.WasRemoved("m-1") {
-		t.Errorf("machine m-0 = %v; WasRemoved = %v for m-0, %v for m-1; want only m-0 removed",
-			s.Machine("m-0"), s.WasRemoved("m-0"), s.WasRemoved("m-1"))
+		t.Error("m-0 is not removed, or WasRemoved is not true for m-0 alone")
 	}
 }
--- a/scheduler/cluster/invariants.go
+++ b/scheduler/cluster/invariants.go
@@ -76,7 +76,7 @@
 		}
 	}
 	if unmatched != 0 {
-		return fmt.Errorf("%d entries of the pending list %v are not pending tasks", unmatched, j.pending)
+		return fmt.Errorf("pending list %v has %d entries that are not pending tasks", j.pending, unmatched)
 	}
 	return nil
 }
@@ -175,7 +175,7 @@
 	case !resourcesAgree(unrecorded, m.unrecorded):
 		return fmt.Errorf("unrecorded tasks use %+v, but the stored sum is %+v", unrecorded, m.unrecorded)
 	case !resourcesAgree(m.total.Minus(used).Minus(unrecorded), m.Free()):
-		return fmt.Errorf("free resources are %+v, with %+v of %+v in use", m.Free(), used.Plus(unrecorded), m.total)
+		return fmt.Errorf("free resources are %+v, but the capacity is %+v with %+v in use", m.Free(), m.total, used.Plus(unrecorded))
 	}
 	return nil
 }
--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -103,10 +103,10 @@
 
 // MachineRequests returns the requests in the order of their sites.
 func (p *Planner) MachineRequests() []MachineRequest {
-	var requests []MachineRequest
+	var machineRequests []MachineRequest
 	for s, n := range p.requests {
-		requests = append(requests, MachineRequest{s, n})
+		machineRequests = append(machineRequests, MachineRequest{s, n})
 	}
-	slices.SortFunc(requests, func(a, b MachineRequest) int { return a.Site.Compare(b.Site) })
-	return requests
+	slices.SortFunc(machineRequests, func(a, b MachineRequest) int { return a.Site.Compare(b.Site) })
+	return machineRequests
 }
--- a/scheduler/placement/score.go
+++ b/scheduler/placement/score.go
@@ -14,7 +14,7 @@
 	LatencySensitive bool    // the job's tasks must start within seconds
 	SpotRisk         float64 // probability that a spot instance is reclaimed while the task runs
 	Suspect          bool    // tasks failed on the machine, or it runs them slowly
-	PreferredZone    bool    // the task is a replica that was stopped to be moved to this zone
+	InPreferredZone  bool    // the task is a replica that was stopped to be moved to this zone
 	ZoneUnproven     bool    // the zone had an outage and its recovery is not proven yet
 }
 
@@ -70,7 +70,7 @@
 	if c.Suspect {
 		score -= suspectPenalty
 	}
-	if c.PreferredZone {
+	if c.InPreferredZone {
 		score += preferredZoneBonus
 	}
 	if s.Service {
--- a/scheduler/preemption/cost_test.go
+++ b/scheduler/preemption/cost_test.go
@@ -68,7 +68,7 @@
 			a.Protected, a.Run.Phase = c.protected, c.phase
 			f.clock.Set(startOfTerm.Add(c.ran))
 			if got := f.policy.protected(a); got != c.want {
-				t.Errorf("protected = %v, want %v", got, c.want)
+				t.Errorf("protected = %v", got)
 			}
 		})
 	}
--- a/scheduler/preemption/planner.go
+++ b/scheduler/preemption/planner.go
@@ -73,11 +73,11 @@
 		}
 		return committedPlan{}, errNoMachine
 	}
-	committed := committedPlan{plan: *cheapest, freeBefore: p.round.machineState(cheapest.machine).ExpectedFree}
-	p.allowColdStart(committed.machine)
-	p.commit(committed.plan)
+	planned := committedPlan{plan: *cheapest, freeBefore: p.round.machineState(cheapest.machine).ExpectedFree}
+	p.allowColdStart(planned.machine)
+	p.commit(planned.plan)
 	p.update(cheapest)
-	return committed, nil
+	return planned, nil
 }
 
 // allowColdStart allows admission to place tasks of a latency-sensitive job on machines without its
@@ -97,12 +97,12 @@
 	// The job's own counts include only placed tasks. With those alone, two replicas could be
 	// planned in a zone that may only have one.
 	p.zones[planned.machine.Zone()]++
-	state, totals := p.round.machineState(planned.machine), &p.round.totals
+	machineState, totals := p.round.machineState(planned.machine), &p.round.totals
 	totals.reserve(p.job.Spec.Team, p.job.Amount())
 	for _, a := range planned.victims {
 		totals.victims[a] = true
 		totals.free(a.Job.Spec.Team, a.Job.Amount())
-		state.ExpectedFree = state.ExpectedFree.Plus(placement.TaskResources(a.Job.Spec))
+		machineState.ExpectedFree = machineState.ExpectedFree.Plus(placement.TaskResources(a.Job.Spec))
 	}
-	state.ExpectedFree = state.ExpectedFree.Minus(placement.TaskResources(p.job.Spec))
+	machineState.ExpectedFree = machineState.ExpectedFree.Minus(placement.TaskResources(p.job.Spec))
 }
--- a/scheduler/preemption/planner_test.go
+++ b/scheduler/preemption/planner_test.go
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	if planned, err := p.planTask(); !errors.Is(err, errNoMachine) {
-		t.Errorf("planTask = plan with %d victims, error %v, want %v", len(planned.victims), err, errNoMachine)
+		t.Errorf("planTask = plan with %d victims, error %v, want errNoMachine", len(planned.victims), err)
 	}
 }
 
@@ -137,7 +137,7 @@
 		t.Fatal(err)
 	}
 	if planned, err := p.planTask(); !errors.Is(err, errNoMachine) {
-		t.Errorf("planTask = plan of cost %v, error %v, want %v", planned.cost, err, errNoMachine)
+		t.Errorf("planTask = plan of cost %v, error %v, want errNoMachine", planned.cost, err)
 	}
 }
 
@@ -151,7 +151,7 @@
 		t.Fatal(err)
 	}
 	if planned, err := p.planTask(); !errors.Is(err, errNoQuota) {
-		t.Errorf("planTask = plan of cost %v, error %v, want %v", planned.cost, err, errNoQuota)
+		t.Errorf("planTask = plan of cost %v, error %v, want errNoQuota", planned.cost, err)
 	}
 }
 
@@ -169,7 +169,7 @@
 		t.Fatal(err)
 	}
 	if planned, err := p.planTask(); !errors.Is(err, errNoMachine) {
-		t.Errorf("borrowing job has a plan to stop %d tasks within nominal quota, error %v, want %v", len(planned.victims), err, errNoMachine)
+		t.Errorf("borrowing job has a plan to stop %d tasks within nominal quota, error %v, want errNoMachine", len(planned.victims), err)
 	}
 }
 
--- a/scheduler/preemption/preemption_test.go
+++ b/scheduler/preemption/preemption_test.go
@@ -123,7 +123,7 @@
 				t.Fatalf("%d tasks stopped, want 1", len(f.stopped))
 			}
 			if got := f.quotas.FitsBorrowing("green", quota.Amount{CPUs: 1}, startOfTerm); got != c.lends {
-				t.Errorf("blue lends = %v, want %v", got, c.lends)
+				t.Errorf("blue lends = %v", got)
 			}
 			if !f.quotas.FitsBorrowing("green", quota.Amount{CPUs: 1}, startOfTerm.Add(lendingSuspension)) {
 				t.Error("blue does not lend after its lending suspension")
--- a/scheduler/preemption/round.go
+++ b/scheduler/preemption/round.go
@@ -53,11 +53,11 @@
 
 // machineState returns the preemption state of a machine, reset if it belongs to an earlier round.
 func (r *round) machineState(m *cluster.Machine) *cluster.MachinePreemption {
-	state := &m.Preemption
-	if state.Round != r.policy.roundNumber {
-		*state = cluster.MachinePreemption{Round: r.policy.roundNumber, ExpectedFree: freeOnceStopped(m)}
+	machineState := &m.Preemption
+	if machineState.Round != r.policy.roundNumber {
+		*machineState = cluster.MachinePreemption{Round: r.policy.roundNumber, ExpectedFree: freeOnceStopped(m)}
 	}
-	return state
+	return machineState
 }
 
 // freeOnceStopped returns the resources that are free on a machine once all stopping tasks have ended.
--- a/scheduler/preemption/scope_test.go
+++ b/scheduler/preemption/scope_test.go
@@ -31,7 +31,7 @@
 			victim := cluster.Workload{Team: c.team, Priority: c.priority}
 			preempt, reclaim := mayPreempt(j, c.scope, victim), mayReclaim(j, c.scope, victim)
 			if preempt != c.preempt || reclaim != c.reclaim {
-				t.Errorf("mayPreempt = %v, mayReclaim = %v, want %v and %v", preempt, reclaim, c.preempt, c.reclaim)
+				t.Errorf("mayPreempt = %v, mayReclaim = %v", preempt, reclaim)
 			}
 		})
 	}
--- a/scheduler/preemption/victims.go
+++ b/scheduler/preemption/victims.go
@@ -46,19 +46,19 @@
 // victimsByCost returns the tasks on a machine that are neither stopping nor protected, in order of
 // ascending cost. The list is computed once in a round.
 func (r *round) victimsByCost(m *cluster.Machine) []cluster.Victim {
-	state := r.machineState(m)
-	if state.Victims != nil {
-		return state.Victims
+	machineState := r.machineState(m)
+	if machineState.Victims != nil {
+		return machineState.Victims
 	}
-	state.Victims = make([]cluster.Victim, 0, len(m.Assignments()))
+	machineState.Victims = make([]cluster.Victim, 0, len(m.Assignments()))
 	for _, a := range m.Assignments() {
 		if a.StopReason() == cluster.StopNone && !r.policy.protected(a) {
-			state.Victims = append(state.Victims, cluster.Victim{Assignment: a, Cost: r.policy.evictionCost(a)})
+			machineState.Victims = append(machineState.Victims, cluster.Victim{Assignment: a, Cost: r.policy.evictionCost(a)})
 		}
 	}
-	slices.SortStableFunc(state.Victims, func(a, b cluster.Victim) int { return cmp.Compare(a.Cost, b.Cost) })
+	slices.SortStableFunc(machineState.Victims, func(a, b cluster.Victim) int { return cmp.Compare(a.Cost, b.Cost) })
 	r.machinesExamined++
-	return state.Victims
+	return machineState.Victims
 }
 
 // tryAdd adds a task to the victims if the scope allows preempting it, and reports whether it did.
--- a/scheduler/quota/quota.go
+++ b/scheduler/quota/quota.go
@@ -120,7 +120,7 @@
 		return false
 	}
 	var borrowed Amount
-	lendable := q.cohortQuota
+	totalLendable := q.cohortQuota
 	for _, name := range q.names {
 		a := q.accounts[name]
 		used := a.used
@@ -128,9 +128,9 @@
 			used = used.Plus(more)
 		}
 		borrowed = borrowed.Plus(used.Minus(a.Nominal).nonNegative())
-		lendable = lendable.Plus(a.lendable(used, now))
+		totalLendable = totalLendable.Plus(a.lendable(used, now))
 	}
-	return borrowed.FitsIn(lendable)
+	return borrowed.FitsIn(totalLendable)
 }
 
 // Borrowed returns the amount that a team uses beyond its nominal quota.
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -243,7 +243,7 @@
 		Suspect:          j.Failures.AntiAffinity[m.ID] != 0 || now < m.Health.SlowUntil || failedRecently,
 		LatencySensitive: s.queue.latencySensitive(j),
 		ZoneUnproven:     s.zones.unproven(m.Zone()),
-		PreferredZone:    j.Queue.PreferredZone == m.Zone() && m.Zone() != "" && now < j.Queue.PreferredUntil,
+		InPreferredZone:  j.Queue.PreferredZone == m.Zone() && m.Zone() != "" && now < j.Queue.PreferredUntil,
 		RunsServices:     m.Replicas() > 0,
 		Fetching:         m.NotStoppingWithImage(j.Spec.Image) > 0,
 	}
