--- a/scheduler/cluster/assignment.go
+++ b/scheduler/cluster/assignment.go
@@ -70,14 +70,14 @@
 	Run      RunStatus
 }
 
-// RecordStatus holds the state of an assignment's admission record. Only the record writer sets it.
+// RecordStatus holds the state of an assignment's admission record. The record writer writes it.
 type RecordStatus struct {
 	Committed bool // the record is stored; no command is sent before
 	InFlight  bool // a change that contains the assignment is in flight
 }
 
 // Delivery holds which commands for an assignment were sent to the machine. Command dispatch,
-// heartbeats and the task lifecycle write it.
+// heartbeat processing and the task lifecycle write it.
 type Delivery struct {
 	// Inherited reports whether a previous leader recorded the assignment and may have sent it.
 	Inherited bool
@@ -85,15 +85,14 @@
 	// agent that reports a higher token without reporting the attempt will never start it.
 	Token       ids.FencingToken
 	Incarnation ids.AgentIncarnation // incarnation of the agent to which the command was sent
-	SentAt      monotonic.Instant    // when the first run command since Sent was last false was sent
+	SentAt      monotonic.Instant    // time of the first run command since Sent was last false
 	Sent        bool                 // a run command was sent and may still take effect
 	Reported    bool                 // a heartbeat has reported the attempt
 	KillGraceS  float64              // grace period in seconds in which the task may write a checkpoint
-	KillSentAt  monotonic.Instant    // when the first kill command was sent; 0: none was sent
+	KillSentAt  monotonic.Instant    // time of the first kill command; 0: none was sent
 }
 
-// RunStatus holds the state of the attempt that heartbeats report. Only the processing of heartbeats
-// sets it.
+// RunStatus holds the state of the attempt as reported by heartbeats. Heartbeat processing writes it.
 type RunStatus struct {
 	Phase        wire.TaskState
 	PhaseSince   monotonic.Instant // when a heartbeat first reported the phase, or when the task was placed
--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -53,14 +53,14 @@
 	ProvisionedThisTerm bool // by this leader, so no previous leader can have terminated it
 	ListedStatus        wire.MachineStatus
 	MissingLists        int // consecutive machine lists that lack it after it was listed
-	// Terminating reports whether this leader has decided to terminate the machine, TerminateInFlight
+	// Terminating reports whether it has been decided to terminate the machine, TerminateInFlight
 	// whether a call to terminate it is in flight, and Terminated whether the cloud has confirmed the
 	// termination.
 	Terminating, TerminateInFlight, Terminated bool
 }
 
-// AgentStatus holds what the machine's agent has sent and when it was answered. Only the processing of
-// heartbeats and of answers to calls sets it.
+// AgentStatus holds what the machine's agent has sent and when it was answered. Heartbeat processing
+// writes it.
 type AgentStatus struct {
 	HeartbeatThisTerm bool // at least one heartbeat was received in this term
 	Incarnation       ids.AgentIncarnation
@@ -99,7 +99,7 @@
 	// FailuresByJob counts the failed tasks of each job since a task last succeeded on the machine.
 	FailuresByJob          map[ids.JobID]int
 	QuarantinedUntil       monotonic.Instant
-	QuarantinedForFailures bool // false: quarantined for slowness
+	QuarantinedForFailures bool // quarantined for failures rather than for slowness
 	LastFailure            monotonic.Instant
 	// Slowness is the running mean of the base-2 logarithm of the ratio between the run time of tasks
 	// here and that of other tasks of the same job elsewhere.
