--- a/scheduler/dispatch_queue.go
+++ b/scheduler/dispatch_queue.go
@@ -81,7 +81,7 @@
 		return dequeue
 	case d.needsHeartbeatRequest(m):
 		return requestHeartbeat
-	case !m.Agent.HeardThisTerm:
+	case !m.Agent.HeartbeatThisTerm:
 		return dequeue
 	case m.Commands.CallInFlight || m.Commands.CallFailed:
 		return dequeue
@@ -106,7 +106,7 @@
 // key-value store and from this leader, but not from its agents, keeps them from finding this
 // leader. It steps down when an agent shows it a token of this leader.
 func (d *commandDispatcher) needsHeartbeatRequest(m *cluster.Machine) bool {
-	if m.Agent.HeardThisTerm || m.Commands.HeartbeatRequested || !mayBeCalled(m) {
+	if m.Agent.HeartbeatThisTerm || m.Commands.HeartbeatRequested || !mayBeCalled(m) {
 		return false
 	}
 	if d.clock.Now() < m.Commands.RequestHeartbeatAt {
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -124,7 +124,7 @@
 		if !mayAnswer(m) {
 			return wire.HeartbeatResponse{}, false
 		}
-		m.Agent.AnsweredAt = max(m.Agent.AnsweredAt, m.Agent.LastHeard)
+		m.Agent.AnsweredAt = max(m.Agent.AnsweredAt, m.Agent.LastHeartbeat)
 		return noCommands(h.commands.fencingToken(m)), true
 	}
 	h.sites.setSite(m, siteOf(heartbeat), heartbeat.Endpoint)
@@ -167,7 +167,7 @@
 // stale reports whether a heartbeat is a duplicate of the newest one, or older than it. A stale
 // heartbeat does not prove that the machine is alive now.
 func stale(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
-	return m.Agent.HeardThisTerm && !heartbeat.Newer(m.Agent.Incarnation, m.Agent.Sequence)
+	return m.Agent.HeartbeatThisTerm && !heartbeat.Newer(m.Agent.Incarnation, m.Agent.Sequence)
 }
 
 // noCommands returns a response without commands.
@@ -183,10 +183,10 @@
 // apply updates the state from a heartbeat that is newer than all previous ones.
 func (h *heartbeatHandler) apply(m *cluster.Machine, heartbeat *wire.Heartbeat) {
 	now := h.clock.Now()
-	if now > m.Agent.LastHeard.Add(h.interval) && !h.health.usable(m) {
+	if now > m.Agent.LastHeartbeat.Add(h.interval) && !h.health.usable(m) {
 		h.rounds.MarkDue() // the machine may have become usable
 	}
-	m.Agent.LastHeard = now
+	m.Agent.LastHeartbeat = now
 	h.health.recordHeartbeat(heartbeat.Zone)
 	h.commands.allowCalls(m)
 	h.updateAgent(m, heartbeat)
@@ -206,8 +206,8 @@
 
 // updateAgent updates the status of the machine's agent from a heartbeat.
 func (h *heartbeatHandler) updateAgent(m *cluster.Machine, heartbeat *wire.Heartbeat) {
-	if !m.Agent.HeardThisTerm {
-		m.Agent.HeardThisTerm = true
+	if !m.Agent.HeartbeatThisTerm {
+		m.Agent.HeartbeatThisTerm = true
 		m.Lifecycle.IdleSince = h.clock.Now()
 		h.autoscaler.recordBoot(m)
 		h.rounds.MarkDue()
@@ -251,7 +251,7 @@
 		}
 		h.zones.lost(a)
 		h.lifecycle.release(a)
-	case a.Delivery.Seen && a.StopReason() == cluster.StopNone:
+	case a.Delivery.Reported && a.StopReason() == cluster.StopNone:
 		// An agent keeps a task until it gets a reap command. If a task is missing without
 		// one, it is not started elsewhere until earlier commands are void.
 		h.lifecycle.stop(a, cluster.StopDrained)
@@ -261,7 +261,7 @@
 // onlyCommandVoided reports whether the only event since the run command for an assignment was sent
 // is that a higher fencing token voided the command. The agent has then never had the task.
 func onlyCommandVoided(a *cluster.Assignment) bool {
-	if !a.Delivery.Sent || a.Delivery.Inherited || a.Delivery.Seen {
+	if !a.Delivery.Sent || a.Delivery.Inherited || a.Delivery.Reported {
 		return false
 	}
 	return a.StopReason() == cluster.StopNone && a.Machine.Agent.Incarnation == a.Delivery.Incarnation
@@ -269,7 +269,7 @@
 
 // handleActiveTask handles an assignment whose task the newest heartbeat reports as not ended.
 func (h *heartbeatHandler) handleActiveTask(a *cluster.Assignment, reported *cluster.ReportedTask) {
-	a.Delivery.Seen = true
+	a.Delivery.Reported = true
 	if !a.Delivery.Sent {
 		// An inherited task is now known to be on this machine. Commands for it carry tokens of
 		// this term.
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -102,8 +102,8 @@
 					machines = append(machines, &cluster.Machine{Agent: agent})
 				}
 			}
-			add(c.missing, cluster.AgentStatus{HeardThisTerm: true, LastHeard: now.Add(-simAgentLease/2 - 1)})
-			add(c.alive, cluster.AgentStatus{HeardThisTerm: true, LastHeard: now.Add(-simAgentLease / 2)})
+			add(c.missing, cluster.AgentStatus{HeartbeatThisTerm: true, LastHeartbeat: now.Add(-simAgentLease/2 - 1)})
+			add(c.alive, cluster.AgentStatus{HeartbeatThisTerm: true, LastHeartbeat: now.Add(-simAgentLease / 2)})
 			add(c.booting, cluster.AgentStatus{})
 			if got := l.mostMissHeartbeats(machines); got != c.want {
 				t.Errorf("mostMissHeartbeats = %v", got)
@@ -122,7 +122,7 @@
 		proven         bool
 	}{
 		{"no previous leader", false, cluster.Machine{}, true},
-		{"previous leader, heartbeats alone", true, cluster.Machine{Agent: cluster.AgentStatus{HeardThisTerm: true}}, false},
+		{"previous leader, heartbeats alone", true, cluster.Machine{Agent: cluster.AgentStatus{HeartbeatThisTerm: true}}, false},
 		{"provisioned in this term", true, cluster.Machine{Lifecycle: cluster.MachineLifecycle{ProvisionedThisTerm: true}}, true},
 		{"answered a call", true, cluster.Machine{Agent: cluster.AgentStatus{AnsweredCall: true}}, true},
 		{"showed this leader's token", true, cluster.Machine{Agent: cluster.AgentStatus{Fenced: true}}, true},
--- a/scheduler/machine_check.go
+++ b/scheduler/machine_check.go
@@ -72,7 +72,7 @@
 	switch {
 	case m.Lifecycle.ListedStatus == wire.MachineFailed:
 		return terminateFailed
-	case m.Lifecycle.MissingLists >= missingListsLimit && m.SilentFor(c.clock.Now(), missingHeartbeatIntervals*c.settings.heartbeatInterval):
+	case m.Lifecycle.MissingLists >= missingListsLimit && m.NoHeartbeatFor(c.clock.Now(), missingHeartbeatIntervals*c.settings.heartbeatInterval):
 		// Terminating a machine that no longer exists has no effect, and the cloud's response
 		// proves that the machine no longer exists.
 		return terminateMissing
@@ -104,12 +104,12 @@
 // may already have booted and need time to find this leader. No heartbeat can arrive while this
 // process is paused, so the deadline is extended after a pause.
 func (c *machineCheck) bootFailed(m *cluster.Machine) bool {
-	if m.Agent.HeardThisTerm || m.Lifecycle.BootDeadline == 0 || len(m.Assignments()) > 0 {
+	if m.Agent.HeartbeatThisTerm || m.Lifecycle.BootDeadline == 0 || len(m.Assignments()) > 0 {
 		return false
 	}
 	deadline := max(m.Lifecycle.BootDeadline, c.clock.ResumedAt().Add(resumeHeartbeatIntervals*c.settings.heartbeatInterval))
 	if c.settings.previousLeader {
-		deadline = max(deadline, c.clock.TermBegan().Add(c.settings.agentLease))
+		deadline = max(deadline, c.clock.TermStart().Add(c.settings.agentLease))
 	}
 	return c.clock.Now() > deadline
 }
@@ -117,23 +117,23 @@
 // missedHeartbeatsTooLong reports whether a machine without tasks has missed heartbeats for longer
 // than machines that recover usually do, while other machines still send heartbeats.
 func (c *machineCheck) missedHeartbeatsTooLong(m *cluster.Machine) bool {
-	if !m.Agent.HeardThisTerm || len(m.Assignments()) > 0 || c.widespreadHeartbeatLoss || c.zonePartitionedRecently(m.Zone()) {
+	if !m.Agent.HeartbeatThisTerm || len(m.Assignments()) > 0 || c.widespreadHeartbeatLoss || c.zonePartitionedRecently(m.Zone()) {
 		return false
 	}
-	return m.SilentFor(c.clock.Now(), missedHeartbeatLeases*c.settings.agentLease)
+	return m.NoHeartbeatFor(c.clock.Now(), missedHeartbeatLeases*c.settings.agentLease)
 }
 
 // cancelOverdue reports whether a machine still holds a task of a cancelled job for which
 // cancelOverduePercent of the cancel deadline has passed.
 func (c *machineCheck) cancelOverdue(m *cluster.Machine) bool {
-	if m.Staying() == len(m.Assignments()) {
+	if m.NotStopping() == len(m.Assignments()) {
 		return false // no task is stopping
 	}
 	for _, a := range m.Assignments() {
 		if a.StopReason() != cluster.StopCancelled {
 			continue
 		}
-		if c.clock.Now() > a.Job.CancelledAt().Add(c.settings.cancelDeadline*cancelOverduePercent/100) {
+		if c.clock.Now() > a.Job.EndedAt().Add(c.settings.cancelDeadline*cancelOverduePercent/100) {
 			return true
 		}
 	}
@@ -143,5 +143,5 @@
 // hasExpiredTasks reports whether a machine has tasks and its lease has expired, so that the tasks
 // have ended.
 func (c *machineCheck) hasExpiredTasks(m *cluster.Machine) bool {
-	return len(m.Assignments()) > 0 && c.leases.expired(m) && m.SilentFor(c.clock.Now(), monotonic.AddDriftMargin(c.settings.agentLease))
+	return len(m.Assignments()) > 0 && c.leases.expired(m) && m.NoHeartbeatFor(c.clock.Now(), monotonic.AddDriftMargin(c.settings.agentLease))
 }
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -96,7 +96,7 @@
 			m.Lifecycle.KnownSince = requestedAt.Add(-monotonic.Seconds(entry.AgeS))
 		}
 		r.setSite(m, placement.Site{Type: entry.Type, Zone: entry.Zone, Spot: entry.Spot}, entry.Endpoint)
-		if m.Lifecycle.ListedStatus != entry.Status && !m.Agent.HeardThisTerm && r.settings.previousLeader {
+		if m.Lifecycle.ListedStatus != entry.Status && !m.Agent.HeartbeatThisTerm && r.settings.previousLeader {
 			r.commands.queueMachine(m)
 		}
 		m.Lifecycle.ListedStatus, m.Lifecycle.MissingLists = entry.Status, 0
@@ -109,7 +109,7 @@
 // Otherwise a machine that fails together with that leader keeps its tasks for the whole grace period
 // and a lease.
 func (r *machineRegistry) countMissing(requestedAt monotonic.Instant, listed map[ids.MachineID]bool) {
-	termBegan := r.clock.TermBegan()
+	termBegan := r.clock.TermStart()
 	caughtUp := requestedAt > termBegan.Add(2*r.settings.listLag+time.Second)
 	for _, m := range r.cluster.Machines() {
 		inherited := m.Lifecycle.KnownSince <= termBegan && caughtUp
--- a/scheduler/preemption/planner.go
+++ b/scheduler/preemption/planner.go
@@ -13,29 +13,29 @@
 	round     *round
 	scheduler Scheduler
 	job       *cluster.Job
-	// zones counts the job's tasks by zone, including those that are planned.
+	// zones holds the number of the job's tasks in each zone, including planned tasks.
 	zones placement.TasksByZone
-	// plans has a plan for each machine on which the task fits under plansClaim; nil: not
-	// listed yet. Their costs may be out of date: they only rise during a round.
+	// plans holds a plan for each machine on which the task fits within plansScope; nil: not listed
+	// yet. Their costs may be stale. They only rise during a round.
 	plans      []plan
-	plansClaim claim
+	plansScope preemptionScope
 }
 
-// newPlanner makes the planner for a job in a round.
+// newPlanner returns the planner for a job in a round.
 func newPlanner(r *round, j *cluster.Job) planner {
 	return planner{round: r, scheduler: r.policy.scheduler, job: j, zones: maps.Clone(j.Zones())}
 }
 
 // planAllTasks plans for all pending tasks of the job. If there is no plan for one of them, it
-// undoes what the round counts for the others.
-func (p *planner) planAllTasks() ([]countedPlan, error) {
-	saved := p.round.ledger.clone()
-	var plans []countedPlan
+// reverts the changes to the round for the others.
+func (p *planner) planAllTasks() ([]committedPlan, error) {
+	saved := p.round.totals.clone()
+	var plans []committedPlan
 	for range p.job.Pending() {
 		planned, err := p.planTask()
 		if err != nil {
-			p.round.ledger = saved
-			p.restoreFree(plans)
+			p.round.totals = saved
+			p.restoreExpectedFree(plans)
 			return nil, err
 		}
 		plans = append(plans, planned)
@@ -43,44 +43,45 @@
 	return plans, nil
 }
 
-// restoreFree undoes what plans count on their machines, the last plan first.
-func (p *planner) restoreFree(plans []countedPlan) {
+// restoreExpectedFree reverts the expected free resources of the plans' machines, starting with the
+// last plan.
+func (p *planner) restoreExpectedFree(plans []committedPlan) {
 	for _, planned := range slices.Backward(plans) {
-		p.round.notes(planned.machine).ExpectedFree = planned.freeBefore
+		p.round.machineState(planned.machine).ExpectedFree = planned.freeBefore
 	}
 }
 
-// planTask plans for one more pending task of the job, at the least cost, and counts the plan in
-// the round. The error is one of the reasons in plan.go.
-func (p *planner) planTask() (countedPlan, error) {
-	by := p.round.claimOf(p.job)
-	if by == claimNone {
-		return countedPlan{}, errNoClaim
+// planTask plans for one more pending task of the job at the lowest cost, and commits the plan. The
+// error is one of the reasons in plan.go.
+func (p *planner) planTask() (committedPlan, error) {
+	scope := p.round.scopeOf(p.job)
+	if scope == scopeNone {
+		return committedPlan{}, errNoQuota
 	}
-	if by == claimOwn && !p.round.anyPreemptible(p.job, by) {
-		return countedPlan{}, errNothingPreemptible
+	if scope == scopeOwnTeam && !p.round.anyPreemptible(p.job, scope) {
+		return committedPlan{}, errNothingPreemptible
 	}
 	class, hasClass := p.scheduler.RequestClass(p.job, p.zones)
-	request := infeasibleRequest{class, p.job.Spec.Team, by}
+	request := infeasibleRequest{class, p.job.Spec.Team, scope}
 	if hasClass && p.round.infeasible[request] {
-		return countedPlan{}, errKnownInfeasible
+		return committedPlan{}, errKnownInfeasible
 	}
-	cheapest := p.cheapestPlan(by)
+	cheapest := p.cheapestPlan(scope)
 	if cheapest == nil {
 		if hasClass {
 			p.round.infeasible[request] = true
 		}
-		return countedPlan{}, errNoMachine
+		return committedPlan{}, errNoMachine
 	}
-	counted := countedPlan{plan: *cheapest, freeBefore: p.round.notes(cheapest.machine).ExpectedFree}
-	p.allowColdStart(counted.machine)
-	p.commit(counted.plan)
+	planned := committedPlan{plan: *cheapest, freeBefore: p.round.machineState(cheapest.machine).ExpectedFree}
+	p.allowColdStart(planned.machine)
+	p.commit(planned.plan)
 	p.update(cheapest)
-	return counted, nil
+	return planned, nil
 }
 
-// allowColdStart lets admission place a latency-sensitive job on machines without its image,
-// when one is planned on such a machine.
+// allowColdStart allows admission to place tasks of a latency-sensitive job on machines without its
+// image if the planned machine lacks the image.
 func (p *planner) allowColdStart(m *cluster.Machine) {
 	j := p.job
 	if j.Queue.AllowColdStart || m.HasImage(j.Spec.Image) || !p.scheduler.LatencySensitive(j) {
@@ -91,17 +92,17 @@
 }
 
 // commit counts a plan in the round: the zone, the quota and the resources that the task
-// will use, and what the victims will free.
+// will use, and the quota and resources that the victims will free.
 func (p *planner) commit(planned plan) {
 	// The job's own counts include only placed tasks. With those alone, two replicas could be
-	// planned in a zone that may take one.
+	// planned in a zone that may only have one.
 	p.zones[planned.machine.Zone()]++
-	notes, ledger := p.round.notes(planned.machine), &p.round.ledger
-	ledger.promise(p.job.Spec.Team, p.job.Amount())
+	machineState, totals := p.round.machineState(planned.machine), &p.round.totals
+	totals.reserve(p.job.Spec.Team, p.job.Amount())
 	for _, a := range planned.victims {
-		ledger.victims[a] = true
-		ledger.free(a.Job.Spec.Team, a.Job.Amount())
-		notes.ExpectedFree = notes.ExpectedFree.Plus(placement.TaskResources(a.Job.Spec))
+		totals.victims[a] = true
+		totals.free(a.Job.Spec.Team, a.Job.Amount())
+		machineState.ExpectedFree = machineState.ExpectedFree.Plus(placement.TaskResources(a.Job.Spec))
 	}
-	notes.ExpectedFree = notes.ExpectedFree.Minus(placement.TaskResources(p.job.Spec))
+	machineState.ExpectedFree = machineState.ExpectedFree.Minus(placement.TaskResources(p.job.Spec))
 }
--- a/scheduler/preemption/round.go
+++ b/scheduler/preemption/round.go
@@ -9,58 +9,58 @@
 	"ospreystile.example/ospreystile/scheduler/placement"
 )
 
-// round is the state of one round of preemption, for all waiting jobs.
+// round holds the state of one round of preemption for all waiting jobs.
 type round struct {
 	policy     *Policy
 	candidates []*cluster.Machine
-	ledger     ledger
-	// workloads are those with tasks that were not stopping when the round began.
+	totals     planTotals
+	// workloads holds the workloads with tasks that were not stopping when the round began.
 	workloads []cluster.Workload
-	// infeasible holds the requests for which no machine was found. Resources and
-	// quota only shrink during a round, so an equal request is not tried again.
+	// infeasible holds the requests for which no machine was found. Free resources and quota only
+	// shrink during a round, so an equal request is not tried again.
 	infeasible       map[infeasibleRequest]bool
 	machinesExamined uint64
 }
 
-// infeasibleRequest is all that decides whether there is a plan for a task.
+// infeasibleRequest holds everything that decides whether there is a plan for a task.
 type infeasibleRequest struct {
 	class RequestClass
 	team  ids.Team
-	claim claim
+	scope preemptionScope
 }
 
-// newRound begins a round. Tasks that are being stopped count as free quota.
+// newRound returns a new round. The quota of tasks that are already stopping counts as free.
 func (p *Policy) newRound(candidates []*cluster.Machine) *round {
 	p.roundNumber++
 	r := &round{
 		policy:     p,
 		candidates: candidates,
-		ledger:     newLedger(p.teams, p.quotas),
+		totals:     newPlanTotals(p.teams, p.quotas),
 		infeasible: map[infeasibleRequest]bool{},
 	}
 	counts := p.cluster.Workloads()
 	for _, w := range slices.SortedFunc(maps.Keys(counts), cluster.Workload.Compare) {
 		count := counts[w]
-		if count.Leaving > 0 {
-			r.ledger.free(w.Team, count.Freeing)
+		if count.Stopping > 0 {
+			r.totals.free(w.Team, count.StoppingQuota)
 		}
-		if count.Staying > 0 {
+		if count.NotStopping > 0 {
 			r.workloads = append(r.workloads, w)
 		}
 	}
 	return r
 }
 
-// notes returns the notes on a machine, renewed when they are of an earlier round.
-func (r *round) notes(m *cluster.Machine) *cluster.MachinePreemption {
-	notes := &m.Preemption
-	if notes.Round != r.policy.roundNumber {
-		*notes = cluster.MachinePreemption{Round: r.policy.roundNumber, ExpectedFree: freeOnceStopped(m)}
+// machineState returns the preemption state of a machine, reset if it belongs to an earlier round.
+func (r *round) machineState(m *cluster.Machine) *cluster.MachinePreemption {
+	machineState := &m.Preemption
+	if machineState.Round != r.policy.roundNumber {
+		*machineState = cluster.MachinePreemption{Round: r.policy.roundNumber, ExpectedFree: freeOnceStopped(m)}
 	}
-	return notes
+	return machineState
 }
 
-// freeOnceStopped is what is free on a machine when all stopping tasks have ended.
+// freeOnceStopped returns the resources that are free on a machine once all stopping tasks have ended.
 func freeOnceStopped(m *cluster.Machine) placement.Resources {
 	free := m.Free()
 	for _, a := range m.Assignments() {
--- a/scheduler/preemption/victims.go
+++ b/scheduler/preemption/victims.go
@@ -10,30 +10,30 @@
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
 
-// victimSelection collects the tasks on one machine that would stop for a task of a job.
+// victimSelection holds the tasks on one machine that would be stopped for a task of a job.
 type victimSelection struct {
 	round   *round
 	job     *cluster.Job
-	claim   claim
+	scope   preemptionScope
 	victims []*cluster.Assignment
 	cost    float64
-	// free is what is free on the machine once the victims have ended, and missingQuota what
-	// more victims must free of the team's quota.
+	// free is the resources that are free on the machine once the victims have ended, and
+	// missingQuota the quota of the team that further victims must free.
 	free         placement.Resources
 	missingQuota quota.Amount
-	// reclaimed is what the victims free of the quota that their teams borrow.
+	// reclaimed is the borrowed quota of each team that the victims free.
 	reclaimed map[ids.Team]quota.Amount
 }
 
-// selectVictims selects the tasks on a machine that are cheapest to stop for a task of a
-// job; ok is false if all that may stop do not free enough.
-func (r *round) selectVictims(j *cluster.Job, by claim, m *cluster.Machine) (s victimSelection, ok bool) {
-	s = victimSelection{round: r, job: j, claim: by, free: r.notes(m).ExpectedFree}
-	if by == claimOwn {
+// selectVictims selects the tasks on a machine that are cheapest to stop for a task of a job; ok is
+// false if stopping all tasks that may be preempted does not free enough.
+func (r *round) selectVictims(j *cluster.Job, scope preemptionScope, m *cluster.Machine) (s victimSelection, ok bool) {
+	s = victimSelection{round: r, job: j, scope: scope, free: r.machineState(m).ExpectedFree}
+	if scope == scopeOwnTeam {
 		s.missingQuota = j.Amount() // the team is at its limit
 	}
 	for _, v := range r.victimsByCost(m) {
-		if !s.take(v) {
+		if !s.tryAdd(v) {
 			continue
 		}
 		if s.sufficient() {
@@ -43,33 +43,33 @@
 	return victimSelection{}, false
 }
 
-// victimsByCost lists the tasks on a machine that are not stopping and not protected, the
-// cheapest first. The list is made once in a round.
+// victimsByCost returns the tasks on a machine that are neither stopping nor protected, in order of
+// ascending cost. The list is computed once in a round.
 func (r *round) victimsByCost(m *cluster.Machine) []cluster.Victim {
-	notes := r.notes(m)
-	if notes.Victims != nil {
-		return notes.Victims
+	machineState := r.machineState(m)
+	if machineState.Victims != nil {
+		return machineState.Victims
 	}
-	notes.Victims = make([]cluster.Victim, 0, len(m.Assignments()))
+	machineState.Victims = make([]cluster.Victim, 0, len(m.Assignments()))
 	for _, a := range m.Assignments() {
 		if a.StopReason() == cluster.StopNone && !r.policy.protected(a) {
-			notes.Victims = append(notes.Victims, cluster.Victim{Assignment: a, Cost: r.policy.evictionCost(a)})
+			machineState.Victims = append(machineState.Victims, cluster.Victim{Assignment: a, Cost: r.policy.evictionCost(a)})
 		}
 	}
-	slices.SortStableFunc(notes.Victims, func(a, b cluster.Victim) int { return cmp.Compare(a.Cost, b.Cost) })
+	slices.SortStableFunc(machineState.Victims, func(a, b cluster.Victim) int { return cmp.Compare(a.Cost, b.Cost) })
 	r.machinesExamined++
-	return notes.Victims
+	return machineState.Victims
 }
 
-// take adds a task to the victims if the claim allows to stop it.
-func (s *victimSelection) take(v cluster.Victim) bool {
+// tryAdd adds a task to the victims if the scope allows preempting it, and reports whether it did.
+func (s *victimSelection) tryAdd(v cluster.Victim) bool {
 	a := v.Assignment
-	if s.round.ledger.victims[a] || a.StopReason() != cluster.StopNone {
-		return false // it stops already
+	if s.round.totals.victims[a] || a.StopReason() != cluster.StopNone {
+		return false // already stopping
 	}
 	workload := cluster.Workload{Team: a.Job.Spec.Team, Priority: a.Job.Priority()}
-	if !mayPreempt(s.job, s.claim, workload) {
-		if !mayReclaim(s.job, s.claim, workload) || !s.reclaim(workload.Team, a.Job.Amount()) {
+	if !mayPreempt(s.job, s.scope, workload) {
+		if !mayReclaim(s.job, s.scope, workload) || !s.reclaim(workload.Team, a.Job.Amount()) {
 			return false
 		}
 	}
@@ -80,10 +80,11 @@
 	return true
 }
 
-// reclaim counts quota as taken back from a team, if the team still borrows as much.
+// reclaim counts quota as reclaimed from a team if the team still borrows at least as much, and
+// reports whether it does.
 func (s *victimSelection) reclaim(team ids.Team, amount quota.Amount) bool {
 	reclaimed := s.reclaimed[team].Plus(amount)
-	if !reclaimed.FitsIn(s.round.ledger.borrowed[team]) {
+	if !reclaimed.FitsIn(s.round.totals.borrowed[team]) {
 		return false
 	}
 	if s.reclaimed == nil {
@@ -93,7 +94,7 @@
 	return true
 }
 
-// sufficient tells whether the victims free enough for the task.
+// sufficient reports whether the victims free enough resources and quota for the task.
 func (s *victimSelection) sufficient() bool {
 	return placement.TaskResources(s.job.Spec).FitsIn(s.free) && s.missingQuota.FitsIn(quota.Amount{})
 }
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -161,7 +161,7 @@
 			}
 		}
 	}
-	if m := next.c.cluster.Machine("n-2"); m == nil || !m.Agent.HeardThisTerm {
+	if m := next.c.cluster.Machine("n-2"); m == nil || !m.Agent.HeartbeatThisTerm {
 		t.Error("no heartbeat was requested from the machine without tasks")
 	}
 	if token["n-1"].Revision() != 9 || !next.c.cluster.Machine("n-1").Agent.Fenced {
--- a/scheduler/reachability.go
+++ b/scheduler/reachability.go
@@ -54,7 +54,7 @@
 		if heartbeat.FencingToken >= d.tokens.fencingToken(m) {
 			d.markReachable(m) // the machine has received the raised token
 		}
-	case !m.Agent.HeardThisTerm:
+	case !m.Agent.HeartbeatThisTerm:
 		// No command has been sent to the machine yet.
 	case d.lostAnsweredLease(m, heartbeat) || d.runCommandUnacknowledged(m, heartbeat):
 		m.Health.Unreachable, m.Health.UnreachableSince = true, d.clock.Now()
@@ -85,7 +85,7 @@
 // longer ago than acknowledgeTimeout.
 func (d *reachabilityDetector) runCommandUnacknowledged(m *cluster.Machine, heartbeat *wire.Heartbeat) bool {
 	for _, a := range m.Assignments() {
-		if !a.Delivery.Sent || a.Delivery.Seen || a.StopReason() != cluster.StopNone {
+		if !a.Delivery.Sent || a.Delivery.Reported || a.StopReason() != cluster.StopNone {
 			continue
 		}
 		// No heartbeat can arrive while this process is paused, so the time before it resumed
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -153,7 +153,7 @@
 			testClock, tokens := clock.New(0), &countingTokens{}
 			testClock.Set(answeredAt.Add(c.after))
 			d := &reachabilityDetector{clock: testClock, rounds: &clock.RoundTrigger{}, tokens: tokens, settings: testHealthSettings}
-			m := &cluster.Machine{Agent: cluster.AgentStatus{HeardThisTerm: true, Incarnation: 1, AnsweredAt: answeredAt}}
+			m := &cluster.Machine{Agent: cluster.AgentStatus{HeartbeatThisTerm: true, Incarnation: 1, AnsweredAt: answeredAt}}
 			d.observe(m, newHeartbeat("n-1", c.incarnation, 7, tokens.fencingToken(m)))
 			if m.Health.Unreachable != c.unreachable {
 				t.Errorf("Unreachable = %v", m.Health.Unreachable)
@@ -186,7 +186,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			testClock := clock.New(0)
 			d := &reachabilityDetector{clock: testClock, rounds: &clock.RoundTrigger{}, tokens: &countingTokens{raised: 3}, settings: testHealthSettings}
-			m := &cluster.Machine{Agent: cluster.AgentStatus{HeardThisTerm: true, Incarnation: 1}}
+			m := &cluster.Machine{Agent: cluster.AgentStatus{HeartbeatThisTerm: true, Incarnation: 1}}
 			m.Health.Unreachable, m.Health.UnreachableSince = true, since
 			testClock.Set(since.Add(d.acknowledgeTimeout()))
 			c.show(d, m)
--- a/scheduler/record_marks.go
+++ b/scheduler/record_marks.go
@@ -58,5 +58,5 @@
 // the completion of its job has yet to be written.
 func (w *recordWriter) upToDate(j *cluster.Job, index int) bool {
 	s := j.Task(index).Slice()
-	return !j.Records.Completing && !w.completable[j] && !w.dirty.contains(s) && !s.InFlight
+	return !j.Records.CompletionInFlight && !w.completable[j] && !w.dirty.contains(s) && !s.InFlight
 }
--- a/scheduler/replacements.go
+++ b/scheduler/replacements.go
@@ -67,5 +67,5 @@
 func (r *replacementDemand) missedHeartbeats(m *cluster.Machine) bool {
 	now := r.clock.Now()
 	allCouldReport := now > r.clock.ResumedAt().Add(r.heartbeatInterval*3/2)
-	return allCouldReport && m.SilentFor(now, missedHeartbeatLimit*r.heartbeatInterval)
+	return allCouldReport && m.NoHeartbeatFor(now, missedHeartbeatLimit*r.heartbeatInterval)
 }
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -245,10 +245,10 @@
 		Cached:           m.HasImage(j.Spec.Image),
 		Suspect:          j.Failures.AntiAffinity[m.ID] != 0 || now < m.Health.SlowUntil || failedRecently,
 		LatencySensitive: s.queue.latencySensitive(j),
-		Unproven:         s.zones.unproven(m.Zone()),
-		Preferred:        j.Queue.PreferredZone == m.Zone() && m.Zone() != "" && now < j.Queue.PreferredUntil,
+		ZoneUnproven:     s.zones.unproven(m.Zone()),
+		InPreferredZone:  j.Queue.PreferredZone == m.Zone() && m.Zone() != "" && now < j.Queue.PreferredUntil,
 		RunsServices:     m.Replicas() > 0,
-		Fetching:         m.Fetches(j.Spec.Image) > 0,
+		Fetching:         m.NotStoppingWithImage(j.Spec.Image) > 0,
 	}
 	if m.Spot() {
 		c.SpotRisk = s.spot.spotRisk(j)
--- a/scheduler/task_lifecycle.go
+++ b/scheduler/task_lifecycle.go
@@ -83,7 +83,7 @@
 // withdraw undoes a placement of the current round.
 func (l *taskLifecycle) withdraw(a *cluster.Assignment) {
 	l.zones.detached(a)
-	l.cluster.Withdraw(a)
+	l.cluster.UndoAssign(a)
 }
 
 // complete removes a task that succeeded from its machine.
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -186,11 +186,11 @@
 		t.Fatal("the dependency was not placed, or its dependent was placed before it completed")
 	}
 	on := b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.High}]
-	if on.Staying != 1 {
+	if on.NotStopping != 1 {
 		t.Errorf("workload is %+v", on)
 	}
 	b.c.ObserveJob(b.now, "job-2", &records.Job{Status: wire.JobCancelled, Tasks: 1}, 999)
-	if prerequisite.Priority() != wire.BestEffort || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.High}].Staying != 0 || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.BestEffort}].Staying != 1 {
+	if prerequisite.Priority() != wire.BestEffort || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.High}].NotStopping != 0 || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.BestEffort}].NotStopping != 1 {
 		t.Errorf("after the dependent was cancelled, the dependency has priority %d, workloads %+v", prerequisite.Priority(), b.c.cluster.Workloads())
 	}
 }
