--- a/controller/leader/options.go
+++ b/controller/leader/options.go
@@ -77,8 +77,8 @@
 
 // setRecordOptions sets the bounds of records.
 func (d *Dependencies) setRecordOptions(options *scheduler.Options) {
-	options.TxnOps = d.transactionLimits().Operations
-	options.ValueBytes = settings.MaxValueBytes(d.Platform)
+	options.MaxTxnOps = d.transactionLimits().Operations
+	options.MaxValueBytes = settings.MaxValueBytes(d.Platform)
 	options.SplitRecords = d.VersionGate.Open()
 	options.SliceTasks = d.Operator.Quota.SliceTasks
 	options.LazyWriteDelay = lazyWriteDelay
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -78,7 +78,7 @@
 			CapacityBackoff:     10 * time.Second,
 		},
 		RecordOptions: RecordOptions{
-			TxnOps:         24,
+			MaxTxnOps:      24,
 			SliceTasks:     64,
 			LazyWriteDelay: 3 * time.Second,
 			WriteRate:      63,
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -34,7 +34,7 @@
 		opt.Revision = 5
 	}
 	opt.HeartbeatInterval, opt.AgentLease, opt.CancelDeadline = simHeartbeatInterval, simAgentLease, simCancelDeadline
-	opt.TxnOps, opt.SliceTasks, opt.MaxSkippedJobs, opt.BootFactor, opt.MaxMachines = 8, 4, 100, 4, 100
+	opt.MaxTxnOps, opt.SliceTasks, opt.MaxSkippedJobs, opt.BootFactor, opt.MaxMachines = 8, 4, 100, 4, 100
 	opt.IdleTimeout, opt.HeadroomIdleTimeout = time.Hour, time.Hour
 	if opt.PreviousLeaderGraceWithoutReplicas == 0 {
 		opt.PreviousLeaderGraceWithoutReplicas = opt.PreviousLeaderGrace
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -29,7 +29,7 @@
 	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: enough, Limit: enough, LendingLimit: enough}}},
 		wire.MachineType{Name: "m", CPUs: 8, MemoryGB: 32, CacheGB: 50, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: zones})
 	opt := b.c.opt
-	opt.MaxMachines, opt.SliceTasks, opt.TxnOps = 0, 64, 24
+	opt.MaxMachines, opt.SliceTasks, opt.MaxTxnOps = 0, 64, 24
 	opt.MaxSkippedJobs, opt.MaxWorkerCalls = 2000, 64
 	b.c = New(opt, b.c.cluster.Types())
 	return b
@@ -72,7 +72,7 @@
 	t.Run("zones watched", func(t *testing.T) {
 		b := largeFleetHarness(t)
 		opt := b.c.opt
-		opt.ZoneRecovery, opt.ValueBytes = simZonePolicy(), 4<<10
+		opt.ZoneRecovery, opt.MaxValueBytes = simZonePolicy(), 4<<10
 		b.c = New(opt, b.c.cluster.Types())
 		playLargeFleet(b)
 		b.checkZoneRecords()
@@ -204,7 +204,7 @@
 		for _, op := range change.Operations {
 			if record, ok := op.Value.(*zonerecovery.Record); ok {
 				b.zoneWrites++
-				if wire.ExceedsJSONSize(record, b.c.opt.ValueBytes) {
+				if wire.ExceedsJSONSize(record, b.c.opt.MaxValueBytes) {
 					b.t.Errorf("a zone's record with %d jobs is too large", len(record.DisplacedJobs))
 				}
 			}
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -86,9 +86,9 @@
 
 // RecordOptions are the settings of record writing.
 type RecordOptions struct {
-	// TxnOps bounds the operations of one change, and ValueBytes the JSON form of each
+	// MaxTxnOps bounds the operations of one change, and MaxValueBytes the JSON form of each
 	// value in bytes; 0: no bound.
-	TxnOps, ValueBytes int
+	MaxTxnOps, MaxValueBytes int
 	// SplitRecords tells that every controller can read a slice that was split; see
 	// EnableSplitRecords.
 	SplitRecords bool
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -64,8 +64,8 @@
 func newRecordSettings(opt Options) recordSettings {
 	return recordSettings{
 		leaderRevision:  opt.Revision,
-		maxOperations:   opt.TxnOps,
-		valueBytes:      opt.ValueBytes,
+		maxOperations:   opt.MaxTxnOps,
+		valueBytes:      opt.MaxValueBytes,
 		lazyWriteDelay:  opt.LazyWriteDelay,
 		writesPerSecond: opt.WriteRate,
 		splitRecords:    opt.SplitRecords,
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -68,7 +68,7 @@
 	s := newSim(t, 11)
 	s.capacity = 220
 	s.opt.Teams = []quota.Team{simTeam("red", 3000, 7000), simTeam("blue", 2500, 8000), simTeam("gold", 1000, 6000)}
-	s.opt.MaxMachines, s.opt.SliceTasks, s.opt.TxnOps, s.opt.WriteRate, s.opt.MaxWorkerCalls = 0, 64, 32, 56, 64
+	s.opt.MaxMachines, s.opt.SliceTasks, s.opt.MaxTxnOps, s.opt.WriteRate, s.opt.MaxWorkerCalls = 0, 64, 32, 56, 64
 	s.failOver()
 	return s
 }
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -115,7 +115,7 @@
 			MaxMachines:         20,
 		},
 		RecordOptions: RecordOptions{
-			TxnOps:         8,
+			MaxTxnOps:      8,
 			SliceTasks:     4,
 			LazyWriteDelay: 2 * time.Second,
 			WriteRate:      40,
--- a/scheduler/sim_users_test.go
+++ b/scheduler/sim_users_test.go
@@ -50,7 +50,7 @@
 	if rec.Terminal() {
 		return
 	}
-	c := records.CancelJobChange(id, s.store[key].revision, s.rng.Uint64(), rec, s.opt.ValueBytes)
+	c := records.CancelJobChange(id, s.store[key].revision, s.rng.Uint64(), rec, s.opt.MaxValueBytes)
 	s.applyTxn(c.Preconditions, c.Operations)
 	s.cancelled[id] = true
 	s.after(min(s.latency(), 3*time.Second), func() { s.watchJob(id) })
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -62,7 +62,7 @@
 
 func newUpgradeDay(t *testing.T, seed uint64) *upgradeDay {
 	d := &upgradeDay{sim: newSim(t, seed)}
-	d.opt.SliceTasks, d.opt.TxnOps = 16, upgradeTxnOps
+	d.opt.SliceTasks, d.opt.MaxTxnOps = 16, upgradeTxnOps
 	d.failOver()
 	d.unsplitRecordsOnly = true
 	return d
@@ -80,7 +80,7 @@
 		d.lowerStoreLimits()
 	}
 	if round < upgradeRound && d.rng.IntN(3) == 0 {
-		d.opt.ValueBytes = []int{0, upgradeValueBytes}[d.rng.IntN(2)] // an old leader, or a new one
+		d.opt.MaxValueBytes = []int{0, upgradeValueBytes}[d.rng.IntN(2)] // an old leader, or a new one
 		d.failOver()
 	}
 	if d.rng.IntN(5) == 0 {
@@ -99,8 +99,8 @@
 
 // completeUpgrade replaces the last old leader and allows split records.
 func (d *upgradeDay) completeUpgrade() {
-	d.opt.ValueBytes = upgradeValueBytes
-	if d.core.opt.ValueBytes == 0 {
+	d.opt.MaxValueBytes = upgradeValueBytes
+	if d.core.opt.MaxValueBytes == 0 {
 		d.failOver()
 	}
 	d.unsplitRecordsOnly, d.opt.SplitRecords = false, true
@@ -194,7 +194,7 @@
 // While a split is in flight its tasks go on: a task that is placed meanwhile belongs to one of
 // the parts, and would wait for ever if that part were not written again.
 func TestPlacedWhileTheRecordIsSplit(t *testing.T) {
-	b := newHarness(t, Options{RecordOptions: RecordOptions{ValueBytes: 50, SplitRecords: true}})
+	b := newHarness(t, Options{RecordOptions: RecordOptions{MaxValueBytes: 50, SplitRecords: true}})
 	b.submit("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
 	b.heartbeat("n-1", "a", 0)
 	split := b.c.Step(b.now).RecordChanges
@@ -218,7 +218,7 @@
 // A record that was too large when it could not be split is split once that is allowed, without
 // another event of its tasks.
 func TestLargeRecordsAreSplitAfterTheUpgrade(t *testing.T) {
-	b := newHarness(t, Options{RecordOptions: RecordOptions{ValueBytes: 50}})
+	b := newHarness(t, Options{RecordOptions: RecordOptions{MaxValueBytes: 50}})
 	b.submit("job-1", wire.JobSpec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
 	b.heartbeat("n-1", "a", 0)
 	if e := b.step(); len(e.RecordChanges) != 1 || len(e.RecordChanges[0].Operations) != 1 {
--- a/scheduler/wiring.go
+++ b/scheduler/wiring.go
@@ -69,7 +69,7 @@
 		cluster: c.cluster,
 		clock:   c.clock,
 		rounds:  c.rounds,
-		records: zoneRecords{maxBytes: c.opt.ValueBytes, inFlight: map[uint64]zoneWrite{}},
+		records: zoneRecords{maxBytes: c.opt.MaxValueBytes, inFlight: map[uint64]zoneWrite{}},
 	}
 }
 
@@ -172,7 +172,7 @@
 		sites:      c.registry,
 		arrivals:   c.autoscaler,
 		revision:   c.opt.Revision,
-		valueBytes: c.opt.ValueBytes,
+		valueBytes: c.opt.MaxValueBytes,
 	}
 }
 
