--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -31,11 +31,11 @@
 type zoneAdmission interface {
 	// admits tells whether a task may start on a machine now.
 	admits(j *cluster.Job, index int, m *cluster.Machine) bool
-	// requestPart returns the properties of a job that admits depends on now; ok is false if
+	// admissionClass returns the properties of a job that admits depends on now; ok is false if
 	// the result for this job may differ from that for an equal one.
-	requestPart(j *cluster.Job) (part gateClass, ok bool)
-	unproven(zone ids.Zone) bool
-	started(a *cluster.Assignment)
+	admissionClass(j *cluster.Job) (class zoneAdmissionClass, ok bool)
+	recovering(zone ids.Zone) bool
+	taskStarted(a *cluster.Assignment)
 }
 
 // placementStopper stops tasks, or undoes placements of the present round.
@@ -242,6 +242,6 @@
 	protected := j.Priority() == wire.BestEffort && adm.queue.starving(j)
 	a := adm.cluster.Assign(j, index, m)
 	a.Protected = protected
-	adm.zones.started(a)
+	adm.zones.taskStarted(a)
 	return a
 }
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -70,7 +70,7 @@
 	as.spot.countUptime(now.Sub(as.plannedAt))
 	as.plannedAt = now
 	as.classes.update()
-	if !as.machinesKnown() {
+	if !as.machineListCurrent() {
 		return
 	}
 	planner := as.newPlanner()
@@ -83,9 +83,9 @@
 	as.scaleIn.terminateIdleMachines()
 }
 
-// machinesKnown tells whether the list of machines has caught up with what a previous
+// machineListCurrent tells whether the list of machines has caught up with what a previous
 // leader provisioned. Without that the same demand would be provisioned twice.
-func (as *autoscaler) machinesKnown() bool {
+func (as *autoscaler) machineListCurrent() bool {
 	if !as.settings.previousLeader {
 		return true
 	}
@@ -98,7 +98,7 @@
 		Types:          as.cluster.Types(),
 		Blocked:        as.blocked,
 		MachinesBySite: map[placement.Site]int{},
-		MaxMachines:    as.machinesAllowed(),
+		MaxMachines:    as.remainingMachines(),
 	}
 	for _, m := range as.cluster.Machines() {
 		planner.MachinesBySite[m.Site()]++
@@ -126,17 +126,17 @@
 	}
 }
 
-// machinesAllowed is how many more machines may be requested. It is negative if there are
+// remainingMachines is how many more machines may be requested. It is negative if there are
 // too many already.
-func (as *autoscaler) machinesAllowed() int {
+func (as *autoscaler) remainingMachines() int {
 	if as.settings.maxMachines <= 0 {
 		return math.MaxInt32
 	}
-	allowed := as.settings.maxMachines - len(as.cluster.Machines())
+	remaining := as.settings.maxMachines - len(as.cluster.Machines())
 	for _, count := range as.provisioner.machinesInFlight {
-		allowed -= count
+		remaining -= count
 	}
-	return allowed
+	return remaining
 }
 
 // blocked tells whether no machine should be requested at a site now.
--- a/scheduler/autoscaler_parts.go
+++ b/scheduler/autoscaler_parts.go
@@ -40,7 +40,7 @@
 		capacityBackoff:   opt.CapacityBackoff,
 		heartbeatInterval: opt.HeartbeatInterval,
 		boots:             bootTimeSettings{maxFactor: opt.BootFactor, heartbeatInterval: opt.HeartbeatInterval},
-		headroom:          headroomSettings{latencySensitive: opt.LatencySensitive, peakShare: opt.Headroom},
+		headroom:          headroomSettings{latencySensitive: opt.LatencySensitive, peakFraction: opt.Headroom},
 		scaleIn: scaleInSettings{
 			idleTimeout:         opt.IdleTimeout,
 			headroomIdleTimeout: opt.HeadroomIdleTimeout,
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -42,14 +42,14 @@
 }
 
 // taskFailureObserver learns that a task failed.
-type taskFailureObserver interface{ failed(a *cluster.Assignment) }
+type taskFailureObserver interface{ taskFailed(a *cluster.Assignment) }
 
 // recordFailure weighs whether the machine or the job is at fault for a failed task.
 // Failures of several jobs on one machine quarantine the machine. Failures of one job on
 // several machines make the job wait, but it is tried again without end.
 func (f *failureHistory) recordFailure(a *cluster.Assignment) {
 	m, j := a.Machine, a.Job
-	f.zones.failed(a)
+	f.zones.taskFailed(a)
 	f.addAntiAffinity(j, m)
 	if j.Failures.Rounds == 0 {
 		f.countAgainstMachine(m, j)
--- a/scheduler/headroom.go
+++ b/scheduler/headroom.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// headroomBoots is for how many boot times of arrivals there should be headroom: it
+	// headroomBootTimes is for how many boot times of arrivals there should be headroom: it
 	// must have the image too, and be in the right zone.
-	headroomBoots = 8
+	headroomBootTimes = 8
 	// extraHeadroomTasks is the headroom beyond what the recent demand asks for.
 	extraHeadroomTasks = 2
 )
@@ -37,8 +37,8 @@
 	// latencySensitive names the classes whose tasks must start sooner than a machine
 	// boots, with their objectives.
 	latencySensitive map[string]time.Duration
-	// peakShare is the headroom of a class as a part of its recent peak.
-	peakShare float64
+	// peakFraction is the headroom of a class as a part of its recent peak.
+	peakFraction float64
 }
 
 // addTo adds the headroom that is missing to a plan.
@@ -67,10 +67,10 @@
 // no more than what may arrive within a few boot times. With hundreds of services the
 // former is far more than ever arrives.
 func (h *headroom) wantedTasks(demand *classDemand) int {
-	wanted := h.settings.peakShare * float64(demand.peakTasks())
+	wanted := h.settings.peakFraction * float64(demand.peakTasks())
 	// Earlier in the term, most arrivals of the window are not known.
 	if h.clock.Now() > h.clock.TermBegan().Add(demandWindow/2) {
-		within := headroomBoots * h.boots.fastest(demand.spec)
+		within := headroomBootTimes * h.boots.fastest(demand.spec)
 		wanted = min(wanted, demand.expectedArrivals(within))
 	}
 	return int(math.Ceil(wanted)) + extraHeadroomTasks
--- a/scheduler/headroom_test.go
+++ b/scheduler/headroom_test.go
@@ -9,7 +9,7 @@
 
 // Headroom for latency-sensitive classes was once looked for in free capacity that had already
 // been counted, and so never provisioned.
-func TestHeadroomIsProvisionedBesideFreeCapacity(t *testing.T) {
+func TestHeadroomIsProvisionedInAdditionToFreeCapacity(t *testing.T) {
 	b := newHarness(t, Options{FleetOptions: FleetOptions{Headroom: 3}, AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
 	b.c.Begin(b.now)
 	b.heartbeat("n-1", "a", 0)
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -13,12 +13,12 @@
 // that cannot be used any more and releases the tasks of those whose lease has expired.
 //
 // The other policies ask it for the health of machines and zones, which machineLiveness and
-// zoneOutages answer. Core.Step calls checkIfDue. It must never release a task that may still
+// partitionDetector answer. Core.Step calls checkIfDue. It must never release a task that may still
 // run: only lease expiry, or the cloud's confirmation that the machine is terminated, proves
 // that it does not.
 type healthMonitor struct {
 	*machineLiveness
-	*zoneOutages
+	*partitionDetector
 	cluster      *cluster.State
 	clock        *clock.Clock
 	rounds       *clock.RoundTrigger
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -60,8 +60,8 @@
 // heartbeatHealth judges machines by their heartbeats.
 type heartbeatHealth interface {
 	usable(m *cluster.Machine) bool
-	// heard notes that a machine of a zone was heard now.
-	heard(zone ids.Zone)
+	// recordZoneHeartbeat notes that a machine of a zone was recordZoneHeartbeat now.
+	recordZoneHeartbeat(zone ids.Zone)
 	// noticeReclaim notes that the cloud takes a spot instance back after a time.
 	noticeReclaim(m *cluster.Machine, after time.Duration)
 }
@@ -103,8 +103,8 @@
 
 // zoneTaskObserver learns which tasks of a zone run and which are lost.
 type zoneTaskObserver interface {
-	lost(a *cluster.Assignment)
-	running(a *cluster.Assignment)
+	taskLost(a *cluster.Assignment)
+	taskRunning(a *cluster.Assignment)
 }
 
 // receive applies a heartbeat that waits for an answer, and makes the answer.
@@ -186,7 +186,7 @@
 		h.rounds.MarkDue() // it may be usable now
 	}
 	m.Agent.LastHeard = now
-	h.health.heard(heartbeat.Zone)
+	h.health.recordZoneHeartbeat(heartbeat.Zone)
 	h.commands.allowCalls(m)
 	h.updateAgent(m, heartbeat)
 	if heartbeat.SpotNoticeS != nil {
@@ -248,7 +248,7 @@
 			a.Delivery.Sent = false
 			return
 		}
-		h.zones.lost(a)
+		h.zones.taskLost(a)
 		h.lifecycle.release(a)
 	case a.Delivery.Seen && a.StopReason() == cluster.StopNone:
 		// An agent keeps a task until it gets a reap command. If a task is missing without
@@ -281,7 +281,7 @@
 	a.Run.PhaseSince, a.Run.PausedBefore = h.clock.Now(), h.clock.TotalPause()
 	if reported.State == wire.TaskRunning {
 		h.cluster.RecordImage(a.Machine, a.Job.Spec)
-		h.zones.running(a)
+		h.zones.taskRunning(a)
 	}
 }
 
@@ -291,7 +291,7 @@
 	h.cluster.TouchImage(m, j.Spec.Image)
 	switch cause {
 	case wire.CauseDone:
-		h.zones.running(a) // it ran between two heartbeats
+		h.zones.taskRunning(a) // it ran between two heartbeats
 		h.lifecycle.complete(a)
 		return
 	case wire.CauseError:
--- a/scheduler/machine_registry.go
+++ b/scheduler/machine_registry.go
@@ -46,7 +46,7 @@
 
 // lossObserver learns that a task was lost with its machine.
 type lossObserver interface {
-	lost(a *cluster.Assignment)
+	taskLost(a *cluster.Assignment)
 }
 
 // begin marks the machines that records name as known since the term began.
@@ -170,7 +170,7 @@
 func (r *machineRegistry) releaseTasks(m *cluster.Machine) {
 	for _, a := range m.AssignmentsSnapshot() {
 		if !a.Record.InFlight {
-			r.zones.lost(a)
+			r.zones.taskLost(a)
 			r.lifecycle.release(a)
 		}
 	}
--- a/scheduler/provisioning_test.go
+++ b/scheduler/provisioning_test.go
@@ -28,11 +28,11 @@
 	now.Begin(1)
 	state := cluster.NewState(cluster.Settings{SliceTasks: 4, BootFactor: 4}, now, rounds, quota.NewTracker(nil))
 	state.SetCatalog([]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 32, BootS: 10, Zones: []ids.Zone{"a"}}})
-	return newConnectedProvisioner(state, now, rounds, fixedLimit(allowed))
+	return newProvisionerWithLimit(state, now, rounds, fixedLimit(allowed))
 }
 
-// newConnectedProvisioner makes the provisioner of an autoscaler that knows no other policy.
-func newConnectedProvisioner(state *cluster.State, now *clock.Clock, rounds *clock.RoundTrigger, limit provisioningLimiter) *provisioner {
+// newProvisionerWithLimit makes the provisioner of an autoscaler that knows no other policy.
+func newProvisionerWithLimit(state *cluster.State, now *clock.Clock, rounds *clock.RoundTrigger, limit provisioningLimiter) *provisioner {
 	settings := autoscalerSettings{revision: 7, capacityBackoff: 10 * time.Second}
 	p := newAutoscaler(settings, state, now, rounds).provisioner
 	p.zones = limit
@@ -49,7 +49,7 @@
 	return counts
 }
 
-func TestRequestsForMachines(t *testing.T) {
+func TestProvisioningRequestSizes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		wanted  int
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestResultsOfRequests(t *testing.T) {
+func TestProvisioningResults(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		finish   func(*provisioner, wire.ProvisionRequest)
@@ -128,7 +128,7 @@
 }
 
 // A late result of a request must not bring back a machine that was removed.
-func TestGrantDoesNotBringARemovedMachineBack(t *testing.T) {
+func TestLateGrantDoesNotAddARemovedMachine(t *testing.T) {
 	p := newTestProvisioner(t, 1000)
 	p.cluster.RemoveMachine(p.cluster.EnsureMachine("n-1"))
 	p.send(testSite, 1)
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -44,7 +44,7 @@
 // CommitResult applies the result of a change, which must be resolved.
 func (c *Core) CommitResult(now monotonic.Instant, result records.CommitResult) {
 	c.clock.Set(now)
-	if c.zones.settle(result) {
+	if c.zones.applyResult(result) {
 		return
 	}
 	c.records.settle(result)
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -19,10 +19,10 @@
 	priority      wire.Priority
 	spot          bool
 	zone          ids.Zone
-	image         ids.Image // "" unless the machine must hold the image or a zone recovers
-	openZones     uint64    // bit set of the zones that the spread of the job allows
-	gate          gateClass // what the gates of recovering zones depend on
-	tasksTogether int       // how many tasks must fit at once
+	image         ids.Image          // "" unless the machine must hold the image or a zone recovers
+	openZones     uint64             // bit set of the zones that the spread of the job allows
+	gate          zoneAdmissionClass // what the gates of recovering zones depend on
+	tasksTogether int                // how many tasks must fit at once
 }
 
 // searcher makes the searches for machines and scores them for tasks. It changes no state
@@ -65,7 +65,7 @@
 			request.openZones |= 1 << i
 		}
 	}
-	if request.gate, ok = s.zones.requestPart(j); request.gate.evaluated {
+	if request.gate, ok = s.zones.admissionClass(j); request.gate.evaluated {
 		request.image = spec.Image
 	}
 	return request, ok
@@ -242,7 +242,7 @@
 		Cached:           m.HasImage(j.Spec.Image),
 		Suspect:          j.Failures.AntiAffinity[m.ID] != 0 || now < m.Health.SlowUntil || failedRecently,
 		LatencySensitive: s.queue.latencySensitive(j),
-		Unproven:         s.zones.unproven(m.Zone()),
+		Unproven:         s.zones.recovering(m.Zone()),
 		Preferred:        j.Queue.PreferredZone == m.Zone() && m.Zone() != "" && now < j.Queue.PreferredUntil,
 		RunsServices:     m.Replicas() > 0,
 		Fetching:         m.Fetches(j.Spec.Image) > 0,
--- a/scheduler/task_lifecycle.go
+++ b/scheduler/task_lifecycle.go
@@ -38,7 +38,7 @@
 type machineQueue interface{ queueCommands(m *cluster.Machine) }
 
 // taskEndObserver learns that a task was taken off its machine.
-type taskEndObserver interface{ detached(a *cluster.Assignment) }
+type taskEndObserver interface{ taskDetached(a *cluster.Assignment) }
 
 // runRecorder learns from how long tasks ran.
 type runRecorder interface {
@@ -70,7 +70,7 @@
 		lost.tasks++
 		lost.cpuS += l.clock.Now().Sub(a.Run.PhaseSince).Seconds() * a.Job.Spec.CPUs
 	}
-	l.zones.detached(a)
+	l.zones.taskDetached(a)
 	l.cluster.Release(a)
 	if a.Job.Terminal() {
 		l.records.markDroppable(a.Job)
@@ -81,13 +81,13 @@
 
 // withdraw undoes a placement of the present round.
 func (l *taskLifecycle) withdraw(a *cluster.Assignment) {
-	l.zones.detached(a)
+	l.zones.taskDetached(a)
 	l.cluster.Withdraw(a)
 }
 
 // complete takes a task that succeeded off its machine.
 func (l *taskLifecycle) complete(a *cluster.Assignment) {
-	l.zones.detached(a)
+	l.zones.taskDetached(a)
 	l.failures.recordSuccess(a)
 	j := a.Job
 	if j.Terminal() {
--- a/scheduler/wiring.go
+++ b/scheduler/wiring.go
@@ -128,18 +128,18 @@
 		previousLeader:    c.opt.PreviousLeader,
 	}
 	c.health = &healthMonitor{
-		machineLiveness: &machineLiveness{clock: c.clock, settings: settings},
-		zoneOutages:     newZoneOutages(c.cluster, c.clock, settings),
-		cluster:         c.cluster,
-		clock:           c.clock,
-		rounds:          c.rounds,
-		settings:        settings,
-		leases:          &leaseExpiry{clock: c.clock, leaders: c.previousLeaders, agentLease: settings.agentLease},
-		reachability:    &reachabilityDetector{clock: c.clock, rounds: c.rounds, tokens: c.commands, settings: settings},
-		reclaims:        &spotDrainer{cluster: c.cluster, estimates: c.estimates, lifecycle: c.lifecycle},
-		registry:        c.registry,
-		commands:        c.commands,
-		autoscaler:      c.autoscaler,
+		machineLiveness:   &machineLiveness{clock: c.clock, settings: settings},
+		partitionDetector: newPartitionDetector(c.cluster, c.clock, settings),
+		cluster:           c.cluster,
+		clock:             c.clock,
+		rounds:            c.rounds,
+		settings:          settings,
+		leases:            &leaseExpiry{clock: c.clock, leaders: c.previousLeaders, agentLease: settings.agentLease},
+		reachability:      &reachabilityDetector{clock: c.clock, rounds: c.rounds, tokens: c.commands, settings: settings},
+		reclaims:          &spotDrainer{cluster: c.cluster, estimates: c.estimates, lifecycle: c.lifecycle},
+		registry:          c.registry,
+		commands:          c.commands,
+		autoscaler:        c.autoscaler,
 	}
 }
 
--- a/scheduler/zone_admission.go
+++ b/scheduler/zone_admission.go
@@ -19,9 +19,9 @@
 	expectedRun(spec *wire.JobSpec) time.Duration
 }
 
-// gateClass holds the properties of a job, beside its image, that the answer of admits
+// zoneAdmissionClass holds the properties of a job, beside its image, that the answer of admits
 // depends on. It is the zero value while no zone recovers.
-type gateClass struct{ evaluated, critical, probeEligible bool }
+type zoneAdmissionClass struct{ evaluated, critical, probeEligible bool }
 
 // admits tells whether a task may start on a machine now.
 func (g *zoneGate) admits(j *cluster.Job, index int, m *cluster.Machine) bool {
@@ -34,21 +34,21 @@
 // evacuating tells whether work of some zone may need capacity elsewhere.
 func (g *zoneGate) evacuating() bool { return g != nil && g.manager.Evacuating() }
 
-// unproven tells whether a zone recovers, so that it is not known yet whether tasks start there.
-func (g *zoneGate) unproven(zone ids.Zone) bool {
+// recovering tells whether a zone recovers, so that it is not known yet whether tasks start there.
+func (g *zoneGate) recovering(zone ids.Zone) bool {
 	return g != nil && g.manager.Condition(zone) == zonerecovery.Recovering
 }
 
-// requestPart returns what admits depends on for a job now. ok is false if its result for this
+// admissionClass returns what admits depends on for a job now. ok is false if its result for this
 // job may differ from that for others with the same request.
-func (g *zoneGate) requestPart(j *cluster.Job) (part gateClass, ok bool) {
+func (g *zoneGate) admissionClass(j *cluster.Job) (class zoneAdmissionClass, ok bool) {
 	if g == nil || !g.manager.AnyGated() {
-		return gateClass{}, true
+		return zoneAdmissionClass{}, true
 	}
 	if g.manager.AnyRecovering() {
-		part = gateClass{evaluated: true, critical: g.critical(j), probeEligible: g.probeEligible(j)}
+		class = zoneAdmissionClass{evaluated: true, critical: g.critical(j), probeEligible: g.probeEligible(j)}
 	}
-	return part, !g.manager.FailbackDenied(j.ID)
+	return class, !g.manager.FailbackDenied(j.ID)
 }
 
 // startRequest describes a task that is to start on a machine. The fields that
@@ -59,7 +59,7 @@
 		Critical:   g.critical(j),
 		ZonePinned: j.Spec.Zone != "",
 	}
-	if !g.unproven(m.Zone()) {
+	if !g.recovering(m.Zone()) {
 		return request
 	}
 	request.Machine, request.Image = m.ID, j.Spec.Image
@@ -88,38 +88,38 @@
 	return !j.Spec.Service && !j.Spec.Gang && g.estimates.expectedRun(j.Spec) <= g.manager.ProbeRunLimit()
 }
 
-// started notes that a task was placed.
-func (g *zoneGate) started(a *cluster.Assignment) {
+// taskStarted notes that a task was placed.
+func (g *zoneGate) taskStarted(a *cluster.Assignment) {
 	if g != nil {
 		g.manager.TaskStarted(a.Machine.Zone(), g.startRequest(a.Job, a.Index, a.Machine), g.clock.Now())
 	}
 }
 
-// running notes that a heartbeat showed a task running.
-func (g *zoneGate) running(a *cluster.Assignment) {
+// taskRunning notes that a heartbeat showed a task taskRunning.
+func (g *zoneGate) taskRunning(a *cluster.Assignment) {
 	if g != nil && g.manager.TaskRunning(a.Machine.Zone(), a.Ref(), g.clock.Now()) {
 		g.rounds.MarkDue()
 	}
 }
 
-// detached notes that a task is off its machine.
-func (g *zoneGate) detached(a *cluster.Assignment) {
+// taskDetached notes that a task is off its machine.
+func (g *zoneGate) taskDetached(a *cluster.Assignment) {
 	if g != nil && g.manager.TaskEnded(a.Machine.Zone(), a.Ref()) {
 		g.rounds.MarkDue()
 	}
 }
 
-// failed notes that a task failed. A job that fails on all machines is no evidence against
+// taskFailed notes that a task taskFailed. A job that fails on all machines is no evidence against
 // a zone.
-func (g *zoneGate) failed(a *cluster.Assignment) {
+func (g *zoneGate) taskFailed(a *cluster.Assignment) {
 	if g != nil && a.Job.Failures.Rounds == 0 {
 		g.manager.TaskFailed(a.Machine.Zone(), a.Job.ID)
 	}
 }
 
-// lost notes that a task was lost with its machine. It counts as displaced only if it may
+// taskLost notes that a task was taskLost with its machine. It counts as displaced only if it may
 // have run there and was not to be stopped.
-func (g *zoneGate) lost(a *cluster.Assignment) {
+func (g *zoneGate) taskLost(a *cluster.Assignment) {
 	if g != nil && a.StopReason() == cluster.StopNone && !a.Job.Terminal() && a.MayRun() {
 		g.manager.TaskDisplaced(a.Machine.Zone(), a.Job.ID)
 	}
--- a/scheduler/zone_failover_test.go
+++ b/scheduler/zone_failover_test.go
@@ -11,7 +11,7 @@
 // An operator holds a zone: nothing new starts there, the next leaders hold it too, and it
 // serves once it is released.
 func TestZoneHoldSurvivesAFailover(t *testing.T) {
-	m := calmZones(t, 12, 4)
+	m := newZoneScenario(t, 12, 4)
 	m.fillZones()
 	number, ok := m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold, Reason: "power works"})
 	if !ok {
@@ -40,7 +40,7 @@
 	if m.startsIn("b") == before {
 		t.Error("nothing started after the release")
 	}
-	m.endOfDay()
+	m.runToEnd()
 }
 
 // recoveryPhase is a point of a zone's recovery.
@@ -66,12 +66,12 @@
 // awaitPhase loses zone b, and runs until the phase has begun and is recorded.
 func (m *scenario) awaitPhase(phase recoveryPhase) {
 	m.t.Helper()
-	m.loseZone("b", 40*second)
+	m.causeZoneOutage("b", 40*second)
 	if phase >= phaseHoldDown {
 		m.run(m.zones.partitionedUntil["b"].Sub(m.now) + time.Second)
 	}
 	if phase >= phaseProbe {
-		m.await("b", zonerecovery.Recovering, 60*second)
+		m.awaitCondition("b", zonerecovery.Recovering, 60*second)
 		for m.condition("b") == zonerecovery.Recovering && m.statusOf("b").Step < int(phase) {
 			m.run(100 * time.Millisecond)
 		}
@@ -101,7 +101,7 @@
 		for _, c := range leaderChanges {
 			t.Run(fmt.Sprintf("%s %s", c.name, phase), func(t *testing.T) {
 				t.Parallel()
-				m := calmZones(t, 6, 4)
+				m := newZoneScenario(t, 6, 4)
 				m.fillZones()
 				m.awaitPhase(phase)
 				before := m.statusOf("b")
@@ -114,8 +114,8 @@
 				if before.Condition == zonerecovery.Outage && after.Condition == zonerecovery.Serving || after.Step > before.Step+1 {
 					t.Errorf("the next leader allows more: before %+v\nafter %+v", before, after)
 				}
-				m.await("b", zonerecovery.Serving, 3*time.Minute)
-				m.endOfDay()
+				m.awaitCondition("b", zonerecovery.Serving, 3*time.Minute)
+				m.runToEnd()
 			})
 		}
 	}
--- a/scheduler/zone_gate_test.go
+++ b/scheduler/zone_gate_test.go
@@ -10,15 +10,15 @@
 	"ospreystile.example/ospreystile/records"
 )
 
-// TestRulesWhileZonesRecover plays random days with zone outages and recoveries among all other
+// TestInvariantsDuringZoneRecovery plays random days with zone outages and recoveries among all other
 // faults: every rule holds, the recovery stays within its ramp-up, no job returns to a zone
 // that displaced it more than once in an incident, and in the end nothing waits.
-func TestRulesWhileZonesRecover(t *testing.T) {
+func TestInvariantsDuringZoneRecovery(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := zoneDay(t, seed)
-			all := s.playZoneDay(30)
+			s := newZoneFaultSim(t, seed)
+			all := s.runZoneFaults(30)
 			s.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
 			s.runToCompletion(all, 20*time.Minute)
 			s.checkCancelledDependents(all)
@@ -34,8 +34,8 @@
 	for seed := range uint64(3) {
 		var first string
 		for play := range 3 {
-			s := zoneDay(t, seed)
-			s.playZoneDay(15)
+			s := newZoneFaultSim(t, seed)
+			s.runZoneFaults(15)
 			if got := s.digest.String(); play == 0 {
 				first = got
 			} else if got != first {
@@ -52,16 +52,16 @@
 	g.observe()
 	g.restore()
 	g.writeRecords()
-	if part, ok := g.requestPart(nil); !g.admits(nil, 0, nil) || part != (gateClass{}) || !ok {
+	if part, ok := g.admissionClass(nil); !g.admits(nil, 0, nil) || part != (zoneAdmissionClass{}) || !ok {
 		t.Error("a task is denied")
 	}
 	if g.blocksProvisioning("a") || g.limitProvisioning("a", 3) != 3 {
 		t.Error("provisioning is limited")
 	}
-	if g.evacuating() || g.unproven("a") {
+	if g.evacuating() || g.recovering("a") {
 		t.Error("a zone does not serve")
 	}
-	if g.settle(records.CommitResult{}) || g.takeTransitions() != nil {
+	if g.applyResult(records.CommitResult{}) || g.takeTransitions() != nil {
 		t.Error("the gate has results")
 	}
 }
--- a/scheduler/zone_observation_test.go
+++ b/scheduler/zone_observation_test.go
@@ -10,7 +10,7 @@
 
 // Heartbeats from before a partition that come late do not end the outage.
 func TestDelayedHeartbeatsDoNotEndAZoneOutage(t *testing.T) {
-	m := calmZones(t, 8, 4)
+	m := newZoneScenario(t, 8, 4)
 	m.fillZones()
 	var late []*wire.Heartbeat
 	for _, h := range m.sortedMachineIDs() {
@@ -21,7 +21,7 @@
 		}
 	}
 	m.run(5 * second)
-	m.loseZone("b", 60*second)
+	m.causeZoneOutage("b", 60*second)
 	for range 10 {
 		for _, rep := range late {
 			m.core.Heartbeat(m.now, rep)
@@ -34,12 +34,12 @@
 			t.Fatalf("%d machines count as reachable", st.Reachable)
 		}
 	}
-	m.endOfDay()
+	m.runToEnd()
 }
 
 // A leader that reaches neither the store nor its peers declares no zone outage.
 func TestIsolatedLeaderDeclaresNoOutage(t *testing.T) {
-	m := calmZones(t, 11, 4)
+	m := newZoneScenario(t, 11, 4)
 	m.fillZones()
 	m.zones.isolatedView = true
 	m.partitionZone("a", 20*second)
@@ -51,9 +51,9 @@
 		}
 	}
 	m.zones.isolatedView = false
-	m.await("a", zonerecovery.Serving, 30*second)
+	m.awaitCondition("a", zonerecovery.Serving, 30*second)
 	if got := m.statusOf("a").Outages; got != 0 {
 		t.Errorf("%d outages counted", got)
 	}
-	m.endOfDay()
+	m.runToEnd()
 }
--- a/scheduler/zone_provisioning.go
+++ b/scheduler/zone_provisioning.go
@@ -45,7 +45,7 @@
 		return
 	}
 	for _, m := range g.cluster.Machines() {
-		if g.unproven(m.Zone()) && g.health.takesTasks(m) {
+		if g.recovering(m.Zone()) && g.health.takesTasks(m) {
 			add(m.Site(), m.Free())
 		}
 	}
--- a/scheduler/zone_records.go
+++ b/scheduler/zone_records.go
@@ -65,14 +65,14 @@
 	r.inFlight[r.writer.submit(change)] = zoneWrite{zone: write.Zone, deletes: write.Record == nil}
 }
 
-// settle applies the result of a change if that wrote a zone's record; ours tells whether it
+// applyResult applies the result of a change if that wrote a zone's record; ours tells whether it
 // did.
-func (g *zoneGate) settle(result records.CommitResult) (ours bool) {
+func (g *zoneGate) applyResult(result records.CommitResult) (found bool) {
 	if g == nil {
 		return false
 	}
-	write, ours := g.records.inFlight[result.Change.ID]
-	if !ours {
+	write, found := g.records.inFlight[result.Change.ID]
+	if !found {
 		return false
 	}
 	delete(g.records.inFlight, result.Change.ID)
--- a/scheduler/zone_records_test.go
+++ b/scheduler/zone_records_test.go
@@ -13,10 +13,10 @@
 
 // During an outage of the store no step of a recovery begins that is not recorded, however often
 // the zone flaps. After the outage the recovery goes on.
-func TestNothingOpensUnrecorded(t *testing.T) {
-	m := calmZones(t, 7, 4)
+func TestNoRecoveryStepBeginsUnrecorded(t *testing.T) {
+	m := newZoneScenario(t, 7, 4)
 	m.fillZones()
-	m.loseZone("b", 40*second)
+	m.causeZoneOutage("b", 40*second)
 	m.run(500 * time.Millisecond)
 	m.storeOutageUntil = m.in(90 * second)
 	m.jobs(4, array)
@@ -29,27 +29,27 @@
 	if st := m.statusOf("b"); st.Condition != zonerecovery.Recovering || st.Step != 0 {
 		t.Fatalf("the zone is %s at step %d although nothing was recorded", st.Condition, st.Step)
 	}
-	m.await("b", zonerecovery.Serving, 90*second)
-	m.endOfDay()
+	m.awaitCondition("b", zonerecovery.Serving, 90*second)
+	m.runToEnd()
 }
 
 // While placements use the whole write rate, as for minutes after a zone is lost, the zone's own
 // record is still written, and the recovery ends in time.
-func TestZoneRecordIsWrittenThoughWritesAreScarce(t *testing.T) {
-	m := calmZones(t, 16, 6)
+func TestZoneRecordIsWrittenAtTheWriteRateLimit(t *testing.T) {
+	m := newZoneScenario(t, 16, 6)
 	m.fillZones()
-	m.loseZone("b", 40*second)
+	m.causeZoneOutage("b", 40*second)
 	m.core.records.budget.perSecond, m.opt.WriteRate = 3, 3
 	m.runFactor = 1
 	m.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
 	m.run(m.zones.partitionedUntil["b"].Sub(m.now))
-	m.await("b", zonerecovery.Recovering, 30*second)
-	m.await("b", zonerecovery.Serving, m.opt.ZoneRecovery.MaxRecovery+10*second)
+	m.awaitCondition("b", zonerecovery.Recovering, 30*second)
+	m.awaitCondition("b", zonerecovery.Serving, m.opt.ZoneRecovery.MaxRecovery+10*second)
 	if waiting := len(m.core.records.dirty); waiting == 0 {
 		t.Error("no record waits for the write rate: the day shows nothing")
 	}
 	m.core.records.budget.perSecond, m.opt.WriteRate = 40, 40
-	m.endOfDay()
+	m.runToEnd()
 }
 
 // fakeZoneRecordWriter collects the changes that a zone gate submits, and its error.
@@ -70,8 +70,8 @@
 
 func (w *fakeZoneRecordWriter) fail(err error) { w.err = err }
 
-// newHeldZone makes a gate without a core, and has it write that zone b is on hold.
-func newHeldZone(t *testing.T) (*zoneGate, *fakeZoneRecordWriter) {
+// newZoneOnHold makes a gate without a core, and has it write that zone b is on hold.
+func newZoneOnHold(t *testing.T) (*zoneGate, *fakeZoneRecordWriter) {
 	t.Helper()
 	writer := &fakeZoneRecordWriter{}
 	g := &zoneGate{
@@ -103,12 +103,12 @@
 		{"the record has moved", conflict, 0, 0, conflict},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g, writer := newHeldZone(t)
+			g, writer := newZoneOnHold(t)
 			result := records.CommitResult{Change: writer.changes[0], Revision: 7, Err: c.err}
-			if !g.settle(result) {
+			if !g.applyResult(result) {
 				t.Error("the result does not belong to the gate")
 			}
-			if g.settle(result) {
+			if g.applyResult(result) {
 				t.Error("the result was applied twice")
 			}
 			if got := g.manager.RecordedOverride("b"); got != c.recorded {
@@ -127,9 +127,9 @@
 
 // Results of other changes are left to other parts.
 func TestZoneGateIgnoresOtherResults(t *testing.T) {
-	g, writer := newHeldZone(t)
+	g, writer := newZoneOnHold(t)
 	result := records.CommitResult{Change: records.Change{ID: writer.changes[0].ID + 1}, Err: records.ErrRejected}
-	if g.settle(result) {
+	if g.applyResult(result) {
 		t.Error("the gate took the result of another change")
 	}
 }
--- a/scheduler/zone_recovery_benchmark_test.go
+++ b/scheduler/zone_recovery_benchmark_test.go
@@ -17,33 +17,33 @@
 //
 //	go test ./scheduler -run - -bench ZoneRecovery -benchtime 1x
 
-// recoveryFigures are the measurements of one day.
-type recoveryFigures struct {
-	queriesUp   time.Duration // from the partition until all replicas run again
-	worstStart  time.Duration // of a new query after the return
-	share       time.Duration // from the return until the zone is as full as the others
-	peakFetches int           // at once in the zone
-	fetches     int           // after the return
-	worstMoves  int           // of a task
+// recoveryMeasurements are the measurements of one day.
+type recoveryMeasurements struct {
+	replicasRestored    time.Duration // from the partition until all replicas run again
+	slowestStart        time.Duration // of a new query after the return
+	utilizationRestored time.Duration // from the return until the zone is as full as the others
+	peakFetches         int           // at once in the zone
+	fetches             int           // after the return
+	maxMoves            int           // of a task
 }
 
-// recoveryDay is a day on which zone b is lost and comes back with empty caches, while arrays
+// recoveryRun is a day on which zone b is lost and comes back with empty caches, while arrays
 // of twelve images wait and a new query is submitted every three seconds.
-type recoveryDay struct {
+type recoveryRun struct {
 	*scenario
 	services, arrays []ids.JobID
-	figures          recoveryFigures
+	measured         recoveryMeasurements
 }
 
 const (
-	recoveryPartition = 60 * time.Second
-	recoveryObserved  = 90 * time.Second // after the end of the partition
-	recoveryTick      = 200 * time.Millisecond
+	recoveryPartitionDuration = 60 * time.Second
+	recoveryObservation       = 90 * time.Second // after the end of the partition
+	recoveryPollInterval      = 200 * time.Millisecond
 )
 
-// newRecoveryDay prepares a day. start makes the first leader, and turns zone recovery on or
+// newRecoveryRun prepares a day. start makes the first leader, and turns zone recovery on or
 // leaves it off.
-func newRecoveryDay(seed uint64, start func(*sim)) *recoveryDay {
+func newRecoveryRun(seed uint64, start func(*sim)) *recoveryRun {
 	m := &scenario{sim: newSim(nil, seed)}
 	m.faults, m.capacity = false, 10
 	for i := range m.opt.Teams {
@@ -54,11 +54,11 @@
 	start(m.sim)
 	m.previousCore = nil
 	m.imageCaches = &simImageCaches{images: map[*simWorker]map[ids.Image]bool{}, inFlight: map[ids.Zone]int{}, peak: map[ids.Zone]int{}}
-	return &recoveryDay{scenario: m}
+	return &recoveryRun{scenario: m}
 }
 
 // measure plays the day.
-func (d *recoveryDay) measure(t testing.TB) recoveryFigures {
+func (d *recoveryRun) measure(t testing.TB) recoveryMeasurements {
 	t.Helper()
 	for n := range 12 {
 		spec := zoneArray(6)
@@ -73,29 +73,29 @@
 	d.measurePartition()
 	d.clearCaches("b")
 	d.measureRecovery()
-	d.figures.peakFetches, d.figures.fetches = d.imageCaches.peak["b"], d.imageCaches.total
-	d.figures.worstMoves = d.mostMoves()
+	d.measured.peakFetches, d.measured.fetches = d.imageCaches.peak["b"], d.imageCaches.total
+	d.measured.maxMoves = d.maxTaskMoves()
 	if len(d.violations) > 0 {
 		t.Fatalf("rules broken: %v", d.violations)
 	}
-	return d.figures
+	return d.measured
 }
 
 // measurePartition partitions zone b and measures until when all replicas run again.
-func (d *recoveryDay) measurePartition() {
-	began := d.now
-	d.partitionZone("b", recoveryPartition)
-	for d.now < began.Add(recoveryPartition) {
-		d.run(recoveryTick)
+func (d *recoveryRun) measurePartition() {
+	partitionedAt := d.now
+	d.partitionZone("b", recoveryPartitionDuration)
+	for d.now < partitionedAt.Add(recoveryPartitionDuration) {
+		d.run(recoveryPollInterval)
 		running, wanted := d.runningReplicas(d.services)
-		if d.now > began.Add(simAgentLease) && d.figures.queriesUp == 0 && running == wanted {
-			d.figures.queriesUp = d.now.Sub(began)
+		if d.now > partitionedAt.Add(simAgentLease) && d.measured.replicasRestored == 0 && running == wanted {
+			d.measured.replicasRestored = d.now.Sub(partitionedAt)
 		}
 	}
 }
 
 // clearCaches empties the image caches of a zone and begins to count fetches anew.
-func (d *recoveryDay) clearCaches(zone ids.Zone) {
+func (d *recoveryRun) clearCaches(zone ids.Zone) {
 	for w := range d.imageCaches.images {
 		if w.zone == zone {
 			delete(d.imageCaches.images, w)
@@ -106,38 +106,38 @@
 
 // measureRecovery submits queries, and measures how soon they start and how soon the zone is as
 // full as the others.
-func (d *recoveryDay) measureRecovery() {
-	back := d.now
+func (d *recoveryRun) measureRecovery() {
+	partitionEndedAt := d.now
 	submittedAt := map[ids.JobID]monotonic.Instant{} // of queries that have not started
-	for d.now < back.Add(recoveryObserved) {
-		if d.now.Sub(back)%(3*second) == 0 {
+	for d.now < partitionEndedAt.Add(recoveryObservation) {
+		if d.now.Sub(partitionEndedAt)%(3*second) == 0 {
 			spec := zoneArray(1)
 			spec.Service, spec.Image, spec.Priority = true, "query", wire.High
 			submittedAt[d.submitJob(spec)] = d.now
 		}
-		d.run(recoveryTick)
-		d.noteStarts(submittedAt)
-		if d.figures.share == 0 && d.carriesShare("b") {
-			d.figures.share = d.now.Sub(back)
+		d.run(recoveryPollInterval)
+		d.recordStarts(submittedAt)
+		if d.measured.utilizationRestored == 0 && d.utilizationMatches("b") {
+			d.measured.utilizationRestored = d.now.Sub(partitionEndedAt)
 		}
 	}
 	for _, at := range submittedAt {
-		d.figures.worstStart = max(d.figures.worstStart, d.now.Sub(at))
+		d.measured.slowestStart = max(d.measured.slowestStart, d.now.Sub(at))
 	}
 }
 
-// noteStarts removes the queries that have started, and keeps the longest wait.
-func (d *recoveryDay) noteStarts(submittedAt map[ids.JobID]monotonic.Instant) {
+// recordStarts removes the queries that have started, and keeps the longest wait.
+func (d *recoveryRun) recordStarts(submittedAt map[ids.JobID]monotonic.Instant) {
 	for id, at := range submittedAt {
 		if j := d.core.cluster.Job(id); j != nil && startedRunning(j) {
-			d.figures.worstStart = max(d.figures.worstStart, d.now.Sub(at))
+			d.measured.slowestStart = max(d.measured.slowestStart, d.now.Sub(at))
 			delete(submittedAt, id)
 		}
 	}
 }
 
-// mostMoves is how often a task was moved at most.
-func (d *recoveryDay) mostMoves() int {
+// maxTaskMoves is how often a task was moved at most.
+func (d *recoveryRun) maxTaskMoves() int {
 	most := 0
 	for _, id := range slices.Concat(d.services, d.arrays) {
 		for _, p := range d.placements[id] {
@@ -171,8 +171,8 @@
 	return running, wanted
 }
 
-// carriesShare tells whether a zone's machines are as full as the others, but for a tenth.
-func (m *scenario) carriesShare(zone ids.Zone) bool {
+// utilizationMatches tells whether a zone's machines are as full as the others, but for a tenth.
+func (m *scenario) utilizationMatches(zone ids.Zone) bool {
 	var used, total, usedElsewhere, totalElsewhere float64
 	for _, w := range m.core.cluster.Machines() {
 		if !m.core.health.usable(w) {
@@ -195,31 +195,31 @@
 	}{{"off", (*sim).failOver}, {"on", (*sim).enableZoneRecovery}} {
 		b.Run(c.name, func(b *testing.B) {
 			for range b.N {
-				reportRecoveryDays(b, c.start)
+				reportRecoveryRuns(b, c.start)
 			}
 		})
 	}
 }
 
-// reportRecoveryDays plays ten days and logs their measurements.
-func reportRecoveryDays(b *testing.B, start func(*sim)) {
-	const days = 10
+// reportRecoveryRuns plays ten days and logs their measurements.
+func reportRecoveryRuns(b *testing.B, start func(*sim)) {
+	const runs = 10
 	var up, worstStart, share, peak, fetches, moves []float64
-	for seed := range uint64(days) {
-		f := newRecoveryDay(seed, start).measure(b)
-		up = append(up, f.queriesUp.Seconds())
-		worstStart = append(worstStart, f.worstStart.Seconds())
-		share = append(share, f.share.Seconds())
+	for seed := range uint64(runs) {
+		f := newRecoveryRun(seed, start).measure(b)
+		up = append(up, f.replicasRestored.Seconds())
+		worstStart = append(worstStart, f.slowestStart.Seconds())
+		share = append(share, f.utilizationRestored.Seconds())
 		peak = append(peak, float64(f.peakFetches))
 		fetches = append(fetches, float64(f.fetches))
-		moves = append(moves, float64(f.worstMoves))
+		moves = append(moves, float64(f.maxMoves))
 	}
-	b.Logf("queries up after the cut %s s, worst query start after the return %s s, share after %s s", spread(up), spread(worstStart), spread(share))
-	b.Logf("most fetches at once %s, fetches %s, most moves of a task %s", spread(peak), spread(fetches), spread(moves))
+	b.Logf("queries up after the cut %s s, worst query start after the return %s s, share after %s s", medianAndRange(up), medianAndRange(worstStart), medianAndRange(share))
+	b.Logf("most fetches at once %s, fetches %s, most moves of a task %s", medianAndRange(peak), medianAndRange(fetches), medianAndRange(moves))
 }
 
-// spread is the median of some figures, with the least and the most.
-func spread(figures []float64) string {
+// medianAndRange is the median of some figures, with the least and the most.
+func medianAndRange(figures []float64) string {
 	slices.Sort(figures)
 	return fmt.Sprintf("%.1f (%.1f to %.1f)", figures[len(figures)/2], figures[0], figures[len(figures)-1])
 }
--- a/scheduler/zone_restore_test.go
+++ b/scheduler/zone_restore_test.go
@@ -11,7 +11,7 @@
 // Where operators want the spread restored, replicas move back one at a time and within the
 // service's budget, and arrays stay where they are.
 func TestSpreadOfServicesIsRestored(t *testing.T) {
-	m := calmZones(t, 14, 4)
+	m := newZoneScenario(t, 14, 4)
 	m.opt.ZoneRecovery.Restore = zonerecovery.RestorePolicy{MovesPerMinute: 6, After: 20 * second, Budget: 2}
 	m.failOver()
 	m.previousCore = nil
@@ -21,8 +21,8 @@
 	id := m.submitJob(service)
 	m.run(20 * second)
 	before := servicePlacement(m.core.cluster.Job(id)).Running["b"]
-	m.loseZone("b", 40*second)
-	m.await("b", zonerecovery.Serving, 2*time.Minute)
+	m.causeZoneOutage("b", 40*second)
+	m.awaitCondition("b", zonerecovery.Serving, 2*time.Minute)
 	down, moved := 0, 0
 	for end := m.now.Add(2 * time.Minute); m.now < end; m.run(100 * time.Millisecond) {
 		down = max(down, len(m.core.cluster.Job(id).Tasks())-len(m.core.cluster.Job(id).Active()))
@@ -42,5 +42,5 @@
 	if stopped := m.core.lifecycle.lostWork[cluster.StopDrained].tasks; stopped > 0 {
 		t.Errorf("%d tasks of arrays were moved", stopped)
 	}
-	m.endOfDay()
+	m.runToEnd()
 }
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -12,16 +12,16 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// zoneDay is a random day with zone outages among all other faults.
-func zoneDay(t *testing.T, seed uint64) *sim {
+// newZoneFaultSim is a random day with zone outages among all other faults.
+func newZoneFaultSim(t *testing.T, seed uint64) *sim {
 	s := newSim(t, seed)
 	s.capacity = 4
 	s.enableZoneRecovery()
 	return s
 }
 
-// playZoneDay plays rounds of a random day, with a zone partitioned in every other one.
-func (s *sim) playZoneDay(rounds int) []ids.JobID {
+// runZoneFaults plays rounds of a random day, with a zone partitioned in every other one.
+func (s *sim) runZoneFaults(rounds int) []ids.JobID {
 	s.t.Helper()
 	var all []ids.JobID
 	for round := range rounds {
@@ -47,8 +47,8 @@
 	return &wire.JobSpec{Class: "c", Team: "gold", Priority: wire.Normal, Tasks: tasks, CPUs: 2, MemoryGB: 2, Image: "i", ImageGB: 1, EstimateS: 10}
 }
 
-// calmZones is a day without other faults: zones a, b and c with machines for all work.
-func calmZones(t *testing.T, seed uint64, capacity int) *scenario {
+// newZoneScenario is a day without other faults: zones a, b and c with machines for all work.
+func newZoneScenario(t *testing.T, seed uint64, capacity int) *scenario {
 	m := &scenario{sim: newSim(t, seed)}
 	m.faults, m.capacity = false, capacity
 	for i := range m.opt.Teams {
@@ -100,8 +100,8 @@
 	return n
 }
 
-// await runs until a zone has a condition.
-func (m *scenario) await(zone ids.Zone, want zonerecovery.Condition, within time.Duration) {
+// awaitCondition runs until a zone has a condition.
+func (m *scenario) awaitCondition(zone ids.Zone, want zonerecovery.Condition, within time.Duration) {
 	m.t.Helper()
 	for end := m.now.Add(within); m.condition(zone) != want; {
 		if m.now >= end {
@@ -111,11 +111,11 @@
 	}
 }
 
-// loseZone partitions a zone, and runs until that counts as an outage.
-func (m *scenario) loseZone(zone ids.Zone, partition time.Duration) {
+// causeZoneOutage partitions a zone, and runs until that counts as an outage.
+func (m *scenario) causeZoneOutage(zone ids.Zone, partition time.Duration) {
 	m.t.Helper()
 	m.partitionZone(zone, partition)
-	m.await(zone, zonerecovery.Outage, 30*second)
+	m.awaitCondition(zone, zonerecovery.Outage, 30*second)
 }
 
 // statusOf is the status of a zone that operators see.
@@ -130,9 +130,9 @@
 	return zonerecovery.Status{}
 }
 
-// endOfDay checks that every job ends with no rule broken, and that none returned to a zone
+// runToEnd checks that every job ends with no rule broken, and that none returned to a zone
 // that displaced it more than once.
-func (m *scenario) endOfDay() {
+func (m *scenario) runToEnd() {
 	m.t.Helper()
 	m.runFactor = 1
 	m.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
@@ -142,8 +142,8 @@
 	}
 }
 
-// placed counts the tasks of jobs on machines of zones without an outage.
-func (m *scenario) placed(jobs []ids.JobID) (placed, wanted int) {
+// countPlaced counts the tasks of jobs on machines of zones without an outage.
+func (m *scenario) countPlaced(jobs []ids.JobID) (placed, wanted int) {
 	for _, id := range jobs {
 		j := m.core.cluster.Job(id)
 		wanted += len(j.Tasks()) - j.Done()
@@ -156,8 +156,8 @@
 	return placed, wanted
 }
 
-// attempts lists the newest attempts of jobs' tasks.
-func (m *scenario) attempts(jobs []ids.JobID) map[ids.TaskRef]ids.Attempt {
+// latestAttempts lists the newest latestAttempts of jobs' tasks.
+func (m *scenario) latestAttempts(jobs []ids.JobID) map[ids.TaskRef]ids.Attempt {
 	out := map[ids.TaskRef]ids.Attempt{}
 	for _, id := range jobs {
 		for i := range m.core.cluster.Job(id).Tasks() {
--- a/scheduler/zones_test.go
+++ b/scheduler/zones_test.go
@@ -29,19 +29,19 @@
 		{"a few machines, longer", 5, 9 * time.Second, 0, true},
 		{"too few to tell", 3, time.Minute, 0, false},
 		{"no machine is heard", 100, 9 * time.Second, 9 * time.Second, false},
-		{"for so long that the zone is tried again", 100, zoneOutageLimit, 0, false},
+		{"for so long that the zone is tried again", 100, maxPartitionDuration, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := monotonic.Instant(time.Hour)
-			present := clock.New(0)
-			present.Set(now)
-			o := newZoneOutages(nil, present, testHealthSettings)
-			o.lastHeard = now.Add(-c.othersHeard)
-			o.zoneStates["a"] = &zoneState{lastHeard: now.Add(-c.silent), machinesUp: c.machines}
+			testClock := clock.New(0)
+			testClock.Set(now)
+			o := newPartitionDetector(nil, testClock, testHealthSettings)
+			o.lastHeartbeatAt = now.Add(-c.othersHeard)
+			o.zoneStates["a"] = &zoneState{lastHeartbeatAt: now.Add(-c.silent), machinesUp: c.machines}
 			if got := o.zonePartitioned("a"); got != c.partitioned {
 				t.Errorf("partitioned %v", got)
 			}
-			present.Advance(now) // the first step after a long pause
+			testClock.Advance(now) // the first step after a long pause
 			if o.zonePartitioned("a") {
 				t.Error("a pause of this process counts as silence")
 			}
@@ -52,7 +52,7 @@
 // A partitioned zone is detected by its silence within seconds, and machines for its services
 // are provisioned before their leases expire. When all zones are silent at once, or the leader
 // itself was paused, it is not the zone.
-func TestPartitionedZoneIsDetectedSoon(t *testing.T) {
+func TestPartitionedZoneIsDetectedBeforeLeaseExpiry(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		silent     []ids.Zone
@@ -112,7 +112,7 @@
 		}
 		z.ticks++
 		if pause > 0 {
-			z.c.health.zoneStates["a"].lastHeard = z.began
+			z.c.health.zoneStates["a"].lastHeartbeatAt = z.began
 		}
 		for _, r := range z.harness.step().Provision {
 			provisioned += r.Count
@@ -124,34 +124,34 @@
 // A zone was partitioned: its machines were terminated after their leases and provisioned
 // again in the same zone, where they could not send heartbeats either, and counted as booting.
 func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
-	const avoided, retried = 170, 70 // seconds
-	d := newPartitionDay(t)
-	requested, terminated := d.play(avoided)
+	const partitionSeconds, retrySeconds = 170, 70 // seconds
+	d := newPartitionScenario(t)
+	requested, terminated := d.run(partitionSeconds)
 	if len(terminated) > 0 {
 		t.Fatalf("terminated %v in the partition", terminated)
 	}
 	if requested["a"] == 0 || requested["b"] != 0 {
 		t.Errorf("requested while zone b was partitioned: %v", requested)
 	}
-	if requested, _ = d.play(retried); requested["b"] == 0 {
+	if requested, _ = d.run(retrySeconds); requested["b"] == 0 {
 		t.Errorf("zone b was never tried again: %v", requested)
 	}
 }
 
-// partitionDay is a day on which zone b sends no heartbeat after the first ones, while jobs
+// partitionScenario is a day on which zone b sends no heartbeat after the first ones, while jobs
 // need more machines than there are. The cloud has no capacity.
-type partitionDay struct {
+type partitionScenario struct {
 	*harness
 	agents  *testAgents // of zone a
 	seconds int
 }
 
-func newPartitionDay(t *testing.T) *partitionDay {
+func newPartitionScenario(t *testing.T) *partitionScenario {
 	t.Helper()
-	d := &partitionDay{harness: newHarness(t, Options{})}
+	d := &partitionScenario{harness: newHarness(t, Options{})}
 	d.c.Begin(d.now)
-	forEver := func(string, int) time.Duration { return 0 }
-	d.agents = newTestAgents(forEver, "n-a0", "n-a1", "n-a2", "n-a3", "n-a4")
+	runsIndefinitely := func(string, int) time.Duration { return 0 }
+	d.agents = newTestAgents(runsIndefinitely, "n-a0", "n-a1", "n-a2", "n-a3", "n-a4")
 	d.agents.heartbeats(d.harness)
 	for n := range 5 {
 		d.heartbeat(ids.MachineID(fmt.Sprintf("n-b%d", n)), "b", ids.NewFencingToken(5, 0))
@@ -159,8 +159,8 @@
 	return d
 }
 
-// play plays some seconds and returns the machines that were requested and terminated.
-func (d *partitionDay) play(seconds int) (requested map[ids.Zone]int, terminated []ids.MachineID) {
+// run plays some seconds and returns the machines that were requested and terminated.
+func (d *partitionScenario) run(seconds int) (requested map[ids.Zone]int, terminated []ids.MachineID) {
 	requested = map[ids.Zone]int{}
 	for end := d.seconds + seconds; d.seconds < end; d.seconds++ {
 		d.now = d.now.Add(time.Second)
@@ -182,32 +182,32 @@
 
 // The machines of a zone that was partitioned for longer than two leases are not terminated for
 // their silence at the moment at which the first of them is heard again.
-func TestMachinesOfARecoveringZoneHaveTimeForHeartbeats(t *testing.T) {
+func TestMachinesAreNotTerminatedWhenAPartitionEnds(t *testing.T) {
 	b := newHarness(t, Options{})
 	b.c.Begin(b.now)
-	hosts := map[ids.Zone][]ids.MachineID{"a": {"a-1", "a-2", "a-3", "a-4"}, "b": {"b-1", "b-2", "b-3", "b-4", "b-5"}}
-	tell := func(zone ids.Zone) {
-		for _, host := range hosts[zone] {
-			b.heartbeat(host, zone, 0)
+	machines := map[ids.Zone][]ids.MachineID{"a": {"a-1", "a-2", "a-3", "a-4"}, "b": {"b-1", "b-2", "b-3", "b-4", "b-5"}}
+	sendHeartbeats := func(zone ids.Zone) {
+		for _, id := range machines[zone] {
+			b.heartbeat(id, zone, 0)
 		}
 	}
-	tell("b")
+	sendHeartbeats("b")
 	for start := b.now; b.now < start.Add(silentLeases*simAgentLease+10*time.Second); b.now = b.now.Add(500 * time.Millisecond) {
-		tell("a")
+		sendHeartbeats("a")
 		if e := b.step(); len(e.Terminate) > 0 {
 			t.Fatalf("terminated %v in the partition", e.Terminate)
 		}
 	}
 	b.heartbeat("b-1", "b", 0)
 	for start := b.now; b.now < start.Add(simHeartbeatInterval); b.now = b.now.Add(200 * time.Millisecond) {
-		tell("a")
+		sendHeartbeats("a")
 		if e := b.step(); len(e.Terminate) > 0 {
 			t.Fatalf("terminated %v before they could send a heartbeat", e.Terminate)
 		}
 	}
 	terminated := 0
 	for start := b.now; b.now < start.Add(4*simHeartbeatInterval); b.now = b.now.Add(200 * time.Millisecond) {
-		tell("a")
+		sendHeartbeats("a")
 		b.heartbeat("b-1", "b", 0)
 		terminated += len(b.step().Terminate)
 	}
