--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -18,9 +18,9 @@
 // planInterval is how often the autoscaler plans.
 const planInterval = time.Second
 
-// autoscaler decides which machines to provision and which idle machines to terminate. The
-// core calls plan in each step and takeDecisions after it; other policies ask and inform it
-// through the methods at the end of this file. It never places, stops or moves a task.
+// autoscaler decides which machines to provision and which idle machines to terminate. The core
+// calls plan in each step and takeDecisions after it. Other policies query and update it through
+// the methods at the end of this file. It never places, stops or moves a task.
 type autoscaler struct {
 	cluster  *cluster.State
 	clock    *clock.Clock
@@ -28,7 +28,7 @@
 	health   autoscalerHealth
 	zones    zoneProvisioning
 
-	// classes, boots and spot hold what was observed in this term.
+	// classes, boots and spot hold the observations of this term.
 	classes *classDemands
 	boots   *bootTimes
 	spot    *spotLosses
@@ -42,26 +42,26 @@
 	plannedAt monotonic.Instant
 }
 
-// autoscalerHealth tells which machines can be used and which zones can be reached.
+// autoscalerHealth reports which machines are usable and which zones are partitioned.
 type autoscalerHealth interface {
 	machineUsability
 	zonePartitioned(zone ids.Zone) bool
 }
 
-// zoneProvisioning bounds provisioning in a zone that recovers.
+// zoneProvisioning limits provisioning in a zone that recovers.
 type zoneProvisioning interface {
 	provisioningLimiter
-	// blocksProvisioning tells whether no machine may be requested in a zone now.
+	// blocksProvisioning reports whether no machine may be requested in a zone now.
 	blocksProvisioning(zone ids.Zone) bool
-	// addRecoveringCapacity passes the free resources of machines in recovering zones on.
+	// addRecoveringCapacity passes the free resources of machines in recovering zones to add.
 	addRecoveringCapacity(add func(placement.Site, placement.Resources))
 }
 
-// begin begins the term; the first plan is due one interval later.
+// begin starts the term. The first plan is due one interval later.
 func (as *autoscaler) begin() { as.plannedAt = as.clock.Now() }
 
-// plan requests machines for tasks that fit nowhere, and terminates idle machines. It does
-// nothing until its interval has passed.
+// plan requests machines for tasks that fit on no machine, and terminates idle machines. It does
+// nothing if planInterval has not passed since the last plan.
 func (as *autoscaler) plan() {
 	now := as.clock.Now()
 	if now < as.plannedAt.Add(planInterval) {
@@ -76,15 +76,15 @@
 	planner := as.newPlanner()
 	as.waiting.addTo(planner)
 	as.headroom.addTo(planner)
-	as.replacements.addTo(planner) // last: it adds free resources that the others must not count
+	as.replacements.addTo(planner) // must be last: it adds free resources that the others must not count
 	for _, machines := range planner.MachineRequests() {
 		as.provisioner.request(machines)
 	}
 	as.scaleIn.terminateIdleMachines()
 }
 
-// machineListCurrent tells whether the list of machines has caught up with what a previous
-// leader provisioned. Without that the same demand would be provisioned twice.
+// machineListCurrent reports whether the list of machines includes all machines that a previous
+// leader provisioned. Planning with an earlier list would provision the same demand twice.
 func (as *autoscaler) machineListCurrent() bool {
 	if !as.settings.previousLeader {
 		return true
@@ -92,7 +92,7 @@
 	return as.clock.Now() >= as.clock.TermBegan().Add(2*as.settings.listLag)
 }
 
-// newPlanner makes a planner that counts the machines that boot or are requested.
+// newPlanner returns a planner that counts machines that are booting or requested as capacity.
 func (as *autoscaler) newPlanner() *fleet.Planner {
 	planner := &fleet.Planner{
 		Types:          as.cluster.Types(),
@@ -111,7 +111,7 @@
 	return planner
 }
 
-// addRequested adds the machines of requests in flight to a plan.
+// addRequested adds the machines of requests in flight to the planner.
 func (as *autoscaler) addRequested(planner *fleet.Planner) {
 	requested := as.provisioner.machinesInFlight
 	for _, site := range slices.SortedFunc(maps.Keys(requested), placement.Site.Compare) {
@@ -126,8 +126,8 @@
 	}
 }
 
-// remainingMachines is how many more machines may be requested. It is negative if there are
-// too many already.
+// remainingMachines returns how many more machines may be requested. The result is negative if
+// the limit is already exceeded.
 func (as *autoscaler) remainingMachines() int {
 	if as.settings.maxMachines <= 0 {
 		return math.MaxInt32
@@ -139,29 +139,29 @@
 	return remaining
 }
 
-// blocked tells whether no machine should be requested at a site now.
+// blocked reports whether no machine should be requested at a site now.
 func (as *autoscaler) blocked(site placement.Site) bool {
 	return as.health.zonePartitioned(site.Zone) || as.zones.blocksProvisioning(site.Zone) || as.provisioner.backsOff(site)
 }
 
-// takeDecisions returns the requests for machines since the last call.
+// takeDecisions returns the requests for machines that were decided on since the last call.
 func (as *autoscaler) takeDecisions() []wire.ProvisionRequest { return as.provisioner.takeDecisions() }
 
 // recordArrival counts a job that became ready.
 func (as *autoscaler) recordArrival(spec *wire.JobSpec) { as.classes.recordArrival(spec) }
 
-// recordBoot learns from the first heartbeat of a machine.
+// recordBoot records the boot time of a machine at its first heartbeat.
 func (as *autoscaler) recordBoot(m *cluster.Machine) { as.boots.record(m) }
 
-// recordSpotLoss counts a spot instance that the cloud took back, or announced to take back.
+// recordSpotLoss counts a spot instance that the cloud reclaimed or announced to reclaim.
 func (as *autoscaler) recordSpotLoss() { as.spot.record() }
 
-// spotRisk is the expected number of times that a spot instance is reclaimed while one task
+// spotRisk returns the expected number of times that a spot instance is reclaimed while one task
 // of a job runs on it.
 func (as *autoscaler) spotRisk(j *cluster.Job) float64 { return as.spot.risk(j) }
 
-// zoneRefused tells whether the cloud recently lacked every kind of machine in a zone.
+// zoneRefused reports whether the cloud recently lacked capacity for every machine type in a zone.
 func (as *autoscaler) zoneRefused(zone ids.Zone) bool { return as.provisioner.zoneRefused(zone) }
 
-// bootingByZone counts the machines that are requested or boot.
+// bootingByZone returns the number of machines that are requested or booting in each zone.
 func (as *autoscaler) bootingByZone() map[ids.Zone]int { return as.provisioner.bootingByZone() }
--- a/scheduler/autoscaler_parts.go
+++ b/scheduler/autoscaler_parts.go
@@ -11,17 +11,17 @@
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
 
-// autoscalerSettings are the settings of the autoscaler and its parts.
+// autoscalerSettings holds the settings of the autoscaler and its components.
 type autoscalerSettings struct {
-	// revision is that of the leader's key.
+	// revision is the revision of the leader's key.
 	revision ids.Revision
-	// previousLeader tells that another leader may have acted before.
+	// previousLeader reports whether another leader may have acted before this term.
 	previousLeader bool
-	// listLag is how far the cloud's list of machines may lag behind.
+	// listLag is the maximum staleness of the cloud's list of machines.
 	listLag time.Duration
-	// maxMachines bounds the machines held; 0: no bound.
+	// maxMachines is the maximum number of machines in the fleet. 0 means no limit.
 	maxMachines int
-	// capacityBackoff is the first wait of a site that lacked capacity.
+	// capacityBackoff is the initial backoff of a site that lacked capacity.
 	capacityBackoff time.Duration
 	// heartbeatInterval is the time between two heartbeats of a machine.
 	heartbeatInterval time.Duration
@@ -30,7 +30,7 @@
 	scaleIn           scaleInSettings
 }
 
-// autoscalerSettingsOf selects the settings of the autoscaler.
+// autoscalerSettingsOf returns the settings of the autoscaler.
 func autoscalerSettingsOf(opt *Options) autoscalerSettings {
 	return autoscalerSettings{
 		revision:          opt.Revision,
@@ -49,7 +49,7 @@
 	}
 }
 
-// autoscalerPeers are the other policies that the autoscaler asks.
+// autoscalerPeers holds the other policies that the autoscaler queries.
 type autoscalerPeers struct {
 	queue     *jobQueue
 	quota     *quotaCheck
@@ -60,8 +60,8 @@
 	registry  idleMachineTerminator
 }
 
-// newAutoscaler makes an autoscaler that has observed nothing yet. connect must follow
-// before the first plan.
+// newAutoscaler returns an autoscaler without observations. connect must be called before the
+// first plan.
 func newAutoscaler(settings autoscalerSettings, state *cluster.State, now *clock.Clock, rounds *clock.RoundTrigger) *autoscaler {
 	return &autoscaler{
 		cluster:  state,
@@ -87,8 +87,8 @@
 	}
 }
 
-// connect makes the parts that ask other policies. It exists because some of these policies
-// ask the autoscaler in turn.
+// connect creates the components that query other policies. It is separate from newAutoscaler
+// because some of these policies query the autoscaler in turn.
 func (as *autoscaler) connect(peers autoscalerPeers) {
 	as.health, as.zones = peers.health, peers.zones
 	as.provisioner.zones = peers.zones
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -11,34 +11,36 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Core is the scheduler of one term: the events that come in, the order of a step, and the
-// decisions that go out. wiring.go makes its parts and connects them.
+// Core is the scheduler of one term. It receives events, runs the components in a fixed order in
+// each step, and returns their decisions. New in wiring.go creates and connects the components.
 type Core struct {
 	opt Options
 
-	// The state that all parts share. rounds tells when a scheduling round is due.
+	// The state that all components share. rounds holds when a scheduling round is due.
 	clock   *clock.Clock
 	rounds  *clock.RoundTrigger
 	cluster *cluster.State
 	quotas  *quota.Tracker
 
-	// The parts that receive events, and bound what previous leaders may still do.
+	// The components that receive events, and the one that bounds what previous leaders may
+	// still do.
 	heartbeats      *heartbeatIntake
 	jobRecords      *jobIntake
 	registry        *machineRegistry
 	previousLeaders *previousLeaders
 
-	// The parts that end tasks and learn from how they ended.
+	// The components that end tasks and learn from how they ended.
 	lifecycle *taskLifecycle
 	estimates *runEstimates
 	failures  *failureHistory
 	slowness  *slownessDetector
 
-	// The parts that judge machines and zones. zones is nil where zone recovery is off.
+	// The components that evaluate the health of machines and zones. zones is nil if zone
+	// recovery is off.
 	health *healthMonitor
 	zones  *zoneGate
 
-	// The parts of a scheduling round.
+	// The components of a scheduling round.
 	candidates   *candidateList
 	queue        *jobQueue
 	quota        *quotaCheck
@@ -47,7 +49,7 @@
 	preemption   *preemption.Policy
 	reservations *reservations
 
-	// The parts that turn the state into decisions.
+	// The components that derive decisions from the state.
 	autoscaler *autoscaler
 	records    *recordWriter
 	commands   *commandDispatcher
@@ -56,14 +58,14 @@
 // SetCatalog sets the cloud's machine types with their current prices.
 func (c *Core) SetCatalog(types []wire.MachineType) { c.cluster.SetCatalog(types) }
 
-// Superseded tells that an agent has seen a later leader.
+// Superseded reports whether an agent has seen a later leader.
 func (c *Core) Superseded() bool { return c.heartbeats.superseded }
 
-// RecordsError is not nil once the records are not as this leader left them. The term must then
-// end, and the records must be read again.
+// RecordsError returns a non-nil error once the stored records differ from what this leader wrote
+// last. The term must then end, and the records must be read again.
 func (c *Core) RecordsError() error { return c.records.err }
 
-// Begin begins the term once the records are loaded.
+// Begin starts the term. It must be called after the records are loaded.
 func (c *Core) Begin(now monotonic.Instant) {
 	c.clock.Begin(now)
 	c.previousLeaders.begin()
@@ -75,17 +77,18 @@
 	c.rounds.MarkDue()
 }
 
-// AllControllersFollow notes that every other controller has confirmed, since this term began,
-// that it follows this leader. A process that knows of a later leader answers no heartbeat for
-// an earlier one, and neither does a process that starts after that. So no previous leader can
-// renew an agent's lease for a heartbeat sent from now on, and tasks on silent machines need not
-// wait for the grace of previous leaders.
+// AllControllersFollow records that every other controller has confirmed since the start of this
+// term that it follows this leader. A process that knows of a later leader answers no heartbeat
+// for an earlier one, and neither does a process that starts after that. So no previous leader can
+// renew an agent's lease for a heartbeat sent from now on. Tasks on machines without heartbeats
+// therefore need not wait for the grace period of previous leaders.
 func (c *Core) AllControllersFollow(now monotonic.Instant) {
 	c.clock.Set(now)
 	c.previousLeaders.end()
 }
 
-// Step runs what time and events call for, and returns the decisions since the last step.
+// Step does the work that is due at a time and after the events since the last step, and returns
+// the decisions since the last step.
 func (c *Core) Step(now monotonic.Instant) Decisions {
 	c.clock.Advance(now)
 	c.checkHealth()
@@ -99,15 +102,15 @@
 	return c.takeDecisions(calls)
 }
 
-// checkHealth checks the machines, and with them the zones, if a check is due.
+// checkHealth checks the health of the machines and of the zones if a check is due.
 func (c *Core) checkHealth() {
 	if c.health.checkIfDue() {
 		c.zones.observe()
 	}
 }
 
-// scheduleIfDue runs a scheduling round if one is due. The next waits for RoundInterval, or
-// longer if this one examined many machines.
+// scheduleIfDue runs a scheduling round if one is due. It delays the next one by RoundInterval, or
+// by more if this one examined many machines.
 func (c *Core) scheduleIfDue() {
 	now := c.clock.Now()
 	if !c.rounds.Start(now) {
@@ -119,10 +122,10 @@
 	c.rounds.HoldUntil(now.Add(max(c.opt.RoundInterval, cost)))
 }
 
-// scheduleRound is one scheduling round. First it admits the jobs that stay within their
-// team's nominal quota, then those that borrow, each by priority and creation time. Later
-// jobs may pass one that does not fit. Then preemption frees resources for jobs that are
-// entitled to them, and machines are reserved for those that have waited too long.
+// scheduleRound runs one scheduling round. It first admits the jobs within the nominal quota of
+// their team and then the jobs that borrow, each by priority and creation time. Later jobs may be
+// admitted before one that does not fit. Preemption then frees resources for jobs that are
+// entitled to them, and machines are reserved for jobs that have waited too long.
 func (c *Core) scheduleRound() {
 	waiting := c.queue.waitingJobs()
 	if len(waiting) == 0 {
@@ -134,7 +137,7 @@
 	c.reservations.update(waiting)
 }
 
-// takeDecisions gathers the decisions of all parts since the last step.
+// takeDecisions returns the decisions of all components since the last step.
 func (c *Core) takeDecisions(calls agentCalls) Decisions {
 	out := Decisions{
 		SendCommands:      calls.sendCommands,
--- a/scheduler/headroom.go
+++ b/scheduler/headroom.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// headroomBootTimes is for how many boot times of arrivals there should be headroom: it
-	// must have the image too, and be in the right zone.
+	// headroomBootTimes is the period whose expected arrivals the headroom should cover, in boot
+	// times. It exceeds one because a free machine must also hold the image and be in the right
+	// zone.
 	headroomBootTimes = 8
-	// extraHeadroomTasks is the headroom beyond what the recent demand asks for.
+	// extraHeadroomTasks is the headroom in tasks beyond that for the recent demand.
 	extraHeadroomTasks = 2
 )
 
-// headroom is the demand for free resources for latency-sensitive classes, whose tasks
-// cannot wait for a machine to boot.
+// headroom adds demand for free resources for latency-sensitive classes, whose tasks cannot wait
+// for a machine to boot.
 type headroom struct {
 	cluster  *cluster.State
 	clock    *clock.Clock
@@ -32,16 +33,16 @@
 	settings headroomSettings
 }
 
-// headroomSettings are the settings of headroom.
+// headroomSettings holds the settings of headroom.
 type headroomSettings struct {
-	// latencySensitive names the classes whose tasks must start sooner than a machine
-	// boots, with their objectives.
+	// latencySensitive maps each class whose tasks must start faster than a machine boots to
+	// its start time objective.
 	latencySensitive map[string]time.Duration
-	// peakFraction is the headroom of a class as a part of its recent peak.
+	// peakFraction is the headroom of a class as a fraction of its recent peak of tasks.
 	peakFraction float64
 }
 
-// addTo adds the headroom that is missing to a plan.
+// addTo adds the missing headroom to the demand of a planner.
 func (h *headroom) addTo(planner *fleet.Planner) {
 	for _, demand := range h.demands() {
 		wanted := h.wantedTasks(demand)
@@ -52,7 +53,7 @@
 	}
 }
 
-// demands lists the demand of the latency-sensitive classes that are followed, by name.
+// demands returns the recorded demands of latency-sensitive classes, sorted by class.
 func (h *headroom) demands() []*classDemand {
 	var demands []*classDemand
 	for _, class := range slices.Sorted(maps.Keys(h.settings.latencySensitive)) {
@@ -63,12 +64,12 @@
 	return demands
 }
 
-// wantedTasks is the headroom, in tasks, that a class should have: a part of its peak, but
-// no more than what may arrive within a few boot times. With hundreds of services the
-// former is far more than ever arrives.
+// wantedTasks returns the headroom in tasks that a class should have. It is a fraction of the
+// peak, limited to the expected arrivals within headroomBootTimes. With hundreds of services, the
+// fraction of the peak is far more than the tasks that arrive.
 func (h *headroom) wantedTasks(demand *classDemand) int {
 	wanted := h.settings.peakFraction * float64(demand.peakTasks())
-	// Earlier in the term, most arrivals of the window are not known.
+	// Earlier in the term, most of the window lies before the term and its arrivals are unknown.
 	if h.clock.Now() > h.clock.TermBegan().Add(demandWindow/2) {
 		within := headroomBootTimes * h.boots.fastest(demand.spec)
 		wanted = min(wanted, demand.expectedArrivals(within))
@@ -76,8 +77,8 @@
 	return int(math.Ceil(wanted)) + extraHeadroomTasks
 }
 
-// freeTasks counts how many tasks of a job fit on usable machines. The count
-// ends once it reaches what is needed.
+// freeTasks returns how many tasks of a job fit on usable machines. It stops counting when the
+// count reaches needed.
 func (h *headroom) freeTasks(spec *wire.JobSpec, needed int) int {
 	n := 0
 	for _, m := range h.cluster.Machines() {
@@ -91,14 +92,14 @@
 	return n
 }
 
-// headroomSurplus is how far the free resources for a class exceed the headroom that it should
-// have.
+// headroomSurplus holds by how many tasks the free resources for a class exceed the headroom that
+// the class should have.
 type headroomSurplus struct {
 	spec  *wire.JobSpec
 	tasks int // negative if headroom is missing
 }
 
-// surpluses lists the surplus of each latency-sensitive class that is followed.
+// surpluses returns the surplus of each latency-sensitive class with a recorded demand.
 func (h *headroom) surpluses() []headroomSurplus {
 	var surpluses []headroomSurplus
 	for _, demand := range h.demands() {
@@ -108,7 +109,7 @@
 	return surpluses
 }
 
-// tasksOn is how many tasks of the class fit on a machine.
+// tasksOn returns how many tasks of the class fit on a machine.
 func (s *headroomSurplus) tasksOn(m *cluster.Machine) int {
 	if !placement.Allowed(s.spec, m.Site()) {
 		return 0
@@ -116,7 +117,7 @@
 	return fleet.TasksThatFit(s.spec, m.Free())
 }
 
-// needs tells whether headroom would be missing without a machine.
+// needs reports whether headroom would be missing without a machine.
 func (s *headroomSurplus) needs(m *cluster.Machine) bool {
 	return placement.Allowed(s.spec, m.Site()) && fleet.TasksThatFit(s.spec, m.Free()) > s.tasks
 }
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -8,15 +8,16 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// Options are the settings of one term of leadership, grouped by policy. The scheduler sets no
-// defaults: a field must be set unless its comment says what 0 means.
+// Options holds the settings of one term of leadership, grouped by policy. The scheduler applies
+// no defaults: every field must be set unless its comment says what 0 means.
 type Options struct {
-	// Revision is the revision of the leader's key; all fencing tokens of the term contain it.
+	// Revision is the revision of the leader's key. All fencing tokens of the term contain it.
 	Revision ids.Revision
-	// WallClockMS is the time of day in Unix milliseconds when the term begins, to tell how
-	// long jobs have waited already; 0: not known.
+	// WallClockMS is the wall-clock time at the start of the term, in Unix milliseconds. The time
+	// that jobs have already waited is computed from it. 0 means unknown.
 	WallClockMS int64
-	Teams       []quota.Team
+	// Teams are the teams with their quotas.
+	Teams []quota.Team
 
 	LeaseOptions
 	AdmissionOptions
@@ -24,85 +25,87 @@
 	RecordOptions
 	CommandOptions
 
-	// ZoneRecovery is the policy for zone outages and recovery; nil: zone recovery is off.
+	// ZoneRecovery is the policy for zone outages and recovery. nil disables zone recovery.
 	ZoneRecovery *zonerecovery.Policy
 }
 
-// LeaseOptions are the timing of heartbeats and leases, and how long previous leaders may act.
+// LeaseOptions holds the timing of heartbeats and leases, and the time for which previous leaders
+// may still act.
 type LeaseOptions struct {
-	// HeartbeatInterval is the time between two heartbeats of a machine, AgentLease how long
-	// an agent keeps its tasks without an answer, and CancelDeadline the time in which a
-	// cancelled job's tasks must have ended.
+	// HeartbeatInterval is the time between two heartbeats of a machine. AgentLease is how long
+	// an agent keeps running its tasks without an answer to its heartbeats. CancelDeadline is
+	// the time within which the tasks of a cancelled job must have ended.
 	HeartbeatInterval, AgentLease, CancelDeadline time.Duration
-	// PreviousLeader tells that another leader may have acted before this term.
+	// PreviousLeader reports whether another leader may have acted before this term.
 	PreviousLeader bool
-	// PreviousLeaderGrace is how long a previous leader without the key-value store may
-	// answer machines after this term began, and PreviousLeaderGraceWithoutReplicas
-	// the same for machines on which no replica of a service is recorded.
+	// PreviousLeaderGrace is how long after the start of this term a previous leader that has
+	// lost the key-value store may still answer machines. PreviousLeaderGraceWithoutReplicas
+	// is the same for machines on which no replica of a service is recorded.
 	PreviousLeaderGrace, PreviousLeaderGraceWithoutReplicas time.Duration
 }
 
-// AdmissionOptions are the settings of scheduling rounds.
+// AdmissionOptions holds the settings of scheduling rounds.
 type AdmissionOptions struct {
-	// MaxSkippedJobs is how many jobs that do not fit a pass over the queue may skip.
+	// MaxSkippedJobs is the maximum number of jobs that do not fit which one pass over the
+	// queue may skip.
 	MaxSkippedJobs int
-	// LatencySensitive names the classes whose tasks must start sooner than a machine
-	// boots, with their objectives.
+	// LatencySensitive maps each class whose tasks must start faster than a machine boots to
+	// its start time objective.
 	LatencySensitive map[string]time.Duration
-	// LendingSuspension is how long a team's idle quota is not lent after it reclaimed some.
+	// LendingSuspension is how long the idle quota of a team is not lent after the team has
+	// reclaimed some of it.
 	LendingSuspension time.Duration
-	// ReserveAfter is how long a job waits to start until machines are reserved for it;
-	// 0: never. ReserveFor is how long a reservation lasts. After twice ReserveAfter a
-	// job goes before jobs of its priority that have started.
+	// ReserveAfter is how long a job waits to start until machines are reserved for it. 0
+	// disables reservations. ReserveFor is how long a reservation lasts. A job that has waited
+	// for twice ReserveAfter precedes jobs of its priority that have already started.
 	ReserveAfter, ReserveFor time.Duration
-	// RoundInterval is the least time between two scheduling rounds, and
-	// RoundCostPerMachine the time that each machine examined in a round delays the next
-	// one. Heartbeats and renewals are handled in between, however many jobs wait.
+	// RoundInterval is the minimum time between two scheduling rounds. RoundCostPerMachine is
+	// the delay of the next round for each machine that a round examined. Heartbeats and
+	// lease renewals are handled between rounds, regardless of the number of waiting jobs.
 	RoundInterval, RoundCostPerMachine time.Duration
 }
 
-// FleetOptions are the settings of scale out and scale in.
+// FleetOptions holds the settings of scale out and scale in.
 type FleetOptions struct {
-	// ListLag is how far the cloud's list of machines may lag behind.
+	// ListLag is the maximum staleness of the cloud's list of machines.
 	ListLag time.Duration
-	// MaxMachines bounds the machines held; 0: no bound.
+	// MaxMachines is the maximum number of machines in the fleet. 0 means no limit.
 	MaxMachines int
-	// BootFactor is how many times as long as its type's boot time a machine may take to
-	// boot.
+	// BootFactor is the boot timeout of a machine as a multiple of the boot time of its type.
 	BootFactor float64
-	// CapacityBackoff is how long no machine is requested at a site after its first lack of
-	// capacity.
+	// CapacityBackoff is the backoff of a site after the first request for which it lacked
+	// capacity. No machine is requested there in the meantime.
 	CapacityBackoff time.Duration
-	// IdleTimeout is how long a machine may be idle. SpotIdleFactor is how many times as
-	// long a spot instance may. HeadroomIdleTimeout is for spare machines of
-	// latency-sensitive classes.
+	// IdleTimeout is how long a machine may be idle. HeadroomIdleTimeout is the same for
+	// machines that are held as headroom for latency-sensitive classes. SpotIdleFactor
+	// multiplies both for spot instances.
 	IdleTimeout         time.Duration
 	SpotIdleFactor      float64
 	HeadroomIdleTimeout time.Duration
 	// Headroom is the capacity kept free for latency-sensitive classes, as a fraction of
-	// their recent peak of tasks.
+	// their recent peak number of tasks.
 	Headroom float64
 }
 
-// RecordOptions are the settings of record writing.
+// RecordOptions holds the settings of record writing.
 type RecordOptions struct {
-	// MaxTxnOps bounds the operations of one change, and MaxValueBytes the JSON form of each
-	// value in bytes; 0: no bound.
+	// MaxTxnOps is the maximum number of operations in one change, and MaxValueBytes the maximum
+	// size of the JSON form of each value. 0 means no limit.
 	MaxTxnOps, MaxValueBytes int
-	// SplitRecords tells that every controller can read a slice that was split; see
+	// SplitRecords reports whether every controller can read a slice that is split. See
 	// EnableSplitRecords.
 	SplitRecords bool
-	// SliceTasks is how many tasks share one admission record.
+	// SliceTasks is the number of tasks that share one admission record.
 	SliceTasks int
-	// LazyWriteDelay is how long a record may lag behind tasks that ended. Placements are
-	// recorded at once, since tasks start only after that.
+	// LazyWriteDelay is how long the record of a task that ended may be delayed. Placements are
+	// recorded immediately because tasks start only after that.
 	LazyWriteDelay time.Duration
-	// WriteRate bounds the operations on records per second; 0: no bound.
+	// WriteRate is the maximum number of operations on records per second. 0 means no limit.
 	WriteRate float64
 }
 
-// CommandOptions are the settings of command dispatch.
+// CommandOptions holds the settings of command dispatch.
 type CommandOptions struct {
-	// MaxWorkerCalls bounds the calls to machines in flight; 0: no bound.
+	// MaxWorkerCalls is the maximum number of calls to machines in flight. 0 means no limit.
 	MaxWorkerCalls int
 }
--- a/scheduler/provisioning.go
+++ b/scheduler/provisioning.go
@@ -14,22 +14,21 @@
 )
 
 const (
-	// maxRequestMachines is the protocol's limit for the machines of one request.
+	// maxRequestMachines is the protocol's limit on the number of machines in one request.
 	maxRequestMachines = 50
-	// maxSiteRequests bounds the requests in flight for one site.
+	// maxSiteRequests is the maximum number of requests in flight for one site.
 	maxSiteRequests = 3
 )
 
-// provisioner sends requests for machines and takes their results. It owns the requests in
-// flight and the backoff of sites that lacked capacity. It does not decide how many
-// machines are needed.
+// provisioner requests machines and applies the results. It owns the requests in flight and the
+// backoff of sites that lacked capacity. It does not decide how many machines are needed.
 type provisioner struct {
 	cluster *cluster.State
 	clock   *clock.Clock
 	rounds  *clock.RoundTrigger
 	zones   provisioningLimiter
 	backoff *fleet.Backoff
-	// revision is that of the leader's key; it makes request IDs unique among leaders.
+	// revision is the revision of the leader's key. It makes request IDs unique among leaders.
 	revision ids.Revision
 	// lastRequest is the number of the last request of the term.
 	lastRequest int
@@ -37,17 +36,17 @@
 	// machines of these requests.
 	requestsInFlight map[placement.Site]int
 	machinesInFlight map[placement.Site]int
-	// decided are the requests of the present step.
+	// decided are the requests that takeDecisions has not returned yet.
 	decided []wire.ProvisionRequest
 }
 
-// provisioningLimiter bounds the machines that may be provisioned in a zone that recovers.
+// provisioningLimiter limits the machines that may be provisioned in a zone that recovers.
 type provisioningLimiter interface {
-	// limitProvisioning is how many of the given number of machines may be requested in a zone.
+	// limitProvisioning returns how many of count machines may be requested in a zone.
 	limitProvisioning(zone ids.Zone, count int) int
 }
 
-// request decides to request machines at a site, as far as zone and site permit.
+// request requests machines at a site, up to the limits of the zone and the site.
 func (p *provisioner) request(machines fleet.MachineRequest) {
 	remaining := p.zones.limitProvisioning(machines.Zone, machines.Count)
 	for remaining > 0 && p.mayRequest(machines.Site) {
@@ -57,9 +56,9 @@
 	}
 }
 
-// mayRequest tells whether one more request may be in flight for a site. Where the cloud
-// lacked capacity at the last request, only one may be in flight: more of them
-// occupied all calls to the cloud for seconds and were refused too.
+// mayRequest reports whether one more request may be in flight for a site. If the cloud lacked
+// capacity at the last request, only one may be in flight. More would occupy all calls to the
+// cloud for seconds and be refused too.
 func (p *provisioner) mayRequest(site placement.Site) bool {
 	if p.backoff.RecentlyRefused(site) {
 		return p.requestsInFlight[site] == 0
@@ -67,7 +66,7 @@
 	return p.requestsInFlight[site] < maxSiteRequests
 }
 
-// send decides on one request, which is in flight from now on.
+// send adds one request to the decisions and counts it as in flight.
 func (p *provisioner) send(site placement.Site, count int) {
 	p.lastRequest++
 	p.requestsInFlight[site]++
@@ -81,28 +80,28 @@
 	})
 }
 
-// takeDecisions returns the requests that were decided on since the last call.
+// takeDecisions returns the requests that were added since the last call.
 func (p *provisioner) takeDecisions() []wire.ProvisionRequest {
 	decided := p.decided
 	p.decided = nil
 	return decided
 }
 
-// ProvisioningGranted takes the machines with which the cloud answered a request. They may
-// be fewer than requested.
+// ProvisioningGranted adds the machines that the cloud provisioned for a request. There may be
+// fewer than requested.
 func (c *Core) ProvisioningGranted(now monotonic.Instant, request wire.ProvisionRequest, machines []ids.MachineID) {
 	c.clock.Set(now)
 	c.autoscaler.provisioner.granted(request, machines)
 }
 
-// ProvisioningRefused ends a request for which the cloud had no machine, or that it
-// rejected.
+// ProvisioningRefused ends a request that the cloud rejected or for which it had no capacity.
 func (c *Core) ProvisioningRefused(now monotonic.Instant, request wire.ProvisionRequest) {
 	c.clock.Set(now)
 	c.autoscaler.provisioner.refused(request)
 }
 
-// granted adds the machines of a request to the cluster.
+// granted ends a request and adds its machines to the cluster. The site backs off if there are
+// fewer machines than requested.
 func (p *provisioner) granted(request wire.ProvisionRequest, machines []ids.MachineID) {
 	site := siteOfRequest(request)
 	p.finish(site, request.Count)
@@ -122,14 +121,14 @@
 	p.rounds.MarkDue()
 }
 
-// refused makes the site of a request back off.
+// refused ends a request and makes its site back off.
 func (p *provisioner) refused(request wire.ProvisionRequest) {
 	site := siteOfRequest(request)
 	p.finish(site, request.Count)
 	p.backoff.RecordRefusal(site, p.clock.Now())
 }
 
-// finish ends a request in flight.
+// finish removes a request from the requests in flight.
 func (p *provisioner) finish(site placement.Site, count int) {
 	p.requestsInFlight[site]--
 	p.machinesInFlight[site] -= count
@@ -138,18 +137,18 @@
 	}
 }
 
-// siteOfRequest is the site at which a request asks for machines.
+// siteOfRequest returns the site at which a request asks for machines.
 func siteOfRequest(request wire.ProvisionRequest) placement.Site {
 	return placement.Site{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
 }
 
-// backsOff tells whether a site lacked capacity and should not be asked yet.
+// backsOff reports whether a site lacked capacity and its backoff has not ended.
 func (p *provisioner) backsOff(site placement.Site) bool {
 	return p.backoff.Active(site, p.clock.Now())
 }
 
-// zoneRefused tells whether all sites of a zone back off. It is false for a zone that the
-// catalog does not name.
+// zoneRefused reports whether all sites of a zone back off. It returns false for a zone for which
+// the catalog lists no machine type.
 func (p *provisioner) zoneRefused(zone ids.Zone) bool {
 	offered := false
 	types := p.cluster.Types()
@@ -167,7 +166,7 @@
 	return offered
 }
 
-// bootingByZone counts the machines that are requested or boot.
+// bootingByZone returns the number of machines that are requested or booting in each zone.
 func (p *provisioner) bootingByZone() map[ids.Zone]int {
 	booting := map[ids.Zone]int{}
 	for site, n := range p.machinesInFlight {
--- a/scheduler/scale_in.go
+++ b/scheduler/scale_in.go
@@ -8,11 +8,11 @@
 	"ospreystile.example/ospreystile/scheduler/cluster"
 )
 
-// quarantinedIdleTimeout is how long a quarantined machine may be idle.
+// quarantinedIdleTimeout is the idle timeout of a quarantined machine.
 const quarantinedIdleTimeout = 5 * time.Second
 
-// scaleIn terminates machines that have been idle for too long. It never terminates a machine
-// with an assignment.
+// scaleIn terminates machines whose idle timeout has expired. It never terminates a machine with
+// an assignment.
 type scaleIn struct {
 	cluster  *cluster.State
 	clock    *clock.Clock
@@ -22,12 +22,12 @@
 	settings scaleInSettings
 }
 
-// scaleInSettings are the settings of scale in.
+// scaleInSettings holds the settings of scale in.
 type scaleInSettings struct {
-	// idleTimeout is how long a machine may be idle, and headroomIdleTimeout the same for
+	// idleTimeout is how long a machine may be idle. headroomIdleTimeout is the same for
 	// machines that headroom needs.
 	idleTimeout, headroomIdleTimeout time.Duration
-	// spotIdleFactor is how many times as long spot instances may be idle.
+	// spotIdleFactor multiplies the idle timeout of spot instances.
 	spotIdleFactor float64
 }
 
@@ -36,7 +36,7 @@
 	terminateMachine(m *cluster.Machine, why terminateReason)
 }
 
-// terminateIdleMachines terminates the machines that have been idle for too long.
+// terminateIdleMachines terminates the machines whose idle timeout has expired.
 func (s *scaleIn) terminateIdleMachines() {
 	surpluses := s.headroom.surpluses()
 	for _, m := range s.cluster.Machines() {
@@ -52,12 +52,12 @@
 	}
 }
 
-// idle tells whether nothing runs on a machine that is up.
+// idle reports whether a machine is up and nothing runs on it.
 func idle(m *cluster.Machine) bool {
 	return m.Up() && len(m.Assignments()) == 0 && m.Unrecorded().CPUs <= 0
 }
 
-// idleTooLong tells whether an idle machine should be terminated.
+// idleTooLong reports whether the idle timeout of an idle machine has expired.
 func (s *scaleIn) idleTooLong(m *cluster.Machine, surpluses []headroomSurplus) bool {
 	now, since := s.clock.Now(), m.Lifecycle.IdleSince
 	if now > since.Add(s.timeout(m, surpluses)) {
@@ -66,7 +66,7 @@
 	return now < m.Health.QuarantinedUntil && now > since.Add(quarantinedIdleTimeout)
 }
 
-// timeout is how long a machine may be idle.
+// timeout returns how long a machine may be idle.
 func (s *scaleIn) timeout(m *cluster.Machine, surpluses []headroomSurplus) time.Duration {
 	timeout := s.settings.idleTimeout
 	if servesHeadroom(m, surpluses) {
@@ -78,9 +78,9 @@
 	return timeout
 }
 
-// servesHeadroom tells whether a machine stays longer for latency-sensitive classes. Spot
-// instances always do where there is such a class: they cost little, and have images for
-// its tasks.
+// servesHeadroom reports whether a machine is kept idle for longer as headroom for
+// latency-sensitive classes. Spot instances always are if there is such a class: they cost little
+// and hold the images of its tasks.
 func servesHeadroom(m *cluster.Machine, surpluses []headroomSurplus) bool {
 	if m.Spot() && len(surpluses) > 0 {
 		return true
--- a/scheduler/wiring.go
+++ b/scheduler/wiring.go
@@ -11,12 +11,13 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// New makes the core of a term. The caller then loads the records with LoadJob, LoadSlice and
+// New returns the core of a term. The caller then loads the records with LoadJob, LoadSlice and
 // LoadZone, and calls Begin.
 //
-// The parts refer to each other, so they are made in three steps. The new functions make the
-// parts that others need before their own peers are made. The make functions make the other
-// parts, each from those above it. The connect functions then give the first parts their peers.
+// The components refer to each other, so they are created in three steps. The new functions
+// create the components that others depend on, without their own dependencies. The make functions
+// create the other components, each from those created before it. The connect functions then set
+// the dependencies of the first components.
 func New(opt Options, types []wire.MachineType) *Core {
 	c := &Core{
 		opt:       opt,
@@ -48,7 +49,7 @@
 	return c
 }
 
-// newRegistry makes the registry of machines.
+// newRegistry returns the registry of machines.
 func (c *Core) newRegistry() *machineRegistry {
 	return &machineRegistry{
 		cluster:         c.cluster,
@@ -59,7 +60,7 @@
 	}
 }
 
-// newZoneGate makes the gate of a term; nil if zone recovery is off.
+// newZoneGate returns the zone gate of a term. It returns nil if zone recovery is off.
 func (c *Core) newZoneGate() *zoneGate {
 	if c.opt.ZoneRecovery == nil {
 		return nil
@@ -73,7 +74,7 @@
 	}
 }
 
-// makeDispatch makes the part that decides which commands agents get.
+// makeDispatch creates the component that decides which commands agents get.
 func (c *Core) makeDispatch() {
 	c.commands = &commandDispatcher{
 		cluster: c.cluster,
@@ -87,7 +88,7 @@
 	}
 }
 
-// makeLifecycle makes the part that ends tasks, and those that learn from how tasks end.
+// makeLifecycle creates the component that ends tasks, and those that learn from how tasks end.
 func (c *Core) makeLifecycle() {
 	c.failures = &failureHistory{cluster: c.cluster, clock: c.clock, rounds: c.rounds, zones: c.zones}
 	c.slowness = &slownessDetector{cluster: c.cluster, clock: c.clock}
@@ -104,7 +105,7 @@
 	}
 }
 
-// makePreviousLeaders makes the part that bounds how long previous leaders may act.
+// makePreviousLeaders creates the component that bounds how long previous leaders may act.
 func (c *Core) makePreviousLeaders() {
 	c.previousLeaders = &previousLeaders{
 		cluster: c.cluster,
@@ -119,7 +120,7 @@
 	}
 }
 
-// makeHealth makes the parts that judge machines.
+// makeHealth creates the components that evaluate the health of machines.
 func (c *Core) makeHealth() {
 	settings := healthSettings{
 		agentLease:        c.opt.AgentLease,
@@ -143,7 +144,7 @@
 	}
 }
 
-// makeIntake makes the parts that receive heartbeats and job records.
+// makeIntake creates the components that receive heartbeats and job records.
 func (c *Core) makeIntake() {
 	c.heartbeats = &heartbeatIntake{
 		cluster:      c.cluster,
@@ -176,7 +177,7 @@
 	}
 }
 
-// makeAdmission makes the parts that admit jobs.
+// makeAdmission creates the components that admit jobs.
 func (c *Core) makeAdmission() {
 	c.candidates = &candidateList{}
 	c.queue = &jobQueue{
@@ -220,7 +221,7 @@
 	}
 }
 
-// makePreemption makes the policy that preempts tasks.
+// makePreemption creates the policy that preempts tasks.
 func (c *Core) makePreemption() {
 	settings := preemption.Settings{LendingSuspension: c.opt.LendingSuspension}
 	c.preemption = preemption.New(settings, c.cluster, c.clock, c.rounds, c.quotas, &preemptionScheduler{
@@ -234,21 +235,21 @@
 	})
 }
 
-// connectRecords gives the record writer the policies that it notifies of results.
+// connectRecords sets the policies that the record writer notifies of results.
 func (c *Core) connectRecords() {
 	c.records.tasks = c.lifecycle
 	c.records.commands = c.commands
 	c.records.jobs = c.jobRecords
 }
 
-// connectRegistry gives the registry the policies that it notifies of machines.
+// connectRegistry sets the policies that the registry notifies of machines.
 func (c *Core) connectRegistry() {
 	c.registry.commands = c.commands
 	c.registry.lifecycle = c.lifecycle
 	c.registry.zones = c.zones
 }
 
-// connectAutoscaler gives the autoscaler the policies that it asks.
+// connectAutoscaler sets the policies that the autoscaler queries.
 func (c *Core) connectAutoscaler() {
 	c.autoscaler.connect(autoscalerPeers{
 		queue:     c.queue,
@@ -261,7 +262,7 @@
 	})
 }
 
-// connectZones gives the gate the policies that it asks.
+// connectZones sets the policies that the zone gate queries.
 func (c *Core) connectZones() {
 	g := c.zones
 	if g == nil {
--- a/scheduler/zone_admission.go
+++ b/scheduler/zone_admission.go
@@ -9,21 +9,21 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// latencySensitivity tells whether tasks of a job must start sooner than a machine boots.
+// latencySensitivity reports whether tasks of a job must start faster than a machine boots.
 type latencySensitivity interface {
 	latencySensitive(j *cluster.Job) bool
 }
 
-// runTimeEstimates estimates how long a task runs.
+// runTimeEstimates estimates the run time of tasks.
 type runTimeEstimates interface {
 	expectedRun(spec *wire.JobSpec) time.Duration
 }
 
-// zoneAdmissionClass holds the properties of a job, beside its image, that the answer of admits
-// depends on. It is the zero value while no zone recovers.
+// zoneAdmissionClass holds the properties of a job, in addition to its image, on which the result
+// of admits depends. It is the zero value while no zone recovers.
 type zoneAdmissionClass struct{ evaluated, critical, probeEligible bool }
 
-// admits tells whether a task may start on a machine now.
+// admits reports whether a task may start on a machine now.
 func (g *zoneGate) admits(j *cluster.Job, index int, m *cluster.Machine) bool {
 	if g == nil || !g.manager.Gated(m.Zone()) {
 		return true
@@ -31,16 +31,16 @@
 	return g.manager.Admit(m.Zone(), g.startRequest(j, index, m)) == zonerecovery.Admitted
 }
 
-// evacuating tells whether work of some zone may need capacity elsewhere.
+// evacuating reports whether work displaced from some zone may need capacity in other zones.
 func (g *zoneGate) evacuating() bool { return g != nil && g.manager.Evacuating() }
 
-// recovering tells whether a zone recovers, so that it is not known yet whether tasks start there.
+// recovering reports whether a zone recovers, so that it is unknown whether tasks start there.
 func (g *zoneGate) recovering(zone ids.Zone) bool {
 	return g != nil && g.manager.Condition(zone) == zonerecovery.Recovering
 }
 
-// admissionClass returns what admits depends on for a job now. ok is false if its result for this
-// job may differ from that for others with the same request.
+// admissionClass returns the properties of a job on which the result of admits depends. ok is
+// false if the result for this job may differ from that for other jobs with the same request.
 func (g *zoneGate) admissionClass(j *cluster.Job) (class zoneAdmissionClass, ok bool) {
 	if g == nil || !g.manager.AnyGated() {
 		return zoneAdmissionClass{}, true
@@ -51,7 +51,7 @@
 	return class, !g.manager.FailbackDenied(j.ID)
 }
 
-// startRequest describes a task that is to start on a machine. The fields that
+// startRequest returns the description of a task that is to start on a machine. The fields that
 // the manager needs only for a zone that recovers are not set for other zones.
 func (g *zoneGate) startRequest(j *cluster.Job, index int, m *cluster.Machine) *zonerecovery.StartRequest {
 	request := &zonerecovery.StartRequest{
@@ -69,47 +69,47 @@
 	return request
 }
 
-// needsFetch tells whether a machine of a zone that recovers has to fetch a job's image. An
-// image that was last used before the outage may be gone.
+// needsFetch reports whether a machine in a zone that recovers has to fetch the image of a job. An
+// image that was last used before the outage may no longer be cached.
 func (g *zoneGate) needsFetch(j *cluster.Job, m *cluster.Machine) bool {
 	cached := m.Image(j.Spec.Image)
 	return cached == nil || cached.UsedAt < g.manager.CachesLostAt(m.Zone())
 }
 
-// critical tells whether a job is exempt from the limits of a recovery: services, classes
-// that must start sooner than a machine boots, and jobs of the highest priority.
+// critical reports whether a job is exempt from the limits of a recovery. Services, jobs of
+// latency-sensitive classes and jobs of the highest priority are.
 func (g *zoneGate) critical(j *cluster.Job) bool {
 	return j.Spec.Service || j.Priority() == wire.Critical || g.latency.latencySensitive(j)
 }
 
-// probeEligible tells whether tasks of a job may probe a zone: each can be run again without
-// the others, and is expected to end soon.
+// probeEligible reports whether tasks of a job may probe a zone. Each task must be one that can be
+// run again without the others and that is expected to end soon.
 func (g *zoneGate) probeEligible(j *cluster.Job) bool {
 	return !j.Spec.Service && !j.Spec.Gang && g.estimates.expectedRun(j.Spec) <= g.manager.ProbeRunLimit()
 }
 
-// taskStarted notes that a task was placed.
+// taskStarted records that a task was placed.
 func (g *zoneGate) taskStarted(a *cluster.Assignment) {
 	if g != nil {
 		g.manager.TaskStarted(a.Machine.Zone(), g.startRequest(a.Job, a.Index, a.Machine), g.clock.Now())
 	}
 }
 
-// taskRunning notes that a heartbeat showed a task taskRunning.
+// taskRunning records that a heartbeat reported a task as running.
 func (g *zoneGate) taskRunning(a *cluster.Assignment) {
 	if g != nil && g.manager.TaskRunning(a.Machine.Zone(), a.Ref(), g.clock.Now()) {
 		g.rounds.MarkDue()
 	}
 }
 
-// taskDetached notes that a task is off its machine.
+// taskDetached records that a task is no longer assigned to its machine.
 func (g *zoneGate) taskDetached(a *cluster.Assignment) {
 	if g != nil && g.manager.TaskEnded(a.Machine.Zone(), a.Ref()) {
 		g.rounds.MarkDue()
 	}
 }
 
-// taskFailed notes that a task taskFailed. A job that fails on all machines is no evidence against
+// taskFailed records that a task failed. A job that fails on all machines is no evidence against
 // a zone.
 func (g *zoneGate) taskFailed(a *cluster.Assignment) {
 	if g != nil && a.Job.Failures.Rounds == 0 {
@@ -117,8 +117,8 @@
 	}
 }
 
-// taskLost notes that a task was taskLost with its machine. It counts as displaced only if it may
-// have run there and was not to be stopped.
+// taskLost records that a task was lost with its machine. It counts as displaced only if it may
+// have run there and was not being stopped.
 func (g *zoneGate) taskLost(a *cluster.Assignment) {
 	if g != nil && a.StopReason() == cluster.StopNone && !a.Job.Terminal() && a.MayRun() {
 		g.manager.TaskDisplaced(a.Machine.Zone(), a.Job.ID)
--- a/scheduler/zone_events.go
+++ b/scheduler/zone_events.go
@@ -7,7 +7,7 @@
 )
 
 // LoadZone loads the record of a zone that a previous leader wrote. It must be called before
-// Begin. It does nothing where zone recovery is off.
+// Begin. It does nothing if zone recovery is off.
 func (c *Core) LoadZone(now monotonic.Instant, zone ids.Zone, record *zonerecovery.Record, revision ids.Revision) {
 	if c.zones == nil {
 		return
@@ -16,8 +16,8 @@
 	c.zones.manager.Load(zone, record, revision, c.zones.clockReading())
 }
 
-// LoadUnreadableZone is called instead of LoadZone for a record that cannot be decoded. The
-// zone then counts as in outage.
+// LoadUnreadableZone replaces LoadZone for a record that cannot be decoded. The zone then counts
+// as in outage.
 func (c *Core) LoadUnreadableZone(now monotonic.Instant, zone ids.Zone, revision ids.Revision) {
 	if c.zones == nil {
 		return
@@ -26,17 +26,16 @@
 	c.zones.manager.LoadUnreadable(zone, revision, c.zones.clockReading())
 }
 
-// ObserveConnectivity sets what the leader knows of its connections to the key-value store and
-// to the other controllers.
+// ObserveConnectivity updates the state of the leader's connections to the key-value store and to
+// the other controllers.
 func (c *Core) ObserveConnectivity(connectivity zonerecovery.Connectivity) {
 	if c.zones != nil {
 		c.zones.connectivity = connectivity
 	}
 }
 
-// OverrideZone carries out an operator's decision about a zone. The decision is recorded
-// once ZoneOverrideRecorded is true for the returned number. ok is false where zone recovery
-// is off.
+// OverrideZone applies an operator's override of a zone. The override is recorded once
+// ZoneOverrideRecorded returns true for the returned number. ok is false if zone recovery is off.
 func (c *Core) OverrideZone(now monotonic.Instant, zone ids.Zone, override zonerecovery.Override) (number uint64, ok bool) {
 	if c.zones == nil {
 		return 0, false
@@ -46,12 +45,13 @@
 	return c.zones.manager.Override(zone, override, c.zones.clockReading()), true
 }
 
-// ZoneOverrideRecorded tells whether the operator's decision of this number is recorded.
+// ZoneOverrideRecorded reports whether the operator's override with this number is recorded.
 func (c *Core) ZoneOverrideRecorded(zone ids.Zone, number uint64) bool {
 	return c.zones != nil && c.zones.manager.RecordedOverride(zone) >= number
 }
 
-// ZoneStatus returns the status of all zones for operators; nil where zone recovery is off.
+// ZoneStatus returns the status of all zones for operators. It returns nil if zone recovery is
+// off.
 func (c *Core) ZoneStatus(now monotonic.Instant) []zonerecovery.Status {
 	if c.zones == nil {
 		return nil
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -12,60 +12,62 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// zoneGate connects the scheduler with the state machines of package zonerecovery. It owns the
-// manager of one term. The core and the other policies ask it whether a task may start or a
-// machine may be provisioned in a zone, and notify it when tasks start, run and end. It passes
-// the health of zones to the manager, writes zones' records, and moves replicas back.
+// zoneGate connects the scheduler to the state machines of package zonerecovery. It owns the
+// manager of one term. It reports to the core and the other policies whether a task may start or a
+// machine may be provisioned in a zone, and they notify it when tasks start, run and end. It
+// passes the health of zones to the manager, writes the records of zones, and moves replicas back
+// to recovered zones.
 //
-// The gate can only deny: it never places or preempts a task, and the only tasks that it
-// stops are replicas that are moved back. It is nil where zone recovery is off. The methods
-// that other parts call accept a nil gate, which permits everything.
+// The gate can only deny. It never places or preempts a task, and the only tasks that it stops are
+// replicas that are moved back. It is nil if zone recovery is off. The methods that other
+// components call accept a nil gate, which permits everything.
 type zoneGate struct {
 	manager *zonerecovery.Manager
 	cluster *cluster.State
 	clock   *clock.Clock
 	rounds  *clock.RoundTrigger
 
-	// health and provisioning know the machines, and those that are requested or boot.
+	// health reports on machines, and provisioning on those that are requested or booting.
 	health       zoneMachineHealth
 	provisioning zoneProvisioningState
-	// latency and estimates tell which work is critical, and which may be a probe.
+	// latency and estimates determine which jobs are critical and which may probe a zone.
 	latency   latencySensitivity
 	estimates runTimeEstimates
-	// reservations, failures and lifecycle serve the moves of replicas.
+	// reservations, failures and lifecycle are used to move replicas back.
 	reservations machineReservations
 	failures     machineAntiAffinity
 	lifecycle    replicaStopper
 
-	// connectivity is what the leader last knew of its own connections.
+	// connectivity is the last known state of the leader's connections.
 	connectivity zonerecovery.Connectivity
-	// transitions are those since the last takeTransitions.
+	// transitions are the zone transitions since the last call of takeTransitions.
 	transitions []zonerecovery.Transition
 	records     zoneRecords
-	// booting counts the machines that are requested or boot, by zone, as of bootingAt.
+	// booting is the number of machines that are requested or booting in each zone, as of
+	// bootingAt.
 	booting   map[ids.Zone]int
 	bootingAt monotonic.Instant
-	// restorePlannedAt is when a move of a replica was last planned.
+	// restorePlannedAt is when a replica move was last planned.
 	restorePlannedAt monotonic.Instant
 }
 
-// zoneMachineHealth judges which machines can be used.
+// zoneMachineHealth reports which machines are usable.
 type zoneMachineHealth interface {
-	// heartbeatTimeout is how long a machine may be silent between two heartbeats.
+	// heartbeatTimeout returns the time after which a machine's next heartbeat is overdue.
 	heartbeatTimeout() time.Duration
 	takesTasks(m *cluster.Machine) bool
 }
 
-// zoneProvisioningState tells what the cloud was asked for in a zone.
+// zoneProvisioningState reports the state of requests for machines in zones.
 type zoneProvisioningState interface {
-	// bootingByZone counts the machines that are requested or boot.
+	// bootingByZone returns the number of machines that are requested or booting in each zone.
 	bootingByZone() map[ids.Zone]int
-	// zoneRefused tells whether the cloud recently refused every type of machine in a zone.
+	// zoneRefused reports whether the cloud recently refused every machine type in a zone.
 	zoneRefused(zone ids.Zone) bool
 }
 
-// clockReading reads both clocks. If the wall time is not known, the monotonic time is used
-// for it, which suffices to compare times that one process wrote.
+// clockReading returns the time of the monotonic clock and of the wall clock. If the wall time is
+// unknown, the monotonic time replaces it, which suffices to compare times that one process wrote.
 func (g *zoneGate) clockReading() zonerecovery.ClockReading {
 	wallMS := g.clock.WallMS()
 	if wallMS == 0 {
@@ -82,7 +84,7 @@
 	}
 	for _, m := range g.cluster.Machines() {
 		if m.Zone() == "" {
-			continue // an older version wrote its record without the zone; its heartbeat names it
+			continue // older versions record no zone; the machine's heartbeat contains it
 		}
 		for _, a := range m.Assignments() {
 			g.manager.TaskInherited(m.Zone(), g.startRequest(a.Job, a.Index, m), g.clock.Now())
--- a/scheduler/zone_observation.go
+++ b/scheduler/zone_observation.go
@@ -7,8 +7,8 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// observe passes the health of all zones to the manager. It is called with each health
-// check of the machines.
+// observe passes the health of all zones to the manager. It is called after each health check of
+// the machines.
 func (g *zoneGate) observe() {
 	if g == nil {
 		return
@@ -21,8 +21,8 @@
 	g.transitions = append(g.transitions, g.manager.TakeTransitions()...)
 }
 
-// takeTransitions returns the transitions of zones up to the last observation that it has
-// not returned yet.
+// takeTransitions returns the transitions of zones since the last call, up to the last
+// observation.
 func (g *zoneGate) takeTransitions() []zonerecovery.Transition {
 	if g == nil {
 		return nil
@@ -32,14 +32,14 @@
 	return transitions
 }
 
-// processResumed tells whether this process was paused a short time ago, so that heartbeats
-// that came meanwhile may be still unread.
+// processResumed reports whether this process was paused a short time ago, so that heartbeats that
+// arrived in the meantime may still be unread.
 func (g *zoneGate) processResumed() bool {
 	resumedAt := g.clock.ResumedAt()
 	return resumedAt != 0 && g.clock.Now() < resumedAt.Add(g.health.heartbeatTimeout())
 }
 
-// zoneHealth counts the machines of each zone.
+// zoneHealth returns the health of each zone.
 func (g *zoneGate) zoneHealth() map[ids.Zone]zonerecovery.ZoneHealth {
 	zones := map[ids.Zone]zonerecovery.ZoneHealth{}
 	for _, m := range g.cluster.Machines() {
@@ -56,14 +56,15 @@
 	return zones
 }
 
-// countsAsEvidence tells whether a machine says something about its zone: it sent this
-// leader a heartbeat or holds tasks by the records, and is not being terminated.
+// countsAsEvidence reports whether the state of a machine is evidence for the health of its zone.
+// Such a machine has sent this leader a heartbeat or holds tasks according to the records, and is
+// not being terminated.
 func countsAsEvidence(m *cluster.Machine) bool {
 	known := m.Agent.HeardThisTerm || len(m.Assignments()) > 0
 	return known && m.Zone() != "" && !m.Lifecycle.Terminating
 }
 
-// countMachine adds a machine to the health of its zone.
+// countMachine adds a machine to the counts in the health of its zone.
 func (g *zoneGate) countMachine(health *zonerecovery.ZoneHealth, m *cluster.Machine) {
 	health.Machines++
 	switch {
--- a/scheduler/zone_provisioning.go
+++ b/scheduler/zone_provisioning.go
@@ -5,7 +5,7 @@
 	"ospreystile.example/ospreystile/scheduler/placement"
 )
 
-// blocksProvisioning tells whether no machine may be provisioned in a zone now.
+// blocksProvisioning reports whether no machine may be provisioned in a zone now.
 func (g *zoneGate) blocksProvisioning(zone ids.Zone) bool {
 	if g == nil {
 		return false
@@ -25,8 +25,8 @@
 	return count
 }
 
-// provisioningRemaining returns how many more machines may be provisioned in a zone now.
-// limited is false where there is no limit.
+// provisioningRemaining returns how many more machines may be provisioned in a zone now. limited
+// reports whether there is a limit.
 func (g *zoneGate) provisioningRemaining(zone ids.Zone) (remaining int, limited bool) {
 	limit, limited := g.manager.ProvisioningLimit(zone)
 	if limit == 0 {
@@ -38,8 +38,8 @@
 	return max(0, limit-g.booting[zone]), limited
 }
 
-// addRecoveringCapacity passes the free capacity of machines in zones that recover to add:
-// it becomes available sooner than another machine boots.
+// addRecoveringCapacity passes the free resources of machines in zones that recover to add. They
+// become available sooner than another machine boots.
 func (g *zoneGate) addRecoveringCapacity(add func(placement.Site, placement.Resources)) {
 	if !g.evacuating() {
 		return
--- a/scheduler/zone_records.go
+++ b/scheduler/zone_records.go
@@ -10,34 +10,36 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// zoneRecords are the writes of zones' records.
+// zoneRecords writes the records of zones.
 type zoneRecords struct {
 	writer zoneRecordWriter
-	// maxBytes limits the size of a record; 0 means no limit.
+	// maxBytes is the maximum size of a record. 0 means no limit.
 	maxBytes int
-	// inFlight are the writes without a result, by the ID of their change.
+	// inFlight holds the writes without a result, by the ID of their change.
 	inFlight map[uint64]zoneWrite
 }
 
-// zoneWrite is a write of a zone's record in flight.
+// zoneWrite is a write in flight of a zone's record.
 type zoneWrite struct {
 	zone    ids.Zone
-	deletes bool
+	deletes bool // whether the write deletes the record
 }
 
 // zoneRecordWriter submits changes within the write rate.
 type zoneRecordWriter interface {
-	// mayWrite tells whether the write rate allows one more change now.
+	// mayWrite reports whether the write rate allows one more change now.
 	mayWrite() bool
 	// nextNonce returns the nonce of the next change.
 	nextNonce() uint64
-	// submit decides on a change, and returns the ID under which settle gets its result.
+	// submit adds a change to the decisions, and returns the ID with which applyResult receives
+	// the result.
 	submit(change records.Change) (id uint64)
-	// fail notes that the records are not as this leader left them, which ends the term.
+	// fail records that the stored records differ from what this leader wrote last, which ends
+	// the term.
 	fail(err error)
 }
 
-// writeRecords writes the records that are due, as far as the write rate allows.
+// writeRecords writes the records that are due, within the write rate.
 func (g *zoneGate) writeRecords() {
 	if g == nil {
 		return
@@ -51,12 +53,12 @@
 	}
 }
 
-// fits tells whether a record is small enough for the key-value store.
+// fits reports whether a record is small enough for the key-value store.
 func (r *zoneRecords) fits(record *zonerecovery.Record) bool {
 	return !wire.ExceedsJSONSize(record, r.maxBytes)
 }
 
-// submit decides on the change that writes or deletes a record.
+// submit submits the change that writes or deletes a record.
 func (r *zoneRecords) submit(write zonerecovery.RecordWrite) {
 	change := records.DeleteZoneChange(write.Zone, write.Revision)
 	if write.Record != nil {
@@ -65,8 +67,8 @@
 	r.inFlight[r.writer.submit(change)] = zoneWrite{zone: write.Zone, deletes: write.Record == nil}
 }
 
-// applyResult applies the result of a change if that wrote a zone's record; ours tells whether it
-// did.
+// applyResult applies the result of a change if it is a write of a zone's record. found reports
+// whether it is.
 func (g *zoneGate) applyResult(result records.CommitResult) (found bool) {
 	if g == nil {
 		return false
@@ -87,7 +89,7 @@
 	return true
 }
 
-// writeCommitted notes that a write is committed; revision is that of the transaction.
+// writeCommitted records that a write is committed. revision is the revision of the transaction.
 func (g *zoneGate) writeCommitted(write zoneWrite, revision ids.Revision) {
 	if write.deletes {
 		revision = 0 // the key is gone
--- a/scheduler/zone_restore.go
+++ b/scheduler/zone_restore.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// restoreInterval is how often a move of a replica is planned.
+	// restoreInterval is the interval at which replica moves are planned.
 	restoreInterval = time.Second
-	// restorePreference is for how long a replica that was stopped to be moved prefers the
-	// zone that it is moved to.
+	// restorePreference is how long a service prefers the destination zone of a move after the
+	// replica is stopped.
 	restorePreference = 15 * time.Second
 )
 
-// machineReservations tells whether a machine is reserved for another job.
+// machineReservations reports whether a machine is reserved for another job.
 type machineReservations interface {
 	reservedForOther(m *cluster.Machine, j *cluster.Job) bool
 }
 
-// machineAntiAffinity tells whether a job avoids a machine on which it failed.
+// machineAntiAffinity reports whether a job avoids a machine on which it failed.
 type machineAntiAffinity interface {
 	hasAntiAffinity(j *cluster.Job, m *cluster.Machine) bool
 }
@@ -33,9 +33,9 @@
 	stop(a *cluster.Assignment, why cluster.StopReason)
 }
 
-// restore moves a replica of a service back to a zone that displaced it, where operators want
-// the spread restored. The replica is stopped. Its service then starts another one, as for
-// any lost replica, and prefers the zone that it is moved to.
+// restore moves a replica of a service back to a zone from which it was displaced, if the policy
+// restores the spread of services. It stops the replica. The service then starts another one, as
+// for any lost replica, and prefers the destination zone.
 func (g *zoneGate) restore() {
 	if g == nil || g.clock.Now() < g.restorePlannedAt.Add(restoreInterval) {
 		return
@@ -50,7 +50,8 @@
 	}
 }
 
-// restorableServices returns where the replicas of services run that might be moved back.
+// restorableServices returns the replica counts by zone of the services of which a replica might be
+// moved back.
 func (g *zoneGate) restorableServices() []zonerecovery.ServicePlacement {
 	var services []zonerecovery.ServicePlacement
 	for _, id := range g.manager.RestoreCandidates(g.clock.Now()) {
@@ -62,7 +63,7 @@
 	return services
 }
 
-// servicePlacement counts a service's running replicas by zone.
+// servicePlacement returns the number of running replicas of a service in each zone.
 func servicePlacement(j *cluster.Job) zonerecovery.ServicePlacement {
 	service := zonerecovery.ServicePlacement{Job: j.ID, Replicas: len(j.Tasks()), Running: map[ids.Zone]int{}}
 	for _, a := range j.Assignments() {
@@ -73,7 +74,7 @@
 	return service
 }
 
-// startMove stops the newest replica in the zone that a move starts from.
+// startMove stops the newest replica in the source zone of a move.
 func (g *zoneGate) startMove(move zonerecovery.RestoreMove) {
 	j := g.cluster.Job(move.Job)
 	replica := newestReplica(j, move.From)
@@ -85,8 +86,8 @@
 	g.lifecycle.stop(replica, cluster.StopDrained)
 }
 
-// newestReplica returns the replica of a service in a zone that has run for the shortest
-// time; nil if none runs there.
+// newestReplica returns the replica of a service in a zone that has run for the shortest time. It
+// returns nil if none runs there.
 func newestReplica(j *cluster.Job, zone ids.Zone) *cluster.Assignment {
 	var newest *cluster.Assignment
 	for _, a := range j.Assignments() {
@@ -100,13 +101,13 @@
 	return newest
 }
 
-// keepsRunning tells whether a task runs and is not to be stopped.
+// keepsRunning reports whether a task runs and is not being stopped.
 func keepsRunning(a *cluster.Assignment) bool {
 	return a.Run.Phase == wire.TaskRunning && a.StopReason() == cluster.StopNone
 }
 
-// canStartReplica tells whether a machine in a zone could start another replica of a job
-// without a fetch.
+// canStartReplica reports whether a machine in a zone could start another replica of a job without
+// fetching its image.
 func (g *zoneGate) canStartReplica(id ids.JobID, zone ids.Zone) bool {
 	j := g.cluster.Job(id)
 	for _, m := range g.cluster.Machines() {
@@ -117,7 +118,7 @@
 	return false
 }
 
-// fitsWithoutFetch tells whether a machine has free resources for a task of a job, holds its
+// fitsWithoutFetch reports whether a machine has free resources for a task of a job, holds its
 // image, and may be used for it.
 func (g *zoneGate) fitsWithoutFetch(j *cluster.Job, m *cluster.Machine) bool {
 	fits := m.HasImage(j.Spec.Image) && placement.TaskResources(j.Spec).FitsIn(m.Free())
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -12,51 +12,52 @@
 )
 
 const (
-	// minZoneMachines is the least number of machines in a zone that can tell a partition of
-	// the zone from failures of single machines.
+	// minZoneMachines is the minimum number of machines in a zone for which a partition of the
+	// zone can be distinguished from failures of single machines.
 	minZoneMachines = 4
-	// partitionTimeout is the least time without a heartbeat from a zone after which it counts as
-	// partitioned. The fewer machines it has, the longer it takes.
+	// partitionTimeout is the minimum time without a heartbeat from a zone after which the zone
+	// counts as partitioned. The timeout is longer for a zone with fewer machines.
 	partitionTimeout = 2500 * time.Millisecond
-	// partitionTimeoutHeartbeats is how many times the mean time between two heartbeats from a
-	// zone is added to partitionTimeout.
+	// partitionTimeoutHeartbeats is the multiple of the mean time between two heartbeats from a
+	// zone that is added to partitionTimeout.
 	partitionTimeoutHeartbeats = 10
-	// maxPartitionDuration is how long after its last heartbeat a zone counts as partitioned. Its
-	// machines are kept for that time, since they need no boot when the zone is heard again, and
-	// hold their images. After that the zone may be used again.
+	// maxPartitionDuration is the maximum time since its last heartbeat for which a zone counts
+	// as partitioned. Its machines are kept for that time, since they need no boot when the
+	// partition ends and still hold their images. After that, machines may be provisioned in the
+	// zone again.
 	maxPartitionDuration = 3 * time.Minute
-	// partitionEndIntervals is how many heartbeat intervals the machines of a zone have
-	// to be heard once the first of them is heard again. A partition that lasted for longer
-	// than silentLeases would otherwise cost all machines but that one.
+	// partitionEndIntervals is the number of heartbeat intervals after the end of a partition
+	// within which the other machines of the zone must send a heartbeat. Without it, all machines
+	// but the first to send one would be terminated after a partition longer than silentLeases.
 	partitionEndIntervals = 3
 )
 
-// partitionDetector detects zones that are partitioned from this leader. Each heartbeat goes to
-// heard, and each health check to updateZones. It only tells which zones are partitioned, and
-// does nothing to their machines.
+// partitionDetector detects zones that are partitioned from this leader. recordZoneHeartbeat is
+// called for each heartbeat and updateZones for each health check. The detector only reports which
+// zones are partitioned. It does not change their machines.
 type partitionDetector struct {
 	cluster    *cluster.State
 	clock      *clock.Clock
 	settings   healthSettings
 	zoneStates map[ids.Zone]*zoneState
-	// lastHeartbeatAt is when any machine was last heard.
+	// lastHeartbeatAt is when the last heartbeat of any machine arrived.
 	lastHeartbeatAt monotonic.Instant
 }
 
-// zoneState is what is known of one zone.
+// zoneState holds the heartbeat and partition state of one zone.
 type zoneState struct {
-	lastHeartbeatAt monotonic.Instant // when any machine of the zone was last heard
-	machinesUp      int               // machines that had sent heartbeats when the zone was last heard
-	// partitionedAt is when the zone was last found to be partitioned; 0: never.
+	lastHeartbeatAt monotonic.Instant // when the last heartbeat of any machine of the zone arrived
+	machinesUp      int               // machines that were up when heartbeats were last not overdue
+	// partitionedAt is when the zone was last found to be partitioned. 0 means never.
 	partitionedAt monotonic.Instant
 }
 
-// newPartitionDetector makes a detector that has observed no zone yet.
+// newPartitionDetector returns a detector without observations.
 func newPartitionDetector(state *cluster.State, now *clock.Clock, settings healthSettings) *partitionDetector {
 	return &partitionDetector{cluster: state, clock: now, settings: settings, zoneStates: map[ids.Zone]*zoneState{}}
 }
 
-// recordZoneHeartbeat notes that a machine of a zone was recordZoneHeartbeat now.
+// recordZoneHeartbeat records that a heartbeat of a machine of a zone arrived now.
 func (o *partitionDetector) recordZoneHeartbeat(zone ids.Zone) {
 	z := o.zoneStates[zone]
 	if z == nil {
@@ -67,8 +68,8 @@
 	o.lastHeartbeatAt = o.clock.Now()
 }
 
-// updateZones counts the machines of each zone that is heard, and notes which zones are
-// partitioned.
+// updateZones counts the machines of each zone whose heartbeats are not overdue, and records which
+// zones are partitioned.
 func (o *partitionDetector) updateZones() {
 	up := map[ids.Zone]int{}
 	for _, m := range o.cluster.Machines() {
@@ -86,9 +87,9 @@
 	}
 }
 
-// zonePartitioned tells whether a whole zone fell silent at once while others are heard.
-// Machines provisioned there could not send heartbeats. They would cost money and count as
-// capacity that boots, which would keep others from being provisioned elsewhere.
+// zonePartitioned reports whether the heartbeats of a whole zone stopped while those of other zones
+// arrive. Machines that are provisioned there cannot send heartbeats. They would cost money, and
+// would prevent machines from being provisioned elsewhere because they count as booting capacity.
 func (o *partitionDetector) zonePartitioned(zone ids.Zone) bool {
 	z := o.zoneStates[zone]
 	if z == nil || z.machinesUp < minZoneMachines || !o.heartbeatsOverdue(z) {
@@ -97,8 +98,8 @@
 	return o.clock.Now() < z.lastHeartbeatAt.Add(maxPartitionDuration)
 }
 
-// zonePartitionedRecently tells whether a zone is partitioned, or was so recently that its
-// machines have not all had the time to send a heartbeat.
+// zonePartitionedRecently reports whether a zone is partitioned, or was partitioned so recently
+// that not all of its machines have had time to send a heartbeat.
 func (o *partitionDetector) zonePartitionedRecently(zone ids.Zone) bool {
 	z := o.zoneStates[zone]
 	if z == nil || z.partitionedAt == 0 {
@@ -107,7 +108,7 @@
 	return o.clock.Now() < z.partitionedAt.Add(partitionEndIntervals*o.settings.heartbeatInterval)
 }
 
-// partitionedZones lists the partitioned zones by name.
+// partitionedZones returns the partitioned zones, sorted by name.
 func (o *partitionDetector) partitionedZones() []ids.Zone {
 	var partitioned []ids.Zone
 	for _, zone := range slices.Sorted(maps.Keys(o.zoneStates)) {
@@ -118,9 +119,9 @@
 	return partitioned
 }
 
-// heartbeatsOverdue tells whether a zone has not been heard for longer than can happen by chance between
-// two heartbeats of its machines. With hundreds of machines that is seconds. A pause of this
-// process does not count.
+// heartbeatsOverdue reports whether no heartbeat of a zone has arrived for longer than the random
+// gaps between heartbeats of its machines. With hundreds of machines that takes seconds. The time
+// of a pause of this process does not count.
 func (o *partitionDetector) heartbeatsOverdue(z *zoneState) bool {
 	timeout := o.settings.agentLease / 2
 	anyRecentHeartbeat := o.clock.Now() < o.lastHeartbeatAt.Add(partitionTimeout/2)
