--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -60,7 +60,7 @@
 // heartbeatHealth judges machines by their heartbeats.
 type heartbeatHealth interface {
 	usable(m *cluster.Machine) bool
-	// recordZoneHeartbeat notes that a machine of a zone was recordZoneHeartbeat now.
+	// recordZoneHeartbeat records that a heartbeat of a machine of a zone arrived now.
 	recordZoneHeartbeat(zone ids.Zone)
 	// noticeReclaim notes that the cloud takes a spot instance back after a time.
 	noticeReclaim(m *cluster.Machine, after time.Duration)
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -47,7 +47,7 @@
 // zoneState holds the heartbeat and partition state of one zone.
 type zoneState struct {
 	lastHeartbeatAt monotonic.Instant // when the last heartbeat of any machine of the zone arrived
-	machinesUp      int               // machines that were up when heartbeats were last not overdue
+	machinesUp      int               // machines that were up when the zone's heartbeats last arrived in time
 	// partitionedAt is when the zone was last found to be partitioned. 0 means never.
 	partitionedAt monotonic.Instant
 }
