--- a/scheduler/headroom_test.go
+++ b/scheduler/headroom_test.go
@@ -7,23 +7,24 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Headroom for latency-sensitive classes was once looked for in free capacity that had already
-// been counted, and so never provisioned.
+// Headroom for latency-sensitive classes must be provisioned if the free capacity does not suffice
+// for it. If the planner counts the free capacity both for the headroom and as capacity that
+// fulfills the remaining demand, no machine is provisioned.
 func TestHeadroomIsProvisionedInAdditionToFreeCapacity(t *testing.T) {
-	b := newHarness(t, Options{FleetOptions: FleetOptions{Headroom: 3}, AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
-	b.c.Begin(b.now)
-	b.heartbeat("n-1", "a", 0)
-	b.submit("job-1", wire.JobSpec{Class: "hasty", Tasks: 2, CPUs: 2})
-	b.step()
-	b.now = b.now.Add(2 * time.Second)
-	b.heartbeat("n-1", "a", 0)
-	e := b.step()
+	fixture := newHarness(t, Options{FleetOptions: FleetOptions{Headroom: 3}, AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
+	fixture.c.Begin(fixture.now)
+	fixture.heartbeat("n-1", "a", 0)
+	fixture.submit("job-1", wire.JobSpec{Class: "hasty", Tasks: 2, CPUs: 2})
+	fixture.step()
+	fixture.now = fixture.now.Add(2 * time.Second)
+	fixture.heartbeat("n-1", "a", 0)
+	decisions := fixture.step()
 	provisioned := 0
-	for _, r := range e.Provision {
+	for _, r := range decisions.Provision {
 		provisioned += r.Count
 	}
-	// The peak of 2 asks for 8 more tasks of 2 CPUs; 4 CPUs are free.
+	// The peak of 2 tasks requires headroom for 8 more tasks of 2 CPUs, and 4 CPUs are free.
 	if provisioned != 2 {
-		t.Fatalf("provisioned %d machines of 8 CPUs: %+v", provisioned, e.Provision)
+		t.Fatalf("provisioned %d machines of 8 CPUs, want 2: %+v", provisioned, decisions.Provision)
 	}
 }
--- a/scheduler/provisioning_test.go
+++ b/scheduler/provisioning_test.go
@@ -16,12 +16,13 @@
 
 var testSite = placement.Site{Type: "m", Zone: "a"}
 
-// fixedLimit lets at most so many machines be provisioned in any zone.
+// fixedLimit is the number of machines that may be provisioned in any zone.
 type fixedLimit int
 
 func (l fixedLimit) limitProvisioning(_ ids.Zone, count int) int { return min(count, int(l)) }
 
-// newTestProvisioner makes a provisioner without machines. Zones allow the given number.
+// newTestProvisioner returns a provisioner for a cluster without machines. Each request may
+// provision at most allowed machines in a zone.
 func newTestProvisioner(t *testing.T, allowed int) *provisioner {
 	t.Helper()
 	now, rounds := clock.New(0), &clock.RoundTrigger{}
@@ -31,7 +32,8 @@
 	return newProvisionerWithLimit(state, now, rounds, fixedLimit(allowed))
 }
 
-// newProvisionerWithLimit makes the provisioner of an autoscaler that knows no other policy.
+// newProvisionerWithLimit returns the provisioner of an autoscaler to which no other policy is
+// connected. limit limits the machines in each zone.
 func newProvisionerWithLimit(state *cluster.State, now *clock.Clock, rounds *clock.RoundTrigger, limit provisioningLimiter) *provisioner {
 	settings := autoscalerSettings{revision: 7, capacityBackoff: 10 * time.Second}
 	p := newAutoscaler(settings, state, now, rounds).provisioner
@@ -54,7 +56,7 @@
 		name    string
 		wanted  int
 		allowed int
-		refused bool // the last request before
+		refused bool // whether the previous request is refused
 		want    []int
 	}{
 		{name: "one request", wanted: 7, allowed: 1000, want: []int{7}},
@@ -92,14 +94,14 @@
 			p := newTestProvisioner(t, 1000)
 			p.send(testSite, 2)
 			if got := p.bootingByZone()["a"]; got != 2 {
-				t.Errorf("%d machines boot or are requested while the request is in flight, want 2", got)
+				t.Errorf("%d machines are booting or requested while the request is in flight, want 2", got)
 			}
 			c.finish(p, p.takeDecisions()[0])
 			if got := len(p.cluster.Machines()); got != c.machines {
-				t.Errorf("%d machines are known, want %d", got, c.machines)
+				t.Errorf("%d machines are in the cluster, want %d", got, c.machines)
 			}
 			if got := p.bootingByZone()["a"]; got != c.machines {
-				t.Errorf("%d machines boot or are requested after the result, want %d", got, c.machines)
+				t.Errorf("%d machines are booting or requested after the result, want %d", got, c.machines)
 			}
 			if got := p.backsOff(testSite); got != c.backsOff {
 				t.Errorf("the site backs off: %v, want %v", got, c.backsOff)
@@ -108,32 +110,33 @@
 	}
 }
 
-// A zone counts as refused only when no type is left to ask for there, neither as a spot
-// instance nor as an ordinary one.
+// A zone counts as refused only if every machine type in it backs off, both as a spot instance and
+// as an on-demand instance.
 func TestZoneIsRefusedWhenAllItsSitesBackOff(t *testing.T) {
 	p := newTestProvisioner(t, 1000)
 	for _, spot := range []bool{false, true} {
 		if p.zoneRefused("a") {
-			t.Errorf("refused before the request with spot %v was", spot)
+			t.Errorf("the zone counts as refused before the request with spot %v is refused", spot)
 		}
 		p.send(placement.Site{Type: "m", Zone: "a", Spot: spot}, 1)
 		p.refused(p.takeDecisions()[0])
 	}
 	if !p.zoneRefused("a") {
-		t.Error("not refused although all sites back off")
+		t.Error("the zone does not count as refused although all its sites back off")
 	}
 	if p.zoneRefused("elsewhere") {
 		t.Error("a zone without any type counts as refused")
 	}
 }
 
-// A late result of a request must not bring back a machine that was removed.
+// The result of a request that arrives after one of its machines was removed must not add this
+// machine to the cluster again.
 func TestLateGrantDoesNotAddARemovedMachine(t *testing.T) {
 	p := newTestProvisioner(t, 1000)
 	p.cluster.RemoveMachine(p.cluster.EnsureMachine("n-1"))
 	p.send(testSite, 1)
 	p.granted(p.takeDecisions()[0], []ids.MachineID{"n-1"})
 	if p.cluster.Machine("n-1") != nil {
-		t.Error("the machine is known again")
+		t.Error("the removed machine is in the cluster again")
 	}
 }
--- a/scheduler/scale_in_test.go
+++ b/scheduler/scale_in_test.go
@@ -9,8 +9,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// idleFor brings n-1 up and has it send heartbeats, idle, for a time. It returns the
-// machines that were terminated.
+// idleFor has machine n-1 send heartbeats without tasks for d. It returns the machines that were
+// terminated in the meantime.
 func (b *harness) idleFor(d time.Duration) (terminated []ids.MachineID) {
 	b.t.Helper()
 	for end := b.now.Add(d); b.now < end; b.now = b.now.Add(time.Second) {
@@ -24,7 +24,7 @@
 	for _, c := range []struct {
 		name       string
 		settings   scaleInSettings
-		class      string // of a job that ran on the machine
+		class      string // of a cancelled job, for whose class headroom may be needed
 		quarantine bool
 		terminated bool
 	}{
@@ -34,17 +34,17 @@
 		{name: "soon while quarantined", settings: scaleInSettings{idleTimeout: time.Hour, headroomIdleTimeout: time.Hour, spotIdleFactor: 1}, class: "c", quarantine: true, terminated: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newHarness(t, Options{AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
-			b.c.autoscaler.scaleIn.settings = c.settings
-			b.c.Begin(b.now)
-			b.submit("job-1", wire.JobSpec{Class: c.class, Tasks: 1})
-			b.c.autoscaler.classes.update()
-			b.c.lifecycle.endJob(b.c.cluster.Job("job-1"), wire.JobCancelled)
-			b.heartbeat("n-1", "a", 0)
+			fixture := newHarness(t, Options{AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
+			fixture.c.autoscaler.scaleIn.settings = c.settings
+			fixture.c.Begin(fixture.now)
+			fixture.submit("job-1", wire.JobSpec{Class: c.class, Tasks: 1})
+			fixture.c.autoscaler.classes.update()
+			fixture.c.lifecycle.endJob(fixture.c.cluster.Job("job-1"), wire.JobCancelled)
+			fixture.heartbeat("n-1", "a", 0)
 			if c.quarantine {
-				b.c.cluster.Machine("n-1").Health.QuarantinedUntil = b.now.Add(time.Hour)
+				fixture.c.cluster.Machine("n-1").Health.QuarantinedUntil = fixture.now.Add(time.Hour)
 			}
-			if got := slices.Contains(b.idleFor(20*time.Second), "n-1"); got != c.terminated {
+			if got := slices.Contains(fixture.idleFor(20*time.Second), "n-1"); got != c.terminated {
 				t.Errorf("terminated: %v, want %v", got, c.terminated)
 			}
 		})
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -24,15 +24,15 @@
 }
 
 // jobs submits some jobs, changed by shape.
-func (m *scenario) jobs(count int, shape func(*wire.JobSpec)) {
+func (simulation *scenario) jobs(count int, shape func(*wire.JobSpec)) {
 	for range count {
-		sp := m.randomSpec()
+		sp := simulation.randomSpec()
 		if shape != nil {
 			shape(sp)
 		}
-		id := ids.JobID(fmt.Sprintf("job-%03d", len(m.all)))
-		m.submit(id, sp)
-		m.all = append(m.all, id)
+		id := ids.JobID(fmt.Sprintf("job-%03d", len(simulation.all)))
+		simulation.submit(id, sp)
+		simulation.all = append(simulation.all, id)
 	}
 }
 
@@ -46,22 +46,22 @@
 }
 
 // in is the time after a while.
-func (m *scenario) in(d time.Duration) monotonic.Instant { return m.now.Add(d) }
+func (simulation *scenario) in(d time.Duration) monotonic.Instant { return simulation.now.Add(d) }
 
 // eachNthWorker does something to every nth machine.
-func (m *scenario) eachNthWorker(nth int, f func(w *simWorker)) {
-	for i, h := range m.sortedMachineIDs() {
+func (simulation *scenario) eachNthWorker(nth int, f func(w *simWorker)) {
+	for i, h := range simulation.sortedMachineIDs() {
 		if i%nth == 0 {
-			f(m.workers[h])
+			f(simulation.workers[h])
 		}
 	}
 }
 
 // cancelEvery has users cancel every nth job.
-func (m *scenario) cancelEvery(nth int) {
-	for i, id := range m.all {
-		if i%nth == 0 && !m.cancelled[id] {
-			m.cancel(id)
+func (simulation *scenario) cancelEvery(nth int) {
+	for i, id := range simulation.all {
+		if i%nth == 0 && !simulation.cancelled[id] {
+			simulation.cancel(id)
 		}
 	}
 }
--- a/scheduler/zone_admission_test.go
+++ b/scheduler/zone_admission_test.go
@@ -10,138 +10,139 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// When a zone has an outage and the others are full, capacity that becomes free goes to services
-// before arrays of their priority, although those were submitted first.
+// When a zone has an outage and the other zones are full, freed capacity must go to displaced
+// services before arrays of the same priority, even if the arrays were submitted first.
 func TestDisplacedServicesArePlacedBeforeArrays(t *testing.T) {
-	m := newZoneScenario(t, 1, 3)
-	services, arrays := m.fillZones()
-	for range 24 { // of one replica each: a service that lost all replicas starts them together
+	simulation := newZoneScenario(t, 1, 3)
+	services, arrays := simulation.fillZones()
+	for range 24 { // one replica each, because a service that lost all replicas starts them together
 		spec := zoneArray(1)
 		spec.Service = true
-		services = append(services, m.submitJob(spec))
-	}
-	m.run(60 * second)
-	if up, wanted := m.countPlaced(services); up != wanted {
-		t.Fatalf("%d of %d replicas are placed", up, wanted)
-	}
-	services = services[3:] // spread services may not use every machine
-	arrays = append(arrays, m.submitJob(zoneArray(200)))
-	m.run(60 * second)
-	m.core.autoscaler.settings.maxMachines = len(m.core.cluster.Machines())
-	m.causeZoneOutage("b", 10*time.Minute)
-	for !m.leasesExpiredIn("b") {
-		m.run(100 * time.Millisecond)
-	}
-	m.run(second)
-	known := m.latestAttempts(arrays)
-	lost := 0
-	for end := m.now.Add(7 * time.Minute); ; m.run(100 * time.Millisecond) {
-		up, wanted := m.countPlaced(services)
-		lost = max(lost, wanted-up)
-		if up == wanted {
+		services = append(services, simulation.submitJob(spec))
+	}
+	simulation.run(60 * second)
+	if placed, wanted := simulation.countPlaced(services); placed != wanted {
+		t.Fatalf("%d of %d replicas are placed", placed, wanted)
+	}
+	services = services[3:] // without the spread services, which may not use every machine
+	arrays = append(arrays, simulation.submitJob(zoneArray(200)))
+	simulation.run(60 * second)
+	simulation.core.autoscaler.settings.maxMachines = len(simulation.core.cluster.Machines())
+	simulation.causeZoneOutage("b", 10*time.Minute)
+	for !simulation.leasesExpiredIn("b") {
+		simulation.run(100 * time.Millisecond)
+	}
+	simulation.run(second)
+	attemptsBefore := simulation.latestAttempts(arrays)
+	maxUnplaced := 0
+	for end := simulation.now.Add(7 * time.Minute); ; simulation.run(100 * time.Millisecond) {
+		placed, wanted := simulation.countPlaced(services)
+		maxUnplaced = max(maxUnplaced, wanted-placed)
+		if placed == wanted {
 			break
 		}
-		if m.now >= end {
-			t.Fatalf("only %d of %d replicas are placed", up, wanted)
+		if simulation.now >= end {
+			t.Fatalf("only %d of %d replicas are placed", placed, wanted)
 		}
-		for ref, attempt := range m.latestAttempts(arrays) {
-			if known[ref] < attempt {
-				t.Fatalf("%s was placed while %d of %d replicas are", ref, up, wanted)
+		for ref, attempt := range simulation.latestAttempts(arrays) {
+			if attemptsBefore[ref] < attempt {
+				t.Fatalf("%s was placed while only %d of %d replicas are placed", ref, placed, wanted)
 			}
 		}
 	}
-	if lost == 0 {
-		t.Error("no replica had to wait: the day shows nothing")
+	if maxUnplaced == 0 {
+		t.Error("no replica had to wait, so the scenario does not test the order")
 	}
-	m.runToEnd()
+	simulation.runToEnd()
 }
 
-// A zone recovers while an array that it displaced is half done elsewhere: tasks that are done
-// do not run again, and the others stay where they are.
+// A zone recovers after part of an array that it displaced has completed in other zones. Completed
+// tasks must not run again, and running tasks must not be moved back.
 func TestPartlyCompletedArrayContinuesInOtherZones(t *testing.T) {
-	m := newZoneScenario(t, 3, 4)
-	m.runFactor = 3
-	id := m.submitJob(zoneArray(60))
-	m.run(30 * second)
-	m.partitionZone("b", 60*second)
-	m.run(60 * second)
+	simulation := newZoneScenario(t, 3, 4)
+	simulation.runFactor = 3
+	id := simulation.submitJob(zoneArray(60))
+	simulation.run(30 * second)
+	simulation.partitionZone("b", 60*second)
+	simulation.run(60 * second)
 	done := map[ids.TaskRef]bool{}
-	for ref := range m.completed {
+	for ref := range simulation.completed {
 		done[ref] = true
 	}
 	starts := map[ids.TaskRef]int{}
-	for _, p := range m.placements[id] {
+	for _, p := range simulation.placements[id] {
 		starts[p.task.ref]++
 	}
-	running := m.runningOutside(id, "b")
+	running := simulation.runningOutside(id, "b")
 	if len(done) == 0 || len(done) == 60 || len(running) == 0 {
-		t.Fatalf("%d tasks done, %d running elsewhere: not half done", len(done), len(running))
+		t.Fatalf("%d tasks are done and %d run in other zones, want some of both", len(done), len(running))
 	}
-	m.awaitCondition("b", zonerecovery.Serving, 3*time.Minute)
-	for ref, a := range running {
-		if now := m.core.cluster.Job(id).Task(ref.Index).Assignment(); now != nil && now.Attempt != a {
-			t.Errorf("%s was moved although it ran elsewhere", ref)
+	simulation.awaitCondition("b", zonerecovery.Serving, 3*time.Minute)
+	for ref, attempt := range running {
+		if current := simulation.core.cluster.Job(id).Task(ref.Index).Assignment(); current != nil && current.Attempt != attempt {
+			t.Errorf("%s was moved although it ran in another zone", ref)
 		}
 	}
-	m.runToEnd()
-	for _, p := range m.placements[id] {
+	simulation.runToEnd()
+	for _, p := range simulation.placements[id] {
 		starts[p.task.ref]--
 	}
 	for ref := range done {
 		if starts[ref] != 0 {
-			t.Errorf("%s was started again although it was done", ref)
+			t.Errorf("%s was started again although it had completed", ref)
 		}
 	}
 }
 
-// No task is preempted in a zone where nothing may start.
+// No task must be preempted in a zone that is on hold, because the preemptor may not start there.
 func TestNothingIsPreemptedForAZoneOnHold(t *testing.T) {
-	m := newZoneScenario(t, 13, 3)
-	m.runFactor = 30
-	low := zoneArray(300)
-	low.Priority = wire.BestEffort
-	m.submitJob(low)
-	m.run(60 * second)
-	m.core.autoscaler.settings.maxMachines = len(m.core.cluster.Machines())
-	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold})
-	m.run(second)
-	high := zoneArray(4)
-	high.Zone, high.Priority = "b", wire.High
-	m.submitJob(high)
-	m.run(20 * second)
-	if stopped := m.core.lifecycle.lostWork[cluster.StopPreempted].tasks; stopped > 0 {
+	simulation := newZoneScenario(t, 13, 3)
+	simulation.runFactor = 30
+	lowPriority := zoneArray(300)
+	lowPriority.Priority = wire.BestEffort
+	simulation.submitJob(lowPriority)
+	simulation.run(60 * second)
+	simulation.core.autoscaler.settings.maxMachines = len(simulation.core.cluster.Machines())
+	simulation.core.OverrideZone(simulation.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold})
+	simulation.run(second)
+	highPriority := zoneArray(4)
+	highPriority.Zone, highPriority.Priority = "b", wire.High
+	simulation.submitJob(highPriority)
+	simulation.run(20 * second)
+	if stopped := simulation.core.lifecycle.lostWork[cluster.StopPreempted].tasks; stopped > 0 {
 		t.Errorf("%d tasks were preempted for a zone on hold", stopped)
 	}
-	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideRelease})
-	m.run(10 * second)
-	if m.core.lifecycle.lostWork[cluster.StopPreempted].tasks == 0 {
-		t.Error("none was preempted after the release")
+	simulation.core.OverrideZone(simulation.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideRelease})
+	simulation.run(10 * second)
+	if simulation.core.lifecycle.lostWork[cluster.StopPreempted].tasks == 0 {
+		t.Error("no task was preempted after the release")
 	}
-	m.runToEnd()
+	simulation.runToEnd()
 }
 
-// A job that may not use a zone because of its earlier moves does not exclude others like it,
-// also once the zone serves again.
+// A job that may not use a zone because its failback budget is used up must not exclude similar
+// jobs from the zone, even after the zone serves again. The search for machines reuses a failed
+// result for equal requests, so the result for such a job must not be reused.
 func TestFailbackDenialDoesNotExcludeSimilarJobs(t *testing.T) {
-	m := newZoneScenario(t, 15, 3)
-	m.fillZones()
-	restricted, free := zoneArray(300), zoneArray(2)
-	m.submitJob(restricted)
-	m.run(30 * second)
-	m.core.autoscaler.settings.maxMachines = len(m.core.cluster.Machines())
+	simulation := newZoneScenario(t, 15, 3)
+	simulation.fillZones()
+	denied, similar := zoneArray(300), zoneArray(2)
+	simulation.submitJob(denied)
+	simulation.run(30 * second)
+	simulation.core.autoscaler.settings.maxMachines = len(simulation.core.cluster.Machines())
 	for range 2 {
-		m.causeZoneOutage("b", 40*second)
-		m.awaitCondition("b", zonerecovery.Serving, 3*time.Minute)
+		simulation.causeZoneOutage("b", 40*second)
+		simulation.awaitCondition("b", zonerecovery.Serving, 3*time.Minute)
 	}
-	j := m.core.cluster.Job(m.all[len(m.all)-1])
-	if len(j.Pending()) == 0 || !m.core.zones.manager.FailbackDenied(j.ID) {
-		t.Fatal("the day does not restrict the job")
+	j := simulation.core.cluster.Job(simulation.all[len(simulation.all)-1])
+	if len(j.Pending()) == 0 || !simulation.core.zones.manager.FailbackDenied(j.ID) {
+		t.Fatal("the scenario does not deny the failback of the job")
 	}
-	id := m.submitJob(free)
-	before := len(m.placements[id])
-	m.run(5 * second)
-	if len(m.placements[id]) == before {
-		t.Error("a job like it was not placed although the zone is open to it")
+	id := simulation.submitJob(similar)
+	before := len(simulation.placements[id])
+	simulation.run(5 * second)
+	if len(simulation.placements[id]) == before {
+		t.Error("a similar job was not placed although it may use the zone")
 	}
-	m.runToEnd()
+	simulation.runToEnd()
 }
--- a/scheduler/zone_failover_test.go
+++ b/scheduler/zone_failover_test.go
@@ -8,42 +8,42 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// An operator holds a zone: nothing new starts there, the next leaders hold it too, and it
-// serves once it is released.
+// An operator puts a zone on hold. No task may start there, including under the next leaders, until
+// the operator releases the zone. Tasks must start there after the release.
 func TestZoneHoldSurvivesAFailover(t *testing.T) {
-	m := newZoneScenario(t, 12, 4)
-	m.fillZones()
-	number, ok := m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold, Reason: "power works"})
+	simulation := newZoneScenario(t, 12, 4)
+	simulation.fillZones()
+	number, ok := simulation.core.OverrideZone(simulation.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold, Reason: "power works"})
 	if !ok {
 		t.Fatal("the override was rejected")
 	}
-	m.run(second)
-	if !m.core.ZoneOverrideRecorded("b", number) {
+	simulation.run(second)
+	if !simulation.core.ZoneOverrideRecorded("b", number) {
 		t.Fatal("the override was not recorded")
 	}
-	m.failOver()
-	before := m.startsIn("b")
-	m.runFactor = 1
-	m.jobs(8, array)
-	m.run(60 * second)
-	if got := m.startsIn("b"); got != before {
+	simulation.failOver()
+	before := simulation.startsIn("b")
+	simulation.runFactor = 1
+	simulation.jobs(8, array)
+	simulation.run(60 * second)
+	if got := simulation.startsIn("b"); got != before {
 		t.Errorf("%d tasks started in a zone on hold", got-before)
 	}
-	if st := m.statusOf("b"); st.Override != zonerecovery.OverrideHold {
-		t.Errorf("after a failover: %+v", st)
+	if st := simulation.statusOf("b"); st.Override != zonerecovery.OverrideHold {
+		t.Errorf("the zone is not on hold after a failover: %+v", st)
 	}
-	m.core.OverrideZone(m.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideRelease})
+	simulation.core.OverrideZone(simulation.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideRelease})
 	spec := zoneArray(2)
 	spec.Zone = "b"
-	m.submitJob(spec)
-	m.run(30 * second)
-	if m.startsIn("b") == before {
+	simulation.submitJob(spec)
+	simulation.run(30 * second)
+	if simulation.startsIn("b") == before {
 		t.Error("nothing started after the release")
 	}
-	m.runToEnd()
+	simulation.runToEnd()
 }
 
-// recoveryPhase is a point of a zone's recovery.
+// recoveryPhase is a phase of the outage and the recovery of a zone.
 type recoveryPhase int
 
 const (
@@ -63,59 +63,64 @@
 	}
 }
 
-// awaitPhase loses zone b, and runs until the phase has begun and is recorded.
-func (m *scenario) awaitPhase(phase recoveryPhase) {
-	m.t.Helper()
-	m.causeZoneOutage("b", 40*second)
+// awaitPhase causes an outage of zone b, and runs until the phase has begun and is recorded.
+func (simulation *scenario) awaitPhase(phase recoveryPhase) {
+	simulation.t.Helper()
+	simulation.causeZoneOutage("b", 40*second)
 	if phase >= phaseHoldDown {
-		m.run(m.zones.partitionedUntil["b"].Sub(m.now) + time.Second)
+		simulation.run(simulation.zones.partitionedUntil["b"].Sub(simulation.now) + time.Second)
 	}
 	if phase >= phaseProbe {
-		m.awaitCondition("b", zonerecovery.Recovering, 60*second)
-		for m.condition("b") == zonerecovery.Recovering && m.statusOf("b").Step < int(phase) {
-			m.run(100 * time.Millisecond)
+		simulation.awaitCondition("b", zonerecovery.Recovering, 60*second)
+		for simulation.condition("b") == zonerecovery.Recovering && simulation.statusOf("b").Step < int(phase) {
+			simulation.run(100 * time.Millisecond)
 		}
 	}
-	m.run(300 * time.Millisecond)
+	simulation.run(300 * time.Millisecond)
 }
 
-// leaderChanges are the ways in which a leader may end or go on.
+// leaderChanges are failovers and pauses of the leader.
 var leaderChanges = []struct {
 	name   string
-	inject func(m *scenario)
+	inject func(simulation *scenario)
 }{
-	{"failover", func(m *scenario) { m.failOver() }},
-	{"two failovers", func(m *scenario) { m.failOver(); m.run(300 * time.Millisecond); m.failOver() }},
-	{"the leader is paused", func(m *scenario) { m.pause(2500 * time.Millisecond) }},
-	{"the leader is paused for longer than its lease", func(m *scenario) { m.pause(8 * second) }},
-	{"the previous leader stays active in the zone", func(m *scenario) {
-		m.failOverWithPreviousLeaderActive()
-		m.isolatedZone, m.isolatedZoneUntil = "b", m.in(20*second)
+	{"failover", func(simulation *scenario) { simulation.failOver() }},
+	{"two failovers", func(simulation *scenario) {
+		simulation.failOver()
+		simulation.run(300 * time.Millisecond)
+		simulation.failOver()
+	}},
+	{"the leader is paused", func(simulation *scenario) { simulation.pause(2500 * time.Millisecond) }},
+	{"the leader is paused for longer than its lease", func(simulation *scenario) { simulation.pause(8 * second) }},
+	{"the previous leader remains active in the zone", func(simulation *scenario) {
+		simulation.failOverWithPreviousLeaderActive()
+		simulation.isolatedZone, simulation.isolatedZoneUntil = "b", simulation.in(20*second)
 	}},
 }
 
-// A change of the leader, in any phase of the recovery, keeps the outages, the step and the
-// displaced jobs, and permits nothing that the previous leader did not permit.
+// After a failover or a pause of the leader in any phase of the recovery, the leader must keep the
+// number of outages, the step and the displaced jobs, and must not permit more than the previous
+// leader did. It would if it lost the state of the zone or skipped steps of the recovery.
 func TestNextLeaderContinuesTheRecovery(t *testing.T) {
 	for phase := phaseOutage; phase <= phaseProbe+2; phase++ {
 		for _, c := range leaderChanges {
 			t.Run(fmt.Sprintf("%s %s", c.name, phase), func(t *testing.T) {
 				t.Parallel()
-				m := newZoneScenario(t, 6, 4)
-				m.fillZones()
-				m.awaitPhase(phase)
-				before := m.statusOf("b")
-				c.inject(m)
-				m.run(100 * time.Millisecond)
-				after := m.statusOf("b")
+				simulation := newZoneScenario(t, 6, 4)
+				simulation.fillZones()
+				simulation.awaitPhase(phase)
+				before := simulation.statusOf("b")
+				c.inject(simulation)
+				simulation.run(100 * time.Millisecond)
+				after := simulation.statusOf("b")
 				if after.Outages != before.Outages || after.DisplacedJobs < before.DisplacedJobs {
-					t.Errorf("before %+v\nafter %+v", before, after)
+					t.Errorf("the next leader lost outages or displaced jobs: before %+v\nafter %+v", before, after)
 				}
 				if before.Condition == zonerecovery.Outage && after.Condition == zonerecovery.Serving || after.Step > before.Step+1 {
-					t.Errorf("the next leader allows more: before %+v\nafter %+v", before, after)
+					t.Errorf("the next leader permits more: before %+v\nafter %+v", before, after)
 				}
-				m.awaitCondition("b", zonerecovery.Serving, 3*time.Minute)
-				m.runToEnd()
+				simulation.awaitCondition("b", zonerecovery.Serving, 3*time.Minute)
+				simulation.runToEnd()
 			})
 		}
 	}
--- a/scheduler/zone_observation_test.go
+++ b/scheduler/zone_observation_test.go
@@ -8,52 +8,53 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// Heartbeats from before a partition that come late do not end the outage.
+// Heartbeats that were sent before a partition and arrive during it must not end the outage.
 func TestDelayedHeartbeatsDoNotEndAZoneOutage(t *testing.T) {
-	m := newZoneScenario(t, 8, 4)
-	m.fillZones()
-	var late []*wire.Heartbeat
-	for _, h := range m.sortedMachineIDs() {
-		if w := m.workers[h]; w.zone == "b" {
-			rep := w.nextHeartbeat()
-			w.sequence++ // the newest of its messages has come before it
-			late = append(late, rep)
+	simulation := newZoneScenario(t, 8, 4)
+	simulation.fillZones()
+	var delayed []*wire.Heartbeat
+	for _, id := range simulation.sortedMachineIDs() {
+		if worker := simulation.workers[id]; worker.zone == "b" {
+			heartbeat := worker.nextHeartbeat()
+			worker.sequence++ // a newer message of the worker arrives before it
+			delayed = append(delayed, heartbeat)
 		}
 	}
-	m.run(5 * second)
-	m.causeZoneOutage("b", 60*second)
+	simulation.run(5 * second)
+	simulation.causeZoneOutage("b", 60*second)
 	for range 10 {
-		for _, rep := range late {
-			m.core.Heartbeat(m.now, rep)
+		for _, heartbeat := range delayed {
+			simulation.core.Heartbeat(simulation.now, heartbeat)
 		}
-		m.run(second)
-		if c := m.condition("b"); c != zonerecovery.Outage {
+		simulation.run(second)
+		if c := simulation.condition("b"); c != zonerecovery.Outage {
 			t.Fatalf("delayed heartbeats made the zone %s", c)
 		}
-		if st := m.statusOf("b"); st.Reachable != 0 {
+		if st := simulation.statusOf("b"); st.Reachable != 0 {
 			t.Fatalf("%d machines count as reachable", st.Reachable)
 		}
 	}
-	m.runToEnd()
+	simulation.runToEnd()
 }
 
-// A leader that reaches neither the store nor its peers declares no zone outage.
+// A leader that can reach neither the key-value store nor its peers must not declare a zone outage:
+// the missed heartbeats are then more likely caused by its own network.
 func TestIsolatedLeaderDeclaresNoOutage(t *testing.T) {
-	m := newZoneScenario(t, 11, 4)
-	m.fillZones()
-	m.zones.isolatedView = true
-	m.partitionZone("a", 20*second)
-	m.partitionZone("b", 20*second)
-	m.run(18 * second)
+	simulation := newZoneScenario(t, 11, 4)
+	simulation.fillZones()
+	simulation.zones.isolatedView = true
+	simulation.partitionZone("a", 20*second)
+	simulation.partitionZone("b", 20*second)
+	simulation.run(18 * second)
 	for _, zone := range []ids.Zone{"a", "b"} {
-		if c := m.condition(zone); c != zonerecovery.Suspect {
+		if c := simulation.condition(zone); c != zonerecovery.Suspect {
 			t.Errorf("zone %s is %s", zone, c)
 		}
 	}
-	m.zones.isolatedView = false
-	m.awaitCondition("a", zonerecovery.Serving, 30*second)
-	if got := m.statusOf("a").Outages; got != 0 {
+	simulation.zones.isolatedView = false
+	simulation.awaitCondition("a", zonerecovery.Serving, 30*second)
+	if got := simulation.statusOf("a").Outages; got != 0 {
 		t.Errorf("%d outages counted", got)
 	}
-	m.runToEnd()
+	simulation.runToEnd()
 }
--- a/scheduler/zone_outage_test.go
+++ b/scheduler/zone_outage_test.go
@@ -7,116 +7,117 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// A zone that flaps three times is held down longer each time, and no job returns to it
-// more than once.
+// The hold-down of a zone that flaps three times must grow with each outage up to its maximum, and
+// no job may return to the zone more than once.
 func TestFlappingZoneIsHeldDownLonger(t *testing.T) {
-	m := newZoneScenario(t, 2, 4)
-	m.fillZones()
-	m.submitJob(zoneArray(300)) // waits for every place
-	m.run(30 * second)
-	m.core.autoscaler.settings.maxMachines = len(m.core.cluster.Machines())
-	var held []time.Duration
+	simulation := newZoneScenario(t, 2, 4)
+	simulation.fillZones()
+	simulation.submitJob(zoneArray(300)) // more tasks than fit, so that some wait for any free resources
+	simulation.run(30 * second)
+	simulation.core.autoscaler.settings.maxMachines = len(simulation.core.cluster.Machines())
+	var holdDowns []time.Duration
 	for range 3 {
-		m.causeZoneOutage("b", 45*second)
-		m.run(m.zones.partitionedUntil["b"].Sub(m.now))
-		back := m.now
-		m.awaitCondition("b", zonerecovery.Recovering, 60*second)
-		held = append(held, m.now.Sub(back))
-		m.awaitCondition("b", zonerecovery.Serving, 60*second)
-		m.run(30 * second)
+		simulation.causeZoneOutage("b", 45*second)
+		simulation.run(simulation.zones.partitionedUntil["b"].Sub(simulation.now))
+		partitionEndedAt := simulation.now
+		simulation.awaitCondition("b", zonerecovery.Recovering, 60*second)
+		holdDowns = append(holdDowns, simulation.now.Sub(partitionEndedAt))
+		simulation.awaitCondition("b", zonerecovery.Serving, 60*second)
+		simulation.run(30 * second)
 	}
-	if held[1] < 2*held[0] || held[2] < 2*held[1] {
-		t.Errorf("held down for %v", held)
+	if holdDowns[1] < 2*holdDowns[0] || holdDowns[2] < 2*holdDowns[1] {
+		t.Errorf("held down for %v", holdDowns)
 	}
-	if held[2] > m.opt.ZoneRecovery.MaxHoldDown+5*second {
-		t.Errorf("held down for %v, more than the longest", held[2])
+	if holdDowns[2] > simulation.opt.ZoneRecovery.MaxHoldDown+5*second {
+		t.Errorf("held down for %v, more than the maximum", holdDowns[2])
 	}
-	if got := m.statusOf("b").Outages; got != 3 {
+	if got := simulation.statusOf("b").Outages; got != 3 {
 		t.Errorf("%d outages counted", got)
 	}
-	if m.zones.displaced == 0 || m.zones.failbacks == 0 {
-		t.Errorf("%d tasks displaced, %d jobs returned: the day shows nothing", m.zones.displaced, m.zones.failbacks)
+	if simulation.zones.displaced == 0 || simulation.zones.failbacks == 0 {
+		t.Errorf("%d tasks displaced, %d jobs returned, so the scenario does not test failbacks", simulation.zones.displaced, simulation.zones.failbacks)
 	}
-	m.runToEnd()
+	simulation.runToEnd()
 }
 
-// A zone with another outage in the middle of a step begins its next recovery with the probe,
-// after a longer hold-down.
+// After another outage during a step of its recovery and a longer hold-down, a zone must begin its
+// next recovery with the probe.
 func TestZoneOutageDuringItsRecovery(t *testing.T) {
-	m := newZoneScenario(t, 4, 4)
-	m.fillZones()
-	m.partitionZone("b", 40*second)
-	m.awaitCondition("b", zonerecovery.Recovering, 90*second)
-	m.jobs(6, array)
-	for m.statusOf("b").Step < 1 {
-		m.run(100 * time.Millisecond)
+	simulation := newZoneScenario(t, 4, 4)
+	simulation.fillZones()
+	simulation.partitionZone("b", 40*second)
+	simulation.awaitCondition("b", zonerecovery.Recovering, 90*second)
+	simulation.jobs(6, array)
+	for simulation.statusOf("b").Step < 1 {
+		simulation.run(100 * time.Millisecond)
 	}
-	m.causeZoneOutage("b", 40*second)
-	m.awaitCondition("b", zonerecovery.Recovering, 90*second)
-	if st := m.statusOf("b"); st.Step != 0 || st.Outages != 2 {
+	simulation.causeZoneOutage("b", 40*second)
+	simulation.awaitCondition("b", zonerecovery.Recovering, 90*second)
+	if st := simulation.statusOf("b"); st.Step != 0 || st.Outages != 2 {
 		t.Errorf("the second recovery began at step %d after %d outages", st.Step, st.Outages)
 	}
-	m.runToEnd()
+	simulation.runToEnd()
 }
 
-// Most machines of a zone stay partitioned: it serves with those that come back, and the others
-// do not make it suspect.
+// Most machines of a zone remain partitioned after an outage. The zone must serve with the others,
+// and the machines that remain partitioned must not make it suspect.
 func TestZoneRecoversWithSomeOfItsMachines(t *testing.T) {
-	m := newZoneScenario(t, 5, 4)
-	m.fillZones()
-	m.partitionZone("b", 35*second)
-	kept := 0
-	for _, h := range m.sortedMachineIDs() {
-		if w := m.workers[h]; w.zone == "b" {
-			if kept++; kept%3 != 0 {
-				w.partitionedUntil = m.in(20 * time.Minute)
+	simulation := newZoneScenario(t, 5, 4)
+	simulation.fillZones()
+	simulation.partitionZone("b", 35*second)
+	index := 0
+	for _, id := range simulation.sortedMachineIDs() {
+		if worker := simulation.workers[id]; worker.zone == "b" {
+			if index++; index%3 != 0 {
+				worker.partitionedUntil = simulation.in(20 * time.Minute)
 			}
 		}
 	}
-	m.awaitCondition("b", zonerecovery.Outage, 30*second)
-	m.awaitCondition("b", zonerecovery.Recovering, 60*second)
-	m.awaitCondition("b", zonerecovery.Serving, 60*second)
-	m.run(60 * second)
-	if c := m.condition("b"); c != zonerecovery.Serving {
-		t.Errorf("the zone is %s: %v", c, m.zones.conditions["b"])
+	simulation.awaitCondition("b", zonerecovery.Outage, 30*second)
+	simulation.awaitCondition("b", zonerecovery.Recovering, 60*second)
+	simulation.awaitCondition("b", zonerecovery.Serving, 60*second)
+	simulation.run(60 * second)
+	if c := simulation.condition("b"); c != zonerecovery.Serving {
+		t.Errorf("the zone is %s: %v", c, simulation.zones.conditions["b"])
 	}
-	m.runToEnd()
+	simulation.runToEnd()
 }
 
-// Two zones have outages in turn: each has its own recovery, and tasks that the second displaces
-// do not wait for the first.
+// The outages of two zones overlap. Each zone must recover on its own, and tasks that the second
+// outage displaces must not wait for the recovery of the first zone.
 func TestOverlappingOutagesOfTwoZones(t *testing.T) {
-	m := newZoneScenario(t, 9, 4)
-	m.fillZones()
-	m.partitionZone("a", 60*second)
-	m.run(25 * second)
-	m.causeZoneOutage("b", 60*second)
-	if c := m.condition("a"); c != zonerecovery.Outage {
+	simulation := newZoneScenario(t, 9, 4)
+	simulation.fillZones()
+	simulation.partitionZone("a", 60*second)
+	simulation.run(25 * second)
+	simulation.causeZoneOutage("b", 60*second)
+	if c := simulation.condition("a"); c != zonerecovery.Outage {
 		t.Fatalf("zone a is %s", c)
 	}
-	m.awaitCondition("a", zonerecovery.Serving, 2*time.Minute)
-	m.awaitCondition("b", zonerecovery.Serving, 2*time.Minute)
-	m.runToEnd()
+	simulation.awaitCondition("a", zonerecovery.Serving, 2*time.Minute)
+	simulation.awaitCondition("b", zonerecovery.Serving, 2*time.Minute)
+	simulation.runToEnd()
 }
 
-// All zones but one have an outage, and a team's nominal quota does not fit into the last one:
-// services get its capacity, no limit is exceeded, and all goes on once zones recover.
+// All zones but one have an outage, and a team's nominal quota does not fit into the last one.
+// Services must get its capacity, no limit may be exceeded, and all jobs must continue after the
+// zones recover.
 func TestOutageOfAllZonesButOne(t *testing.T) {
-	m := newZoneScenario(t, 10, 3)
-	services, _ := m.fillZones()
-	m.partitionZone("a", 90*second)
-	m.partitionZone("b", 100*second)
-	m.awaitCondition("a", zonerecovery.Outage, 30*second)
-	m.awaitCondition("b", zonerecovery.Outage, 30*second)
-	m.run(60 * second)
-	if c := m.condition("c"); c != zonerecovery.Serving {
+	simulation := newZoneScenario(t, 10, 3)
+	services, _ := simulation.fillZones()
+	simulation.partitionZone("a", 90*second)
+	simulation.partitionZone("b", 100*second)
+	simulation.awaitCondition("a", zonerecovery.Outage, 30*second)
+	simulation.awaitCondition("b", zonerecovery.Outage, 30*second)
+	simulation.run(60 * second)
+	if c := simulation.condition("c"); c != zonerecovery.Serving {
 		t.Errorf("the last zone is %s", c)
 	}
-	// By spread, half of the replicas may be in the zone that is left.
-	if up, wanted := m.countPlaced(services); up < wanted/2 {
+	// The spread of services permits half of the replicas in the remaining zone.
+	if up, wanted := simulation.countPlaced(services); up < wanted/2 {
 		t.Errorf("%d of %d replicas are placed", up, wanted)
 	}
-	m.awaitCondition("a", zonerecovery.Serving, 2*time.Minute)
-	m.awaitCondition("b", zonerecovery.Serving, 2*time.Minute)
-	m.runToEnd()
+	simulation.awaitCondition("a", zonerecovery.Serving, 2*time.Minute)
+	simulation.awaitCondition("b", zonerecovery.Serving, 2*time.Minute)
+	simulation.runToEnd()
 }
--- a/scheduler/zone_records_test.go
+++ b/scheduler/zone_records_test.go
@@ -11,48 +11,49 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// During an outage of the store no step of a recovery begins that is not recorded, however often
-// the zone flaps. After the outage the recovery goes on.
+// While the key-value store is unavailable, no step of a recovery may begin, because it cannot be
+// recorded and the next leader would not know of it. The recovery must continue after the store is
+// available again.
 func TestNoRecoveryStepBeginsUnrecorded(t *testing.T) {
-	m := newZoneScenario(t, 7, 4)
-	m.fillZones()
-	m.causeZoneOutage("b", 40*second)
-	m.run(500 * time.Millisecond)
-	m.storeOutageUntil = m.in(90 * second)
-	m.jobs(4, array)
-	for m.now < m.storeOutageUntil {
-		m.run(second)
-		if got := m.core.zones.manager.Stats().Failbacks; got != 0 {
+	simulation := newZoneScenario(t, 7, 4)
+	simulation.fillZones()
+	simulation.causeZoneOutage("b", 40*second)
+	simulation.run(500 * time.Millisecond)
+	simulation.storeOutageUntil = simulation.in(90 * second)
+	simulation.jobs(4, array)
+	for simulation.now < simulation.storeOutageUntil {
+		simulation.run(second)
+		if got := simulation.core.zones.manager.Stats().Failbacks; got != 0 {
 			t.Fatalf("%d jobs returned although nothing could be recorded", got)
 		}
 	}
-	if st := m.statusOf("b"); st.Condition != zonerecovery.Recovering || st.Step != 0 {
+	if st := simulation.statusOf("b"); st.Condition != zonerecovery.Recovering || st.Step != 0 {
 		t.Fatalf("the zone is %s at step %d although nothing was recorded", st.Condition, st.Step)
 	}
-	m.awaitCondition("b", zonerecovery.Serving, 90*second)
-	m.runToEnd()
+	simulation.awaitCondition("b", zonerecovery.Serving, 90*second)
+	simulation.runToEnd()
 }
 
-// While placements use the whole write rate, as for minutes after a zone is lost, the zone's own
-// record is still written, and the recovery ends in time.
+// Placements may use the whole write rate for minutes after a zone outage. The record of the zone
+// must still be written in the meantime, so that the recovery ends in time.
 func TestZoneRecordIsWrittenAtTheWriteRateLimit(t *testing.T) {
-	m := newZoneScenario(t, 16, 6)
-	m.fillZones()
-	m.causeZoneOutage("b", 40*second)
-	m.core.records.budget.perSecond, m.opt.WriteRate = 3, 3
-	m.runFactor = 1
-	m.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
-	m.run(m.zones.partitionedUntil["b"].Sub(m.now))
-	m.awaitCondition("b", zonerecovery.Recovering, 30*second)
-	m.awaitCondition("b", zonerecovery.Serving, m.opt.ZoneRecovery.MaxRecovery+10*second)
-	if waiting := len(m.core.records.dirty); waiting == 0 {
-		t.Error("no record waits for the write rate: the day shows nothing")
+	simulation := newZoneScenario(t, 16, 6)
+	simulation.fillZones()
+	simulation.causeZoneOutage("b", 40*second)
+	simulation.core.records.budget.perSecond, simulation.opt.WriteRate = 3, 3
+	simulation.runFactor = 1
+	simulation.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
+	simulation.run(simulation.zones.partitionedUntil["b"].Sub(simulation.now))
+	simulation.awaitCondition("b", zonerecovery.Recovering, 30*second)
+	simulation.awaitCondition("b", zonerecovery.Serving, simulation.opt.ZoneRecovery.MaxRecovery+10*second)
+	if waiting := len(simulation.core.records.dirty); waiting == 0 {
+		t.Error("no record waits for the write rate, so the scenario does not test the limit")
 	}
-	m.core.records.budget.perSecond, m.opt.WriteRate = 40, 40
-	m.runToEnd()
+	simulation.core.records.budget.perSecond, simulation.opt.WriteRate = 40, 40
+	simulation.runToEnd()
 }
 
-// fakeZoneRecordWriter collects the changes that a zone gate submits, and its error.
+// fakeZoneRecordWriter records the changes that a zone gate submits and the error that it reports.
 type fakeZoneRecordWriter struct {
 	changes []records.Change
 	err     error
@@ -70,7 +71,7 @@
 
 func (w *fakeZoneRecordWriter) fail(err error) { w.err = err }
 
-// newZoneOnHold makes a gate without a core, and has it write that zone b is on hold.
+// newZoneOnHold returns a gate without a core that has submitted the record of a hold of zone b.
 func newZoneOnHold(t *testing.T) (*zoneGate, *fakeZoneRecordWriter) {
 	t.Helper()
 	writer := &fakeZoneRecordWriter{}
@@ -88,7 +89,8 @@
 	return g, writer
 }
 
-// The result of a write decides whether the record counts, is written again, or ends the term.
+// Depending on the result of a write of a zone's record, the gate must count the override as
+// recorded, write the record again, or end the term.
 func TestResultOfAZoneRecordWrite(t *testing.T) {
 	conflict := &records.ConflictError{Keys: []string{records.ZonePrefix + "b"}}
 	for _, c := range []struct {
@@ -100,36 +102,36 @@
 	}{
 		{"committed", nil, 1, 0, nil},
 		{"rejected for its size", records.ErrRejected, 0, 1, nil},
-		{"the record has moved", conflict, 0, 0, conflict},
+		{"the record was changed by another leader", conflict, 0, 0, conflict},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g, writer := newZoneOnHold(t)
 			result := records.CommitResult{Change: writer.changes[0], Revision: 7, Err: c.err}
 			if !g.applyResult(result) {
-				t.Error("the result does not belong to the gate")
+				t.Error("the gate did not apply the result")
 			}
 			if g.applyResult(result) {
 				t.Error("the result was applied twice")
 			}
 			if got := g.manager.RecordedOverride("b"); got != c.recorded {
-				t.Errorf("override %d is recorded, not %d", got, c.recorded)
+				t.Errorf("override %d is recorded, want %d", got, c.recorded)
 			}
 			if !errors.Is(writer.err, c.recordsError) {
-				t.Errorf("the error is %v", writer.err)
+				t.Errorf("unexpected error: %v", writer.err)
 			}
 			g.writeRecords()
 			if got := len(writer.changes) - 1; got != c.writtenAgain {
-				t.Errorf("the record was written %d times more, not %d", got, c.writtenAgain)
+				t.Errorf("the record was written %d more times, want %d", got, c.writtenAgain)
 			}
 		})
 	}
 }
 
-// Results of other changes are left to other parts.
+// The gate must not apply the results of changes that other components submitted.
 func TestZoneGateIgnoresOtherResults(t *testing.T) {
 	g, writer := newZoneOnHold(t)
 	result := records.CommitResult{Change: records.Change{ID: writer.changes[0].ID + 1}, Err: records.ErrRejected}
 	if g.applyResult(result) {
-		t.Error("the gate took the result of another change")
+		t.Error("the gate applied the result of another change")
 	}
 }
--- a/scheduler/zone_recovery_benchmark_test.go
+++ b/scheduler/zone_recovery_benchmark_test.go
@@ -12,23 +12,23 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// This file measures what the recovery of a zone costs with package zonerecovery off and on,
-// in the simulation, scaled down to some 60 machines:
+// This file measures the effects of a zone outage and recovery with package zonerecovery off and
+// on, in the simulation with about 60 machines:
 //
 //	go test ./scheduler -run - -bench ZoneRecovery -benchtime 1x
 
-// recoveryMeasurements are the measurements of one day.
+// recoveryMeasurements holds the measurements of one simulation run.
 type recoveryMeasurements struct {
 	replicasRestored    time.Duration // from the partition until all replicas run again
-	slowestStart        time.Duration // of a new query after the return
-	utilizationRestored time.Duration // from the return until the zone is as full as the others
-	peakFetches         int           // at once in the zone
-	fetches             int           // after the return
+	slowestStart        time.Duration // of a new query after the end of the partition
+	utilizationRestored time.Duration // from the end of the partition until the zone is as full as the others
+	peakFetches         int           // maximum in flight at a time in the zone
+	fetches             int           // after the end of the partition
 	maxMoves            int           // of a task
 }
 
-// recoveryRun is a day on which zone b is lost and comes back with empty caches, while arrays
-// of twelve images wait and a new query is submitted every three seconds.
+// recoveryRun is a simulation in which zone b has an outage and returns with empty caches, while
+// arrays of twelve images wait and a new query is submitted every three seconds.
 type recoveryRun struct {
 	*scenario
 	services, arrays []ids.JobID
@@ -41,113 +41,113 @@
 	recoveryPollInterval      = 200 * time.Millisecond
 )
 
-// newRecoveryRun prepares a day. start makes the first leader, and turns zone recovery on or
-// leaves it off.
+// newRecoveryRun returns a simulation that is ready to run. start creates the first leader, with
+// zone recovery on or off.
 func newRecoveryRun(seed uint64, start func(*sim)) *recoveryRun {
-	m := &scenario{sim: newSim(nil, seed)}
-	m.faults, m.capacity = false, 10
-	for i := range m.opt.Teams {
-		m.opt.Teams[i].Limit.CPUs, m.opt.Teams[i].Nominal.CPUs = 2000, 1000
+	simulation := &scenario{sim: newSim(nil, seed)}
+	simulation.faults, simulation.capacity = false, 10
+	for i := range simulation.opt.Teams {
+		simulation.opt.Teams[i].Limit.CPUs, simulation.opt.Teams[i].Nominal.CPUs = 2000, 1000
 	}
-	m.opt.MaxMachines, m.opt.IdleTimeout, m.opt.WriteRate = 70, 10*time.Minute, 400
-	m.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
-	start(m.sim)
-	m.previousCore = nil
-	m.imageCaches = &simImageCaches{images: map[*simWorker]map[ids.Image]bool{}, inFlight: map[ids.Zone]int{}, peak: map[ids.Zone]int{}}
-	return &recoveryRun{scenario: m}
+	simulation.opt.MaxMachines, simulation.opt.IdleTimeout, simulation.opt.WriteRate = 70, 10*time.Minute, 400
+	simulation.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
+	start(simulation.sim)
+	simulation.previousCore = nil
+	simulation.imageCaches = &simImageCaches{images: map[*simWorker]map[ids.Image]bool{}, inFlight: map[ids.Zone]int{}, peak: map[ids.Zone]int{}}
+	return &recoveryRun{scenario: simulation}
 }
 
-// measure plays the day.
-func (d *recoveryRun) measure(t testing.TB) recoveryMeasurements {
+// measure runs the simulation and returns its measurements.
+func (recovery *recoveryRun) measure(t testing.TB) recoveryMeasurements {
 	t.Helper()
 	for n := range 12 {
 		spec := zoneArray(6)
 		spec.Service, spec.Spread, spec.Image, spec.Priority = true, true, "query", wire.High
-		d.services = append(d.services, d.submitJob(spec))
+		recovery.services = append(recovery.services, recovery.submitJob(spec))
 		work := zoneArray(60)
 		work.Image, work.Priority = ids.Image(fmt.Sprintf("work-%d", n)), wire.BestEffort
-		d.arrays = append(d.arrays, d.submitJob(work))
+		recovery.arrays = append(recovery.arrays, recovery.submitJob(work))
 	}
-	d.runFactor = 4
-	d.run(90 * second)
-	d.measurePartition()
-	d.clearCaches("b")
-	d.measureRecovery()
-	d.measured.peakFetches, d.measured.fetches = d.imageCaches.peak["b"], d.imageCaches.total
-	d.measured.maxMoves = d.maxTaskMoves()
-	if len(d.violations) > 0 {
-		t.Fatalf("rules broken: %v", d.violations)
+	recovery.runFactor = 4
+	recovery.run(90 * second)
+	recovery.measurePartition()
+	recovery.clearCaches("b")
+	recovery.measureRecovery()
+	recovery.measured.peakFetches, recovery.measured.fetches = recovery.imageCaches.peak["b"], recovery.imageCaches.total
+	recovery.measured.maxMoves = recovery.maxTaskMoves()
+	if len(recovery.violations) > 0 {
+		t.Fatalf("invariants violated: %v", recovery.violations)
 	}
-	return d.measured
+	return recovery.measured
 }
 
-// measurePartition partitions zone b and measures until when all replicas run again.
-func (d *recoveryRun) measurePartition() {
-	partitionedAt := d.now
-	d.partitionZone("b", recoveryPartitionDuration)
-	for d.now < partitionedAt.Add(recoveryPartitionDuration) {
-		d.run(recoveryPollInterval)
-		running, wanted := d.runningReplicas(d.services)
-		if d.now > partitionedAt.Add(simAgentLease) && d.measured.replicasRestored == 0 && running == wanted {
-			d.measured.replicasRestored = d.now.Sub(partitionedAt)
+// measurePartition partitions zone b and measures the time until all replicas run again.
+func (recovery *recoveryRun) measurePartition() {
+	partitionedAt := recovery.now
+	recovery.partitionZone("b", recoveryPartitionDuration)
+	for recovery.now < partitionedAt.Add(recoveryPartitionDuration) {
+		recovery.run(recoveryPollInterval)
+		running, wanted := recovery.runningReplicas(recovery.services)
+		if recovery.now > partitionedAt.Add(simAgentLease) && recovery.measured.replicasRestored == 0 && running == wanted {
+			recovery.measured.replicasRestored = recovery.now.Sub(partitionedAt)
 		}
 	}
 }
 
-// clearCaches empties the image caches of a zone and begins to count fetches anew.
-func (d *recoveryRun) clearCaches(zone ids.Zone) {
-	for w := range d.imageCaches.images {
-		if w.zone == zone {
-			delete(d.imageCaches.images, w)
+// clearCaches empties the image caches of a zone and resets the counts of fetches.
+func (recovery *recoveryRun) clearCaches(zone ids.Zone) {
+	for worker := range recovery.imageCaches.images {
+		if worker.zone == zone {
+			delete(recovery.imageCaches.images, worker)
 		}
 	}
-	d.imageCaches.peak[zone], d.imageCaches.total = 0, 0
+	recovery.imageCaches.peak[zone], recovery.imageCaches.total = 0, 0
 }
 
-// measureRecovery submits queries, and measures how soon they start and how soon the zone is as
-// full as the others.
-func (d *recoveryRun) measureRecovery() {
-	partitionEndedAt := d.now
+// measureRecovery submits queries. It measures the time until they start and the time until the
+// zone is as full as the others.
+func (recovery *recoveryRun) measureRecovery() {
+	partitionEndedAt := recovery.now
 	submittedAt := map[ids.JobID]monotonic.Instant{} // of queries that have not started
-	for d.now < partitionEndedAt.Add(recoveryObservation) {
-		if d.now.Sub(partitionEndedAt)%(3*second) == 0 {
+	for recovery.now < partitionEndedAt.Add(recoveryObservation) {
+		if recovery.now.Sub(partitionEndedAt)%(3*second) == 0 {
 			spec := zoneArray(1)
 			spec.Service, spec.Image, spec.Priority = true, "query", wire.High
-			submittedAt[d.submitJob(spec)] = d.now
+			submittedAt[recovery.submitJob(spec)] = recovery.now
 		}
-		d.run(recoveryPollInterval)
-		d.recordStarts(submittedAt)
-		if d.measured.utilizationRestored == 0 && d.utilizationMatches("b") {
-			d.measured.utilizationRestored = d.now.Sub(partitionEndedAt)
+		recovery.run(recoveryPollInterval)
+		recovery.recordStarts(submittedAt)
+		if recovery.measured.utilizationRestored == 0 && recovery.utilizationMatches("b") {
+			recovery.measured.utilizationRestored = recovery.now.Sub(partitionEndedAt)
 		}
 	}
 	for _, at := range submittedAt {
-		d.measured.slowestStart = max(d.measured.slowestStart, d.now.Sub(at))
+		recovery.measured.slowestStart = max(recovery.measured.slowestStart, recovery.now.Sub(at))
 	}
 }
 
-// recordStarts removes the queries that have started, and keeps the longest wait.
-func (d *recoveryRun) recordStarts(submittedAt map[ids.JobID]monotonic.Instant) {
+// recordStarts removes the queries that have started, and records the longest wait.
+func (recovery *recoveryRun) recordStarts(submittedAt map[ids.JobID]monotonic.Instant) {
 	for id, at := range submittedAt {
-		if j := d.core.cluster.Job(id); j != nil && startedRunning(j) {
-			d.measured.slowestStart = max(d.measured.slowestStart, d.now.Sub(at))
+		if j := recovery.core.cluster.Job(id); j != nil && startedRunning(j) {
+			recovery.measured.slowestStart = max(recovery.measured.slowestStart, recovery.now.Sub(at))
 			delete(submittedAt, id)
 		}
 	}
 }
 
-// maxTaskMoves is how often a task was moved at most.
-func (d *recoveryRun) maxTaskMoves() int {
+// maxTaskMoves returns the maximum number of moves of a task.
+func (recovery *recoveryRun) maxTaskMoves() int {
 	most := 0
-	for _, id := range slices.Concat(d.services, d.arrays) {
-		for _, p := range d.placements[id] {
+	for _, id := range slices.Concat(recovery.services, recovery.arrays) {
+		for _, p := range recovery.placements[id] {
 			most = max(most, int(p.task.attempt)-1)
 		}
 	}
 	return most
 }
 
-// startedRunning tells whether a task of a job runs.
+// startedRunning reports whether a task of a job runs.
 func startedRunning(j *cluster.Job) bool {
 	for _, a := range j.Active() {
 		if a.Run.Phase == wire.TaskRunning {
@@ -157,13 +157,14 @@
 	return false
 }
 
-// runningReplicas counts the replicas that run on usable machines.
-func (m *scenario) runningReplicas(services []ids.JobID) (running, wanted int) {
+// runningReplicas returns the number of replicas of services that run on usable machines, and the
+// number of all their replicas.
+func (simulation *scenario) runningReplicas(services []ids.JobID) (running, wanted int) {
 	for _, id := range services {
-		j := m.core.cluster.Job(id)
+		j := simulation.core.cluster.Job(id)
 		wanted += len(j.Tasks())
 		for _, a := range j.Active() {
-			if a.Run.Phase == wire.TaskRunning && m.core.health.usable(a.Machine) {
+			if a.Run.Phase == wire.TaskRunning && simulation.core.health.usable(a.Machine) {
 				running++
 			}
 		}
@@ -171,23 +172,24 @@
 	return running, wanted
 }
 
-// utilizationMatches tells whether a zone's machines are as full as the others, but for a tenth.
-func (m *scenario) utilizationMatches(zone ids.Zone) bool {
+// utilizationMatches reports whether the utilization of a zone's machines is at least 90% of that of
+// the other machines.
+func (simulation *scenario) utilizationMatches(zone ids.Zone) bool {
 	var used, total, usedElsewhere, totalElsewhere float64
-	for _, w := range m.core.cluster.Machines() {
-		if !m.core.health.usable(w) {
+	for _, machine := range simulation.core.cluster.Machines() {
+		if !simulation.core.health.usable(machine) {
 			continue
 		}
-		if w.Zone() == zone {
-			used, total = used+w.Used().CPUs, total+w.Total().CPUs
+		if machine.Zone() == zone {
+			used, total = used+machine.Used().CPUs, total+machine.Total().CPUs
 		} else {
-			usedElsewhere, totalElsewhere = usedElsewhere+w.Used().CPUs, totalElsewhere+w.Total().CPUs
+			usedElsewhere, totalElsewhere = usedElsewhere+machine.Used().CPUs, totalElsewhere+machine.Total().CPUs
 		}
 	}
 	return total > 0 && totalElsewhere > 0 && used/total >= 0.9*usedElsewhere/totalElsewhere
 }
 
-// BenchmarkZoneRecovery reports the median, the least and the most over ten days.
+// BenchmarkZoneRecovery reports the median, the minimum and the maximum over ten runs.
 func BenchmarkZoneRecovery(b *testing.B) {
 	for _, c := range []struct {
 		name  string
@@ -201,25 +203,25 @@
 	}
 }
 
-// reportRecoveryRuns plays ten days and logs their measurements.
+// reportRecoveryRuns runs ten simulations and logs their measurements.
 func reportRecoveryRuns(b *testing.B, start func(*sim)) {
 	const runs = 10
-	var up, worstStart, share, peak, fetches, moves []float64
+	var restored, slowestStart, utilization, peak, fetches, moves []float64
 	for seed := range uint64(runs) {
 		f := newRecoveryRun(seed, start).measure(b)
-		up = append(up, f.replicasRestored.Seconds())
-		worstStart = append(worstStart, f.slowestStart.Seconds())
-		share = append(share, f.utilizationRestored.Seconds())
+		restored = append(restored, f.replicasRestored.Seconds())
+		slowestStart = append(slowestStart, f.slowestStart.Seconds())
+		utilization = append(utilization, f.utilizationRestored.Seconds())
 		peak = append(peak, float64(f.peakFetches))
 		fetches = append(fetches, float64(f.fetches))
 		moves = append(moves, float64(f.maxMoves))
 	}
-	b.Logf("queries up after the cut %s s, worst query start after the return %s s, share after %s s", medianAndRange(up), medianAndRange(worstStart), medianAndRange(share))
-	b.Logf("most fetches at once %s, fetches %s, most moves of a task %s", medianAndRange(peak), medianAndRange(fetches), medianAndRange(moves))
+	b.Logf("replicas restored after the partition began %s s, slowest query start after it ended %s s, utilization restored after %s s", medianAndRange(restored), medianAndRange(slowestStart), medianAndRange(utilization))
+	b.Logf("peak fetches in flight %s, fetches %s, maximum moves of a task %s", medianAndRange(peak), medianAndRange(fetches), medianAndRange(moves))
 }
 
-// medianAndRange is the median of some figures, with the least and the most.
-func medianAndRange(figures []float64) string {
-	slices.Sort(figures)
-	return fmt.Sprintf("%.1f (%.1f to %.1f)", figures[len(figures)/2], figures[0], figures[len(figures)-1])
+// medianAndRange returns the median of values with the minimum and the maximum.
+func medianAndRange(values []float64) string {
+	slices.Sort(values)
+	return fmt.Sprintf("%.1f (%.1f to %.1f)", values[len(values)/2], values[0], values[len(values)-1])
 }
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -12,7 +12,7 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// newZoneFaultSim is a random day with zone outages among all other faults.
+// newZoneFaultSim returns a random simulation for zone outages among all other faults.
 func newZoneFaultSim(t *testing.T, seed uint64) *sim {
 	s := newSim(t, seed)
 	s.capacity = 4
@@ -20,135 +20,138 @@
 	return s
 }
 
-// runZoneFaults plays rounds of a random day, with a zone partitioned in every other one.
+// runZoneFaults runs rounds of random jobs and faults, and partitions a zone in about every other
+// round. It returns the submitted jobs.
 func (s *sim) runZoneFaults(rounds int) []ids.JobID {
 	s.t.Helper()
-	var all []ids.JobID
+	var jobs []ids.JobID
 	for round := range rounds {
 		for range 1 + s.rng.IntN(3) {
-			id := ids.JobID(fmt.Sprintf("job-%03d", len(all)))
-			s.submit(id, s.waitingSpec(all))
-			all = append(all, id)
+			id := ids.JobID(fmt.Sprintf("job-%03d", len(jobs)))
+			s.submit(id, s.waitingSpec(jobs))
+			jobs = append(jobs, id)
 		}
 		if s.rng.IntN(2) == 0 {
 			s.partitionZone([]ids.Zone{"a", "b", "c"}[s.rng.IntN(3)], time.Duration(5+s.rng.IntN(70))*time.Second)
 		}
 		if round%3 == 0 {
-			s.injectFault(all)
+			s.injectFault(jobs)
 		}
 		s.run(time.Duration(4+s.rng.IntN(20)) * time.Second)
 		s.requireNoViolations()
 	}
-	return all
+	return jobs
 }
 
-// zoneArray is an ordinary array for the tests of zones.
+// zoneArray returns the spec of an array with ordinary settings.
 func zoneArray(tasks int) *wire.JobSpec {
 	return &wire.JobSpec{Class: "c", Team: "gold", Priority: wire.Normal, Tasks: tasks, CPUs: 2, MemoryGB: 2, Image: "i", ImageGB: 1, EstimateS: 10}
 }
 
-// newZoneScenario is a day without other faults: zones a, b and c with machines for all work.
+// newZoneScenario returns a scenario without random faults. Zones a, b and c have machines for all
+// jobs.
 func newZoneScenario(t *testing.T, seed uint64, capacity int) *scenario {
-	m := &scenario{sim: newSim(t, seed)}
-	m.faults, m.capacity = false, capacity
-	for i := range m.opt.Teams {
-		m.opt.Teams[i].Limit.CPUs, m.opt.Teams[i].Nominal.CPUs = 400, 400
+	simulation := &scenario{sim: newSim(t, seed)}
+	simulation.faults, simulation.capacity = false, capacity
+	for i := range simulation.opt.Teams {
+		simulation.opt.Teams[i].Limit.CPUs, simulation.opt.Teams[i].Nominal.CPUs = 400, 400
 	}
-	m.opt.MaxMachines, m.opt.IdleTimeout = 60, 10*time.Minute
-	m.enableZoneRecovery()
-	return m
+	simulation.opt.MaxMachines, simulation.opt.IdleTimeout = 60, 10*time.Minute
+	simulation.enableZoneRecovery()
+	return simulation
 }
 
-// submitJob submits one job.
-func (m *scenario) submitJob(spec *wire.JobSpec) ids.JobID {
-	id := ids.JobID(fmt.Sprintf("job-%03d", len(m.all)))
-	m.submit(id, spec)
-	m.all = append(m.all, id)
+// submitJob submits a job and returns its ID.
+func (simulation *scenario) submitJob(spec *wire.JobSpec) ids.JobID {
+	id := ids.JobID(fmt.Sprintf("job-%03d", len(simulation.all)))
+	simulation.submit(id, spec)
+	simulation.all = append(simulation.all, id)
 	return id
 }
 
 // fillZones submits services and long arrays for all zones, and waits until they run.
-func (m *scenario) fillZones() (services, arrays []ids.JobID) {
-	m.runFactor = 20
+func (simulation *scenario) fillZones() (services, arrays []ids.JobID) {
+	simulation.runFactor = 20
 	for _, zone := range []ids.Zone{"a", "b", "c", ""} {
 		spec := zoneArray(10)
 		spec.Zone = zone
-		arrays = append(arrays, m.submitJob(spec))
+		arrays = append(arrays, simulation.submitJob(spec))
 	}
 	for range 3 {
 		spec := zoneArray(4)
 		spec.Service, spec.Spread = true, true
-		services = append(services, m.submitJob(spec))
+		services = append(services, simulation.submitJob(spec))
 	}
-	m.run(40 * second)
+	simulation.run(40 * second)
 	for _, zone := range []ids.Zone{"a", "b"} {
-		if m.machinesIn(zone) < 3 {
-			m.t.Fatalf("zone %s has only %d machines", zone, m.machinesIn(zone))
+		if simulation.machinesIn(zone) < 3 {
+			simulation.t.Fatalf("zone %s has only %d machines", zone, simulation.machinesIn(zone))
 		}
 	}
 	return services, arrays
 }
 
-// machinesIn counts the machines of a zone that the core knows.
-func (m *scenario) machinesIn(zone ids.Zone) int {
+// machinesIn returns the number of machines of a zone that have sent a heartbeat to the leader.
+func (simulation *scenario) machinesIn(zone ids.Zone) int {
 	n := 0
-	for _, w := range m.core.cluster.Machines() {
-		if w.Zone() == zone && w.Agent.HeardThisTerm {
+	for _, machine := range simulation.core.cluster.Machines() {
+		if machine.Zone() == zone && machine.Agent.HeardThisTerm {
 			n++
 		}
 	}
 	return n
 }
 
-// awaitCondition runs until a zone has a condition.
-func (m *scenario) awaitCondition(zone ids.Zone, want zonerecovery.Condition, within time.Duration) {
-	m.t.Helper()
-	for end := m.now.Add(within); m.condition(zone) != want; {
-		if m.now >= end {
-			m.t.Fatalf("zone %s is %s after %v, not %s: %v", zone, m.condition(zone), within, want, m.zones.conditions[zone])
+// awaitCondition runs until a zone has a condition, and fails the test if that takes too long.
+func (simulation *scenario) awaitCondition(zone ids.Zone, want zonerecovery.Condition, within time.Duration) {
+	simulation.t.Helper()
+	for end := simulation.now.Add(within); simulation.condition(zone) != want; {
+		if simulation.now >= end {
+			simulation.t.Fatalf("zone %s is %s after %v, want %s: %v", zone, simulation.condition(zone), within, want, simulation.zones.conditions[zone])
 		}
-		m.run(100 * time.Millisecond)
+		simulation.run(100 * time.Millisecond)
 	}
 }
 
-// causeZoneOutage partitions a zone, and runs until that counts as an outage.
-func (m *scenario) causeZoneOutage(zone ids.Zone, partition time.Duration) {
-	m.t.Helper()
-	m.partitionZone(zone, partition)
-	m.awaitCondition(zone, zonerecovery.Outage, 30*second)
+// causeZoneOutage partitions a zone, and runs until the zone counts as in outage.
+func (simulation *scenario) causeZoneOutage(zone ids.Zone, partition time.Duration) {
+	simulation.t.Helper()
+	simulation.partitionZone(zone, partition)
+	simulation.awaitCondition(zone, zonerecovery.Outage, 30*second)
 }
 
-// statusOf is the status of a zone that operators see.
-func (m *scenario) statusOf(zone ids.Zone) zonerecovery.Status {
-	m.t.Helper()
-	for _, st := range m.core.ZoneStatus(m.now) {
+// statusOf returns the status of a zone as reported to operators.
+func (simulation *scenario) statusOf(zone ids.Zone) zonerecovery.Status {
+	simulation.t.Helper()
+	for _, st := range simulation.core.ZoneStatus(simulation.now) {
 		if st.Zone == zone {
 			return st
 		}
 	}
-	m.t.Fatalf("no status of zone %s", zone)
+	simulation.t.Fatalf("no status of zone %s", zone)
 	return zonerecovery.Status{}
 }
 
-// runToEnd checks that every job ends with no rule broken, and that none returned to a zone
-// that displaced it more than once.
-func (m *scenario) runToEnd() {
-	m.t.Helper()
-	m.runFactor = 1
-	m.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
-	m.runToCompletion(m.all, 30*time.Minute)
-	if m.zones.maxFailbacks > 1 {
-		m.t.Errorf("a job returned %d times to a zone that displaced it", m.zones.maxFailbacks)
+// runToEnd checks that every job ends without a violation of an invariant, and that none returned
+// more than once to a zone that displaced it.
+func (simulation *scenario) runToEnd() {
+	simulation.t.Helper()
+	simulation.runFactor = 1
+	simulation.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
+	simulation.runToCompletion(simulation.all, 30*time.Minute)
+	if simulation.zones.maxFailbacks > 1 {
+		simulation.t.Errorf("a job returned %d times to a zone that displaced it", simulation.zones.maxFailbacks)
 	}
 }
 
-// countPlaced counts the tasks of jobs on machines of zones without an outage.
-func (m *scenario) countPlaced(jobs []ids.JobID) (placed, wanted int) {
+// countPlaced returns the number of tasks of jobs on machines in zones without an outage, and the
+// number of their tasks that have not completed.
+func (simulation *scenario) countPlaced(jobs []ids.JobID) (placed, wanted int) {
 	for _, id := range jobs {
-		j := m.core.cluster.Job(id)
+		j := simulation.core.cluster.Job(id)
 		wanted += len(j.Tasks()) - j.Done()
 		for _, a := range j.Active() {
-			if a.StopReason() == cluster.StopNone && m.condition(a.Machine.Zone()) != zonerecovery.Outage {
+			if a.StopReason() == cluster.StopNone && simulation.condition(a.Machine.Zone()) != zonerecovery.Outage {
 				placed++
 			}
 		}
@@ -156,43 +159,43 @@
 	return placed, wanted
 }
 
-// latestAttempts lists the newest latestAttempts of jobs' tasks.
-func (m *scenario) latestAttempts(jobs []ids.JobID) map[ids.TaskRef]ids.Attempt {
-	out := map[ids.TaskRef]ids.Attempt{}
+// latestAttempts returns the latest attempt of each task of some jobs.
+func (simulation *scenario) latestAttempts(jobs []ids.JobID) map[ids.TaskRef]ids.Attempt {
+	attempts := map[ids.TaskRef]ids.Attempt{}
 	for _, id := range jobs {
-		for i := range m.core.cluster.Job(id).Tasks() {
-			out[ids.TaskRef{Job: id, Index: i}] = m.core.cluster.Job(id).Task(i).Attempt()
+		for i := range simulation.core.cluster.Job(id).Tasks() {
+			attempts[ids.TaskRef{Job: id, Index: i}] = simulation.core.cluster.Job(id).Task(i).Attempt()
 		}
 	}
-	return out
+	return attempts
 }
 
-// leasesExpiredIn tells whether all leases in a zone have expired, so that its tasks are pending.
-func (m *scenario) leasesExpiredIn(zone ids.Zone) bool {
-	for _, w := range m.core.cluster.Machines() {
-		if w.Zone() == zone && len(w.Assignments()) > 0 {
+// leasesExpiredIn reports whether all leases in a zone have expired, so that its tasks are pending.
+func (simulation *scenario) leasesExpiredIn(zone ids.Zone) bool {
+	for _, machine := range simulation.core.cluster.Machines() {
+		if machine.Zone() == zone && len(machine.Assignments()) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// runningOutside lists the attempts of a job's tasks that run outside a zone.
-func (m *scenario) runningOutside(id ids.JobID, zone ids.Zone) map[ids.TaskRef]ids.Attempt {
-	out := map[ids.TaskRef]ids.Attempt{}
-	for _, a := range m.core.cluster.Job(id).Active() {
+// runningOutside returns the attempts of the tasks of a job that run outside a zone.
+func (simulation *scenario) runningOutside(id ids.JobID, zone ids.Zone) map[ids.TaskRef]ids.Attempt {
+	attempts := map[ids.TaskRef]ids.Attempt{}
+	for _, a := range simulation.core.cluster.Job(id).Active() {
 		if a.Machine.Zone() != zone && a.Run.Phase == wire.TaskRunning {
-			out[a.Ref()] = a.Attempt
+			attempts[a.Ref()] = a.Attempt
 		}
 	}
-	return out
+	return attempts
 }
 
-// startsIn counts the run commands that were carried out in a zone.
-func (m *scenario) startsIn(zone ids.Zone) int {
+// startsIn returns the number of run commands that were executed in a zone.
+func (simulation *scenario) startsIn(zone ids.Zone) int {
 	n := 0
-	for _, id := range m.all {
-		for _, p := range m.placements[id] {
+	for _, id := range simulation.all {
+		for _, p := range simulation.placements[id] {
 			if p.worker.zone == zone {
 				n++
 			}
--- a/scheduler/zones_test.go
+++ b/scheduler/zones_test.go
@@ -13,62 +13,63 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// The fewer machines a zone has, the longer it may be silent by chance. While no machine is
-// heard at all, it is rather the network of this controller.
+// The fewer machines a zone has, the longer the random gaps between its heartbeats are, and the
+// later it counts as partitioned. If no heartbeat of any zone arrives, the cause is more likely the
+// network of this controller, and the zone does not count as partitioned.
 func TestZonePartitioned(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		machines    int
-		silent      time.Duration
-		othersHeard time.Duration // ago
-		partitioned bool
+		name               string
+		machines           int
+		sinceZoneHeartbeat time.Duration
+		sinceAnyHeartbeat  time.Duration
+		partitioned        bool
 	}{
-		{"many machines, a moment", 100, 2 * time.Second, 0, false},
-		{"many machines, longer than by chance", 100, 3 * time.Second, 0, true},
-		{"a few machines, the same time", 5, 3 * time.Second, 0, false},
-		{"a few machines, longer", 5, 9 * time.Second, 0, true},
-		{"too few to tell", 3, time.Minute, 0, false},
-		{"no machine is heard", 100, 9 * time.Second, 9 * time.Second, false},
-		{"for so long that the zone is tried again", 100, maxPartitionDuration, 0, false},
+		{"many machines, a gap that occurs by chance", 100, 2 * time.Second, 0, false},
+		{"many machines, a longer gap", 100, 3 * time.Second, 0, true},
+		{"few machines, the same gap", 5, 3 * time.Second, 0, false},
+		{"few machines, a longer gap", 5, 9 * time.Second, 0, true},
+		{"too few machines to detect a partition", 3, time.Minute, 0, false},
+		{"no machine sends heartbeats", 100, 9 * time.Second, 9 * time.Second, false},
+		{"partitioned for longer than the maximum", 100, maxPartitionDuration, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := monotonic.Instant(time.Hour)
 			testClock := clock.New(0)
 			testClock.Set(now)
 			o := newPartitionDetector(nil, testClock, testHealthSettings)
-			o.lastHeartbeatAt = now.Add(-c.othersHeard)
-			o.zoneStates["a"] = &zoneState{lastHeartbeatAt: now.Add(-c.silent), machinesUp: c.machines}
+			o.lastHeartbeatAt = now.Add(-c.sinceAnyHeartbeat)
+			o.zoneStates["a"] = &zoneState{lastHeartbeatAt: now.Add(-c.sinceZoneHeartbeat), machinesUp: c.machines}
 			if got := o.zonePartitioned("a"); got != c.partitioned {
-				t.Errorf("partitioned %v", got)
+				t.Errorf("partitioned: %v", got)
 			}
 			testClock.Advance(now) // the first step after a long pause
 			if o.zonePartitioned("a") {
-				t.Error("a pause of this process counts as silence")
+				t.Error("a pause of this process counts as missed heartbeats")
 			}
 		})
 	}
 }
 
-// A partitioned zone is detected by its silence within seconds, and machines for its services
-// are provisioned before their leases expire. When all zones are silent at once, or the leader
-// itself was paused, it is not the zone.
+// A partitioned zone must be detected by its missed heartbeats within seconds, so that machines for
+// its services are provisioned before the leases of its machines expire. A zone must not count as
+// partitioned if the heartbeats of all zones stop or if the leader was paused.
 func TestPartitionedZoneIsDetectedBeforeLeaseExpiry(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		silent     []ids.Zone
-		pause      time.Duration
-		provisions bool
+		name        string
+		partitioned []ids.Zone
+		pause       time.Duration
+		provisions  bool
 	}{
 		{"a zone is partitioned", []ids.Zone{"a"}, 0, true},
-		{"no zone is heard", []ids.Zone{"a", "b"}, 0, false},
+		{"no zone sends heartbeats", []ids.Zone{"a", "b"}, 0, false},
 		{"the leader was paused", nil, 8 * time.Second, false},
 		{"no fault", nil, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 999}, Limit: quota.Amount{CPUs: 999}}}})
-			b.c.Begin(b.now)
-			zones := newFullZones(b)
-			zones.silent = c.silent
+			fixture := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 999}, Limit: quota.Amount{CPUs: 999}}}})
+			fixture.c.Begin(fixture.now)
+			zones := newFullZones(fixture)
+			zones.partitioned = c.partitioned
 			provisioned := zones.step(10, 0) + zones.step(1, c.pause) + zones.step(69, 0)
 			if (provisioned > 0) != c.provisions {
 				t.Errorf("provisioned %d machines", provisioned)
@@ -77,69 +78,72 @@
 	}
 }
 
-// fullZones are two zones of thirty machines each, all taken by the replicas of a service.
+// fullZones drives two zones of thirty machines each, which are fully used by the replicas of a
+// service.
 type fullZones struct {
 	*harness
-	began    monotonic.Instant
-	machines map[ids.Zone][]ids.MachineID
-	silent   []ids.Zone
-	ticks    int
+	began       monotonic.Instant
+	machines    map[ids.Zone][]ids.MachineID
+	partitioned []ids.Zone
+	ticks       int
 }
 
-func newFullZones(b *harness) *fullZones {
-	z := &fullZones{harness: b, began: b.now, machines: map[ids.Zone][]ids.MachineID{}}
+func newFullZones(fixture *harness) *fullZones {
+	zones := &fullZones{harness: fixture, began: fixture.now, machines: map[ids.Zone][]ids.MachineID{}}
 	for n := range 60 {
 		zone := []ids.Zone{"a", "b"}[n%2]
-		z.machines[zone] = append(z.machines[zone], ids.MachineID(fmt.Sprintf("n-%02d", n)))
-		b.heartbeat(z.machines[zone][n/2], zone, 0)
+		zones.machines[zone] = append(zones.machines[zone], ids.MachineID(fmt.Sprintf("n-%02d", n)))
+		fixture.heartbeat(zones.machines[zone][n/2], zone, 0)
 	}
-	b.submit("job-1", wire.JobSpec{Tasks: 60, Service: true, CPUs: 8})
-	b.step()
-	return z
+	fixture.submit("job-1", wire.JobSpec{Tasks: 60, Service: true, CPUs: 8})
+	fixture.step()
+	return zones
 }
 
-// step plays some ticks, in each of which one machine of each zone that is not silent sends
-// a heartbeat, and returns the number of machines that were provisioned. The leader's process
-// is paused for a time in each. After a pause it has read the heartbeats of zone b alone.
-func (z *fullZones) step(ticks int, pause time.Duration) int {
+// step runs ticks and returns the number of machines that were provisioned. In each tick, the
+// leader's process is paused for the given time, and one machine of each zone that is not
+// partitioned sends a heartbeat. After a pause, the leader has read the heartbeats of zone b only.
+func (zones *fullZones) step(ticks int, pause time.Duration) int {
 	provisioned := 0
 	for range ticks {
-		z.now = z.now.Add(100*time.Millisecond + pause)
-		for zone, machines := range z.machines {
-			if !slices.Contains(z.silent, zone) {
-				z.heartbeat(machines[z.ticks%len(machines)], zone, 0)
+		zones.now = zones.now.Add(100*time.Millisecond + pause)
+		for zone, machines := range zones.machines {
+			if !slices.Contains(zones.partitioned, zone) {
+				zones.heartbeat(machines[zones.ticks%len(machines)], zone, 0)
 			}
 		}
-		z.ticks++
+		zones.ticks++
 		if pause > 0 {
-			z.c.health.zoneStates["a"].lastHeartbeatAt = z.began
+			zones.c.health.zoneStates["a"].lastHeartbeatAt = zones.began
 		}
-		for _, r := range z.harness.step().Provision {
+		for _, r := range zones.harness.step().Provision {
 			provisioned += r.Count
 		}
 	}
 	return provisioned
 }
 
-// A zone was partitioned: its machines were terminated after their leases and provisioned
-// again in the same zone, where they could not send heartbeats either, and counted as booting.
+// The machines of a partitioned zone must not be terminated when their leases expire, and no machine
+// may be provisioned in the zone. New machines there could not send heartbeats either, and would
+// count as booting capacity, so that none would be provisioned in other zones. The zone must be
+// used again after maxPartitionDuration.
 func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
-	const partitionSeconds, retrySeconds = 170, 70 // seconds
-	d := newPartitionScenario(t)
-	requested, terminated := d.run(partitionSeconds)
+	const partitionSeconds, retrySeconds = 170, 70
+	partition := newPartitionScenario(t)
+	requested, terminated := partition.run(partitionSeconds)
 	if len(terminated) > 0 {
 		t.Fatalf("terminated %v in the partition", terminated)
 	}
 	if requested["a"] == 0 || requested["b"] != 0 {
-		t.Errorf("requested while zone b was partitioned: %v", requested)
+		t.Errorf("requested machines while zone b was partitioned: %v", requested)
 	}
-	if requested, _ = d.run(retrySeconds); requested["b"] == 0 {
-		t.Errorf("zone b was never tried again: %v", requested)
+	if requested, _ = partition.run(retrySeconds); requested["b"] == 0 {
+		t.Errorf("no machine was requested in zone b after the maximum duration of a partition: %v", requested)
 	}
 }
 
-// partitionScenario is a day on which zone b sends no heartbeat after the first ones, while jobs
-// need more machines than there are. The cloud has no capacity.
+// partitionScenario is a scenario in which zone b sends no heartbeat after the first ones, while
+// jobs need more machines than there are. The cloud has no capacity.
 type partitionScenario struct {
 	*harness
 	agents  *testAgents // of zone a
@@ -148,70 +152,72 @@
 
 func newPartitionScenario(t *testing.T) *partitionScenario {
 	t.Helper()
-	d := &partitionScenario{harness: newHarness(t, Options{})}
-	d.c.Begin(d.now)
+	partition := &partitionScenario{harness: newHarness(t, Options{})}
+	partition.c.Begin(partition.now)
 	runsIndefinitely := func(string, int) time.Duration { return 0 }
-	d.agents = newTestAgents(runsIndefinitely, "n-a0", "n-a1", "n-a2", "n-a3", "n-a4")
-	d.agents.heartbeats(d.harness)
+	partition.agents = newTestAgents(runsIndefinitely, "n-a0", "n-a1", "n-a2", "n-a3", "n-a4")
+	partition.agents.heartbeats(partition.harness)
 	for n := range 5 {
-		d.heartbeat(ids.MachineID(fmt.Sprintf("n-b%d", n)), "b", ids.NewFencingToken(5, 0))
+		partition.heartbeat(ids.MachineID(fmt.Sprintf("n-b%d", n)), "b", ids.NewFencingToken(5, 0))
 	}
-	return d
+	return partition
 }
 
-// run plays some seconds and returns the machines that were requested and terminated.
-func (d *partitionScenario) run(seconds int) (requested map[ids.Zone]int, terminated []ids.MachineID) {
+// run runs the scenario for some seconds and returns the number of machines that were requested in
+// each zone, and the machines that were terminated.
+func (partition *partitionScenario) run(seconds int) (requested map[ids.Zone]int, terminated []ids.MachineID) {
 	requested = map[ids.Zone]int{}
-	for end := d.seconds + seconds; d.seconds < end; d.seconds++ {
-		d.now = d.now.Add(time.Second)
-		if d.seconds%3 == 0 {
-			d.agents.heartbeats(d.harness)
+	for end := partition.seconds + seconds; partition.seconds < end; partition.seconds++ {
+		partition.now = partition.now.Add(time.Second)
+		if partition.seconds%3 == 0 {
+			partition.agents.heartbeats(partition.harness)
 		}
-		if d.seconds == 20 || d.seconds == 200 {
-			d.submit(ids.JobID(fmt.Sprintf("job-%d", d.seconds)), wire.JobSpec{Tasks: 30, CPUs: 2, EstimateS: 1000})
+		if partition.seconds == 20 || partition.seconds == 200 {
+			partition.submit(ids.JobID(fmt.Sprintf("job-%d", partition.seconds)), wire.JobSpec{Tasks: 30, CPUs: 2, EstimateS: 1000})
 		}
-		decisions := d.step()
+		decisions := partition.step()
 		terminated = append(terminated, decisions.Terminate...)
 		for _, r := range decisions.Provision {
 			requested[r.Zone] += r.Count
-			d.c.ProvisioningRefused(d.now, r)
+			partition.c.ProvisioningRefused(partition.now, r)
 		}
 	}
 	return requested, terminated
 }
 
-// The machines of a zone that was partitioned for longer than two leases are not terminated for
-// their silence at the moment at which the first of them is heard again.
+// When a partition of a zone that lasted for longer than two leases ends, the first heartbeat from
+// the zone ends the detected partition. The other machines must not be terminated for their missed
+// heartbeats before they have had time to send one.
 func TestMachinesAreNotTerminatedWhenAPartitionEnds(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.c.Begin(b.now)
+	fixture := newHarness(t, Options{})
+	fixture.c.Begin(fixture.now)
 	machines := map[ids.Zone][]ids.MachineID{"a": {"a-1", "a-2", "a-3", "a-4"}, "b": {"b-1", "b-2", "b-3", "b-4", "b-5"}}
 	sendHeartbeats := func(zone ids.Zone) {
 		for _, id := range machines[zone] {
-			b.heartbeat(id, zone, 0)
+			fixture.heartbeat(id, zone, 0)
 		}
 	}
 	sendHeartbeats("b")
-	for start := b.now; b.now < start.Add(silentLeases*simAgentLease+10*time.Second); b.now = b.now.Add(500 * time.Millisecond) {
+	for start := fixture.now; fixture.now < start.Add(silentLeases*simAgentLease+10*time.Second); fixture.now = fixture.now.Add(500 * time.Millisecond) {
 		sendHeartbeats("a")
-		if e := b.step(); len(e.Terminate) > 0 {
-			t.Fatalf("terminated %v in the partition", e.Terminate)
+		if decisions := fixture.step(); len(decisions.Terminate) > 0 {
+			t.Fatalf("terminated %v in the partition", decisions.Terminate)
 		}
 	}
-	b.heartbeat("b-1", "b", 0)
-	for start := b.now; b.now < start.Add(simHeartbeatInterval); b.now = b.now.Add(200 * time.Millisecond) {
+	fixture.heartbeat("b-1", "b", 0)
+	for start := fixture.now; fixture.now < start.Add(simHeartbeatInterval); fixture.now = fixture.now.Add(200 * time.Millisecond) {
 		sendHeartbeats("a")
-		if e := b.step(); len(e.Terminate) > 0 {
-			t.Fatalf("terminated %v before they could send a heartbeat", e.Terminate)
+		if decisions := fixture.step(); len(decisions.Terminate) > 0 {
+			t.Fatalf("terminated %v before they could send a heartbeat", decisions.Terminate)
 		}
 	}
 	terminated := 0
-	for start := b.now; b.now < start.Add(4*simHeartbeatInterval); b.now = b.now.Add(200 * time.Millisecond) {
+	for start := fixture.now; fixture.now < start.Add(4*simHeartbeatInterval); fixture.now = fixture.now.Add(200 * time.Millisecond) {
 		sendHeartbeats("a")
-		b.heartbeat("b-1", "b", 0)
-		terminated += len(b.step().Terminate)
+		fixture.heartbeat("b-1", "b", 0)
+		terminated += len(fixture.step().Terminate)
 	}
 	if terminated != 4 {
-		t.Errorf("%d machines terminated that stayed silent, want 4", terminated)
+		t.Errorf("%d machines without heartbeats were terminated, want 4", terminated)
 	}
 }
