--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -15,7 +15,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// planInterval is how often the autoscaler plans.
+// planInterval is the interval between two plans of the autoscaler.
 const planInterval = time.Second
 
 // autoscaler decides which machines to provision and which idle machines to terminate. The core
--- a/scheduler/provisioning_test.go
+++ b/scheduler/provisioning_test.go
@@ -51,6 +51,8 @@
 	return counts
 }
 
+// Requests for machines must not exceed the protocol's limit per request, the limit of requests in
+// flight per site and the limit of the zone. After a refusal, only one request may be in flight.
 func TestProvisioningRequestSizes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -79,6 +81,8 @@
 	}
 }
 
+// The result of a request must end it and add its machines to the cluster. The site must back off
+// if the cloud provisioned fewer machines than requested.
 func TestProvisioningResults(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/scheduler/scale_in_test.go
+++ b/scheduler/scale_in_test.go
@@ -20,6 +20,8 @@
 	return terminated
 }
 
+// An idle machine must be terminated after its timeout but not earlier, so that it neither costs
+// money for long nor is missing soon after. Headroom extends the timeout, and quarantine shortens it.
 func TestIdleMachinesAreTerminated(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/scheduler/zone_records.go
+++ b/scheduler/zone_records.go
@@ -84,7 +84,7 @@
 	case errors.Is(result.Err, records.ErrRejected):
 		g.manager.WriteRejected(write.zone)
 	default:
-		g.records.writer.fail(fmt.Errorf("record of zone %s moved without this leader: %w", write.zone, result.Err))
+		g.records.writer.fail(fmt.Errorf("write record of zone %s: stored record differs from what this leader wrote: %w", write.zone, result.Err))
 	}
 	return true
 }
--- a/scheduler/zone_recovery_benchmark_test.go
+++ b/scheduler/zone_recovery_benchmark_test.go
@@ -13,7 +13,7 @@
 )
 
 // This file measures the effects of a zone outage and recovery with package zonerecovery off and
-// on, in the simulation with about 60 machines:
+// on, in the simulation, scaled down to about 60 machines:
 //
 //	go test ./scheduler -run - -bench ZoneRecovery -benchtime 1x
 
