--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -31,13 +31,13 @@
 type zoneAdmission interface {
 	// admits reports whether a task may start on a machine now.
 	admits(j *cluster.Job, index int, m *cluster.Machine) bool
-	// gateClassOf returns the properties of a job that the result of admits depends on now. ok
+	// admissionClass returns the properties of a job that the result of admits depends on now. ok
 	// is false if admits may return different results for two jobs with equal properties.
-	gateClassOf(j *cluster.Job) (class gateClass, ok bool)
-	// unproven reports whether a zone is recovering, so that tasks may still fail to start there.
-	unproven(zone ids.Zone) bool
-	// started records that a task was placed.
-	started(a *cluster.Assignment)
+	admissionClass(j *cluster.Job) (class zoneAdmissionClass, ok bool)
+	// recovering reports whether a zone is recovering, so that tasks may still fail to start there.
+	recovering(zone ids.Zone) bool
+	// taskStarted records that a task was placed.
+	taskStarted(a *cluster.Assignment)
 }
 
 // placementStopper stops tasks, or undoes placements of the current round.
@@ -246,6 +246,6 @@
 	protected := j.Priority() == wire.BestEffort && adm.queue.starving(j)
 	a := adm.cluster.Assign(j, index, m)
 	a.Protected = protected
-	adm.zones.started(a)
+	adm.zones.taskStarted(a)
 	return a
 }
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -43,14 +43,14 @@
 }
 
 // taskFailureObserver is notified when a task fails.
-type taskFailureObserver interface{ failed(a *cluster.Assignment) }
+type taskFailureObserver interface{ taskFailed(a *cluster.Assignment) }
 
 // recordFailure records a failed task and determines whether the machine or the job is at fault.
 // Failures of several jobs on one machine quarantine the machine. Failures of one job on several
 // machines delay the job, but it is retried indefinitely.
 func (f *failureHistory) recordFailure(a *cluster.Assignment) {
 	m, j := a.Machine, a.Job
-	f.zones.failed(a)
+	f.zones.taskFailed(a)
 	f.addAntiAffinity(j, m)
 	if j.Failures.FailedRounds == 0 {
 		f.countAgainstMachine(m, j)
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -13,12 +13,12 @@
 // machines that can no longer be used and releases the tasks of machines whose lease has expired.
 //
 // The other policies query it for the health of machines and zones, which the embedded
-// machineLiveness and zoneOutages implement. Core.Step calls checkIfDue. healthMonitor must never
+// machineLiveness and partitionDetector implement. Core.Step calls checkIfDue. healthMonitor must never
 // release a task that may still be running. Only lease expiry, or the cloud's confirmation that the
 // machine is terminated, proves that a task has ended.
 type healthMonitor struct {
 	*machineLiveness
-	*zoneOutages
+	*partitionDetector
 	cluster      *cluster.State
 	clock        *clock.Clock
 	rounds       *clock.RoundTrigger
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -60,8 +60,8 @@
 // heartbeatHealth updates the health of machines and zones from heartbeats.
 type heartbeatHealth interface {
 	usable(m *cluster.Machine) bool
-	// recordHeartbeat records that a machine of the zone sent a heartbeat now.
-	recordHeartbeat(zone ids.Zone)
+	// recordZoneHeartbeat records that a heartbeat of a machine of the zone arrived now.
+	recordZoneHeartbeat(zone ids.Zone)
 	// recordReclaimNotice records that the cloud will reclaim a spot instance after the given time.
 	recordReclaimNotice(m *cluster.Machine, after time.Duration)
 }
@@ -103,8 +103,8 @@
 
 // zoneTaskObserver records which tasks of a zone are running and which are lost.
 type zoneTaskObserver interface {
-	lost(a *cluster.Assignment)
-	running(a *cluster.Assignment)
+	taskLost(a *cluster.Assignment)
+	taskRunning(a *cluster.Assignment)
 }
 
 // receive applies a heartbeat that is waiting for a response, and returns that response.
@@ -187,7 +187,7 @@
 		h.rounds.MarkDue() // the machine may have become usable
 	}
 	m.Agent.LastHeartbeat = now
-	h.health.recordHeartbeat(heartbeat.Zone)
+	h.health.recordZoneHeartbeat(heartbeat.Zone)
 	h.commands.allowCalls(m)
 	h.updateAgent(m, heartbeat)
 	if heartbeat.SpotNoticeS != nil {
@@ -249,7 +249,7 @@
 			a.Delivery.Sent = false
 			return
 		}
-		h.zones.lost(a)
+		h.zones.taskLost(a)
 		h.lifecycle.release(a)
 	case a.Delivery.Reported && a.StopReason() == cluster.StopNone:
 		// An agent keeps a task until it gets a reap command. If a task is missing without
@@ -283,7 +283,7 @@
 	a.Run.PhaseSince, a.Run.PausedBefore = h.clock.Now(), h.clock.TotalPause()
 	if reported.State == wire.TaskRunning {
 		h.cluster.RecordImage(a.Machine, a.Job.Spec)
-		h.zones.running(a)
+		h.zones.taskRunning(a)
 	}
 }
 
@@ -293,7 +293,7 @@
 	h.cluster.TouchImage(m, j.Spec.Image)
 	switch cause {
 	case wire.CauseDone:
-		h.zones.running(a) // no heartbeat reported it as running if it ran between two heartbeats
+		h.zones.taskRunning(a) // no heartbeat reported it as running if it ran between two heartbeats
 		h.lifecycle.complete(a)
 		return
 	case wire.CauseError:
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -19,10 +19,10 @@
 	priority      wire.Priority
 	spot          bool
 	zone          ids.Zone
-	image         ids.Image // "" unless the machine must hold the image or a zone is recovering
-	allowedZones  uint64    // bit set of the zones in which the spread of the job allows a task
-	gate          gateClass // properties that the admission of recovering zones depends on
-	tasksTogether int       // number of tasks that must be placed at once; 0: task by task
+	image         ids.Image          // "" unless the machine must hold the image or a zone is recovering
+	allowedZones  uint64             // bit set of the zones in which the spread of the job allows a task
+	gate          zoneAdmissionClass // properties that the admission of recovering zones depends on
+	tasksTogether int                // number of tasks that must be placed at once; 0: task by task
 }
 
 // searcher creates searches for machines and scores machines for tasks. The only state that it
@@ -66,7 +66,7 @@
 			request.allowedZones |= 1 << i
 		}
 	}
-	if request.gate, ok = s.zones.gateClassOf(j); request.gate.evaluated {
+	if request.gate, ok = s.zones.admissionClass(j); request.gate.evaluated {
 		request.image = spec.Image
 	}
 	return request, ok
@@ -245,7 +245,7 @@
 		Cached:           m.HasImage(j.Spec.Image),
 		Suspect:          j.Failures.AntiAffinity[m.ID] != 0 || now < m.Health.SlowUntil || failedRecently,
 		LatencySensitive: s.queue.latencySensitive(j),
-		ZoneUnproven:     s.zones.unproven(m.Zone()),
+		ZoneUnproven:     s.zones.recovering(m.Zone()),
 		InPreferredZone:  j.Queue.PreferredZone == m.Zone() && m.Zone() != "" && now < j.Queue.PreferredUntil,
 		RunsServices:     m.Replicas() > 0,
 		Fetching:         m.NotStoppingWithImage(j.Spec.Image) > 0,
--- a/scheduler/task_lifecycle.go
+++ b/scheduler/task_lifecycle.go
@@ -39,7 +39,7 @@
 type machineQueue interface{ queueMachine(m *cluster.Machine) }
 
 // taskEndObserver is notified when a task is removed from its machine.
-type taskEndObserver interface{ detached(a *cluster.Assignment) }
+type taskEndObserver interface{ taskDetached(a *cluster.Assignment) }
 
 // runRecorder records how long tasks ran.
 type runRecorder interface {
@@ -71,7 +71,7 @@
 		lost.tasks++
 		lost.cpuS += l.clock.Now().Sub(a.Run.PhaseSince).Seconds() * a.Job.Spec.CPUs
 	}
-	l.zones.detached(a)
+	l.zones.taskDetached(a)
 	l.cluster.Release(a)
 	if a.Job.Terminal() {
 		l.records.markDeletable(a.Job)
@@ -82,13 +82,13 @@
 
 // withdraw undoes a placement of the current round.
 func (l *taskLifecycle) withdraw(a *cluster.Assignment) {
-	l.zones.detached(a)
+	l.zones.taskDetached(a)
 	l.cluster.UndoAssign(a)
 }
 
 // complete removes a task that succeeded from its machine.
 func (l *taskLifecycle) complete(a *cluster.Assignment) {
-	l.zones.detached(a)
+	l.zones.taskDetached(a)
 	l.failures.recordSuccess(a)
 	j := a.Job
 	if j.Terminal() {
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -63,7 +63,7 @@
 
 func newUpgradeSim(t *testing.T, seed uint64) *upgradeSim {
 	d := &upgradeSim{sim: newSim(t, seed)}
-	d.opt.SliceTasks, d.opt.TxnOps = 16, upgradeTxnOps
+	d.opt.SliceTasks, d.opt.MaxTxnOps = 16, upgradeTxnOps
 	d.failOver()
 	d.unsplitRecordsOnly = true
 	return d
@@ -82,7 +82,7 @@
 		d.lowerStoreLimits()
 	}
 	if round < upgradeCompletedRound && d.rng.IntN(3) == 0 {
-		d.opt.ValueBytes = []int{0, upgradeValueBytes}[d.rng.IntN(2)] // an old or a new version
+		d.opt.MaxValueBytes = []int{0, upgradeValueBytes}[d.rng.IntN(2)] // an old or a new version
 		d.failOver()
 	}
 	if d.rng.IntN(5) == 0 {
@@ -101,8 +101,8 @@
 
 // completeUpgrade replaces the last leader of the old version and allows split records.
 func (d *upgradeSim) completeUpgrade() {
-	d.opt.ValueBytes = upgradeValueBytes
-	if d.core.opt.ValueBytes == 0 {
+	d.opt.MaxValueBytes = upgradeValueBytes
+	if d.core.opt.MaxValueBytes == 0 {
 		d.failOver()
 	}
 	d.unsplitRecordsOnly, d.opt.SplitRecords = false, true
@@ -199,7 +199,7 @@
 // placed in the meantime belongs to one of the parts. If that part is not written again, the task waits
 // indefinitely.
 func TestPlacementWhileTheRecordIsSplit(t *testing.T) {
-	b := newHarness(t, Options{RecordOptions: RecordOptions{ValueBytes: 50, SplitRecords: true}})
+	b := newHarness(t, Options{RecordOptions: RecordOptions{MaxValueBytes: 50, SplitRecords: true}})
 	b.submit("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
 	b.heartbeat("n-1", "a", 0)
 	split := b.c.Step(b.now).RecordChanges
@@ -223,7 +223,7 @@
 // A record that exceeds the limit while splitting is not allowed must be split once it is allowed, even
 // without another event of its tasks.
 func TestLargeRecordsAreSplitAfterTheUpgrade(t *testing.T) {
-	b := newHarness(t, Options{RecordOptions: RecordOptions{ValueBytes: 50}})
+	b := newHarness(t, Options{RecordOptions: RecordOptions{MaxValueBytes: 50}})
 	b.submit("job-1", wire.JobSpec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
 	b.heartbeat("n-1", "a", 0)
 	if e := b.step(); len(e.RecordChanges) != 1 || len(e.RecordChanges[0].Operations) != 1 {
