--- a/dependency/graph.go
+++ b/dependency/graph.go
@@ -5,14 +5,14 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Graph holds all jobs and their dependencies. The cost of a change is proportional to the
-// jobs whose readiness changes, also with long chains and many dependents.
+// Graph holds all jobs and their dependencies. The cost of a change is proportional to the number of
+// jobs whose readiness changes, even with long chains and many dependents.
 type Graph struct{ jobs map[ids.JobID]*job }
 
 // New returns an empty graph.
 func New() *Graph { return &Graph{jobs: map[ids.JobID]*job{}} }
 
-// ReadinessOf returns the readiness of a job. It is the zero value for unknown jobs.
+// ReadinessOf returns the readiness of a job, or the zero value if the job is unknown.
 func (g *Graph) ReadinessOf(id ids.JobID) Readiness {
 	j := g.jobs[id]
 	if j == nil {
@@ -21,8 +21,8 @@
 	return Readiness{State: j.state, Priority: j.priority, ReadyMS: j.readyMS, StartByMS: j.startByMS()}
 }
 
-// Put applies a job's record, and returns the jobs whose readiness changed, each once and the
-// job itself first. Records may be put in any order; outdated and repeated ones change nothing.
+// Put applies a job's record and returns the jobs whose readiness changed, each once and the job
+// itself first. Records may be put in any order. Outdated and repeated records change nothing.
 func (g *Graph) Put(id ids.JobID, record Record) []ids.JobID {
 	j := g.job(id)
 	if j.ended() {
@@ -40,7 +40,7 @@
 	return u.changed
 }
 
-// job returns a job; it adds an unknown one if the graph has none of this id.
+// job returns the job with an ID. If there is none, it adds one in state Unknown.
 func (g *Graph) job(id ids.JobID) *job {
 	j := g.jobs[id]
 	if j == nil {
--- a/dependency/graph_test.go
+++ b/dependency/graph_test.go
@@ -12,8 +12,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// The deadline of a job bounds the starts of all jobs that it depends on, in any order of
-// their records.
+// The deadline of a job limits the latest starts of all jobs on which it depends. The limits must be the
+// same for every order in which the records arrive.
 func TestDeadlinesPropagateToDependencies(t *testing.T) {
 	records := map[ids.JobID]Record{
 		"job-1": {Status: wire.JobQueued, ExpectedRun: 5 * time.Second},
@@ -39,30 +39,30 @@
 	}
 }
 
-// The graph handles a chain and a fan of a hundred thousand jobs without recursion, and
-// in time proportional to the changes.
-func TestLongChainsAndWideFans(t *testing.T) {
+// A chain or a fan-out of a hundred thousand jobs must neither exhaust the stack by recursion nor take
+// time out of proportion to the number of changes.
+func TestLongChainsAndWideFanOuts(t *testing.T) {
 	const n = 100_000
 	name := func(i int) ids.JobID { return ids.JobID(fmt.Sprintf("job-%d", i)) }
-	chain, fan := New(), New()
+	chain, fanOut := New(), New()
 	for i := range n {
 		r := Record{Status: wire.JobQueued}
 		if i == n-1 {
 			r.Priority = wire.Critical
 		}
-		first := r
+		fanOutRecord := r
 		if i > 0 {
-			r.DependsOn, first.DependsOn = []ids.JobID{name(i - 1)}, []ids.JobID{name(0)}
+			r.DependsOn, fanOutRecord.DependsOn = []ids.JobID{name(i - 1)}, []ids.JobID{name(0)}
 		}
 		chain.Put(name(i), r)
-		fan.Put(name(i), first)
+		fanOut.Put(name(i), fanOutRecord)
 	}
-	for kind, g := range map[string]*Graph{"chain": chain, "fan": fan} {
+	for kind, g := range map[string]*Graph{"chain": chain, "fan-out": fanOut} {
 		if p := g.ReadinessOf(name(0)).Priority; p != wire.Critical {
-			t.Errorf("%s: the first job has priority %d", kind, p)
+			t.Errorf("%s: the first job has effective priority %d, want critical", kind, p)
 		}
 		if changed := g.Put(name(0), Record{Status: wire.JobCancelled}); len(changed) != n || g.ReadinessOf(name(n-1)).State != Cancelled {
-			t.Errorf("%s: %d of %d jobs are cancelled", kind, len(changed), n)
+			t.Errorf("%s: cancelling the first job changed %d of %d jobs", kind, len(changed), n)
 		}
 	}
 }
--- a/dependency/job.go
+++ b/dependency/job.go
@@ -10,24 +10,26 @@
 // priorityLevels is the number of priorities.
 const priorityLevels = int(wire.Critical) + 1
 
-// job is one vertex of the graph.
+// job is a vertex of the graph.
 type job struct {
 	id    ids.JobID
 	state State
-	// dependencies and dependents are the edges. Jobs that ended may still be among them.
+	// dependencies and dependents are the edges of the job. They may include jobs that have
+	// ended.
 	dependencies, dependents []*job
-	// unfinished counts the dependencies that are not done. Counts have small types because a
-	// controller holds very many jobs.
+	// unfinished is the number of dependencies that are not done. Counts have 32 bits to save
+	// memory, because a controller holds very many jobs.
 	unfinished int32
 
 	ownPriority, priority wire.Priority
-	// waitingDependents counts the dependents that still wait, by their effective priority.
-	// With it a change of one dependent does not require a visit of the others.
+	// waitingDependents is the number of waiting dependents by effective priority. Because of
+	// it, a change of one dependent does not require a visit to the others.
 	waitingDependents [priorityLevels]int32
 
 	// Unix times in milliseconds; see Record and Readiness.
 	readyMS, doneMS int64
-	// endByMS is the latest end with which all deadlines can be met; 0 means that there is none.
+	// endByMS is the latest end of the job with which all deadlines can be met; 0 means that
+	// there is no limit.
 	endByMS       int64
 	expectedRunMS int64
 }
@@ -35,8 +37,8 @@
 // ended reports whether the job is done or cancelled.
 func (j *job) ended() bool { return j.state >= Done }
 
-// startByMS returns the latest start with which the job ends by endByMS; 0 means that there is
-// none.
+// startByMS returns the latest start with which the job is expected to end by endByMS; 0 means that
+// there is no limit.
 func (j *job) startByMS() int64 {
 	if j.endByMS == 0 {
 		return 0
@@ -44,7 +46,8 @@
 	return j.endByMS - j.expectedRunMS
 }
 
-// tightenEndBy lowers endByMS, and reports whether the new value is earlier. It ignores 0.
+// tightenEndBy lowers endByMS to a new value if that is earlier, and reports whether it is. It
+// ignores the value 0, which means no limit.
 func (j *job) tightenEndBy(endByMS int64) bool {
 	if endByMS == 0 || j.endByMS != 0 && endByMS >= j.endByMS {
 		return false
--- a/dependency/model_test.go
+++ b/dependency/model_test.go
@@ -7,8 +7,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// model is a slow implementation of the graph, which derives everything from all records
-// each time.
+// model is a simple and slow reference implementation of Graph. It derives each value from all records.
 type model map[ids.JobID]Record
 
 func (m model) state(id ids.JobID) State {
--- a/dependency/propagation.go
+++ b/dependency/propagation.go
@@ -1,7 +1,6 @@
 package dependency
 
-// propagateDeadline updates the latest ends of the jobs that a job depends on, directly or
-// through others.
+// propagateDeadline updates endByMS of the jobs on which a job depends directly or transitively.
 func (u *update) propagateDeadline(first *job) {
 	pending := []*job{first}
 	for len(pending) > 0 {
@@ -16,8 +15,8 @@
 	}
 }
 
-// propagatePriority updates the effective priority of a job, and of the jobs that it
-// depends on, directly or through others.
+// propagatePriority updates the effective priority of a job and of the jobs on which it depends
+// directly or transitively.
 func (u *update) propagatePriority(first *job) {
 	pending := []*job{first}
 	for len(pending) > 0 {
--- a/dependency/random_test.go
+++ b/dependency/random_test.go
@@ -10,16 +10,15 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// store holds the records of all jobs, and changes them at random as users and the leader
-// may.
-type store struct {
+// randomJobs holds the records of all jobs. It makes random changes that users and the leader may make.
+type randomJobs struct {
 	rng     *rand.Rand
 	records model
-	order   []ids.JobID // in the order of submission
+	order   []ids.JobID // in submission order
 }
 
-// change submits a job, or finishes or cancels one.
-func (s *store) change(step int) {
+// change submits a job, or tries to finish or cancel one.
+func (s *randomJobs) change(step int) {
 	action := s.rng.IntN(4)
 	if action < 2 || len(s.order) == 0 {
 		s.submit(step)
@@ -30,15 +29,15 @@
 		return
 	}
 	switch state := s.records.state(id); {
-	case action == 2 && state == Ready: // only a ready job can run
+	case action == 2 && state == Ready: // only a ready job can run and finish
 		s.records[id] = Record{Status: wire.JobDone, DoneMS: int64(10*step + 5)}
-	case action == 3 || state == Cancelled: // by its user, or by the leader for a dependent
+	case action == 3 || state == Cancelled: // by its user, or by the leader because a dependency is cancelled
 		s.records[id] = Record{Status: wire.JobCancelled}
 	}
 }
 
-// submit adds a job that depends on up to 3 of the last 12 jobs.
-func (s *store) submit(step int) {
+// submit adds a job that depends on up to three of the last 12 jobs.
+func (s *randomJobs) submit(step int) {
 	record := Record{Status: wire.JobQueued, Priority: wire.Priority(s.rng.IntN(4)), SubmittedMS: int64(10 * step)}
 	for range min(len(s.order), s.rng.IntN(4)) {
 		recent := s.rng.IntN(min(len(s.order), 12))
@@ -49,19 +48,19 @@
 	s.order = append(s.order, id)
 }
 
-// replica is a graph with the records that it was given.
+// replica holds a graph and the records that the graph has received.
 type replica struct {
-	graph  *Graph
-	seen   model
-	states map[ids.JobID]State // the last ones that the graph returned
+	graph    *Graph
+	received model
+	states   map[ids.JobID]State // as last returned by the graph
 }
 
 func newReplica() *replica {
-	return &replica{graph: New(), seen: model{}, states: map[ids.JobID]State{}}
+	return &replica{graph: New(), received: model{}, states: map[ids.JobID]State{}}
 }
 
-// put gives the graph a record. It checks that the graph lists each job whose state
-// changes, and that no job which is ready or has ended moves back.
+// put passes a job's record to the graph. It checks that the graph returns each job whose state
+// changes, and that no ready or ended job moves back to an earlier state.
 func (r *replica) put(t *testing.T, all model, id ids.JobID) {
 	t.Helper()
 	before := map[ids.JobID]State{}
@@ -69,42 +68,43 @@
 		before[other] = r.graph.ReadinessOf(other).State
 	}
 	changed := r.graph.Put(id, all[id])
-	if record, known := r.seen[id]; !known || record.Status == wire.JobQueued {
-		r.seen[id] = all[id]
+	if record, known := r.received[id]; !known || record.Status == wire.JobQueued {
+		r.received[id] = all[id]
 	}
 	for other := range all {
 		state := r.graph.ReadinessOf(other).State
 		if state != before[other] && !slices.Contains(changed, other) {
-			t.Fatalf("%s went from %d to %d and is not listed", other, before[other], state)
+			t.Fatalf("%s changed from state %d to %d and is not returned as changed", other, before[other], state)
 		}
 		if last := r.states[other]; last >= Ready && state < last {
-			t.Fatalf("%s went back from %d to %d", other, last, state)
+			t.Fatalf("%s moved back from state %d to %d", other, last, state)
 		}
 		r.states[other] = state
 	}
 }
 
-// check compares the graph with the model of the same records.
+// check compares the graph with the model for the same records.
 func (r *replica) check(t *testing.T) {
 	t.Helper()
-	for id := range r.seen {
-		got, state := r.graph.ReadinessOf(id), r.seen.state(id)
+	for id := range r.received {
+		got, state := r.graph.ReadinessOf(id), r.received.state(id)
 		if got.State != state {
-			t.Fatalf("%s is %d, the model says %d", id, got.State, state)
+			t.Fatalf("%s has state %d, want %d as in the model", id, got.State, state)
 		}
 		if state == Waiting || state == Ready {
-			if priority := r.seen.priority(id); got.Priority != priority {
-				t.Fatalf("%s has priority %d, the model says %d", id, got.Priority, priority)
+			if priority := r.received.priority(id); got.Priority != priority {
+				t.Fatalf("%s has priority %d, want %d as in the model", id, got.Priority, priority)
 			}
 		}
-		if at := r.seen.readyMS(id); state == Ready && got.ReadyMS != at {
-			t.Fatalf("%s was ready at %d, the model says %d", id, got.ReadyMS, at)
+		if at := r.received.readyMS(id); state == Ready && got.ReadyMS != at {
+			t.Fatalf("%s became ready at %d, want %d as in the model", id, got.ReadyMS, at)
 		}
 	}
 }
 
-// Records reach each replica late, repeated and in any order. Replicas that have the same
-// records agree with the model, and so with each other.
+// Records reach each replica late, repeatedly and in any order. A graph that depended on the order would
+// give controllers different states for the same jobs. Replicas with the same records must agree with the
+// model, and therefore with each other.
 func TestRandomRecordsMatchTheModel(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -116,11 +116,11 @@
 func testRandomRecords(t *testing.T, rng *rand.Rand) {
 	t.Helper()
 	const steps = 80
-	jobs := &store{rng: rng, records: model{}}
+	jobs := &randomJobs{rng: rng, records: model{}}
 	replicas := []*replica{newReplica(), newReplica()}
 	for step := range steps {
 		jobs.change(step)
-		last := step == steps-1 // then each replica gets all records
+		last := step == steps-1 // every replica receives all records in the last step
 		for _, r := range replicas {
 			for _, id := range jobs.order {
 				if rng.IntN(3) == 0 || last {
--- a/dependency/update.go
+++ b/dependency/update.go
@@ -6,15 +6,15 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// update applies one record and propagates its consequences. Chains may be long, so it keeps
-// lists of the jobs to visit in place of recursion.
+// update applies one record and propagates the change to other jobs. It visits jobs iteratively, with
+// an explicit stack, because chains of dependencies may be too long for recursion.
 type update struct {
 	graph   *Graph
 	changed []ids.JobID
-	marked  map[*job]bool // the jobs in changed
+	marked  map[*job]bool // set of the jobs in changed
 }
 
-// markChanged adds a job to the changed ones, once.
+// markChanged adds a job to the changed jobs, unless it is already among them.
 func (u *update) markChanged(j *job) {
 	if u.marked == nil {
 		u.marked = map[*job]bool{}
@@ -47,12 +47,12 @@
 	u.propagateDeadline(j)
 }
 
-// addDependencies adds the edges to a job's dependencies, and reports whether one of these
+// addDependencies adds the edges to a job's dependencies, and reports whether one of the dependencies
 // is cancelled.
-func (u *update) addDependencies(j *job, named []ids.JobID) (cancelled bool) {
-	named = slices.Clone(named)
-	slices.Sort(named)
-	for _, id := range slices.Compact(named) {
+func (u *update) addDependencies(j *job, dependencyIDs []ids.JobID) (cancelled bool) {
+	dependencyIDs = slices.Clone(dependencyIDs)
+	slices.Sort(dependencyIDs)
+	for _, id := range slices.Compact(dependencyIDs) {
 		dependency := u.graph.job(id)
 		switch dependency.state {
 		case Done:
@@ -69,7 +69,7 @@
 	return cancelled
 }
 
-// finish marks a job as done, and marks as ready the jobs for which it was the last dependency.
+// finish marks a job as done, and marks as ready the jobs whose last unfinished dependency it was.
 func (u *update) finish(j *job, doneMS int64) {
 	u.markChanged(j)
 	j.state, j.doneMS = Done, doneMS
@@ -87,8 +87,7 @@
 	u.detach(j)
 }
 
-// cancel marks a job as cancelled, and all jobs that depend on it, directly or through
-// others.
+// cancel marks a job as cancelled, and all jobs that depend on it directly or transitively.
 func (u *update) cancel(first *job) {
 	pending := []*job{first}
 	for len(pending) > 0 {
@@ -104,8 +103,7 @@
 	}
 }
 
-// detach removes a job that has ended from its dependencies, which no longer inherit its
-// priority, and drops its edges.
+// detach removes the edges of a job that has ended. Its dependencies no longer inherit its priority.
 func (u *update) detach(j *job) {
 	for dependency := range j.unfinishedDependencies() {
 		dependency.waitingDependents[j.priority]--
