--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -57,7 +57,7 @@
 func answerHeartbeat(ctx context.Context, own *leader.Leader, heartbeat *wire.Heartbeat) server.Response {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	answers, err := own.Heartbeats(ctx, []*wire.Heartbeat{heartbeat})
+	answers, err := own.AnswerHeartbeats(ctx, []*wire.Heartbeat{heartbeat})
 	if err != nil || !answers[0].OK {
 		return server.Response{Status: http.StatusServiceUnavailable}
 	}
@@ -77,7 +77,7 @@
 func (h *heartbeatHandler) peerLoads(now monotonic.Instant, known election.Leader) []controllerLoad {
 	var loads []controllerLoad
 	for _, p := range h.peers {
-		if !p.HeardWithin(now, redirectPeerTimeout) || p.FollowedRevision() != known.Revision {
+		if !p.AnsweredWithin(now, redirectPeerTimeout) || p.FollowedRevision() != known.Revision {
 			continue
 		}
 		load := controllerLoad{name: p.Name, workers: int(p.workers.Load()), weight: followerWeight}
--- a/controller/kv_routes.go
+++ b/controller/kv_routes.go
@@ -82,7 +82,7 @@
 func (r *userRoute) peerWithStore() *peer {
 	now := r.clock.Now()
 	for _, p := range r.peers {
-		if p.storeReachable.Load() && p.HeardWithin(now, routePeerTimeout) {
+		if p.storeReachable.Load() && p.AnsweredWithin(now, routePeerTimeout) {
 			return p
 		}
 	}
--- a/controller/leader/event_loop.go
+++ b/controller/leader/event_loop.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// stepInterval is the time between two steps of the core without events.
+	// stepInterval is the time between two steps of the core while no event arrives.
 	stepInterval = 200 * time.Millisecond
-	// summaryInterval is the least time between two status summaries in the log.
+	// summaryInterval is the minimum time between two status summaries in the log.
 	summaryInterval = 5 * time.Second
 )
 
-// eventLoop owns the scheduler core. Only the goroutine of run uses the core, also through the
-// events that it applies. It blocks only on its mailbox.
+// eventLoop owns the scheduler core. Only the goroutine of run uses the core, directly and through
+// the events that it applies. It blocks only while it waits for an event or for the next step.
 type eventLoop struct {
 	core      *scheduler.Core
 	executors *executors
@@ -29,20 +29,19 @@
 	clock     monotonic.Clock
 	mailbox   *mailbox
 	log       *slog.Logger
-	// observed is the revision up to which the core has observed the jobs' records.
-	observed ids.Revision
-	// applied is the revision up to which every cancellation may be reported to users; see
-	// Leader.applied.
-	applied *atomic.Uint64
-	// summaryAt is when the last status summary was logged.
-	summaryAt monotonic.Instant
+	// observedRevision is the revision up to which the core has observed the jobs' records.
+	observedRevision ids.Revision
+	// acknowledged points to Leader.acknowledged.
+	acknowledged *atomic.Uint64
+	// lastSummaryAt is the time at which the last status summary was logged.
+	lastSummaryAt monotonic.Instant
 }
 
 // run applies events and takes steps until the context or the term ends.
 func (l *eventLoop) run(ctx context.Context) error {
 	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
-	l.summaryAt = l.clock.Now()
+	l.lastSummaryAt = l.clock.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -58,8 +57,8 @@
 	}
 }
 
-// applyQueued applies the queued events, but at most as many as the mailbox holds, so that no rate
-// of events prevents steps.
+// applyQueued applies the queued events, but at most as many as the mailbox holds, so that a high
+// rate of events cannot starve the steps of the core.
 func (l *eventLoop) applyQueued() {
 	for range cap(l.mailbox.events) {
 		select {
@@ -71,7 +70,8 @@
 	}
 }
 
-// step takes a step of the core and dispatches its decisions. An error ends the term.
+// step takes a step of the core and dispatches its decisions, unless the leader may not answer
+// heartbeats now. An error ends the term.
 func (l *eventLoop) step(ctx context.Context) error {
 	if err := l.core.RecordsError(); err != nil {
 		return err
@@ -84,7 +84,7 @@
 	}
 	l.core.ObserveConnectivity(connectivity(l.term.HoldsLease(), l.peers, l.clock.Now()))
 	l.dispatch(ctx, l.core.Step(l.clock.Now()))
-	l.publishApplied()
+	l.publishAcknowledged()
 	l.logSummary()
 	return nil
 }
@@ -105,22 +105,22 @@
 	l.executors.execute(ctx, &decisions)
 }
 
-// publishApplied acknowledges all cancellations that the core has observed, once no earlier leader
-// can keep tasks of cancelled jobs. Until then each is acknowledged separately; see
-// Leader.AcknowledgeCancellation.
-func (l *eventLoop) publishApplied() {
-	observed := uint64(l.observed)
-	if observed > l.applied.Load() && l.core.PreviousLeadersWithinCancelMargin(l.clock.Now()) {
-		l.applied.Store(observed)
+// publishAcknowledged acknowledges all cancellations that the core has observed, once no previous
+// leader can keep tasks of a cancelled job running beyond the cancel deadline. Until then, each
+// cancellation is acknowledged separately; see Leader.AcknowledgeCancellation.
+func (l *eventLoop) publishAcknowledged() {
+	observed := uint64(l.observedRevision)
+	if observed > l.acknowledged.Load() && l.core.PreviousLeadersWithinCancelMargin(l.clock.Now()) {
+		l.acknowledged.Store(observed)
 	}
 }
 
-// logSummary logs the periodic status summary when it is due.
+// logSummary logs the status summary if summaryInterval has passed since the last one.
 func (l *eventLoop) logSummary() {
 	now := l.clock.Now()
-	if now <= l.summaryAt.Add(summaryInterval) {
+	if now <= l.lastSummaryAt.Add(summaryInterval) {
 		return
 	}
-	l.summaryAt = now
+	l.lastSummaryAt = now
 	l.log.Info("status summary", "summary", l.core.Summary())
 }
--- a/controller/leader/event_loop_test.go
+++ b/controller/leader/event_loop_test.go
@@ -10,29 +10,30 @@
 	"ospreystile.example/ospreystile/scheduler"
 )
 
-// A leader publishes a revision up to which all cancellations may be reported only once no earlier
-// leader can keep tasks of cancelled jobs.
-func TestNothingIsPublishedBesideAnEarlierLeader(t *testing.T) {
+// A cancellation must not be acknowledged to users while a previous leader can keep the job's tasks
+// running beyond the cancel deadline. Until that is excluded, the leader publishes no revision up to
+// which all cancellations are acknowledged.
+func TestAcknowledgedRevisionWaitsForPreviousLeaders(t *testing.T) {
 	dependencies := testDependencies(t, "127.0.0.1:1")
 	options := dependencies.schedulerOptions(5, true)
 	options.CancelDeadline, options.AgentLease = 52*time.Second, 27*time.Second
 	options.PreviousLeaderGrace, options.PreviousLeaderGraceWithoutReplicas = time.Minute, time.Second
-	applied := new(atomic.Uint64)
-	loop := &eventLoop{core: scheduler.New(options, nil), clock: dependencies.Clock, applied: applied}
+	acknowledged := new(atomic.Uint64)
+	loop := &eventLoop{core: scheduler.New(options, nil), clock: dependencies.Clock, acknowledged: acknowledged}
 	loop.core.Begin(loop.clock.Now())
 	watchAdvanced{revision: 50}.applyTo(loop)
-	loop.publishApplied()
-	if got := applied.Load(); got != 0 {
-		t.Errorf("published %d beside an earlier leader", got)
+	loop.publishAcknowledged()
+	if got := acknowledged.Load(); got != 0 {
+		t.Errorf("published %d while a previous leader may answer heartbeats", got)
 	}
 	followersConfirmed{}.applyTo(loop)
-	loop.publishApplied()
-	if got := applied.Load(); got != 50 {
-		t.Errorf("published %d once all follow", got)
+	loop.publishAcknowledged()
+	if got := acknowledged.Load(); got != 50 {
+		t.Errorf("published %d after all controllers follow this leader, want 50", got)
 	}
 }
 
-// countingEvent counts how often it is applied, and posts itself again.
+// countingEvent counts how often it is applied, and queues itself again.
 type countingEvent struct{ applied *int }
 
 func (e countingEvent) applyTo(loop *eventLoop) {
@@ -40,33 +41,35 @@
 	loop.mailbox.events <- e
 }
 
-// However many events come, a step has its turn after at most as many as the mailbox holds.
-func TestStepsHaveTheirTurn(t *testing.T) {
+// A high rate of events must not starve the steps of the core: a step follows after at most as many
+// events as the mailbox holds.
+func TestEventsDoNotStarveSteps(t *testing.T) {
 	applied := 0
 	loop := &eventLoop{mailbox: newMailbox()}
 	loop.mailbox.events <- countingEvent{&applied}
 	loop.applyQueued()
 	if applied != maxQueuedEvents {
-		t.Errorf("%d events before a step", applied)
+		t.Errorf("%d events applied before a step, want maxQueuedEvents", applied)
 	}
 }
 
-// After the end of a term nothing waits for its event loop.
+// Once a term has ended, nothing reads its mailbox. Senders to a full mailbox and requesters without an
+// answer must then return instead of blocking indefinitely.
 func TestClosedMailboxReleasesSenders(t *testing.T) {
-	full := newMailbox()
+	fullMailbox := newMailbox()
 	for range maxQueuedEvents {
-		if !full.post(t.Context(), watchAdvanced{}) {
-			t.Fatal("refused before the mailbox is full")
+		if !fullMailbox.post(t.Context(), watchAdvanced{}) {
+			t.Fatal("post failed before the mailbox is full")
 		}
 	}
-	answered := newMailbox()
-	full.close()
-	answered.close()
-	if full.post(t.Context(), watchAdvanced{}) {
-		t.Error("posted to a full mailbox")
+	unanswered := newMailbox()
+	fullMailbox.close()
+	unanswered.close()
+	if fullMailbox.post(t.Context(), watchAdvanced{}) {
+		t.Error("post to a full, closed mailbox succeeded")
 	}
 	reply := make(chan bool, 1)
-	if _, err := request(t.Context(), answered, cancellationAcknowledgementAsked{reply: reply}, reply); !errors.Is(err, peerapi.ErrNotLeading) {
-		t.Errorf("request: %v", err)
+	if _, err := request(t.Context(), unanswered, cancellationAcknowledgementRequested{reply: reply}, reply); !errors.Is(err, peerapi.ErrNotLeading) {
+		t.Errorf("request to a closed mailbox: %v, want peerapi.ErrNotLeading", err)
 	}
 }
--- a/controller/leader/events.go
+++ b/controller/leader/events.go
@@ -8,17 +8,18 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Events without an answer. The core gets the time at which the event loop applies the event.
+// The events in this file, except heartbeatsReceived, have no answer. The core receives the time at
+// which the event loop applies the event.
 
-// commitResolved has the definite result of a change of records.
+// commitResolved holds the definite result of a change of records.
 type commitResolved struct{ result records.CommitResult }
 
 func (e commitResolved) applyTo(loop *eventLoop) {
 	loop.core.CommitResult(loop.clock.Now(), e.result)
 }
 
-// workerCallFinished has the heartbeat with which a worker answered its commands, or nil without
-// an answer.
+// workerCallFinished holds the heartbeat with which a worker answered commands. The heartbeat is nil
+// if the call failed.
 type workerCallFinished struct {
 	machine   ids.MachineID
 	heartbeat *wire.Heartbeat
@@ -28,8 +29,8 @@
 	loop.core.CommandsResult(loop.clock.Now(), e.machine, e.heartbeat)
 }
 
-// heartbeatRequestFinished has the heartbeat that was requested from a worker, or nil without an
-// answer.
+// heartbeatRequestFinished holds the heartbeat that was requested from a worker. The heartbeat is nil
+// if the call failed.
 type heartbeatRequestFinished struct {
 	machine   ids.MachineID
 	heartbeat *wire.Heartbeat
@@ -39,8 +40,8 @@
 	loop.core.HeartbeatRequestResult(loop.clock.Now(), e.machine, e.heartbeat)
 }
 
-// provisioningFinished has the machines that the cloud granted. granted is false if it had no
-// capacity or rejected the request.
+// provisioningFinished holds the machines that the cloud provisioned for a request. granted is false
+// if the cloud had no capacity or rejected the request.
 type provisioningFinished struct {
 	request  wire.ProvisionRequest
 	machines []ids.MachineID
@@ -55,29 +56,29 @@
 	loop.core.ProvisioningGranted(loop.clock.Now(), e.request, e.machines)
 }
 
-// terminationFinished has machines whose termination the cloud confirmed.
+// terminationFinished holds machines whose termination the cloud confirmed.
 type terminationFinished struct{ machines []ids.MachineID }
 
 func (e terminationFinished) applyTo(loop *eventLoop) {
 	loop.core.MachinesTerminated(loop.clock.Now(), e.machines)
 }
 
-// machineListRead has the cloud's list of machines, and when it was requested.
+// machineListRead holds the cloud's list of machines and the time at which it was requested.
 type machineListRead struct {
-	asked    monotonic.Instant
-	machines []wire.Machine
+	requestedAt monotonic.Instant
+	machines    []wire.Machine
 }
 
 func (e machineListRead) applyTo(loop *eventLoop) {
-	loop.core.MachineList(loop.clock.Now(), e.asked, e.machines)
+	loop.core.MachineList(loop.clock.Now(), e.requestedAt, e.machines)
 }
 
-// catalogRead has the cloud's machine types and prices.
+// catalogRead holds the cloud's machine types and prices.
 type catalogRead struct{ types []wire.MachineType }
 
 func (e catalogRead) applyTo(loop *eventLoop) { loop.core.SetCatalog(e.types) }
 
-// jobRecordObserved has a job's record from a notice, from the watch, or from a read. The core
+// jobRecordObserved holds a job's record from a notification, from the watch, or from a read. The core
 // ignores outdated revisions, so records may arrive in any order.
 type jobRecordObserved struct{ job JobRecord }
 
@@ -85,33 +86,34 @@
 	loop.core.ObserveJob(loop.clock.Now(), e.job.ID, e.job.Record, e.job.Revision)
 }
 
-// watchAdvanced follows the events of all changes of jobs up to a revision.
+// watchAdvanced holds the revision up to which the events of all changes of jobs are already posted.
 type watchAdvanced struct{ revision ids.Revision }
 
-func (e watchAdvanced) applyTo(loop *eventLoop) { loop.observed = e.revision }
+func (e watchAdvanced) applyTo(loop *eventLoop) { loop.observedRevision = e.revision }
 
-// followersConfirmed means that every other controller follows this leader.
+// followersConfirmed represents the confirmation that every other controller follows this leader.
 type followersConfirmed struct{}
 
 func (followersConfirmed) applyTo(loop *eventLoop) {
 	loop.core.AllControllersFollow(loop.clock.Now())
 }
 
-// versionGateOpened means that every controller can read split records.
+// versionGateOpened represents the opening of the version gate: every controller can read split records.
 type versionGateOpened struct{}
 
 func (versionGateOpened) applyTo(loop *eventLoop) {
 	loop.core.EnableSplitRecords(loop.clock.Now())
 }
 
-// heartbeatAnswers are the answers to heartbeats, and whether only machines with replicas could
-// be answered when the core decided.
+// heartbeatAnswers holds the answers to heartbeats. replicasOnly reports whether the core was
+// restricted to machines with replicas when it answered.
 type heartbeatAnswers struct {
 	answers      []peerapi.HeartbeatAnswer
 	replicasOnly bool
 }
 
-// heartbeatsReceived has heartbeats of workers. A nil heartbeat is not answered.
+// heartbeatsReceived holds heartbeats of workers. The event loop sends an answer for each on reply,
+// which must have a buffer. The answer to a nil heartbeat is the zero value.
 type heartbeatsReceived struct {
 	heartbeats []*wire.Heartbeat
 	reply      chan<- heartbeatAnswers
--- a/controller/leader/executors.go
+++ b/controller/leader/executors.go
@@ -11,8 +11,8 @@
 	"ospreystile.example/ospreystile/scheduler"
 )
 
-// executors execute the core's decisions. Only the event loop calls them, and no method blocks.
-// The goroutines that they start end with the context, and post their results as events.
+// executors executes the core's decisions. Only the event loop calls it, and no method blocks. The
+// goroutines that it starts end with the context and post their results as events.
 type executors struct {
 	records      recordWriter
 	workers      workerCaller
@@ -22,7 +22,8 @@
 	log          *slog.Logger
 }
 
-// execute executes the decisions that need no further query of the core.
+// execute executes the decisions that need no further query of the core; eventLoop.dispatch executes
+// the others.
 func (x *executors) execute(ctx context.Context, decisions *scheduler.Decisions) {
 	for _, id := range decisions.RereadJobs {
 		x.jobs.reread(ctx, id)
@@ -41,7 +42,7 @@
 	}
 }
 
-// recordWriter commits changes of records, fenced by the leader key.
+// recordWriter commits changes of records. The commits are fenced by the revision of the leader key.
 type recordWriter struct {
 	committer *commit.Committer
 	term      *election.Term
@@ -49,8 +50,8 @@
 	log       *slog.Logger
 }
 
-// write queues one change. If its result is not definite, the term ends, and the next leader reads
-// the records again.
+// write queues one change. If the change is not resolved, because it is fenced or its result is
+// indeterminate, the term ends, and the next leader reads the records again.
 func (w *recordWriter) write(ctx context.Context, change records.Change) {
 	w.committer.Submit(change, time.Time{}, func(result records.CommitResult) {
 		switch {
--- a/controller/leader/jobs.go
+++ b/controller/leader/jobs.go
@@ -16,7 +16,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// JobRecord is a job's record at a revision. The record must not be modified.
+// JobRecord holds a job's record at a revision. The record must not be modified.
 type JobRecord struct {
 	ID       ids.JobID
 	Record   *records.Job
@@ -26,13 +26,14 @@
 const (
 	// rereadRetryDelay is the delay before a failed read of a job's record is retried.
 	rereadRetryDelay = 300 * time.Millisecond
-	// watchHold is how long the store may hold a watch without changes.
-	watchHold = 10 * time.Second
+	// watchTimeout is how long the key-value store may wait for a change before it answers a
+	// watch.
+	watchTimeout = 10 * time.Second
 	// watchRetryDelay is the delay before a failed watch on jobs is retried.
 	watchRetryDelay = 200 * time.Millisecond
 )
 
-// jobReader reads jobs' records from the store and posts them to the event loop.
+// jobReader reads jobs' records from the key-value store and posts them to the event loop.
 type jobReader struct {
 	store   *kv.Client
 	group   *errgroup.Group
@@ -40,7 +41,8 @@
 	log     *slog.Logger
 }
 
-// reread reads a job's record in a goroutine of the group, and posts it if it exists.
+// reread reads a job's record in a goroutine of the group, and posts it if it exists. A failed read is
+// retried until the context ends.
 func (r *jobReader) reread(ctx context.Context, id ids.JobID) {
 	r.group.Go(func() error {
 		for ctx.Err() == nil {
@@ -58,7 +60,7 @@
 	})
 }
 
-// ReadJob reads a job's record from the store. found is false if there is none.
+// ReadJob reads a job's record from the key-value store. found reports whether it exists.
 func ReadJob(ctx context.Context, store *kv.Client, id ids.JobID) (job JobRecord, found bool, err error) {
 	entry, found, err := store.Get(ctx, records.JobKey(id))
 	if err != nil || !found {
@@ -66,19 +68,19 @@
 	}
 	record := new(records.Job)
 	if err := wire.Decode(entry.Value, record); err != nil {
-		return JobRecord{}, false, fmt.Errorf("record %s: %w", records.JobKey(id), err)
+		return JobRecord{}, false, fmt.Errorf("decode record %s: %w", records.JobKey(id), err)
 	}
 	return JobRecord{ID: id, Record: record, Revision: entry.Revision}, true, nil
 }
 
 // watch posts every change of jobs after a revision until the context ends. Most changes arrive
-// earlier as notices, which may be lost. The watch returns kv.ErrCompacted if the store no longer
-// keeps all changes since.
+// earlier as notifications, but these may be lost. It returns kv.ErrCompacted if the key-value store
+// no longer keeps all changes after the revision.
 func (r *jobReader) watch(ctx context.Context, since ids.Revision) error {
 	for {
-		revision, changes, err := r.store.Watch(ctx, records.JobPrefix, since, watchHold)
+		revision, changes, err := r.store.Watch(ctx, records.JobPrefix, since, watchTimeout)
 		if errors.Is(err, kv.ErrCompacted) {
-			return fmt.Errorf("watch on jobs: %w", err)
+			return fmt.Errorf("watch job records: %w", err)
 		}
 		if err != nil {
 			if !monotonic.Sleep(ctx, watchRetryDelay) {
@@ -94,7 +96,7 @@
 	}
 }
 
-// postChange posts a job's new record. It ignores deletions, which have no record.
+// postChange posts a job's new record. It ignores deletions, and logs records that cannot be decoded.
 func (r *jobReader) postChange(ctx context.Context, change kv.Event) {
 	if change.PutKey == "" {
 		return
--- a/controller/leader/leader.go
+++ b/controller/leader/leader.go
@@ -1,8 +1,8 @@
-// Package leader does the work of the elected leader during one term. A Leader loads the records
-// and passes events to the scheduler core: heartbeats, results of commits and calls, changes of
-// jobs. It executes the core's decisions: it writes records, calls workers, and provisions and
-// terminates machines. The elected controller makes one Leader for each term. A Leader never
-// outlives its term, and it makes no scheduling decisions itself: package scheduler does.
+// Package leader implements the elected leader during one term. A Leader loads the records from the
+// key-value store and passes events to the scheduler core: heartbeats, results of commits and calls,
+// and changes of jobs. It executes the core's decisions: it writes records, calls workers, and
+// provisions and terminates machines. The elected controller creates one Leader for each term. A
+// Leader never outlives its term. Package scheduler makes all scheduling decisions.
 package leader
 
 import (
@@ -30,29 +30,30 @@
 
 // Catalog holds the machine types of the cloud. It is safe for concurrent use.
 type Catalog interface {
-	// MachineTypes returns the types as last read; ok is false before the first read.
+	// MachineTypes returns the types as of the last read. ok is false before the first read.
 	MachineTypes() (types []wire.MachineType, ok bool)
 }
 
-// VersionGate reports whether every controller can read all forms of records that this version
+// VersionGate reports whether every controller can read all record formats that this version
 // writes. It is safe for concurrent use.
 type VersionGate interface {
-	// Open reports whether that is known. Once true, it stays true.
+	// Open reports whether every controller is known to read these formats. Once it has
+	// returned true, it always returns true.
 	Open() bool
-	// Load opens the gate if records.FormatKey in the store shows that it may open. It returns
-	// the store's errors.
+	// Load opens the gate if the record of records.FormatKey in the key-value store shows that
+	// every controller can read these formats. It returns the store's errors.
 	Load(ctx context.Context, store *kv.Client) error
 }
 
-// Peer is another controller, as known from its pings. It is safe for concurrent use.
+// Peer represents another controller and its state as of its last ping. It is safe for concurrent use.
 type Peer interface {
 	// FollowedRevision returns the revision of the leader that the peer follows.
 	FollowedRevision() ids.Revision
-	// HeardWithin reports whether the peer answered a ping within d before now.
-	HeardWithin(now monotonic.Instant, d time.Duration) bool
+	// AnsweredWithin reports whether the peer answered a ping within d before now.
+	AnsweredWithin(now monotonic.Instant, d time.Duration) bool
 }
 
-// Dependencies are what a Leader needs. The controller owns them; they outlive each term.
+// Dependencies holds what a Leader needs. The controller owns the values, which outlive each term.
 type Dependencies struct {
 	Platform    *config.Platform
 	Operator    *config.Operator
@@ -66,36 +67,36 @@
 	Peers       []Peer
 }
 
-// Leader is the leader of one term. Its event loop owns the scheduler core. All methods but Run
-// post events to it, and are safe for concurrent use.
+// Leader represents the leader of one term. Its event loop owns the scheduler core. All methods except Run
+// are safe for concurrent use; those that need the core post events to the event loop.
 type Leader struct {
 	dependencies Dependencies
 	term         *election.Term
 	mailbox      *mailbox
-	// core belongs to the event loop once Run has started it.
+	// core is used by the event loop alone once Run has started it.
 	core *scheduler.Core
-	// loadedRevision is the revision of the store at which the jobs were listed.
+	// loadedRevision is the revision of the key-value store at which the jobs were listed.
 	loadedRevision ids.Revision
-	// applied is the revision up to which the scheduler core allows all cancellations to be
-	// reported to users. The event loop writes it. See AcknowledgedRevision.
-	applied atomic.Uint64
+	// acknowledged is the revision up to which all cancellations may be acknowledged to users,
+	// according to the scheduler core. The event loop writes it. See AcknowledgedRevision.
+	acknowledged atomic.Uint64
 }
 
-// Load prepares the leader of a term by reading the records. Run must follow. Load fails with the
-// store's errors, with records.ErrFenced if a later leader was elected, and with the context's
-// error.
+// Load returns a leader for a term, with the records loaded from the key-value store. The caller
+// must then call Run. Load returns records.ErrFenced if a later leader was elected, and otherwise
+// the errors of the store and of the context.
 func Load(ctx context.Context, term *election.Term, dependencies Dependencies) (*Leader, error) {
-	load := &loader{Dependencies: dependencies, term: term}
-	if err := load.load(ctx); err != nil {
-		return nil, fmt.Errorf("taking over: %w", err)
+	recordLoader := &loader{Dependencies: dependencies, term: term}
+	if err := recordLoader.load(ctx); err != nil {
+		return nil, fmt.Errorf("load records for the new term: %w", err)
 	}
-	return &Leader{dependencies: dependencies, term: term, mailbox: newMailbox(), core: load.core, loadedRevision: load.revision}, nil
+	return &Leader{dependencies: dependencies, term: term, mailbox: newMailbox(), core: recordLoader.core, loadedRevision: recordLoader.revision}, nil
 }
 
-// Run leads until the context ends, the term is superseded, or another writer has changed the
+// Run runs the leader until the context ends, the term is superseded, or another writer changes
 // records that only this leader may change. It returns the cause.
 func (l *Leader) Run(ctx context.Context) error {
-	if l.dependencies.VersionGate.Open() { // it may have been opened while the records were read
+	if l.dependencies.VersionGate.Open() { // the gate may have opened while the records were loaded
 		l.core.EnableSplitRecords(l.dependencies.Clock.Now())
 	}
 	l.dependencies.Log.Info("records loaded", "leader_revision", l.term.Revision, "summary", l.core.Summary())
@@ -109,16 +110,16 @@
 	return err
 }
 
-// start starts the goroutines of the term in a group. They end when ctx does.
+// start starts the goroutines of the term in a group. They end when the context ends.
 func (l *Leader) start(ctx context.Context, group *errgroup.Group) {
 	d := &l.dependencies
-	// The cloud does not fence calls, so the client checks the term before each.
+	// The cloud does not fence calls, so the client checks the term before each call.
 	authorizedCloud := d.Cloud.AuthorizedBy(l.term.MayAnswerHeartbeats)
 	executors := l.newExecutors(group, authorizedCloud)
 	machines := machineLister{cloud: authorizedCloud, callsPerSecond: d.Platform.Settings.Cloud.RPS, clock: d.Clock,
 		mailbox: l.mailbox, log: d.Log}
 	loop := &eventLoop{core: l.core, executors: executors, term: l.term, peers: d.Peers, clock: d.Clock, mailbox: l.mailbox,
-		log: d.Log, observed: l.loadedRevision, applied: &l.applied}
+		log: d.Log, observedRevision: l.loadedRevision, acknowledged: &l.acknowledged}
 	group.Go(func() error { return executors.records.committer.Run(ctx) })
 	group.Go(func() error { return executors.jobs.watch(ctx, l.loadedRevision) })
 	group.Go(func() error { return machines.run(ctx) })
@@ -127,7 +128,7 @@
 	group.Go(func() error { return loop.run(ctx) })
 }
 
-// newExecutors makes the executors of the term; their goroutines belong to the group.
+// newExecutors returns the executors of the term. Their goroutines run in the group.
 func (l *Leader) newExecutors(group *errgroup.Group, authorizedCloud *cloud.Client) *executors {
 	d := &l.dependencies
 	fence := &kv.Precondition{Key: records.LeaderKey, Revision: l.term.Revision}
--- a/controller/leader/leader_test.go
+++ b/controller/leader/leader_test.go
@@ -18,24 +18,25 @@
 	"ospreystile.example/ospreystile/worker"
 )
 
-// testCatalog is a Catalog that was read.
+// testCatalog is a Catalog that has been read.
 type testCatalog []wire.MachineType
 
 func (c testCatalog) MachineTypes() ([]wire.MachineType, bool) { return c, true }
 
-// testGate is a VersionGate that the store cannot open.
-type testGate struct{ open bool }
+// testVersionGate is a VersionGate that Load does not open.
+type testVersionGate struct{ open bool }
 
-func (g *testGate) Open() bool                           { return g.open }
-func (*testGate) Load(context.Context, *kv.Client) error { return nil }
+func (g *testVersionGate) Open() bool                           { return g.open }
+func (*testVersionGate) Load(context.Context, *kv.Client) error { return nil }
 
-// testPeer is a Peer that follows the leader of a revision and was never heard.
+// testPeer is a Peer that follows the leader of a given revision and has never answered a ping.
 type testPeer struct{ followed atomic.Uint64 }
 
-func (p *testPeer) FollowedRevision() ids.Revision                  { return ids.Revision(p.followed.Load()) }
-func (*testPeer) HeardWithin(monotonic.Instant, time.Duration) bool { return false }
+func (p *testPeer) FollowedRevision() ids.Revision                     { return ids.Revision(p.followed.Load()) }
+func (*testPeer) AnsweredWithin(monotonic.Instant, time.Duration) bool { return false }
 
-// testDependencies are those of controller n-0, whose key-value store is at an address.
+// testDependencies returns the dependencies of a leader on controller n-0, whose key-value store is at the
+// given address.
 func testDependencies(t *testing.T, store string) Dependencies {
 	t.Helper()
 	operator, err := config.ParseOperator(nil)
@@ -55,9 +56,9 @@
 		Cloud:       cloud.New("127.0.0.1:3", platform.Settings.Cloud.RPS),
 		Workers:     worker.New(),
 		Catalog:     testCatalog{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}},
-		VersionGate: new(testGate),
+		VersionGate: new(testVersionGate),
 	}
 }
 
-// testTerm is a term without an election: nothing may be asked of it but its revision.
+// testTerm returns a term without an election. Only its revision may be used.
 func testTerm(revision ids.Revision) *election.Term { return &election.Term{Revision: revision} }
--- a/controller/leader/load.go
+++ b/controller/leader/load.go
@@ -17,23 +17,23 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// catalogRetryDelay is the time between two checks whether the catalog was read.
-const catalogRetryDelay = 100 * time.Millisecond
+// catalogCheckInterval is the time between two checks whether the catalog has been read.
+const catalogCheckInterval = 100 * time.Millisecond
 
-// loader makes a scheduler core from the records. One goroutine uses it once, before the event
+// loader creates a scheduler core from the records. One goroutine uses it once, before the event
 // loop starts.
 type loader struct {
 	Dependencies
 	term *election.Term
 	core *scheduler.Core
-	// revision is the store's revision at which the jobs were listed. Users' requests may have
-	// changed jobs since, so the watch starts there.
+	// revision is the revision of the key-value store at which the jobs were listed. Users'
+	// requests may have changed jobs since then, so the watch starts at this revision.
 	revision ids.Revision
 }
 
-// load reads all records. Commits of earlier leaders are fenced by the revisions of their terms, so
-// only jobs change meanwhile. Jobs and zones are loaded before admissions, so that each admitted
-// task is counted for its job and its zone.
+// load loads all records into a new core. Commits of previous leaders are fenced by the revisions of
+// their terms, so only jobs can change in the meantime. Jobs and zones are loaded before admissions,
+// so that each admitted task is counted for its job and its zone.
 func (l *loader) load(ctx context.Context) error {
 	types, err := l.awaitCatalog(ctx)
 	if err != nil {
@@ -42,7 +42,7 @@
 	if err := l.VersionGate.Load(ctx, l.Store); err != nil {
 		return err
 	}
-	previousLeader, err := l.claimFleet(ctx)
+	previousLeader, err := l.ensureFleetRecord(ctx)
 	if err != nil {
 		return err
 	}
@@ -62,20 +62,21 @@
 	return nil
 }
 
-// awaitCatalog waits until the cloud's catalog was read.
+// awaitCatalog waits until the cloud's catalog has been read, and returns its machine types.
 func (l *loader) awaitCatalog(ctx context.Context) ([]wire.MachineType, error) {
 	for {
 		if types, ok := l.Catalog.MachineTypes(); ok {
 			return types, nil
 		}
-		if !monotonic.Sleep(ctx, catalogRetryDelay) {
+		if !monotonic.Sleep(ctx, catalogCheckInterval) {
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// claimFleet reports whether any leader led before. If none did, it records that this one does.
-func (l *loader) claimFleet(ctx context.Context) (previousLeader bool, err error) {
+// ensureFleetRecord reports whether the fleet record exists, which means that there was a previous
+// leader. If the record does not exist, ensureFleetRecord writes it.
+func (l *loader) ensureFleetRecord(ctx context.Context) (previousLeader bool, err error) {
 	if _, found, err := l.Store.Get(ctx, records.FleetKey); found || err != nil {
 		return found, err
 	}
@@ -92,7 +93,7 @@
 	return false, nil
 }
 
-// loadJob loads a job's record.
+// loadJob loads a job's record. A record that cannot be decoded is logged and registered as unreadable.
 func (l *loader) loadJob(entry kv.Entry) error {
 	id := ids.JobID(entry.Key[len(records.JobPrefix):])
 	var record records.Job
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// loadZones loads the records of zones if the operators' settings enable zone recovery.
+// loadZones loads the zones' records if the operators' settings enable zone recovery.
 func (l *loader) loadZones(ctx context.Context) error {
 	if l.Operator.ZoneRecoveryPolicy == nil {
 		return nil
@@ -114,7 +115,8 @@
 	return err
 }
 
-// loadZone loads a zone's record.
+// loadZone loads a zone's record. A record that cannot be decoded is logged and registered as
+// unreadable.
 func (l *loader) loadZone(entry kv.Entry) error {
 	zone := ids.Zone(strings.TrimPrefix(entry.Key, records.ZonePrefix))
 	var record zonerecovery.Record
@@ -127,7 +129,7 @@
 	return nil
 }
 
-// loadAdmission loads an admission slice. If that is unreadable, its job is suspended.
+// loadAdmission loads an admission slice. If the slice is unreadable, its job is suspended.
 func (l *loader) loadAdmission(entry kv.Entry) error {
 	id, number, ok := records.ParseAdmissionKey(entry.Key)
 	if !ok {
@@ -145,8 +147,8 @@
 	return nil
 }
 
-// logUnreadable logs a record that cannot be decoded. Such a record is never treated as absent, and
-// never ends a term: it would end every later term too, and no job would be scheduled.
+// logUnreadable logs a record that cannot be decoded. Such a record is never treated as absent. It does
+// not end the term either: it would end every later term too, and no job would be scheduled.
 func logUnreadable(log *slog.Logger, key string, err error) {
 	log.Error("record unreadable", "key", key, "err", err)
 }
--- a/controller/leader/load_test.go
+++ b/controller/leader/load_test.go
@@ -16,9 +16,10 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// unreadableRecords starts a key-value store with records that cannot be read: of job-1, of
-// job-4, whose tasks are placed, and of where tasks of job-3 are.
-func unreadableRecords(t *testing.T) string {
+// startStoreWithUnreadableRecords starts a key-value store in which three records cannot be decoded: the
+// job records of job-1 and of job-4, whose tasks are placed, and the admission slice of job-3. It returns
+// the address of the store.
+func startStoreWithUnreadableRecords(t *testing.T) string {
 	t.Helper()
 	readable := records.Job{Status: wire.JobQueued, Tasks: 1, Spec: &wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1}}
 	placed := records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}}
@@ -34,18 +35,18 @@
 	return server.Address()
 }
 
-// loadCore loads the records of a store at an address.
+// loadCore returns a core with the records of the dependencies' key-value store.
 func loadCore(t *testing.T, dependencies Dependencies) *scheduler.Core {
 	t.Helper()
-	load := &loader{Dependencies: dependencies, term: testTerm(5)}
-	if err := load.load(t.Context()); err != nil {
-		t.Fatalf("loading: %v", err)
+	recordLoader := &loader{Dependencies: dependencies, term: testTerm(5)}
+	if err := recordLoader.load(t.Context()); err != nil {
+		t.Fatalf("load records: %v", err)
 	}
-	return load.core
+	return recordLoader.core
 }
 
-// operations are the operations of a step's changes of records.
-func operations(core *scheduler.Core, now monotonic.Instant) (keys []string) {
+// changedKeys returns the keys that the record changes of one step put or delete.
+func changedKeys(core *scheduler.Core, now monotonic.Instant) (keys []string) {
 	for _, change := range core.Step(now).RecordChanges {
 		for _, operation := range change.Operations {
 			keys = append(keys, operation.PutKey+operation.DeleteKey)
@@ -54,48 +55,49 @@
 	return keys
 }
 
-// A leader that ended its term for an unreadable record would end every later one too, and all
-// jobs would be forgotten with it.
+// A single unreadable record must not end the term. It would end every later term too, and no job would
+// be scheduled. The leader logs such records and loads the others.
 func TestUnreadableRecordDoesNotEndTheTerm(t *testing.T) {
-	dependencies := testDependencies(t, unreadableRecords(t))
+	dependencies := testDependencies(t, startStoreWithUnreadableRecords(t))
 	var logged bytes.Buffer
 	dependencies.Log = slog.New(slog.NewTextHandler(&logged, nil))
 	core := loadCore(t, dependencies)
 	if _, ok := core.Progress("job-2"); !ok {
-		t.Error("the job beside it was lost")
+		t.Error("the readable job-2 is not loaded")
 	}
 	for _, key := range []string{"jobs/job-1", "jobs/job-4", "admissions/job-3/00000"} {
 		if !strings.Contains(logged.String(), "key="+key) {
-			t.Errorf("%s is not reported", key)
+			t.Errorf("unreadable record %s is not logged", key)
 		}
 	}
 }
 
-// A job is not started elsewhere while it is not known where its tasks run, as those of job-3.
+// The tasks of a job with an unreadable admission slice, as job-3, may already run on some machine. If the
+// job were placed again, its tasks would run twice.
 func TestJobWithUnreadableAdmissionIsNotPlaced(t *testing.T) {
-	dependencies := testDependencies(t, unreadableRecords(t))
+	dependencies := testDependencies(t, startStoreWithUnreadableRecords(t))
 	core := loadCore(t, dependencies)
 	now := dependencies.Clock.Now()
 	heartbeat := &wire.Heartbeat{Machine: "n-1", Endpoint: "n-1", Type: "m", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: ids.NewFencingToken(5, 0)}
 	if !core.HeartbeatFromCall(now, heartbeat) {
-		t.Fatal("heartbeat refused")
+		t.Fatal("the core rejected the heartbeat")
 	}
-	if written := operations(core, now); !slices.Equal(written, []string{"admissions/job-2/00000"}) {
-		t.Errorf("placed %v", written)
+	if written := changedKeys(core, now); !slices.Equal(written, []string{"admissions/job-2/00000"}) {
+		t.Errorf("the step changed %v, want only the admission of job-2", written)
 	}
 }
 
-// What is recorded of where a job's tasks are outlives a specification of the job that cannot be
-// read: it is not dropped like what is left of a finished job.
+// The admission slices of a job whose own record is unreadable are kept, because they name the machines
+// of its tasks. They must not be deleted like the slices of a job that has ended.
 func TestAdmissionsOfAnUnreadableJobAreKept(t *testing.T) {
-	dependencies := testDependencies(t, unreadableRecords(t))
+	dependencies := testDependencies(t, startStoreWithUnreadableRecords(t))
 	core := loadCore(t, dependencies)
 	now := dependencies.Clock.Now()
 	for range 20 {
 		now = now.Add(time.Second)
-		for _, key := range operations(core, now) {
+		for _, key := range changedKeys(core, now) {
 			if strings.Contains(key, "job-4") {
-				t.Fatalf("changed %s", key)
+				t.Fatalf("the step changed %s", key)
 			}
 		}
 	}
--- a/controller/leader/machines.go
+++ b/controller/leader/machines.go
@@ -13,10 +13,10 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// cloudRetryDelay is the delay before a call to the cloud with an indeterminate result is repeated.
+// cloudRetryDelay is the delay before a cloud call with an indeterminate result is retried.
 const cloudRetryDelay = time.Second
 
-// provisioner provisions machines, each request in a goroutine of the group.
+// provisioner provisions machines. Each request runs in a goroutine of the group.
 type provisioner struct {
 	cloud   *cloud.Client
 	group   *errgroup.Group
@@ -24,7 +24,7 @@
 	log     *slog.Logger
 }
 
-// provision repeats a request until its result is definite, and posts provisioningFinished.
+// provision retries a request until its result is definite, and then posts provisioningFinished.
 func (p *provisioner) provision(ctx context.Context, request wire.ProvisionRequest) {
 	p.group.Go(func() error {
 		if finished, ok := p.resolve(ctx, request); ok {
@@ -34,8 +34,8 @@
 	})
 }
 
-// resolve repeats a request until its result is definite. The request ID makes it idempotent. ok
-// is false if the context ended first.
+// resolve retries a request until its result is definite. The request ID makes the request
+// idempotent. ok is false if the context ends first.
 func (p *provisioner) resolve(ctx context.Context, request wire.ProvisionRequest) (finished provisioningFinished, ok bool) {
 	for ctx.Err() == nil {
 		machines, err := p.cloud.Provision(ctx, request)
@@ -52,11 +52,11 @@
 }
 
 const (
-	// listInterval is the least time between two reads of the cloud's list of machines.
+	// listInterval is the minimum time between two reads of the cloud's list of machines.
 	listInterval = 2 * time.Second
-	// listCallShare is one divided by the share of the cloud's call rate that reading the
-	// list may take; provisioning and termination need the rest.
-	listCallShare = 5
+	// listCallRateDivisor divides the cloud's call rate to yield the part that reading the list
+	// may use. Provisioning and termination need the rest.
+	listCallRateDivisor = 5
 )
 
 // machineLister reads the cloud's list of machines periodically.
@@ -68,25 +68,25 @@
 	log            *slog.Logger
 }
 
-// run posts each list until the context ends.
+// run reads the list and posts it, repeatedly until the context ends.
 func (m *machineLister) run(ctx context.Context) error {
 	for {
-		asked := m.clock.Now()
+		requestedAt := m.clock.Now()
 		machines, err := m.cloud.List(ctx)
 		if err == nil {
-			m.mailbox.post(ctx, machineListRead{asked: asked, machines: machines})
+			m.mailbox.post(ctx, machineListRead{requestedAt: requestedAt, machines: machines})
 		} else {
 			m.log.Debug("machine list failed", "err", err)
 		}
-		if !monotonic.Sleep(ctx, m.pause(len(machines))) {
+		if !monotonic.Sleep(ctx, m.interval(len(machines))) {
 			return ctx.Err()
 		}
 	}
 }
 
-// pause returns the time to the next read after a list of a number of machines. Each page of the
-// list takes one call.
-func (m *machineLister) pause(machines int) time.Duration {
+// interval returns the time between reading a list of the given number of machines and the next read.
+// Each page of the list takes one call.
+func (m *machineLister) interval(machines int) time.Duration {
 	pages := float64(1 + machines/cloud.PageSize)
-	return max(listInterval, monotonic.Seconds(listCallShare*pages/m.callsPerSecond))
+	return max(listInterval, monotonic.Seconds(listCallRateDivisor*pages/m.callsPerSecond))
 }
--- a/controller/leader/mailbox.go
+++ b/controller/leader/mailbox.go
@@ -6,17 +6,17 @@
 	"ospreystile.example/ospreystile/controller/peerapi"
 )
 
-// maxQueuedEvents bounds the events that wait for the event loop.
+// maxQueuedEvents is the capacity of the queue of events.
 const maxQueuedEvents = 64
 
-// event is an input of the event loop: something that happened, or a request that needs an answer.
+// event is an input of the event loop: an occurrence, or a request that needs an answer.
 type event interface {
-	// applyTo is called by the event loop alone, so it may use the scheduler core. It must
-	// not block.
+	// applyTo applies the event to the scheduler core. Only the event loop calls it. It must not
+	// block.
 	applyTo(loop *eventLoop)
 }
 
-// mailbox is the queue of events between other goroutines and the event loop.
+// mailbox is the queue through which other goroutines pass events to the event loop.
 type mailbox struct {
 	events chan event
 	closed chan struct{}
@@ -26,11 +26,11 @@
 	return &mailbox{events: make(chan event, maxQueuedEvents), closed: make(chan struct{})}
 }
 
-// close ends all calls of post and request that wait. It must be called once.
+// close unblocks all calls of post and request. It must be called only once.
 func (m *mailbox) close() { close(m.closed) }
 
-// post queues an event. It blocks while the queue is full, as backpressure on the sender. It
-// returns false if the context or the term ended first.
+// post queues an event and reports whether it did. It blocks while the queue is full, as
+// backpressure on the sender. It returns false if the context or the term ends first.
 func (m *mailbox) post(ctx context.Context, e event) bool {
 	select {
 	case m.events <- e:
@@ -41,9 +41,9 @@
 	return false
 }
 
-// request queues an event and waits for the answer that the event loop sends on its reply
-// channel, which must have a buffer. It fails with peerapi.ErrNotLeading if the context or the
-// term ends first; the event may still be applied.
+// request queues an event and returns the answer that the event loop sends on the event's reply
+// channel, which must have a buffer. It returns peerapi.ErrNotLeading if the context or the term
+// ends first. The event may still be applied then.
 func request[A any](ctx context.Context, m *mailbox, e event, reply <-chan A) (A, error) {
 	if m.post(ctx, e) {
 		select {
@@ -53,6 +53,6 @@
 		case <-ctx.Done():
 		}
 	}
-	var none A
-	return none, peerapi.ErrNotLeading
+	var zero A
+	return zero, peerapi.ErrNotLeading
 }
--- a/controller/leader/options.go
+++ b/controller/leader/options.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// roundInterval is the least time between two scheduling rounds.
+	// roundInterval is the minimum time between two scheduling rounds.
 	roundInterval = 50 * time.Millisecond
-	// roundCostPerMachine is three times the time that a round takes for each machine on a
-	// whole core, so that rounds take at most a third of the processor.
+	// roundCostPerMachine is the delay of the next round for each machine that a round examines.
+	// It is three times the time that the examination takes on a full CPU core, so that rounds
+	// use at most a third of the CPU time.
 	roundCostPerMachine = 300 * time.Nanosecond
-	// lazyWriteDelay is how long the record of a task that ended may be delayed. The task runs
-	// again if both its machine and the leader are lost in that time.
+	// lazyWriteDelay is how long the record of a task that ended may be delayed. If both the
+	// task's machine and the leader fail in that time, the task runs again.
 	lazyWriteDelay = 3 * time.Second
-	// maxWorkerCalls and minWorkerCalls bound the calls to workers in flight. Between these
-	// bounds, one call is allowed for each socketsPerWorkerCall sockets.
+	// maxWorkerCalls and minWorkerCalls bound the limit on calls to workers in flight. Between
+	// these bounds, the limit is one call for each socketsPerWorkerCall sockets.
 	maxWorkerCalls       = 64
 	minWorkerCalls       = 8
 	socketsPerWorkerCall = 16
-	// recordWriteShare is the part of the key-value store's write rate for the leader's
-	// records. Users' submissions and cancellations need the rest.
-	recordWriteShare = 0.7
+	// recordWriteFraction is the fraction of the key-value store's write rate that the leader's
+	// records may use. Users' submissions and cancellations need the rest.
+	recordWriteFraction = 0.7
 )
 
 // transactionLimits returns the bounds of one transaction.
@@ -36,7 +37,7 @@
 	return settings.TransactionLimits(d.Platform)
 }
 
-// schedulerOptions returns the scheduler core's options for a term, without the time of day.
+// schedulerOptions returns the scheduler core's options for a term. It does not set WallClockMS.
 func (d *Dependencies) schedulerOptions(revision ids.Revision, previousLeader bool) scheduler.Options {
 	options := scheduler.Options{
 		Revision:     revision,
@@ -45,7 +46,7 @@
 			PreviousLeader: previousLeader,
 		},
 	}
-	d.setGrace(&options)
+	d.setPreviousLeaderGrace(&options)
 	setWorkerOptions(&options, d.Platform)
 	d.setRecordOptions(&options)
 	setQuotaOptions(&options, d.Platform, d.Operator)
@@ -53,9 +54,9 @@
 	return options
 }
 
-// setGrace sets for how long earlier leaders may answer heartbeats. Leaders of versions without the
-// version gate may do so for the whole outage grace.
-func (d *Dependencies) setGrace(options *scheduler.Options) {
+// setPreviousLeaderGrace sets for how long previous leaders may answer heartbeats. Previous leaders of
+// versions without the version gate may do so for the whole outage grace.
+func (d *Dependencies) setPreviousLeaderGrace(options *scheduler.Options) {
 	options.PreviousLeaderGrace, options.PreviousLeaderGraceWithoutReplicas = d.Operator.Grace(), d.Operator.Grace()
 	if d.VersionGate.Open() {
 		options.PreviousLeaderGrace = settings.IsolatedReplicaGrace(d.Platform, d.Operator)
@@ -63,7 +64,8 @@
 	}
 }
 
-// setWorkerOptions sets the times of the protocol with workers, and the bounds of calls to them.
+// setWorkerOptions sets the intervals and deadlines of the protocol with workers, the pace of scheduling
+// rounds, and the limit on calls to workers.
 func setWorkerOptions(options *scheduler.Options, platform *config.Platform) {
 	s := &platform.Settings
 	options.HeartbeatInterval = monotonic.Seconds(s.Workers.HeartbeatIntervalS)
@@ -75,17 +77,17 @@
 	options.MaxWorkerCalls = min(maxWorkerCalls, max(minWorkerCalls, s.Resources.Sockets/socketsPerWorkerCall))
 }
 
-// setRecordOptions sets the bounds of records.
+// setRecordOptions sets the limits on the size and the write rate of records.
 func (d *Dependencies) setRecordOptions(options *scheduler.Options) {
 	options.TxnOps = d.transactionLimits().Operations
 	options.ValueBytes = settings.MaxValueBytes(d.Platform)
 	options.SplitRecords = d.VersionGate.Open()
 	options.SliceTasks = d.Operator.Quota.SliceTasks
 	options.LazyWriteDelay = lazyWriteDelay
-	options.WriteRate = recordWriteShare * d.Platform.Settings.KV.Planned().WriteRPS
+	options.WriteRate = recordWriteFraction * d.Platform.Settings.KV.Planned().WriteRPS
 }
 
-// setQuotaOptions sets the teams' quotas and the rules of queueing.
+// setQuotaOptions sets the teams' quotas and the options of the job queue.
 func setQuotaOptions(options *scheduler.Options, platform *config.Platform, operator *config.Operator) {
 	for _, team := range platform.Settings.Teams {
 		options.Teams = append(options.Teams, quotaOf(team, operator.Quota.LendingLimits))
@@ -96,7 +98,7 @@
 	options.ReserveFor = monotonic.Seconds(operator.Quota.ReserveForS)
 }
 
-// setFleetOptions sets the rules by which machines are provisioned and terminated.
+// setFleetOptions sets the options for provisioning and terminating machines.
 func setFleetOptions(options *scheduler.Options, platform *config.Platform, operator *config.Operator) {
 	fleet := &operator.Fleet
 	options.ListLag = monotonic.Seconds(platform.Settings.Cloud.ListLagS)
@@ -109,31 +111,32 @@
 	options.MaxMachines = fleet.MaxMachines
 }
 
-// objectiveWait is the kind of service-level objective that bounds how long tasks wait to start.
-const objectiveWait = "wait"
+// objectiveKindWait is the kind of service-level objective that limits how long tasks wait to start.
+const objectiveKindWait = "wait"
 
-// fastestBootS is a lower bound of machines' boot times in seconds, independent of the catalog.
-// Tasks that must start sooner cannot wait for a machine to boot.
-const fastestBootS = 10
+// minBootTimeS is a lower bound of machines' boot times in seconds, independent of the catalog. Tasks
+// that must start within this time cannot wait for a machine to boot.
+const minBootTimeS = 10
 
-// latencySensitive returns the classes whose tasks must start sooner than a machine boots, and
-// within which time.
+// latencySensitive returns the classes whose tasks must start before a new machine could boot, with
+// the time within which they must start.
 func latencySensitive(objectives []config.ServiceLevelObjective) map[string]time.Duration {
 	classes := map[string]time.Duration{}
 	for _, objective := range objectives {
-		if objective.Kind == objectiveWait && objective.WithinS <= fastestBootS {
+		if objective.Kind == objectiveKindWait && objective.WithinS <= minBootTimeS {
 			classes[objective.Class] = monotonic.Seconds(objective.WithinS)
 		}
 	}
 	return classes
 }
 
-// quotaOf returns a team's quota. Without a lending limit the whole nominal quota is lent while idle.
+// quotaOf returns a team's quota. Without a lending limit, other teams may borrow the whole nominal
+// quota while it is idle.
 func quotaOf(team config.Team, lendingLimits map[ids.Team]float64) quota.Team {
 	nominal := quota.Amount{CPUs: team.CPUs, GPUs: team.GPUs}
-	lend := nominal
+	lendingLimit := nominal
 	if limit, ok := lendingLimits[team.Name]; ok {
-		lend.CPUs = min(limit, lend.CPUs)
+		lendingLimit.CPUs = min(limit, lendingLimit.CPUs)
 	}
-	return quota.Team{Name: team.Name, Nominal: nominal, Limit: settings.TeamLimit(team), LendingLimit: lend}
+	return quota.Team{Name: team.Name, Nominal: nominal, Limit: settings.TeamLimit(team), LendingLimit: lendingLimit}
 }
--- a/controller/leader/peers.go
+++ b/controller/leader/peers.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// peerTimeout is after how long without an answer to a ping a peer counts as unreachable.
+	// peerTimeout is how long after its last answer to a ping a peer counts as reachable.
 	peerTimeout = 5 * time.Second
 	// followerCheckInterval is the time between two checks whether a peer follows this leader.
 	followerCheckInterval = 200 * time.Millisecond
 )
 
-// connectivity returns the leader's view of its own connections: whether it holds its lease, and
-// how many peers it reaches.
+// connectivity returns the leader's view of its own connectivity: whether it holds its lease, and how
+// many peers are reachable.
 func connectivity(leaseConfirmed bool, peers []Peer, now monotonic.Instant) zonerecovery.Connectivity {
 	view := zonerecovery.Connectivity{LeaseConfirmed: leaseConfirmed, Peers: len(peers)}
 	for _, peer := range peers {
-		if peer.HeardWithin(now, peerTimeout) {
+		if peer.AnsweredWithin(now, peerTimeout) {
 			view.PeersReachable++
 		}
 	}
 	return view
 }
 
-// awaitFollowers waits until the pings of each peer show that it follows this leader or a later
-// one, and posts followersConfirmed.
+// awaitFollowers waits until each peer's pings show that the peer follows this leader or a later one,
+// and then posts followersConfirmed.
 func awaitFollowers(ctx context.Context, peers []Peer, revision ids.Revision, mailbox *mailbox) error {
 	for _, peer := range peers {
 		for peer.FollowedRevision() < revision {
--- a/controller/leader/peers_test.go
+++ b/controller/leader/peers_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// followersConfirmed is posted only once all peers follow this leader: one that does not may be an
-// earlier leader that still answers heartbeats.
-func TestAllPeersMustFollow(t *testing.T) {
+// followersConfirmed is posted only once all peers follow this leader. A peer that does not may be a
+// previous leader that still answers heartbeats.
+func TestFollowersConfirmedRequiresAllPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second := new(testPeer), new(testPeer)
-		inbox := newMailbox()
+		leaderMailbox := newMailbox()
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
-		go func() { done <- awaitFollowers(ctx, []Peer{first, second}, 7, inbox) }()
+		go func() { done <- awaitFollowers(ctx, []Peer{first, second}, 7, leaderMailbox) }()
 		for _, step := range []struct {
 			first, second uint64
 			posted        int
@@ -23,11 +23,11 @@
 			first.followed.Store(step.first)
 			second.followed.Store(step.second)
 			time.Sleep(time.Second)
-			if posted := len(inbox.events); posted != step.posted {
+			if posted := len(leaderMailbox.events); posted != step.posted {
 				t.Errorf("%+v: posted %d times", step, posted)
 			}
 		}
-		if e, ok := (<-inbox.events).(followersConfirmed); !ok {
+		if e, ok := (<-leaderMailbox.events).(followersConfirmed); !ok {
 			t.Errorf("posted %T", e)
 		}
 		cancel()
--- a/controller/leader/request_events.go
+++ b/controller/leader/request_events.go
@@ -6,29 +6,30 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// Events with an answer. Each reply channel has a buffer of one, so the event loop never blocks on
-// a requester that has given up.
+// The events in this file have an answer. Each reply channel has a buffer of one, so the event loop
+// never blocks on a requester that has given up.
 
-// cancellationAcknowledgementAsked has the core observe the record of a cancelled job, and asks
-// whether the cancellation may be acknowledged.
-type cancellationAcknowledgementAsked struct {
+// cancellationAcknowledgementRequested holds the record of a cancelled job. The core observes the
+// record. The answer reports whether the cancellation may be acknowledged to users.
+type cancellationAcknowledgementRequested struct {
 	job   JobRecord
 	reply chan<- bool
 }
 
-func (e cancellationAcknowledgementAsked) applyTo(loop *eventLoop) {
+func (e cancellationAcknowledgementRequested) applyTo(loop *eventLoop) {
 	now := loop.clock.Now()
 	loop.core.ObserveJob(now, e.job.ID, e.job.Record, e.job.Revision)
 	e.reply <- loop.core.CanAcknowledgeCancel(now, e.job.ID)
 }
 
-// progressAsked asks for the progress of those of the jobs that the core knows.
-type progressAsked struct {
+// progressRequested requests the progress of jobs. The answer omits the jobs that the core does not
+// know.
+type progressRequested struct {
 	jobs  []ids.JobID
 	reply chan<- map[ids.JobID]scheduler.Progress
 }
 
-func (e progressAsked) applyTo(loop *eventLoop) {
+func (e progressRequested) applyTo(loop *eventLoop) {
 	known := make(map[ids.JobID]scheduler.Progress, len(e.jobs))
 	for _, id := range e.jobs {
 		if progress, ok := loop.core.Progress(id); ok {
@@ -38,41 +39,42 @@
 	e.reply <- known
 }
 
-// zoneStatusAsked asks for the conditions of all zones.
-type zoneStatusAsked struct {
+// zoneStatusRequested requests the conditions of all zones.
+type zoneStatusRequested struct {
 	reply chan<- []zonerecovery.Status
 }
 
-func (e zoneStatusAsked) applyTo(loop *eventLoop) {
+func (e zoneStatusRequested) applyTo(loop *eventLoop) {
 	e.reply <- loop.core.ZoneStatus(loop.clock.Now())
 }
 
-// overrideTicket identifies an override that the core has accepted; see zoneOverrideRecordedAsked.
-// watched is false if zone recovery is disabled; the core ignores the override then.
-type overrideTicket struct {
-	number  uint64
-	watched bool
+// acceptedOverride identifies an override that the core has accepted; see zoneOverrideCheckRequested.
+// If recoveryEnabled is false, zone recovery is disabled and the core has ignored the override.
+type acceptedOverride struct {
+	number          uint64
+	recoveryEnabled bool
 }
 
-// zoneOverrideAsked has the core apply an operator's override.
-type zoneOverrideAsked struct {
+// zoneOverrideRequested requests that the core apply an operator's override.
+type zoneOverrideRequested struct {
 	zone     ids.Zone
 	override zonerecovery.Override
-	reply    chan<- overrideTicket
+	reply    chan<- acceptedOverride
 }
 
-func (e zoneOverrideAsked) applyTo(loop *eventLoop) {
-	number, watched := loop.core.OverrideZone(loop.clock.Now(), e.zone, e.override)
-	e.reply <- overrideTicket{number: number, watched: watched}
+func (e zoneOverrideRequested) applyTo(loop *eventLoop) {
+	number, recoveryEnabled := loop.core.OverrideZone(loop.clock.Now(), e.zone, e.override)
+	e.reply <- acceptedOverride{number: number, recoveryEnabled: recoveryEnabled}
 }
 
-// zoneOverrideRecordedAsked asks whether an override is recorded.
-type zoneOverrideRecordedAsked struct {
+// zoneOverrideCheckRequested requests a check of an override. The answer reports whether the override
+// is recorded.
+type zoneOverrideCheckRequested struct {
 	zone   ids.Zone
 	number uint64
 	reply  chan<- bool
 }
 
-func (e zoneOverrideRecordedAsked) applyTo(loop *eventLoop) {
+func (e zoneOverrideCheckRequested) applyTo(loop *eventLoop) {
 	e.reply <- loop.core.ZoneOverrideRecorded(e.zone, e.number)
 }
--- a/controller/leader/termination.go
+++ b/controller/leader/termination.go
@@ -12,29 +12,29 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// terminationInterval is the least time between two calls that terminate machines.
+// terminationInterval is the minimum time between two calls that terminate machines.
 const terminationInterval = 400 * time.Millisecond
 
-// terminator collects machines to terminate in batches, to leave most of the cloud's request rate
-// to provisioning.
+// terminator terminates machines in batches, so that most of the cloud's request rate remains available
+// for provisioning.
 type terminator struct {
 	cloud   *cloud.Client
 	mailbox *mailbox
 	log     *slog.Logger
-	// waiting holds the machines that are in no call yet. It has no limit, because a decision of
-	// the core must not be dropped.
-	waiting *workqueue.Queue[ids.MachineID]
+	// queue holds the machines that are not yet part of a call. It is unbounded, because a
+	// decision of the core must not be dropped.
+	queue *workqueue.Queue[ids.MachineID]
 }
 
 func newTerminator(client *cloud.Client, mailbox *mailbox, log *slog.Logger) *terminator {
-	return &terminator{cloud: client, mailbox: mailbox, log: log, waiting: workqueue.New[ids.MachineID](math.MaxInt)}
+	return &terminator{cloud: client, mailbox: mailbox, log: log, queue: workqueue.New[ids.MachineID](math.MaxInt)}
 }
 
 // add queues machines. It does not block.
-func (t *terminator) add(machines []ids.MachineID) { t.waiting.Add(machines...) }
+func (t *terminator) add(machines []ids.MachineID) { t.queue.Add(machines...) }
 
-// takeBatch removes as many machines from the queue as one call may terminate.
-func (t *terminator) takeBatch() []ids.MachineID { return t.waiting.Take(cloud.MaxTerminateBatch) }
+// takeBatch removes and returns as many queued machines as one call may terminate.
+func (t *terminator) takeBatch() []ids.MachineID { return t.queue.Take(cloud.MaxTerminateBatch) }
 
 // run terminates the queued machines until the context ends.
 func (t *terminator) run(ctx context.Context) error {
@@ -42,7 +42,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-t.waiting.Added():
+		case <-t.queue.Added():
 		}
 		for batch := t.takeBatch(); len(batch) > 0; batch = t.takeBatch() {
 			if err := t.terminate(ctx, batch); err != nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// terminate repeats a call until the cloud confirms that the machines are terminated, and
-// posts terminationFinished.
+// terminate retries a call until the cloud confirms that the machines are terminated, and then posts
+// terminationFinished.
 func (t *terminator) terminate(ctx context.Context, machines []ids.MachineID) error {
 	for {
 		err := t.cloud.Terminate(ctx, machines)
--- a/controller/leader/workers.go
+++ b/controller/leader/workers.go
@@ -12,10 +12,10 @@
 	"ospreystile.example/ospreystile/worker"
 )
 
-// workerCallTimeout is how long a call to a worker may take.
+// workerCallTimeout is the timeout of a call to a worker.
 const workerCallTimeout = 2 * time.Second
 
-// workerCaller calls workers, each call in a goroutine of the group.
+// workerCaller calls workers. Each call runs in a goroutine of the group.
 type workerCaller struct {
 	client  *worker.Client
 	group   *errgroup.Group
@@ -23,7 +23,7 @@
 	log     *slog.Logger
 }
 
-// sendCommands sends commands to a worker, and posts workerCallFinished.
+// sendCommands sends commands to a worker, and then posts workerCallFinished.
 func (c *workerCaller) sendCommands(ctx context.Context, machine ids.MachineID, endpoint string, commands wire.CommandBatch) {
 	c.group.Go(func() error {
 		heartbeat, err := c.client.SendCommands(ctx, endpoint, commands, workerCallTimeout)
@@ -36,7 +36,7 @@
 	})
 }
 
-// requestHeartbeat requests a heartbeat from a worker, and posts heartbeatRequestFinished.
+// requestHeartbeat requests a heartbeat from a worker, and then posts heartbeatRequestFinished.
 func (c *workerCaller) requestHeartbeat(ctx context.Context, machine ids.MachineID, endpoint string) {
 	c.group.Go(func() error {
 		heartbeat, err := c.client.RequestHeartbeat(ctx, endpoint, workerCallTimeout)
--- a/controller/peer_handler.go
+++ b/controller/peer_handler.go
@@ -93,5 +93,5 @@
 			heartbeats[i] = heartbeat
 		}
 	}
-	return own.Heartbeats(ctx, heartbeats)
+	return own.AnswerHeartbeats(ctx, heartbeats)
 }
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -32,8 +32,8 @@
 // FollowedRevision implements leader.Peer.
 func (p *peer) FollowedRevision() ids.Revision { return ids.Revision(p.leaderRevision.Load()) }
 
-// HeardWithin implements leader.Peer.
-func (p *peer) HeardWithin(now monotonic.Instant, d time.Duration) bool {
+// AnsweredWithin implements leader.Peer.
+func (p *peer) AnsweredWithin(now monotonic.Instant, d time.Duration) bool {
 	heard := monotonic.Instant(p.lastHeard.Load())
 	return heard != 0 && now < heard.Add(d)
 }
