--- a/controller/leader/events.go
+++ b/controller/leader/events.go
@@ -118,7 +118,7 @@
 }
 
 func (e heartbeatsReceived) applyTo(loop *eventLoop) {
-	replicasOnly := loop.term.MayAnswerReplicasOnly()
+	replicasOnly := loop.term.RestrictedToReplicas()
 	loop.core.RestrictToReplicas(replicasOnly)
 	answers := make([]peerapi.HeartbeatAnswer, len(e.heartbeats))
 	for i, heartbeat := range e.heartbeats {
--- a/controller/leader/requests.go
+++ b/controller/leader/requests.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !l.term.MayAnswerHeartbeats() || !decided.replicasOnly && l.term.MayAnswerReplicasOnly() {
+	if !l.term.MayAnswerHeartbeats() || !decided.replicasOnly && l.term.RestrictedToReplicas() {
 		return nil, peerapi.ErrNotLeading
 	}
 	return decided.answers, nil
--- a/election/acknowledgements.go
+++ b/election/acknowledgements.go
@@ -8,14 +8,16 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// peerAcknowledgements holds when each peer was last asked and knew of no later leader.
+// peerAcknowledgements holds, for each peer, the last instant at which it was asked and knew of
+// no later leader.
 type peerAcknowledgements struct {
 	peers []ids.ControllerName
-	// allAcknowledgedAt is the oldest of the peers' acknowledgements, and zero until each
-	// peer has acknowledged. It is written under mu and read without it.
+	// allAcknowledgedAt is the oldest of the peers' latest acknowledgements, or zero until
+	// every peer has acknowledged. It is written under mu and read without it.
 	allAcknowledgedAt atomicInstant
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// latest holds the instant at which each peer's latest acknowledgement was asked for.
 	latest map[ids.ControllerName]monotonic.Instant
 }
 
@@ -23,15 +25,15 @@
 	return &peerAcknowledgements{peers: peers, latest: map[ids.ControllerName]monotonic.Instant{}}
 }
 
-// record notes that a peer, asked at an instant, knew of no later leader. Controllers that
-// are not peers do not count.
-func (a *peerAcknowledgements) record(peer ids.ControllerName, asked monotonic.Instant) {
+// record records that a peer, asked at askedAt, knew of no later leader. Controllers that are
+// not peers are ignored.
+func (a *peerAcknowledgements) record(peer ids.ControllerName, askedAt monotonic.Instant) {
 	if !slices.Contains(a.peers, peer) {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.latest[peer] = max(a.latest[peer], asked)
+	a.latest[peer] = max(a.latest[peer], askedAt)
 	oldest := a.latest[peer]
 	for _, p := range a.peers {
 		oldest = min(oldest, a.latest[p])
--- a/election/acknowledgements_test.go
+++ b/election/acknowledgements_test.go
@@ -12,10 +12,12 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
+// An instant that is later than a peer's latest acknowledgement would count a later leader as ruled
+// out although that peer may know of one.
 func TestAllAcknowledgedAt(t *testing.T) {
 	type acknowledgement struct {
-		peer  ids.ControllerName
-		asked monotonic.Instant
+		peer    ids.ControllerName
+		askedAt monotonic.Instant
 	}
 	for _, c := range []struct {
 		name  string
@@ -27,14 +29,14 @@
 		{"one peer of two", []ids.ControllerName{"n1", "n2"}, []acknowledgement{{"n1", 7}}, 0},
 		{"the only peer", []ids.ControllerName{"n1"}, []acknowledgement{{"n1", 7}}, 7},
 		{"the older of two", []ids.ControllerName{"n1", "n2"}, []acknowledgement{{"n1", 7}, {"n2", 5}}, 5},
-		{"a late answer does not count back", []ids.ControllerName{"n1", "n2"}, []acknowledgement{{"n1", 7}, {"n2", 5}, {"n2", 4}}, 5},
-		{"a newer answer", []ids.ControllerName{"n1", "n2"}, []acknowledgement{{"n1", 7}, {"n2", 5}, {"n2", 9}}, 7},
-		{"a controller that is no peer", []ids.ControllerName{"n1"}, []acknowledgement{{"n1", 7}, {"n9", 5}}, 7},
+		{"a delayed older acknowledgement is ignored", []ids.ControllerName{"n1", "n2"}, []acknowledgement{{"n1", 7}, {"n2", 5}, {"n2", 4}}, 5},
+		{"a newer acknowledgement", []ids.ControllerName{"n1", "n2"}, []acknowledgement{{"n1", 7}, {"n2", 5}, {"n2", 9}}, 7},
+		{"a controller that is not a peer", []ids.ControllerName{"n1"}, []acknowledgement{{"n1", 7}, {"n9", 5}}, 7},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			acknowledgements := newPeerAcknowledgements(c.peers)
 			for _, a := range c.acks {
-				acknowledgements.record(a.peer, a.asked)
+				acknowledgements.record(a.peer, a.askedAt)
 			}
 			if got := acknowledgements.allAcknowledgedAt.Load(); got != c.want {
 				t.Errorf("all acknowledged at %d, want %d", got, c.want)
@@ -48,37 +50,38 @@
 	testIsolatedReplicaGrace = 8 * time.Second
 )
 
-// acknowledgeFunc hands acknowledgements to a term now. The instant started lies before the
-// term's lease became invalid.
-type acknowledgeFunc func(t *Term, now, started monotonic.Instant)
+// acknowledgeFunc records peer acknowledgements with a term, asked for at now. The peers'
+// processes started at startedAt, before the lease of the term became invalid.
+type acknowledgeFunc func(t *Term, now, startedAt monotonic.Instant)
 
-// A leader that loses the store cannot tell an outage from a later leader of which it does
-// not hear. It may answer heartbeats for the whole outage grace only while every peer, running
-// since before the lease became invalid, acknowledges that it knows of none. Otherwise it
-// stops after the isolation bounds, which a later leader counts on.
-func TestIsolatedLeaderStopsSooner(t *testing.T) {
+// A leader that loses the store cannot distinguish an outage from its own isolation, in which a
+// later leader may have been elected. It may answer heartbeats for the whole outage grace only
+// while every peer acknowledges that it knows of no later leader and has run since before the
+// lease became invalid. Otherwise it must stop after the isolation bounds, on which a later
+// leader relies.
+func TestIsolatedLeaderStopsAnsweringEarlier(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		acknowledge acknowledgeFunc
-		// How long after the lease became invalid heartbeats are answered.
+		// The time after the lease became invalid during which heartbeats are answered.
 		wantReplicas, wantOthers time.Duration
 	}{
 		{"no peer acknowledges", func(*Term, monotonic.Instant, monotonic.Instant) {},
 			testIsolatedReplicaGrace, testIsolatedGrace},
-		{"one peer acknowledges", func(t *Term, now, started monotonic.Instant) { t.RecordPeerAck("n1", now, started) },
+		{"one peer acknowledges", func(t *Term, now, startedAt monotonic.Instant) { t.RecordPeerAck("n1", now, startedAt) },
 			testIsolatedReplicaGrace, testIsolatedGrace},
-		{"one peer was started since", func(t *Term, now, started monotonic.Instant) {
-			t.RecordPeerAck("n1", now, started)
+		{"one peer restarted after the lease became invalid", func(t *Term, now, startedAt monotonic.Instant) {
+			t.RecordPeerAck("n1", now, startedAt)
 			t.RecordPeerAck("n2", now, t.leaseValidUntil.Load())
 		}, testIsolatedReplicaGrace, testIsolatedGrace},
-		{"all peers acknowledge", func(t *Term, now, started monotonic.Instant) {
-			t.RecordPeerAck("n1", now, started)
-			t.RecordPeerAck("n2", now, started)
+		{"all peers acknowledge", func(t *Term, now, startedAt monotonic.Instant) {
+			t.RecordPeerAck("n1", now, startedAt)
+			t.RecordPeerAck("n2", now, startedAt)
 		}, testOutageGrace, testOutageGrace},
-		{"one peer acknowledges for 5 s", func(t *Term, now, started monotonic.Instant) {
-			t.RecordPeerAck("n1", now, started)
+		{"one peer acknowledges for 5 s", func(t *Term, now, startedAt monotonic.Instant) {
+			t.RecordPeerAck("n1", now, startedAt)
 			if now < t.leaseValidUntil.Load().Add(5*time.Second) {
-				t.RecordPeerAck("n2", now, started)
+				t.RecordPeerAck("n2", now, startedAt)
 			}
 		}, 5*time.Second + testIsolatedReplicaGrace, 5*time.Second + testIsolatedGrace},
 	} {
@@ -89,14 +92,14 @@
 				time.Sleep(5 * time.Second)
 				s.StartOutage()
 				replicas, others := answeredInOutage(term, c.acknowledge)
-				checkAbout(t, "machines with replicas", replicas, c.wantReplicas)
-				checkAbout(t, "other machines", others, c.wantOthers)
+				checkApproximately(t, "machines with replicas", replicas, c.wantReplicas)
+				checkApproximately(t, "other machines", others, c.wantOthers)
 			})
 		})
 	}
 }
 
-// startTermWithPeers starts an election with two peers and returns its first term.
+// startTermWithPeers starts an election with two peers. It returns its first term.
 func startTermWithPeers(t *testing.T, s *kvtest.Store) *Term {
 	t.Helper()
 	terms := make(chan *Term, 9)
@@ -113,24 +116,24 @@
 			<-ctx.Done()
 			return context.Cause(ctx)
 		})
-	run(t, election)
+	runElection(t, election)
 	return <-terms
 }
 
-// answeredInOutage returns for how long after its lease became invalid a leader answers
-// heartbeats of machines with replicas, and of others. The outage has just begun.
+// answeredInOutage returns how long after its lease became invalid a leader answers heartbeats
+// of machines with replicas, and of other machines. It must be called when an outage has just begun.
 func answeredInOutage(term *Term, acknowledge acknowledgeFunc) (replicas, others time.Duration) {
-	started := term.clock.Now().Add(-time.Minute)
+	startedAt := term.clock.Now().Add(-time.Minute)
 	time.Sleep(time.Second)
 	invalidAt := term.leaseValidUntil.Load()
 	for range 300 {
 		now := term.clock.Now()
 		if now >= invalidAt && now < invalidAt.Add(25*time.Second) {
-			acknowledge(term, now, started)
+			acknowledge(term, now, startedAt)
 		}
 		if term.MayAnswerHeartbeats() {
 			replicas = now.Sub(invalidAt)
-			if !term.MayAnswerReplicasOnly() {
+			if !term.RestrictedToReplicas() {
 				others = now.Sub(invalidAt)
 			}
 		}
@@ -139,7 +142,8 @@
 	return replicas, others
 }
 
-func checkAbout(t *testing.T, machines string, got, want time.Duration) {
+// checkApproximately checks for how long heartbeats of some machines were answered.
+func checkApproximately(t *testing.T, machines string, got, want time.Duration) {
 	t.Helper()
 	const tolerance = 300 * time.Millisecond
 	if got < want-tolerance || got > want+tolerance {
--- a/election/authority.go
+++ b/election/authority.go
@@ -2,21 +2,21 @@
 
 import "ospreystile.example/ospreystile/monotonic"
 
-// Authority is what a leader may do at one instant. [Term.Authority] alone derives it, and
-// authorityGrants lists what each value permits. The zero value permits nothing. Records need
-// no entry: each commit is fenced by the revision of the leader key.
+// Authority represents what a leader may do at one instant. Only [Term.Authority] derives it, and
+// authorityPermissions lists what each value permits. The zero value permits nothing. Commits
+// need no permission, because each commit is fenced by the revision of the leader key.
 type Authority uint8
 
 const (
-	// AuthorityExpired means that the lease is invalid and that nothing permits the leader
-	// to act without it: the term has ended, no renewal started recently, or OutageGrace
-	// expired. A later leader was ruled out within IsolatedGrace.
+	// AuthorityExpired means that the lease is invalid and that the leader may not act without
+	// it: the term has ended, no renewal started recently, or OutageGrace has expired. A
+	// later leader was ruled out within IsolatedGrace.
 	AuthorityExpired Authority = iota
-	// AuthorityExpiredIsolated is AuthorityExpired when a later leader could not be ruled out
-	// for IsolatedGrace or longer.
+	// AuthorityExpiredIsolated means that the lease is invalid, that the leader may not act
+	// without it, and that a later leader could not be ruled out for IsolatedGrace or longer.
 	AuthorityExpiredIsolated
 	// AuthorityEnded means that the term has ended before its lease expires. The lease may
-	// have been revoked since.
+	// already be revoked.
 	AuthorityEnded
 	// AuthorityLeaseValid means that the leader holds the lease, so that no other controller
 	// leads.
@@ -25,47 +25,47 @@
 	// out within IsolatedGrace, by the lease or by the acknowledgements of all peers.
 	AuthorityOutage
 	// AuthorityIsolated means that the store is unreachable and that a later leader could
-	// not be ruled out for IsolatedGrace or longer: not all peers acknowledged.
+	// not be ruled out for IsolatedGrace or longer, because not all peers acknowledged.
 	AuthorityIsolated
 )
 
-// authorityGrant is what one value of Authority permits.
-type authorityGrant struct {
+// permissions holds what one value of Authority permits.
+type permissions struct {
 	name string
-	// holdsLease is set while the lease is valid by the time of its last renewal.
+	// holdsLease reports whether the lease is valid, counted from its last renewal.
 	holdsLease bool
-	// answersHeartbeats is set while workers may be answered.
-	answersHeartbeats bool
-	// replicasOnly is set once machines without replicas must not be answered.
-	replicasOnly bool
+	// mayAnswerHeartbeats reports whether heartbeats of workers may be answered.
+	mayAnswerHeartbeats bool
+	// restrictedToReplicas reports whether heartbeats of machines without replicas must not
+	// be answered.
+	restrictedToReplicas bool
 }
 
-var authorityGrants = [...]authorityGrant{
+var authorityPermissions = [...]permissions{
 	AuthorityExpired:         {name: "expired"},
-	AuthorityExpiredIsolated: {name: "expired, isolated", replicasOnly: true},
+	AuthorityExpiredIsolated: {name: "expired, isolated", restrictedToReplicas: true},
 	AuthorityEnded:           {name: "ended, lease valid", holdsLease: true},
-	AuthorityLeaseValid:      {name: "lease valid", holdsLease: true, answersHeartbeats: true},
-	AuthorityOutage:          {name: "store outage", answersHeartbeats: true},
-	AuthorityIsolated:        {name: "isolated", answersHeartbeats: true, replicasOnly: true},
+	AuthorityLeaseValid:      {name: "lease valid", holdsLease: true, mayAnswerHeartbeats: true},
+	AuthorityOutage:          {name: "store outage", mayAnswerHeartbeats: true},
+	AuthorityIsolated:        {name: "isolated", mayAnswerHeartbeats: true, restrictedToReplicas: true},
 }
 
 // String returns the name of the authority for logs and tests.
-func (a Authority) String() string { return authorityGrants[a].name }
+func (a Authority) String() string { return authorityPermissions[a].name }
 
-// HoldsLease reports whether the lease is valid by the time of its last renewal. Until the
-// term ends this means that no other controller leads.
-func (a Authority) HoldsLease() bool { return authorityGrants[a].holdsLease }
+// HoldsLease reports whether the lease is valid, counted from its last renewal. Until the term
+// ends, this means that no other controller leads.
+func (a Authority) HoldsLease() bool { return authorityPermissions[a].holdsLease }
 
-// MayAnswerHeartbeats reports whether workers may be answered.
-func (a Authority) MayAnswerHeartbeats() bool { return authorityGrants[a].answersHeartbeats }
+// MayAnswerHeartbeats reports whether heartbeats of workers may be answered.
+func (a Authority) MayAnswerHeartbeats() bool { return authorityPermissions[a].mayAnswerHeartbeats }
 
-// MayAnswerReplicasOnly reports whether machines without replicas must not be answered.
-// For machines with replicas see MayAnswerHeartbeats.
-func (a Authority) MayAnswerReplicasOnly() bool { return authorityGrants[a].replicasOnly }
+// RestrictedToReplicas reports whether heartbeats of machines without replicas must not be
+// answered. For machines with replicas see MayAnswerHeartbeats.
+func (a Authority) RestrictedToReplicas() bool { return authorityPermissions[a].restrictedToReplicas }
 
 // Authority derives what the leader may do now from the validity of its lease, the age of the
-// last renewal and the acknowledgements of the peers. It takes no lock, and any goroutine may
-// call it.
+// last renewal and the acknowledgements of the peers. It takes no lock.
 func (t *Term) Authority() Authority {
 	now := t.clock.Now()
 	ended := t.ended.Load()
@@ -90,22 +90,22 @@
 	}
 }
 
-// withinOutageGrace reports whether OutageGrace has not expired and the leader has asked the
-// store recently.
+// withinOutageGrace reports whether OutageGrace has not expired and the last completed renewal
+// started within renewalWindow.
 func (t *Term) withinOutageGrace(now, leaseValidUntil monotonic.Instant) bool {
 	return now < leaseValidUntil.Add(t.bounds.OutageGrace) &&
-		now < t.lastRenewalStarted.Load().Add(renewalWindow)
+		now < t.lastRenewalStartedAt.Load().Add(renewalWindow)
 }
 
-// isolation reports whether a later leader could not be ruled out for IsolatedGrace, and
-// whether this has lasted so long that machines with replicas must not be answered either.
-// Without peers there is no later leader.
+// isolation reports whether a later leader could not be ruled out for IsolatedGrace or longer.
+// expired reports whether heartbeats of machines with replicas must not be answered either,
+// because IsolatedReplicaGrace has also passed. Without peers there is no later leader.
 func (t *Term) isolation(now, leaseValidUntil monotonic.Instant) (isolated, expired bool) {
 	if len(t.bounds.Peers) == 0 {
 		return false, false
 	}
-	ruledOutAt := max(leaseValidUntil, t.acknowledgements.allAcknowledgedAt.Load())
-	isolated = now >= ruledOutAt.Add(t.bounds.IsolatedGrace)
-	expired = isolated && now >= ruledOutAt.Add(t.bounds.IsolatedReplicaGrace)
+	laterLeaderRuledOutAt := max(leaseValidUntil, t.acknowledgements.allAcknowledgedAt.Load())
+	isolated = now >= laterLeaderRuledOutAt.Add(t.bounds.IsolatedGrace)
+	expired = isolated && now >= laterLeaderRuledOutAt.Add(t.bounds.IsolatedReplicaGrace)
 	return isolated, expired
 }
--- a/election/campaign.go
+++ b/election/campaign.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// keyAbsent is the revision in a precondition that a key is absent.
+	// keyAbsent is the revision in a precondition that requires a key to be absent.
 	keyAbsent ids.Revision = 0
 	// revokeTimeout bounds the attempt to revoke a lease that is no longer needed.
 	revokeTimeout = time.Second
-	// campaignDelay is the wait after a term, so that another controller can be elected.
+	// campaignDelay is the delay before the next campaign after a term, so that another
+	// controller can be elected.
 	campaignDelay = 100 * time.Millisecond
 )
 
-// campaign tries to take the leader key, which must be at the expected revision, and leads if
+// campaign tries to acquire the leader key, which must be at the expected revision, and leads if
 // that succeeds. It returns nil if the key was at another revision, or after a term.
 func (e *Election) campaign(ctx context.Context, expected ids.Revision) error {
-	started := e.clock.Now()
+	startedAt := e.clock.Now()
 	lease, err := e.store.GrantLease(ctx, e.bounds.TTL)
 	if err != nil {
 		return fmt.Errorf("grant lease for key %s: %w", records.LeaderKey, err)
@@ -33,8 +34,8 @@
 		Operations:    []kv.Operation{{PutKey: records.LeaderKey, Value: e.self, Lease: lease}},
 	})
 	if err != nil {
-		// The result may be indeterminate, and the key may be this controller's. The next
-		// round would wait for the key to change.
+		// The result may be indeterminate, and this controller may hold the key. Without
+		// the revocation, the next round would wait for the key to change.
 		e.revokeLease(ctx, lease)
 		return fmt.Errorf("take key %s at revision %d: %w", records.LeaderKey, expected, err)
 	}
@@ -42,23 +43,23 @@
 		e.revokeLease(ctx, lease)
 		return nil
 	}
-	return e.lead(ctx, e.newTerm(result.Revision, started), lease)
+	return e.lead(ctx, e.newTerm(result.Revision, startedAt), lease)
 }
 
-// newTerm makes the term of a lease whose grant was sent at started.
-func (e *Election) newTerm(revision ids.Revision, started monotonic.Instant) *Term {
+// newTerm returns the term of a lease whose grant was requested at startedAt.
+func (e *Election) newTerm(revision ids.Revision, startedAt monotonic.Instant) *Term {
 	t := &Term{
 		Revision:         revision,
 		clock:            e.clock,
 		bounds:           &e.bounds,
 		acknowledgements: newPeerAcknowledgements(e.bounds.Peers),
 	}
-	t.leaseValidUntil.Store(e.bounds.leaseValidUntil(started))
-	t.lastRenewalStarted.Store(started)
+	t.leaseValidUntil.Store(e.bounds.leaseValidUntil(startedAt))
+	t.lastRenewalStartedAt.Store(startedAt)
 	return t
 }
 
-// lead runs a term until it has ended and its work has returned.
+// lead runs a term until it has ended and its work has returned, and then revokes the lease.
 func (e *Election) lead(ctx context.Context, t *Term, lease ids.LeaseID) error {
 	termCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -69,15 +70,15 @@
 	e.log.Info("leadership acquired", "leader_revision", t.Revision)
 	e.runTerm(termCtx, t, lease)
 	e.log.Info("leadership lost", "leader_revision", t.Revision, "cause", context.Cause(termCtx))
-	e.finishTerm(t)
+	e.clearTerm(t)
 	e.revokeLease(ctx, lease)
 	monotonic.Sleep(ctx, campaignDelay)
 	return nil
 }
 
-// beginTerm makes the term the current one of this controller. It fails if a later leader was observed
-// since the campaign started: the answer to the commit was late, or the process was paused,
-// and this controller may have announced that leader to its peers.
+// beginTerm makes t the current term of this controller. It fails if a later leader was observed
+// since the campaign started, because this controller may have announced that leader to its
+// peers. This happens if the response to the commit was late, or if the process was paused.
 func (e *Election) beginTerm(t *Term) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// runTerm renews the lease while the leader's work runs, and returns once both have ended.
+// runTerm renews the lease while the leader's work runs. It returns once both have ended.
 func (e *Election) runTerm(ctx context.Context, t *Term, lease ids.LeaseID) {
 	workReturned := make(chan struct{})
 	go func() {
@@ -104,8 +105,8 @@
 	<-workReturned
 }
 
-// finishTerm forgets the term. The revision of its key stays known.
-func (e *Election) finishTerm(t *Term) {
+// clearTerm clears the current term. It keeps the revision of the term's key.
+func (e *Election) clearTerm(t *Term) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.term = nil
@@ -114,8 +115,8 @@
 	}
 }
 
-// revokeLease revokes a lease, so that the leader key does not stay until the lease expires.
-// It does so also after ctx ended. A failure leaves the key to the expiry of the lease.
+// revokeLease revokes a lease, so that the leader key is deleted before the lease expires. It
+// does so even if ctx is cancelled. If it fails, the key is deleted when the lease expires.
 func (e *Election) revokeLease(ctx context.Context, lease ids.LeaseID) {
 	revokeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout)
 	defer cancel()
--- a/election/cluster_test.go
+++ b/election/cluster_test.go
@@ -19,13 +19,13 @@
 	testOutageGrace = 20 * time.Second
 )
 
-// cluster is a store and the candidates that take part in its election. It checks that no two
-// of them ever hold the lease at once, and that no revision serves two terms.
+// cluster represents a store and the candidates that take part in its election. It checks that no
+// two candidates ever hold the lease at the same time, and that no revision serves two terms.
 type cluster struct {
 	store *kvtest.Store
 
 	mu         sync.Mutex
-	terms      map[ids.ControllerName]*Term // the last term of each candidate that runs
+	terms      map[ids.ControllerName]*Term // the last term of each running candidate
 	processes  map[ids.Revision]string      // the process that led under each revision
 	violations []string
 }
@@ -48,14 +48,14 @@
 	})
 }
 
-// candidate is one process of a controller.
+// candidate represents one process of a controller.
 type candidate struct {
 	cluster  *cluster
 	self     Identity
 	election *Election
 	client   *kvtest.Client
 	stopRun  func()
-	// ended is set once the process counts as ended. The cluster's lock guards it.
+	// ended reports whether the process counts as ended. It is guarded by the cluster's lock.
 	ended bool
 }
 
@@ -66,19 +66,19 @@
 	return c.startWith(t, Identity{Name: name, Incarnation: incarnation}, client, client)
 }
 
-// startWith starts a candidate that reaches the store through another layer over its client.
+// startWith starts a candidate that accesses the store through store, a wrapper of its client.
 func (c *cluster) startWith(t *testing.T, self Identity, client *kvtest.Client, store Store) *candidate {
 	t.Helper()
 	m := &candidate{cluster: c, self: self, client: client}
 	m.election = newElection(store, self, func(ctx context.Context, term *Term) error {
-		c.beginTerm(m, term)
+		c.recordTerm(m, term)
 		for ctx.Err() == nil {
 			c.checkLeases()
 			monotonic.Sleep(ctx, 20*time.Millisecond)
 		}
 		return context.Cause(ctx)
 	})
-	m.stopRun = run(t, m.election)
+	m.stopRun = runElection(t, m.election)
 	return m
 }
 
@@ -88,8 +88,8 @@
 	return New(store, self, bounds, monotonic.SystemClock(), slog.New(slog.DiscardHandler), work)
 }
 
-// run runs an election until stop is called, at the latest when the test ends.
-func run(t *testing.T, e *Election) (stop func()) {
+// runElection runs an election until stop is called, at the latest when the test ends.
+func runElection(t *testing.T, e *Election) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -107,19 +107,20 @@
 
 // stop ends the process, which revokes its lease if it can.
 func (m *candidate) stop() {
-	m.cluster.end(m)
+	m.cluster.markEnded(m)
 	m.stopRun()
 }
 
-// kill ends the process without a chance to revoke its lease.
+// kill ends the process before it can revoke its lease.
 func (m *candidate) kill() {
 	m.client.Refuse()
 	m.stop()
 }
 
-// beginTerm notes a term. A process that has ended holds no lease: the response to its last
-// commit may still arrive here, while its goroutines stop, but a killed process would not see it.
-func (c *cluster) beginTerm(m *candidate, term *Term) {
+// recordTerm records a term, and a violation if its revision has served another one. A process
+// that has ended holds no lease. While its goroutines stop, the response to its last commit may
+// still arrive here, but a killed process would not receive it.
+func (c *cluster) recordTerm(m *candidate, term *Term) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !m.ended {
@@ -132,14 +133,15 @@
 	c.processes[term.Revision] = process
 }
 
-// end notes that a process has ended.
-func (c *cluster) end(m *candidate) {
+// markEnded records that a process has ended.
+func (c *cluster) markEnded(m *candidate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m.ended = true
 	delete(c.terms, m.self.Name)
 }
 
+// checkLeases records a violation if more than one candidate holds the lease.
 func (c *cluster) checkLeases() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,11 +152,11 @@
 		}
 	}
 	if len(holders) > 1 {
-		c.violations = append(c.violations, fmt.Sprintf("several hold the lease: %v", holders))
+		c.violations = append(c.violations, fmt.Sprintf("several candidates hold the lease: %v", holders))
 	}
 }
 
-// leader returns the candidate that holds the lease and its term, or none.
+// leader returns the candidate that holds the lease and its term, or zero values if there is none.
 func (c *cluster) leader() (ids.ControllerName, *Term) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,8 +168,9 @@
 	return "", nil
 }
 
-// mustLead returns the candidate that holds the lease and its term, and fails without one.
-func (c *cluster) mustLead(t *testing.T) (ids.ControllerName, *Term) {
+// mustLeader returns the candidate that holds the lease and its term. It fails the test if there is
+// none.
+func (c *cluster) mustLeader(t *testing.T) (ids.ControllerName, *Term) {
 	t.Helper()
 	name, term := c.leader()
 	if term == nil {
@@ -176,7 +179,7 @@
 	return name, term
 }
 
-// termCount returns how many terms there have been.
+// termCount returns the number of terms so far.
 func (c *cluster) termCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/election/election.go
+++ b/election/election.go
@@ -17,33 +17,35 @@
 )
 
 const (
-	// roundRetryDelay and roundRetryJitter are the wait after a round that failed. The jitter
-	// keeps the controllers from campaigning in step.
+	// roundRetryDelay is the minimum delay after a failed round. Up to roundRetryJitter is
+	// added to it, so that the controllers do not campaign simultaneously.
 	roundRetryDelay  = 200 * time.Millisecond
 	roundRetryJitter = 100 * time.Millisecond
 )
 
 var (
-	// ErrSuperseded ends a term when a later leader was observed.
+	// ErrSuperseded is the cause of a term's end when a later leader was observed.
 	ErrSuperseded = errors.New("superseded by a later leader")
-	// errGraceExpired ends a term when no renewal succeeded within LeaseBounds.OutageGrace.
+	// errGraceExpired is the cause of a term's end when no renewal succeeded within
+	// LeaseBounds.OutageGrace.
 	errGraceExpired = errors.New("outage grace expired")
-	// errWorkReturned ends a term when the leader's work returned without an error.
+	// errWorkReturned is the cause of a term's end when the leader's work returned without an
+	// error.
 	errWorkReturned = errors.New("work of the term returned")
 )
 
-// Store is the part of the key-value store that an election needs.
+// Store is the subset of the key-value store that an election uses.
 type Store interface {
 	Get(ctx context.Context, key string) (kv.Entry, bool, error)
 	Commit(ctx context.Context, t kv.Txn) (kv.TxnResult, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (ids.LeaseID, error)
 	RenewLease(ctx context.Context, id ids.LeaseID) error
 	RevokeLease(ctx context.Context, id ids.LeaseID) error
-	Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []kv.Event, error)
+	Watch(ctx context.Context, prefix string, since ids.Revision, timeout time.Duration) (ids.Revision, []kv.Event, error)
 }
 
-// Election takes part in the election for one process of a controller. Run is called once;
-// any goroutine may call the other methods.
+// Election takes part in the election for one process of a controller. Run must be called only
+// once. All other methods are safe for concurrent use.
 type Election struct {
 	store  Store
 	self   Identity
@@ -52,17 +54,17 @@
 	log    *slog.Logger
 	work   func(ctx context.Context, t *Term) error
 
-	// reportedUnreadable is the revision of the last leader key that was logged as
-	// unreadable. Only the goroutine of Run uses it.
-	reportedUnreadable ids.Revision
+	// loggedUnreadableRevision is the revision of the last leader key that was logged as
+	// unreadable. Only the goroutine of Run accesses it.
+	loggedUnreadableRevision ids.Revision
 
 	mu     sync.Mutex
 	leader Leader
 	term   *Term
 }
 
-// New prepares an election. Run calls work for each term of this controller, with a context
-// that is cancelled when the term ends. A term ends as well when its work returns.
+// New returns an election that starts with Run. Run calls work for each term of this controller,
+// with a context that is cancelled when the term ends. A term also ends when its work returns.
 func New(store Store, self Identity, bounds LeaseBounds, clock monotonic.Clock, log *slog.Logger,
 	work func(ctx context.Context, t *Term) error) *Election {
 	return &Election{store: store, self: self, bounds: bounds, clock: clock, log: log, work: work}
@@ -82,8 +84,8 @@
 	return e.term
 }
 
-// Run takes part in the election until the context ends, and returns the context's error. If
-// this controller leads then, it returns after the work of the term has returned.
+// Run takes part in the election until the context is cancelled, and returns the context's error.
+// If this controller leads at that time, Run returns after the work of the term has returned.
 func (e *Election) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := e.runRound(ctx); err != nil && ctx.Err() == nil {
@@ -94,8 +96,8 @@
 	return ctx.Err()
 }
 
-// runRound reads the leader key once. It waits for a change of the key if another controller
-// holds it, and campaigns otherwise.
+// runRound reads the leader key once. If another controller holds the key, it waits for the key
+// to change. Otherwise it campaigns.
 func (e *Election) runRound(ctx context.Context) error {
 	entry, found, err := e.store.Get(ctx, records.LeaderKey)
 	if err != nil {
@@ -115,16 +117,16 @@
 	return e.awaitKeyChange(ctx, entry.Revision)
 }
 
-// decodeHolder decodes the leader key's value. It logs an unreadable value once. The key
-// counts as held all the same, until its lease expires.
+// decodeHolder decodes the value of the leader key. It logs an unreadable value once. A key with
+// an unreadable value still counts as held until its lease expires.
 func (e *Election) decodeHolder(entry kv.Entry) (Identity, error) {
 	var holder Identity
 	err := wire.Decode(entry.Value, &holder)
 	if err == nil {
 		return holder, nil
 	}
-	if e.reportedUnreadable != entry.Revision {
-		e.reportedUnreadable = entry.Revision
+	if e.loggedUnreadableRevision != entry.Revision {
+		e.loggedUnreadableRevision = entry.Revision
 		e.log.Error("leader record unreadable", "key", records.LeaderKey, "err", err)
 	}
 	return Identity{}, fmt.Errorf("decode key %s at revision %d: %w", records.LeaderKey, entry.Revision, err)
--- a/election/failover_test.go
+++ b/election/failover_test.go
@@ -12,8 +12,8 @@
 	"ospreystile.example/ospreystile/records"
 )
 
-// startThree starts three candidates and waits for the first election.
-func startThree(t *testing.T, c *cluster) map[ids.ControllerName]*candidate {
+// startThreeCandidates starts three candidates and waits for the first election.
+func startThreeCandidates(t *testing.T, c *cluster) map[ids.ControllerName]*candidate {
 	t.Helper()
 	candidates := map[ids.ControllerName]*candidate{}
 	for _, name := range []ids.ControllerName{"n0", "n1", "n2"} {
@@ -23,10 +23,11 @@
 	return candidates
 }
 
+// A controller that does not follow the elected leader cannot forward requests to it.
 func TestAllControllersFollowTheElectedLeader(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
-		candidates := startThree(t, c)
-		elected, _ := c.mustLead(t)
+		candidates := startThreeCandidates(t, c)
+		elected, _ := c.mustLeader(t)
 		for name, candidate := range candidates {
 			if leader, ok := candidate.election.Leader(); !ok || leader.Name != elected {
 				t.Errorf("%s follows %q, the leader is %s", name, leader.Name, elected)
@@ -35,11 +36,12 @@
 	})
 }
 
-// In a store outage no other controller can be elected. The leader keeps its term.
+// In a store outage no other controller can be elected. If the leader ended its term, workers would
+// lose their heartbeat responses. It must keep the term within the outage grace.
 func TestLeaderKeepsItsTermInStoreOutage(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
-		startThree(t, c)
-		leader, term := c.mustLead(t)
+		startThreeCandidates(t, c)
+		leader, term := c.mustLeader(t)
 		c.store.StartOutage()
 		time.Sleep(10 * time.Second)
 		if term.HoldsLease() {
@@ -56,12 +58,12 @@
 	})
 }
 
-// A leader that loses the store alone, and then one that stops, are replaced. The first does
-// not get in the way when it reaches the store again.
-func TestLostLeadersAreReplaced(t *testing.T) {
+// A leader that alone loses access to the store must be replaced, and so must one that stops. The
+// first one must not disturb its successor after it regains access to the store.
+func TestFailedLeadersAreReplaced(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
-		candidates := startThree(t, c)
-		first, firstTerm := c.mustLead(t)
+		candidates := startThreeCandidates(t, c)
+		first, firstTerm := c.mustLeader(t)
 		c.store.StartOutage()
 		time.Sleep(10 * time.Second)
 		c.store.EndOutage()
@@ -69,7 +71,7 @@
 
 		candidates[first].client.Refuse()
 		time.Sleep(5 * time.Second)
-		second, secondTerm := c.mustLead(t)
+		second, secondTerm := c.mustLeader(t)
 		if second == first || secondTerm.Revision <= firstTerm.Revision {
 			t.Fatalf("%s leads at revision %d after %s lost the store at revision %d",
 				second, secondTerm.Revision, first, firstTerm.Revision)
@@ -78,15 +80,15 @@
 
 		candidates[second].stop()
 		time.Sleep(6 * time.Second)
-		if third, _ := c.mustLead(t); third == second {
+		if third, _ := c.mustLeader(t); third == second {
 			t.Fatalf("%s leads after it was stopped", third)
 		}
 	})
 }
 
-// A process that finds an earlier process of its own controller in the key replaces it
-// without waiting for its lease to expire.
-func TestEarlierProcessIsReplacedAtOnce(t *testing.T) {
+// After a quick restart, the leader key still names the previous process of the controller. The new
+// process must replace it without waiting for the lease to expire.
+func TestEarlierProcessIsReplacedImmediately(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		const earlierRevision = 4
 		c.store.Advance(earlierRevision - 1)
@@ -94,7 +96,7 @@
 
 		c.start(t, "n0", 2)
 		time.Sleep(time.Second)
-		if leader, term := c.mustLead(t); leader != "n0" || term.Revision <= earlierRevision {
+		if leader, term := c.mustLeader(t); leader != "n0" || term.Revision <= earlierRevision {
 			t.Errorf("%s leads at revision %d", leader, term.Revision)
 		}
 	})
@@ -112,16 +114,16 @@
 	return result, err
 }
 
-// A candidate whose commit has an indeterminate result does not lead by it. It revokes the
-// lease, and can be elected before that would have expired.
+// A candidate whose commit has an indeterminate result must not lead based on it. It must revoke
+// the lease, since otherwise the key would prevent every election until the lease expires.
 func TestKeyOfIndeterminateCommitIsReleased(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		const lostRevision = 1
 		client := newClient(c.store)
 		c.startWith(t, Identity{Name: "n0", Incarnation: 1}, client, &firstCommitIndeterminate{Client: client})
 		time.Sleep(testTTL / 3)
-		if _, term := c.mustLead(t); term.Revision <= lostRevision {
-			t.Errorf("leads at revision %d, whose commit gave no answer", term.Revision)
+		if _, term := c.mustLeader(t); term.Revision <= lostRevision {
+			t.Errorf("leads at revision %d, whose commit received no response", term.Revision)
 		}
 	})
 }
--- a/election/golden_test.go
+++ b/election/golden_test.go
@@ -7,8 +7,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// The leader lease's value keeps its bytes in the key-value store.
-func TestLeaderLeaseKeepsItsBytes(t *testing.T) {
+// Controllers of different versions read the leader key, so the encoding of its value in the
+// key-value store must not change.
+func TestLeaderKeyEncodingIsStable(t *testing.T) {
 	codec := golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
 	golden.Check(t, "records.json", codec, []golden.Case{
 		{Name: "leader lease", Value: Identity{Name: "perch-0", PeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3}},
--- a/election/instant.go
+++ b/election/instant.go
@@ -6,7 +6,7 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// atomicInstant is an instant that goroutines read and write without a lock.
+// atomicInstant holds an instant that goroutines read and write without a lock.
 type atomicInstant struct{ nanoseconds atomic.Int64 }
 
 func (a *atomicInstant) Load() monotonic.Instant { return monotonic.Instant(a.nanoseconds.Load()) }
--- a/election/renewal.go
+++ b/election/renewal.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// renewalsPerTTL is how many renewals start within a TTL while they succeed, and
-	// renewalRetriesPerTTL how many while they fail.
+	// renewalsPerTTL is the number of renewals that start within a TTL while they succeed.
+	// renewalRetriesPerTTL is the number while they fail.
 	renewalsPerTTL       = 4
 	renewalRetriesPerTTL = 10
 )
 
-// renewLease renews the lease until the term's context ends. It ends the term when the lease
-// has expired at the store, or when OutageGrace has expired without a successful renewal.
+// renewLease renews the lease until the context of the term is cancelled. It ends the term when
+// the lease has expired in the store, or when OutageGrace has expired without a successful renewal.
 func (e *Election) renewLease(ctx context.Context, t *Term, lease ids.LeaseID) {
 	for ctx.Err() == nil {
-		started := e.clock.Now()
+		startedAt := e.clock.Now()
 		err := e.store.RenewLease(ctx, lease)
-		t.lastRenewalStarted.Store(started)
+		t.lastRenewalStartedAt.Store(startedAt)
 		delay := e.bounds.TTL / renewalRetriesPerTTL
 		switch {
 		case err == nil:
-			t.leaseValidUntil.Store(e.bounds.leaseValidUntil(started))
+			t.leaseValidUntil.Store(e.bounds.leaseValidUntil(startedAt))
 			delay = e.bounds.TTL / renewalsPerTTL
 		case errors.Is(err, kv.ErrLeaseExpired):
 			t.End(fmt.Errorf("renew leader lease %d: %w", lease, err))
--- a/election/restart_test.go
+++ b/election/restart_test.go
@@ -13,71 +13,71 @@
 	"ospreystile.example/ospreystile/kv"
 )
 
-// lateClient is a client whose requests may arrive a second time, long after, and whose
-// responses may be lost. Copies arrive also after the process that sent them has ended.
-type lateClient struct {
+// duplicatingClient is a client whose requests may arrive a second time much later, and whose
+// responses may be lost. Duplicates also arrive after the process that sent them has ended.
+type duplicatingClient struct {
 	*kvtest.Client
-	copyClient *kvtest.Client
-	copies     sync.WaitGroup
+	duplicateClient *kvtest.Client
+	duplicates      sync.WaitGroup
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// oneIn reports true with a probability of 1/n.
-func (l *lateClient) oneIn(n int) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.rng.IntN(n) == 0
+// oneIn returns true with a probability of 1/n.
+func (d *duplicatingClient) oneIn(n int) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.rng.IntN(n) == 0
 }
 
-// maybeRepeat sends a copy of a request after up to 12 s, with a probability of 1/2.
-func (l *lateClient) maybeRepeat(request func()) {
-	if !l.oneIn(2) {
+// maybeDuplicate sends a duplicate of a request with a probability of 1/2, after up to 12 s.
+func (d *duplicatingClient) maybeDuplicate(request func()) {
+	if !d.oneIn(2) {
 		return
 	}
-	l.mu.Lock()
-	delay := time.Duration(l.rng.IntN(12000)) * time.Millisecond
-	l.mu.Unlock()
-	l.copies.Go(func() {
+	d.mu.Lock()
+	delay := time.Duration(d.rng.IntN(12000)) * time.Millisecond
+	d.mu.Unlock()
+	d.duplicates.Go(func() {
 		time.Sleep(delay)
 		request()
 	})
 }
 
-func (l *lateClient) Commit(ctx context.Context, t kv.Txn) (kv.TxnResult, error) {
-	l.maybeRepeat(func() { _, _ = l.copyClient.Commit(context.Background(), t) })
-	result, err := l.Client.Commit(ctx, t)
-	if l.oneIn(4) {
+func (d *duplicatingClient) Commit(ctx context.Context, t kv.Txn) (kv.TxnResult, error) {
+	d.maybeDuplicate(func() { _, _ = d.duplicateClient.Commit(context.Background(), t) })
+	result, err := d.Client.Commit(ctx, t)
+	if d.oneIn(4) {
 		return kv.TxnResult{}, kv.ErrIndeterminate
 	}
 	return result, err
 }
 
-func (l *lateClient) RenewLease(ctx context.Context, id ids.LeaseID) error {
-	if l.oneIn(8) {
-		l.maybeRepeat(func() { _ = l.copyClient.RenewLease(context.Background(), id) })
+func (d *duplicatingClient) RenewLease(ctx context.Context, id ids.LeaseID) error {
+	if d.oneIn(8) {
+		d.maybeDuplicate(func() { _ = d.duplicateClient.RenewLease(context.Background(), id) })
 	}
-	return l.Client.RenewLease(ctx, id)
+	return d.Client.RenewLease(ctx, id)
 }
 
-func (l *lateClient) RevokeLease(ctx context.Context, id ids.LeaseID) error {
-	l.maybeRepeat(func() { _ = l.copyClient.RevokeLease(context.Background(), id) })
-	if l.oneIn(3) {
+func (d *duplicatingClient) RevokeLease(ctx context.Context, id ids.LeaseID) error {
+	d.maybeDuplicate(func() { _ = d.duplicateClient.RevokeLease(context.Background(), id) })
+	if d.oneIn(3) {
 		return kv.ErrIndeterminate // the request never arrived
 	}
-	return l.Client.RevokeLease(ctx, id)
+	return d.Client.RevokeLease(ctx, id)
 }
 
-// restartTrial disturbs a cluster at random.
+// restartTrial injects random faults into a cluster.
 type restartTrial struct {
 	cluster     *cluster
 	seed        uint64
 	rng         *rand.Rand
 	names       []ids.ControllerName
 	candidates  map[ids.ControllerName]*candidate
-	clients     []*lateClient
-	incarnation ids.ControllerIncarnation // of the process started last
+	clients     []*duplicatingClient
+	incarnation ids.ControllerIncarnation // of the most recently started process
 }
 
 func startRestartTrial(t *testing.T, c *cluster, seed uint64) *restartTrial {
@@ -98,14 +98,14 @@
 func (r *restartTrial) start(t *testing.T, name ids.ControllerName) {
 	t.Helper()
 	r.incarnation++
-	late := &lateClient{
-		Client:     newClient(r.cluster.store),
-		copyClient: newClient(r.cluster.store),
-		rng:        rand.New(rand.NewPCG(r.seed, uint64(r.incarnation))),
+	client := &duplicatingClient{
+		Client:          newClient(r.cluster.store),
+		duplicateClient: newClient(r.cluster.store),
+		rng:             rand.New(rand.NewPCG(r.seed, uint64(r.incarnation))),
 	}
-	r.clients = append(r.clients, late)
+	r.clients = append(r.clients, client)
 	self := Identity{Name: name, Incarnation: r.incarnation}
-	r.candidates[name] = r.cluster.startWith(t, self, late.Client, late)
+	r.candidates[name] = r.cluster.startWith(t, self, client.Client, client)
 }
 
 // sleepUpTo waits for a random number of milliseconds below the limit.
@@ -113,52 +113,52 @@
 	time.Sleep(time.Duration(r.rng.IntN(limitMillis)) * time.Millisecond)
 }
 
-// disturb waits a little, and then lets the store refuse one candidate for a time, or kills
-// one and starts it again. It prefers the leader.
-func (r *restartTrial) disturb(t *testing.T) {
+// injectFault waits for a random time, and then has the store refuse one candidate's requests for
+// a while, or kills and restarts one. It prefers the leader.
+func (r *restartTrial) injectFault(t *testing.T) {
 	t.Helper()
 	r.sleepUpTo(900)
 	name := r.names[r.rng.IntN(len(r.names))]
 	if leader, _ := r.cluster.leader(); leader != "" && r.rng.IntN(2) == 0 {
 		name = leader
 	}
-	disturbed := r.candidates[name]
+	target := r.candidates[name]
 	if r.rng.IntN(4) == 0 {
-		disturbed.client.Refuse()
+		target.client.Refuse()
 		r.sleepUpTo(9000)
-		disturbed.client.Accept()
+		target.client.Accept()
 		return
 	}
-	disturbed.kill()
+	target.kill()
 	r.sleepUpTo(300)
 	r.start(t, name)
 }
 
-// stop kills all candidates and waits for the copies of their requests.
+// stop kills all candidates and waits for the duplicates of their requests.
 func (r *restartTrial) stop() {
 	for _, candidate := range r.candidates {
 		candidate.kill()
 	}
-	for _, late := range r.clients {
-		late.copies.Wait()
+	for _, client := range r.clients {
+		client.duplicates.Wait()
 	}
 }
 
-// Processes restart within a fraction of a second, also during an election, while copies of
-// what the earlier ones sent still arrive: commits, renewals and revocations. The cluster
-// checks that no two hold the lease, and that no revision serves two terms.
-func TestQuickRestartsWithLateCopies(t *testing.T) {
+// Processes restart within a fraction of a second, even during an election, while duplicates of
+// commits, renewals and revocations of their earlier processes still arrive. Such a duplicate must
+// not give two candidates the lease, nor one revision to two terms, which the cluster checks.
+func TestQuickRestartsWithDelayedDuplicates(t *testing.T) {
 	terms := 0
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			withCluster(t, func(t *testing.T, c *cluster) {
 				trial := startRestartTrial(t, c, seed)
 				for range 60 {
-					trial.disturb(t)
+					trial.injectFault(t)
 				}
 				time.Sleep(10 * time.Second)
 				if leader, _ := c.leader(); leader == "" {
-					t.Error("no candidate leads after the disturbances")
+					t.Error("no candidate leads after the last fault")
 				}
 				trial.stop()
 				terms += c.termCount()
@@ -166,6 +166,6 @@
 		})
 	}
 	if terms < 100 {
-		t.Errorf("only %d terms: the trials show too little", terms)
+		t.Errorf("only %d terms, want at least 100 for a meaningful result", terms)
 	}
 }
--- a/election/store_test.go
+++ b/election/store_test.go
@@ -6,10 +6,10 @@
 	"ospreystile.example/ospreystile/internal/kvtest"
 )
 
-// storeLatency is how long a request to the store takes, and as long its response.
+// storeLatency is the time that a request to the store takes. Its response takes the same time.
 const storeLatency = time.Millisecond
 
-// newClient returns one controller's access to the store.
+// newClient returns a client of the store for one controller.
 func newClient(store *kvtest.Store) *kvtest.Client {
 	return store.NewClient(func() time.Duration { return storeLatency })
 }
--- a/election/term.go
+++ b/election/term.go
@@ -8,53 +8,54 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// Term is the time for which one controller leads without interruption, under one revision of
-// the leader key. Any goroutine may call its methods.
+// Term represents an uninterrupted period during which one controller leads, under one
+// revision of the leader key. It is safe for concurrent use.
 type Term struct {
-	// Revision is the revision of the leader key, from which fencing tokens are made.
+	// Revision is the revision of the leader key, from which fencing tokens are derived.
 	Revision ids.Revision
 
 	clock  monotonic.Clock
 	bounds *LeaseBounds
 	cancel context.CancelCauseFunc
 	ended  atomic.Bool
-	// leaseValidUntil is until when the lease is valid on this machine's clock.
+	// leaseValidUntil is the instant of this machine's clock until which the lease is valid.
 	leaseValidUntil atomicInstant
-	// lastRenewalStarted is when the last completed renewal, successful or not, started.
-	lastRenewalStarted atomicInstant
-	acknowledgements   *peerAcknowledgements
+	// lastRenewalStartedAt is the start of the last completed renewal, successful or not.
+	lastRenewalStartedAt atomicInstant
+	acknowledgements     *peerAcknowledgements
 }
 
-// HoldsLease reports whether the lease is valid now by the time of its last renewal. Until the
-// term ends this means that no other controller leads. It stays true for the rest of that time
-// if the term ends earlier, although the lease is revoked then.
+// HoldsLease reports whether the lease is valid now, counted from its last renewal. Until the
+// term ends, this means that no other controller leads. If the term ends before the lease
+// expires, HoldsLease remains true until that expiry, although the lease may be revoked earlier.
 func (t *Term) HoldsLease() bool { return t.Authority().HoldsLease() }
 
-// MayAnswerHeartbeats reports whether workers may be answered now: while the lease is valid,
-// and in a store outage for a bounded grace, which is shorter while a later leader cannot be
-// ruled out. The next leader relies on these bounds. After a process pause it is false until
-// a renewal has completed. It is false once the term has ended.
+// MayAnswerHeartbeats reports whether heartbeats of workers may be answered now. They may be
+// answered while the lease is valid, and in a store outage for a bounded grace period, which is
+// shorter while a later leader cannot be ruled out. The next leader relies on these bounds.
+// MayAnswerHeartbeats is false after a process pause that outlasted the lease until a renewal
+// has completed, and after the term has ended.
 func (t *Term) MayAnswerHeartbeats() bool { return t.Authority().MayAnswerHeartbeats() }
 
-// MayAnswerReplicasOnly reports whether machines without replicas must not be answered now.
-// For machines with replicas see MayAnswerHeartbeats.
-func (t *Term) MayAnswerReplicasOnly() bool { return t.Authority().MayAnswerReplicasOnly() }
-
-// RecordPeerAck notes that a peer, asked at the instant asked, knew of no later leader. The
-// instant started is the latest at which the peer's process can have started, and both are
-// instants of the leader's own clock. An acknowledgement counts only if that process ran
-// while the lease was still valid. One that started later may follow an earlier process that
-// led, and not know of it.
-func (t *Term) RecordPeerAck(peer ids.ControllerName, asked, started monotonic.Instant) {
-	if started >= t.leaseValidUntil.Load() {
+// RestrictedToReplicas reports whether heartbeats of machines without replicas must not be
+// answered now. For machines with replicas see MayAnswerHeartbeats.
+func (t *Term) RestrictedToReplicas() bool { return t.Authority().RestrictedToReplicas() }
+
+// RecordPeerAck records that a peer, asked at askedAt, knew of no later leader. startedAt is the
+// latest instant at which the peer's process can have started. Both are instants of the
+// leader's own clock. An acknowledgement counts only if that process was running while the
+// lease was still valid. A process that started later may succeed a process of the same peer
+// that led, without knowing of that term.
+func (t *Term) RecordPeerAck(peer ids.ControllerName, askedAt, startedAt monotonic.Instant) {
+	if startedAt >= t.leaseValidUntil.Load() {
 		return
 	}
-	t.acknowledgements.record(peer, asked)
+	t.acknowledgements.record(peer, askedAt)
 }
 
-// End ends the term. The context of the leader's work is cancelled with the cause, unless the
-// term had ended before. MayAnswerHeartbeats is false once End has returned, also for work that
-// ignores its context: other controllers rely on this one following a later leader.
+// End ends the term and cancels the context of the leader's work with the cause, unless the
+// term has already ended. Once End has returned, MayAnswerHeartbeats is false even for work that
+// ignores its context, because other controllers rely on this one following a later leader.
 func (t *Term) End(cause error) {
 	t.ended.Store(true)
 	t.cancel(cause)
--- a/election/term_test.go
+++ b/election/term_test.go
@@ -11,7 +11,8 @@
 	"ospreystile.example/ospreystile/kv"
 )
 
-// A later leader that a peer names ends the term, and is followed once its name is known.
+// A controller that cannot reach the store may learn of a later leader only from a peer. Its term
+// must end then, and it must follow that leader once the name is known.
 func TestLaterLeaderEndsTheTerm(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		m := c.start(t, "n0", 1)
@@ -21,44 +22,45 @@
 			t.Fatal("no term")
 		}
 		m.client.Refuse()
-		m.election.Observe(Leader{Revision: term.Revision + 5}) // its key is gone, and its name with it
+		m.election.Observe(Leader{Revision: term.Revision + 5}) // the key is deleted, so the name is unknown
 		time.Sleep(time.Second)
 		if m.election.Term() != nil {
-			t.Error("the term goes on")
+			t.Error("the term has not ended")
 		}
 		m.election.Observe(Leader{Identity{Name: "n1"}, term.Revision + 5})
 		if leader, _ := m.election.Leader(); leader.Name != "n1" {
-			t.Errorf("follows %q", leader.Name)
+			t.Errorf("follows %q, want n1", leader.Name)
 		}
 	})
 }
 
-// A leader whose process was paused for longer than its lease cannot tell a store outage from
-// a later leader. It must not answer heartbeats before it has asked the store.
+// A leader whose process was paused for longer than its lease cannot distinguish a store outage
+// from the election of a later leader. It must not answer heartbeats before a renewal has completed.
 func TestNoHeartbeatsAnsweredAfterProcessPause(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		m := c.start(t, "n0", 1)
 		time.Sleep(time.Second)
-		_, term := c.mustLead(t)
+		_, term := c.mustLeader(t)
 		m.client.Hold(12 * time.Second)
 		time.Sleep(11 * time.Second)
 		if term.MayAnswerHeartbeats() {
-			t.Error("answers heartbeats, though no renewal shows a store outage")
+			t.Error("answers heartbeats, although no renewal has confirmed a store outage")
 		}
 		time.Sleep(5 * time.Second)
 		if term.MayAnswerHeartbeats() || m.election.Term() == term {
-			t.Error("the term goes on after its lease expired")
+			t.Error("the term has not ended after its lease expired")
 		}
 	})
 }
 
-// A renewal counts from when it started: one that was under way during a pause shows nothing
-// about the store now. The next one does.
-func TestRenewalPausedWithTheProcessIsNotRecent(t *testing.T) {
+// A renewal that was in flight during a process pause does not show whether the store is reachable
+// now. It counts as old, because its age is measured from its start. The leader must not answer
+// heartbeats until the next renewal has completed.
+func TestRenewalStartedBeforePauseIsNotRecent(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		m := c.start(t, "n0", 1)
 		time.Sleep(time.Second)
-		_, term := c.mustLead(t)
+		_, term := c.mustLeader(t)
 		m.client.Refuse()
 		m.client.Hold(12 * time.Second)
 		time.Sleep(12*time.Second + 100*time.Millisecond)
@@ -67,25 +69,27 @@
 		}
 		time.Sleep(time.Second)
 		if !term.MayAnswerHeartbeats() {
-			t.Error("answers no heartbeats after a renewal that started since, within the outage grace")
+			t.Error("answers no heartbeats after a renewal that started after the pause, within the outage grace")
 		}
 	})
 }
 
+// A term may end while its lease is valid. It must not answer heartbeats from then on, because other
+// controllers rely on this one following a later leader.
 func TestEndedTermAnswersNoHeartbeats(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		c.start(t, "n0", 1)
 		time.Sleep(time.Second)
-		_, term := c.mustLead(t)
+		_, term := c.mustLeader(t)
 		term.End(ErrSuperseded)
 		if term.MayAnswerHeartbeats() {
-			t.Error("answers heartbeats")
+			t.Error("answers heartbeats after the term has ended")
 		}
 	})
 }
 
-// A candidate whose commit is answered after a later leader was observed begins no term:
-// it may have announced to its peers that it follows that leader.
+// A candidate may receive the response to its commit after it observed a later leader. It must not
+// begin a term, because it may have announced to its peers that it follows that leader.
 func TestLateCommitBeginsNoTerm(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		delayed := newClient(c.store)
@@ -94,27 +98,27 @@
 		m.election.Observe(Leader{Identity{Name: "n1"}, 50})
 		time.Sleep(5 * time.Second)
 		if m.election.Term() != nil {
-			t.Error("leads all the same")
+			t.Error("leads despite a later leader")
 		}
 	})
 }
 
-// The cause of the work's context is the reason why the term ended.
-func TestCauseOfTheEnd(t *testing.T) {
-	untilEnd := func(ctx context.Context, _ *Term) error {
+// The cause of the cancellation of the work's context is the reason for which the term ended.
+func TestTermEndCause(t *testing.T) {
+	waitForEnd := func(ctx context.Context, _ *Term) error {
 		<-ctx.Done()
 		return context.Cause(ctx)
 	}
 	errWork := errors.New("records unreadable")
 	for _, c := range []struct {
-		name    string
-		disturb func(e *Election, c *kvtest.Client)
-		work    func(context.Context, *Term) error
-		want    error
+		name        string
+		injectFault func(e *Election, c *kvtest.Client)
+		work        func(context.Context, *Term) error
+		want        error
 	}{
-		{"superseded", func(e *Election, _ *kvtest.Client) { e.Observe(Leader{Revision: 50}) }, untilEnd, ErrSuperseded},
-		{"lease expired", func(_ *Election, c *kvtest.Client) { c.Hold(12 * time.Second) }, untilEnd, kv.ErrLeaseExpired},
-		{"outage grace expired", func(_ *Election, c *kvtest.Client) { c.Refuse() }, untilEnd, errGraceExpired},
+		{"superseded", func(e *Election, _ *kvtest.Client) { e.Observe(Leader{Revision: 50}) }, waitForEnd, ErrSuperseded},
+		{"lease expired", func(_ *Election, c *kvtest.Client) { c.Hold(12 * time.Second) }, waitForEnd, kv.ErrLeaseExpired},
+		{"outage grace expired", func(_ *Election, c *kvtest.Client) { c.Refuse() }, waitForEnd, errGraceExpired},
 		{"work failed", func(*Election, *kvtest.Client) {}, func(context.Context, *Term) error { return errWork }, errWork},
 		{"work returned", func(*Election, *kvtest.Client) {}, func(context.Context, *Term) error { return nil }, errWorkReturned},
 	} {
@@ -126,10 +130,10 @@
 					terms <- ctx
 					return c.work(ctx, term)
 				})
-				run(t, election)
+				runElection(t, election)
 				termCtx := <-terms
 				time.Sleep(time.Second)
-				c.disturb(election, client)
+				c.injectFault(election, client)
 				<-termCtx.Done()
 				if got := context.Cause(termCtx); !errors.Is(got, c.want) {
 					t.Errorf("cause %v, want %v", got, c.want)
--- a/election/watch.go
+++ b/election/watch.go
@@ -11,12 +11,12 @@
 	"ospreystile.example/ospreystile/records"
 )
 
-// watchTimeout is for how long the store holds one watch request without a change.
+// watchTimeout is the maximum time for which the store holds a watch request without a change.
 const watchTimeout = 10 * time.Second
 
-// Observe records a leader that the store or a peer names. A leader with a larger revision
+// Observe records a leader that the store or a peer reported. A leader with a larger revision
 // than the current term ends that term. A leader without a name is not followed: its key was
-// deleted, and its revision only shows that earlier terms have ended.
+// deleted, and its revision only proves that earlier terms have ended.
 func (e *Election) Observe(l Leader) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -31,9 +31,9 @@
 	}
 }
 
-// forgetLeader forgets the leader whose key was deleted at a revision. The revision of the
-// leader stays known.
-func (e *Election) forgetLeader(deletedAt ids.Revision) {
+// clearLeader clears the name of the leader whose key was deleted at a revision. It keeps the
+// revision of the leader.
+func (e *Election) clearLeader(deletedAt ids.Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.leader.Revision <= deletedAt {
@@ -41,13 +41,13 @@
 	}
 }
 
-// awaitKeyChange returns nil when the leader key, last read at a revision, has changed.
-func (e *Election) awaitKeyChange(ctx context.Context, read ids.Revision) error {
-	since := read
+// awaitKeyChange waits until the leader key has changed since it was read at readRevision.
+func (e *Election) awaitKeyChange(ctx context.Context, readRevision ids.Revision) error {
+	since := readRevision
 	for ctx.Err() == nil {
 		revision, events, err := e.store.Watch(ctx, records.LeaderKey, since, watchTimeout)
 		if errors.Is(err, kv.ErrCompacted) {
-			revision, err = e.verifyKeyUnchanged(ctx, read)
+			revision, err = e.verifyKeyUnchanged(ctx, readRevision)
 		}
 		if errors.Is(err, errKeyChanged) {
 			return nil
@@ -63,19 +63,20 @@
 	return ctx.Err()
 }
 
-// errKeyChanged means that the leader key is not at the revision that was read.
+// errKeyChanged means that the leader key is no longer at the revision that was read.
 var errKeyChanged = errors.New("leader key changed")
 
-// verifyKeyUnchanged returns a revision of the store at which the leader key is still at the
-// revision that was read, from which it can be watched. It returns errKeyChanged if the key
-// is at another revision. It is needed when the leader has held the key for longer than the
-// store keeps changes: reading the key again would only return its old revision.
-func (e *Election) verifyKeyUnchanged(ctx context.Context, read ids.Revision) (ids.Revision, error) {
+// verifyKeyUnchanged verifies that the leader key is still at readRevision, and returns the
+// revision of the store at that time, from which the key can be watched. It returns
+// errKeyChanged if the key is at another revision. It is needed if the leader has held the key
+// for longer than the store retains changes. Reading the key again would then return
+// readRevision, from which it cannot be watched.
+func (e *Election) verifyKeyUnchanged(ctx context.Context, readRevision ids.Revision) (ids.Revision, error) {
 	result, err := e.store.Commit(ctx, kv.Txn{
-		Preconditions: []kv.Precondition{{Key: records.LeaderKey, Revision: read}},
+		Preconditions: []kv.Precondition{{Key: records.LeaderKey, Revision: readRevision}},
 	})
 	if err != nil {
-		return 0, fmt.Errorf("verify key %s at revision %d: %w", records.LeaderKey, read, err)
+		return 0, fmt.Errorf("verify key %s at revision %d: %w", records.LeaderKey, readRevision, err)
 	}
 	if !result.Applied {
 		return 0, errKeyChanged
@@ -83,12 +84,12 @@
 	return result.Revision, nil
 }
 
-// observeKeyEvents reports whether the leader key changed, and forgets the leader if the key
-// was deleted.
+// observeKeyEvents reports whether the leader key changed, and clears the leader if the key was
+// deleted.
 func (e *Election) observeKeyEvents(events []kv.Event) bool {
 	for _, event := range events {
 		if event.DeletedKey == records.LeaderKey {
-			e.forgetLeader(event.Revision)
+			e.clearLeader(event.Revision)
 			return true
 		}
 		if event.PutKey == records.LeaderKey {
--- a/election/watch_test.go
+++ b/election/watch_test.go
@@ -15,9 +15,9 @@
 	"ospreystile.example/ospreystile/records"
 )
 
-// A leader may hold its key for longer than the store keeps changes. A controller that starts
-// then cannot watch from the key's revision. It must watch from a later one, rather than read
-// the key again without a pause, and must notice at once when the key is deleted.
+// A leader may hold its key for longer than the store retains changes. A controller that starts
+// then cannot watch from the revision of the key. It must watch from a later revision instead of
+// reading the key in a tight loop, and must immediately notice the deletion of the key.
 func TestWatchOfKeyOlderThanCompaction(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		first := c.start(t, "n0", 1)
@@ -28,18 +28,19 @@
 		c.start(t, "n1", 1)
 		time.Sleep(30 * time.Second)
 		if calls := c.store.Requests() - before; calls > 100 {
-			t.Errorf("%d requests in 30 s", calls)
+			t.Errorf("%d requests in 30 s, want at most 100", calls)
 		}
 		first.kill()
 		time.Sleep(4 * time.Second)
 		if leader, _ := c.leader(); leader != "n1" {
-			t.Errorf("%q leads", leader)
+			t.Errorf("%q leads, want n1", leader)
 		}
 	})
 }
 
-// A leader key that cannot be decoded is logged once. It counts as held until its lease
-// expires, never as absent.
+// If a leader key that cannot be decoded counted as absent, a second controller could lead while
+// the lease of the first is valid. The key must count as held until its lease expires, and must be
+// logged once.
 func TestUnreadableKeyCountsAsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := kvtest.NewStore()
@@ -54,7 +55,7 @@
 				<-ctx.Done()
 				return context.Cause(ctx)
 			})
-		stop := run(t, election)
+		stop := runElection(t, election)
 
 		time.Sleep(1900 * time.Millisecond)
 		if leader, known := election.Leader(); known || len(terms) > 0 {
@@ -66,7 +67,7 @@
 		}
 		stop()
 		if n := strings.Count(logged.String(), "key=leader"); n != 1 {
-			t.Errorf("logged %d times: %s", n, logged.String())
+			t.Errorf("logged %d times, want once: %s", n, logged.String())
 		}
 	})
 }
