--- a/records/changes.go
+++ b/records/changes.go
@@ -7,48 +7,49 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// Change is one atomic change to the records: if all preconditions hold, all operations are
-// applied at one revision.
+// Change represents one atomic change to the records. If all preconditions hold, all operations
+// are applied at one revision.
 type Change struct {
-	// ID identifies the change to its submitter; it is not stored.
+	// ID identifies the change to its submitter. It is not stored.
 	ID            uint64
 	Preconditions []kv.Precondition
 	Operations    []kv.Operation
 }
 
-// require adds the precondition that a key is at a revision; zero means that it is absent.
+// require adds the precondition that a key is at a revision. Zero means that the key is absent.
 func (c *Change) require(key string, revision ids.Revision) {
 	c.Preconditions = append(c.Preconditions, kv.Precondition{Key: key, Revision: revision})
 }
 
-// put adds an operation that replaces the record at the revision.
+// put adds an operation that writes a record, with the precondition that the key is at the revision.
 func (c *Change) put(key string, revision ids.Revision, record any) {
 	c.require(key, revision)
 	c.Operations = append(c.Operations, kv.Operation{PutKey: key, Value: record})
 }
 
-// delete adds an operation that deletes the record at the revision.
+// delete adds an operation that deletes a record, with the precondition that the key is at the
+// revision.
 func (c *Change) delete(key string, revision ids.Revision) {
 	c.require(key, revision)
 	c.Operations = append(c.Operations, kv.Operation{DeleteKey: key})
 }
 
-// SliceVersion is an admission slice and the revision at which its record must be; zero
-// means that it has none yet.
+// SliceVersion identifies an admission slice and the revision at which its record must be. Zero
+// means that the slice has no record yet.
 type SliceVersion struct {
 	Number   int
 	Revision ids.Revision
 }
 
-// SliceWrite is an admission slice and its new record.
+// SliceWrite holds an admission slice and its new record.
 type SliceWrite struct {
 	SliceVersion
 	Record AdmissionSlice
 }
 
-// PutSlicesChange writes admission slices of a job: one, or all parts of one that is split,
-// so that each task is in exactly one record at all times. The job's revision is a
-// precondition too, so that nothing is admitted for a job that was cancelled.
+// PutSlicesChange returns a change that writes admission slices of a job. They are one slice, or
+// all parts of a slice that is split, so that each task is in exactly one record at all times.
+// The revision of the job is also a precondition, so that no task of a cancelled job is admitted.
 func PutSlicesChange(id ids.JobID, jobRevision ids.Revision, writes []SliceWrite) Change {
 	var c Change
 	c.require(JobKey(id), jobRevision)
@@ -58,7 +59,8 @@
 	return c
 }
 
-// DeleteSlicesChange deletes admission slices of a job that is done or cancelled.
+// DeleteSlicesChange returns a change that deletes admission slices of a job that is done or
+// cancelled.
 func DeleteSlicesChange(id ids.JobID, slices []SliceVersion) Change {
 	var c Change
 	for _, slice := range slices {
@@ -67,8 +69,8 @@
 	return c
 }
 
-// CompleteJobChange records that a job is done, which is final, and deletes admission
-// slices of it.
+// CompleteJobChange returns a change that records that a job is done, which is final, and that
+// deletes admission slices of the job.
 func CompleteJobChange(id ids.JobID, jobRevision ids.Revision, record Job, slices []SliceVersion) Change {
 	record.Status = wire.JobDone
 	c := DeleteSlicesChange(id, slices)
@@ -76,20 +78,20 @@
 	return c
 }
 
-// CreateJobChange records a job that has no record yet.
+// CreateJobChange returns a change that records a job that has no record yet.
 func CreateJobChange(id ids.JobID, record Job) Change {
 	var c Change
 	c.put(JobKey(id), 0, record)
 	return c
 }
 
-// CancelJobChange records that a job is cancelled, which is final. The description stays,
-// since quota counts the tasks until they have ended. Of a record larger than limitBytes
-// only what quota needs stays: the record may have been written when the store's limits
-// were higher. Zero means no limit.
-func CancelJobChange(id ids.JobID, revision ids.Revision, nonce uint64, record Job, limitBytes int) Change {
+// CancelJobChange returns a change that records that a job is cancelled, which is final. The record
+// keeps the description, because the tasks count against quota until they have ended. A record
+// larger than maxBytes keeps only the fields that quota needs, because it may have been written
+// when the store's limits were higher. If maxBytes is zero, there is no limit.
+func CancelJobChange(id ids.JobID, revision ids.Revision, nonce uint64, record Job, maxBytes int) Change {
 	record.Nonce, record.Status = nonce, wire.JobCancelled
-	if spec := record.Spec; spec != nil && wire.ExceedsJSONSize(record, limitBytes) {
+	if spec := record.Spec; spec != nil && wire.ExceedsJSONSize(record, maxBytes) {
 		record.Spec = quotaFields(spec)
 	}
 	var c Change
@@ -97,7 +99,7 @@
 	return c
 }
 
-// quotaFields returns the part of a description that quota needs.
+// quotaFields returns a description with only the fields that quota needs.
 func quotaFields(spec *wire.JobSpec) *wire.JobSpec {
 	return &wire.JobSpec{
 		Team:     spec.Team,
@@ -114,14 +116,14 @@
 	}
 }
 
-// PutZoneChange writes the record of a zone's condition.
+// PutZoneChange returns a change that writes the record of a zone's condition.
 func PutZoneChange(zone ids.Zone, revision ids.Revision, record *zonerecovery.Record) Change {
 	var c Change
 	c.put(ZoneKey(zone), revision, record)
 	return c
 }
 
-// DeleteZoneChange deletes the record of a zone that no longer needs one.
+// DeleteZoneChange returns a change that deletes the record of a zone that no longer needs one.
 func DeleteZoneChange(zone ids.Zone, revision ids.Revision) Change {
 	var c Change
 	c.delete(ZoneKey(zone), revision)
--- a/records/commit/batch.go
+++ b/records/commit/batch.go
@@ -10,30 +10,33 @@
 	"ospreystile.example/ospreystile/records"
 )
 
-// batchState is what is known about the transactions that were sent for a batch without a
-// definite answer. While a transaction is in flight, the state is that of the transactions
-// before it. A batch that is resolved has an answer.
+// batchState represents what is known about the transactions that were sent for a batch without a
+// definite response. While a transaction is in flight, the state covers the earlier transactions
+// only. A resolved batch needs no state, because it has a definite response.
 type batchState int
 
 const (
-	// queued means that none was executed, and none will be.
+	// queued means that no transaction was executed or will be executed later.
 	queued batchState = iota
-	// indeterminate means that one may have been executed, or may yet be.
+	// indeterminate means that a transaction may have been executed, or may still be executed
+	// later.
 	indeterminate
 )
 
-// batch is the changes that go together in one transaction.
+// batch holds the changes that are committed in one transaction.
 type batch struct {
 	changes []queuedChange
 	state   batchState
 }
 
-// part returns the changes from start up to end as a batch of its own, in the same state.
+// part returns the changes from start up to, but not including, end as a separate batch in the same
+// state.
 func (b batch) part(start, end int) batch {
 	return batch{changes: b.changes[start:end], state: b.state}
 }
 
-// transaction joins the changes, behind the fence if there is one.
+// transaction returns one transaction with all changes. If there is a fence, it is the first
+// precondition.
 func (b batch) transaction(fence *kv.Precondition) kv.Txn {
 	var txn kv.Txn
 	if fence != nil {
@@ -51,8 +54,8 @@
 	return slices.ContainsFunc(b.changes, queuedChange.hasDeadline)
 }
 
-// deadlinePassed reports whether the deadline of the first change, which has waited
-// longest, has passed.
+// deadlinePassed reports whether the deadline of the first change has passed. The first change has
+// waited longest.
 func (b batch) deadlinePassed() bool {
 	first := b.changes[0]
 	return first.hasDeadline() && time.Now().After(first.deadline)
@@ -65,7 +68,7 @@
 	}
 }
 
-// fail reports all changes as not resolved.
+// fail reports all changes as unresolved.
 func (b batch) fail(cause error) {
 	if b.state == indeterminate {
 		cause = fmt.Errorf("%w: %w", records.ErrIndeterminate, cause)
@@ -76,14 +79,13 @@
 }
 
 // reject reports all changes as rejected by the store.
-func (b batch) reject(refusal error) {
+func (b batch) reject(cause error) {
 	for _, c := range b.changes {
-		c.fail(fmt.Errorf("%w: %w", records.ErrRejected, refusal))
+		c.fail(fmt.Errorf("%w: %w", records.ErrRejected, cause))
 	}
 }
 
-// failWithDeadlines reports the changes with a deadline as not resolved, and returns the
-// others.
+// failWithDeadlines reports the changes with a deadline as unresolved, and returns the others.
 func (b batch) failWithDeadlines(cause error) (others []queuedChange) {
 	for _, c := range b.changes {
 		if c.hasDeadline() {
@@ -108,19 +110,19 @@
 	return others
 }
 
-// queuedChange is a submitted change that has no result yet.
+// queuedChange represents a submitted change that has no result yet.
 type queuedChange struct {
 	change records.Change
 	size   size
 	report ResultFunc
-	// deadline is zero if the change waits as long as Run does.
+	// deadline is zero if the change is retried until Run returns.
 	deadline time.Time
 }
 
 // hasDeadline reports whether the change has a deadline.
 func (c queuedChange) hasDeadline() bool { return !c.deadline.IsZero() }
 
-// conflicts returns those of the failed keys that are preconditions of the change.
+// conflicts returns the failed keys that are preconditions of the change.
 func (c queuedChange) conflicts(failedKeys []string) (keys []string) {
 	for _, precondition := range c.change.Preconditions {
 		if slices.Contains(failedKeys, precondition.Key) {
@@ -130,7 +132,7 @@
 	return keys
 }
 
-// fail reports a change as failed with an error that names its first key.
+// fail reports a change as failed, with an error that names the key of its first operation.
 func (c queuedChange) fail(err error) {
 	key := c.change.Operations[0].PutKey
 	if key == "" {
--- a/records/commit/benchmark_test.go
+++ b/records/commit/benchmark_test.go
@@ -13,7 +13,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// memoryStore applies every transaction at once and keeps only the count of operations.
+// memoryStore applies every transaction immediately and stores only the number of operations.
 type memoryStore struct{ revision ids.Revision }
 
 func (s *memoryStore) Commit(_ context.Context, txn kv.Txn) (kv.TxnResult, error) {
@@ -25,17 +25,17 @@
 	return kv.Entry{}, false, nil
 }
 
-// BenchmarkCommitter commits a thousand changes of one job record each, in transactions of
-// up to 32 operations.
+// BenchmarkCommitter commits 1000 changes of one job record each, in transactions of up to 32
+// operations.
 func BenchmarkCommitter(b *testing.B) {
-	const changes = 1000
-	batch := make([]records.Change, changes)
-	for i := range batch {
+	const changeCount = 1000
+	changes := make([]records.Change, changeCount)
+	for i := range changes {
 		spec := &wire.JobSpec{Class: "train", Team: "vision", Tasks: 70, CPUs: 8, MemoryGB: 64, Image: "img-07"}
 		id := ids.JobID(fmt.Sprintf("job-%d", i))
-		batch[i] = records.CreateJobChange(id, records.Job{Nonce: uint64(i + 1), Status: wire.JobQueued, Tasks: 70, Spec: spec})
+		changes[i] = records.CreateJobChange(id, records.Job{Nonce: uint64(i + 1), Status: wire.JobQueued, Tasks: 70, Spec: spec})
 	}
-	c := New(&memoryStore{}, Limits{Operations: 32, Bytes: 48 << 10}, &kv.Precondition{Key: records.LeaderKey, Revision: 1}, quietLogger())
+	c := New(&memoryStore{}, Limits{Operations: 32, Bytes: 48 << 10}, &kv.Precondition{Key: records.LeaderKey, Revision: 1}, discardLogger())
 	ctx, cancel := context.WithCancel(b.Context())
 	var run sync.WaitGroup
 	run.Go(func() { _ = c.Run(ctx) })
@@ -43,8 +43,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		var applied sync.WaitGroup
-		applied.Add(changes)
-		for _, change := range batch {
+		applied.Add(changeCount)
+		for _, change := range changes {
 			c.Submit(change, time.Time{}, func(result records.CommitResult) {
 				if result.Err != nil {
 					b.Errorf("%s: %v", change.Operations[0].PutKey, result.Err)
--- a/records/commit/committer_test.go
+++ b/records/commit/committer_test.go
@@ -16,8 +16,8 @@
 	"ospreystile.example/ospreystile/records"
 )
 
-// Results are true whichever responses are lost: a change reported as applied is in the
-// store at the revision reported, and one reported as a conflict never gets there.
+// Lost responses must not lead to wrong results. A change reported as applied must be in the store at
+// the reported revision. A change reported as a conflict must never be applied.
 func TestIndeterminateResultsAreResolved(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -64,30 +64,31 @@
 	}
 }
 
-// The store's limits may be lowered at any time. The changes of a batch that it rejects are
-// sent one at a time. A change that is too large on its own fails alone, is reported as
-// rejected, and is not sent again. A change of an indeterminate batch is not reported as rejected if it was applied.
-func TestRejectedChangeFailsAlone(t *testing.T) {
+// The limits of the store may be lowered at any time, so that it rejects a batch. The changes of the
+// batch must then be sent individually. Only a change that is itself too large must fail. It must be
+// reported as rejected, and not be sent again. A change of an indeterminate batch must not be reported
+// as rejected if it was applied.
+func TestRejectionFailsOnlyItsChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
 		limits := storeLimits{operations: 3, tooLarge: map[string]int{records.JobKey("job-4"): 0}}
-		store.SetCommitFault(limits.rejectOr(faultsInOrder(kvtest.LoseResponse)))
-		c := New(newTestClient(store), Limits{Operations: 8, Bytes: 48 << 10}, nil, quietLogger())
+		store.SetCommitFault(limits.rejectExceeding(faultsInOrder(kvtest.LoseResponse)))
+		c := New(newTestClient(store), Limits{Operations: 8, Bytes: 48 << 10}, nil, discardLogger())
 		results := map[ids.JobID]records.CommitResult{}
 		submit := func(n int) {
 			id := testJobID(n)
 			c.Submit(createTestJob(n), time.Time{}, func(result records.CommitResult) {
-				if _, twice := results[id]; twice || !result.Resolved() {
-					t.Errorf("%s: reported twice: %v, error %v", id, twice, result.Err)
+				if _, alreadyReported := results[id]; alreadyReported || !result.Resolved() {
+					t.Errorf("%s: reported twice: %v, error %v", id, alreadyReported, result.Err)
 				}
 				results[id] = result
 			})
 		}
-		submit(0) // its response is lost, and the repeat is rejected although the first was applied
+		submit(0) // applied, but the response is lost and the retry is rejected
 		stop := startCommitter(t, c)
-		time.Sleep(2 * storeLatency) // until the store has applied the first
+		time.Sleep(2 * storeLatency) // until the store has applied the first attempt
 		synctest.Wait()
-		limits.lower(records.JobKey("job-0"))
+		limits.markTooLarge(records.JobKey("job-0"))
 		for n := 1; n < 8; n++ {
 			submit(n)
 		}
@@ -106,9 +107,9 @@
 	})
 }
 
-// After a lost response, a record with another nonce is another writer's: the change was not
-// applied.
-func TestRecordOfAnotherIsNotTakenForOwn(t *testing.T) {
+// After a lost response, the store may hold a record of another writer under the same key. Its nonce
+// differs, so the change must be reported as a conflict, not as applied.
+func TestRecordOfAnotherWriterIsNotTakenForOwn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
 		stored := createTestJob(1).Operations[0]
@@ -127,13 +128,13 @@
 	})
 }
 
-// A batch whose answer was lost is rejected, and the first sending of it is applied while its
-// changes are sent one at a time: they must be reported as applied, not as conflicts with
+// The response to a batch is lost and its retry is rejected. The store applies the first attempt while
+// the changes are being sent individually. They must be reported as applied, not as conflicts with
 // themselves.
-func TestLateBatchResolvesItsSingleChanges(t *testing.T) {
+func TestLateBatchResolvesItsIndividualChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
-		// Unavailable until the late batch was applied.
+		// The store is unavailable until the late batch is applied.
 		faults := []kvtest.Fault{kvtest.ApplyLate, kvtest.Reject}
 		faults = append(faults, slices.Repeat([]kvtest.Fault{kvtest.Refuse}, 20)...)
 		store.SetCommitFault(faultsInOrder(faults...))
@@ -155,8 +156,9 @@
 	})
 }
 
-// A deposed leader's change must not get through, and ends its committer.
-func TestFenceEndsTheCommitter(t *testing.T) {
+// After a failover, the previous leader may still send changes. They must not be applied, and the
+// committer of that leader must stop.
+func TestFencedCommitterStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
 		c := newTestCommitter(newTestClient(store), setLeader(store, "a"))
@@ -166,17 +168,17 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		if err := c.Run(ctx); !errors.Is(err, records.ErrFenced) || !errors.Is(got, records.ErrFenced) {
-			t.Fatalf("ended with %v, reported %v", err, got)
+			t.Fatalf("Run returned %v, reported %v, want ErrFenced", err, got)
 		}
 		if _, found := store.Entry(records.JobKey("job-1")); found {
-			t.Fatal("the change got through")
+			t.Fatal("the change was applied")
 		}
 	})
 }
 
-// During an outage of the store, a change with a deadline fails at once, so that its client can
-// retry elsewhere.
-func TestOutageIsReportedAtOnceToClientsThatWait(t *testing.T) {
+// During a store outage, a change with a deadline must fail immediately, so that its client does not
+// wait until the deadline and can retry elsewhere.
+func TestChangeWithDeadlineFailsImmediatelyInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
 		store.SetCommitFault(func(kv.Txn) kvtest.Fault { return kvtest.Refuse })
@@ -194,8 +196,9 @@
 	})
 }
 
-// What a change is reported as follows from the answers to its transaction.
-func TestResultsFollowFromAnswers(t *testing.T) {
+// A wrong classification of a response would report an unapplied change as applied, or the reverse, or
+// would retry a transaction that must not be sent again.
+func TestResultsFollowFromResponses(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		faults   []kvtest.Fault
@@ -204,19 +207,19 @@
 		resolved bool
 		sent     int
 	}{
-		{name: "answered", want: nil, resolved: true, sent: 1},
+		{name: "applied", want: nil, resolved: true, sent: 1},
 		{name: "unavailable twice", faults: []kvtest.Fault{kvtest.Refuse, kvtest.Refuse}, resolved: true, sent: 3},
 		{name: "unavailable, with a deadline", faults: []kvtest.Fault{kvtest.Refuse}, deadline: time.Minute, want: kv.ErrUnavailable, sent: 1},
-		{name: "answer lost after it was applied", faults: []kvtest.Fault{kvtest.LoseResponse}, resolved: true, sent: 2},
-		{name: "answer lost, with a deadline", faults: []kvtest.Fault{kvtest.LoseResponse}, deadline: time.Minute, resolved: true, sent: 2},
-		{name: "answer lost, then unavailable", faults: []kvtest.Fault{kvtest.LoseResponse, kvtest.Refuse, kvtest.Refuse}, resolved: true, sent: 4},
-		{name: "answer lost, deadline passed", faults: []kvtest.Fault{kvtest.ApplyLate}, deadline: time.Second, want: records.ErrIndeterminate, sent: 1},
-		{name: "answer lost, unavailable until the deadline", faults: []kvtest.Fault{kvtest.ApplyLate, kvtest.Refuse, kvtest.Refuse}, deadline: 1100 * time.Millisecond,
+		{name: "response lost after the change was applied", faults: []kvtest.Fault{kvtest.LoseResponse}, resolved: true, sent: 2},
+		{name: "response lost, with a deadline", faults: []kvtest.Fault{kvtest.LoseResponse}, deadline: time.Minute, resolved: true, sent: 2},
+		{name: "response lost, then unavailable", faults: []kvtest.Fault{kvtest.LoseResponse, kvtest.Refuse, kvtest.Refuse}, resolved: true, sent: 4},
+		{name: "response lost, deadline passed", faults: []kvtest.Fault{kvtest.ApplyLate}, deadline: time.Second, want: records.ErrIndeterminate, sent: 1},
+		{name: "response lost, unavailable until the deadline", faults: []kvtest.Fault{kvtest.ApplyLate, kvtest.Refuse, kvtest.Refuse}, deadline: 1100 * time.Millisecond,
 			want: records.ErrIndeterminate, sent: 3},
-		{name: "answer lost, then rejected, applied", faults: []kvtest.Fault{kvtest.LoseResponse, kvtest.Reject}, resolved: true, sent: 2},
-		{name: "answer lost, then rejected, not applied", faults: []kvtest.Fault{kvtest.ApplyLate, kvtest.Reject}, want: records.ErrRejected, resolved: true, sent: 2},
+		{name: "response lost, then rejected, applied", faults: []kvtest.Fault{kvtest.LoseResponse, kvtest.Reject}, resolved: true, sent: 2},
+		{name: "response lost, then rejected, not applied", faults: []kvtest.Fault{kvtest.ApplyLate, kvtest.Reject}, want: records.ErrRejected, resolved: true, sent: 2},
 		{name: "rejected", faults: []kvtest.Fault{kvtest.Reject}, want: records.ErrRejected, resolved: true, sent: 1},
-		{name: "malformed answer", faults: []kvtest.Fault{kvtest.MalformResponse}, want: records.ErrIndeterminate, sent: 1},
+		{name: "malformed response", faults: []kvtest.Fault{kvtest.MalformResponse}, want: records.ErrIndeterminate, sent: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -243,8 +246,9 @@
 	}
 }
 
-// A conflict names the keys of the change, and the other changes of the batch are applied.
-func TestConflictFailsItsChangeAlone(t *testing.T) {
+// One change with a failed precondition makes its whole batch fail. The conflict must name only the
+// keys of that change, and the other changes of the batch must be applied.
+func TestConflictFailsOnlyItsChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
 		log := recordCommits(store, faultsInOrder())
@@ -260,7 +264,7 @@
 		stop()
 		conflict, ok := errors.AsType[*records.ConflictError](results[1].Err)
 		if !ok || len(conflict.Keys) != 1 || conflict.Keys[0] != "jobs/job-1" {
-			t.Errorf("the conflict was reported as %v", results[1].Err)
+			t.Errorf("reported %v, want a conflict on jobs/job-1", results[1].Err)
 		}
 		if results[0].Err != nil || results[2].Err != nil || len(log.sent) != 2 {
 			t.Errorf("the other changes: %v, %v, after %d transactions", results[0].Err, results[2].Err, len(log.sent))
@@ -268,7 +272,8 @@
 	})
 }
 
-// The delay before a retry starts at 50 ms, doubles, and is at most 500 ms.
+// Without backoff, retries would overload an unavailable store. The delay before a retry must start at
+// 50 ms and double up to 500 ms.
 func TestRetriesBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
--- a/records/commit/queue.go
+++ b/records/commit/queue.go
@@ -8,33 +8,34 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Limits are the limits of one transaction. A change that exceeds them on its own is still
-// sent, in a transaction of its own: the store decides.
+// Limits holds the limits of one transaction. A single change that exceeds them is still sent, in
+// a separate transaction, and the store decides whether to reject it.
 type Limits struct {
-	// Operations is the largest number of puts and deletes.
+	// Operations is the maximum number of puts and deletes.
 	Operations int
-	// Bytes is the largest estimated size, in the form in which the store measures it.
+	// Bytes is the maximum estimated size in bytes of JSON, the form in which the store
+	// measures it.
 	Bytes int
 }
 
-// preconditionsPerOperation is how many preconditions the store allows in a transaction for
-// each operation that it allows.
+// preconditionsPerOperation is the number of preconditions that the store allows in a transaction
+// for each operation that it allows.
 const preconditionsPerOperation = 4
 
-// The store measures a transaction as JSON, which is not its form on the wire. Encoding each
-// change as JSON would cost more than it gains, so its size is estimated. Limits leave a margin
-// for estimates that are too low. If a batch is too large all the same, the store rejects it,
-// and its changes are sent one at a time.
+// The store measures a transaction as JSON, although it is sent as MessagePack. Encoding each change
+// as JSON would cost more than an exact size is worth, so the size is estimated. Limits leave a
+// margin for estimates that are too low. If a batch is nevertheless too large, the store rejects it,
+// and its changes are sent individually.
 const (
-	// bytesPerKey is the size of a precondition or operation without its key and value:
+	// bytesPerKey is the JSON size of a precondition or operation without its key and value:
 	// braces, field names, and a revision.
 	bytesPerKey = 40
-	// jsonBytes is how many bytes of JSON a record takes for messagePackBytes of
-	// MessagePack: both spell out field names, JSON also numbers and punctuation.
+	// jsonBytes is the number of bytes of JSON for messagePackBytes bytes of MessagePack in a
+	// record. Both contain the field names. JSON also has decimal numbers and punctuation.
 	jsonBytes, messagePackBytes = 3, 2
 )
 
-// size is how much of the limits changes take.
+// size holds the counts and bytes of changes that are compared with Limits.
 type size struct {
 	operations    int
 	preconditions int
@@ -65,7 +66,7 @@
 	}
 }
 
-// fits reports whether a transaction of the size is within the limits.
+// fits reports whether a transaction of size s is within the limits.
 func (s size) fits(limits Limits) bool {
 	return s.operations <= limits.Operations && s.bytes <= limits.Bytes &&
 		s.preconditions <= preconditionsPerOperation*limits.Operations
@@ -74,14 +75,14 @@
 // queue holds the changes that are not yet in a batch, in the order of submission.
 type queue struct {
 	limits Limits
-	// added receives a value after a change was added; one value may stand for many changes.
+	// added receives a value after changes were added. One value may represent several changes.
 	added chan struct{}
 
 	mu      sync.Mutex
 	changes []queuedChange
 }
 
-// add appends a change.
+// add appends a change and signals on added.
 func (q *queue) add(change queuedChange) {
 	q.mu.Lock()
 	q.changes = append(q.changes, change)
@@ -92,14 +93,15 @@
 	}
 }
 
-// length returns the number of changes.
+// length returns the number of queued changes.
 func (q *queue) length() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.changes)
 }
 
-// take removes as many changes as one transaction may hold: at least one if there is any.
+// take removes and returns as many changes as one transaction may hold. It takes at least one
+// change unless the queue is empty.
 func (q *queue) take() []queuedChange {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/records/commit/queue_test.go
+++ b/records/commit/queue_test.go
@@ -7,8 +7,10 @@
 	"ospreystile.example/ospreystile/records"
 )
 
-// A batch takes changes in order while it is within all limits, and one change always.
-func TestBatchesKeepToTheLimits(t *testing.T) {
+// A batch beyond the limits would be rejected by the store. A batch must take changes in order while
+// it is within all limits. It always takes at least one, since a change that is too large would
+// otherwise remain in the queue indefinitely.
+func TestBatchesRespectLimits(t *testing.T) {
 	limits := Limits{Operations: 4, Bytes: 1000}
 	for _, c := range []struct {
 		name  string
@@ -20,8 +22,8 @@
 		{name: "operations", sizes: []size{{operations: 2}, {operations: 2}, {operations: 1}}, want: 2},
 		{name: "bytes", sizes: []size{{bytes: 500}, {bytes: 501}}, want: 1},
 		{name: "preconditions, with the fence", sizes: []size{{preconditions: 15}, {preconditions: 1}}, want: 1},
-		{name: "one that is too large", sizes: []size{{operations: 9, bytes: 9000}, {}}, want: 1},
-		{name: "one that is too large later on", sizes: []size{{operations: 1}, {operations: 9}, {operations: 1}}, want: 1},
+		{name: "first change too large", sizes: []size{{operations: 9, bytes: 9000}, {}}, want: 1},
+		{name: "second change too large", sizes: []size{{operations: 1}, {operations: 9}, {operations: 1}}, want: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := queue{limits: limits, added: make(chan struct{}, 1)}
@@ -32,18 +34,20 @@
 				t.Errorf("took %d changes, want %d", got, c.want)
 			}
 			if left := q.length(); left != len(c.sizes)-c.want {
-				t.Errorf("%d changes are left", left)
+				t.Errorf("%d changes are left, want %d", left, len(c.sizes)-c.want)
 			}
 		})
 	}
 }
 
-func TestSizeOfAChange(t *testing.T) {
+// If the estimate ignored keys, preconditions or the growth from MessagePack to JSON, batches would
+// exceed the limits of the store.
+func TestSizeOf(t *testing.T) {
 	change := records.Change{
 		Preconditions: []kv.Precondition{{Key: "leader"}, {Key: "jobs/1"}},
 		Operations:    []kv.Operation{{PutKey: "jobs/1", Value: "123456789"}, {DeleteKey: "fleet"}},
 	}
-	// The value takes 10 bytes in MessagePack.
+	// The value takes 10 bytes of MessagePack, estimated as 15 bytes of JSON.
 	want := size{operations: 2, preconditions: 2, bytes: 4*40 + len("leader") + len("jobs/1") + len("jobs/1") + len("fleet") + 15}
 	if got := sizeOf(change); got != want {
 		t.Errorf("estimated %+v, want %+v", got, want)
--- a/records/commit/send.go
+++ b/records/commit/send.go
@@ -9,78 +9,80 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// A transaction is sent again after minBackoff, which doubles up to maxBackoff.
+// The first retry of a transaction is sent after minBackoff. The delay doubles with each retry, up to
+// maxBackoff.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 )
 
-// answer is how the sending of a batch ended.
-type answer struct {
-	// batch has the changes that still need a result. Its state tells whether the store
-	// may have executed, or may yet execute, an earlier sending of them.
+// sendResult holds the result of sending a batch.
+type sendResult struct {
+	// batch holds the changes that still need a result. Its state shows whether the store may
+	// have executed an earlier attempt, or may still execute it later.
 	batch batch
-	// result is the store's if err is nil: applied, or a conflict.
+	// result is the response of the store if err is nil: the transaction was applied, or
+	// failed with a conflict.
 	result kv.TxnResult
-	// err wraps kv.ErrRejected if the store rejects the transaction. All other errors are the
-	// reason why the batch was given up.
+	// err wraps kv.ErrRejected if the store rejected the transaction. Any other error is the
+	// reason for which the batch was given up.
 	err error
 }
 
-// isRefusal reports whether the store answered that it did not apply the transaction.
-func (a answer) isRefusal() bool {
-	return a.err == nil && !a.result.Applied || errors.Is(a.err, kv.ErrRejected)
+// isConflictOrRejection reports whether the store responded that it did not apply the transaction.
+func (r sendResult) isConflictOrRejection() bool {
+	return r.err == nil && !r.result.Applied || errors.Is(r.err, kv.ErrRejected)
 }
 
-// send sends a batch until the answer is definite, or until the batch is given up.
-// The same transaction is safe to repeat: its preconditions let it through at most once.
-func (c *Committer) send(ctx context.Context, b batch) answer {
+// send sends a batch until the response is definite, or until the batch is given up. Repeating the
+// same transaction is safe, because its preconditions allow it to be applied at most once.
+func (c *Committer) send(ctx context.Context, b batch) sendResult {
 	txn := b.transaction(c.fence)
 	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
-		a, definite := c.attempt(ctx, b, txn)
-		b = a.batch
+		r, definite := c.attempt(ctx, b, txn)
+		b = r.batch
 		switch {
 		case definite:
-			return a
+			return r
 		case ctx.Err() != nil:
-			return answer{batch: b, err: ctx.Err()}
+			return sendResult{batch: b, err: ctx.Err()}
 		case b.state == queued && b.hasDeadlines():
-			return c.sendWithoutDeadlines(ctx, b, a.err)
+			return c.sendWithoutDeadlines(ctx, b, r.err)
 		case b.state == indeterminate && b.deadlinePassed():
-			return a
+			return r
 		}
-		c.log.Debug("commit retry", "err", a.err, "changes", len(b.changes))
+		c.log.Debug("commit retry", "err", r.err, "changes", len(b.changes))
 		if !monotonic.Sleep(ctx, backoff) {
-			return answer{batch: b, err: ctx.Err()}
+			return sendResult{batch: b, err: ctx.Err()}
 		}
 	}
 }
 
-// sendWithoutDeadlines continues after the store did not execute a transaction: changes with a
-// deadline fail at once, and the others are sent again without a pause.
-func (c *Committer) sendWithoutDeadlines(ctx context.Context, b batch, cause error) answer {
+// sendWithoutDeadlines continues after the store did not execute a transaction. Changes with a
+// deadline fail immediately, and the others are sent again without a delay.
+func (c *Committer) sendWithoutDeadlines(ctx context.Context, b batch, cause error) sendResult {
 	b.changes = b.failWithDeadlines(cause)
 	if len(b.changes) == 0 {
-		return answer{batch: b, err: cause}
+		return sendResult{batch: b, err: cause}
 	}
 	return c.send(ctx, b)
 }
 
-// attempt sends a transaction once and moves the batch to its next state. definite is false
-// if the transaction has to be sent again.
-func (c *Committer) attempt(ctx context.Context, b batch, txn kv.Txn) (a answer, definite bool) {
+// attempt sends a transaction once and updates the state of the batch. definite reports whether the
+// transaction need not be sent again.
+func (c *Committer) attempt(ctx context.Context, b batch, txn kv.Txn) (r sendResult, definite bool) {
 	result, err := c.store.Commit(ctx, txn)
-	a = answer{batch: b, result: result, err: err}
+	r = sendResult{batch: b, result: result, err: err}
 	switch {
-	case a.isRefusal() && b.state == indeterminate:
-		return c.resolve(ctx, a, txn)
-	case a.isRefusal(), err == nil:
-		return a, true
+	case r.isConflictOrRejection() && b.state == indeterminate:
+		return c.resolve(ctx, r, txn)
+	case r.isConflictOrRejection(), err == nil:
+		return r, true
 	case errors.Is(err, kv.ErrMalformedResponse):
-		a.batch.state = indeterminate
-		return a, true // the store would answer the same again
+		r.batch.state = indeterminate
+		return r, true // a retry would get the same response
 	case errors.Is(err, kv.ErrIndeterminate):
-		a.batch.state = indeterminate
+		r.batch.state = indeterminate
 	}
-	return a, false
+	return r, false
 }
--- a/records/commit/store_test.go
+++ b/records/commit/store_test.go
@@ -15,7 +15,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// storeLatency is how long a request to the store takes, and its response as well.
+// storeLatency is the time that a request to the store takes. Its response takes the same time.
 const storeLatency = 2500 * time.Microsecond
 
 // newTestClient returns a client of a store with storeLatency.
@@ -23,12 +23,12 @@
 	return store.NewClient(func() time.Duration { return storeLatency })
 }
 
-// setLeader writes the leader key, and returns the fence of that leader.
+// setLeader writes the leader key and returns the fence of that leader.
 func setLeader(store *kvtest.Store, name string) *kv.Precondition {
 	return &kv.Precondition{Key: records.LeaderKey, Revision: store.Put(records.LeaderKey, name)}
 }
 
-// storeRevision returns the revision of a store.
+// storeRevision returns the current revision of a store.
 func storeRevision(t *testing.T, store *kvtest.Store) ids.Revision {
 	t.Helper()
 	revision, err := store.List(t.Context(), "", func(kv.Entry) error { return nil })
@@ -38,7 +38,8 @@
 	return revision
 }
 
-// faultsInOrder returns the faults one after another, and kvtest.NoFault once none is left.
+// faultsInOrder returns a function that returns the faults one after another, and kvtest.NoFault
+// after the last one.
 func faultsInOrder(faults ...kvtest.Fault) func(kv.Txn) kvtest.Fault {
 	return func(kv.Txn) (next kvtest.Fault) {
 		if len(faults) > 0 {
@@ -48,17 +49,18 @@
 	}
 }
 
-// sentTransaction is a transaction that a store received.
+// sentTransaction describes a transaction that a store received.
 type sentTransaction struct {
 	receivedAt time.Time
 	operations int
 }
 
-// commitLog lists the transactions that a store received. It must be read only after the
-// committer has ended.
+// commitLog holds the transactions that a store received. It must be read only after the committer
+// has stopped.
 type commitLog struct{ sent []sentTransaction }
 
-// recordCommits has a store treat later transactions as choose says, and lists them.
+// recordCommits sets the function that chooses the faults of a store, and returns a log of the
+// transactions that the store receives from then on.
 func recordCommits(store *kvtest.Store, choose func(kv.Txn) kvtest.Fault) *commitLog {
 	log := &commitLog{}
 	store.SetCommitFault(func(txn kv.Txn) kvtest.Fault {
@@ -68,18 +70,18 @@
 	return log
 }
 
-// storeLimits are the limits of a store, which are lower than those that the committer knows.
+// storeLimits holds the limits of a store. They are lower than the limits of the committer.
 type storeLimits struct {
 	operations int
 
 	mu sync.Mutex
-	// tooLarge holds the keys whose values are too large, with how often each was sent.
+	// tooLarge holds the keys whose values are too large, and how often each was sent.
 	tooLarge map[string]int
 }
 
-// rejectOr returns a function that has transactions beyond the limits rejected, and others
-// treated as choose says. It calls choose for every transaction.
-func (l *storeLimits) rejectOr(choose func(kv.Txn) kvtest.Fault) func(kv.Txn) kvtest.Fault {
+// rejectExceeding returns a function that chooses kvtest.Reject for transactions that exceed the
+// limits, and the fault that choose returns for all others. It calls choose for every transaction.
+func (l *storeLimits) rejectExceeding(choose func(kv.Txn) kvtest.Fault) func(kv.Txn) kvtest.Fault {
 	return func(txn kv.Txn) kvtest.Fault {
 		fault := choose(txn)
 		if l.exceeded(txn) {
@@ -89,7 +91,8 @@
 	}
 }
 
-// exceeded reports whether a transaction exceeds the limits, and counts its keys that are too large.
+// exceeded reports whether a transaction exceeds the limits. It counts the keys whose values are too
+// large.
 func (l *storeLimits) exceeded(txn kv.Txn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,29 +106,29 @@
 	return exceeded
 }
 
-// lower makes the value of a key too large from now on.
-func (l *storeLimits) lower(key string) {
+// markTooLarge lowers the limits so that the value of a key is too large from now on.
+func (l *storeLimits) markTooLarge(key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tooLarge[key] = 0
 }
 
-// newTestCommitter makes a committer of small transactions that logs nothing.
+// newTestCommitter returns a committer with small transactions that discards its log.
 func newTestCommitter(store Store, fence *kv.Precondition) *Committer {
-	return New(store, Limits{Operations: 4, Bytes: 4096}, fence, quietLogger())
+	return New(store, Limits{Operations: 4, Bytes: 4096}, fence, discardLogger())
 }
 
-func quietLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
-// startCommitter runs a committer. The returned function ends it and waits for its end,
-// which comes with the test's at the latest.
+// startCommitter runs a committer until stop is called, or until the test ends. stop waits until the
+// committer has stopped.
 func startCommitter(t *testing.T, c *Committer) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = c.Run(ctx) // ended by stop
+		_ = c.Run(ctx) // cancelled by stop
 	}()
 	stop = func() {
 		cancel()
@@ -137,7 +140,7 @@
 
 func testJobID(n int) ids.JobID { return ids.JobID(fmt.Sprintf("job-%d", n)) }
 
-// createTestJob is the change that creates job n.
+// createTestJob returns the change that creates job n.
 func createTestJob(n int) records.Change {
 	change := records.CreateJobChange(testJobID(n), records.Job{Nonce: uint64(n + 1), Status: wire.JobQueued, Tasks: 1})
 	change.ID = uint64(n)
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -20,8 +20,9 @@
 		Spot: true, EstimateS: 240.5, CheckpointEveryS: 30.5, CheckpointS: 4.5, DeadlineS: 900.5, DependsOn: dependencies}
 }
 
-// Jobs and admission slices keep their bytes in the key-value store.
-func TestRecordsKeepTheirBytes(t *testing.T) {
+// Controllers of different versions read each other's records, so the encoding of jobs and admission
+// slices in the key-value store must not change.
+func TestRecordEncodingIsStable(t *testing.T) {
 	job := Job{Nonce: 1<<63 + 5, Status: wire.JobQueued, Tasks: 70, Spec: goldenSpec(), SubmittedMS: 1764640000123}
 	dependent, cancelled, cancelledDependent := job, job, job
 	dependent.Spec = goldenSpec("job-1", "job-2")
@@ -47,8 +48,8 @@
 	})
 }
 
-// Keys stay as they are: records are found by nothing else.
-func TestKeysStay(t *testing.T) {
+// Records are found only by their keys. If a key changed, existing records would no longer be found.
+func TestKeysAreStable(t *testing.T) {
 	for _, c := range []struct{ name, got, want string }{
 		{name: "prefix of jobs", got: JobPrefix, want: "jobs/"},
 		{name: "prefix of admission slices", got: AdmissionPrefix, want: "admissions/"},
@@ -68,8 +69,9 @@
 	}
 }
 
-// Transactions that change records keep their bytes, preconditions and operations in order.
-func TestTransactionsKeepTheirBytes(t *testing.T) {
+// The store decodes the transactions that change records, so their encoding and the order of their
+// preconditions and operations must not change.
+func TestTransactionEncodingIsStable(t *testing.T) {
 	versions := []SliceVersion{{Number: 2, Revision: 501}, {Number: 42}}
 	slice := AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"}, Tasks: []int{64, 2, 0}}
 	writes := []SliceWrite{{SliceVersion: versions[0], Record: slice}, {SliceVersion: versions[1], Record: slice}}
@@ -88,9 +90,9 @@
 		{name: "zone", change: PutZoneChange("zone-a", 500, &zonerecovery.Record{Nonce: 9, SinceMS: 10})},
 		{name: "zone dropped", change: DeleteZoneChange("zone-a", 500)},
 	} {
-		text.WriteString(c.name + " " + hexOf(kv.Txn{Preconditions: c.change.Preconditions, Operations: c.change.Operations}) + "\n")
+		text.WriteString(c.name + " " + hexEncode(kv.Txn{Preconditions: c.change.Preconditions, Operations: c.change.Operations}) + "\n")
 	}
 	golden.Text(t, "transactions.txt", text.String())
 }
 
-func hexOf(v any) string { return fmt.Sprintf("%x", wire.Encode(v)) }
+func hexEncode(v any) string { return fmt.Sprintf("%x", wire.Encode(v)) }
--- a/records/keys.go
+++ b/records/keys.go
@@ -13,16 +13,16 @@
 	JobPrefix = "jobs/"
 	// AdmissionPrefix is the prefix of the keys of admission slices.
 	AdmissionPrefix = "admissions/"
-	// ZonePrefix is the prefix of the keys of zones. Such records exist only where
-	// operators have zones watched; versions that do not know them do not read them.
+	// ZonePrefix is the prefix of the keys of zones. These records exist only if operators
+	// enabled zone monitoring. Versions without support for them do not read them.
 	ZonePrefix = "zones/"
-	// LeaderKey names the leader and is attached to its lease. Commits of the leader are fenced
-	// by its revision.
+	// LeaderKey is the key that names the leader and is attached to its lease. The revision of
+	// the key fences the leader's commits.
 	LeaderKey = "leader"
-	// FleetKey exists once any controller has led.
+	// FleetKey is a key that exists once any controller has led.
 	FleetKey = "fleet"
-	// FormatKey exists once every controller is known to handle dependencies of jobs and
-	// admission slices that were split.
+	// FormatKey is a key that exists once every controller is known to support job dependencies
+	// and split admission slices.
 	FormatKey = "format"
 )
 
@@ -32,14 +32,14 @@
 // ZoneKey returns the key of the record of a zone's condition.
 func ZoneKey(zone ids.Zone) string { return ZonePrefix + string(zone) }
 
-// AdmissionKey returns the key of one slice of a job's admissions. Numbers are padded so
-// that the slices of a job are listed in order.
+// AdmissionKey returns the key of one admission slice of a job. Numbers are zero-padded so that
+// the slices of a job are listed in order.
 func AdmissionKey(id ids.JobID, number int) string {
 	return fmt.Sprintf("%s%s/%05d", AdmissionPrefix, id, number)
 }
 
-// ParseAdmissionKey returns the job and the number in the key of an admission slice, or
-// false if it is no such key. Identifiers of jobs may contain slashes.
+// ParseAdmissionKey returns the job and the slice number from the key of an admission slice. ok
+// reports whether the key has that form. Job IDs may contain slashes.
 func ParseAdmissionKey(key string) (id ids.JobID, number int, ok bool) {
 	rest, ok := strings.CutPrefix(key, AdmissionPrefix)
 	slash := strings.LastIndexByte(rest, '/')
--- a/records/keys_test.go
+++ b/records/keys_test.go
@@ -6,7 +6,8 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-func TestAdmissionKeysAreRead(t *testing.T) {
+// Job IDs may contain slashes. They must not be mistaken for the one before the slice number.
+func TestParseAdmissionKey(t *testing.T) {
 	for _, c := range []struct {
 		key    string
 		job    ids.JobID
@@ -17,17 +18,18 @@
 	} {
 		t.Run(c.key, func(t *testing.T) {
 			if job, number, ok := ParseAdmissionKey(c.key); job != c.job || number != c.number || !ok {
-				t.Errorf("read as %q %d %v", job, number, ok)
+				t.Errorf("parsed as %q %d %v", job, number, ok)
 			}
 		})
 	}
 }
 
-func TestOtherKeysAreNotTakenForAdmissionSlices(t *testing.T) {
+// A key of another form must not be taken for the key of an admission slice.
+func TestParseAdmissionKeyRejectsOtherKeys(t *testing.T) {
 	for _, key := range []string{"jobs/x", "admissions/", "admissions/x", "admissions/x/y"} {
 		t.Run(key, func(t *testing.T) {
 			if _, _, ok := ParseAdmissionKey(key); ok {
-				t.Errorf("%q was taken for the key of a slice", key)
+				t.Errorf("%q was parsed as the key of an admission slice", key)
 			}
 		})
 	}
--- a/records/result_test.go
+++ b/records/result_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// Only an applied, conflicting or rejected change has a definite result.
 func TestResolvedResults(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -19,7 +20,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := (CommitResult{Err: c.err}).Resolved(); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("resolved %v, want %v", got, c.want)
 			}
 		})
 	}
