--- a/records/commit/queue_test.go
+++ b/records/commit/queue_test.go
@@ -34,7 +34,7 @@
 				t.Errorf("took %d changes, want %d", got, c.want)
 			}
 			if left := q.length(); left != len(c.sizes)-c.want {
-				t.Errorf("%d changes are left, want %d", left, len(c.sizes)-c.want)
+				t.Errorf("%d changes are left in the queue", left)
 			}
 		})
 	}
