--- a/controller/leader/requests.go
+++ b/controller/leader/requests.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !l.term.MayAnswerHeartbeats() || !response.replicasOnly && l.term.MayAnswerReplicasOnly() {
+	if !l.term.MayAnswerHeartbeats() || !response.replicasOnly && l.term.RestrictedToReplicas() {
 		return nil, peerapi.ErrNotLeading
 	}
 	return response.answers, nil
