--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -39,8 +39,8 @@
 	o.Quota.MaxSkippedJobs, o.Quota.ReserveAfterS, o.Quota.ReserveForS = 2001, 61.5, 92.5
 	o.Fleet.IdleTimeoutS, o.Fleet.SpotIdleFactor, o.Fleet.HeadroomIdleTimeoutS, o.Fleet.Headroom = 31.5, 1.75, 901.5, 0.35
 	o.Fleet.BootFactor, o.Fleet.CapacityBackoffS, o.Fleet.MaxMachines = 4.5, 10.5, 7
-	o.ZoneRecovery = zonerecovery.Settings{Enabled: true, SuspectShare: 0.51, OutageShare: 0.81, OutageAfterS: 6.5, ClearSuspicionAfterS: 2.5, MinMachines: 5,
-		ReachableShare: 0.26, RetryAfterS: 181.5, HoldDownS: 4.25, HoldDownFactor: 3.5, MaxHoldDownS: 30.5, QuietPeriodS: 601.5, ProbeTasks: 4,
+	o.ZoneRecovery = zonerecovery.Settings{Enabled: true, SuspectFraction: 0.51, OutageFraction: 0.81, OutageAfterS: 6.5, ClearSuspicionAfterS: 2.5, MinMachines: 5,
+		ReachableFraction: 0.26, RetryAfterS: 181.5, HoldDownS: 4.25, HoldDownFactor: 3.5, MaxHoldDownS: 30.5, QuietPeriodS: 601.5, ProbeTasks: 4,
 		MaxProbeRunS: 182.5, Steps: []float64{0.15, 0.35}, MinStepTimeS: 4.75, MinStepSuccesses: 6, FailureTolerance: 0.27, SlowStartFactor: 4.5,
 		StartsPerMachine: 1.5, FetchesPerMachine: 0.55, MaxRecoveryS: 45.5, MaxWaitS: 81.5, FailbackBudget: 2, ForceFailbackAfterS: 60.5,
 		RestorePerMinute: 1.25, RestoreAfterS: 62.5, RestoreBudget: 3, Windows: []zonerecovery.WindowSettings{{Name: "bulletins",
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -42,8 +42,8 @@
 
 // simZonePolicy is the default policy for a handful of machines in a zone.
 func simZonePolicy() *zonerecovery.Policy {
-	return &zonerecovery.Policy{SuspectShare: 0.5, OutageShare: 0.8, OutageAfter: 4 * time.Second, ClearSuspicionAfter: 2 * time.Second, MinMachines: 2,
-		ReachableShare: 0.25, RetryAfter: 3 * time.Minute, HoldDown: 4 * time.Second, MaxHoldDown: 30 * time.Second, HoldDownFactor: 3, QuietPeriod: 10 * time.Minute,
+	return &zonerecovery.Policy{SuspectFraction: 0.5, OutageFraction: 0.8, OutageAfter: 4 * time.Second, ClearSuspicionAfter: 2 * time.Second, MinMachines: 2,
+		ReachableFraction: 0.25, RetryAfter: 3 * time.Minute, HoldDown: 4 * time.Second, MaxHoldDown: 30 * time.Second, HoldDownFactor: 3, QuietPeriod: 10 * time.Minute,
 		ProbeTasks: 2, MaxProbeRun: 3 * time.Minute, Steps: []float64{0.1, 0.3, 0.6}, MinStepTime: 3 * time.Second, MinStepSuccesses: 3,
 		FailureTolerance: 0.3, SlowStartFactor: 4, StartsPerMachine: 1, FetchesPerMachine: 0.5,
 		MaxRecovery: 40 * time.Second, FailbackBudget: 1, ForceFailbackAfter: time.Minute}
--- a/scheduler/zone_admission.go
+++ b/scheduler/zone_admission.go
@@ -91,7 +91,7 @@
 // started notes that a task was placed.
 func (g *zoneGate) started(a *cluster.Assignment) {
 	if g != nil {
-		g.manager.TaskStarted(a.Machine.Zone(), g.startRequest(a.Job, a.Index, a.Machine), g.clock.Now())
+		g.manager.TaskPlaced(a.Machine.Zone(), g.startRequest(a.Job, a.Index, a.Machine), g.clock.Now())
 	}
 }
 
--- a/zonerecovery/detector.go
+++ b/zonerecovery/detector.go
@@ -58,7 +58,7 @@
 
 // suspectsOutage reports whether enough machines are lost to make the zone suspect.
 func (d *outageDetector) suspectsOutage() bool {
-	return d.view.someZoneReachable && d.health.Machines >= d.policy.MinMachines && d.lostShare() >= d.policy.SuspectShare
+	return d.view.someZoneReachable && d.health.Machines >= d.policy.MinMachines && d.lostShare() >= d.policy.SuspectFraction
 }
 
 // suspectShare is the share of a suspect zone's machines that are lost: all of them if it has none
@@ -92,7 +92,7 @@
 // outageConfirmed reports whether a zone that has been suspect for some time is in outage. It
 // never is while the leader's own view is not reliable.
 func (d *outageDetector) outageConfirmed(now, suspectSince monotonic.Instant) bool {
-	if d.clearSince != 0 || d.reliableSince == 0 || d.suspectShare() < d.policy.OutageShare {
+	if d.clearSince != 0 || d.reliableSince == 0 || d.suspectShare() < d.policy.OutageFraction {
 		return false
 	}
 	return now >= max(suspectSince, d.reliableSince).Add(d.confirmationTime())
@@ -109,5 +109,5 @@
 
 // reachable reports whether enough machines are reachable for the hold-down of an outage to run.
 func (d *outageDetector) reachable() bool {
-	return d.health.Reachable >= 1 && float64(d.health.Reachable) >= d.policy.ReachableShare*float64(d.health.Machines)
+	return d.health.Reachable >= 1 && float64(d.health.Reachable) >= d.policy.ReachableFraction*float64(d.health.Machines)
 }
--- a/zonerecovery/fixture_test.go
+++ b/zonerecovery/fixture_test.go
@@ -35,12 +35,12 @@
 
 func testPolicy() *Policy {
 	return &Policy{
-		SuspectShare:        0.5,
-		OutageShare:         0.8,
+		SuspectFraction:     0.5,
+		OutageFraction:      0.8,
 		OutageAfter:         6 * time.Second,
 		ClearSuspicionAfter: 2 * time.Second,
 		MinMachines:         4,
-		ReachableShare:      0.25,
+		ReachableFraction:   0.25,
 		RetryAfter:          3 * time.Minute,
 		HoldDown:            4 * time.Second,
 		HoldDownFactor:      3,
@@ -132,7 +132,7 @@
 	}
 	admission := f.manager.Admit(testedZone, &request)
 	if admission == Admitted {
-		f.manager.TaskStarted(testedZone, &request, f.at.Now)
+		f.manager.TaskPlaced(testedZone, &request, f.at.Now)
 	}
 	return request.Task, admission
 }
--- a/zonerecovery/manager_tasks.go
+++ b/zonerecovery/manager_tasks.go
@@ -21,8 +21,8 @@
 	})
 }
 
-// TaskStarted notes that a task was placed in a zone.
-func (m *Manager) TaskStarted(name ids.Zone, request *StartRequest, now monotonic.Instant) {
+// TaskPlaced notes that a task was placed in a zone.
+func (m *Manager) TaskPlaced(name ids.Zone, request *StartRequest, now monotonic.Instant) {
 	z := m.zoneNamed(name, now)
 	switch z.taskPlaced(request, now) {
 	case failbackForced:
--- a/zonerecovery/policy.go
+++ b/zonerecovery/policy.go
@@ -10,20 +10,20 @@
 // Policy holds the operators' settings in the form that decisions use. It must not change while a
 // Manager uses it. Shares are fractions from 0 to 1.
 type Policy struct {
-	// SuspectShare is the share of unreachable machines that makes a zone suspect. OutageShare
+	// SuspectFraction is the share of unreachable machines that makes a zone suspect. OutageFraction
 	// is the share that makes it an outage, once the zone was suspect for OutageAfter.
-	SuspectShare, OutageShare float64
-	OutageAfter               time.Duration
+	SuspectFraction, OutageFraction float64
+	OutageAfter                     time.Duration
 	// ClearSuspicionAfter is how long most machines of a suspect zone must be reachable until
 	// the suspicion ends.
 	ClearSuspicionAfter time.Duration
 	// MinMachines is how many machines a zone must have to become suspect.
 	MinMachines int
-	// ReachableShare is the share of machines that must be reachable for the hold-down of an
+	// ReachableFraction is the share of machines that must be reachable for the hold-down of an
 	// outage to run. RetryAfter is how long an outage lasts without that until a recovery is
 	// tried all the same.
-	ReachableShare float64
-	RetryAfter     time.Duration
+	ReachableFraction float64
+	RetryAfter        time.Duration
 	// HoldDown is the first hold-down. Each further outage within QuietPeriod multiplies it by
 	// HoldDownFactor, up to MaxHoldDown.
 	HoldDown, MaxHoldDown time.Duration
@@ -73,8 +73,8 @@
 }
 
 // clearShare is the share of unreachable machines below which a zone is not in trouble. It is
-// lower than SuspectShare, so that a zone between the two does not change back and forth.
-func (p *Policy) clearShare() float64 { return p.SuspectShare / 2 }
+// lower than SuspectFraction, so that a zone between the two does not change back and forth.
+func (p *Policy) clearShare() float64 { return p.SuspectFraction / 2 }
 
 // holdDown returns the hold-down after the given number of outages in an incident.
 func (p *Policy) holdDown(outages int) time.Duration {
--- a/zonerecovery/ramp_up_test.go
+++ b/zonerecovery/ramp_up_test.go
@@ -76,7 +76,7 @@
 	requests := make([]StartRequest, tasks)
 	for i := range requests {
 		requests[i] = StartRequest{Task: ids.TaskRef{Job: "job-0", Index: i}, Machine: "h"}
-		f.manager.TaskStarted(healthyZone, &requests[i], f.at.Now)
+		f.manager.TaskPlaced(healthyZone, &requests[i], f.at.Now)
 	}
 	f.run(time.Second, testMachines)
 	for i := range requests {
--- a/zonerecovery/settings.go
+++ b/zonerecovery/settings.go
@@ -14,12 +14,12 @@
 // fields of Policy say what each is for.
 type Settings struct {
 	Enabled              bool             `json:"enabled"`
-	SuspectShare         float64          `json:"suspect_share"`
-	OutageShare          float64          `json:"dark_share"`
+	SuspectFraction      float64          `json:"suspect_share"`
+	OutageFraction       float64          `json:"dark_share"`
 	OutageAfterS         float64          `json:"dark_after_s"`
 	ClearSuspicionAfterS float64          `json:"recover_s"`
 	MinMachines          int              `json:"min_machines"`
-	ReachableShare       float64          `json:"heard_share"`
+	ReachableFraction    float64          `json:"heard_share"`
 	RetryAfterS          float64          `json:"retry_s"`
 	HoldDownS            float64          `json:"hold_down_s"`
 	HoldDownFactor       float64          `json:"hold_down_factor"`
@@ -80,12 +80,12 @@
 // policyWithoutWindows converts all settings but the windows.
 func (s *Settings) policyWithoutWindows() *Policy {
 	return &Policy{
-		SuspectShare:        s.SuspectShare,
-		OutageShare:         s.OutageShare,
+		SuspectFraction:     s.SuspectFraction,
+		OutageFraction:      s.OutageFraction,
 		OutageAfter:         monotonic.Seconds(s.OutageAfterS),
 		ClearSuspicionAfter: monotonic.Seconds(s.ClearSuspicionAfterS),
 		MinMachines:         s.MinMachines,
-		ReachableShare:      s.ReachableShare,
+		ReachableFraction:   s.ReachableFraction,
 		RetryAfter:          monotonic.Seconds(s.RetryAfterS),
 		HoldDown:            monotonic.Seconds(s.HoldDownS),
 		MaxHoldDown:         monotonic.Seconds(s.MaxHoldDownS),
@@ -113,8 +113,8 @@
 
 // checkOutages checks what decides about outages and hold-downs.
 func (s *Settings) checkOutages() error {
-	if s.OutageShare < s.SuspectShare {
-		return settingError("dark_share", "%g is below suspect_share, %g", s.OutageShare, s.SuspectShare)
+	if s.OutageFraction < s.SuspectFraction {
+		return settingError("dark_share", "%g is below suspect_share, %g", s.OutageFraction, s.SuspectFraction)
 	}
 	if s.MaxHoldDownS < s.HoldDownS {
 		return settingError("hold_down_max_s", "%g is below hold_down_s, %g", s.MaxHoldDownS, s.HoldDownS)
--- a/zonerecovery/settings_test.go
+++ b/zonerecovery/settings_test.go
@@ -10,8 +10,8 @@
 // validSettings have a value for each setting that is checked against others.
 func validSettings() Settings {
 	return Settings{
-		SuspectShare:        0.5,
-		OutageShare:         0.8,
+		SuspectFraction:     0.5,
+		OutageFraction:      0.8,
 		HoldDownS:           4,
 		MaxHoldDownS:        30,
 		MaxRecoveryS:        40,
@@ -33,7 +33,7 @@
 		change    func(*Settings)
 	}{
 		{"none", "", func(*Settings) {}},
-		{"outage before suspicion", "dark_share", func(s *Settings) { s.OutageShare = 0.4 }},
+		{"outage before suspicion", "dark_share", func(s *Settings) { s.OutageFraction = 0.4 }},
 		{"longest hold-down below the first", "hold_down_max_s", func(s *Settings) { s.MaxHoldDownS = 3 }},
 		{"work is held back for too long", "return_max_s", func(s *Settings) { s.MaxRecoveryS = 61 }},
 		{"steps do not fit into a recovery", "steps", func(s *Settings) { s.MinStepTimeS = 11 }},
