--- a/zonerecovery/admission.go
+++ b/zonerecovery/admission.go
@@ -83,9 +83,9 @@
 	switch {
 	case z.machine.window.isOpen():
 		return DeniedWindow
-	case step == probeStep && !request.ProbeEligible && !ramp.anyProbe:
+	case step == probeStep && !request.ProbeEligible && !ramp.anyTaskMayProbe:
 		return DeniedProbeOnly
-	case z.starts.limited >= z.policy.startLimit(step, reachable):
+	case z.starts.nonCritical >= z.policy.startLimit(step, reachable):
 		return DeniedStartLimit
 	case !request.NeedsFetch || z.starts.fetches[request.fetch()] > 0:
 		return Admitted // a fetch that is in flight serves this start as well
--- a/zonerecovery/admission_test.go
+++ b/zonerecovery/admission_test.go
@@ -11,11 +11,11 @@
 func TestProbeAdmitsFewSmallTasks(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
-	f.wantAdmission("a large task", taskOf("job-2"), DeniedProbeOnly)
-	f.wantAdmission("the first probe", probeOf("job-1"), Admitted)
-	f.wantAdmission("the second probe", probeOf("job-1"), Admitted)
-	f.wantAdmission("a third probe", probeOf("job-1"), DeniedStartLimit)
-	f.wantAdmission("critical work", criticalOf("job-3"), Admitted)
+	f.wantAdmission("a large task", taskRequest("job-2"), DeniedProbeOnly)
+	f.wantAdmission("the first probe", probeRequest("job-1"), Admitted)
+	f.wantAdmission("the second probe", probeRequest("job-1"), Admitted)
+	f.wantAdmission("a third probe", probeRequest("job-1"), DeniedStartLimit)
+	f.wantAdmission("critical work", criticalRequest("job-3"), Admitted)
 }
 
 // Image fetches have their own limit, a shared one counts once, and none slows another down.
@@ -23,7 +23,7 @@
 	f := newFixture(t)
 	f.recoverToStep1() // the first share: 0.2 of 10 machines, 0.3 fetches each
 	fetch := func(machine ids.MachineID) StartRequest {
-		request := probeOf("job-1")
+		request := probeRequest("job-1")
 		request.NeedsFetch, request.Machine, request.Image = true, machine, "i"
 		return request
 	}
@@ -42,11 +42,11 @@
 	f := newFixture(t)
 	f.manager.policy.Windows = []*Window{mustWindow(t, WindowSettings{Name: "w", TimeZone: "UTC", From: "12:00", To: "12:10"})}
 	f.beginRecovery()
-	f.wantAdmission("in the window", probeOf("job-1"), DeniedWindow)
-	f.wantAdmission("critical work in the window", criticalOf("job-2"), Admitted)
+	f.wantAdmission("in the window", probeRequest("job-1"), DeniedWindow)
+	f.wantAdmission("critical work in the window", criticalRequest("job-2"), Admitted)
 	if got, want := f.status().RestrictedUntilMS, time.Date(2026, 5, 4, 12, 10, 0, 0, time.UTC).UnixMilli(); got != want {
 		t.Errorf("restricted until %v", time.UnixMilli(got).UTC())
 	}
-	f.run(9*time.Minute+50*time.Second, testMachines)
-	f.wantAdmission("after the window", probeOf("job-1"), Admitted)
+	f.runFor(9*time.Minute+50*time.Second, testMachines)
+	f.wantAdmission("after the window", probeRequest("job-1"), Admitted)
 }
--- a/zonerecovery/detector.go
+++ b/zonerecovery/detector.go
@@ -47,8 +47,8 @@
 // includeLost counts all lost machines again.
 func (d *outageDetector) includeLost() { d.excluded = 0 }
 
-// lostShare is the share of machines that are lost, without the excluded ones.
-func (d *outageDetector) lostShare() float64 {
+// lostFraction is the share of machines that are lost, without the excluded ones.
+func (d *outageDetector) lostFraction() float64 {
 	lost, machines := d.health.lost()-d.excluded, d.health.Machines-d.excluded
 	if machines <= 0 {
 		return 0
@@ -58,23 +58,23 @@
 
 // suspectsOutage reports whether enough machines are lost to make the zone suspect.
 func (d *outageDetector) suspectsOutage() bool {
-	return d.view.someZoneReachable && d.health.Machines >= d.policy.MinMachines && d.lostShare() >= d.policy.SuspectFraction
+	return d.view.someZoneReachable && d.health.Machines >= d.policy.MinMachines && d.lostFraction() >= d.policy.SuspectFraction
 }
 
-// suspectShare is the share of a suspect zone's machines that are lost: all of them if it has none
+// suspectLostFraction is the share of a suspect zone's machines that are lost: all of them if it has none
 // left.
-func (d *outageDetector) suspectShare() float64 {
+func (d *outageDetector) suspectLostFraction() float64 {
 	if d.health.Machines == 0 {
 		return 1
 	}
-	return d.lostShare()
+	return d.lostFraction()
 }
 
 // updateClearTimer starts the timer of suspicionCleared, or stops it while a suspect zone is in
 // trouble.
 func (d *outageDetector) updateClearTimer(now monotonic.Instant) {
 	switch {
-	case d.suspectShare() >= d.policy.clearShare():
+	case d.suspectLostFraction() >= d.policy.clearFraction():
 		d.clearSince = 0
 	case d.clearSince == 0:
 		d.clearSince = now
@@ -92,7 +92,7 @@
 // outageConfirmed reports whether a zone that has been suspect for some time is in outage. It
 // never is while the leader's own view is not reliable.
 func (d *outageDetector) outageConfirmed(now, suspectSince monotonic.Instant) bool {
-	if d.clearSince != 0 || d.reliableSince == 0 || d.suspectShare() < d.policy.OutageFraction {
+	if d.clearSince != 0 || d.reliableSince == 0 || d.suspectLostFraction() < d.policy.OutageFraction {
 		return false
 	}
 	return now >= max(suspectSince, d.reliableSince).Add(d.confirmationTime())
--- a/zonerecovery/displacements.go
+++ b/zonerecovery/displacements.go
@@ -14,13 +14,13 @@
 type displacedJob struct {
 	// losses counts the outages that took tasks of the job. lastLoss is the number of the
 	// newest of them.
-	losses   int
-	lastLoss int
+	losses         int
+	lastLossOutage int
 	// failbacks counts the outages after which a task of the job was placed in the zone again;
 	// forced ones are not counted. lastFailback is the number of the newest of these outages,
 	// forced ones included.
-	failbacks    int
-	lastFailback int
+	failbacks          int
+	lastFailbackOutage int
 	// restored counts the replicas that were moved back.
 	restored int
 	// lostAt is when the job last lost a task.
@@ -28,7 +28,7 @@
 }
 
 // failbackPending reports whether the job has not returned since its newest loss.
-func (j *displacedJob) failbackPending() bool { return j.lastLoss > j.lastFailback }
+func (j *displacedJob) failbackPending() bool { return j.lastLossOutage > j.lastFailbackOutage }
 
 // failback says what the placement of a task in a zone means for the budget of its job.
 type failback uint8
@@ -64,11 +64,11 @@
 		d.jobs[job] = entry
 	}
 	entry.lostAt = now
-	if entry.lastLoss == outage {
+	if entry.lastLossOutage == outage {
 		return false
 	}
 	entry.losses++
-	entry.lastLoss = outage
+	entry.lastLossOutage = outage
 	return true
 }
 
@@ -79,7 +79,7 @@
 	if entry == nil || !entry.failbackPending() {
 		return noFailback
 	}
-	entry.lastFailback = entry.lastLoss
+	entry.lastFailbackOutage = entry.lastLossOutage
 	if entry.failbacks >= d.policy.FailbackBudget && d.mayExceedBudget(request, now) {
 		return failbackForced
 	}
--- a/zonerecovery/fixture_test.go
+++ b/zonerecovery/fixture_test.go
@@ -87,8 +87,8 @@
 	return ZoneHealth{Machines: testMachines, Reachable: reachable, Unreachable: testMachines - reachable}
 }
 
-// run lets time pass with so many machines reachable, and writes what is due.
-func (f *fixture) run(duration time.Duration, reachable int) {
+// runFor lets time pass with so many machines reachable, and writes what is due.
+func (f *fixture) runFor(duration time.Duration, reachable int) {
 	f.t.Helper()
 	for end := f.at.Now.Add(duration); f.at.Now < end; {
 		f.advance(observationInterval)
@@ -96,15 +96,15 @@
 			Zones:        map[ids.Zone]ZoneHealth{testedZone: healthOf(reachable), healthyZone: healthOf(testMachines)},
 			Connectivity: Connectivity{LeaseConfirmed: true, PeersReachable: 2, Peers: 2},
 		})
-		f.write()
+		f.commitWrites()
 	}
 }
 
 // fitsAlways is a limit of records that none exceeds.
 func fitsAlways(*Record) bool { return true }
 
-// write commits all records that are due.
-func (f *fixture) write() {
+// commitWrites commits all records that are due.
+func (f *fixture) commitWrites() {
 	f.t.Helper()
 	for {
 		write, ok := f.manager.NextWrite(f.at, uint64(f.revision+1), fitsAlways)
@@ -160,8 +160,8 @@
 	return task
 }
 
-// running lets tasks run in the tested zone.
-func (f *fixture) running(tasks ...ids.TaskRef) {
+// reportRunning lets tasks run in the tested zone.
+func (f *fixture) reportRunning(tasks ...ids.TaskRef) {
 	f.t.Helper()
 	for _, task := range tasks {
 		f.manager.TaskRunning(testedZone, task, f.at.Now)
@@ -199,10 +199,10 @@
 // beginRecovery brings the tested zone to the beginning of a recovery.
 func (f *fixture) beginRecovery() {
 	f.t.Helper()
-	f.run(time.Second, testMachines)
-	f.run(15*time.Second, 0)
+	f.runFor(time.Second, testMachines)
+	f.runFor(15*time.Second, 0)
 	f.wantCondition("while no machine is reachable", Outage)
-	f.run(5*time.Second, testMachines)
+	f.runFor(5*time.Second, testMachines)
 	f.wantCondition("after the hold-down", Recovering)
 }
 
@@ -210,26 +210,26 @@
 func (f *fixture) recoverToStep1() {
 	f.t.Helper()
 	f.beginRecovery()
-	f.run(5*time.Second, testMachines)
+	f.runFor(5*time.Second, testMachines)
 	f.wantStep("without any work", 1)
 }
 
 // zone is the tested zone.
 func (f *fixture) zone() *zone { return f.manager.zones[testedZone] }
 
-// taskOf is a request of a job that is neither critical nor eligible as a probe.
-func taskOf(job ids.JobID) StartRequest { return StartRequest{Task: ids.TaskRef{Job: job}} }
+// taskRequest is a request of a job that is neither critical nor eligible as a probe.
+func taskRequest(job ids.JobID) StartRequest { return StartRequest{Task: ids.TaskRef{Job: job}} }
 
-// probeOf is a request of a job that is eligible as a probe.
-func probeOf(job ids.JobID) StartRequest {
-	request := taskOf(job)
+// probeRequest is a request of a job that is eligible as a probe.
+func probeRequest(job ids.JobID) StartRequest {
+	request := taskRequest(job)
 	request.ProbeEligible = true
 	return request
 }
 
-// criticalOf is a request of a critical job.
-func criticalOf(job ids.JobID) StartRequest {
-	request := taskOf(job)
+// criticalRequest is a request of a critical job.
+func criticalRequest(job ids.JobID) StartRequest {
+	request := taskRequest(job)
 	request.Critical = true
 	return request
 }
--- a/zonerecovery/golden_test.go
+++ b/zonerecovery/golden_test.go
@@ -17,7 +17,7 @@
 }
 
 // The record of a zone keeps its bytes in the key-value store.
-func TestZoneRecordsKeepTheirBytes(t *testing.T) {
+func TestZoneRecordEncodingIsStable(t *testing.T) {
 	codec := golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
 	golden.Check(t, "records.json", codec, []golden.Case{
 		{Name: "zone", Value: Record{Nonce: 1<<63 + 5, Condition: uint8(Recovering), SinceMS: 1764640000003, RecoveryBeganMS: 1764640000004,
@@ -31,7 +31,7 @@
 }
 
 // The status of a zone keeps its bytes between controllers and as JSON.
-func TestZoneStatusKeepsItsBytes(t *testing.T) {
+func TestZoneStatusEncodingIsStable(t *testing.T) {
 	cases := []golden.Case{{Name: "zone status", Value: Status{Zone: "zone-a", Condition: Outage, SinceMS: 1764640000006, Reason: "silent",
 		Machines: 31, Reachable: 32, Outages: 33, Step: 34, Steps: 35, StartsInFlight: 36, StartLimit: 37, FetchesInFlight: 38, FetchLimit: 39, DisplacedJobs: 40,
 		Restriction: "all new work", RestrictedUntilMS: 1764640000007, Override: OverrideRelease, Recorded: true, StartP90MS: 4100, BaselineP90MS: 4200,
@@ -41,7 +41,7 @@
 }
 
 // The numbers of conditions and overrides are stored in records.
-func TestRecordedNumbersDoNotChange(t *testing.T) {
+func TestRecordedEnumNumbersAreStable(t *testing.T) {
 	if Serving != 0 || Suspect != 1 || Outage != 2 || Recovering != 3 {
 		t.Error("the number of a condition has changed")
 	}
--- a/zonerecovery/health.go
+++ b/zonerecovery/health.go
@@ -68,7 +68,7 @@
 // half of all machines may need seconds to find another.
 func (o *Observation) someZoneReachable(policy *Policy) bool {
 	for _, health := range o.Zones {
-		if health.Reachable >= policy.MinMachines && float64(health.lost()) < policy.clearShare()*float64(health.Machines) {
+		if health.Reachable >= policy.MinMachines && float64(health.lost()) < policy.clearFraction()*float64(health.Machines) {
 			return true
 		}
 	}
--- a/zonerecovery/incident.go
+++ b/zonerecovery/incident.go
@@ -38,18 +38,18 @@
 // incidentLog owns the present incident of a zone and the past ones. It is kept for operators,
 // and decides nothing.
 type incidentLog struct {
-	// present is nil while there is no incident.
-	present *Incident
+	// current is nil while there is no incident.
+	current *Incident
 	past    []Incident
 }
 
 // beginOutage adds an outage to the present incident, or begins a new one.
 func (l *incidentLog) beginOutage(at ClockReading, machines int) {
-	if l.present == nil {
-		l.present = &Incident{BeganMS: at.Wall.UnixMilli(), Machines: machines}
+	if l.current == nil {
+		l.current = &Incident{BeganMS: at.Wall.UnixMilli(), Machines: machines}
 	}
-	l.present.Outages++
-	l.present.ServingSinceMS = 0
+	l.current.Outages++
+	l.current.ServingSinceMS = 0
 }
 
 // addTime adds how long the zone was in a condition that it has left.
@@ -83,33 +83,33 @@
 
 // update changes the present incident, if there is one.
 func (l *incidentLog) update(change func(*Incident)) {
-	if l.present != nil {
-		change(l.present)
+	if l.current != nil {
+		change(l.current)
 	}
 }
 
 // close ends the present incident, if there is one.
 func (l *incidentLog) close() {
-	if l.present == nil {
+	if l.current == nil {
 		return
 	}
-	l.past = append(l.past, *l.present)
+	l.past = append(l.past, *l.current)
 	l.past = l.past[max(0, len(l.past)-maxPastIncidents):]
-	l.present = nil
+	l.current = nil
 }
 
 // all returns a copy of the incidents, the present one last; nil if there are none.
 func (l *incidentLog) all() []Incident {
 	incidents := append([]Incident(nil), l.past...)
-	if l.present != nil {
-		incidents = append(incidents, *l.present)
+	if l.current != nil {
+		incidents = append(incidents, *l.current)
 	}
 	return incidents
 }
 
 // load replaces the log by recorded incidents, all of them past.
 func (l *incidentLog) load(recorded []Incident) {
-	l.past, l.present = slices.Clone(recorded), nil
+	l.past, l.current = slices.Clone(recorded), nil
 }
 
 // reopen makes the newest past incident, if there is one, the present one.
@@ -118,5 +118,5 @@
 		return
 	}
 	newest := l.past[len(l.past)-1]
-	l.present, l.past = &newest, l.past[:len(l.past)-1]
+	l.current, l.past = &newest, l.past[:len(l.past)-1]
 }
--- a/zonerecovery/incident_test.go
+++ b/zonerecovery/incident_test.go
@@ -29,7 +29,7 @@
 }
 
 // The present incident goes on after a failover.
-func TestPresentIncidentGoesOnAfterFailover(t *testing.T) {
+func TestCurrentIncidentContinuesAfterFailover(t *testing.T) {
 	log := fullLog()
 	log.beginOutage(incidentTime, 99)
 	var next incidentLog
--- a/zonerecovery/latency.go
+++ b/zonerecovery/latency.go
@@ -57,6 +57,6 @@
 // is false while either has too few samples.
 func (l *startLatencies) slowerThan(baseline *startLatencies, factor float64) bool {
 	latency, ok := l.p90()
-	usual, known := baseline.p90()
-	return ok && known && float64(latency) > math.Max(float64(usual), float64(minBaselineLatency))*factor
+	baselineLatency, baselineOK := baseline.p90()
+	return ok && baselineOK && float64(latency) > math.Max(float64(baselineLatency), float64(minBaselineLatency))*factor
 }
--- a/zonerecovery/manager_records.go
+++ b/zonerecovery/manager_records.go
@@ -16,7 +16,7 @@
 
 // WriteCommitted notes that the write of a zone's record is committed. revision is that of the key,
 // 0 if it was deleted. It reports whether more tasks may start than before.
-func (m *Manager) WriteCommitted(name ids.Zone, revision ids.Revision) (opened bool) {
+func (m *Manager) WriteCommitted(name ids.Zone, revision ids.Revision) (relaxed bool) {
 	z := m.zones[name]
 	return z != nil && z.record.commit(revision)
 }
--- a/zonerecovery/manager_tasks.go
+++ b/zonerecovery/manager_tasks.go
@@ -40,7 +40,7 @@
 }
 
 // TaskRunning notes that a task runs. It reports whether more tasks may start than before.
-func (m *Manager) TaskRunning(name ids.Zone, task ids.TaskRef, now monotonic.Instant) (opened bool) {
+func (m *Manager) TaskRunning(name ids.Zone, task ids.TaskRef, now monotonic.Instant) (relaxed bool) {
 	z := m.zones[name]
 	if z == nil {
 		return false
@@ -51,7 +51,7 @@
 
 // TaskEnded notes that a task is off its machine, whether or not it ran. It reports whether more
 // tasks may start than before.
-func (m *Manager) TaskEnded(name ids.Zone, task ids.TaskRef) (opened bool) {
+func (m *Manager) TaskEnded(name ids.Zone, task ids.TaskRef) (relaxed bool) {
 	z := m.zones[name]
 	if z == nil {
 		return false
--- a/zonerecovery/outage_history.go
+++ b/zonerecovery/outage_history.go
@@ -20,6 +20,6 @@
 	h.lastBegan = now
 }
 
-// lossNumber is the number of the outage that a lost task belongs to. A suspicion may yet become
+// outageOfLoss is the number of the outage that a lost task belongs to. A suspicion may yet become
 // the first outage.
-func (h *outageHistory) lossNumber() int { return max(1, h.count) }
+func (h *outageHistory) outageOfLoss() int { return max(1, h.count) }
--- a/zonerecovery/override_test.go
+++ b/zonerecovery/override_test.go
@@ -19,37 +19,37 @@
 // A hold counts at once, also for critical work, until it is lifted.
 func TestHoldDeniesUntilLifted(t *testing.T) {
 	f := newFixture(t)
-	f.run(time.Second, testMachines)
+	f.runFor(time.Second, testMachines)
 	f.hold(0)
-	f.run(time.Hour, testMachines)
-	f.wantAdmission("while the zone is held", criticalOf("job-1"), DeniedByOperator)
+	f.runFor(time.Hour, testMachines)
+	f.wantAdmission("while the zone is held", criticalRequest("job-1"), DeniedByOperator)
 	f.manager.Override(testedZone, Override{}, f.at)
-	f.wantAdmission("once the hold is lifted", criticalOf("job-1"), Admitted)
+	f.wantAdmission("once the hold is lifted", criticalRequest("job-1"), Admitted)
 }
 
 // A hold with a limit expires.
 func TestHoldExpires(t *testing.T) {
 	f := newFixture(t)
-	f.run(time.Second, testMachines)
+	f.runFor(time.Second, testMachines)
 	f.hold(time.Minute)
-	f.run(time.Minute-observationInterval, testMachines)
-	f.wantAdmission("before the limit", taskOf("job-1"), DeniedByOperator)
-	f.run(observationInterval, testMachines)
-	f.wantAdmission("at the limit", taskOf("job-1"), Admitted)
+	f.runFor(time.Minute-observationInterval, testMachines)
+	f.wantAdmission("before the limit", taskRequest("job-1"), DeniedByOperator)
+	f.runFor(observationInterval, testMachines)
+	f.wantAdmission("at the limit", taskRequest("job-1"), Admitted)
 }
 
 // A release lets the zone serve, but counts only once it is recorded.
-func TestReleaseCountsOnceRecorded(t *testing.T) {
+func TestReleaseTakesEffectOnceRecorded(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
 	number := f.manager.Override(testedZone, Override{Kind: OverrideRelease}, f.at)
 	f.wantCondition("after the release", Serving)
-	f.wantAdmission("before it is recorded", taskOf("job-1"), DeniedUnrecorded)
+	f.wantAdmission("before it is recorded", taskRequest("job-1"), DeniedUnrecorded)
 	if recorded := f.manager.RecordedOverride(testedZone); recorded >= number {
 		t.Errorf("decision %d counts as recorded", recorded)
 	}
-	f.write()
-	f.wantAdmission("once it is recorded", taskOf("job-1"), Admitted)
+	f.commitWrites()
+	f.wantAdmission("once it is recorded", taskRequest("job-1"), Admitted)
 	if recorded := f.manager.RecordedOverride(testedZone); recorded != number {
 		t.Errorf("decision %d is recorded, want %d", recorded, number)
 	}
@@ -58,11 +58,11 @@
 // A released zone does not become suspect by the machines that were unreachable at the release.
 func TestReleaseAcceptsUnreachableMachines(t *testing.T) {
 	f := newFixture(t)
-	f.run(time.Second, testMachines)
-	f.run(10*time.Second, 0)
+	f.runFor(time.Second, testMachines)
+	f.runFor(10*time.Second, 0)
 	f.wantCondition("before the release", Outage)
 	f.manager.Override(testedZone, Override{Kind: OverrideRelease}, f.at)
-	f.run(time.Minute, 0)
+	f.runFor(time.Minute, 0)
 	f.wantCondition("after the release", Serving)
 }
 
--- a/zonerecovery/policy.go
+++ b/zonerecovery/policy.go
@@ -72,18 +72,18 @@
 	Budget int
 }
 
-// clearShare is the share of unreachable machines below which a zone is not in trouble. It is
+// clearFraction is the share of unreachable machines below which a zone is not in trouble. It is
 // lower than SuspectFraction, so that a zone between the two does not change back and forth.
-func (p *Policy) clearShare() float64 { return p.SuspectFraction / 2 }
+func (p *Policy) clearFraction() float64 { return p.SuspectFraction / 2 }
 
 // holdDown returns the hold-down after the given number of outages in an incident.
 func (p *Policy) holdDown(outages int) time.Duration {
-	grown := float64(p.HoldDown) * math.Pow(p.HoldDownFactor, float64(max(0, outages-1)))
-	return time.Duration(min(grown, float64(p.MaxHoldDown)))
+	scaled := float64(p.HoldDown) * math.Pow(p.HoldDownFactor, float64(max(0, outages-1)))
+	return time.Duration(min(scaled, float64(p.MaxHoldDown)))
 }
 
-// share returns the share of a step. The probe, step 0, has none.
-func (p *Policy) share(step int) float64 {
+// stepFraction returns the stepFraction of a step. The probe, step 0, has none.
+func (p *Policy) stepFraction(step int) float64 {
 	switch {
 	case step <= probeStep:
 		return 0
@@ -98,18 +98,18 @@
 
 // startLimit is how many starts may be in flight in a step.
 func (p *Policy) startLimit(step, reachableMachines int) int {
-	return max(p.ProbeTasks, int(math.Ceil(p.share(step)*p.StartsPerMachine*float64(reachableMachines))))
+	return max(p.ProbeTasks, int(math.Ceil(p.stepFraction(step)*p.StartsPerMachine*float64(reachableMachines))))
 }
 
 // fetchLimit is how many image fetches may be in flight in a step.
 func (p *Policy) fetchLimit(step, reachableMachines int) int {
-	return max(1, int(math.Ceil(p.share(step)*p.FetchesPerMachine*float64(reachableMachines))))
+	return max(1, int(math.Ceil(p.stepFraction(step)*p.FetchesPerMachine*float64(reachableMachines))))
 }
 
 // provisioningLimit is how many machines may be provisioned at once in a step, for a zone that
 // had the given number before its outage.
 func (p *Policy) provisioningLimit(step, machinesBefore int) int {
-	return max(p.ProbeTasks, int(math.Ceil(p.share(step)*float64(machinesBefore))))
+	return max(p.ProbeTasks, int(math.Ceil(p.stepFraction(step)*float64(machinesBefore))))
 }
 
 // openWindow returns the window that is open in a zone and ends last, and its end. The window is
--- a/zonerecovery/ramp_up.go
+++ b/zonerecovery/ramp_up.go
@@ -28,8 +28,8 @@
 	rampStartsFailing
 	// rampLacksProbes: tasks were denied, but none of them may be a probe.
 	rampLacksProbes
-	// rampStepProven: the step has succeeded.
-	rampStepProven
+	// rampStepSucceeded: the step has succeeded.
+	rampStepSucceeded
 )
 
 // rampUp owns the progress of a recovery through its steps, and the evidence of the present step.
@@ -50,8 +50,8 @@
 	latencies                  *startLatencies
 	// denied is set if a task was denied in this step, so that a later step matters.
 	denied bool
-	// anyProbe is set if any task may be a probe, since no eligible one came.
-	anyProbe bool
+	// anyTaskMayProbe is set if any task may be a probe, since no eligible one came.
+	anyTaskMayProbe bool
 }
 
 func newRampUp(policy *Policy, baseline *startLatencies) rampUp {
@@ -70,7 +70,7 @@
 	r.started, r.succeeded, r.failed = 0, 0, 0
 	r.failedJobs = map[ids.JobID]bool{}
 	r.latencies.reset()
-	r.denied, r.anyProbe = false, false
+	r.denied, r.anyTaskMayProbe = false, false
 }
 
 // restartTimers lets the recovery and its step begin now.
@@ -87,8 +87,8 @@
 // startPlaced counts a start.
 func (r *rampUp) startPlaced() { r.started++ }
 
-// startWithdrawn removes a start that ended before its task ran. It may belong to an earlier step.
-func (r *rampUp) startWithdrawn() { r.started = max(0, r.started-1) }
+// startAborted removes a start that ended before its task ran. It may belong to an earlier step.
+func (r *rampUp) startAborted() { r.started = max(0, r.started-1) }
 
 // startSucceeded counts a start whose task runs.
 func (r *rampUp) startSucceeded(latency time.Duration) {
@@ -115,8 +115,8 @@
 		return rampLacksProbes
 	case r.startsFailing():
 		return rampStartsFailing
-	case r.proven(startsInFlight):
-		return rampStepProven
+	case r.stepSucceeded(startsInFlight):
+		return rampStepSucceeded
 	}
 	return rampContinue
 }
@@ -130,9 +130,9 @@
 	return len(r.failedJobs) >= minFailedJobs && float64(r.failed) > r.policy.FailureTolerance*finished
 }
 
-// proven reports whether the starts of this step are evidence enough for the next: so many have
+// stepSucceeded reports whether the starts of this step are evidence enough for the next: so many have
 // succeeded, or all that there were, or no task wanted to start.
-func (r *rampUp) proven(startsInFlight int) bool {
+func (r *rampUp) stepSucceeded(startsInFlight int) bool {
 	if r.succeeded >= r.policy.MinStepSuccesses {
 		return true
 	}
--- a/zonerecovery/record.go
+++ b/zonerecovery/record.go
@@ -43,7 +43,7 @@
 // addJob adds a displaced job.
 func (r *Record) addJob(job ids.JobID, entry *displacedJob) {
 	r.DisplacedJobs = append(r.DisplacedJobs, job)
-	r.JobCounters = append(r.JobCounters, entry.losses, entry.lastLoss, entry.failbacks, entry.lastFailback, entry.restored)
+	r.JobCounters = append(r.JobCounters, entry.losses, entry.lastLossOutage, entry.failbacks, entry.lastFailbackOutage, entry.restored)
 }
 
 // jobs returns the displaced jobs. Those without counters are left out.
@@ -55,7 +55,7 @@
 			break
 		}
 		n := r.JobCounters[first : first+countersPerJob]
-		jobs[job] = &displacedJob{losses: n[0], lastLoss: n[1], failbacks: n[2], lastFailback: n[3], restored: n[4]}
+		jobs[job] = &displacedJob{losses: n[0], lastLossOutage: n[1], failbacks: n[2], lastFailbackOutage: n[3], restored: n[4]}
 	}
 	return jobs
 }
--- a/zonerecovery/record_keeper.go
+++ b/zonerecovery/record_tracker.go
@@ -19,18 +19,18 @@
 	override uint64
 }
 
-// is reports whether it holds the given condition and step.
-func (s recordedState) is(condition Condition, step int) bool {
+// matches reports whether it holds the given condition and step.
+func (s recordedState) matches(condition Condition, step int) bool {
 	return s.condition == condition && s.step == step
 }
 
-// recordKeeper owns when the record of a zone is written, and what the committed one allows. It
+// recordTracker owns when the record of a zone is written, and what the committed one allows. It
 // does not know the contents of the record.
 //
 // What allows more starts than the committed record says waits until it is committed. The next
 // leader may have read an older record, and its starts and this leader's must not add up. What
 // allows fewer starts counts at once.
-type recordKeeper struct {
+type recordTracker struct {
 	// revision is that of the key, 0 if there is none.
 	revision ids.Revision
 	// outdated is set if the record must be written.
@@ -46,22 +46,22 @@
 	jobLimit int
 }
 
-// newRecordKeeper returns the keeper of a zone without a record.
-func newRecordKeeper() *recordKeeper { return &recordKeeper{jobLimit: maxRecordedJobs} }
+// newRecordTracker returns the keeper of a zone without a record.
+func newRecordTracker() *recordTracker { return &recordTracker{jobLimit: maxRecordedJobs} }
 
 // load notes what an earlier leader recorded.
-func (k *recordKeeper) load(recorded recordedState, revision ids.Revision) {
+func (k *recordTracker) load(recorded recordedState, revision ids.Revision) {
 	k.committed, k.revision = recorded, revision
 }
 
 // markOutdated lets the record be written as soon as possible.
-func (k *recordKeeper) markOutdated() { k.outdated = true }
+func (k *recordTracker) markOutdated() { k.outdated = true }
 
 // markJobsChanged lets the record be written after jobsWriteDelay.
-func (k *recordKeeper) markJobsChanged() { k.jobsChanged = true }
+func (k *recordTracker) markJobsChanged() { k.jobsChanged = true }
 
 // due reports whether the record must be written now.
-func (k *recordKeeper) due(now monotonic.Instant) bool {
+func (k *recordTracker) due(now monotonic.Instant) bool {
 	if k.inFlight {
 		return false
 	}
@@ -78,39 +78,39 @@
 }
 
 // skip notes that there is no record, and that none is needed for the given state.
-func (k *recordKeeper) skip(state recordedState) {
+func (k *recordTracker) skip(state recordedState) {
 	k.outdated, k.committed = false, state
 }
 
 // submit notes that a write of the given state is in flight.
-func (k *recordKeeper) submit(state recordedState) {
+func (k *recordTracker) submit(state recordedState) {
 	k.outdated, k.jobsChangedAt, k.inFlight = false, 0, true
 	k.submitted = state
 }
 
 // commit notes that the write in flight is committed. revision is that of the key, 0 if the record
 // was deleted. It reports whether more tasks may start than before.
-func (k *recordKeeper) commit(revision ids.Revision) (opened bool) {
+func (k *recordTracker) commit(revision ids.Revision) (relaxed bool) {
 	k.inFlight, k.revision = false, revision
-	opened = !k.committed.is(k.submitted.condition, k.submitted.step)
+	relaxed = !k.committed.matches(k.submitted.condition, k.submitted.step)
 	k.committed = k.submitted
-	return opened
+	return relaxed
 }
 
 // reject notes that the key-value store refused the write in flight for its size.
-func (k *recordKeeper) reject() {
+func (k *recordTracker) reject() {
 	k.inFlight, k.outdated = false, true
 	k.jobLimit /= 2
 }
 
 // shrink reduces the limit of jobs below that of a record which is too large.
-func (k *recordKeeper) shrink(jobs int) { k.jobLimit = min(k.jobLimit, jobs) / 2 }
+func (k *recordTracker) shrink(jobs int) { k.jobLimit = min(k.jobLimit, jobs) / 2 }
 
 // upToDate reports whether all changes are committed, but for those of displaced jobs.
-func (k *recordKeeper) upToDate() bool { return !k.outdated && !k.inFlight }
+func (k *recordTracker) upToDate() bool { return !k.outdated && !k.inFlight }
 
 // allows reports whether the committed record lets the zone act on a condition.
-func (k *recordKeeper) allows(condition Condition) bool {
+func (k *recordTracker) allows(condition Condition) bool {
 	switch condition {
 	case Serving:
 		return k.committed.condition == Serving
@@ -121,7 +121,7 @@
 }
 
 // allowedStep returns the smaller of the given step and the committed one.
-func (k *recordKeeper) allowedStep(step int) int {
+func (k *recordTracker) allowedStep(step int) int {
 	if k.committed.condition == Serving {
 		return step // the recovery is more restrictive than the committed record
 	}
--- a/zonerecovery/record_keeper_test.go
+++ b/zonerecovery/record_tracker_test.go
@@ -5,28 +5,28 @@
 )
 
 // A step forward counts only once it is recorded.
-func TestStepForwardCountsOnceRecorded(t *testing.T) {
+func TestStepForwardTakesEffectOnceRecorded(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
 	f.zone().machine.enterStep(2, f.at.Now, "")
-	if n := len(f.startAll(probeOf("job-1"))); n != testPolicy().ProbeTasks {
+	if n := len(f.startAll(probeRequest("job-1"))); n != testPolicy().ProbeTasks {
 		t.Errorf("%d starts in a step that is not recorded", n)
 	}
-	f.write()
-	if n := len(f.startAll(probeOf("job-1"))); n != 5-testPolicy().ProbeTasks {
+	f.commitWrites()
+	if n := len(f.startAll(probeRequest("job-1"))); n != 5-testPolicy().ProbeTasks {
 		t.Errorf("%d more starts once it is", n)
 	}
 }
 
 // A step back counts at once.
-func TestStepBackCountsAtOnce(t *testing.T) {
+func TestStepBackTakesEffectImmediately(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
 	f.zone().machine.enterStep(2, f.at.Now, "")
-	f.write()
-	f.startAll(probeOf("job-1"))
+	f.commitWrites()
+	f.startAll(probeRequest("job-1"))
 	f.zone().machine.enterStep(1, f.at.Now, "")
-	if n := len(f.startAll(probeOf("job-1"))); n != 0 {
+	if n := len(f.startAll(probeRequest("job-1"))); n != 0 {
 		t.Errorf("%d starts after a step back", n)
 	}
 }
--- a/zonerecovery/restore.go
+++ b/zonerecovery/restore.go
@@ -56,19 +56,19 @@
 // PlanRestore returns one replica that should be moved back now, and counts it against the rate and
 // the budget of its job. ok is false if there is none. hasRoom reports whether a replica of a job
 // could run in a zone at once.
-func (m *Manager) PlanRestore(at ClockReading, services []ServicePlacement, hasRoom func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
-	return m.restorer.plan(at, m.sorted, services, hasRoom)
+func (m *Manager) PlanRestore(at ClockReading, services []ServicePlacement, hasCapacity func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
+	return m.restorer.plan(at, m.sorted, services, hasCapacity)
 }
 
 // plan chooses the first move that rate, budgets and capacity allow.
-func (r *restorer) plan(at ClockReading, zones []*zone, services []ServicePlacement, hasRoom func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
+func (r *restorer) plan(at ClockReading, zones []*zone, services []ServicePlacement, hasCapacity func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
 	if r.limiter.TokensAt(at.Wall) < 1 {
 		return RestoreMove{}, false
 	}
 	for i := range services {
 		for _, z := range zones {
 			move, ok = z.restoreMove(&services[i], at.Now)
-			if ok && hasRoom(move.Job, move.To) {
+			if ok && hasCapacity(move.Job, move.To) {
 				r.limiter.AllowN(at.Wall, 1)
 				z.recordRestore(move.Job)
 				return move, true
--- a/zonerecovery/restore_test.go
+++ b/zonerecovery/restore_test.go
@@ -16,20 +16,20 @@
 	f := newFixtureWith(t, policy)
 	f.beginRecovery()
 	f.manager.TaskDisplaced(testedZone, "job-1")
-	f.run(90*time.Second, testMachines)
+	f.runFor(90*time.Second, testMachines)
 	return f
 }
 
 // restoreFor carries out the moves that are planned within a duration, and counts them.
-func (f *fixture) restoreFor(duration time.Duration, service ServicePlacement, room bool) (moves int) {
+func (f *fixture) restoreFor(duration time.Duration, service ServicePlacement, capacity bool) (moves int) {
 	f.t.Helper()
-	hasRoom := func(ids.JobID, ids.Zone) bool { return room }
+	hasCapacity := func(ids.JobID, ids.Zone) bool { return capacity }
 	for end := f.at.Now.Add(duration); f.at.Now < end; {
 		f.advance(time.Second)
 		if len(f.manager.RestoreCandidates(f.at.Now)) != 1 {
 			f.t.Fatal("no candidate")
 		}
-		move, ok := f.manager.PlanRestore(f.at, []ServicePlacement{service}, hasRoom)
+		move, ok := f.manager.PlanRestore(f.at, []ServicePlacement{service}, hasCapacity)
 		if !ok {
 			continue
 		}
@@ -49,7 +49,7 @@
 	for _, c := range []struct {
 		name                    string
 		healthy, tested, wanted int // replicas
-		room                    bool
+		capacity                bool
 		duration                time.Duration
 		moves                   int
 	}{
@@ -62,7 +62,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := restorableFixture(t)
 			service := ServicePlacement{Job: "job-1", Replicas: c.wanted, Running: map[ids.Zone]int{healthyZone: c.healthy, testedZone: c.tested}}
-			if moves := f.restoreFor(c.duration, service, c.room); moves != c.moves {
+			if moves := f.restoreFor(c.duration, service, c.capacity); moves != c.moves {
 				t.Errorf("%d moves, want %d", moves, c.moves)
 			}
 		})
--- a/zonerecovery/settings_test.go
+++ b/zonerecovery/settings_test.go
@@ -27,7 +27,7 @@
 }
 
 // Settings that contradict one another are refused with the key of one of them.
-func TestContradictingSettings(t *testing.T) {
+func TestContradictorySettings(t *testing.T) {
 	for _, c := range []struct {
 		name, key string
 		change    func(*Settings)
--- a/zonerecovery/starts.go
+++ b/zonerecovery/starts.go
@@ -49,10 +49,10 @@
 // startTracker owns the starts and fetches that are in flight in a zone. It limits nothing.
 type startTracker struct {
 	inFlight map[ids.TaskRef]startInFlight
-	// limited counts the starts that are not critical. fetches counts theirs, by machine and
+	// nonCritical counts the starts that are not critical. fetches counts theirs, by machine and
 	// image; several starts share a fetch.
-	limited int
-	fetches map[imageFetch]int
+	nonCritical int
+	fetches     map[imageFetch]int
 }
 
 func newStartTracker() startTracker {
@@ -72,7 +72,7 @@
 func (t *startTracker) insert(request *StartRequest, start startInFlight) {
 	t.remove(request.Task)
 	if !start.critical {
-		t.limited++
+		t.nonCritical++
 		if request.NeedsFetch {
 			start.fetch = request.fetch()
 			t.fetches[start.fetch]++
@@ -89,7 +89,7 @@
 	}
 	delete(t.inFlight, task)
 	if !start.critical {
-		t.limited--
+		t.nonCritical--
 		t.removeFetch(start.fetch)
 	}
 	return start, true
--- a/zonerecovery/state_machine.go
+++ b/zonerecovery/state_machine.go
@@ -12,7 +12,7 @@
 	name   ids.Zone
 	policy *Policy
 	// record says what the committed record allows. The state machine marks it as outdated.
-	record *recordKeeper
+	record *recordTracker
 
 	observedAt monotonic.Instant
 	state      conditionState
@@ -27,7 +27,7 @@
 }
 
 // newStateMachine returns the state machine of a zone that serves.
-func newStateMachine(name ids.Zone, policy *Policy, record *recordKeeper, baseline *startLatencies, now monotonic.Instant) *stateMachine {
+func newStateMachine(name ids.Zone, policy *Policy, record *recordTracker, baseline *startLatencies, now monotonic.Instant) *stateMachine {
 	return &stateMachine{
 		name:       name,
 		policy:     policy,
@@ -146,7 +146,7 @@
 
 // enter changes the condition.
 func (m *stateMachine) enter(condition Condition, now monotonic.Instant, reason string) {
-	m.noteTransition(condition, reason)
+	m.addTransition(condition, reason)
 	m.incidents.addTime(m.state.condition, now.Sub(m.state.since))
 	recorded := m.state.durable()
 	m.state.enter(condition, now, reason)
@@ -163,8 +163,8 @@
 	m.holdDown.stop()
 }
 
-// noteTransition adds a transition to the given condition for the log.
-func (m *stateMachine) noteTransition(to Condition, reason string) {
+// addTransition adds a transition to the given condition for the log.
+func (m *stateMachine) addTransition(to Condition, reason string) {
 	m.transitions = append(m.transitions, Transition{Zone: m.name, From: m.state.condition, To: to, Step: m.ramp.step, Reason: reason})
 }
 
--- a/zonerecovery/state_machine_recovery.go
+++ b/zonerecovery/state_machine_recovery.go
@@ -26,7 +26,7 @@
 	case m.window.isOpen():
 		// The operators chose to wait. The time for the recovery counts from the window's end.
 		m.ramp.restartTimers(at.Now)
-	case !m.record.committed.is(Recovering, m.ramp.step):
+	case !m.record.committed.matches(Recovering, m.ramp.step):
 		// A step is no evidence until it is recorded. While the key-value store is
 		// unavailable, the recovery pauses: it would end unproven otherwise.
 		m.ramp.pause(elapsed)
@@ -45,8 +45,8 @@
 	case rampStartsFailing:
 		m.stepBack(at.Now, fmt.Sprintf("%d of %d starts failed", m.ramp.failed, m.ramp.failed+m.ramp.succeeded))
 	case rampLacksProbes:
-		m.ramp.anyProbe = true
-	case rampStepProven:
+		m.ramp.anyTaskMayProbe = true
+	case rampStepSucceeded:
 		m.stepForward(at)
 	}
 }
@@ -79,13 +79,13 @@
 func (m *stateMachine) enterStep(step int, now monotonic.Instant, reason string) {
 	m.ramp.enterStep(step, now)
 	m.state.reason = reason
-	m.noteTransition(m.state.condition, reason)
+	m.addTransition(m.state.condition, reason)
 	m.record.markOutdated()
 }
 
 // updateWindow notes the window that is open now.
 func (m *stateMachine) updateWindow(at ClockReading) {
 	if m.window.update(m.policy, m.name, at.Wall) {
-		m.noteTransition(m.state.condition, m.window.String())
+		m.addTransition(m.state.condition, m.window.String())
 	}
 }
--- a/zonerecovery/state_machine_test.go
+++ b/zonerecovery/state_machine_test.go
@@ -27,7 +27,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			for _, reachable := range c.reachable {
-				f.run(8*time.Second, reachable)
+				f.runFor(8*time.Second, reachable)
 			}
 			f.wantCondition("at the end", c.want)
 		})
@@ -35,9 +35,9 @@
 }
 
 // If all zones are half unreachable at once, as after a controller failed, none is suspect.
-func TestNoZoneIsSuspectIfAllAreInTrouble(t *testing.T) {
+func TestNoZoneIsSuspectIfAllLoseMachines(t *testing.T) {
 	f := newFixture(t)
-	f.run(time.Second, testMachines)
+	f.runFor(time.Second, testMachines)
 	for _, c := range []struct {
 		name      string
 		elsewhere int // reachable of ten
@@ -61,7 +61,7 @@
 // meanwhile are read.
 func TestNoSuspicionAfterProcessPause(t *testing.T) {
 	f := newFixture(t)
-	f.run(time.Second, testMachines)
+	f.runFor(time.Second, testMachines)
 	for _, c := range []struct {
 		name    string
 		resumed bool
--- a/zonerecovery/status.go
+++ b/zonerecovery/status.go
@@ -63,7 +63,7 @@
 		Reachable:         machine.detector.health.Reachable,
 		Outages:           machine.outages.count,
 		Steps:             z.policy.lastStep(),
-		StartsInFlight:    z.starts.limited,
+		StartsInFlight:    z.starts.nonCritical,
 		FetchesInFlight:   len(z.starts.fetches),
 		DisplacedJobs:     len(z.displacements.jobs),
 		Restriction:       restriction.text,
--- a/zonerecovery/status_test.go
+++ b/zonerecovery/status_test.go
@@ -15,29 +15,29 @@
 		// until is how long the restriction lasts at most, 0 if that is not known.
 		until time.Duration
 	}{
-		{"serving", "", func(f *fixture) { f.run(time.Second, 10) }, 0},
+		{"serving", "", func(f *fixture) { f.runFor(time.Second, 10) }, 0},
 		{"held for a minute", "all new work, by an operator: works", func(f *fixture) {
 			f.manager.Override(testedZone, Override{Kind: OverrideHold, Reason: "works", UntilMS: f.at.Wall.Add(time.Minute).UnixMilli()}, f.at)
 		}, time.Minute},
 		{"held until it is lifted", "all new work, by an operator: works", func(f *fixture) {
 			f.manager.Override(testedZone, Override{Kind: OverrideHold, Reason: "works"}, f.at)
 		}, 0},
-		{"suspect", "all new work, until its machines are heard or it counts as dark", func(f *fixture) { f.run(time.Second, 0) }, 0},
+		{"suspect", "all new work, until its machines are heard or it counts as dark", func(f *fixture) { f.runFor(time.Second, 0) }, 0},
 		{"suspect, and the leader is cut off", "all new work; no verdict, since the state service or most controllers are not reached", func(f *fixture) {
-			f.run(time.Second, 0)
+			f.runFor(time.Second, 0)
 			f.manager.Observe(f.at, Observation{Zones: map[ids.Zone]ZoneHealth{testedZone: healthOf(0), healthyZone: healthOf(10)}})
 		}, 0},
 		{"outage", "all new work, until its machines are heard", func(f *fixture) {
-			f.run(time.Second, 0)
-			f.run(testPolicy().OutageAfter-800*time.Millisecond, 0) // it has been suspect for 0.8 s
+			f.runFor(time.Second, 0)
+			f.runFor(testPolicy().OutageAfter-800*time.Millisecond, 0) // it has been suspect for 0.8 s
 		}, testPolicy().RetryAfter},
 		{"hold-down", "all new work, for the hold-down", func(f *fixture) {
-			f.run(10*time.Second, 0)
-			f.run(observationInterval, 10)
+			f.runFor(10*time.Second, 0)
+			f.runFor(observationInterval, 10)
 		}, testPolicy().HoldDown},
-		{"probe", "all but critical work and probes", (*fixture).beginRecoveryNow, testPolicy().MaxRecovery},
+		{"probe", "all but critical work and probes", (*fixture).runUntilRecoveryBegins, testPolicy().MaxRecovery},
 		{"a share", "starts beyond step 1 of 3", func(f *fixture) {
-			f.beginRecoveryNow()
+			f.runUntilRecoveryBegins()
 			f.zone().machine.enterStep(1, f.at.Now, "")
 		}, testPolicy().MaxRecovery},
 	} {
@@ -59,12 +59,12 @@
 	}
 }
 
-// beginRecoveryNow brings the tested zone to the very beginning of a recovery.
-func (f *fixture) beginRecoveryNow() {
+// runUntilRecoveryBegins brings the tested zone to the very beginning of a recovery.
+func (f *fixture) runUntilRecoveryBegins() {
 	f.t.Helper()
-	f.run(10*time.Second, 0)
+	f.runFor(10*time.Second, 0)
 	for range 100 {
-		f.run(observationInterval, testMachines)
+		f.runFor(observationInterval, testMachines)
 		if f.manager.Condition(testedZone) == Recovering {
 			return
 		}
--- a/zonerecovery/window.go
+++ b/zonerecovery/window.go
@@ -118,16 +118,16 @@
 // When clocks are set back, the time may occur twice. When they are set forward over it, both
 // are the instant of the change. So a window around a change begins once and ends once.
 func occurrences(noon time.Time, t timeOfDay) (first, last time.Time) {
-	shown := time.Date(noon.Year(), noon.Month(), noon.Day(), t.hour, t.minute, 0, 0, time.UTC)
+	wallTime := time.Date(noon.Year(), noon.Month(), noon.Day(), t.hour, t.minute, 0, 0, time.UTC)
 	var found []time.Time
-	for _, near := range []time.Time{noon.Add(-24 * time.Hour), noon.Add(24 * time.Hour)} {
-		instant := withOffsetOf(near, shown)
+	for _, reference := range []time.Time{noon.Add(-24 * time.Hour), noon.Add(24 * time.Hour)} {
+		instant := withOffsetOf(reference, wallTime)
 		if instant.Hour() == t.hour && instant.Minute() == t.minute {
 			found = append(found, instant)
 		}
 	}
 	if len(found) == 0 {
-		change, _ := withOffsetOf(noon.Add(-24*time.Hour), shown).ZoneBounds()
+		change, _ := withOffsetOf(noon.Add(-24*time.Hour), wallTime).ZoneBounds()
 		return change, change
 	}
 	return slices.MinFunc(found, time.Time.Compare), slices.MaxFunc(found, time.Time.Compare)
@@ -135,7 +135,7 @@
 
 // withOffsetOf returns the instant at which clocks with the UTC offset of near show the given
 // time, in the location of near. The location of shown is UTC.
-func withOffsetOf(near, shown time.Time) time.Time {
-	_, offsetSeconds := near.Zone()
-	return shown.Add(-time.Duration(offsetSeconds) * time.Second).In(near.Location())
+func withOffsetOf(reference, wallTime time.Time) time.Time {
+	_, offsetSeconds := reference.Zone()
+	return wallTime.Add(-time.Duration(offsetSeconds) * time.Second).In(reference.Location())
 }
--- a/zonerecovery/zone.go
+++ b/zonerecovery/zone.go
@@ -11,7 +11,7 @@
 type zone struct {
 	policy        *Policy
 	machine       *stateMachine
-	record        *recordKeeper
+	record        *recordTracker
 	override      operatorOverride
 	starts        startTracker
 	displacements displacements
@@ -21,7 +21,7 @@
 
 // newZone returns a zone that serves and has no record.
 func newZone(name ids.Zone, policy *Policy, baseline *startLatencies, now monotonic.Instant) *zone {
-	record := newRecordKeeper()
+	record := newRecordTracker()
 	return &zone{
 		policy:        policy,
 		machine:       newStateMachine(name, policy, record, baseline, now),
@@ -43,7 +43,7 @@
 	if z.override.current.expired(at.Wall) {
 		z.setOverride(Override{Reason: "the hold is over"})
 	}
-	observation := zoneObservation{health: health, view: view, startsInFlight: z.starts.limited}
+	observation := zoneObservation{health: health, view: view, startsInFlight: z.starts.nonCritical}
 	if incidentOver := z.machine.observe(at, observation); incidentOver {
 		z.displacements.clear()
 	}
@@ -76,7 +76,7 @@
 func (z *zone) setOverride(override Override) {
 	z.override.current = override
 	z.record.markOutdated()
-	z.machine.noteTransition(z.condition(), "operator: "+override.Kind.String()+" "+override.Reason)
+	z.machine.addTransition(z.condition(), "operator: "+override.Kind.String()+" "+override.Reason)
 }
 
 // gated reports whether any task may be denied.
--- a/zonerecovery/zone_record_test.go
+++ b/zonerecovery/zone_record_test.go
@@ -9,8 +9,8 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// loseJobs records losses of so many jobs in the present outage.
-func (f *fixture) loseJobs(count int) {
+// displaceJobs records losses of so many jobs in the present outage.
+func (f *fixture) displaceJobs(count int) {
 	f.t.Helper()
 	for n := range count {
 		f.zone().displacements.recordLoss(ids.JobID(fmt.Sprintf("job-%06d", n)), f.zone().machine.outages.count, f.at.Now)
@@ -23,7 +23,7 @@
 	const jobs, limit = 1000, 60
 	f := newFixture(t)
 	f.beginRecovery()
-	f.loseJobs(jobs)
+	f.displaceJobs(jobs)
 	f.zone().displacements.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-000999"}}, f.at.Now)
 	write, ok := f.manager.NextWrite(f.at, 7, func(record *Record) bool { return len(record.DisplacedJobs) <= limit })
 	if !ok {
@@ -42,7 +42,7 @@
 func TestRejectedRecordShrinks(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
-	f.loseJobs(1000)
+	f.displaceJobs(1000)
 	rejected, ok := f.manager.NextWrite(f.at, 7, func(record *Record) bool { return len(record.DisplacedJobs) <= 60 })
 	if !ok {
 		t.Fatal("nothing is written")
@@ -55,11 +55,11 @@
 }
 
 // While an incident lasts, the record holds its outages and displaced jobs.
-func TestRecordHoldsPresentIncident(t *testing.T) {
+func TestRecordHoldsCurrentIncident(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
 	f.manager.TaskDisplaced(testedZone, "job-1")
-	f.run(time.Minute, testMachines)
+	f.runFor(time.Minute, testMachines)
 	if record, ok := f.records[testedZone]; !ok || len(record.DisplacedJobs) != 1 || record.Outages != 1 {
 		t.Errorf("recorded: %v %+v", ok, record)
 	}
@@ -70,7 +70,7 @@
 	f.t.Helper()
 	f.beginRecovery()
 	f.manager.TaskDisplaced(testedZone, "job-1")
-	f.run(time.Minute+testPolicy().QuietPeriod+time.Second, testMachines)
+	f.runFor(time.Minute+testPolicy().QuietPeriod+time.Second, testMachines)
 }
 
 // After the quiet period a record holds nothing but past incidents.
@@ -97,7 +97,7 @@
 	f := newFixture(t)
 	f.endIncident()
 	before := f.revision
-	f.run(2*time.Minute, testMachines)
+	f.runFor(2*time.Minute, testMachines)
 	if f.revision != before {
 		t.Errorf("%d writes", f.revision-before)
 	}
@@ -107,12 +107,12 @@
 func TestLiftedHoldLeavesNoRecord(t *testing.T) {
 	f := newFixture(t)
 	f.manager.Override(healthyZone, Override{Kind: OverrideHold}, f.at)
-	f.write()
+	f.commitWrites()
 	if _, ok := f.records[healthyZone]; !ok {
 		t.Fatal("the hold is not recorded")
 	}
 	f.manager.Override(healthyZone, Override{}, f.at)
-	f.write()
+	f.commitWrites()
 	if record, left := f.records[healthyZone]; left {
 		t.Errorf("left behind: %+v", record)
 	}
@@ -123,8 +123,8 @@
 func TestUnreadableRecordCountsAsOutage(t *testing.T) {
 	f := newFixture(t)
 	f.manager.LoadUnreadable(testedZone, 9, f.at)
-	f.wantAdmission("critical work", criticalOf("job-1"), DeniedOutage)
-	f.run(6*time.Second, testMachines)
+	f.wantAdmission("critical work", criticalRequest("job-1"), DeniedOutage)
+	f.runFor(6*time.Second, testMachines)
 	f.wantCondition("once its machines are reachable", Recovering)
 }
 
@@ -143,7 +143,7 @@
 	f.zone().displacements.recordLoss("job-1", f.zone().machine.outages.count, f.at.Now)
 	f.zone().displacements.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-1"}}, f.at.Now)
 	f.manager.Override(testedZone, Override{Kind: OverrideHold, Reason: "works", UntilMS: f.at.Wall.Add(time.Hour).UnixMilli()}, f.at)
-	f.run(10*time.Second, testMachines)
+	f.runFor(10*time.Second, testMachines)
 	previous, record := f.zone(), f.records[testedZone]
 
 	const failover = 3 * time.Second
--- a/zonerecovery/zone_tasks.go
+++ b/zonerecovery/zone_tasks.go
@@ -41,7 +41,7 @@
 // taskEnded notes that a task is off its machine. It does nothing if the task was not in flight.
 func (z *zone) taskEnded(task ids.TaskRef) {
 	if start, ok := z.starts.remove(task); ok && start.countsForStep() {
-		z.machine.ramp.startWithdrawn()
+		z.machine.ramp.startAborted()
 	}
 }
 
@@ -59,7 +59,7 @@
 		return false
 	}
 	z.machine.incidents.update(func(incident *Incident) { incident.DisplacedTasks++ })
-	if z.displacements.recordLoss(job, z.machine.outages.lossNumber(), z.machine.observedAt) {
+	if z.displacements.recordLoss(job, z.machine.outages.outageOfLoss(), z.machine.observedAt) {
 		z.record.markJobsChanged()
 		z.machine.incidents.update(func(incident *Incident) { incident.DisplacedJobs = len(z.displacements.jobs) })
 	}
