--- a/zonerecovery/admission.go
+++ b/zonerecovery/admission.go
@@ -1,30 +1,33 @@
 package zonerecovery
 
-// Admission is the answer to a StartRequest: Admitted, or why the task is denied.
+// Admission represents the decision on a StartRequest: Admitted, or the reason for which the task is
+// denied.
 type Admission uint8
 
-// The answers to a StartRequest.
+// The decisions on a StartRequest.
 const (
 	Admitted Admission = iota
-	// DeniedByOperator: an operator holds the zone.
+	// DeniedByOperator means that an operator's hold is in force.
 	DeniedByOperator
-	// DeniedSuspect and DeniedOutage: the condition lets nothing start.
+	// DeniedSuspect and DeniedOutage mean that no task may start in the zone's condition.
 	DeniedSuspect
 	DeniedOutage
-	// DeniedUnrecorded: the condition is not committed yet.
+	// DeniedUnrecorded means that the record of the condition is not committed yet.
 	DeniedUnrecorded
-	// DeniedWindow: a window for critical work is open.
+	// DeniedWindow means that a window for critical work is open.
 	DeniedWindow
-	// DeniedProbeOnly: the recovery admits only probes for now.
+	// DeniedProbeOnly means that the recovery is in its probe, and the task is not eligible.
 	DeniedProbeOnly
-	// DeniedStartLimit and DeniedFetchLimit: too many starts or image fetches are in flight.
+	// DeniedStartLimit and DeniedFetchLimit mean that too many starts or image fetches are in
+	// flight.
 	DeniedStartLimit
 	DeniedFetchLimit
-	// DeniedFailbackBudget: the job returned to the zone before and was displaced again.
+	// DeniedFailbackBudget means that the job has returned to the zone as often as its budget
+	// allows, and was displaced again.
 	DeniedFailbackBudget
 )
 
-// admissionNames are the names that operators are shown.
+// admissionNames holds the names that are shown to operators.
 var admissionNames = []string{
 	Admitted:             "admitted",
 	DeniedByOperator:     "held by an operator",
@@ -38,7 +41,7 @@
 	DeniedFailbackBudget: "came back before",
 }
 
-// String returns the answer in words.
+// String returns the name of the decision for operators.
 func (a Admission) String() string { return nameOf(admissionNames, "denial", a) }
 
 // deniedByRamp reports whether a later step of the recovery may admit the task.
@@ -46,8 +49,8 @@
 	return a == DeniedProbeOnly || a == DeniedStartLimit || a == DeniedFetchLimit
 }
 
-// admit answers whether a task may start in the zone now. It notes tasks that a later step may
-// admit.
+// admit returns whether a task may start in the zone now. It records whether a task was denied that
+// a later step may admit.
 func (z *zone) admit(request *StartRequest) Admission {
 	admission := z.decideAdmission(request)
 	if admission.deniedByRamp() {
@@ -56,7 +59,7 @@
 	return admission
 }
 
-// decideAdmission applies the rules that hold in every condition.
+// decideAdmission applies the rules that are common to all conditions, and then those of a recovery.
 func (z *zone) decideAdmission(request *StartRequest) Admission {
 	condition := z.condition()
 	switch {
@@ -88,7 +91,7 @@
 	case z.starts.nonCritical >= z.policy.startLimit(step, reachable):
 		return DeniedStartLimit
 	case !request.NeedsFetch || z.starts.fetches[request.fetch()] > 0:
-		return Admitted // a fetch that is in flight serves this start as well
+		return Admitted // the start shares the fetch that is in flight
 	case request.MachineFetching || len(z.starts.fetches) >= z.policy.fetchLimit(step, reachable):
 		return DeniedFetchLimit
 	}
--- a/zonerecovery/condition.go
+++ b/zonerecovery/condition.go
@@ -5,7 +5,7 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// Condition is the state of a zone's state machine. Records hold its number.
+// Condition represents the state of a zone's state machine. Records hold its number.
 type Condition uint8
 
 // The conditions of a zone.
@@ -19,11 +19,11 @@
 	// the hold-down.
 	Outage
 	// Recovering means that its machines are reachable again, and that the limits on starts
-	// there grow in steps.
+	// increase in steps.
 	Recovering
 )
 
-// conditionNames are the names that operators are shown.
+// conditionNames holds the names that are shown to operators.
 var conditionNames = []string{Serving: "serving", Suspect: "suspect", Outage: "dark", Recovering: "returning"}
 
 // String returns the condition's name for operators.
@@ -38,8 +38,8 @@
 	return err
 }
 
-// Transition is a change of a zone's condition or step, or an operator's override, for the log.
-// From and To are equal where the condition stays.
+// Transition represents a change of a zone's condition, step, window or override, for the log.
+// From and To are equal if the condition does not change.
 type Transition struct {
 	Zone     ids.Zone
 	From, To Condition
@@ -47,13 +47,13 @@
 	Reason   string
 }
 
-// conditionState owns a zone's condition, since when it holds and why. It decides nothing.
+// conditionState holds a zone's condition, when it began and why. It makes no decision.
 type conditionState struct {
 	condition Condition
 	since     monotonic.Instant
 	// reason is shown to operators.
 	reason string
-	// beforeSuspicion is the condition that a suspect zone had before.
+	// beforeSuspicion is the condition from which a zone became suspect.
 	beforeSuspicion Condition
 }
 
@@ -65,8 +65,8 @@
 	s.condition, s.since, s.reason = condition, now, reason
 }
 
-// durable returns the condition that is recorded. A suspicion is not: the next leader forms its
-// own.
+// durable returns the condition that is recorded. A suspicion is not recorded: the next leader
+// detects it from its own observations.
 func (s *conditionState) durable() Condition {
 	if s.condition == Suspect {
 		return s.beforeSuspicion
--- a/zonerecovery/detector.go
+++ b/zonerecovery/detector.go
@@ -6,30 +6,31 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// leaderView is what the leader sees beyond one zone.
+// leaderView holds what the leader observes outside a single zone.
 type leaderView struct {
 	connectivity Connectivity
 	// someZoneReachable is the result of Observation.someZoneReachable.
 	someZoneReachable bool
 }
 
-// outageDetector owns the latest health of a zone, and decides whether it means an outage. It never
-// changes the condition.
+// outageDetector holds the latest health of a zone, and decides whether the zone is in outage. It
+// never changes the condition.
 type outageDetector struct {
 	policy *Policy
 	health ZoneHealth
 	view   leaderView
-	// excluded is how many machines were lost when the recovery began. They are not evidence
-	// against it.
+	// excluded is the number of machines that were lost when the recovery began or an operator
+	// released the zone. They are not evidence of a new outage.
 	excluded int
-	// reliableSince is since when the leader's view has been reliable, 0 if it is not. A leader
-	// that was cut off needs time to receive heartbeats again.
+	// reliableSince is when the leader's view became reliable, 0 if it is not. A leader that was
+	// partitioned needs time to receive heartbeats again.
 	reliableSince monotonic.Instant
-	// clearSince is since when a suspect zone has not been in trouble, 0 if it is.
+	// clearSince is when a suspect zone's lost fraction fell below Policy.clearFraction, 0 if it
+	// is not below.
 	clearSince monotonic.Instant
 }
 
-// observe records the health and the leader's view.
+// observe records the health of the zone and the leader's view.
 func (d *outageDetector) observe(now monotonic.Instant, health ZoneHealth, view leaderView) {
 	d.health, d.view = health, view
 	d.excluded = min(d.excluded, health.lost())
@@ -41,13 +42,13 @@
 	}
 }
 
-// excludeLost stops counting the machines that are lost now.
+// excludeLost excludes the machines that are lost now from the count of lost machines.
 func (d *outageDetector) excludeLost() { d.excluded = d.health.lost() }
 
-// includeLost counts all lost machines again.
+// includeLost excludes no machine any more.
 func (d *outageDetector) includeLost() { d.excluded = 0 }
 
-// lostFraction is the share of machines that are lost, without the excluded ones.
+// lostFraction returns the fraction of machines that are lost, without the excluded ones.
 func (d *outageDetector) lostFraction() float64 {
 	lost, machines := d.health.lost()-d.excluded, d.health.Machines-d.excluded
 	if machines <= 0 {
@@ -61,8 +62,8 @@
 	return d.view.someZoneReachable && d.health.Machines >= d.policy.MinMachines && d.lostFraction() >= d.policy.SuspectFraction
 }
 
-// suspectLostFraction is the share of a suspect zone's machines that are lost: all of them if it has none
-// left.
+// suspectLostFraction returns the fraction of a suspect zone's machines that are lost. It is 1 if the
+// zone has no machines left.
 func (d *outageDetector) suspectLostFraction() float64 {
 	if d.health.Machines == 0 {
 		return 1
@@ -70,8 +71,8 @@
 	return d.lostFraction()
 }
 
-// updateClearTimer starts the timer of suspicionCleared, or stops it while a suspect zone is in
-// trouble.
+// updateClearTimer starts the timer of suspicionCleared, or stops it if too many machines of the
+// suspect zone are lost.
 func (d *outageDetector) updateClearTimer(now monotonic.Instant) {
 	switch {
 	case d.suspectLostFraction() >= d.policy.clearFraction():
@@ -84,13 +85,14 @@
 // resetClearTimer stops the timer of suspicionCleared.
 func (d *outageDetector) resetClearTimer() { d.clearSince = 0 }
 
-// suspicionCleared reports whether a suspect zone has been out of trouble for long enough.
+// suspicionCleared reports whether enough machines of a suspect zone have been reachable for
+// ClearSuspicionAfter.
 func (d *outageDetector) suspicionCleared(now monotonic.Instant) bool {
 	return d.clearSince != 0 && now >= d.clearSince.Add(d.policy.ClearSuspicionAfter)
 }
 
-// outageConfirmed reports whether a zone that has been suspect for some time is in outage. It
-// never is while the leader's own view is not reliable.
+// outageConfirmed reports whether a zone that has been suspect since suspectSince is in outage. It
+// is false while the leader's own view is not reliable.
 func (d *outageDetector) outageConfirmed(now, suspectSince monotonic.Instant) bool {
 	if d.clearSince != 0 || d.reliableSince == 0 || d.suspectLostFraction() < d.policy.OutageFraction {
 		return false
@@ -98,8 +100,8 @@
 	return now >= max(suspectSince, d.reliableSince).Add(d.confirmationTime())
 }
 
-// confirmationTime is how long a zone must be suspect. It is halved if the cloud refuses capacity
-// there, which is independent evidence.
+// confirmationTime returns how long a zone must be suspect before it is in outage. It is halved if
+// the cloud refuses capacity there, which is independent evidence of an outage.
 func (d *outageDetector) confirmationTime() time.Duration {
 	if d.health.CapacityRefused {
 		return d.policy.OutageAfter / 2
--- a/zonerecovery/doc.go
+++ b/zonerecovery/doc.go
@@ -1,13 +1,13 @@
-// Package zonerecovery decides when a zone is in outage, and how its work returns once its
+// Package zonerecovery detects zone outages and limits how work returns to a zone once its
 // machines are reachable again.
 //
-// It is a state machine without I/O. The scheduler's core owns one Manager for each term of a
-// leader, and is its only caller. The core passes in the time and what is known of the
-// machines, asks before it starts a task in a zone, and writes the records that the Manager
-// hands out. A Manager never reads a clock, starts a goroutine, or changes a job or a
-// machine. No type in it is safe for use by several goroutines.
+// It performs no I/O. The scheduler's core creates one Manager for each term of a leader, and
+// is its only caller. The core passes in the time and the health of the machines, requests
+// admission before it starts a task in a zone, and writes the records that the Manager
+// returns. A Manager never reads a clock, starts a goroutine, or changes a job or a
+// machine. No type in the package is safe for concurrent use.
 //
-// Manager is the type to read first. It keeps one state machine for each zone:
+// Manager is the type to read first. It has one state machine for each zone:
 //
 //	serving -> suspect -> outage -> recovering -> serving
 //
--- a/zonerecovery/fixture_test.go
+++ b/zonerecovery/fixture_test.go
@@ -9,27 +9,27 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// testedZone is the zone whose health a test sets. healthyZone always serves.
+// testedZone is the zone whose health a test sets. healthyZone is always healthy.
 const (
 	testedZone  ids.Zone = "z"
 	healthyZone ids.Zone = "other"
 )
 
-// testMachines is how many machines each zone of a fixture has.
+// testMachines is the number of machines in each zone of a fixture.
 const testMachines = 10
 
-// observationInterval is how often a fixture observes.
+// observationInterval is the interval at which a fixture passes observations to its manager.
 const observationInterval = 200 * time.Millisecond
 
-// fixture drives a manager by hand, and stores the records that it writes.
+// fixture holds a manager with a simulated clock, and stores the records that the manager writes.
 type fixture struct {
 	t       *testing.T
 	manager *Manager
 	at      ClockReading
-	// records are the stored records, revision the newest revision of the store.
+	// records holds the stored records. revision is the newest revision of the store.
 	records  map[ids.Zone]Record
 	revision ids.Revision
-	// tasks counts the tasks that were asked to start.
+	// tasks counts the requested starts.
 	tasks int
 }
 
@@ -61,7 +61,7 @@
 	}
 }
 
-// newFixture makes a fixture with a policy that no other test uses.
+// newFixture returns a fixture with its own copy of the policy of testPolicy.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	return newFixtureWith(t, testPolicy())
@@ -77,17 +77,18 @@
 	}
 }
 
-// advance moves both clocks without an observation.
+// advance advances both clocks without an observation.
 func (f *fixture) advance(duration time.Duration) {
 	f.at = ClockReading{Now: f.at.Now.Add(duration), Wall: f.at.Wall.Add(duration)}
 }
 
-// healthOf is the health of a zone with so many reachable machines.
+// healthOf returns the health of a zone with the given number of reachable machines.
 func healthOf(reachable int) ZoneHealth {
 	return ZoneHealth{Machines: testMachines, Reachable: reachable, Unreachable: testMachines - reachable}
 }
 
-// runFor lets time pass with so many machines reachable, and writes what is due.
+// runFor advances the clocks by a duration with the given number of machines reachable in the tested
+// zone. At each interval it observes the zones and commits the records that are due.
 func (f *fixture) runFor(duration time.Duration, reachable int) {
 	f.t.Helper()
 	for end := f.at.Now.Add(duration); f.at.Now < end; {
@@ -100,7 +101,7 @@
 	}
 }
 
-// fitsAlways is a limit of records that none exceeds.
+// fitsAlways reports true for every record.
 func fitsAlways(*Record) bool { return true }
 
 // commitWrites commits all records that are due.
@@ -122,7 +123,7 @@
 	}
 }
 
-// start places a new task of a job in the tested zone if it is admitted.
+// start requests the start of a new task in the tested zone, and places the task if it is admitted.
 func (f *fixture) start(request StartRequest) (ids.TaskRef, Admission) {
 	f.t.Helper()
 	f.tasks++
@@ -137,7 +138,7 @@
 	return request.Task, admission
 }
 
-// startAll starts tasks of a job until one is denied.
+// startAll starts tasks of a job until one is denied, and returns the started ones.
 func (f *fixture) startAll(request StartRequest) []ids.TaskRef {
 	f.t.Helper()
 	var started []ids.TaskRef
@@ -150,7 +151,7 @@
 	}
 }
 
-// wantAdmission starts a task of a job, and checks the answer.
+// wantAdmission requests the start of a task, and checks the decision.
 func (f *fixture) wantAdmission(name string, request StartRequest, want Admission) ids.TaskRef {
 	f.t.Helper()
 	task, got := f.start(request)
@@ -160,7 +161,7 @@
 	return task
 }
 
-// reportRunning lets tasks run in the tested zone.
+// reportRunning reports tasks of the tested zone to the manager as running.
 func (f *fixture) reportRunning(tasks ...ids.TaskRef) {
 	f.t.Helper()
 	for _, task := range tasks {
@@ -176,7 +177,7 @@
 	}
 }
 
-// status is that of the tested zone.
+// status returns the status of the tested zone.
 func (f *fixture) status() Status {
 	f.t.Helper()
 	for _, status := range f.manager.Status(f.at) {
@@ -196,7 +197,8 @@
 	}
 }
 
-// beginRecovery brings the tested zone to the beginning of a recovery.
+// beginRecovery causes an outage of the tested zone and lets it pass the hold-down, so that the zone
+// is in the probe of a recovery.
 func (f *fixture) beginRecovery() {
 	f.t.Helper()
 	f.runFor(time.Second, testMachines)
@@ -206,7 +208,8 @@
 	f.wantCondition("after the hold-down", Recovering)
 }
 
-// recoverToStep1 brings the tested zone to its first share: no task wants to start in the probe.
+// recoverToStep1 brings the tested zone to step 1 of a recovery. The probe succeeds because no task
+// is requested in it.
 func (f *fixture) recoverToStep1() {
 	f.t.Helper()
 	f.beginRecovery()
@@ -214,20 +217,20 @@
 	f.wantStep("without any work", 1)
 }
 
-// zone is the tested zone.
+// zone returns the tested zone.
 func (f *fixture) zone() *zone { return f.manager.zones[testedZone] }
 
-// taskRequest is a request of a job that is neither critical nor eligible as a probe.
+// taskRequest returns a request of a job that is neither critical nor eligible as a probe.
 func taskRequest(job ids.JobID) StartRequest { return StartRequest{Task: ids.TaskRef{Job: job}} }
 
-// probeRequest is a request of a job that is eligible as a probe.
+// probeRequest returns a request of a job that is eligible as a probe.
 func probeRequest(job ids.JobID) StartRequest {
 	request := taskRequest(job)
 	request.ProbeEligible = true
 	return request
 }
 
-// criticalRequest is a request of a critical job.
+// criticalRequest returns a request of a critical job.
 func criticalRequest(job ids.JobID) StartRequest {
 	request := taskRequest(job)
 	request.Critical = true
--- a/zonerecovery/golden_test.go
+++ b/zonerecovery/golden_test.go
@@ -16,7 +16,8 @@
 		DisplacedTasks: 7, DisplacedJobs: 8, Failbacks: 9, ForcedFailbacks: 10, RestoredReplicas: 11, Machines: 12}
 }
 
-// The record of a zone keeps its bytes in the key-value store.
+// The encoding of a zone's record must not change: controllers of other versions read it from the
+// key-value store.
 func TestZoneRecordEncodingIsStable(t *testing.T) {
 	codec := golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
 	golden.Check(t, "records.json", codec, []golden.Case{
@@ -30,7 +31,7 @@
 	})
 }
 
-// The status of a zone keeps its bytes between controllers and as JSON.
+// The encodings of a zone's status, between controllers and as JSON, must not change.
 func TestZoneStatusEncodingIsStable(t *testing.T) {
 	cases := []golden.Case{{Name: "zone status", Value: Status{Zone: "zone-a", Condition: Outage, SinceMS: 1764640000006, Reason: "silent",
 		Machines: 31, Reachable: 32, Outages: 33, Step: 34, Steps: 35, StartsInFlight: 36, StartLimit: 37, FetchesInFlight: 38, FetchLimit: 39, DisplacedJobs: 40,
@@ -40,7 +41,7 @@
 	golden.Check(t, "status-json.json", golden.Codec{Encode: json.Marshal, Decode: json.Unmarshal}, cases)
 }
 
-// The numbers of conditions and overrides are stored in records.
+// The numbers of conditions and overrides are stored in records, so they must not change.
 func TestRecordedEnumNumbersAreStable(t *testing.T) {
 	if Serving != 0 || Suspect != 1 || Outage != 2 || Recovering != 3 {
 		t.Error("the number of a condition has changed")
--- a/zonerecovery/incident.go
+++ b/zonerecovery/incident.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// Incident is what happened to a zone from its first outage until it had served for the quiet
-// period. Times of day are in milliseconds since the epoch, durations in milliseconds.
+// Incident holds what happened to a zone from its first outage until it had served for the quiet
+// period. Instants are in milliseconds since the epoch, durations in milliseconds.
 type Incident struct {
 	// BeganMS is when the first outage began. ServingSinceMS is when the zone last began to
-	// serve again, 0 if it does not yet.
+	// serve again, 0 if it does not serve.
 	BeganMS        int64 `msgpack:"b" cbor:"1,keyasint" json:"began_ms"`
 	ServingSinceMS int64 `msgpack:"e,omitempty" cbor:"2,keyasint" json:"served_ms"`
-	// Outages counts the outages. OutageMS is how long they lasted in total, and RecoveryMS how
-	// long the recoveries did.
+	// Outages counts the outages. OutageMS is the total duration of the outages, and RecoveryMS
+	// that of the recoveries.
 	Outages    int   `msgpack:"s" cbor:"3,keyasint" json:"spells"`
 	OutageMS   int64 `msgpack:"d,omitempty" cbor:"4,keyasint" json:"dark_ms"`
 	RecoveryMS int64 `msgpack:"r,omitempty" cbor:"5,keyasint" json:"return_ms"`
-	// Setbacks counts the steps of recoveries that were taken back.
+	// Setbacks counts how often a recovery returned to the previous step.
 	Setbacks int `msgpack:"k,omitempty" cbor:"6,keyasint" json:"setbacks"`
-	// DisplacedTasks counts the tasks that were lost with the zone, DisplacedJobs their jobs.
+	// DisplacedTasks counts the tasks that were lost with their machines, DisplacedJobs the jobs
+	// of these tasks.
 	DisplacedTasks int `msgpack:"t,omitempty" cbor:"7,keyasint" json:"displaced_tasks"`
 	DisplacedJobs  int `msgpack:"j,omitempty" cbor:"8,keyasint" json:"displaced_jobs"`
 	// Failbacks counts the jobs that returned to the zone within their budget, ForcedFailbacks
@@ -28,22 +29,22 @@
 	ForcedFailbacks int `msgpack:"f,omitempty" cbor:"10,keyasint" json:"forced"`
 	// RestoredReplicas counts the replicas of services that were moved back.
 	RestoredReplicas int `msgpack:"m,omitempty" cbor:"11,keyasint" json:"restored"`
-	// Machines is how many the zone had before the first outage.
+	// Machines is the number of machines that the zone had before the first outage.
 	Machines int `msgpack:"n,omitempty" cbor:"12,keyasint" json:"machines"`
 }
 
-// maxPastIncidents limits the past incidents that are kept for a zone.
+// maxPastIncidents is the number of past incidents that are kept for a zone.
 const maxPastIncidents = 8
 
-// incidentLog owns the present incident of a zone and the past ones. It is kept for operators,
-// and decides nothing.
+// incidentLog holds the current incident of a zone and the past ones. It is shown to operators, and
+// no decision depends on it.
 type incidentLog struct {
 	// current is nil while there is no incident.
 	current *Incident
 	past    []Incident
 }
 
-// beginOutage adds an outage to the present incident, or begins a new one.
+// beginOutage adds an outage to the current incident, or begins a new incident.
 func (l *incidentLog) beginOutage(at ClockReading, machines int) {
 	if l.current == nil {
 		l.current = &Incident{BeganMS: at.Wall.UnixMilli(), Machines: machines}
@@ -52,7 +53,8 @@
 	l.current.ServingSinceMS = 0
 }
 
-// addTime adds how long the zone was in a condition that it has left.
+// addTime adds the time that the zone spent in a condition to the current incident. left is that
+// condition.
 func (l *incidentLog) addTime(left Condition, duration time.Duration) {
 	l.update(func(incident *Incident) {
 		switch left {
@@ -64,7 +66,7 @@
 	})
 }
 
-// beginServing notes that the zone serves again.
+// beginServing records that the zone serves again.
 func (l *incidentLog) beginServing(at ClockReading) {
 	l.update(func(incident *Incident) { incident.ServingSinceMS = at.Wall.UnixMilli() })
 }
@@ -81,14 +83,14 @@
 	})
 }
 
-// update changes the present incident, if there is one.
+// update applies a change to the current incident, if there is one.
 func (l *incidentLog) update(change func(*Incident)) {
 	if l.current != nil {
 		change(l.current)
 	}
 }
 
-// close ends the present incident, if there is one.
+// close ends the current incident, if there is one.
 func (l *incidentLog) close() {
 	if l.current == nil {
 		return
@@ -98,7 +100,7 @@
 	l.current = nil
 }
 
-// all returns a copy of the incidents, the present one last; nil if there are none.
+// all returns a copy of the incidents, the current one last. It is nil if there are none.
 func (l *incidentLog) all() []Incident {
 	incidents := append([]Incident(nil), l.past...)
 	if l.current != nil {
@@ -107,12 +109,12 @@
 	return incidents
 }
 
-// load replaces the log by recorded incidents, all of them past.
+// load replaces the log by recorded incidents. All of them count as past.
 func (l *incidentLog) load(recorded []Incident) {
 	l.past, l.current = slices.Clone(recorded), nil
 }
 
-// reopen makes the newest past incident, if there is one, the present one.
+// reopen makes the newest past incident, if there is one, the current one.
 func (l *incidentLog) reopen() {
 	if len(l.past) == 0 {
 		return
--- a/zonerecovery/latency.go
+++ b/zonerecovery/latency.go
@@ -7,28 +7,28 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The histogram of start latencies.
+// The parameters of the histogram of start latencies, and of comparisons of two of them.
 const (
 	latencyFloorMS           = 1
 	latencyCeilingMS         = int64(time.Hour / time.Millisecond)
 	latencySignificantDigits = 2
 	// latencyPercentile is the percentile that is compared.
 	latencyPercentile = 90
-	// minLatencySamples is how many starts a comparison needs.
+	// minLatencySamples is the number of starts that a comparison needs in each histogram.
 	minLatencySamples = 5
-	// minBaselineLatency is the lowest baseline of a comparison. If starts elsewhere take a few
-	// milliseconds, a second is not slow.
+	// minBaselineLatency is the lowest baseline of a comparison. A start of a second is not slow
+	// even if starts elsewhere take a few milliseconds.
 	minBaselineLatency = 2 * time.Second
 )
 
-// startLatencies is a histogram of how long starts took, from placement to running.
+// startLatencies holds a histogram of the durations of starts, from placement to running.
 type startLatencies struct{ histogram *hdrhistogram.Histogram }
 
 func newStartLatencies() *startLatencies {
 	return &startLatencies{hdrhistogram.New(latencyFloorMS, latencyCeilingMS, latencySignificantDigits)}
 }
 
-// record adds a latency. One outside the range of the histogram is clamped to it.
+// record adds a latency. A latency outside the range of the histogram is clamped to it.
 func (l *startLatencies) record(latency time.Duration) {
 	milliseconds := min(max(latency.Milliseconds(), latencyFloorMS), latencyCeilingMS)
 	if err := l.histogram.RecordValue(milliseconds); err != nil {
@@ -53,7 +53,7 @@
 	return latency.Milliseconds()
 }
 
-// slowerThan reports whether the 90th percentile exceeds that of the baseline by the factor. It
+// slowerThan reports whether the 90th percentile is more than factor times that of the baseline. It
 // is false while either has too few samples.
 func (l *startLatencies) slowerThan(baseline *startLatencies, factor float64) bool {
 	latency, ok := l.p90()
--- a/zonerecovery/manager.go
+++ b/zonerecovery/manager.go
@@ -9,15 +9,15 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// Manager owns the recovery state of all zones for one term of a leader. It answers which tasks
-// may start and which machines may be provisioned in a zone, and hands out the records to write.
-// It starts, stops and writes nothing itself, and is not safe for use by several goroutines.
+// Manager holds the recovery state of all zones for one term of a leader. It decides which tasks may
+// start and how many machines may be provisioned in a zone, and returns the records to write. It
+// starts, stops and writes nothing itself, and is not safe for concurrent use.
 //
-// A zone that no method has named serves.
+// A zone that has not been passed to any method counts as serving.
 type Manager struct {
 	policy *Policy
 	zones  map[ids.Zone]*zone
-	// sorted are the zones by name, so that results do not depend on the order of a map.
+	// sorted holds the zones by name, so that results do not depend on the order of a map.
 	sorted []*zone
 	// baseline is the latency of starts in zones that do not recover.
 	baseline     *startLatencies
@@ -26,18 +26,19 @@
 	connectivity Connectivity
 }
 
-// Stats counts events of this term, for logs and measurements.
+// Stats holds counts of events of this term, for logs and measurements.
 type Stats struct {
-	// DisplacedTasks counts the tasks that were lost with a zone.
+	// DisplacedTasks counts the tasks that were lost with their machines in zones that did not
+	// serve.
 	DisplacedTasks int
-	// Failbacks counts the jobs that returned to a zone that displaced them, within their
-	// budget. ForcedFailbacks counts those that returned beyond it.
+	// Failbacks counts how often jobs returned, within their budget, to a zone that displaced
+	// them. ForcedFailbacks counts how often they returned beyond it.
 	Failbacks, ForcedFailbacks int
-	// MaxFailbacksPerJob is how often the job that returned most often did so in one incident.
+	// MaxFailbacksPerJob is the highest number of failbacks of a job in one incident.
 	MaxFailbacksPerJob int
 }
 
-// NewManager returns a manager without any zone. The policy must not change afterwards.
+// NewManager returns a manager without zones. The policy must not change afterwards.
 func NewManager(policy *Policy) *Manager {
 	return &Manager{
 		policy:   policy,
@@ -47,7 +48,7 @@
 	}
 }
 
-// zoneNamed returns a zone, and adds it as one that serves if it is new.
+// zoneNamed returns the zone with the given name. It adds an unknown zone, which serves.
 func (m *Manager) zoneNamed(name ids.Zone, now monotonic.Instant) *zone {
 	z := m.zones[name]
 	if z == nil {
@@ -59,13 +60,13 @@
 	return z
 }
 
-// Load applies the record of a zone that an earlier leader wrote. It must be called before any other
-// method for the zone.
+// Load restores the state of a zone from the record that an earlier leader wrote. It must be called
+// before any other method for the zone.
 func (m *Manager) Load(name ids.Zone, record *Record, revision ids.Revision, at ClockReading) {
 	m.zoneNamed(name, at.Now).loadRecord(record, revision, at)
 }
 
-// LoadUnreadable takes the place of Load for a record that cannot be decoded. The zone counts as in
+// LoadUnreadable is called instead of Load for a record that cannot be decoded. The zone counts as in
 // outage.
 func (m *Manager) LoadUnreadable(name ids.Zone, revision ids.Revision, at ClockReading) {
 	m.zoneNamed(name, at.Now).loadUnreadable(revision, at)
@@ -87,15 +88,15 @@
 	return changed
 }
 
-// Override applies an operator's decision about a zone. The returned number is recorded once
-// RecordedOverride has reached it.
+// Override applies an operator's decision about a zone, and returns its number. The decision is
+// recorded once RecordedOverride returns this number or a higher one.
 func (m *Manager) Override(name ids.Zone, override Override, at ClockReading) (number uint64) {
 	z := m.zoneNamed(name, at.Now)
 	z.applyOverride(override.limited(), at)
 	return z.override.decisions
 }
 
-// RecordedOverride returns the number of the newest decision about a zone that is recorded.
+// RecordedOverride returns the number of the newest recorded decision about a zone.
 func (m *Manager) RecordedOverride(name ids.Zone) uint64 {
 	if z := m.zones[name]; z != nil {
 		return z.record.committed.override
@@ -120,13 +121,13 @@
 	return Serving
 }
 
-// Evacuating reports whether some zone does not serve, so that its work may need capacity
-// elsewhere.
+// Evacuating reports whether some zone does not serve, so that its work may need capacity in other
+// zones.
 func (m *Manager) Evacuating() bool {
 	return m.anyZone(func(z *zone) bool { return z.condition() != Serving })
 }
 
-// AnyRecovering reports whether some zone recovers.
+// AnyRecovering reports whether some zone is recovering.
 func (m *Manager) AnyRecovering() bool {
 	return m.anyZone(func(z *zone) bool { return z.condition() == Recovering })
 }
@@ -140,13 +141,13 @@
 // AnyGated reports whether Admit may deny a task in some zone now.
 func (m *Manager) AnyGated() bool { return m.anyZone((*zone).gated) }
 
-// anyZone reports whether a condition holds for some zone.
+// anyZone reports whether holds is true for some zone.
 func (m *Manager) anyZone(holds func(*zone) bool) bool {
 	return slices.ContainsFunc(m.sorted, holds)
 }
 
-// ProvisioningLimit returns how many machines may be provisioned in a zone at once. limited is
-// false where there is no limit.
+// ProvisioningLimit returns how many machines may be provisioned in a zone at once. limited reports
+// whether there is a limit.
 func (m *Manager) ProvisioningLimit(name ids.Zone) (limit int, limited bool) {
 	if z := m.zones[name]; z != nil {
 		return z.provisioningLimit()
@@ -154,8 +155,8 @@
 	return 0, false
 }
 
-// CachesLostAt returns when the outage began that a zone recovers from: what its machines had
-// cached before may be gone. It is 0 for a zone that does not recover.
+// CachesLostAt returns when the outage began from which a zone is recovering. What the zone's machines
+// cached before that may be lost. It returns 0 for a zone that is not recovering.
 func (m *Manager) CachesLostAt(name ids.Zone) monotonic.Instant {
 	if z := m.zones[name]; z != nil && z.condition() == Recovering {
 		return z.machine.outages.lastBegan
@@ -163,7 +164,7 @@
 	return 0
 }
 
-// ProbeRunLimit returns how long a task may be expected to run that is eligible as a probe.
+// ProbeRunLimit returns the longest expected run time of a task that is eligible as a probe.
 func (m *Manager) ProbeRunLimit() time.Duration { return m.policy.MaxProbeRun }
 
 // Stats returns the counts of this term.
--- a/zonerecovery/manager_records.go
+++ b/zonerecovery/manager_records.go
@@ -2,9 +2,9 @@
 
 import "ospreystile.example/ospreystile/ids"
 
-// NextWrite returns one record that must be written now; ok is false if there is none. The write
-// counts as in flight until WriteCommitted or WriteRejected is called for its zone. nonce
-// identifies the write. fits reports whether a record is small enough for the key-value store.
+// NextWrite returns one record that must be written now. ok is false if there is none. The write is
+// in flight until WriteCommitted or WriteRejected is called for its zone. nonce identifies the
+// write. fits reports whether a record is small enough for the key-value store.
 func (m *Manager) NextWrite(at ClockReading, nonce uint64, fits func(*Record) bool) (write RecordWrite, ok bool) {
 	for _, z := range m.sorted {
 		if write, ok = z.nextWrite(at, nonce, fits); ok {
@@ -14,15 +14,16 @@
 	return RecordWrite{}, false
 }
 
-// WriteCommitted notes that the write of a zone's record is committed. revision is that of the key,
-// 0 if it was deleted. It reports whether more tasks may start than before.
+// WriteCommitted records that the write of a zone's record is committed. revision is the revision of
+// the key, 0 if the key was deleted. relaxed reports whether the limits on starts may have been
+// relaxed, so that more tasks may start than before.
 func (m *Manager) WriteCommitted(name ids.Zone, revision ids.Revision) (relaxed bool) {
 	z := m.zones[name]
 	return z != nil && z.record.commit(revision)
 }
 
-// WriteRejected notes that the key-value store refused a zone's record for its size. The next one
-// holds half as many jobs.
+// WriteRejected records that the key-value store refused a zone's record because of its size. The
+// limit on the jobs in the next record is half of the previous one.
 func (m *Manager) WriteRejected(name ids.Zone) {
 	if z := m.zones[name]; z != nil {
 		z.record.reject()
--- a/zonerecovery/manager_tasks.go
+++ b/zonerecovery/manager_tasks.go
@@ -5,7 +5,7 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// Admit answers whether a task may start in a zone now.
+// Admit returns whether a task may start in a zone now, or the reason for which it is denied.
 func (m *Manager) Admit(name ids.Zone, request *StartRequest) Admission {
 	if z := m.zones[name]; z != nil {
 		return z.admit(request)
@@ -13,15 +13,15 @@
 	return Admitted
 }
 
-// FailbackDenied reports whether the failback budget closes some zone to a job. Such a job must not
-// be treated like others with the same requirements.
+// FailbackDenied reports whether a job's failback budget denies it admission to some zone. Such a job
+// must not be treated like others with the same requirements.
 func (m *Manager) FailbackDenied(job ids.JobID) bool {
 	return m.anyZone(func(z *zone) bool {
 		return z.displacements.budgetExhausted(job) && z.displacements.waits(job, z.machine.observedAt)
 	})
 }
 
-// TaskPlaced notes that a task was placed in a zone.
+// TaskPlaced records that a task was placed in a zone.
 func (m *Manager) TaskPlaced(name ids.Zone, request *StartRequest, now monotonic.Instant) {
 	z := m.zoneNamed(name, now)
 	switch z.taskPlaced(request, now) {
@@ -33,13 +33,13 @@
 	}
 }
 
-// TaskInherited notes that an earlier leader placed a task in a zone. It counts as in flight until
-// TaskRunning or TaskEnded.
+// TaskInherited records that an earlier leader placed a task in a zone. Its start counts as in flight
+// until TaskRunning or TaskEnded is called.
 func (m *Manager) TaskInherited(name ids.Zone, request *StartRequest, now monotonic.Instant) {
 	m.zoneNamed(name, now).starts.add(request, now)
 }
 
-// TaskRunning notes that a task runs. It reports whether more tasks may start than before.
+// TaskRunning records that a task runs. relaxed reports whether more tasks may start than before.
 func (m *Manager) TaskRunning(name ids.Zone, task ids.TaskRef, now monotonic.Instant) (relaxed bool) {
 	z := m.zones[name]
 	if z == nil {
@@ -49,8 +49,8 @@
 	return z.condition() == Recovering
 }
 
-// TaskEnded notes that a task is off its machine, whether or not it ran. It reports whether more
-// tasks may start than before.
+// TaskEnded records that a task no longer occupies its machine, whether or not it ran. relaxed reports
+// whether more tasks may start than before.
 func (m *Manager) TaskEnded(name ids.Zone, task ids.TaskRef) (relaxed bool) {
 	z := m.zones[name]
 	if z == nil {
@@ -60,14 +60,14 @@
 	return z.condition() == Recovering
 }
 
-// TaskFailed notes that a task of a job failed in a zone.
+// TaskFailed records that a task of a job failed in a zone.
 func (m *Manager) TaskFailed(name ids.Zone, job ids.JobID) {
 	if z := m.zones[name]; z != nil {
 		z.taskFailed(job)
 	}
 }
 
-// TaskDisplaced notes that a task of a job was lost with its machine.
+// TaskDisplaced records that a task of a job was lost with its machine.
 func (m *Manager) TaskDisplaced(name ids.Zone, job ids.JobID) {
 	if z := m.zones[name]; z != nil && z.taskDisplaced(job) {
 		m.stats.DisplacedTasks++
--- a/zonerecovery/names.go
+++ b/zonerecovery/names.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// UnknownNameError is returned for a name that no value of an enumeration has.
+// UnknownNameError represents a name that no value of an enumeration has.
 type UnknownNameError struct {
-	// Kind says which enumeration it is, such as "condition".
+	// Kind is the enumeration, such as "condition".
 	Kind, Name string
 }
 
-// Error returns the enumeration and the name.
+// Error returns a message with the enumeration and the name.
 func (e *UnknownNameError) Error() string { return fmt.Sprintf("unknown %s %q", e.Kind, e.Name) }
 
-// nameOf returns the name of an enumeration's value. A value without a name, as a newer version
-// may send, is shown as its kind and number.
+// nameOf returns the name of an enumeration's value. For a value without a name, which a newer
+// version may send, it returns the kind and the number.
 func nameOf[T ~uint8](names []string, kind string, value T) string {
 	if int(value) < len(names) {
 		return names[value]
--- a/zonerecovery/names_test.go
+++ b/zonerecovery/names_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Operators are shown the same names as ever.
+// The names of conditions and overrides that operators see and use must not change.
 func TestNamesForOperators(t *testing.T) {
 	for i, want := range []string{"serving", "suspect", "dark", "returning"} {
 		if got := Condition(i).String(); got != want {
@@ -20,7 +20,7 @@
 	}
 }
 
-// A name that does not exist is refused with its kind.
+// An unknown name is refused with an error that holds its kind.
 func TestUnknownNames(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
@@ -33,7 +33,7 @@
 			err := c.value.UnmarshalText([]byte("dim"))
 			var unknown *UnknownNameError
 			if !errors.As(err, &unknown) || err.Error() != c.want {
-				t.Errorf("%v, want %s", err, c.want)
+				t.Errorf("error %v, want %s", err, c.want)
 			}
 		})
 	}
--- a/zonerecovery/outage_history.go
+++ b/zonerecovery/outage_history.go
@@ -2,13 +2,12 @@
 
 import "ospreystile.example/ospreystile/monotonic"
 
-// outageHistory owns what is remembered of the outages of the present incident. It
-// decides nothing.
+// outageHistory holds what is known of the outages of the current incident. It makes no decision.
 type outageHistory struct {
-	// count is the number of outages, and the number of the newest. It is 0 while the zone has
-	// no incident.
+	// count is the number of outages, and so the number of the newest outage. It is 0 while the
+	// zone has no incident.
 	count int
-	// machinesBefore is how many machines the zone had before the first outage.
+	// machinesBefore is the number of machines that the zone had before the first outage.
 	machinesBefore int
 	// lastBegan is when the newest outage began.
 	lastBegan monotonic.Instant
@@ -20,6 +19,6 @@
 	h.lastBegan = now
 }
 
-// outageOfLoss is the number of the outage that a lost task belongs to. A suspicion may yet become
-// the first outage.
+// outageOfLoss returns the number of the outage to which a lost task belongs. A task that is lost
+// while the zone is suspect belongs to the first outage, which the suspicion may become.
 func (h *outageHistory) outageOfLoss() int { return max(1, h.count) }
--- a/zonerecovery/override.go
+++ b/zonerecovery/override.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// OverrideKind is what operators may decide about a zone. Records hold its number.
+// OverrideKind represents what operators may decide about a zone. Records hold its number.
 type OverrideKind uint8
 
 // The decisions of operators.
 const (
-	// OverrideNone leaves the zone to its state machine.
+	// OverrideNone applies the decisions of the zone's state machine.
 	OverrideNone OverrideKind = iota
-	// OverrideHold lets no task start in the zone until it is lifted or has expired.
+	// OverrideHold denies all starts in the zone until it is lifted or expires.
 	OverrideHold
-	// OverrideRelease lifts a hold and ends an outage or a recovery: the zone serves at once.
+	// OverrideRelease lifts a hold and ends an outage or a recovery: the zone serves immediately.
 	OverrideRelease
 )
 
-// overrideNames are the names that operators use.
+// overrideNames holds the names that operators use.
 var overrideNames = []string{OverrideNone: "auto", OverrideHold: "hold", OverrideRelease: "release"}
 
 // String returns the kind's name for operators.
@@ -30,26 +30,26 @@
 	return err
 }
 
-// maxReasonBytes limits the reason of an override.
+// maxReasonBytes is the maximum length of an override's reason in bytes.
 const maxReasonBytes = 200
 
-// Override is a decision of operators about a zone.
+// Override represents a decision of operators about a zone.
 type Override struct {
 	Kind OverrideKind
-	// Reason is cut off at 200 bytes.
+	// Reason is truncated to maxReasonBytes.
 	Reason string
-	// UntilMS is when a hold expires, in milliseconds since the epoch; 0 means when it is
-	// lifted.
+	// UntilMS is when a hold expires, in milliseconds since the epoch. 0 means that it lasts
+	// until it is lifted.
 	UntilMS int64
 }
 
-// limited returns the override with a reason that is not too long.
+// limited returns the override with its reason truncated to maxReasonBytes.
 func (o Override) limited() Override {
 	o.Reason = o.Reason[:min(len(o.Reason), maxReasonBytes)]
 	return o
 }
 
-// until returns when a hold expires, the zero time if it does not.
+// until returns when a hold expires, or the zero time if it does not expire.
 func (o Override) until() time.Time {
 	if o.UntilMS == 0 {
 		return time.Time{}
@@ -62,15 +62,15 @@
 	return o.Kind == OverrideHold && o.UntilMS != 0 && !wall.Before(o.until())
 }
 
-// operatorOverride owns the override of a zone in force, and counts the operators' decisions. zone
-// applies them.
+// operatorOverride holds the override of a zone that is in force, and counts the operators'
+// decisions. The type zone applies them.
 type operatorOverride struct {
 	current Override
-	// decisions counts those of this term. Its value is the number of the newest.
+	// decisions counts the decisions of this term. It is also the number of the newest decision.
 	decisions uint64
 }
 
-// holds reports whether operators keep new work off the zone.
+// holds reports whether a hold denies new work in the zone.
 func (o *operatorOverride) holds() bool { return o.current.Kind == OverrideHold }
 
 // active reports whether an override is in force.
--- a/zonerecovery/override_test.go
+++ b/zonerecovery/override_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// hold lets an operator hold the tested zone until it is lifted or, if limit is not 0, for so long.
+// hold applies an operator's hold to the tested zone. The hold expires after limit, or lasts until it
+// is lifted if limit is 0.
 func (f *fixture) hold(limit time.Duration) {
 	f.t.Helper()
 	override := Override{Kind: OverrideHold, Reason: "works"}
@@ -16,7 +17,7 @@
 	f.manager.Override(testedZone, override, f.at)
 }
 
-// A hold counts at once, also for critical work, until it is lifted.
+// A hold takes effect immediately, also for critical tasks, and lasts until it is lifted.
 func TestHoldDeniesUntilLifted(t *testing.T) {
 	f := newFixture(t)
 	f.runFor(time.Second, testMachines)
@@ -38,7 +39,8 @@
 	f.wantAdmission("at the limit", taskRequest("job-1"), Admitted)
 }
 
-// A release lets the zone serve, but counts only once it is recorded.
+// A release changes the condition to serving, but admits tasks only once it is recorded: the next
+// leader may have read an older record.
 func TestReleaseTakesEffectOnceRecorded(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
@@ -46,7 +48,7 @@
 	f.wantCondition("after the release", Serving)
 	f.wantAdmission("before it is recorded", taskRequest("job-1"), DeniedUnrecorded)
 	if recorded := f.manager.RecordedOverride(testedZone); recorded >= number {
-		t.Errorf("decision %d counts as recorded", recorded)
+		t.Errorf("decision %d is recorded before the write", recorded)
 	}
 	f.commitWrites()
 	f.wantAdmission("once it is recorded", taskRequest("job-1"), Admitted)
@@ -55,7 +57,7 @@
 	}
 }
 
-// A released zone does not become suspect by the machines that were unreachable at the release.
+// Machines that were unreachable at a release do not make the released zone suspect again.
 func TestReleaseAcceptsUnreachableMachines(t *testing.T) {
 	f := newFixture(t)
 	f.runFor(time.Second, testMachines)
@@ -66,11 +68,11 @@
 	f.wantCondition("after the release", Serving)
 }
 
-// The reason of an override is cut off.
+// The reason of an override is truncated.
 func TestOverrideReasonIsLimited(t *testing.T) {
 	f := newFixture(t)
 	f.manager.Override(testedZone, Override{Kind: OverrideHold, Reason: strings.Repeat("x", 3*maxReasonBytes)}, f.at)
 	if got := len(f.zone().override.current.Reason); got != maxReasonBytes {
-		t.Errorf("%d bytes, want %d", got, maxReasonBytes)
+		t.Errorf("reason of %d bytes, want %d", got, maxReasonBytes)
 	}
 }
--- a/zonerecovery/policy.go
+++ b/zonerecovery/policy.go
@@ -8,72 +8,76 @@
 )
 
 // Policy holds the operators' settings in the form that decisions use. It must not change while a
-// Manager uses it. Shares are fractions from 0 to 1.
+// Manager uses it. Fractions are from 0 to 1.
 type Policy struct {
-	// SuspectFraction is the share of unreachable machines that makes a zone suspect. OutageFraction
-	// is the share that makes it an outage, once the zone was suspect for OutageAfter.
+	// SuspectFraction is the fraction of unreachable machines at which a zone becomes suspect.
+	// OutageFraction is the fraction at which it is in outage, after it has been suspect for
+	// OutageAfter.
 	SuspectFraction, OutageFraction float64
 	OutageAfter                     time.Duration
-	// ClearSuspicionAfter is how long most machines of a suspect zone must be reachable until
+	// ClearSuspicionAfter is how long most machines of a suspect zone must be reachable before
 	// the suspicion ends.
 	ClearSuspicionAfter time.Duration
-	// MinMachines is how many machines a zone must have to become suspect.
+	// MinMachines is the number of machines below which a zone does not become suspect.
 	MinMachines int
-	// ReachableFraction is the share of machines that must be reachable for the hold-down of an
-	// outage to run. RetryAfter is how long an outage lasts without that until a recovery is
-	// tried all the same.
+	// ReachableFraction is the fraction of machines that must be reachable for the hold-down of
+	// an outage to run. RetryAfter is the time after which a recovery from an outage is tried
+	// even if fewer machines are reachable.
 	ReachableFraction float64
 	RetryAfter        time.Duration
-	// HoldDown is the first hold-down. Each further outage within QuietPeriod multiplies it by
+	// HoldDown is how long machines must be reachable after the first outage of an incident
+	// before a recovery begins. Each further outage within QuietPeriod multiplies it by
 	// HoldDownFactor, up to MaxHoldDown.
 	HoldDown, MaxHoldDown time.Duration
 	HoldDownFactor        float64
-	// QuietPeriod is how long a zone must serve until its incident ends.
+	// QuietPeriod is how long a zone must serve before its incident ends.
 	QuietPeriod time.Duration
-	// ProbeTasks is how many small tasks may start at a time in the probe, the first step of a
-	// recovery. MaxProbeRun is how long they are expected to run at most.
+	// ProbeTasks is the number of small tasks that may be starting at a time in the probe, the
+	// first step of a recovery. MaxProbeRun is the longest expected run time of such a task.
 	ProbeTasks  int
 	MaxProbeRun time.Duration
-	// Steps are the shares of the ramp-up after the probe, in ascending order; the full share
-	// follows. MinStepTime is how long each step lasts at least, and MinStepSuccesses how many
-	// starts must succeed in it, if there are so many.
+	// Steps are the fractions of the full limits that the ramp-up allows after the probe, in
+	// ascending order. A last step with the full limits follows. MinStepTime is the minimum
+	// duration of a step. MinStepSuccesses is how many starts must succeed in it, if that many
+	// are requested.
 	Steps            []float64
 	MinStepTime      time.Duration
 	MinStepSuccesses int
-	// FailureTolerance is the share of a step's starts that may fail.
+	// FailureTolerance is the fraction of a step's starts that may fail.
 	FailureTolerance float64
-	// SlowStartFactor is how many times the baseline latency starts may take.
+	// SlowStartFactor is the multiple of the baseline latency above which starts are slow.
 	SlowStartFactor float64
-	// StartsPerMachine and FetchesPerMachine are how many starts and image fetches the full
-	// share allows in flight, for each reachable machine.
+	// StartsPerMachine and FetchesPerMachine are the full limits of starts and image fetches in
+	// flight, for each reachable machine.
 	StartsPerMachine, FetchesPerMachine float64
-	// MaxRecovery is how long a recovery takes at most. Afterwards the zone serves, so that no
+	// MaxRecovery is the longest duration of a recovery. The zone serves after it, so that no
 	// work waits for long while there is free capacity.
 	MaxRecovery time.Duration
 	// FailbackBudget is how often a job may return, in one incident, to a zone that displaced
-	// it. After ForceFailbackAfter it may return beyond the budget.
+	// it. A job that has waited for ForceFailbackAfter may return beyond the budget.
 	FailbackBudget     int
 	ForceFailbackAfter time.Duration
-	// Restore is how replicas are moved back once the zone serves.
+	// Restore limits how replicas are moved back once the zone serves.
 	Restore RestorePolicy
-	// Windows are when only critical work starts in zones that recover.
+	// Windows are the recurring intervals in which only critical work starts in recovering zones.
 	Windows []*Window
 }
 
-// RestorePolicy is how replicas of services are moved back to a zone that displaced them, so
-// that the next outage takes fewer of them. Tasks of job arrays are never moved: they finish
-// sooner where they are.
+// RestorePolicy holds the limits on moving replicas of services back to a zone that displaced
+// them. The moves spread the replicas, so that the next outage displaces fewer of them. Tasks of
+// job arrays are never moved: they finish sooner where they are.
 type RestorePolicy struct {
-	// MovesPerMinute limits the moves of all services; 0 turns moves off.
+	// MovesPerMinute limits the moves of all services together; 0 turns moves off.
 	MovesPerMinute float64
 	// After is how long a zone must have served since its recovery.
 	After time.Duration
-	// Budget is how many replicas of one service may be moved in one incident.
+	// Budget is the number of replicas of one service that may be moved in one incident.
 	Budget int
 }
 
-// clearFraction is the share of unreachable machines below which a zone is not in trouble. It is
-// lower than SuspectFraction, so that a zone between the two does not change back and forth.
+// clearFraction returns the fraction of lost machines below which a zone counts as healthy. It is
+// lower than SuspectFraction: with a single threshold, a zone near it would become suspect and
+// recover again and again.
 func (p *Policy) clearFraction() float64 { return p.SuspectFraction / 2 }
 
 // holdDown returns the hold-down after the given number of outages in an incident.
@@ -82,7 +86,7 @@
 	return time.Duration(min(scaled, float64(p.MaxHoldDown)))
 }
 
-// stepFraction returns the stepFraction of a step. The probe, step 0, has none.
+// stepFraction returns the fraction of the full limits that a step allows. It is 0 for the probe.
 func (p *Policy) stepFraction(step int) float64 {
 	switch {
 	case step <= probeStep:
@@ -93,27 +97,27 @@
 	return p.Steps[step-1]
 }
 
-// lastStep is the step with the full share. It follows those of the settings.
+// lastStep returns the step with the full limits. It follows the steps of the settings.
 func (p *Policy) lastStep() int { return len(p.Steps) + 1 }
 
-// startLimit is how many starts may be in flight in a step.
+// startLimit returns how many starts may be in flight in a step.
 func (p *Policy) startLimit(step, reachableMachines int) int {
 	return max(p.ProbeTasks, int(math.Ceil(p.stepFraction(step)*p.StartsPerMachine*float64(reachableMachines))))
 }
 
-// fetchLimit is how many image fetches may be in flight in a step.
+// fetchLimit returns how many image fetches may be in flight in a step.
 func (p *Policy) fetchLimit(step, reachableMachines int) int {
 	return max(1, int(math.Ceil(p.stepFraction(step)*p.FetchesPerMachine*float64(reachableMachines))))
 }
 
-// provisioningLimit is how many machines may be provisioned at once in a step, for a zone that
-// had the given number before its outage.
+// provisioningLimit returns how many machines may be provisioned at once in a step, for a zone
+// that had machinesBefore machines before its incident.
 func (p *Policy) provisioningLimit(step, machinesBefore int) int {
 	return max(p.ProbeTasks, int(math.Ceil(p.stepFraction(step)*float64(machinesBefore))))
 }
 
-// openWindow returns the window that is open in a zone and ends last, and its end. The window is
-// nil if none is open.
+// openWindow returns the window that is open in a zone, and its end. Of several it returns the one
+// that ends last. The window is nil if none is open.
 func (p *Policy) openWindow(zone ids.Zone, at time.Time) (window *Window, until time.Time) {
 	for _, candidate := range p.Windows {
 		if end, open := candidate.OpenAt(zone, at); open && end.After(until) {
--- a/zonerecovery/ramp_up.go
+++ b/zonerecovery/ramp_up.go
@@ -7,50 +7,51 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// probeStep is the first step of a recovery: a few small tasks show that the zone works.
+// probeStep is the first step of a recovery, in which a few small tasks show whether the zone works.
 const probeStep = 0
 
-// minFailedJobs is how many jobs must have failed starts until these count against the zone. One
-// job that fails everywhere is no evidence.
+// minFailedJobs is the number of jobs that must have failed starts before these count against the
+// zone. A single job may fail in every zone, so its failures are no evidence.
 const minFailedJobs = 2
 
-// rampDecision is how a recovery goes on.
+// rampDecision represents how a recovery continues.
 type rampDecision uint8
 
 const (
-	// rampContinue: the step goes on.
+	// rampContinue means that the step continues.
 	rampContinue rampDecision = iota
-	// rampTimedOut: the recovery has taken as long as it may.
+	// rampTimedOut means that the recovery has reached its deadline.
 	rampTimedOut
-	// rampStartsSlow: starts take much longer than elsewhere.
+	// rampStartsSlow means that starts take much longer than in zones that do not recover.
 	rampStartsSlow
-	// rampStartsFailing: too many starts fail.
+	// rampStartsFailing means that too many starts fail.
 	rampStartsFailing
-	// rampLacksProbes: tasks were denied, but none of them may be a probe.
+	// rampLacksProbes means that tasks were denied in the probe, and none of them is eligible.
 	rampLacksProbes
-	// rampStepSucceeded: the step has succeeded.
+	// rampStepSucceeded means that the step has succeeded.
 	rampStepSucceeded
 )
 
-// rampUp owns the progress of a recovery through its steps, and the evidence of the present step.
-// It decides when a step has succeeded or failed; the state machine acts on that.
+// rampUp holds the progress of a recovery through its steps, and the results of starts in the current
+// step. It decides when a step has succeeded or failed. The state machine acts on the decision.
 type rampUp struct {
 	policy *Policy
 	// baseline is the latency of starts in zones that do not recover.
 	baseline *startLatencies
 
 	began monotonic.Instant
-	// step is probeStep, then the number of a share, up to Policy.lastStep.
+	// step is probeStep, then the number of a step of the settings, and finally Policy.lastStep.
 	step      int
 	stepBegan monotonic.Instant
-	// started, succeeded and failed count the starts of this step. failedJobs are the jobs
+	// started, succeeded and failed count the starts of this step. failedJobs holds the jobs
 	// whose starts failed.
 	started, succeeded, failed int
 	failedJobs                 map[ids.JobID]bool
 	latencies                  *startLatencies
-	// denied is set if a task was denied in this step, so that a later step matters.
+	// denied reports whether a task was denied in this step that a later step may admit.
 	denied bool
-	// anyTaskMayProbe is set if any task may be a probe, since no eligible one came.
+	// anyTaskMayProbe reports whether any task may be a probe, because no eligible task was
+	// requested.
 	anyTaskMayProbe bool
 }
 
@@ -64,7 +65,7 @@
 	r.enterStep(probeStep, now)
 }
 
-// enterStep begins a step without any evidence. A negative step counts as the probe.
+// enterStep begins a step and resets the results of starts. A negative step counts as the probe.
 func (r *rampUp) enterStep(step int, now monotonic.Instant) {
 	r.step, r.stepBegan = max(probeStep, step), now
 	r.started, r.succeeded, r.failed = 0, 0, 0
@@ -73,7 +74,7 @@
 	r.denied, r.anyTaskMayProbe = false, false
 }
 
-// restartTimers lets the recovery and its step begin now.
+// restartTimers sets the beginning of the recovery and of its step to now.
 func (r *rampUp) restartTimers(now monotonic.Instant) { r.began, r.stepBegan = now, now }
 
 // pause excludes a duration from the time that the recovery and its step take.
@@ -81,13 +82,14 @@
 	r.began, r.stepBegan = r.began.Add(duration), r.stepBegan.Add(duration)
 }
 
-// deadline is when the recovery ends at the latest.
+// deadline returns when the recovery ends at the latest.
 func (r *rampUp) deadline() monotonic.Instant { return r.began.Add(r.policy.MaxRecovery) }
 
-// startPlaced counts a start.
+// startPlaced counts a start whose task was placed.
 func (r *rampUp) startPlaced() { r.started++ }
 
-// startAborted removes a start that ended before its task ran. It may belong to an earlier step.
+// startAborted removes a start that ended before its task ran. The start may belong to an earlier
+// step and not be counted, so the count does not fall below 0.
 func (r *rampUp) startAborted() { r.started = max(0, r.started-1) }
 
 // startSucceeded counts a start whose task runs.
@@ -102,7 +104,7 @@
 	r.failedJobs[job] = true
 }
 
-// decide returns how the recovery goes on. startsInFlight are the starts that are not critical.
+// decide returns how the recovery continues. startsInFlight counts the starts that are not critical.
 func (r *rampUp) decide(now monotonic.Instant, startsInFlight int) rampDecision {
 	switch {
 	case now >= r.deadline():
@@ -121,17 +123,18 @@
 	return rampContinue
 }
 
-// lacksProbes reports whether tasks were denied in the probe, and none has started.
+// lacksProbes reports whether tasks were denied in the probe and none was placed.
 func (r *rampUp) lacksProbes() bool { return r.step == probeStep && r.denied && r.started == 0 }
 
-// startsFailing reports whether too many starts fail, of too many jobs.
+// startsFailing reports whether too many starts fail, and those of at least minFailedJobs jobs.
 func (r *rampUp) startsFailing() bool {
 	finished := float64(r.succeeded + r.failed)
 	return len(r.failedJobs) >= minFailedJobs && float64(r.failed) > r.policy.FailureTolerance*finished
 }
 
-// stepSucceeded reports whether the starts of this step are evidence enough for the next: so many have
-// succeeded, or all that there were, or no task wanted to start.
+// stepSucceeded reports whether the recovery may continue with the next step. That is so after
+// MinStepSuccesses starts succeeded, after all starts finished and at least one of them succeeded, or
+// if there was neither a start nor a denial.
 func (r *rampUp) stepSucceeded(startsInFlight int) bool {
 	if r.succeeded >= r.policy.MinStepSuccesses {
 		return true
@@ -145,6 +148,6 @@
 	return r.succeeded > 0 && r.succeeded+r.failed >= r.started
 }
 
-// backlogCleared reports whether no task was denied in the last step. Until then the recovery goes
-// on: all tasks that wait would start at once otherwise.
+// backlogCleared reports whether the last step is reached and no task was denied in it. Until then the
+// recovery continues: without its limits, all tasks that wait would start at the same time.
 func (r *rampUp) backlogCleared() bool { return r.step >= r.policy.lastStep() && !r.denied }
--- a/zonerecovery/ramp_up_test.go
+++ b/zonerecovery/ramp_up_test.go
@@ -8,7 +8,7 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Each step's success opens the next.
+// The recovery continues with the next step, and records it, once the starts of a step succeeded.
 func TestSuccessfulStartsAdvanceStep(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
@@ -25,11 +25,12 @@
 	}
 }
 
-// If no small task comes, any may be a probe after the minimum time of a step.
+// If no eligible task is requested in the probe, any task may be a probe after the minimum time of a
+// step. Otherwise the recovery of a zone with only large tasks would wait for its deadline.
 func TestAnyTaskMayProbeIfNoEligibleTaskIsRequested(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
-	f.wantAdmission("at once", taskRequest("job-2"), DeniedProbeOnly)
+	f.wantAdmission("at the beginning of the probe", taskRequest("job-2"), DeniedProbeOnly)
 	f.runFor(testPolicy().MinStepTime, testMachines)
 	task := f.wantAdmission("after the minimum time", taskRequest("job-2"), Admitted)
 	f.reportRunning(task)
@@ -37,17 +38,18 @@
 	f.wantStep("after the probe succeeded", 1)
 }
 
-// A job that its failback budget keeps away does not delay a step.
+// A job that is denied because of its failback budget does not delay a step: no later step admits it.
 func TestFailbackDenialDoesNotDelayStep(t *testing.T) {
 	f := newFixture(t)
 	f.recoverToStep1()
 	f.zone().displacements.jobs["job-3"] = &displacedJob{losses: 2, lastLossOutage: 2, failbacks: 1, lastFailbackOutage: 1, lostAt: f.at.Now}
 	f.wantAdmission("a job that returned before", probeRequest("job-3"), DeniedFailbackBudget)
 	f.runFor(testPolicy().MinStepTime+time.Second, testMachines)
-	f.wantStep("though nothing else waits", 2)
+	f.wantStep("with no other task waiting", 2)
 }
 
-// Failed starts of more than one job take a step back; those of one job do not.
+// Failed starts of more than one job return the recovery to the previous step. Those of a single job
+// do not: it may fail in every zone.
 func TestFailedStartsCauseStepBack(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -70,7 +72,7 @@
 	}
 }
 
-// runElsewhere lets tasks start and run in the healthy zone, each within a second.
+// runElsewhere starts tasks in the healthy zone, and reports them as running after a second.
 func (f *fixture) runElsewhere(tasks int) {
 	f.t.Helper()
 	requests := make([]StartRequest, tasks)
@@ -84,7 +86,8 @@
 	}
 }
 
-// Starts that take far longer than elsewhere take a step back.
+// Starts that take much longer than in zones that do not recover return the recovery to the previous
+// step.
 func TestSlowStartsCauseStepBack(t *testing.T) {
 	f := newFixture(t)
 	f.runElsewhere(10)
@@ -103,8 +106,8 @@
 	}
 }
 
-// However many starts fail, a recovery ends by its deadline, so that nothing waits beside free
-// capacity.
+// A recovery ends by its deadline even if all starts fail: otherwise tasks would wait indefinitely
+// although there is free capacity.
 func TestRecoveryEndsByDeadline(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
@@ -118,19 +121,19 @@
 	}
 }
 
-// In its last step the zone goes on recovering while tasks are denied: all of them would start at
-// once otherwise.
+// The last step of a recovery continues while tasks are denied: without its limits, all of them would
+// start at the same time.
 func TestLastStepWaitsForBacklog(t *testing.T) {
 	f := newFixture(t)
 	f.manager.policy.MaxRecovery = time.Hour
 	f.beginRecovery()
-	f.runFor(3*5*time.Second, testMachines) // no work: on to the full share
+	f.runFor(3*5*time.Second, testMachines) // no task is requested, so each step succeeds
 	f.wantStep("without any work", 3)
 	for range 5 {
 		f.reportRunning(f.startAll(taskRequest("job-1"))...)
-		f.runFor(3*time.Second, testMachines) // less than a step, so that tasks are denied in each
+		f.runFor(3*time.Second, testMachines) // less than a step, so that tasks are denied in each step
 		f.wantCondition("while tasks are denied", Recovering)
 	}
 	f.runFor(10*time.Second, testMachines)
-	f.wantCondition("once nothing waits", Serving)
+	f.wantCondition("once no task waits", Serving)
 }
--- a/zonerecovery/record_test.go
+++ b/zonerecovery/record_test.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Counters that were cut off leave a job out.
+// A job whose counters are missing or incomplete is omitted.
 func TestRecordedJobsNeedCounters(t *testing.T) {
 	record := Record{DisplacedJobs: []ids.JobID{"job-1", "job-2"}, JobCounters: []int{1, 2, 3, 4, 5, 6}}
 	jobs := record.jobs()
--- a/zonerecovery/record_tracker.go
+++ b/zonerecovery/record_tracker.go
@@ -7,11 +7,11 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// jobsWriteDelay is how long the record may lag behind the list of displaced jobs, so that one
-// write covers many losses.
+// jobsWriteDelay is how long the record may lag behind the list of displaced jobs. The delay lets one
+// write cover many losses.
 const jobsWriteDelay = 2 * time.Second
 
-// recordedState is the part of a record that a later action waits for.
+// recordedState holds the part of a record for whose commit other actions wait.
 type recordedState struct {
 	condition Condition
 	step      int
@@ -19,45 +19,45 @@
 	override uint64
 }
 
-// matches reports whether it holds the given condition and step.
+// matches reports whether the state has the given condition and step.
 func (s recordedState) matches(condition Condition, step int) bool {
 	return s.condition == condition && s.step == step
 }
 
-// recordTracker owns when the record of a zone is written, and what the committed one allows. It
-// does not know the contents of the record.
+// recordTracker tracks when the record of a zone must be written, and what the committed record
+// allows. It does not build the record.
 //
-// What allows more starts than the committed record says waits until it is committed. The next
-// leader may have read an older record, and its starts and this leader's must not add up. What
-// allows fewer starts counts at once.
+// A change that allows more starts than the committed record takes effect once it is committed: the
+// next leader may have read an older record, and its starts would add to those of this leader. A
+// change that allows fewer starts takes effect immediately.
 type recordTracker struct {
-	// revision is that of the key, 0 if there is none.
+	// revision is the revision of the key, 0 if the key does not exist.
 	revision ids.Revision
-	// outdated is set if the record must be written.
+	// outdated reports whether the record must be written.
 	outdated bool
-	// jobsChanged is set if displaced jobs changed since the last check. jobsChangedAt is when
-	// the first change since the last write was seen, 0 if there was none.
+	// jobsChanged reports whether displaced jobs changed since the last check. jobsChangedAt is
+	// when the first change since the last write was detected, 0 if there was none.
 	jobsChanged   bool
 	jobsChangedAt monotonic.Instant
-	// inFlight is set while a write awaits its result. submitted is what it holds.
+	// inFlight reports whether a write is in flight. submitted is the state that it holds.
 	inFlight             bool
 	committed, submitted recordedState
-	// jobLimit limits the displaced jobs in a record. A rejected write halves it.
+	// jobLimit is the maximum number of displaced jobs in a record. A rejected write halves it.
 	jobLimit int
 }
 
-// newRecordTracker returns the keeper of a zone without a record.
+// newRecordTracker returns the tracker of a zone without a record.
 func newRecordTracker() *recordTracker { return &recordTracker{jobLimit: maxRecordedJobs} }
 
-// load notes what an earlier leader recorded.
+// load sets the committed state and the revision to those of an earlier leader's record.
 func (k *recordTracker) load(recorded recordedState, revision ids.Revision) {
 	k.committed, k.revision = recorded, revision
 }
 
-// markOutdated lets the record be written as soon as possible.
+// markOutdated causes the record to be written as soon as no other write is in flight.
 func (k *recordTracker) markOutdated() { k.outdated = true }
 
-// markJobsChanged lets the record be written after jobsWriteDelay.
+// markJobsChanged causes the record to be written after jobsWriteDelay.
 func (k *recordTracker) markJobsChanged() { k.jobsChanged = true }
 
 // due reports whether the record must be written now.
@@ -77,19 +77,20 @@
 	return k.outdated
 }
 
-// skip notes that there is no record, and that none is needed for the given state.
+// skip records that no record exists, and that none is needed for the given state.
 func (k *recordTracker) skip(state recordedState) {
 	k.outdated, k.committed = false, state
 }
 
-// submit notes that a write of the given state is in flight.
+// submit records that a write of the given state is in flight.
 func (k *recordTracker) submit(state recordedState) {
 	k.outdated, k.jobsChangedAt, k.inFlight = false, 0, true
 	k.submitted = state
 }
 
-// commit notes that the write in flight is committed. revision is that of the key, 0 if the record
-// was deleted. It reports whether more tasks may start than before.
+// commit records that the write in flight is committed. revision is the revision of the key, 0 if the
+// record was deleted. relaxed reports whether the committed condition or step has changed, so that
+// more tasks may start than before.
 func (k *recordTracker) commit(revision ids.Revision) (relaxed bool) {
 	k.inFlight, k.revision = false, revision
 	relaxed = !k.committed.matches(k.submitted.condition, k.submitted.step)
@@ -97,19 +98,19 @@
 	return relaxed
 }
 
-// reject notes that the key-value store refused the write in flight for its size.
+// reject records that the key-value store refused the write in flight because of its size.
 func (k *recordTracker) reject() {
 	k.inFlight, k.outdated = false, true
 	k.jobLimit /= 2
 }
 
-// shrink reduces the limit of jobs below that of a record which is too large.
+// shrink reduces jobLimit to at most half of the jobs of a record that is too large.
 func (k *recordTracker) shrink(jobs int) { k.jobLimit = min(k.jobLimit, jobs) / 2 }
 
-// upToDate reports whether all changes are committed, but for those of displaced jobs.
+// upToDate reports whether all changes are committed, except those of displaced jobs.
 func (k *recordTracker) upToDate() bool { return !k.outdated && !k.inFlight }
 
-// allows reports whether the committed record lets the zone act on a condition.
+// allows reports whether the committed record allows the zone to act on a condition.
 func (k *recordTracker) allows(condition Condition) bool {
 	switch condition {
 	case Serving:
@@ -120,7 +121,7 @@
 	return true
 }
 
-// allowedStep returns the smaller of the given step and the committed one.
+// allowedStep returns the smaller of the given step and the committed step.
 func (k *recordTracker) allowedStep(step int) int {
 	if k.committed.condition == Serving {
 		return step // the recovery is more restrictive than the committed record
--- a/zonerecovery/record_tracker_test.go
+++ b/zonerecovery/record_tracker_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// A step forward counts only once it is recorded.
+// A step forward takes effect only once it is recorded: the next leader may have read an older record,
+// and its starts would add to those of this leader.
 func TestStepForwardTakesEffectOnceRecorded(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
@@ -14,11 +15,11 @@
 	}
 	f.commitWrites()
 	if n := len(f.startAll(probeRequest("job-1"))); n != 5-testPolicy().ProbeTasks {
-		t.Errorf("%d more starts once it is", n)
+		t.Errorf("%d more starts once the step is recorded", n)
 	}
 }
 
-// A step back counts at once.
+// A step back takes effect immediately, before it is recorded.
 func TestStepBackTakesEffectImmediately(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
--- a/zonerecovery/recovery_window.go
+++ b/zonerecovery/recovery_window.go
@@ -7,14 +7,14 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// recoveryWindow owns which window is open while a zone recovers. It denies nothing itself.
+// recoveryWindow holds the window that is open while a zone recovers. It denies no task itself.
 type recoveryWindow struct {
-	// window is nil while none is open.
+	// window is nil while no window is open.
 	window *Window
 	until  time.Time
 }
 
-// update looks up the window that is open now. It reports whether another one has opened.
+// update looks up the window that is open now. opened reports whether it is another window than before.
 func (w *recoveryWindow) update(policy *Policy, zone ids.Zone, wall time.Time) (opened bool) {
 	before := w.window
 	w.window, w.until = policy.openWindow(zone, wall)
@@ -24,10 +24,10 @@
 // isOpen reports whether a window is open.
 func (w *recoveryWindow) isOpen() bool { return w.window != nil }
 
-// close forgets the window.
+// close resets the window to none.
 func (w *recoveryWindow) close() { *w = recoveryWindow{} }
 
-// String describes the open window for the log.
+// String returns a description of the open window for the log.
 func (w *recoveryWindow) String() string {
 	return fmt.Sprintf("window %s until %s", w.window.Name, w.until.Format("2006-01-02 15:04 MST"))
 }
--- a/zonerecovery/restore.go
+++ b/zonerecovery/restore.go
@@ -13,22 +13,22 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// ServicePlacement is where the replicas of a service run.
+// ServicePlacement holds the zones in which the replicas of a service run.
 type ServicePlacement struct {
 	Job ids.JobID
-	// Running counts the replicas that run, by zone. Replicas is how many there should be.
+	// Running counts the running replicas by zone. Replicas is the desired number of replicas.
 	Running  map[ids.Zone]int
 	Replicas int
 }
 
-// RestoreMove is a replica that should be moved between zones.
+// RestoreMove represents the move of one replica of a job between zones.
 type RestoreMove struct {
 	Job      ids.JobID
 	From, To ids.Zone
 }
 
-// restorer plans which replicas are moved back to zones that displaced them, and owns the rate at
-// which that happens. It moves nothing: the scheduler does.
+// restorer plans which replicas are moved back to zones that displaced them, and limits the rate of
+// these moves. The scheduler carries them out.
 type restorer struct{ limiter *rate.Limiter }
 
 func newRestorer(policy RestorePolicy) *restorer {
@@ -36,8 +36,8 @@
 	return &restorer{limiter: rate.NewLimiter(perSecond, 1)}
 }
 
-// RestoreCandidates returns the jobs of which a replica might be moved back, by id: those that were
-// displaced by a zone that has served for long enough. There are none unless all zones serve.
+// RestoreCandidates returns the jobs of which a replica might be moved back, sorted by ID: those that
+// were displaced by a zone that has served for long enough. There are none unless all zones serve.
 func (m *Manager) RestoreCandidates(now monotonic.Instant) []ids.JobID {
 	if m.policy.Restore.MovesPerMinute <= 0 || m.Evacuating() {
 		return nil
@@ -54,13 +54,13 @@
 }
 
 // PlanRestore returns one replica that should be moved back now, and counts it against the rate and
-// the budget of its job. ok is false if there is none. hasRoom reports whether a replica of a job
-// could run in a zone at once.
+// the budget of its job. ok is false if there is none. hasCapacity reports whether a replica of a job
+// could be placed in a zone immediately.
 func (m *Manager) PlanRestore(at ClockReading, services []ServicePlacement, hasCapacity func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
 	return m.restorer.plan(at, m.sorted, services, hasCapacity)
 }
 
-// plan chooses the first move that rate, budgets and capacity allow.
+// plan returns the first move that the rate, the budgets and the capacity allow.
 func (r *restorer) plan(at ClockReading, zones []*zone, services []ServicePlacement, hasCapacity func(ids.JobID, ids.Zone) bool) (move RestoreMove, ok bool) {
 	if r.limiter.TokensAt(at.Wall) < 1 {
 		return RestoreMove{}, false
@@ -78,7 +78,8 @@
 	return RestoreMove{}, false
 }
 
-// restoreMove returns the move of a replica to this zone that budgets allow.
+// restoreMove returns a move of one of the service's replicas to this zone. ok is false if the budgets
+// or the placement of the service allow none.
 func (z *zone) restoreMove(service *ServicePlacement, now monotonic.Instant) (move RestoreMove, ok bool) {
 	if !z.restorable(now) || !z.displacements.mayRestore(service.Job) {
 		return RestoreMove{}, false
@@ -94,15 +95,15 @@
 		now >= z.machine.state.since.Add(z.policy.Restore.After)
 }
 
-// recordRestore counts a replica that is moved back.
+// recordRestore records the move of a replica of a job back to the zone.
 func (z *zone) recordRestore(job ids.JobID) {
 	z.displacements.recordRestore(job)
 	z.record.markJobsChanged()
 	z.machine.incidents.update(func(incident *Incident) { incident.RestoredReplicas++ })
 }
 
-// moveSource returns the zone with most replicas, if a move from there makes the service more even.
-// It returns none unless all replicas run: one more would be down.
+// moveSource returns the zone with the most replicas. ok is false if a move from there does not spread
+// the service more evenly, or if a replica is down: a move would take down one more.
 func (s *ServicePlacement) moveSource(to ids.Zone) (from ids.Zone, ok bool) {
 	running := 0
 	for _, replicas := range s.Running {
--- a/zonerecovery/restore_test.go
+++ b/zonerecovery/restore_test.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// restorableFixture is a fixture whose tested zone has recovered and displaced a service.
+// restorableFixture returns a fixture whose tested zone has displaced a service and recovered.
 func restorableFixture(t *testing.T) *fixture {
 	t.Helper()
 	policy := testPolicy()
@@ -20,7 +20,7 @@
 	return f
 }
 
-// restoreFor carries out the moves that are planned within a duration, and counts them.
+// restoreFor carries out the moves that are planned within a duration, and returns their number.
 func (f *fixture) restoreFor(duration time.Duration, service ServicePlacement, capacity bool) (moves int) {
 	f.t.Helper()
 	hasCapacity := func(ids.JobID, ids.Zone) bool { return capacity }
@@ -43,8 +43,8 @@
 	return moves
 }
 
-// Replicas are moved back one at a time, by rate and budgets, only if that makes a service more
-// even and none of its replicas is down.
+// Replicas are moved back one at a time, within the rate and the budgets, if a move spreads the
+// service more evenly, the zone has capacity and no replica is down.
 func TestRestorePlan(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
@@ -56,7 +56,7 @@
 		{"uneven: as many as the budget allows", 6, 0, 6, true, 20 * time.Minute, 2},
 		{"limited by the rate", 6, 0, 6, true, time.Minute, 1},
 		{"nearly even", 3, 2, 5, true, 20 * time.Minute, 0},
-		{"no room", 6, 0, 6, false, 20 * time.Minute, 0},
+		{"no capacity", 6, 0, 6, false, 20 * time.Minute, 0},
 		{"a replica is down", 5, 0, 6, true, 20 * time.Minute, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/zonerecovery/settings.go
+++ b/zonerecovery/settings.go
@@ -9,9 +9,9 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// Settings are the operators' settings, the section zone_return of their file. The suffix S
-// stands for seconds. The schema checks each value by itself, Policy checks them together. The
-// fields of Policy say what each is for.
+// Settings holds the operators' settings, the section zone_return of their file. The suffix S
+// stands for seconds. The schema checks each value by itself, and the method Policy checks them
+// together. The fields of type Policy document what each setting means.
 type Settings struct {
 	Enabled              bool             `json:"enabled"`
 	SuspectFraction      float64          `json:"suspect_share"`
@@ -44,21 +44,21 @@
 	Windows              []WindowSettings `json:"windows"`
 }
 
-// SettingError is an invalid setting, or one that contradicts another.
+// SettingError represents an invalid setting, or one that contradicts another.
 type SettingError struct {
 	// Key is the path of the setting below zone_return.
 	Key, Problem string
 }
 
-// Error returns the key and the problem.
+// Error returns a message with the key and the problem.
 func (e *SettingError) Error() string { return fmt.Sprintf("zone_return.%s: %s", e.Key, e.Problem) }
 
-// settingError returns a *SettingError.
+// settingError returns a *SettingError with a formatted problem.
 func settingError(key, format string, args ...any) error {
 	return &SettingError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Policy checks the settings and converts them to a policy. The error is a *SettingError.
+// Policy validates the settings and converts them to a policy. The error is a *SettingError.
 func (s *Settings) Policy() (*Policy, error) {
 	for _, check := range []func() error{s.checkOutages, s.checkLimits, s.checkRestore, s.checkSteps} {
 		if err := check(); err != nil {
@@ -77,7 +77,7 @@
 	return policy, nil
 }
 
-// policyWithoutWindows converts all settings but the windows.
+// policyWithoutWindows converts all settings except the windows.
 func (s *Settings) policyWithoutWindows() *Policy {
 	return &Policy{
 		SuspectFraction:     s.SuspectFraction,
@@ -111,7 +111,7 @@
 	}
 }
 
-// checkOutages checks what decides about outages and hold-downs.
+// checkOutages checks the settings of outage detection and hold-downs.
 func (s *Settings) checkOutages() error {
 	if s.OutageFraction < s.SuspectFraction {
 		return settingError("dark_share", "%g is below suspect_share, %g", s.OutageFraction, s.SuspectFraction)
@@ -124,47 +124,46 @@
 
 // checkLimits checks that no work is held back for longer than hold_limit_s.
 func (s *Settings) checkLimits() error {
-	// The probe and the full share come on top of the steps of the settings.
+	// The probe and the last step, with the full limits, are additional to the configured steps.
 	steps := float64(len(s.Steps) + 2)
 	switch {
 	case s.MaxHoldDownS+s.MaxRecoveryS > s.MaxWaitS:
-		return settingError("return_max_s", "with hold_down_max_s it comes to %g s, more than hold_limit_s, %g: work would wait beside room for too long", s.MaxHoldDownS+s.MaxRecoveryS, s.MaxWaitS)
+		return settingError("return_max_s", "with hold_down_max_s it comes to %g s, more than hold_limit_s, %g: work would wait too long although there is free capacity", s.MaxHoldDownS+s.MaxRecoveryS, s.MaxWaitS)
 	case steps*s.MinStepTimeS > s.MaxRecoveryS:
-		return settingError("steps", "a probe, %d steps and the full share, each of %g s, do not fit into return_max_s, %g", len(s.Steps), s.MinStepTimeS, s.MaxRecoveryS)
+		return settingError("steps", "a probe, %d steps and a last step with the full limits, each of %g s, take longer than return_max_s, %g", len(s.Steps), s.MinStepTimeS, s.MaxRecoveryS)
 	case s.ForceFailbackAfterS > s.MaxWaitS:
 		return settingError("patience_s", "%g is above hold_limit_s, %g", s.ForceFailbackAfterS, s.MaxWaitS)
 	case s.QuietPeriodS < s.MaxWaitS:
-		return settingError("quiet_s", "%g is below hold_limit_s, %g: flaps would be forgotten before they are over", s.QuietPeriodS, s.MaxWaitS)
+		return settingError("quiet_s", "%g is below hold_limit_s, %g: the incident of a flapping zone would end while it still flaps", s.QuietPeriodS, s.MaxWaitS)
 	}
 	return nil
 }
 
-// checkRestore checks that replicas can be moved back at all where that is turned on.
+// checkRestore checks that the settings let replicas be moved back if that is turned on.
 func (s *Settings) checkRestore() error {
 	if s.RestorePerMinute <= 0 {
 		return nil
 	}
 	if s.FailbackBudget == 0 {
-		return settingError("restore_moves_per_minute", "%g moves replicas back, which move_budget 0 forbids", s.RestorePerMinute)
+		return settingError("restore_moves_per_minute", "%g moves replicas back, but move_budget is 0", s.RestorePerMinute)
 	}
 	if s.RestoreAfterS >= s.QuietPeriodS {
-		return settingError("restore_after_s", "%g is not below quiet_s, %g: the incident would be over before", s.RestoreAfterS, s.QuietPeriodS)
+		return settingError("restore_after_s", "%g is not below quiet_s, %g: the incident would end before any replica is moved back", s.RestoreAfterS, s.QuietPeriodS)
 	}
 	return nil
 }
 
-// checkSteps checks that the shares of the steps ascend.
+// checkSteps checks that the fractions of the steps ascend.
 func (s *Settings) checkSteps() error {
 	for i := 1; i < len(s.Steps); i++ {
 		if s.Steps[i] <= s.Steps[i-1] {
-			return settingError(fmt.Sprintf("steps.%d", i), "%g is not above the step before, %g", s.Steps[i], s.Steps[i-1])
+			return settingError(fmt.Sprintf("steps.%d", i), "%g is not above the previous step, %g", s.Steps[i], s.Steps[i-1])
 		}
 	}
 	return nil
 }
 
-// CheckZones checks that all zones that windows name are among the known ones. The error is a
-// *SettingError.
+// CheckZones checks that windows name only known zones. The error is a *SettingError.
 func (s *Settings) CheckZones(known []ids.Zone) error {
 	for i := range s.Windows {
 		for k, zone := range s.Windows[i].Zones {
--- a/zonerecovery/settings_test.go
+++ b/zonerecovery/settings_test.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// validSettings have a value for each setting that is checked against others.
+// validSettings returns settings with a value for each one that is checked against others.
 func validSettings() Settings {
 	return Settings{
 		SuspectFraction:     0.5,
@@ -26,7 +26,7 @@
 	}
 }
 
-// Settings that contradict one another are refused with the key of one of them.
+// Settings that contradict each other are refused with the key of one of them.
 func TestContradictorySettings(t *testing.T) {
 	for _, c := range []struct {
 		name, key string
@@ -54,7 +54,7 @@
 	}
 }
 
-// wantSettingError checks that an error names a setting; an empty key stands for no error.
+// wantSettingError checks that an error names a setting. An empty key means no error.
 func wantSettingError(t *testing.T, err error, key string) {
 	t.Helper()
 	if key == "" {
@@ -65,7 +65,7 @@
 	}
 	var invalid *SettingError
 	if !errors.As(err, &invalid) || invalid.Key != key {
-		t.Errorf("error %v, want one of %s", err, key)
+		t.Errorf("error %v, want one with key %s", err, key)
 	}
 }
 
--- a/zonerecovery/starts.go
+++ b/zonerecovery/starts.go
@@ -5,52 +5,53 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// StartRequest is a task that the scheduler wants to start on a machine of a zone. Machine, Image,
-// NeedsFetch, MachineFetching and ProbeEligible need be set only while the zone recovers.
+// StartRequest represents a task that the scheduler wants to start on a machine of a zone. Machine,
+// Image, NeedsFetch, MachineFetching and ProbeEligible need be set only while the zone recovers.
 type StartRequest struct {
 	Task ids.TaskRef
-	// Critical is set for work that the limits of a recovery do not apply to: replicas of
-	// services, and jobs of the highest priority.
+	// Critical reports whether the task is exempt from the limits of a recovery, as replicas of
+	// services and jobs of the highest priority are.
 	Critical bool
-	// ProbeEligible is set if the task may show that a zone works: it can be run again without
-	// loss to others, and is expected to end soon.
+	// ProbeEligible reports whether the task may be used to test whether a zone works: it can be
+	// run again without affecting other tasks, and is expected to end soon.
 	ProbeEligible bool
-	// NeedsFetch is set if the machine has to fetch the image. MachineFetching is set if it
-	// fetches another one already, which this fetch would slow down.
+	// NeedsFetch reports whether the machine must fetch the image. MachineFetching reports
+	// whether the machine is fetching another image, which this fetch would slow down.
 	NeedsFetch, MachineFetching bool
 	Machine                     ids.MachineID
 	Image                       ids.Image
-	// ZonePinned is set if the job may run in no other zone. Its failback budget is ignored.
+	// ZonePinned reports whether the job may run in no other zone. Its failback budget is then
+	// ignored.
 	ZonePinned bool
 }
 
-// fetch returns what the start would fetch.
+// fetch returns the image fetch that the start needs.
 func (r *StartRequest) fetch() imageFetch { return imageFetch{r.Machine, r.Image} }
 
-// imageFetch is the fetch of one image by one machine.
+// imageFetch represents the fetch of one image by one machine.
 type imageFetch struct {
 	machine ids.MachineID
 	image   ids.Image
 }
 
-// startInFlight is a task that was placed and does not run yet.
+// startInFlight represents the start of a task that was placed and does not run yet.
 type startInFlight struct {
 	placedAt monotonic.Instant
-	// fetch is the zero value if there is none.
+	// fetch is the zero value if the start needs no fetch or is critical.
 	fetch    imageFetch
 	critical bool
-	// inRecovery is set if the task was placed while the zone recovered.
+	// inRecovery reports whether the task was placed while the zone was recovering.
 	inRecovery bool
 }
 
-// countsForStep reports whether the start is evidence for the step of a recovery.
+// countsForStep reports whether the result of the start counts for the step of a recovery.
 func (s *startInFlight) countsForStep() bool { return s.inRecovery && !s.critical }
 
-// startTracker owns the starts and fetches that are in flight in a zone. It limits nothing.
+// startTracker tracks the starts and fetches that are in flight in a zone. It enforces no limit.
 type startTracker struct {
 	inFlight map[ids.TaskRef]startInFlight
-	// nonCritical counts the starts that are not critical. fetches counts theirs, by machine and
-	// image; several starts share a fetch.
+	// nonCritical counts the starts that are not critical. fetches counts, for each of their
+	// fetches, the starts that share it.
 	nonCritical int
 	fetches     map[imageFetch]int
 }
@@ -59,12 +60,12 @@
 	return startTracker{inFlight: map[ids.TaskRef]startInFlight{}, fetches: map[imageFetch]int{}}
 }
 
-// add notes that a task was placed while the zone did not recover, or by an earlier leader.
+// add records that a task was placed by an earlier leader, or while the zone was not recovering.
 func (t *startTracker) add(request *StartRequest, now monotonic.Instant) {
 	t.insert(request, startInFlight{placedAt: now, critical: request.Critical})
 }
 
-// addInRecovery notes that a task was placed while the zone recovered.
+// addInRecovery records that a task was placed while the zone was recovering.
 func (t *startTracker) addInRecovery(request *StartRequest, now monotonic.Instant) {
 	t.insert(request, startInFlight{placedAt: now, critical: request.Critical, inRecovery: true})
 }
@@ -81,7 +82,8 @@
 	t.inFlight[request.Task] = start
 }
 
-// remove notes that a task runs, or was stopped before. ok is false if it was not in flight.
+// remove removes the start of a task that runs, or that ended before. ok is false if the start is not
+// in flight.
 func (t *startTracker) remove(task ids.TaskRef) (start startInFlight, ok bool) {
 	start, ok = t.inFlight[task]
 	if !ok {
--- a/zonerecovery/state_machine.go
+++ b/zonerecovery/state_machine.go
@@ -5,13 +5,12 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// stateMachine moves one zone through its conditions. It owns the condition and the parts that
-// decide about it, and is the only one that changes the condition. It admits no task and writes
-// no record.
+// stateMachine holds the condition of one zone, and the parts on which the condition depends. Only the
+// state machine changes the condition. It admits no task and writes no record.
 type stateMachine struct {
 	name   ids.Zone
 	policy *Policy
-	// record says what the committed record allows. The state machine marks it as outdated.
+	// record tracks what the committed record allows. The state machine marks it as outdated.
 	record *recordTracker
 
 	observedAt monotonic.Instant
@@ -22,11 +21,11 @@
 	ramp       rampUp
 	window     recoveryWindow
 	incidents  incidentLog
-	// transitions are those that were not taken yet.
+	// transitions holds the transitions since the last call of takeTransitions.
 	transitions []Transition
 }
 
-// newStateMachine returns the state machine of a zone that serves.
+// newStateMachine returns the state machine of a serving zone.
 func newStateMachine(name ids.Zone, policy *Policy, record *recordTracker, baseline *startLatencies, now monotonic.Instant) *stateMachine {
 	return &stateMachine{
 		name:       name,
@@ -40,7 +39,7 @@
 	}
 }
 
-// zoneObservation is what is known of a zone at an instant.
+// zoneObservation holds what is observed of a zone at an instant.
 type zoneObservation struct {
 	health ZoneHealth
 	view   leaderView
@@ -48,14 +47,14 @@
 	startsInFlight int
 }
 
-// observe applies an observation, and changes the condition if time and evidence require it. It
-// reports whether the present incident has ended.
+// observe applies an observation, and changes the condition if required. incidentOver reports whether
+// the current incident has ended.
 func (m *stateMachine) observe(at ClockReading, observation zoneObservation) (incidentOver bool) {
 	elapsed := max(0, at.Now.Sub(m.observedAt))
 	m.observedAt = at.Now
 	m.detector.observe(at.Now, observation.health, observation.view)
 	if observation.view.connectivity.ProcessResumed {
-		// Heartbeats that arrived meanwhile are still to be read: none counts as missing.
+		// Heartbeats that arrived during the pause are not read yet, so none counts as missed.
 		m.resetTimers()
 		return false
 	}
@@ -96,7 +95,8 @@
 	}
 }
 
-// endSuspicion returns to the condition before. A recovery that was in trouble loses a step.
+// endSuspicion returns to the condition before the suspicion. A recovery in which machines became
+// unreachable returns to the previous step.
 func (m *stateMachine) endSuspicion(now monotonic.Instant) {
 	before := m.state.beforeSuspicion
 	m.enter(before, now, "heard again: "+m.detector.health.String())
@@ -105,7 +105,7 @@
 	}
 }
 
-// beginOutage begins another outage of the present incident, or a new incident.
+// beginOutage begins another outage of the current incident, or a new incident.
 func (m *stateMachine) beginOutage(at ClockReading) {
 	m.outages.begin(at.Now)
 	if m.state.beforeSuspicion == Serving {
@@ -130,10 +130,11 @@
 	}
 }
 
-// retryAt is when a recovery from an outage is tried although its machines are unreachable.
+// retryAt returns when a recovery is tried although too few machines are reachable.
 func (m *stateMachine) retryAt() monotonic.Instant { return m.state.since.Add(m.policy.RetryAfter) }
 
-// release ends an outage, a recovery or a suspicion of one on an operator's request.
+// release ends an outage or a recovery on an operator's request. A suspect zone serves once the
+// suspicion ends.
 func (m *stateMachine) release(at ClockReading, reason string) {
 	m.detector.excludeLost()
 	switch m.state.condition {
@@ -168,7 +169,7 @@
 	m.transitions = append(m.transitions, Transition{Zone: m.name, From: m.state.condition, To: to, Step: m.ramp.step, Reason: reason})
 }
 
-// takeTransitions returns the transitions since the last call.
+// takeTransitions returns the transitions since the last call, and removes them.
 func (m *stateMachine) takeTransitions() []Transition {
 	taken := m.transitions
 	m.transitions = nil
@@ -178,20 +179,21 @@
 // load replaces the state by that of a record.
 func (m *stateMachine) load(record *Record, at ClockReading) {
 	m.state = conditionState{condition: record.condition(), since: at.toInstant(record.SinceMS), reason: "recorded by an earlier leader"}
-	// Image caches of the zone's machines have not been used since, as far as this leader knows.
+	// The record does not hold when the newest outage began, so an image counts as lost from the
+	// caches of the zone's machines unless it is used after the load.
 	m.outages = outageHistory{count: record.Outages, machinesBefore: record.MachinesBefore, lastBegan: at.Now}
 	m.incidents.load(record.Incidents)
 	if record.Outages > 0 {
 		m.incidents.reopen()
 	}
 	if m.state.condition == Recovering {
-		// The step begins again: the results of its starts are not recorded.
+		// The step begins again, because the results of its starts are not recorded.
 		m.ramp.enterStep(min(record.Step, m.policy.lastStep()), at.Now)
 		m.ramp.began = at.toInstant(record.RecoveryBeganMS)
 	}
 }
 
-// assumeOutage begins an incident of which nothing is known.
+// assumeOutage sets the condition to an outage, and begins an incident of which no details are known.
 func (m *stateMachine) assumeOutage(reason string, at ClockReading) {
 	m.state = conditionState{condition: Outage, since: at.Now, reason: reason}
 	m.outages = outageHistory{count: 1}
--- a/zonerecovery/state_machine_recovery.go
+++ b/zonerecovery/state_machine_recovery.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// This file holds the part of the state machine that follows a recovery through its steps.
+// This file holds the part of the state machine that controls a recovery.
 
 // beginRecovery begins the ramp-up with the probe.
 func (m *stateMachine) beginRecovery(now monotonic.Instant, reason string) {
@@ -24,18 +24,20 @@
 	m.updateWindow(at)
 	switch {
 	case m.window.isOpen():
-		// The operators chose to wait. The time for the recovery counts from the window's end.
+		// A window is a delay that the operators configured, so the time of the recovery and
+		// of its step counts from the end of the window.
 		m.ramp.restartTimers(at.Now)
 	case !m.record.committed.matches(Recovering, m.ramp.step):
-		// A step is no evidence until it is recorded. While the key-value store is
-		// unavailable, the recovery pauses: it would end unproven otherwise.
+		// A step does not take effect until it is recorded. While the key-value store is
+		// unavailable, the recovery pauses. Otherwise it would reach its deadline without
+		// evidence that the zone works.
 		m.ramp.pause(elapsed)
 	default:
 		m.followRamp(at, startsInFlight)
 	}
 }
 
-// followRamp carries out what the ramp-up decides.
+// followRamp applies the decision of the ramp-up.
 func (m *stateMachine) followRamp(at ClockReading, startsInFlight int) {
 	switch m.ramp.decide(at.Now, startsInFlight) {
 	case rampTimedOut:
@@ -51,7 +53,8 @@
 	}
 }
 
-// stepForward goes on to the next step, or ends the recovery after the last one.
+// stepForward continues with the next step. In the last step it ends the recovery, or repeats the step
+// while tasks are denied.
 func (m *stateMachine) stepForward(at ClockReading) {
 	switch {
 	case m.ramp.backlogCleared():
@@ -63,13 +66,13 @@
 	}
 }
 
-// stepBack returns to the step before.
+// stepBack returns to the previous step.
 func (m *stateMachine) stepBack(now monotonic.Instant, reason string) {
 	m.incidents.update(func(incident *Incident) { incident.Setbacks++ })
 	m.enterStep(m.ramp.step-1, now, reason)
 }
 
-// serve ends an outage or a recovery.
+// serve ends an outage or a recovery: the zone serves.
 func (m *stateMachine) serve(at ClockReading, reason string) {
 	m.enter(Serving, at.Now, reason)
 	m.incidents.beginServing(at)
@@ -83,7 +86,7 @@
 	m.record.markOutdated()
 }
 
-// updateWindow notes the window that is open now.
+// updateWindow looks up the window that is open now, and adds a transition for one that has opened.
 func (m *stateMachine) updateWindow(at ClockReading) {
 	if m.window.update(m.policy, m.name, at.Wall) {
 		m.addTransition(m.state.condition, m.window.String())
--- a/zonerecovery/state_machine_test.go
+++ b/zonerecovery/state_machine_test.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// The condition follows from counts of machines, with hysteresis.
+// The condition follows the fraction of unreachable machines, with hysteresis.
 func TestConditionFollowsMachines(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -34,7 +34,8 @@
 	}
 }
 
-// If all zones are half unreachable at once, as after a controller failed, none is suspect.
+// No zone becomes suspect if half of the machines of all zones are unreachable at once: after a
+// controller fails, its machines need seconds to connect to another.
 func TestNoZoneIsSuspectIfAllLoseMachines(t *testing.T) {
 	f := newFixture(t)
 	f.runFor(time.Second, testMachines)
@@ -57,8 +58,8 @@
 	}
 }
 
-// After a pause of the leader's process no heartbeat counts as missing until those that arrived
-// meanwhile are read.
+// After a pause of the leader's process no heartbeat counts as missed until the heartbeats that
+// arrived during the pause are read.
 func TestNoSuspicionAfterProcessPause(t *testing.T) {
 	f := newFixture(t)
 	f.runFor(time.Second, testMachines)
--- a/zonerecovery/status.go
+++ b/zonerecovery/status.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Status is what operators are shown of a zone. Times are in milliseconds since the epoch.
+// Status holds what is shown to operators of a zone. Times are in milliseconds since the epoch.
 type Status struct {
 	Zone      ids.Zone  `cbor:"1,keyasint" json:"zone"`
 	Condition Condition `cbor:"2,keyasint" json:"condition"`
@@ -15,34 +15,34 @@
 	Reason    string    `cbor:"4,keyasint" json:"reason"`
 	Machines  int       `cbor:"5,keyasint" json:"machines"`
 	Reachable int       `cbor:"6,keyasint" json:"heard"`
-	// Outages counts those of the present incident.
+	// Outages counts the outages of the current incident.
 	Outages int `cbor:"7,keyasint" json:"flaps"`
-	// Step and Steps are the progress of a recovery.
+	// Step is the current step of a recovery, Steps the number of the last one.
 	Step  int `cbor:"8,keyasint" json:"step"`
 	Steps int `cbor:"9,keyasint" json:"steps"`
-	// StartsInFlight and FetchesInFlight count what is not critical. Their limits are 0 unless
-	// the zone recovers.
+	// StartsInFlight and FetchesInFlight count starts and fetches of tasks that are not critical.
+	// Their limits are 0 unless the zone recovers.
 	StartsInFlight  int `cbor:"10,keyasint" json:"starts"`
 	StartLimit      int `cbor:"11,keyasint" json:"start_limit"`
 	FetchesInFlight int `cbor:"12,keyasint" json:"fetches"`
 	FetchLimit      int `cbor:"13,keyasint" json:"fetch_limit"`
 	DisplacedJobs   int `cbor:"14,keyasint" json:"displaced_jobs"`
-	// Restriction says what may not start, empty if anything may. RestrictedUntilMS is when it
-	// ends at the latest, 0 if that is not known.
+	// Restriction describes which tasks may not start. It is empty if all may. RestrictedUntilMS
+	// is when the restriction ends at the latest, 0 if that is not known.
 	Restriction       string       `cbor:"15,keyasint" json:"holding"`
 	RestrictedUntilMS int64        `cbor:"16,keyasint" json:"until_ms"`
 	Override          OverrideKind `cbor:"17,keyasint" json:"override"`
-	// Recorded is set if the record is up to date.
+	// Recorded reports whether the record is up to date.
 	Recorded bool `cbor:"18,keyasint" json:"recorded"`
-	// StartP90MS is the 90th percentile of the latency of starts in the present step, and
-	// BaselineP90MS that in zones that do not recover; 0 means too few starts.
+	// StartP90MS is the 90th percentile of the latency of starts in the current step, and
+	// BaselineP90MS that in zones that do not recover. 0 means too few starts.
 	StartP90MS    int64 `cbor:"19,keyasint" json:"start_p90_ms"`
 	BaselineP90MS int64 `cbor:"20,keyasint" json:"usual_start_p90_ms"`
-	// Incidents are the newest ones, the present one last.
+	// Incidents holds the newest incidents, the current one last.
 	Incidents []Incident `cbor:"21,keyasint" json:"incidents"`
 }
 
-// Status returns the status of all zones, by name.
+// Status returns the status of all zones, sorted by name.
 func (m *Manager) Status(at ClockReading) []Status {
 	statuses := make([]Status, 0, len(m.zones))
 	for _, z := range m.sorted {
@@ -79,7 +79,7 @@
 	return status
 }
 
-// addRecovery adds the progress and the limits of a recovery.
+// addRecovery sets the progress and the limits of a recovery in the status.
 func (z *zone) addRecovery(status *Status) {
 	ramp := &z.machine.ramp
 	status.Step = ramp.step
@@ -88,9 +88,9 @@
 	status.FetchLimit = z.policy.fetchLimit(ramp.step, status.Reachable)
 }
 
-// restriction says what may not start in a zone.
+// restriction holds which tasks may not start in a zone, and until when.
 type restriction struct {
-	// text is empty if anything may start.
+	// text is empty if all tasks may start.
 	text string
 	// until is when the restriction ends at the latest, the zero time if that is not known.
 	until time.Time
@@ -104,7 +104,7 @@
 	return r.until.UnixMilli()
 }
 
-// restriction returns what may not start in the zone now.
+// restriction returns the restriction that applies in the zone now.
 func (z *zone) restriction(at ClockReading, connectivity Connectivity) restriction {
 	if z.override.holds() {
 		override := z.override.current
@@ -122,7 +122,7 @@
 	}
 }
 
-// suspectRestriction returns what may not start in a suspect zone.
+// suspectRestriction returns the restriction of a suspect zone.
 func suspectRestriction(connectivity Connectivity) restriction {
 	if connectivity.reliable() {
 		return restriction{text: "all new work, until its machines are heard or it counts as dark"}
@@ -130,7 +130,7 @@
 	return restriction{text: "all new work; no verdict, since the state service or most controllers are not reached"}
 }
 
-// outageRestriction returns what may not start in a zone in outage.
+// outageRestriction returns the restriction of a zone in outage.
 func (m *stateMachine) outageRestriction(at ClockReading) restriction {
 	if m.holdDown.running() {
 		return restriction{"all new work, for the hold-down", at.toWall(m.holdDown.end(m.outages.count))}
@@ -138,7 +138,7 @@
 	return restriction{"all new work, until its machines are heard", at.toWall(m.retryAt())}
 }
 
-// recoveryRestriction returns what may not start in a zone that recovers.
+// recoveryRestriction returns the restriction of a recovering zone.
 func (m *stateMachine) recoveryRestriction(at ClockReading) restriction {
 	deadline := at.toWall(m.ramp.deadline())
 	switch {
--- a/zonerecovery/status_test.go
+++ b/zonerecovery/status_test.go
@@ -7,12 +7,12 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Operators are told what may not start, in the same words as ever, and until when.
+// The status holds the restriction of a zone, whose texts must not change, and when it ends.
 func TestRestriction(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
 		prepare    func(*fixture)
-		// until is how long the restriction lasts at most, 0 if that is not known.
+		// until is the longest duration of the restriction, 0 if that is not known.
 		until time.Duration
 	}{
 		{"serving", "", func(f *fixture) { f.runFor(time.Second, 10) }, 0},
@@ -29,14 +29,14 @@
 		}, 0},
 		{"outage", "all new work, until its machines are heard", func(f *fixture) {
 			f.runFor(time.Second, 0)
-			f.runFor(testPolicy().OutageAfter-800*time.Millisecond, 0) // it has been suspect for 0.8 s
+			f.runFor(testPolicy().OutageAfter-800*time.Millisecond, 0) // the zone has been suspect for 0.8 s
 		}, testPolicy().RetryAfter},
 		{"hold-down", "all new work, for the hold-down", func(f *fixture) {
 			f.runFor(10*time.Second, 0)
 			f.runFor(observationInterval, 10)
 		}, testPolicy().HoldDown},
 		{"probe", "all but critical work and probes", (*fixture).runUntilRecoveryBegins, testPolicy().MaxRecovery},
-		{"a share", "starts beyond step 1 of 3", func(f *fixture) {
+		{"limited step", "starts beyond step 1 of 3", func(f *fixture) {
 			f.runUntilRecoveryBegins()
 			f.zone().machine.enterStep(1, f.at.Now, "")
 		}, testPolicy().MaxRecovery},
@@ -46,20 +46,21 @@
 			c.prepare(f)
 			status := f.status()
 			if status.Restriction != c.want {
-				t.Errorf("%q, want %q", status.Restriction, c.want)
+				t.Errorf("restriction %q, want %q", status.Restriction, c.want)
 			}
 			want := int64(0)
 			if c.until != 0 {
 				want = f.at.Wall.Add(c.until).UnixMilli()
 			}
 			if status.RestrictedUntilMS != want {
-				t.Errorf("until %v, want %v", time.UnixMilli(status.RestrictedUntilMS).UTC(), time.UnixMilli(want).UTC())
+				t.Errorf("restricted until %v, want %v", time.UnixMilli(status.RestrictedUntilMS).UTC(), time.UnixMilli(want).UTC())
 			}
 		})
 	}
 }
 
-// runUntilRecoveryBegins brings the tested zone to the very beginning of a recovery.
+// runUntilRecoveryBegins causes an outage of the tested zone, and returns at the first observation at
+// which the zone is recovering.
 func (f *fixture) runUntilRecoveryBegins() {
 	f.t.Helper()
 	f.runFor(10*time.Second, 0)
--- a/zonerecovery/window.go
+++ b/zonerecovery/window.go
@@ -9,17 +9,17 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// searchDays is how many days are searched for an opening: three years hold all movable
-// holidays.
+// searchDays is the number of days that are searched for an opening. Within three years every movable
+// holiday occurs.
 const searchDays = 3 * 366
 
-// Window is a recurring interval, by the wall clock of a named time zone, in which only critical
-// work starts in zones that recover. It does not change after it is made.
+// Window represents a recurring interval, by the wall clock of a named time zone, in which only
+// critical work starts in recovering zones. It is immutable.
 type Window struct {
 	Name     string
 	location *time.Location
 	from, to timeOfDay
-	// days are the days of the week on which the window begins; empty means every day.
+	// days holds the days of the week on which the window begins. Empty means every day.
 	days []time.Weekday
 	// calendar is nil if dayKind is allDays and no calendar is named.
 	calendar *cal.BusinessCalendar
@@ -27,30 +27,30 @@
 	zones    []ids.Zone
 }
 
-// timeOfDay is a time as a wall clock shows it.
+// timeOfDay represents a time of day as a wall clock shows it.
 type timeOfDay struct{ hour, minute int }
 
-// before reports whether t comes earlier in a day than other.
+// before reports whether t is earlier in a day than other.
 func (t timeOfDay) before(other timeOfDay) bool {
 	return t.hour < other.hour || t.hour == other.hour && t.minute < other.minute
 }
 
-// Interval is one opening of a window. End is not part of it.
+// Interval represents one opening of a window. End is exclusive.
 type Interval struct{ Begin, End time.Time }
 
-// contains reports whether the window is open at a time.
+// contains reports whether a time is in the interval.
 func (i Interval) contains(at time.Time) bool { return !at.Before(i.Begin) && at.Before(i.End) }
 
-// Zones returns the zones that the window applies to; empty means all.
+// Zones returns the zones to which the window applies. Empty means all.
 func (w *Window) Zones() []ids.Zone { return w.zones }
 
-// OpenAt reports whether the window is open in a zone, and when it ends.
+// OpenAt reports whether the window is open in a zone at a time, and returns when it ends.
 func (w *Window) OpenAt(zone ids.Zone, at time.Time) (until time.Time, open bool) {
 	if len(w.zones) > 0 && !slices.Contains(w.zones, zone) {
 		return time.Time{}, false
 	}
 	local := at.In(w.location)
-	for _, daysBack := range []int{0, 1} { // one that began yesterday may reach into today
+	for _, daysBack := range []int{0, 1} { // an opening that began yesterday may end today
 		opening, ok := w.openingOn(local, -daysBack)
 		if ok && opening.contains(at) && opening.End.After(until) {
 			until, open = opening.End, true
@@ -59,8 +59,8 @@
 	return until, open
 }
 
-// Openings returns the next openings of the window in its own time zone, at most count. One that
-// is open at from is included.
+// Openings returns the next openings of the window in its own time zone, at most count. An opening
+// that is in progress at from is included.
 func (w *Window) Openings(from time.Time, count int) []Interval {
 	var openings []Interval
 	local := from.In(w.location)
@@ -72,7 +72,7 @@
 	return openings
 }
 
-// everOpens reports whether the window opens within the next years.
+// everOpens reports whether the window opens within searchDays days.
 func (w *Window) everOpens(from time.Time) bool {
 	day := from.In(w.location)
 	for range searchDays {
@@ -84,7 +84,7 @@
 	return false
 }
 
-// beginsOn reports whether the window begins on a local day.
+// beginsOn reports whether the window begins on a day of its time zone.
 func (w *Window) beginsOn(day time.Time) bool {
 	if len(w.days) > 0 && !slices.Contains(w.days, day.Weekday()) {
 		return false
@@ -98,8 +98,8 @@
 	return true
 }
 
-// openingOn returns the opening that begins the given number of days after a local day. ok is
-// false if none does.
+// openingOn returns the opening that begins the given number of days after local. ok is false if there
+// is none on that day.
 func (w *Window) openingOn(local time.Time, days int) (opening Interval, ok bool) {
 	noon := time.Date(local.Year(), local.Month(), local.Day()+days, 12, 0, 0, 0, w.location)
 	if !w.beginsOn(noon) {
@@ -114,9 +114,10 @@
 	return opening, opening.Begin.Before(opening.End)
 }
 
-// occurrences returns the first and the last instant at which local clocks show a time on a day.
-// When clocks are set back, the time may occur twice. When they are set forward over it, both
-// are the instant of the change. So a window around a change begins once and ends once.
+// occurrences returns the first and the last instant at which local clocks show a time on the day of
+// noon. If clocks are set back on that day, the time may occur twice. If clocks are set forward over
+// the time, both instants are that of the change. So a window around a clock change begins once and
+// ends once.
 func occurrences(noon time.Time, t timeOfDay) (first, last time.Time) {
 	wallTime := time.Date(noon.Year(), noon.Month(), noon.Day(), t.hour, t.minute, 0, 0, time.UTC)
 	var found []time.Time
@@ -133,8 +134,8 @@
 	return slices.MinFunc(found, time.Time.Compare), slices.MaxFunc(found, time.Time.Compare)
 }
 
-// withOffsetOf returns the instant at which clocks with the UTC offset of near show the given
-// time, in the location of near. The location of shown is UTC.
+// withOffsetOf returns the instant at which clocks with the UTC offset of reference show wallTime, in
+// the location of reference. The location of wallTime is UTC.
 func withOffsetOf(reference, wallTime time.Time) time.Time {
 	_, offsetSeconds := reference.Zone()
 	return wallTime.Add(-time.Duration(offsetSeconds) * time.Second).In(reference.Location())
--- a/zonerecovery/window_settings.go
+++ b/zonerecovery/window_settings.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	// The time zone database is part of the program: a controller's machine may have none.
+	// The time zone database is embedded: a controller's machine may have none.
 	_ "time/tzdata"
 
 	"github.com/rickar/cal/v2"
@@ -16,40 +16,40 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// WindowSettings are the operators' settings of one window.
+// WindowSettings holds the operators' settings of one window.
 type WindowSettings struct {
 	Name     string `json:"name"`
 	TimeZone string `json:"time_zone"`
-	// From and To are times of day in the time zone, such as 05:30. A window whose end is
-	// not after its beginning ends on the next day.
+	// From and To are times of day in the time zone, such as 05:30. A window whose To is not
+	// after its From ends on the next day.
 	From string `json:"from"`
 	To   string `json:"to"`
 	// Days are the days of the week on which the window begins, such as "mon". Empty means
 	// every day.
 	Days []string `json:"days"`
-	// Calendar names a country's holidays. DayKind says on which days of the calendar the
-	// window begins: "all", "workdays" or "holidays". Empty means all.
+	// Calendar names a country's holidays. DayKind is the kind of days in the calendar on which
+	// the window begins: "all", "workdays" or "holidays". Empty means all.
 	Calendar string `json:"calendar"`
 	DayKind  string `json:"on"`
 	// Zones are the zones that the window applies to. Empty means all.
 	Zones []ids.Zone `json:"zones"`
 }
 
-// The days of its calendar on which a window begins.
+// The kinds of days on which a window begins.
 const (
 	allDays     = "all"
 	workdays    = "workdays"
 	nonWorkdays = "holidays"
 )
 
-// calendars are the holidays that windows may name.
+// calendars holds the holidays by the calendar names that windows may use.
 var calendars = map[string][]*cal.Holiday{"pl": pl.Holidays, "se": se.Holidays}
 
-// weekdays are the days that windows may name, by the first three letters.
+// weekdays holds the days that windows may name, by their first three letters.
 var weekdays = []time.Weekday{time.Monday, time.Tuesday, time.Wednesday, time.Thursday, time.Friday, time.Saturday, time.Sunday}
 
-// window checks the settings and returns the window. key is where the settings stand below
-// zone_return. The error is a *SettingError. now is where the search for an opening begins.
+// window validates the settings and returns the window. key is the path of the settings below
+// zone_return. The search for an opening begins at now. The error is a *SettingError.
 func (s *WindowSettings) window(key string, now time.Time) (*Window, error) {
 	w := &Window{Name: s.Name, dayKind: s.DayKind, zones: s.Zones}
 	var err error
@@ -77,7 +77,7 @@
 	return w, nil
 }
 
-// loadLocation returns a named time zone. Local is refused: it differs between controllers.
+// loadLocation returns a named time zone. It refuses Local, which differs between controllers.
 func loadLocation(key, name string) (*time.Location, error) {
 	if name == "" || name == "Local" {
 		return nil, settingError(key, "a name such as Europe/Warsaw is needed")
@@ -113,7 +113,7 @@
 	return days, nil
 }
 
-// setCalendar sets the calendar with the given name, and the kind of days where it is empty.
+// setCalendar sets the calendar with the given name, and the default kind of days if none is set.
 func (w *Window) setCalendar(key, name string) error {
 	if w.dayKind == "" {
 		w.dayKind = allDays
--- a/zonerecovery/window_settings_test.go
+++ b/zonerecovery/window_settings_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Invalid settings are refused with their key and the problem, on one line.
+// Invalid settings are refused with an error of one line that holds their key and the problem.
 func TestInvalidWindowSettings(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
@@ -30,7 +30,7 @@
 			_, err := settings.window("windows.0", time.Now())
 			var invalid *SettingError
 			if !errors.As(err, &invalid) || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("error %v, want %q", err, c.want)
 			}
 		})
 	}
--- a/zonerecovery/window_test.go
+++ b/zonerecovery/window_test.go
@@ -26,19 +26,20 @@
 	return parsed
 }
 
-// Windows that clocks are set back or forward in.
+// Windows that contain the times at which clocks are set back or forward.
 var (
 	nightWindow    = WindowSettings{Name: "night", TimeZone: "Europe/Warsaw", From: "02:30", To: "04:00"}
 	shortWindow    = WindowSettings{Name: "short", TimeZone: "Europe/Stockholm", From: "02:15", To: "02:45"}
 	midnightWindow = WindowSettings{Name: "over", TimeZone: "Europe/Warsaw", From: "23:00", To: "02:30"}
 )
 
-// Windows begin and end once, also where the clocks change in between.
+// A window begins and ends once, even if the clocks change in or next to it.
 func TestWindowsAroundClockChanges(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		settings WindowSettings
-		// inside is a time in the window; begin and end are its limits, all in UTC.
+		// inside is a time in the window. begin and end are the limits of the window. All are in
+		// UTC.
 		inside, begin, end string
 	}{
 		{"an ordinary night", nightWindow, "2026-02-10T02:00", "2026-02-10T01:30", "2026-02-10T03:00"},
@@ -64,15 +65,15 @@
 	}
 }
 
-// A window that the clocks skip entirely does not open on that day.
+// A window whose times are all skipped by a clock change does not open on that day.
 func TestWindowSkippedByClockChange(t *testing.T) {
 	if until, open := mustWindow(t, shortWindow).OpenAt("a", utcTime(t, "2026-03-29T01:00")); open {
-		t.Errorf("open until %v though its times did not come", until)
+		t.Errorf("open until %v although the clocks skipped its times", until)
 	}
 }
 
-// Away from clock changes, a window is open exactly when local clocks show a time inside it, on one
-// of its days.
+// Apart from clock changes, a window is open exactly when local clocks show a time in it, on one of
+// its days.
 func TestWindowsAgainstWallClock(t *testing.T) {
 	settings := WindowSettings{Name: "bulletins", TimeZone: "Europe/Warsaw", From: "05:30", To: "07:45", Days: []string{"mon", "wed", "sat"}}
 	w := mustWindow(t, settings)
@@ -87,7 +88,7 @@
 	}
 }
 
-// Windows follow the holidays of their calendar, and apply to their zones only.
+// A window follows the holidays of its calendar, and applies only to its zones.
 func TestWindowsByCalendarAndZone(t *testing.T) {
 	morning := func(month time.Month, day int) time.Time { return time.Date(2026, month, day, 9, 30, 0, 0, time.UTC) }
 	for _, c := range []struct {
--- a/zonerecovery/zone.go
+++ b/zonerecovery/zone.go
@@ -5,9 +5,9 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// zone owns all that is known of one zone, and connects its parts: events of tasks reach the
-// ramp-up, the budgets and the incident, and a change of either reaches the record. The rules
-// stand in the parts.
+// zone holds the state of one zone and connects its parts. It passes task events to the ramp-up,
+// the budgets and the incident, and marks the record as outdated when one of them changes. The
+// rules are in the parts.
 type zone struct {
 	policy        *Policy
 	machine       *stateMachine
@@ -15,11 +15,11 @@
 	override      operatorOverride
 	starts        startTracker
 	displacements displacements
-	// baseline is shared by all zones: the latency of starts in zones that do not recover.
+	// baseline is the latency of starts in zones that do not recover. All zones share it.
 	baseline *startLatencies
 }
 
-// newZone returns a zone that serves and has no record.
+// newZone returns a serving zone without a record.
 func newZone(name ids.Zone, policy *Policy, baseline *startLatencies, now monotonic.Instant) *zone {
 	record := newRecordTracker()
 	return &zone{
@@ -35,7 +35,7 @@
 // name returns the name of the zone.
 func (z *zone) name() ids.Zone { return z.machine.name }
 
-// condition returns the present condition.
+// condition returns the current condition.
 func (z *zone) condition() Condition { return z.machine.state.condition }
 
 // observe applies the health of the zone's machines.
@@ -49,20 +49,20 @@
 	}
 }
 
-// startLimits is what determines which tasks may start, but for the tasks themselves.
+// startLimits holds the state of a zone that determines which tasks may start.
 type startLimits struct {
 	condition Condition
 	step      int
 	window    *Window
 }
 
-// startLimits returns the present limits. They can be compared.
+// startLimits returns the current limits. They are comparable.
 func (z *zone) startLimits() startLimits {
 	return startLimits{condition: z.condition(), step: z.machine.ramp.step, window: z.machine.window.window}
 }
 
-// applyOverride carries out an operator's decision. A hold counts at once. What allows more
-// starts counts once it is recorded.
+// applyOverride applies an operator's decision. A hold takes effect immediately. A decision that
+// allows more starts takes effect once it is recorded.
 func (z *zone) applyOverride(override Override, at ClockReading) {
 	z.override.decisions++
 	z.setOverride(override)
@@ -79,12 +79,13 @@
 	z.machine.addTransition(z.condition(), "operator: "+override.Kind.String()+" "+override.Reason)
 }
 
-// gated reports whether any task may be denied.
+// gated reports whether admit may deny a task.
 func (z *zone) gated() bool {
 	return z.condition() != Serving || z.machine.outages.count > 0 || z.override.active() || !z.record.allows(Serving)
 }
 
-// provisioningLimit returns how many machines may be provisioned at once, if that is limited.
+// provisioningLimit returns how many machines may be provisioned at once. limited reports whether
+// there is a limit.
 func (z *zone) provisioningLimit() (limit int, limited bool) {
 	switch {
 	case z.override.holds() || z.condition() == Suspect || z.condition() == Outage:
--- a/zonerecovery/zone_record.go
+++ b/zonerecovery/zone_record.go
@@ -2,26 +2,26 @@
 
 import "ospreystile.example/ospreystile/ids"
 
-// RecordWrite is a record that must be written, or deleted if Record is nil.
+// RecordWrite represents a record that must be written, or deleted if Record is nil.
 type RecordWrite struct {
 	Zone ids.Zone
-	// Revision is that of the key, 0 if there is none.
+	// Revision is the revision of the key, 0 if the key does not exist.
 	Revision ids.Revision
 	Record   *Record
 }
 
-// needsRecord reports whether there is anything that the next leader must know.
+// needsRecord reports whether the zone has state that the next leader must load.
 func (z *zone) needsRecord() bool {
 	return z.machine.state.durable() != Serving || z.machine.outages.count > 0 || z.override.active() || len(z.machine.incidents.past) > 0
 }
 
-// recordedState returns what a record of the zone would hold now.
+// recordedState returns the state that a record of the zone would hold now.
 func (z *zone) recordedState() recordedState {
 	return recordedState{condition: z.machine.state.durable(), step: z.machine.ramp.step, override: z.override.decisions}
 }
 
-// nextWrite returns the write of the zone's record, if one is due. It counts as in flight from
-// then on.
+// nextWrite returns the write of the zone's record, and marks it as in flight. ok is false if no
+// write is due.
 func (z *zone) nextWrite(at ClockReading, nonce uint64, fits func(*Record) bool) (write RecordWrite, ok bool) {
 	if !z.record.due(at.Now) {
 		return RecordWrite{}, false
@@ -39,7 +39,7 @@
 	return write, true
 }
 
-// fittingRecord returns the record with as many displaced jobs as fit.
+// fittingRecord returns the record, with fewer displaced jobs if it does not fit otherwise.
 func (z *zone) fittingRecord(at ClockReading, nonce uint64, fits func(*Record) bool) *Record {
 	for {
 		record := z.exportRecord(at, nonce)
@@ -50,7 +50,7 @@
 	}
 }
 
-// exportRecord returns the record with as many displaced jobs as the limit allows.
+// exportRecord returns the record with as many displaced jobs as jobLimit allows.
 func (z *zone) exportRecord(at ClockReading, nonce uint64) *Record {
 	state, outages, override := &z.machine.state, &z.machine.outages, z.override.current
 	record := &Record{
@@ -77,7 +77,7 @@
 	return record
 }
 
-// loadRecord replaces what is known of the zone by the record of an earlier leader.
+// loadRecord replaces the state of the zone by the record of an earlier leader.
 func (z *zone) loadRecord(record *Record, revision ids.Revision, at ClockReading) {
 	z.machine.load(record, at)
 	z.override.current = record.override()
@@ -85,9 +85,9 @@
 	z.record.load(recordedState{condition: z.condition(), step: z.machine.ramp.step}, revision)
 }
 
-// loadUnreadable takes the place of loadRecord for a record that cannot be decoded. Without a record
-// the zone would serve, so the unreadable one must not be ignored: the zone counts as in outage
-// until its machines are reachable.
+// loadUnreadable is called instead of loadRecord for a record that cannot be decoded. A zone without
+// a record serves, so to ignore the record could lift the limits of an outage. The zone counts as in
+// outage until its machines are reachable.
 func (z *zone) loadUnreadable(revision ids.Revision, at ClockReading) {
 	z.machine.assumeOutage("the record cannot be read", at)
 	z.record.load(recordedState{condition: Outage}, revision)
--- a/zonerecovery/zone_record_test.go
+++ b/zonerecovery/zone_record_test.go
@@ -9,7 +9,7 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// displaceJobs records losses of so many jobs in the present outage.
+// displaceJobs records the loss of a task of each of count jobs in the newest outage.
 func (f *fixture) displaceJobs(count int) {
 	f.t.Helper()
 	for n := range count {
@@ -18,7 +18,7 @@
 	f.zone().record.markOutdated()
 }
 
-// A record fits into its limit, and keeps the jobs that returned most often.
+// The jobs in a record are reduced until it fits. The jobs that returned most often are kept.
 func TestRecordFitsIntoLimit(t *testing.T) {
 	const jobs, limit = 1000, 60
 	f := newFixture(t)
@@ -38,7 +38,7 @@
 	}
 }
 
-// A record that the store refuses for its size is written again with fewer jobs.
+// A record that the key-value store refuses because of its size is written again with fewer jobs.
 func TestRejectedRecordShrinks(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
@@ -65,7 +65,7 @@
 	}
 }
 
-// endIncident lets a zone with a displaced job recover and pass its quiet period.
+// endIncident displaces a job in an outage, and lets the zone recover and pass its quiet period.
 func (f *fixture) endIncident() {
 	f.t.Helper()
 	f.beginRecovery()
@@ -73,7 +73,7 @@
 	f.runFor(time.Minute+testPolicy().QuietPeriod+time.Second, testMachines)
 }
 
-// After the quiet period a record holds nothing but past incidents.
+// After the quiet period the record holds only past incidents.
 func TestQuietZoneKeepsOnlyPastIncidents(t *testing.T) {
 	f := newFixture(t)
 	f.endIncident()
@@ -99,7 +99,7 @@
 	before := f.revision
 	f.runFor(2*time.Minute, testMachines)
 	if f.revision != before {
-		t.Errorf("%d writes", f.revision-before)
+		t.Errorf("%d writes, want none", f.revision-before)
 	}
 }
 
@@ -114,12 +114,12 @@
 	f.manager.Override(healthyZone, Override{}, f.at)
 	f.commitWrites()
 	if record, left := f.records[healthyZone]; left {
-		t.Errorf("left behind: %+v", record)
+		t.Errorf("record %+v, want none", record)
 	}
 }
 
-// A record that cannot be decoded is not taken for absent: the zone must show that its machines are
-// reachable.
+// A record that cannot be decoded does not count as missing, since a zone without a record serves: the
+// zone is in outage until its machines are reachable.
 func TestUnreadableRecordCountsAsOutage(t *testing.T) {
 	f := newFixture(t)
 	f.manager.LoadUnreadable(testedZone, 9, f.at)
@@ -135,8 +135,8 @@
 	f.wantCondition("after loading", Outage)
 }
 
-// The next leader loads what the record holds: it allows no more than the leader that wrote it, and
-// forgets neither outages nor failbacks.
+// After a failover the next leader restores the condition, the override, the outages, the failbacks and
+// the beginning of the recovery from the record. It allows no more starts than the previous leader.
 func TestRecordRoundTrip(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
@@ -162,7 +162,7 @@
 		t.Errorf("step %d, was %d", next.machine.ramp.step, previous.machine.ramp.step)
 	}
 	want := *previous.displacements.jobs["job-1"]
-	want.lostAt = later.Now // it waits anew
+	want.lostAt = later.Now // the wait starts again
 	if got := *next.displacements.jobs["job-1"]; got != want {
 		t.Errorf("displaced job %+v, want %+v", got, want)
 	}
--- a/zonerecovery/zone_tasks.go
+++ b/zonerecovery/zone_tasks.go
@@ -5,7 +5,8 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// taskPlaced notes that a task was placed in the zone, and says whether its job returned with it.
+// taskPlaced records the placement of a task in the zone. It returns whether that is a failback of
+// the task's job.
 func (z *zone) taskPlaced(request *StartRequest, now monotonic.Instant) failback {
 	if z.condition() == Recovering {
 		z.starts.addInRecovery(request, now)
@@ -23,7 +24,7 @@
 	return kind
 }
 
-// taskRunning notes that a task runs. It does nothing if the task was not in flight.
+// taskRunning records that a task runs. It does nothing if the start of the task is not in flight.
 func (z *zone) taskRunning(task ids.TaskRef, now monotonic.Instant) {
 	start, ok := z.starts.remove(task)
 	if !ok {
@@ -38,22 +39,24 @@
 	}
 }
 
-// taskEnded notes that a task is off its machine. It does nothing if the task was not in flight.
+// taskEnded records that a task no longer occupies its machine. It does nothing if the start of the
+// task is not in flight.
 func (z *zone) taskEnded(task ids.TaskRef) {
 	if start, ok := z.starts.remove(task); ok && start.countsForStep() {
 		z.machine.ramp.startAborted()
 	}
 }
 
-// taskFailed notes that a task of a job failed.
+// taskFailed records that a task of a job failed.
 func (z *zone) taskFailed(job ids.JobID) {
 	if z.condition() == Recovering {
 		z.machine.ramp.startFailed(job)
 	}
 }
 
-// taskDisplaced notes that a task was lost with its machine. It reports whether the zone's trouble
-// is the cause. That includes losses in a recovery: not all machines return.
+// taskDisplaced records that a task was lost with its machine. It reports whether the loss is
+// attributed to the zone, which is so unless the zone serves. Losses in a recovery are included: not
+// all machines return after an outage.
 func (z *zone) taskDisplaced(job ids.JobID) bool {
 	if z.condition() == Serving {
 		return false
