--- a/zonerecovery/fixture_test.go
+++ b/zonerecovery/fixture_test.go
@@ -9,38 +9,38 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// testedZone is the zone whose health a test sets. healthyZone always serves.
+// testedZone is the zone whose health a test sets. healthyZone is always healthy.
 const (
 	testedZone  ids.Zone = "z"
 	healthyZone ids.Zone = "other"
 )
 
-// testMachines is how many machines each zone of a fixture has.
+// testMachines is the number of machines in each zone of a fixture.
 const testMachines = 10
 
-// observationInterval is how often a fixture observes.
+// observationInterval is the interval at which a fixture passes observations to its manager.
 const observationInterval = 200 * time.Millisecond
 
-// fixture drives a manager by hand, and stores the records that it writes.
+// fixture holds a manager with a simulated clock, and stores the records that the manager writes.
 type fixture struct {
 	t       *testing.T
 	manager *Manager
 	at      ClockReading
-	// records are the stored records, revision the newest revision of the store.
+	// records holds the stored records. revision is the newest revision of the store.
 	records  map[ids.Zone]Record
 	revision ids.Revision
-	// tasks counts the tasks that were asked to start.
+	// tasks counts the requested starts.
 	tasks int
 }
 
 func testPolicy() *Policy {
 	return &Policy{
-		SuspectShare:        0.5,
-		OutageShare:         0.8,
+		SuspectFraction:     0.5,
+		OutageFraction:      0.8,
 		OutageAfter:         6 * time.Second,
 		ClearSuspicionAfter: 2 * time.Second,
 		MinMachines:         4,
-		ReachableShare:      0.25,
+		ReachableFraction:   0.25,
 		RetryAfter:          3 * time.Minute,
 		HoldDown:            4 * time.Second,
 		HoldDownFactor:      3,
@@ -61,7 +61,7 @@
 	}
 }
 
-// newFixture makes a fixture with a policy that no other test uses.
+// newFixture returns a fixture with its own copy of the policy of testPolicy.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	return newFixtureWith(t, testPolicy())
@@ -77,18 +77,19 @@
 	}
 }
 
-// advance moves both clocks without an observation.
+// advance advances both clocks without an observation.
 func (f *fixture) advance(duration time.Duration) {
 	f.at = ClockReading{Now: f.at.Now.Add(duration), Wall: f.at.Wall.Add(duration)}
 }
 
-// healthOf is the health of a zone with so many reachable machines.
+// healthOf returns the health of a zone with the given number of reachable machines.
 func healthOf(reachable int) ZoneHealth {
 	return ZoneHealth{Machines: testMachines, Reachable: reachable, Unreachable: testMachines - reachable}
 }
 
-// run lets time pass with so many machines reachable, and writes what is due.
-func (f *fixture) run(duration time.Duration, reachable int) {
+// runFor advances the clocks by a duration with the given number of machines reachable in the tested
+// zone. At each interval it observes the zones and commits the records that are due.
+func (f *fixture) runFor(duration time.Duration, reachable int) {
 	f.t.Helper()
 	for end := f.at.Now.Add(duration); f.at.Now < end; {
 		f.advance(observationInterval)
@@ -96,15 +97,15 @@
 			Zones:        map[ids.Zone]ZoneHealth{testedZone: healthOf(reachable), healthyZone: healthOf(testMachines)},
 			Connectivity: Connectivity{LeaseConfirmed: true, PeersReachable: 2, Peers: 2},
 		})
-		f.write()
+		f.commitWrites()
 	}
 }
 
-// fitsAlways is a limit of records that none exceeds.
+// fitsAlways reports true for every record.
 func fitsAlways(*Record) bool { return true }
 
-// write commits all records that are due.
-func (f *fixture) write() {
+// commitWrites commits all records that are due.
+func (f *fixture) commitWrites() {
 	f.t.Helper()
 	for {
 		write, ok := f.manager.NextWrite(f.at, uint64(f.revision+1), fitsAlways)
@@ -122,7 +123,7 @@
 	}
 }
 
-// start places a new task of a job in the tested zone if it is admitted.
+// start requests the start of a new task in the tested zone, and places the task if it is admitted.
 func (f *fixture) start(request StartRequest) (ids.TaskRef, Admission) {
 	f.t.Helper()
 	f.tasks++
@@ -132,12 +133,12 @@
 	}
 	admission := f.manager.Admit(testedZone, &request)
 	if admission == Admitted {
-		f.manager.TaskStarted(testedZone, &request, f.at.Now)
+		f.manager.TaskPlaced(testedZone, &request, f.at.Now)
 	}
 	return request.Task, admission
 }
 
-// startAll starts tasks of a job until one is denied.
+// startAll starts tasks of a job until one is denied, and returns the started ones.
 func (f *fixture) startAll(request StartRequest) []ids.TaskRef {
 	f.t.Helper()
 	var started []ids.TaskRef
@@ -150,7 +151,7 @@
 	}
 }
 
-// wantAdmission starts a task of a job, and checks the answer.
+// wantAdmission requests the start of a task, and checks the decision.
 func (f *fixture) wantAdmission(name string, request StartRequest, want Admission) ids.TaskRef {
 	f.t.Helper()
 	task, got := f.start(request)
@@ -160,8 +161,8 @@
 	return task
 }
 
-// running lets tasks run in the tested zone.
-func (f *fixture) running(tasks ...ids.TaskRef) {
+// reportRunning reports tasks of the tested zone to the manager as running.
+func (f *fixture) reportRunning(tasks ...ids.TaskRef) {
 	f.t.Helper()
 	for _, task := range tasks {
 		f.manager.TaskRunning(testedZone, task, f.at.Now)
@@ -176,7 +177,7 @@
 	}
 }
 
-// status is that of the tested zone.
+// status returns the status of the tested zone.
 func (f *fixture) status() Status {
 	f.t.Helper()
 	for _, status := range f.manager.Status(f.at) {
@@ -196,40 +197,42 @@
 	}
 }
 
-// beginRecovery brings the tested zone to the beginning of a recovery.
+// beginRecovery causes an outage of the tested zone and lets it pass the hold-down, so that the zone
+// is in the probe of a recovery.
 func (f *fixture) beginRecovery() {
 	f.t.Helper()
-	f.run(time.Second, testMachines)
-	f.run(15*time.Second, 0)
+	f.runFor(time.Second, testMachines)
+	f.runFor(15*time.Second, 0)
 	f.wantCondition("while no machine is reachable", Outage)
-	f.run(5*time.Second, testMachines)
+	f.runFor(5*time.Second, testMachines)
 	f.wantCondition("after the hold-down", Recovering)
 }
 
-// recoverToStep1 brings the tested zone to its first share: no task wants to start in the probe.
+// recoverToStep1 brings the tested zone to step 1 of a recovery. The probe succeeds because no task
+// is requested in it.
 func (f *fixture) recoverToStep1() {
 	f.t.Helper()
 	f.beginRecovery()
-	f.run(5*time.Second, testMachines)
+	f.runFor(5*time.Second, testMachines)
 	f.wantStep("without any work", 1)
 }
 
-// zone is the tested zone.
+// zone returns the tested zone.
 func (f *fixture) zone() *zone { return f.manager.zones[testedZone] }
 
-// taskOf is a request of a job that is neither critical nor eligible as a probe.
-func taskOf(job ids.JobID) StartRequest { return StartRequest{Task: ids.TaskRef{Job: job}} }
+// taskRequest returns a request of a job that is neither critical nor eligible as a probe.
+func taskRequest(job ids.JobID) StartRequest { return StartRequest{Task: ids.TaskRef{Job: job}} }
 
-// probeOf is a request of a job that is eligible as a probe.
-func probeOf(job ids.JobID) StartRequest {
-	request := taskOf(job)
+// probeRequest returns a request of a job that is eligible as a probe.
+func probeRequest(job ids.JobID) StartRequest {
+	request := taskRequest(job)
 	request.ProbeEligible = true
 	return request
 }
 
-// criticalOf is a request of a critical job.
-func criticalOf(job ids.JobID) StartRequest {
-	request := taskOf(job)
+// criticalRequest returns a request of a critical job.
+func criticalRequest(job ids.JobID) StartRequest {
+	request := taskRequest(job)
 	request.Critical = true
 	return request
 }
--- a/zonerecovery/restore_test.go
+++ b/zonerecovery/restore_test.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// restorableFixture is a fixture whose tested zone has recovered and displaced a service.
+// restorableFixture returns a fixture whose tested zone has displaced a service and recovered.
 func restorableFixture(t *testing.T) *fixture {
 	t.Helper()
 	policy := testPolicy()
@@ -16,20 +16,20 @@
 	f := newFixtureWith(t, policy)
 	f.beginRecovery()
 	f.manager.TaskDisplaced(testedZone, "job-1")
-	f.run(90*time.Second, testMachines)
+	f.runFor(90*time.Second, testMachines)
 	return f
 }
 
-// restoreFor carries out the moves that are planned within a duration, and counts them.
-func (f *fixture) restoreFor(duration time.Duration, service ServicePlacement, room bool) (moves int) {
+// restoreFor carries out the moves that are planned within a duration, and returns their number.
+func (f *fixture) restoreFor(duration time.Duration, service ServicePlacement, capacity bool) (moves int) {
 	f.t.Helper()
-	hasRoom := func(ids.JobID, ids.Zone) bool { return room }
+	hasCapacity := func(ids.JobID, ids.Zone) bool { return capacity }
 	for end := f.at.Now.Add(duration); f.at.Now < end; {
 		f.advance(time.Second)
 		if len(f.manager.RestoreCandidates(f.at.Now)) != 1 {
 			f.t.Fatal("no candidate")
 		}
-		move, ok := f.manager.PlanRestore(f.at, []ServicePlacement{service}, hasRoom)
+		move, ok := f.manager.PlanRestore(f.at, []ServicePlacement{service}, hasCapacity)
 		if !ok {
 			continue
 		}
@@ -43,26 +43,26 @@
 	return moves
 }
 
-// Replicas are moved back one at a time, by rate and budgets, only if that makes a service more
-// even and none of its replicas is down.
+// Replicas are moved back one at a time, within the rate and the budgets, if a move spreads the
+// service more evenly, the zone has capacity and no replica is down.
 func TestRestorePlan(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
 		healthy, tested, wanted int // replicas
-		room                    bool
+		capacity                bool
 		duration                time.Duration
 		moves                   int
 	}{
 		{"uneven: as many as the budget allows", 6, 0, 6, true, 20 * time.Minute, 2},
 		{"limited by the rate", 6, 0, 6, true, time.Minute, 1},
 		{"nearly even", 3, 2, 5, true, 20 * time.Minute, 0},
-		{"no room", 6, 0, 6, false, 20 * time.Minute, 0},
+		{"no capacity", 6, 0, 6, false, 20 * time.Minute, 0},
 		{"a replica is down", 5, 0, 6, true, 20 * time.Minute, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := restorableFixture(t)
 			service := ServicePlacement{Job: "job-1", Replicas: c.wanted, Running: map[ids.Zone]int{healthyZone: c.healthy, testedZone: c.tested}}
-			if moves := f.restoreFor(c.duration, service, c.room); moves != c.moves {
+			if moves := f.restoreFor(c.duration, service, c.capacity); moves != c.moves {
 				t.Errorf("%d moves, want %d", moves, c.moves)
 			}
 		})
--- a/zonerecovery/settings_test.go
+++ b/zonerecovery/settings_test.go
@@ -7,11 +7,11 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// validSettings have a value for each setting that is checked against others.
+// validSettings returns settings with a value for each one that is checked against others.
 func validSettings() Settings {
 	return Settings{
-		SuspectShare:        0.5,
-		OutageShare:         0.8,
+		SuspectFraction:     0.5,
+		OutageFraction:      0.8,
 		HoldDownS:           4,
 		MaxHoldDownS:        30,
 		MaxRecoveryS:        40,
@@ -26,14 +26,14 @@
 	}
 }
 
-// Settings that contradict one another are refused with the key of one of them.
-func TestContradictingSettings(t *testing.T) {
+// Settings that contradict each other are refused with the key of one of them.
+func TestContradictorySettings(t *testing.T) {
 	for _, c := range []struct {
 		name, key string
 		change    func(*Settings)
 	}{
 		{"none", "", func(*Settings) {}},
-		{"outage before suspicion", "dark_share", func(s *Settings) { s.OutageShare = 0.4 }},
+		{"outage before suspicion", "dark_share", func(s *Settings) { s.OutageFraction = 0.4 }},
 		{"longest hold-down below the first", "hold_down_max_s", func(s *Settings) { s.MaxHoldDownS = 3 }},
 		{"work is held back for too long", "return_max_s", func(s *Settings) { s.MaxRecoveryS = 61 }},
 		{"steps do not fit into a recovery", "steps", func(s *Settings) { s.MinStepTimeS = 11 }},
@@ -54,7 +54,7 @@
 	}
 }
 
-// wantSettingError checks that an error names a setting; an empty key stands for no error.
+// wantSettingError checks that an error names a setting. An empty key means no error.
 func wantSettingError(t *testing.T, err error, key string) {
 	t.Helper()
 	if key == "" {
@@ -65,7 +65,7 @@
 	}
 	var invalid *SettingError
 	if !errors.As(err, &invalid) || invalid.Key != key {
-		t.Errorf("error %v, want one of %s", err, key)
+		t.Errorf("error %v, want one with key %s", err, key)
 	}
 }
 
--- a/zonerecovery/state_machine_test.go
+++ b/zonerecovery/state_machine_test.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// The condition follows from counts of machines, with hysteresis.
+// The condition follows the fraction of unreachable machines, with hysteresis.
 func TestConditionFollowsMachines(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -27,17 +27,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			for _, reachable := range c.reachable {
-				f.run(8*time.Second, reachable)
+				f.runFor(8*time.Second, reachable)
 			}
 			f.wantCondition("at the end", c.want)
 		})
 	}
 }
 
-// If all zones are half unreachable at once, as after a controller failed, none is suspect.
-func TestNoZoneIsSuspectIfAllAreInTrouble(t *testing.T) {
+// No zone becomes suspect if half of the machines of all zones are unreachable at once: after a
+// controller fails, its machines need seconds to connect to another.
+func TestNoZoneIsSuspectIfAllLoseMachines(t *testing.T) {
 	f := newFixture(t)
-	f.run(time.Second, testMachines)
+	f.runFor(time.Second, testMachines)
 	for _, c := range []struct {
 		name      string
 		elsewhere int // reachable of ten
@@ -57,11 +58,11 @@
 	}
 }
 
-// After a pause of the leader's process no heartbeat counts as missing until those that arrived
-// meanwhile are read.
+// After a pause of the leader's process no heartbeat counts as missed until the heartbeats that
+// arrived during the pause are read.
 func TestNoSuspicionAfterProcessPause(t *testing.T) {
 	f := newFixture(t)
-	f.run(time.Second, testMachines)
+	f.runFor(time.Second, testMachines)
 	for _, c := range []struct {
 		name    string
 		resumed bool
--- a/zonerecovery/zone_record_test.go
+++ b/zonerecovery/zone_record_test.go
@@ -9,8 +9,8 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// loseJobs records losses of so many jobs in the present outage.
-func (f *fixture) loseJobs(count int) {
+// displaceJobs records the loss of a task of each of count jobs in the newest outage.
+func (f *fixture) displaceJobs(count int) {
 	f.t.Helper()
 	for n := range count {
 		f.zone().displacements.recordLoss(ids.JobID(fmt.Sprintf("job-%06d", n)), f.zone().machine.outages.count, f.at.Now)
@@ -18,12 +18,12 @@
 	f.zone().record.markOutdated()
 }
 
-// A record fits into its limit, and keeps the jobs that returned most often.
+// The jobs in a record are reduced until it fits. The jobs that returned most often are kept.
 func TestRecordFitsIntoLimit(t *testing.T) {
 	const jobs, limit = 1000, 60
 	f := newFixture(t)
 	f.beginRecovery()
-	f.loseJobs(jobs)
+	f.displaceJobs(jobs)
 	f.zone().displacements.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-000999"}}, f.at.Now)
 	write, ok := f.manager.NextWrite(f.at, 7, func(record *Record) bool { return len(record.DisplacedJobs) <= limit })
 	if !ok {
@@ -38,11 +38,11 @@
 	}
 }
 
-// A record that the store refuses for its size is written again with fewer jobs.
+// A record that the key-value store refuses because of its size is written again with fewer jobs.
 func TestRejectedRecordShrinks(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
-	f.loseJobs(1000)
+	f.displaceJobs(1000)
 	rejected, ok := f.manager.NextWrite(f.at, 7, func(record *Record) bool { return len(record.DisplacedJobs) <= 60 })
 	if !ok {
 		t.Fatal("nothing is written")
@@ -55,25 +55,25 @@
 }
 
 // While an incident lasts, the record holds its outages and displaced jobs.
-func TestRecordHoldsPresentIncident(t *testing.T) {
+func TestRecordHoldsCurrentIncident(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
 	f.manager.TaskDisplaced(testedZone, "job-1")
-	f.run(time.Minute, testMachines)
+	f.runFor(time.Minute, testMachines)
 	if record, ok := f.records[testedZone]; !ok || len(record.DisplacedJobs) != 1 || record.Outages != 1 {
 		t.Errorf("recorded: %v %+v", ok, record)
 	}
 }
 
-// endIncident lets a zone with a displaced job recover and pass its quiet period.
+// endIncident displaces a job in an outage, and lets the zone recover and pass its quiet period.
 func (f *fixture) endIncident() {
 	f.t.Helper()
 	f.beginRecovery()
 	f.manager.TaskDisplaced(testedZone, "job-1")
-	f.run(time.Minute+testPolicy().QuietPeriod+time.Second, testMachines)
+	f.runFor(time.Minute+testPolicy().QuietPeriod+time.Second, testMachines)
 }
 
-// After the quiet period a record holds nothing but past incidents.
+// After the quiet period the record holds only past incidents.
 func TestQuietZoneKeepsOnlyPastIncidents(t *testing.T) {
 	f := newFixture(t)
 	f.endIncident()
@@ -97,9 +97,9 @@
 	f := newFixture(t)
 	f.endIncident()
 	before := f.revision
-	f.run(2*time.Minute, testMachines)
+	f.runFor(2*time.Minute, testMachines)
 	if f.revision != before {
-		t.Errorf("%d writes", f.revision-before)
+		t.Errorf("%d writes, want none", f.revision-before)
 	}
 }
 
@@ -107,24 +107,24 @@
 func TestLiftedHoldLeavesNoRecord(t *testing.T) {
 	f := newFixture(t)
 	f.manager.Override(healthyZone, Override{Kind: OverrideHold}, f.at)
-	f.write()
+	f.commitWrites()
 	if _, ok := f.records[healthyZone]; !ok {
 		t.Fatal("the hold is not recorded")
 	}
 	f.manager.Override(healthyZone, Override{}, f.at)
-	f.write()
+	f.commitWrites()
 	if record, left := f.records[healthyZone]; left {
-		t.Errorf("left behind: %+v", record)
+		t.Errorf("record %+v, want none", record)
 	}
 }
 
-// A record that cannot be decoded is not taken for absent: the zone must show that its machines are
-// reachable.
+// A record that cannot be decoded does not count as missing, since a zone without a record serves: the
+// zone is in outage until its machines are reachable.
 func TestUnreadableRecordCountsAsOutage(t *testing.T) {
 	f := newFixture(t)
 	f.manager.LoadUnreadable(testedZone, 9, f.at)
-	f.wantAdmission("critical work", criticalOf("job-1"), DeniedOutage)
-	f.run(6*time.Second, testMachines)
+	f.wantAdmission("critical work", criticalRequest("job-1"), DeniedOutage)
+	f.runFor(6*time.Second, testMachines)
 	f.wantCondition("once its machines are reachable", Recovering)
 }
 
@@ -135,15 +135,15 @@
 	f.wantCondition("after loading", Outage)
 }
 
-// The next leader loads what the record holds: it allows no more than the leader that wrote it, and
-// forgets neither outages nor failbacks.
+// After a failover the next leader restores the condition, the override, the outages, the failbacks and
+// the beginning of the recovery from the record. It allows no more starts than the previous leader.
 func TestRecordRoundTrip(t *testing.T) {
 	f := newFixture(t)
 	f.beginRecovery()
 	f.zone().displacements.recordLoss("job-1", f.zone().machine.outages.count, f.at.Now)
 	f.zone().displacements.recordPlacement(&StartRequest{Task: ids.TaskRef{Job: "job-1"}}, f.at.Now)
 	f.manager.Override(testedZone, Override{Kind: OverrideHold, Reason: "works", UntilMS: f.at.Wall.Add(time.Hour).UnixMilli()}, f.at)
-	f.run(10*time.Second, testMachines)
+	f.runFor(10*time.Second, testMachines)
 	previous, record := f.zone(), f.records[testedZone]
 
 	const failover = 3 * time.Second
@@ -162,7 +162,7 @@
 		t.Errorf("step %d, was %d", next.machine.ramp.step, previous.machine.ramp.step)
 	}
 	want := *previous.displacements.jobs["job-1"]
-	want.lostAt = later.Now // it waits anew
+	want.lostAt = later.Now // the wait starts again
 	if got := *next.displacements.jobs["job-1"]; got != want {
 		t.Errorf("displaced job %+v, want %+v", got, want)
 	}
