--- a/scheduler/agents_test.go
+++ b/scheduler/agents_test.go
@@ -32,16 +32,16 @@
 
 // sendHeartbeats makes each machine end the tasks whose run time is over, send a heartbeat, and carry
 // out the commands of the response.
-func (g *testAgents) sendHeartbeats(b *harness) {
-	b.t.Helper()
+func (g *testAgents) sendHeartbeats(h *harness) {
+	h.t.Helper()
 	for _, machine := range g.machines {
-		g.endTasks(machine, b.now)
-		response := b.heartbeat(machine, "a", ids.NewFencingToken(b.c.opt.Revision, agentsTokenCounter), g.tasks[machine]...)
+		g.endTasks(machine, h.now)
+		response := h.heartbeat(machine, "a", ids.NewFencingToken(h.c.opt.Revision, agentsTokenCounter), g.tasks[machine]...)
 		for _, command := range response.Commands {
 			if g.observe != nil {
 				g.observe(command)
 			}
-			g.execute(machine, command, b.now)
+			g.execute(machine, command, h.now)
 		}
 	}
 }
@@ -101,16 +101,16 @@
 
 // run simulates the machines' heartbeats for a duration, in which each task ends with the given cause.
 // It calls inspect after each step of the core, and returns the number of task starts.
-func (g *instantAgents) run(b *harness, cause wire.ExitCause, d time.Duration, inspect func()) int {
-	b.t.Helper()
+func (g *instantAgents) run(h *harness, cause wire.ExitCause, d time.Duration, inspect func()) int {
+	h.t.Helper()
 	starts := 0
-	for until := b.now.Add(d); b.now < until; {
-		b.now = b.now.Add(500 * time.Millisecond)
-		b.step()
+	for until := h.now.Add(d); h.now < until; {
+		h.now = h.now.Add(500 * time.Millisecond)
+		h.step()
 		inspect()
 		for _, machine := range g.machines {
-			token := ids.NewFencingToken(b.c.opt.Revision, b.c.cluster.Machine(machine).Commands.TokenCounter)
-			response := b.heartbeat(machine, "a", token, g.ended[machine]...)
+			token := ids.NewFencingToken(h.c.opt.Revision, h.c.cluster.Machine(machine).Commands.TokenCounter)
+			response := h.heartbeat(machine, "a", token, g.ended[machine]...)
 			g.ended[machine] = nil
 			for _, command := range response.Commands {
 				if command.Verb == wire.VerbRun {
--- a/scheduler/boot_times_test.go
+++ b/scheduler/boot_times_test.go
@@ -25,10 +25,10 @@
 		{"late although all are slow", 2.5, 48 * time.Second, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newHarness(t, Options{})
-			b.c.autoscaler.boots.factors["m"] = c.bootFactor
-			b.submit("job-1", wire.JobSpec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
-			if requests := b.provisionFor(c.after); len(requests) != 1+c.replaced {
+			h := newHarness(t, Options{})
+			h.c.autoscaler.boots.factors["m"] = c.bootFactor
+			h.submit("job-1", wire.JobSpec{Class: "c", Tasks: 2, CPUs: 4, EstimateS: 30})
+			if requests := h.provisionFor(c.after); len(requests) != 1+c.replaced {
 				t.Errorf("provisioning requests are %v, want %d replacements", requests, c.replaced)
 			}
 		})
@@ -37,17 +37,17 @@
 
 // provisionFor steps for a duration and grants each provisioning request. The machines never boot. It
 // returns the requests.
-func (b *harness) provisionFor(d time.Duration) []wire.ProvisionRequest {
+func (h *harness) provisionFor(d time.Duration) []wire.ProvisionRequest {
 	var requests []wire.ProvisionRequest
-	for until := b.now.Add(d); b.now < until; {
-		b.now = b.now.Add(500 * time.Millisecond)
-		for _, r := range b.step().Provision {
+	for until := h.now.Add(d); h.now < until; {
+		h.now = h.now.Add(500 * time.Millisecond)
+		for _, r := range h.step().Provision {
 			requests = append(requests, r)
 			var machines []ids.MachineID
 			for i := range r.Count {
 				machines = append(machines, ids.MachineID(fmt.Sprintf("%s-%d", r.RequestID, i)))
 			}
-			b.c.ProvisioningGranted(b.now, r, machines)
+			h.c.ProvisioningGranted(h.now, r, machines)
 		}
 	}
 	return requests
--- a/scheduler/direct_calls_test.go
+++ b/scheduler/direct_calls_test.go
@@ -85,15 +85,15 @@
 // The address of a called machine may belong to another machine now. The answer of that machine
 // must not count as a heartbeat of either.
 func TestAnswerOfAnotherMachineIsIgnored(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.c.Begin(b.now)
-	b.heartbeat("n-1", "a", 0)
-	b.c.TakeCommands(b.now, "n-1")
-	b.c.CommandsResult(b.now, "n-1", &wire.Heartbeat{Machine: "n-2", Incarnation: 1, Sequence: 1})
-	if b.c.cluster.Machine("n-2") != nil {
+	h := newHarness(t, Options{})
+	h.c.Begin(h.now)
+	h.heartbeat("n-1", "a", 0)
+	h.c.TakeCommands(h.now, "n-1")
+	h.c.CommandsResult(h.now, "n-1", &wire.Heartbeat{Machine: "n-2", Incarnation: 1, Sequence: 1})
+	if h.c.cluster.Machine("n-2") != nil {
 		t.Error("the answer was applied as a heartbeat")
 	}
-	if m := b.c.cluster.Machine("n-1"); m.Commands.CallInFlight || m.Agent.AnsweredCall {
+	if m := h.c.cluster.Machine("n-1"); m.Commands.CallInFlight || m.Agent.AnsweredCall {
 		t.Errorf("call in flight: %v, answered: %v", m.Commands.CallInFlight, m.Agent.AnsweredCall)
 	}
 }
--- a/scheduler/failover_test.go
+++ b/scheduler/failover_test.go
@@ -18,18 +18,18 @@
 // of the service.
 func TestNextLeaderKeepsSpreadBeforeTheFirstHeartbeats(t *testing.T) {
 	for _, zones := range [][]ids.Zone{{"a", "a"}, nil} {
-		b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
-		b.inherit(wire.JobSpec{Service: true, Spread: true, Tasks: 3},
+		h := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
+		h.inherit(wire.JobSpec{Service: true, Spread: true, Tasks: 3},
 			records.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
-		b.c.Begin(b.now)
-		b.heartbeat("n-3", "a", ids.NewFencingToken(5, 0))
-		b.step()
-		if a := b.c.cluster.Job("job-1").Task(2).Assignment(); a != nil {
+		h.c.Begin(h.now)
+		h.heartbeat("n-3", "a", ids.NewFencingToken(5, 0))
+		h.step()
+		if a := h.c.cluster.Job("job-1").Task(2).Assignment(); a != nil {
 			t.Errorf("zones %v: the third replica was placed on %s in zone %s", zones, a.Machine.ID, a.Machine.Zone())
 		}
-		b.heartbeat("n-4", "b", ids.NewFencingToken(5, 0))
-		b.step()
-		if a := b.c.cluster.Job("job-1").Task(2).Assignment(); zones != nil && (a == nil || a.Machine.Zone() != "b") {
+		h.heartbeat("n-4", "b", ids.NewFencingToken(5, 0))
+		h.step()
+		if a := h.c.cluster.Job("job-1").Task(2).Assignment(); zones != nil && (a == nil || a.Machine.Zone() != "b") {
 			t.Errorf("zones %v: the third replica was not placed in zone b", zones)
 		}
 	}
@@ -38,16 +38,16 @@
 // A previous leader that is partitioned from the key-value store may continue to answer agents. Its
 // tasks may run until its grace period and a lease have elapsed, and must use quota until then.
 func TestTasksUseQuotaDuringThePreviousLeadersGrace(t *testing.T) {
-	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
-	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
-	b.c.Begin(b.now)
+	h := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
+	h.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	h.c.Begin(h.now)
 	for _, step := range []struct {
 		after time.Duration
 		used  bool
 	}{{simAgentLease + 5*time.Second, true}, {time.Minute + simAgentLease - time.Second, true}, {time.Minute + simAgentLease + 5*time.Second, false}} {
-		b.now = monotonic.Instant(time.Hour).Add(step.after)
-		b.step()
-		if used := b.c.quotas.Used("red").CPUs > 0; used != step.used {
+		h.now = monotonic.Instant(time.Hour).Add(step.after)
+		h.step()
+		if used := h.c.quotas.Used("red").CPUs > 0; used != step.used {
 			t.Errorf("after %v: quota used %v, want %v", step.after, used, step.used)
 		}
 	}
@@ -57,18 +57,18 @@
 // machine must then be released without waiting for the grace period, but only after a lease, since a
 // heartbeat sent just before may have been answered.
 func TestNoGraceOnceAllControllersFollow(t *testing.T) {
-	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: 10 * time.Minute}})
-	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
-	b.c.Begin(b.now)
+	h := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: 10 * time.Minute}})
+	h.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	h.c.Begin(h.now)
 	followed := 5 * time.Second
-	b.c.AllControllersFollow(b.now.Add(followed))
+	h.c.AllControllersFollow(h.now.Add(followed))
 	for _, step := range []struct {
 		after time.Duration
 		used  bool
 	}{{followed + simAgentLease, true}, {followed + simAgentLease + 2*time.Second, false}} {
-		b.now = monotonic.Instant(time.Hour).Add(step.after)
-		b.step()
-		if used := b.c.quotas.Used("red").CPUs > 0; used != step.used {
+		h.now = monotonic.Instant(time.Hour).Add(step.after)
+		h.step()
+		if used := h.c.quotas.Used("red").CPUs > 0; used != step.used {
 			t.Errorf("after %v: quota used %v, want %v", step.after, used, step.used)
 		}
 	}
@@ -77,14 +77,14 @@
 // A delayed record of a submission must not recreate a job that is terminal. Records of a job can be
 // observed out of order.
 func TestOlderRecordDoesNotRecreateAJob(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.c.Begin(b.now)
+	h := newHarness(t, Options{})
+	h.c.Begin(h.now)
 	spec := wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1}
-	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: &spec}, 9)
-	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobQueued, Tasks: 1, Spec: &spec}, 8)
-	b.heartbeat("n-1", "a", 0)
-	b.step()
-	if b.c.cluster.Job("job-1") != nil {
+	h.c.ObserveJob(h.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: &spec}, 9)
+	h.c.ObserveJob(h.now, "job-1", &records.Job{Status: wire.JobQueued, Tasks: 1, Spec: &spec}, 8)
+	h.heartbeat("n-1", "a", 0)
+	h.step()
+	if h.c.cluster.Job("job-1") != nil {
 		t.Fatal("the older record recreated the job")
 	}
 }
@@ -93,18 +93,18 @@
 // machine and never sees it listed. It must terminate the machine once the list must contain it.
 // Otherwise the machine's tasks use quota for about two minutes, the grace period and a lease.
 func TestMachineThatFailedDuringFailoverIsTerminated(t *testing.T) {
-	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: 90 * time.Second}, FleetOptions: FleetOptions{ListLag: 3 * time.Second}})
-	b.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
-	b.c.Begin(b.now)
+	h := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: 90 * time.Second}, FleetOptions: FleetOptions{ListLag: 3 * time.Second}})
+	h.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	h.c.Begin(h.now)
 	for s := range 20 {
-		b.now = b.now.Add(time.Second)
-		b.c.MachineList(b.now, b.now, nil)
-		if e := b.step(); slices.Contains(e.Terminate, "n-1") {
+		h.now = h.now.Add(time.Second)
+		h.c.MachineList(h.now, h.now, nil)
+		if e := h.step(); slices.Contains(e.Terminate, "n-1") {
 			if s < 7 {
 				t.Fatalf("terminated after %d s, within the lag of the list", s+1)
 			}
-			b.c.MachinesTerminated(b.now, e.Terminate)
-			if b.c.quotas.Used("red").CPUs != 0 {
+			h.c.MachinesTerminated(h.now, e.Terminate)
+			if h.c.quotas.Used("red").CPUs != 0 {
 				t.Fatal("the task still uses quota")
 			}
 			return
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -45,7 +45,7 @@
 	return &harness{t: t, c: New(opt, types), now: monotonic.Instant(time.Hour)}
 }
 
-func (b *harness) submit(id ids.JobID, spec wire.JobSpec) {
+func (h *harness) submit(id ids.JobID, spec wire.JobSpec) {
 	if spec.CPUs == 0 {
 		spec.CPUs = 2
 	}
@@ -53,16 +53,16 @@
 		spec.Team = "red"
 	}
 	spec.Image = "i"
-	b.c.ObserveJob(b.now, id, &records.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(len(b.c.cluster.Jobs()))}, ids.Revision(100+len(b.c.cluster.Jobs())))
+	h.c.ObserveJob(h.now, id, &records.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(len(h.c.cluster.Jobs()))}, ids.Revision(100+len(h.c.cluster.Jobs())))
 }
 
 // inherit loads job-1 and its admission record as a previous leader left them.
-func (b *harness) inherit(spec wire.JobSpec, rec records.AdmissionSlice) {
-	b.t.Helper()
+func (h *harness) inherit(spec wire.JobSpec, rec records.AdmissionSlice) {
+	h.t.Helper()
 	spec.Class, spec.Team, spec.CPUs, spec.Image = "c", "red", 2, "i"
-	b.c.LoadJob("job-1", &records.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec}, 3)
-	if err := b.c.LoadSlice("job-1", 0, &rec, 4); err != nil {
-		b.t.Fatal(err)
+	h.c.LoadJob("job-1", &records.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec}, 3)
+	if err := h.c.LoadSlice("job-1", 0, &rec, 4); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
@@ -78,41 +78,41 @@
 }
 
 // randomMachines brings machines up in random zones.
-func (b *harness) randomMachines(rng *rand.Rand, count int) {
+func (h *harness) randomMachines(rng *rand.Rand, count int) {
 	for n := range count {
-		b.heartbeat(ids.MachineID(fmt.Sprintf("n-%d", n)), []ids.Zone{"a", "b", "c"}[rng.IntN(3)], 0)
+		h.heartbeat(ids.MachineID(fmt.Sprintf("n-%d", n)), []ids.Zone{"a", "b", "c"}[rng.IntN(3)], 0)
 	}
 }
 
-func (b *harness) heartbeat(host ids.MachineID, zone ids.Zone, token ids.FencingToken, tasks ...wire.TaskStatus) wire.HeartbeatResponse {
-	b.sequence++
-	o, ok := b.c.Heartbeat(b.now, &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: zone, Incarnation: 1, Sequence: b.sequence,
+func (h *harness) heartbeat(host ids.MachineID, zone ids.Zone, token ids.FencingToken, tasks ...wire.TaskStatus) wire.HeartbeatResponse {
+	h.sequence++
+	o, ok := h.c.Heartbeat(h.now, &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: zone, Incarnation: 1, Sequence: h.sequence,
 		FencingToken: token, Tasks: tasks})
 	if !ok {
-		b.t.Fatalf("report of %s not answered", host)
+		h.t.Fatalf("report of %s not answered", host)
 	}
 	return o
 }
 
 // runTask begins the term with job-1 and has its only task run on n-1. It returns the
 // token that n-1 was shown, and the task as it is reported.
-func (b *harness) runTask() (ids.FencingToken, wire.TaskStatus) {
-	b.t.Helper()
-	b.c.Begin(b.now)
-	answer := b.heartbeat("n-1", "a", 0)
-	b.submit("job-1", wire.JobSpec{Tasks: 1})
-	b.step()
-	answer = b.heartbeat("n-1", "a", answer.FencingToken)
+func (h *harness) runTask() (ids.FencingToken, wire.TaskStatus) {
+	h.t.Helper()
+	h.c.Begin(h.now)
+	answer := h.heartbeat("n-1", "a", 0)
+	h.submit("job-1", wire.JobSpec{Tasks: 1})
+	h.step()
+	answer = h.heartbeat("n-1", "a", answer.FencingToken)
 	running := wire.TaskStatus{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
-	b.heartbeat("n-1", "a", answer.FencingToken, running)
+	h.heartbeat("n-1", "a", answer.FencingToken, running)
 	return answer.FencingToken, running
 }
 
 // step runs the core and commits whatever it decides, at once.
-func (b *harness) step() Decisions {
-	e := b.c.Step(b.now)
+func (h *harness) step() Decisions {
+	e := h.c.Step(h.now)
 	for _, ch := range e.RecordChanges {
-		b.c.CommitResult(b.now, records.CommitResult{Change: ch, Revision: ids.Revision(1000 + ch.ID)})
+		h.c.CommitResult(h.now, records.CommitResult{Change: ch, Revision: ids.Revision(1000 + ch.ID)})
 	}
 	return e
 }
--- a/scheduler/headroom_test.go
+++ b/scheduler/headroom_test.go
@@ -11,14 +11,14 @@
 // for it. If the planner counts the free capacity both for the headroom and as capacity that
 // fulfills the remaining demand, no machine is provisioned.
 func TestHeadroomIsProvisionedInAdditionToFreeCapacity(t *testing.T) {
-	fixture := newHarness(t, Options{FleetOptions: FleetOptions{Headroom: 3}, AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
-	fixture.c.Begin(fixture.now)
-	fixture.heartbeat("n-1", "a", 0)
-	fixture.submit("job-1", wire.JobSpec{Class: "hasty", Tasks: 2, CPUs: 2})
-	fixture.step()
-	fixture.now = fixture.now.Add(2 * time.Second)
-	fixture.heartbeat("n-1", "a", 0)
-	decisions := fixture.step()
+	h := newHarness(t, Options{FleetOptions: FleetOptions{Headroom: 3}, AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
+	h.c.Begin(h.now)
+	h.heartbeat("n-1", "a", 0)
+	h.submit("job-1", wire.JobSpec{Class: "hasty", Tasks: 2, CPUs: 2})
+	h.step()
+	h.now = h.now.Add(2 * time.Second)
+	h.heartbeat("n-1", "a", 0)
+	decisions := h.step()
 	provisioned := 0
 	for _, r := range decisions.Provision {
 		provisioned += r.Count
--- a/scheduler/liveness_test.go
+++ b/scheduler/liveness_test.go
@@ -14,28 +14,28 @@
 // A delayed duplicate heartbeat must not renew a lease. Its machine may have failed long before, and
 // the machine's tasks must then be released so that they can be placed elsewhere.
 func TestDuplicateHeartbeatsDoNotRenewALease(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.c.Begin(b.now)
-	response := b.heartbeat("n-1", "a", 0)
-	b.submit("job-1", wire.JobSpec{Tasks: 1, Service: true})
-	b.step()
-	response = b.heartbeat("n-1", "a", response.FencingToken)
+	h := newHarness(t, Options{})
+	h.c.Begin(h.now)
+	response := h.heartbeat("n-1", "a", 0)
+	h.submit("job-1", wire.JobSpec{Tasks: 1, Service: true})
+	h.step()
+	response = h.heartbeat("n-1", "a", response.FencingToken)
 	run := wire.TaskStatus{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
-	b.heartbeat("n-1", "a", response.FencingToken, run)
-	last := b.sequence
+	h.heartbeat("n-1", "a", response.FencingToken, run)
+	last := h.sequence
 	for s := range 60 {
-		b.now = b.now.Add(time.Second)
+		h.now = h.now.Add(time.Second)
 		for sequence := last - 1; sequence <= last; sequence++ { // an older heartbeat, and the newest one again
-			b.c.Heartbeat(b.now, newHeartbeat("n-1", 1, sequence, response.FencingToken, run))
+			h.c.Heartbeat(h.now, newHeartbeat("n-1", 1, sequence, response.FencingToken, run))
 		}
-		b.step()
-		if m := b.c.cluster.Machine("n-1"); m == nil || len(m.Assignments()) == 0 {
+		h.step()
+		if m := h.c.cluster.Machine("n-1"); m == nil || len(m.Assignments()) == 0 {
 			if time.Duration(s)*time.Second < simAgentLease {
 				t.Fatalf("the task was released after %d s, within the lease", s)
 			}
 			return
 		}
-		if s > 3 && b.c.health.usable(b.c.cluster.Machine("n-1")) && time.Duration(s)*time.Second > 2*simHeartbeatInterval {
+		if s > 3 && h.c.health.usable(h.c.cluster.Machine("n-1")) && time.Duration(s)*time.Second > 2*simHeartbeatInterval {
 			t.Fatalf("the machine is usable after %d s of duplicates alone", s)
 		}
 	}
@@ -44,14 +44,14 @@
 
 // A duplicate heartbeat must not make the leader recreate a machine that it has terminated.
 func TestDuplicateHeartbeatsDoNotRecreateTerminatedMachines(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.c.Begin(b.now)
-	b.heartbeat("n-1", "a", 0)
-	b.c.registry.terminateMachine(b.c.cluster.Machine("n-1"), "test")
-	b.step()
-	b.c.MachinesTerminated(b.now, []ids.MachineID{"n-1"})
-	b.heartbeat("n-1", "a", 0)
-	if b.c.cluster.Machine("n-1") != nil {
+	h := newHarness(t, Options{})
+	h.c.Begin(h.now)
+	h.heartbeat("n-1", "a", 0)
+	h.c.registry.terminateMachine(h.c.cluster.Machine("n-1"), "test")
+	h.step()
+	h.c.MachinesTerminated(h.now, []ids.MachineID{"n-1"})
+	h.heartbeat("n-1", "a", 0)
+	if h.c.cluster.Machine("n-1") != nil {
 		t.Fatal("the terminated machine was recreated")
 	}
 }
@@ -60,18 +60,18 @@
 // may come from one of them. It must place tasks only on a machine that shows the leader's fencing
 // token.
 func TestNextLeaderNeedsProofThatAMachineExists(t *testing.T) {
-	b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
-	b.c.Begin(b.now)
-	b.heartbeat("n-1", "a", ids.NewFencingToken(4, 7))
-	b.submit("job-1", wire.JobSpec{Tasks: 1})
-	b.step()
-	if b.c.cluster.Job("job-1").Task(0).Assignment() != nil {
+	h := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
+	h.c.Begin(h.now)
+	h.heartbeat("n-1", "a", ids.NewFencingToken(4, 7))
+	h.submit("job-1", wire.JobSpec{Tasks: 1})
+	h.step()
+	if h.c.cluster.Job("job-1").Task(0).Assignment() != nil {
 		t.Fatal("the next leader placed a task on a machine that showed only an old fencing token")
 	}
-	b.heartbeat("n-1", "a", ids.NewFencingToken(5, 0))
-	b.c.rounds.MarkDue()
-	b.step()
-	if b.c.cluster.Job("job-1").Task(0).Assignment() == nil {
+	h.heartbeat("n-1", "a", ids.NewFencingToken(5, 0))
+	h.c.rounds.MarkDue()
+	h.step()
+	if h.c.cluster.Job("job-1").Task(0).Assignment() == nil {
 		t.Fatal("no task was placed on a machine that showed this leader's fencing token")
 	}
 }
--- a/scheduler/machine_check_test.go
+++ b/scheduler/machine_check_test.go
@@ -14,13 +14,13 @@
 // partitioned, it often sends heartbeats again before a replacement could boot, so it must not be
 // terminated as soon as its lease expires.
 func TestMachineThatMissesHeartbeatsIsNotTerminatedImmediately(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.c.Begin(b.now)
-	b.heartbeat("n-1", "a", 0)
-	start := b.now
-	for ; b.now < start.Add(3*simAgentLease); b.now = b.now.Add(time.Second) {
-		if e := b.step(); len(e.Terminate) > 0 {
-			if after := b.now.Sub(start); after < missedHeartbeatLeases*simAgentLease {
+	h := newHarness(t, Options{})
+	h.c.Begin(h.now)
+	h.heartbeat("n-1", "a", 0)
+	start := h.now
+	for ; h.now < start.Add(3*simAgentLease); h.now = h.now.Add(time.Second) {
+		if e := h.step(); len(e.Terminate) > 0 {
+			if after := h.now.Sub(start); after < missedHeartbeatLeases*simAgentLease {
 				t.Errorf("terminated after %v, too early", after)
 			}
 			return
@@ -32,11 +32,11 @@
 // A machine that never boots must be terminated after its boot deadline. Otherwise it incurs costs
 // indefinitely.
 func TestMachineThatNeverBootsIsTerminated(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.c.ProvisioningGranted(b.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"})
+	h := newHarness(t, Options{})
+	h.c.ProvisioningGranted(h.now, wire.ProvisionRequest{Type: "m", Zone: "a", Count: 1}, []ids.MachineID{"n-9"})
 	for range 120 {
-		b.now = b.now.Add(500 * time.Millisecond)
-		if len(b.step().Terminate) > 0 {
+		h.now = h.now.Add(500 * time.Millisecond)
+		if len(h.step().Terminate) > 0 {
 			return
 		}
 	}
@@ -46,13 +46,13 @@
 // The task of a cancelled job must end within the cancel deadline even if its machine sends heartbeats
 // but does not carry out commands. The machine must then be terminated.
 func TestCancelledTaskOnAnUnreachableMachine(t *testing.T) {
-	b := newHarness(t, Options{})
-	token, running := b.runTask()
-	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: b.c.cluster.Job("job-1").Spec}, 500)
+	h := newHarness(t, Options{})
+	token, running := h.runTask()
+	h.c.ObserveJob(h.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: h.c.cluster.Job("job-1").Spec}, 500)
 	for s := range 52 {
-		b.now = b.now.Add(time.Second)
-		b.heartbeat("n-1", "a", token, running)
-		if slices.Contains(b.step().Terminate, "n-1") {
+		h.now = h.now.Add(time.Second)
+		h.heartbeat("n-1", "a", token, running)
+		if slices.Contains(h.step().Terminate, "n-1") {
 			if s < 10 {
 				t.Fatalf("terminated after %d s, before the agent had time to end the task", s)
 			}
--- a/scheduler/plain_model_test.go
+++ b/scheduler/plain_model_test.go
@@ -349,9 +349,9 @@
 }
 
 // placements lists what is on the machines, as TASK@MACHINE by assignment.
-func (b *harness) placements() map[*cluster.Assignment]string {
+func (h *harness) placements() map[*cluster.Assignment]string {
 	out := map[*cluster.Assignment]string{}
-	for _, m := range b.c.cluster.Machines() {
+	for _, m := range h.c.cluster.Machines() {
 		for _, a := range m.Assignments() {
 			out[a] = fmt.Sprintf("%s@%s", a.Ref(), m.ID)
 		}
@@ -361,22 +361,22 @@
 
 // compareWithModel runs one round of the core and of the plain model, and returns how many
 // tasks both have placed. Preemption is left out, as the model knows only admission.
-func (b *harness) compareWithModel() int {
-	b.t.Helper()
-	want := newPlainModel(b.c).admit()
-	before := b.placements()
-	b.c.clock.Set(b.now)
-	b.c.quota.updateSurplus()
-	b.c.admission.admitAll(b.c.queue.waitingJobs())
+func (h *harness) compareWithModel() int {
+	h.t.Helper()
+	want := newPlainModel(h.c).admit()
+	before := h.placements()
+	h.c.clock.Set(h.now)
+	h.c.quota.updateSurplus()
+	h.c.admission.admitAll(h.c.queue.waitingJobs())
 	var got []string
-	for a, name := range b.placements() {
+	for a, name := range h.placements() {
 		if _, old := before[a]; !old {
 			got = append(got, name)
 		}
 	}
 	slices.Sort(got)
 	if !slices.Equal(got, want) {
-		b.t.Fatalf("placements of the core  %v\nplacements of the model %v", got, want)
+		h.t.Fatalf("placements of the core  %v\nplacements of the model %v", got, want)
 	}
 	return len(got)
 }
@@ -392,12 +392,12 @@
 
 // reserveCapacity lets a second pass, updates the reservations and counts the machines
 // that are reserved.
-func (b *harness) reserveCapacity() int {
-	b.now = b.now.Add(time.Second)
-	b.c.clock.Set(b.now)
-	b.c.reservations.update(b.c.queue.waitingJobs())
+func (h *harness) reserveCapacity() int {
+	h.now = h.now.Add(time.Second)
+	h.c.clock.Set(h.now)
+	h.c.reservations.update(h.c.queue.waitingJobs())
 	reserved := 0
-	for _, m := range b.c.cluster.Machines() {
+	for _, m := range h.c.cluster.Machines() {
 		if m.Admission.ReservedFor != nil {
 			reserved++
 		}
@@ -411,16 +411,16 @@
 	for seed := range uint64(seeds) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		teams := randomTeams(rng, func() float64 { return float64(rng.IntN(3)) / 2 })
-		b := newHarness(t, Options{Teams: teams, AdmissionOptions: AdmissionOptions{ReserveAfter: time.Second, ReserveFor: time.Hour}})
-		b.c.Begin(b.now)
-		b.randomMachines(rng, 1+rng.IntN(6))
+		h := newHarness(t, Options{Teams: teams, AdmissionOptions: AdmissionOptions{ReserveAfter: time.Second, ReserveFor: time.Hour}})
+		h.c.Begin(h.now)
+		h.randomMachines(rng, 1+rng.IntN(6))
 		for round := range rounds {
 			for n := range rng.IntN(6) {
-				b.submit(ids.JobID(fmt.Sprintf("job-%d-%d", round, n)), randomModelSpec(rng, teams))
+				h.submit(ids.JobID(fmt.Sprintf("job-%d-%d", round, n)), randomModelSpec(rng, teams))
 			}
-			placed += b.compareWithModel()
+			placed += h.compareWithModel()
 			if seed >= firstWithReservations {
-				reserved += b.reserveCapacity()
+				reserved += h.reserveCapacity()
 			}
 		}
 	}
--- a/scheduler/preemption_test.go
+++ b/scheduler/preemption_test.go
@@ -15,29 +15,29 @@
 // A job of higher priority preempts tasks of its own team if the team is at its limit, but no more
 // tasks than it needs.
 func TestPreemptsWithinTeamAtItsLimit(t *testing.T) {
-	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4}, Limit: quota.Amount{CPUs: 4}}}})
-	b.c.Begin(b.now)
-	b.heartbeat("n-1", "a", 0)
-	b.submit("job-low", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
-	b.step()
-	o := b.heartbeat("n-1", "a", 0)
+	h := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4}, Limit: quota.Amount{CPUs: 4}}}})
+	h.c.Begin(h.now)
+	h.heartbeat("n-1", "a", 0)
+	h.submit("job-low", wire.JobSpec{Tasks: 2, Priority: wire.Normal})
+	h.step()
+	o := h.heartbeat("n-1", "a", 0)
 	var statuses []wire.TaskStatus
 	for i := range 2 {
 		statuses = append(statuses, wire.TaskStatus{Name: fmt.Sprintf("job-low/%d", i), Attempt: 1, State: wire.TaskRunning})
 	}
-	b.heartbeat("n-1", "a", o.FencingToken, statuses...)
-	b.submit("job-high", wire.JobSpec{Tasks: 1, Priority: wire.High})
-	b.step()
-	o = b.heartbeat("n-1", "a", o.FencingToken, statuses...)
+	h.heartbeat("n-1", "a", o.FencingToken, statuses...)
+	h.submit("job-high", wire.JobSpec{Tasks: 1, Priority: wire.High})
+	h.step()
+	o = h.heartbeat("n-1", "a", o.FencingToken, statuses...)
 	kills := commandsWith(o.Commands, wire.VerbKill)
 	if len(kills) != 1 {
 		t.Fatalf("kill commands %v, want one", kills)
 	}
 	i := slices.IndexFunc(statuses, func(s wire.TaskStatus) bool { return s.Name+"#1" == kills[0] })
 	statuses[i].State, statuses[i].Cause = wire.TaskEnded, wire.CauseStopped
-	b.heartbeat("n-1", "a", o.FencingToken, statuses...)
-	b.step()
-	if b.c.cluster.Job("job-high").Task(0).Assignment() == nil {
+	h.heartbeat("n-1", "a", o.FencingToken, statuses...)
+	h.step()
+	if h.c.cluster.Job("job-high").Task(0).Assignment() == nil {
 		t.Fatal("the job of higher priority was not placed")
 	}
 }
@@ -51,20 +51,20 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		teams := randomTeams(rng, func() float64 { return 1 })
-		b := newHarness(t, Options{Teams: teams, AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
-		b.c.Begin(b.now)
-		b.randomMachines(rng, 1+rng.IntN(5))
+		h := newHarness(t, Options{Teams: teams, AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
+		h.c.Begin(h.now)
+		h.randomMachines(rng, 1+rng.IntN(5))
 		for round := range 4 {
 			for n := range rng.IntN(5) {
-				b.submit(ids.JobID(fmt.Sprintf("job-%d-%d", round, n)), randomPreemptionSpec(rng, teams))
+				h.submit(ids.JobID(fmt.Sprintf("job-%d-%d", round, n)), randomPreemptionSpec(rng, teams))
 			}
-			before := b.attempts()
-			settled := b.attemptsAfterRounds(8)
-			if now := b.attemptsAfterRounds(8); now != settled {
+			before := h.attempts()
+			settled := h.attemptsAfterRounds(8)
+			if now := h.attemptsAfterRounds(8); now != settled {
 				t.Fatalf("seed %d round %d: %d attempts at first, then %d, then %d, without any event", seed, round, before, settled, now)
 			}
 		}
-		for _, j := range b.c.cluster.Jobs() {
+		for _, j := range h.c.cluster.Jobs() {
 			if j.Queue.RetryAt > 0 {
 				preempted++
 			}
@@ -85,9 +85,9 @@
 }
 
 // attempts returns the sum of the attempts of all tasks.
-func (b *harness) attempts() int {
+func (h *harness) attempts() int {
 	sum := 0
-	for _, j := range b.c.cluster.Jobs() {
+	for _, j := range h.c.cluster.Jobs() {
 		for i := range j.Tasks() {
 			sum += int(j.Task(i).Attempt())
 		}
@@ -96,10 +96,10 @@
 }
 
 // attemptsAfterRounds runs scheduling rounds and returns the sum of the attempts of all tasks.
-func (b *harness) attemptsAfterRounds(rounds int) int {
+func (h *harness) attemptsAfterRounds(rounds int) int {
 	for range rounds {
-		b.c.rounds.MarkDue()
-		b.step()
+		h.c.rounds.MarkDue()
+		h.step()
 	}
-	return b.attempts()
+	return h.attempts()
 }
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -18,40 +18,40 @@
 	margin := CancelMargin(simCancelDeadline, simAgentLease)
 	for _, c := range []struct {
 		name         string
-		arrange      func(b *harness)
+		arrange      func(h *harness)
 		acknowledged bool
 	}{
 		{"no machine sent a heartbeat", func(*harness) {}, false},
-		{"one machine showed this leader's token", func(b *harness) { b.heartbeat("n-1", "a", ids.NewFencingToken(5, 0)) }, false},
-		{"both machines showed this leader's token", func(b *harness) {
-			b.heartbeat("n-1", "a", ids.NewFencingToken(5, 0))
-			b.heartbeat("n-2", "a", ids.NewFencingToken(5, 0))
+		{"one machine showed this leader's token", func(h *harness) { h.heartbeat("n-1", "a", ids.NewFencingToken(5, 0)) }, false},
+		{"both machines showed this leader's token", func(h *harness) {
+			h.heartbeat("n-1", "a", ids.NewFencingToken(5, 0))
+			h.heartbeat("n-2", "a", ids.NewFencingToken(5, 0))
 		}, true},
-		{"both machines showed a previous leader's token", func(b *harness) {
-			b.heartbeat("n-1", "a", ids.NewFencingToken(4, 0))
-			b.heartbeat("n-2", "a", ids.NewFencingToken(4, 0))
+		{"both machines showed a previous leader's token", func(h *harness) {
+			h.heartbeat("n-1", "a", ids.NewFencingToken(4, 0))
+			h.heartbeat("n-2", "a", ids.NewFencingToken(4, 0))
 		}, false},
-		{"its machines were terminated", func(b *harness) { b.c.MachinesTerminated(b.now, []ids.MachineID{"n-1", "n-2"}) }, true},
-		{"all controllers follow", func(b *harness) { b.c.AllControllersFollow(b.now) }, true},
-		{"just before the margin", func(b *harness) { b.now = b.now.Add(grace - margin - time.Second) }, false},
-		{"within the margin", func(b *harness) { b.now = b.now.Add(grace - margin) }, true},
+		{"its machines were terminated", func(h *harness) { h.c.MachinesTerminated(h.now, []ids.MachineID{"n-1", "n-2"}) }, true},
+		{"all controllers follow", func(h *harness) { h.c.AllControllersFollow(h.now) }, true},
+		{"just before the margin", func(h *harness) { h.now = h.now.Add(grace - margin - time.Second) }, false},
+		{"within the margin", func(h *harness) { h.now = h.now.Add(grace - margin) }, true},
 	} {
-		b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: grace}})
-		b.inherit(wire.JobSpec{Service: true, Tasks: 2}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
-		b.c.Begin(b.now)
+		h := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: grace}})
+		h.inherit(wire.JobSpec{Service: true, Tasks: 2}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
+		h.c.Begin(h.now)
 		spec := wire.JobSpec{Service: true, Tasks: 2, Class: "c", Team: "red", CPUs: 2, Image: "i"}
-		b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 2, Spec: &spec}, 50)
-		c.arrange(b)
-		if got := b.c.CanAcknowledgeCancel(b.now, "job-1"); got != c.acknowledged {
+		h.c.ObserveJob(h.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 2, Spec: &spec}, 50)
+		c.arrange(h)
+		if got := h.c.CanAcknowledgeCancel(h.now, "job-1"); got != c.acknowledged {
 			t.Errorf("%s: acknowledged: %v", c.name, got)
 		}
-		if !b.c.CanAcknowledgeCancel(b.now, "job-2") {
+		if !h.c.CanAcknowledgeCancel(h.now, "job-2") {
 			t.Errorf("%s: the cancellation of a job without tasks was not acknowledged", c.name)
 		}
 	}
-	b := newHarness(t, Options{})
-	b.c.Begin(b.now)
-	if !b.c.PreviousLeadersWithinCancelMargin(b.now) {
+	h := newHarness(t, Options{})
+	h.c.Begin(h.now)
+	if !h.c.PreviousLeadersWithinCancelMargin(h.now) {
 		t.Error("the first leader waits for previous leaders although there are none")
 	}
 }
@@ -73,21 +73,21 @@
 		{"a service", true, false, margin + 45*time.Second + simAgentLease},
 		{"an array, and another record that cannot be read", false, true, margin + 45*time.Second + simAgentLease},
 	} {
-		b := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: margin + 45*time.Second, PreviousLeaderGraceWithoutReplicas: margin}})
+		h := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: margin + 45*time.Second, PreviousLeaderGraceWithoutReplicas: margin}})
 		if c.unreadable {
-			b.c.LoadUnreadableJob("job-9")
+			h.c.LoadUnreadableJob("job-9")
 		}
-		b.inherit(wire.JobSpec{Service: c.service, Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
-		b.c.Begin(b.now)
-		began, delayed := b.now, c.service || c.unreadable
-		if got := b.c.CanAcknowledgeCancel(b.now, "job-1"); got == delayed {
+		h.inherit(wire.JobSpec{Service: c.service, Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+		h.c.Begin(h.now)
+		began, delayed := h.now, c.service || c.unreadable
+		if got := h.c.CanAcknowledgeCancel(h.now, "job-1"); got == delayed {
 			t.Errorf("%s: cancellation acknowledged: %v", c.name, got)
 		}
-		for len(b.c.cluster.Job("job-1").Active()) > 0 && b.now < began.Add(3*time.Minute) {
-			b.now = b.now.Add(500 * time.Millisecond)
-			b.step()
+		for len(h.c.cluster.Job("job-1").Active()) > 0 && h.now < began.Add(3*time.Minute) {
+			h.now = h.now.Add(500 * time.Millisecond)
+			h.step()
 		}
-		if released := b.now.Sub(began); released < c.released || released > c.released+2*time.Second {
+		if released := h.now.Sub(began); released < c.released || released > c.released+2*time.Second {
 			t.Errorf("%s: released after %v, want %v", c.name, released, c.released)
 		}
 	}
@@ -96,34 +96,34 @@
 // A leader that cannot rule out a later leader is restricted to machines with recorded replicas. It must
 // then answer no other machine, not even a duplicate of a heartbeat that it has answered before.
 func TestOnlyMachinesWithReplicasAreAnswered(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.heartbeat("n-1", "a", 0)
-	b.submit("job-1", wire.JobSpec{Service: true, Tasks: 1})
-	b.c.Step(b.now) // the replica is placed, and the write of its record is in flight
+	h := newHarness(t, Options{})
+	h.heartbeat("n-1", "a", 0)
+	h.submit("job-1", wire.JobSpec{Service: true, Tasks: 1})
+	h.c.Step(h.now) // the replica is placed, and the write of its record is in flight
 	answered := func(machine ids.MachineID, sequence ids.Sequence) bool {
-		_, ok := b.c.Heartbeat(b.now, newHeartbeat(machine, 1, sequence, 0))
+		_, ok := h.c.Heartbeat(h.now, newHeartbeat(machine, 1, sequence, 0))
 		return ok
 	}
-	b.c.RestrictToReplicas(true)
+	h.c.RestrictToReplicas(true)
 	if answered("n-1", 100) {
 		t.Error("a machine whose replica is not recorded was answered")
 	}
-	b.c.RestrictToReplicas(false)
-	b.step()
-	b.c.CommitResult(b.now, records.CommitResult{Change: records.Change{ID: 1}, Revision: 900})
+	h.c.RestrictToReplicas(false)
+	h.step()
+	h.c.CommitResult(h.now, records.CommitResult{Change: records.Change{ID: 1}, Revision: 900})
 	answered("n-2", 1)
-	b.c.RestrictToReplicas(true)
+	h.c.RestrictToReplicas(true)
 	if !answered("n-1", 101) {
 		t.Error("a machine with a recorded replica was not answered")
 	}
 	if answered("n-2", 2) || answered("n-2", 1) || answered("n-3", 1) {
 		t.Error("a machine without a recorded replica was answered")
 	}
-	b.c.MachinesTerminated(b.now, []ids.MachineID{"n-2"})
+	h.c.MachinesTerminated(h.now, []ids.MachineID{"n-2"})
 	if answered("n-2", 3) {
 		t.Error("a terminated machine was answered")
 	}
-	b.c.RestrictToReplicas(false)
+	h.c.RestrictToReplicas(false)
 	if !answered("n-3", 2) {
 		t.Error("a machine was not answered after the restriction was lifted")
 	}
--- a/scheduler/reachability_test.go
+++ b/scheduler/reachability_test.go
@@ -23,61 +23,61 @@
 // indefinitely without running any. It must get no further tasks and must be terminated. Its tasks
 // must be placed elsewhere only after the termination.
 func TestUnreachableMachineIsTerminated(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.c.Begin(b.now)
-	b.heartbeat("n-1", "a", 0)
-	b.submit("job-1", wire.JobSpec{Tasks: 1})
-	b.step()
-	b.step()
-	b.awaitTerminationOfUnreachable()
-	b.heartbeat("n-2", "a", 0)
-	b.c.MachinesTerminated(b.now, []ids.MachineID{"n-1"})
-	b.step()
-	if a := b.assignmentOf("job-1"); a == nil || a.Machine.ID != "n-2" {
+	h := newHarness(t, Options{})
+	h.c.Begin(h.now)
+	h.heartbeat("n-1", "a", 0)
+	h.submit("job-1", wire.JobSpec{Tasks: 1})
+	h.step()
+	h.step()
+	h.awaitTerminationOfUnreachable()
+	h.heartbeat("n-2", "a", 0)
+	h.c.MachinesTerminated(h.now, []ids.MachineID{"n-1"})
+	h.step()
+	if a := h.assignmentOf("job-1"); a == nil || a.Machine.ID != "n-2" {
 		t.Fatal("the task was not placed on the other machine")
 	}
 }
 
 // awaitTerminationOfUnreachable steps until n-1, which receives no command, is terminated. It fails the
 // test if the task of job-1 is released before, or if job-2, submitted in the meantime, is placed.
-func (b *harness) awaitTerminationOfUnreachable() {
-	b.t.Helper()
+func (h *harness) awaitTerminationOfUnreachable() {
+	h.t.Helper()
 	for s := range 40 {
-		b.now = b.now.Add(time.Second)
-		e := b.step()
-		b.dropCommands(e)
+		h.now = h.now.Add(time.Second)
+		e := h.step()
+		h.dropCommands(e)
 		if s%3 == 0 {
-			b.heartbeat("n-1", "a", 0)
+			h.heartbeat("n-1", "a", 0)
 		}
 		if s == 16 {
-			b.submit("job-2", wire.JobSpec{Tasks: 1})
+			h.submit("job-2", wire.JobSpec{Tasks: 1})
 		}
-		if b.assignmentOf("job-2") != nil {
-			b.t.Fatalf("after %d s: a new task was placed on the unreachable machine", s)
+		if h.assignmentOf("job-2") != nil {
+			h.t.Fatalf("after %d s: a new task was placed on the unreachable machine", s)
 		}
-		if b.assignmentOf("job-1") == nil {
-			b.t.Fatalf("after %d s: the task was released before its machine was terminated", s)
+		if h.assignmentOf("job-1") == nil {
+			h.t.Fatalf("after %d s: the task was released before its machine was terminated", s)
 		}
 		if slices.Contains(e.Terminate, "n-1") {
 			return
 		}
 	}
-	b.t.Fatal("the unreachable machine was not terminated")
+	h.t.Fatal("the unreachable machine was not terminated")
 }
 
 // dropCommands takes the commands that a step sends, and reports that no call got a response.
-func (b *harness) dropCommands(e Decisions) {
+func (h *harness) dropCommands(e Decisions) {
 	for _, machine := range e.SendCommands {
-		if _, _, ok := b.c.TakeCommands(b.now, machine); ok {
-			b.c.CommandsResult(b.now, machine, nil)
+		if _, _, ok := h.c.TakeCommands(h.now, machine); ok {
+			h.c.CommandsResult(h.now, machine, nil)
 		}
 	}
 }
 
 // assignmentOf returns the assignment of a job's first task, or nil if the job does not exist or the
 // task has no assignment.
-func (b *harness) assignmentOf(id ids.JobID) *cluster.Assignment {
-	if j := b.c.cluster.Job(id); j != nil {
+func (h *harness) assignmentOf(id ids.JobID) *cluster.Assignment {
+	if j := h.c.cluster.Job(id); j != nil {
 		return j.Task(0).Assignment()
 	}
 	return nil
@@ -96,24 +96,24 @@
 		{"receives messages again", ids.NewFencingToken(5, 1), false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newHarness(t, Options{})
-			b.c.Begin(b.now)
-			first := b.heartbeat("n-1", "a", 0).FencingToken
-			b.heartbeat("n-1", "a", first)
-			b.now = b.now.Add(simHeartbeatInterval)
-			b.secondIncarnation(first)
-			b.submit("job-1", wire.JobSpec{Tasks: 1})
-			b.step()
-			if b.assignmentOf("job-1") != nil {
+			h := newHarness(t, Options{})
+			h.c.Begin(h.now)
+			first := h.heartbeat("n-1", "a", 0).FencingToken
+			h.heartbeat("n-1", "a", first)
+			h.now = h.now.Add(simHeartbeatInterval)
+			h.secondIncarnation(first)
+			h.submit("job-1", wire.JobSpec{Tasks: 1})
+			h.step()
+			if h.assignmentOf("job-1") != nil {
 				t.Fatal("a task was placed on a machine that may receive no messages")
 			}
 			var terminated bool
-			for s := 0; s < 20 && b.assignmentOf("job-1") == nil; s++ {
-				b.now = b.now.Add(time.Second)
-				b.secondIncarnation(cmp.Or(c.shows, first))
-				terminated = terminated || slices.Contains(b.step().Terminate, "n-1")
+			for s := 0; s < 20 && h.assignmentOf("job-1") == nil; s++ {
+				h.now = h.now.Add(time.Second)
+				h.secondIncarnation(cmp.Or(c.shows, first))
+				terminated = terminated || slices.Contains(h.step().Terminate, "n-1")
 			}
-			if placed := b.assignmentOf("job-1") != nil; terminated != c.terminated || placed == c.terminated {
+			if placed := h.assignmentOf("job-1") != nil; terminated != c.terminated || placed == c.terminated {
 				t.Errorf("terminated: %v, task placed: %v", terminated, placed)
 			}
 		})
@@ -121,9 +121,9 @@
 }
 
 // secondIncarnation sends a heartbeat of the second incarnation of n-1's agent.
-func (b *harness) secondIncarnation(token ids.FencingToken) {
-	b.sequence++
-	b.c.Heartbeat(b.now, newHeartbeat("n-1", 2, b.sequence, token))
+func (h *harness) secondIncarnation(token ids.FencingToken) {
+	h.sequence++
+	h.c.Heartbeat(h.now, newHeartbeat("n-1", 2, h.sequence, token))
 }
 
 // countingTokens counts how often the fencing token was raised.
--- a/scheduler/reap_commands_test.go
+++ b/scheduler/reap_commands_test.go
@@ -54,23 +54,23 @@
 		{"the last task of the job is done", wire.CauseDone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newHarness(t, Options{})
-			token, ended := b.runTask()
+			h := newHarness(t, Options{})
+			token, ended := h.runTask()
 			ended.State, ended.Cause = wire.TaskEnded, tc.cause
 			countReaps := func() int {
-				answer := b.heartbeat("n-1", "a", token, ended)
+				answer := h.heartbeat("n-1", "a", token, ended)
 				token = answer.FencingToken
 				return len(commandsWith(answer.Commands, wire.VerbReap))
 			}
 			if n := countReaps(); n != 0 {
 				t.Errorf("%d reaped before the end is written", n)
 			}
-			changes := b.c.Step(b.now).RecordChanges
+			changes := h.c.Step(h.now).RecordChanges
 			if n := countReaps(); len(changes) == 0 || n != 0 {
 				t.Errorf("%d reaped while %d changes are in flight", n, len(changes))
 			}
 			for _, change := range changes {
-				b.c.CommitResult(b.now, records.CommitResult{Change: change, Revision: 1000})
+				h.c.CommitResult(h.now, records.CommitResult{Change: change, Revision: 1000})
 			}
 			if n := countReaps(); n != 1 {
 				t.Errorf("%d reaped after the commit", n)
@@ -81,15 +81,15 @@
 
 // An attempt whose own record is up to date is not reaped until its job is recorded as done.
 func TestReapWaitsForTheEndOfTheJob(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.c.Begin(b.now)
-	b.submit("job-1", wire.JobSpec{Tasks: 1, CPUs: 99}) // fits no machine
+	h := newHarness(t, Options{})
+	h.c.Begin(h.now)
+	h.submit("job-1", wire.JobSpec{Tasks: 1, CPUs: 99}) // fits no machine
 	ended := wire.TaskStatus{Name: "job-1/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseDone}
-	if answer := b.heartbeat("n-1", "a", 0, ended); len(commandsWith(answer.Commands, wire.VerbReap)) != 1 {
+	if answer := h.heartbeat("n-1", "a", 0, ended); len(commandsWith(answer.Commands, wire.VerbReap)) != 1 {
 		t.Fatalf("commands: %+v", answer.Commands)
 	}
-	b.c.records.markCompletable(b.c.cluster.Job("job-1"))
-	if answer := b.heartbeat("n-1", "a", 0, ended); len(commandsWith(answer.Commands, wire.VerbReap)) != 0 {
+	h.c.records.markCompletable(h.c.cluster.Job("job-1"))
+	if answer := h.heartbeat("n-1", "a", 0, ended); len(commandsWith(answer.Commands, wire.VerbReap)) != 0 {
 		t.Errorf("reaped before the end of the job is recorded: %+v", answer.Commands)
 	}
 }
--- a/scheduler/record_budget_test.go
+++ b/scheduler/record_budget_test.go
@@ -37,9 +37,9 @@
 
 // A rate of 0 means that there is no limit, not that no write is allowed.
 func TestWritesAreAllowedWithoutALimit(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.c.records.budget.spend(1000)
-	if !b.c.records.mayWrite() {
+	h := newHarness(t, Options{})
+	h.c.records.budget.spend(1000)
+	if !h.c.records.mayWrite() {
 		t.Error("a write is not allowed although there is no limit")
 	}
 }
--- a/scheduler/record_dirty_test.go
+++ b/scheduler/record_dirty_test.go
@@ -89,12 +89,12 @@
 // Slices are sorted by the priority of their jobs, then by job ID and slice number, so that the
 // same events give the same decisions.
 func TestSlicesAreWrittenByPriority(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.submit("job-1", wire.JobSpec{Tasks: 8, Priority: wire.Normal})
-	b.submit("job-2", wire.JobSpec{Tasks: 1, Priority: wire.High})
-	b.submit("job-0", wire.JobSpec{Tasks: 1, Priority: wire.Normal})
+	h := newHarness(t, Options{})
+	h.submit("job-1", wire.JobSpec{Tasks: 8, Priority: wire.Normal})
+	h.submit("job-2", wire.JobSpec{Tasks: 1, Priority: wire.High})
+	h.submit("job-0", wire.JobSpec{Tasks: 1, Priority: wire.Normal})
 	slice := func(id ids.JobID, number int) dirtySlice {
-		j := b.c.cluster.Job(id)
+		j := h.c.cluster.Job(id)
 		return dirtySlice{j, j.Slices()[number]}
 	}
 	list := []dirtySlice{slice("job-1", 1), slice("job-1", 0), slice("job-2", 0), slice("job-0", 0)}
--- a/scheduler/reservations_test.go
+++ b/scheduler/reservations_test.go
@@ -25,7 +25,7 @@
 func runBestEffortScenario(t *testing.T, reserveAfter time.Duration) bestEffortResult {
 	t.Helper()
 	const bestEffortJob = "job-guest"
-	b := newHarness(t, Options{
+	h := newHarness(t, Options{
 		Teams: []quota.Team{
 			{Name: "red", Nominal: quota.Amount{CPUs: 40}, Limit: quota.Amount{CPUs: 48}, LendingLimit: quota.Amount{CPUs: 40}},
 			{Name: "guest", Limit: quota.Unlimited}},
@@ -34,7 +34,7 @@
 			ReserveFor:   90 * time.Second,
 		},
 	})
-	b.c.Begin(b.now)
+	h.c.Begin(h.now)
 	var result bestEffortResult
 	var submittedAt, startedAt monotonic.Instant
 	tick := 0
@@ -48,23 +48,23 @@
 	agents.observe = func(command wire.Command) {
 		switch isBestEffort := strings.HasPrefix(command.Name, bestEffortJob); {
 		case isBestEffort && command.Verb == wire.VerbRun && startedAt == 0:
-			startedAt, result.startedAfter = b.now, b.now.Sub(submittedAt)
+			startedAt, result.startedAfter = h.now, h.now.Sub(submittedAt)
 		case isBestEffort && command.Verb == wire.VerbKill && result.stoppedAfter == 0:
-			result.stoppedAfter = b.now.Sub(startedAt)
+			result.stoppedAfter = h.now.Sub(startedAt)
 		}
 	}
 	for ; tick < 420; tick++ {
-		b.now = b.now.Add(time.Second)
+		h.now = h.now.Add(time.Second)
 		if tick%2 == 0 {
-			b.submit(ids.JobID(fmt.Sprintf("job-s%d", tick)), wire.JobSpec{Class: "c", Tasks: 4, CPUs: 2, Priority: wire.Normal})
+			h.submit(ids.JobID(fmt.Sprintf("job-s%d", tick)), wire.JobSpec{Class: "c", Tasks: 4, CPUs: 2, Priority: wire.Normal})
 		}
 		if tick == 20 {
-			submittedAt = b.now
-			b.submit(bestEffortJob, wire.JobSpec{Class: "g", Team: "guest", Tasks: 9, CPUs: 8})
+			submittedAt = h.now
+			h.submit(bestEffortJob, wire.JobSpec{Class: "g", Team: "guest", Tasks: 9, CPUs: 8})
 		}
-		b.step()
+		h.step()
 		result.maxTasks = max(result.maxTasks, agents.count(bestEffortJob))
-		agents.sendHeartbeats(b)
+		agents.sendHeartbeats(h)
 	}
 	return result
 }
@@ -100,23 +100,23 @@
 // returns how long after its submission the large one started, or 0 if it did not start.
 func largeJobStartDelay(t *testing.T, reserveAfter time.Duration) time.Duration {
 	t.Helper()
-	b := newHarness(t, Options{AdmissionOptions: AdmissionOptions{ReserveAfter: reserveAfter, ReserveFor: time.Minute}})
-	b.c.Begin(b.now)
+	h := newHarness(t, Options{AdmissionOptions: AdmissionOptions{ReserveAfter: reserveAfter, ReserveFor: time.Minute}})
+	h.c.Begin(h.now)
 	tick := 0
 	runTime := func(_ string, count int) time.Duration { return staggeredRunTime(tick, count) }
 	agents := newTestAgents(runTime, "n-1", "n-2", "n-3", "n-4", "n-5", "n-6")
 	var submittedAt monotonic.Instant
 	for ; tick < 300; tick++ {
-		b.now = b.now.Add(time.Second)
-		b.submit(ids.JobID(fmt.Sprintf("job-s%d", tick)), wire.JobSpec{Tasks: 4, CPUs: 2})
+		h.now = h.now.Add(time.Second)
+		h.submit(ids.JobID(fmt.Sprintf("job-s%d", tick)), wire.JobSpec{Tasks: 4, CPUs: 2})
 		if tick == 20 {
-			submittedAt = b.now
-			b.submit("job-large", wire.JobSpec{Tasks: 3, CPUs: 8})
+			submittedAt = h.now
+			h.submit("job-large", wire.JobSpec{Tasks: 3, CPUs: 8})
 		}
-		b.step()
-		agents.sendHeartbeats(b)
-		if j := b.c.cluster.Job("job-large"); j != nil && j.Started() {
-			return b.now.Sub(submittedAt)
+		h.step()
+		agents.sendHeartbeats(h)
+		if j := h.c.cluster.Job("job-large"); j != nil && j.Started() {
+			return h.now.Sub(submittedAt)
 		}
 	}
 	return 0
@@ -159,22 +159,22 @@
 		opt.Teams = []quota.Team{{Name: "red", Nominal: eight, Limit: eight, LendingLimit: eight}}
 		agents.machines = append(agents.machines, "n-2")
 	}
-	b := newHarness(t, opt)
-	b.c.Begin(b.now)
-	start := b.now
-	b.submitAt(start, "job-old", 200)
+	h := newHarness(t, opt)
+	h.c.Begin(h.now)
+	start := h.now
+	h.submitAt(start, "job-old", 200)
 	for elapsedS := range lateJobScenarioSeconds {
-		b.now = b.now.Add(time.Second)
+		h.now = h.now.Add(time.Second)
 		if elapsedS == lateJobSubmitSecond {
-			b.submitAt(start, "job-late", 4)
+			h.submitAt(start, "job-late", 4)
 		}
 		if elapsedS == lateJobFailoverSecond && d.failsOver {
-			b = b.nextLeader(opt, start)
+			h = h.nextLeader(opt, start)
 			agents.tasks["n-1"] = nil
 		}
-		b.step()
-		agents.sendHeartbeats(b)
-		if j := b.c.cluster.Job("job-late"); j != nil && j.Started() {
+		h.step()
+		agents.sendHeartbeats(h)
+		if j := h.c.cluster.Job("job-late"); j != nil && j.Started() {
 			return time.Duration(elapsedS-lateJobSubmitSecond) * time.Second
 		}
 	}
@@ -182,19 +182,19 @@
 }
 
 // submitAt submits a job whose submission time is measured by a wall clock that began at start.
-func (b *harness) submitAt(start monotonic.Instant, id ids.JobID, tasks int) {
-	b.c.ObserveJob(b.now, id, &records.Job{Status: wire.JobQueued, Tasks: tasks, SubmittedMS: b.now.Sub(start).Milliseconds(),
-		Spec: &wire.JobSpec{Team: "red", Tasks: tasks, CPUs: 2}}, ids.Revision(100+len(b.c.cluster.Jobs())))
+func (h *harness) submitAt(start monotonic.Instant, id ids.JobID, tasks int) {
+	h.c.ObserveJob(h.now, id, &records.Job{Status: wire.JobQueued, Tasks: tasks, SubmittedMS: h.now.Sub(start).Milliseconds(),
+		Spec: &wire.JobSpec{Team: "red", Tasks: tasks, CPUs: 2}}, ids.Revision(100+len(h.c.cluster.Jobs())))
 }
 
 // nextLeader returns the harness of a new leader that has loaded the records of the jobs, but no
 // admission records.
-func (b *harness) nextLeader(opt Options, start monotonic.Instant) *harness {
-	b.t.Helper()
-	opt.Revision, opt.WallClockMS = 9, b.now.Sub(start).Milliseconds()
-	next := newHarness(b.t, opt)
-	next.now, next.sequence = b.now, b.sequence
-	for id, j := range b.c.cluster.Jobs() {
+func (h *harness) nextLeader(opt Options, start monotonic.Instant) *harness {
+	h.t.Helper()
+	opt.Revision, opt.WallClockMS = 9, h.now.Sub(start).Milliseconds()
+	next := newHarness(h.t, opt)
+	next.now, next.sequence = h.now, h.sequence
+	for id, j := range h.c.cluster.Jobs() {
 		next.c.LoadJob(id, &records.Job{Status: wire.JobQueued, Tasks: j.Spec.Tasks, Spec: j.Spec, SubmittedMS: j.Queue.ReadyMS}, j.Records.Revision)
 	}
 	next.c.Begin(next.now)
--- a/scheduler/scale_in_test.go
+++ b/scheduler/scale_in_test.go
@@ -11,11 +11,11 @@
 
 // idleFor has machine n-1 send heartbeats without tasks for d. It returns the machines that were
 // terminated in the meantime.
-func (b *harness) idleFor(d time.Duration) (terminated []ids.MachineID) {
-	b.t.Helper()
-	for end := b.now.Add(d); b.now < end; b.now = b.now.Add(time.Second) {
-		b.heartbeat("n-1", "a", 0)
-		terminated = append(terminated, b.step().Terminate...)
+func (h *harness) idleFor(d time.Duration) (terminated []ids.MachineID) {
+	h.t.Helper()
+	for end := h.now.Add(d); h.now < end; h.now = h.now.Add(time.Second) {
+		h.heartbeat("n-1", "a", 0)
+		terminated = append(terminated, h.step().Terminate...)
 	}
 	return terminated
 }
@@ -36,17 +36,17 @@
 		{name: "soon while quarantined", settings: scaleInSettings{idleTimeout: time.Hour, headroomIdleTimeout: time.Hour, spotIdleFactor: 1}, class: "c", quarantine: true, terminated: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			fixture := newHarness(t, Options{AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
-			fixture.c.autoscaler.scaleIn.settings = c.settings
-			fixture.c.Begin(fixture.now)
-			fixture.submit("job-1", wire.JobSpec{Class: c.class, Tasks: 1})
-			fixture.c.autoscaler.classes.update()
-			fixture.c.lifecycle.endJob(fixture.c.cluster.Job("job-1"), wire.JobCancelled)
-			fixture.heartbeat("n-1", "a", 0)
+			h := newHarness(t, Options{AdmissionOptions: AdmissionOptions{LatencySensitive: map[string]time.Duration{"hasty": time.Second}}})
+			h.c.autoscaler.scaleIn.settings = c.settings
+			h.c.Begin(h.now)
+			h.submit("job-1", wire.JobSpec{Class: c.class, Tasks: 1})
+			h.c.autoscaler.classes.update()
+			h.c.lifecycle.endJob(h.c.cluster.Job("job-1"), wire.JobCancelled)
+			h.heartbeat("n-1", "a", 0)
 			if c.quarantine {
-				fixture.c.cluster.Machine("n-1").Health.QuarantinedUntil = fixture.now.Add(time.Hour)
+				h.c.cluster.Machine("n-1").Health.QuarantinedUntil = h.now.Add(time.Hour)
 			}
-			if got := slices.Contains(fixture.idleFor(20*time.Second), "n-1"); got != c.terminated {
+			if got := slices.Contains(h.idleFor(20*time.Second), "n-1"); got != c.terminated {
 				t.Errorf("terminated: %v, want %v", got, c.terminated)
 			}
 		})
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -18,21 +18,21 @@
 }
 
 func newScenario(t *testing.T, seed uint64) *scenario {
-	m := &scenario{sim: newSim(t, seed)}
-	m.capacity = 3
-	return m
+	s := &scenario{sim: newSim(t, seed)}
+	s.capacity = 3
+	return s
 }
 
 // jobs submits some jobs, changed by shape.
-func (simulation *scenario) jobs(count int, shape func(*wire.JobSpec)) {
+func (s *scenario) jobs(count int, shape func(*wire.JobSpec)) {
 	for range count {
-		sp := simulation.randomSpec()
+		sp := s.randomSpec()
 		if shape != nil {
 			shape(sp)
 		}
-		id := ids.JobID(fmt.Sprintf("job-%03d", len(simulation.all)))
-		simulation.submit(id, sp)
-		simulation.all = append(simulation.all, id)
+		id := ids.JobID(fmt.Sprintf("job-%03d", len(s.all)))
+		s.submit(id, sp)
+		s.all = append(s.all, id)
 	}
 }
 
@@ -46,22 +46,22 @@
 }
 
 // in is the time after a while.
-func (simulation *scenario) in(d time.Duration) monotonic.Instant { return simulation.now.Add(d) }
+func (s *scenario) in(d time.Duration) monotonic.Instant { return s.now.Add(d) }
 
 // eachNthWorker does something to every nth machine.
-func (simulation *scenario) eachNthWorker(nth int, f func(w *simWorker)) {
-	for i, h := range simulation.sortedMachineIDs() {
+func (s *scenario) eachNthWorker(nth int, f func(w *simWorker)) {
+	for i, h := range s.sortedMachineIDs() {
 		if i%nth == 0 {
-			f(simulation.workers[h])
+			f(s.workers[h])
 		}
 	}
 }
 
 // cancelEvery has users cancel every nth job.
-func (simulation *scenario) cancelEvery(nth int) {
-	for i, id := range simulation.all {
-		if i%nth == 0 && !simulation.cancelled[id] {
-			simulation.cancel(id)
+func (s *scenario) cancelEvery(nth int) {
+	for i, id := range s.all {
+		if i%nth == 0 && !s.cancelled[id] {
+			s.cancel(id)
 		}
 	}
 }
@@ -73,248 +73,248 @@
 // (docs/design.md has the table).
 var scenarios = []struct {
 	name  string
-	bring func(m *scenario)
+	bring func(s *scenario)
 }{
-	{"old reports after newer ones, also of earlier sessions and attempts", func(m *scenario) {
-		m.duplicateChance = 0.6
-		m.jobs(12, nil)
+	{"old reports after newer ones, also of earlier sessions and attempts", func(s *scenario) {
+		s.duplicateChance = 0.6
+		s.jobs(12, nil)
 		for range 8 {
-			m.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = m.in(10 * second) })
-			m.run(12 * second)
-			m.eachNthWorker(4, func(w *simWorker) { w.commandsLostUntil = m.in(32 * second) }) // its session ends
-			m.run(20 * second)
+			s.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = s.in(10 * second) })
+			s.run(12 * second)
+			s.eachNthWorker(4, func(w *simWorker) { w.commandsLostUntil = s.in(32 * second) }) // its session ends
+			s.run(20 * second)
 		}
 	}},
-	{"jobs bound to one zone lose machines", func(m *scenario) {
+	{"jobs bound to one zone lose machines", func(s *scenario) {
 		for range 5 {
-			m.jobs(4, func(sp *wire.JobSpec) { array(sp); sp.OneZone = true })
-			m.jobs(2, func(sp *wire.JobSpec) { array(sp); sp.Zone = "b" })
-			m.jobs(2, func(sp *wire.JobSpec) { long(sp); sp.Tasks, sp.OneZone = 3, true })
-			m.run(15 * second)
-			m.eachNthWorker(3, func(w *simWorker) { w.dead = w.incarnation > 0 })
-			m.eachNthWorker(4, func(w *simWorker) { w.partitionedUntil = m.in(40 * second) })
-			m.run(15 * second)
-			m.failOver()
+			s.jobs(4, func(sp *wire.JobSpec) { array(sp); sp.OneZone = true })
+			s.jobs(2, func(sp *wire.JobSpec) { array(sp); sp.Zone = "b" })
+			s.jobs(2, func(sp *wire.JobSpec) { long(sp); sp.Tasks, sp.OneZone = 3, true })
+			s.run(15 * second)
+			s.eachNthWorker(3, func(w *simWorker) { w.dead = w.incarnation > 0 })
+			s.eachNthWorker(4, func(w *simWorker) { w.partitionedUntil = s.in(40 * second) })
+			s.run(15 * second)
+			s.failOver()
 		}
 	}},
-	{"a leader ends while long tasks can't be reached, or don't hear the new one", func(m *scenario) {
-		m.jobs(10, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
+	{"a leader ends while long tasks can't be reached, or don't hear the new one", func(s *scenario) {
+		s.jobs(10, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
 		for range 4 {
-			m.run(25 * second)
-			m.eachNthWorker(2, func(w *simWorker) { w.partitionedUntil = m.in(35 * second) })
-			m.eachNthWorker(3, func(w *simWorker) { w.commandsLostUntil = m.in(50 * second) })
-			m.failOver()
-			m.cancelEvery(4)
-			m.run(40 * second)
+			s.run(25 * second)
+			s.eachNthWorker(2, func(w *simWorker) { w.partitionedUntil = s.in(35 * second) })
+			s.eachNthWorker(3, func(w *simWorker) { w.commandsLostUntil = s.in(50 * second) })
+			s.failOver()
+			s.cancelEvery(4)
+			s.run(40 * second)
 		}
 	}},
-	{"leaders change ten times in two minutes, also inside an outage", func(m *scenario) {
-		m.jobs(14, nil)
-		m.run(30 * second)
+	{"leaders change ten times in two minutes, also inside an outage", func(s *scenario) {
+		s.jobs(14, nil)
+		s.run(30 * second)
 		for i := range 10 {
 			if i == 3 {
-				m.storeOutageUntil = m.in(40 * second)
+				s.storeOutageUntil = s.in(40 * second)
 			}
-			m.cancelEvery(7)
-			m.failOver()
-			m.run(12 * second)
+			s.cancelEvery(7)
+			s.failOver()
+			s.run(12 * second)
 		}
 	}},
-	{"more work than room, urgent and not, over slow links", func(m *scenario) {
-		m.extraLatency = 900 * time.Millisecond
+	{"more work than room, urgent and not, over slow links", func(s *scenario) {
+		s.extraLatency = 900 * time.Millisecond
 		for range 6 {
-			m.jobs(10, nil)
-			m.run(20 * second)
-			m.cancelEvery(9)
+			s.jobs(10, nil)
+			s.run(20 * second)
+			s.cancelEvery(9)
 		}
 	}},
-	{"a zone with workers and a controller is cut off for longer than a lease", func(m *scenario) {
-		m.jobs(14, func(sp *wire.JobSpec) {
+	{"a zone with workers and a controller is cut off for longer than a lease", func(s *scenario) {
+		s.jobs(14, func(sp *wire.JobSpec) {
 			if sp.Tasks%2 == 0 {
 				long(sp)
 				sp.Spread = false
 			}
 		})
-		m.run(40 * second)
-		m.failOverWithPreviousLeaderActive()
-		m.isolatedZone, m.isolatedZoneUntil = "a", m.in(60*second)
-		m.cancelEvery(2)
-		m.jobs(6, nil)
-		m.run(90 * second)
+		s.run(40 * second)
+		s.failOverWithPreviousLeaderActive()
+		s.isolatedZone, s.isolatedZoneUntil = "a", s.in(60*second)
+		s.cancelEvery(2)
+		s.jobs(6, nil)
+		s.run(90 * second)
 	}},
-	{"the same, and the cloud is away: only the old leader's own bound is left", func(m *scenario) {
-		m.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Spread, sp.Zone, sp.OneZone = false, "a", true })
-		m.run(40 * second)
-		m.failOverWithPreviousLeaderActive()
-		m.isolatedZone, m.isolatedZoneUntil, m.cloudOutageUntil = "a", m.in(100*second), m.in(100*second)
-		m.cancelEvery(1)
-		m.run(120 * second)
+	{"the same, and the cloud is away: only the old leader's own bound is left", func(s *scenario) {
+		s.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Spread, sp.Zone, sp.OneZone = false, "a", true })
+		s.run(40 * second)
+		s.failOverWithPreviousLeaderActive()
+		s.isolatedZone, s.isolatedZoneUntil, s.cloudOutageUntil = "a", s.in(100*second), s.in(100*second)
+		s.cancelEvery(1)
+		s.run(120 * second)
 	}},
-	{"arrays that run for long in a zone that is cut off with its leader", func(m *scenario) {
-		m.runFactor = 8
-		m.jobs(10, func(sp *wire.JobSpec) { array(sp); sp.Zone = "a" })
-		m.jobs(6, array)
-		m.jobs(3, func(sp *wire.JobSpec) { long(sp); sp.Spread = false })
-		m.run(30 * second)
-		m.failOverWithPreviousLeaderActive()
-		m.isolatedZone, m.isolatedZoneUntil = "a", m.in(100*second)
-		m.cancelEvery(3)
-		m.run(130 * second)
+	{"arrays that run for long in a zone that is cut off with its leader", func(s *scenario) {
+		s.runFactor = 8
+		s.jobs(10, func(sp *wire.JobSpec) { array(sp); sp.Zone = "a" })
+		s.jobs(6, array)
+		s.jobs(3, func(sp *wire.JobSpec) { long(sp); sp.Spread = false })
+		s.run(30 * second)
+		s.failOverWithPreviousLeaderActive()
+		s.isolatedZone, s.isolatedZoneUntil = "a", s.in(100*second)
+		s.cancelEvery(3)
+		s.run(130 * second)
 	}},
-	{"jobs are cancelled while one controller's work changes hands", func(m *scenario) {
+	{"jobs are cancelled while one controller's work changes hands", func(s *scenario) {
 		for range 5 {
-			m.jobs(5, nil)
-			m.run(20 * second)
-			m.cancelEvery(4)
-			m.run(300 * time.Millisecond)
-			m.failOver()
-			m.run(300 * time.Millisecond)
-			m.cancelEvery(3)
-			m.run(15 * second)
+			s.jobs(5, nil)
+			s.run(20 * second)
+			s.cancelEvery(4)
+			s.run(300 * time.Millisecond)
+			s.failOver()
+			s.run(300 * time.Millisecond)
+			s.cancelEvery(3)
+			s.run(15 * second)
 		}
 	}},
-	{"reports are kept until a new leader begins, or has acted", func(m *scenario) {
-		m.duplicateChance = 0.8
-		m.jobs(14, nil)
+	{"reports are kept until a new leader begins, or has acted", func(s *scenario) {
+		s.duplicateChance = 0.8
+		s.jobs(14, nil)
 		for range 6 {
-			m.run(20 * second)
-			m.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = m.in(15 * second) })
-			m.cancelEvery(8)
-			m.failOver()
-			m.run(8 * second)
+			s.run(20 * second)
+			s.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = s.in(15 * second) })
+			s.cancelEvery(8)
+			s.failOver()
+			s.run(8 * second)
 		}
 	}},
-	{"jobs are cancelled through the new leader of one that goes on without state and peers", func(m *scenario) {
-		m.jobs(12, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
-		m.run(40 * second)
-		m.failOverWithPreviousLeaderActive()
-		m.run(500 * time.Millisecond)
-		m.cancelEvery(2)
-		m.run(60 * second)
+	{"jobs are cancelled through the new leader of one that goes on without state and peers", func(s *scenario) {
+		s.jobs(12, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
+		s.run(40 * second)
+		s.failOverWithPreviousLeaderActive()
+		s.run(500 * time.Millisecond)
+		s.cancelEvery(2)
+		s.run(60 * second)
 	}},
-	{"a cancellation meets the end of a job's last task", func(m *scenario) {
-		m.cancelAtEndChance = 0.7
+	{"a cancellation meets the end of a job's last task", func(s *scenario) {
+		s.cancelAtEndChance = 0.7
 		for range 6 {
-			m.jobs(6, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 1 + sp.Tasks%3 })
-			m.run(20 * second)
+			s.jobs(6, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 1 + sp.Tasks%3 })
+			s.run(20 * second)
 		}
-		m.failOver()
-		m.run(20 * second)
+		s.failOver()
+		s.run(20 * second)
 	}},
-	{"new machines are up at once and get work while writes lag, and the leader ends", func(m *scenario) {
-		m.quickBootChance = 1
+	{"new machines are up at once and get work while writes lag, and the leader ends", func(s *scenario) {
+		s.quickBootChance = 1
 		for range 5 {
-			m.jobs(6, array)
-			m.run(time.Duration(500+m.rng.IntN(2500)) * time.Millisecond)
-			m.leaderRefusedUntil = m.in(2 * second) // records wait
-			m.run(time.Duration(200+m.rng.IntN(1500)) * time.Millisecond)
-			m.failOver()
-			m.run(25 * second)
+			s.jobs(6, array)
+			s.run(time.Duration(500+s.rng.IntN(2500)) * time.Millisecond)
+			s.leaderRefusedUntil = s.in(2 * second) // records wait
+			s.run(time.Duration(200+s.rng.IntN(1500)) * time.Millisecond)
+			s.failOver()
+			s.run(25 * second)
 		}
 	}},
-	{"all teams are at their limits while cancelled jobs' machines are cut off or hang, and the leader changes", func(m *scenario) {
-		m.capacity = 6
+	{"all teams are at their limits while cancelled jobs' machines are cut off or hang, and the leader changes", func(s *scenario) {
+		s.capacity = 6
 		for range 4 {
-			m.jobs(14, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 6 })
-			m.run(30 * second)
-			m.cancelRunning(m.all, 6, m.in(45*second))
-			m.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = m.in(40 * second) })
-			m.run(time.Second)
-			m.failOver()
-			m.run(20 * second)
+			s.jobs(14, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 6 })
+			s.run(30 * second)
+			s.cancelRunning(s.all, 6, s.in(45*second))
+			s.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = s.in(40 * second) })
+			s.run(time.Second)
+			s.failOver()
+			s.run(20 * second)
 		}
 	}},
-	{"workers reach no controller, while commands reach them", func(m *scenario) {
+	{"workers reach no controller, while commands reach them", func(s *scenario) {
 		for range 4 {
-			m.jobs(5, nil)
-			m.run(15 * second)
-			m.eachNthWorker(2, func(w *simWorker) { w.heartbeatsLostUntil = m.in(40 * second) })
-			m.cancelEvery(3)
-			m.run(10 * second)
-			m.failOver()
-			m.run(30 * second)
+			s.jobs(5, nil)
+			s.run(15 * second)
+			s.eachNthWorker(2, func(w *simWorker) { w.heartbeatsLostUntil = s.in(40 * second) })
+			s.cancelEvery(3)
+			s.run(10 * second)
+			s.failOver()
+			s.run(30 * second)
 		}
 	}},
-	{"one-task jobs come four a second, a quarter of them cancelled", func(m *scenario) {
-		m.capacity = 6
+	{"one-task jobs come four a second, a quarter of them cancelled", func(s *scenario) {
+		s.capacity = 6
 		for i := range 240 {
-			m.jobs(1, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs = 1, 1 })
+			s.jobs(1, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs = 1, 1 })
 			if i%4 == 3 {
-				m.cancel(m.all[m.rng.IntN(len(m.all))])
+				s.cancel(s.all[s.rng.IntN(len(s.all))])
 			}
 			if i == 100 || i == 180 {
-				m.failOver()
+				s.failOver()
 			}
-			m.run(250 * time.Millisecond)
+			s.run(250 * time.Millisecond)
 		}
 	}},
-	{"the gap: the leader refused alone, cancellations, and then no state service", func(m *scenario) {
-		m.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
-		m.run(40 * second)
-		m.leaderRefusedUntil = m.in(14 * second)
-		m.run(1200 * time.Millisecond)
-		m.cancelEvery(2)
-		m.run(time.Duration(300+m.rng.IntN(1500)) * time.Millisecond)
-		m.storeOutageUntil = m.in(64 * second)
-		m.cancelEvery(1)
-		m.run(90 * second)
+	{"the gap: the leader refused alone, cancellations, and then no state service", func(s *scenario) {
+		s.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
+		s.run(40 * second)
+		s.leaderRefusedUntil = s.in(14 * second)
+		s.run(1200 * time.Millisecond)
+		s.cancelEvery(2)
+		s.run(time.Duration(300+s.rng.IntN(1500)) * time.Millisecond)
+		s.storeOutageUntil = s.in(64 * second)
+		s.cancelEvery(1)
+		s.run(90 * second)
 	}},
-	{"cancelled through a node that still follows the old leader, and then no state service", func(m *scenario) {
-		m.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
-		m.run(40 * second)
-		m.failOverWithPreviousLeaderActive()
-		m.cancelEvery(2)
-		m.storeOutageUntil = m.in(64 * second) // before the new leader's watch brings it
-		m.run(90 * second)
+	{"cancelled through a node that still follows the old leader, and then no state service", func(s *scenario) {
+		s.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
+		s.run(40 * second)
+		s.failOverWithPreviousLeaderActive()
+		s.cancelEvery(2)
+		s.storeOutageUntil = s.in(64 * second) // before the new leader's watch brings it
+		s.run(90 * second)
 	}},
-	{"jobs of a few tasks end far apart across a change of leader", func(m *scenario) {
+	{"jobs of a few tasks end far apart across a change of leader", func(s *scenario) {
 		for range 8 {
-			m.jobs(4, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 2 + sp.Tasks%2 })
-			m.run(time.Duration(4+m.rng.IntN(14)) * second)
-			m.failOver()
+			s.jobs(4, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 2 + sp.Tasks%2 })
+			s.run(time.Duration(4+s.rng.IntN(14)) * second)
+			s.failOver()
 		}
-		m.run(20 * second)
+		s.run(20 * second)
 	}},
-	{"controllers hand over and back, all end, and one returns at once", func(m *scenario) {
-		m.jobs(14, nil)
+	{"controllers hand over and back, all end, and one returns at once", func(s *scenario) {
+		s.jobs(14, nil)
 		for range 6 {
-			m.run(15 * second)
-			m.failOver()
-			m.run(300 * time.Millisecond)
-			m.failOver()
-			m.controllersDownUntil, m.previousCore = m.in(time.Duration(100+m.rng.IntN(900))*time.Millisecond), nil
-			m.run(m.controllersDownUntil.Sub(m.now))
-			m.failOver()
-			m.cancelEvery(6)
+			s.run(15 * second)
+			s.failOver()
+			s.run(300 * time.Millisecond)
+			s.failOver()
+			s.controllersDownUntil, s.previousCore = s.in(time.Duration(100+s.rng.IntN(900))*time.Millisecond), nil
+			s.run(s.controllersDownUntil.Sub(s.now))
+			s.failOver()
+			s.cancelEvery(6)
 		}
 	}},
-	{"transactions without an answer are carried out late", func(m *scenario) {
+	{"transactions without an answer are carried out late", func(s *scenario) {
 		for range 6 {
-			m.jobs(6, nil)
-			m.leaderRefusedUntil = m.in(2500 * time.Millisecond) // all that was sent comes at once after it
-			m.run(3 * second)
-			m.cancelEvery(5)
-			m.run(15 * second)
+			s.jobs(6, nil)
+			s.leaderRefusedUntil = s.in(2500 * time.Millisecond) // all that was sent comes at once after it
+			s.run(3 * second)
+			s.cancelEvery(5)
+			s.run(15 * second)
 		}
 	}},
-	{"all controllers are away for longer than a lease", func(m *scenario) {
-		m.jobs(14, nil)
+	{"all controllers are away for longer than a lease", func(s *scenario) {
+		s.jobs(14, nil)
 		for range 3 {
-			m.run(30 * second)
-			m.cancelEvery(5)
-			m.run(time.Second)
-			m.controllersDownUntil, m.previousCore = m.in(40*second), nil
-			m.run(40 * second)
-			m.failOver()
+			s.run(30 * second)
+			s.cancelEvery(5)
+			s.run(time.Second)
+			s.controllersDownUntil, s.previousCore = s.in(40*second), nil
+			s.run(40 * second)
+			s.failOver()
 		}
 	}},
-	{"a command or its answer is held up, and the machine then goes on", func(m *scenario) {
+	{"a command or its answer is held up, and the machine then goes on", func(s *scenario) {
 		for range 6 {
-			m.jobs(5, nil)
-			m.run(time.Duration(500+m.rng.IntN(4000)) * time.Millisecond)
-			m.eachNthWorker(2, func(w *simWorker) { w.hungUntil = m.in(time.Duration(2+m.rng.IntN(22)) * second) })
-			m.cancelEvery(5)
-			m.run(15 * second)
+			s.jobs(5, nil)
+			s.run(time.Duration(500+s.rng.IntN(4000)) * time.Millisecond)
+			s.eachNthWorker(2, func(w *simWorker) { w.hungUntil = s.in(time.Duration(2+s.rng.IntN(22)) * second) })
+			s.cancelEvery(5)
+			s.run(15 * second)
 		}
 	}},
 }
@@ -326,14 +326,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
-				m := newScenario(t, 1000+seed)
-				c.bring(m)
-				if len(m.violations) > 0 {
-					t.Fatalf("day %d: rules broken: %v", seed, m.violations)
+				s := newScenario(t, 1000+seed)
+				c.bring(s)
+				if len(s.violations) > 0 {
+					t.Fatalf("day %d: rules broken: %v", seed, s.violations)
 				}
-				m.runToCompletion(m.all, 20*time.Minute)
-				m.checkCancelledDependents(m.all)
-				if m.starts == 0 {
+				s.runToCompletion(s.all, 20*time.Minute)
+				s.checkCancelledDependents(s.all)
+				if s.starts == 0 {
 					t.Fatalf("day %d: nothing ran", seed)
 				}
 			}
@@ -345,44 +345,44 @@
 // cancellations. A placement beside the job whose record waited for the store used to delay
 // that until the end of an outage.
 func TestTerminationDoesNotWaitForARecord(t *testing.T) {
-	b := newHarness(t, Options{})
+	h := newHarness(t, Options{})
 	spec := wire.JobSpec{Class: "c", Team: "red", Service: true, Tasks: 1, CPUs: 2, Image: "i"}
-	b.submit("job-1", spec)
-	b.heartbeat("n-1", "a", 0)
-	b.step()
-	if len(commandsWith(b.heartbeat("n-1", "a", 0).Commands, wire.VerbRun)) != 1 {
+	h.submit("job-1", spec)
+	h.heartbeat("n-1", "a", 0)
+	h.step()
+	if len(commandsWith(h.heartbeat("n-1", "a", 0).Commands, wire.VerbRun)) != 1 {
 		t.Fatal("job-1 was not started")
 	}
-	b.submit("job-2", spec)
-	b.now = b.now.Add(time.Second)
-	placed := b.c.Step(b.now).RecordChanges
+	h.submit("job-2", spec)
+	h.now = h.now.Add(time.Second)
+	placed := h.c.Step(h.now).RecordChanges
 	if len(placed) != 1 {
 		t.Fatal("job-2 was not placed beside job-1")
 	}
-	b.c.ObserveJob(b.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: &spec}, 900)
-	cancelledAt := b.now
+	h.c.ObserveJob(h.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: &spec}, 900)
+	cancelledAt := h.now
 	for terminated := false; !terminated; {
-		b.now = b.now.Add(200 * time.Millisecond)
-		if b.now > cancelledAt.Add(simCancelDeadline*3/4) {
+		h.now = h.now.Add(200 * time.Millisecond)
+		if h.now > cancelledAt.Add(simCancelDeadline*3/4) {
 			t.Fatal("not terminated in time")
 		}
-		if e := b.c.Step(b.now); len(e.Terminate) > 0 {
-			b.c.MachinesTerminated(b.now, e.Terminate)
+		if e := h.c.Step(h.now); len(e.Terminate) > 0 {
+			h.c.MachinesTerminated(h.now, e.Terminate)
 			terminated = true
 		}
 	}
-	if j := b.c.cluster.Job("job-1"); j != nil && len(j.Active()) > 0 {
+	if j := h.c.cluster.Job("job-1"); j != nil && len(j.Active()) > 0 {
 		t.Error("tasks of the terminated machine still count")
 	}
 	// The record is committed after all. Its task was never sent, and waits again.
-	b.c.CommitResult(b.now, records.CommitResult{Change: placed[0], Revision: 901})
+	h.c.CommitResult(h.now, records.CommitResult{Change: placed[0], Revision: 901})
 	for range 10 {
-		b.now = b.now.Add(200 * time.Millisecond)
-		if e := b.step(); len(e.Terminate) > 0 {
+		h.now = h.now.Add(200 * time.Millisecond)
+		if e := h.step(); len(e.Terminate) > 0 {
 			t.Errorf("terminated again: %v", e.Terminate)
 		}
 	}
-	if j := b.c.cluster.Job("job-2"); len(j.Pending()) != 1 || b.c.cluster.Machine("n-1") != nil {
-		t.Errorf("waiting: %v, machine known: %v", j.Pending(), b.c.cluster.Machine("n-1") != nil)
+	if j := h.c.cluster.Job("job-2"); len(j.Pending()) != 1 || h.c.cluster.Machine("n-1") != nil {
+		t.Errorf("waiting: %v, machine known: %v", j.Pending(), h.c.cluster.Machine("n-1") != nil)
 	}
 }
--- a/scheduler/slow_machines_test.go
+++ b/scheduler/slow_machines_test.go
@@ -16,11 +16,11 @@
 // A machine on which tasks take much longer than other tasks of the same jobs on other machines is
 // ranked last. After several such jobs it is quarantined and gets no tasks.
 func TestSlowMachineIsQuarantined(t *testing.T) {
-	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 640}, Limit: quota.Amount{CPUs: 640}}}})
-	b.c.Begin(b.now)
+	h := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 640}, Limit: quota.Amount{CPUs: 640}}}})
+	h.c.Begin(h.now)
 	for round := range 8 {
-		slow := newSlowMachineRound(b, ids.JobID(fmt.Sprintf("job-%d", round)))
-		if b.c.cluster.Machine("n-3").Health.SlowStreak >= slowStreakLimit {
+		slow := newSlowMachineRound(h, ids.JobID(fmt.Sprintf("job-%d", round)))
+		if h.c.cluster.Machine("n-3").Health.SlowStreak >= slowStreakLimit {
 			if tasks := len(slow.tasks["n-3"]); tasks > 0 {
 				t.Fatalf("round %d: the slow machine got %d tasks, although it was quarantined", round, tasks)
 			}
@@ -28,7 +28,7 @@
 		}
 		slow.runTasks()
 	}
-	t.Fatalf("the slow machine was not quarantined: slowness %v", b.c.cluster.Machine("n-3").Health.Slowness)
+	t.Fatalf("the slow machine was not quarantined: slowness %v", h.c.cluster.Machine("n-3").Health.Slowness)
 }
 
 // slowMachineRound represents a job on three machines. Its tasks take three times as long on n-3.
@@ -40,13 +40,13 @@
 }
 
 // newSlowMachineRound submits the job and runs a step that places its tasks.
-func newSlowMachineRound(b *harness, id ids.JobID) *slowMachineRound {
-	r := &slowMachineRound{harness: b, machines: []ids.MachineID{"n-1", "n-2", "n-3"}, token: ids.NewFencingToken(5, 0),
+func newSlowMachineRound(h *harness, id ids.JobID) *slowMachineRound {
+	r := &slowMachineRound{harness: h, machines: []ids.MachineID{"n-1", "n-2", "n-3"}, token: ids.NewFencingToken(5, 0),
 		tasks: map[ids.MachineID][]wire.TaskStatus{}}
 	r.heartbeats()
-	b.submit(id, wire.JobSpec{Tasks: 12})
-	b.step()
-	for i, task := range b.c.cluster.Job(id).Tasks() {
+	h.submit(id, wire.JobSpec{Tasks: 12})
+	h.step()
+	for i, task := range h.c.cluster.Job(id).Tasks() {
 		if a := task.Assignment(); a != nil {
 			status := wire.TaskStatus{Name: fmt.Sprintf("%s/%d", id, i), Attempt: task.Attempt(), State: wire.TaskRunning}
 			r.tasks[a.Machine.ID] = append(r.tasks[a.Machine.ID], status)
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -125,9 +125,9 @@
 // If the limits of the key-value store fall below the configured limits, a change that is too large is
 // rejected permanently. It must not be retried indefinitely, and must delay no job but its own.
 func TestRejectedChangeDelaysNoOtherJob(t *testing.T) {
-	b := newHarness(t, Options{})
-	b.submit("job-1", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
-	b.heartbeat("n-1", "a", 0)
+	h := newHarness(t, Options{})
+	h.submit("job-1", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
+	h.heartbeat("n-1", "a", 0)
 	sent := func(e Decisions, job ids.JobID) (out []records.Change) {
 		for _, ch := range e.RecordChanges {
 			if len(ch.Operations) > 0 && ch.Preconditions[0].Key == records.JobKey(job) {
@@ -138,27 +138,27 @@
 	}
 	attempts := 0
 	for range 3000 {
-		for _, ch := range sent(b.c.Step(b.now), "job-1") {
+		for _, ch := range sent(h.c.Step(h.now), "job-1") {
 			attempts++
-			b.c.CommitResult(b.now, records.CommitResult{Change: ch, Err: records.ErrRejected})
+			h.c.CommitResult(h.now, records.CommitResult{Change: ch, Err: records.ErrRejected})
 		}
-		b.now = b.now.Add(500 * time.Millisecond)
-		b.heartbeat("n-1", "a", 0)
+		h.now = h.now.Add(500 * time.Millisecond)
+		h.heartbeat("n-1", "a", 0)
 	}
 	if attempts < 2 || attempts > maxRefusals {
 		t.Errorf("the change was sent %d times in 25 minutes", attempts)
 	}
-	b.submit("job-2", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
-	if got := sent(b.c.Step(b.now), "job-2"); len(got) != 1 {
+	h.submit("job-2", wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1})
+	if got := sent(h.c.Step(h.now), "job-2"); len(got) != 1 {
 		t.Errorf("the next job wrote %d changes, want 1", len(got))
 	}
-	if _, known := b.c.Progress("job-1"); !known {
+	if _, known := h.c.Progress("job-1"); !known {
 		t.Error("the progress of the delayed job is unknown")
 	}
-	b.c.EnableSplitRecords(b.now)
-	b.now = b.now.Add(time.Minute)
-	b.heartbeat("n-1", "a", 0)
-	if got := sent(b.c.Step(b.now), "job-1"); len(got) != 1 {
+	h.c.EnableSplitRecords(h.now)
+	h.now = h.now.Add(time.Minute)
+	h.heartbeat("n-1", "a", 0)
+	if got := sent(h.c.Step(h.now), "job-1"); len(got) != 1 {
 		t.Errorf("after splitting was enabled, the job wrote %d changes, want 1", len(got))
 	}
 }
@@ -167,31 +167,31 @@
 // machine, the preempted job could preempt the other in turn. Once its dependents are gone, a job must
 // have its own priority again.
 func TestPriorityPropagatesToDependencies(t *testing.T) {
-	b := newHarness(t, Options{})
+	h := newHarness(t, Options{})
 	low := wire.JobSpec{Team: "red", Tasks: 1, CPUs: 8, MemoryGB: 1}
 	dependent := low
 	dependent.Priority, dependent.DependsOn = wire.High, []ids.JobID{"job-1"}
 	other := low
 	other.Priority = wire.Normal
-	b.submit("job-1", low)
-	b.submit("job-2", dependent)
-	b.submit("job-3", other)
-	prerequisite := b.c.cluster.Job("job-1")
+	h.submit("job-1", low)
+	h.submit("job-2", dependent)
+	h.submit("job-3", other)
+	prerequisite := h.c.cluster.Job("job-1")
 	if prerequisite.Priority() != wire.High {
 		t.Fatalf("the first job has priority %d", prerequisite.Priority())
 	}
-	b.heartbeat("n-1", "a", 0)
-	b.step()
-	if len(prerequisite.Active()) != 1 || len(b.c.cluster.Job("job-2").Active()) != 0 {
+	h.heartbeat("n-1", "a", 0)
+	h.step()
+	if len(prerequisite.Active()) != 1 || len(h.c.cluster.Job("job-2").Active()) != 0 {
 		t.Fatal("the dependency was not placed, or its dependent was placed before it completed")
 	}
-	on := b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.High}]
+	on := h.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.High}]
 	if on.NotStopping != 1 {
 		t.Errorf("workload is %+v", on)
 	}
-	b.c.ObserveJob(b.now, "job-2", &records.Job{Status: wire.JobCancelled, Tasks: 1}, 999)
-	if prerequisite.Priority() != wire.BestEffort || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.High}].NotStopping != 0 || b.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.BestEffort}].NotStopping != 1 {
-		t.Errorf("after the dependent was cancelled, the dependency has priority %d, workloads %+v", prerequisite.Priority(), b.c.cluster.Workloads())
+	h.c.ObserveJob(h.now, "job-2", &records.Job{Status: wire.JobCancelled, Tasks: 1}, 999)
+	if prerequisite.Priority() != wire.BestEffort || h.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.High}].NotStopping != 0 || h.c.cluster.Workloads()[cluster.Workload{Team: "red", Priority: wire.BestEffort}].NotStopping != 1 {
+		t.Errorf("after the dependent was cancelled, the dependency has priority %d, workloads %+v", prerequisite.Priority(), h.c.cluster.Workloads())
 	}
 }
 
@@ -199,21 +199,21 @@
 // placed in the meantime belongs to one of the parts. If that part is not written again, the task waits
 // indefinitely.
 func TestPlacementWhileTheRecordIsSplit(t *testing.T) {
-	b := newHarness(t, Options{RecordOptions: RecordOptions{MaxValueBytes: 50, SplitRecords: true}})
-	b.submit("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
-	b.heartbeat("n-1", "a", 0)
-	split := b.c.Step(b.now).RecordChanges
+	h := newHarness(t, Options{RecordOptions: RecordOptions{MaxValueBytes: 50, SplitRecords: true}})
+	h.submit("job-1", wire.JobSpec{Tasks: 4, CPUs: 4, MemoryGB: 1})
+	h.heartbeat("n-1", "a", 0)
+	split := h.c.Step(h.now).RecordChanges
 	if len(split) != 1 || len(split[0].Operations) < 2 {
 		t.Fatalf("changes %+v", split)
 	}
-	b.now = b.now.Add(time.Second)
-	b.heartbeat("n-2", "a", 0)
-	b.step()
-	b.c.CommitResult(b.now, records.CommitResult{Change: split[0], Revision: 500})
+	h.now = h.now.Add(time.Second)
+	h.heartbeat("n-2", "a", 0)
+	h.step()
+	h.c.CommitResult(h.now, records.CommitResult{Change: split[0], Revision: 500})
 	var runs []string
 	for _, machine := range []ids.MachineID{"n-1", "n-2"} {
-		b.step()
-		runs = append(runs, commandsWith(b.heartbeat(machine, "a", 0).Commands, wire.VerbRun)...)
+		h.step()
+		runs = append(runs, commandsWith(h.heartbeat(machine, "a", 0).Commands, wire.VerbRun)...)
 	}
 	if len(runs) != 4 {
 		t.Errorf("started %v", runs)
@@ -223,15 +223,15 @@
 // A record that exceeds the limit while splitting is not allowed must be split once it is allowed, even
 // without another event of its tasks.
 func TestLargeRecordsAreSplitAfterTheUpgrade(t *testing.T) {
-	b := newHarness(t, Options{RecordOptions: RecordOptions{MaxValueBytes: 50}})
-	b.submit("job-1", wire.JobSpec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
-	b.heartbeat("n-1", "a", 0)
-	if e := b.step(); len(e.RecordChanges) != 1 || len(e.RecordChanges[0].Operations) != 1 {
+	h := newHarness(t, Options{RecordOptions: RecordOptions{MaxValueBytes: 50}})
+	h.submit("job-1", wire.JobSpec{Tasks: 2, CPUs: 4, MemoryGB: 1, Service: true})
+	h.heartbeat("n-1", "a", 0)
+	if e := h.step(); len(e.RecordChanges) != 1 || len(e.RecordChanges[0].Operations) != 1 {
 		t.Fatalf("changes %+v", e.RecordChanges)
 	}
-	b.c.EnableSplitRecords(b.now)
-	b.now = b.now.Add(simAgentLease / 2)
-	if e := b.step(); len(e.RecordChanges) != 1 || len(e.RecordChanges[0].Operations) != 2 {
+	h.c.EnableSplitRecords(h.now)
+	h.now = h.now.Add(simAgentLease / 2)
+	if e := h.step(); len(e.RecordChanges) != 1 || len(e.RecordChanges[0].Operations) != 2 {
 		t.Errorf("changes %+v", e.RecordChanges)
 	}
 }
@@ -239,25 +239,25 @@
 // When a zone is lost, thousands of placement records wait for the write rate limit. The record of a
 // completed job must not be queued behind them, since its user and its dependents wait for it.
 func TestCompletionsAreWrittenFirst(t *testing.T) {
-	b := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4096}, Limit: quota.Amount{CPUs: 4096}}}, RecordOptions: RecordOptions{WriteRate: 4}})
-	b.submit("job-0", wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Normal})
-	b.heartbeat("n-0", "a", 0)
-	b.step()
-	b.now = b.now.Add(time.Second)
+	h := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 4096}, Limit: quota.Amount{CPUs: 4096}}}, RecordOptions: RecordOptions{WriteRate: 4}})
+	h.submit("job-0", wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Normal})
+	h.heartbeat("n-0", "a", 0)
+	h.step()
+	h.now = h.now.Add(time.Second)
 	for n := range 60 {
-		b.submit(ids.JobID(fmt.Sprintf("job-1%02d", n)), wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Critical})
-		b.heartbeat(ids.MachineID(fmt.Sprintf("n-1%02d", n)), "a", 0)
+		h.submit(ids.JobID(fmt.Sprintf("job-1%02d", n)), wire.JobSpec{Tasks: 1, CPUs: 8, MemoryGB: 1, Priority: wire.Critical})
+		h.heartbeat(ids.MachineID(fmt.Sprintf("n-1%02d", n)), "a", 0)
 	}
-	b.step()
-	b.heartbeat("n-0", "a", 0, wire.TaskStatus{Name: "job-0/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseDone})
+	h.step()
+	h.heartbeat("n-0", "a", 0, wire.TaskStatus{Name: "job-0/0", Attempt: 1, State: wire.TaskEnded, Cause: wire.CauseDone})
 	for range 8 {
-		b.now = b.now.Add(250 * time.Millisecond)
-		b.step()
+		h.now = h.now.Add(250 * time.Millisecond)
+		h.step()
 	}
-	if s := b.c.jobRecords.graph.ReadinessOf("job-0").State; s != dependency.Done {
+	if s := h.c.jobRecords.graph.ReadinessOf("job-0").State; s != dependency.Done {
 		t.Errorf("the job's state after 2 s is %d", s)
 	}
-	if len(b.c.records.dirty) == 0 {
+	if len(h.c.records.dirty) == 0 {
 		t.Error("no placement record was waiting for the write rate limit")
 	}
 }
--- a/scheduler/zone_failover_test.go
+++ b/scheduler/zone_failover_test.go
@@ -11,36 +11,36 @@
 // An operator puts a zone on hold. No task may start there, including under the next leaders, until
 // the operator releases the zone. Tasks must start there after the release.
 func TestZoneHoldSurvivesAFailover(t *testing.T) {
-	simulation := newZoneScenario(t, 12, 4)
-	simulation.fillZones()
-	number, ok := simulation.core.OverrideZone(simulation.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold, Reason: "power works"})
+	s := newZoneScenario(t, 12, 4)
+	s.fillZones()
+	number, ok := s.core.OverrideZone(s.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideHold, Reason: "power works"})
 	if !ok {
 		t.Fatal("the override was rejected")
 	}
-	simulation.run(second)
-	if !simulation.core.ZoneOverrideRecorded("b", number) {
+	s.run(second)
+	if !s.core.ZoneOverrideRecorded("b", number) {
 		t.Fatal("the override was not recorded")
 	}
-	simulation.failOver()
-	before := simulation.startsIn("b")
-	simulation.runFactor = 1
-	simulation.jobs(8, array)
-	simulation.run(60 * second)
-	if got := simulation.startsIn("b"); got != before {
+	s.failOver()
+	before := s.startsIn("b")
+	s.runFactor = 1
+	s.jobs(8, array)
+	s.run(60 * second)
+	if got := s.startsIn("b"); got != before {
 		t.Errorf("%d tasks started in a zone on hold", got-before)
 	}
-	if st := simulation.statusOf("b"); st.Override != zonerecovery.OverrideHold {
+	if st := s.statusOf("b"); st.Override != zonerecovery.OverrideHold {
 		t.Errorf("the zone is not on hold after a failover: %+v", st)
 	}
-	simulation.core.OverrideZone(simulation.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideRelease})
+	s.core.OverrideZone(s.now, "b", zonerecovery.Override{Kind: zonerecovery.OverrideRelease})
 	spec := zoneArray(2)
 	spec.Zone = "b"
-	simulation.submitJob(spec)
-	simulation.run(30 * second)
-	if simulation.startsIn("b") == before {
+	s.submitJob(spec)
+	s.run(30 * second)
+	if s.startsIn("b") == before {
 		t.Error("nothing started after the release")
 	}
-	simulation.runToEnd()
+	s.runToEnd()
 }
 
 // recoveryPhase is a phase of the outage and the recovery of a zone.
@@ -64,37 +64,37 @@
 }
 
 // awaitPhase causes an outage of zone b, and runs until the phase has begun and is recorded.
-func (simulation *scenario) awaitPhase(phase recoveryPhase) {
-	simulation.t.Helper()
-	simulation.causeZoneOutage("b", 40*second)
+func (s *scenario) awaitPhase(phase recoveryPhase) {
+	s.t.Helper()
+	s.causeZoneOutage("b", 40*second)
 	if phase >= phaseHoldDown {
-		simulation.run(simulation.zones.partitionedUntil["b"].Sub(simulation.now) + time.Second)
+		s.run(s.zones.partitionedUntil["b"].Sub(s.now) + time.Second)
 	}
 	if phase >= phaseProbe {
-		simulation.awaitCondition("b", zonerecovery.Recovering, 60*second)
-		for simulation.condition("b") == zonerecovery.Recovering && simulation.statusOf("b").Step < int(phase) {
-			simulation.run(100 * time.Millisecond)
+		s.awaitCondition("b", zonerecovery.Recovering, 60*second)
+		for s.condition("b") == zonerecovery.Recovering && s.statusOf("b").Step < int(phase) {
+			s.run(100 * time.Millisecond)
 		}
 	}
-	simulation.run(300 * time.Millisecond)
+	s.run(300 * time.Millisecond)
 }
 
 // leaderChanges are failovers and pauses of the leader.
 var leaderChanges = []struct {
 	name   string
-	inject func(simulation *scenario)
+	inject func(s *scenario)
 }{
-	{"failover", func(simulation *scenario) { simulation.failOver() }},
-	{"two failovers", func(simulation *scenario) {
-		simulation.failOver()
-		simulation.run(300 * time.Millisecond)
-		simulation.failOver()
+	{"failover", func(s *scenario) { s.failOver() }},
+	{"two failovers", func(s *scenario) {
+		s.failOver()
+		s.run(300 * time.Millisecond)
+		s.failOver()
 	}},
-	{"the leader is paused", func(simulation *scenario) { simulation.pause(2500 * time.Millisecond) }},
-	{"the leader is paused for longer than its lease", func(simulation *scenario) { simulation.pause(8 * second) }},
-	{"the previous leader remains active in the zone", func(simulation *scenario) {
-		simulation.failOverWithPreviousLeaderActive()
-		simulation.isolatedZone, simulation.isolatedZoneUntil = "b", simulation.in(20*second)
+	{"the leader is paused", func(s *scenario) { s.pause(2500 * time.Millisecond) }},
+	{"the leader is paused for longer than its lease", func(s *scenario) { s.pause(8 * second) }},
+	{"the previous leader remains active in the zone", func(s *scenario) {
+		s.failOverWithPreviousLeaderActive()
+		s.isolatedZone, s.isolatedZoneUntil = "b", s.in(20*second)
 	}},
 }
 
@@ -106,21 +106,21 @@
 		for _, c := range leaderChanges {
 			t.Run(fmt.Sprintf("%s %s", c.name, phase), func(t *testing.T) {
 				t.Parallel()
-				simulation := newZoneScenario(t, 6, 4)
-				simulation.fillZones()
-				simulation.awaitPhase(phase)
-				before := simulation.statusOf("b")
-				c.inject(simulation)
-				simulation.run(100 * time.Millisecond)
-				after := simulation.statusOf("b")
+				s := newZoneScenario(t, 6, 4)
+				s.fillZones()
+				s.awaitPhase(phase)
+				before := s.statusOf("b")
+				c.inject(s)
+				s.run(100 * time.Millisecond)
+				after := s.statusOf("b")
 				if after.Outages != before.Outages || after.DisplacedJobs < before.DisplacedJobs {
 					t.Errorf("the next leader lost outages or displaced jobs: before %+v\nafter %+v", before, after)
 				}
 				if before.Condition == zonerecovery.Outage && after.Condition == zonerecovery.Serving || after.Step > before.Step+1 {
 					t.Errorf("the next leader permits more: before %+v\nafter %+v", before, after)
 				}
-				simulation.awaitCondition("b", zonerecovery.Serving, 3*time.Minute)
-				simulation.runToEnd()
+				s.awaitCondition("b", zonerecovery.Serving, 3*time.Minute)
+				s.runToEnd()
 			})
 		}
 	}
--- a/scheduler/zone_records_test.go
+++ b/scheduler/zone_records_test.go
@@ -15,42 +15,42 @@
 // recorded and the next leader would not know of it. The recovery must continue after the store is
 // available again.
 func TestNoRecoveryStepBeginsUnrecorded(t *testing.T) {
-	simulation := newZoneScenario(t, 7, 4)
-	simulation.fillZones()
-	simulation.causeZoneOutage("b", 40*second)
-	simulation.run(500 * time.Millisecond)
-	simulation.storeOutageUntil = simulation.in(90 * second)
-	simulation.jobs(4, array)
-	for simulation.now < simulation.storeOutageUntil {
-		simulation.run(second)
-		if got := simulation.core.zones.manager.Stats().Failbacks; got != 0 {
+	s := newZoneScenario(t, 7, 4)
+	s.fillZones()
+	s.causeZoneOutage("b", 40*second)
+	s.run(500 * time.Millisecond)
+	s.storeOutageUntil = s.in(90 * second)
+	s.jobs(4, array)
+	for s.now < s.storeOutageUntil {
+		s.run(second)
+		if got := s.core.zones.manager.Stats().Failbacks; got != 0 {
 			t.Fatalf("%d jobs returned although nothing could be recorded", got)
 		}
 	}
-	if st := simulation.statusOf("b"); st.Condition != zonerecovery.Recovering || st.Step != 0 {
+	if st := s.statusOf("b"); st.Condition != zonerecovery.Recovering || st.Step != 0 {
 		t.Fatalf("the zone is %s at step %d although nothing was recorded", st.Condition, st.Step)
 	}
-	simulation.awaitCondition("b", zonerecovery.Serving, 90*second)
-	simulation.runToEnd()
+	s.awaitCondition("b", zonerecovery.Serving, 90*second)
+	s.runToEnd()
 }
 
 // Placements may use the whole write rate for minutes after a zone outage. The record of the zone
 // must still be written in the meantime, so that the recovery ends in time.
 func TestZoneRecordIsWrittenAtTheWriteRateLimit(t *testing.T) {
-	simulation := newZoneScenario(t, 16, 6)
-	simulation.fillZones()
-	simulation.causeZoneOutage("b", 40*second)
-	simulation.core.records.budget.perSecond, simulation.opt.WriteRate = 3, 3
-	simulation.runFactor = 1
-	simulation.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
-	simulation.run(simulation.zones.partitionedUntil["b"].Sub(simulation.now))
-	simulation.awaitCondition("b", zonerecovery.Recovering, 30*second)
-	simulation.awaitCondition("b", zonerecovery.Serving, simulation.opt.ZoneRecovery.MaxRecovery+10*second)
-	if waiting := len(simulation.core.records.dirty); waiting == 0 {
+	s := newZoneScenario(t, 16, 6)
+	s.fillZones()
+	s.causeZoneOutage("b", 40*second)
+	s.core.records.budget.perSecond, s.opt.WriteRate = 3, 3
+	s.runFactor = 1
+	s.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
+	s.run(s.zones.partitionedUntil["b"].Sub(s.now))
+	s.awaitCondition("b", zonerecovery.Recovering, 30*second)
+	s.awaitCondition("b", zonerecovery.Serving, s.opt.ZoneRecovery.MaxRecovery+10*second)
+	if waiting := len(s.core.records.dirty); waiting == 0 {
 		t.Error("no record waits for the write rate, so the scenario does not test the limit")
 	}
-	simulation.core.records.budget.perSecond, simulation.opt.WriteRate = 40, 40
-	simulation.runToEnd()
+	s.core.records.budget.perSecond, s.opt.WriteRate = 40, 40
+	s.runToEnd()
 }
 
 // fakeZoneRecordWriter records the changes that a zone gate submits and the error that it reports.
--- a/scheduler/zone_recovery_benchmark_test.go
+++ b/scheduler/zone_recovery_benchmark_test.go
@@ -44,17 +44,17 @@
 // newRecoveryRun returns a simulation that is ready to run. start creates the first leader, with
 // zone recovery on or off.
 func newRecoveryRun(seed uint64, start func(*sim)) *recoveryRun {
-	simulation := &scenario{sim: newSim(nil, seed)}
-	simulation.faults, simulation.capacity = false, 10
-	for i := range simulation.opt.Teams {
-		simulation.opt.Teams[i].Limit.CPUs, simulation.opt.Teams[i].Nominal.CPUs = 2000, 1000
+	s := &scenario{sim: newSim(nil, seed)}
+	s.faults, s.capacity = false, 10
+	for i := range s.opt.Teams {
+		s.opt.Teams[i].Limit.CPUs, s.opt.Teams[i].Nominal.CPUs = 2000, 1000
 	}
-	simulation.opt.MaxMachines, simulation.opt.IdleTimeout, simulation.opt.WriteRate = 70, 10*time.Minute, 400
-	simulation.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
-	start(simulation.sim)
-	simulation.previousCore = nil
-	simulation.imageCaches = &simImageCaches{images: map[*simWorker]map[ids.Image]bool{}, inFlight: map[ids.Zone]int{}, peak: map[ids.Zone]int{}}
-	return &recoveryRun{scenario: simulation}
+	s.opt.MaxMachines, s.opt.IdleTimeout, s.opt.WriteRate = 70, 10*time.Minute, 400
+	s.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
+	start(s.sim)
+	s.previousCore = nil
+	s.imageCaches = &simImageCaches{images: map[*simWorker]map[ids.Image]bool{}, inFlight: map[ids.Zone]int{}, peak: map[ids.Zone]int{}}
+	return &recoveryRun{scenario: s}
 }
 
 // measure runs the simulation and returns its measurements.
@@ -159,12 +159,12 @@
 
 // runningReplicas returns the number of replicas of services that run on usable machines, and the
 // number of all their replicas.
-func (simulation *scenario) runningReplicas(services []ids.JobID) (running, wanted int) {
+func (s *scenario) runningReplicas(services []ids.JobID) (running, wanted int) {
 	for _, id := range services {
-		j := simulation.core.cluster.Job(id)
+		j := s.core.cluster.Job(id)
 		wanted += len(j.Tasks())
 		for _, a := range j.Active() {
-			if a.Run.Phase == wire.TaskRunning && simulation.core.health.usable(a.Machine) {
+			if a.Run.Phase == wire.TaskRunning && s.core.health.usable(a.Machine) {
 				running++
 			}
 		}
@@ -174,10 +174,10 @@
 
 // utilizationMatches reports whether the utilization of a zone's machines is at least 90% of that of
 // the other machines.
-func (simulation *scenario) utilizationMatches(zone ids.Zone) bool {
+func (s *scenario) utilizationMatches(zone ids.Zone) bool {
 	var used, total, usedElsewhere, totalElsewhere float64
-	for _, machine := range simulation.core.cluster.Machines() {
-		if !simulation.core.health.usable(machine) {
+	for _, machine := range s.core.cluster.Machines() {
+		if !s.core.health.usable(machine) {
 			continue
 		}
 		if machine.Zone() == zone {
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -51,50 +51,50 @@
 // newZoneScenario returns a scenario without random faults. Zones a, b and c have machines for all
 // jobs.
 func newZoneScenario(t *testing.T, seed uint64, capacity int) *scenario {
-	simulation := &scenario{sim: newSim(t, seed)}
-	simulation.faults, simulation.capacity = false, capacity
-	for i := range simulation.opt.Teams {
-		simulation.opt.Teams[i].Limit.CPUs, simulation.opt.Teams[i].Nominal.CPUs = 400, 400
+	s := &scenario{sim: newSim(t, seed)}
+	s.faults, s.capacity = false, capacity
+	for i := range s.opt.Teams {
+		s.opt.Teams[i].Limit.CPUs, s.opt.Teams[i].Nominal.CPUs = 400, 400
 	}
-	simulation.opt.MaxMachines, simulation.opt.IdleTimeout = 60, 10*time.Minute
-	simulation.enableZoneRecovery()
-	return simulation
+	s.opt.MaxMachines, s.opt.IdleTimeout = 60, 10*time.Minute
+	s.enableZoneRecovery()
+	return s
 }
 
 // submitJob submits a job and returns its ID.
-func (simulation *scenario) submitJob(spec *wire.JobSpec) ids.JobID {
-	id := ids.JobID(fmt.Sprintf("job-%03d", len(simulation.all)))
-	simulation.submit(id, spec)
-	simulation.all = append(simulation.all, id)
+func (s *scenario) submitJob(spec *wire.JobSpec) ids.JobID {
+	id := ids.JobID(fmt.Sprintf("job-%03d", len(s.all)))
+	s.submit(id, spec)
+	s.all = append(s.all, id)
 	return id
 }
 
 // fillZones submits services and long arrays for all zones, and waits until they run.
-func (simulation *scenario) fillZones() (services, arrays []ids.JobID) {
-	simulation.runFactor = 20
+func (s *scenario) fillZones() (services, arrays []ids.JobID) {
+	s.runFactor = 20
 	for _, zone := range []ids.Zone{"a", "b", "c", ""} {
 		spec := zoneArray(10)
 		spec.Zone = zone
-		arrays = append(arrays, simulation.submitJob(spec))
+		arrays = append(arrays, s.submitJob(spec))
 	}
 	for range 3 {
 		spec := zoneArray(4)
 		spec.Service, spec.Spread = true, true
-		services = append(services, simulation.submitJob(spec))
+		services = append(services, s.submitJob(spec))
 	}
-	simulation.run(40 * second)
+	s.run(40 * second)
 	for _, zone := range []ids.Zone{"a", "b"} {
-		if simulation.machinesIn(zone) < 3 {
-			simulation.t.Fatalf("zone %s has only %d machines", zone, simulation.machinesIn(zone))
+		if s.machinesIn(zone) < 3 {
+			s.t.Fatalf("zone %s has only %d machines", zone, s.machinesIn(zone))
 		}
 	}
 	return services, arrays
 }
 
 // machinesIn returns the number of machines of a zone that have sent a heartbeat to the leader.
-func (simulation *scenario) machinesIn(zone ids.Zone) int {
+func (s *scenario) machinesIn(zone ids.Zone) int {
 	n := 0
-	for _, machine := range simulation.core.cluster.Machines() {
+	for _, machine := range s.core.cluster.Machines() {
 		if machine.Zone() == zone && machine.Agent.HeartbeatThisTerm {
 			n++
 		}
@@ -103,55 +103,55 @@
 }
 
 // awaitCondition runs until a zone has a condition, and fails the test if that takes too long.
-func (simulation *scenario) awaitCondition(zone ids.Zone, want zonerecovery.Condition, within time.Duration) {
-	simulation.t.Helper()
-	for end := simulation.now.Add(within); simulation.condition(zone) != want; {
-		if simulation.now >= end {
-			simulation.t.Fatalf("zone %s is %s after %v, want %s: %v", zone, simulation.condition(zone), within, want, simulation.zones.conditions[zone])
+func (s *scenario) awaitCondition(zone ids.Zone, want zonerecovery.Condition, within time.Duration) {
+	s.t.Helper()
+	for end := s.now.Add(within); s.condition(zone) != want; {
+		if s.now >= end {
+			s.t.Fatalf("zone %s is %s after %v, want %s: %v", zone, s.condition(zone), within, want, s.zones.conditions[zone])
 		}
-		simulation.run(100 * time.Millisecond)
+		s.run(100 * time.Millisecond)
 	}
 }
 
 // causeZoneOutage partitions a zone, and runs until the zone counts as in outage.
-func (simulation *scenario) causeZoneOutage(zone ids.Zone, partition time.Duration) {
-	simulation.t.Helper()
-	simulation.partitionZone(zone, partition)
-	simulation.awaitCondition(zone, zonerecovery.Outage, 30*second)
+func (s *scenario) causeZoneOutage(zone ids.Zone, partition time.Duration) {
+	s.t.Helper()
+	s.partitionZone(zone, partition)
+	s.awaitCondition(zone, zonerecovery.Outage, 30*second)
 }
 
 // statusOf returns the status of a zone as reported to operators.
-func (simulation *scenario) statusOf(zone ids.Zone) zonerecovery.Status {
-	simulation.t.Helper()
-	for _, st := range simulation.core.ZoneStatus(simulation.now) {
+func (s *scenario) statusOf(zone ids.Zone) zonerecovery.Status {
+	s.t.Helper()
+	for _, st := range s.core.ZoneStatus(s.now) {
 		if st.Zone == zone {
 			return st
 		}
 	}
-	simulation.t.Fatalf("no status of zone %s", zone)
+	s.t.Fatalf("no status of zone %s", zone)
 	return zonerecovery.Status{}
 }
 
 // runToEnd checks that every job ends without a violation of an invariant, and that none returned
 // more than once to a zone that displaced it.
-func (simulation *scenario) runToEnd() {
-	simulation.t.Helper()
-	simulation.runFactor = 1
-	simulation.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
-	simulation.runToCompletion(simulation.all, 30*time.Minute)
-	if simulation.zones.maxFailbacks > 1 {
-		simulation.t.Errorf("a job returned %d times to a zone that displaced it", simulation.zones.maxFailbacks)
+func (s *scenario) runToEnd() {
+	s.t.Helper()
+	s.runFactor = 1
+	s.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
+	s.runToCompletion(s.all, 30*time.Minute)
+	if s.zones.maxFailbacks > 1 {
+		s.t.Errorf("a job returned %d times to a zone that displaced it", s.zones.maxFailbacks)
 	}
 }
 
 // countPlaced returns the number of tasks of jobs on machines in zones without an outage, and the
 // number of their tasks that have not completed.
-func (simulation *scenario) countPlaced(jobs []ids.JobID) (placed, wanted int) {
+func (s *scenario) countPlaced(jobs []ids.JobID) (placed, wanted int) {
 	for _, id := range jobs {
-		j := simulation.core.cluster.Job(id)
+		j := s.core.cluster.Job(id)
 		wanted += len(j.Tasks()) - j.Done()
 		for _, a := range j.Active() {
-			if a.StopReason() == cluster.StopNone && simulation.condition(a.Machine.Zone()) != zonerecovery.Outage {
+			if a.StopReason() == cluster.StopNone && s.condition(a.Machine.Zone()) != zonerecovery.Outage {
 				placed++
 			}
 		}
@@ -160,19 +160,19 @@
 }
 
 // latestAttempts returns the latest attempt of each task of some jobs.
-func (simulation *scenario) latestAttempts(jobs []ids.JobID) map[ids.TaskRef]ids.Attempt {
+func (s *scenario) latestAttempts(jobs []ids.JobID) map[ids.TaskRef]ids.Attempt {
 	attempts := map[ids.TaskRef]ids.Attempt{}
 	for _, id := range jobs {
-		for i := range simulation.core.cluster.Job(id).Tasks() {
-			attempts[ids.TaskRef{Job: id, Index: i}] = simulation.core.cluster.Job(id).Task(i).Attempt()
+		for i := range s.core.cluster.Job(id).Tasks() {
+			attempts[ids.TaskRef{Job: id, Index: i}] = s.core.cluster.Job(id).Task(i).Attempt()
 		}
 	}
 	return attempts
 }
 
 // leasesExpiredIn reports whether all leases in a zone have expired, so that its tasks are pending.
-func (simulation *scenario) leasesExpiredIn(zone ids.Zone) bool {
-	for _, machine := range simulation.core.cluster.Machines() {
+func (s *scenario) leasesExpiredIn(zone ids.Zone) bool {
+	for _, machine := range s.core.cluster.Machines() {
 		if machine.Zone() == zone && len(machine.Assignments()) > 0 {
 			return false
 		}
@@ -181,9 +181,9 @@
 }
 
 // runningOutside returns the attempts of the tasks of a job that run outside a zone.
-func (simulation *scenario) runningOutside(id ids.JobID, zone ids.Zone) map[ids.TaskRef]ids.Attempt {
+func (s *scenario) runningOutside(id ids.JobID, zone ids.Zone) map[ids.TaskRef]ids.Attempt {
 	attempts := map[ids.TaskRef]ids.Attempt{}
-	for _, a := range simulation.core.cluster.Job(id).Active() {
+	for _, a := range s.core.cluster.Job(id).Active() {
 		if a.Machine.Zone() != zone && a.Run.Phase == wire.TaskRunning {
 			attempts[a.Ref()] = a.Attempt
 		}
@@ -192,10 +192,10 @@
 }
 
 // startsIn returns the number of run commands that were executed in a zone.
-func (simulation *scenario) startsIn(zone ids.Zone) int {
+func (s *scenario) startsIn(zone ids.Zone) int {
 	n := 0
-	for _, id := range simulation.all {
-		for _, p := range simulation.placements[id] {
+	for _, id := range s.all {
+		for _, p := range s.placements[id] {
 			if p.worker.zone == zone {
 				n++
 			}
--- a/scheduler/zones_test.go
+++ b/scheduler/zones_test.go
@@ -66,9 +66,9 @@
 		{"no fault", nil, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			fixture := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 999}, Limit: quota.Amount{CPUs: 999}}}})
-			fixture.c.Begin(fixture.now)
-			zones := newFullZones(fixture)
+			h := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 999}, Limit: quota.Amount{CPUs: 999}}}})
+			h.c.Begin(h.now)
+			zones := newFullZones(h)
 			zones.partitioned = c.partitioned
 			provisioned := zones.step(10, 0) + zones.step(1, c.pause) + zones.step(69, 0)
 			if (provisioned > 0) != c.provisions {
@@ -88,15 +88,15 @@
 	ticks       int
 }
 
-func newFullZones(fixture *harness) *fullZones {
-	zones := &fullZones{harness: fixture, began: fixture.now, machines: map[ids.Zone][]ids.MachineID{}}
+func newFullZones(h *harness) *fullZones {
+	zones := &fullZones{harness: h, began: h.now, machines: map[ids.Zone][]ids.MachineID{}}
 	for n := range 60 {
 		zone := []ids.Zone{"a", "b"}[n%2]
 		zones.machines[zone] = append(zones.machines[zone], ids.MachineID(fmt.Sprintf("n-%02d", n)))
-		fixture.heartbeat(zones.machines[zone][n/2], zone, 0)
+		h.heartbeat(zones.machines[zone][n/2], zone, 0)
 	}
-	fixture.submit("job-1", wire.JobSpec{Tasks: 60, Service: true, CPUs: 8})
-	fixture.step()
+	h.submit("job-1", wire.JobSpec{Tasks: 60, Service: true, CPUs: 8})
+	h.step()
 	return zones
 }
 
@@ -189,33 +189,33 @@
 // the zone ends the detected partition. The other machines must not be terminated for their missed
 // heartbeats before they have had time to send one.
 func TestMachinesAreNotTerminatedWhenAPartitionEnds(t *testing.T) {
-	fixture := newHarness(t, Options{})
-	fixture.c.Begin(fixture.now)
+	h := newHarness(t, Options{})
+	h.c.Begin(h.now)
 	machines := map[ids.Zone][]ids.MachineID{"a": {"a-1", "a-2", "a-3", "a-4"}, "b": {"b-1", "b-2", "b-3", "b-4", "b-5"}}
 	sendHeartbeats := func(zone ids.Zone) {
 		for _, id := range machines[zone] {
-			fixture.heartbeat(id, zone, 0)
+			h.heartbeat(id, zone, 0)
 		}
 	}
 	sendHeartbeats("b")
-	for start := fixture.now; fixture.now < start.Add(missedHeartbeatLeases*simAgentLease+10*time.Second); fixture.now = fixture.now.Add(500 * time.Millisecond) {
+	for start := h.now; h.now < start.Add(missedHeartbeatLeases*simAgentLease+10*time.Second); h.now = h.now.Add(500 * time.Millisecond) {
 		sendHeartbeats("a")
-		if decisions := fixture.step(); len(decisions.Terminate) > 0 {
+		if decisions := h.step(); len(decisions.Terminate) > 0 {
 			t.Fatalf("terminated %v in the partition", decisions.Terminate)
 		}
 	}
-	fixture.heartbeat("b-1", "b", 0)
-	for start := fixture.now; fixture.now < start.Add(simHeartbeatInterval); fixture.now = fixture.now.Add(200 * time.Millisecond) {
+	h.heartbeat("b-1", "b", 0)
+	for start := h.now; h.now < start.Add(simHeartbeatInterval); h.now = h.now.Add(200 * time.Millisecond) {
 		sendHeartbeats("a")
-		if decisions := fixture.step(); len(decisions.Terminate) > 0 {
+		if decisions := h.step(); len(decisions.Terminate) > 0 {
 			t.Fatalf("terminated %v before they could send a heartbeat", decisions.Terminate)
 		}
 	}
 	terminated := 0
-	for start := fixture.now; fixture.now < start.Add(4*simHeartbeatInterval); fixture.now = fixture.now.Add(200 * time.Millisecond) {
+	for start := h.now; h.now < start.Add(4*simHeartbeatInterval); h.now = h.now.Add(200 * time.Millisecond) {
 		sendHeartbeats("a")
-		fixture.heartbeat("b-1", "b", 0)
-		terminated += len(fixture.step().Terminate)
+		h.heartbeat("b-1", "b", 0)
+		terminated += len(h.step().Terminate)
 	}
 	if terminated != 4 {
 		t.Errorf("%d machines without heartbeats were terminated, want 4", terminated)
