--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -10,7 +10,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// With more than a thousand machines, a round still makes the same decisions as the plain model. Its
+// With more than a thousand machines, a round still makes the same decisions as the reference model. Its
 // work grows at most with the product of machines and jobs, not with the number of tasks. The test
 // counts examined machines rather than measuring time.
 func TestAdmissionAtScale(t *testing.T) {
--- a/scheduler/benchmark_test.go
+++ b/scheduler/benchmark_test.go
@@ -15,26 +15,26 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// This file plays a long day of a large fleet to measure the cost of the core alone. Nothing
-// fails in it and no rule is checked: sim_test.go does that.
+// This file simulates a large fleet for a long time, to measure the cost of the core alone. It injects
+// no faults and checks no rules: sim_test.go does that.
 //
-//	go test ./scheduler -run - -bench LongDay -cpuprofile cpu.out
+//	go test ./scheduler -run - -bench LongSimulation -cpuprofile cpu.out
 
 const (
-	longDayWriteTime = 5 * time.Millisecond
-	longDayCallTime  = 3 * time.Millisecond
-	longDayCloudTime = 250 * time.Millisecond
-	longDayCapacity  = 1900 // machines
+	longSimWriteTime = 5 * time.Millisecond
+	longSimCallTime  = 3 * time.Millisecond
+	longSimCloudTime = 250 * time.Millisecond
+	longSimCapacity  = 1900 // machines
 )
 
-// longDay stands in for a whole fleet, its cloud, store and users. It injects no faults.
-type longDay struct {
+// longSim simulates a fleet and its cloud, store and users. It injects no faults.
+type longSim struct {
 	rng         *rand.Rand
 	c           *Core
 	now         monotonic.Instant
 	queue       simQueue
 	sequence    int
-	workers     map[ids.MachineID]*longWorker
+	workers     map[ids.MachineID]*longSimWorker
 	provisioned int
 	machines    int
 	jobs        int
@@ -43,8 +43,8 @@
 	revision    ids.Revision
 }
 
-// longWorker is a machine of the fleet and its agent.
-type longWorker struct {
+// longSimWorker simulates a machine and its agent.
+type longSimWorker struct {
 	id            ids.MachineID
 	site          wire.ProvisionRequest
 	sequence      ids.Sequence
@@ -53,9 +53,9 @@
 	statusChanged bool
 }
 
-// newLongDay is a fleet of 630 machines, which boot at once.
-func newLongDay() *longDay {
-	l := &longDay{rng: rand.New(rand.NewPCG(3, 5)), now: monotonic.Instant(time.Hour), workers: map[ids.MachineID]*longWorker{},
+// newLongSim returns a simulation of 630 machines, which boot immediately.
+func newLongSim() *longSim {
+	l := &longSim{rng: rand.New(rand.NewPCG(3, 5)), now: monotonic.Instant(time.Hour), workers: map[ids.MachineID]*longSimWorker{},
 		specs: map[ids.JobID]*wire.JobSpec{}, revision: 100}
 	team := func(name ids.Team, nominal, limit float64) quota.Team {
 		return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, LendingLimit: quota.Amount{CPUs: nominal}}
@@ -105,77 +105,78 @@
 	return l
 }
 
-// after has a function called after a time.
-func (l *longDay) after(t time.Duration, f func()) {
+// after schedules a call of f after a duration.
+func (l *longSim) after(d time.Duration, f func()) {
 	l.sequence++
-	heap.Push(&l.queue, simEvent{l.now.Add(t), l.sequence, f})
+	heap.Push(&l.queue, simEvent{l.now.Add(d), l.sequence, f})
 }
 
-// boot adds a machine that sends its first heartbeat after a time.
-func (l *longDay) boot(r wire.ProvisionRequest, in time.Duration) ids.MachineID {
+// boot adds a machine that sends its first heartbeat after a boot time.
+func (l *longSim) boot(request wire.ProvisionRequest, bootTime time.Duration) ids.MachineID {
 	l.provisioned++
 	l.machines++
-	w := &longWorker{id: ids.MachineID(fmt.Sprintf("n-%06d", l.provisioned)), site: r}
-	l.after(in, func() { l.workers[w.id] = w; l.heartbeat(w) })
+	w := &longSimWorker{id: ids.MachineID(fmt.Sprintf("n-%06d", l.provisioned)), site: request}
+	l.after(bootTime, func() { l.workers[w.id] = w; l.heartbeat(w) })
 	return w.id
 }
 
-// newHeartbeat is the next heartbeat of a worker.
-func (w *longWorker) newHeartbeat() *wire.Heartbeat {
+// nextHeartbeat returns the next heartbeat of a worker.
+func (w *longSimWorker) nextHeartbeat() *wire.Heartbeat {
 	w.sequence++
 	return &wire.Heartbeat{Machine: w.id, Endpoint: string(w.id), Type: w.site.Type, Zone: w.site.Zone, Spot: w.site.Spot, Incarnation: 1, Sequence: w.sequence,
 		FencingToken: w.token, Tasks: slices.Clone(w.tasks)}
 }
 
-// heartbeat sends a heartbeat, and the next one after an interval without another.
-func (l *longDay) heartbeat(w *longWorker) {
+// heartbeat sends a heartbeat, and the next one after an interval in which no other was sent.
+func (l *longSim) heartbeat(w *longSimWorker) {
 	if l.workers[w.id] != w {
 		return
 	}
 	w.statusChanged = false
-	o, _ := l.c.Heartbeat(l.now, w.newHeartbeat())
-	w.token = max(w.token, o.FencingToken)
-	l.execute(w, o.Commands)
-	tick := w.sequence
+	response, _ := l.c.Heartbeat(l.now, w.nextHeartbeat())
+	w.token = max(w.token, response.FencingToken)
+	l.execute(w, response.Commands)
+	sequence := w.sequence
 	l.after(5*time.Second, func() {
-		if w.sequence == tick {
+		if w.sequence == sequence {
 			l.heartbeat(w)
 		}
 	})
 }
 
-// markStatusChanged has a worker send a heartbeat soon, as a status has changed.
-func (l *longDay) markStatusChanged(w *longWorker) {
+// markStatusChanged has a worker send a heartbeat after the debounce interval, because a status has
+// changed.
+func (l *longSim) markStatusChanged(w *longSimWorker) {
 	if !w.statusChanged {
 		w.statusChanged = true
 		l.after(500*time.Millisecond, func() { l.heartbeat(w) })
 	}
 }
 
-// execute carries commands out.
-func (l *longDay) execute(w *longWorker, orders []wire.Command) {
-	for _, o := range orders {
-		i := slices.IndexFunc(w.tasks, func(t wire.TaskStatus) bool { return t.Name == o.Name && t.Attempt == o.Attempt })
+// execute executes commands.
+func (l *longSim) execute(w *longSimWorker, commands []wire.Command) {
+	for _, command := range commands {
+		i := slices.IndexFunc(w.tasks, func(t wire.TaskStatus) bool { return t.Name == command.Name && t.Attempt == command.Attempt })
 		switch {
-		case o.Verb == wire.VerbRun && i < 0:
-			ref, _ := ids.ParseTask(o.Name)
+		case command.Verb == wire.VerbRun && i < 0:
+			ref, _ := ids.ParseTask(command.Name)
 			spec := l.specs[ref.Job]
-			w.tasks = append(w.tasks, wire.TaskStatus{Name: o.Name, Attempt: o.Attempt, State: wire.TaskRunning})
+			w.tasks = append(w.tasks, wire.TaskStatus{Name: command.Name, Attempt: command.Attempt, State: wire.TaskRunning})
 			if !spec.Service {
-				l.after(monotonic.Seconds(spec.EstimateS*(0.7+0.6*l.rng.Float64())), func() { l.endTask(w, o) })
+				l.after(monotonic.Seconds(spec.EstimateS*(0.7+0.6*l.rng.Float64())), func() { l.endTask(w, command) })
 			}
-		case o.Verb == wire.VerbKill && i >= 0 && w.tasks[i].State != wire.TaskEnded:
+		case command.Verb == wire.VerbKill && i >= 0 && w.tasks[i].State != wire.TaskEnded:
 			w.tasks[i].State, w.tasks[i].Cause = wire.TaskEnded, wire.CauseStopped
-		case o.Verb == wire.VerbReap && i >= 0:
+		case command.Verb == wire.VerbReap && i >= 0:
 			w.tasks = slices.Delete(w.tasks, i, i+1)
 		}
 		l.markStatusChanged(w)
 	}
 }
 
-// endTask ends a task that has run for its time.
-func (l *longDay) endTask(w *longWorker, o wire.Command) {
-	i := slices.IndexFunc(w.tasks, func(t wire.TaskStatus) bool { return t.Name == o.Name && t.Attempt == o.Attempt })
+// endTask ends a task whose run time has passed.
+func (l *longSim) endTask(w *longSimWorker, command wire.Command) {
+	i := slices.IndexFunc(w.tasks, func(t wire.TaskStatus) bool { return t.Name == command.Name && t.Attempt == command.Attempt })
 	if i >= 0 && w.tasks[i].State == wire.TaskRunning {
 		w.tasks[i].State, w.tasks[i].Cause = wire.TaskEnded, wire.CauseDone
 		l.done++
@@ -184,7 +185,7 @@
 }
 
 // submit submits a job of a random team and image.
-func (l *longDay) submit(spec wire.JobSpec) {
+func (l *longSim) submit(spec wire.JobSpec) {
 	l.jobs++
 	id := ids.JobID(fmt.Sprintf("job-%05d", l.jobs))
 	spec.Team = []ids.Team{"red", "blue", "blue", "gold", "lime"}[l.rng.IntN(5)]
@@ -195,58 +196,58 @@
 	l.c.ObserveJob(l.now, id, &records.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(l.jobs)}, l.revision)
 }
 
-// arrive submits the jobs of a second.
-func (l *longDay) arrive() {
-	size := func(most int) int { return 20 + l.rng.IntN(most-20) }
+// submitRandomJobs submits the jobs of one second.
+func (l *longSim) submitRandomJobs() {
+	randomSize := func(limit int) int { return 20 + l.rng.IntN(limit-20) }
 	for range 1 + l.rng.IntN(2) {
-		l.submit(wire.JobSpec{Class: "render", Priority: wire.Normal, Tasks: size(200), CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60})
+		l.submit(wire.JobSpec{Class: "render", Priority: wire.Normal, Tasks: randomSize(200), CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60})
 	}
 	for range 1 + l.rng.IntN(3) {
-		l.submit(wire.JobSpec{Class: "push", Priority: wire.High, Tasks: size(120), CPUs: 2, MemoryGB: 2.3, Spot: true, EstimateS: 20})
+		l.submit(wire.JobSpec{Class: "push", Priority: wire.High, Tasks: randomSize(120), CPUs: 2, MemoryGB: 2.3, Spot: true, EstimateS: 20})
 	}
 	if l.rng.IntN(3) == 0 {
 		l.submit(wire.JobSpec{Class: "map", Priority: wire.Critical, Service: true, Spread: true, Tasks: 12, CPUs: 2, MemoryGB: 3.3})
 	}
 }
 
-// step runs the core and carries its decisions out.
-func (l *longDay) step() {
-	e := l.c.Step(l.now)
-	for _, change := range e.RecordChanges {
+// step runs one step of the core and executes its decisions.
+func (l *longSim) step() {
+	decisions := l.c.Step(l.now)
+	for _, change := range decisions.RecordChanges {
 		l.commit(change)
 	}
-	for _, machine := range e.SendCommands {
+	for _, machine := range decisions.SendCommands {
 		l.sendCommands(machine)
 	}
-	for _, request := range e.Provision {
+	for _, request := range decisions.Provision {
 		l.provision(request)
 	}
-	if len(e.Terminate) > 0 {
-		l.terminate(e.Terminate)
+	if len(decisions.Terminate) > 0 {
+		l.terminate(decisions.Terminate)
 	}
 }
 
-// commit applies a change after the time of a write.
-func (l *longDay) commit(change records.Change) {
-	l.after(longDayWriteTime, func() {
+// commit applies a change after the duration of a write.
+func (l *longSim) commit(change records.Change) {
+	l.after(longSimWriteTime, func() {
 		l.revision++
 		l.c.CommitResult(l.now, records.CommitResult{Change: change, Revision: l.revision})
 		l.step()
 	})
 }
 
-// sendCommands sends a machine the commands that wait for it.
-func (l *longDay) sendCommands(machine ids.MachineID) {
+// sendCommands sends a machine its pending commands.
+func (l *longSim) sendCommands(machine ids.MachineID) {
 	batch, _, ok := l.c.TakeCommands(l.now, machine)
 	if !ok {
 		return
 	}
-	l.after(longDayCallTime, func() {
+	l.after(longSimCallTime, func() {
 		var response *wire.Heartbeat
 		if w := l.workers[machine]; w != nil {
 			w.token = max(w.token, batch.FencingToken)
 			l.execute(w, batch.Commands)
-			response = w.newHeartbeat()
+			response = w.nextHeartbeat()
 		}
 		l.c.CommandsResult(l.now, machine, response)
 		l.step()
@@ -254,25 +255,25 @@
 }
 
 // provision boots the machines of a request, as many as the cloud has capacity for.
-func (l *longDay) provision(r wire.ProvisionRequest) {
-	l.after(longDayCloudTime, func() {
+func (l *longSim) provision(request wire.ProvisionRequest) {
+	l.after(longSimCloudTime, func() {
 		var machines []ids.MachineID
-		for range r.Count {
-			if l.machines < longDayCapacity {
-				machines = append(machines, l.boot(r, time.Duration(15+l.rng.IntN(22))*time.Second))
+		for range request.Count {
+			if l.machines < longSimCapacity {
+				machines = append(machines, l.boot(request, time.Duration(15+l.rng.IntN(22))*time.Second))
 			}
 		}
 		if len(machines) == 0 {
-			l.c.ProvisioningRefused(l.now, r)
+			l.c.ProvisioningRefused(l.now, request)
 			return
 		}
-		l.c.ProvisioningGranted(l.now, r, machines)
+		l.c.ProvisioningGranted(l.now, request, machines)
 	})
 }
 
 // terminate terminates machines.
-func (l *longDay) terminate(machines []ids.MachineID) {
-	l.after(longDayCloudTime, func() {
+func (l *longSim) terminate(machines []ids.MachineID) {
+	l.after(longSimCloudTime, func() {
 		for _, machine := range machines {
 			delete(l.workers, machine)
 			l.machines--
@@ -281,37 +282,37 @@
 	})
 }
 
-// run plays for a time, with a step of the core every 20 ms.
-func (l *longDay) run(t time.Duration) {
-	l.after(0, l.arriving)
-	for end := l.now.Add(t); l.now < end; {
+// run simulates a duration, with a step of the core every 20 ms.
+func (l *longSim) run(d time.Duration) {
+	l.after(0, l.submitEverySecond)
+	for end := l.now.Add(d); l.now < end; {
 		next := l.now.Add(20 * time.Millisecond)
 		for len(l.queue) > 0 && l.queue[0].at <= next {
-			e := heap.Pop(&l.queue).(simEvent)
-			l.now = max(l.now, e.at)
-			e.do()
+			event := heap.Pop(&l.queue).(simEvent)
+			l.now = max(l.now, event.at)
+			event.call()
 		}
 		l.now = next
 		l.step()
 	}
 }
 
-// arriving submits jobs each second from now on.
-func (l *longDay) arriving() {
-	l.arrive()
-	l.after(time.Second, l.arriving)
+// submitEverySecond submits jobs now and every second from now on.
+func (l *longSim) submitEverySecond() {
+	l.submitRandomJobs()
+	l.after(time.Second, l.submitEverySecond)
 }
 
-// BenchmarkLongDay reports the work of the core for each task that was done.
-func BenchmarkLongDay(b *testing.B) {
+// BenchmarkLongSimulation reports the work of the core per completed task.
+func BenchmarkLongSimulation(b *testing.B) {
 	for b.Loop() {
-		l := newLongDay()
+		l := newLongSim()
 		for range 150 {
-			l.arrive()
+			l.submitRandomJobs()
 		}
 		l.run(3 * time.Minute)
 		if l.done == 0 {
-			b.Fatal("nothing was done, so nothing was measured")
+			b.Fatal("no task was done, so nothing was measured")
 		}
 		b.ReportMetric(float64(l.c.candidates.examined)/float64(l.done), "looks/task")
 		b.ReportMetric(float64(len(l.workers)), "machines")
--- a/scheduler/digest_test.go
+++ b/scheduler/digest_test.go
@@ -12,58 +12,61 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// decisionDigest is a hash over everything that the leaders of one simulated day
-// decided, in order. Two plays of the same day must agree on it, and so must
-// two versions of the code between which no decision was meant to change.
+// decisionDigest is a hash of all decisions of the leaders in one simulation run, in order. It must be
+// the same for two runs with the same seed, and for two versions of the code between which no decision
+// is meant to change.
 type decisionDigest struct {
-	hash  hash.Hash64
-	parts int
+	hash    hash.Hash64
+	entries int
 }
 
 func newDecisionDigest() *decisionDigest { return &decisionDigest{hash: fnv.New64a()} }
 
+// add adds a value. The kinds are hashed too, so renaming one changes the digest.
 func (d *decisionDigest) add(kind string, value any) {
-	d.parts++
-	fmt.Fprintf(d.hash, "%s %v\n", kind, value) // without names of fields, which may change
+	d.entries++
+	fmt.Fprintf(d.hash, "%s %v\n", kind, value) // without field names, because they may be renamed
 }
 
-// addDecisions adds the decisions of one step.
-func (d *decisionDigest) addDecisions(e Decisions) {
-	for _, ch := range e.RecordChanges {
-		d.add("change", ch.ID)
-		for _, g := range ch.Preconditions {
-			d.add("guard", g)
+// addDecisions adds the decisions of a step.
+func (d *decisionDigest) addDecisions(decisions Decisions) {
+	for _, change := range decisions.RecordChanges {
+		d.add("change", change.ID)
+		for _, precondition := range change.Preconditions {
+			d.add("guard", precondition)
 		}
-		for _, op := range ch.Operations {
+		for _, op := range change.Operations {
 			d.add("write "+op.PutKey, wire.Encode(op.Value))
 			d.add("drop", op.DeleteKey)
 		}
 	}
-	for _, r := range e.Provision {
-		d.add("rent", r)
+	for _, request := range decisions.Provision {
+		d.add("rent", request)
 	}
-	d.addMachines("direct", e.SendCommands)
-	d.addMachines("show", e.RequestHeartbeats)
-	d.addMachines("return", e.Terminate)
-	for _, id := range e.RereadJobs {
+	d.addMachines("direct", decisions.SendCommands)
+	d.addMachines("show", decisions.RequestHeartbeats)
+	d.addMachines("return", decisions.Terminate)
+	for _, id := range decisions.RereadJobs {
 		d.add("refresh", id)
 	}
-	for _, address := range e.ForgetAddresses {
+	for _, address := range decisions.ForgetAddresses {
 		d.add("forget", address)
 	}
 }
 
-func (d *decisionDigest) addMachines(kind string, hosts []ids.MachineID) {
-	for _, h := range hosts {
-		d.add(kind, h)
+func (d *decisionDigest) addMachines(kind string, machines []ids.MachineID) {
+	for _, machine := range machines {
+		d.add(kind, machine)
 	}
 }
 
-func (d *decisionDigest) String() string { return fmt.Sprintf("%016x of %d", d.hash.Sum64(), d.parts) }
+func (d *decisionDigest) String() string {
+	return fmt.Sprintf("%016x of %d", d.hash.Sum64(), d.entries)
+}
 
-// impatientDay is a random day with a class that cannot wait for a machine to
-// boot, so that headroom and scale-in depend on what is known of a class.
-func impatientDay(t *testing.T, seed uint64) *sim {
+// newLatencySensitiveSim returns a simulation in which a class cannot wait for a machine to boot, so
+// headroom and scale in depend on the state of the class.
+func newLatencySensitiveSim(t *testing.T, seed uint64) *sim {
 	s := newSim(t, seed)
 	s.opt.LatencySensitive = map[string]time.Duration{"c": 5 * time.Second}
 	s.opt.Headroom, s.opt.SpotIdleFactor = 0.3, 1.5
@@ -71,55 +74,54 @@
 	return s
 }
 
-// The same events at the same times give the same decisions. Walks through
-// maps made some days go differently each time they were played: the order in
-// which the next leader stops cancelled jobs, and the job that stands for its class when
-// headroom is computed.
+// The same events at the same times must give the same decisions. They do not if the iteration order
+// of a map determines the order in which the next leader stops cancelled jobs, or which job represents
+// its class when headroom is computed.
 func TestSameEventsGiveTheSameDecisions(t *testing.T) {
-	const days, plays = 6, 4
-	for seed := range uint64(days) {
+	const seeds, runs = 6, 4
+	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			var first string
-			for play := range plays {
-				s := impatientDay(t, seed)
-				s.playRandomDay(25)
+			for run := range runs {
+				s := newLatencySensitiveSim(t, seed)
+				s.simulateRandomFaults(25)
 				switch got := s.digest.String(); {
-				case play == 0:
+				case run == 0:
 					first = got
 				case got != first:
-					t.Errorf("play %d decided %s, the first one %s", play, got, first)
+					t.Errorf("run %d: digest %s, the first run had %s", run, got, first)
 				}
 			}
 		})
 	}
 }
 
-// otherDigest is the digest that another version of the code gave for the same days.
-var otherDigest = flag.String("digest", "", "digest of the random days to compare with, or \"print\"")
+// otherDigest is the digest of the same simulations with another version of the code.
+var otherDigest = flag.String("digest", "", "digest of the random simulations to compare with, or \"print\"")
 
-// TestDigestOfRandomDays compares two versions of the code between which no decision
-// was meant to change: the digest that one prints is handed to the other. There is no
-// expected value to be kept up to date, so without the flag it is skipped: the version
-// before prints its value, and the version after fails if its own is another.
+// TestDigestOfRandomSimulations compares two versions of the code between which no decision is meant to
+// change. The version before the change prints its digest. The version after it gets that digest and
+// fails if its own differs. The test has no expected value that would need updates, so it is skipped
+// without the flag.
 //
-//	go test ./scheduler -run TestDigestOfRandomDays -v -args -digest print
-//	go test ./scheduler -run TestDigestOfRandomDays -args -digest VALUE
-func TestDigestOfRandomDays(t *testing.T) {
+//	go test ./scheduler -run TestDigestOfRandomSimulations -v -args -digest print
+//	go test ./scheduler -run TestDigestOfRandomSimulations -args -digest VALUE
+func TestDigestOfRandomSimulations(t *testing.T) {
 	if *otherDigest == "" {
 		t.Skip("compares two versions; see -digest")
 	}
-	all := newDecisionDigest()
+	total := newDecisionDigest()
 	for seed := range uint64(60) {
 		s := newSim(t, seed)
 		if seed%2 == 1 {
-			s = impatientDay(t, seed)
+			s = newLatencySensitiveSim(t, seed)
 		}
-		s.playRandomDay(40)
-		all.add("day", s.digest)
+		s.simulateRandomFaults(40)
+		total.add("day", s.digest)
 	}
-	got := fmt.Sprintf("%016x", all.hash.Sum64())
-	t.Logf("digest of %d days: %s", all.parts, got)
+	got := fmt.Sprintf("%016x", total.hash.Sum64())
+	t.Logf("digest of %d simulations: %s", total.entries, got)
 	if *otherDigest != "print" && got != *otherDigest {
 		t.Errorf("decisions differ from those of %s", *otherDigest)
 	}
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"math/rand/v2"
 	"testing"
-
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
@@ -14,17 +13,18 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// harness drives a core with machines that are up by hand.
+// harness calls a core directly, without a simulation around it. Its machines have booted.
 type harness struct {
 	t        *testing.T
 	c        *Core
 	now      monotonic.Instant
 	sequence ids.Sequence
-	// zoneWrites counts the records of zones that were written.
+	// zoneWrites is the number of zone records that were written.
 	zoneWrites int
 }
 
-// newHarness makes a core with one team and one machine type, unless others are given.
+// newHarness returns a harness whose core has one team and one machine type, unless others are
+// given.
 func newHarness(t *testing.T, opt Options, types ...wire.MachineType) *harness {
 	t.Helper()
 	if opt.Teams == nil {
@@ -45,6 +45,7 @@
 	return &harness{t: t, c: New(opt, types), now: monotonic.Instant(time.Hour)}
 }
 
+// submit has the core observe a new job. Team and CPUs have defaults.
 func (h *harness) submit(id ids.JobID, spec wire.JobSpec) {
 	if spec.CPUs == 0 {
 		spec.CPUs = 2
@@ -56,7 +57,7 @@
 	h.c.ObserveJob(h.now, id, &records.Job{Status: wire.JobQueued, Tasks: spec.Tasks, Spec: &spec, SubmittedMS: int64(len(h.c.cluster.Jobs()))}, ids.Revision(100+len(h.c.cluster.Jobs())))
 }
 
-// inherit loads job-1 and its admission record as a previous leader left them.
+// inherit loads job-1 and the admission record that a previous leader wrote for it.
 func (h *harness) inherit(spec wire.JobSpec, rec records.AdmissionSlice) {
 	h.t.Helper()
 	spec.Class, spec.Team, spec.CPUs, spec.Image = "c", "red", 2, "i"
@@ -66,7 +67,7 @@
 	}
 }
 
-// randomTeams makes three teams. Each lends the part of its nominal quota that lend draws.
+// randomTeams returns three teams. lend draws the fraction of its nominal quota that a team lends.
 func randomTeams(rng *rand.Rand, lend func() float64) []quota.Team {
 	var teams []quota.Team
 	for n := range 3 {
@@ -77,51 +78,53 @@
 	return teams
 }
 
-// randomMachines brings machines up in random zones.
+// randomMachines has new machines in random zones send their first heartbeats.
 func (h *harness) randomMachines(rng *rand.Rand, count int) {
 	for n := range count {
 		h.heartbeat(ids.MachineID(fmt.Sprintf("n-%d", n)), []ids.Zone{"a", "b", "c"}[rng.IntN(3)], 0)
 	}
 }
 
-func (h *harness) heartbeat(host ids.MachineID, zone ids.Zone, token ids.FencingToken, tasks ...wire.TaskStatus) wire.HeartbeatResponse {
+// heartbeat sends a heartbeat of a machine and returns the response.
+func (h *harness) heartbeat(machine ids.MachineID, zone ids.Zone, token ids.FencingToken, tasks ...wire.TaskStatus) wire.HeartbeatResponse {
 	h.sequence++
-	o, ok := h.c.Heartbeat(h.now, &wire.Heartbeat{Machine: host, Endpoint: string(host), Type: "m", Zone: zone, Incarnation: 1, Sequence: h.sequence,
+	response, ok := h.c.Heartbeat(h.now, &wire.Heartbeat{Machine: machine, Endpoint: string(machine), Type: "m", Zone: zone, Incarnation: 1, Sequence: h.sequence,
 		FencingToken: token, Tasks: tasks})
 	if !ok {
-		h.t.Fatalf("report of %s not answered", host)
+		h.t.Fatalf("the heartbeat of %s got no response", machine)
 	}
-	return o
+	return response
 }
 
-// runTask begins the term with job-1 and has its only task run on n-1. It returns the
-// token that n-1 was shown, and the task as it is reported.
+// runTask begins the term, submits job-1 and has its only task run on n-1. It returns the fencing
+// token in the last response to n-1 before the task ran, and the status of the task.
 func (h *harness) runTask() (ids.FencingToken, wire.TaskStatus) {
 	h.t.Helper()
 	h.c.Begin(h.now)
-	answer := h.heartbeat("n-1", "a", 0)
+	response := h.heartbeat("n-1", "a", 0)
 	h.submit("job-1", wire.JobSpec{Tasks: 1})
 	h.step()
-	answer = h.heartbeat("n-1", "a", answer.FencingToken)
+	response = h.heartbeat("n-1", "a", response.FencingToken)
 	running := wire.TaskStatus{Name: "job-1/0", Attempt: 1, State: wire.TaskRunning}
-	h.heartbeat("n-1", "a", answer.FencingToken, running)
-	return answer.FencingToken, running
+	h.heartbeat("n-1", "a", response.FencingToken, running)
+	return response.FencingToken, running
 }
 
-// step runs the core and commits whatever it decides, at once.
+// step runs one step of the core and immediately commits the record changes that it decides.
 func (h *harness) step() Decisions {
-	e := h.c.Step(h.now)
-	for _, ch := range e.RecordChanges {
-		h.c.CommitResult(h.now, records.CommitResult{Change: ch, Revision: ids.Revision(1000 + ch.ID)})
+	decisions := h.c.Step(h.now)
+	for _, change := range decisions.RecordChanges {
+		h.c.CommitResult(h.now, records.CommitResult{Change: change, Revision: ids.Revision(1000 + change.ID)})
 	}
-	return e
+	return decisions
 }
 
-func commandsWith(orders []wire.Command, verb wire.Verb) []string {
+// commandsWith lists the commands with a verb, as TASK#ATTEMPT.
+func commandsWith(commands []wire.Command, verb wire.Verb) []string {
 	var out []string
-	for _, o := range orders {
-		if o.Verb == verb {
-			out = append(out, fmt.Sprintf("%s#%d", o.Name, o.Attempt))
+	for _, command := range commands {
+		if command.Verb == verb {
+			out = append(out, fmt.Sprintf("%s#%d", command.Name, command.Attempt))
 		}
 	}
 	return out
--- a/scheduler/large_fleet_test.go
+++ b/scheduler/large_fleet_test.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// largeFleet is about the number of machines that the service is run with, and
-	// largeFleetTasks how many tasks are placed on them.
+	// largeFleet is about the number of machines in production. largeFleetTasks is the number of
+	// tasks that are placed on them.
 	largeFleet      = 4000
 	largeFleetTasks = 16000
 	largeFleetZones = 4
 	largeFleetJobs  = 250
 )
 
-// largeFleetHarness is a core with 4,000 machines in four zones and 250 jobs of 64 tasks.
+// largeFleetHarness returns a harness whose core has the settings for 4,000 machines in four zones and
+// 250 jobs of 64 tasks.
 func largeFleetHarness(t *testing.T) *harness {
 	zones := []ids.Zone{"a", "b", "c", "d"}
 	enough := quota.Amount{CPUs: 4 * largeFleetTasks}
@@ -35,29 +36,30 @@
 	return h
 }
 
-func largeFleetHost(n int) ids.MachineID { return ids.MachineID(fmt.Sprintf("n-%06d", n)) }
+func largeFleetMachine(n int) ids.MachineID { return ids.MachineID(fmt.Sprintf("n-%06d", n)) }
 
 func largeFleetZone(n int) ids.Zone { return ids.Zone(rune('a' + n%largeFleetZones)) }
 
-// heartbeatAll has each machine report what runs on it, but for those in a zone that is cut.
-func (h *harness) heartbeatAll(cut ids.Zone) {
+// heartbeatAll sends a heartbeat of each machine with the tasks that run on it, except for machines in
+// the partitioned zone, if there is one.
+func (h *harness) heartbeatAll(partitioned ids.Zone) {
 	for n := range largeFleet {
-		if largeFleetZone(n) == cut {
+		if largeFleetZone(n) == partitioned {
 			continue
 		}
 		var tasks []wire.TaskStatus
-		if m := h.c.cluster.Machine(largeFleetHost(n)); m != nil {
+		if m := h.c.cluster.Machine(largeFleetMachine(n)); m != nil {
 			for _, a := range m.Assignments() {
 				if a.Delivery.Sent || a.Delivery.Inherited {
 					tasks = append(tasks, wire.TaskStatus{Name: a.Ref().String(), Attempt: a.Attempt, State: wire.TaskRunning})
 				}
 			}
 		}
-		h.heartbeat(largeFleetHost(n), largeFleetZone(n), h.c.commands.fencingToken(h.c.cluster.EnsureMachine(largeFleetHost(n))), tasks...)
+		h.heartbeat(largeFleetMachine(n), largeFleetZone(n), h.c.commands.fencingToken(h.c.cluster.EnsureMachine(largeFleetMachine(n))), tasks...)
 	}
 }
 
-// liveHeap is how much memory is in use once garbage is collected.
+// liveHeap returns the bytes in use on the heap after a garbage collection.
 func liveHeap() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -65,23 +67,22 @@
 	return stats.HeapAlloc
 }
 
-// The core keeps up with 4,000 machines through heartbeats of all, a failover and a partitioned
-// zone. Its work is asserted by what it examined, read and wrote, not by time.
+// The core must handle 4,000 machines through heartbeats of all machines, a failover and a partitioned
+// zone. Its work is measured by what it examines, reads and writes, not by time.
 func TestFourThousandMachines(t *testing.T) {
-	t.Run("zones not watched", func(t *testing.T) { playLargeFleet(largeFleetHarness(t)) })
-	t.Run("zones watched", func(t *testing.T) {
+	t.Run("without zone recovery", func(t *testing.T) { simulateLargeFleet(largeFleetHarness(t)) })
+	t.Run("with zone recovery", func(t *testing.T) {
 		h := largeFleetHarness(t)
 		opt := h.c.opt
 		opt.ZoneRecovery, opt.MaxValueBytes = simZonePolicy(), 4<<10
 		h.c = New(opt, h.c.cluster.Types())
-		playLargeFleet(h)
+		simulateLargeFleet(h)
 		h.checkZoneRecords()
 	})
 }
 
-// playLargeFleet takes a core through heartbeats of all machines, a failover and a partitioned
-// zone.
-func playLargeFleet(h *harness) {
+// simulateLargeFleet simulates heartbeats of all machines, a failover and a partitioned zone.
+func simulateLargeFleet(h *harness) {
 	t := h.t
 	t.Helper()
 	before := liveHeap()
@@ -90,49 +91,49 @@
 	for n := range largeFleetJobs {
 		h.submit(ids.JobID(fmt.Sprintf("job-%06d", n)), wire.JobSpec{Tasks: largeFleetTasks / largeFleetJobs, CPUs: 2})
 	}
-	latest := map[string]records.AdmissionSlice{}
-	h.placeAll(latest)
+	newestRecords := map[string]records.AdmissionSlice{}
+	h.placeAll(newestRecords)
 	placed := uint64(largeFleetTasks)
-	// The first search of a job looks at all machines, each task at one a zone.
-	if most := uint64(largeFleetJobs+16)*largeFleet*2 + placed*largeFleetZones; h.c.candidates.examined > most {
-		t.Errorf("looked at machines %d times to place %d tasks, at most %d expected", h.c.candidates.examined, placed, most)
+	// The first search of a job examines all machines, the search for each task one per zone.
+	if maxExamined := uint64(largeFleetJobs+16)*largeFleet*2 + placed*largeFleetZones; h.c.candidates.examined > maxExamined {
+		t.Errorf("%d machines were examined to place %d tasks, want at most %d", h.c.candidates.examined, placed, maxExamined)
 	}
-	if len(latest) != largeFleetJobs {
-		t.Errorf("%d records written, want one for each of %d jobs", len(latest), largeFleetJobs)
+	if len(newestRecords) != largeFleetJobs {
+		t.Errorf("%d records written, want one for each of %d jobs", len(newestRecords), largeFleetJobs)
 	}
 	h.now = h.now.Add(time.Second)
 	h.heartbeatAll("")
 	perMachine := (liveHeap() - before) / largeFleet
-	t.Logf("live heap: %d KB, %d bytes a machine with four tasks", perMachine*largeFleet/1024, perMachine)
+	t.Logf("live heap: %d KB, %d bytes per machine with four tasks", perMachine*largeFleet/1024, perMachine)
 	if perMachine > 12<<10 {
-		t.Errorf("a machine takes %d bytes: too much for a node of 100 MB", perMachine)
+		t.Errorf("a machine takes %d bytes, which is too much for a controller with 100 MB", perMachine)
 	}
-	h.failOverLargeFleet(latest)
-	h.partitionZoneOfLargeFleet()
+	h.failOverLargeFleet(newestRecords)
+	h.partitionLargeFleetZone()
 }
 
-// placeAll steps until all tasks are placed, and keeps the newest record of each slice.
-func (h *harness) placeAll(latest map[string]records.AdmissionSlice) {
+// placeAll runs steps until all tasks are placed, and stores the newest record of each slice.
+func (h *harness) placeAll(newestRecords map[string]records.AdmissionSlice) {
 	h.t.Helper()
 	for range 10 {
 		h.now = h.now.Add(time.Second)
 		for _, change := range h.step().RecordChanges {
 			for _, op := range change.Operations {
 				if record, ok := op.Value.(records.AdmissionSlice); ok {
-					latest[op.PutKey] = record
+					newestRecords[op.PutKey] = record
 				}
 			}
 		}
 	}
 	for id, j := range h.c.cluster.Jobs() {
 		if len(j.Pending()) > 0 {
-			h.t.Fatalf("%s has %d tasks to place", id, len(j.Pending()))
+			h.t.Fatalf("%s has %d pending tasks", id, len(j.Pending()))
 		}
 	}
 }
 
-// failOverLargeFleet has a new leader read the records and get a heartbeat of each machine.
-func (h *harness) failOverLargeFleet(latest map[string]records.AdmissionSlice) {
+// failOverLargeFleet has a new leader load the records and receive a heartbeat of each machine.
+func (h *harness) failOverLargeFleet(newestRecords map[string]records.AdmissionSlice) {
 	h.t.Helper()
 	previous := h.c
 	opt := previous.opt
@@ -141,79 +142,79 @@
 	for id, j := range previous.cluster.Jobs() {
 		h.c.LoadJob(id, &records.Job{Status: wire.JobQueued, Tasks: len(j.Tasks()), Spec: j.Spec}, j.Records.Revision)
 	}
-	for key, record := range latest {
-		id, number, _ := records.ParseAdmissionKey(key)
-		if err := h.c.LoadSlice(id, number, &record, 2000); err != nil {
+	for key, record := range newestRecords {
+		id, slice, _ := records.ParseAdmissionKey(key)
+		if err := h.c.LoadSlice(id, slice, &record, 2000); err != nil {
 			h.t.Fatal(err)
 		}
 	}
 	h.c.Begin(h.now)
 	h.heartbeatAll("")
-	e := h.step()
-	if len(e.RecordChanges) > 0 || len(e.Terminate) > 0 || len(e.Provision) > 0 {
-		h.t.Errorf("a failover without other events wrote %d changes, terminated %d machines and made %d requests for machines", len(e.RecordChanges), len(e.Terminate), len(e.Provision))
+	decisions := h.step()
+	if len(decisions.RecordChanges) > 0 || len(decisions.Terminate) > 0 || len(decisions.Provision) > 0 {
+		h.t.Errorf("a failover without other events wrote %d changes, terminated %d machines and made %d requests for machines", len(decisions.RecordChanges), len(decisions.Terminate), len(decisions.Provision))
 	}
 	for _, m := range h.c.cluster.Machines() {
 		if !h.c.health.usable(m) {
-			h.t.Fatalf("%s is not usable after its report", m.ID)
+			h.t.Fatalf("%s is not usable after its heartbeat", m.ID)
 		}
 	}
 }
 
-// partitionZoneOfLargeFleet cuts a quarter of the machines off until their leases are over, and
-// sees that work and returns stay in proportion.
-func (h *harness) partitionZoneOfLargeFleet() {
+// partitionLargeFleetZone partitions a zone, a quarter of the machines, until their leases have expired.
+// It checks that calls and examined machines are limited, and that no machine is terminated.
+func (h *harness) partitionLargeFleetZone() {
 	h.t.Helper()
-	examined, calls := h.c.candidates.examined, 0
+	examinedBefore, maxCalls := h.c.candidates.examined, 0
 	h.c.ObserveConnectivity(zonerecovery.Connectivity{LeaseConfirmed: true})
 	const step, steps = time.Second, 36
 	for range steps {
 		h.now = h.now.Add(step)
 		h.heartbeatAll("d")
-		e := h.step()
-		h.countZoneRecords(e)
-		calls = max(calls, len(e.SendCommands)+len(e.RequestHeartbeats))
-		if len(e.Terminate) > 0 {
-			h.t.Fatalf("terminated %d machines of a partitioned zone", len(e.Terminate))
+		decisions := h.step()
+		h.countZoneRecords(decisions)
+		maxCalls = max(maxCalls, len(decisions.SendCommands)+len(decisions.RequestHeartbeats))
+		if len(decisions.Terminate) > 0 {
+			h.t.Fatalf("terminated %d machines of a partitioned zone", len(decisions.Terminate))
 		}
 	}
 	if !h.c.health.zonePartitioned("d") {
 		h.t.Error("the partition of the zone was not detected")
 	}
-	if calls > h.c.opt.MaxWorkerCalls {
-		h.t.Errorf("%d calls in a step", calls)
+	if maxCalls > h.c.opt.MaxWorkerCalls {
+		h.t.Errorf("%d calls in one step, want at most MaxWorkerCalls", maxCalls)
 	}
 	waiting := 0
 	for _, j := range h.c.cluster.Jobs() {
 		waiting += len(j.Pending())
 	}
 	if want := largeFleetTasks / largeFleetZones; waiting != want {
-		h.t.Errorf("%d tasks wait after a quarter of the machines lost their leases, want %d", waiting, want)
+		h.t.Errorf("%d tasks are pending after lease expiry on a quarter of the machines, want %d", waiting, want)
 	}
-	// All other machines are full. Alike jobs that found no room are not tried again in a
-	// round, by admission or by preemption.
-	if looked, most := h.c.candidates.examined-examined, uint64(steps*8*largeFleet); looked > most {
-		h.t.Errorf("looked at machines %d times, at most %d expected", looked, most)
+	// All other machines are full. Once a job finds no free resources, neither admission nor
+	// preemption tries similar jobs again in the same round.
+	if examined, maxExamined := h.c.candidates.examined-examinedBefore, uint64(steps*8*largeFleet); examined > maxExamined {
+		h.t.Errorf("%d machines were examined, want at most %d", examined, maxExamined)
 	}
 }
 
-// countZoneRecords counts the records of zones that were written, and checks their size.
-func (h *harness) countZoneRecords(e Decisions) {
+// countZoneRecords counts the zone records that a step writes, and checks their size.
+func (h *harness) countZoneRecords(decisions Decisions) {
 	h.t.Helper()
-	for _, change := range e.RecordChanges {
+	for _, change := range decisions.RecordChanges {
 		for _, op := range change.Operations {
 			if record, ok := op.Value.(*zonerecovery.Record); ok {
 				h.zoneWrites++
 				if wire.ExceedsJSONSize(record, h.c.opt.MaxValueBytes) {
-					h.t.Errorf("a zone's record with %d jobs is too large", len(record.DisplacedJobs))
+					h.t.Errorf("a zone record with %d jobs exceeds MaxValueBytes", len(record.DisplacedJobs))
 				}
 			}
 		}
 	}
 }
 
-// checkZoneRecords sees that a zone which took 4,000 tasks of 250 jobs with it was recorded
-// in a few writes.
+// checkZoneRecords checks that the outage of a zone with 4,000 tasks of 250 jobs is recorded in a few
+// writes.
 func (h *harness) checkZoneRecords() {
 	h.t.Helper()
 	if c := h.c.zones.manager.Condition("d"); c != zonerecovery.Outage {
@@ -223,6 +224,6 @@
 		h.t.Errorf("%d tasks displaced", got)
 	}
 	if h.zoneWrites < 1 || h.zoneWrites > 4 {
-		h.t.Errorf("%d records of zones written", h.zoneWrites)
+		h.t.Errorf("%d zone records written, want 1 to 4", h.zoneWrites)
 	}
 }
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"testing"
-
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
@@ -13,17 +12,17 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// TestRulesUnderFaults plays random days on which all faults may overlap, and checks the
-// users' rules on the machines. When the faults end, every array must complete, and no job
-// may starve.
+// TestRulesUnderFaults runs random simulations in which all faults may overlap, and checks on the
+// machines the rules that users rely on. After the faults, every array must complete and no job may
+// starve.
 func TestRulesUnderFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			s := newSim(t, seed)
-			all := s.playRandomDay(40)
-			s.runToCompletion(all, 20*time.Minute)
-			s.checkCancelledDependents(all)
+			jobs := s.simulateRandomFaults(40)
+			s.runToCompletion(jobs, 20*time.Minute)
+			s.checkCancelledDependents(jobs)
 			if s.starts == 0 {
 				t.Fatal("nothing ran")
 			}
@@ -31,40 +30,40 @@
 	}
 }
 
-// TestDayAtScale injects many faults on over a thousand machines: failovers, partitions,
-// lost commands, hangs, late duplicates. The rules hold, the work is done, and what admission
-// examines stays in proportion to it.
-func TestDayAtScale(t *testing.T) {
-	s := newLargeDay(t)
-	var all []ids.JobID
-	mostMachines, examined := 0, uint64(0)
+// TestRulesAtScale injects many faults into a fleet of over a thousand machines: failovers, partitions,
+// lost commands, hangs and late duplicates. The rules must hold, all jobs must complete, and the number
+// of machines that admission examines must be proportional to the number of tasks.
+func TestRulesAtScale(t *testing.T) {
+	s := newLargeSim(t)
+	var jobs []ids.JobID
+	maxMachines, examined := 0, uint64(0)
 	for round := range 8 {
 		for range 36 {
-			id := ids.JobID(fmt.Sprintf("job-%03d", len(all)))
-			all = append(all, id)
-			s.submit(id, s.largeDaySpec())
+			id := ids.JobID(fmt.Sprintf("job-%03d", len(jobs)))
+			jobs = append(jobs, id)
+			s.submit(id, s.randomLargeSpec())
 		}
-		s.injectLargeDayFaults()
+		s.injectMachineFaults()
 		if round%4 == 3 {
 			examined += s.core.candidates.examined
 			s.failOver()
 		}
 		s.run(4 * time.Second)
-		mostMachines = max(mostMachines, len(s.workers))
+		maxMachines = max(maxMachines, len(s.workers))
 		s.requireNoViolations()
 	}
 	examined += s.core.candidates.examined
-	s.runToCompletion(all, 5*time.Minute)
-	if mostMachines < 1700 {
-		t.Fatalf("the day had only %d machines", mostMachines)
+	s.runToCompletion(jobs, 5*time.Minute)
+	if maxMachines < 1700 {
+		t.Fatalf("the simulation had only %d machines", maxMachines)
 	}
 	if perStart := float64(examined) / float64(s.starts); perStart > 400 {
-		t.Errorf("%.0f machines were examined for each of %d tasks started", perStart, s.starts)
+		t.Errorf("%.0f machines were examined for each of %d started tasks", perStart, s.starts)
 	}
 }
 
-// newLargeDay is a day with hundreds of machines of each site.
-func newLargeDay(t *testing.T) *sim {
+// newLargeSim returns a simulation with hundreds of machines at each site.
+func newLargeSim(t *testing.T) *sim {
 	s := newSim(t, 11)
 	s.capacity = 220
 	s.opt.Teams = []quota.Team{simTeam("red", 3000, 7000), simTeam("blue", 2500, 8000), simTeam("gold", 1000, 6000)}
@@ -73,8 +72,9 @@
 	return s
 }
 
-// largeDaySpec is a random job, large if it is an array of any zone.
-func (s *sim) largeDaySpec() *wire.JobSpec {
+// randomLargeSpec returns the specification of a random job. An array without the one-zone
+// constraint has many tasks.
+func (s *sim) randomLargeSpec() *wire.JobSpec {
 	spec := s.randomSpec()
 	if !spec.Service && !spec.Gang && !spec.OneZone {
 		spec.Tasks, spec.CPUs = 80+s.rng.IntN(160), 4
@@ -82,8 +82,8 @@
 	return spec
 }
 
-// injectLargeDayFaults injects a fault into one of forty machines.
-func (s *sim) injectLargeDayFaults() {
+// injectMachineFaults injects a fault into one in forty machines.
+func (s *sim) injectMachineFaults() {
 	until := func() monotonic.Instant { return s.now.Add(time.Duration(5+s.rng.IntN(60)) * time.Second) }
 	machines := s.sortedMachineIDs()
 	for range len(machines) / 40 {
@@ -93,7 +93,7 @@
 			w.partitionedUntil = until()
 		case 1:
 			w.commandsLostUntil = until()
-		case 2: // it goes on within its lease or after it
+		case 2: // the hang ends before or after lease expiry
 			w.hungUntil = until()
 		default:
 			w.dead = w.incarnation > 0
@@ -101,9 +101,9 @@
 	}
 }
 
-// runToCompletion ends the faults, the services and the jobs that fail for ever. Every array
-// must then complete in time, with no rule broken.
-func (s *sim) runToCompletion(all []ids.JobID, within time.Duration) {
+// runToCompletion ends all faults and cancels the services and the jobs that fail indefinitely. Every
+// array must then complete within the timeout, and no rule may be violated.
+func (s *sim) runToCompletion(jobs []ids.JobID, timeout time.Duration) {
 	s.t.Helper()
 	s.faults = false
 	s.pausedUntil = min(s.pausedUntil, s.now)
@@ -112,30 +112,30 @@
 		w.unhealthy = false
 		w.partitionedUntil, w.commandsLostUntil, w.heartbeatsLostUntil, w.hungUntil = min(w.partitionedUntil, s.now), min(w.commandsLostUntil, s.now), min(w.heartbeatsLostUntil, s.now), min(w.hungUntil, s.now)
 	}
-	for _, id := range all {
+	for _, id := range jobs {
 		if s.specs[id].Service || s.failing[id] {
 			s.cancel(id)
 		}
 	}
-	const part = 10 * time.Second
+	const interval = 10 * time.Second
 	starvation := newStarvationCheck(s)
-	for passed := time.Duration(0); passed < within; passed += part {
-		s.run(part)
-		starvation.check(all, part)
-		if s.allTerminal(all) {
+	for elapsed := time.Duration(0); elapsed < timeout; elapsed += interval {
+		s.run(interval)
+		starvation.check(jobs, interval)
+		if s.allTerminal(jobs) {
 			break
 		}
 	}
 	s.requireNoViolations()
-	if !s.allTerminal(all) {
-		s.t.Fatalf("jobs never ended: %v\n%s", s.unfinished(all), s.core.Summary())
+	if !s.allTerminal(jobs) {
+		s.t.Fatalf("jobs did not end: %v\n%s", s.unfinished(jobs), s.core.Summary())
 	}
 }
 
-// unfinished lists the jobs that are not terminal, with their specifications.
-func (s *sim) unfinished(all []ids.JobID) []string {
+// unfinished returns the jobs that are not terminal, with their specifications.
+func (s *sim) unfinished(jobs []ids.JobID) []string {
 	var out []string
-	for _, id := range all {
+	for _, id := range jobs {
 		var rec records.Job
 		s.must(wire.Decode(s.store[records.JobKey(id)].value, &rec))
 		if !rec.Terminal() {
@@ -145,4 +145,5 @@
 	return out
 }
 
-func (s *sim) allTerminal(all []ids.JobID) bool { return len(s.unfinished(all)) == 0 }
+// allTerminal reports whether all jobs are terminal.
+func (s *sim) allTerminal(jobs []ids.JobID) bool { return len(s.unfinished(jobs)) == 0 }
--- a/scheduler/scenarios_test.go
+++ b/scheduler/scenarios_test.go
@@ -11,10 +11,10 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// scenario is a day on which chosen faults are made to overlap.
+// scenario is a simulation in which chosen faults overlap.
 type scenario struct {
 	*sim
-	all []ids.JobID
+	jobs []ids.JobID // jobs submitted so far
 }
 
 func newScenario(t *testing.T, seed uint64) *scenario {
@@ -23,43 +23,45 @@
 	return s
 }
 
-// jobs submits some jobs, changed by shape.
-func (s *scenario) jobs(count int, shape func(*wire.JobSpec)) {
+// submitJobs submits random jobs. modify, if not nil, changes each specification.
+func (s *scenario) submitJobs(count int, modify func(*wire.JobSpec)) {
 	for range count {
-		sp := s.randomSpec()
-		if shape != nil {
-			shape(sp)
+		spec := s.randomSpec()
+		if modify != nil {
+			modify(spec)
 		}
-		id := ids.JobID(fmt.Sprintf("job-%03d", len(s.all)))
-		s.submit(id, sp)
-		s.all = append(s.all, id)
+		id := ids.JobID(fmt.Sprintf("job-%03d", len(s.jobs)))
+		s.submit(id, spec)
+		s.jobs = append(s.jobs, id)
 	}
 }
 
-func long(sp *wire.JobSpec) {
-	sp.Service, sp.Gang, sp.OneZone, sp.Zone, sp.EstimateS = true, false, false, "", 0
+// asService turns a specification into that of a service that may run in any zone.
+func asService(spec *wire.JobSpec) {
+	spec.Service, spec.Gang, spec.OneZone, spec.Zone, spec.EstimateS = true, false, false, "", 0
 }
 
-func array(sp *wire.JobSpec) {
-	*sp = wire.JobSpec{Class: "c", Team: sp.Team, Priority: sp.Priority, Tasks: sp.Tasks, CPUs: sp.CPUs, MemoryGB: 2, Image: "i", ImageGB: 1,
-		Spot: sp.Spot, EstimateS: 10}
+// asArray turns a specification into that of an array without placement constraints.
+func asArray(spec *wire.JobSpec) {
+	*spec = wire.JobSpec{Class: "c", Team: spec.Team, Priority: spec.Priority, Tasks: spec.Tasks, CPUs: spec.CPUs, MemoryGB: 2, Image: "i", ImageGB: 1,
+		Spot: spec.Spot, EstimateS: 10}
 }
 
-// in is the time after a while.
-func (s *scenario) in(d time.Duration) monotonic.Instant { return s.now.Add(d) }
+// fromNow returns the time after a duration.
+func (s *scenario) fromNow(d time.Duration) monotonic.Instant { return s.now.Add(d) }
 
-// eachNthWorker does something to every nth machine.
+// eachNthWorker calls f for every nth worker.
 func (s *scenario) eachNthWorker(nth int, f func(w *simWorker)) {
-	for i, h := range s.sortedMachineIDs() {
+	for i, machine := range s.sortedMachineIDs() {
 		if i%nth == 0 {
-			f(s.workers[h])
+			f(s.workers[machine])
 		}
 	}
 }
 
-// cancelEvery has users cancel every nth job.
-func (s *scenario) cancelEvery(nth int) {
-	for i, id := range s.all {
+// cancelEachNth has users cancel every nth job.
+func (s *scenario) cancelEachNth(nth int) {
+	for i, id := range s.jobs {
 		if i%nth == 0 && !s.cancelled[id] {
 			s.cancel(id)
 		}
@@ -68,179 +70,179 @@
 
 const second = time.Second
 
-// scenarios are the overlaps of faults from the operators' list that concern what runs where.
-// Those that concern responses alone are tested in packages controller and records
-// (docs/design.md has the table).
+// scenarios holds the overlaps of faults on the operators' list that affect which tasks run on which
+// machines. Overlaps that affect only responses are tested in packages controller and records. The table
+// is in docs/design.md.
 var scenarios = []struct {
-	name  string
-	bring func(s *scenario)
+	name     string
+	simulate func(s *scenario)
 }{
-	{"old reports after newer ones, also of earlier sessions and attempts", func(s *scenario) {
+	{"old heartbeats after newer ones, also of earlier incarnations and attempts", func(s *scenario) {
 		s.duplicateChance = 0.6
-		s.jobs(12, nil)
+		s.submitJobs(12, nil)
 		for range 8 {
-			s.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = s.in(10 * second) })
+			s.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = s.fromNow(10 * second) })
 			s.run(12 * second)
-			s.eachNthWorker(4, func(w *simWorker) { w.commandsLostUntil = s.in(32 * second) }) // its session ends
+			s.eachNthWorker(4, func(w *simWorker) { w.commandsLostUntil = s.fromNow(32 * second) }) // its incarnation ends
 			s.run(20 * second)
 		}
 	}},
-	{"jobs bound to one zone lose machines", func(s *scenario) {
+	{"jobs constrained to one zone lose machines", func(s *scenario) {
 		for range 5 {
-			s.jobs(4, func(sp *wire.JobSpec) { array(sp); sp.OneZone = true })
-			s.jobs(2, func(sp *wire.JobSpec) { array(sp); sp.Zone = "b" })
-			s.jobs(2, func(sp *wire.JobSpec) { long(sp); sp.Tasks, sp.OneZone = 3, true })
+			s.submitJobs(4, func(spec *wire.JobSpec) { asArray(spec); spec.OneZone = true })
+			s.submitJobs(2, func(spec *wire.JobSpec) { asArray(spec); spec.Zone = "b" })
+			s.submitJobs(2, func(spec *wire.JobSpec) { asService(spec); spec.Tasks, spec.OneZone = 3, true })
 			s.run(15 * second)
 			s.eachNthWorker(3, func(w *simWorker) { w.dead = w.incarnation > 0 })
-			s.eachNthWorker(4, func(w *simWorker) { w.partitionedUntil = s.in(40 * second) })
+			s.eachNthWorker(4, func(w *simWorker) { w.partitionedUntil = s.fromNow(40 * second) })
 			s.run(15 * second)
 			s.failOver()
 		}
 	}},
-	{"a leader ends while long tasks can't be reached, or don't hear the new one", func(s *scenario) {
-		s.jobs(10, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
+	{"a failover while services are unreachable or get no commands of the new leader", func(s *scenario) {
+		s.submitJobs(10, func(spec *wire.JobSpec) { asService(spec); spec.Tasks = 2 })
 		for range 4 {
 			s.run(25 * second)
-			s.eachNthWorker(2, func(w *simWorker) { w.partitionedUntil = s.in(35 * second) })
-			s.eachNthWorker(3, func(w *simWorker) { w.commandsLostUntil = s.in(50 * second) })
+			s.eachNthWorker(2, func(w *simWorker) { w.partitionedUntil = s.fromNow(35 * second) })
+			s.eachNthWorker(3, func(w *simWorker) { w.commandsLostUntil = s.fromNow(50 * second) })
 			s.failOver()
-			s.cancelEvery(4)
+			s.cancelEachNth(4)
 			s.run(40 * second)
 		}
 	}},
-	{"leaders change ten times in two minutes, also inside an outage", func(s *scenario) {
-		s.jobs(14, nil)
+	{"ten failovers in two minutes, also during a store outage", func(s *scenario) {
+		s.submitJobs(14, nil)
 		s.run(30 * second)
 		for i := range 10 {
 			if i == 3 {
-				s.storeOutageUntil = s.in(40 * second)
+				s.storeOutageUntil = s.fromNow(40 * second)
 			}
-			s.cancelEvery(7)
+			s.cancelEachNth(7)
 			s.failOver()
 			s.run(12 * second)
 		}
 	}},
-	{"more work than room, urgent and not, over slow links", func(s *scenario) {
-		s.extraLatency = 900 * time.Millisecond
+	{"more jobs than capacity, of all priorities, over slow links", func(s *scenario) {
+		s.slowLinkLatency = 900 * time.Millisecond
 		for range 6 {
-			s.jobs(10, nil)
+			s.submitJobs(10, nil)
 			s.run(20 * second)
-			s.cancelEvery(9)
+			s.cancelEachNth(9)
 		}
 	}},
-	{"a zone with workers and a controller is cut off for longer than a lease", func(s *scenario) {
-		s.jobs(14, func(sp *wire.JobSpec) {
-			if sp.Tasks%2 == 0 {
-				long(sp)
-				sp.Spread = false
+	{"a zone with workers and a controller is partitioned for longer than an agent lease", func(s *scenario) {
+		s.submitJobs(14, func(spec *wire.JobSpec) {
+			if spec.Tasks%2 == 0 {
+				asService(spec)
+				spec.Spread = false
 			}
 		})
 		s.run(40 * second)
 		s.failOverWithPreviousLeaderActive()
-		s.isolatedZone, s.isolatedZoneUntil = "a", s.in(60*second)
-		s.cancelEvery(2)
-		s.jobs(6, nil)
+		s.isolatedZone, s.isolatedZoneUntil = "a", s.fromNow(60*second)
+		s.cancelEachNth(2)
+		s.submitJobs(6, nil)
 		s.run(90 * second)
 	}},
-	{"the same, and the cloud is away: only the old leader's own bound is left", func(s *scenario) {
-		s.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Spread, sp.Zone, sp.OneZone = false, "a", true })
+	{"the same during a cloud outage, so that only the previous leader's grace period limits it", func(s *scenario) {
+		s.submitJobs(14, func(spec *wire.JobSpec) { asService(spec); spec.Spread, spec.Zone, spec.OneZone = false, "a", true })
 		s.run(40 * second)
 		s.failOverWithPreviousLeaderActive()
-		s.isolatedZone, s.isolatedZoneUntil, s.cloudOutageUntil = "a", s.in(100*second), s.in(100*second)
-		s.cancelEvery(1)
+		s.isolatedZone, s.isolatedZoneUntil, s.cloudOutageUntil = "a", s.fromNow(100*second), s.fromNow(100*second)
+		s.cancelEachNth(1)
 		s.run(120 * second)
 	}},
-	{"arrays that run for long in a zone that is cut off with its leader", func(s *scenario) {
-		s.runFactor = 8
-		s.jobs(10, func(sp *wire.JobSpec) { array(sp); sp.Zone = "a" })
-		s.jobs(6, array)
-		s.jobs(3, func(sp *wire.JobSpec) { long(sp); sp.Spread = false })
+	{"long-running arrays in a zone that is partitioned together with its leader", func(s *scenario) {
+		s.runTimeFactor = 8
+		s.submitJobs(10, func(spec *wire.JobSpec) { asArray(spec); spec.Zone = "a" })
+		s.submitJobs(6, asArray)
+		s.submitJobs(3, func(spec *wire.JobSpec) { asService(spec); spec.Spread = false })
 		s.run(30 * second)
 		s.failOverWithPreviousLeaderActive()
-		s.isolatedZone, s.isolatedZoneUntil = "a", s.in(100*second)
-		s.cancelEvery(3)
+		s.isolatedZone, s.isolatedZoneUntil = "a", s.fromNow(100*second)
+		s.cancelEachNth(3)
 		s.run(130 * second)
 	}},
-	{"jobs are cancelled while one controller's work changes hands", func(s *scenario) {
+	{"jobs are cancelled immediately before and after a failover", func(s *scenario) {
 		for range 5 {
-			s.jobs(5, nil)
+			s.submitJobs(5, nil)
 			s.run(20 * second)
-			s.cancelEvery(4)
+			s.cancelEachNth(4)
 			s.run(300 * time.Millisecond)
 			s.failOver()
 			s.run(300 * time.Millisecond)
-			s.cancelEvery(3)
+			s.cancelEachNth(3)
 			s.run(15 * second)
 		}
 	}},
-	{"reports are kept until a new leader begins, or has acted", func(s *scenario) {
+	{"heartbeats are delayed until a new leader begins or has made decisions", func(s *scenario) {
 		s.duplicateChance = 0.8
-		s.jobs(14, nil)
+		s.submitJobs(14, nil)
 		for range 6 {
 			s.run(20 * second)
-			s.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = s.in(15 * second) })
-			s.cancelEvery(8)
+			s.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = s.fromNow(15 * second) })
+			s.cancelEachNth(8)
 			s.failOver()
 			s.run(8 * second)
 		}
 	}},
-	{"jobs are cancelled through the new leader of one that goes on without state and peers", func(s *scenario) {
-		s.jobs(12, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
+	{"jobs are cancelled through the new leader while the previous one acts without store and peers", func(s *scenario) {
+		s.submitJobs(12, func(spec *wire.JobSpec) { asService(spec); spec.Tasks = 2 })
 		s.run(40 * second)
 		s.failOverWithPreviousLeaderActive()
 		s.run(500 * time.Millisecond)
-		s.cancelEvery(2)
+		s.cancelEachNth(2)
 		s.run(60 * second)
 	}},
-	{"a cancellation meets the end of a job's last task", func(s *scenario) {
+	{"jobs are cancelled at about the time at which their last task ends", func(s *scenario) {
 		s.cancelAtEndChance = 0.7
 		for range 6 {
-			s.jobs(6, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 1 + sp.Tasks%3 })
+			s.submitJobs(6, func(spec *wire.JobSpec) { asArray(spec); spec.Tasks = 1 + spec.Tasks%3 })
 			s.run(20 * second)
 		}
 		s.failOver()
 		s.run(20 * second)
 	}},
-	{"new machines are up at once and get work while writes lag, and the leader ends", func(s *scenario) {
+	{"new machines boot quickly and get tasks while writes are delayed, then a failover", func(s *scenario) {
 		s.quickBootChance = 1
 		for range 5 {
-			s.jobs(6, array)
+			s.submitJobs(6, asArray)
 			s.run(time.Duration(500+s.rng.IntN(2500)) * time.Millisecond)
-			s.leaderRefusedUntil = s.in(2 * second) // records wait
+			s.leaderRefusedUntil = s.fromNow(2 * second) // record changes are delayed
 			s.run(time.Duration(200+s.rng.IntN(1500)) * time.Millisecond)
 			s.failOver()
 			s.run(25 * second)
 		}
 	}},
-	{"all teams are at their limits while cancelled jobs' machines are cut off or hang, and the leader changes", func(s *scenario) {
+	{"all teams are at their limits while machines of cancelled jobs are partitioned or hang, then a failover", func(s *scenario) {
 		s.capacity = 6
 		for range 4 {
-			s.jobs(14, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 6 })
+			s.submitJobs(14, func(spec *wire.JobSpec) { asArray(spec); spec.Tasks = 6 })
 			s.run(30 * second)
-			s.cancelRunning(s.all, 6, s.in(45*second))
-			s.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = s.in(40 * second) })
+			s.cancelRunning(s.jobs, 6, s.fromNow(45*second))
+			s.eachNthWorker(3, func(w *simWorker) { w.partitionedUntil = s.fromNow(40 * second) })
 			s.run(time.Second)
 			s.failOver()
 			s.run(20 * second)
 		}
 	}},
-	{"workers reach no controller, while commands reach them", func(s *scenario) {
+	{"workers reach no controller, but commands reach the workers", func(s *scenario) {
 		for range 4 {
-			s.jobs(5, nil)
+			s.submitJobs(5, nil)
 			s.run(15 * second)
-			s.eachNthWorker(2, func(w *simWorker) { w.heartbeatsLostUntil = s.in(40 * second) })
-			s.cancelEvery(3)
+			s.eachNthWorker(2, func(w *simWorker) { w.heartbeatsLostUntil = s.fromNow(40 * second) })
+			s.cancelEachNth(3)
 			s.run(10 * second)
 			s.failOver()
 			s.run(30 * second)
 		}
 	}},
-	{"one-task jobs come four a second, a quarter of them cancelled", func(s *scenario) {
+	{"four single-task jobs per second, a quarter of them cancelled", func(s *scenario) {
 		s.capacity = 6
 		for i := range 240 {
-			s.jobs(1, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs = 1, 1 })
+			s.submitJobs(1, func(spec *wire.JobSpec) { asArray(spec); spec.Tasks, spec.CPUs = 1, 1 })
 			if i%4 == 3 {
-				s.cancel(s.all[s.rng.IntN(len(s.all))])
+				s.cancel(s.jobs[s.rng.IntN(len(s.jobs))])
 			}
 			if i == 100 || i == 180 {
 				s.failOver()
@@ -248,102 +250,102 @@
 			s.run(250 * time.Millisecond)
 		}
 	}},
-	{"the gap: the leader refused alone, cancellations, and then no state service", func(s *scenario) {
-		s.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
+	{"the store refuses the leader alone, jobs are cancelled, then a store outage", func(s *scenario) {
+		s.submitJobs(14, func(spec *wire.JobSpec) { asService(spec); spec.Tasks = 2 })
 		s.run(40 * second)
-		s.leaderRefusedUntil = s.in(14 * second)
+		s.leaderRefusedUntil = s.fromNow(14 * second)
 		s.run(1200 * time.Millisecond)
-		s.cancelEvery(2)
+		s.cancelEachNth(2)
 		s.run(time.Duration(300+s.rng.IntN(1500)) * time.Millisecond)
-		s.storeOutageUntil = s.in(64 * second)
-		s.cancelEvery(1)
+		s.storeOutageUntil = s.fromNow(64 * second)
+		s.cancelEachNth(1)
 		s.run(90 * second)
 	}},
-	{"cancelled through a node that still follows the old leader, and then no state service", func(s *scenario) {
-		s.jobs(14, func(sp *wire.JobSpec) { long(sp); sp.Tasks = 2 })
+	{"jobs are cancelled through a controller that follows the previous leader, then a store outage", func(s *scenario) {
+		s.submitJobs(14, func(spec *wire.JobSpec) { asService(spec); spec.Tasks = 2 })
 		s.run(40 * second)
 		s.failOverWithPreviousLeaderActive()
-		s.cancelEvery(2)
-		s.storeOutageUntil = s.in(64 * second) // before the new leader's watch brings it
+		s.cancelEachNth(2)
+		s.storeOutageUntil = s.fromNow(64 * second) // before the new leader's watch delivers the cancellations
 		s.run(90 * second)
 	}},
-	{"jobs of a few tasks end far apart across a change of leader", func(s *scenario) {
+	{"tasks of small jobs end at different times, before and after a failover", func(s *scenario) {
 		for range 8 {
-			s.jobs(4, func(sp *wire.JobSpec) { array(sp); sp.Tasks = 2 + sp.Tasks%2 })
+			s.submitJobs(4, func(spec *wire.JobSpec) { asArray(spec); spec.Tasks = 2 + spec.Tasks%2 })
 			s.run(time.Duration(4+s.rng.IntN(14)) * second)
 			s.failOver()
 		}
 		s.run(20 * second)
 	}},
-	{"controllers hand over and back, all end, and one returns at once", func(s *scenario) {
-		s.jobs(14, nil)
+	{"two failovers in a row, then an outage of all controllers, then one returns immediately", func(s *scenario) {
+		s.submitJobs(14, nil)
 		for range 6 {
 			s.run(15 * second)
 			s.failOver()
 			s.run(300 * time.Millisecond)
 			s.failOver()
-			s.controllersDownUntil, s.previousCore = s.in(time.Duration(100+s.rng.IntN(900))*time.Millisecond), nil
+			s.controllersDownUntil, s.previousCore = s.fromNow(time.Duration(100+s.rng.IntN(900))*time.Millisecond), nil
 			s.run(s.controllersDownUntil.Sub(s.now))
 			s.failOver()
-			s.cancelEvery(6)
+			s.cancelEachNth(6)
 		}
 	}},
-	{"transactions without an answer are carried out late", func(s *scenario) {
+	{"transactions without a response are executed late", func(s *scenario) {
 		for range 6 {
-			s.jobs(6, nil)
-			s.leaderRefusedUntil = s.in(2500 * time.Millisecond) // all that was sent comes at once after it
+			s.submitJobs(6, nil)
+			s.leaderRefusedUntil = s.fromNow(2500 * time.Millisecond) // all transactions sent during it arrive together after it
 			s.run(3 * second)
-			s.cancelEvery(5)
+			s.cancelEachNth(5)
 			s.run(15 * second)
 		}
 	}},
-	{"all controllers are away for longer than a lease", func(s *scenario) {
-		s.jobs(14, nil)
+	{"an outage of all controllers for longer than an agent lease", func(s *scenario) {
+		s.submitJobs(14, nil)
 		for range 3 {
 			s.run(30 * second)
-			s.cancelEvery(5)
+			s.cancelEachNth(5)
 			s.run(time.Second)
-			s.controllersDownUntil, s.previousCore = s.in(40*second), nil
+			s.controllersDownUntil, s.previousCore = s.fromNow(40*second), nil
 			s.run(40 * second)
 			s.failOver()
 		}
 	}},
-	{"a command or its answer is held up, and the machine then goes on", func(s *scenario) {
+	{"commands or their responses are delayed until a machine no longer hangs", func(s *scenario) {
 		for range 6 {
-			s.jobs(5, nil)
+			s.submitJobs(5, nil)
 			s.run(time.Duration(500+s.rng.IntN(4000)) * time.Millisecond)
-			s.eachNthWorker(2, func(w *simWorker) { w.hungUntil = s.in(time.Duration(2+s.rng.IntN(22)) * second) })
-			s.cancelEvery(5)
+			s.eachNthWorker(2, func(w *simWorker) { w.hungUntil = s.fromNow(time.Duration(2+s.rng.IntN(22)) * second) })
+			s.cancelEachNth(5)
 			s.run(15 * second)
 		}
 	}},
 }
 
-// TestOverlappingFaults plays each scenario on several days, and then a time without faults. No
-// rule is broken, cancelled jobs end in time, and all others complete.
+// TestOverlappingFaults runs each scenario with several seeds, and then continues without faults. No
+// rule may be violated, cancelled jobs must end by their deadline, and all others must complete.
 func TestOverlappingFaults(t *testing.T) {
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
 				s := newScenario(t, 1000+seed)
-				c.bring(s)
+				c.simulate(s)
 				if len(s.violations) > 0 {
-					t.Fatalf("day %d: rules broken: %v", seed, s.violations)
+					t.Fatalf("seed %d: rules violated: %v", seed, s.violations)
 				}
-				s.runToCompletion(s.all, 20*time.Minute)
-				s.checkCancelledDependents(s.all)
+				s.runToCompletion(s.jobs, 20*time.Minute)
+				s.checkCancelledDependents(s.jobs)
 				if s.starts == 0 {
-					t.Fatalf("day %d: nothing ran", seed)
+					t.Fatalf("seed %d: nothing ran", seed)
 				}
 			}
 		})
 	}
 }
 
-// A machine of a cancelled job that cannot be reached must be terminated before the deadline of
-// cancellations. A placement beside the job whose record waited for the store used to delay
-// that until the end of an outage.
+// An unreachable machine with a task of a cancelled job must be terminated before the cancel deadline,
+// also while the store does not respond. The fault: another placement on the machine, whose record is
+// not committed yet, delays the termination until the end of a store outage.
 func TestTerminationDoesNotWaitForARecord(t *testing.T) {
 	h := newHarness(t, Options{})
 	spec := wire.JobSpec{Class: "c", Team: "red", Service: true, Tasks: 1, CPUs: 2, Image: "i"}
@@ -357,32 +359,32 @@
 	h.now = h.now.Add(time.Second)
 	placed := h.c.Step(h.now).RecordChanges
 	if len(placed) != 1 {
-		t.Fatal("job-2 was not placed beside job-1")
+		t.Fatal("job-2 was not placed on the machine of job-1")
 	}
 	h.c.ObserveJob(h.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 1, Spec: &spec}, 900)
 	cancelledAt := h.now
 	for terminated := false; !terminated; {
 		h.now = h.now.Add(200 * time.Millisecond)
 		if h.now > cancelledAt.Add(simCancelDeadline*3/4) {
-			t.Fatal("not terminated in time")
+			t.Fatal("the machine was not terminated in time")
 		}
-		if e := h.c.Step(h.now); len(e.Terminate) > 0 {
-			h.c.MachinesTerminated(h.now, e.Terminate)
+		if decisions := h.c.Step(h.now); len(decisions.Terminate) > 0 {
+			h.c.MachinesTerminated(h.now, decisions.Terminate)
 			terminated = true
 		}
 	}
 	if j := h.c.cluster.Job("job-1"); j != nil && len(j.Active()) > 0 {
 		t.Error("tasks of the terminated machine still count")
 	}
-	// The record is committed after all. Its task was never sent, and waits again.
+	// The record is committed after the termination. Its task was never sent, so it is pending again.
 	h.c.CommitResult(h.now, records.CommitResult{Change: placed[0], Revision: 901})
 	for range 10 {
 		h.now = h.now.Add(200 * time.Millisecond)
-		if e := h.step(); len(e.Terminate) > 0 {
-			t.Errorf("terminated again: %v", e.Terminate)
+		if decisions := h.step(); len(decisions.Terminate) > 0 {
+			t.Errorf("machines were terminated again: %v", decisions.Terminate)
 		}
 	}
 	if j := h.c.cluster.Job("job-2"); len(j.Pending()) != 1 || h.c.cluster.Machine("n-1") != nil {
-		t.Errorf("waiting: %v, machine known: %v", j.Pending(), h.c.cluster.Machine("n-1") != nil)
+		t.Errorf("pending: %v, machine known: %v", j.Pending(), h.c.cluster.Machine("n-1") != nil)
 	}
 }
--- a/scheduler/sim_cloud_test.go
+++ b/scheduler/sim_cloud_test.go
@@ -12,15 +12,15 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// simCloud stands in for the cloud provider. Requests are idempotent. Faults: an outage,
-// a lack of capacity, machines that boot late or at once, and machine lists that lag.
+// simCloud simulates the cloud provider. Provision requests are idempotent. Faults: an outage, a
+// lack of capacity, machines that boot late or within seconds, and stale machine lists.
 type simCloud struct {
-	cloudOutageUntil    monotonic.Instant // no request is carried out until then
+	cloudOutageUntil    monotonic.Instant // no request is executed until then
 	types               []wire.MachineType
-	capacity            int // machines of each site
+	capacity            int // maximum number of machines of each site
 	quickBootChance     float64
 	workers             map[ids.MachineID]*simWorker
-	provisioned         map[string][]ids.MachineID // by request
+	provisioned         map[string][]ids.MachineID // by request ID
 	machinesProvisioned int
 }
 
@@ -32,46 +32,48 @@
 		}}
 }
 
-// provision provides the machines of a request, as many as the site has capacity for.
-func (s *sim) provision(r wire.ProvisionRequest) []ids.MachineID {
-	if machines, ok := s.provisioned[r.RequestID]; ok {
-		return machines
+// provision executes a provision request as far as the site has capacity, and returns the machines.
+// A repeated request returns the machines of the first one.
+func (s *sim) provision(request wire.ProvisionRequest) []ids.MachineID {
+	if granted, ok := s.provisioned[request.RequestID]; ok {
+		return granted
 	}
-	var machines []ids.MachineID
-	for range r.Count {
-		if s.machinesAt(r) >= s.capacity {
+	var granted []ids.MachineID
+	for range request.Count {
+		if s.countMachinesAt(request) >= s.capacity {
 			break
 		}
-		machines = append(machines, s.bootMachine(r))
+		granted = append(granted, s.bootMachine(request))
 	}
-	if machines != nil {
-		s.provisioned[r.RequestID] = machines
+	if granted != nil {
+		s.provisioned[request.RequestID] = granted
 	}
-	return machines
+	return granted
 }
 
-// machinesAt counts the machines of a request's site.
-func (s *sim) machinesAt(r wire.ProvisionRequest) int {
+// countMachinesAt returns the number of machines at the site of a request.
+func (s *sim) countMachinesAt(request wire.ProvisionRequest) int {
 	count := 0
 	for _, w := range s.workers {
-		if w.machineType == r.Type && w.zone == r.Zone && w.spot == r.Spot {
+		if w.machineType == request.Type && w.zone == request.Zone && w.spot == request.Spot {
 			count++
 		}
 	}
 	return count
 }
 
-// bootMachine adds a machine, which is dead until it has booted.
-func (s *sim) bootMachine(r wire.ProvisionRequest) ids.MachineID {
+// bootMachine adds a machine. It is dead until it has booted.
+func (s *sim) bootMachine(request wire.ProvisionRequest) ids.MachineID {
 	s.machinesProvisioned++
-	w := &simWorker{id: ids.MachineID(fmt.Sprintf("n-%06d", s.machinesProvisioned)), machineType: r.Type, zone: r.Zone, spot: r.Spot,
-		dead: true, partitionedUntil: s.zones.partitionedUntil[r.Zone]}
+	w := &simWorker{id: ids.MachineID(fmt.Sprintf("n-%06d", s.machinesProvisioned)), machineType: request.Type, zone: request.Zone, spot: request.Spot,
+		dead: true, partitionedUntil: s.zones.partitionedUntil[request.Zone]}
 	s.workers[w.id] = w
 	s.after(s.bootTime(), func() { w.dead, w.incarnation, w.leaseRenewedAt = false, 1, s.now })
 	return w.id
 }
 
-// bootTime is how long a machine boots. Some take far too long, and some hardly any time.
+// bootTime returns a random boot time. With faults, a few machines take an hour and some less than
+// two seconds.
 func (s *sim) bootTime() time.Duration {
 	boot := time.Duration(5+s.rng.IntN(10)) * time.Second
 	switch {
@@ -83,12 +85,12 @@
 	return boot
 }
 
-// typeOf is the machine type of a worker.
-func (s *sim) typeOf(w *simWorker) *wire.MachineType {
+// machineTypeOf returns the machine type of a worker.
+func (s *sim) machineTypeOf(w *simWorker) *wire.MachineType {
 	return &s.types[slices.IndexFunc(s.types, func(t wire.MachineType) bool { return t.Name == w.machineType })]
 }
 
-// listMachines is the cloud's list of machines.
+// listMachines returns the cloud's list of machines.
 func (s *sim) listMachines() []wire.Machine {
 	var out []wire.Machine
 	for id, w := range s.workers {
@@ -98,20 +100,20 @@
 	return out
 }
 
-// sendMachineList sends the leader a list that is out of date when it comes.
+// sendMachineList sends the leader a machine list that is stale when it arrives.
 func (s *sim) sendMachineList() {
-	list, asked := s.listMachines(), s.now
+	list, requestedAt := s.listMachines(), s.now
 	s.after(simListLag, func() {
-		if s.now >= max(s.cloudOutageUntil, s.controllersDownUntil) && s.pauseLeft(s.core) == 0 {
-			s.core.MachineList(s.now, asked, list)
+		if s.now >= max(s.cloudOutageUntil, s.controllersDownUntil) && s.remainingPause(s.core) == 0 {
+			s.core.MachineList(s.now, requestedAt, list)
 		}
 	})
 }
 
-// sortedMachineIDs lists the machines in a fixed order.
+// sortedMachineIDs returns the IDs of the machines in a fixed order.
 func (s *sim) sortedMachineIDs() []ids.MachineID { return slices.Sorted(maps.Keys(s.workers)) }
 
-// randomWorker is one of the workers, or nil if there is none.
+// randomWorker returns a random worker, or nil if there is none.
 func (s *sim) randomWorker() *simWorker {
 	machines := s.sortedMachineIDs()
 	if len(machines) == 0 {
--- a/scheduler/sim_controllers_test.go
+++ b/scheduler/sim_controllers_test.go
@@ -13,51 +13,53 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// simControllers stands in for the controllers and the election of their leader. Faults:
-// failovers, a previous leader that stays active, a paused leader, and an outage of all
-// controllers.
+// simControllers simulates the controllers and their leader election. Faults: failovers, a previous
+// leader that remains active, a paused leader, and an outage of all controllers.
 type simControllers struct {
 	controllersDownUntil monotonic.Instant // no controller runs until then
-	core                 *Core             // of the leader
+	core                 *Core             // core of the leader
 	term                 int
-	leaderRevision       ids.Revision // of the leader's key; 0: there was no leader
+	leaderRevision       ids.Revision // revision of the leader's key; 0 means that there was no leader
 	leaseValidUntil      monotonic.Instant
-	// previousCore is an earlier leader that lost the store and its peers, but not its
-	// workers: it stays active until it is superseded or previousUntil; nil: there is none.
+	// previousCore is the core of a previous leader that reaches its workers, but neither the
+	// store nor its peers. It remains active until it is superseded or until previousUntil. nil
+	// means that there is none.
 	previousCore  *Core
 	previousTerm  int
 	previousUntil monotonic.Instant
-	// pausedCore is a leader whose process is paused until pausedUntil. Messages to it wait.
+	// pausedCore is the core of a leader whose process is paused until pausedUntil. Messages to it
+	// wait.
 	pausedCore  *Core
 	pausedUntil monotonic.Instant
 }
 
-// failOver puts a new leader in place. Messages of the previous one are still in flight, and
-// some of the time it stays active: it lost the store and its peers, but not its workers.
+// failOver starts the term of a new leader. Messages of the previous leader are still in flight. With
+// faults, the previous leader sometimes remains active: it reaches its workers, but neither the store
+// nor its peers.
 func (s *sim) failOver() {
-	before := s.leaderRevision != 0
+	hadLeader := s.leaderRevision != 0
 	s.previousCore = nil
-	if before && s.chance(0.4) {
-		s.previousCore, s.previousTerm, s.previousUntil = s.core, s.term, s.now.Add(simIsolatedReplicas)
+	if hadLeader && s.chance(0.4) {
+		s.previousCore, s.previousTerm, s.previousUntil = s.core, s.term, s.now.Add(simGraceWithReplicas)
 	}
 	s.leaderRefusedUntil, s.leaseValidUntil = 0, s.now.Add(simLeaderLease)
 	s.applyTxn(nil, []kv.Operation{{PutKey: records.LeaderKey, Value: "x"}})
 	s.leaderRevision = s.storeRevision
 	s.term++
 	opt := s.opt
-	opt.Revision, opt.PreviousLeader = s.leaderRevision, before
+	opt.Revision, opt.PreviousLeader = s.leaderRevision, hadLeader
 	opt.WallClockMS = int64(time.Duration(s.now) / time.Millisecond)
 	s.core = New(opt, s.types)
 	s.loadRecords()
 	s.core.Begin(s.now)
-	for _, rep := range s.delayedHeartbeats {
-		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Heartbeat(s.now, rep) })
+	for _, heartbeat := range s.delayedHeartbeats {
+		s.after(time.Duration(s.rng.IntN(300))*time.Millisecond, func() { s.core.Heartbeat(s.now, heartbeat) })
 	}
 	s.delayedHeartbeats = nil
 }
 
-// loadRecords reads the store into the new leader, in the order of keys: jobs and zones
-// first, then the admission records that refer to the jobs.
+// loadRecords loads the records of the store into the new leader: first those of jobs and zones, then
+// the admission records, which refer to jobs. Both are in the order of their keys.
 func (s *sim) loadRecords() {
 	keys := slices.Sorted(maps.Keys(s.store))
 	for _, k := range keys {
@@ -80,22 +82,22 @@
 	}
 }
 
-// failOverWithPreviousLeaderActive puts a new leader in place while the previous one stays
+// failOverWithPreviousLeaderActive starts the term of a new leader while the previous leader remains
 // active.
 func (s *sim) failOverWithPreviousLeaderActive() {
-	old, term := s.core, s.term
+	previous, term := s.core, s.term
 	s.failOver()
-	s.previousCore, s.previousTerm, s.previousUntil = old, term, s.now.Add(simIsolatedReplicas)
+	s.previousCore, s.previousTerm, s.previousUntil = previous, term, s.now.Add(simGraceWithReplicas)
 }
 
-// restrictPreviousLeader has the previous leader answer workers with replicas alone once its
-// time for all others is over.
+// restrictPreviousLeader has the previous leader answer only workers with replicas once its grace
+// period for all others has ended.
 func (s *sim) restrictPreviousLeader() {
-	s.previousCore.RestrictToReplicas(s.now > s.previousUntil.Add(simIsolated-simIsolatedReplicas))
+	s.previousCore.RestrictToReplicas(s.now > s.previousUntil.Add(simGraceWithoutReplicas-simGraceWithReplicas))
 }
 
-// pause stops the leader's process for a time while its clocks run on. If its lease expires
-// meanwhile there is another leader, and the paused one ends its term when it finds out.
+// pause stops the leader's process for a duration while its clock continues. If its lease expires in
+// the meantime, another leader is elected. The paused one ends its term when it detects that.
 func (s *sim) pause(d time.Duration) {
 	paused := s.core
 	s.pausedCore, s.pausedUntil = paused, s.now.Add(d)
@@ -110,35 +112,35 @@
 	})
 }
 
-// pauseLeft is for how long a leader's process is still paused.
-func (s *sim) pauseLeft(core *Core) time.Duration {
+// remainingPause returns how long a leader's process is still paused.
+func (s *sim) remainingPause(core *Core) time.Duration {
 	if core != s.pausedCore {
 		return 0
 	}
 	return max(0, s.pausedUntil.Sub(s.now))
 }
 
-// afterPause calls do at once, or as soon as the process of a leader is no longer paused.
-func (s *sim) afterPause(core *Core, do func()) {
-	if left := s.pauseLeft(core); left > 0 {
-		s.after(left, func() { s.afterPause(core, do) })
+// afterPause calls call immediately, or once the process of a leader is no longer paused.
+func (s *sim) afterPause(core *Core, call func()) {
+	if remaining := s.remainingPause(core); remaining > 0 {
+		s.after(remaining, func() { s.afterPause(core, call) })
 		return
 	}
-	do()
+	call()
 }
 
-// step runs the leader, and the previous one while it is active, and carries their decisions
-// out.
+// step runs one step of the leader, and of the previous leader while it is active, and executes their
+// decisions.
 func (s *sim) step() {
-	if s.now < s.controllersDownUntil || s.pauseLeft(s.core) > 0 {
+	if s.now < s.controllersDownUntil || s.remainingPause(s.core) > 0 {
 		return
 	}
 	if s.leaderReadsStore() {
 		s.leaseValidUntil = s.now.Add(simLeaderLease)
 	} else if s.now >= s.storeOutageUntil && s.now > s.leaseValidUntil {
-		s.failOverWithPreviousLeaderActive() // the store refused it alone for too long
+		s.failOverWithPreviousLeaderActive() // the leader lost its lease because the store refused it alone
 	}
-	if s.now < s.leaseValidUntil.Add(simPreviousLeaderGrace) {
+	if s.now < s.leaseValidUntil.Add(simLeaderGrace) {
 		s.stepLeader(simLeader{s, s.core, s.term})
 	}
 	if s.previousCore != nil && (s.previousCore.Superseded() || s.now > s.previousUntil) {
--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -9,15 +9,15 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// stepLeader runs one step of a leader's core and carries its decisions out.
+// stepLeader runs one step of a leader's core and executes its decisions.
 func (s *sim) stepLeader(l simLeader) {
 	l.core.ObserveConnectivity(s.connectivityOf(l.core))
 	decisions := l.core.Step(s.now)
 	s.checkClusterState(l.core)
 	s.digest.addDecisions(decisions)
 	for _, change := range decisions.RecordChanges {
-		// A change that was decided before all controllers were new may be sent after the
-		// limits fell.
+		// A change that was decided while a controller still had the old version may be sent
+		// after the limits of the store were lowered. It may exceed them.
 		sent := sentChange{simLeader: l, change: change, mustFit: l.core.opt.SplitRecords}
 		s.after(s.latency(), sent.commit)
 	}
@@ -38,17 +38,17 @@
 	}
 }
 
-// simLeader stands in for the process of a leader around its core: it sends the commands,
-// requests and changes that a core decides on, and delivers the results. Faults: lost
-// responses, duplicated and delayed commands, a paused process, a previous leader that
-// stays active, and results that arrive after the end of the term.
+// simLeader simulates the process of a leader around its core. It sends the commands, requests and
+// record changes that the core decides, and delivers the results to the core. Faults: lost responses,
+// duplicated and delayed commands, a paused process, a previous leader that remains active, and results
+// that arrive after the end of the term.
 type simLeader struct {
 	*sim
 	core *Core
 	term int
 }
 
-// deliver hands a result to the leader, unless its process or its term is over.
+// deliver passes a result to the leader's core, unless the process is down or its term has ended.
 func (l simLeader) deliver(result func()) {
 	l.afterPause(l.core, func() {
 		if l.now >= l.controllersDownUntil && (l.sim.term == l.term || l.previousCore == l.core) {
@@ -57,29 +57,30 @@
 	})
 }
 
-// deliverAfter delivers a result after a time.
+// deliverAfter delivers a result after a duration.
 func (l simLeader) deliverAfter(d time.Duration, result func()) {
 	l.after(d, func() { l.deliver(result) })
 }
 
-// reaches tells whether a message of the leader gets to a worker's zone.
-func (l simLeader) reaches(w *simWorker) bool {
+// canReach reports whether messages of the leader reach the zone of a worker.
+func (l simLeader) canReach(w *simWorker) bool {
 	return l.now >= l.isolatedZoneUntil || l.reachesOnlyPreviousLeader(w) == (l.previousCore == l.core)
 }
 
-// requestHeartbeat asks a worker for a heartbeat.
+// requestHeartbeat requests a heartbeat from a worker.
 func (l simLeader) requestHeartbeat(machine ids.MachineID) {
 	l.deliverAfter(l.latency(), func() {
 		var heartbeat *wire.Heartbeat
 		w := l.workers[machine]
-		if w != nil && !w.dead && l.now >= max(w.partitionedUntil, w.commandsLostUntil, w.hungUntil) && l.reaches(w) {
+		if w != nil && !w.dead && l.now >= max(w.partitionedUntil, w.commandsLostUntil, w.hungUntil) && l.canReach(w) {
 			heartbeat = w.nextHeartbeat()
 		}
 		l.core.HeartbeatRequestResult(l.now, machine, heartbeat)
 	})
 }
 
-// provision asks the cloud for machines. It answers once its outage is over.
+// provision requests machines from the cloud. The response comes after an outage of the cloud has
+// ended.
 func (l simLeader) provision(request wire.ProvisionRequest) {
 	l.after(max(80*time.Millisecond, l.cloudOutageUntil.Sub(l.now)), func() {
 		machines := l.sim.provision(request)
@@ -93,7 +94,7 @@
 	})
 }
 
-// terminate has the cloud terminate machines, once its outage is over.
+// terminate has the cloud terminate machines, after an outage of the cloud has ended.
 func (l simLeader) terminate(machines []ids.MachineID) {
 	l.after(max(l.latency(), l.cloudOutageUntil.Sub(l.now)), func() {
 		for _, machine := range machines {
@@ -103,7 +104,7 @@
 	})
 }
 
-// sendCommands sends a machine the commands that wait for it.
+// sendCommands sends a machine its pending commands.
 func (l simLeader) sendCommands(machine ids.MachineID) {
 	batch, _, ok := l.core.TakeCommands(l.now, machine)
 	if !ok {
@@ -112,14 +113,14 @@
 	l.digest.add("command", batch)
 	call := &commandCall{simLeader: l, machine: machine, batch: batch}
 	l.after(l.latency(), call.arrive)
-	if l.chance(0.2) { // a duplicate, which may arrive after the commands were carried out
+	if l.chance(0.2) { // a duplicate, which may arrive after the commands were executed
 		l.after(time.Duration(1+l.rng.IntN(50))*time.Second, call.arrive)
 	}
 	l.after(2*time.Second, func() { call.finish(nil) })
 }
 
-// commandCall is a batch of commands in flight. The call ends with the first response, or
-// without one at its timeout.
+// commandCall represents a batch of commands in flight. The call ends with the first response or at
+// its timeout.
 type commandCall struct {
 	simLeader
 	machine  ids.MachineID
@@ -127,24 +128,24 @@
 	finished bool
 }
 
-// arrive is when the batch, or a duplicate of it, gets to its machine. A machine that hangs
-// reads it when it goes on.
+// arrive delivers the batch, or a duplicate of it, to its machine. A machine that hangs reads it after
+// the hang.
 func (c *commandCall) arrive() {
 	w := c.workers[c.machine]
 	if w != nil && c.now < w.hungUntil {
 		c.after(w.hungUntil.Sub(c.now), c.arrive)
 		return
 	}
-	if w == nil || w.dead || c.now < w.partitionedUntil || c.now < w.commandsLostUntil || !c.reaches(w) {
+	if w == nil || w.dead || c.now < w.partitionedUntil || c.now < w.commandsLostUntil || !c.canReach(w) {
 		return
 	}
 	response := c.receiveCommands(w, c.batch)
-	if !c.finished && !c.chance(0.03) { // else the response is lost
+	if !c.finished && !c.chance(0.03) { // otherwise the response is lost
 		c.after(2*time.Millisecond, func() { c.finish(response) })
 	}
 }
 
-// finish ends the call with a response, or with nil for none.
+// finish ends the call with a response, or with nil if there is none.
 func (c *commandCall) finish(response *wire.Heartbeat) {
 	if c.finished {
 		return
@@ -153,54 +154,54 @@
 	c.deliver(func() { c.core.CommandsResult(c.now, c.machine, response) })
 }
 
-// sentChange is a change of records that a leader decided on and that has no result yet.
+// sentChange represents a change of records in flight.
 type sentChange struct {
 	simLeader
 	change  records.Change
-	mustFit bool // the leader knew the limits of the store
+	mustFit bool // whether the leader knew the limits of the store
 }
 
-// commit sends the change to the store, as the committer does: without a response it is
-// sent again until its outcome is known. Each precondition of a leader whose term is over
-// fails, and no one waits for the result.
-func (p sentChange) commit() {
-	if p.now < max(p.storeOutageUntil, p.controllersDownUntil) || p.now < p.leaderRefusedUntil && p.sim.term == p.term {
-		p.after(500*time.Millisecond, p.commit)
+// commit sends the change to the store, as the committer does. Without a response it is sent again
+// until its result is known. After the leader's term all its preconditions fail, so the change is
+// dropped: the result has no receiver.
+func (c sentChange) commit() {
+	if c.now < max(c.storeOutageUntil, c.controllersDownUntil) || c.now < c.leaderRefusedUntil && c.sim.term == c.term {
+		c.after(500*time.Millisecond, c.commit)
 		return
 	}
-	if p.sim.term != p.term || p.leaderRevision == 0 {
+	if c.sim.term != c.term || c.leaderRevision == 0 {
 		return
 	}
-	if !p.withinStoreLimits(p.change.Operations) {
-		p.reject()
+	if !c.withinStoreLimits(c.change.Operations) {
+		c.reject()
 		return
 	}
-	applied, failed := p.applyTxn(p.change.Preconditions, p.change.Operations)
-	if applied && len(p.change.Operations) > 1 && strings.HasPrefix(p.change.Operations[1].PutKey, records.AdmissionPrefix) {
-		p.splitRecords++
+	applied, failed := c.applyTxn(c.change.Preconditions, c.change.Operations)
+	if applied && len(c.change.Operations) > 1 && strings.HasPrefix(c.change.Operations[1].PutKey, records.AdmissionPrefix) {
+		c.splitRecords++
 	}
-	result := records.CommitResult{Change: p.change, Revision: p.storeRevision}
+	result := records.CommitResult{Change: c.change, Revision: c.storeRevision}
 	if !applied {
-		result = records.CommitResult{Change: p.change, Err: &records.ConflictError{Keys: failed}}
+		result = records.CommitResult{Change: c.change, Err: &records.ConflictError{Keys: failed}}
 	}
 	wait := time.Duration(0)
-	if p.chance(0.05) {
-		wait = time.Duration(1+p.rng.IntN(4)) * time.Second
+	if c.chance(0.05) {
+		wait = time.Duration(1+c.rng.IntN(4)) * time.Second
 	}
-	p.after(wait, func() { p.afterPause(p.core, func() { p.deliverResult(result) }) })
+	c.after(wait, func() { c.afterPause(c.core, func() { c.deliverResult(result) }) })
 }
 
-// reject reports a change that is beyond the limits of the store.
-func (p sentChange) reject() {
-	if p.mustFit {
-		p.oversizedChanges++
+// reject delivers the rejection of a change that exceeds the limits of the store.
+func (c sentChange) reject() {
+	if c.mustFit {
+		c.oversizedChanges++
 	}
-	p.after(0, func() { p.deliverResult(records.CommitResult{Change: p.change, Err: records.ErrRejected}) })
+	c.after(0, func() { c.deliverResult(records.CommitResult{Change: c.change, Err: records.ErrRejected}) })
 }
 
-// deliverResult hands a result to the leader while its term lasts.
-func (p sentChange) deliverResult(result records.CommitResult) {
-	if p.sim.term == p.term {
-		p.core.CommitResult(p.now, result)
+// deliverResult passes a result to the leader's core, unless its term has ended.
+func (c sentChange) deliverResult(result records.CommitResult) {
+	if c.sim.term == c.term {
+		c.core.CommitResult(c.now, result)
 	}
 }
--- a/scheduler/sim_rules_test.go
+++ b/scheduler/sim_rules_test.go
@@ -9,28 +9,28 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// This file holds the rules that users rely on. They are checked by what is on the simulated
-// machines alone, without a look at the core, but for checkClusterState.
+// This file holds the rules that users rely on. Except for checkClusterState, the checks read the
+// simulated machines and the records, not the state of the core.
 
-// requireNoViolations ends the test if a rule was broken.
+// requireNoViolations ends the test if a rule is violated.
 func (s *sim) requireNoViolations() {
 	s.t.Helper()
 	if len(s.violations) > 0 {
-		s.t.Fatalf("rules broken: %v", s.violations)
+		s.t.Fatalf("rules violated: %v", s.violations)
 	}
 }
 
-// checkStart checks a task that has just started.
+// checkStart checks the rules for a task that has just started.
 func (s *sim) checkStart(w *simWorker, t *simTask) {
 	s.checkNotCancelled(t)
 	s.checkDependenciesDone(t)
 	s.checkRunsOnce(w, t)
-	if s.starts%max(1, len(s.workers)/20) == 0 { // it looks at every task there is
+	if s.starts%max(1, len(s.workers)/20) == 0 { // checkQuota examines every task, so it is called for a fraction of the starts
 		s.checkQuota()
 	}
 	zones := s.runningByZone(t.ref.Job)
-	if !mayRunOn(s.specs[t.ref.Job], w, zones) {
-		s.violation("wrong_place: %s on %s in %s, zones %v", t.ref, w.id, w.zone, zones)
+	if !meetsConstraints(s.specs[t.ref.Job], w, zones) {
+		s.recordViolation("constraints: %s started on %s in %s, zones %v", t.ref, w.id, w.zone, zones)
 	}
 }
 
@@ -42,20 +42,20 @@
 	}
 	s.startsAfterCancel++
 	if s.now > acknowledgedAt.Add(simCancelDeadline) {
-		s.violation("ran_cancelled: %s started", t.ref)
+		s.recordViolation("cancellation: %s started after the deadline", t.ref)
 	}
 }
 
-// checkDependenciesDone checks that no task starts before the jobs that its job depends on.
+// checkDependenciesDone checks that no task starts before the jobs that its job depends on are done.
 func (s *sim) checkDependenciesDone(t *simTask) {
-	for _, n := range s.specs[t.ref.Job].DependsOn {
-		if s.status(n) != wire.JobDone {
-			s.violation("too_early: %s started while %s is %s", t.ref, n, s.status(n))
+	for _, dependency := range s.specs[t.ref.Job].DependsOn {
+		if s.status(dependency) != wire.JobDone {
+			s.recordViolation("dependency: %s started while %s is %s", t.ref, dependency, s.status(dependency))
 		}
 	}
 }
 
-// running lists the placements of a job whose tasks run under a valid lease.
+// running returns the placements of a job whose tasks run on a worker with a valid lease.
 func (s *sim) running(id ids.JobID) []simPlacement {
 	var out []simPlacement
 	for _, p := range s.placements[id] {
@@ -66,7 +66,7 @@
 	return out
 }
 
-// runningByZone counts the running tasks of a job by zone.
+// runningByZone returns the number of running tasks of a job in each zone.
 func (s *sim) runningByZone(id ids.JobID) map[ids.Zone]int {
 	zones := map[ids.Zone]int{}
 	for _, p := range s.running(id) {
@@ -75,18 +75,18 @@
 	return zones
 }
 
-// checkRunsOnce checks that no other attempt of a task runs.
+// checkRunsOnce checks that no other attempt of a task is running.
 func (s *sim) checkRunsOnce(w *simWorker, t *simTask) {
 	for _, p := range s.running(t.ref.Job) {
 		if p.task != t && p.task.ref == t.ref {
-			s.violation("ran_twice: %s on %s and %s", t.ref, w.id, p.worker.id)
+			s.recordViolation("duplicate: %s runs on %s and %s", t.ref, w.id, p.worker.id)
 		}
 	}
 }
 
-// mayRunOn tells whether the constraints of a job allow a task on a worker, with the running
-// tasks of the job by zone.
-func mayRunOn(spec *wire.JobSpec, w *simWorker, zones map[ids.Zone]int) bool {
+// meetsConstraints reports whether the constraints of a job allow a task on a worker. zones holds the
+// number of running tasks of the job in each zone.
+func meetsConstraints(spec *wire.JobSpec, w *simWorker, zones map[ids.Zone]int) bool {
 	switch {
 	case spec.Spread && zones[w.zone] > (spec.Tasks+1)/2:
 		return false
@@ -96,7 +96,7 @@
 	return allowsWorker(spec, w)
 }
 
-// allowsWorker tells whether the site of a worker is allowed to a job.
+// allowsWorker reports whether the constraints of a job allow the site of a worker.
 func allowsWorker(spec *wire.JobSpec, w *simWorker) bool {
 	switch {
 	case w.spot && !spec.Spot:
@@ -107,7 +107,7 @@
 	return len(spec.Types) == 0 || slices.Contains(spec.Types, w.machineType)
 }
 
-// checkQuota checks that no team uses more than its limit.
+// checkQuota checks that no team exceeds its limit.
 func (s *sim) checkQuota() {
 	used := map[ids.Team]float64{}
 	for _, w := range s.workers {
@@ -119,12 +119,12 @@
 	}
 	for _, team := range s.opt.Teams {
 		if used[team.Name] > team.Limit.CPUs+cpuSlack {
-			s.violation("quota: %s uses %v", team.Name, used[team.Name])
+			s.recordViolation("quota: %s uses %v", team.Name, used[team.Name])
 		}
 	}
 }
 
-// checkCancelledJobs checks each cancelled job just after its deadline.
+// checkCancelledJobs checks each cancelled job immediately after its deadline.
 func (s *sim) checkCancelledJobs() {
 	const window = 150 * time.Millisecond // at least one tick
 	for id, acknowledgedAt := range s.cancelAcknowledgedAt {
@@ -134,26 +134,26 @@
 	}
 }
 
-// checkCancelledJobStopped checks that no task of a job runs.
+// checkCancelledJobStopped checks that no task of a job is running.
 func (s *sim) checkCancelledJobStopped(id ids.JobID) {
 	for _, w := range s.workers {
 		for _, t := range w.tasks {
 			if t.ref.Job == id && t.state == wire.TaskRunning && !s.leaseExpired(w) {
-				s.violation("ran_cancelled: %s is still on %s", t.ref, w.id)
+				s.recordViolation("cancellation: %s still runs on %s after the deadline", t.ref, w.id)
 			}
 		}
 	}
 }
 
 const (
-	// smallStateTasks is up to how many tasks the cluster state is checked after each step,
-	// and largeStateSteps after how many steps beyond that.
+	// smallStateTasks is the maximum number of tasks with which the cluster state is checked after
+	// each step. With more tasks, it is checked every largeStateSteps steps.
 	smallStateTasks = 300
 	largeStateSteps = 1000
 )
 
-// checkClusterState checks the invariants of a core's cluster state after a step. It is the
-// one check that looks into the core.
+// checkClusterState checks the invariants of a core's cluster state after a step. It is the only check
+// that reads the state of the core.
 func (s *sim) checkClusterState(core *Core) {
 	s.steps++
 	tasks := 0
@@ -164,47 +164,47 @@
 		return
 	}
 	if err := core.cluster.CheckInvariants(); err != nil {
-		s.violation("state: %v", err)
+		s.recordViolation("cluster state: %v", err)
 	}
 }
 
-// starvationLimit is for how long a job may wait beside free resources that it fits.
+// starvationLimit is how long a job may wait while free resources suffice for it.
 const starvationLimit = 90 * time.Second
 
-// starvationCheck finds jobs that wait although a machine has free resources for them and
-// their team is under its limit.
+// starvationCheck detects jobs that starve: they wait although a machine has enough free resources and
+// the limit of their team allows a task.
 type starvationCheck struct {
 	*sim
-	waited map[ids.JobID]time.Duration // by job, while nothing excuses its wait
+	waited map[ids.JobID]time.Duration // how long each job has waited without a reason
 }
 
 func newStarvationCheck(s *sim) *starvationCheck {
 	return &starvationCheck{sim: s, waited: map[ids.JobID]time.Duration{}}
 }
 
-// check looks at the jobs after some time has passed since the last look.
-func (c *starvationCheck) check(all []ids.JobID, passed time.Duration) {
+// check examines the jobs. elapsed is the time since the last check.
+func (c *starvationCheck) check(jobs []ids.JobID, elapsed time.Duration) {
 	free, used := c.usage()
-	for _, id := range all {
+	for _, id := range jobs {
 		if !c.fitsSomeWorker(id, free) || !c.waitsWithinLimit(id, used) {
 			delete(c.waited, id)
 			continue
 		}
-		if c.waited[id] += passed; c.waited[id] >= starvationLimit {
-			c.violation("%s waits beside free resources: %+v", id, *c.specs[id])
+		if c.waited[id] += elapsed; c.waited[id] >= starvationLimit {
+			c.recordViolation("starvation: %s waits while free resources suffice for it: %+v", id, *c.specs[id])
 			delete(c.waited, id)
 		}
 	}
 }
 
-// usage is what is free on each live worker and what each team uses there, in CPUs.
+// usage returns the free CPUs of each live worker and the CPUs that each team uses on them.
 func (c *starvationCheck) usage() (free map[*simWorker]float64, used map[ids.Team]float64) {
 	free, used = map[*simWorker]float64{}, map[ids.Team]float64{}
 	for _, w := range c.workers {
 		if w.incarnation == 0 || c.leaseExpired(w) {
 			continue
 		}
-		free[w] = c.typeOf(w).CPUs
+		free[w] = c.machineTypeOf(w).CPUs
 		for _, t := range w.tasks {
 			if t.state != wire.TaskEnded {
 				spec := c.specs[t.ref.Job]
@@ -216,7 +216,7 @@
 	return free, used
 }
 
-// fitsSomeWorker tells whether a worker has free CPUs for a task of a job.
+// fitsSomeWorker reports whether some allowed worker has enough free CPUs for a task of a job.
 func (c *starvationCheck) fitsSomeWorker(id ids.JobID, free map[*simWorker]float64) bool {
 	spec := c.specs[id]
 	for w, cpus := range free {
@@ -227,9 +227,9 @@
 	return false
 }
 
-// waitsWithinLimit tells whether a queued job has nothing placed although its dependencies
-// are done and the limit of its team allows it. Jobs that start all their tasks together
-// may wait for more than one machine, and are left out.
+// waitsWithinLimit reports whether a queued job has no task placed although its dependencies are done
+// and the limit of its team allows a task. Jobs that start all their tasks together may be waiting for
+// more than one machine, so they are excluded.
 func (c *starvationCheck) waitsWithinLimit(id ids.JobID, used map[ids.Team]float64) bool {
 	spec := c.specs[id]
 	if (spec.Gang || spec.Service) && spec.Tasks > 1 || c.status(id) != wire.JobQueued {
@@ -240,7 +240,7 @@
 	}) {
 		return false
 	}
-	if slices.ContainsFunc(spec.DependsOn, func(n ids.JobID) bool { return c.status(n) != wire.JobDone }) {
+	if slices.ContainsFunc(spec.DependsOn, func(dependency ids.JobID) bool { return c.status(dependency) != wire.JobDone }) {
 		return false
 	}
 	i := slices.IndexFunc(c.opt.Teams, func(t quota.Team) bool { return t.Name == spec.Team })
--- a/scheduler/sim_store_test.go
+++ b/scheduler/sim_store_test.go
@@ -10,38 +10,39 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// simEntry is a value in the store.
+// simEntry is a value in the simulated key-value store.
 type simEntry struct {
 	revision ids.Revision
 	value    []byte // encoded
 }
 
-// simStore stands in for the consensus-backed key-value store. Faults: an outage for all,
-// an outage for the leader alone, limits that fall during an upgrade; commits whose response
-// is delayed are injected by sentChange.
+// simStore simulates the consensus-backed key-value store. Faults: an outage for all clients, an outage
+// for the leader alone, and limits that are lowered during an upgrade. sentChange injects delayed
+// responses to commits.
 type simStore struct {
 	store              map[string]simEntry
 	storeRevision      ids.Revision
-	storeOutageUntil   monotonic.Instant // for all until then
-	leaderRefusedUntil monotonic.Instant // for the leader alone until then
-	// valueBytes and txnOps are the limits; 0: none.
+	storeOutageUntil   monotonic.Instant // outage for all clients until then
+	leaderRefusedUntil monotonic.Instant // outage for the leader alone until then
+	// valueBytes and txnOps are the maximum size of a value and the maximum number of operations in
+	// a transaction. 0 means no limit.
 	valueBytes, txnOps int
-	// oversizedChanges counts the changes beyond the limits that were decided since all
-	// leaders knew them, and splitRecords the records that were split.
+	// oversizedChanges is the number of changes that exceeded the limits although the leader that
+	// decided them knew the limits. splitRecords is the number of records that were split.
 	oversizedChanges, splitRecords int
-	// unsplitRecordsOnly is set while a controller may not know split slices yet.
+	// unsplitRecordsOnly reports whether some controller may not be able to read split slices yet.
 	unsplitRecordsOnly bool
 }
 
 func newSimStore() simStore { return simStore{store: map[string]simEntry{}, storeRevision: 1} }
 
-// applyTxn applies a transaction if its preconditions hold. Else it returns the keys whose
+// applyTxn applies a transaction if its preconditions hold. Otherwise it returns the keys whose
 // preconditions failed.
-func (s *sim) applyTxn(guards []kv.Precondition, ops []kv.Operation) (bool, []string) {
+func (s *sim) applyTxn(preconditions []kv.Precondition, ops []kv.Operation) (bool, []string) {
 	var failed []string
-	for _, g := range guards {
-		if s.store[g.Key].revision != g.Revision {
-			failed = append(failed, g.Key)
+	for _, precondition := range preconditions {
+		if s.store[precondition.Key].revision != precondition.Revision {
+			failed = append(failed, precondition.Key)
 		}
 	}
 	if failed != nil {
@@ -59,7 +60,7 @@
 			id := ids.JobID(op.PutKey[len(records.JobPrefix):])
 			for i := range s.specs[id].Tasks {
 				if !s.completed[ids.TaskRef{Job: id, Index: i}] {
-					s.violation("not_done: %s/%d", id, i)
+					s.recordViolation("completion: %s is done without task %d", id, i)
 				}
 			}
 		}
@@ -67,7 +68,7 @@
 	return true, nil
 }
 
-// withinStoreLimits tells whether the store would take a change.
+// withinStoreLimits reports whether the operations of a change are within the limits of the store.
 func (s *sim) withinStoreLimits(ops []kv.Operation) bool {
 	if s.txnOps > 0 && len(ops) > s.txnOps {
 		return false
@@ -77,14 +78,14 @@
 	})
 }
 
-// checkSlices checks the admission records of the job that was written to: no task may be in
-// two of them, and before the upgrade each record must hold the tasks that its number tells.
+// checkSlices checks the admission records of the job that a transaction writes. No task may be in two
+// of them. While unsplitRecordsOnly is set, each record may hold only the tasks that its number implies.
 func (s *sim) checkSlices(ops []kv.Operation) {
 	job, ok := admittedJob(ops)
 	if !ok {
 		return
 	}
-	recordedIn := map[int]int{} // slice by task
+	recordedIn := map[int]int{} // task to slice
 	for key, e := range s.store {
 		id, slice, ok := records.ParseAdmissionKey(key)
 		if !ok || id != job {
@@ -92,17 +93,17 @@
 		}
 		for _, task := range s.tasksOfSlice(e) {
 			if other, twice := recordedIn[task]; twice && other != slice {
-				s.violation("%s/%d is recorded in slices %d and %d", id, task, other, slice)
+				s.recordViolation("%s/%d is recorded in slices %d and %d", id, task, other, slice)
 			}
 			recordedIn[task] = slice
 			if s.unsplitRecordsOnly && task/s.opt.SliceTasks != slice {
-				s.violation("%s/%d is recorded in slice %d before the upgrade", id, task, slice)
+				s.recordViolation("%s/%d is recorded in slice %d before the end of the upgrade", id, task, slice)
 			}
 		}
 	}
 }
 
-// admittedJob is the job whose admission records are put by a transaction.
+// admittedJob returns the job whose admission records a transaction writes.
 func admittedJob(ops []kv.Operation) (job ids.JobID, ok bool) {
 	for _, op := range ops {
 		if id, _, isSlice := records.ParseAdmissionKey(op.PutKey); isSlice {
@@ -112,7 +113,7 @@
 	return job, ok
 }
 
-// tasksOfSlice lists the tasks in an admission record, done or not.
+// tasksOfSlice returns the tasks in an admission record, done or not.
 func (s *sim) tasksOfSlice(e simEntry) []int {
 	const numbersPerTask = 3 // task, attempt, machine
 	var rec records.AdmissionSlice
@@ -124,10 +125,10 @@
 	return tasks
 }
 
-// leaderReadsStore tells whether the leader reads what others write.
+// leaderReadsStore reports whether the leader can read the store.
 func (s *sim) leaderReadsStore() bool { return s.now >= max(s.storeOutageUntil, s.leaderRefusedUntil) }
 
-// watchJob delivers a job's record to the leader, as its watch does once the store is back.
+// watchJob delivers a job's record to the leader, as the watch does once the store is available.
 func (s *sim) watchJob(id ids.JobID) {
 	if !s.leaderReadsStore() {
 		s.after(max(s.storeOutageUntil, s.leaderRefusedUntil).Sub(s.now), func() { s.watchJob(id) })
@@ -145,7 +146,7 @@
 	core.ObserveJob(s.now, id, &rec, e.revision)
 }
 
-// status is a job's own record.
+// status returns the state in a job's record.
 func (s *sim) status(id ids.JobID) wire.JobState {
 	var rec records.Job
 	s.must(wire.Decode(s.store[records.JobKey(id)].value, &rec))
--- a/scheduler/sim_test.go
+++ b/scheduler/sim_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"math/rand/v2"
 	"testing"
-
 	"time"
 
 	"ospreystile.example/ospreystile/ids"
@@ -13,33 +12,37 @@
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
 
-// Settings of the simulated controllers.
+// Settings of the simulated controllers and agents.
 const (
-	simHeartbeatInterval   = 3 * time.Second
-	simAgentLease          = 27 * time.Second
-	simCancelDeadline      = 52 * time.Second
-	simPreviousLeaderGrace = 90 * time.Second
-	// simIsolated is how long a leader that others may have replaced answers workers after
-	// its lease: the margin of a cancellation. Workers with replicas it answers for another
-	// 45 s, in which later leaders delay the acknowledgement of some cancellations.
-	simIsolated         = 23800 * time.Millisecond
-	simIsolatedReplicas = simIsolated + 45*time.Second
-	// simLeaderLease is how long the leader's lease is valid after the store confirmed it.
+	simHeartbeatInterval = 3 * time.Second
+	simAgentLease        = 27 * time.Second
+	simCancelDeadline    = 52 * time.Second
+	// simLeaderGrace is how long after its lease a leader that was not replaced still acts.
+	simLeaderGrace = 90 * time.Second
+	// simGraceWithoutReplicas is how long after its lease a leader that may have been replaced
+	// still answers workers without replicas. It is the margin of a cancellation: an agent
+	// lease and this grace period are within the cancel deadline. Workers with replicas are
+	// answered for another 45 s, during which later leaders delay the acknowledgement of some
+	// cancellations.
+	simGraceWithoutReplicas = 23800 * time.Millisecond
+	simGraceWithReplicas    = simGraceWithoutReplicas + 45*time.Second
+	// simLeaderLease is how long the leader's lease is valid after the store has confirmed it.
 	simLeaderLease = 2900 * time.Millisecond
-	// simListLag is how long a machine list of the cloud is behind.
+	// simListLag is the staleness of the cloud's machine list when it arrives.
 	simListLag = 3 * time.Second
-	// simTick is how often workers are looked at when no event is due.
+	// simTick is the interval at which the workers are stepped and the rules checked.
 	simTick = 100 * time.Millisecond
 )
 
-// simEvent is a call that is due at a time. Events at one time keep their order.
+// simEvent is a call that is due at a time. Events due at the same time are called in the order in
+// which they were scheduled.
 type simEvent struct {
-	at  monotonic.Instant
-	seq int
-	do  func()
+	at   monotonic.Instant
+	seq  int
+	call func()
 }
 
-// simQueue is a heap of events, the next one first.
+// simQueue is a heap of events, ordered by the time at which they are due.
 type simQueue []simEvent
 
 func (q simQueue) Len() int { return len(q) }
@@ -54,15 +57,15 @@
 
 func (q *simQueue) Pop() any {
 	old := *q
-	e := old[len(old)-1]
+	event := old[len(old)-1]
 	*q = old[:len(old)-1]
-	return e
+	return event
 }
 
-// sim simulates a cluster around the core: its parts stand in for the key-value store, the
-// cloud, the controllers, the network, the workers and the users, and inject faults. Time is
-// simulated and all runs on one goroutine, so that a seed gives the same day each time.
-// The users' rules are checked on the simulated machines.
+// sim simulates a cluster around the core. Its parts simulate the key-value store, the cloud, the
+// controllers, the network, the workers and the users, and inject faults. Time is simulated and
+// everything runs on one goroutine, so a seed always gives the same simulation run. The rules that
+// users rely on are checked on the simulated machines.
 type sim struct {
 	t     *testing.T
 	rng   *rand.Rand
@@ -70,32 +73,33 @@
 	seq   int
 	queue simQueue
 
-	opt Options // of the next leader
+	opt Options // settings of the next leader
 	simStore
 	simCloud
 	simControllers
 	simNetwork
 	simUsers
-	zones       zoneChecks
-	imageCaches *simImageCaches // nil: images take a random time
-	// runFactor is how many times as long tasks of arrays run; 0: once.
-	runFactor int
+	zones       simZones
+	imageCaches *simImageCaches // nil means that fetching an image takes a random time
+	// runTimeFactor multiplies the run time of tasks of arrays. 0 means 1.
+	runTimeFactor int
 
-	faults     bool // faults are injected
-	steps      int  // of all cores
+	faults     bool // whether faults are injected
+	steps      int  // number of steps of all cores
 	violations []string
-	starts     int // of tasks
-	// startsAfterCancel counts the starts after their job's cancellation was acknowledged.
+	starts     int // number of task starts
+	// startsAfterCancel is the number of task starts after the acknowledgement of the cancellation
+	// of their job.
 	startsAfterCancel int
-	digest            *decisionDigest // of all decisions so far
+	digest            *decisionDigest // digest of all decisions so far
 }
 
-// simTeam is a team that lends all of its nominal quota.
+// simTeam returns a team that lends all of its nominal quota.
 func simTeam(name ids.Team, nominal, limit float64) quota.Team {
 	return quota.Team{Name: name, Nominal: quota.Amount{CPUs: nominal}, Limit: quota.Amount{CPUs: limit}, LendingLimit: quota.Amount{CPUs: nominal}}
 }
 
-// simOptions are the settings of the simulated leaders.
+// simOptions returns the settings of the simulated leaders.
 func simOptions() Options {
 	return Options{
 		Teams: []quota.Team{simTeam("red", 16, 40), simTeam("blue", 24, 32), simTeam("gold", 8, 60)},
@@ -103,8 +107,8 @@
 			HeartbeatInterval:                  simHeartbeatInterval,
 			AgentLease:                         simAgentLease,
 			CancelDeadline:                     simCancelDeadline,
-			PreviousLeaderGrace:                simIsolatedReplicas,
-			PreviousLeaderGraceWithoutReplicas: simIsolated,
+			PreviousLeaderGrace:                simGraceWithReplicas,
+			PreviousLeaderGraceWithoutReplicas: simGraceWithoutReplicas,
 		},
 		FleetOptions: FleetOptions{
 			ListLag:             simListLag,
@@ -134,7 +138,7 @@
 	}
 }
 
-// newSim makes a simulated day with a first leader. All random numbers come from the seed.
+// newSim returns a simulation with its first leader. All random numbers are derived from the seed.
 func newSim(t *testing.T, seed uint64) *sim {
 	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: monotonic.Instant(time.Hour), opt: simOptions(),
 		simStore: newSimStore(), simCloud: newSimCloud(), simNetwork: simNetwork{duplicateChance: 0.1}, simUsers: newSimUsers(),
@@ -143,21 +147,21 @@
 	return s
 }
 
-// after has a function called after a time.
+// after schedules a call of f after a duration.
 func (s *sim) after(d time.Duration, f func()) {
 	s.seq++
 	heap.Push(&s.queue, simEvent{s.now.Add(d), s.seq, f})
 }
 
-// chance draws whether a fault with a probability happens.
+// chance reports whether a fault with a probability occurs. It draws no number without faults.
 func (s *sim) chance(p float64) bool { return s.faults && s.rng.Float64() < p }
 
-// violation notes a broken rule.
-func (s *sim) violation(format string, args ...any) {
+// recordViolation records that a rule is violated.
+func (s *sim) recordViolation(format string, args ...any) {
 	s.violations = append(s.violations, fmt.Sprintf("%.1f s: ", time.Duration(s.now-monotonic.Instant(time.Hour)).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// must ends the test on an error.
+// must ends the test if there is an error.
 func (s *sim) must(err error) {
 	if err != nil {
 		s.t.Helper()
@@ -165,7 +169,7 @@
 	}
 }
 
-// run plays for a time.
+// run simulates a duration.
 func (s *sim) run(d time.Duration) {
 	end := s.now.Add(d)
 	for tick := 0; s.now < end; tick++ {
@@ -182,16 +186,16 @@
 	}
 }
 
-// runEventsUntil plays the events up to a time, with a step after each.
-func (s *sim) runEventsUntil(next monotonic.Instant) {
-	for len(s.queue) > 0 && s.queue[0].at <= next {
-		e := heap.Pop(&s.queue).(simEvent)
-		s.now = max(s.now, e.at)
-		e.do()
+// runEventsUntil calls the events that are due until a time. Each is followed by a step.
+func (s *sim) runEventsUntil(end monotonic.Instant) {
+	for len(s.queue) > 0 && s.queue[0].at <= end {
+		event := heap.Pop(&s.queue).(simEvent)
+		s.now = max(s.now, event.at)
+		event.call()
 		if err := s.core.RecordsError(); err != nil {
-			s.t.Fatalf("the core stopped: %v", err)
+			s.t.Fatalf("the core cannot continue: %v", err)
 		}
 		s.step()
 	}
-	s.now = next
+	s.now = end
 }
--- a/scheduler/sim_users_test.go
+++ b/scheduler/sim_users_test.go
@@ -11,17 +11,18 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// simUsers stands in for the users and keeps what they know of their jobs. Faults: jobs that
-// fail on every machine, and cancellations that meet the end of a job.
+// simUsers simulates the users and holds what they know of their jobs. Faults: jobs that fail on every
+// machine, and cancellations at about the time at which a job ends.
 type simUsers struct {
 	specs      map[ids.JobID]*wire.JobSpec
-	placements map[ids.JobID][]simPlacement // where tasks were ever told to run
+	placements map[ids.JobID][]simPlacement // all placements, also those that ended
 	completed  map[ids.TaskRef]bool
-	cancelled  map[ids.JobID]bool // by their users
-	// cancelAcknowledgedAt is when the user was told that the job is cancelled.
+	cancelled  map[ids.JobID]bool // cancelled by their users
+	// cancelAcknowledgedAt is when the cancellation was acknowledged to the user.
 	cancelAcknowledgedAt map[ids.JobID]monotonic.Instant
-	failing              map[ids.JobID]bool // on every machine
-	cancelAtEndChance    float64
+	failing              map[ids.JobID]bool // jobs that fail on every machine
+	// cancelAtEndChance is the probability with which a user cancels a job when a task of it is done.
+	cancelAtEndChance float64
 }
 
 func newSimUsers() simUsers {
@@ -29,7 +30,7 @@
 		cancelled: map[ids.JobID]bool{}, cancelAcknowledgedAt: map[ids.JobID]monotonic.Instant{}, failing: map[ids.JobID]bool{}, cancelAtEndChance: 0.03}
 }
 
-// submit writes the record of a new job, of which the leader's watch hears later.
+// submit writes the record of a new job. The leader's watch observes it later.
 func (s *sim) submit(id ids.JobID, spec *wire.JobSpec) {
 	s.specs[id] = spec
 	s.applyTxn(nil, []kv.Operation{{PutKey: records.JobKey(id), Value: records.Job{Nonce: s.rng.Uint64(), Status: wire.JobQueued,
@@ -37,8 +38,8 @@
 	s.after(min(s.latency(), 3*time.Second), func() { s.watchJob(id) })
 }
 
-// cancel cancels a job for its user. It is retried until it is committed, and the user is told
-// once a leader that held a valid lease after that acknowledges it.
+// cancel cancels a job for its user, unless the job is terminal. It is retried until it is committed. It
+// is acknowledged to the user once a leader acknowledges it while its lease is valid.
 func (s *sim) cancel(id ids.JobID) {
 	if s.now < s.storeOutageUntil {
 		s.after(time.Second, func() { s.cancel(id) })
@@ -57,23 +58,22 @@
 	s.awaitCancelAcknowledged(id)
 }
 
-// awaitCancelAcknowledged asks a controller again and again until the leader acknowledges the
-// cancellation.
+// awaitCancelAcknowledged asks a controller every second until the leader acknowledges the cancellation.
 func (s *sim) awaitCancelAcknowledged(id ids.JobID) {
 	s.after(min(s.latency(), time.Second), func() {
 		if s.now >= s.controllersDownUntil && !s.chance(0.2) {
-			core, holds := s.core, s.now < s.leaseValidUntil
+			core, holdsLease := s.core, s.now < s.leaseValidUntil
 			if s.previousCore != nil && s.chance(0.5) {
-				// The controller that was asked still follows the previous leader, which
-				// acts on the cancellation but has lost its lease.
-				core, holds = s.previousCore, false
+				// The controller still follows the previous leader, which executes the
+				// cancellation but has lost its lease.
+				core, holdsLease = s.previousCore, false
 			}
-			if s.pauseLeft(core) > 0 {
+			if s.remainingPause(core) > 0 {
 				s.awaitCancelAcknowledged(id) // no response
 				return
 			}
 			s.deliverJob(core, id)
-			if holds && core.CanAcknowledgeCancel(s.now, id) {
+			if holdsLease && core.CanAcknowledgeCancel(s.now, id) {
 				s.cancelAcknowledgedAt[id] = s.now
 				return
 			}
@@ -82,18 +82,19 @@
 	})
 }
 
-// hasCancelledDependency tells by the records alone whether a job needs one that is cancelled.
+// hasCancelledDependency reports whether a job depends on a cancelled job, directly or indirectly. It
+// reads only the records.
 func (s *sim) hasCancelledDependency(id ids.JobID) bool {
-	return slices.ContainsFunc(s.specs[id].DependsOn, func(n ids.JobID) bool {
-		return s.status(n) == wire.JobCancelled || s.hasCancelledDependency(n)
+	return slices.ContainsFunc(s.specs[id].DependsOn, func(dependency ids.JobID) bool {
+		return s.status(dependency) == wire.JobCancelled || s.hasCancelledDependency(dependency)
 	})
 }
 
-// checkCancelledDependents checks that jobs which depend on a cancelled one are cancelled as
-// well, and that no other job is but by its user.
-func (s *sim) checkCancelledDependents(all []ids.JobID) {
+// checkCancelledDependents checks that a job is cancelled if and only if its user cancelled it or it
+// depends on a cancelled job.
+func (s *sim) checkCancelledDependents(jobs []ids.JobID) {
 	s.t.Helper()
-	for _, id := range all {
+	for _, id := range jobs {
 		byUser := s.cancelled[id]
 		if got := s.status(id) == wire.JobCancelled; got != (byUser || s.hasCancelledDependency(id)) {
 			s.t.Errorf("%s is %s; cancelled by its user: %v, a dependency is cancelled: %v", id, s.status(id), byUser, s.hasCancelledDependency(id))
--- a/scheduler/sim_worker_test.go
+++ b/scheduler/sim_worker_test.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// simHeartbeatTimeout is how long a worker waits for the response to a heartbeat, and
-	// simHeartbeatDebounce the least time between two heartbeats when statuses change.
+	// simHeartbeatTimeout is how long a worker waits for the response to a heartbeat.
+	// simHeartbeatDebounce is the minimum time between two heartbeats when statuses change.
 	simHeartbeatTimeout  = 4 * time.Second
 	simHeartbeatDebounce = 500 * time.Millisecond
 	// cpuSlack absorbs the rounding of decimal sums of CPUs.
 	cpuSlack = 1e-9
 )
 
-// simTask is a task on a simulated worker.
+// simTask represents an attempt of a task on a simulated worker.
 type simTask struct {
 	ref     ids.TaskRef
 	attempt ids.Attempt
@@ -26,8 +26,8 @@
 	cause   wire.ExitCause
 }
 
-// simWorker stands in for a machine and its agent. Faults: a partition, lost commands, lost
-// heartbeats, a hang, the death of the machine, a restart of the agent, and tasks that fail.
+// simWorker simulates a machine and its agent. Faults: a partition, lost commands, lost heartbeats, a
+// hang, the death of the machine, a restart of the agent, and tasks that fail.
 type simWorker struct {
 	id          ids.MachineID
 	machineType ids.MachineType
@@ -39,42 +39,42 @@
 	sequence    ids.Sequence
 	token       ids.FencingToken
 	tasks       []*simTask
-	// leaseRenewedAt is when the last heartbeat with a response was sent, or when the
+	// leaseRenewedAt is when the last heartbeat that got a response was sent, or when the
 	// incarnation began.
 	leaseRenewedAt  monotonic.Instant
 	lastHeartbeatAt monotonic.Instant
-	// heartbeatInFlight is set until the heartbeat has its response or its timeout.
+	// heartbeatInFlight reports whether a heartbeat has neither got its response nor timed out.
 	heartbeatInFlight bool
-	statusChanged     bool // since the last heartbeat
-	followsTerm       int  // the term to whose leader it sends heartbeats
+	statusChanged     bool // whether a status changed since the last heartbeat
+	followsTerm       int  // term of the leader to which it sends heartbeats
 
 	dead                bool
 	unhealthy           bool              // each task fails
 	partitionedUntil    monotonic.Instant // no message passes in either direction
-	hungUntil           monotonic.Instant // it is reachable, but executes and sends nothing
+	hungUntil           monotonic.Instant // reachable, but executes and sends nothing
 	commandsLostUntil   monotonic.Instant // heartbeats arrive; commands and responses are lost
 	heartbeatsLostUntil monotonic.Instant // commands arrive; heartbeats are lost
 }
 
-// simPlacement is a task that was told to run on a worker.
+// simPlacement represents a task that a worker was commanded to run.
 type simPlacement struct {
 	worker *simWorker
 	task   *simTask
 }
 
-// nextHeartbeat is the next heartbeat of a worker.
+// nextHeartbeat returns the next heartbeat of a worker.
 func (w *simWorker) nextHeartbeat() *wire.Heartbeat {
 	w.sequence++
-	r := &wire.Heartbeat{Machine: w.id, Endpoint: string(w.id), Type: w.machineType, Zone: w.zone, Spot: w.spot,
+	heartbeat := &wire.Heartbeat{Machine: w.id, Endpoint: string(w.id), Type: w.machineType, Zone: w.zone, Spot: w.spot,
 		Incarnation: w.incarnation, Sequence: w.sequence, FencingToken: w.token}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Name: t.ref.String(), Attempt: t.attempt, State: t.state, Cause: t.cause})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Name: t.ref.String(), Attempt: t.attempt, State: t.state, Cause: t.cause})
 	}
-	return r
+	return heartbeat
 }
 
-// receiveCommands has a worker carry out a batch that is not fenced off, and returns its
-// response.
+// receiveCommands has a worker execute a batch, unless its fencing token is stale or it is for another
+// incarnation. It returns the response.
 func (s *sim) receiveCommands(w *simWorker, batch wire.CommandBatch) *wire.Heartbeat {
 	if batch.FencingToken >= w.token && batch.Incarnation == w.incarnation {
 		w.token = batch.FencingToken
@@ -83,7 +83,7 @@
 	return w.nextHeartbeat()
 }
 
-// execute carries commands out. Each may come more than once.
+// execute executes commands. Each command may arrive more than once.
 func (s *sim) execute(w *simWorker, commands []wire.Command) {
 	for _, command := range commands {
 		ref, _ := ids.ParseTask(command.Name)
@@ -102,11 +102,11 @@
 	}
 }
 
-// end ends a task.
+// end ends a task with a cause.
 func (t *simTask) end(cause wire.ExitCause) { t.state, t.cause = wire.TaskEnded, cause }
 
-// addTask takes a new task in, which ends at once if an earlier attempt is there or the CPUs
-// do not suffice.
+// addTask adds a new task. It ends immediately if another attempt is on the worker or the free CPUs do
+// not suffice.
 func (s *sim) addTask(w *simWorker, t *simTask) {
 	w.tasks = append(w.tasks, t)
 	s.placements[t.ref.Job] = append(s.placements[t.ref.Job], simPlacement{w, t})
@@ -119,7 +119,7 @@
 			t.end(wire.CauseInUse)
 		}
 	}
-	if t.state == wire.TaskFetching && used > s.typeOf(w).CPUs+cpuSlack {
+	if t.state == wire.TaskFetching && used > s.machineTypeOf(w).CPUs+cpuSlack {
 		t.end(wire.CauseFull)
 	}
 	if t.state == wire.TaskFetching {
@@ -127,8 +127,8 @@
 	}
 }
 
-// fetchTime is how long a task waits for its image: at random, unless a day models the
-// zones' image caches.
+// fetchTime returns how long a task waits for its image. The time is random, unless image caches are
+// simulated.
 func (s *sim) fetchTime(w *simWorker, job ids.JobID) time.Duration {
 	if s.imageCaches != nil {
 		return s.imageCaches.fetch(s, w, s.specs[job].Image)
@@ -136,12 +136,12 @@
 	return time.Duration(100+s.rng.IntN(2000)) * time.Millisecond
 }
 
-// holdsTask tells whether a worker is still provisioned and has not reaped a task.
+// holdsTask reports whether a worker is still provisioned and has not reaped a task.
 func (s *sim) holdsTask(w *simWorker, t *simTask) bool {
 	return s.workers[w.id] == w && slices.Contains(w.tasks, t)
 }
 
-// startTask starts a task that has its image, once its worker no longer hangs.
+// startTask starts a task whose image is fetched, after a hang of its worker.
 func (s *sim) startTask(w *simWorker, t *simTask) {
 	if s.now < w.hungUntil {
 		s.after(w.hungUntil.Sub(s.now), func() { s.startTask(w, t) })
@@ -157,19 +157,19 @@
 	if s.specs[t.ref.Job].Service {
 		return
 	}
-	run := time.Duration(1+s.rng.IntN(25)) * time.Second * time.Duration(max(1, s.runFactor))
+	duration := time.Duration(1+s.rng.IntN(25)) * time.Second * time.Duration(max(1, s.runTimeFactor))
 	if s.completed[t.ref] {
-		run = 0
+		duration = 0
 	}
 	cause := wire.CauseDone
 	if w.unhealthy || s.failing[t.ref.Job] || s.chance(0.1) {
 		cause = wire.CauseError
 	}
-	s.after(run, func() { s.endTask(w, t, cause) })
+	s.after(duration, func() { s.endTask(w, t, cause) })
 }
 
-// endTask ends a task that has run for its time, once its worker no longer hangs. Some
-// users cancel a job at the moment at which a task of it is done.
+// endTask ends a task whose run time has passed, after a hang of its worker. Some users cancel a job at
+// the time at which a task of it is done.
 func (s *sim) endTask(w *simWorker, t *simTask, cause wire.ExitCause) {
 	if s.now < w.hungUntil {
 		s.after(w.hungUntil.Sub(s.now), func() { s.endTask(w, t, cause) })
@@ -188,20 +188,20 @@
 	w.statusChanged = true
 }
 
-// leaseExpired tells whether a worker's lease has expired, whether or not the worker has
-// ended its tasks yet.
+// leaseExpired reports whether a worker's lease has expired. The worker may not have ended its tasks
+// yet.
 func (s *sim) leaseExpired(w *simWorker) bool {
 	return w.dead || s.now > w.leaseRenewedAt.Add(simAgentLease)
 }
 
-// reachesOnlyPreviousLeader tells whether a worker is partitioned from all but a previous
+// reachesOnlyPreviousLeader reports whether a worker is partitioned from everything except a previous
 // leader.
 func (s *sim) reachesOnlyPreviousLeader(w *simWorker) bool {
 	return w.zone == s.isolatedZone && s.now < s.isolatedZoneUntil
 }
 
-// stepWorker has a worker do what is due: begin a new incarnation after its lease, or send
-// a heartbeat.
+// stepWorker has a worker begin a new incarnation if its lease has expired, and send a heartbeat if one
+// is due.
 func (s *sim) stepWorker(w *simWorker) {
 	if w.dead || s.now < w.hungUntil {
 		return
@@ -231,7 +231,7 @@
 	s.after(s.latency(), call.arrive)
 }
 
-// leaderFollowedBy is the leader that a worker sends its heartbeats to.
+// leaderFollowedBy returns the leader to which a worker sends its heartbeats.
 func (s *sim) leaderFollowedBy(w *simWorker) *Core {
 	followsPrevious := w.followsTerm == s.previousTerm && s.now >= s.isolatedZoneUntil
 	if s.previousCore != nil && (followsPrevious || s.reachesOnlyPreviousLeader(w)) {
@@ -241,8 +241,8 @@
 	return s.core
 }
 
-// duplicateHeartbeat may deliver a duplicate from seconds to well over a lease later, and
-// may keep another for the next leader.
+// duplicateHeartbeat may deliver a duplicate of a heartbeat, seconds to several agent leases later, and
+// may hold back another duplicate for the next leader.
 func (s *sim) duplicateHeartbeat(heartbeat *wire.Heartbeat) {
 	const maxDelayedHeartbeats = 50
 	if s.chance(s.duplicateChance) {
@@ -253,14 +253,14 @@
 	}
 }
 
-// heartbeatCall is a heartbeat in flight. The call ends with its response or its timeout.
+// heartbeatCall represents a heartbeat in flight. The call ends with its response or at its timeout.
 type heartbeatCall struct {
 	*sim
 	worker      *simWorker
 	leader      *Core
 	heartbeat   *wire.Heartbeat
 	sentAt      monotonic.Instant
-	incarnation ids.AgentIncarnation // of the worker when it was sent
+	incarnation ids.AgentIncarnation // incarnation of the worker when the heartbeat was sent
 	finished    bool
 }
 
@@ -272,14 +272,13 @@
 	}
 }
 
-// arrive is when the heartbeat gets to the leader, which answers it unless it may not. Some
-// responses are lost.
+// arrive delivers the heartbeat to the leader, which answers if it may. Some responses are lost.
 func (c *heartbeatCall) arrive() {
 	if c.leader != c.core && c.leader != c.previousCore {
 		c.leader = c.core
 	}
-	if left := c.pauseLeft(c.leader); left > 0 {
-		c.after(left, c.arrive)
+	if remaining := c.remainingPause(c.leader); remaining > 0 {
+		c.after(remaining, c.arrive)
 		return
 	}
 	if !c.leaderAnswers() {
@@ -299,7 +298,7 @@
 	}
 }
 
-// leaderAnswers tells whether the leader runs, is reached and may still answer workers.
+// leaderAnswers reports whether the leader is running, is reachable and may still answer workers.
 func (c *heartbeatCall) leaderAnswers() bool {
 	if c.now < c.controllersDownUntil {
 		return false
@@ -307,11 +306,11 @@
 	if c.leader != c.core {
 		return true
 	}
-	return !c.reachesOnlyPreviousLeader(c.worker) && c.now < c.leaseValidUntil.Add(simPreviousLeaderGrace)
+	return !c.reachesOnlyPreviousLeader(c.worker) && c.now < c.leaseValidUntil.Add(simLeaderGrace)
 }
 
-// receive is when the response gets to the worker. It renews the lease from the time at
-// which the heartbeat was sent.
+// receive delivers the response to the worker. It renews the lease from the time at which the heartbeat
+// was sent.
 func (c *heartbeatCall) receive(response wire.HeartbeatResponse) {
 	w := c.worker
 	if c.finished || w.dead || c.now < max(w.partitionedUntil, w.commandsLostUntil, w.hungUntil) {
--- a/scheduler/sim_zones_test.go
+++ b/scheduler/sim_zones_test.go
@@ -12,35 +12,36 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// zoneChecks injects zone outages and checks zone recovery. Faults: a partition of all
-// machines of a zone, and a leader that sees neither the store nor its peers.
-type zoneChecks struct {
+// simZones simulates zone outages and holds the state of the checks of zone recovery. Faults: a
+// partition of all machines of a zone, and a leader that reaches neither the store nor its peers.
+type simZones struct {
 	partitionedUntil map[ids.Zone]monotonic.Instant
-	// limits are those of the ramp-up in the last seconds, by zone: a step that was taken
-	// back leaves starts in flight.
-	limits map[ids.Zone][]rampLimit
-	// maxFailbacks are the most that any leader counted for a job in one incident, displaced
-	// and denied the sums over all leaders.
+	// rampUpLimits holds, by zone, the limits of the ramp-up within rampUpLimitRetention. Starts
+	// that an earlier limit allowed may still be in flight after the ramp-up takes a step back.
+	rampUpLimits map[ids.Zone][]rampUpLimit
+	// maxFailbacks is the maximum number of failbacks that any leader counted for a job in one
+	// incident. displaced and failbacks are the sums of displaced tasks and of failbacks over all
+	// leaders.
 	maxFailbacks, displaced, failbacks int
 	lastStats                          map[*Core]zonerecovery.Stats
-	// isolatedView has the leader see neither the store nor its peers.
-	isolatedView bool
-	// placedInRecovery tells of each assignment whether its zone recovered when it was made.
+	// leaderIsolated reports whether the leader reaches neither the store nor its peers.
+	leaderIsolated bool
+	// placedInRecovery reports for each assignment whether its zone was recovering when it was made.
 	placedInRecovery map[*cluster.Assignment]bool
-	// conditions are those that each zone went through.
+	// conditions holds, by zone, the conditions that the zone went through.
 	conditions map[ids.Zone][]zonerecovery.Condition
 }
 
-// rampLimit is the limit of a zone's ramp-up at a time.
-type rampLimit struct {
+// rampUpLimit is the limit of a zone's ramp-up at a time.
+type rampUpLimit struct {
 	at    monotonic.Instant
 	limit int
 }
 
-// rampMemory is how long a task may take from its placement until it runs, with a margin.
-const rampMemory = 15 * time.Second
+// rampUpLimitRetention is how long a task may take from its placement until it runs, with a margin.
+const rampUpLimitRetention = 15 * time.Second
 
-// simZonePolicy is the default policy for a handful of machines in a zone.
+// simZonePolicy returns the default policy for a zone with few machines.
 func simZonePolicy() *zonerecovery.Policy {
 	return &zonerecovery.Policy{SuspectShare: 0.5, OutageShare: 0.8, OutageAfter: 4 * time.Second, ClearSuspicionAfter: 2 * time.Second, MinMachines: 2,
 		ReachableShare: 0.25, RetryAfter: 3 * time.Minute, HoldDown: 4 * time.Second, MaxHoldDown: 30 * time.Second, HoldDownFactor: 3, QuietPeriod: 10 * time.Minute,
@@ -49,10 +50,10 @@
 		MaxRecovery: 40 * time.Second, FailbackBudget: 1, ForceFailbackAfter: time.Minute}
 }
 
-// enableZoneRecovery turns zone recovery on and fails over to a leader that knows it.
+// enableZoneRecovery enables zone recovery and fails over to a leader that performs it.
 func (s *sim) enableZoneRecovery() {
 	s.opt.ZoneRecovery = simZonePolicy()
-	s.zones.partitionedUntil, s.zones.limits = map[ids.Zone]monotonic.Instant{}, map[ids.Zone][]rampLimit{}
+	s.zones.partitionedUntil, s.zones.rampUpLimits = map[ids.Zone]monotonic.Instant{}, map[ids.Zone][]rampUpLimit{}
 	s.zones.lastStats = map[*Core]zonerecovery.Stats{}
 	s.zones.conditions = map[ids.Zone][]zonerecovery.Condition{}
 	s.zones.placedInRecovery = map[*cluster.Assignment]bool{}
@@ -60,22 +61,23 @@
 	s.previousCore = nil
 }
 
-// loadZoneRecord hands a zone's record to the new leader.
+// loadZoneRecord loads the record of a zone into the new leader.
 func (s *sim) loadZoneRecord(key string) {
 	var rec zonerecovery.Record
 	s.must(wire.Decode(s.store[key].value, &rec))
 	s.core.LoadZone(s.now, ids.Zone(strings.TrimPrefix(key, records.ZonePrefix)), &rec, s.store[key].revision)
 }
 
-// connectivityOf is what a leader knows of its own connectivity.
+// connectivityOf returns what a leader observes of its own connectivity.
 func (s *sim) connectivityOf(core *Core) zonerecovery.Connectivity {
-	if core == s.previousCore || s.zones.isolatedView {
+	if core == s.previousCore || s.zones.leaderIsolated {
 		return zonerecovery.Connectivity{Peers: 2}
 	}
 	return zonerecovery.Connectivity{LeaseConfirmed: s.now < s.leaseValidUntil && s.now >= s.storeOutageUntil, PeersReachable: 2, Peers: 2}
 }
 
-// partitionZone partitions all machines of a zone for a time, also those provisioned meanwhile.
+// partitionZone partitions all machines of a zone for a duration, also those provisioned in the
+// meantime.
 func (s *sim) partitionZone(zone ids.Zone, d time.Duration) {
 	s.zones.partitionedUntil[zone] = s.now.Add(d)
 	for _, w := range s.workers {
@@ -85,102 +87,104 @@
 	}
 }
 
-// condition is the condition of a zone according to the leader.
+// condition returns the condition of a zone according to the leader.
 func (s *sim) condition(zone ids.Zone) zonerecovery.Condition {
 	return s.core.zones.manager.Condition(zone)
 }
 
-// checkZones checks on the machines that the recovery of a zone keeps the limits of its
-// ramp-up, and sums up the statistics of all leaders.
+// checkZones checks that the starts in recovering zones are within the limits of the ramp-up, and adds
+// up the statistics of all leaders.
 func (s *sim) checkZones() {
 	if s.opt.ZoneRecovery == nil || s.core.zones == nil {
 		return
 	}
 	s.core.clock.Set(max(s.core.clock.Now(), s.now))
-	for _, st := range s.core.zones.manager.Status(s.core.zones.clockReading()) {
-		s.noteCondition(st.Zone, st.Condition)
-		s.checkRamp(st)
+	for _, status := range s.core.zones.manager.Status(s.core.zones.clockReading()) {
+		s.recordCondition(status.Zone, status.Condition)
+		s.checkRampUp(status)
 	}
 	stats := s.core.zones.manager.Stats()
-	before := s.zones.lastStats[s.core]
+	last := s.zones.lastStats[s.core]
 	s.zones.lastStats[s.core] = stats
-	s.zones.displaced += stats.DisplacedTasks - before.DisplacedTasks
-	s.zones.failbacks += stats.Failbacks - before.Failbacks
+	s.zones.displaced += stats.DisplacedTasks - last.DisplacedTasks
+	s.zones.failbacks += stats.Failbacks - last.Failbacks
 	s.zones.maxFailbacks = max(s.zones.maxFailbacks, stats.MaxFailbacksPerJob)
 }
 
-// noteCondition records the conditions that a zone goes through.
-func (s *sim) noteCondition(zone ids.Zone, c zonerecovery.Condition) {
-	if was := s.zones.conditions[zone]; len(was) == 0 || was[len(was)-1] != c {
-		s.zones.conditions[zone] = append(was, c)
+// recordCondition records the condition of a zone if it has changed.
+func (s *sim) recordCondition(zone ids.Zone, condition zonerecovery.Condition) {
+	if conditions := s.zones.conditions[zone]; len(conditions) == 0 || conditions[len(conditions)-1] != condition {
+		s.zones.conditions[zone] = append(conditions, condition)
 	}
 }
 
-// sinceChange is for how long a zone has had its condition, less what one round may take.
-func (s *sim) sinceChange(st zonerecovery.Status) time.Duration {
-	return s.core.zones.clockReading().Wall.Sub(time.UnixMilli(st.SinceMS)) - 200*time.Millisecond
+// timeInCondition returns how long a zone has been in its condition, less the maximum duration of a
+// scheduling round.
+func (s *sim) timeInCondition(status zonerecovery.Status) time.Duration {
+	return s.core.zones.clockReading().Wall.Sub(time.UnixMilli(status.SinceMS)) - 200*time.Millisecond
 }
 
-// checkRamp compares the starts in flight that were placed during a recovery with what the
-// ramp-up allowed lately, by the assignments on the machines alone.
-func (s *sim) checkRamp(st zonerecovery.Status) {
-	s.rememberLimit(st)
-	most := 0
-	for _, l := range s.zones.limits[st.Zone] {
-		most = max(most, l.limit)
+// checkRampUp checks that the starts in flight which were placed during a recovery do not exceed the
+// maximum recent limit of the ramp-up. It reads only the assignments on the machines.
+func (s *sim) checkRampUp(status zonerecovery.Status) {
+	s.recordRampUpLimit(status)
+	maxAllowed := 0
+	for _, l := range s.zones.rampUpLimits[status.Zone] {
+		maxAllowed = max(maxAllowed, l.limit)
 	}
 	inFlight := 0
 	for _, m := range s.core.cluster.Machines() {
-		if m.Zone() != st.Zone {
+		if m.Zone() != status.Zone {
 			continue
 		}
 		for _, a := range m.Assignments() {
-			if s.wasPlacedInRecovery(a, st) && countsInRamp(a) {
+			if s.wasPlacedInRecovery(a, status) && countsAgainstRampUp(a) {
 				inFlight++
 			}
 		}
 	}
-	if st.Condition == zonerecovery.Recovering && inFlight > most {
-		s.violation("ramp: %d starts in flight in %s, at most %d allowed", inFlight, st.Zone, most)
+	if status.Condition == zonerecovery.Recovering && inFlight > maxAllowed {
+		s.recordViolation("ramp-up: %d starts in flight in %s, at most %d allowed", inFlight, status.Zone, maxAllowed)
 	}
 }
 
-// rememberLimit keeps the limits of the last seconds while a zone recovers.
-func (s *sim) rememberLimit(st zonerecovery.Status) {
-	if st.Condition != zonerecovery.Recovering {
-		delete(s.zones.limits, st.Zone)
+// recordRampUpLimit records the current limit of a zone that is recovering. It drops limits older than
+// rampUpLimitRetention, and all limits of a zone that is not recovering.
+func (s *sim) recordRampUpLimit(status zonerecovery.Status) {
+	if status.Condition != zonerecovery.Recovering {
+		delete(s.zones.rampUpLimits, status.Zone)
 		return
 	}
-	limits := append(s.zones.limits[st.Zone], rampLimit{s.now, st.StartLimit})
-	for len(limits) > 1 && s.now > limits[0].at.Add(rampMemory) {
+	limits := append(s.zones.rampUpLimits[status.Zone], rampUpLimit{s.now, status.StartLimit})
+	for len(limits) > 1 && s.now > limits[0].at.Add(rampUpLimitRetention) {
 		limits = limits[1:]
 	}
-	s.zones.limits[st.Zone] = limits
+	s.zones.rampUpLimits[status.Zone] = limits
 }
 
-// wasPlacedInRecovery tells whether an assignment was made while its zone recovered. At the
-// first sight of it that is decided, and that its zone was open is checked.
-func (s *sim) wasPlacedInRecovery(a *cluster.Assignment, st zonerecovery.Status) bool {
+// wasPlacedInRecovery reports whether an assignment was made while its zone was recovering. The first
+// call for an assignment determines that, and checks that the zone was open.
+func (s *sim) wasPlacedInRecovery(a *cluster.Assignment, status zonerecovery.Status) bool {
 	if inRecovery, known := s.zones.placedInRecovery[a]; known {
 		return inRecovery
 	}
-	inRecovery := st.Condition == zonerecovery.Recovering && !a.Delivery.Inherited
+	inRecovery := status.Condition == zonerecovery.Recovering && !a.Delivery.Inherited
 	s.zones.placedInRecovery[a] = inRecovery
-	s.checkZoneOpen(a, st)
+	s.checkZoneOpen(a, status)
 	return inRecovery
 }
 
-// checkZoneOpen checks that a new assignment was not made after its zone was closed.
-func (s *sim) checkZoneOpen(a *cluster.Assignment, st zonerecovery.Status) {
-	closed := st.Condition == zonerecovery.Suspect || st.Condition == zonerecovery.Outage
+// checkZoneOpen checks that a new assignment was not made after its zone closed.
+func (s *sim) checkZoneOpen(a *cluster.Assignment, status zonerecovery.Status) {
+	closed := status.Condition == zonerecovery.Suspect || status.Condition == zonerecovery.Outage
 	isNew := !a.Delivery.Inherited && !a.Delivery.Reported
-	if closed && isNew && a.Run.PhaseSince > s.core.zones.clockReading().Now.Add(-s.sinceChange(st)) {
-		s.violation("ramp: %s was placed in %s, which is %s", a.Ref(), st.Zone, st.Condition)
+	if closed && isNew && a.Run.PhaseSince > s.core.zones.clockReading().Now.Add(-s.timeInCondition(status)) {
+		s.recordViolation("ramp-up: %s was placed in %s, which is %s", a.Ref(), status.Zone, status.Condition)
 	}
 }
 
-// countsInRamp tells whether an assignment is a start in flight that the ramp-up limits:
-// services and critical work are exempt.
-func countsInRamp(a *cluster.Assignment) bool {
+// countsAgainstRampUp reports whether an assignment is a start in flight that the ramp-up limits.
+// Services and critical jobs are exempt.
+func countsAgainstRampUp(a *cluster.Assignment) bool {
 	return a.Run.Phase != wire.TaskRunning && !a.Job.Spec.Service && a.Job.Priority() != wire.Critical
 }
--- a/scheduler/upgrade_test.go
+++ b/scheduler/upgrade_test.go
@@ -31,21 +31,21 @@
 func TestUpgradeUnderFaults(t *testing.T) {
 	const simulations = 24
 	var split atomic.Int64
-	t.Run("days", func(t *testing.T) {
+	t.Run("simulations", func(t *testing.T) {
 		for seed := range uint64(simulations) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				d := newUpgradeSim(t, 1000+seed)
+				s := newUpgradeSim(t, 1000+seed)
 				for round := range 30 {
-					d.runRound(round)
+					s.runRound(round)
 				}
-				d.lowerStoreLimits()
-				d.runToCompletion(d.all, 40*time.Minute)
-				d.checkCancelledDependents(d.all)
-				if d.oversizedChanges > 0 {
-					t.Errorf("%d changes exceeded the limits of the key-value store", d.oversizedChanges)
+				s.lowerStoreLimits()
+				s.runToCompletion(s.all, 40*time.Minute)
+				s.checkCancelledDependents(s.all)
+				if s.oversizedChanges > 0 {
+					t.Errorf("%d changes exceeded the limits of the key-value store", s.oversizedChanges)
 				}
-				split.Add(int64(d.splitRecords))
+				split.Add(int64(s.splitRecords))
 			})
 		}
 	})
@@ -62,62 +62,62 @@
 }
 
 func newUpgradeSim(t *testing.T, seed uint64) *upgradeSim {
-	d := &upgradeSim{sim: newSim(t, seed)}
-	d.opt.SliceTasks, d.opt.MaxTxnOps = 16, upgradeTxnOps
-	d.failOver()
-	d.unsplitRecordsOnly = true
-	return d
+	s := &upgradeSim{sim: newSim(t, seed)}
+	s.opt.SliceTasks, s.opt.MaxTxnOps = 16, upgradeTxnOps
+	s.failOver()
+	s.unsplitRecordsOnly = true
+	return s
 }
 
 // lowerStoreLimits makes the key-value store accept only small changes.
-func (d *upgradeSim) lowerStoreLimits() { d.valueBytes, d.txnOps = upgradeValueBytes, upgradeTxnOps }
+func (s *upgradeSim) lowerStoreLimits() { s.valueBytes, s.txnOps = upgradeValueBytes, upgradeTxnOps }
 
 // runRound simulates a round: it changes versions, leaders and limits as the round requires, and submits
 // jobs.
-func (d *upgradeSim) runRound(round int) {
+func (s *upgradeSim) runRound(round int) {
 	switch round {
 	case upgradeCompletedRound:
-		d.completeUpgrade()
-	case upgradeCompletedRound + 1 + d.rng.IntN(6):
-		d.lowerStoreLimits()
+		s.completeUpgrade()
+	case upgradeCompletedRound + 1 + s.rng.IntN(6):
+		s.lowerStoreLimits()
 	}
-	if round < upgradeCompletedRound && d.rng.IntN(3) == 0 {
-		d.opt.MaxValueBytes = []int{0, upgradeValueBytes}[d.rng.IntN(2)] // an old or a new version
-		d.failOver()
+	if round < upgradeCompletedRound && s.rng.IntN(3) == 0 {
+		s.opt.MaxValueBytes = []int{0, upgradeValueBytes}[s.rng.IntN(2)] // an old or a new version
+		s.failOver()
 	}
-	if d.rng.IntN(5) == 0 {
-		d.failOver()
+	if s.rng.IntN(5) == 0 {
+		s.failOver()
 	}
-	for range 1 + d.rng.IntN(2) {
-		id := ids.JobID(fmt.Sprintf("job-%03d", len(d.all)))
-		d.submit(id, d.spec(round))
-		d.all = append(d.all, id)
+	for range 1 + s.rng.IntN(2) {
+		id := ids.JobID(fmt.Sprintf("job-%03d", len(s.all)))
+		s.submit(id, s.spec(round))
+		s.all = append(s.all, id)
 	}
-	if d.rng.IntN(8) == 0 {
-		d.cancel(d.all[d.rng.IntN(len(d.all))])
+	if s.rng.IntN(8) == 0 {
+		s.cancel(s.all[s.rng.IntN(len(s.all))])
 	}
-	d.run(time.Duration(1+d.rng.IntN(6)) * time.Second)
+	s.run(time.Duration(1+s.rng.IntN(6)) * time.Second)
 }
 
 // completeUpgrade replaces the last leader of the old version and allows split records.
-func (d *upgradeSim) completeUpgrade() {
-	d.opt.MaxValueBytes = upgradeValueBytes
-	if d.core.opt.MaxValueBytes == 0 {
-		d.failOver()
+func (s *upgradeSim) completeUpgrade() {
+	s.opt.MaxValueBytes = upgradeValueBytes
+	if s.core.opt.MaxValueBytes == 0 {
+		s.failOver()
 	}
-	d.unsplitRecordsOnly, d.opt.SplitRecords = false, true
-	d.core.EnableSplitRecords(d.now)
+	s.unsplitRecordsOnly, s.opt.SplitRecords = false, true
+	s.core.EnableSplitRecords(s.now)
 }
 
 // spec returns a random job. Arrays have many small tasks. Jobs have dependencies only after the
 // upgrade, since dependencies need the new version.
-func (d *upgradeSim) spec(round int) *wire.JobSpec {
-	spec := d.randomSpec()
+func (s *upgradeSim) spec(round int) *wire.JobSpec {
+	spec := s.randomSpec()
 	if round > upgradeCompletedRound {
-		spec = d.waitingSpec(d.all)
+		spec = s.randomSpecWithDependencies(s.all)
 	}
 	if !spec.Service && !spec.Gang {
-		spec.Tasks, spec.CPUs = 20+d.rng.IntN(30), 1
+		spec.Tasks, spec.CPUs = 20+s.rng.IntN(30), 1
 	}
 	return spec
 }
--- a/scheduler/zone_admission_test.go
+++ b/scheduler/zone_admission_test.go
@@ -60,7 +60,7 @@
 // tasks must not run again, and running tasks must not be moved back.
 func TestPartlyCompletedArrayContinuesInOtherZones(t *testing.T) {
 	s := newZoneScenario(t, 3, 4)
-	s.runFactor = 3
+	s.runTimeFactor = 3
 	id := s.submitJob(zoneArray(60))
 	s.run(30 * second)
 	s.partitionZone("b", 60*second)
@@ -97,7 +97,7 @@
 // No task must be preempted in a zone that is on hold, because the preemptor may not start there.
 func TestNothingIsPreemptedForAZoneOnHold(t *testing.T) {
 	s := newZoneScenario(t, 13, 3)
-	s.runFactor = 30
+	s.runTimeFactor = 30
 	lowPriority := zoneArray(300)
 	lowPriority.Priority = wire.BestEffort
 	s.submitJob(lowPriority)
@@ -134,7 +134,7 @@
 		s.causeZoneOutage("b", 40*second)
 		s.awaitCondition("b", zonerecovery.Serving, 3*time.Minute)
 	}
-	j := s.core.cluster.Job(s.all[len(s.all)-1])
+	j := s.core.cluster.Job(s.jobs[len(s.jobs)-1])
 	if len(j.Pending()) == 0 || !s.core.zones.manager.FailbackDenied(j.ID) {
 		t.Fatal("the scenario does not deny the failback of the job")
 	}
--- a/scheduler/zone_failover_test.go
+++ b/scheduler/zone_failover_test.go
@@ -23,8 +23,8 @@
 	}
 	s.failOver()
 	before := s.startsIn("b")
-	s.runFactor = 1
-	s.jobs(8, array)
+	s.runTimeFactor = 1
+	s.submitJobs(8, asArray)
 	s.run(60 * second)
 	if got := s.startsIn("b"); got != before {
 		t.Errorf("%d tasks started in a zone on hold", got-before)
@@ -94,7 +94,7 @@
 	{"the leader is paused for longer than its lease", func(s *scenario) { s.pause(8 * second) }},
 	{"the previous leader remains active in the zone", func(s *scenario) {
 		s.failOverWithPreviousLeaderActive()
-		s.isolatedZone, s.isolatedZoneUntil = "b", s.in(20*second)
+		s.isolatedZone, s.isolatedZoneUntil = "b", s.fromNow(20*second)
 	}},
 }
 
--- a/scheduler/zone_observation_test.go
+++ b/scheduler/zone_observation_test.go
@@ -42,7 +42,7 @@
 func TestIsolatedLeaderDeclaresNoOutage(t *testing.T) {
 	s := newZoneScenario(t, 11, 4)
 	s.fillZones()
-	s.zones.isolatedView = true
+	s.zones.leaderIsolated = true
 	s.partitionZone("a", 20*second)
 	s.partitionZone("b", 20*second)
 	s.run(18 * second)
@@ -51,7 +51,7 @@
 			t.Errorf("zone %s is %s", zone, c)
 		}
 	}
-	s.zones.isolatedView = false
+	s.zones.leaderIsolated = false
 	s.awaitCondition("a", zonerecovery.Serving, 30*second)
 	if got := s.statusOf("a").Outages; got != 0 {
 		t.Errorf("%d outages counted", got)
--- a/scheduler/zone_outage_test.go
+++ b/scheduler/zone_outage_test.go
@@ -47,7 +47,7 @@
 	s.fillZones()
 	s.partitionZone("b", 40*second)
 	s.awaitCondition("b", zonerecovery.Recovering, 90*second)
-	s.jobs(6, array)
+	s.submitJobs(6, asArray)
 	for s.statusOf("b").Step < 1 {
 		s.run(100 * time.Millisecond)
 	}
@@ -69,7 +69,7 @@
 	for _, id := range s.sortedMachineIDs() {
 		if worker := s.workers[id]; worker.zone == "b" {
 			if index++; index%3 != 0 {
-				worker.partitionedUntil = s.in(20 * time.Minute)
+				worker.partitionedUntil = s.fromNow(20 * time.Minute)
 			}
 		}
 	}
--- a/scheduler/zone_records_test.go
+++ b/scheduler/zone_records_test.go
@@ -19,8 +19,8 @@
 	s.fillZones()
 	s.causeZoneOutage("b", 40*second)
 	s.run(500 * time.Millisecond)
-	s.storeOutageUntil = s.in(90 * second)
-	s.jobs(4, array)
+	s.storeOutageUntil = s.fromNow(90 * second)
+	s.submitJobs(4, asArray)
 	for s.now < s.storeOutageUntil {
 		s.run(second)
 		if got := s.core.zones.manager.Stats().Failbacks; got != 0 {
@@ -41,8 +41,8 @@
 	s.fillZones()
 	s.causeZoneOutage("b", 40*second)
 	s.core.records.budget.perSecond, s.opt.WriteRate = 3, 3
-	s.runFactor = 1
-	s.jobs(40, func(sp *wire.JobSpec) { array(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
+	s.runTimeFactor = 1
+	s.submitJobs(40, func(sp *wire.JobSpec) { asArray(sp); sp.Tasks, sp.CPUs, sp.Team = 40, 1, "gold" })
 	s.run(s.zones.partitionedUntil["b"].Sub(s.now))
 	s.awaitCondition("b", zonerecovery.Recovering, 30*second)
 	s.awaitCondition("b", zonerecovery.Serving, s.opt.ZoneRecovery.MaxRecovery+10*second)
--- a/scheduler/zone_recovery_benchmark_test.go
+++ b/scheduler/zone_recovery_benchmark_test.go
@@ -58,89 +58,89 @@
 }
 
 // measure runs the simulation and returns its measurements.
-func (recovery *recoveryRun) measure(t testing.TB) recoveryMeasurements {
+func (r *recoveryRun) measure(t testing.TB) recoveryMeasurements {
 	t.Helper()
 	for n := range 12 {
 		spec := zoneArray(6)
 		spec.Service, spec.Spread, spec.Image, spec.Priority = true, true, "query", wire.High
-		recovery.services = append(recovery.services, recovery.submitJob(spec))
+		r.services = append(r.services, r.submitJob(spec))
 		work := zoneArray(60)
 		work.Image, work.Priority = ids.Image(fmt.Sprintf("work-%d", n)), wire.BestEffort
-		recovery.arrays = append(recovery.arrays, recovery.submitJob(work))
+		r.arrays = append(r.arrays, r.submitJob(work))
 	}
-	recovery.runFactor = 4
-	recovery.run(90 * second)
-	recovery.measurePartition()
-	recovery.clearCaches("b")
-	recovery.measureRecovery()
-	recovery.measured.peakFetches, recovery.measured.fetches = recovery.imageCaches.peak["b"], recovery.imageCaches.total
-	recovery.measured.maxMoves = recovery.maxTaskMoves()
-	if len(recovery.violations) > 0 {
-		t.Fatalf("invariants violated: %v", recovery.violations)
+	r.runTimeFactor = 4
+	r.run(90 * second)
+	r.measurePartition()
+	r.clearCaches("b")
+	r.measureRecovery()
+	r.measured.peakFetches, r.measured.fetches = r.imageCaches.peak["b"], r.imageCaches.total
+	r.measured.maxMoves = r.maxTaskMoves()
+	if len(r.violations) > 0 {
+		t.Fatalf("invariants violated: %v", r.violations)
 	}
-	return recovery.measured
+	return r.measured
 }
 
 // measurePartition partitions zone b and measures the time until all replicas run again.
-func (recovery *recoveryRun) measurePartition() {
-	partitionedAt := recovery.now
-	recovery.partitionZone("b", recoveryPartitionDuration)
-	for recovery.now < partitionedAt.Add(recoveryPartitionDuration) {
-		recovery.run(recoveryPollInterval)
-		running, wanted := recovery.runningReplicas(recovery.services)
-		if recovery.now > partitionedAt.Add(simAgentLease) && recovery.measured.replicasRestored == 0 && running == wanted {
-			recovery.measured.replicasRestored = recovery.now.Sub(partitionedAt)
+func (r *recoveryRun) measurePartition() {
+	partitionedAt := r.now
+	r.partitionZone("b", recoveryPartitionDuration)
+	for r.now < partitionedAt.Add(recoveryPartitionDuration) {
+		r.run(recoveryPollInterval)
+		running, wanted := r.runningReplicas(r.services)
+		if r.now > partitionedAt.Add(simAgentLease) && r.measured.replicasRestored == 0 && running == wanted {
+			r.measured.replicasRestored = r.now.Sub(partitionedAt)
 		}
 	}
 }
 
 // clearCaches empties the image caches of a zone and resets the counts of fetches.
-func (recovery *recoveryRun) clearCaches(zone ids.Zone) {
-	for worker := range recovery.imageCaches.images {
+func (r *recoveryRun) clearCaches(zone ids.Zone) {
+	for worker := range r.imageCaches.images {
 		if worker.zone == zone {
-			delete(recovery.imageCaches.images, worker)
+			delete(r.imageCaches.images, worker)
 		}
 	}
-	recovery.imageCaches.peak[zone], recovery.imageCaches.total = 0, 0
+	r.imageCaches.peak[zone], r.imageCaches.total = 0, 0
 }
 
 // measureRecovery submits queries. It measures the time until they start and the time until the
 // zone is as full as the others.
-func (recovery *recoveryRun) measureRecovery() {
-	partitionEndedAt := recovery.now
+func (r *recoveryRun) measureRecovery() {
+	partitionEndedAt := r.now
 	submittedAt := map[ids.JobID]monotonic.Instant{} // of queries that have not started
-	for recovery.now < partitionEndedAt.Add(recoveryObservation) {
-		if recovery.now.Sub(partitionEndedAt)%(3*second) == 0 {
+	for r.now < partitionEndedAt.Add(recoveryObservation) {
+		if r.now.Sub(partitionEndedAt)%(3*second) == 0 {
 			spec := zoneArray(1)
 			spec.Service, spec.Image, spec.Priority = true, "query", wire.High
-			submittedAt[recovery.submitJob(spec)] = recovery.now
+			submittedAt[r.submitJob(spec)] = r.now
 		}
-		recovery.run(recoveryPollInterval)
-		recovery.recordStarts(submittedAt)
-		if recovery.measured.utilizationRestored == 0 && recovery.utilizationMatches("b") {
-			recovery.measured.utilizationRestored = recovery.now.Sub(partitionEndedAt)
+		r.run(recoveryPollInterval)
+		r.recordStarts(submittedAt)
+		if r.measured.utilizationRestored == 0 && r.utilizationMatches("b") {
+			r.measured.utilizationRestored = r.now.Sub(partitionEndedAt)
 		}
 	}
 	for _, at := range submittedAt {
-		recovery.measured.slowestStart = max(recovery.measured.slowestStart, recovery.now.Sub(at))
+		r.measured.slowestStart = max(r.measured.slowestStart, r.now.Sub(at))
 	}
 }
 
 // recordStarts removes the queries that have started, and records the longest wait.
-func (recovery *recoveryRun) recordStarts(submittedAt map[ids.JobID]monotonic.Instant) {
+func (r *recoveryRun) recordStarts(submittedAt map[ids.JobID]monotonic.Instant) {
 	for id, at := range submittedAt {
-		if j := recovery.core.cluster.Job(id); j != nil && startedRunning(j) {
-			recovery.measured.slowestStart = max(recovery.measured.slowestStart, recovery.now.Sub(at))
+		if j := r.core.cluster.Job(id); j != nil && startedRunning(j) {
+			r.measured.slowestStart = max(r.measured.slowestStart, r.now.Sub(at))
 			delete(submittedAt, id)
 		}
 	}
 }
 
 // maxTaskMoves returns the maximum number of moves of a task.
-func (recovery *recoveryRun) maxTaskMoves() int {
+func (r *recoveryRun) maxTaskMoves() int {
 	most := 0
-	for _, id := range slices.Concat(recovery.services, recovery.arrays) {
-		for _, p := range recovery.placements[id] {
+	for _, id := range slices.Concat(r.services, r.arrays) {
+		for _, p := range r.placements[id] {
 			most = max(most, int(p.task.attempt)-1)
 		}
 	}
--- a/scheduler/zone_scenario_test.go
+++ b/scheduler/zone_scenario_test.go
@@ -28,7 +28,7 @@
 	for round := range rounds {
 		for range 1 + s.rng.IntN(3) {
 			id := ids.JobID(fmt.Sprintf("job-%03d", len(jobs)))
-			s.submit(id, s.waitingSpec(jobs))
+			s.submit(id, s.randomSpecWithDependencies(jobs))
 			jobs = append(jobs, id)
 		}
 		if s.rng.IntN(2) == 0 {
@@ -63,15 +63,15 @@
 
 // submitJob submits a job and returns its ID.
 func (s *scenario) submitJob(spec *wire.JobSpec) ids.JobID {
-	id := ids.JobID(fmt.Sprintf("job-%03d", len(s.all)))
+	id := ids.JobID(fmt.Sprintf("job-%03d", len(s.jobs)))
 	s.submit(id, spec)
-	s.all = append(s.all, id)
+	s.jobs = append(s.jobs, id)
 	return id
 }
 
 // fillZones submits services and long arrays for all zones, and waits until they run.
 func (s *scenario) fillZones() (services, arrays []ids.JobID) {
-	s.runFactor = 20
+	s.runTimeFactor = 20
 	for _, zone := range []ids.Zone{"a", "b", "c", ""} {
 		spec := zoneArray(10)
 		spec.Zone = zone
@@ -136,9 +136,9 @@
 // more than once to a zone that displaced it.
 func (s *scenario) runToEnd() {
 	s.t.Helper()
-	s.runFactor = 1
+	s.runTimeFactor = 1
 	s.zones.partitionedUntil = map[ids.Zone]monotonic.Instant{}
-	s.runToCompletion(s.all, 30*time.Minute)
+	s.runToCompletion(s.jobs, 30*time.Minute)
 	if s.zones.maxFailbacks > 1 {
 		s.t.Errorf("a job returned %d times to a zone that displaced it", s.zones.maxFailbacks)
 	}
@@ -194,7 +194,7 @@
 // startsIn returns the number of run commands that were executed in a zone.
 func (s *scenario) startsIn(zone ids.Zone) int {
 	n := 0
-	for _, id := range s.all {
+	for _, id := range s.jobs {
 		for _, p := range s.placements[id] {
 			if p.worker.zone == zone {
 				n++
--- a/scheduler/zones_test.go
+++ b/scheduler/zones_test.go
@@ -68,9 +68,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, Options{Teams: []quota.Team{{Name: "red", Nominal: quota.Amount{CPUs: 999}, Limit: quota.Amount{CPUs: 999}}}})
 			h.c.Begin(h.now)
-			zones := newFullZones(h)
-			zones.partitioned = c.partitioned
-			provisioned := zones.step(10, 0) + zones.step(1, c.pause) + zones.step(69, 0)
+			z := newFullZones(h)
+			z.partitioned = c.partitioned
+			provisioned := z.step(10, 0) + z.step(1, c.pause) + z.step(69, 0)
 			if (provisioned > 0) != c.provisions {
 				t.Errorf("provisioned %d machines", provisioned)
 			}
@@ -89,34 +89,34 @@
 }
 
 func newFullZones(h *harness) *fullZones {
-	zones := &fullZones{harness: h, began: h.now, machines: map[ids.Zone][]ids.MachineID{}}
+	z := &fullZones{harness: h, began: h.now, machines: map[ids.Zone][]ids.MachineID{}}
 	for n := range 60 {
 		zone := []ids.Zone{"a", "b"}[n%2]
-		zones.machines[zone] = append(zones.machines[zone], ids.MachineID(fmt.Sprintf("n-%02d", n)))
-		h.heartbeat(zones.machines[zone][n/2], zone, 0)
+		z.machines[zone] = append(z.machines[zone], ids.MachineID(fmt.Sprintf("n-%02d", n)))
+		h.heartbeat(z.machines[zone][n/2], zone, 0)
 	}
 	h.submit("job-1", wire.JobSpec{Tasks: 60, Service: true, CPUs: 8})
 	h.step()
-	return zones
+	return z
 }
 
 // step runs ticks and returns the number of machines that were provisioned. In each tick, the
 // leader's process is paused for the given time, and one machine of each zone that is not
 // partitioned sends a heartbeat. After a pause, the leader has read the heartbeats of zone b only.
-func (zones *fullZones) step(ticks int, pause time.Duration) int {
+func (z *fullZones) step(ticks int, pause time.Duration) int {
 	provisioned := 0
 	for range ticks {
-		zones.now = zones.now.Add(100*time.Millisecond + pause)
-		for zone, machines := range zones.machines {
-			if !slices.Contains(zones.partitioned, zone) {
-				zones.heartbeat(machines[zones.ticks%len(machines)], zone, 0)
+		z.now = z.now.Add(100*time.Millisecond + pause)
+		for zone, machines := range z.machines {
+			if !slices.Contains(z.partitioned, zone) {
+				z.heartbeat(machines[z.ticks%len(machines)], zone, 0)
 			}
 		}
-		zones.ticks++
+		z.ticks++
 		if pause > 0 {
-			zones.c.health.zoneStates["a"].lastHeartbeatAt = zones.began
+			z.c.health.zoneStates["a"].lastHeartbeatAt = z.began
 		}
-		for _, r := range zones.harness.step().Provision {
+		for _, r := range z.harness.step().Provision {
 			provisioned += r.Count
 		}
 	}
@@ -129,15 +129,15 @@
 // used again after maxPartitionDuration.
 func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
 	const partitionSeconds, retrySeconds = 170, 70
-	partition := newPartitionScenario(t)
-	requested, terminated := partition.run(partitionSeconds)
+	p := newPartitionScenario(t)
+	requested, terminated := p.run(partitionSeconds)
 	if len(terminated) > 0 {
 		t.Fatalf("terminated %v in the partition", terminated)
 	}
 	if requested["a"] == 0 || requested["b"] != 0 {
 		t.Errorf("requested machines while zone b was partitioned: %v", requested)
 	}
-	if requested, _ = partition.run(retrySeconds); requested["b"] == 0 {
+	if requested, _ = p.run(retrySeconds); requested["b"] == 0 {
 		t.Errorf("no machine was requested in zone b after the maximum duration of a partition: %v", requested)
 	}
 }
@@ -152,34 +152,34 @@
 
 func newPartitionScenario(t *testing.T) *partitionScenario {
 	t.Helper()
-	partition := &partitionScenario{harness: newHarness(t, Options{})}
-	partition.c.Begin(partition.now)
+	p := &partitionScenario{harness: newHarness(t, Options{})}
+	p.c.Begin(p.now)
 	runsIndefinitely := func(string, int) time.Duration { return 0 }
-	partition.agents = newTestAgents(runsIndefinitely, "n-a0", "n-a1", "n-a2", "n-a3", "n-a4")
-	partition.agents.sendHeartbeats(partition.harness)
+	p.agents = newTestAgents(runsIndefinitely, "n-a0", "n-a1", "n-a2", "n-a3", "n-a4")
+	p.agents.sendHeartbeats(p.harness)
 	for n := range 5 {
-		partition.heartbeat(ids.MachineID(fmt.Sprintf("n-b%d", n)), "b", ids.NewFencingToken(5, 0))
+		p.heartbeat(ids.MachineID(fmt.Sprintf("n-b%d", n)), "b", ids.NewFencingToken(5, 0))
 	}
-	return partition
+	return p
 }
 
 // run runs the scenario for some seconds and returns the number of machines that were requested in
 // each zone, and the machines that were terminated.
-func (partition *partitionScenario) run(seconds int) (requested map[ids.Zone]int, terminated []ids.MachineID) {
+func (p *partitionScenario) run(seconds int) (requested map[ids.Zone]int, terminated []ids.MachineID) {
 	requested = map[ids.Zone]int{}
-	for end := partition.seconds + seconds; partition.seconds < end; partition.seconds++ {
-		partition.now = partition.now.Add(time.Second)
-		if partition.seconds%3 == 0 {
-			partition.agents.sendHeartbeats(partition.harness)
+	for end := p.seconds + seconds; p.seconds < end; p.seconds++ {
+		p.now = p.now.Add(time.Second)
+		if p.seconds%3 == 0 {
+			p.agents.sendHeartbeats(p.harness)
 		}
-		if partition.seconds == 20 || partition.seconds == 200 {
-			partition.submit(ids.JobID(fmt.Sprintf("job-%d", partition.seconds)), wire.JobSpec{Tasks: 30, CPUs: 2, EstimateS: 1000})
+		if p.seconds == 20 || p.seconds == 200 {
+			p.submit(ids.JobID(fmt.Sprintf("job-%d", p.seconds)), wire.JobSpec{Tasks: 30, CPUs: 2, EstimateS: 1000})
 		}
-		decisions := partition.step()
+		decisions := p.step()
 		terminated = append(terminated, decisions.Terminate...)
 		for _, r := range decisions.Provision {
 			requested[r.Zone] += r.Count
-			partition.c.ProvisioningRefused(partition.now, r)
+			p.c.ProvisioningRefused(p.now, r)
 		}
 	}
 	return requested, terminated
