--- a/kv/client.go
+++ b/kv/client.go
@@ -1,6 +1,6 @@
 // Package kv is the client of the consensus-backed key-value store. It sends each request
 // once, within a request budget, and its errors distinguish whether the request was executed.
-// Retries, and the resolution of indeterminate results, belong to the callers.
+// Retries, and the resolution of indeterminate results, are left to the callers.
 package kv
 
 import (
@@ -15,32 +15,32 @@
 )
 
 const (
-	// requestTimeout bounds requests for one key or lease, and transactions.
+	// requestTimeout bounds a request for one key or lease, and a transaction.
 	requestTimeout = time.Second
 	// listTimeout bounds the request for one page of a list.
 	listTimeout = 3 * time.Second
-	// watchMargin is for how long beyond its hold a watch may take.
+	// watchMargin is the time that a watch may take beyond its maximum wait.
 	watchMargin = 2 * time.Second
 )
 
-// Transport carries one request to the store: directly, or through another controller.
+// Transport sends one request to the store, directly or through another controller.
 type Transport = httpclient.Transport
 
 // Client sends requests to the store. It is safe for concurrent use.
 type Client struct{ service *httpclient.Service }
 
-// New returns a client that sends at most requestsPerSecond over a transport.
+// New returns a client that sends requests over a transport, at most requestsPerSecond.
 func New(transport Transport, requestsPerSecond float64) *Client {
 	budget := rate.NewLimiter(rate.Limit(requestsPerSecond), max(1, int(requestsPerSecond)))
 	return &Client{service: httpclient.NewService(transport, budget, protocol)}
 }
 
-// Unthrottled returns a client of the same store without a budget, for the few requests that
-// leadership depends on.
+// Unthrottled returns a client of the same store without a request budget, for the few requests
+// that leadership depends on.
 func (c *Client) Unthrottled() *Client { return &Client{service: c.service.Unthrottled()} }
 
-// do sends one request and decodes the body of its answer, if there is one, into out. A nil
-// out ignores the body.
+// do sends one request and decodes the body of its response, if there is one, into out. It
+// ignores the body if out is nil.
 func (c *Client) do(ctx context.Context, request httpclient.Request, out any) (*httpclient.Answer, error) {
 	answer, err := c.service.Do(ctx, request)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return answer, answer.Decode(out)
 }
 
-// doOK is do for requests whose only correct answer is 200 OK.
+// doOK sends one request like do, and returns an error unless the status is 200 OK.
 func (c *Client) doOK(ctx context.Context, request httpclient.Request, out any) error {
 	answer, err := c.do(ctx, request, out)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// Get reads one key; found is false if it does not exist.
+// Get reads one key. found is false if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (entry Entry, found bool, err error) {
 	answer, err := c.do(ctx, getRequest(key), &entry)
 	if err != nil {
@@ -80,19 +80,19 @@
 	return entry, true, nil
 }
 
-// List calls each with every entry whose key has a prefix, in the order of keys, and returns the
-// first error of each. It returns the revision of the first page, so that a watch from there
-// misses no change.
+// List calls each with every entry whose key has a prefix, in the order of keys. It stops at the
+// first error of each and returns it. It returns the revision of the first page, so that a watch
+// from there misses no change.
 func (c *Client) List(ctx context.Context, prefix string, each func(Entry) error) (ids.Revision, error) {
-	var first ids.Revision
+	var firstRevision ids.Revision
 	after := ""
 	for {
 		var page listPage
 		if err := c.doOK(ctx, listRequest(prefix, after), &page); err != nil {
 			return 0, err
 		}
-		if first == 0 {
-			first = page.Revision
+		if firstRevision == 0 {
+			firstRevision = page.Revision
 		}
 		for _, entry := range page.Entries {
 			if err := each(entry); err != nil {
@@ -101,12 +101,12 @@
 			after = entry.Key
 		}
 		if !page.More || len(page.Entries) == 0 {
-			return first, nil
+			return firstRevision, nil
 		}
 	}
 }
 
-// Commit sends one transaction.
+// Commit sends one transaction. The result is definite if the error is nil.
 func (c *Client) Commit(ctx context.Context, txn Txn) (TxnResult, error) {
 	var response commitResponse
 	answer, err := c.do(ctx, commitRequest(txn), &response)
@@ -122,7 +122,7 @@
 	return TxnResult{}, answer.Malformed(nil)
 }
 
-// GrantLease makes a lease that expires unless it is renewed within ttl.
+// GrantLease creates a lease that expires unless it is renewed within ttl.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (ids.LeaseID, error) {
 	var response grantResponse
 	if err := c.doOK(ctx, grantRequest(ttl), &response); err != nil {
@@ -141,18 +141,18 @@
 	return err
 }
 
-// RevokeLease ends a lease and deletes its keys. It succeeds also if the lease has expired before.
+// RevokeLease ends a lease and deletes its keys. It succeeds even if the lease has already expired.
 func (c *Client) RevokeLease(ctx context.Context, id ids.LeaseID) error {
 	_, err := c.do(ctx, revokeRequest(id), nil)
 	return err
 }
 
-// Watch returns the changes of keys with a prefix after a revision, and the revision to watch
-// from next. It waits for a change for at most hold, and then returns none. It returns
-// ErrCompacted if the store no longer keeps the changes since.
-func (c *Client) Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []Event, error) {
+// Watch returns the changes of keys with a prefix after the revision since, and the revision to
+// watch from next. It waits for a change for at most maxWait, and then returns none. It returns
+// ErrCompacted if the store no longer keeps the changes after since.
+func (c *Client) Watch(ctx context.Context, prefix string, since ids.Revision, maxWait time.Duration) (ids.Revision, []Event, error) {
 	var response watchResponse
-	if err := c.doOK(ctx, watchRequest(prefix, since, hold), &response); err != nil {
+	if err := c.doOK(ctx, watchRequest(prefix, since, maxWait), &response); err != nil {
 		return 0, nil, err
 	}
 	return response.Revision, response.Events, nil
--- a/kv/errors.go
+++ b/kv/errors.go
@@ -8,26 +8,27 @@
 )
 
 // Errors of requests wrap one of these. ErrLeaseExpired and ErrCompacted are conditions of the
-// store; all others come with a *httpclient.RequestError that names the request.
+// store, and are returned as they are. All other errors contain a *httpclient.RequestError, which
+// names the request.
 var (
 	// ErrUnavailable means that the store did not execute the request.
 	ErrUnavailable = errors.New("key-value store unavailable")
-	// ErrIndeterminate means that the request may have been executed, or may yet be.
+	// ErrIndeterminate means that the request may have been executed, or may be executed later.
 	ErrIndeterminate = errors.New("no response from the key-value store")
 	// ErrLeaseExpired means that a lease has expired or was revoked.
 	ErrLeaseExpired = errors.New("no such lease")
 	// ErrCompacted means that the store no longer keeps the changes that a watch asks for.
 	// The watch must start again from a list.
 	ErrCompacted = errors.New("watch revision too old")
-	// ErrRejected means that the store rejects the request for its size or form. It would be
-	// rejected again.
+	// ErrRejected means that the store rejected the request because of its size or form. A
+	// retry would be rejected too.
 	ErrRejected = errors.New("request rejected by the key-value store")
-	// ErrMalformedResponse means that the response of the store cannot be decoded, or does not
-	// belong to the request.
+	// ErrMalformedResponse means that the response of the store cannot be decoded, or that the
+	// protocol does not allow it for the request.
 	ErrMalformedResponse = errors.New("malformed response from the key-value store")
 )
 
-// protocol maps the store's statuses to errors.
+// protocol maps the HTTP statuses of the store to errors.
 var protocol = httpclient.Protocol{
 	Accepted:      []int{http.StatusOK, http.StatusNotFound, http.StatusConflict},
 	Unavailable:   ErrUnavailable,
@@ -37,10 +38,11 @@
 	Condition:     condition,
 }
 
-// leaseExpiredMessage is the message of the store for a lease that it does not hold.
+// leaseExpiredMessage is the store's error message for a lease that does not exist.
 const leaseExpiredMessage = "no such lease"
 
-// condition returns the sentinel of a status and message that stand for a condition, or nil.
+// condition returns the error for a status and message that represent a condition of the store, or
+// nil for all others.
 func condition(status int, message string) error {
 	switch {
 	case status == http.StatusGone:
--- a/kv/errors_test.go
+++ b/kv/errors_test.go
@@ -22,7 +22,7 @@
 	return f.status, f.body, f.err
 }
 
-// requests sends every kind of request, by name. A found entry counts as success.
+// requests sends every kind of request, by name. The functions return only the error.
 var requests = map[string]func(context.Context, *Client) error{
 	"get": func(ctx context.Context, c *Client) error { _, _, err := c.Get(ctx, "k"); return err },
 	"list": func(ctx context.Context, c *Client) error {
@@ -36,22 +36,23 @@
 	"watch":  func(ctx context.Context, c *Client) error { _, _, err := c.Watch(ctx, "k", 1, time.Second); return err },
 }
 
-// checkError requires that an error wraps the wanted sentinel and none of the others; want
-// nil is success.
+// checkError requires that an error wraps the wanted sentinel and no other. A want of nil requires
+// that there is no error.
 func checkError(t *testing.T, got, want error) {
 	t.Helper()
 	if want == nil && got != nil {
-		t.Errorf("failed with %v, want success", got)
+		t.Errorf("%v, want no error", got)
 	}
 	for _, sentinel := range []error{ErrUnavailable, ErrIndeterminate, ErrLeaseExpired, ErrCompacted, ErrRejected, ErrMalformedResponse} {
-		if is := errors.Is(got, sentinel); is != (sentinel == want) {
-			t.Errorf("%v: is %q: %v", got, sentinel, is)
+		if wraps := errors.Is(got, sentinel); wraps != (sentinel == want) {
+			t.Errorf("%v wraps %q: %v, want %v", got, sentinel, wraps, sentinel == want)
 		}
 	}
 }
 
-// The meaning of these responses does not depend on the request.
-func TestErrorsOfAllRequests(t *testing.T) {
+// Each of these responses means the same for every request. A wrong error would hide that a request
+// may have been executed.
+func TestErrorsForEveryRequest(t *testing.T) {
 	message := func(text string) []byte { return wire.Encode(map[string]string{"error": text}) }
 	for _, c := range []struct {
 		name      string
@@ -67,8 +68,8 @@
 		{"bad request without a body", fixedTransport{status: http.StatusBadRequest}, ErrRejected},
 		{"bad request with a malformed body", fixedTransport{status: http.StatusBadRequest, body: []byte{0xc1}}, ErrRejected},
 		{"bad request with a message", fixedTransport{status: http.StatusBadRequest, body: message("too large")}, ErrRejected},
-		{"bad request of a lease", fixedTransport{status: http.StatusBadRequest, body: message("no such lease")}, ErrLeaseExpired},
-		{"bad request of a lease, and bytes after it", fixedTransport{status: http.StatusBadRequest, body: append(message("no such lease"), 0)}, ErrRejected},
+		{"bad request for an expired lease", fixedTransport{status: http.StatusBadRequest, body: message("no such lease")}, ErrLeaseExpired},
+		{"bad request for an expired lease with trailing bytes", fixedTransport{status: http.StatusBadRequest, body: append(message("no such lease"), 0)}, ErrRejected},
 		{"unauthorized", fixedTransport{status: http.StatusUnauthorized}, ErrIndeterminate},
 		{"forbidden", fixedTransport{status: http.StatusForbidden}, ErrIndeterminate},
 		{"gone", fixedTransport{status: http.StatusGone}, ErrCompacted},
@@ -87,7 +88,7 @@
 	}
 }
 
-// The meaning of these statuses depends on the request.
+// The meaning of each of these statuses depends on the request.
 func TestErrorsByRequest(t *testing.T) {
 	malformed := []byte{0xc1}
 	conflict := wire.Encode(map[string]any{"epoch": 9, "failed": []string{"k"}})
@@ -120,8 +121,9 @@
 	}
 }
 
-// A request that got no turn within its context was not sent, and its error names the context's.
-func TestRequestWithoutABudget(t *testing.T) {
+// A request whose context ends while it waits for the request budget was not sent. Its error wraps
+// the error of the context.
+func TestCanceledBeforeSending(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for request, send := range requests {
@@ -129,7 +131,7 @@
 			err := send(ctx, New(fixedTransport{status: http.StatusOK}, 1))
 			checkError(t, err, ErrUnavailable)
 			if !errors.Is(err, context.Canceled) {
-				t.Errorf("%v does not name the context's error", err)
+				t.Errorf("%v, want an error that wraps context.Canceled", err)
 			}
 		})
 	}
@@ -148,13 +150,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := IsNotSent(c.err); got != c.want {
-				t.Errorf("of the transport: %v, want %v", got, c.want)
+				t.Errorf("error of the transport: %v, want %v", got, c.want)
 			}
 			if c.err == nil {
 				return
 			}
 			if got := IsNotSent(New(fixedTransport{err: c.err}, 1000).RenewLease(t.Context(), 1)); got != c.want {
-				t.Errorf("of the client: %v, want %v", got, c.want)
+				t.Errorf("error of the client: %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/kv/golden_test.go
+++ b/kv/golden_test.go
@@ -14,8 +14,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Requests to the store and the parts of its responses keep their encoding.
-func TestBodiesKeepTheirBytes(t *testing.T) {
+// The bodies of requests to the store and the parts of its responses keep their encoding.
+func TestBodyEncoding(t *testing.T) {
 	codec := golden.Codec{Encode: func(v any) ([]byte, error) { return wire.Encode(v), nil }, Decode: wire.Decode}
 	golden.Check(t, "bodies.json", codec, []golden.Case{
 		{Name: "entry", Value: Entry{Key: "jobs/job-1", Value: []byte{0xa1, 'x'}, Revision: 412, Lease: 1 << 40}},
@@ -28,7 +28,7 @@
 	})
 }
 
-// serveStore responds by path, in the protocol's words.
+// serveStore responds by method and path, with the field names of the protocol.
 func serveStore(w http.ResponseWriter, r *http.Request) {
 	entry := func(key string) map[string]any {
 		return map[string]any{"key": key, "v": "x", "stamp": 412, "hold": 7}
@@ -61,55 +61,56 @@
 	_, _ = w.Write(wire.Encode(responses[r.Method+" "+r.URL.Path]))
 }
 
-// Methods, paths, queries and bodies of requests, and what responses are decoded to.
-func TestRequestsToTheKeyValueStore(t *testing.T) {
-	rec := golden.Record(t, serveStore)
-	c := New(httpclient.New(rec.Address, 2, 1<<20), 1000)
+// The methods, paths, queries and bodies of requests, and the values that responses are decoded to,
+// do not change.
+func TestRequestEncoding(t *testing.T) {
+	recorder := golden.Record(t, serveStore)
+	c := New(httpclient.New(recorder.Address, 2, 1<<20), 1000)
 	ctx := t.Context()
 	var text strings.Builder
-	note := func(name string, values ...any) { fmt.Fprintf(&text, "%s: %v\n", name, values) }
+	record := func(name string, values ...any) { fmt.Fprintf(&text, "%s: %v\n", name, values) }
 	entry, found, err := c.Get(ctx, "leader")
-	note("get", entry, found, err)
+	record("get", entry, found, err)
 	entry, found, err = c.Get(ctx, "absent")
-	note("get absent", entry, found, err)
+	record("get absent", entry, found, err)
 	var listed []Entry
 	revision, err := c.List(ctx, "jobs/", func(e Entry) error { listed = append(listed, e); return nil })
-	note("list", revision, listed, err)
+	record("list", revision, listed, err)
 	revision, events, err := c.Watch(ctx, "jobs/", 412, 10*time.Second)
-	note("changes", revision, events, err)
+	record("changes", revision, events, err)
 	out, err := c.Commit(ctx, Txn{Preconditions: []Precondition{{Key: "leader", Revision: 4}}, Operations: []Operation{{DeleteKey: "format"}}})
-	note("commit", out, err)
+	record("commit", out, err)
 	out, err = c.Commit(ctx, Txn{Preconditions: []Precondition{{Key: "leader", Revision: 414}}, Operations: []Operation{{PutKey: "jobs/job-1", Value: "value", Lease: 77}, {DeleteKey: "jobs/job-2"}}})
-	note("commit failed", out, err)
+	record("commit failed", out, err)
 	lease, err := c.GrantLease(ctx, 3*time.Second)
-	note("grant", lease, err)
-	note("touch", c.RenewLease(ctx, lease))
-	note("touch ended", c.RenewLease(ctx, 78))
-	note("revoke", c.RevokeLease(ctx, lease))
-	golden.Text(t, "requests.txt", rec.Text()+"\n"+text.String())
+	record("grant", lease, err)
+	record("touch", c.RenewLease(ctx, lease))
+	record("touch ended", c.RenewLease(ctx, 78))
+	record("revoke", c.RevokeLease(ctx, lease))
+	golden.Text(t, "requests.txt", recorder.Text()+"\n"+text.String())
 }
 
-// Error responses are distinguished by their status, and by one message.
-func TestErrorsOfTheKeyValueStore(t *testing.T) {
+// Error responses are distinguished by their status, and those for an expired lease by their message.
+func TestErrorResponses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
 		body   any
 		want   error
 	}{
-		{"too many", http.StatusTooManyRequests, nil, ErrUnavailable},
-		{"away", http.StatusServiceUnavailable, nil, ErrUnavailable},
-		{"too old", http.StatusGone, nil, ErrCompacted},
-		{"lease ended", http.StatusBadRequest, map[string]string{"error": "no such lease"}, ErrLeaseExpired},
-		{"refused", http.StatusBadRequest, map[string]string{"error": "too large"}, ErrRejected},
-		{"fault", http.StatusInternalServerError, nil, ErrIndeterminate},
+		{"too many requests", http.StatusTooManyRequests, nil, ErrUnavailable},
+		{"service unavailable", http.StatusServiceUnavailable, nil, ErrUnavailable},
+		{"compacted", http.StatusGone, nil, ErrCompacted},
+		{"lease expired", http.StatusBadRequest, map[string]string{"error": "no such lease"}, ErrLeaseExpired},
+		{"rejected", http.StatusBadRequest, map[string]string{"error": "too large"}, ErrRejected},
+		{"internal error", http.StatusInternalServerError, nil, ErrIndeterminate},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+			recorder := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
 				_, _ = w.Write(wire.Encode(c.body))
 			})
-			err := New(httpclient.New(rec.Address, 1, 1<<20), 1000).RenewLease(context.Background(), 1)
+			err := New(httpclient.New(recorder.Address, 1, 1<<20), 1000).RenewLease(context.Background(), 1)
 			if !errors.Is(err, c.want) {
 				t.Errorf("%v, want %v", err, c.want)
 			}
--- a/kv/requests.go
+++ b/kv/requests.go
@@ -11,33 +11,33 @@
 	"ospreystile.example/ospreystile/internal/httpclient"
 )
 
-// listPageSize is how many entries a page of a list holds.
+// listPageSize is the number of entries in a page of a list.
 const listPageSize = 1000
 
-// listPage is a page of a list.
+// listPage holds a page of a list. More reports whether another page follows.
 type listPage struct {
 	Entries  []Entry      `msgpack:"entries"`
 	More     bool         `msgpack:"hasNext"`
 	Revision ids.Revision `msgpack:"epoch"`
 }
 
-// commitResponse is the answer to a transaction.
+// commitResponse is the response to a transaction.
 type commitResponse struct {
 	Revision   ids.Revision `msgpack:"epoch"`
 	FailedKeys []string     `msgpack:"failed"`
 }
 
-// grantBody asks for a lease.
+// grantBody is the body of a request for a lease.
 type grantBody struct {
 	TTLMillis int64 `msgpack:"ttlMs"`
 }
 
-// grantResponse names a new lease.
+// grantResponse holds the ID of a new lease.
 type grantResponse struct {
 	Lease ids.LeaseID `msgpack:"hold"`
 }
 
-// watchResponse is the answer to a watch.
+// watchResponse is the response to a watch. Revision is the one to watch from next.
 type watchResponse struct {
 	Revision ids.Revision `msgpack:"epoch"`
 	Events   []Event      `msgpack:"events"`
@@ -47,7 +47,8 @@
 	return httpclient.Request{Method: http.MethodGet, Path: "/store/" + key, Timeout: requestTimeout}
 }
 
-// listRequest asks for the page of a list that follows a key; "" asks for the first.
+// listRequest requests the page of a list that follows the key after, or the first page if after
+// is "".
 func listRequest(prefix, after string) httpclient.Request {
 	path := fmt.Sprintf("/store?prefix=%s&page=%d", url.QueryEscape(prefix), listPageSize)
 	if after != "" {
@@ -74,7 +75,7 @@
 
 func leasePath(id ids.LeaseID) string { return "/grants/" + strconv.FormatUint(uint64(id), 10) }
 
-func watchRequest(prefix string, since ids.Revision, hold time.Duration) httpclient.Request {
-	path := fmt.Sprintf("/changes?prefix=%s&since=%d&holdMs=%d", url.QueryEscape(prefix), since, hold.Milliseconds())
-	return httpclient.Request{Method: http.MethodGet, Path: path, Timeout: hold + watchMargin}
+func watchRequest(prefix string, since ids.Revision, maxWait time.Duration) httpclient.Request {
+	path := fmt.Sprintf("/changes?prefix=%s&since=%d&holdMs=%d", url.QueryEscape(prefix), since, maxWait.Milliseconds())
+	return httpclient.Request{Method: http.MethodGet, Path: path, Timeout: maxWait + watchMargin}
 }
--- a/kv/types.go
+++ b/kv/types.go
@@ -6,7 +6,7 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Entry is a key with its value and the revision that wrote it.
+// Entry holds a key, its value and the revision that wrote it last.
 type Entry struct {
 	Key      string             `msgpack:"key"`
 	Value    msgpack.RawMessage `msgpack:"v"`
@@ -15,14 +15,14 @@
 	Lease ids.LeaseID `msgpack:"hold"`
 }
 
-// Precondition requires that a key was written last at a revision. Revision 0 requires that
-// the key is absent.
+// Precondition requires that a key was last written at a revision. Revision 0 requires that
+// the key does not exist.
 type Precondition struct {
 	Key      string       `msgpack:"key"`
 	Revision ids.Revision `msgpack:"stamp"`
 }
 
-// Operation is one change of a transaction: it puts PutKey, or else deletes DeleteKey.
+// Operation is one change of a transaction. It puts PutKey or deletes DeleteKey; only one is set.
 type Operation struct {
 	PutKey string `msgpack:"write,omitempty"`
 	Value  any    `msgpack:"v,omitempty"`
@@ -38,16 +38,17 @@
 	Operations    []Operation    `msgpack:"apply,omitempty"`
 }
 
-// TxnResult is the definite result of a transaction.
+// TxnResult holds the definite result of a transaction.
 type TxnResult struct {
+	// Applied reports whether the transaction was applied.
 	Applied bool
-	// Revision is that of the transaction if it was applied, and otherwise the store's.
+	// Revision is the transaction's revision if it was applied, and the store's revision otherwise.
 	Revision ids.Revision
 	// FailedKeys are the keys whose preconditions did not hold.
 	FailedKeys []string
 }
 
-// Event is one change that a watch returns: PutKey or else DeletedKey is set.
+// Event holds one change that a watch returns. Either PutKey or DeletedKey is set.
 type Event struct {
 	PutKey     string             `msgpack:"write"`
 	DeletedKey string             `msgpack:"drop"`
