--- a/peerrpc/client_connection.go
+++ b/peerrpc/client_connection.go
@@ -11,28 +11,28 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// errConnectionClosed means that the connection ended before the response came.
-var errConnectionClosed = errors.New("connection ended")
+// errConnectionClosed means that the connection was closed before the response arrived.
+var errConnectionClosed = errors.New("connection closed")
 
-// clientConnection is a connection to a peer with its requests in flight. Its reader goroutine
-// hands responses to them, and ends when the connection is closed, by either side.
+// clientConnection holds a connection to a peer and its requests in flight. Its reader goroutine
+// delivers responses to them, and ends when either side closes the connection.
 type clientConnection struct {
 	peer   ids.ControllerName
 	socket net.Conn
 	// readerDone is closed when the reader goroutine has ended.
 	readerDone chan struct{}
 
-	// mu orders requests on the wire; it is held while one is written.
+	// mu serializes the writing of requests, and guards the fields below.
 	mu     sync.Mutex
 	writer *bufio.Writer
 	lastID uint64
-	// inFlight holds the channel for the response to each request. It is closed when the
-	// connection ends.
+	// inFlight holds the channel for the response to each request, by the request's ID. The
+	// channels are closed when the connection is closed.
 	inFlight map[uint64]chan *frame
 	closed   bool
 }
 
-// newClientConnection starts the reader of a connection.
+// newClientConnection returns a connection over a socket, and starts its reader goroutine.
 func newClientConnection(peer ids.ControllerName, socket net.Conn) *clientConnection {
 	c := &clientConnection{
 		peer:       peer,
@@ -45,7 +45,7 @@
 	return c
 }
 
-// read hands responses to the requests in flight until the connection ends.
+// read delivers responses to the requests in flight until the connection is closed.
 func (c *clientConnection) read() {
 	defer close(c.readerDone)
 	defer c.close()
@@ -55,8 +55,8 @@
 		if err != nil {
 			return
 		}
-		if waiting := c.forget(response.ID); waiting != nil {
-			waiting <- response
+		if responses := c.removeInFlight(response.ID); responses != nil {
+			responses <- response
 		}
 	}
 }
@@ -71,17 +71,17 @@
 	select {
 	case response, open := <-responses:
 		if !open {
-			return nil, c.failed(ErrNoResponse, errConnectionClosed)
+			return nil, c.requestError(ErrNoResponse, errConnectionClosed)
 		}
 		return response, nil
 	case <-ctx.Done():
-		c.forget(request.ID)
-		return nil, c.failed(ErrNoResponse, ctx.Err())
+		c.removeInFlight(request.ID)
+		return nil, c.requestError(ErrNoResponse, ctx.Err())
 	}
 }
 
-// send gives a request its ID, writes it, and returns the channel of its response. A write that
-// fails may have sent a part of it, so the connection ends.
+// send assigns an ID to a request, writes it, and returns the channel for its response. A write that
+// fails may have sent a part of the request, so send then closes the connection.
 func (c *clientConnection) send(ctx context.Context, request *frame) (<-chan *frame, error) {
 	responses, err := c.write(ctx, request)
 	if errors.Is(err, ErrNoResponse) {
@@ -90,33 +90,34 @@
 	return responses, err
 }
 
-// write gives a request its ID and writes it. It leaves a connection open that failed.
+// write assigns an ID to a request and writes it. It does not close the connection if the write fails.
 func (c *clientConnection) write(ctx context.Context, request *frame) (<-chan *frame, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		return nil, c.failed(ErrNotSent, errConnectionClosed)
+		return nil, c.requestError(ErrNotSent, errConnectionClosed)
 	}
 	c.lastID++
 	request.ID = c.lastID
-	responses := make(chan *frame, 1) // the reader never waits for a caller
+	responses := make(chan *frame, 1) // the buffer keeps the reader from blocking on a caller
 	c.inFlight[request.ID] = responses
 	if deadline, ok := ctx.Deadline(); ok {
-		_ = c.socket.SetWriteDeadline(deadline) // a closed connection fails to write, too
+		_ = c.socket.SetWriteDeadline(deadline) // if this fails, so does the write
 	}
 	if err := writeFrame(c.writer, request); err != nil {
-		return nil, c.failed(ErrNoResponse, err)
+		return nil, c.requestError(ErrNoResponse, err)
 	}
 	return responses, nil
 }
 
-// failed returns the error of a request; kind is ErrNotSent or ErrNoResponse.
-func (c *clientConnection) failed(kind, cause error) error {
+// requestError returns the error of a request to the peer. kind is ErrNotSent or ErrNoResponse.
+func (c *clientConnection) requestError(kind, cause error) error {
 	return fmt.Errorf("%w: %s: %w", kind, c.peer, cause)
 }
 
-// forget removes a request and returns the channel of its response, nil if it is not in flight.
-func (c *clientConnection) forget(id uint64) chan<- *frame {
+// removeInFlight removes a request and returns the channel for its response, or nil if the request
+// is not in flight.
+func (c *clientConnection) removeInFlight(id uint64) chan<- *frame {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	responses := c.inFlight[id]
@@ -124,14 +125,14 @@
 	return responses
 }
 
-// isClosed reports whether the connection has ended.
+// isClosed reports whether the connection is closed.
 func (c *clientConnection) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed
 }
 
-// close ends the connection and fails the requests in flight.
+// close closes the connection and fails the requests in flight.
 func (c *clientConnection) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/peerrpc/frame.go
+++ b/peerrpc/frame.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// maxFrameBytes bounds one frame; a larger one ends the connection.
+	// maxFrameBytes is the maximum size of a frame. A larger one closes the connection.
 	maxFrameBytes = 4 << 20
-	// lengthBytes is how long the big-endian length before each frame is.
+	// lengthBytes is the size of the big-endian length that precedes each frame.
 	lengthBytes = 4
 )
 
-// frame is one request or response.
+// frame holds one request or response.
 type frame struct {
-	// ID is the number of a request on its connection; the response repeats it.
+	// ID identifies a request on its connection. The response has the same ID.
 	ID uint64 `cbor:"1,keyasint"`
-	// Op is set in requests.
+	// Op is the operation of a request; empty in responses.
 	Op Operation `cbor:"2,keyasint,omitempty"`
-	// Answer tells a response from a request.
-	Answer bool `cbor:"3,keyasint,omitempty"`
-	// Err is the text of the handler's error; a response has it or a body.
+	// IsResponse reports whether the frame is a response.
+	IsResponse bool `cbor:"3,keyasint,omitempty"`
+	// Err is the text of the handler's error. A response has either Err or Body.
 	Err  string          `cbor:"4,keyasint,omitempty"`
 	Body cbor.RawMessage `cbor:"5,keyasint,omitempty"`
 }
 
-// writeFrame writes a frame after its length. Errors of the connection are returned as they
-// are: they name the operation and the addresses.
+// writeFrame writes the length of a frame and then the frame. It returns errors of the connection
+// unwrapped, since they name the operation and the addresses.
 func writeFrame(w *bufio.Writer, f *frame) error {
 	encoded, err := cbor.Marshal(f)
 	if err != nil {
-		return fmt.Errorf("peer frame: %w", err)
+		return fmt.Errorf("encode peer frame: %w", err)
 	}
 	var length [lengthBytes]byte
 	binary.BigEndian.PutUint32(length[:], uint32(len(encoded)))
@@ -47,8 +47,8 @@
 	return w.Flush()
 }
 
-// readFrame reads a frame after its length. It returns io.EOF if the connection ended between
-// two frames.
+// readFrame reads the length of a frame and then the frame. It returns io.EOF if the connection
+// was closed between two frames.
 func readFrame(r *bufio.Reader) (*frame, error) {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
@@ -56,7 +56,7 @@
 	}
 	size := binary.BigEndian.Uint32(length[:])
 	if size == 0 || size > maxFrameBytes {
-		return nil, fmt.Errorf("peer frame of %d bytes", size)
+		return nil, fmt.Errorf("read peer frame: invalid length of %d bytes", size)
 	}
 	encoded := make([]byte, size)
 	if _, err := io.ReadFull(r, encoded); err != nil {
@@ -64,7 +64,7 @@
 	}
 	decoded := new(frame)
 	if err := cbor.Unmarshal(encoded, decoded); err != nil {
-		return nil, fmt.Errorf("peer frame: %w", err)
+		return nil, fmt.Errorf("decode peer frame: %w", err)
 	}
 	return decoded, nil
 }
--- a/peerrpc/golden_test.go
+++ b/peerrpc/golden_test.go
@@ -10,8 +10,8 @@
 	"ospreystile.example/ospreystile/internal/golden"
 )
 
-// frames encodes and decodes frames with their length, as connections do.
-var frames = golden.Codec{
+// frameCodec encodes and decodes frames with their length, as connections do.
+var frameCodec = golden.Codec{
 	Encode: func(v any) ([]byte, error) {
 		var buf bytes.Buffer
 		f := v.(frame)
@@ -27,16 +27,16 @@
 	},
 }
 
-// Frames between controllers keep their encoding.
-func TestFramesKeepTheirBytes(t *testing.T) {
+// Frames keep their encoding, so that controllers of different versions understand each other.
+func TestFrameEncoding(t *testing.T) {
 	body := cbor.RawMessage{0xa1, 0x01, 0x02}
 	cases := []golden.Case{
-		{Name: "every field", Value: frame{ID: 1<<40 + 1, Op: "ping", Answer: true, Err: "not leading", Body: body}},
-		{Name: "answer", Value: frame{ID: 2, Answer: true, Body: body}, Partial: true},
-		{Name: "refusal", Value: frame{ID: 3, Answer: true, Err: "not leading"}, Partial: true},
+		{Name: "every field", Value: frame{ID: 1<<40 + 1, Op: "ping", IsResponse: true, Err: "not leading", Body: body}},
+		{Name: "answer", Value: frame{ID: 2, IsResponse: true, Body: body}, Partial: true},
+		{Name: "refusal", Value: frame{ID: 3, IsResponse: true, Err: "not leading"}, Partial: true},
 	}
 	for i, op := range []Operation{"ping", "state", "progress", "job", "reports", "zones", "zone-override"} {
 		cases = append(cases, golden.Case{Name: "request " + string(op), Value: frame{ID: uint64(i + 4), Op: op, Body: body}, Partial: true})
 	}
-	golden.Check(t, "frames.json", frames, cases)
+	golden.Check(t, "frames.json", frameCodec, cases)
 }
--- a/peerrpc/peer.go
+++ b/peerrpc/peer.go
@@ -1,7 +1,7 @@
 // Package peerrpc carries requests between controllers: CBOR frames over TCP, with many requests
 // in flight on one connection. Peer is the client and Serve the server. The package does not
-// interpret requests, and never repeats one: an error shows whether the peer may have executed
-// it. The requests themselves are in package controller/peerapi.
+// interpret requests, and never retries one: an error shows whether the peer may have executed
+// it. Package controller/peerapi defines the requests.
 package peerrpc
 
 import (
@@ -16,17 +16,17 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// dialTimeout bounds the making of a connection to a peer.
+// dialTimeout bounds the time to open a connection to a peer.
 const dialTimeout = 700 * time.Millisecond
 
-// Operation names what a request asks for.
+// Operation is the name of the operation that a request calls.
 type Operation string
 
-// Decode reads the body of a request.
+// Decode decodes the body of a request.
 func Decode(body []byte, value any) error { return cbor.Unmarshal(body, value) }
 
 // Peer is the client of one other controller. It keeps one connection, which the first call
-// opens. It is safe for concurrent use. Close ends the connection and its goroutine.
+// opens. It is safe for concurrent use. Close closes the connection and ends its goroutine.
 type Peer struct {
 	Name    ids.ControllerName
 	address string
@@ -35,20 +35,21 @@
 	connection *clientConnection // nil before the first call
 }
 
-// NewPeer returns the client of a controller.
+// NewPeer returns the client of the controller with a name and address. It opens no connection.
 func NewPeer(name ids.ControllerName, address string) *Peer {
 	return &Peer{Name: name, address: address}
 }
 
-// Call sends a request and decodes its response into out, unless out is nil. Requests have no
-// time limit but the context's. An error wraps ErrNotSent, ErrNoResponse or ErrRemote.
+// Call sends a request and decodes its response into out, unless out is nil. Only the context
+// limits the time of a request. An error wraps ErrNotSent, ErrNoResponse or ErrRemote, unless in
+// cannot be encoded.
 //
 // A network partition causes no connection error. A caller whose requests to a peer time out
-// calls Close, and the next call opens another connection.
+// should call Close, so that the next call opens another connection.
 func (p *Peer) Call(ctx context.Context, op Operation, in, out any) error {
 	body, err := cbor.Marshal(in)
 	if err != nil {
-		return fmt.Errorf("peer call %s: %w", op, err)
+		return fmt.Errorf("encode peer request %s: %w", op, err)
 	}
 	connection, err := p.connect(ctx)
 	if err != nil {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// connect returns the open connection, or opens one.
+// connect returns the open connection, or opens a new one if there is none.
 func (p *Peer) connect(ctx context.Context) (*clientConnection, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +87,7 @@
 	return p.connection, nil
 }
 
-// Close ends the connection and fails its requests in flight. The next call opens another.
+// Close closes the connection and fails its requests in flight. The next call opens another one.
 func (p *Peer) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/peerrpc/peerrpc_test.go
+++ b/peerrpc/peerrpc_test.go
@@ -11,10 +11,11 @@
 	"time"
 )
 
-// errBusy is a refusal of testHandler.
+// errBusy is the refusal that testHandler returns for the operation refuse.
 const errBusy = Refusal("busy")
 
-// testHandler doubles numbers, hangs until its context ends, refuses, or knows no operation.
+// testHandler implements the operations double, hang (until the context ends) and refuse. It returns
+// an error for all others.
 func testHandler(ctx context.Context, op Operation, body []byte) (any, error) {
 	switch op {
 	case "double":
@@ -32,8 +33,8 @@
 	return nil, errors.New("unknown")
 }
 
-// startServer serves testHandler until the test ends, or stop is called, which returns what Serve
-// returned.
+// startServer serves testHandler until the test ends or stop is called. stop returns the error of
+// Serve.
 func startServer(t *testing.T) (address string, stop func() error) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -59,7 +60,7 @@
 	return peer
 }
 
-// checkDouble requires that the peer answers.
+// checkDouble requires that a call to the peer succeeds.
 func checkDouble(t *testing.T, peer *Peer, n int) {
 	t.Helper()
 	var out int
@@ -88,7 +89,7 @@
 	}
 }
 
-func TestErrorOfTheHandler(t *testing.T) {
+func TestHandlerError(t *testing.T) {
 	address, _ := startServer(t)
 	peer := newTestPeer(t, address)
 	for _, c := range []struct {
@@ -96,44 +97,46 @@
 		text    string
 		refusal bool
 	}{
-		{"nonsense", "refused by the peer: n-1: unknown", false},
+		{"undefined", "refused by the peer: n-1: unknown", false},
 		{"refuse", "refused by the peer: n-1: busy", true},
 	} {
 		t.Run(string(c.op), func(t *testing.T) {
 			err := peer.Call(t.Context(), c.op, 1, nil)
 			if !errors.Is(err, ErrRemote) || errors.Is(err, ErrNotSent) || errors.Is(err, ErrNoResponse) {
-				t.Errorf("an error of the handler gave %v", err)
+				t.Errorf("%v, want an error that wraps only ErrRemote", err)
 			}
 			if err.Error() != c.text {
 				t.Errorf("text %q, want %q", err, c.text)
 			}
 			if got := errors.Is(err, errBusy); got != c.refusal {
-				t.Errorf("%v is %q: %v", err, errBusy, got)
+				t.Errorf("%v wraps %q: %v, want %v", err, errBusy, got, c.refusal)
 			}
 		})
 	}
 }
 
-// The text of a remote error is not taken for an error of this side.
-func TestRemoteErrorWithTheTextOfAnotherError(t *testing.T) {
+// A remote error whose text equals that of a local error must not match the local error. Otherwise a
+// request that the peer executed would count as not sent.
+func TestRemoteErrorIsNotALocalError(t *testing.T) {
 	err := error(&RemoteError{Peer: "n-1", Message: ErrNotSent.Error()})
 	if !errors.Is(err, ErrRemote) || errors.Is(err, ErrNotSent) {
-		t.Errorf("%v: remote: %v, not sent: %v", err, errors.Is(err, ErrRemote), errors.Is(err, ErrNotSent))
+		t.Errorf("%v: wraps ErrRemote: %v, wraps ErrNotSent: %v", err, errors.Is(err, ErrRemote), errors.Is(err, ErrNotSent))
 	}
 }
 
-// A partition shows no error: the call ends with its time, and may have been executed.
-func TestCallEndsWithItsContext(t *testing.T) {
+// A network partition causes no connection error. The call ends with its context, and the peer may
+// have executed the request.
+func TestCallTimeout(t *testing.T) {
 	address, _ := startServer(t)
 	peer := newTestPeer(t, address)
-	short, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if err := peer.Call(short, "hang", 1, nil); !errors.Is(err, ErrNoResponse) {
-		t.Errorf("a hanging peer gave %v", err)
+	if err := peer.Call(ctx, "hang", 1, nil); !errors.Is(err, ErrNoResponse) {
+		t.Errorf("call to a hanging peer: %v, want ErrNoResponse", err)
 	}
 }
 
-// countInFlight returns how many requests wait for their responses.
+// countInFlight returns the number of requests in flight.
 func (c *clientConnection) countInFlight() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,11 +154,11 @@
 	}
 	peer.Close()
 	if err := <-failed; !errors.Is(err, ErrNoResponse) {
-		t.Errorf("a request on a connection that was closed gave %v", err)
+		t.Errorf("request on a closed connection: %v, want ErrNoResponse", err)
 	}
 }
 
-func TestCallAfterCloseOpensAConnection(t *testing.T) {
+func TestCallAfterCloseReconnects(t *testing.T) {
 	address, _ := startServer(t)
 	peer := newTestPeer(t, address)
 	checkDouble(t, peer, 1)
@@ -166,9 +169,9 @@
 func TestUnreachablePeer(t *testing.T) {
 	address, stop := startServer(t)
 	if err := stop(); !errors.Is(err, context.Canceled) {
-		t.Errorf("serving ended with %v", err)
+		t.Errorf("Serve returned %v, want context.Canceled", err)
 	}
 	if err := newTestPeer(t, address).Call(t.Context(), "double", 1, nil); !errors.Is(err, ErrNotSent) {
-		t.Errorf("a peer that is gone gave %v", err)
+		t.Errorf("call to an unreachable peer: %v, want ErrNotSent", err)
 	}
 }
--- a/peerrpc/server.go
+++ b/peerrpc/server.go
@@ -16,21 +16,23 @@
 )
 
 const (
-	// maxInFlight is how many requests of one connection are handled at a time. The next is
-	// not read before one of them is done.
+	// maxInFlight is the maximum number of requests of one connection that are handled
+	// concurrently. While that many are in flight, the server reads at most one more request,
+	// which puts backpressure on the peer.
 	maxInFlight = 32
 	// idleTimeout is how long a connection without requests stays open.
 	idleTimeout = 30 * time.Second
-	// responseTimeout bounds the writing of one response.
+	// responseTimeout bounds the time to write one response.
 	responseTimeout = 5 * time.Second
 )
 
-// Handler answers one request. The result is encoded as CBOR. The caller receives only the text
-// of an error: see Refusal. The context ends with the connection. Handlers run concurrently.
+// Handler handles one request and returns its result, which is encoded as CBOR. The caller receives
+// only the text of an error; see Refusal. The context ends with the connection. Handlers are called
+// concurrently.
 type Handler func(ctx context.Context, op Operation, body []byte) (any, error)
 
-// Serve answers requests on a listener until the context ends. It closes the listener then, and
-// returns once that is closed and all handlers have ended.
+// Serve handles requests on a listener until the context ends. It then closes the listener, and
+// returns once the listener is closed and all handlers have returned.
 func Serve(ctx context.Context, listener net.Listener, handler Handler, log *slog.Logger) error {
 	// Accept fails before the listener refuses connections, so Serve waits for Close to return.
 	closed := make(chan struct{})
@@ -51,24 +53,25 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			return fmt.Errorf("peer listener: %w", err)
+			return fmt.Errorf("accept peer connection: %w", err)
 		}
 		connections.Go(func() { serveConnection(ctx, connection, handler, log) })
 	}
 }
 
-// serverConnection is a connection of a peer to this controller.
+// serverConnection holds a connection from a peer to this controller.
 type serverConnection struct {
 	connection net.Conn
 	handler    Handler
-	// close ends the connection and the context of its handlers.
+	// close closes the connection and cancels the context of its handlers.
 	close context.CancelFunc
 
+	// writeMu serializes the writing of responses.
 	writeMu sync.Mutex
 	writer  *bufio.Writer
 }
 
-// serveConnection answers the requests of one connection until it ends, and waits for its
+// serveConnection handles the requests of one connection until it is closed, and waits for its
 // handlers.
 func serveConnection(ctx context.Context, connection net.Conn, handler Handler, log *slog.Logger) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -83,14 +86,14 @@
 	}
 }
 
-// run reads requests and starts their handlers until reading fails, and waits for the handlers.
+// run reads requests and starts their handlers until reading fails, and then waits for the handlers.
 func (s *serverConnection) run(ctx context.Context) error {
 	var handlers errgroup.Group
 	handlers.SetLimit(maxInFlight)
 	defer handlers.Wait() //nolint:errcheck // the handlers return nothing
 	reader := bufio.NewReader(s.connection)
 	for {
-		_ = s.connection.SetReadDeadline(time.Now().Add(idleTimeout)) // a closed connection fails to read, too
+		_ = s.connection.SetReadDeadline(time.Now().Add(idleTimeout)) // if this fails, so does the read
 		request, err := readFrame(reader)
 		if err != nil {
 			return err
@@ -102,9 +105,9 @@
 	}
 }
 
-// handle has the handler answer a request.
+// handle calls the handler for a request and returns the response.
 func (s *serverConnection) handle(ctx context.Context, request *frame) *frame {
-	response := &frame{ID: request.ID, Answer: true}
+	response := &frame{ID: request.ID, IsResponse: true}
 	result, err := s.handler(ctx, request.Op, request.Body)
 	if err == nil {
 		response.Body, err = cbor.Marshal(result)
@@ -115,11 +118,11 @@
 	return response
 }
 
-// respond writes a response. A connection that cannot be written to ends.
+// respond writes a response. It closes the connection if the write fails.
 func (s *serverConnection) respond(response *frame) {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
-	_ = s.connection.SetWriteDeadline(time.Now().Add(responseTimeout)) // a closed connection fails to write, too
+	_ = s.connection.SetWriteDeadline(time.Now().Add(responseTimeout)) // if this fails, so does the write
 	if writeFrame(s.writer, response) != nil {
 		s.close()
 	}
