--- a/kv/errors_test.go
+++ b/kv/errors_test.go
@@ -45,7 +45,7 @@
 	}
 	for _, sentinel := range []error{ErrUnavailable, ErrIndeterminate, ErrLeaseExpired, ErrCompacted, ErrRejected, ErrMalformedResponse} {
 		if wraps := errors.Is(got, sentinel); wraps != (sentinel == want) {
-			t.Errorf("%v wraps %q: %v, want %v", got, sentinel, wraps, sentinel == want)
+			t.Errorf("%v: wraps %q: %v", got, sentinel, wraps)
 		}
 	}
 }
--- a/peerrpc/peerrpc_test.go
+++ b/peerrpc/peerrpc_test.go
@@ -109,7 +109,7 @@
 				t.Errorf("text %q, want %q", err, c.text)
 			}
 			if got := errors.Is(err, errBusy); got != c.refusal {
-				t.Errorf("%v wraps %q: %v, want %v", err, errBusy, got, c.refusal)
+				t.Errorf("%v: wraps %q: %v", err, errBusy, got)
 			}
 		})
 	}
--- a/wire/encoding_test.go
+++ b/wire/encoding_test.go
@@ -22,7 +22,7 @@
 		{"no limit", 0, false},
 	} {
 		if got := ExceedsJSONSize(value, c.limit); got != c.exceeds {
-			t.Errorf("%s: exceeds: %v, want %v", c.name, got, c.exceeds)
+			t.Errorf("%s: exceeds the limit: %v", c.name, got)
 		}
 	}
 }
--- a/wire/submission_test.go
+++ b/wire/submission_test.go
@@ -44,7 +44,7 @@
 		values := validSubmission()
 		values["waitsOn"] = c.waitsOn
 		if _, spec, err := ParseSubmission(Encode(values)); err != nil || !slices.Equal(spec.DependsOn, c.want) {
-			t.Errorf("%s: %+v, %v, want dependencies %v", c.name, spec, err, c.want)
+			t.Errorf("%s: got %+v, %v", c.name, spec, err)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 		null[field] = nil
 		for name, values := range map[string]map[string]any{"absent": absent, "null": null} {
 			if _, _, err := ParseSubmission(Encode(values)); (err == nil) != optional {
-				t.Errorf("%s is %s: %v, want optional %v", field, name, err, optional)
+				t.Errorf("field %s %s: %v", field, name, err)
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 			values := validSubmission()
 			values[field] = c.value
 			if _, _, err := ParseSubmission(Encode(values)); (err == nil) != c.valid {
-				t.Errorf("%s is %s: %v, want valid %v", field, c.name, err, c.valid)
+				t.Errorf("field %s is %s: %v", field, c.name, err)
 			}
 		}
 	}
--- a/wire/workers_test.go
+++ b/wire/workers_test.go
@@ -22,7 +22,7 @@
 		{"later incarnation", 3, 1, false},
 	} {
 		if got := heartbeat.Newer(c.incarnation, c.sequence); got != c.newer {
-			t.Errorf("%s: newer: %v, want %v", c.name, got, c.newer)
+			t.Errorf("%s: newer: %v", c.name, got)
 		}
 	}
 }
