--- a/controller/acknowledgements.go
+++ b/controller/acknowledgements.go
@@ -25,17 +25,17 @@
 // Only terminalJobs.answer reports cancellations, so this holds for every request. A job that is
 // cancelled because a dependency is cancelled never had a task, so no lease is renewed for it.
 type acknowledgements struct {
-	ownLeader *localLeader
-	leaders   *leaderClient
+	localLeader *localLeader
+	leaders     *leaderClient
 	// upTo is the acknowledged revision. It never decreases.
-	upTo atomic.Uint64
+	acknowledgedRevision atomic.Uint64
 }
 
 // advanceTo raises the acknowledged revision, and never lowers it.
 func (a *acknowledgements) advanceTo(revision ids.Revision) {
 	for {
-		current := a.upTo.Load()
-		if uint64(revision) <= current || a.upTo.CompareAndSwap(current, uint64(revision)) {
+		current := a.acknowledgedRevision.Load()
+		if uint64(revision) <= current || a.acknowledgedRevision.CompareAndSwap(current, uint64(revision)) {
 			return
 		}
 	}
@@ -43,12 +43,12 @@
 
 // revision returns the latest acknowledged revision that this controller knows.
 func (a *acknowledgements) revision() ids.Revision {
-	if own := a.ownLeader.get(); own != nil {
-		if revision, ok := own.AcknowledgedRevision(); ok {
+	if local := a.localLeader.get(); local != nil {
+		if revision, ok := local.AcknowledgedRevision(); ok {
 			a.advanceTo(revision)
 		}
 	}
-	return ids.Revision(a.upTo.Load())
+	return ids.Revision(a.acknowledgedRevision.Load())
 }
 
 // acknowledged reports whether a cancellation may be reported to users. It asks the leader if
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -31,7 +31,7 @@
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		if response, resolved := h.try(ctx, id); resolved {
+		if response, resolved := h.tryCancel(ctx, id); resolved {
 			return response
 		}
 	}
@@ -40,7 +40,7 @@
 
 // try reads a job's record and cancels the job. resolved is false if the record changed between
 // the read and the commit.
-func (h *cancellationHandler) try(ctx context.Context, id ids.JobID) (response server.Response, resolved bool) {
+func (h *cancellationHandler) tryCancel(ctx context.Context, id ids.JobID) (response server.Response, resolved bool) {
 	job, found, err := leader.ReadJob(ctx, h.store, id)
 	switch {
 	case err != nil:
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -22,7 +22,7 @@
 }
 
 // ask asks for an answer and checks it.
-func (h *historyChecker) ask(t *testing.T, what string, request func(context.Context) server.Response) {
+func (h *historyChecker) check(t *testing.T, what string, request func(context.Context) server.Response) {
 	t.Helper()
 	rank := map[wire.JobState]int{wire.JobQueued: 1, wire.JobCancelled: 2}
 	h.mu.Lock()
@@ -44,51 +44,51 @@
 
 // askOften submits a job at one controller and queries it repeatedly, before and after the given
 // requests.
-func (h *historyChecker) askOften(t *testing.T, c *Controller, requests ...func(context.Context) server.Response) {
+func (h *historyChecker) checkRepeatedly(t *testing.T, c *Controller, requests ...func(context.Context) server.Response) {
 	t.Helper()
 	const repetitions = 5
 	submit := func(ctx context.Context) server.Response { return c.service.Submit(ctx, h.id, testSpec()) }
 	query := func(ctx context.Context) server.Response { return c.service.Status(ctx, h.id) }
-	h.ask(t, "submitted", submit)
+	h.check(t, "submitted", submit)
 	for range repetitions {
-		h.ask(t, "queried", query)
+		h.check(t, "queried", query)
 	}
 	for _, request := range requests {
-		h.ask(t, "cancelled", request)
+		h.check(t, "cancelled", request)
 	}
 	for range repetitions {
-		h.ask(t, "queried", query)
-		h.ask(t, "submitted again", submit)
+		h.check(t, "queried", query)
+		h.check(t, "submitted again", submit)
 	}
 }
 
 // A transaction is carried out and only its answer is lost, while other controllers read what it
 // wrote, and write on. Every later question gets nothing older, at any controller, also at the
 // one that waited for the answer.
-func TestNothingOlderAfterLostAnswers(t *testing.T) {
-	const rounds, cancelled = 40, 2
-	state := newTestStore(t)
-	leading := startController(t, "n-0", state.Address())
+func TestStatusNeverGoesBackAfterLostResponses(t *testing.T) {
+	const rounds, cancelledRank = 40, 2
+	store := newTestStore(t)
+	leading := startController(t, "n-0", store.Address())
 	address := startLeading(t, leading)
-	controllers := []*Controller{leading, startFollower(t, state.Address(), leading, address), startFollower(t, state.Address(), leading, address)}
+	controllers := []*Controller{leading, startFollower(t, store.Address(), leading, address), startFollower(t, store.Address(), leading, address)}
 	for round := range rounds {
 		history := &historyChecker{id: ids.JobID(fmt.Sprintf("job-%d", round))}
 		canceller := controllers[round%3]
 		cancel := func(ctx context.Context) server.Response { return canceller.service.Cancel(ctx, history.id) }
-		state.LoseResponses(round % 4)
+		store.LoseResponses(round % 4)
 		var users sync.WaitGroup
 		for _, c := range controllers {
 			users.Go(func() {
 				if c == canceller {
-					history.askOften(t, c, cancel)
+					history.checkRepeatedly(t, c, cancel)
 				} else {
-					history.askOften(t, c)
+					history.checkRepeatedly(t, c)
 				}
 			})
 		}
 		users.Wait()
-		history.ask(t, "cancelled again", cancel)
-		if history.newest != cancelled {
+		history.check(t, "cancelled again", cancel)
+		if history.newest != cancelledRank {
 			t.Errorf("%s: newest status %d", history.id, history.newest)
 		}
 	}
--- a/controller/catalog.go
+++ b/controller/catalog.go
@@ -21,9 +21,9 @@
 // catalog caches the cloud's machine types and prices. The goroutine of run writes them; any
 // goroutine may read them.
 type catalog struct {
-	cloud     *cloud.Client
-	ownLeader *localLeader
-	log       *slog.Logger
+	cloud       *cloud.Client
+	localLeader *localLeader
+	log         *slog.Logger
 	// types is nil until the first read.
 	types atomic.Pointer[[]wire.MachineType]
 }
@@ -58,8 +58,8 @@
 		return err
 	}
 	c.types.Store(&types)
-	if own := c.ownLeader.get(); own != nil {
-		own.SetCatalog(ctx, types)
+	if local := c.localLeader.get(); local != nil {
+		local.SetCatalog(ctx, types)
 	}
 	return nil
 }
--- a/controller/connection_balancer.go
+++ b/controller/connection_balancer.go
@@ -15,8 +15,8 @@
 	redirectInterval = 100 * time.Millisecond
 	// overloadRatio and overloadReserve are by how much a controller's workers may exceed its
 	// share before it redirects some.
-	overloadRatio   = 1.2
-	overloadReserve = 16
+	overloadRatio  = 1.2
+	overloadMargin = 16
 	// followerWeight and leaderWeight are the relative shares of workers. The leader gets fewer,
 	// since it also decides for the workers of all others.
 	followerWeight = 1
@@ -85,7 +85,7 @@
 		return "", false
 	}
 	share := workersPerWeight(self, others)
-	if float64(self.workers) <= overloadRatio*share*self.weight+overloadReserve {
+	if float64(self.workers) <= overloadRatio*share*self.weight+overloadMargin {
 		return "", false
 	}
 	largestCapacity := 0.0
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -44,7 +44,7 @@
 	log      *slog.Logger
 
 	election    *election.Election
-	ownLeader   *localLeader
+	localLeader *localLeader
 	peers       peerSet
 	catalog     *catalog
 	gate        *versionGate
@@ -77,7 +77,7 @@
 // New makes a controller from its settings.
 func New(platform *config.Platform, operator *config.Operator, log *slog.Logger) *Controller {
 	clock := monotonic.SystemClock()
-	c := &Controller{platform: platform, log: log, ownLeader: new(localLeader), peers: newPeerSet(platform.Seeds),
+	c := &Controller{platform: platform, log: log, localLeader: new(localLeader), peers: newPeerSet(platform.Seeds),
 		storeHealth: new(storeHealth)}
 	store := httpclient.New(platform.External.KV, storeConnections, maxStoreResponseBytes)
 	direct := &directRoute{store: store, health: c.storeHealth}
@@ -86,18 +86,18 @@
 	leaderStore := kv.New(direct, storeRPS*leaderRequestShare)
 	c.userStore = kv.New(&userRoute{direct: direct, health: c.storeHealth, peers: c.peers, clock: clock}, storeRPS*userRequestShare/controllers)
 	cloudClient := cloud.New(platform.External.Cloud, platform.Settings.Cloud.RPS)
-	c.catalog = &catalog{cloud: cloudClient, ownLeader: c.ownLeader, log: log}
-	c.gate = &versionGate{peers: c.peers, store: c.userStore, clock: clock, ownLeader: c.ownLeader, log: log}
-	leadership := &leadership{ownLeader: c.ownLeader, dependencies: leader.Dependencies{Platform: platform, Operator: operator,
+	c.catalog = &catalog{cloud: cloudClient, localLeader: c.localLeader, log: log}
+	c.gate = &versionGate{peers: c.peers, store: c.userStore, clock: clock, localLeader: c.localLeader, log: log}
+	leadership := &leadership{localLeader: c.localLeader, dependencies: leader.Dependencies{Platform: platform, Operator: operator,
 		Clock: clock, Log: log, Store: leaderStore, Cloud: cloudClient, Workers: worker.New(), Catalog: c.catalog,
-		VersionGate: c.gate, Peers: c.peers.forLeader()}}
+		VersionGate: c.gate, Peers: c.peers.leaderPeers()}}
 	c.election = election.New(leaderStore.Unthrottled(), identity(platform), leaseBounds(platform, operator), clock, log, leadership.lead)
-	leaders := &leaderClient{ownLeader: c.ownLeader, election: c.election, peers: c.peers, log: log}
-	c.acknowledgements = &acknowledgements{ownLeader: c.ownLeader, leaders: leaders}
-	statusReadGap := monotonic.Seconds(controllers / (statusReadShare * storeRPS))
-	c.statusReader = newStatusReader(c.userStore, statusReadGap, leaders.progress)
-	c.wireRequests(leaders, clock)
-	c.wirePeers(direct, clock)
+	leaders := &leaderClient{localLeader: c.localLeader, election: c.election, peers: c.peers, log: log}
+	c.acknowledgements = &acknowledgements{localLeader: c.localLeader, leaders: leaders}
+	statusReadInterval := monotonic.Seconds(controllers / (statusReadShare * storeRPS))
+	c.statusReader = newStatusReader(c.userStore, statusReadInterval, leaders.progress)
+	c.initRequestHandlers(leaders, clock)
+	c.initPeerHandlers(direct, clock)
 	return c
 }
 
@@ -121,7 +121,7 @@
 }
 
 // wireRequests makes the parts that answer users and workers.
-func (c *Controller) wireRequests(leaders *leaderClient, clock monotonic.Clock) {
+func (c *Controller) initRequestHandlers(leaders *leaderClient, clock monotonic.Clock) {
 	terminal := newTerminalJobs(c.acknowledgements)
 	statuses := &statusHandler{reader: c.statusReader, terminal: terminal, log: c.log}
 	c.commits = &userCommitter{commit.New(c.userStore, settings.TransactionLimits(c.platform), nil, c.log)}
@@ -133,16 +133,16 @@
 			statuses: statuses, terminal: terminal, gate: c.gate, commits: c.commits, leaders: leaders, log: c.log},
 		statusHandler:       statuses,
 		cancellationHandler: &cancellationHandler{store: c.userStore, maxValueBytes: maxValueBytes, terminal: terminal, commits: c.commits},
-		heartbeatHandler: &heartbeatHandler{self: c.platform.HostName, clock: clock, election: c.election, ownLeader: c.ownLeader,
+		heartbeatHandler: &heartbeatHandler{self: c.platform.HostName, clock: clock, election: c.election, localLeader: c.localLeader,
 			peers: c.peers, balancer: c.balancer, relay: c.relay},
 	}
 }
 
 // wirePeers makes the parts that communicate with the other controllers.
-func (c *Controller) wirePeers(direct *directRoute, clock monotonic.Clock) {
+func (c *Controller) initPeerHandlers(direct *directRoute, clock monotonic.Clock) {
 	c.pinger = &pinger{self: c.platform.HostName, clock: clock, startedAt: clock.Now(), election: c.election, peers: c.peers,
 		health: c.storeHealth, balancer: c.balancer, acknowledgements: c.acknowledgements, gate: c.gate}
-	c.peerHandler = &peerHandler{pinger: c.pinger, ownLeader: c.ownLeader, direct: direct}
+	c.peerHandler = &peerHandler{pinger: c.pinger, localLeader: c.localLeader, direct: direct}
 }
 
 const (
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -11,22 +11,22 @@
 // Two records are written here rather than by package records, and keep their bytes: that every
 // controller is upgraded, and since which leader the fleet is known.
 func TestFormatRecordKeepsItsBytes(t *testing.T) {
-	state := newTestStore(t)
-	c := startController(t, "n-0", state.Address())
+	store := newTestStore(t)
+	c := startController(t, "n-0", store.Address())
 	if err := c.gate.run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	startLeading(t, c)
-	until(t, "the fleet's record", func() bool {
-		_, found := state.Entry("fleet")
+	waitUntil(t, "the fleet's record", func() bool {
+		_, found := store.Entry("fleet")
 		return found
 	})
-	format, _ := state.Entry("format")
+	format, _ := store.Entry("format")
 	if got := string(format.Value); got != "\x81\xa1v\x02" {
 		t.Errorf("format written as %x", got)
 	}
-	fleet, _ := state.Entry("fleet")
-	lease, _ := state.Entry("leader")
+	fleet, _ := store.Entry("fleet")
+	lease, _ := store.Entry("leader")
 	if got, want := string(fleet.Value), "\x81\xa5first"+string([]byte{byte(lease.Revision)}); got != want {
 		t.Errorf("fleet written as %x, want %x", got, want)
 	}
@@ -37,7 +37,7 @@
 }
 
 // The format's record is read at the key and with the tags that it is written with.
-func TestFormatIsReadWhereItIsWritten(t *testing.T) {
+func TestFormatRecordIsReadWhereItIsWritten(t *testing.T) {
 	rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(wire.Encode(map[string]any{"v": map[string]int{"v": 2}, "stamp": 5}))
 	})
--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -15,7 +15,7 @@
 const (
 	// maxBatch bounds the heartbeats in one batch, and maxBatchesInFlight the batches in
 	// flight.
-	maxBatch           = 48
+	maxBatchSize       = 48
 	maxBatchesInFlight = 4
 	// relayTimeout is how long a heartbeat may take at the follower and at the leader, of the
 	// 4 s that workers wait.
@@ -23,7 +23,7 @@
 	// minWaitingHeartbeats is how many heartbeats may wait on the smallest controller. On a
 	// larger one as many may wait as it has sockets. Each waiting heartbeat holds a socket, so
 	// no heartbeat is refused that has a connection when all workers reconnect at once.
-	minWaitingHeartbeats = 1000
+	minHeartbeatQueueCapacity = 1000
 )
 
 // relayedHeartbeat is one heartbeat that waits for the leader's answer.
@@ -40,17 +40,17 @@
 	leaders *leaderClient
 	log     *slog.Logger
 	// waiting holds the heartbeats that are in no batch yet.
-	waiting *workqueue.Queue[relayedHeartbeat]
+	queue *workqueue.Queue[relayedHeartbeat]
 }
 
 // newHeartbeatRelay makes the relay of a controller that may open a number of sockets.
 func newHeartbeatRelay(leaders *leaderClient, sockets int, log *slog.Logger) *heartbeatRelay {
-	return &heartbeatRelay{leaders: leaders, log: log, waiting: workqueue.New[relayedHeartbeat](maxWaitingHeartbeats(sockets))}
+	return &heartbeatRelay{leaders: leaders, log: log, queue: workqueue.New[relayedHeartbeat](heartbeatQueueCapacity(sockets))}
 }
 
 // maxWaitingHeartbeats returns how many heartbeats may wait on a controller that may open a number
 // of sockets.
-func maxWaitingHeartbeats(sockets int) int { return max(minWaitingHeartbeats, sockets) }
+func heartbeatQueueCapacity(sockets int) int { return max(minHeartbeatQueueCapacity, sockets) }
 
 // relay forwards a heartbeat to the leader and waits for its answer. It responds with 503 at
 // once if too many heartbeats wait, and if there is no answer in time.
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	reply := make(chan server.Response, 1)
-	if !r.waiting.Add(relayedHeartbeat{encoded: encoded, reply: reply}) {
+	if !r.queue.Add(relayedHeartbeat{encoded: encoded, reply: reply}) {
 		return server.Response{Status: http.StatusServiceUnavailable}
 	}
 	select {
@@ -78,9 +78,9 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-r.waiting.Added():
+		case <-r.queue.Added():
 		}
-		for batch := r.waiting.Take(maxBatch); len(batch) > 0; batch = r.waiting.Take(maxBatch) {
+		for batch := r.queue.Take(maxBatchSize); len(batch) > 0; batch = r.queue.Take(maxBatchSize) {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
--- a/controller/heartbeat_relay_test.go
+++ b/controller/heartbeat_relay_test.go
@@ -19,8 +19,8 @@
 // not answer, or there is none, the worker gets an error at once, so that it tries another
 // controller.
 func TestFollowerRelaysHeartbeats(t *testing.T) {
-	leading := newTestController(t, testConfig(emptyStore(t)))
-	storeTestCatalog(leading)
+	leading := newTestController(t, testConfig(serveEmptyStore(t)))
+	setTestCatalog(leading)
 	platform := testConfig("127.0.0.1:4")
 	platform.HostName = "n-1"
 	platform.Seeds = []config.Peer{{Name: "n-0", Address: servePeers(t, leading)}}
@@ -40,7 +40,7 @@
 	}
 
 	runUntilCleanup(t, func(ctx context.Context) { _ = leading.election.Run(ctx) })
-	until(t, "the controller leads", func() bool { return leading.ownLeader.get() != nil })
+	waitUntil(t, "the controller leads", func() bool { return leading.localLeader.get() != nil })
 	a := sendHeartbeat()
 	if o, ok := a.Body.(wire.HeartbeatResponse); a.Status != 200 || !ok || o.FencingToken.Revision() != 7 {
 		t.Fatalf("through the follower: %+v", a)
@@ -53,18 +53,18 @@
 
 	// A later leader is known: this one may answer no more.
 	leading.election.Observe(election.Leader{Identity: election.Identity{Name: "n-2"}, Revision: 9})
-	until(t, "the term has ended", func() bool { return leading.ownLeader.get() == nil })
+	waitUntil(t, "the term has ended", func() bool { return leading.localLeader.get() == nil })
 	if a := sendHeartbeat(); a.Status != 503 {
 		t.Errorf("from a leader that was replaced: %+v", a)
 	}
 }
 
 // While too many heartbeats wait, another is refused at once.
-func TestOverloadedRelayRefusesAtOnce(t *testing.T) {
+func TestFullHeartbeatQueueRefusesImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(t, testConfig("127.0.0.1:1"))
 		waiting, stop := context.WithCancel(t.Context())
-		for range maxWaitingHeartbeats(c.platform.Settings.Resources.Sockets) { // nothing answers here
+		for range heartbeatQueueCapacity(c.platform.Settings.Resources.Sockets) { // nothing answers here
 			go c.relay.relay(waiting, nil)
 		}
 		synctest.Wait()
@@ -78,7 +78,7 @@
 }
 
 // emptyStore is a stand-in for a key-value store in which no controller has led yet.
-func emptyStore(t *testing.T) string {
+func serveEmptyStore(t *testing.T) string {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body := map[string]any{"epoch": 7, "hold": 1, "entries": []any{}}
--- a/controller/helpers_test.go
+++ b/controller/helpers_test.go
@@ -41,7 +41,7 @@
 }
 
 // storeTestCatalog has a controller know a single machine type.
-func storeTestCatalog(c *Controller) {
+func setTestCatalog(c *Controller) {
 	c.catalog.types.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
 }
 
@@ -52,7 +52,7 @@
 	platform.HostName, platform.Seeds = name, seeds
 	platform.Settings.KV.RPS, platform.Settings.KV.WriteRPS, platform.Settings.KV.ValueKB = 20000, 80, 2
 	c := newTestController(t, platform)
-	storeTestCatalog(c)
+	setTestCatalog(c)
 	runUntilCleanup(t, func(ctx context.Context) { _ = c.commits.run(ctx) })
 	runUntilCleanup(t, func(ctx context.Context) { _ = c.statusReader.run(ctx) })
 	return c
@@ -72,7 +72,7 @@
 	t.Helper()
 	runUntilCleanup(t, func(ctx context.Context) { _ = c.election.Run(ctx) })
 	address = servePeers(t, c)
-	until(t, "the controller leads", func() bool { return c.ownLeader.get() != nil })
+	waitUntil(t, "the controller leads", func() bool { return c.localLeader.get() != nil })
 	return address
 }
 
@@ -97,7 +97,7 @@
 }
 
 // until waits for what other goroutines are to bring about.
-func until(t *testing.T, what string, ok func() bool) {
+func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 4000 {
 		if ok() {
@@ -111,11 +111,11 @@
 // knownToLeader reports whether the leader in a controller's process knows a job.
 func knownToLeader(t *testing.T, c *Controller, id ids.JobID) bool {
 	t.Helper()
-	own := c.ownLeader.get()
-	if own == nil {
+	local := c.localLeader.get()
+	if local == nil {
 		return false
 	}
-	progress, err := own.Progress(t.Context(), []ids.JobID{id})
+	progress, err := local.Progress(t.Context(), []ids.JobID{id})
 	if err != nil {
 		return false
 	}
--- a/controller/job_replica.go
+++ b/controller/job_replica.go
@@ -109,9 +109,9 @@
 
 // dependencyState reports whether all jobs of a list were accepted, and whether one of them is
 // cancelled.
-func (r *jobReplica) dependencyState(list []ids.JobID) (accepted, cancelled bool) {
+func (r *jobReplica) dependencyState(dependencies []ids.JobID) (accepted, cancelled bool) {
 	accepted = true
-	for _, id := range list {
+	for _, id := range dependencies {
 		job, found := r.get(id)
 		accepted = accepted && found
 		cancelled = cancelled || job.Status == wire.JobCancelled
--- a/controller/kv_routes.go
+++ b/controller/kv_routes.go
@@ -19,9 +19,9 @@
 	maxStoreFailures = 1
 	// routePeerTimeout is after how long without an answer to a ping no call goes through a
 	// peer.
-	routePeerTimeout = 2 * time.Second
+	forwardingPeerTimeout = 2 * time.Second
 	// routeReserve is how much longer a call through a peer may take than a direct call.
-	routeReserve = 200 * time.Millisecond
+	forwardingMargin = 200 * time.Millisecond
 )
 
 // storeHealth tracks whether direct calls to the key-value store succeed. It is safe for
@@ -71,18 +71,18 @@
 // Do implements kv.Transport.
 func (r *userRoute) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
 	if !r.health.reachable() {
-		if p := r.peerWithStore(); p != nil {
-			return callThrough(ctx, p, peerapi.StoreCall{Method: method, Path: path, Body: body, TimeoutMS: timeout.Milliseconds()}, timeout)
+		if p := r.peerWithStoreAccess(); p != nil {
+			return callThroughPeer(ctx, p, peerapi.StoreCall{Method: method, Path: path, Body: body, TimeoutMS: timeout.Milliseconds()}, timeout)
 		}
 	}
 	return r.direct.Do(ctx, method, path, body, timeout)
 }
 
 // peerWithStore returns a peer that reaches the key-value store, or nil.
-func (r *userRoute) peerWithStore() *peer {
+func (r *userRoute) peerWithStoreAccess() *peer {
 	now := r.clock.Now()
 	for _, p := range r.peers {
-		if p.storeReachable.Load() && p.AnsweredWithin(now, routePeerTimeout) {
+		if p.storeReachable.Load() && p.AnsweredWithin(now, forwardingPeerTimeout) {
 			return p
 		}
 	}
@@ -91,19 +91,19 @@
 
 // callThrough has a peer forward a request. Its errors distinguish, like those of a direct call,
 // whether the request was sent.
-func callThrough(ctx context.Context, p *peer, call peerapi.StoreCall, timeout time.Duration) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeout+routeReserve)
+func callThroughPeer(ctx context.Context, p *peer, call peerapi.StoreCall, timeout time.Duration) (int, []byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout+forwardingMargin)
 	defer cancel()
 	var answer peerapi.StoreAnswer
 	err := p.Call(ctx, peerapi.OpStore, call, &answer)
-	if kind := forwardFailure(err, answer); kind != nil {
+	if kind := forwardErrorKind(err, answer); kind != nil {
 		return 0, nil, &httpclient.RequestError{Kind: kind, Method: call.Method, Path: call.Path, Cause: err}
 	}
 	return answer.Status, answer.Body, nil
 }
 
 // forwardFailure returns the kind of error of a forwarded request, or nil if it was answered.
-func forwardFailure(err error, answer peerapi.StoreAnswer) error {
+func forwardErrorKind(err error, answer peerapi.StoreAnswer) error {
 	switch {
 	case errors.Is(err, peerrpc.ErrNotSent):
 		return httpclient.ErrNotSent
--- a/controller/kv_routes_test.go
+++ b/controller/kv_routes_test.go
@@ -22,7 +22,7 @@
 
 // A controller that the key-value store refuses alone reads through a peer; without one it
 // says at once that it does not know.
-func TestReadsThroughAPeerWhenRefusedAlone(t *testing.T) {
+func TestReadsGoThroughPeerWhileStoreIsUnreachable(t *testing.T) {
 	good, bad := newCancelledJobStore(t), newCancelledJobStore(t)
 	bad.Refuse("/")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -39,7 +39,7 @@
 	}
 	n.storeHealth.failures.Store(2)
 	n.peers[0].storeReachable.Store(true)
-	n.peers[0].lastHeard.Store(int64(n.pinger.clock.Now()))
+	n.peers[0].lastAnswer.Store(int64(n.pinger.clock.Now()))
 	if a := n.service.Status(ctx, "job-2"); a.Status != 404 {
 		t.Errorf("an unknown job: %+v", a)
 	}
--- a/controller/leader_client.go
+++ b/controller/leader_client.go
@@ -22,16 +22,16 @@
 
 // leaderClient calls the leader, in this process if this controller leads and otherwise at a peer.
 type leaderClient struct {
-	ownLeader *localLeader
-	election  *election.Election
-	peers     peerSet
-	log       *slog.Logger
+	localLeader *localLeader
+	election    *election.Election
+	peers       peerSet
+	log         *slog.Logger
 }
 
 // peer returns the peer that leads; nil if no leader is known, or this controller leads.
 func (c *leaderClient) peer() *peer {
 	known, _ := c.election.Leader()
-	return c.peers.named(known.Name)
+	return c.peers.byName(known.Name)
 }
 
 // progress returns the progress of each of the jobs, or nil if the leader does not answer. It is
@@ -39,8 +39,8 @@
 func (c *leaderClient) progress(ctx context.Context, jobs []ids.JobID) []peerapi.JobProgress {
 	ctx, cancel := context.WithTimeout(ctx, progressTimeout)
 	defer cancel()
-	if own := c.ownLeader.get(); own != nil {
-		answer, err := progressAt(ctx, own, jobs)
+	if local := c.localLeader.get(); local != nil {
+		answer, err := localProgress(ctx, local, jobs)
 		if err != nil {
 			return nil
 		}
@@ -55,8 +55,8 @@
 
 // progressAt returns the progress of each of the jobs from the leader in this process. It is zero
 // for jobs that the leader does not know.
-func progressAt(ctx context.Context, own *leader.Leader, jobs []ids.JobID) ([]peerapi.JobProgress, error) {
-	known, err := own.Progress(ctx, jobs)
+func localProgress(ctx context.Context, local *leader.Leader, jobs []ids.JobID) ([]peerapi.JobProgress, error) {
+	known, err := local.Progress(ctx, jobs)
 	if err != nil {
 		return nil, err
 	}
@@ -70,8 +70,8 @@
 // notifyJob sends the record of a submission to the leader without waiting. The notice may be
 // lost, since the leader's watch returns the record too.
 func (c *leaderClient) notifyJob(job leader.JobRecord) {
-	if own := c.ownLeader.get(); own != nil {
-		own.NotifyJob(job)
+	if local := c.localLeader.get(); local != nil {
+		local.NotifyJob(job)
 		return
 	}
 	if p := c.peer(); p != nil {
@@ -96,10 +96,10 @@
 	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
 	defer cancel()
 	known, _ := c.election.Leader()
-	if own := c.ownLeader.get(); own != nil && known.Revision == own.Revision() {
-		return own.AcknowledgeCancellation(ctx, job)
+	if local := c.localLeader.get(); local != nil && known.Revision == local.Revision() {
+		return local.AcknowledgeCancellation(ctx, job)
 	}
-	p := c.peers.named(known.Name)
+	p := c.peers.byName(known.Name)
 	if p == nil {
 		return false
 	}
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -17,26 +17,26 @@
 
 // answering returns the leader in this process if it may answer workers and peers, or nil.
 func (l *localLeader) answering() *leader.Leader {
-	if own := l.get(); own != nil && own.MayAnswerHeartbeats() {
-		return own
+	if local := l.get(); local != nil && local.MayAnswerHeartbeats() {
+		return local
 	}
 	return nil
 }
 
 // leadership runs a leader for each term of this controller.
 type leadership struct {
-	ownLeader    *localLeader
+	localLeader  *localLeader
 	dependencies leader.Dependencies
 }
 
 // lead does the work of one term until its context ends. The election calls it, one term at a
 // time.
 func (l *leadership) lead(ctx context.Context, term *election.Term) error {
-	own, err := leader.Load(ctx, term, l.dependencies)
+	local, err := leader.Load(ctx, term, l.dependencies)
 	if err != nil {
 		return err
 	}
-	l.ownLeader.current.Store(own)
-	defer l.ownLeader.current.CompareAndSwap(own, nil)
-	return own.Run(ctx)
+	l.localLeader.current.Store(local)
+	defer l.localLeader.current.CompareAndSwap(local, nil)
+	return local.Run(ctx)
 }
--- a/controller/operatorclient/client_test.go
+++ b/controller/operatorclient/client_test.go
@@ -30,7 +30,7 @@
 }
 
 // The client passes over followers, and takes the leader's answer.
-func TestClientFindsTheLeader(t *testing.T) {
+func TestClientFindsLeader(t *testing.T) {
 	follower := serve(t, nil, peerapi.ErrNotLeading)
 	leader := serve(t, peerapi.ZonesResponse{Enabled: true, Leader: "n-2"}, nil)
 	client := New("n-0", follower, map[ids.ControllerName]string{"n-2": leader, "n-1": follower})
@@ -40,7 +40,7 @@
 }
 
 // The leader's refusal ends the search: no other controller would carry the override out.
-func TestClientStopsAtTheLeadersRefusal(t *testing.T) {
+func TestClientReturnsLeaderRefusal(t *testing.T) {
 	refusing := serve(t, nil, peerapi.ErrZoneRecoveryDisabled)
 	willing := serve(t, peerapi.ZonesResponse{Leader: "n-1"}, nil)
 	client := New("n-0", refusing, map[ids.ControllerName]string{"n-1": willing})
@@ -51,7 +51,7 @@
 }
 
 // Without a leader the error joins the answers of all controllers.
-func TestClientWithoutALeader(t *testing.T) {
+func TestClientJoinsErrorsWithoutLeader(t *testing.T) {
 	follower := serve(t, nil, peerapi.ErrNotLeading)
 	client := New("n-0", "127.0.0.1:1", map[ids.ControllerName]string{"n-1": follower})
 	_, err := client.Zones(t.Context())
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -17,15 +17,15 @@
 	for range maxQueuedCommits { // nothing commits here
 		c.commits.committer.Submit(records.Change{}, time.Time{}, func(records.CommitResult) {})
 	}
-	for range maxWaitingQueries { // nor answers
-		go c.statusReader.ask(ctx, "job-1", nil)
+	for range maxQueuedQueries { // nor answers
+		go c.statusReader.query(ctx, "job-1", nil)
 	}
 	synctest.Wait()
 }
 
 // A request that cannot be taken because too many wait is refused at once, with a time to come
 // back: it must not wait for its deadline first.
-func TestOverloadIsRefusedAtOnce(t *testing.T) {
+func TestOverloadedControllerRefusesImmediately(t *testing.T) {
 	const id ids.JobID = "job-2"
 	for name, request := range map[string]func(ctx context.Context, c *Controller) server.Response{
 		"submission":   func(ctx context.Context, c *Controller) server.Response { return c.service.Submit(ctx, id, testSpec()) },
@@ -34,7 +34,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newTestController(t, testConfig("127.0.0.1:1"))
-				storeTestCatalog(c)
+				setTestCatalog(c)
 				waiting, stop := context.WithCancel(t.Context())
 				overload(waiting, t, c)
 				began := time.Now()
--- a/controller/peer_handler.go
+++ b/controller/peer_handler.go
@@ -16,9 +16,9 @@
 
 // peerHandler answers the requests of other controllers, and those of operators' commands.
 type peerHandler struct {
-	pinger    *pinger
-	ownLeader *localLeader
-	direct    *directRoute
+	pinger      *pinger
+	localLeader *localLeader
+	direct      *directRoute
 }
 
 // handle implements peerrpc.Handler.
@@ -29,26 +29,26 @@
 	case peerapi.OpStore:
 		return handleBody(body, func(call peerapi.StoreCall) (any, error) { return h.forwardStoreCall(ctx, call), nil })
 	}
-	own := h.ownLeader.answering()
-	if own == nil {
+	local := h.localLeader.answering()
+	if local == nil {
 		return nil, peerapi.ErrNotLeading
 	}
-	return handleAsLeader(ctx, own, op, body)
+	return handleAsLeader(ctx, local, op, body)
 }
 
 // handleAsLeader answers the operations that only a leader answers.
-func handleAsLeader(ctx context.Context, own *leader.Leader, op peerrpc.Operation, body []byte) (any, error) {
+func handleAsLeader(ctx context.Context, local *leader.Leader, op peerrpc.Operation, body []byte) (any, error) {
 	switch op {
 	case peerapi.OpProgress:
-		return handleBody(body, func(jobs []ids.JobID) (any, error) { return progressAt(ctx, own, jobs) })
+		return handleBody(body, func(jobs []ids.JobID) (any, error) { return localProgress(ctx, local, jobs) })
 	case peerapi.OpJob:
-		return handleBody(body, func(notice peerapi.JobNotice) (any, error) { return acknowledgeNotice(ctx, own, notice) })
+		return handleBody(body, func(notice peerapi.JobNotice) (any, error) { return acknowledgeNotice(ctx, local, notice) })
 	case peerapi.OpZones:
-		return own.Zones(ctx)
+		return local.Zones(ctx)
 	case peerapi.OpZoneOverride:
-		return handleBody(body, func(override peerapi.ZoneOverride) (any, error) { return own.OverrideZone(ctx, override) })
+		return handleBody(body, func(override peerapi.ZoneOverride) (any, error) { return local.OverrideZone(ctx, override) })
 	case peerapi.OpHeartbeats:
-		return handleBody(body, func(encoded [][]byte) (any, error) { return answerRelayed(ctx, own, encoded) })
+		return handleBody(body, func(encoded [][]byte) (any, error) { return answerRelayed(ctx, local, encoded) })
 	}
 	return nil, fmt.Errorf("%w: %s", peerapi.ErrUnknownOperation, op)
 }
@@ -74,17 +74,17 @@
 }
 
 // acknowledgeNotice has the leader in this process observe a job's record that a follower sent.
-func acknowledgeNotice(ctx context.Context, own *leader.Leader, notice peerapi.JobNotice) (bool, error) {
+func acknowledgeNotice(ctx context.Context, local *leader.Leader, notice peerapi.JobNotice) (bool, error) {
 	record := new(records.Job)
 	if err := wire.Decode(notice.Record, record); err != nil {
 		return false, err
 	}
-	return own.AcknowledgeCancellation(ctx, leader.JobRecord{ID: notice.ID, Record: record, Revision: notice.Revision}), nil
+	return local.AcknowledgeCancellation(ctx, leader.JobRecord{ID: notice.ID, Record: record, Revision: notice.Revision}), nil
 }
 
 // answerRelayed has the leader in this process answer heartbeats that a follower relays. A
 // heartbeat that cannot be decoded gets no answer.
-func answerRelayed(ctx context.Context, own *leader.Leader, encoded [][]byte) ([]peerapi.HeartbeatAnswer, error) {
+func answerRelayed(ctx context.Context, local *leader.Leader, encoded [][]byte) ([]peerapi.HeartbeatAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	heartbeats := make([]*wire.Heartbeat, len(encoded))
@@ -93,5 +93,5 @@
 			heartbeats[i] = heartbeat
 		}
 	}
-	return own.AnswerHeartbeats(ctx, heartbeats)
+	return local.AnswerHeartbeats(ctx, heartbeats)
 }
--- a/controller/peerapi/golden_test.go
+++ b/controller/peerapi/golden_test.go
@@ -15,7 +15,7 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-func goldenZones() ZonesResponse {
+func goldenZonesResponse() ZonesResponse {
 	return ZonesResponse{Enabled: true, Leader: "perch-0", Zones: []zonerecovery.Status{{Zone: "zone-a", Condition: zonerecovery.Outage,
 		SinceMS: 1764640000006, Reason: "silent", Machines: 31, Reachable: 32, Outages: 33, Step: 34, Steps: 35, StartsInFlight: 36, StartLimit: 37,
 		FetchesInFlight: 38, FetchLimit: 39, DisplacedJobs: 40, Restriction: "all new work", RestrictedUntilMS: 1764640000007,
@@ -27,7 +27,7 @@
 // The request and the answer of each operation between controllers keep their bytes.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	every := Ping{From: "perch-1", Leader: "perch-0", LeaderPeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StoreReachable: true,
-		Workers: 231, Uptime: 90 * time.Second, AcknowledgedRevision: 411, Versions: Versions{Format: RecordFormat, Seen: []ids.ControllerName{"perch-0", "perch-2"}, Durable: true}}
+		Workers: 231, Uptime: 90 * time.Second, AcknowledgedRevision: 411, Versions: Versions{Format: RecordFormat, Upgraded: []ids.ControllerName{"perch-0", "perch-2"}, Durable: true}}
 	old := every
 	old.Uptime, old.AcknowledgedRevision, old.Versions = 0, 0, Versions{}
 	record := records.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70, DoneMS: 1764640000456}
@@ -47,11 +47,11 @@
 			{Verb: wire.VerbRun, Name: "job-1/3", Attempt: 2, GraceS: 5.5}}}}}},
 		{Name: "heartbeats answer, refused", Value: []HeartbeatAnswer{{}}, Partial: true},
 		{Name: "zones request", Value: struct{}{}},
-		{Name: "zones answer", Value: goldenZones()},
+		{Name: "zones answer", Value: goldenZonesResponse()},
 		{Name: "zone override request", Value: ZoneOverride{Zone: "zone-a", Kind: zonerecovery.OverrideHold, Reason: "power work", UntilMS: 1764640000007}},
 	})
 	golden.Check(t, "zones.json", golden.Codec{Encode: json.Marshal, Decode: json.Unmarshal}, []golden.Case{
-		{Name: "zones answer as JSON", Value: goldenZones()},
+		{Name: "zones answer as JSON", Value: goldenZonesResponse()},
 	})
 }
 
--- a/controller/peerapi/messages.go
+++ b/controller/peerapi/messages.go
@@ -38,9 +38,9 @@
 // and do not send it.
 type Versions struct {
 	Format int `cbor:"8,keyasint,omitempty"`
-	// Seen names the controllers whose own pings had RecordFormat or more, so that two
+	// Upgraded names the controllers whose own pings had RecordFormat or more, so that two
 	// controllers that cannot reach each other learn each other's version from a third.
-	Seen []ids.ControllerName `cbor:"9,keyasint,omitempty"`
+	Upgraded []ids.ControllerName `cbor:"9,keyasint,omitempty"`
 	// Durable is set once records.FormatKey is known to be written.
 	Durable bool `cbor:"10,keyasint,omitempty"`
 }
--- a/controller/peerapi/production_test.go
+++ b/controller/peerapi/production_test.go
@@ -16,8 +16,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// production holds bytes as the version named in deploy/service.toml writes them.
-func production(t *testing.T) map[string][]byte {
+// readProductionBytes holds bytes as the version named in deploy/service.toml writes them.
+func readProductionBytes(t *testing.T) map[string][]byte {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/production.json")
 	if err != nil {
@@ -42,9 +42,9 @@
 		ImageGB: 6.2, Types: []ids.MachineType{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, CheckpointEveryS: 30, CheckpointS: 4, DeadlineS: 900}
 }
 
-// checkProduction checks that bytes of the version in production are read as the value, and
+// checkProductionBytes checks that bytes of the version in production are read as the value, and
 // that the value is written as the same bytes.
-func checkProduction(t *testing.T, written []byte, want any, decode func([]byte, any) error, encode func(any) ([]byte, error)) {
+func checkProductionBytes(t *testing.T, written []byte, want any, decode func([]byte, any) error, encode func(any) ([]byte, error)) {
 	t.Helper()
 	got := reflect.New(reflect.TypeOf(want))
 	if err := decode(written, got.Interface()); err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
@@ -57,11 +57,11 @@
 
 // Every record of the version in production means the same here, and until the version gate
 // opens the same bytes are written.
-func TestReadsAndWritesRecordsOfProduction(t *testing.T) {
+func TestProductionRecordsAreReadAndWritten(t *testing.T) {
 	queued := records.Job{Nonce: 1<<63 + 5, Status: wire.JobQueued, Tasks: 70, Spec: productionSpec(), SubmittedMS: 1764640000123}
 	cancelled := queued
 	cancelled.Nonce, cancelled.Status = 99, wire.JobCancelled
-	old := production(t)
+	old := readProductionBytes(t)
 	encode := func(v any) ([]byte, error) { return wire.Encode(v), nil }
 	for name, want := range map[string]any{
 		"job queued":    queued,
@@ -71,13 +71,13 @@
 			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 3, -1}, Done: []int{67, 69}},
 		"leader": election.Identity{Name: "perch-0", PeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3},
 	} {
-		t.Run(name, func(t *testing.T) { checkProduction(t, old[name], want, wire.Decode, encode) })
+		t.Run(name, func(t *testing.T) { checkProductionBytes(t, old[name], want, wire.Decode, encode) })
 	}
 }
 
 // The same holds for every message between controllers.
-func TestReadsAndWritesMessagesOfProduction(t *testing.T) {
-	old := production(t)
+func TestProductionMessagesAreReadAndWritten(t *testing.T) {
+	old := readProductionBytes(t)
 	for name, want := range map[string]any{
 		"ping":         Ping{From: "perch-1", Leader: "perch-0", LeaderPeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StoreReachable: true, Workers: 231},
 		"state call":   StoreCall{"POST", "/commit", []byte{1, 2}, 1000},
@@ -87,64 +87,64 @@
 			{Verb: "run", Name: "job-1/3", Attempt: 2}, {Verb: "kill", Name: "job-2/1", Attempt: 1, GraceS: 5.5}}}}},
 		"progress": []JobProgress{{3, 13}},
 	} {
-		t.Run(name, func(t *testing.T) { checkProduction(t, old[name], want, peerrpc.Decode, cbor.Marshal) })
+		t.Run(name, func(t *testing.T) { checkProductionBytes(t, old[name], want, peerrpc.Decode, cbor.Marshal) })
 	}
 }
 
-// oldJob and oldSpec are the structs of the version in production, and so is how it reads a job.
-type oldJob struct {
-	Nonce       uint64   `msgpack:"w"`
-	Status      string   `msgpack:"s"`
-	Tasks       int      `msgpack:"n"`
-	Spec        *oldSpec `msgpack:"p,omitempty"`
-	SubmittedMS int64    `msgpack:"t,omitempty"`
+// productionJob and oldSpec are the structs of the version in production, and so is how it reads a job.
+type productionJob struct {
+	Nonce       uint64             `msgpack:"w"`
+	Status      string             `msgpack:"s"`
+	Tasks       int                `msgpack:"n"`
+	Spec        *productionJobSpec `msgpack:"p,omitempty"`
+	SubmittedMS int64              `msgpack:"t,omitempty"`
 }
 
-type oldSpec struct {
-	Class     string   `msgpack:"c"`
-	Team      string   `msgpack:"g"`
-	Service   bool     `msgpack:"s,omitempty"`
-	Gang      bool     `msgpack:"gg,omitempty"`
-	Priority  int      `msgpack:"p"`
-	Tasks     int      `msgpack:"n"`
-	CPUs      float64  `msgpack:"u"`
-	GPUs      float64  `msgpack:"a,omitempty"`
-	MemoryGB  float64  `msgpack:"m"`
-	Image     string   `msgpack:"i"`
-	ImageGB   float64  `msgpack:"ig"`
-	Types     []string `msgpack:"t,omitempty"`
-	Zone      string   `msgpack:"z,omitempty"`
-	OneZone   bool     `msgpack:"oz,omitempty"`
-	Spread    bool     `msgpack:"sp,omitempty"`
-	Spot      bool     `msgpack:"l,omitempty"`
-	EstimateS float64  `msgpack:"e,omitempty"`
-	SaveEvery float64  `msgpack:"ce,omitempty"`
-	SaveS     float64  `msgpack:"cs,omitempty"`
-	DeadlineS float64  `msgpack:"d,omitempty"`
+type productionJobSpec struct {
+	Class           string   `msgpack:"c"`
+	Team            string   `msgpack:"g"`
+	Service         bool     `msgpack:"s,omitempty"`
+	Gang            bool     `msgpack:"gg,omitempty"`
+	Priority        int      `msgpack:"p"`
+	Tasks           int      `msgpack:"n"`
+	CPUs            float64  `msgpack:"u"`
+	GPUs            float64  `msgpack:"a,omitempty"`
+	MemoryGB        float64  `msgpack:"m"`
+	Image           string   `msgpack:"i"`
+	ImageGB         float64  `msgpack:"ig"`
+	Types           []string `msgpack:"t,omitempty"`
+	Zone            string   `msgpack:"z,omitempty"`
+	OneZone         bool     `msgpack:"oz,omitempty"`
+	Spread          bool     `msgpack:"sp,omitempty"`
+	Spot            bool     `msgpack:"l,omitempty"`
+	EstimateS       float64  `msgpack:"e,omitempty"`
+	CheckpointEvery float64  `msgpack:"ce,omitempty"`
+	CheckpointS     float64  `msgpack:"cs,omitempty"`
+	DeadlineS       float64  `msgpack:"d,omitempty"`
 }
 
 // Records that are written while old controllers serve are read by them as they were meant;
 // what is new in them is ignored.
-func TestProductionReadsRecords(t *testing.T) {
+func TestProductionVersionReadsRecords(t *testing.T) {
 	const tooSmall = 150
-	spec := oldSpec{Class: "train", Team: "vision", Priority: 2, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
-		ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, SaveEvery: 30, SaveS: 4, DeadlineS: 900}
-	short := oldSpec{Team: "vision", Priority: 2, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, OneZone: true, Spot: true}
+	spec := productionJobSpec{Class: "train", Team: "vision", Priority: 2, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
+		ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, CheckpointEvery: 30, CheckpointS: 4, DeadlineS: 900}
+	short := productionJobSpec{Team: "vision", Priority: 2, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, OneZone: true, Spot: true}
 	job := records.Job{Nonce: 4, Status: wire.JobQueued, Tasks: 70, Spec: productionSpec(), SubmittedMS: 5}
 	shortened := records.CancelJobChange("job-1", 7, 6, job, tooSmall).Operations[0].Value
 	for _, c := range []struct {
 		name    string
 		written any
-		want    oldJob
+		want    productionJob
 	}{
 		{"done, with the time", records.CompleteJobChange("job-1", 7, records.Job{Nonce: 6, Tasks: 70, DoneMS: 1764640000123}, nil).Operations[0].Value,
-			oldJob{Nonce: 6, Status: "done", Tasks: 70}},
+			productionJob{Nonce: 6, Status: "done", Tasks: 70}},
 		{"cancelled", records.CancelJobChange("job-1", 7, 6, job, 2000).Operations[0].Value,
-			oldJob{Nonce: 6, Status: "withdrawn", Tasks: 70, Spec: &spec, SubmittedMS: 5}},
-		{"cancelled, and too large", shortened, oldJob{Nonce: 6, Status: "withdrawn", Tasks: 70, Spec: &short, SubmittedMS: 5}},
+			productionJob{Nonce: 6, Status: "withdrawn", Tasks: 70, Spec: &spec, SubmittedMS: 5}},
+		{"cancelled, and too large", shortened, productionJob{Nonce: 6, Status: "withdrawn", Tasks: 70, Spec: &short, SubmittedMS: 5}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var got oldJob
+			var got productionJob
 			if err := wire.Decode(wire.Encode(c.written), &got); err != nil || !reflect.DeepEqual(got, c.want) {
 				t.Errorf("read as %+v %+v, %v", got, got.Spec, err)
 			}
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -17,7 +17,7 @@
 type peer struct {
 	*peerrpc.Peer
 	// lastHeard is the monotonic.Instant of the last answer to a ping; 0 means none yet.
-	lastHeard atomic.Int64
+	lastAnswer atomic.Int64
 	// storeReachable is set while the peer reaches the key-value store.
 	storeReachable atomic.Bool
 	// leaderRevision is the revision of the leader that the peer follows.
@@ -34,13 +34,13 @@
 
 // AnsweredWithin implements leader.Peer.
 func (p *peer) AnsweredWithin(now monotonic.Instant, d time.Duration) bool {
-	heard := monotonic.Instant(p.lastHeard.Load())
-	return heard != 0 && now < heard.Add(d)
+	lastAnswer := monotonic.Instant(p.lastAnswer.Load())
+	return lastAnswer != 0 && now < lastAnswer.Add(d)
 }
 
 // observeAnswer records the answer to a ping.
 func (p *peer) observeAnswer(now monotonic.Instant, answer peerapi.Ping) {
-	p.lastHeard.Store(int64(now))
+	p.lastAnswer.Store(int64(now))
 	p.storeReachable.Store(answer.StoreReachable)
 	p.leaderRevision.Store(uint64(answer.Revision))
 	p.workers.Store(int32(answer.Workers))
@@ -69,7 +69,7 @@
 }
 
 // named returns the peer with a name, or nil.
-func (s peerSet) named(name ids.ControllerName) *peer {
+func (s peerSet) byName(name ids.ControllerName) *peer {
 	for _, p := range s {
 		if p.Name == name {
 			return p
@@ -79,7 +79,7 @@
 }
 
 // forLeader returns the peers as the interface of package leader.
-func (s peerSet) forLeader() []leader.Peer {
+func (s peerSet) leaderPeers() []leader.Peer {
 	peers := make([]leader.Peer, len(s))
 	for i, p := range s {
 		peers[i] = p
--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -32,11 +32,11 @@
 }
 
 // run pings one peer until the context ends.
-func (p *pinger) run(ctx context.Context, to *peer) error {
+func (p *pinger) run(ctx context.Context, target *peer) error {
 	for {
 		p.balancer.recount(p.clock.Now())
-		if err := p.exchange(ctx, to); err != nil {
-			to.Close()
+		if err := p.exchange(ctx, target); err != nil {
+			target.Close()
 		}
 		if !monotonic.Sleep(ctx, pingInterval) {
 			return ctx.Err()
@@ -45,38 +45,38 @@
 }
 
 // exchange sends one ping and applies the answer.
-func (p *pinger) exchange(ctx context.Context, to *peer) error {
+func (p *pinger) exchange(ctx context.Context, target *peer) error {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	var answer peerapi.Ping
-	asked := p.clock.Now()
-	if err := to.Call(ctx, peerapi.OpPing, p.message(), &answer); err != nil {
+	sentAt := p.clock.Now()
+	if err := target.Call(ctx, peerapi.OpPing, p.currentPing(), &answer); err != nil {
 		return err
 	}
-	to.observeAnswer(p.clock.Now(), answer)
+	target.observeAnswer(p.clock.Now(), answer)
 	p.observe(answer)
-	p.recordAcknowledgement(asked, answer)
+	p.recordAcknowledgement(sentAt, answer)
 	return nil
 }
 
 // answer applies a peer's ping and returns the answer.
 func (p *pinger) answer(request peerapi.Ping) peerapi.Ping {
 	p.observe(request)
-	if from := p.peers.named(request.From); from != nil {
-		from.observeVersions(request.Versions)
+	if sender := p.peers.byName(request.From); sender != nil {
+		sender.observeVersions(request.Versions)
 	}
-	return p.message()
+	return p.currentPing()
 }
 
 // message returns the ping with this controller's present state.
-func (p *pinger) message() peerapi.Ping {
-	known, _ := p.election.Leader()
+func (p *pinger) currentPing() peerapi.Ping {
+	knownLeader, _ := p.election.Leader()
 	return peerapi.Ping{
 		From:                 p.self,
-		Leader:               known.Name,
-		LeaderPeerAddress:    known.PeerAddress,
-		Incarnation:          known.Incarnation,
-		Revision:             known.Revision,
+		Leader:               knownLeader.Name,
+		LeaderPeerAddress:    knownLeader.PeerAddress,
+		Incarnation:          knownLeader.Incarnation,
+		Revision:             knownLeader.Revision,
 		StoreReachable:       p.health.reachable(),
 		Workers:              p.balancer.lastCount(),
 		Uptime:               p.clock.Now().Sub(p.startedAt),
@@ -97,12 +97,12 @@
 
 // recordAcknowledgement records in this controller's term that a peer knew of no later leader
 // when it was asked, and the latest instant at which the peer's process can have started.
-func (p *pinger) recordAcknowledgement(asked monotonic.Instant, answer peerapi.Ping) {
+func (p *pinger) recordAcknowledgement(sentAt monotonic.Instant, answer peerapi.Ping) {
 	term := p.election.Term()
 	if term == nil || answer.Revision > term.Revision || answer.Uptime <= 0 {
 		return
 	}
 	// The peer's clock may run fast, so that it counts too long an uptime.
 	started := p.clock.Now().Add(monotonic.MaxDrift(answer.Uptime) - answer.Uptime)
-	term.RecordPeerAck(answer.From, asked, started)
+	term.RecordPeerAck(answer.From, sentAt, started)
 }
--- a/controller/pinger_test.go
+++ b/controller/pinger_test.go
@@ -10,25 +10,25 @@
 )
 
 // oldPing is the ping of the version in production.
-type oldPing struct {
-	From    string `cbor:"1,keyasint"`
-	Leader  string `cbor:"2,keyasint"`
-	Mesh    string `cbor:"3,keyasint"`
-	Inc     uint64 `cbor:"4,keyasint"`
-	Stamp   uint64 `cbor:"5,keyasint"`
-	StateOK bool   `cbor:"6,keyasint"`
-	Workers int    `cbor:"7,keyasint"`
+type productionPing struct {
+	From           string `cbor:"1,keyasint"`
+	Leader         string `cbor:"2,keyasint"`
+	PeerAddress    string `cbor:"3,keyasint"`
+	Incarnation    uint64 `cbor:"4,keyasint"`
+	Revision       uint64 `cbor:"5,keyasint"`
+	StoreReachable bool   `cbor:"6,keyasint"`
+	Workers        int    `cbor:"7,keyasint"`
 }
 
 // Old controllers read a ping as it was meant, and ignore what is new in it.
-func TestProductionReadsPings(t *testing.T) {
+func TestProductionVersionReadsPings(t *testing.T) {
 	c := newTestController(t, testConfig("127.0.0.1:4"))
-	raw, err := cbor.Marshal(c.pinger.message())
+	raw, err := cbor.Marshal(c.pinger.currentPing())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var old oldPing
-	if err := cbor.Unmarshal(raw, &old); err != nil || old != (oldPing{From: "n-0", StateOK: true}) {
+	var old productionPing
+	if err := cbor.Unmarshal(raw, &old); err != nil || old != (productionPing{From: "n-0", StoreReachable: true}) {
 		t.Errorf("an old controller reads %+v, %v", old, err)
 	}
 	var full peerapi.Ping
--- a/controller/retry_listener_test.go
+++ b/controller/retry_listener_test.go
@@ -9,26 +9,26 @@
 )
 
 // fullOnce is a listener of a process that is out of sockets at first.
-type fullOnce struct {
+type failingListener struct {
 	net.Listener
-	left int
+	failures int
 }
 
-func (l *fullOnce) Accept() (net.Conn, error) {
-	if l.left > 0 {
-		l.left--
+func (l *failingListener) Accept() (net.Conn, error) {
+	if l.failures > 0 {
+		l.failures--
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
 	return l.Listener.Accept()
 }
 
 // A controller without free sockets accepts connections again once it has some.
-func TestAcceptsAgainOnceThereAreSockets(t *testing.T) {
+func TestListenerRecoversFromSocketExhaustion(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := retryListener{&fullOnce{ln, 2}, slog.New(slog.DiscardHandler)}
+	p := retryListener{&failingListener{ln, 2}, slog.New(slog.DiscardHandler)}
 	go func() {
 		if c, err := net.Dial("tcp4", ln.Addr().String()); err == nil {
 			c.Close()
--- a/controller/settings/settings.go
+++ b/controller/settings/settings.go
@@ -12,18 +12,18 @@
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
 
-// acknowledgeHold bounds for how long after the start of its term a leader may have to refuse to
+// maxAcknowledgementDelay bounds for how long after the start of its term a leader may have to refuse to
 // acknowledge cancellations, because an earlier leader may still keep tasks of the job. It is half
 // of the 90 s after which a job whose status queries all fail counts as lost.
-const acknowledgeHold = 45 * time.Second
+const maxAcknowledgementDelay = 45 * time.Second
 
 const (
 	// maxTransactionBytes bounds the encoded size of one transaction.
 	maxTransactionBytes = 48 << 10
 	// valueShare and valueReserveBytes leave a margin below the largest value that the
 	// key-value store accepts, because the store's count of its size may differ.
-	valueShare        = 0.95
-	valueReserveBytes = 32
+	valueShare       = 0.95
+	valueMarginBytes = 32
 )
 
 // IsolatedGrace returns for how long a leader that cannot rule out a later one may answer
@@ -45,7 +45,7 @@
 	if isolated == 0 {
 		return 0
 	}
-	return min(operator.Grace(), isolated+acknowledgeHold)
+	return min(operator.Grace(), isolated+maxAcknowledgementDelay)
 }
 
 // TransactionLimits returns the bounds of one transaction of the key-value store.
@@ -57,7 +57,7 @@
 
 // MaxValueBytes returns how large a value in the key-value store may be, in its JSON form.
 func MaxValueBytes(platform *config.Platform) int {
-	return int(platform.Settings.KV.Planned().ValueKB*1024*valueShare) - valueReserveBytes
+	return int(platform.Settings.KV.Planned().ValueKB*1024*valueShare) - valueMarginBytes
 }
 
 // TeamLimit returns the most that a team's tasks may use at any time.
--- a/controller/settings/settings_test.go
+++ b/controller/settings/settings_test.go
@@ -9,7 +9,7 @@
 
 // A leader that may be isolated answers for less than the cancel deadline less a lease, and 45 s
 // longer for machines with replicas.
-func TestIsolatedGraces(t *testing.T) {
+func TestIsolatedGracesMatchCancelDeadline(t *testing.T) {
 	operator, err := config.ParseOperator(nil)
 	if err != nil {
 		t.Fatal(err)
--- a/controller/status.go
+++ b/controller/status.go
@@ -25,7 +25,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	answer := h.reader.ask(ctx, id, nil)
+	answer := h.reader.query(ctx, id, nil)
 	if answer.err != nil {
 		h.log.Debug("job read failed", "job", id, "err", answer.err)
 		return server.RetryLater(retryDelay)
--- a/controller/status_benchmark_test.go
+++ b/controller/status_benchmark_test.go
@@ -57,7 +57,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for i := 0; pb.Next(); i++ {
-			if answer := reader.ask(ctx, names[i%jobs], nil); answer.err != nil || !answer.found {
+			if answer := reader.query(ctx, names[i%jobs], nil); answer.err != nil || !answer.found {
 				b.Errorf("answer %+v", answer)
 			}
 		}
--- a/controller/status_reader.go
+++ b/controller/status_reader.go
@@ -13,7 +13,7 @@
 )
 
 // maxWaitingQueries bounds the queue of queries.
-const maxWaitingQueries = 512
+const maxQueuedQueries = 512
 
 // errOverloaded refuses a query while the queue is full.
 var errOverloaded = errors.New("too many status queries wait")
@@ -33,8 +33,8 @@
 	err   error
 	// accepted is set if all dependencies were accepted, and dependencyCancelled if one of them
 	// is cancelled.
-	accepted, dependencyCancelled bool
-	progress                      peerapi.JobProgress
+	dependenciesAccepted, dependencyCancelled bool
+	progress                                  peerapi.JobProgress
 }
 
 // progressSource returns the progress of each of the jobs, or nil if it is not known.
@@ -50,22 +50,22 @@
 	replica jobReplica
 	// gap is the least time between two reads. It bounds the share of the key-value store's
 	// request rate that the status reads of all controllers take.
-	gap      time.Duration
-	progress progressSource
+	minReadInterval time.Duration
+	progress        progressSource
 	// waiting holds the queries that are in no round yet.
-	waiting *workqueue.Queue[statusQuery]
+	queue *workqueue.Queue[statusQuery]
 }
 
 // newStatusReader makes a reader whose reads are at least gap apart.
-func newStatusReader(store jobStore, gap time.Duration, progress progressSource) *statusReader {
-	return &statusReader{replica: jobReplica{store: store}, gap: gap, progress: progress, waiting: workqueue.New[statusQuery](maxWaitingQueries)}
+func newStatusReader(store jobStore, minReadInterval time.Duration, progress progressSource) *statusReader {
+	return &statusReader{replica: jobReplica{store: store}, minReadInterval: minReadInterval, progress: progress, queue: workqueue.New[statusQuery](maxQueuedQueries)}
 }
 
 // ask waits for the answer to one query. The error of the answer is errOverloaded, the
 // context's, or the store's.
-func (r *statusReader) ask(ctx context.Context, id ids.JobID, dependsOn []ids.JobID) queryAnswer {
+func (r *statusReader) query(ctx context.Context, id ids.JobID, dependsOn []ids.JobID) queryAnswer {
 	reply := make(chan queryAnswer, 1)
-	if !r.waiting.Add(statusQuery{id: id, dependsOn: dependsOn, reply: reply}) {
+	if !r.queue.Add(statusQuery{id: id, dependsOn: dependsOn, reply: reply}) {
 		return queryAnswer{err: errOverloaded}
 	}
 	select {
@@ -90,17 +90,17 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-r.waiting.Added():
+		case <-r.queue.Added():
 		}
-		round := r.waiting.Take(maxWaitingQueries)
-		if len(round) == 0 {
+		batch := r.queue.Take(maxQueuedQueries)
+		if len(batch) == 0 {
 			continue
 		}
-		if active := r.answerRound(ctx, round); len(active.queries) > 0 {
+		if active := r.answerBatch(ctx, batch); len(active.queries) > 0 {
 			// The leader may be slow to answer. The next round does not wait for it.
 			answering.Go(func() { r.answerActive(ctx, active) })
 		}
-		if !monotonic.Sleep(ctx, r.gap) {
+		if !monotonic.Sleep(ctx, r.minReadInterval) {
 			return ctx.Err()
 		}
 	}
@@ -116,16 +116,16 @@
 
 // answerRound refreshes the replica and answers the queries of a round. It returns those about
 // active jobs unanswered, since only the leader knows their progress.
-func (r *statusReader) answerRound(ctx context.Context, round []statusQuery) (active activeQueries) {
+func (r *statusReader) answerBatch(ctx context.Context, batch []statusQuery) (active activeQueries) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	if err := r.replica.refresh(ctx); err != nil {
-		for _, query := range round {
+		for _, query := range batch {
 			query.reply <- queryAnswer{err: err}
 		}
 		return activeQueries{}
 	}
-	for _, query := range round {
+	for _, query := range batch {
 		answer := r.lookUp(query)
 		if !answer.found || answer.job.Status.Terminal() {
 			query.reply <- answer
@@ -141,7 +141,7 @@
 // lookUp answers a query from the replica, without progress.
 func (r *statusReader) lookUp(query statusQuery) (answer queryAnswer) {
 	answer.job, answer.found = r.replica.get(query.id)
-	answer.accepted, answer.dependencyCancelled = r.replica.dependencyState(query.dependsOn)
+	answer.dependenciesAccepted, answer.dependencyCancelled = r.replica.dependencyState(query.dependsOn)
 	return answer
 }
 
--- a/controller/status_reader_test.go
+++ b/controller/status_reader_test.go
@@ -60,7 +60,7 @@
 	before := f.newest[id]
 	f.asked++
 	f.mu.Unlock()
-	answer := f.readers[rng.IntN(2)].ask(ctx, id, nil)
+	answer := f.readers[rng.IntN(2)].query(ctx, id, nil)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if answer.err != nil {
@@ -96,7 +96,7 @@
 
 // Status reads are linearizable: once any controller has returned a status, no controller returns
 // an older one to a later query. The reads of the store do not grow with the queries.
-func TestAnswersOfTwoControllersNeverGoBack(t *testing.T) {
+func TestStatusAnswersAreLinearizable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newJobStore()
 		client := newJobStoreClient(store)
@@ -130,7 +130,7 @@
 
 // A record that cannot be decoded is still that of an accepted job. The job must not be reported
 // as unknown, and queries about it and about other jobs must be answered.
-func TestUnreadableRecordIsNotForgotten(t *testing.T) {
+func TestUnreadableRecordCountsAsQueued(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newJobStore()
 		store.Put(records.JobKey("job-1"), "nonsense")
@@ -139,13 +139,13 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- p.run(ctx) }()
-		if a := p.ask(ctx, "job-1", nil); a.err != nil || !a.found || a.job.Status != wire.JobQueued {
+		if a := p.query(ctx, "job-1", nil); a.err != nil || !a.found || a.job.Status != wire.JobQueued {
 			t.Errorf("unreadable: %+v", a)
 		}
-		if a := p.ask(ctx, "job-2", nil); a.err != nil || a.job.Status != wire.JobDone {
+		if a := p.query(ctx, "job-2", nil); a.err != nil || a.job.Status != wire.JobDone {
 			t.Errorf("its neighbour: %+v", a)
 		}
-		if a := p.ask(ctx, "job-3", nil); a.err != nil || a.found {
+		if a := p.query(ctx, "job-3", nil); a.err != nil || a.found {
 			t.Errorf("never submitted: %+v", a)
 		}
 		cancel()
@@ -157,13 +157,13 @@
 
 // stoodStill is a context whose deadline has passed although its timer has not fired, as a process
 // finds it that was paused while its clocks ran on.
-type stoodStill struct{ context.Context }
+type pausedContext struct{ context.Context }
 
-func (stoodStill) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
+func (pausedContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
 
 // An answer that was ready before a process was paused may be older than what other controllers
 // have returned since, so it is not given.
-func TestAnswersFromBeforeAPauseAreNotGiven(t *testing.T) {
+func TestAnswersFromBeforeAPauseAreDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newJobStore()
 		store.Put(records.JobKey("job-1"), records.Job{Status: wire.JobQueued, Tasks: 2})
@@ -171,10 +171,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- p.run(ctx) }()
-		if a := p.ask(ctx, "job-1", nil); a.err != nil {
+		if a := p.query(ctx, "job-1", nil); a.err != nil {
 			t.Errorf("in time: %v", a.err)
 		}
-		if a := p.ask(stoodStill{ctx}, "job-1", nil); a.err == nil {
+		if a := p.query(pausedContext{ctx}, "job-1", nil); a.err == nil {
 			t.Errorf("too late: %+v", a)
 		}
 		cancel()
--- a/controller/store_test.go
+++ b/controller/store_test.go
@@ -9,7 +9,7 @@
 
 // testHold bounds the watches that the controllers of a test open, and so how long they take to
 // end.
-const testHold = 20 * time.Millisecond
+const testMaxHold = 20 * time.Millisecond
 
 // newTestStore starts a key-value store whose leases do not expire: a test may take longer than
 // they last.
@@ -17,7 +17,7 @@
 	t.Helper()
 	store := kvtest.NewStore()
 	store.SuspendExpiry()
-	store.SetMaxHold(testHold)
+	store.SetMaxHold(testMaxHold)
 	return serveStore(t, store)
 }
 
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -22,7 +22,7 @@
 
 // recordReserveBytes is by how much a later change of a job's record, such as a cancellation, may
 // lengthen it.
-const recordReserveBytes = 64
+const recordMarginBytes = 64
 
 // submissionHandler answers users' submissions.
 type submissionHandler struct {
@@ -56,7 +56,7 @@
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	if !h.canRun(spec, types) {
-		return h.refuseUnlessKnown(ctx, id)
+		return h.refuseUnlessAccepted(ctx, id)
 	}
 	// Unknown machine types would only make the record larger.
 	spec.Types = slices.DeleteFunc(spec.Types, func(name ids.MachineType) bool {
@@ -74,8 +74,8 @@
 		}
 	}
 	// A job whose list of dependencies makes the record too large is refused.
-	if wire.ExceedsJSONSize(record, h.maxValueBytes-recordReserveBytes) {
-		return h.refuseUnlessKnown(ctx, id)
+	if wire.ExceedsJSONSize(record, h.maxValueBytes-recordMarginBytes) {
+		return h.refuseUnlessAccepted(ctx, id)
 	}
 	return h.commitRecord(ctx, id, &record)
 }
@@ -100,7 +100,7 @@
 
 // refuseUnlessKnown answers a submission of a job that can never run. A job that was accepted
 // before stays accepted, even if it would be refused now.
-func (h *submissionHandler) refuseUnlessKnown(ctx context.Context, id ids.JobID) server.Response {
+func (h *submissionHandler) refuseUnlessAccepted(ctx context.Context, id ids.JobID) server.Response {
 	if response := h.statuses.Status(ctx, id); response.Status != http.StatusNotFound {
 		return response
 	}
@@ -114,7 +114,7 @@
 func (h *submissionHandler) checkDependencies(ctx context.Context, id ids.JobID, dependsOn []ids.JobID) (wire.JobState, *server.Response) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	answer := h.statuses.reader.ask(ctx, id, dependsOn)
+	answer := h.statuses.reader.query(ctx, id, dependsOn)
 	var refusal server.Response
 	switch {
 	case answer.err != nil:
@@ -122,7 +122,7 @@
 		refusal = server.RetryLater(retryDelay)
 	case answer.found:
 		refusal = h.statuses.respond(ctx, id, answer)
-	case !answer.accepted:
+	case !answer.dependenciesAccepted:
 		refusal = server.Response{Status: http.StatusUnprocessableEntity}
 	case !h.gate.Open():
 		// An older leader would start the job without waiting for the dependencies.
--- a/controller/submissions_test.go
+++ b/controller/submissions_test.go
@@ -44,17 +44,17 @@
 // dependencyTest is two controllers over one store, of which the first leads. The version gate
 // is open at both.
 type dependencyTest struct {
-	state   *kvtest.Server
+	store   *kvtest.Server
 	address string // of the leader
 	a, b    *Controller
 }
 
 func newDependencyTest(t *testing.T) *dependencyTest {
 	t.Helper()
-	state := newTestStore(t)
-	d := &dependencyTest{state: state, a: startController(t, "n-0", state.Address())}
+	store := newTestStore(t)
+	d := &dependencyTest{store: store, a: startController(t, "n-0", store.Address())}
 	d.address = startLeading(t, d.a)
-	d.b = startFollower(t, d.state.Address(), d.a, d.address)
+	d.b = startFollower(t, d.store.Address(), d.a, d.address)
 	d.a.gate.open.Store(true)
 	d.b.gate.open.Store(true)
 	return d
@@ -94,13 +94,13 @@
 	checkSubmission(t, d.a, "job-3", 200, "queued", "job-3")
 	d.checkStatus(t, "job-5", "")
 
-	d.state.StartOutage()
+	d.store.StartOutage()
 	checkSubmission(t, d.b, "job-8", 503, "", "job-none") // unknown is not never accepted
-	d.state.EndOutage()
+	d.store.EndOutage()
 }
 
 // A list of dependencies is stored whole, or refused.
-func TestLongListsOfDependencies(t *testing.T) {
+func TestLongDependencyLists(t *testing.T) {
 	d := newDependencyTest(t)
 	var long []ids.JobID
 	for i := range 400 {
@@ -109,7 +109,7 @@
 	}
 	checkSubmission(t, d.a, "job-6", 422, "", long...) // cannot be stored whole
 	checkSubmission(t, d.a, "job-7", 201, "queued", long[:40]...)
-	entry, _ := d.state.Entry("jobs/job-7")
+	entry, _ := d.store.Entry("jobs/job-7")
 	var record records.Job
 	if err := wire.Decode(entry.Value, &record); err != nil || !slices.Equal(record.Spec.DependsOn, long[:40]) {
 		t.Errorf("stored %v, %v", record.Spec, err)
@@ -118,7 +118,7 @@
 
 // A cancellation takes along every job that depends on the cancelled one, at any controller and
 // whenever it came, whether or not the leader has written so.
-func TestCancellationTakesDependentsAlong(t *testing.T) {
+func TestCancellationCascadesToDependents(t *testing.T) {
 	d := newDependencyTest(t)
 	checkSubmission(t, d.a, "job-1", 201, "queued")
 	checkSubmission(t, d.b, "job-2", 201, "queued", "job-1")
@@ -137,7 +137,7 @@
 
 	// While some controller may be old, no new job with dependencies is accepted, and what
 	// was accepted is still answered.
-	old := startFollower(t, d.state.Address(), d.a, d.address)
+	old := startFollower(t, d.store.Address(), d.a, d.address)
 	checkSubmission(t, old, "job-10", 503, "", "job-7")
 	checkSubmission(t, old, "job-10", 422, "", "job-none")
 	checkSubmission(t, old, "job-3", 200, wire.JobCancelled, "job-2")
--- a/controller/version_gate.go
+++ b/controller/version_gate.go
@@ -35,12 +35,12 @@
 //
 // It is safe for concurrent use. Once open, it stays open.
 type versionGate struct {
-	peers     peerSet
-	store     *kv.Client
-	clock     monotonic.Clock
-	ownLeader *localLeader
-	log       *slog.Logger
-	open      atomic.Bool
+	peers       peerSet
+	store       *kv.Client
+	clock       monotonic.Clock
+	localLeader *localLeader
+	log         *slog.Logger
+	open        atomic.Bool
 }
 
 // formatRecord is the value of records.FormatKey.
@@ -80,7 +80,7 @@
 	}
 	for _, p := range g.peers {
 		if p.versions.Load() != nil {
-			versions.Seen = append(versions.Seen, p.Name)
+			versions.Upgraded = append(versions.Upgraded, p.Name)
 		}
 	}
 	return versions
@@ -90,7 +90,7 @@
 // controller or to a peer of such a version.
 func (g *versionGate) allUpgraded() bool {
 	for _, p := range g.peers {
-		if p.versions.Load() == nil && !g.seenByPeer(p) {
+		if p.versions.Load() == nil && !g.upgradedAccordingToPeer(p) {
 			return false
 		}
 	}
@@ -98,10 +98,10 @@
 }
 
 // seenByPeer reports whether a peer has received such a ping from the sought one.
-func (g *versionGate) seenByPeer(sought *peer) bool {
+func (g *versionGate) upgradedAccordingToPeer(target *peer) bool {
 	return slices.ContainsFunc(g.peers, func(p *peer) bool {
 		versions := p.versions.Load()
-		return versions != nil && slices.Contains(versions.Seen, sought.Name)
+		return versions != nil && slices.Contains(versions.Upgraded, target.Name)
 	})
 }
 
@@ -115,7 +115,7 @@
 
 // run waits until the gate opens, and notifies the leader in this process.
 func (g *versionGate) run(ctx context.Context) error {
-	var readAt monotonic.Instant
+	var nextRead monotonic.Instant
 	for !g.Open() {
 		now := g.clock.Now()
 		var err error
@@ -124,8 +124,8 @@
 			g.open.Store(true)
 		case g.allUpgraded():
 			err = g.record(ctx)
-		case now >= readAt:
-			readAt = now.Add(gateReadInterval)
+		case now >= nextRead:
+			nextRead = now.Add(gateReadInterval)
 			err = g.Load(ctx, g.store)
 		}
 		if g.Open() {
@@ -139,8 +139,8 @@
 		}
 	}
 	g.log.Info("version gate open")
-	if own := g.ownLeader.get(); own != nil {
-		own.OpenVersionGate(ctx)
+	if local := g.localLeader.get(); local != nil {
+		local.OpenVersionGate(ctx)
 	}
 	return nil
 }
--- a/controller/version_gate_test.go
+++ b/controller/version_gate_test.go
@@ -17,9 +17,9 @@
 )
 
 // All controllers are upgraded only once each was heard itself, or by one that was.
-func TestAllControllersAreUpgraded(t *testing.T) {
+func TestGateOpensOnceAllControllersAreUpgraded(t *testing.T) {
 	fresh := func(seen ...ids.ControllerName) peerapi.Ping {
-		return peerapi.Ping{Versions: peerapi.Versions{Format: peerapi.RecordFormat, Seen: seen}}
+		return peerapi.Ping{Versions: peerapi.Versions{Format: peerapi.RecordFormat, Upgraded: seen}}
 	}
 	for _, c := range []struct {
 		name          string
@@ -31,7 +31,7 @@
 		{"both heard", new(fresh()), new(fresh()), true},
 		{"one is old", new(fresh()), new(peerapi.Ping{From: "n-2"}), false},
 		{"one heard by the other", new(fresh("n-0", "n-2")), nil, true},
-		{"heard by one that is old again", new(peerapi.Ping{Versions: peerapi.Versions{Format: 1, Seen: []ids.ControllerName{"n-2"}}}), nil, false},
+		{"heard by one that is old again", new(peerapi.Ping{Versions: peerapi.Versions{Format: 1, Upgraded: []ids.ControllerName{"n-2"}}}), nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			platform := testConfig("127.0.0.1:4")
@@ -52,10 +52,10 @@
 
 // That all controllers are upgraded is made durable: a controller that finds it so need hear no
 // other.
-func TestOpenGateIsDurable(t *testing.T) {
+func TestOpenGateIsRecorded(t *testing.T) {
 	peers := []config.Peer{{Name: "n-1", Address: "127.0.0.1:5"}, {Name: "n-2", Address: "127.0.0.1:6"}}
-	state := newTestStore(t)
-	first, second := startController(t, "n-0", state.Address(), peers...), startController(t, "n-0", state.Address(), peers...)
+	store := newTestStore(t)
+	first, second := startController(t, "n-0", store.Address(), peers...), startController(t, "n-0", store.Address(), peers...)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	for i := range peers {
