--- a/controller/acknowledgements.go
+++ b/controller/acknowledgements.go
@@ -8,30 +8,30 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// acknowledgements decides which cancellations may be reported to users. It holds the
-// acknowledged revision: a leader observed all changes of jobs up to it while it held its lease,
-// and no earlier leader could still keep tasks of cancelled jobs. That stays true under every
-// later leader, so controllers exchange the revision in their pings. It is safe for concurrent
+// acknowledgements determines which cancellations may be reported to users. It holds the acknowledged
+// revision: a leader observed all changes of jobs up to this revision while it held its lease, and no
+// previous leader could keep tasks of cancelled jobs running. This remains true under every later
+// leader, so controllers exchange the revision in their pings. acknowledgements is safe for concurrent
 // use.
 //
-// Once a job is reported as cancelled, its tasks must end within the cancel deadline,
-// independent of later failures. A leader without access to the key-value store does not read
-// the record, and continues to renew the leases of the job's tasks. So a cancellation is reported
-// to users only once a leader that holds its lease has observed it. That leader acts on it
-// without the store. Later leaders read the record. Earlier leaders cannot renew a lease for
-// long enough, or no longer have tasks of the job (scheduler.Core.CanAcknowledgeCancel). Until
-// then the response is 503, never an older status.
+// Once a job is reported as cancelled, its tasks must end within the cancel deadline, independent of
+// later failures. A leader without access to the key-value store does not read the job's record, and
+// continues to renew the leases of the job's tasks. So a cancellation is reported to users only once a
+// leader that holds its lease has observed it. That leader acts on it without the store, and later
+// leaders read the record. Previous leaders either cannot renew a lease for long enough or have no
+// tasks of the job any more (scheduler.Core.CanAcknowledgeCancel). Until then the response is 503 and
+// never an older status.
 //
-// Only terminalJobs.answer reports cancellations, so this holds for every request. A job that is
+// Only terminalJobs.answer reports cancellations, so this rule applies to every request. A job that is
 // cancelled because a dependency is cancelled never had a task, so no lease is renewed for it.
 type acknowledgements struct {
 	localLeader *localLeader
 	leaders     *leaderClient
-	// upTo is the acknowledged revision. It never decreases.
+	// acknowledgedRevision never decreases.
 	acknowledgedRevision atomic.Uint64
 }
 
-// advanceTo raises the acknowledged revision, and never lowers it.
+// advanceTo raises the acknowledged revision to the given revision. It never lowers it.
 func (a *acknowledgements) advanceTo(revision ids.Revision) {
 	for {
 		current := a.acknowledgedRevision.Load()
@@ -41,7 +41,7 @@
 	}
 }
 
-// revision returns the latest acknowledged revision that this controller knows.
+// revision returns the highest acknowledged revision that this controller knows.
 func (a *acknowledgements) revision() ids.Revision {
 	if local := a.localLeader.get(); local != nil {
 		if revision, ok := local.AcknowledgedRevision(); ok {
@@ -51,9 +51,9 @@
 	return ids.Revision(a.acknowledgedRevision.Load())
 }
 
-// acknowledged reports whether a cancellation may be reported to users. It asks the leader if
-// that is not known, and returns false without an answer. The next request asks again, and pings
-// may raise the acknowledged revision meanwhile.
+// acknowledged reports whether a cancellation may be reported to users. If the known revision does not
+// show this, it asks the leader, and returns false if the leader does not answer. The next request asks
+// again, and pings may raise the acknowledged revision in the meantime.
 func (a *acknowledgements) acknowledged(ctx context.Context, job leader.JobRecord) bool {
 	return job.Revision <= a.revision() || a.leaders.acknowledgeCancellation(ctx, job)
 }
--- a/controller/cancellations.go
+++ b/controller/cancellations.go
@@ -14,7 +14,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// cancellationHandler answers users' cancellations.
+// cancellationHandler handles users' requests to cancel jobs.
 type cancellationHandler struct {
 	store         *kv.Client
 	maxValueBytes int
@@ -22,8 +22,8 @@
 	commits       *userCommitter
 }
 
-// Cancel implements server.Service. If the job's record changes concurrently, it reads the
-// record again and retries.
+// Cancel implements server.Service. If the job's record changes between the read and the commit, it
+// reads the record again and retries.
 func (h *cancellationHandler) Cancel(ctx context.Context, id ids.JobID) server.Response {
 	if response, ok := h.terminal.cached(id); ok {
 		return response
@@ -38,8 +38,8 @@
 	return server.RetryLater(retryDelay)
 }
 
-// try reads a job's record and cancels the job. resolved is false if the record changed between
-// the read and the commit.
+// tryCancel reads a job's record and commits the cancellation. resolved reports whether response is
+// valid; it is false if the record changed between the read and the commit.
 func (h *cancellationHandler) tryCancel(ctx context.Context, id ids.JobID) (response server.Response, resolved bool) {
 	job, found, err := leader.ReadJob(ctx, h.store, id)
 	switch {
--- a/controller/catalog.go
+++ b/controller/catalog.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// catalogInterval is the time between two reads of the cloud's catalog.
+	// catalogInterval is the interval between two reads of the cloud's catalog.
 	catalogInterval = 30 * time.Second
-	// catalogRetryDelay is how long after a failure the catalog is read again.
+	// catalogRetryDelay is the delay before the next read after a read that failed.
 	catalogRetryDelay = time.Second
 )
 
-// catalog caches the cloud's machine types and prices. The goroutine of run writes them; any
+// catalog caches the cloud's machine types and prices. Only the goroutine of run updates them; any
 // goroutine may read them.
 type catalog struct {
 	cloud       *cloud.Client
 	localLeader *localLeader
 	log         *slog.Logger
-	// types is nil until the first read.
+	// types is nil before the first successful read.
 	types atomic.Pointer[[]wire.MachineType]
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// read reads the catalog once, and hands it to the leader in this process.
+// read reads the catalog once and passes it to the leader in this process, if there is one.
 func (c *catalog) read(ctx context.Context) error {
 	types, err := c.cloud.Catalog(ctx)
 	if err != nil {
--- a/controller/connection_balancer.go
+++ b/controller/connection_balancer.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// redirectInterval is the least time between two redirects of workers. Redirecting all at
-	// once would only overload the next controller.
+	// redirectInterval is the minimum interval between two redirects of workers. Redirecting all
+	// workers simultaneously would overload the next controller.
 	redirectInterval = 100 * time.Millisecond
-	// overloadRatio and overloadReserve are by how much a controller's workers may exceed its
-	// share before it redirects some.
+	// overloadRatio and overloadMargin bound the number of workers that a controller accepts
+	// without redirecting any: its share times overloadRatio, plus overloadMargin.
 	overloadRatio  = 1.2
 	overloadMargin = 16
-	// followerWeight and leaderWeight are the relative shares of workers. The leader gets fewer,
-	// since it also decides for the workers of all others.
+	// followerWeight and leaderWeight are the relative shares of workers. The leader's share is
+	// smaller, since it also answers the heartbeats that the other controllers relay.
 	followerWeight = 1
 	leaderWeight   = 0.5
-	// balancerWindowIntervals is for how many heartbeat intervals after a heartbeat a worker
-	// counts as one of the controller's.
+	// balancerWindowIntervals is the number of heartbeat intervals for which a worker is counted
+	// after a heartbeat.
 	balancerWindowIntervals = 2
 )
 
-// connectionBalancer counts the workers that send heartbeats to this controller, and redirects
-// some to other controllers if they are too many: workers that connected elsewhere during a
-// restart would stay there. It is safe for concurrent use.
+// connectionBalancer counts the workers that send heartbeats to this controller, and redirects some of
+// them to other controllers if there are too many. Workers that connect to another controller during a
+// restart do not return by themselves. connectionBalancer is safe for concurrent use.
 type connectionBalancer struct {
-	// window is for how long after a heartbeat a worker is counted.
+	// window is the time for which a worker is counted after a heartbeat.
 	window time.Duration
-	// count is the number of workers as last counted.
+	// count is the number of workers at the last recount.
 	count atomic.Int32
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// lastHeartbeat is when each worker last sent a heartbeat here.
+	// lastHeartbeat holds the time of each worker's last heartbeat to this controller.
 	lastHeartbeat map[ids.MachineID]monotonic.Instant
-	// redirectedAt is when a worker was last redirected.
+	// redirectedAt is the time of the last redirect of any worker.
 	redirectedAt monotonic.Instant
 }
 
@@ -54,7 +54,7 @@
 	b.lastHeartbeat[machine] = now
 }
 
-// recount counts the workers whose heartbeats are recent, and forgets the others.
+// recount updates the number of workers, and deletes the workers without a heartbeat within the window.
 func (b *connectionBalancer) recount(now monotonic.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -66,18 +66,18 @@
 	b.count.Store(int32(len(b.lastHeartbeat)))
 }
 
-// lastCount returns the number of workers as of the last recount.
+// lastCount returns the number of workers at the last recount.
 func (b *connectionBalancer) lastCount() int { return int(b.count.Load()) }
 
-// controllerLoad is how many workers a controller has, and its relative share of workers.
+// controllerLoad holds the number of a controller's workers and its relative share of all workers.
 type controllerLoad struct {
 	name    ids.ControllerName
 	workers int
 	weight  float64
 }
 
-// chooseTarget returns the controller to which a worker should be redirected; ok is false if it
-// should stay.
+// chooseTarget returns the controller to which a worker should be redirected, and records the redirect.
+// ok is false if the worker should not be redirected.
 func (b *connectionBalancer) chooseTarget(self controllerLoad, others []controllerLoad, now monotonic.Instant) (target ids.ControllerName, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,7 +101,7 @@
 	return target, true
 }
 
-// workersPerWeight returns how many workers a controller of weight 1 should have.
+// workersPerWeight returns the number of workers that a controller of weight 1 should have.
 func workersPerWeight(self controllerLoad, others []controllerLoad) float64 {
 	workers, weights := float64(self.workers), self.weight
 	for _, other := range others {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,13 +1,14 @@
-// Package controller assembles one controller and runs it. Every controller answers users,
-// workers and its peers. The elected one also leads, which package leader implements. Requests
-// flow one way:
+// Package controller assembles one controller and runs it. Every controller answers users, workers and
+// its peers. The elected controller also runs the leader, which package leader implements. Requests
+// flow in one direction:
 //
 //	user -> service -> submissionHandler, statusHandler or cancellationHandler
 //	     -> userCommitter (changes) or statusReader (queries) -> key-value store
 //	worker -> service -> heartbeatHandler -> leader.Leader, or heartbeatRelay -> leading peer
 //	peer -> peerHandler -> pinger, leader.Leader or directRoute
 //
-// The package never decides where a task runs: package scheduler does, on behalf of the leader.
+// Package scheduler decides where tasks run, on behalf of the leader. This package makes no such
+// decision.
 package controller
 
 import (
@@ -37,8 +38,8 @@
 	"ospreystile.example/ospreystile/worker"
 )
 
-// Controller is one controller. It owns the parts below and runs their goroutines. A part refers
-// only to the parts that it uses.
+// Controller represents one controller. It owns the components below and runs their goroutines. A
+// component refers only to the components that it uses.
 type Controller struct {
 	platform *config.Platform
 	log      *slog.Logger
@@ -49,8 +50,8 @@
 	catalog     *catalog
 	gate        *versionGate
 	storeHealth *storeHealth
-	// userStore is the client for users' requests. It goes through a peer while only this
-	// controller cannot reach the key-value store.
+	// userStore is the client of the key-value store for users' requests. It calls the store
+	// through a peer while this controller cannot reach the store and a peer can.
 	userStore        *kv.Client
 	acknowledgements *acknowledgements
 	statusReader     *statusReader
@@ -63,18 +64,18 @@
 }
 
 const (
-	// The shares of the key-value store's request rate: the leader's own requests, users'
-	// requests at all controllers together, and status reads at all controllers together.
+	// The shares of the key-value store's request rate: for the requests of the leader itself, for
+	// users' requests at all controllers together, and for status reads at all controllers together.
 	leaderRequestShare = 0.25
 	userRequestShare   = 0.65
 	statusReadShare    = 0.2
-	// storeConnections bounds the connections to the key-value store.
+	// storeConnections is the maximum number of connections to the key-value store.
 	storeConnections = 64
-	// maxStoreResponseBytes bounds one response of the key-value store.
+	// maxStoreResponseBytes is the maximum size of a response of the key-value store.
 	maxStoreResponseBytes = 16 << 20
 )
 
-// New makes a controller from its settings.
+// New returns a controller with the given settings. Run starts it.
 func New(platform *config.Platform, operator *config.Operator, log *slog.Logger) *Controller {
 	clock := monotonic.SystemClock()
 	c := &Controller{platform: platform, log: log, localLeader: new(localLeader), peers: newPeerSet(platform.Seeds),
@@ -101,12 +102,12 @@
 	return c
 }
 
-// identity returns the value of the leader key while this process leads.
+// identity returns the value that the leader key has while this process leads.
 func identity(platform *config.Platform) election.Identity {
 	return election.Identity{Name: platform.HostName, PeerAddress: platform.PeerAddr, Incarnation: ids.ControllerIncarnation(rand.Uint64())}
 }
 
-// leaseBounds returns for how long this controller may lead without renewing its lease.
+// leaseBounds returns the bounds on how long this controller may lead without renewing its lease.
 func leaseBounds(platform *config.Platform, operator *config.Operator) election.LeaseBounds {
 	bounds := election.LeaseBounds{
 		TTL:                  operator.LeaseTTL(),
@@ -120,7 +121,7 @@
 	return bounds
 }
 
-// wireRequests makes the parts that answer users and workers.
+// initRequestHandlers creates the components that answer users and workers.
 func (c *Controller) initRequestHandlers(leaders *leaderClient, clock monotonic.Clock) {
 	terminal := newTerminalJobs(c.acknowledgements)
 	statuses := &statusHandler{reader: c.statusReader, terminal: terminal, log: c.log}
@@ -138,7 +139,7 @@
 	}
 }
 
-// wirePeers makes the parts that communicate with the other controllers.
+// initPeerHandlers creates the components that communicate with the other controllers.
 func (c *Controller) initPeerHandlers(direct *directRoute, clock monotonic.Clock) {
 	c.pinger = &pinger{self: c.platform.HostName, clock: clock, startedAt: clock.Now(), election: c.election, peers: c.peers,
 		health: c.storeHealth, balancer: c.balancer, acknowledgements: c.acknowledgements, gate: c.gate}
@@ -146,34 +147,34 @@
 }
 
 const (
-	// memoryShare is the share of the granted memory that the heap may take: stacks, buffers
-	// and the runtime itself need the rest.
+	// memoryShare is the fraction of the granted memory that the heap may use. Stacks, buffers and
+	// the runtime itself need the rest.
 	memoryShare = 0.66
-	// garbageCollectionPercent lets the heap grow further than by default between two
-	// collections. Their cost is noticeable on a small share of a core, and the memory limit
+	// garbageCollectionPercent lets the heap grow more than the default between two collections,
+	// because the cost of collections is noticeable on a small share of a core. The memory limit
 	// bounds the heap.
 	garbageCollectionPercent = 250
-	// minAPIConnections is the least bound of connections of users and workers.
+	// minAPIConnections is the lower bound of the connection limit for users and workers.
 	minAPIConnections = 16
-	// minIdleTimeout is the least time after which an idle connection is closed.
+	// minIdleTimeout is the minimum time after which an idle connection is closed.
 	minIdleTimeout = 15 * time.Second
-	// idleHeartbeatIntervals is after how many heartbeat intervals an idle connection is
-	// closed, if that is longer than minIdleTimeout.
+	// idleHeartbeatIntervals is the number of heartbeat intervals after which an idle connection
+	// is closed, if that is longer than minIdleTimeout.
 	idleHeartbeatIntervals = 3
 )
 
-// Run serves until the context ends, and then returns nil. It returns an error if it cannot
-// listen on an address, or if a part fails permanently.
+// Run serves requests until the context ends, and then returns nil. It returns an error if it cannot
+// listen on an address, or if a component fails permanently.
 func (c *Controller) Run(ctx context.Context) error {
 	debug.SetGCPercent(garbageCollectionPercent)
 	debug.SetMemoryLimit(int64(c.platform.Settings.Resources.RAMMB * memoryShare * (1 << 20)))
 	apiListener, err := net.Listen("tcp4", c.platform.APIAddr)
 	if err != nil {
-		return fmt.Errorf("api_addr: %w", err)
+		return fmt.Errorf("listen on api_addr: %w", err)
 	}
 	peerListener, err := net.Listen("tcp4", c.platform.PeerAddr)
 	if err != nil {
-		return errors.Join(fmt.Errorf("mesh_addr: %w", err), apiListener.Close())
+		return errors.Join(fmt.Errorf("listen on mesh_addr: %w", err), apiListener.Close())
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	c.start(ctx, group, apiListener, peerListener)
@@ -185,7 +186,7 @@
 	return err
 }
 
-// start starts the goroutines of all parts in a group. They end when ctx does.
+// start starts the goroutines of all components in a group. They return when ctx ends.
 func (c *Controller) start(ctx context.Context, group *errgroup.Group, apiListener, peerListener net.Listener) {
 	api := server.New(c.service, c.serverLimits(), c.log)
 	group.Go(func() error { return server.Serve(ctx, api, retryListener{apiListener, c.log}) })
@@ -203,11 +204,11 @@
 	}
 }
 
-// serverLimits returns the bounds of connections of users and workers.
+// serverLimits returns the limits for the connections of users and workers.
 func (c *Controller) serverLimits() server.Limits {
 	s := &c.platform.Settings
 	return server.Limits{
-		// Outgoing connections, peers and the runtime need sockets too.
+		// The remaining sockets are for outgoing connections, peers and the runtime.
 		MaxConnections: max(minAPIConnections, s.Resources.Sockets*3/4),
 		IdleTimeout:    max(minIdleTimeout, idleHeartbeatIntervals*monotonic.Seconds(s.Workers.HeartbeatIntervalS)),
 	}
--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -13,47 +13,47 @@
 )
 
 const (
-	// maxBatch bounds the heartbeats in one batch, and maxBatchesInFlight the batches in
-	// flight.
+	// maxBatchSize is the maximum number of heartbeats in a batch, and maxBatchesInFlight the
+	// maximum number of batches in flight.
 	maxBatchSize       = 48
 	maxBatchesInFlight = 4
-	// relayTimeout is how long a heartbeat may take at the follower and at the leader, of the
-	// 4 s that workers wait.
+	// relayTimeout bounds the time that a heartbeat takes at the follower, and the time that it
+	// takes at the leader. Workers wait 4 s for the response.
 	relayTimeout = 2500 * time.Millisecond
-	// minWaitingHeartbeats is how many heartbeats may wait on the smallest controller. On a
-	// larger one as many may wait as it has sockets. Each waiting heartbeat holds a socket, so
-	// no heartbeat is refused that has a connection when all workers reconnect at once.
+	// minHeartbeatQueueCapacity is the minimum capacity of the queue of heartbeats. The capacity
+	// on a larger controller is its number of sockets. Each queued heartbeat holds a socket, so no
+	// heartbeat that has a connection is refused when all workers reconnect simultaneously.
 	minHeartbeatQueueCapacity = 1000
 )
 
-// relayedHeartbeat is one heartbeat that waits for the leader's answer.
+// relayedHeartbeat represents a heartbeat that waits for the leader's answer.
 type relayedHeartbeat struct {
 	encoded []byte
-	// reply has a buffer of one.
+	// reply has a buffer of one, so sending the response never blocks.
 	reply chan<- server.Response
 }
 
 // heartbeatRelay forwards heartbeats to the leader, so that the sockets of all controllers serve
-// workers. Heartbeats are sent in batches, and each waits for the leader's answer: only the
+// workers. It sends heartbeats in batches. Each heartbeat waits for the leader's answer, since only the
 // leader renews the leases of workers. The method run owns the goroutines that send batches.
 type heartbeatRelay struct {
 	leaders *leaderClient
 	log     *slog.Logger
-	// waiting holds the heartbeats that are in no batch yet.
+	// queue holds the heartbeats that are not in a batch yet.
 	queue *workqueue.Queue[relayedHeartbeat]
 }
 
-// newHeartbeatRelay makes the relay of a controller that may open a number of sockets.
+// newHeartbeatRelay returns the relay of a controller that may open the given number of sockets.
 func newHeartbeatRelay(leaders *leaderClient, sockets int, log *slog.Logger) *heartbeatRelay {
 	return &heartbeatRelay{leaders: leaders, log: log, queue: workqueue.New[relayedHeartbeat](heartbeatQueueCapacity(sockets))}
 }
 
-// maxWaitingHeartbeats returns how many heartbeats may wait on a controller that may open a number
-// of sockets.
+// heartbeatQueueCapacity returns how many heartbeats may be queued on a controller that may open the
+// given number of sockets.
 func heartbeatQueueCapacity(sockets int) int { return max(minHeartbeatQueueCapacity, sockets) }
 
-// relay forwards a heartbeat to the leader and waits for its answer. It responds with 503 at
-// once if too many heartbeats wait, and if there is no answer in time.
+// relay forwards a heartbeat to the leader and waits for its answer. It responds with 503 immediately if
+// the queue is full, and also if the leader does not answer within relayTimeout.
 func (r *heartbeatRelay) relay(ctx context.Context, encoded []byte) server.Response {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -69,7 +69,7 @@
 	}
 }
 
-// run sends batches until the context ends, and waits for those in flight.
+// run sends batches until the context ends. It returns after the batches in flight have ended.
 func (r *heartbeatRelay) run(ctx context.Context) error {
 	var inFlight sync.WaitGroup
 	defer inFlight.Wait()
@@ -106,7 +106,7 @@
 	}
 }
 
-// callLeader returns the leader's answers to a batch, or none without an answer in time.
+// callLeader returns the leader's answers to a batch, or nil if the leader does not answer in time.
 func (r *heartbeatRelay) callLeader(ctx context.Context, batch []relayedHeartbeat) []peerapi.HeartbeatAnswer {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// heartbeatTimeout is how long a heartbeat may take in this process, of the 4 s that
-	// workers wait.
+	// heartbeatTimeout bounds the time that a heartbeat takes if the leader is in this process.
+	// Workers wait 4 s for the response.
 	heartbeatTimeout = 3 * time.Second
-	// redirectPeerTimeout is after how long without an answer to a ping no worker is redirected
-	// to a peer.
+	// redirectPeerTimeout is the time since a peer's last answer to a ping after which no worker
+	// is redirected to the peer.
 	redirectPeerTimeout = 1500 * time.Millisecond
 )
 
-// heartbeatHandler answers workers' heartbeats. Only the leader decides on an answer. The
-// heartbeat is relayed unless this controller leads.
+// heartbeatHandler answers workers' heartbeats. Only the leader determines the answer, so a heartbeat is
+// relayed to the leader unless this controller leads.
 type heartbeatHandler struct {
 	self        ids.ControllerName
 	clock       monotonic.Clock
@@ -34,8 +34,8 @@
 	relay       *heartbeatRelay
 }
 
-// Heartbeat implements server.Service. encoded is the heartbeat as it was received, which is
-// what is relayed.
+// Heartbeat implements server.Service. encoded is the heartbeat as it was received; it is relayed
+// unchanged.
 func (h *heartbeatHandler) Heartbeat(ctx context.Context, encoded []byte, heartbeat *wire.Heartbeat) server.Response {
 	now := h.clock.Now()
 	local := h.localLeader.answering()
@@ -53,7 +53,7 @@
 	return h.relay.relay(ctx, encoded)
 }
 
-// answerHeartbeat has the leader in this process answer a heartbeat.
+// answerHeartbeat returns the response of the leader in this process to a heartbeat.
 func answerHeartbeat(ctx context.Context, local *leader.Leader, heartbeat *wire.Heartbeat) server.Response {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -64,7 +64,7 @@
 	return server.Response{Status: http.StatusOK, Body: answers[0].Response}
 }
 
-// ownLoad returns the load of this controller; own is the leader in this process, or nil.
+// ownLoad returns the load of this controller. local is the leader in this process, or nil.
 func (h *heartbeatHandler) ownLoad(local *leader.Leader) controllerLoad {
 	load := controllerLoad{name: h.self, workers: h.balancer.lastCount(), weight: followerWeight}
 	if local != nil {
@@ -73,7 +73,7 @@
 	return load
 }
 
-// peerLoads returns the loads of the peers that can relay heartbeats to the same leader.
+// peerLoads returns the loads of the peers that can relay heartbeats to the known leader.
 func (h *heartbeatHandler) peerLoads(now monotonic.Instant, knownLeader election.Leader) []controllerLoad {
 	var loads []controllerLoad
 	for _, p := range h.peers {
--- a/controller/job_replica.go
+++ b/controller/job_replica.go
@@ -12,43 +12,42 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// jobStore is what a replica needs of the key-value store; kv.Client implements it.
+// jobStore is the part of the key-value store that a replica uses. kv.Client implements it.
 type jobStore interface {
 	List(ctx context.Context, prefix string, each func(kv.Entry) error) (ids.Revision, error)
 	Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []kv.Event, error)
 }
 
-// jobSnapshot is what a replica holds of a job.
+// jobSnapshot holds the part of a job's record that a replica needs.
 type jobSnapshot struct {
 	Status   wire.JobState
 	Tasks    int
 	revision ids.Revision
-	// cancelledByDependency is set if the job is cancelled because a dependency is, so that it
-	// never had a task. Its own record may not say so yet.
+	// cancelledByDependency reports whether the job is cancelled because a dependency is cancelled.
+	// Such a job never had a task. Its own record may not say that it is cancelled yet.
 	cancelledByDependency bool
 }
 
-// snapshotOf returns the snapshot of a job by its own record alone.
+// snapshotOf returns the snapshot of a job according to its own record, regardless of its dependencies.
 func snapshotOf(record *records.Job, revision ids.Revision) jobSnapshot {
-	// Records of cancelled jobs lack the specification only if the leader cancelled them with a
-	// dependency.
+	// The record of a cancelled job lacks the specification only if the leader cancelled the job
+	// because a dependency is cancelled.
 	return jobSnapshot{Status: record.Status, Tasks: record.Tasks, revision: revision,
 		cancelledByDependency: record.Status == wire.JobCancelled && record.Spec == nil}
 }
 
-// jobReplica is a controller's replica of all jobs. It is not safe for concurrent use.
+// jobReplica holds a controller's replica of all jobs. It is not safe for concurrent use.
 type jobReplica struct {
 	store jobStore
 	jobs  map[ids.JobID]jobSnapshot
 	graph *dependency.Graph
-	// revision is the store's revision up to which all changes were applied.
+	// revision is the store's revision up to which all changes have been applied.
 	revision ids.Revision
 	loaded   bool
 }
 
-// refresh is a barrier read: it applies all changes that were committed before the call. It
-// returns the store's errors. After an error the replica must not be read until a refresh
-// succeeds.
+// refresh performs a barrier read: it applies all changes that were committed before the call. It
+// returns the store's errors. After an error the replica must not be read until a refresh succeeds.
 func (r *jobReplica) refresh(ctx context.Context) error {
 	if !r.loaded {
 		if err := r.load(ctx); err != nil {
@@ -71,7 +70,7 @@
 	return nil
 }
 
-// load replaces the replica by a list of all jobs.
+// load replaces the contents of the replica with a list of all jobs.
 func (r *jobReplica) load(ctx context.Context) error {
 	r.jobs, r.graph = map[ids.JobID]jobSnapshot{}, dependency.New()
 	revision, err := r.store.List(ctx, records.JobPrefix, func(entry kv.Entry) error {
@@ -85,8 +84,8 @@
 	return nil
 }
 
-// put applies a record. A record that cannot be decoded counts as a queued job, since that job
-// was accepted and must never be reported as unknown.
+// put applies a job's record. A job whose record cannot be decoded counts as queued, since the job was
+// accepted and must never be reported as unknown.
 func (r *jobReplica) put(key string, value []byte, revision ids.Revision) {
 	var record records.Job
 	if err := wire.Decode(value, &record); err != nil || record.Status == "" {
@@ -97,8 +96,8 @@
 	r.graph.Put(id, record.Dependencies())
 }
 
-// get returns the snapshot of a job. A job is cancelled as soon as a dependency is, even if its
-// own record does not say so yet.
+// get returns the snapshot of a job. A job is cancelled as soon as a dependency is cancelled, even if
+// its own record does not say so yet.
 func (r *jobReplica) get(id ids.JobID) (job jobSnapshot, found bool) {
 	job, found = r.jobs[id]
 	if found && !job.Status.Terminal() && r.graph.ReadinessOf(id).State == dependency.Cancelled {
@@ -107,8 +106,7 @@
 	return job, found
 }
 
-// dependencyState reports whether all jobs of a list were accepted, and whether one of them is
-// cancelled.
+// dependencyState reports whether all dependencies were accepted, and whether one of them is cancelled.
 func (r *jobReplica) dependencyState(dependencies []ids.JobID) (accepted, cancelled bool) {
 	accepted = true
 	for _, id := range dependencies {
--- a/controller/kv_routes.go
+++ b/controller/kv_routes.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// maxStoreFailures is how many consecutive direct calls to the key-value store may fail
-	// before it counts as unreachable.
+	// maxStoreFailures is the number of consecutive direct calls to the key-value store that may
+	// fail before the store counts as unreachable.
 	maxStoreFailures = 1
-	// routePeerTimeout is after how long without an answer to a ping no call goes through a
-	// peer.
+	// forwardingPeerTimeout is the time since a peer's last answer to a ping after which no call
+	// goes through the peer.
 	forwardingPeerTimeout = 2 * time.Second
-	// routeReserve is how much longer a call through a peer may take than a direct call.
+	// forwardingMargin is the additional time that a call through a peer may take.
 	forwardingMargin = 200 * time.Millisecond
 )
 
 // storeHealth tracks whether direct calls to the key-value store succeed. It is safe for
 // concurrent use.
 type storeHealth struct {
-	// failures is how many consecutive calls have failed.
+	// failures is the number of consecutive calls that have failed.
 	failures atomic.Int32
 }
 
-// observe records the result of a direct call. Calls that ended with their context and throttled
-// calls do not count.
+// observe records the result of a direct call. Calls that failed because their context ended and
+// throttled calls do not count.
 func (h *storeHealth) observe(ctx context.Context, status int, err error) {
 	switch {
 	case err != nil && ctx.Err() == nil || status == http.StatusServiceUnavailable:
@@ -42,7 +42,7 @@
 	}
 }
 
-// reachable reports whether this controller reaches the key-value store.
+// reachable reports whether this controller can reach the key-value store.
 func (h *storeHealth) reachable() bool { return h.failures.Load() <= maxStoreFailures }
 
 // directRoute is the transport that calls the key-value store directly.
@@ -58,9 +58,9 @@
 	return status, answer, err
 }
 
-// userRoute is the transport that calls the key-value store directly, or through a peer while
-// only the peer reaches the store. A call never uses both routes: a retry over the other one
-// would hide an indeterminate result.
+// userRoute is the transport that calls the key-value store directly, or through a peer while this
+// controller cannot reach the store and the peer can. A call never uses both routes, because a retry
+// over the other route would hide an indeterminate result.
 type userRoute struct {
 	direct *directRoute
 	health *storeHealth
@@ -78,7 +78,7 @@
 	return r.direct.Do(ctx, method, path, body, timeout)
 }
 
-// peerWithStore returns a peer that reaches the key-value store, or nil.
+// peerWithStoreAccess returns a peer that can reach the key-value store, or nil.
 func (r *userRoute) peerWithStoreAccess() *peer {
 	now := r.clock.Now()
 	for _, p := range r.peers {
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// callThrough has a peer forward a request. Its errors distinguish, like those of a direct call,
-// whether the request was sent.
+// callThroughPeer sends a request to the key-value store through a peer. Like the errors of a direct
+// call, its errors show whether the request was sent.
 func callThroughPeer(ctx context.Context, p *peer, call peerapi.StoreCall, timeout time.Duration) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout+forwardingMargin)
 	defer cancel()
@@ -102,7 +102,7 @@
 	return answer.Status, answer.Body, nil
 }
 
-// forwardFailure returns the kind of error of a forwarded request, or nil if it was answered.
+// forwardErrorKind returns the kind of a forwarded request's error, or nil if the store answered.
 func forwardErrorKind(err error, answer peerapi.StoreAnswer) error {
 	switch {
 	case errors.Is(err, peerrpc.ErrNotSent):
--- a/controller/leader_client.go
+++ b/controller/leader_client.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// progressTimeout is how long the leader may take to return jobs' progress.
+	// progressTimeout bounds the time that the leader takes to return the progress of jobs.
 	progressTimeout = 400 * time.Millisecond
-	// noticeTimeout is how long a notice of a submission may take to reach the leader.
+	// noticeTimeout bounds the time that a notice of a submission takes to reach the leader.
 	noticeTimeout = time.Second
-	// acknowledgeTimeout is how long the leader may take to acknowledge a cancellation.
+	// acknowledgeTimeout bounds the time that the leader takes to acknowledge a cancellation.
 	acknowledgeTimeout = 700 * time.Millisecond
 )
 
-// leaderClient calls the leader, in this process if this controller leads and otherwise at a peer.
+// leaderClient calls the leader: in this process if this controller leads, and otherwise at a peer.
 type leaderClient struct {
 	localLeader *localLeader
 	election    *election.Election
@@ -28,14 +28,14 @@
 	log         *slog.Logger
 }
 
-// peer returns the peer that leads; nil if no leader is known, or this controller leads.
+// peer returns the peer that leads. It returns nil if no leader is known or if this controller leads.
 func (c *leaderClient) peer() *peer {
-	known, _ := c.election.Leader()
-	return c.peers.byName(known.Name)
+	knownLeader, _ := c.election.Leader()
+	return c.peers.byName(knownLeader.Name)
 }
 
-// progress returns the progress of each of the jobs, or nil if the leader does not answer. It is
-// for display only.
+// progress returns the progress of each job, or nil if the leader does not answer. The result is for
+// display only.
 func (c *leaderClient) progress(ctx context.Context, jobs []ids.JobID) []peerapi.JobProgress {
 	ctx, cancel := context.WithTimeout(ctx, progressTimeout)
 	defer cancel()
@@ -53,16 +53,16 @@
 	return nil
 }
 
-// progressAt returns the progress of each of the jobs from the leader in this process. It is zero
+// localProgress returns the progress of each job according to the leader in this process. It is zero
 // for jobs that the leader does not know.
 func localProgress(ctx context.Context, local *leader.Leader, jobs []ids.JobID) ([]peerapi.JobProgress, error) {
-	known, err := local.Progress(ctx, jobs)
+	progress, err := local.Progress(ctx, jobs)
 	if err != nil {
 		return nil, err
 	}
 	answer := make([]peerapi.JobProgress, len(jobs))
 	for i, id := range jobs {
-		answer[i] = peerapi.JobProgress{Done: known[id].Done, Running: known[id].Running}
+		answer[i] = peerapi.JobProgress{Done: progress[id].Done, Running: progress[id].Running}
 	}
 	return answer, nil
 }
@@ -80,8 +80,7 @@
 	}
 }
 
-// sendNotice sends a notice to a peer. It outlives the user's request, so it has a time limit
-// of its own.
+// sendNotice sends a notice to a peer. It may outlive the user's request, so it has its own timeout.
 func (c *leaderClient) sendNotice(p *peer, notice peerapi.JobNotice) {
 	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 	defer cancel()
@@ -90,16 +89,17 @@
 	}
 }
 
-// acknowledgeCancellation has the leader observe the record of a cancelled job, and reports
-// whether the cancellation may be reported to users. It returns false without an answer in time.
+// acknowledgeCancellation sends the record of a cancelled job to the leader, and reports whether the
+// leader allows the cancellation to be reported to users. It returns false if the leader does not
+// answer in time.
 func (c *leaderClient) acknowledgeCancellation(ctx context.Context, job leader.JobRecord) bool {
 	ctx, cancel := context.WithTimeout(ctx, acknowledgeTimeout)
 	defer cancel()
-	known, _ := c.election.Leader()
-	if local := c.localLeader.get(); local != nil && known.Revision == local.Revision() {
+	knownLeader, _ := c.election.Leader()
+	if local := c.localLeader.get(); local != nil && knownLeader.Revision == local.Revision() {
 		return local.AcknowledgeCancellation(ctx, job)
 	}
-	p := c.peers.byName(known.Name)
+	p := c.peers.byName(knownLeader.Name)
 	if p == nil {
 		return false
 	}
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -8,14 +8,14 @@
 	"ospreystile.example/ospreystile/election"
 )
 
-// localLeader holds the leader in this process while this controller leads. It is safe for
-// concurrent use.
+// localLeader holds the leader in this process while this controller leads, and otherwise nil. It is
+// safe for concurrent use.
 type localLeader struct{ current atomic.Pointer[leader.Leader] }
 
 // get returns the leader in this process, or nil.
 func (l *localLeader) get() *leader.Leader { return l.current.Load() }
 
-// answering returns the leader in this process if it may answer workers and peers, or nil.
+// answering returns the leader in this process if it may answer workers and peers now, or nil.
 func (l *localLeader) answering() *leader.Leader {
 	if local := l.get(); local != nil && local.MayAnswerHeartbeats() {
 		return local
@@ -29,7 +29,7 @@
 	dependencies leader.Dependencies
 }
 
-// lead does the work of one term until its context ends. The election calls it, one term at a
+// lead runs the leader of one term until the context ends. The election calls it for one term at a
 // time.
 func (l *leadership) lead(ctx context.Context, term *election.Term) error {
 	local, err := leader.Load(ctx, term, l.dependencies)
--- a/controller/operatorclient/client.go
+++ b/controller/operatorclient/client.go
@@ -1,5 +1,5 @@
-// Package operatorclient is the client that operators' commands use to call the leader of a
-// deployment. It tries each controller in turn until the leader answers.
+// Package operatorclient implements the client with which operators' commands call the leader of a
+// deployment. It calls each controller in turn until the leader answers.
 package operatorclient
 
 import (
@@ -14,16 +14,16 @@
 	"ospreystile.example/ospreystile/peerrpc"
 )
 
-// callTimeout bounds the call to one controller. It is longer than a leader takes to record an
-// override, or to give up.
+// callTimeout bounds the call to one controller. It is longer than the leader's own timeout for recording
+// an override.
 const callTimeout = 6 * time.Second
 
-// Client asks the controllers of a deployment on an operator's behalf. One goroutine at a time
-// may use it.
+// Client calls the controllers of a deployment on behalf of an operator. It is not safe for concurrent
+// use.
 type Client struct{ peers []*peerrpc.Peer }
 
-// New makes a client of the controllers in the platform's settings: the one on this machine, and
-// the seeds with their addresses.
+// New returns a client of the controllers in the platform's settings: the controller on this machine and
+// the seeds, with their addresses.
 func New(self ids.ControllerName, selfAddress string, seeds map[ids.ControllerName]string) *Client {
 	c := &Client{peers: []*peerrpc.Peer{peerrpc.NewPeer(self, selfAddress)}}
 	for _, name := range slices.Sorted(maps.Keys(seeds)) {
@@ -32,19 +32,19 @@
 	return c
 }
 
-// Zones asks for the conditions of all zones.
+// Zones returns the conditions of all zones.
 func (c *Client) Zones(ctx context.Context) (peerapi.ZonesResponse, error) {
 	return c.callLeader(ctx, peerapi.OpZones, struct{}{})
 }
 
-// OverrideZone has the leader apply an override, and returns the conditions of all zones
-// once it is recorded.
+// OverrideZone sends an override to the leader, and returns the conditions of all zones once the
+// override is recorded.
 func (c *Client) OverrideZone(ctx context.Context, override peerapi.ZoneOverride) (peerapi.ZonesResponse, error) {
 	return c.callLeader(ctx, peerapi.OpZoneOverride, override)
 }
 
-// callLeader calls one controller after the other until the leader answers or refuses. Without an
-// answer it returns the joined errors of all controllers.
+// callLeader calls the controllers one after another until the leader answers or refuses the request.
+// If the leader does neither, callLeader returns the joined errors of all controllers.
 func (c *Client) callLeader(ctx context.Context, op peerrpc.Operation, request any) (peerapi.ZonesResponse, error) {
 	var answer peerapi.ZonesResponse
 	var failures []error
@@ -61,7 +61,7 @@
 	return answer, errors.Join(failures...)
 }
 
-// callOnce calls a controller over a connection of its own.
+// callOnce calls a controller over a new connection and closes it.
 func callOnce(ctx context.Context, peer *peerrpc.Peer, op peerrpc.Operation, request any, answer *peerapi.ZonesResponse) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -69,7 +69,7 @@
 	return peer.Call(ctx, op, request, answer)
 }
 
-// refusedByLeader reports whether an error is the leader's refusal.
+// refusedByLeader reports whether an error is a refusal by the leader.
 func refusedByLeader(err error) bool {
 	return errors.Is(err, peerrpc.ErrRemote) && !errors.Is(err, peerapi.ErrNotLeading)
 }
--- a/controller/peer_handler.go
+++ b/controller/peer_handler.go
@@ -14,7 +14,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// peerHandler answers the requests of other controllers, and those of operators' commands.
+// peerHandler answers the requests of other controllers and of operators' commands.
 type peerHandler struct {
 	pinger      *pinger
 	localLeader *localLeader
@@ -36,7 +36,7 @@
 	return handleAsLeader(ctx, local, op, body)
 }
 
-// handleAsLeader answers the operations that only a leader answers.
+// handleAsLeader answers the operations that only the leader answers.
 func handleAsLeader(ctx context.Context, local *leader.Leader, op peerrpc.Operation, body []byte) (any, error) {
 	switch op {
 	case peerapi.OpProgress:
@@ -53,7 +53,7 @@
 	return nil, fmt.Errorf("%w: %s", peerapi.ErrUnknownOperation, op)
 }
 
-// handleBody decodes a request's body and calls its handler.
+// handleBody decodes the body of a request and calls the handler with it.
 func handleBody[T any](body []byte, handler func(T) (any, error)) (any, error) {
 	var request T
 	if err := peerrpc.Decode(body, &request); err != nil {
@@ -62,8 +62,8 @@
 	return handler(request)
 }
 
-// forwardStoreCall sends a peer's request to the key-value store by the direct route, so that a
-// request is never forwarded twice.
+// forwardStoreCall sends a peer's request to the key-value store. It uses the direct route, so a request
+// is never forwarded twice.
 func (h *peerHandler) forwardStoreCall(ctx context.Context, call peerapi.StoreCall) peerapi.StoreAnswer {
 	timeout := time.Duration(call.TimeoutMS) * time.Millisecond
 	status, body, err := h.direct.Do(ctx, call.Method, call.Path, call.Body, timeout)
@@ -73,7 +73,8 @@
 	return peerapi.StoreAnswer{Status: status, Body: body}
 }
 
-// acknowledgeNotice has the leader in this process observe a job's record that a follower sent.
+// acknowledgeNotice passes a job's record that a follower sent to the leader in this process, and
+// reports whether the leader acknowledges it.
 func acknowledgeNotice(ctx context.Context, local *leader.Leader, notice peerapi.JobNotice) (bool, error) {
 	record := new(records.Job)
 	if err := wire.Decode(notice.Record, record); err != nil {
@@ -82,8 +83,8 @@
 	return local.AcknowledgeCancellation(ctx, leader.JobRecord{ID: notice.ID, Record: record, Revision: notice.Revision}), nil
 }
 
-// answerRelayed has the leader in this process answer heartbeats that a follower relays. A
-// heartbeat that cannot be decoded gets no answer.
+// answerRelayed returns the answers of the leader in this process to heartbeats that a follower relays.
+// A heartbeat that cannot be decoded is not answered.
 func answerRelayed(ctx context.Context, local *leader.Leader, encoded [][]byte) ([]peerapi.HeartbeatAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -12,20 +12,20 @@
 	"ospreystile.example/ospreystile/peerrpc"
 )
 
-// peer is another controller and its state as of its last ping. The pinger writes it; all fields
-// may be read concurrently.
+// peer represents another controller and its state as of its last ping. The pinger updates the state;
+// all fields may be read concurrently.
 type peer struct {
 	*peerrpc.Peer
-	// lastHeard is the monotonic.Instant of the last answer to a ping; 0 means none yet.
+	// lastAnswer is the monotonic.Instant of the last answer to a ping. 0 means that there was none.
 	lastAnswer atomic.Int64
-	// storeReachable is set while the peer reaches the key-value store.
+	// storeReachable reports whether the peer can reach the key-value store.
 	storeReachable atomic.Bool
 	// leaderRevision is the revision of the leader that the peer follows.
 	leaderRevision atomic.Uint64
-	// workers is how many workers send their heartbeats to the peer.
+	// workers is the number of workers that send their heartbeats to the peer.
 	workers atomic.Int32
-	// versions are the versions in the peer's last ping; nil means that the peer is older than
-	// this version, or that no ping was exchanged yet.
+	// versions holds the versions in the peer's last ping. It is nil if the peer's version is older
+	// than this one, or if no ping has been exchanged yet.
 	versions atomic.Pointer[peerapi.Versions]
 }
 
@@ -38,7 +38,7 @@
 	return lastAnswer != 0 && now < lastAnswer.Add(d)
 }
 
-// observeAnswer records the answer to a ping.
+// observeAnswer records the peer's answer to a ping.
 func (p *peer) observeAnswer(now monotonic.Instant, answer peerapi.Ping) {
 	p.lastAnswer.Store(int64(now))
 	p.storeReachable.Store(answer.StoreReachable)
@@ -47,7 +47,7 @@
 	p.observeVersions(answer.Versions)
 }
 
-// observeVersions records the versions in a ping of the peer.
+// observeVersions records the versions in a ping or an answer of the peer.
 func (p *peer) observeVersions(versions peerapi.Versions) {
 	if versions.Format < peerapi.RecordFormat {
 		p.versions.Store(nil)
@@ -56,10 +56,10 @@
 	p.versions.Store(&versions)
 }
 
-// peerSet is all other controllers, in the order of the settings. It does not change.
+// peerSet holds all other controllers in the order of the settings. It does not change.
 type peerSet []*peer
 
-// newPeerSet makes the peers that the settings name.
+// newPeerSet returns the peers that the settings name.
 func newPeerSet(seeds []config.Peer) peerSet {
 	var peers peerSet
 	for _, seed := range seeds {
@@ -68,7 +68,7 @@
 	return peers
 }
 
-// named returns the peer with a name, or nil.
+// byName returns the peer with the given name, or nil.
 func (s peerSet) byName(name ids.ControllerName) *peer {
 	for _, p := range s {
 		if p.Name == name {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// forLeader returns the peers as the interface of package leader.
+// leaderPeers returns the peers as values of the interface that package leader uses.
 func (s peerSet) leaderPeers() []leader.Peer {
 	peers := make([]leader.Peer, len(s))
 	for i, p := range s {
--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// pingInterval is the time between two pings of a peer.
+	// pingInterval is the interval between two pings of a peer.
 	pingInterval = 500 * time.Millisecond
-	// pingTimeout is how long a peer may take to answer a ping.
+	// pingTimeout bounds the time that a peer takes to answer a ping.
 	pingTimeout = 1500 * time.Millisecond
 )
 
-// pinger exchanges pings with the peers. A ping has the known leader, the state of the sender, the
+// pinger exchanges pings with the peers. A ping contains the known leader, the state of the sender, the
 // acknowledged revision and the known versions.
 type pinger struct {
 	self             ids.ControllerName
@@ -31,7 +31,7 @@
 	gate             *versionGate
 }
 
-// run pings one peer until the context ends.
+// run pings one peer periodically until the context ends.
 func (p *pinger) run(ctx context.Context, target *peer) error {
 	for {
 		p.balancer.recount(p.clock.Now())
@@ -68,7 +68,7 @@
 	return p.currentPing()
 }
 
-// message returns the ping with this controller's present state.
+// currentPing returns a ping with the current state of this controller.
 func (p *pinger) currentPing() peerapi.Ping {
 	knownLeader, _ := p.election.Leader()
 	return peerapi.Ping{
@@ -85,8 +85,8 @@
 	}
 }
 
-// observe applies the leader and the acknowledged revision of a ping. A leader whose name is
-// unknown to the peer, because its key was deleted, ends earlier terms all the same.
+// observe applies the leader and the acknowledged revision of a ping. The peer does not know the
+// leader's name if the leader key was deleted. The revision ends earlier terms in this case too.
 func (p *pinger) observe(ping peerapi.Ping) {
 	p.election.Observe(election.Leader{
 		Identity: election.Identity{Name: ping.Leader, PeerAddress: ping.LeaderPeerAddress, Incarnation: ping.Incarnation},
@@ -95,14 +95,14 @@
 	p.acknowledgements.advanceTo(ping.AcknowledgedRevision)
 }
 
-// recordAcknowledgement records in this controller's term that a peer knew of no later leader
-// when it was asked, and the latest instant at which the peer's process can have started.
+// recordAcknowledgement records in this controller's term that a peer knew no later leader when the ping
+// was sent, and the latest time at which the peer's process can have started.
 func (p *pinger) recordAcknowledgement(sentAt monotonic.Instant, answer peerapi.Ping) {
 	term := p.election.Term()
 	if term == nil || answer.Revision > term.Revision || answer.Uptime <= 0 {
 		return
 	}
-	// The peer's clock may run fast, so that it counts too long an uptime.
+	// The uptime may be too long, since the peer's clock may run fast.
 	started := p.clock.Now().Add(monotonic.MaxDrift(answer.Uptime) - answer.Uptime)
 	term.RecordPeerAck(answer.From, sentAt, started)
 }
--- a/controller/retry_listener.go
+++ b/controller/retry_listener.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// retryListener is a listener that retries Accept after errors. Accept fails while the process has
-// no free sockets; this is temporary and must not end the process.
+// retryListener is a listener that retries Accept after an error. Accept fails while the process has no
+// free sockets. This condition is temporary and must not end the process.
 type retryListener struct {
 	net.Listener
 	log *slog.Logger
 }
 
-// acceptRetryDelay is how long a listener waits after an error.
+// acceptRetryDelay is the delay between an error of Accept and the next attempt.
 const acceptRetryDelay = 50 * time.Millisecond
 
 // Accept implements net.Listener.
--- a/controller/service.go
+++ b/controller/service.go
@@ -6,7 +6,7 @@
 	"ospreystile.example/ospreystile/server"
 )
 
-// service implements server.Service. It has one handler for each kind of request.
+// service implements server.Service with one handler for each kind of request.
 type service struct {
 	*submissionHandler
 	*statusHandler
@@ -17,14 +17,15 @@
 var _ server.Service = service{}
 
 const (
-	// retryDelay is after how long users should repeat a request that could not be answered.
+	// retryDelay is the delay after which users should retry a request that could not be answered.
 	retryDelay = time.Second
-	// rejectedRetryDelay is the same for a change that the key-value store rejected although
-	// it is within all known limits.
+	// rejectedRetryDelay is the delay after which users should retry a change that the key-value
+	// store rejected although the change is within all known limits.
 	rejectedRetryDelay = 5 * time.Second
-	// changeTimeout is how long a submission or cancellation may take here, of the 5 s that
-	// users wait.
+	// changeTimeout bounds the time that a submission or a cancellation takes in this process.
+	// Users wait 5 s for the response.
 	changeTimeout = 3500 * time.Millisecond
-	// queryTimeout is how long a status query may take here, of the 2 s that users wait.
+	// queryTimeout bounds the time that a status query takes in this process. Users wait 2 s for
+	// the response.
 	queryTimeout = 1500 * time.Millisecond
 )
--- a/controller/status.go
+++ b/controller/status.go
@@ -17,8 +17,8 @@
 	log      *slog.Logger
 }
 
-// Status implements server.Service. Only a final status is answered from the cache. Any other is
-// read from the store, since another controller may have returned a newer one.
+// Status implements server.Service. Only a final status is returned from the cache. Any other status is
+// read from the key-value store, since another controller may have returned a newer one.
 func (h *statusHandler) Status(ctx context.Context, id ids.JobID) server.Response {
 	if response, ok := h.terminal.cached(id); ok {
 		return response
@@ -36,7 +36,7 @@
 	return h.respond(ctx, id, answer)
 }
 
-// respond returns the response for a job that was found.
+// respond returns the response to a query whose job was found.
 func (h *statusHandler) respond(ctx context.Context, id ids.JobID, answer queryAnswer) server.Response {
 	if answer.job.Status.Terminal() {
 		return h.terminal.answer(ctx, id, answer.job)
--- a/controller/status_reader.go
+++ b/controller/status_reader.go
@@ -12,57 +12,58 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// maxWaitingQueries bounds the queue of queries.
+// maxQueuedQueries is the maximum number of queued queries.
 const maxQueuedQueries = 512
 
-// errOverloaded refuses a query while the queue is full.
-var errOverloaded = errors.New("too many status queries wait")
+// errOverloaded is the error of a query that arrives while the queue is full.
+var errOverloaded = errors.New("status query queue is full")
 
-// statusQuery asks for the state of a job and, before the job is accepted, of its dependencies.
+// statusQuery represents a query for the state of a job and, before the job is accepted, of its
+// dependencies.
 type statusQuery struct {
 	id        ids.JobID
 	dependsOn []ids.JobID
-	// reply has a buffer of one.
+	// reply has a buffer of one, so sending the answer never blocks.
 	reply chan<- queryAnswer
 }
 
-// queryAnswer is the answer to a statusQuery. The other fields are valid only if err is nil.
+// queryAnswer holds the answer to a statusQuery. The other fields are valid only if err is nil.
 type queryAnswer struct {
 	job   jobSnapshot
 	found bool
 	err   error
-	// accepted is set if all dependencies were accepted, and dependencyCancelled if one of them
-	// is cancelled.
+	// dependenciesAccepted reports whether all dependencies were accepted, and dependencyCancelled
+	// whether one of them is cancelled.
 	dependenciesAccepted, dependencyCancelled bool
 	progress                                  peerapi.JobProgress
 }
 
-// progressSource returns the progress of each of the jobs, or nil if it is not known.
+// progressSource returns the progress of each job, or nil if the progress is not known.
 type progressSource func(ctx context.Context, jobs []ids.JobID) []peerapi.JobProgress
 
-// statusReader answers queries by barrier reads: it refreshes its replica of the jobs, and then
-// answers all queries that arrived before the refresh was sent. So the load on the key-value store
-// does not grow with the queries, and answers are linearizable: what another controller returned
-// before a query arrived was committed before the refresh was sent, and is in the replica.
+// statusReader answers queries by barrier reads: it refreshes its replica of the jobs, and then answers
+// all queries that arrived before the refresh was sent. So the load on the key-value store does not grow
+// with the number of queries. Answers are linearizable: any status that another controller returned
+// before a query arrived was committed before the refresh was sent, so the replica contains it.
 //
-// The method run owns the replica and all goroutines; any goroutine may call ask.
+// The method run owns the replica and all goroutines. Any goroutine may call query.
 type statusReader struct {
 	replica jobReplica
-	// gap is the least time between two reads. It bounds the share of the key-value store's
-	// request rate that the status reads of all controllers take.
+	// minReadInterval is the minimum interval between two reads. It bounds the share of the
+	// key-value store's request rate that the status reads of all controllers use.
 	minReadInterval time.Duration
 	progress        progressSource
-	// waiting holds the queries that are in no round yet.
+	// queue holds the queries that are not in a batch yet.
 	queue *workqueue.Queue[statusQuery]
 }
 
-// newStatusReader makes a reader whose reads are at least gap apart.
+// newStatusReader returns a reader whose reads are at least minReadInterval apart.
 func newStatusReader(store jobStore, minReadInterval time.Duration, progress progressSource) *statusReader {
 	return &statusReader{replica: jobReplica{store: store}, minReadInterval: minReadInterval, progress: progress, queue: workqueue.New[statusQuery](maxQueuedQueries)}
 }
 
-// ask waits for the answer to one query. The error of the answer is errOverloaded, the
-// context's, or the store's.
+// query waits for the answer to one query. The error of the answer is errOverloaded, or an error of the
+// context or of the store.
 func (r *statusReader) query(ctx context.Context, id ids.JobID, dependsOn []ids.JobID) queryAnswer {
 	reply := make(chan queryAnswer, 1)
 	if !r.queue.Add(statusQuery{id: id, dependsOn: dependsOn, reply: reply}) {
@@ -70,8 +71,9 @@
 	}
 	select {
 	case answer := <-reply:
-		// After a process pause the deadline may have passed when the answer arrives. The
-		// answer may then be older than what other controllers have returned since.
+		// After a pause of the process, the deadline may have passed when the answer arrives.
+		// The answer may then be older than an answer that another controller has returned
+		// in the meantime.
 		if deadline, ok := ctx.Deadline(); ok && time.Now().After(deadline) {
 			return queryAnswer{err: context.DeadlineExceeded}
 		}
@@ -81,8 +83,8 @@
 	}
 }
 
-// run answers queries until the context ends. One read is in flight at a time; queries that
-// arrive meanwhile wait for the next.
+// run answers queries until the context ends. One read is in flight at a time. Queries that arrive in
+// the meantime wait for the next read.
 func (r *statusReader) run(ctx context.Context) error {
 	var answering sync.WaitGroup
 	defer answering.Wait()
@@ -97,7 +99,7 @@
 			continue
 		}
 		if active := r.answerBatch(ctx, batch); len(active.queries) > 0 {
-			// The leader may be slow to answer. The next round does not wait for it.
+			// The leader may be slow to answer, and the next batch does not wait for it.
 			answering.Go(func() { r.answerActive(ctx, active) })
 		}
 		if !monotonic.Sleep(ctx, r.minReadInterval) {
@@ -106,16 +108,16 @@
 	}
 }
 
-// activeQueries are the queries of a round about jobs that are not done or cancelled, and their
-// answers as far as the replica knows them.
+// activeQueries holds the queries of a batch about jobs that are neither done nor cancelled, the jobs,
+// and the answers without the jobs' progress. The elements with the same index belong together.
 type activeQueries struct {
 	queries []statusQuery
 	jobs    []ids.JobID
 	answers []queryAnswer
 }
 
-// answerRound refreshes the replica and answers the queries of a round. It returns those about
-// active jobs unanswered, since only the leader knows their progress.
+// answerBatch refreshes the replica and answers the queries of a batch, except those about active jobs.
+// It returns these unanswered, since only the leader knows the progress of active jobs.
 func (r *statusReader) answerBatch(ctx context.Context, batch []statusQuery) (active activeQueries) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -138,14 +140,14 @@
 	return active
 }
 
-// lookUp answers a query from the replica, without progress.
+// lookUp returns the answer to a query from the replica, without the job's progress.
 func (r *statusReader) lookUp(query statusQuery) (answer queryAnswer) {
 	answer.job, answer.found = r.replica.get(query.id)
 	answer.dependenciesAccepted, answer.dependencyCancelled = r.replica.dependencyState(query.dependsOn)
 	return answer
 }
 
-// answerActive adds the progress of active jobs, if it is known, and answers.
+// answerActive adds the progress of the jobs to the answers, if it is known, and sends the answers.
 func (r *statusReader) answerActive(ctx context.Context, active activeQueries) {
 	progress := r.progress(ctx, active.jobs)
 	for i, query := range active.queries {
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -20,11 +20,11 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// recordReserveBytes is by how much a later change of a job's record, such as a cancellation, may
-// lengthen it.
+// recordMarginBytes is the size by which a later change of a job's record, such as a cancellation, may
+// extend the record.
 const recordMarginBytes = 64
 
-// submissionHandler answers users' submissions.
+// submissionHandler handles users' submissions.
 type submissionHandler struct {
 	teams         []config.Team
 	maxValueBytes int
@@ -58,7 +58,7 @@
 	if !h.canRun(spec, types) {
 		return h.refuseUnlessAccepted(ctx, id)
 	}
-	// Unknown machine types would only make the record larger.
+	// Unknown machine types have no effect and only make the record larger.
 	spec.Types = slices.DeleteFunc(spec.Types, func(name ids.MachineType) bool {
 		return !slices.ContainsFunc(types, func(t wire.MachineType) bool { return t.Name == name })
 	})
@@ -73,14 +73,15 @@
 			return *refusal
 		}
 	}
-	// A job whose list of dependencies makes the record too large is refused.
+	// A long list of dependencies may make the record too large. Such a job is refused.
 	if wire.ExceedsJSONSize(record, h.maxValueBytes-recordMarginBytes) {
 		return h.refuseUnlessAccepted(ctx, id)
 	}
 	return h.commitRecord(ctx, id, &record)
 }
 
-// canRun reports whether a job fits within its team's limit and on one of the machine types.
+// canRun reports whether a job fits within its team's limit and on one of the machine types, in its zone
+// if it names one.
 func (h *submissionHandler) canRun(spec *wire.JobSpec, types []wire.MachineType) bool {
 	team := slices.IndexFunc(h.teams, func(t config.Team) bool { return t.Name == spec.Team })
 	if team < 0 {
@@ -98,8 +99,8 @@
 	})
 }
 
-// refuseUnlessKnown answers a submission of a job that can never run. A job that was accepted
-// before stays accepted, even if it would be refused now.
+// refuseUnlessAccepted returns the response to a submission of a job that can never run. A job that was
+// accepted before remains accepted, even if it would be refused now.
 func (h *submissionHandler) refuseUnlessAccepted(ctx context.Context, id ids.JobID) server.Response {
 	if response := h.statuses.Status(ctx, id); response.Status != http.StatusNotFound {
 		return response
@@ -107,10 +108,10 @@
 	return server.Response{Status: http.StatusUnprocessableEntity}
 }
 
-// checkDependencies returns the status with which a job with dependencies is accepted, or the
-// response that refuses the submission. For a job that was accepted before, the response follows
-// from its record, not from the dependencies of this request. The check is a barrier read, so a
-// dependency that was accepted before the request is always found.
+// checkDependencies returns the status with which a job with dependencies is accepted, or the response
+// that refuses the submission. For a job that was accepted before, the response is determined by its
+// record and not by the dependencies of this request. The check is a barrier read, so a dependency that
+// was accepted before the request is always found.
 func (h *submissionHandler) checkDependencies(ctx context.Context, id ids.JobID, dependsOn []ids.JobID) (wire.JobState, *server.Response) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -125,7 +126,7 @@
 	case !answer.dependenciesAccepted:
 		refusal = server.Response{Status: http.StatusUnprocessableEntity}
 	case !h.gate.Open():
-		// An older leader would start the job without waiting for the dependencies.
+		// A leader of an older version would start the job without waiting for the dependencies.
 		refusal = server.RetryLater(retryDelay)
 	case answer.dependencyCancelled:
 		return wire.JobCancelled, nil
@@ -135,8 +136,8 @@
 	return "", &refusal
 }
 
-// commitRecord commits a new job's record. If the job already has a record, the request is a
-// duplicate, and the response is the job's status.
+// commitRecord commits the record of a new job. If the job already has a record, the request is a
+// duplicate and the response is the job's status.
 func (h *submissionHandler) commitRecord(ctx context.Context, id ids.JobID, record *records.Job) server.Response {
 	result := h.commits.commit(ctx, records.CreateJobChange(id, *record))
 	switch {
--- a/controller/terminal_jobs.go
+++ b/controller/terminal_jobs.go
@@ -12,15 +12,16 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// maxCachedTerminalJobs bounds the cache. The records of evicted jobs are read again.
+// maxCachedTerminalJobs is the maximum number of jobs in the cache. The records of evicted jobs are read
+// again.
 const maxCachedTerminalJobs = 20_000
 
-// terminalJobs answers requests about jobs that are done or cancelled. These states are final, so
-// a controller may always answer from its cache. It is safe for concurrent use.
+// terminalJobs answers requests about jobs that are done or cancelled. These states are final, so a
+// controller may always answer from its cache. terminalJobs is safe for concurrent use.
 type terminalJobs struct {
 	acknowledgements *acknowledgements
 
-	// mu guards cache, the final statuses that were returned to users.
+	// mu guards cache, which holds the final statuses that were returned to users.
 	mu    sync.Mutex
 	cache map[ids.JobID]wire.JobStatus
 }
@@ -37,7 +38,7 @@
 	return server.Response{Status: http.StatusOK, Body: status}, ok
 }
 
-// put adds a final status to the cache.
+// put adds a final status to the cache. It empties a full cache first.
 func (t *terminalJobs) put(status wire.JobStatus) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,8 +49,8 @@
 }
 
 // answer returns the response for a job that is done or cancelled. A cancellation that is not
-// acknowledged must not be reported yet. The client should retry on a new connection, so that it
-// may get a controller that reaches the leader.
+// acknowledged must not be reported yet. In this case the response closes the connection, so that the
+// client retries on a new one and may get a controller that can reach the leader.
 func (t *terminalJobs) answer(ctx context.Context, id ids.JobID, job jobSnapshot) server.Response {
 	if !t.mayReport(ctx, id, job) {
 		response := server.RetryLater(retryDelay)
--- a/controller/user_commits.go
+++ b/controller/user_commits.go
@@ -7,21 +7,21 @@
 	"ospreystile.example/ospreystile/records/commit"
 )
 
-// maxQueuedCommits bounds the changes that wait before submissions are refused.
+// maxQueuedCommits is the number of queued changes from which submissions are refused.
 const maxQueuedCommits = 128
 
-// userCommitter commits the changes of users' requests. Its committer has no fence, because every
-// controller may write jobs' records.
+// userCommitter commits the changes that users request. Its committer has no fence, since every
+// controller may write the records of jobs.
 type userCommitter struct{ committer *commit.Committer }
 
-// run commits until the context ends.
+// run commits changes until the context ends.
 func (c *userCommitter) run(ctx context.Context) error { return c.committer.Run(ctx) }
 
 // overloaded reports whether too many changes are queued.
 func (c *userCommitter) overloaded() bool { return c.committer.QueueLength() >= maxQueuedCommits }
 
-// commit commits a change and returns its result. If the result is not resolved, the user must
-// retry.
+// commit commits a change and returns the result. If the result is not resolved, the user must retry the
+// request.
 func (c *userCommitter) commit(ctx context.Context, change records.Change) records.CommitResult {
 	results := make(chan records.CommitResult, 1)
 	deadline, _ := ctx.Deadline()
--- a/controller/version_gate.go
+++ b/controller/version_gate.go
@@ -15,25 +15,27 @@
 )
 
 const (
-	// gateCheckInterval is the time between two checks whether the gate can open.
+	// gateCheckInterval is the interval between two checks whether the gate can open.
 	gateCheckInterval = 500 * time.Millisecond
-	// gateReadInterval is the least time between two reads of records.FormatKey.
+	// gateReadInterval is the minimum interval between two reads of records.FormatKey.
 	gateReadInterval = 10 * time.Second
 )
 
-// versionGate implements the compatibility with controllers of versions that know neither
-// dependencies of jobs nor split records. Until all of them are known to have been replaced, the
-// gate is closed: no job with dependencies is accepted and no record is split. All other records
-// have a form that those versions can read. While the gate is closed, an earlier leader may be of
-// such a version, and may answer heartbeats for the whole outage grace; package leader allows
-// for that. Such a leader acknowledges cancellations without checking its lease; leaderClient
-// accepts that, as followers of those versions do.
+// versionGate ensures compatibility with controllers of older versions that support neither dependencies
+// of jobs nor split records. The gate is closed until all of these controllers are known to have been
+// replaced. While it is closed, no job with dependencies is accepted and no record is split. All other
+// records have a form that the older versions can read.
 //
-// The gate can be removed, with scheduler.Core.EnableSplitRecords and
-// scheduler.Options.SplitRecords, once every deployment's store has records.FormatKey. Callers of
-// Open then behave as if it returned true.
+// While the gate is closed, a previous leader may have an older version. Such a leader may answer
+// heartbeats for the whole outage grace, which package leader allows for. It also acknowledges
+// cancellations without checking its lease. leaderClient accepts these acknowledgements, as followers of
+// the older versions do.
 //
-// It is safe for concurrent use. Once open, it stays open.
+// The gate can be removed, with scheduler.Core.EnableSplitRecords and scheduler.Options.SplitRecords,
+// once every deployment's store has records.FormatKey. Callers of Open then behave as if it returned
+// true.
+//
+// versionGate is safe for concurrent use. Once open, it remains open.
 type versionGate struct {
 	peers       peerSet
 	store       *kv.Client
@@ -43,7 +45,7 @@
 	open        atomic.Bool
 }
 
-// formatRecord is the value of records.FormatKey.
+// formatRecord represents the value of records.FormatKey.
 type formatRecord struct {
 	Format int `msgpack:"v"`
 }
@@ -62,7 +64,7 @@
 	}
 	var record formatRecord
 	if err := wire.Decode(entry.Value, &record); err != nil {
-		// The gate stays closed until the peers' pings open it.
+		// The gate remains closed until the pings of the peers open it.
 		g.log.Error("record unreadable", "key", records.FormatKey, "err", err)
 		return nil
 	}
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// versions returns the versions in this controller's pings.
+// versions returns the versions for this controller's pings.
 func (g *versionGate) versions() peerapi.Versions {
 	versions := peerapi.Versions{Format: peerapi.RecordFormat, Durable: g.Open()}
 	if versions.Durable {
@@ -86,8 +88,8 @@
 	return versions
 }
 
-// allUpgraded reports whether each peer has sent a ping of this version or a later one, to this
-// controller or to a peer of such a version.
+// allUpgraded reports whether each peer is known to have sent a ping of this version or a later one,
+// either to this controller or to a peer of such a version.
 func (g *versionGate) allUpgraded() bool {
 	for _, p := range g.peers {
 		if p.versions.Load() == nil && !g.upgradedAccordingToPeer(p) {
@@ -97,7 +99,7 @@
 	return true
 }
 
-// seenByPeer reports whether a peer has received such a ping from the sought one.
+// upgradedAccordingToPeer reports whether another peer has received such a ping from the target.
 func (g *versionGate) upgradedAccordingToPeer(target *peer) bool {
 	return slices.ContainsFunc(g.peers, func(p *peer) bool {
 		versions := p.versions.Load()
@@ -105,7 +107,7 @@
 	})
 }
 
-// durable reports whether a peer knows that records.FormatKey is written.
+// durable reports whether a peer knows that records.FormatKey has been written.
 func (g *versionGate) durable() bool {
 	return slices.ContainsFunc(g.peers, func(p *peer) bool {
 		versions := p.versions.Load()
@@ -113,7 +115,8 @@
 	})
 }
 
-// run waits until the gate opens, and notifies the leader in this process.
+// run waits until the gate opens, and then notifies the leader in this process. It opens the gate itself
+// once the peers' pings or the key-value store show that all controllers are upgraded.
 func (g *versionGate) run(ctx context.Context) error {
 	var nextRead monotonic.Instant
 	for !g.Open() {
@@ -123,7 +126,7 @@
 		case g.durable():
 			g.open.Store(true)
 		case g.allUpgraded():
-			err = g.record(ctx)
+			err = g.writeFormatRecord(ctx)
 		case now >= nextRead:
 			nextRead = now.Add(gateReadInterval)
 			err = g.Load(ctx, g.store)
@@ -145,9 +148,9 @@
 	return nil
 }
 
-// record writes records.FormatKey, so that later processes need not wait for the pings of all
-// peers, and opens the gate.
-func (g *versionGate) record(ctx context.Context) error {
+// writeFormatRecord writes records.FormatKey and opens the gate. Controllers that start later read the
+// record and need not wait for the pings of all peers.
+func (g *versionGate) writeFormatRecord(ctx context.Context) error {
 	_, err := g.store.Commit(ctx, kv.Txn{
 		Preconditions: []kv.Precondition{{Key: records.FormatKey}},
 		Operations:    []kv.Operation{{PutKey: records.FormatKey, Value: formatRecord{peerapi.RecordFormat}}},
@@ -155,6 +158,6 @@
 	if err != nil {
 		return err
 	}
-	g.open.Store(true) // the record is written now, or was there already
+	g.open.Store(true) // the record exists: this or another controller has written it
 	return nil
 }
