--- a/controller/acknowledgements.go
+++ b/controller/acknowledgements.go
@@ -25,8 +25,8 @@
 // Only terminalJobs.answer reports cancellations, so this rule applies to every request. A job that is
 // cancelled because a dependency is cancelled never had a task, so no lease is renewed for it.
 type acknowledgements struct {
-	localLeader *localLeader
-	leaders     *leaderClient
+	localLeader  *localLeader
+	leaderClient *leaderClient
 	// acknowledgedRevision never decreases.
 	acknowledgedRevision atomic.Uint64
 }
@@ -55,5 +55,5 @@
 // show this, it asks the leader, and returns false if the leader does not answer. The next request asks
 // again, and pings may raise the acknowledged revision in the meantime.
 func (a *acknowledgements) acknowledged(ctx context.Context, job leader.JobRecord) bool {
-	return job.Revision <= a.revision() || a.leaders.acknowledgeCancellation(ctx, job)
+	return job.Revision <= a.revision() || a.leaderClient.acknowledgeCancellation(ctx, job)
 }
--- a/controller/acknowledgements_test.go
+++ b/controller/acknowledgements_test.go
@@ -13,11 +13,11 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// acknowledgementTest is a leader that the key-value store can refuse, and two followers that
-// it always serves.
+// acknowledgementTest holds a leader whose access to the key-value store can be refused, and two
+// followers that can always reach the store.
 type acknowledgementTest struct {
 	store                   *kvtest.Server
-	leaderStore             *kvtest.Server // the leader's own server of the same store
+	leaderStore             *kvtest.Server // a server of the same store for the leader alone
 	leader                  *Controller
 	follower, otherFollower *Controller
 }
@@ -36,29 +36,30 @@
 	return a
 }
 
-// submit submits a job, and waits until the leader knows it.
+// submit submits a job and waits until the leader knows it.
 func (a *acknowledgementTest) submit(t *testing.T, id ids.JobID) {
 	t.Helper()
 	if answer := a.follower.service.Submit(t.Context(), id, testSpec()); answer.Status != 201 {
-		t.Fatalf("%s: %+v", id, answer)
+		t.Fatalf("submission of %s: %+v", id, answer)
 	}
 	waitUntil(t, "the leader knows the job", func() bool { return knownToLeader(t, a.leader, id) })
 }
 
-// answers sends every kind of request about a job to both followers, the cancellation first.
+// requestAll sends every kind of request about a job to both followers, cancellations first, and returns
+// the answers.
 func (a *acknowledgementTest) requestAll(t *testing.T, id ids.JobID) map[string]server.Response {
 	t.Helper()
-	requestAll := map[string]server.Response{}
-	for name, c := range map[string]*Controller{"asked": a.follower, "other": a.otherFollower} {
-		requestAll[name+": cancellation"] = c.service.Cancel(t.Context(), id)
-		requestAll[name+": status"] = c.service.Status(t.Context(), id)
-		requestAll[name+": submission"] = c.service.Submit(t.Context(), id, testSpec())
-		requestAll[name+": repeated cancellation"] = c.service.Cancel(t.Context(), id)
+	answers := map[string]server.Response{}
+	for name, c := range map[string]*Controller{"follower": a.follower, "other follower": a.otherFollower} {
+		answers[name+": cancellation"] = c.service.Cancel(t.Context(), id)
+		answers[name+": status"] = c.service.Status(t.Context(), id)
+		answers[name+": submission"] = c.service.Submit(t.Context(), id, testSpec())
+		answers[name+": repeated cancellation"] = c.service.Cancel(t.Context(), id)
 	}
-	return requestAll
+	return answers
 }
 
-// checkReported checks that every answer reports a job as cancelled.
+// checkReportedCancelled checks that every answer reports the job as cancelled.
 func (a *acknowledgementTest) checkReportedCancelled(t *testing.T, id ids.JobID) {
 	t.Helper()
 	for way, answer := range a.requestAll(t, id) {
@@ -68,7 +69,7 @@
 	}
 }
 
-// checkNotTold checks that every answer asks the user to come back.
+// checkNotReported checks that every answer asks the user to retry.
 func (a *acknowledgementTest) checkNotReported(t *testing.T, id ids.JobID) {
 	t.Helper()
 	for way, answer := range a.requestAll(t, id) {
@@ -78,10 +79,10 @@
 	}
 }
 
-// The key-value store refuses only the leader, and jobs are cancelled at another controller. If
-// that were reported, and the store then failed for every controller, the leader would renew the
-// leases of the tasks for longer than the cancel deadline. So no answer reports a cancellation
-// before a leader that holds its lease has observed it, and no answer has an older status.
+// Only the leader cannot reach the key-value store, and jobs are cancelled at another controller. If that
+// controller reported the cancellation and the store then failed for every controller, the leader would
+// renew the leases of the tasks beyond the cancel deadline. So no answer may report a cancellation before
+// a leader that holds its lease has observed it, and no answer may have an older status.
 func TestCancellationIsReportedOnceLeaderAcknowledgesIt(t *testing.T) {
 	a := newAcknowledgementTest(t)
 	term := a.leader.election.Term()
@@ -89,33 +90,33 @@
 	a.submit(t, "job-2")
 	a.submit(t, "job-3")
 	if answer := a.follower.service.Cancel(t.Context(), "job-1"); answer.Status != 200 {
-		t.Errorf("the leader holds its lease: %+v", answer)
+		t.Errorf("cancellation while the leader holds its lease: %+v", answer)
 	}
 	if knownToLeader(t, a.leader, "job-1") {
-		t.Error("reported before the leader has observed it")
+		t.Error("the cancellation was reported before the leader observed it")
 	}
 	a.checkReportedCancelled(t, "job-1")
 
 	a.leaderStore.Refuse("/")
-	waitUntil(t, "the leader's lease may have expired", func() bool { return !term.HoldsLease() })
+	waitUntil(t, "the leader does not hold its lease", func() bool { return !term.HoldsLease() })
 	a.checkNotReported(t, "job-2")
 	if knownToLeader(t, a.leader, "job-2") || !term.MayAnswerHeartbeats() {
-		t.Error("the leader still leads, and did not observe the record")
+		t.Error("the leader must still lead and must not have observed the record")
 	}
 	a.checkReportedCancelled(t, "job-1")
-	// Nor while no controller leads, as far as this one knows.
+	// The same applies while the follower knows no leader that it can reach.
 	a.follower.election.Observe(election.Leader{Identity: election.Identity{Name: "n-9"}, Revision: term.Revision + 1})
 	if answer := a.follower.service.Cancel(t.Context(), "job-3"); answer.Status != 503 {
-		t.Errorf("no known leader: %+v", answer)
+		t.Errorf("cancellation without a reachable leader: %+v", answer)
 	}
 
 	a.leaderStore.Accept()
 	waitUntil(t, "the leader holds its lease again", func() bool { return term.HoldsLease() })
 	if answer := a.follower.service.Status(t.Context(), "job-2"); answer.Status != 503 {
-		t.Errorf("no known leader: %+v", answer)
+		t.Errorf("status without a reachable leader: %+v", answer)
 	}
 	// The leader's watch returns the record, and pings raise the acknowledged revision.
-	waitUntil(t, "the leader has read all", func() bool {
+	waitUntil(t, "the leader has observed all changes", func() bool {
 		record, _ := a.store.Entry("jobs/job-3")
 		revision, ok := a.leader.localLeader.get().AcknowledgedRevision()
 		return ok && revision >= record.Revision
@@ -125,9 +126,9 @@
 	a.checkReportedCancelled(t, "job-3")
 }
 
-// A leader acknowledges cancellations only while it holds its lease: a later leader may not know
-// what it observes after that. Here the store refuses only renewals of the lease, so the leader
-// continues to read changes of jobs.
+// A leader that acknowledged cancellations without its lease could acknowledge changes that a later
+// leader does not know. Here the store refuses only renewals of the lease, so the leader continues to
+// read changes of jobs.
 func TestLeaderWithoutLeaseAcknowledgesNothing(t *testing.T) {
 	store := newTestStore(t)
 	leaderStore := serveStore(t, store.Store)
@@ -138,25 +139,26 @@
 	address := startLeading(t, c)
 	term := c.election.Term()
 	acknowledged := store.Put(records.JobKey("job-0"), records.Job{Status: wire.JobDone, Tasks: 1})
-	waitUntil(t, "all is acknowledged", func() bool { return c.pinger.currentPing().AcknowledgedRevision >= acknowledged })
+	waitUntil(t, "all changes are acknowledged", func() bool { return c.pinger.currentPing().AcknowledgedRevision >= acknowledged })
 	leaderStore.Refuse("/grants")
-	waitUntil(t, "the lease may have expired", func() bool { return !term.HoldsLease() })
+	waitUntil(t, "the leader does not hold its lease", func() bool { return !term.HoldsLease() })
 	unacknowledged := store.Put(records.JobKey("job-00"), records.Job{Status: wire.JobDone, Tasks: 1})
 	follower := startFollower(t, store.Address(), c, address)
 	if answer := follower.service.Submit(t.Context(), "job-1", testSpec()); answer.Status != 201 {
-		t.Fatalf("%+v", answer)
+		t.Fatalf("submission of job-1: %+v", answer)
 	}
-	waitUntil(t, "the leader has read all", func() bool {
+	waitUntil(t, "the leader has observed all changes", func() bool {
 		revision, _ := c.localLeader.get().AcknowledgedRevision()
 		return revision >= unacknowledged
 	})
 	if got := c.pinger.currentPing().AcknowledgedRevision; got >= unacknowledged {
-		t.Errorf("acknowledged up to %d without the lease", got)
+		t.Errorf("acknowledged up to revision %d without the lease", got)
 	}
 }
 
-// A peer's answer confirms what it knew when it was asked, and nothing from before its process
-// was started.
+// A peer's answer acknowledges the term only as of the time when the ping was sent, and not from before
+// the peer's process was started. So a ping must contain the uptime, and a peer that knows a later
+// revision must end the term.
 func TestPingWithLaterRevisionEndsTerm(t *testing.T) {
 	store := newTestStore(t)
 	platform := testConfig(store.Address())
@@ -166,14 +168,14 @@
 	setTestCatalog(c)
 	startLeading(t, c)
 	if ping := c.pinger.currentPing(); ping.Uptime <= 0 {
-		t.Errorf("up for %v", ping.Uptime)
+		t.Errorf("uptime %v in the ping, want more than 0", ping.Uptime)
 	}
 	term := c.election.Term()
-	// A peer that has seen a later leader ends the term, though it does not know who leads
-	// now.
+	// A peer that has observed a later leader ends the term, even if it does not know the current
+	// leader.
 	c.pinger.observe(peerapi.Ping{From: "n-1", Revision: term.Revision + 1})
 	waitUntil(t, "the term has ended", func() bool { return c.election.Term() != term })
 	if term.MayAnswerHeartbeats() {
-		t.Error("answers in the name of an earlier term")
+		t.Error("heartbeats are still answered after the end of the term")
 	}
 }
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -11,17 +11,17 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// historyChecker checks that no answer about a job is older than one that was given before it
-// was asked for.
+// historyChecker checks that no answer about a job is older than an answer that was given before the
+// request was sent.
 type historyChecker struct {
 	id ids.JobID
 
-	// mu guards newest, the rank of the newest status in any answer.
+	// mu guards newest, which is the rank of the newest status in any answer.
 	mu     sync.Mutex
 	newest int
 }
 
-// ask asks for an answer and checks it.
+// check sends a request and checks the answer.
 func (h *historyChecker) check(t *testing.T, what string, request func(context.Context) server.Response) {
 	t.Helper()
 	rank := map[wire.JobState]int{wire.JobQueued: 1, wire.JobCancelled: 2}
@@ -36,13 +36,13 @@
 		return
 	}
 	if now := rank[status.Status]; now < before {
-		t.Errorf("%s %s: %+v after %d", h.id, what, answer, before)
+		t.Errorf("%s %s: answer %+v is older than status rank %d", h.id, what, answer, before)
 	} else {
 		h.newest = max(h.newest, now)
 	}
 }
 
-// askOften submits a job at one controller and queries it repeatedly, before and after the given
+// checkRepeatedly submits a job at one controller and queries it repeatedly, before and after the given
 // requests.
 func (h *historyChecker) checkRepeatedly(t *testing.T, c *Controller, requests ...func(context.Context) server.Response) {
 	t.Helper()
@@ -62,9 +62,9 @@
 	}
 }
 
-// A transaction is carried out and only its answer is lost, while other controllers read what it
-// wrote, and write on. Every later question gets nothing older, at any controller, also at the
-// one that waited for the answer.
+// The key-value store executes a transaction and its response is lost, while other controllers read the
+// new record and write it again. No later request may be answered with an older status, by any
+// controller, including the one that waited for the lost response.
 func TestStatusNeverGoesBackAfterLostResponses(t *testing.T) {
 	const rounds, cancelledRank = 40, 2
 	store := newTestStore(t)
@@ -89,7 +89,7 @@
 		users.Wait()
 		history.check(t, "cancelled again", cancel)
 		if history.newest != cancelledRank {
-			t.Errorf("%s: newest status %d", history.id, history.newest)
+			t.Errorf("%s: newest status rank %d, want %d", history.id, history.newest, cancelledRank)
 		}
 	}
 }
--- a/controller/connection_balancer_test.go
+++ b/controller/connection_balancer_test.go
@@ -8,8 +8,9 @@
 	"ospreystile.example/ospreystile/monotonic"
 )
 
-// After a restart a controller's workers would stay where they went, until all were at one
-// controller. They are sent back, one at a time, and no more than needed.
+// Workers that connect to another controller during a restart do not return by themselves, so in the
+// end one controller would serve all workers. The workers must be redirected one at a time, and no more
+// of them than necessary.
 func TestOverloadedControllerRedirectsWorkers(t *testing.T) {
 	at := func(s float64) monotonic.Instant { return monotonic.Instant(time.Hour).Add(monotonic.Seconds(s)) }
 	names := []ids.ControllerName{"n-0", "n-1", "n-2"}
@@ -33,13 +34,13 @@
 			}
 		}
 		if redirects > before+len(names) {
-			t.Fatal("all workers were moved at once")
+			t.Fatal("too many workers were redirected in one step")
 		}
 	}
 	if workers["n-0"] > 250 || workers["n-1"] < 300 || workers["n-2"] < 300 || redirects > 700 {
-		t.Fatalf("after %d moves: %v", redirects, workers)
+		t.Fatalf("workers per controller after %d redirects: %v", redirects, workers)
 	}
 	if _, ok := balancers[0].chooseTarget(controllerLoad{"n-0", 900, 1}, nil, at(1000)); ok {
-		t.Error("moved although no other controller follows the leader")
+		t.Error("redirected a worker although no other controller follows the leader")
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -93,11 +93,11 @@
 		Clock: clock, Log: log, Store: leaderStore, Cloud: cloudClient, Workers: worker.New(), Catalog: c.catalog,
 		VersionGate: c.gate, Peers: c.peers.leaderPeers()}}
 	c.election = election.New(leaderStore.Unthrottled(), identity(platform), leaseBounds(platform, operator), clock, log, leadership.lead)
-	leaders := &leaderClient{localLeader: c.localLeader, election: c.election, peers: c.peers, log: log}
-	c.acknowledgements = &acknowledgements{localLeader: c.localLeader, leaders: leaders}
+	client := &leaderClient{localLeader: c.localLeader, election: c.election, peers: c.peers, log: log}
+	c.acknowledgements = &acknowledgements{localLeader: c.localLeader, leaderClient: client}
 	statusReadInterval := monotonic.Seconds(controllers / (statusReadShare * storeRPS))
-	c.statusReader = newStatusReader(c.userStore, statusReadInterval, leaders.progress)
-	c.initRequestHandlers(leaders, clock)
+	c.statusReader = newStatusReader(c.userStore, statusReadInterval, client.progress)
+	c.initRequestHandlers(client, clock)
 	c.initPeerHandlers(direct, clock)
 	return c
 }
@@ -122,16 +122,16 @@
 }
 
 // initRequestHandlers creates the components that answer users and workers.
-func (c *Controller) initRequestHandlers(leaders *leaderClient, clock monotonic.Clock) {
+func (c *Controller) initRequestHandlers(client *leaderClient, clock monotonic.Clock) {
 	terminal := newTerminalJobs(c.acknowledgements)
 	statuses := &statusHandler{reader: c.statusReader, terminal: terminal, log: c.log}
 	c.commits = &userCommitter{commit.New(c.userStore, settings.TransactionLimits(c.platform), nil, c.log)}
 	maxValueBytes := settings.MaxValueBytes(c.platform)
 	c.balancer = newConnectionBalancer(monotonic.Seconds(balancerWindowIntervals * c.platform.Settings.Workers.HeartbeatIntervalS))
-	c.relay = newHeartbeatRelay(leaders, c.platform.Settings.Resources.Sockets, c.log)
+	c.relay = newHeartbeatRelay(client, c.platform.Settings.Resources.Sockets, c.log)
 	c.service = service{
 		submissionHandler: &submissionHandler{teams: c.platform.Settings.Teams, maxValueBytes: maxValueBytes, catalog: c.catalog,
-			statuses: statuses, terminal: terminal, gate: c.gate, commits: c.commits, leaders: leaders, log: c.log},
+			statuses: statuses, terminal: terminal, gate: c.gate, commits: c.commits, leaderClient: client, log: c.log},
 		statusHandler:       statuses,
 		cancellationHandler: &cancellationHandler{store: c.userStore, maxValueBytes: maxValueBytes, terminal: terminal, commits: c.commits},
 		heartbeatHandler: &heartbeatHandler{self: c.platform.HostName, clock: clock, election: c.election, localLeader: c.localLeader,
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -8,8 +8,9 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Two records are written here rather than by package records, and keep their bytes: that every
-// controller is upgraded, and since which leader the fleet is known.
+// The encoding of the two records that package records does not encode must not change: the format record,
+// which says that every controller is upgraded, and the fleet record, which holds the revision of the first
+// leader.
 func TestFormatRecordKeepsItsBytes(t *testing.T) {
 	store := newTestStore(t)
 	c := startController(t, "n-0", store.Address())
@@ -17,35 +18,35 @@
 		t.Fatal(err)
 	}
 	startLeading(t, c)
-	waitUntil(t, "the fleet's record", func() bool {
+	waitUntil(t, "the fleet record is written", func() bool {
 		_, found := store.Entry("fleet")
 		return found
 	})
 	format, _ := store.Entry("format")
 	if got := string(format.Value); got != "\x81\xa1v\x02" {
-		t.Errorf("format written as %x", got)
+		t.Errorf("format record written as %x", got)
 	}
 	fleet, _ := store.Entry("fleet")
 	lease, _ := store.Entry("leader")
 	if got, want := string(fleet.Value), "\x81\xa5first"+string([]byte{byte(lease.Revision)}); got != want {
-		t.Errorf("fleet written as %x, want %x", got, want)
+		t.Errorf("fleet record written as %x, want %x", got, want)
 	}
 	var leader map[string]any
 	if err := wire.Decode(lease.Value, &leader); err != nil || leader["n"] != "n-0" || leader["m"] != "127.0.0.1:2" || leader["i"] == nil || len(leader) != 3 {
-		t.Errorf("leader lease %v, %v", leader, err)
+		t.Errorf("leader record %v, %v", leader, err)
 	}
 }
 
-// The format's record is read at the key and with the tags that it is written with.
+// The format record must be read at the key and with the tags that are used to write it.
 func TestFormatRecordIsReadWhereItIsWritten(t *testing.T) {
 	rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(wire.Encode(map[string]any{"v": map[string]int{"v": 2}, "stamp": 5}))
 	})
 	c := newTestController(t, testConfig(rec.Address))
 	if err := c.gate.Load(t.Context(), c.userStore); err != nil || !c.gate.Open() {
-		t.Errorf("not read: %v", err)
+		t.Errorf("the gate is not open after reading the format record: %v", err)
 	}
 	if want := "GET /store/format \"\" -\n"; rec.Text() != want {
-		t.Errorf("asked %q, want %q", rec.Text(), want)
+		t.Errorf("request %q, want %q", rec.Text(), want)
 	}
 }
--- a/controller/heartbeat_relay.go
+++ b/controller/heartbeat_relay.go
@@ -37,15 +37,15 @@
 // workers. It sends heartbeats in batches. Each heartbeat waits for the leader's answer, since only the
 // leader renews the leases of workers. The method run owns the goroutines that send batches.
 type heartbeatRelay struct {
-	leaders *leaderClient
-	log     *slog.Logger
+	leaderClient *leaderClient
+	log          *slog.Logger
 	// queue holds the heartbeats that are not in a batch yet.
 	queue *workqueue.Queue[relayedHeartbeat]
 }
 
 // newHeartbeatRelay returns the relay of a controller that may open the given number of sockets.
-func newHeartbeatRelay(leaders *leaderClient, sockets int, log *slog.Logger) *heartbeatRelay {
-	return &heartbeatRelay{leaders: leaders, log: log, queue: workqueue.New[relayedHeartbeat](heartbeatQueueCapacity(sockets))}
+func newHeartbeatRelay(client *leaderClient, sockets int, log *slog.Logger) *heartbeatRelay {
+	return &heartbeatRelay{leaderClient: client, log: log, queue: workqueue.New[relayedHeartbeat](heartbeatQueueCapacity(sockets))}
 }
 
 // heartbeatQueueCapacity returns how many heartbeats may be queued on a controller that may open the
@@ -110,7 +110,7 @@
 func (r *heartbeatRelay) callLeader(ctx context.Context, batch []relayedHeartbeat) []peerapi.HeartbeatAnswer {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	p := r.leaders.peer()
+	p := r.leaderClient.peer()
 	if p == nil {
 		return nil
 	}
--- a/controller/heartbeat_relay_test.go
+++ b/controller/heartbeat_relay_test.go
@@ -15,9 +15,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A follower relays heartbeats, and answers only with what the leader decides. If the leader must
-// not answer, or there is none, the worker gets an error at once, so that it tries another
-// controller.
+// A follower relays heartbeats and returns only answers of the leader. If there is no leader or the
+// leader must not answer, the worker must get an error immediately, so that it tries another controller.
 func TestFollowerRelaysHeartbeats(t *testing.T) {
 	leading := newTestController(t, testConfig(serveEmptyStore(t)))
 	setTestCatalog(leading)
@@ -36,7 +35,7 @@
 	}
 	follower.election.Observe(election.Leader{Identity: election.Identity{Name: "n-0"}, Revision: 7})
 	if a := sendHeartbeat(); a.Status != 503 {
-		t.Fatalf("before the leader leads: %+v", a)
+		t.Fatalf("before the other controller leads: %+v", a)
 	}
 
 	runUntilCleanup(t, func(ctx context.Context) { _ = leading.election.Run(ctx) })
@@ -48,36 +47,37 @@
 	follower.balancer.window = time.Minute
 	follower.balancer.recount(follower.pinger.clock.Now())
 	if n := follower.balancer.lastCount(); n != 1 {
-		t.Errorf("%d workers counted", n)
+		t.Errorf("%d workers counted, want 1", n)
 	}
 
-	// A later leader is known: this one may answer no more.
+	// Once a later leader is known, this leader must not answer any more.
 	leading.election.Observe(election.Leader{Identity: election.Identity{Name: "n-2"}, Revision: 9})
 	waitUntil(t, "the term has ended", func() bool { return leading.localLeader.get() == nil })
 	if a := sendHeartbeat(); a.Status != 503 {
-		t.Errorf("from a leader that was replaced: %+v", a)
+		t.Errorf("from a leader whose term has ended: %+v", a)
 	}
 }
 
-// While too many heartbeats wait, another is refused at once.
+// A heartbeat that arrives while the queue is full must be refused immediately and not after a timeout.
 func TestFullHeartbeatQueueRefusesImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(t, testConfig("127.0.0.1:1"))
 		waiting, stop := context.WithCancel(t.Context())
-		for range heartbeatQueueCapacity(c.platform.Settings.Resources.Sockets) { // nothing answers here
+		for range heartbeatQueueCapacity(c.platform.Settings.Resources.Sockets) { // no goroutine takes heartbeats from the queue
 			go c.relay.relay(waiting, nil)
 		}
 		synctest.Wait()
 		began := time.Now()
 		if answer := c.relay.relay(t.Context(), nil); answer.Status != 503 || time.Since(began) > 0 {
-			t.Errorf("%+v after %v", answer, time.Since(began))
+			t.Errorf("answer %+v after %v", answer, time.Since(began))
 		}
 		stop()
 		synctest.Wait()
 	})
 }
 
-// emptyStore is a stand-in for a key-value store in which no controller has led yet.
+// serveEmptyStore starts a fake key-value store in which no controller has led yet, and returns its
+// address.
 func serveEmptyStore(t *testing.T) string {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/controller/helpers_test.go
+++ b/controller/helpers_test.go
@@ -15,7 +15,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// testConfig is the settings of controller n-0, whose key-value store is at an address.
+// testConfig returns the settings of controller n-0 with a key-value store at the given address.
 func testConfig(store string) *config.Platform {
 	p := &config.Platform{HostName: "n-0", APIAddr: "127.0.0.1:1", PeerAddr: "127.0.0.1:2"}
 	p.External.KV, p.External.Cloud = store, "127.0.0.1:3"
@@ -25,7 +25,7 @@
 	return p
 }
 
-// newTestController makes a controller that logs nothing; none of its goroutines runs.
+// newTestController returns a controller that logs nothing. None of its goroutines is started.
 func newTestController(t *testing.T, platform *config.Platform) *Controller {
 	t.Helper()
 	return newLoggingController(t, platform, slog.New(slog.DiscardHandler))
@@ -40,12 +40,12 @@
 	return New(platform, operator, log)
 }
 
-// storeTestCatalog has a controller know a single machine type.
+// setTestCatalog sets a controller's catalog to a single machine type.
 func setTestCatalog(c *Controller) {
 	c.catalog.types.Store(&[]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}})
 }
 
-// startController starts what a controller needs to take submissions.
+// startController starts the goroutines that a controller needs to accept submissions.
 func startController(t *testing.T, name ids.ControllerName, store string, seeds ...config.Peer) *Controller {
 	t.Helper()
 	platform := testConfig(store)
@@ -58,7 +58,8 @@
 	return c
 }
 
-// startFollower starts controller n-1, which follows another that peers reach at an address.
+// startFollower starts controller n-1, which follows the leading controller. Peers reach the latter at the
+// given address.
 func startFollower(t *testing.T, store string, leading *Controller, address string) *Controller {
 	t.Helper()
 	c := startController(t, "n-1", store, config.Peer{Name: "n-0", Address: address})
@@ -67,7 +68,8 @@
 	return c
 }
 
-// startLeading has a controller lead, and be reached by the others at the address returned.
+// startLeading starts a controller's election, waits until the controller leads, and returns the address at
+// which peers reach it.
 func startLeading(t *testing.T, c *Controller) (address string) {
 	t.Helper()
 	runUntilCleanup(t, func(ctx context.Context) { _ = c.election.Run(ctx) })
@@ -76,7 +78,7 @@
 	return address
 }
 
-// servePeers serves a controller's peers, and returns at which address.
+// servePeers serves the peers of a controller, and returns the address.
 func servePeers(t *testing.T, c *Controller) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -87,7 +89,7 @@
 	return listener.Addr().String()
 }
 
-// runUntilCleanup runs a function in a goroutine that ends with the test.
+// runUntilCleanup runs a function in a goroutine until the test ends.
 func runUntilCleanup(t *testing.T, run func(context.Context)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -96,7 +98,8 @@
 	t.Cleanup(func() { cancel(); running.Wait() })
 }
 
-// until waits for what other goroutines are to bring about.
+// waitUntil waits until ok returns true. It fails the test if the condition, described by what, is not met
+// in time.
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 4000 {
@@ -105,10 +108,10 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
 
-// knownToLeader reports whether the leader in a controller's process knows a job.
+// knownToLeader reports whether the leader in a controller's process knows the job.
 func knownToLeader(t *testing.T, c *Controller, id ids.JobID) bool {
 	t.Helper()
 	local := c.localLeader.get()
@@ -123,12 +126,12 @@
 	return known
 }
 
-// noProgress is a progressSource of jobs that have not started.
+// noProgress is a progressSource for jobs that have not started.
 func noProgress(_ context.Context, jobs []ids.JobID) []peerapi.JobProgress {
 	return make([]peerapi.JobProgress, len(jobs))
 }
 
-// testSpec is the specification of a job of one task.
+// testSpec returns the specification of a job with one task.
 func testSpec(dependsOn ...ids.JobID) *wire.JobSpec {
 	return &wire.JobSpec{Class: "c", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", DependsOn: dependsOn}
 }
--- a/controller/kv_routes_test.go
+++ b/controller/kv_routes_test.go
@@ -20,41 +20,41 @@
 	return server
 }
 
-// A controller that the key-value store refuses alone reads through a peer; without one it
-// says at once that it does not know.
+// A controller that alone cannot reach the key-value store must read through a peer. If no peer is known
+// to reach the store, it must ask the user to retry.
 func TestReadsGoThroughPeerWhileStoreIsUnreachable(t *testing.T) {
-	good, bad := newCancelledJobStore(t), newCancelledJobStore(t)
-	bad.Refuse("/")
+	reachable, unreachable := newCancelledJobStore(t), newCancelledJobStore(t)
+	unreachable.Refuse("/")
 	ctx, cancel := context.WithCancel(t.Context())
-	other := newTestController(t, testConfig(good.Address()))
+	other := newTestController(t, testConfig(reachable.Address()))
 
-	cfg := testConfig(bad.Address())
+	cfg := testConfig(unreachable.Address())
 	cfg.Seeds = []config.Peer{{Name: "n-1", Address: servePeers(t, other)}}
 	n := newTestController(t, cfg)
-	answering := make(chan error, 1)
-	go func() { answering <- n.statusReader.run(ctx) }()
-	defer func() { cancel(); <-answering }()
+	done := make(chan error, 1)
+	go func() { done <- n.statusReader.run(ctx) }()
+	defer func() { cancel(); <-done }()
 	if a := n.service.Status(ctx, "job-1"); a.Status != 503 || a.RetryAfter == 0 {
-		t.Fatalf("refused, and no peer known to be better: %+v", a)
+		t.Fatalf("no peer is known to reach the store: %+v", a)
 	}
 	n.storeHealth.failures.Store(2)
 	n.peers[0].storeReachable.Store(true)
 	n.peers[0].lastAnswer.Store(int64(n.pinger.clock.Now()))
 	if a := n.service.Status(ctx, "job-2"); a.Status != 404 {
-		t.Errorf("an unknown job: %+v", a)
+		t.Errorf("status of an unknown job: %+v", a)
 	}
 	// The cancellation is reported to users only once a leader has acknowledged it.
 	if a := n.service.Status(ctx, "job-1"); a.Status != 503 || a.RetryAfter == 0 {
-		t.Errorf("a cancellation that no leader may know of: %+v", a)
+		t.Errorf("a cancellation that no leader has acknowledged: %+v", a)
 	}
 	n.pinger.observe(peerapi.Ping{AcknowledgedRevision: 7})
 	a := n.service.Status(ctx, "job-1")
 	if s, ok := a.Body.(wire.JobStatus); a.Status != 200 || !ok || s.Status != wire.JobCancelled {
 		t.Fatalf("through the peer: %+v", a)
 	}
-	// A final status stays, whether or not the store can be reached.
+	// A final status is reported even while the store cannot be reached.
 	n.peers[0].storeReachable.Store(false)
 	if a := n.service.Status(ctx, "job-1"); a.Status != 200 {
-		t.Errorf("a job known to be over: %+v", a)
+		t.Errorf("a job whose final status is cached: %+v", a)
 	}
 }
--- a/controller/operatorclient/client_test.go
+++ b/controller/operatorclient/client_test.go
@@ -14,7 +14,8 @@
 	"ospreystile.example/ospreystile/peerrpc"
 )
 
-// serve answers every operation with an answer or an error, and returns at which address.
+// serve starts a server that responds to every operation with an answer or an error, and returns its
+// address.
 func serve(t *testing.T, answer any, refusal error) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -29,7 +30,7 @@
 	return listener.Addr().String()
 }
 
-// The client passes over followers, and takes the leader's answer.
+// The client must skip followers and return the leader's answer.
 func TestClientFindsLeader(t *testing.T) {
 	follower := serve(t, nil, peerapi.ErrNotLeading)
 	leader := serve(t, peerapi.ZonesResponse{Enabled: true, Leader: "n-2"}, nil)
@@ -39,18 +40,19 @@
 	}
 }
 
-// The leader's refusal ends the search: no other controller would carry the override out.
+// The client must return the leader's refusal without calling other controllers, since no other controller
+// would apply the override.
 func TestClientReturnsLeaderRefusal(t *testing.T) {
-	refusing := serve(t, nil, peerapi.ErrZoneRecoveryDisabled)
-	willing := serve(t, peerapi.ZonesResponse{Leader: "n-1"}, nil)
-	client := New("n-0", refusing, map[ids.ControllerName]string{"n-1": willing})
+	refusingLeader := serve(t, nil, peerapi.ErrZoneRecoveryDisabled)
+	otherController := serve(t, peerapi.ZonesResponse{Leader: "n-1"}, nil)
+	client := New("n-0", refusingLeader, map[ids.ControllerName]string{"n-1": otherController})
 	_, err := client.OverrideZone(t.Context(), peerapi.ZoneOverride{Zone: "a"})
 	if !errors.Is(err, peerrpc.ErrRemote) || !errors.Is(err, peerapi.ErrZoneRecoveryDisabled) || !strings.Contains(err.Error(), peerapi.ErrZoneRecoveryDisabled.Error()) {
 		t.Errorf("%v", err)
 	}
 }
 
-// Without a leader the error joins the answers of all controllers.
+// Without a leader the error must join the errors of all controllers.
 func TestClientJoinsErrorsWithoutLeader(t *testing.T) {
 	follower := serve(t, nil, peerapi.ErrNotLeading)
 	client := New("n-0", "127.0.0.1:1", map[ids.ControllerName]string{"n-1": follower})
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -11,20 +11,20 @@
 	"ospreystile.example/ospreystile/server"
 )
 
-// overload fills the queues of changes and queries of a controller until the context ends.
+// overload fills a controller's queues of changes and queries. The queries wait until the context ends.
 func overload(ctx context.Context, t *testing.T, c *Controller) {
 	t.Helper()
-	for range maxQueuedCommits { // nothing commits here
+	for range maxQueuedCommits { // no goroutine commits the changes
 		c.commits.committer.Submit(records.Change{}, time.Time{}, func(records.CommitResult) {})
 	}
-	for range maxQueuedQueries { // nor answers
+	for range maxQueuedQueries { // no goroutine answers the queries
 		go c.statusReader.query(ctx, "job-1", nil)
 	}
 	synctest.Wait()
 }
 
-// A request that cannot be taken because too many wait is refused at once, with a time to come
-// back: it must not wait for its deadline first.
+// A request that arrives while a queue is full must be refused immediately, with a delay after which the
+// user should retry. It must not wait for its deadline first.
 func TestOverloadedControllerRefusesImmediately(t *testing.T) {
 	const id ids.JobID = "job-2"
 	for name, request := range map[string]func(ctx context.Context, c *Controller) server.Response{
@@ -39,7 +39,7 @@
 				overload(waiting, t, c)
 				began := time.Now()
 				if answer := request(t.Context(), c); answer.Status != 503 || answer.RetryAfter <= 0 {
-					t.Errorf("%+v", answer)
+					t.Errorf("answer %+v", answer)
 				}
 				if waited := time.Since(began); waited > 0 {
 					t.Errorf("refused after %v", waited)
--- a/controller/peerapi/golden_test.go
+++ b/controller/peerapi/golden_test.go
@@ -24,7 +24,7 @@
 			Setbacks: 6, DisplacedTasks: 7, DisplacedJobs: 8, Failbacks: 9, ForcedFailbacks: 10, RestoredReplicas: 11, Machines: 12}}}}}
 }
 
-// The request and the answer of each operation between controllers keep their bytes.
+// The encodings of the requests and answers between controllers must not change.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	every := Ping{From: "perch-1", Leader: "perch-0", LeaderPeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StoreReachable: true,
 		Workers: 231, Uptime: 90 * time.Second, AcknowledgedRevision: 411, Versions: Versions{Format: RecordFormat, Upgraded: []ids.ControllerName{"perch-0", "perch-2"}, Durable: true}}
@@ -55,8 +55,8 @@
 	})
 }
 
-// The names of operations and the words of refusals stay: controllers of two versions
-// talk to each other during an upgrade.
+// The names of operations and the texts of refusals must not change, since controllers of two versions
+// communicate with each other during an upgrade.
 func TestOperationsKeepTheirNames(t *testing.T) {
 	for want, got := range map[peerrpc.Operation]peerrpc.Operation{"ping": OpPing, "state": OpStore, "progress": OpProgress, "job": OpJob,
 		"reports": OpHeartbeats, "zones": OpZones, "zone-override": OpZoneOverride} {
@@ -72,6 +72,6 @@
 		}
 	}
 	if RecordFormat != 2 {
-		t.Errorf("format %d, want 2", RecordFormat)
+		t.Errorf("record format %d, want 2", RecordFormat)
 	}
 }
--- a/controller/peerapi/production_test.go
+++ b/controller/peerapi/production_test.go
@@ -16,7 +16,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// readProductionBytes holds bytes as the version named in deploy/service.toml writes them.
+// readProductionBytes returns records and messages by name, as encoded by the version that
+// deploy/service.toml names.
 func readProductionBytes(t *testing.T) map[string][]byte {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/production.json")
@@ -42,8 +43,8 @@
 		ImageGB: 6.2, Types: []ids.MachineType{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, CheckpointEveryS: 30, CheckpointS: 4, DeadlineS: 900}
 }
 
-// checkProductionBytes checks that bytes of the version in production are read as the value, and
-// that the value is written as the same bytes.
+// checkProductionBytes checks that bytes that the version in production has written are decoded to the
+// value, and that the value is encoded to the same bytes.
 func checkProductionBytes(t *testing.T, written []byte, want any, decode func([]byte, any) error, encode func(any) ([]byte, error)) {
 	t.Helper()
 	got := reflect.New(reflect.TypeOf(want))
@@ -55,8 +56,8 @@
 	}
 }
 
-// Every record of the version in production means the same here, and until the version gate
-// opens the same bytes are written.
+// Every record of the version in production must have the same meaning in this version. Until the version
+// gate opens, this version must write the same bytes.
 func TestProductionRecordsAreReadAndWritten(t *testing.T) {
 	queued := records.Job{Nonce: 1<<63 + 5, Status: wire.JobQueued, Tasks: 70, Spec: productionSpec(), SubmittedMS: 1764640000123}
 	cancelled := queued
@@ -75,7 +76,8 @@
 	}
 }
 
-// The same holds for every message between controllers.
+// Every message of the version in production must have the same meaning in this version, which must write
+// the same bytes.
 func TestProductionMessagesAreReadAndWritten(t *testing.T) {
 	old := readProductionBytes(t)
 	for name, want := range map[string]any{
@@ -91,7 +93,8 @@
 	}
 }
 
-// productionJob and oldSpec are the structs of the version in production, and so is how it reads a job.
+// productionJob and productionJobSpec are the structs into which the version in production decodes a
+// job's record.
 type productionJob struct {
 	Nonce       uint64             `msgpack:"w"`
 	Status      string             `msgpack:"s"`
@@ -123,8 +126,8 @@
 	DeadlineS       float64  `msgpack:"d,omitempty"`
 }
 
-// Records that are written while old controllers serve are read by them as they were meant;
-// what is new in them is ignored.
+// Controllers of the version in production must decode the fields that they know from the records of this
+// version, and ignore the fields that are new.
 func TestProductionVersionReadsRecords(t *testing.T) {
 	const tooSmall = 150
 	spec := productionJobSpec{Class: "train", Team: "vision", Priority: 2, Tasks: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07",
--- a/controller/pinger_test.go
+++ b/controller/pinger_test.go
@@ -9,7 +9,7 @@
 	"ospreystile.example/ospreystile/peerrpc"
 )
 
-// oldPing is the ping of the version in production.
+// productionPing represents a ping in the version in production.
 type productionPing struct {
 	From           string `cbor:"1,keyasint"`
 	Leader         string `cbor:"2,keyasint"`
@@ -20,7 +20,8 @@
 	Workers        int    `cbor:"7,keyasint"`
 }
 
-// Old controllers read a ping as it was meant, and ignore what is new in it.
+// Controllers of the version in production must decode the fields that they know from a ping, and ignore
+// the fields that are new.
 func TestProductionVersionReadsPings(t *testing.T) {
 	c := newTestController(t, testConfig("127.0.0.1:4"))
 	raw, err := cbor.Marshal(c.pinger.currentPing())
@@ -29,7 +30,7 @@
 	}
 	var old productionPing
 	if err := cbor.Unmarshal(raw, &old); err != nil || old != (productionPing{From: "n-0", StoreReachable: true}) {
-		t.Errorf("an old controller reads %+v, %v", old, err)
+		t.Errorf("the version in production reads %+v, %v", old, err)
 	}
 	var full peerapi.Ping
 	if err := peerrpc.Decode(raw, &full); err != nil || full.Format != peerapi.RecordFormat {
--- a/controller/retry_listener_test.go
+++ b/controller/retry_listener_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// fullOnce is a listener of a process that is out of sockets at first.
+// failingListener is a listener whose first calls of Accept fail because the process has no free sockets.
 type failingListener struct {
 	net.Listener
-	failures int
+	failures int // number of calls of Accept that still fail
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
@@ -22,7 +22,7 @@
 	return l.Listener.Accept()
 }
 
-// A controller without free sockets accepts connections again once it has some.
+// A controller that has run out of sockets must accept connections again once sockets are free.
 func TestListenerRecoversFromSocketExhaustion(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -41,6 +41,6 @@
 	c.Close()
 	ln.Close()
 	if _, err := p.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("Accept on the closed listener: %v", err)
 	}
 }
--- a/controller/status_benchmark_test.go
+++ b/controller/status_benchmark_test.go
@@ -14,10 +14,10 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// memoryJobs is a jobStore over records in memory that never change.
+// memoryJobs is an in-memory jobStore whose records never change.
 type memoryJobs []kv.Entry
 
-// newMemoryJobs holds so many queued jobs, named as benchmarkJob does.
+// newMemoryJobs returns a store with count queued jobs, which are named by benchmarkJob.
 func newMemoryJobs(count int) memoryJobs {
 	value := wire.Encode(records.Job{Status: wire.JobQueued, Tasks: 2})
 	jobs := make(memoryJobs, count)
@@ -42,7 +42,7 @@
 
 func benchmarkJob(i int) ids.JobID { return ids.JobID(fmt.Sprintf("job-%d", i)) }
 
-// BenchmarkStatusQueries measures concurrent status queries for jobs that are queued.
+// BenchmarkStatusQueries measures concurrent status queries for queued jobs.
 func BenchmarkStatusQueries(b *testing.B) {
 	const jobs, queriesPerProcessor = 1000, 32
 	reader := newStatusReader(newMemoryJobs(jobs), 0, noProgress)
--- a/controller/status_reader_test.go
+++ b/controller/status_reader_test.go
@@ -16,14 +16,14 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// newJobStore makes a store that keeps the last 40 changes.
+// newJobStore returns a store that retains the last 40 changes.
 func newJobStore() *kvtest.Store {
 	store := kvtest.NewStore()
 	store.SetRetention(40)
 	return store
 }
 
-// newJobStoreClient returns a client of a store whose requests and responses take up to 30 ms each.
+// newJobStoreClient returns a client whose requests and responses take up to 30 ms each.
 func newJobStoreClient(store *kvtest.Store) *kvtest.Client {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(1, 9))
@@ -38,7 +38,7 @@
 	return newStatusReader(store, 50*time.Millisecond, noProgress)
 }
 
-// freshnessTest has two controllers' readers of one store, and the answers of both.
+// freshnessTest holds the readers of two controllers over one store, and the newest answers of both.
 type freshnessTest struct {
 	store   *kvtest.Store
 	readers [2]*statusReader
@@ -46,19 +46,19 @@
 	// mu guards the fields below.
 	mu sync.Mutex
 	// newest is the rank of the newest status in any answer about a job.
-	newest          map[ids.JobID]int
-	asked, failures int
+	newest            map[ids.JobID]int
+	queries, failures int
 }
 
-// query asks a random controller about a job, and checks that the answer is not older than an
-// earlier answer.
+// query asks a random controller for the status of a random job, and checks that the answer is not older
+// than a previous answer.
 func (f *freshnessTest) query(ctx context.Context, t *testing.T, rng *rand.Rand) {
 	t.Helper()
 	rank := map[wire.JobState]int{"": 0, wire.JobQueued: 1, wire.JobCancelled: 2, wire.JobDone: 2}
 	id := ids.JobID(fmt.Sprintf("job-%d", rng.IntN(60)))
 	f.mu.Lock()
 	before := f.newest[id]
-	f.asked++
+	f.queries++
 	f.mu.Unlock()
 	answer := f.readers[rng.IntN(2)].query(ctx, id, nil)
 	f.mu.Lock()
@@ -69,12 +69,12 @@
 	}
 	now := rank[answer.job.Status]
 	if now < before {
-		t.Errorf("%s: status %d after %d", id, now, before)
+		t.Errorf("%s: status rank %d after rank %d", id, now, before)
 	}
 	f.newest[id] = max(f.newest[id], now)
 }
 
-// change submits and ends jobs as another controller would. From time to time the store fails.
+// change submits and ends jobs like another controller. Periodically the store has an outage.
 func (f *freshnessTest) change(rng *rand.Rand) {
 	for n := range 60 {
 		id := ids.JobID(fmt.Sprintf("job-%d", n))
@@ -94,8 +94,9 @@
 	f.store.EndOutage()
 }
 
-// Status reads are linearizable: once any controller has returned a status, no controller returns
-// an older one to a later query. The reads of the store do not grow with the queries.
+// Status reads must be linearizable: once any controller has returned a status, no controller may return
+// an older status to a later query. The number of requests to the store must not grow with the number of
+// queries.
 func TestStatusAnswersAreLinearizable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newJobStore()
@@ -119,17 +120,17 @@
 		users.Wait()
 		cancel()
 		running.Wait()
-		if f.failures == 0 || f.failures > f.asked/2 {
-			t.Errorf("%d of %d questions failed", f.failures, f.asked)
+		if f.failures == 0 || f.failures > f.queries/2 {
+			t.Errorf("%d of %d queries failed", f.failures, f.queries)
 		}
-		if calls := store.Requests(); 4*calls > f.asked {
-			t.Errorf("%d calls for %d questions", calls, f.asked)
+		if calls := store.Requests(); 4*calls > f.queries {
+			t.Errorf("%d requests to the store for %d queries", calls, f.queries)
 		}
 	})
 }
 
-// A record that cannot be decoded is still that of an accepted job. The job must not be reported
-// as unknown, and queries about it and about other jobs must be answered.
+// A record that cannot be decoded belongs to an accepted job. The job must not be reported as unknown,
+// and queries about it and about other jobs must be answered.
 func TestUnreadableRecordCountsAsQueued(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newJobStore()
@@ -140,13 +141,13 @@
 		done := make(chan error, 1)
 		go func() { done <- p.run(ctx) }()
 		if a := p.query(ctx, "job-1", nil); a.err != nil || !a.found || a.job.Status != wire.JobQueued {
-			t.Errorf("unreadable: %+v", a)
+			t.Errorf("job with an unreadable record: %+v", a)
 		}
 		if a := p.query(ctx, "job-2", nil); a.err != nil || a.job.Status != wire.JobDone {
-			t.Errorf("its neighbour: %+v", a)
+			t.Errorf("job with a readable record: %+v", a)
 		}
 		if a := p.query(ctx, "job-3", nil); a.err != nil || a.found {
-			t.Errorf("never submitted: %+v", a)
+			t.Errorf("job that was never submitted: %+v", a)
 		}
 		cancel()
 		if err := <-done; !errors.Is(err, context.Canceled) {
@@ -155,14 +156,14 @@
 	})
 }
 
-// stoodStill is a context whose deadline has passed although its timer has not fired, as a process
-// finds it that was paused while its clocks ran on.
+// pausedContext is a context whose deadline has passed although its timer has not fired. This is the
+// state of a context after a pause of the process during which the clocks continued.
 type pausedContext struct{ context.Context }
 
 func (pausedContext) Deadline() (time.Time, bool) { return time.Now().Add(-time.Second), true }
 
-// An answer that was ready before a process was paused may be older than what other controllers
-// have returned since, so it is not given.
+// An answer that was computed before the process was paused may be older than the answers that other
+// controllers have returned in the meantime, so it must be discarded.
 func TestAnswersFromBeforeAPauseAreDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newJobStore()
@@ -172,10 +173,10 @@
 		done := make(chan error, 1)
 		go func() { done <- p.run(ctx) }()
 		if a := p.query(ctx, "job-1", nil); a.err != nil {
-			t.Errorf("in time: %v", a.err)
+			t.Errorf("before the deadline: %v", a.err)
 		}
 		if a := p.query(pausedContext{ctx}, "job-1", nil); a.err == nil {
-			t.Errorf("too late: %+v", a)
+			t.Errorf("after the deadline: %+v", a)
 		}
 		cancel()
 		<-done
--- a/controller/store_test.go
+++ b/controller/store_test.go
@@ -7,12 +7,11 @@
 	"ospreystile.example/ospreystile/internal/kvtest"
 )
 
-// testHold bounds the watches that the controllers of a test open, and so how long they take to
-// end.
+// testMaxHold bounds the duration of a watch in a test, and so the time that controllers take to stop.
 const testMaxHold = 20 * time.Millisecond
 
-// newTestStore starts a key-value store whose leases do not expire: a test may take longer than
-// they last.
+// newTestStore starts a key-value store whose leases do not expire, since a test may take longer than a
+// lease.
 func newTestStore(t *testing.T) *kvtest.Server {
 	t.Helper()
 	store := kvtest.NewStore()
@@ -21,7 +20,8 @@
 	return serveStore(t, store)
 }
 
-// serveStore starts a server of a store, which can refuse its callers alone.
+// serveStore starts a server of a store. The server can refuse its own callers, and not those of other
+// servers of the store.
 func serveStore(t *testing.T, store *kvtest.Store) *kvtest.Server {
 	t.Helper()
 	server := kvtest.NewServer(store)
--- a/controller/submissions.go
+++ b/controller/submissions.go
@@ -33,7 +33,7 @@
 	terminal      *terminalJobs
 	gate          *versionGate
 	commits       *userCommitter
-	leaders       *leaderClient
+	leaderClient  *leaderClient
 	log           *slog.Logger
 }
 
@@ -142,7 +142,7 @@
 	result := h.commits.commit(ctx, records.CreateJobChange(id, *record))
 	switch {
 	case result.Err == nil:
-		h.leaders.notifyJob(leader.JobRecord{ID: id, Record: record, Revision: result.Revision})
+		h.leaderClient.notifyJob(leader.JobRecord{ID: id, Record: record, Revision: result.Revision})
 		return server.Response{Status: http.StatusCreated, Body: wire.JobStatus{ID: id, Status: record.Status}}
 	case errors.Is(result.Err, records.ErrRejected):
 		return server.RetryLater(rejectedRetryDelay)
--- a/controller/submissions_test.go
+++ b/controller/submissions_test.go
@@ -20,43 +20,42 @@
 		change func(*wire.JobSpec)
 		can    bool
 	}{
-		"an array may wait for its limit": {func(*wire.JobSpec) {}, true},
-		"a service needs all at once":     {func(s *wire.JobSpec) { s.Service = true }, false},
-		"so does a gang":                  {func(s *wire.JobSpec) { s.Gang = true }, false},
-		"a service that fits":             {func(s *wire.JobSpec) { s.Service, s.Tasks = true, 2 }, true},
-		"unknown team":                    {func(s *wire.JobSpec) { s.Team = "green" }, false},
-		"too large for any type":          {func(s *wire.JobSpec) { s.CPUs = 9 }, false},
-		"too much memory":                 {func(s *wire.JobSpec) { s.MemoryGB = 17 }, false},
-		"no such type":                    {func(s *wire.JobSpec) { s.Types = []ids.MachineType{"x"} }, false},
-		"no such zone":                    {func(s *wire.JobSpec) { s.Zone = "z" }, false},
-		"no gpus at all":                  {func(s *wire.JobSpec) { s.GPUs = 1 }, false},
+		"array whose tasks can run one after another":   {func(*wire.JobSpec) {}, true},
+		"service whose tasks exceed the limit together": {func(s *wire.JobSpec) { s.Service = true }, false},
+		"gang whose tasks exceed the limit together":    {func(s *wire.JobSpec) { s.Gang = true }, false},
+		"service within the limit":                      {func(s *wire.JobSpec) { s.Service, s.Tasks = true, 2 }, true},
+		"unknown team":                                  {func(s *wire.JobSpec) { s.Team = "green" }, false},
+		"too many CPUs for every machine type":          {func(s *wire.JobSpec) { s.CPUs = 9 }, false},
+		"too much memory for every machine type":        {func(s *wire.JobSpec) { s.MemoryGB = 17 }, false},
+		"unknown machine type":                          {func(s *wire.JobSpec) { s.Types = []ids.MachineType{"x"} }, false},
+		"unknown zone":                                  {func(s *wire.JobSpec) { s.Zone = "z" }, false},
+		"no machine type with GPUs":                     {func(s *wire.JobSpec) { s.GPUs = 1 }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			spec := base
 			row.change(&spec)
 			if got := c.service.canRun(&spec, types); got != row.can {
-				t.Errorf("%v, want %v", got, row.can)
+				t.Errorf("canRun returned %v, want %v", got, row.can)
 			}
 		})
 	}
 }
 
-// dependencyTest is two controllers over one store, of which the first leads. The version gate
-// is open at both.
+// dependencyTest holds a leader and a follower over one store. The version gate is open at both.
 type dependencyTest struct {
-	store   *kvtest.Server
-	address string // of the leader
-	a, b    *Controller
+	store            *kvtest.Server
+	address          string // address of the leader for its peers
+	leader, follower *Controller
 }
 
 func newDependencyTest(t *testing.T) *dependencyTest {
 	t.Helper()
 	store := newTestStore(t)
-	d := &dependencyTest{store: store, a: startController(t, "n-0", store.Address())}
-	d.address = startLeading(t, d.a)
-	d.b = startFollower(t, d.store.Address(), d.a, d.address)
-	d.a.gate.open.Store(true)
-	d.b.gate.open.Store(true)
+	d := &dependencyTest{store: store, leader: startController(t, "n-0", store.Address())}
+	d.address = startLeading(t, d.leader)
+	d.follower = startFollower(t, d.store.Address(), d.leader, d.address)
+	d.leader.gate.open.Store(true)
+	d.follower.gate.open.Store(true)
 	return d
 }
 
@@ -73,7 +72,7 @@
 // checkStatus checks a job's status at both controllers.
 func (d *dependencyTest) checkStatus(t *testing.T, id ids.JobID, status wire.JobState) {
 	t.Helper()
-	for _, c := range []*Controller{d.a, d.b} {
+	for _, c := range []*Controller{d.leader, d.follower} {
 		answer := c.service.Status(t.Context(), id)
 		if s, _ := answer.Body.(wire.JobStatus); s.Status != status {
 			t.Errorf("%s: %+v, want %s", id, answer, status)
@@ -81,65 +80,67 @@
 	}
 }
 
-// A submission with dependencies that were never accepted is refused, but only when that is
-// known, and one that was accepted before is answered from its record.
+// A submission with a dependency that was never accepted must be refused, but only if the absence of the
+// dependency is certain. A job that was accepted before must be answered according to its record.
 func TestSubmissionsWithDependencies(t *testing.T) {
 	d := newDependencyTest(t)
-	checkSubmission(t, d.a, "job-1", 201, "queued")
-	checkSubmission(t, d.b, "job-2", 201, "queued", "job-1")
-	checkSubmission(t, d.a, "job-3", 201, "queued", "job-2", "job-1")
-	checkSubmission(t, d.b, "job-4", 422, "", "job-1", "job-none")
-	checkSubmission(t, d.b, "job-5", 422, "", "job-5")
-	checkSubmission(t, d.a, "job-3", 200, "queued", "job-none") // accepted before: the dependencies of this request do not count
-	checkSubmission(t, d.a, "job-3", 200, "queued", "job-3")
+	checkSubmission(t, d.leader, "job-1", 201, "queued")
+	checkSubmission(t, d.follower, "job-2", 201, "queued", "job-1")
+	checkSubmission(t, d.leader, "job-3", 201, "queued", "job-2", "job-1")
+	checkSubmission(t, d.follower, "job-4", 422, "", "job-1", "job-none")
+	checkSubmission(t, d.follower, "job-5", 422, "", "job-5")
+	checkSubmission(t, d.leader, "job-3", 200, "queued", "job-none") // accepted before: the dependencies of this request are ignored
+	checkSubmission(t, d.leader, "job-3", 200, "queued", "job-3")
 	d.checkStatus(t, "job-5", "")
 
 	d.store.StartOutage()
-	checkSubmission(t, d.b, "job-8", 503, "", "job-none") // unknown is not never accepted
+	checkSubmission(t, d.follower, "job-8", 503, "", "job-none") // during an outage it is unknown whether job-none was accepted
 	d.store.EndOutage()
 }
 
-// A list of dependencies is stored whole, or refused.
+// A list of dependencies that is too long for the record must be refused. A shorter one must be stored
+// completely.
 func TestLongDependencyLists(t *testing.T) {
 	d := newDependencyTest(t)
 	var long []ids.JobID
 	for i := range 400 {
 		long = append(long, ids.JobID(fmt.Sprintf("job-l%d", i)))
-		checkSubmission(t, d.a, long[i], 201, "queued")
+		checkSubmission(t, d.leader, long[i], 201, "queued")
 	}
-	checkSubmission(t, d.a, "job-6", 422, "", long...) // cannot be stored whole
-	checkSubmission(t, d.a, "job-7", 201, "queued", long[:40]...)
+	checkSubmission(t, d.leader, "job-6", 422, "", long...) // too long for the record
+	checkSubmission(t, d.leader, "job-7", 201, "queued", long[:40]...)
 	entry, _ := d.store.Entry("jobs/job-7")
 	var record records.Job
 	if err := wire.Decode(entry.Value, &record); err != nil || !slices.Equal(record.Spec.DependsOn, long[:40]) {
-		t.Errorf("stored %v, %v", record.Spec, err)
+		t.Errorf("stored specification %v, %v", record.Spec, err)
 	}
 }
 
-// A cancellation takes along every job that depends on the cancelled one, at any controller and
-// whenever it came, whether or not the leader has written so.
+// A cancelled job can never satisfy its dependents. Every controller must report every job that depends
+// on it as cancelled, including jobs that are submitted later, even before the leader has recorded their
+// cancellations.
 func TestCancellationCascadesToDependents(t *testing.T) {
 	d := newDependencyTest(t)
-	checkSubmission(t, d.a, "job-1", 201, "queued")
-	checkSubmission(t, d.b, "job-2", 201, "queued", "job-1")
-	checkSubmission(t, d.a, "job-3", 201, "queued", "job-2", "job-1")
-	checkSubmission(t, d.a, "job-6", 201, "queued")
-	checkSubmission(t, d.a, "job-7", 201, "queued", "job-6")
-	if answer := d.a.service.Cancel(t.Context(), "job-1"); answer.Status != 200 {
+	checkSubmission(t, d.leader, "job-1", 201, "queued")
+	checkSubmission(t, d.follower, "job-2", 201, "queued", "job-1")
+	checkSubmission(t, d.leader, "job-3", 201, "queued", "job-2", "job-1")
+	checkSubmission(t, d.leader, "job-6", 201, "queued")
+	checkSubmission(t, d.leader, "job-7", 201, "queued", "job-6")
+	if answer := d.leader.service.Cancel(t.Context(), "job-1"); answer.Status != 200 {
 		t.Fatalf("cancellation: %+v", answer)
 	}
 	d.checkStatus(t, "job-2", wire.JobCancelled)
 	d.checkStatus(t, "job-3", wire.JobCancelled)
-	checkSubmission(t, d.b, "job-9", 201, wire.JobCancelled, "job-3")
+	checkSubmission(t, d.follower, "job-9", 201, wire.JobCancelled, "job-3")
 	d.checkStatus(t, "job-9", wire.JobCancelled)
-	checkSubmission(t, d.a, "job-3", 200, wire.JobCancelled, "job-2")
+	checkSubmission(t, d.leader, "job-3", 200, wire.JobCancelled, "job-2")
 	d.checkStatus(t, "job-7", "queued")
 
-	// While some controller may be old, no new job with dependencies is accepted, and what
-	// was accepted is still answered.
-	old := startFollower(t, d.store.Address(), d.a, d.address)
-	checkSubmission(t, old, "job-10", 503, "", "job-7")
-	checkSubmission(t, old, "job-10", 422, "", "job-none")
-	checkSubmission(t, old, "job-3", 200, wire.JobCancelled, "job-2")
-	checkSubmission(t, old, "job-11", 201, "queued")
+	// While a controller may have an older version, no new job with dependencies is accepted. Jobs
+	// that were accepted before are still answered.
+	closedGate := startFollower(t, d.store.Address(), d.leader, d.address)
+	checkSubmission(t, closedGate, "job-10", 503, "", "job-7")
+	checkSubmission(t, closedGate, "job-10", 422, "", "job-none")
+	checkSubmission(t, closedGate, "job-3", 200, wire.JobCancelled, "job-2")
+	checkSubmission(t, closedGate, "job-11", 201, "queued")
 }
