--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -89,7 +89,7 @@
 		users.Wait()
 		history.check(t, "cancelled again", cancel)
 		if history.newest != cancelledRank {
-			t.Errorf("%s: newest status rank %d, want %d", history.id, history.newest, cancelledRank)
+			t.Errorf("%s: newest status rank %d, want cancelled", history.id, history.newest)
 		}
 	}
 }
--- a/controller/version_gate_test.go
+++ b/controller/version_gate_test.go
@@ -64,7 +64,7 @@
 	}
 	for _, c := range []*Controller{first, second} {
 		if err := c.gate.run(ctx); err != nil || !c.gate.Open() {
-			t.Fatalf("gate open: %v, %v", c.gate.Open(), err)
+			t.Fatalf("gate not open: %v", err)
 		}
 	}
 }
