--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -11,21 +11,21 @@
 	"ospreystile.example/ospreystile/server"
 )
 
-// overload fills the queues of changes and queries of a controller until the context ends.
+// overload fills a controller's queues of changes and queries. The queries wait until the context ends.
 func overload(ctx context.Context, t *testing.T, c *Controller) {
 	t.Helper()
-	for range maxQueuedCommits { // nothing commits here
+	for range maxQueuedCommits { // no goroutine commits the changes
 		c.commits.committer.Submit(records.Change{}, time.Time{}, func(records.CommitResult) {})
 	}
-	for range maxWaitingQueries { // nor answers
-		go c.statusReader.ask(ctx, "job-1", nil)
+	for range maxQueuedQueries { // no goroutine answers the queries
+		go c.statusReader.query(ctx, "job-1", nil)
 	}
 	synctest.Wait()
 }
 
-// A request that cannot be taken because too many wait is refused at once, with a time to come
-// back: it must not wait for its deadline first.
-func TestOverloadIsRefusedAtOnce(t *testing.T) {
+// A request that arrives while a queue is full must be refused immediately, with a delay after which the
+// user should retry. It must not wait for its deadline first.
+func TestOverloadedControllerRefusesImmediately(t *testing.T) {
 	const id ids.JobID = "job-2"
 	for name, request := range map[string]func(ctx context.Context, c *Controller) server.Response{
 		"submission":   func(ctx context.Context, c *Controller) server.Response { return c.service.Submit(ctx, id, testSpec()) },
@@ -34,12 +34,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newTestController(t, testConfig("127.0.0.1:1"))
-				storeTestCatalog(c)
+				setTestCatalog(c)
 				waiting, stop := context.WithCancel(t.Context())
 				overload(waiting, t, c)
 				began := time.Now()
 				if answer := request(t.Context(), c); answer.Status != 503 || answer.RetryAfter <= 0 {
-					t.Errorf("%+v", answer)
+					t.Errorf("answer %+v", answer)
 				}
 				if waited := time.Since(began); waited > 0 {
 					t.Errorf("refused after %v", waited)
--- a/controller/peer_handler.go
+++ b/controller/peer_handler.go
@@ -14,11 +14,11 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// peerHandler answers the requests of other controllers, and those of operators' commands.
+// peerHandler answers the requests of other controllers and of operators' commands.
 type peerHandler struct {
-	pinger    *pinger
-	ownLeader *localLeader
-	direct    *directRoute
+	pinger      *pinger
+	localLeader *localLeader
+	direct      *directRoute
 }
 
 // handle implements peerrpc.Handler.
@@ -29,31 +29,31 @@
 	case peerapi.OpStore:
 		return handleBody(body, func(call peerapi.StoreCall) (any, error) { return h.forwardStoreCall(ctx, call), nil })
 	}
-	own := h.ownLeader.answering()
-	if own == nil {
+	local := h.localLeader.answering()
+	if local == nil {
 		return nil, peerapi.ErrNotLeading
 	}
-	return handleAsLeader(ctx, own, op, body)
+	return handleAsLeader(ctx, local, op, body)
 }
 
-// handleAsLeader answers the operations that only a leader answers.
-func handleAsLeader(ctx context.Context, own *leader.Leader, op peerrpc.Operation, body []byte) (any, error) {
+// handleAsLeader answers the operations that only the leader answers.
+func handleAsLeader(ctx context.Context, local *leader.Leader, op peerrpc.Operation, body []byte) (any, error) {
 	switch op {
 	case peerapi.OpProgress:
-		return handleBody(body, func(jobs []ids.JobID) (any, error) { return progressAt(ctx, own, jobs) })
+		return handleBody(body, func(jobs []ids.JobID) (any, error) { return localProgress(ctx, local, jobs) })
 	case peerapi.OpJob:
-		return handleBody(body, func(notice peerapi.JobNotice) (any, error) { return acknowledgeNotice(ctx, own, notice) })
+		return handleBody(body, func(notice peerapi.JobNotice) (any, error) { return acknowledgeNotice(ctx, local, notice) })
 	case peerapi.OpZones:
-		return own.Zones(ctx)
+		return local.Zones(ctx)
 	case peerapi.OpZoneOverride:
-		return handleBody(body, func(override peerapi.ZoneOverride) (any, error) { return own.OverrideZone(ctx, override) })
+		return handleBody(body, func(override peerapi.ZoneOverride) (any, error) { return local.OverrideZone(ctx, override) })
 	case peerapi.OpHeartbeats:
-		return handleBody(body, func(encoded [][]byte) (any, error) { return answerRelayed(ctx, own, encoded) })
+		return handleBody(body, func(encoded [][]byte) (any, error) { return answerRelayed(ctx, local, encoded) })
 	}
 	return nil, fmt.Errorf("%w: %s", peerapi.ErrUnknownOperation, op)
 }
 
-// handleBody decodes a request's body and calls its handler.
+// handleBody decodes the body of a request and calls the handler with it.
 func handleBody[T any](body []byte, handler func(T) (any, error)) (any, error) {
 	var request T
 	if err := peerrpc.Decode(body, &request); err != nil {
@@ -62,8 +62,8 @@
 	return handler(request)
 }
 
-// forwardStoreCall sends a peer's request to the key-value store by the direct route, so that a
-// request is never forwarded twice.
+// forwardStoreCall sends a peer's request to the key-value store. It uses the direct route, so a request
+// is never forwarded twice.
 func (h *peerHandler) forwardStoreCall(ctx context.Context, call peerapi.StoreCall) peerapi.StoreAnswer {
 	timeout := time.Duration(call.TimeoutMS) * time.Millisecond
 	status, body, err := h.direct.Do(ctx, call.Method, call.Path, call.Body, timeout)
@@ -73,18 +73,19 @@
 	return peerapi.StoreAnswer{Status: status, Body: body}
 }
 
-// acknowledgeNotice has the leader in this process observe a job's record that a follower sent.
-func acknowledgeNotice(ctx context.Context, own *leader.Leader, notice peerapi.JobNotice) (bool, error) {
+// acknowledgeNotice passes a job's record that a follower sent to the leader in this process, and
+// reports whether the leader acknowledges it.
+func acknowledgeNotice(ctx context.Context, local *leader.Leader, notice peerapi.JobNotice) (bool, error) {
 	record := new(records.Job)
 	if err := wire.Decode(notice.Record, record); err != nil {
 		return false, err
 	}
-	return own.AcknowledgeCancellation(ctx, leader.JobRecord{ID: notice.ID, Record: record, Revision: notice.Revision}), nil
+	return local.AcknowledgeCancellation(ctx, leader.JobRecord{ID: notice.ID, Record: record, Revision: notice.Revision}), nil
 }
 
-// answerRelayed has the leader in this process answer heartbeats that a follower relays. A
-// heartbeat that cannot be decoded gets no answer.
-func answerRelayed(ctx context.Context, own *leader.Leader, encoded [][]byte) ([]peerapi.HeartbeatAnswer, error) {
+// answerRelayed returns the answers of the leader in this process to heartbeats that a follower relays.
+// A heartbeat that cannot be decoded is not answered.
+func answerRelayed(ctx context.Context, local *leader.Leader, encoded [][]byte) ([]peerapi.HeartbeatAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	heartbeats := make([]*wire.Heartbeat, len(encoded))
@@ -93,5 +94,5 @@
 			heartbeats[i] = heartbeat
 		}
 	}
-	return own.AnswerHeartbeats(ctx, heartbeats)
+	return local.AnswerHeartbeats(ctx, heartbeats)
 }
--- a/controller/peerapi/golden_test.go
+++ b/controller/peerapi/golden_test.go
@@ -15,7 +15,7 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-func goldenZones() ZonesResponse {
+func goldenZonesResponse() ZonesResponse {
 	return ZonesResponse{Enabled: true, Leader: "perch-0", Zones: []zonerecovery.Status{{Zone: "zone-a", Condition: zonerecovery.Outage,
 		SinceMS: 1764640000006, Reason: "silent", Machines: 31, Reachable: 32, Outages: 33, Step: 34, Steps: 35, StartsInFlight: 36, StartLimit: 37,
 		FetchesInFlight: 38, FetchLimit: 39, DisplacedJobs: 40, Restriction: "all new work", RestrictedUntilMS: 1764640000007,
@@ -24,10 +24,10 @@
 			Setbacks: 6, DisplacedTasks: 7, DisplacedJobs: 8, Failbacks: 9, ForcedFailbacks: 10, RestoredReplicas: 11, Machines: 12}}}}}
 }
 
-// The request and the answer of each operation between controllers keep their bytes.
+// The encodings of the requests and answers between controllers must not change.
 func TestMessagesKeepTheirBytes(t *testing.T) {
 	every := Ping{From: "perch-1", Leader: "perch-0", LeaderPeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StoreReachable: true,
-		Workers: 231, Uptime: 90 * time.Second, AcknowledgedRevision: 411, Versions: Versions{Format: RecordFormat, Seen: []ids.ControllerName{"perch-0", "perch-2"}, Durable: true}}
+		Workers: 231, Uptime: 90 * time.Second, AcknowledgedRevision: 411, Versions: Versions{Format: RecordFormat, Upgraded: []ids.ControllerName{"perch-0", "perch-2"}, Durable: true}}
 	old := every
 	old.Uptime, old.AcknowledgedRevision, old.Versions = 0, 0, Versions{}
 	record := records.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70, DoneMS: 1764640000456}
@@ -47,16 +47,16 @@
 			{Verb: wire.VerbRun, Name: "job-1/3", Attempt: 2, GraceS: 5.5}}}}}},
 		{Name: "heartbeats answer, refused", Value: []HeartbeatAnswer{{}}, Partial: true},
 		{Name: "zones request", Value: struct{}{}},
-		{Name: "zones answer", Value: goldenZones()},
+		{Name: "zones answer", Value: goldenZonesResponse()},
 		{Name: "zone override request", Value: ZoneOverride{Zone: "zone-a", Kind: zonerecovery.OverrideHold, Reason: "power work", UntilMS: 1764640000007}},
 	})
 	golden.Check(t, "zones.json", golden.Codec{Encode: json.Marshal, Decode: json.Unmarshal}, []golden.Case{
-		{Name: "zones answer as JSON", Value: goldenZones()},
+		{Name: "zones answer as JSON", Value: goldenZonesResponse()},
 	})
 }
 
-// The names of operations and the words of refusals stay: controllers of two versions
-// talk to each other during an upgrade.
+// The names of operations and the texts of refusals must not change, since controllers of two versions
+// communicate with each other during an upgrade.
 func TestOperationsKeepTheirNames(t *testing.T) {
 	for want, got := range map[peerrpc.Operation]peerrpc.Operation{"ping": OpPing, "state": OpStore, "progress": OpProgress, "job": OpJob,
 		"reports": OpHeartbeats, "zones": OpZones, "zone-override": OpZoneOverride} {
@@ -72,6 +72,6 @@
 		}
 	}
 	if RecordFormat != 2 {
-		t.Errorf("format %d, want 2", RecordFormat)
+		t.Errorf("record format %d, want 2", RecordFormat)
 	}
 }
--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// pingInterval is the time between two pings of a peer.
+	// pingInterval is the interval between two pings of a peer.
 	pingInterval = 500 * time.Millisecond
-	// pingTimeout is how long a peer may take to answer a ping.
+	// pingTimeout bounds the time that a peer takes to answer a ping.
 	pingTimeout = 1500 * time.Millisecond
 )
 
-// pinger exchanges pings with the peers. A ping has the known leader, the state of the sender, the
+// pinger exchanges pings with the peers. A ping contains the known leader, the state of the sender, the
 // acknowledged revision and the known versions.
 type pinger struct {
 	self             ids.ControllerName
@@ -31,12 +31,12 @@
 	gate             *versionGate
 }
 
-// run pings one peer until the context ends.
-func (p *pinger) run(ctx context.Context, to *peer) error {
+// run pings one peer periodically until the context ends.
+func (p *pinger) run(ctx context.Context, target *peer) error {
 	for {
 		p.balancer.recount(p.clock.Now())
-		if err := p.exchange(ctx, to); err != nil {
-			to.Close()
+		if err := p.exchange(ctx, target); err != nil {
+			target.Close()
 		}
 		if !monotonic.Sleep(ctx, pingInterval) {
 			return ctx.Err()
@@ -45,38 +45,38 @@
 }
 
 // exchange sends one ping and applies the answer.
-func (p *pinger) exchange(ctx context.Context, to *peer) error {
+func (p *pinger) exchange(ctx context.Context, target *peer) error {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	var answer peerapi.Ping
-	asked := p.clock.Now()
-	if err := to.Call(ctx, peerapi.OpPing, p.message(), &answer); err != nil {
+	sentAt := p.clock.Now()
+	if err := target.Call(ctx, peerapi.OpPing, p.currentPing(), &answer); err != nil {
 		return err
 	}
-	to.observeAnswer(p.clock.Now(), answer)
+	target.observeAnswer(p.clock.Now(), answer)
 	p.observe(answer)
-	p.recordAcknowledgement(asked, answer)
+	p.recordAcknowledgement(sentAt, answer)
 	return nil
 }
 
 // answer applies a peer's ping and returns the answer.
 func (p *pinger) answer(request peerapi.Ping) peerapi.Ping {
 	p.observe(request)
-	if from := p.peers.named(request.From); from != nil {
-		from.observeVersions(request.Versions)
+	if sender := p.peers.byName(request.From); sender != nil {
+		sender.observeVersions(request.Versions)
 	}
-	return p.message()
+	return p.currentPing()
 }
 
-// message returns the ping with this controller's present state.
-func (p *pinger) message() peerapi.Ping {
-	known, _ := p.election.Leader()
+// currentPing returns a ping with the current state of this controller.
+func (p *pinger) currentPing() peerapi.Ping {
+	knownLeader, _ := p.election.Leader()
 	return peerapi.Ping{
 		From:                 p.self,
-		Leader:               known.Name,
-		LeaderPeerAddress:    known.PeerAddress,
-		Incarnation:          known.Incarnation,
-		Revision:             known.Revision,
+		Leader:               knownLeader.Name,
+		LeaderPeerAddress:    knownLeader.PeerAddress,
+		Incarnation:          knownLeader.Incarnation,
+		Revision:             knownLeader.Revision,
 		StoreReachable:       p.health.reachable(),
 		Workers:              p.balancer.lastCount(),
 		Uptime:               p.clock.Now().Sub(p.startedAt),
@@ -85,8 +85,8 @@
 	}
 }
 
-// observe applies the leader and the acknowledged revision of a ping. A leader whose name is
-// unknown to the peer, because its key was deleted, ends earlier terms all the same.
+// observe applies the leader and the acknowledged revision of a ping. The peer does not know the
+// leader's name if the leader key was deleted. The revision ends earlier terms in this case too.
 func (p *pinger) observe(ping peerapi.Ping) {
 	p.election.Observe(election.Leader{
 		Identity: election.Identity{Name: ping.Leader, PeerAddress: ping.LeaderPeerAddress, Incarnation: ping.Incarnation},
@@ -95,14 +95,14 @@
 	p.acknowledgements.advanceTo(ping.AcknowledgedRevision)
 }
 
-// recordAcknowledgement records in this controller's term that a peer knew of no later leader
-// when it was asked, and the latest instant at which the peer's process can have started.
-func (p *pinger) recordAcknowledgement(asked monotonic.Instant, answer peerapi.Ping) {
+// recordAcknowledgement records in this controller's term that a peer knew no later leader when the ping
+// was sent, and the latest time at which the peer's process can have started.
+func (p *pinger) recordAcknowledgement(sentAt monotonic.Instant, answer peerapi.Ping) {
 	term := p.election.Term()
 	if term == nil || answer.Revision > term.Revision || answer.Uptime <= 0 {
 		return
 	}
-	// The peer's clock may run fast, so that it counts too long an uptime.
+	// The uptime may be too long, since the peer's clock may run fast.
 	started := p.clock.Now().Add(monotonic.MaxDrift(answer.Uptime) - answer.Uptime)
-	term.RecordPeerAck(answer.From, asked, started)
+	term.RecordPeerAck(answer.From, sentAt, started)
 }
--- a/controller/pinger_test.go
+++ b/controller/pinger_test.go
@@ -9,27 +9,28 @@
 	"ospreystile.example/ospreystile/peerrpc"
 )
 
-// oldPing is the ping of the version in production.
-type oldPing struct {
-	From    string `cbor:"1,keyasint"`
-	Leader  string `cbor:"2,keyasint"`
-	Mesh    string `cbor:"3,keyasint"`
-	Inc     uint64 `cbor:"4,keyasint"`
-	Stamp   uint64 `cbor:"5,keyasint"`
-	StateOK bool   `cbor:"6,keyasint"`
-	Workers int    `cbor:"7,keyasint"`
+// productionPing represents a ping in the version in production.
+type productionPing struct {
+	From           string `cbor:"1,keyasint"`
+	Leader         string `cbor:"2,keyasint"`
+	PeerAddress    string `cbor:"3,keyasint"`
+	Incarnation    uint64 `cbor:"4,keyasint"`
+	Revision       uint64 `cbor:"5,keyasint"`
+	StoreReachable bool   `cbor:"6,keyasint"`
+	Workers        int    `cbor:"7,keyasint"`
 }
 
-// Old controllers read a ping as it was meant, and ignore what is new in it.
-func TestProductionReadsPings(t *testing.T) {
+// Controllers of the version in production must decode the fields that they know from a ping, and ignore
+// the fields that are new.
+func TestProductionVersionReadsPings(t *testing.T) {
 	c := newTestController(t, testConfig("127.0.0.1:4"))
-	raw, err := cbor.Marshal(c.pinger.message())
+	raw, err := cbor.Marshal(c.pinger.currentPing())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var old oldPing
-	if err := cbor.Unmarshal(raw, &old); err != nil || old != (oldPing{From: "n-0", StateOK: true}) {
-		t.Errorf("an old controller reads %+v, %v", old, err)
+	var old productionPing
+	if err := cbor.Unmarshal(raw, &old); err != nil || old != (productionPing{From: "n-0", StoreReachable: true}) {
+		t.Errorf("the version in production reads %+v, %v", old, err)
 	}
 	var full peerapi.Ping
 	if err := peerrpc.Decode(raw, &full); err != nil || full.Format != peerapi.RecordFormat {
