--- a/ids/ids.go
+++ b/ids/ids.go
@@ -1,12 +1,12 @@
 // Package ids defines the identifiers and version numbers that the packages pass to each
-// other. Each has a type of its own, so that the compiler tells a job from a machine and a
-// revision from an attempt. The values are plain data; the package holds no state.
+// other. Each has a type of its own, so that the compiler distinguishes a job from a machine and
+// a revision from an attempt. The values are plain data; the package holds no state.
 package ids
 
 type (
 	// JobID is the name that a user gave a job.
 	JobID string
-	// MachineID is the cloud's name for a machine.
+	// MachineID is the name that the cloud gave a machine.
 	MachineID string
 	// ControllerName is the host name of a controller.
 	ControllerName string
@@ -25,11 +25,11 @@
 	// LeaseID identifies a lease of the key-value store.
 	LeaseID uint64
 	// AgentIncarnation numbers the incarnations of a worker's agent from 1. It grows when the
-	// agent's lease expires, and its tasks with it.
+	// agent's lease expires, which also ends the agent's tasks.
 	AgentIncarnation uint64
 	// Sequence numbers the messages of one incarnation of a worker's agent.
 	Sequence uint64
-	// ControllerIncarnation is a random number that tells one process of a controller from
-	// the next.
+	// ControllerIncarnation is a random number that distinguishes one process of a controller
+	// from the next.
 	ControllerIncarnation uint64
 )
--- a/ids/task_ref.go
+++ b/ids/task_ref.go
@@ -14,8 +14,8 @@
 // String returns the task's name on the wire, such as job-000412/3.
 func (r TaskRef) String() string { return string(r.Job) + "/" + strconv.Itoa(r.Index) }
 
-// ParseTask reads a task's name as String returns it. It returns false if the name has
-// another form.
+// ParseTask parses a task's name in the form that String returns, and reports whether the name
+// has that form.
 func ParseTask(name string) (TaskRef, bool) {
 	slash := strings.LastIndexByte(name, '/')
 	if slash <= 0 {
--- a/ids/task_ref_test.go
+++ b/ids/task_ref_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// A job ID may contain slashes, so the index follows the last one.
 func TestParseTask(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -14,7 +15,7 @@
 		{"no slash", "job-1", TaskRef{}, false},
 		{"no job", "/3", TaskRef{}, false},
 		{"negative index", "job-1/-3", TaskRef{}, false},
-		{"index is no number", "job-1/x", TaskRef{}, false},
+		{"index that is not a number", "job-1/x", TaskRef{}, false},
 	} {
 		got, ok := ParseTask(c.text)
 		if got != c.want || ok != c.ok {
--- a/monotonic/monotonic.go
+++ b/monotonic/monotonic.go
@@ -1,6 +1,6 @@
-// Package monotonic holds readings of a monotonic clock, and waits that allow for the
+// Package monotonic provides readings of a monotonic clock, and waits that allow for the
 // drift between the clocks of different machines. Leases, timeouts and intervals use it;
-// the time of day appears only in records and in what operators see.
+// wall-clock time appears only in records and in what operators see.
 //
 // The package holds no state. Clocks may be read from any goroutine.
 package monotonic
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Instant is a reading of a monotonic clock, counted from a start that only the clock
-// itself knows. Instants of two processes cannot be compared.
+// Instant is a reading of a monotonic clock, counted from an origin that is private
+// to the clock. Instants of two processes cannot be compared.
 type Instant time.Duration
 
 // Add returns the instant d later.
@@ -20,13 +20,13 @@
 // Sub returns the time from u to t.
 func (t Instant) Sub(u Instant) time.Duration { return time.Duration(t - u) }
 
-// Clock reads monotonic time. Tests substitute their own.
+// Clock reads monotonic time. Tests substitute their own implementations.
 type Clock interface {
-	// Now returns the present instant. It never returns less than before.
+	// Now returns the current instant. It never returns one that is earlier than a previous one.
 	Now() Instant
 }
 
-// systemClock counts from a start in the past.
+// systemClock reads the monotonic clock of the process, counted from start, which lies in the past.
 type systemClock struct{ start time.Time }
 
 // startOffset is the first reading of a system clock. It is above zero, so that the zero
@@ -43,21 +43,22 @@
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 const (
-	// driftDivisor makes the drift 0.2% of the interval. Each of the two clocks may be off by
-	// 0.05%, so this is twice what they need.
+	// driftDivisor sets the drift to 0.2% of the interval. Each of the two clocks may be off by
+	// 0.05%, so this is twice the drift that can occur.
 	driftDivisor = 500
 	// timerResolution is how late a timer may fire.
 	timerResolution = 10 * time.Millisecond
 )
 
-// MaxDrift returns by how much the clocks of two machines may differ over an interval.
+// MaxDrift returns how far the clocks of two machines may drift apart over an interval.
 func MaxDrift(interval time.Duration) time.Duration { return interval / driftDivisor }
 
 // AddDriftMargin lengthens a wait so that it has passed on the clock of every other
 // machine too.
 func AddDriftMargin(wait time.Duration) time.Duration { return wait + MaxDrift(wait) + timerResolution }
 
-// Sleep waits for d. It returns false, early, if the context ends first.
+// Sleep waits for d and reports whether d has passed. If the context ends first, it returns false
+// immediately.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/monotonic/monotonic_test.go
+++ b/monotonic/monotonic_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
+// The first reading must be above zero, so that the zero Instant lies in the past.
 func TestSystemClockStartsAboveZeroAndAdvances(t *testing.T) {
 	clock := SystemClock()
 	first := clock.Now()
 	if first <= 0 {
-		t.Errorf("the first reading is %d", first)
+		t.Errorf("the first reading is %d, want one above 0", first)
 	}
 	time.Sleep(time.Millisecond)
 	if passed := clock.Now().Sub(first); passed < time.Millisecond {
@@ -21,12 +22,12 @@
 func TestInstantArithmetic(t *testing.T) {
 	start := Instant(time.Minute)
 	if passed := start.Add(Seconds(1.5)).Sub(start); passed != 1500*time.Millisecond {
-		t.Errorf("%v passed", passed)
+		t.Errorf("%v passed, want 1.5s", passed)
 	}
 }
 
-// A wait with its margin is over on a fast clock only after the plain wait is over on a
-// slow one.
+// A wait with its margin ends on a fast clock only after the plain wait has ended on a slow one.
+// Otherwise a machine with a fast clock considers a lease expired that another machine still holds.
 func TestDriftMarginCoversTwoClocks(t *testing.T) {
 	const drift = 0.0005
 	for _, wait := range []time.Duration{0, time.Second, time.Minute, time.Hour} {
@@ -40,7 +41,7 @@
 
 func TestSleep(t *testing.T) {
 	if !Sleep(t.Context(), time.Millisecond) {
-		t.Error("a sleep that nothing ended returned false")
+		t.Error("a sleep that was not interrupted returned false")
 	}
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
