--- a/cloud/authorization.go
+++ b/cloud/authorization.go
@@ -13,7 +13,7 @@
 	authorized func() bool
 }
 
-// Do sends a request if the caller is authorized now.
+// Do sends a request if the caller is authorized at this moment. Otherwise the error wraps ErrNotSent.
 func (t authorizedTransport) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
 	if !t.authorized() {
 		return 0, nil, &httpclient.RequestError{Kind: httpclient.ErrNotSent, Method: method, Path: path, Cause: errNotAuthorized}
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -1,6 +1,6 @@
-// Package cloud is the client of the cloud that machines are provisioned from. It sends each
+// Package cloud is the client of the cloud from which machines are provisioned. It sends each
 // request once, within a request budget, and its errors distinguish whether the request was
-// executed. Retries belong to the callers.
+// executed. Callers are responsible for retries.
 package cloud
 
 import (
@@ -18,21 +18,21 @@
 )
 
 const (
-	// MaxTerminateBatch is the most machines that one termination takes.
+	// MaxTerminateBatch is the largest number of machines in one termination.
 	MaxTerminateBatch = 100
-	// PageSize is how many machines a page of the list holds.
+	// PageSize is the number of machines on a page of the list.
 	PageSize = 500
 )
 
 const (
 	// requestTimeout bounds every request.
 	requestTimeout = 5 * time.Second
-	// maxConnections is how many connections to the cloud are open at most.
+	// maxConnections is the largest number of open connections to the cloud.
 	maxConnections = 8
 	// maxResponseBytes is the largest response body that is accepted.
 	maxResponseBytes = 4 << 20
-	// budgetShare is the part of the cloud's request limit that is used; the rest is a margin.
-	budgetShare = 0.8
+	// budgetFraction is the fraction of the cloud's request limit that is used; the rest is a margin.
+	budgetFraction = 0.8
 )
 
 // Client sends requests to the cloud. It is safe for concurrent use.
@@ -44,13 +44,13 @@
 // New returns a client for an address whose request limit is requestsPerSecond.
 func New(address string, requestsPerSecond float64) *Client {
 	transport := httpclient.New(address, maxConnections, maxResponseBytes)
-	budget := rate.NewLimiter(rate.Limit(requestsPerSecond*budgetShare), max(1, int(requestsPerSecond)))
+	budget := rate.NewLimiter(rate.Limit(requestsPerSecond*budgetFraction), max(1, int(requestsPerSecond)))
 	return &Client{transport: transport, service: httpclient.NewService(transport, budget, protocol)}
 }
 
 // AuthorizedBy returns a client with the same budget that sends requests only while authorized
-// returns true. It calls authorized just before each request is sent: the cloud has no fencing
-// tokens, and the caller may lose its authorization while the request waits for the budget.
+// returns true. It calls authorized immediately before it sends a request: the cloud has no
+// fencing tokens, and the caller may lose its authorization while the request waits for the budget.
 func (c *Client) AuthorizedBy(authorized func() bool) *Client {
 	transport := authorizedTransport{Transport: c.transport, authorized: authorized}
 	return &Client{transport: c.transport, service: c.service.WithTransport(transport)}
@@ -75,19 +75,19 @@
 	}
 	for _, machineType := range catalog.Types {
 		if !validMachineType(machineType) {
-			return nil, answer.Malformed(fmt.Errorf("malformed machine type %q", machineType.Name))
+			return nil, answer.Malformed(fmt.Errorf("machine type %q has no name, no CPUs or a negative amount", machineType.Name))
 		}
 	}
 	return catalog.Types, nil
 }
 
-// validMachineType reports whether a machine type has a name and possible amounts.
+// validMachineType reports whether a machine type has a name, CPUs and no negative amounts.
 func validMachineType(t wire.MachineType) bool {
 	return t.Name != "" && t.CPUs > 0 && t.MemoryGB >= 0 && t.Price >= 0 && t.SpotPrice >= 0 && t.BootS >= 0
 }
 
-// Provision requests machines. A request may be repeated until its result is definite, since
-// its RequestID makes it idempotent. After a success the RequestID must not be used again.
+// Provision requests machines. Its RequestID makes the request idempotent, so it may be repeated
+// until its result is known. After a success the RequestID must not be used again.
 func (c *Client) Provision(ctx context.Context, request wire.ProvisionRequest) ([]ids.MachineID, error) {
 	var machines wire.MachineIDs
 	_, err := c.do(ctx, httpclient.Request{Method: http.MethodPost, Path: "/hosts", Body: request}, &machines)
@@ -119,7 +119,8 @@
 	}
 }
 
-// listRequest asks for the page of the list that follows a machine; "" asks for the first.
+// listRequest returns the request for the page of the list that follows a machine. An empty
+// machine ID requests the first page.
 func listRequest(after ids.MachineID) httpclient.Request {
 	path := fmt.Sprintf("/hosts?page=%d", PageSize)
 	if after != "" {
--- a/cloud/errors.go
+++ b/cloud/errors.go
@@ -7,10 +7,10 @@
 	"ospreystile.example/ospreystile/internal/httpclient"
 )
 
-// Errors of requests wrap one of these. ErrNoCapacity is a condition of the cloud; all others
-// come with a *httpclient.RequestError that names the request.
+// Errors of requests wrap one of these. ErrNoCapacity is a condition of the cloud and is returned
+// alone. All others are wrapped together with a *httpclient.RequestError that names the request.
 var (
-	// ErrNoCapacity means that the cloud has no machine of the requested kind now.
+	// ErrNoCapacity means that the cloud currently has no machine of the requested kind.
 	ErrNoCapacity = errors.New("no capacity")
 	// ErrUnavailable means that the cloud did not execute the request.
 	ErrUnavailable = errors.New("cloud unavailable")
@@ -20,10 +20,10 @@
 	ErrRejected = errors.New("request rejected by the cloud")
 )
 
-// errNotAuthorized means that the caller may no longer call the cloud.
+// errNotAuthorized means that the caller may no longer send requests to the cloud.
 var errNotAuthorized = errors.New("the caller is no longer authorized")
 
-// protocol maps the cloud's statuses to errors. An answer that cannot be decoded leaves open
+// protocol maps the cloud's statuses to errors. An answer that cannot be decoded does not show
 // whether the request was executed.
 var protocol = httpclient.Protocol{
 	Accepted:      []int{http.StatusOK},
@@ -34,10 +34,11 @@
 	Condition:     condition,
 }
 
-// noCapacityMessage is the message of the cloud for ErrNoCapacity.
+// noCapacityMessage is the cloud's error message that stands for ErrNoCapacity.
 const noCapacityMessage = "no capacity"
 
-// condition returns the sentinel of a status and message that stand for a condition, or nil.
+// condition returns ErrNoCapacity for the status and message that stand for it, and nil for all
+// others.
 func condition(status int, message string) error {
 	if status == http.StatusServiceUnavailable && message == noCapacityMessage {
 		return ErrNoCapacity
--- a/cloud/errors_test.go
+++ b/cloud/errors_test.go
@@ -11,7 +11,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// requests sends every kind of request, by name.
+// requests holds, by name, a function that sends one kind of request.
 var requests = map[string]func(context.Context, *Client) error{
 	"catalog": func(ctx context.Context, c *Client) error { _, err := c.Catalog(ctx); return err },
 	"provision": func(ctx context.Context, c *Client) error {
@@ -22,22 +22,22 @@
 	"list":      func(ctx context.Context, c *Client) error { _, err := c.List(ctx); return err },
 }
 
-// checkError requires that an error wraps the wanted sentinel and none of the others; want
-// nil is success.
+// checkError requires that an error wraps the wanted sentinel and none of the others. A nil want
+// requires success.
 func checkError(t *testing.T, got, want error) {
 	t.Helper()
 	if want == nil && got != nil {
-		t.Errorf("failed with %v, want success", got)
+		t.Errorf("error %v, want none", got)
 	}
 	for _, sentinel := range []error{ErrNoCapacity, ErrUnavailable, ErrIndeterminate, ErrRejected} {
 		if is := errors.Is(got, sentinel); is != (sentinel == want) {
-			t.Errorf("%v: is %q: %v", got, sentinel, is)
+			t.Errorf("error %v wraps %q: %v, want %v", got, sentinel, is, !is)
 		}
 	}
 }
 
-// The meaning of a response does not depend on the request, except that a termination
-// reads no body.
+// The error of a response does not depend on the request, except that the body of a successful
+// termination is not decoded. A wrong error makes the caller repeat or abandon the wrong requests.
 func TestErrorsOfAllRequests(t *testing.T) {
 	message := func(text string) []byte { return wire.Encode(map[string]string{"error": text}) }
 	for _, c := range []struct {
@@ -45,8 +45,8 @@
 		status int
 		body   []byte
 		want   error
-		// terminate is the error of a termination.
-		terminate error
+		// wantTerminate is the error of a termination.
+		wantTerminate error
 	}{
 		{"ok", http.StatusOK, message(""), nil, nil},
 		{"ok without a body", http.StatusOK, nil, ErrIndeterminate, nil},
@@ -55,7 +55,7 @@
 		{"redirect", http.StatusFound, nil, ErrIndeterminate, ErrIndeterminate},
 		{"bad request", http.StatusBadRequest, message("malformed"), ErrRejected, ErrRejected},
 		{"bad request without a body", http.StatusBadRequest, nil, ErrRejected, ErrRejected},
-		{"bad request for want of capacity", http.StatusBadRequest, message("no capacity"), ErrRejected, ErrRejected},
+		{"bad request with the message of no capacity", http.StatusBadRequest, message("no capacity"), ErrRejected, ErrRejected},
 		{"forbidden", http.StatusForbidden, nil, ErrIndeterminate, ErrIndeterminate},
 		{"not found", http.StatusNotFound, nil, ErrIndeterminate, ErrIndeterminate},
 		{"conflict", http.StatusConflict, message("no capacity"), ErrIndeterminate, ErrIndeterminate},
@@ -77,7 +77,7 @@
 			t.Run(c.name+"/"+request, func(t *testing.T) {
 				want := c.want
 				if request == "terminate" {
-					want = c.terminate
+					want = c.wantTerminate
 				}
 				checkError(t, send(t.Context(), New(rec.Address, 1000)), want)
 			})
@@ -85,7 +85,7 @@
 	}
 }
 
-// A machine type that makes no sense spoils the catalog.
+// A catalog with one invalid machine type is rejected as a whole.
 func TestMalformedMachineType(t *testing.T) {
 	for name, machineType := range map[string]map[string]any{
 		"no name":         {"cpus": 8},
@@ -102,8 +102,8 @@
 	}
 }
 
-// silentAddress is the address of a listener that closes connections once a request arrived.
-func silentAddress(t *testing.T) string {
+// abortingAddress returns the address of a server that closes the connection on each request.
+func abortingAddress(t *testing.T) string {
 	t.Helper()
 	rec := golden.Record(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	return rec.Address
@@ -112,6 +112,7 @@
 // closedAddress is an address on which nothing listens.
 const closedAddress = "127.0.0.1:1"
 
+// Without a response, the result is indeterminate only if the request was sent.
 func TestRequestsWithoutAResponse(t *testing.T) {
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -121,10 +122,10 @@
 		client *Client
 		want   error
 	}{
-		{"no response", t.Context(), New(silentAddress(t), 1000), ErrIndeterminate},
+		{"no response", t.Context(), New(abortingAddress(t), 1000), ErrIndeterminate},
 		{"refused connection", t.Context(), New(closedAddress, 1000), ErrUnavailable},
-		{"canceled before its turn", canceled, New(closedAddress, 1000), ErrUnavailable},
-		{"not authorized", t.Context(), New(silentAddress(t), 1000).AuthorizedBy(func() bool { return false }), ErrUnavailable},
+		{"canceled before it was sent", canceled, New(closedAddress, 1000), ErrUnavailable},
+		{"not authorized", t.Context(), New(abortingAddress(t), 1000).AuthorizedBy(func() bool { return false }), ErrUnavailable},
 	} {
 		for request, send := range requests {
 			t.Run(c.name+"/"+request, func(t *testing.T) { checkError(t, send(c.ctx, c.client), c.want) })
--- a/cloud/golden_test.go
+++ b/cloud/golden_test.go
@@ -12,10 +12,10 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// serveCloud responds by path, in the protocol's words.
+// serveCloud responds to each method and path with the field names of the cloud's protocol.
 func serveCloud(w http.ResponseWriter, r *http.Request) {
-	machine := func(host string) map[string]any {
-		return map[string]any{"nameId": host, "endpoint": "10.0.0.9:9000", "frame": "g8", "hall": "zone-a", "loaner": true, "status": "running", "ageS": 71.5}
+	machine := func(id string) map[string]any {
+		return map[string]any{"nameId": id, "endpoint": "10.0.0.9:9000", "frame": "g8", "hall": "zone-a", "loaner": true, "status": "running", "ageS": 71.5}
 	}
 	responses := map[string]any{
 		"GET /catalog": map[string]any{"frames": []any{map[string]any{"label": "g8", "cpus": 8.5, "accelerators": 1.5, "memoryGb": 64.5,
@@ -30,24 +30,25 @@
 	_, _ = w.Write(wire.Encode(responses[r.Method+" "+r.URL.Path]))
 }
 
-// Methods, paths, queries and bodies of requests, and what responses are decoded to.
+// The golden file holds the methods, paths, queries and bodies of requests, and the values that
+// responses are decoded to. They are part of the cloud's protocol and must not change.
 func TestRequestsToTheCloud(t *testing.T) {
 	rec := golden.Record(t, serveCloud)
 	c := New(rec.Address, 1000)
 	ctx := t.Context()
 	var text strings.Builder
-	note := func(name string, values ...any) { fmt.Fprintf(&text, "%s: %v\n", name, values) }
+	record := func(name string, values ...any) { fmt.Fprintf(&text, "%s: %v\n", name, values) }
 	types, err := c.Catalog(ctx)
-	note("catalog", types, err)
-	hosts, err := c.Provision(ctx, wire.ProvisionRequest{RequestID: "r-412-7", Type: "g8", Zone: "zone-a", Spot: true, Count: 12})
-	note("rental", hosts, err)
-	note("return", c.Terminate(ctx, []ids.MachineID{"n-1", "n-2"}))
+	record("catalog", types, err)
+	provisioned, err := c.Provision(ctx, wire.ProvisionRequest{RequestID: "r-412-7", Type: "g8", Zone: "zone-a", Spot: true, Count: 12})
+	record("rental", provisioned, err)
+	record("return", c.Terminate(ctx, []ids.MachineID{"n-1", "n-2"}))
 	machines, err := c.List(ctx)
-	note("machine list", machines, err)
+	record("machine list", machines, err)
 	golden.Text(t, "requests.txt", rec.Text()+"\n"+text.String())
 }
 
-// Error responses are distinguished by their status, and by one message.
+// Error responses are distinguished by their status. Only ErrNoCapacity depends on the message too.
 func TestErrorsOfTheCloud(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -56,10 +57,10 @@
 		want   error
 	}{
 		{"no capacity", http.StatusServiceUnavailable, map[string]string{"error": "no capacity"}, ErrNoCapacity},
-		{"away", http.StatusServiceUnavailable, map[string]string{"error": "other"}, ErrUnavailable},
-		{"too many", http.StatusTooManyRequests, nil, ErrUnavailable},
-		{"refused", http.StatusBadRequest, map[string]string{"error": "malformed"}, ErrRejected},
-		{"fault", http.StatusInternalServerError, nil, ErrIndeterminate},
+		{"unavailable", http.StatusServiceUnavailable, map[string]string{"error": "other"}, ErrUnavailable},
+		{"too many requests", http.StatusTooManyRequests, nil, ErrUnavailable},
+		{"rejected", http.StatusBadRequest, map[string]string{"error": "malformed"}, ErrRejected},
+		{"internal error", http.StatusInternalServerError, nil, ErrIndeterminate},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/server/connections_test.go
+++ b/server/connections_test.go
@@ -15,7 +15,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// startServer serves until the test ends, and returns the address.
+// startServer starts a server that runs until the test ends, and returns its address.
 func startServer(t *testing.T, service Service, limits Limits) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -32,7 +32,7 @@
 	return listener.Addr().String()
 }
 
-// newClient returns a client with connections of its own, which close when the test ends.
+// newClient returns a client with its own connections, which are closed when the test ends.
 func newClient(t *testing.T) *http.Client {
 	t.Helper()
 	transport := &http.Transport{}
@@ -40,8 +40,8 @@
 	return &http.Client{Transport: transport}
 }
 
-// sendHeartbeat sends the heartbeat of a worker, and keeps the connection if the server
-// does.
+// sendHeartbeat sends the heartbeat of a worker. The client keeps the connection unless the server
+// closes it.
 func sendHeartbeat(t *testing.T, client *http.Client, address string, worker int) {
 	t.Helper()
 	body := wire.Encode(wire.Heartbeat{Machine: ids.MachineID(fmt.Sprintf("n-%d", worker)), Incarnation: 1})
@@ -57,7 +57,7 @@
 	_, _ = io.Copy(io.Discard, response.Body)
 }
 
-// checkHealth asks for the health over a connection of its own.
+// checkHealth sends a health check over a new connection and requires that it succeeds.
 func checkHealth(t *testing.T, address string) {
 	t.Helper()
 	transport := &http.Transport{}
@@ -72,8 +72,8 @@
 	}
 }
 
-// There may be more workers than sockets. Connections that workers do not need are closed,
-// so that each worker can send its heartbeat, and health checks still get a socket.
+// There may be more workers than sockets. If the server kept the connections of all workers open,
+// others could not send their heartbeats, and health checks would get no socket.
 func TestMoreWorkersThanSockets(t *testing.T) {
 	address := startServer(t, &fakeService{healthy: true}, Limits{MaxConnections: 10, IdleTimeout: time.Minute})
 	workers := make([]*http.Client, 30)
@@ -88,9 +88,9 @@
 	}
 }
 
-// A body beyond the limit is rejected by its announced length. A server that waited for
-// the body would never respond here, because only the head is sent.
-func TestTooLargeBodyIsRejectedUnread(t *testing.T) {
+// A body above the limit is rejected by its Content-Length. A server that waits for the body
+// never responds here, because only the header is sent.
+func TestTooLargeBodyIsRejectedBeforeReading(t *testing.T) {
 	address := startServer(t, &fakeService{}, Limits{MaxConnections: 10, IdleTimeout: time.Minute})
 	connection, err := net.Dial("tcp4", address)
 	if err != nil {
--- a/server/golden_test.go
+++ b/server/golden_test.go
@@ -18,30 +18,35 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// scripted records its calls, and gives all of them the same response.
-type scripted struct {
-	calls   strings.Builder
-	answer  Response
-	healthy bool
+// scriptedService records its calls and returns the same response to all of them.
+type scriptedService struct {
+	calls    strings.Builder
+	response Response
+	healthy  bool
 }
 
-func (s *scripted) note(call string, values ...any) Response {
+func (s *scriptedService) record(call string, values ...any) Response {
 	fmt.Fprintf(&s.calls, "  -> %s %v\n", call, values)
-	return s.answer
+	return s.response
 }
-func (s *scripted) Submit(_ context.Context, id ids.JobID, spec *wire.JobSpec) Response {
-	return s.note("submit", id, *spec)
+func (s *scriptedService) Submit(_ context.Context, id ids.JobID, spec *wire.JobSpec) Response {
+	return s.record("submit", id, *spec)
 }
-func (s *scripted) Status(_ context.Context, id ids.JobID) Response { return s.note("status", id) }
-func (s *scripted) Cancel(_ context.Context, id ids.JobID) Response { return s.note("cancel", id) }
-func (s *scripted) Heartbeat(_ context.Context, raw []byte, r *wire.Heartbeat) Response {
-	return s.note("heartbeat", fmt.Sprintf("%x", raw), r.Machine, r.Incarnation)
+func (s *scriptedService) Status(_ context.Context, id ids.JobID) Response {
+	return s.record("status", id)
 }
-func (s *scripted) Healthy() bool { return s.healthy }
+func (s *scriptedService) Cancel(_ context.Context, id ids.JobID) Response {
+	return s.record("cancel", id)
+}
+func (s *scriptedService) Heartbeat(_ context.Context, raw []byte, r *wire.Heartbeat) Response {
+	return s.record("heartbeat", fmt.Sprintf("%x", raw), r.Machine, r.Incarnation)
+}
+func (s *scriptedService) Healthy() bool { return s.healthy }
 
-// The methods and paths that are served are part of the protocol.
-func TestRoutesStay(t *testing.T) {
-	app := newApp(&scripted{}, Limits{MaxConnections: 100})
+// The methods and paths of the routes are part of the protocol. A change of one breaks clients and
+// workers.
+func TestRoutesMatchGoldenFile(t *testing.T) {
+	app := newApp(&scriptedService{}, Limits{MaxConnections: 100})
 	var got []string
 	for _, r := range app.GetRoutes(true) {
 		got = append(got, r.Method+" "+r.Path)
@@ -50,20 +55,20 @@
 	golden.Text(t, "routes.txt", strings.Join(got, "\n")+"\n")
 }
 
-// exchange is a request, and the response of the service if it is called.
+// exchange holds a request, and the response of the service if the service is called.
 type exchange struct {
 	name, method, path string
 	body               []byte
-	answer             Response
+	response           Response
 }
 
 func goldenExchanges(t *testing.T) []exchange {
 	t.Helper()
-	job := sorted(t, map[string]any{"nameId": "job-1", "workclass": "train", "crew": "vision", "shape": "ensemble", "urgency": "critical",
+	job := encodeSorted(t, map[string]any{"nameId": "job-1", "workclass": "train", "crew": "vision", "shape": "ensemble", "urgency": "critical",
 		"legs": 70, "cpus": 8.5, "accelerators": 1.5, "memoryGb": 64.5, "bundle": "img-07", "pullGb": 6.25, "frames": []string{"g8"},
 		"hall": "zone-a", "oneZone": true, "spread": false, "loaner": true, "expectS": 240.5, "snapshotEveryS": 30.5, "snapshotS": 4.5,
 		"dueS": 900.5, "waitsOn": []string{"job-2"}})
-	heartbeat := sorted(t, map[string]any{"host": "n-1", "tenure": 6})
+	heartbeat := encodeSorted(t, map[string]any{"host": "n-1", "tenure": 6})
 	status := Response{Status: 201, Body: wire.JobStatus{ID: "job-1", Status: wire.JobRunning, Done: 3, Running: 13}}
 	return []exchange{
 		{"healthy", "GET", "/up", nil, Response{Status: 200}},
@@ -87,12 +92,12 @@
 	}
 }
 
-// The same requests lead to the same calls of the service, and to responses with the same
-// status, headers and bytes.
-func TestAnswersKeepTheirBytes(t *testing.T) {
+// Calls of the service, and the status, headers and bytes of responses, are the same for the same
+// requests. A change of them breaks clients and workers.
+func TestResponsesMatchGoldenFile(t *testing.T) {
 	var text strings.Builder
 	for _, c := range goldenExchanges(t) {
-		svc := &scripted{answer: c.answer, healthy: c.name == "healthy"}
+		svc := &scriptedService{response: c.response, healthy: c.name == "healthy"}
 		app := newApp(svc, Limits{MaxConnections: 100})
 		res, err := app.Test(httptest.NewRequest(c.method, c.path, bytes.NewReader(c.body)))
 		if err != nil {
@@ -108,13 +113,13 @@
 	golden.Text(t, "answers.txt", text.String())
 }
 
-// sorted encodes a body whose bytes do not depend on the order of a map.
-func sorted(t *testing.T, words map[string]any) []byte {
+// encodeSorted encodes the fields of a body sorted by name, so that its bytes are always the same.
+func encodeSorted(t *testing.T, fields map[string]any) []byte {
 	t.Helper()
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
 	enc.SetSortMapKeys(true)
-	if err := enc.Encode(words); err != nil {
+	if err := enc.Encode(fields); err != nil {
 		t.Fatal(err)
 	}
 	return buf.Bytes()
--- a/server/handlers.go
+++ b/server/handlers.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// workerConnectionShare is the share of MaxConnections up to which connections of workers
-	// stay open. Beyond it they are closed after the response: there may be more workers than
-	// sockets, each must send a heartbeat within its lease, and users and health checks need
-	// sockets too.
-	workerConnectionShare = 0.7
-	// healthRetryDelay is after how long a health check that failed should be repeated.
+	// workerConnectionFraction is the fraction of MaxConnections up to which connections of
+	// workers are kept open. Above it they are closed after the response: there may be more
+	// workers than sockets, each must send a heartbeat within its lease, and users and health
+	// checks need sockets too.
+	workerConnectionFraction = 0.7
+	// healthRetryDelay is the delay after which a failed health check should be repeated.
 	healthRetryDelay = time.Second
 )
 
-// handlers turn requests into calls of the service.
+// handlers holds the request handlers, which decode requests and call the service.
 type handlers struct {
 	service Service
 	limits  Limits
 	log     *slog.Logger
 }
 
-// handleError responds to requests that no handler answered.
+// handleError responds to requests that ended with an error instead of a response.
 func (h *handlers) handleError(c fiber.Ctx, err error) error {
 	status := fiber.StatusInternalServerError
-	var refusal *fiber.Error
-	if errors.As(err, &refusal) {
-		status = refusal.Code
+	var fiberError *fiber.Error
+	if errors.As(err, &fiberError) {
+		status = fiberError.Code
 	}
 	switch status {
 	case fiber.StatusRequestEntityTooLarge:
@@ -49,7 +49,7 @@
 	return send(c, Response{Status: status})
 }
 
-// recoverPanic responds to requests whose handler panicked.
+// recoverPanic logs the panic of a handler and responds to its request.
 func (h *handlers) recoverPanic(c fiber.Ctx) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -68,7 +68,7 @@
 	return send(c, RetryLater(healthRetryDelay))
 }
 
-// submit handles a submitted job.
+// submit handles the submission of a job.
 func (h *handlers) submit(c fiber.Ctx) error {
 	id, spec, err := wire.ParseSubmission(c.Body())
 	if err != nil {
@@ -78,8 +78,8 @@
 	return send(c, h.service.Submit(c.Context(), id, spec))
 }
 
-// jobHandler handles requests about the job in their path. No job with an invalid ID was ever
-// accepted, so the response for such an ID is 404.
+// jobHandler returns a handler for requests about the job in their path. Jobs with an invalid ID
+// are never accepted, so the response for such an ID is 404.
 func jobHandler(call func(context.Context, ids.JobID) Response) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		id := ids.JobID(strings.Clone(c.Params("id"))) // the framework reuses the parameter's memory
@@ -98,7 +98,7 @@
 		return send(c, Response{Status: fiber.StatusBadRequest})
 	}
 	open := float64(c.App().Server().GetOpenConnectionsCount())
-	if open > workerConnectionShare*float64(h.limits.MaxConnections) {
+	if open > workerConnectionFraction*float64(h.limits.MaxConnections) {
 		c.RequestCtx().SetConnectionClose()
 	}
 	return send(c, h.service.Heartbeat(c.Context(), raw, heartbeat))
--- a/server/handlers_test.go
+++ b/server/handlers_test.go
@@ -16,7 +16,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// fakeService gives each kind of request a response of its own.
+// fakeService returns a fixed response to each kind of request.
 type fakeService struct{ healthy bool }
 
 func (*fakeService) Submit(_ context.Context, id ids.JobID, _ *wire.JobSpec) Response {
@@ -25,7 +25,7 @@
 
 func (*fakeService) Status(_ context.Context, id ids.JobID) Response {
 	if id == "job-panic" {
-		panic("a fault")
+		panic("fault in the handler")
 	}
 	return Response{Status: 200, Body: wire.JobStatus{ID: id, Status: wire.JobRunning, Running: 2}}
 }
@@ -40,7 +40,7 @@
 
 func (f *fakeService) Healthy() bool { return f.healthy }
 
-// newApp returns the application of a service.
+// newApp returns the application of a service, without logs.
 func newApp(service Service, limits Limits) *fiber.App {
 	return New(service, limits, slog.New(slog.DiscardHandler))
 }
@@ -83,8 +83,8 @@
 	}
 }
 
-// The test transport may report that a body is too large in place of the status that a
-// socket would get; see also TestTooLargeBodyIsRejectedUnread.
+// A body above the limit is rejected. The test transport may return an error instead of the status
+// that a client gets; TestTooLargeBodyIsRejectedBeforeReading checks the status over a socket.
 func TestTooLargeSubmission(t *testing.T) {
 	app := newApp(&fakeService{}, Limits{MaxConnections: 100})
 	body := bytes.Repeat([]byte{0xc0}, wire.MaxBody+1)
@@ -97,6 +97,7 @@
 	}
 }
 
+// A rounded-down Retry-After would make clients retry too early.
 func TestRetryAfterIsRoundedUp(t *testing.T) {
 	app := newApp(&fakeService{}, Limits{MaxConnections: 100})
 	response, err := app.Test(httptest.NewRequest("POST", "/api/jobs/job-1/withdraw", nil))
--- a/server/response.go
+++ b/server/response.go
@@ -9,7 +9,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// contentType is the type of all bodies.
+// contentType is the media type of all bodies.
 const contentType = "application/msgpack"
 
 // send writes a response.
@@ -31,7 +31,7 @@
 	return c.Send(wire.Encode(response.Body))
 }
 
-// wholeSeconds rounds up: the header Retry-After has no fractions.
+// wholeSeconds returns a duration in seconds, rounded up: the header Retry-After allows no fractions.
 func wholeSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
--- a/server/server.go
+++ b/server/server.go
@@ -1,6 +1,6 @@
 // Package server serves the HTTP interface of a controller for users, workers and health
 // checks. It owns the connections and their limits, decodes and validates requests, and
-// encodes responses. All decisions are made by a Service, which the controller implements.
+// encodes responses. A Service, which the controller implements, makes all decisions.
 package server
 
 import (
@@ -14,12 +14,13 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Limits bound what the connections of users and workers may take.
+// Limits holds the limits of the connections of users and workers.
 type Limits struct {
-	// MaxConnections bounds the open connections.
+	// MaxConnections is the largest number of open connections.
 	MaxConnections int
-	// IdleTimeout is how long a connection stays open without a request. A machine that
-	// loses power or the network never closes its connections.
+	// IdleTimeout is how long a connection stays open without a request. It limits how long
+	// the connections of a machine that lost power or the network take up sockets, since such
+	// a machine never closes them.
 	IdleTimeout time.Duration
 }
 
@@ -56,7 +57,7 @@
 }
 
 // Serve accepts connections on a listener until the context ends, and closes the listener.
-// It returns the context's error, or that of the listener if it fails before.
+// It returns the context's error, or the listener's error if the listener fails first.
 func Serve(ctx context.Context, app *fiber.App, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() {
 		// An error means that requests were aborted; clients retry them.
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,5 +1,5 @@
 // Package worker is the client of the agents that run tasks on machines. The leader sends them
-// commands and requests heartbeats. Each request is sent once; retries belong to the leader.
+// commands and requests heartbeats. Each request is sent once; the leader is responsible for retries.
 package worker
 
 import (
@@ -14,11 +14,10 @@
 )
 
 const (
-	// idleTimeout is how long a connection to an agent without requests stays open. There may
-	// be more agents than sockets, and a leader sends commands to hundreds of them within
-	// seconds.
+	// idleTimeout is how long a connection to an agent stays open without requests. There may be
+	// more agents than sockets, and a leader sends commands to hundreds of them within seconds.
 	idleTimeout = 500 * time.Millisecond
-	// maxConnections is how many connections to one agent are open at most.
+	// maxConnections is the largest number of open connections to one agent.
 	maxConnections = 2
 	// maxResponseBytes is the largest response body that is accepted.
 	maxResponseBytes = 1 << 20
@@ -27,14 +26,14 @@
 // Client sends requests to agents by their addresses. It is safe for concurrent use.
 type Client struct {
 	mu sync.Mutex
-	// transports holds one for each address.
+	// transports holds the transport of each address.
 	transports map[string]*httpclient.Client
 }
 
 // New returns a client without connections.
 func New() *Client { return &Client{transports: map[string]*httpclient.Client{}} }
 
-// transport returns the transport of an address.
+// transport returns the transport of an address, and creates it on first use.
 func (c *Client) transport(address string) *httpclient.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +46,8 @@
 	return transport
 }
 
-// Forget closes the connections to the address of a terminated machine.
+// Forget closes the idle connections to the address of a terminated machine and deletes its
+// transport.
 func (c *Client) Forget(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,7 +81,7 @@
 	return heartbeat, nil
 }
 
-// exchange sends one request over a transport. An agent answers with a heartbeat also when it
+// exchange sends one request over a transport. An agent responds with a heartbeat even if it
 // refuses commands. Any other response leaves the result indeterminate.
 func exchange(ctx context.Context, transport httpclient.Transport, request httpclient.Request) (*wire.Heartbeat, error) {
 	var body []byte
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -11,7 +11,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// A response without a heartbeat leaves the result indeterminate, also with status 200.
+// A response without a heartbeat leaves the result indeterminate, even with status 200.
 func TestResponsesWithoutAHeartbeat(t *testing.T) {
 	heartbeat := wire.Encode(map[string]any{"host": "n-1"})
 	for _, c := range []struct {
@@ -38,13 +38,14 @@
 			}
 			var failed *httpclient.RequestError
 			if !errors.As(err, &failed) || failed.Status != c.status || failed.Path != "/show" {
-				t.Errorf("%v names %+v, want the status %d", err, failed, c.status)
+				t.Errorf("%v has request %+v, want path /show and status %d", err, failed, c.status)
 			}
 		})
 	}
 }
 
-// An address that was forgotten can be used again.
+// An address can be used again after Forget, which must leave no transport: the addresses of
+// terminated machines would otherwise accumulate.
 func TestForget(t *testing.T) {
 	rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(wire.Encode(map[string]any{"host": "n-1"}))
@@ -56,7 +57,7 @@
 		}
 		client.Forget(rec.Address)
 		if len(client.transports) != 0 {
-			t.Errorf("keeps %d transports", len(client.transports))
+			t.Errorf("%d transports remain, want none", len(client.transports))
 		}
 	}
 }
