--- a/config/doc.go
+++ b/config/doc.go
@@ -1,13 +1,13 @@
 // Package config reads and checks the two settings files of a controller: the platform's
-// (TOML, see Platform) and the operators' (JSON with a schema, see Operator). It is used
-// once, when the program starts; nothing changes the settings afterwards.
+// (TOML, see Platform) and the operators' (JSON with a schema, see Operator). The files are
+// read when the program starts, and the settings do not change afterwards.
 //
-// LoadPlatform and LoadOperator read files and name them in every error; ParsePlatform and
-// ParseOperator read bytes. An invalid setting is a *SettingError, which names the setting by
-// its path in the file.
+// LoadPlatform and LoadOperator read files and name them in every error. ParsePlatform and
+// ParseOperator read bytes. The error of an invalid setting is a *SettingError, which names the
+// setting by its path in the file.
 //
-// Some settings have names that differ from the terms of the code. Struct tags map them, so no
-// other package needs them:
+// Some settings have names that differ from the terms of the code. Struct tags map the names, so
+// that no other package needs to know them:
 //
 //	setting                code
 //
@@ -15,7 +15,7 @@
 //	location               Location, the zone of the controller
 //	mesh_addr              PeerAddr, where other controllers reach this one
 //	seeds                  Seeds, the other controllers
-//	external.state         External.KV, the key-value store
+//	external.state         External.KV, the address of the key-value store
 //	settings.state         Settings.KV, the limits of the key-value store
 //	settings.objectives    service-level objectives
 //	teams: cpus, gpus      nominal quota
--- a/config/former_names.go
+++ b/config/former_names.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// renamedSetting is a setting that files may still call by its former name.
+// renamedSetting holds the former and the current name of a setting. Files may use either.
 type renamedSetting struct{ section, former, name string }
 
 var renamedSettings = []renamedSetting{
@@ -11,8 +11,8 @@
 	{section: "quota", former: "keep_for_s", name: "reserve_for_s"},
 }
 
-// renameFormerNames replaces the former names of settings in a document by the present ones, and
-// returns a warning for each. It is an error if a setting is there under both names.
+// renameFormerNames replaces the former names of settings in a document by the current ones, and
+// returns a warning for each. It returns an error if a setting appears under both names.
 func renameFormerNames(document any) (warnings []string, err error) {
 	sections, _ := document.(map[string]any)
 	for _, renamed := range renamedSettings {
@@ -22,8 +22,8 @@
 			continue
 		}
 		formerKey, key := renamed.section+"."+renamed.former, renamed.section+"."+renamed.name
-		if _, both := section[renamed.name]; both {
-			return nil, invalid(formerKey, "is the former name of %s, which is set too", renamed.name)
+		if _, alsoSet := section[renamed.name]; alsoSet {
+			return nil, invalidSetting(formerKey, "is the former name of %s, which is also set: remove the former name", renamed.name)
 		}
 		delete(section, renamed.former)
 		section[renamed.name] = value
--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -14,7 +14,7 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// goldenPlatform fills every setting of the platform with a value of its own.
+// goldenPlatform returns platform settings that have a different value in every field.
 func goldenPlatform() Platform {
 	p := Platform{HostName: "c-0", Location: "zone-a", APIAddr: "127.0.0.1:1", PeerAddr: "127.0.0.1:2",
 		Seeds: []Peer{{Name: "c-1", Zone: "zone-b", Address: "127.0.0.1:5"}}}
@@ -31,7 +31,7 @@
 	return p
 }
 
-// goldenOperator fills every setting of the operators with a value of its own.
+// goldenOperator returns operators' settings that have a different value in every field.
 func goldenOperator() Operator {
 	var o Operator
 	o.Leadership.LeaseMS, o.Leadership.GraceS = 3001, 91
@@ -48,8 +48,9 @@
 	return o
 }
 
-// The settings keep their names, so that existing files are read with the same meaning.
-func TestSettingsKeepTheirNames(t *testing.T) {
+// A setting whose name changes is ignored or rejected in existing files. A renamed Go field must
+// therefore keep the name of its setting.
+func TestSettingNamesMatchGoldenFiles(t *testing.T) {
 	parse := func(raw []byte, v any) error {
 		p, err := ParsePlatform(raw)
 		if err == nil {
@@ -77,15 +78,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got.ZoneRecoveryPolicy = nil // made of the settings, and not in the file
+	got.ZoneRecoveryPolicy = nil // derived from the settings, and not in the file
 	if !reflect.DeepEqual(*got, want) {
 		t.Errorf("read %+v, want %+v", *got, want)
 	}
 }
 
-// The schema and the settings have the same names, and so have the defaults and the present
-// names of renamed settings.
-func TestSchemaKeepsItsNames(t *testing.T) {
+// A setting without a property in the schema cannot be set, and a property or default without a
+// setting has no effect. The schema, the settings, the defaults and the current names of renamed
+// settings must therefore use the same names.
+func TestSchemaNamesMatchSettings(t *testing.T) {
 	var schema, settings, defaults any
 	written, err := json.Marshal(goldenOperator())
 	if err != nil {
@@ -106,17 +108,17 @@
 	}
 	for _, name := range settingNames("", defaults) {
 		if !slices.Contains(inSettings, name) {
-			t.Errorf("the default of %s is of no setting", name)
+			t.Errorf("default of %s, which is not a setting", name)
 		}
 	}
-	for _, name := range renamedSettings {
-		if !slices.Contains(inSettings, name.section+"."+name.name) {
-			t.Errorf("%v stands for no setting", name)
+	for _, renamed := range renamedSettings {
+		if !slices.Contains(inSettings, renamed.section+"."+renamed.name) {
+			t.Errorf("the current name in %v is not a setting", renamed)
 		}
 	}
 }
 
-// schemaNames lists the properties of a schema by their path.
+// schemaNames returns the paths of all properties in a schema.
 func schemaNames(path string, schema any) (names []string) {
 	object, _ := schema.(map[string]any)
 	if object == nil {
@@ -130,8 +132,8 @@
 	return append(names, schemaNames(path, object["items"])...)
 }
 
-// settingNames lists the settings of a file by their path. The names below lending_limits
-// are those of teams.
+// settingNames returns the paths of all settings in a file. It skips the names below
+// lending_limits, which are names of teams.
 func settingNames(path string, file any) (names []string) {
 	switch v := file.(type) {
 	case map[string]any:
--- a/config/kv_limits.go
+++ b/config/kv_limits.go
@@ -1,6 +1,6 @@
 package config
 
-// Limits are what the key-value store accepts.
+// Limits holds the largest rates, values and transactions that the key-value store accepts.
 type Limits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -8,14 +8,14 @@
 	TxnOps   int     `toml:"txn_ops"`  // operations in one transaction
 }
 
-// KVLimits holds the present limits of the key-value store and its next ones. The time of the
-// change is not known.
+// KVLimits holds the current limits of the key-value store and the limits that will replace them
+// at an unknown time.
 type KVLimits struct {
 	Limits
 	Next NextLimits `toml:"next"`
 }
 
-// NextLimits are the limits that will change; nil means that a limit does not.
+// NextLimits holds the limits that will change. Nil means that a limit does not change.
 type NextLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -23,26 +23,26 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Planned returns the smaller of the present and the next limits. Requests within them are
+// Strictest returns the smaller of the current and the next limits. Requests within them are
 // accepted before and after the change.
-func (l *KVLimits) Planned() Limits {
+func (l *KVLimits) Strictest() Limits {
 	return Limits{
-		RPS:      smaller(l.RPS, l.Next.RPS),
-		WriteRPS: smaller(l.WriteRPS, l.Next.WriteRPS),
-		ValueKB:  smaller(l.ValueKB, l.Next.ValueKB),
-		TxnOps:   smaller(l.TxnOps, l.Next.TxnOps),
+		RPS:      smallerLimit(l.RPS, l.Next.RPS),
+		WriteRPS: smallerLimit(l.WriteRPS, l.Next.WriteRPS),
+		ValueKB:  smallerLimit(l.ValueKB, l.Next.ValueKB),
+		TxnOps:   smallerLimit(l.TxnOps, l.Next.TxnOps),
 	}
 }
 
-// smaller returns the smaller of a limit and the next one, which is nil if there is none.
-func smaller[T float64 | int](present T, next *T) T {
+// smallerLimit returns the smaller of the current limit and the next one, which is nil if there is none.
+func smallerLimit[T float64 | int](current T, next *T) T {
 	if next == nil {
-		return present
+		return current
 	}
-	return min(present, *next)
+	return min(current, *next)
 }
 
-// The least limits with which records can be stored. A value must be large enough for the
+// The smallest limits with which records can be stored. A value must be large enough for the
 // description of a job, and a transaction for both parts of a record that is split.
 const (
 	minRPS     = 1.0
@@ -50,7 +50,7 @@
 	minTxnOps  = 2
 )
 
-// check checks the next limits; the present ones are checked with the other amounts.
+// check validates the next limits. Settings.checkAmounts validates the current ones.
 func (l *KVLimits) check() error {
 	const key = "settings.state.next."
 	for _, limit := range []struct {
@@ -62,12 +62,12 @@
 		{"write_rps", l.Next.WriteRPS, minRPS},
 		{"value_kb", l.Next.ValueKB, minValueKB},
 	} {
-		if limit.value != nil && !(*limit.value >= limit.least) { // also refuses NaN
-			return invalid(key+limit.name, "must be %v or more, is %v", limit.least, *limit.value)
+		if limit.value != nil && !(*limit.value >= limit.least) { // also rejects NaN
+			return invalidSetting(key+limit.name, "must be %v or more, is %v", limit.least, *limit.value)
 		}
 	}
 	if l.Next.TxnOps != nil && *l.Next.TxnOps < minTxnOps {
-		return invalid(key+"txn_ops", "must be %d or more, is %d", minTxnOps, *l.Next.TxnOps)
+		return invalidSetting(key+"txn_ops", "must be %d or more, is %d", minTxnOps, *l.Next.TxnOps)
 	}
 	return nil
 }
--- a/config/kv_limits_test.go
+++ b/config/kv_limits_test.go
@@ -5,20 +5,21 @@
 	"testing"
 )
 
-// parseNext parses the valid settings with a section about the next limits.
+// parseNext parses validPlatform with an additional section, which sets the next limits.
 func parseNext(t *testing.T, section string) (*Platform, error) {
 	t.Helper()
 	return parseChanged(t, "[settings.cloud]", section+"\n[settings.cloud]")
 }
 
-func TestPlannedLimits(t *testing.T) {
-	present := Limits{RPS: 200, WriteRPS: 80, ValueKB: 8, TxnOps: 32}
+// A limit that will shrink applies before the change, since the time of the change is not known.
+func TestStrictestLimits(t *testing.T) {
+	current := Limits{RPS: 200, WriteRPS: 80, ValueKB: 8, TxnOps: 32}
 	for _, c := range []struct {
 		name, section string
 		want          Limits
 	}{
-		{"no section", "", present},
-		{"empty section", "[settings.state.next]", present},
+		{"no section", "", current},
+		{"empty section", "[settings.state.next]", current},
 		{"smaller values", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 10", Limits{RPS: 200, WriteRPS: 80, ValueKB: 2, TxnOps: 10}},
 		{"smaller and larger rates", "[settings.state.next]\nwrite_rps = 90.0\nrps = 150.0\nfuture = 1",
 			Limits{RPS: 150, WriteRPS: 80, ValueKB: 8, TxnOps: 32}},
@@ -28,12 +29,13 @@
 			t.Errorf("%s: %v", c.name, err)
 			continue
 		}
-		if got := p.Settings.KV.Planned(); got != c.want {
-			t.Errorf("%s: planned %+v, want %+v", c.name, got, c.want)
+		if got := p.Settings.KV.Strictest(); got != c.want {
+			t.Errorf("%s: limits %+v, want %+v", c.name, got, c.want)
 		}
 	}
 }
 
+// Next limits that are too small to store records are rejected, and so is a limit that is NaN.
 func TestInvalidNextLimits(t *testing.T) {
 	for _, c := range []struct{ key, line string }{
 		{"settings.state.next.value_kb", "value_kb = 0.0"},
--- a/config/operator.go
+++ b/config/operator.go
@@ -11,53 +11,53 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// Operator is the operators' own settings. operator.schema.json describes each of them,
-// and operator.default.json holds the defaults.
+// Operator holds the operators' settings. operator.schema.json describes each of them, and
+// operator.default.json holds the defaults.
 type Operator struct {
 	Leadership LeadershipSettings `json:"leadership"`
 	Quota      QuotaSettings      `json:"quota"`
 	Fleet      FleetSettings      `json:"fleet"`
-	// ZoneRecovery is how zone outages are detected and how work returns to a zone.
+	// ZoneRecovery holds how zone outages are detected and how work returns to a zone.
 	ZoneRecovery zonerecovery.Settings `json:"zone_return"`
 
-	// ZoneRecoveryPolicy is derived from ZoneRecovery; nil if zone recovery is disabled.
+	// ZoneRecoveryPolicy is derived from ZoneRecovery. It is nil if zone recovery is disabled.
 	ZoneRecoveryPolicy *zonerecovery.Policy `json:"-"`
-	// Warnings name the settings that the file calls by a former name.
+	// Warnings holds a warning for each setting that appears under its former name.
 	Warnings []string `json:"-"`
 }
 
-// LeadershipSettings bound how long a leader may act.
+// LeadershipSettings holds the bounds of how long a leader may act.
 type LeadershipSettings struct {
 	LeaseMS int `json:"lease_ms"` // see LeaseTTL
 	GraceS  int `json:"grace_s"`  // see Grace; the same on every controller
 }
 
-// QuotaSettings tune admission and quota.
+// QuotaSettings holds the settings of admission and quota.
 type QuotaSettings struct {
 	// LendingLimits holds, by team, how many CPUs of its nominal quota others may borrow. A
-	// team without an entry lends all that is idle.
+	// team without an entry lends all of its idle quota.
 	LendingLimits map[ids.Team]float64 `json:"lending_limits"`
 	// ReclaimHoldS is how long reclaimed quota is not lent again.
 	ReclaimHoldS float64 `json:"reclaim_hold_s"`
-	// SliceTasks is the most tasks in one admission record.
+	// SliceTasks is the largest number of tasks in one admission record.
 	SliceTasks int `json:"slice_tasks"`
 	// MaxSkippedJobs is how many waiting jobs one scheduling round tries after the first
 	// that does not fit.
 	MaxSkippedJobs int `json:"max_skipped_jobs"`
-	// ReserveAfterS is how long a job waits to start until machines are reserved for it,
-	// ReserveForS how long a reservation lasts.
+	// ReserveAfterS is how long a job waits to start until machines are reserved for it. 0
+	// means that none are reserved. ReserveForS is how long a reservation lasts.
 	ReserveAfterS float64 `json:"reserve_after_s"`
 	ReserveForS   float64 `json:"reserve_for_s"`
 }
 
-// FleetSettings tune autoscaling.
+// FleetSettings holds the settings of autoscaling.
 type FleetSettings struct {
 	IdleTimeoutS         float64 `json:"idle_s"`
-	SpotIdleFactor       float64 `json:"spot_idle"` // multiplies IdleTimeoutS
-	HeadroomIdleTimeoutS float64 `json:"headroom_idle_s"`
-	Headroom             float64 `json:"headroom"`           // share of the recent peak
-	BootFactor           float64 `json:"boot_factor"`        // in nominal boot times
-	CapacityBackoffS     float64 `json:"capacity_backoff_s"` // the first one
+	SpotIdleFactor       float64 `json:"spot_idle"`          // multiplies IdleTimeoutS
+	HeadroomIdleTimeoutS float64 `json:"headroom_idle_s"`    // of machines held as headroom
+	Headroom             float64 `json:"headroom"`           // fraction of the recent peak
+	BootFactor           float64 `json:"boot_factor"`        // boot timeout, in nominal boot times
+	CapacityBackoffS     float64 `json:"capacity_backoff_s"` // the first backoff
 	MaxMachines          int     `json:"max_machines"`       // 0: no limit
 }
 
@@ -86,7 +86,7 @@
 func ParseOperator(raw []byte) (*Operator, error) {
 	var operator Operator
 	if err := json.Unmarshal(operatorDefault, &operator); err != nil {
-		return nil, fmt.Errorf("built-in defaults: %w", err)
+		return nil, fmt.Errorf("decode built-in operator settings: %w", err)
 	}
 	if raw == nil {
 		return &operator, nil
@@ -100,7 +100,7 @@
 	return &operator, nil
 }
 
-// overlay sets the settings of a file.
+// overlay overwrites the settings that a file contains.
 func (o *Operator) overlay(raw []byte) error {
 	document, err := parseDocument(raw)
 	if err != nil {
@@ -112,15 +112,15 @@
 	if err := validateDocument(document); err != nil {
 		return err
 	}
-	renamed, err := json.Marshal(document)
+	settings, err := json.Marshal(document)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(renamed, o)
+	return json.Unmarshal(settings, o)
 }
 
-// setZonePolicy sets the policy of zone recovery if that is enabled. It checks the settings in any
-// case.
+// setZonePolicy sets the policy of zone recovery if zone recovery is enabled. It validates the
+// settings even if it is disabled.
 func (o *Operator) setZonePolicy() error {
 	policy, err := o.ZoneRecovery.Policy()
 	if err != nil {
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// CheckAgainst checks the operators' settings against the platform's.
+// CheckAgainst checks that the operators' settings name only zones of the platform.
 func (o *Operator) CheckAgainst(p *Platform) error {
 	return o.ZoneRecovery.CheckZones(p.Settings.Zones)
 }
@@ -142,8 +142,8 @@
 	return time.Duration(o.Leadership.LeaseMS) * time.Millisecond
 }
 
-// Grace returns for how long a leader may answer heartbeats at most while it cannot reach the
-// key-value store.
+// Grace returns the longest time for which a leader may go on answering heartbeats while it cannot
+// reach the key-value store.
 func (o *Operator) Grace() time.Duration {
 	return time.Duration(o.Leadership.GraceS) * time.Second
 }
--- a/config/operator_schema.go
+++ b/config/operator_schema.go
@@ -17,22 +17,22 @@
 func parseDocument(raw []byte) (any, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
 	if err != nil {
-		return nil, fmt.Errorf("not JSON: %w", err)
+		return nil, fmt.Errorf("not valid JSON: %w", err)
 	}
 	return document, nil
 }
 
-// validateDocument checks a document against the schema. It returns a *SettingError for
+// validateDocument validates a document against the schema. It returns a *SettingError for
 // the first setting that is invalid.
 func validateDocument(document any) error {
 	schema, err := compileSchema()
 	if err != nil {
-		return fmt.Errorf("built-in schema: %w", err)
+		return fmt.Errorf("compile built-in schema of operator settings: %w", err)
 	}
 	err = schema.Validate(document)
-	var invalidDocument *jsonschema.ValidationError
-	if errors.As(err, &invalidDocument) {
-		return firstCause(invalidDocument)
+	var validationError *jsonschema.ValidationError
+	if errors.As(err, &validationError) {
+		return firstCause(validationError)
 	}
 	return err
 }
@@ -51,8 +51,8 @@
 	return compiler.Compile(name)
 }
 
-// firstCause returns the error of the first setting that a validation found invalid. The
-// validation's own error has a line for each.
+// firstCause returns the error of the first invalid setting of a validation. The text of the
+// validation error itself has one line for each invalid setting.
 func firstCause(validation *jsonschema.ValidationError) error {
 	for len(validation.Causes) > 0 {
 		validation = validation.Causes[0]
@@ -64,7 +64,7 @@
 	return &SettingError{Key: key, Problem: problemOf(validation)}
 }
 
-// problemOf describes an error that has no causes, without its position.
+// problemOf returns the text of an error that has no causes, without the position in the document.
 func problemOf(validation *jsonschema.ValidationError) string {
 	output := validation.BasicOutput()
 	switch {
--- a/config/operator_test.go
+++ b/config/operator_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// defaultOperator returns the defaults.
+// defaultOperator returns the default settings.
 func defaultOperator(t *testing.T) *Operator {
 	t.Helper()
 	operator, err := ParseOperator(nil)
@@ -18,13 +18,14 @@
 
 func TestDefaultsMatchTheSchema(t *testing.T) {
 	if _, err := ParseOperator(operatorDefault); err != nil {
-		t.Errorf("the defaults: %v", err)
+		t.Errorf("defaults rejected: %v", err)
 	}
 	if warnings := defaultOperator(t).Warnings; len(warnings) > 0 {
-		t.Errorf("the defaults warn: %v", warnings)
+		t.Errorf("the defaults cause warnings: %v", warnings)
 	}
 }
 
+// A file that sets one setting of a section keeps the defaults of the others.
 func TestOperatorSettingsOverDefaults(t *testing.T) {
 	defaults := defaultOperator(t)
 	got, err := ParseOperator([]byte(`{"quota":{"lending_limits":{"red":2}}}`))
@@ -35,10 +36,11 @@
 		t.Errorf("lending limits %v", got.Quota.LendingLimits)
 	}
 	if got.Leadership != defaults.Leadership || got.Quota.SliceTasks != defaults.Quota.SliceTasks {
-		t.Errorf("read %+v, want the defaults %+v for all else", got, defaults)
+		t.Errorf("read %+v, want the defaults %+v for all other settings", got, defaults)
 	}
 }
 
+// Files with former names are still valid after an upgrade, and cause a warning for each name.
 func TestFormerNames(t *testing.T) {
 	got, err := ParseOperator([]byte(`{"quota":{"keep_after_s":7,"keep_for_s":8,"pass_over":9}}`))
 	if err != nil {
@@ -54,7 +56,7 @@
 
 func TestInvalidOperatorSettings(t *testing.T) {
 	for _, c := range []struct{ name, document, key string }{
-		{"former and present name", `{"quota":{"keep_for_s":8,"reserve_for_s":8}}`, "quota.keep_for_s"},
+		{"former and current name", `{"quota":{"keep_for_s":8,"reserve_for_s":8}}`, "quota.keep_for_s"},
 		{"text under a former name", `{"quota":{"keep_for_s":"long"}}`, "quota.reserve_for_s"},
 		{"below the minimum", `{"leadership":{"lease_ms":5}}`, "leadership.lease_ms"},
 		{"text for a number", `{"leadership":{"lease_ms":"x"}}`, "leadership.lease_ms"},
@@ -80,8 +82,8 @@
 	if err == nil || !strings.Contains(err.Error(), "JSON") || strings.Contains(err.Error(), "\n") {
 		t.Errorf("error %v, want one line that names JSON", err)
 	}
-	var invalid *SettingError
-	if errors.As(err, &invalid) {
-		t.Errorf("error %v is about a setting", err)
+	var settingErr *SettingError
+	if errors.As(err, &settingErr) {
+		t.Errorf("error %v names a setting, want a syntax error", err)
 	}
 }
--- a/config/platform.go
+++ b/config/platform.go
@@ -12,7 +12,7 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Platform is the settings file that the platform hands to a controller.
+// Platform holds the settings file that the platform provides to a controller.
 type Platform struct {
 	HostName ids.ControllerName `toml:"host_name"`
 	Location ids.Zone           `toml:"location"`
@@ -23,7 +23,7 @@
 	Settings Settings           `toml:"settings"`
 }
 
-// Peer is another controller.
+// Peer holds the name, zone and address of another controller.
 type Peer struct {
 	Name    ids.ControllerName `toml:"host_name"`
 	Zone    ids.Zone           `toml:"location"`
@@ -49,9 +49,9 @@
 	return platform, nil
 }
 
-// ParsePlatform reads and checks platform settings, and sets defaults. Settings that it
-// does not know are ignored. The error is a *SettingError for the first setting that is
-// invalid, or wraps a *toml.DecodeError.
+// ParsePlatform reads and checks platform settings, and sets defaults. Unknown settings are
+// ignored. The error is a *SettingError for the first setting that is invalid, or wraps a
+// *toml.DecodeError.
 func ParsePlatform(raw []byte) (*Platform, error) {
 	var platform Platform
 	if err := toml.Unmarshal(raw, &platform); err != nil {
@@ -64,7 +64,8 @@
 	return &platform, nil
 }
 
-// withPosition adds the line, column and key to a decoder's error, if it has them.
+// withPosition adds the line, column and key to the error of the decoder. It returns other errors
+// unchanged.
 func withPosition(err error) error {
 	var decodeError *toml.DecodeError
 	if !errors.As(err, &decodeError) {
@@ -98,7 +99,7 @@
 // services that it uses.
 func (p *Platform) checkAddresses() error {
 	if p.HostName == "" {
-		return invalid("host_name", "missing")
+		return invalidSetting("host_name", "missing")
 	}
 	for _, address := range []struct{ key, value string }{
 		{"api_addr", p.APIAddr},
@@ -113,7 +114,7 @@
 	for i, peer := range p.Seeds {
 		key := fmt.Sprintf("seeds[%d]", i)
 		if peer.Name == "" {
-			return invalid(key+".host_name", "missing")
+			return invalidSetting(key+".host_name", "missing")
 		}
 		if err := checkAddress(key+".address", peer.Address); err != nil {
 			return err
@@ -125,7 +126,7 @@
 // checkAddress checks that a setting has the form host:port.
 func checkAddress(key, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return invalid(key, "not an address with a port: %q", address)
+		return invalidSetting(key, "not an address with a port: %q", address)
 	}
 	return nil
 }
--- a/config/platform_test.go
+++ b/config/platform_test.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// validPlatform is a platform settings file with every setting that is required.
+// validPlatform is a platform settings file with every required setting and an unknown one.
 const validPlatform = `
 host_name = "n-0"
 location = "z"
@@ -44,7 +44,7 @@
 sockets = 1500
 `
 
-// parseChanged parses validPlatform with one text replaced.
+// parseChanged parses validPlatform with the first occurrence of from replaced by to.
 func parseChanged(t *testing.T, from, to string) (*Platform, error) {
 	t.Helper()
 	if !strings.Contains(validPlatform, from) {
@@ -53,12 +53,12 @@
 	return ParsePlatform([]byte(strings.Replace(validPlatform, from, to, 1)))
 }
 
-// wantSettingError checks that an error is one line about a setting.
+// wantSettingError checks that an error is a *SettingError of one line that names the key.
 func wantSettingError(t *testing.T, err error, key string) {
 	t.Helper()
-	var invalid *SettingError
-	if !errors.As(err, &invalid) || invalid.Key != key {
-		t.Errorf("error %v, want one of %s", err, key)
+	var settingErr *SettingError
+	if !errors.As(err, &settingErr) || settingErr.Key != key {
+		t.Errorf("error %v, want a *SettingError with key %s", err, key)
 		return
 	}
 	if text := err.Error(); !strings.Contains(text, key) || strings.Contains(text, "\n") {
@@ -75,7 +75,7 @@
 		t.Errorf("read %+v", p)
 	}
 	if p.Settings.Resources.CPUShare != 1 {
-		t.Errorf("default share of the processor is %v", p.Settings.Resources.CPUShare)
+		t.Errorf("default CPU share %v, want 1", p.Settings.Resources.CPUShare)
 	}
 }
 
@@ -87,10 +87,10 @@
 		{"no address of a peer", `address = "127.0.0.1:8082"`, ``, "seeds[0].address"},
 		{"limit below quota", `cpus_max = 8.0`, `cpus_max = 2.0`, "settings.teams[0]"},
 		{"negative quota", `cpus = 4.0`, `cpus = -4.0`, "settings.teams[0]"},
-		{"quota no number", `cpus = 4.0`, `cpus = nan`, "settings.teams[0]"},
+		{"quota that is not a number", `cpus = 4.0`, `cpus = nan`, "settings.teams[0]"},
 		{"no lease", `lease_s = 30.0`, ``, "settings.workers.lease_s"},
-		{"endless lease", `lease_s = 30.0`, `lease_s = inf`, "settings.workers.lease_s"},
-		{"interval no number", `report_s = 3.0`, `report_s = nan`, "settings.workers.report_s"},
+		{"infinite lease", `lease_s = 30.0`, `lease_s = inf`, "settings.workers.lease_s"},
+		{"interval that is not a number", `report_s = 3.0`, `report_s = nan`, "settings.workers.report_s"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := parseChanged(t, c.from, c.to)
@@ -102,7 +102,7 @@
 func TestMalformedPlatformSettings(t *testing.T) {
 	for _, c := range []struct {
 		name, from, to string
-		words          []string
+		want           []string
 	}{
 		{"text for a number", `txn_ops = 32`, `txn_ops = "many"`, []string{"line", "settings.state.txn_ops"}},
 		{"bracket missing", `[settings.cloud]`, `[settings.cloud`, []string{"line"}},
@@ -110,10 +110,10 @@
 		_, err := parseChanged(t, c.from, c.to)
 		var decodeError *toml.DecodeError
 		if !errors.As(err, &decodeError) {
-			t.Errorf("%s: error %v, want one of the decoder", c.name, err)
+			t.Errorf("%s: error %v, want a *toml.DecodeError", c.name, err)
 			continue
 		}
-		for _, word := range c.words {
+		for _, word := range c.want {
 			if !strings.Contains(err.Error(), word) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%s: error %q, want one line with %q", c.name, err, word)
 			}
--- a/config/settings.go
+++ b/config/settings.go
@@ -6,11 +6,11 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Settings is the part of the platform's file that is the same for all controllers.
+// Settings holds the part of the platform's file that is the same for all controllers.
 type Settings struct {
 	InitialSize int        `toml:"initial_size"`
 	Zones       []ids.Zone `toml:"zones"`
-	// SkewMS bounds how far a controller's time of day is from the true time.
+	// SkewMS bounds how far a controller's wall clock is from the true time.
 	SkewMS     float64                 `toml:"skew_ms"`
 	Teams      []Team                  `toml:"teams"`
 	Objectives []ServiceLevelObjective `toml:"objectives"`
@@ -20,8 +20,8 @@
 	Resources  Resources               `toml:"resources"`
 }
 
-// ServiceLevelObjective is one of the users' objectives for the start and the end of jobs:
-// the Share of the jobs of a class that must meet it.
+// ServiceLevelObjective holds one of the users' objectives for the start or the end of jobs. Share
+// is the fraction of the jobs of a class that must meet it.
 type ServiceLevelObjective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -30,31 +30,31 @@
 	Share   float64 `toml:"share"`
 }
 
-// WorkerSettings are the times of the protocol with workers.
+// WorkerSettings holds the interval, lease and deadline of the protocol with workers.
 type WorkerSettings struct {
 	HeartbeatIntervalS float64 `toml:"report_s"`
-	// LeaseS is how long a worker keeps its tasks without an answered heartbeat.
+	// LeaseS is how long a worker keeps its tasks after its last heartbeat that was answered.
 	LeaseS float64 `toml:"lease_s"`
 	// CancelDeadlineS is the time after a cancellation within which all tasks of the job must
 	// have ended.
 	CancelDeadlineS float64 `toml:"cancel_s"`
 }
 
-// CloudSettings describe the cloud's interface.
+// CloudSettings holds the request limit of the cloud and the age of its machine list.
 type CloudSettings struct {
 	RPS float64 `toml:"rps"`
 	// ListLagS is how old the cloud's machine list usually is; it may be twice as old.
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Resources are what one controller may use of its own machine.
+// Resources holds what one controller may use of its own machine.
 type Resources struct {
-	CPUShare float64 `toml:"cpu_share"` // of one core; default 1
+	CPUShare float64 `toml:"cpu_share"` // fraction of one core; default 1
 	RAMMB    float64 `toml:"ram_mb"`
 	Sockets  int     `toml:"sockets"`
 }
 
-// setDefaults sets the defaults of settings that the file does not have.
+// setDefaults sets the defaults of settings that the file does not contain.
 func (r *Resources) setDefaults() {
 	if r.CPUShare == 0 {
 		r.CPUShare = 1
@@ -80,7 +80,7 @@
 		{"settings.resources.sockets", float64(s.Resources.Sockets)},
 	} {
 		if !isAmount(setting.value) || setting.value == 0 {
-			return invalid(setting.key, "must be a number above 0")
+			return invalidSetting(setting.key, "must be a finite number above 0, is %v", setting.value)
 		}
 	}
 	return nil
--- a/config/team_test.go
+++ b/config/team_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A team without nominal quota has zeroes for its quota and its maxima. It has no limit;
-// if it had one of 0, each of its jobs would be rejected.
+// A team without nominal quota has 0 for its quota and its maxima. This means that it has no limit:
+// with a limit of 0 each of its jobs would be rejected.
 func TestTeamLimited(t *testing.T) {
 	for _, c := range []struct {
 		name, settings string
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -82,7 +82,7 @@
 	store := httpclient.New(platform.External.KV, storeConnections, maxStoreResponseBytes)
 	direct := &directRoute{store: store, health: c.storeHealth}
 	controllers := float64(len(platform.Seeds) + 1)
-	storeRPS := platform.Settings.KV.Planned().RPS
+	storeRPS := platform.Settings.KV.Strictest().RPS
 	leaderStore := kv.New(direct, storeRPS*leaderRequestShare)
 	c.userStore = kv.New(&userRoute{direct: direct, health: c.storeHealth, peers: c.peers, clock: clock}, storeRPS*userRequestShare/controllers)
 	cloudClient := cloud.New(platform.External.Cloud, platform.Settings.Cloud.RPS)
--- a/controller/leader/leader_test.go
+++ b/controller/leader/leader_test.go
@@ -52,7 +52,7 @@
 		Operator:    operator,
 		Clock:       monotonic.SystemClock(),
 		Log:         slog.New(slog.DiscardHandler),
-		Store:       kv.New(httpclient.New(store, 4, 1<<20), platform.Settings.KV.Planned().RPS),
+		Store:       kv.New(httpclient.New(store, 4, 1<<20), platform.Settings.KV.Strictest().RPS),
 		Cloud:       cloud.New("127.0.0.1:3", platform.Settings.Cloud.RPS),
 		Workers:     worker.New(),
 		Catalog:     testCatalog{{Name: "m", CPUs: 8, MemoryGB: 16, Zones: []ids.Zone{"a"}}},
--- a/controller/leader/options.go
+++ b/controller/leader/options.go
@@ -84,7 +84,7 @@
 	options.SplitRecords = d.VersionGate.Open()
 	options.SliceTasks = d.Operator.Quota.SliceTasks
 	options.LazyWriteDelay = lazyWriteDelay
-	options.WriteRate = recordWriteFraction * d.Platform.Settings.KV.Planned().WriteRPS
+	options.WriteRate = recordWriteFraction * d.Platform.Settings.KV.Strictest().WriteRPS
 }
 
 // setQuotaOptions sets the teams' quotas and the options of the job queue.
--- a/controller/settings/settings.go
+++ b/controller/settings/settings.go
@@ -50,14 +50,14 @@
 
 // TransactionLimits returns the bounds of one transaction of the key-value store.
 func TransactionLimits(platform *config.Platform) commit.Limits {
-	store := platform.Settings.KV.Planned()
+	store := platform.Settings.KV.Strictest()
 	// A transaction with more writes than the rate allows in one second never passes it.
 	return commit.Limits{Operations: max(1, min(store.TxnOps, int(store.WriteRPS))), Bytes: maxTransactionBytes}
 }
 
 // MaxValueBytes returns how large a value in the key-value store may be, in its JSON form.
 func MaxValueBytes(platform *config.Platform) int {
-	return int(platform.Settings.KV.Planned().ValueKB*1024*valueShare) - valueReserveBytes
+	return int(platform.Settings.KV.Strictest().ValueKB*1024*valueShare) - valueReserveBytes
 }
 
 // TeamLimit returns the most that a team's tasks may use at any time.
