--- a/cmd/ospreystile/check.go
+++ b/cmd/ospreystile/check.go
@@ -6,7 +6,8 @@
 	"github.com/spf13/cobra"
 )
 
-// checkCommand checks both settings files. Warnings go to standard error.
+// checkCommand returns the command that checks both settings files. It prints warnings to standard
+// error.
 func checkCommand(files *settingsFiles) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check",
--- a/cmd/ospreystile/check_golden_test.go
+++ b/cmd/ospreystile/check_golden_test.go
@@ -9,8 +9,8 @@
 	"ospreystile.example/ospreystile/internal/golden"
 )
 
-// Operators' tools read what check prints.
-func TestCheckPrintsTheSame(t *testing.T) {
+// Operators' tools parse the output of check, and a change of it breaks them.
+func TestCheckOutputMatchesGoldenFile(t *testing.T) {
 	var text strings.Builder
 	for _, c := range []struct {
 		name string
--- a/cmd/ospreystile/check_test.go
+++ b/cmd/ospreystile/check_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// windowSettings returns operators' settings with one window that has further fields.
+// windowSettings returns operators' settings with one window, which has the given further fields.
 func windowSettings(fields string) string {
 	return fmt.Sprintf(`{"zone_return": {"windows": [{"name": "bulletins", "time_zone": "Europe/Warsaw", "from": "05:00", "to": "07:00"%s}]}}`, fields)
 }
 
-// Invalid settings of zones end check, and the start before it serves, with one line that
-// names the file and the key.
+// Invalid settings of zones make both check and the start of a controller fail with one line that
+// names the file and the key. A controller must not serve with them.
 func TestInvalidSettingsNameFileAndKey(t *testing.T) {
 	for _, c := range []struct{ problem, operator string }{
 		{"zone_return.windows.0.zones.0: unknown zone", windowSettings(`, "zones": ["poznan"]`)},
@@ -32,15 +32,16 @@
 		for name, args := range map[string][]string{"check": {"check"}, "start": {}} {
 			out, err := runCommand(t, c.operator, args...)
 			if err == nil {
-				t.Fatalf("%s: accepted %s: %s", name, c.operator, out)
+				t.Fatalf("%s: invalid settings %s accepted: %s", name, c.operator, out)
 			}
 			if text := err.Error(); !strings.Contains(text, "operator.json: "+c.problem) || strings.Contains(text, "\n") {
-				t.Errorf("%s: %q does not name %q in one line", name, text, c.problem)
+				t.Errorf("%s: error %q, want one line with %q", name, text, c.problem)
 			}
 		}
 	}
 }
 
+// The example file of operators' settings must be valid.
 func TestCheckAcceptsTheExampleFile(t *testing.T) {
 	example, err := os.ReadFile("../../deploy/zone-return.json")
 	if err != nil {
--- a/cmd/ospreystile/command_test.go
+++ b/cmd/ospreystile/command_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// platformFile returns valid platform settings, with the zones gdansk and wroclaw.
+// platformFile returns valid platform settings with the zones gdansk and wroclaw.
 func platformFile(t *testing.T) string {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/platform.toml")
@@ -18,8 +18,8 @@
 	return strings.NewReplacer("zone-a", "gdansk", "zone-b", "wroclaw").Replace(string(raw))
 }
 
-// runCommand runs the program in this process, with platformFile and the given operators'
-// settings. It returns what the program prints.
+// runCommand runs the program in this process with platformFile and the given operators'
+// settings. It returns the program's output.
 func runCommand(t *testing.T, operator string, args ...string) (string, error) {
 	t.Helper()
 	dir := t.TempDir()
--- a/cmd/ospreystile/help_golden_test.go
+++ b/cmd/ospreystile/help_golden_test.go
@@ -9,8 +9,8 @@
 	"ospreystile.example/ospreystile/internal/golden"
 )
 
-// Commands and flags stay, since operators' scripts name them.
-func TestCommandsStay(t *testing.T) {
+// Operators' scripts name the commands and flags, and a change of these breaks them.
+func TestHelpMatchesGoldenFile(t *testing.T) {
 	var text strings.Builder
 	for _, args := range [][]string{nil, {"check"}, {"version"}, {"zones"}, {"zone"}, {"zone", "hold"}, {"zone", "release"}, {"zone", "auto"},
 		{"zone", "incidents"}, {"zone", "windows"}} {
--- a/cmd/ospreystile/main.go
+++ b/cmd/ospreystile/main.go
@@ -1,5 +1,5 @@
 // Command ospreystile runs one controller of the cluster scheduler. Its subcommands check
-// settings, and show and steer the recovery of zones.
+// settings, and show and control the recovery of zones.
 package main
 
 import (
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	// A controller has a fraction of one core; more running threads only add switches.
+	// A controller has a fraction of one core, so more running threads only add context switches.
 	runtime.GOMAXPROCS(1)
 	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "ospreystile:", strings.ReplaceAll(err.Error(), "\n", "; "))
--- a/cmd/ospreystile/root.go
+++ b/cmd/ospreystile/root.go
@@ -6,7 +6,7 @@
 	"github.com/spf13/cobra"
 )
 
-// rootCommand returns the command with all subcommands. By itself it runs a controller.
+// rootCommand returns the command that runs a controller, with all subcommands.
 func rootCommand() *cobra.Command {
 	var files settingsFiles
 	root := &cobra.Command{
--- a/cmd/ospreystile/serve.go
+++ b/cmd/ospreystile/serve.go
@@ -14,7 +14,7 @@
 // logLevelVariable is the environment variable that sets the log level.
 const logLevelVariable = "LOG_LEVEL"
 
-// serve runs a controller until the context ends or a signal arrives.
+// serve runs a controller until the context ends or the process receives SIGINT or SIGTERM.
 func serve(ctx context.Context, files *settingsFiles) error {
 	platform, operator, err := files.load()
 	if err != nil {
@@ -37,7 +37,7 @@
 	level := slog.LevelInfo
 	if levelName != "" {
 		if err := level.UnmarshalText([]byte(levelName)); err != nil {
-			return nil, fmt.Errorf("%s: %w", logLevelVariable, err)
+			return nil, fmt.Errorf("environment variable %s must be debug, info, warn or error: %w", logLevelVariable, err)
 		}
 	}
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
--- a/cmd/ospreystile/settings_files.go
+++ b/cmd/ospreystile/settings_files.go
@@ -7,10 +7,10 @@
 	"ospreystile.example/ospreystile/config"
 )
 
-// settingsFiles holds the paths of the two settings files, as the flags give them.
+// settingsFiles holds the paths of the two settings files, which flags set.
 type settingsFiles struct{ platform, operator string }
 
-// errNoPlatformFile reports that no flag names the platform's settings file.
+// errNoPlatformFile means that the flag --config is not set.
 var errNoPlatformFile = errors.New("--config: missing")
 
 // load reads and checks both files.
--- a/cmd/ospreystile/version.go
+++ b/cmd/ospreystile/version.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra"
 )
 
-// versionCommand prints the version that the build recorded.
+// versionCommand returns the command that prints the version.
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
@@ -19,7 +19,7 @@
 	}
 }
 
-// buildVersion returns the version of the main module.
+// buildVersion returns the version of the main module that the build recorded.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/ospreystile/zone_incidents.go
+++ b/cmd/ospreystile/zone_incidents.go
@@ -9,7 +9,7 @@
 	"ospreystile.example/ospreystile/controller/peerapi"
 )
 
-// incidentsCommand shows the outages of zones.
+// incidentsCommand returns the command that shows the newest incidents of each zone.
 func incidentsCommand(files *settingsFiles) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "incidents",
@@ -24,8 +24,8 @@
 	fmt.Fprintln(table, "ZONE\tBEGAN\tSERVES SINCE\tSPELLS\tDARK\tRETURN\tSETBACKS\tMACHINES\tTASKS\tJOBS\tBOUNCED\tFORCED\tRESTORED")
 	for _, z := range zones.Zones {
 		for _, i := range z.Incidents {
-			fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", z.Zone, timeOfDay(i.BeganMS), timeOfDay(i.ServingSinceMS),
-				i.Outages, seconds(i.OutageMS), seconds(i.RecoveryMS), i.Setbacks, i.Machines, i.DisplacedTasks, i.DisplacedJobs, i.Failbacks, i.ForcedFailbacks, i.RestoredReplicas)
+			fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", z.Zone, formatTime(i.BeganMS), formatTime(i.ServingSinceMS),
+				i.Outages, formatDuration(i.OutageMS), formatDuration(i.RecoveryMS), i.Setbacks, i.Machines, i.DisplacedTasks, i.DisplacedJobs, i.Failbacks, i.ForcedFailbacks, i.RestoredReplicas)
 		}
 	}
 	return table.Flush()
--- a/cmd/ospreystile/zone_override.go
+++ b/cmd/ospreystile/zone_override.go
@@ -14,14 +14,14 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// override is an operator's decision about one zone, as the flags give it.
+// override holds an operator's decision about one zone, which flags set.
 type override struct {
 	kind    zonerecovery.OverrideKind
 	reason  string
-	holdFor time.Duration // 0: until it is lifted
+	holdFor time.Duration // 0: until the hold is lifted
 }
 
-// holdCommand keeps new work off a zone.
+// holdCommand returns the command that holds a zone, so that no new work starts there.
 func holdCommand(files *settingsFiles) *cobra.Command {
 	hold := &override{kind: zonerecovery.OverrideHold}
 	cmd := &cobra.Command{Use: "hold ZONE", Short: "Start nothing new in a zone until this is lifted or over"}
@@ -29,20 +29,21 @@
 	return withOverride(cmd, files, hold)
 }
 
-// releaseCommand ends a hold and a recovery.
+// releaseCommand returns the command that ends a hold, an outage or a recovery of a zone
+// immediately.
 func releaseCommand(files *settingsFiles) *cobra.Command {
 	cmd := &cobra.Command{Use: "release ZONE", Short: "Lift a hold and end the return: the zone serves at once"}
 	return withOverride(cmd, files, &override{kind: zonerecovery.OverrideRelease})
 }
 
-// autoCommand takes an operator's decision back.
+// autoCommand returns the command that removes the override of a zone.
 func autoCommand(files *settingsFiles) *cobra.Command {
 	cmd := &cobra.Command{Use: "auto ZONE", Short: "Lift a hold and leave the zone to its state machine"}
 	return withOverride(cmd, files, &override{kind: zonerecovery.OverrideNone})
 }
 
-// withOverride has a command send a decision about the zone that it names to the leader,
-// and print the zones.
+// withOverride makes a command send an override of the zone in its argument to the leader, and
+// print the zones in the response.
 func withOverride(cmd *cobra.Command, files *settingsFiles, o *override) *cobra.Command {
 	output := zonesOutput{table: printZoneTable}
 	output.addFlag(cmd)
@@ -62,7 +63,7 @@
 	return cmd
 }
 
-// send checks the decision and sends it to the leader.
+// send validates the override and sends it to the leader.
 func (o *override) send(ctx context.Context, platform *config.Platform, zone ids.Zone) (peerapi.ZonesResponse, error) {
 	if !slices.Contains(platform.Settings.Zones, zone) {
 		return peerapi.ZonesResponse{}, fmt.Errorf("unknown zone %q, the zones are %v", zone, platform.Settings.Zones)
--- a/cmd/ospreystile/zone_window_openings.go
+++ b/cmd/ospreystile/zone_window_openings.go
@@ -10,11 +10,11 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// openingsShown is how many openings of each window are shown.
-const openingsShown = 3
+// openingsPerWindow is the number of openings that are shown for each window.
+const openingsPerWindow = 3
 
-// windowsCommand shows when windows open next, so that operators see what their settings
-// mean around holidays and changes of clock. It asks no controller.
+// windowsCommand returns the command that shows when windows open next, so that operators see the
+// effect of their settings around holidays and daylight saving changes. It contacts no controller.
 func windowsCommand(files *settingsFiles) *cobra.Command {
 	var at string
 	cmd := &cobra.Command{
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			from, err := startTime(at)
+			from, err := parseStart(at)
 			if err != nil {
 				return err
 			}
@@ -41,14 +41,14 @@
 	return cmd
 }
 
-// startTime parses the flag --at; empty means now.
-func startTime(at string) (time.Time, error) {
+// parseStart parses the value of the flag --at. An empty value means now.
+func parseStart(at string) (time.Time, error) {
 	if at == "" {
 		return time.Now(), nil
 	}
 	from, err := time.Parse(time.RFC3339, at)
 	if err != nil {
-		return time.Time{}, fmt.Errorf("--at: %w", err)
+		return time.Time{}, fmt.Errorf("--at: must be a time such as 2026-10-24T00:00:00Z: %w", err)
 	}
 	return from, nil
 }
@@ -63,7 +63,7 @@
 		if len(w.Zones()) > 0 {
 			zones = fmt.Sprint(w.Zones())
 		}
-		for _, o := range w.Openings(from, openingsShown) {
+		for _, o := range w.Openings(from, openingsPerWindow) {
 			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\n", w.Name, zones, o.Begin.Format(layout), o.End.Format(layout), o.End.Sub(o.Begin))
 		}
 	}
--- a/cmd/ospreystile/zone_window_openings_test.go
+++ b/cmd/ospreystile/zone_window_openings_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// windowsOnWorkdays holds a window of one zone that opens on Polish workdays.
+// windowsOnWorkdays holds operators' settings with a window of one zone that opens on Polish workdays.
 const windowsOnWorkdays = `{"zone_return": {"windows": [{"name": "bulletins", "time_zone": "Europe/Warsaw", "from": "02:30", "to": "07:00",
 	"calendar": "pl", "on": "workdays", "zones": ["wroclaw"]}]}}`
 
+// The shown openings skip weekends and holidays, and follow daylight saving time.
 func TestWindowOpenings(t *testing.T) {
 	for _, c := range []struct{ name, at, want string }{
 		{"after a weekend", "2026-10-30T12:00:00Z", "Mon 2026-11-02 02:30 CET"},
@@ -17,13 +18,13 @@
 	} {
 		out, err := runCommand(t, windowsOnWorkdays, "zone", "windows", "--at", c.at)
 		if err != nil || !strings.Contains(out, c.want) || !strings.Contains(out, "[wroclaw]") {
-			t.Errorf("%s: %v: %s", c.name, err, out)
+			t.Errorf("%s: error %v, output %s, want %q", c.name, err, out, c.want)
 		}
 	}
 }
 
 func TestWindowOpeningsFromAnInvalidTime(t *testing.T) {
 	if _, err := runCommand(t, windowsOnWorkdays, "zone", "windows", "--at", "noon"); err == nil {
-		t.Error("accepted a text that is no time")
+		t.Error("a text that is not a time was accepted")
 	}
 }
--- a/cmd/ospreystile/zones.go
+++ b/cmd/ospreystile/zones.go
@@ -14,7 +14,7 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// operatorClient returns a client of the controllers that the platform's file names.
+// operatorClient returns a client of the controllers in the platform's settings.
 func operatorClient(platform *config.Platform) *operatorclient.Client {
 	seeds := map[ids.ControllerName]string{}
 	for _, seed := range platform.Seeds {
@@ -23,7 +23,7 @@
 	return operatorclient.New(platform.HostName, platform.PeerAddr, seeds)
 }
 
-// zonesCommand shows the conditions of all zones.
+// zonesCommand returns the command that shows the conditions of all zones.
 func zonesCommand(files *settingsFiles) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "zones",
@@ -32,7 +32,7 @@
 	return withZonesQuery(cmd, files, printZoneTable)
 }
 
-// withZonesQuery has a command ask the leader about all zones and print the response.
+// withZonesQuery makes a command query the leader for all zones and print the response.
 func withZonesQuery(cmd *cobra.Command, files *settingsFiles, table tablePrinter) *cobra.Command {
 	output := zonesOutput{table: table}
 	output.addFlag(cmd)
@@ -60,31 +60,33 @@
 	table := newTable(out)
 	fmt.Fprintln(table, "ZONE\tCONDITION\tSINCE\tHEARD\tSTEP\tSTARTS\tFETCHES\tSTART P90\tFLAPS\tDISPLACED\tHELD BACK\tUNTIL\tREASON")
 	for _, z := range zones.Zones {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d/%d\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", z.Zone, z.Condition, timeOfDay(z.SinceMS), z.Reachable, z.Machines,
-			rampProgress(&z), withLimit(z.StartsInFlight, z.StartLimit), withLimit(z.FetchesInFlight, z.FetchLimit), startTimes(&z), z.Outages, z.DisplacedJobs,
-			orDash(z.Restriction), timeOfDay(z.RestrictedUntilMS), orDash(z.Reason))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d/%d\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", z.Zone, z.Condition, formatTime(z.SinceMS), z.Reachable, z.Machines,
+			formatRampStep(&z), formatWithLimit(z.StartsInFlight, z.StartLimit), formatWithLimit(z.FetchesInFlight, z.FetchLimit), formatStartP90(&z), z.Outages, z.DisplacedJobs,
+			orDash(z.Restriction), formatTime(z.RestrictedUntilMS), orDash(z.Reason))
 	}
 	return table.Flush()
 }
 
-// rampProgress shows the step of a recovery.
-func rampProgress(z *zonerecovery.Status) string {
+// formatRampStep formats the current and the last step of a recovery. A zone that is not
+// recovering has no step.
+func formatRampStep(z *zonerecovery.Status) string {
 	if z.Condition != zonerecovery.Recovering {
 		return "-"
 	}
 	return fmt.Sprintf("%d/%d", z.Step, z.Steps)
 }
 
-// startTimes compares the start times of the present step with those in other zones.
-func startTimes(z *zonerecovery.Status) string {
+// formatStartP90 formats the 90th percentile of the start times in the current step, and the
+// baseline of other zones.
+func formatStartP90(z *zonerecovery.Status) string {
 	if z.StartP90MS == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%s (usual %s)", time.Duration(z.StartP90MS)*time.Millisecond, time.Duration(z.BaselineP90MS)*time.Millisecond)
 }
 
-// withLimit shows a count and its limit; 0: there is no limit.
-func withLimit(count, limit int) string {
+// formatWithLimit formats a count and its limit. With limit 0 there is none.
+func formatWithLimit(count, limit int) string {
 	if limit == 0 {
 		return fmt.Sprint(count)
 	}
--- a/cmd/ospreystile/zones_golden_test.go
+++ b/cmd/ospreystile/zones_golden_test.go
@@ -12,7 +12,8 @@
 	"ospreystile.example/ospreystile/internal/golden"
 )
 
-// useUTC has times shown in UTC, so that a test does not depend on the machine's zone.
+// useUTC makes the program show times in UTC, so that a test does not depend on the time zone of
+// the machine.
 func useUTC(t *testing.T) {
 	t.Helper()
 	local := time.Local
@@ -20,8 +21,8 @@
 	t.Cleanup(func() { time.Local = local })
 }
 
-// Operators' scripts read the tables.
-func TestTablesOfZonesStay(t *testing.T) {
+// Operators' scripts parse the tables and the JSON, and a change of either breaks them.
+func TestZoneOutputMatchesGoldenFile(t *testing.T) {
 	useUTC(t)
 	raw, err := os.ReadFile("testdata/zones.json")
 	if err != nil {
--- a/cmd/ospreystile/zones_output.go
+++ b/cmd/ospreystile/zones_output.go
@@ -14,18 +14,18 @@
 // tablePrinter writes a response about zones as a table.
 type tablePrinter func(io.Writer, peerapi.ZonesResponse) error
 
-// zonesOutput prints a response about zones in the form that the user chose.
+// zonesOutput prints a response about zones as a table or as JSON.
 type zonesOutput struct {
 	table  tablePrinter
 	asJSON bool
 }
 
-// addFlag adds the flag that chooses the form.
+// addFlag adds the flag that selects JSON.
 func (o *zonesOutput) addFlag(cmd *cobra.Command) {
 	cmd.Flags().BoolVar(&o.asJSON, "json", false, "as JSON")
 }
 
-// print writes a response.
+// print writes a response in the selected format.
 func (o *zonesOutput) print(out io.Writer, zones peerapi.ZonesResponse) error {
 	if o.asJSON {
 		return printJSON(out, zones)
@@ -40,27 +40,28 @@
 	return encoder.Encode(zones)
 }
 
-// newTable returns a writer that aligns columns, which tabs separate. The caller flushes
-// it.
+// newTable returns a writer that aligns columns, which are separated by tabs. The caller must
+// flush it.
 func newTable(out io.Writer) *tabwriter.Writer {
 	const padding = 2
 	return tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
 }
 
-// timeOfDay shows a Unix time in milliseconds in the operator's own time zone; 0: unknown.
-func timeOfDay(unixMS int64) string {
+// formatTime formats a Unix time in milliseconds in the local time zone. 0 means that the time is
+// unknown.
+func formatTime(unixMS int64) string {
 	if unixMS == 0 {
 		return "-"
 	}
 	return time.UnixMilli(unixMS).Format("2006-01-02 15:04:05")
 }
 
-// seconds shows a number of milliseconds, rounded to seconds.
-func seconds(ms int64) string {
+// formatDuration formats a number of milliseconds, rounded to seconds.
+func formatDuration(ms int64) string {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second).String()
 }
 
-// orDash shows an empty text as a dash.
+// orDash returns a text, or a dash if it is empty.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
