--- a/controller/settings/settings.go
+++ b/controller/settings/settings.go
@@ -51,7 +51,7 @@
 
 // TransactionLimits returns the limits of one transaction of the key-value store.
 func TransactionLimits(platform *config.Platform) commit.Limits {
-	store := platform.Settings.KV.Planned()
+	store := platform.Settings.KV.Strictest()
 	// The key-value store never admits a transaction with more writes than its write rate allows in
 	// one second.
 	return commit.Limits{Operations: max(1, min(store.TxnOps, int(store.WriteRPS))), Bytes: maxTransactionBytes}
@@ -59,7 +59,7 @@
 
 // MaxValueBytes returns the maximum size of a value in the key-value store, encoded as JSON.
 func MaxValueBytes(platform *config.Platform) int {
-	return int(platform.Settings.KV.Planned().ValueKB*1024*valueShare) - valueMarginBytes
+	return int(platform.Settings.KV.Strictest().ValueKB*1024*valueShare) - valueMarginBytes
 }
 
 // TeamLimit returns the maximum amount that a team's tasks may use at any time.
