--- a/scheduler/sim_leader_test.go
+++ b/scheduler/sim_leader_test.go
@@ -18,7 +18,7 @@
 	for _, change := range decisions.RecordChanges {
 		// A change that was decided while a controller still had the old version may be sent
 		// after the limits of the store were lowered. It may exceed them.
-		sent := sentChange{simLeader: l, change: change, mustFit: l.core.opt.SplitRecords}
+		sent := sentChange{simLeader: l, change: change, mustFit: l.core.records.settings.splitRecords}
 		s.after(s.latency(), sent.commit)
 	}
 	for _, machine := range decisions.SendCommands {
