--- a/scheduler/agents_test.go
+++ b/scheduler/agents_test.go
@@ -10,16 +10,14 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// agentsTokenCounter is higher than any token counter that a core reaches in a test, so that agents
-// which show it have seen every command.
-const agentsTokenCounter = 900
-
 // testAgents simulates the agents of machines in zone a for a harness. The agents carry out each
 // command when they receive it and run tasks for a set time. They inject no faults.
 type testAgents struct {
 	machines []ids.MachineID
-	tasks    map[ids.MachineID][]wire.TaskStatus
-	endsAt   map[string]monotonic.Instant // by name of a running task; a task without an entry does not end
+	// tokens holds the highest fencing token that each agent was told. A first heartbeat shows 0.
+	tokens map[ids.MachineID]ids.FencingToken
+	tasks  map[ids.MachineID][]wire.TaskStatus
+	endsAt map[string]monotonic.Instant // by name of a running task; a task without an entry does not end
 	// runTime returns how long a task runs that is the count-th on its machine; 0 means indefinitely.
 	runTime func(name string, count int) time.Duration
 	// observe is called with each command before it is carried out; nil means no observer.
@@ -27,7 +25,8 @@
 }
 
 func newTestAgents(runTime func(name string, count int) time.Duration, machines ...ids.MachineID) *testAgents {
-	return &testAgents{machines: machines, tasks: map[ids.MachineID][]wire.TaskStatus{}, endsAt: map[string]monotonic.Instant{}, runTime: runTime}
+	return &testAgents{machines: machines, tokens: map[ids.MachineID]ids.FencingToken{}, tasks: map[ids.MachineID][]wire.TaskStatus{},
+		endsAt: map[string]monotonic.Instant{}, runTime: runTime}
 }
 
 // sendHeartbeats makes each machine end the tasks whose run time is over, send a heartbeat, and carry
@@ -36,7 +35,8 @@
 	h.t.Helper()
 	for _, machine := range g.machines {
 		g.endTasks(machine, h.now)
-		response := h.heartbeat(machine, "a", ids.NewFencingToken(h.c.opt.Revision, agentsTokenCounter), g.tasks[machine]...)
+		response := h.heartbeat(machine, "a", g.tokens[machine], g.tasks[machine]...)
+		g.tokens[machine] = max(g.tokens[machine], response.FencingToken)
 		for _, command := range response.Commands {
 			if g.observe != nil {
 				g.observe(command)
