--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -57,7 +57,7 @@
 }
 
 // do sends one request and decodes its answer into out.
-func (c *Client) do(ctx context.Context, request httpclient.Request, out any) (*httpclient.Answer, error) {
+func (c *Client) do(ctx context.Context, request httpclient.Request, out any) (*httpclient.Response, error) {
 	request.Timeout = requestTimeout
 	answer, err := c.service.Do(ctx, request)
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	for _, machineType := range catalog.Types {
 		if !validMachineType(machineType) {
-			return nil, answer.Malformed(fmt.Errorf("malformed machine type %q", machineType.Name))
+			return nil, answer.MalformedError(fmt.Errorf("malformed machine type %q", machineType.Name))
 		}
 	}
 	return catalog.Types, nil
--- a/cloud/errors.go
+++ b/cloud/errors.go
@@ -26,12 +26,12 @@
 // protocol maps the cloud's statuses to errors. An answer that cannot be decoded leaves open
 // whether the request was executed.
 var protocol = httpclient.Protocol{
-	Accepted:      []int{http.StatusOK},
-	Unavailable:   ErrUnavailable,
-	Indeterminate: ErrIndeterminate,
-	Rejected:      ErrRejected,
-	Malformed:     ErrIndeterminate,
-	Condition:     condition,
+	AcceptedStatuses: []int{http.StatusOK},
+	Unavailable:      ErrUnavailable,
+	Indeterminate:    ErrIndeterminate,
+	Rejected:         ErrRejected,
+	Malformed:        ErrIndeterminate,
+	ConditionError:   condition,
 }
 
 // noCapacityMessage is the message of the cloud for ErrNoCapacity.
--- a/cloud/errors_test.go
+++ b/cloud/errors_test.go
@@ -69,7 +69,7 @@
 		{"service unavailable without a body", http.StatusServiceUnavailable, nil, ErrUnavailable, ErrUnavailable},
 		{"gateway timeout", http.StatusGatewayTimeout, nil, ErrIndeterminate, ErrIndeterminate},
 	} {
-		rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+		rec := golden.NewRecorder(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(c.status)
 			_, _ = w.Write(c.body)
 		})
@@ -94,7 +94,7 @@
 		"negative price":  {"label": "g8", "cpus": 8, "hourly": -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+			rec := golden.NewRecorder(t, func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = w.Write(wire.Encode(map[string]any{"frames": []any{machineType}}))
 			})
 			checkError(t, requests["catalog"](t.Context(), New(rec.Address, 1000)), ErrIndeterminate)
@@ -105,7 +105,7 @@
 // silentAddress is the address of a listener that closes connections once a request arrived.
 func silentAddress(t *testing.T) string {
 	t.Helper()
-	rec := golden.Record(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	rec := golden.NewRecorder(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	return rec.Address
 }
 
--- a/cloud/golden_test.go
+++ b/cloud/golden_test.go
@@ -32,7 +32,7 @@
 
 // Methods, paths, queries and bodies of requests, and what responses are decoded to.
 func TestRequestsToTheCloud(t *testing.T) {
-	rec := golden.Record(t, serveCloud)
+	rec := golden.NewRecorder(t, serveCloud)
 	c := New(rec.Address, 1000)
 	ctx := t.Context()
 	var text strings.Builder
@@ -44,7 +44,7 @@
 	note("return", c.Terminate(ctx, []ids.MachineID{"n-1", "n-2"}))
 	machines, err := c.List(ctx)
 	note("machine list", machines, err)
-	golden.Text(t, "requests.txt", rec.Text()+"\n"+text.String())
+	golden.CheckText(t, "requests.txt", rec.Text()+"\n"+text.String())
 }
 
 // Error responses are distinguished by their status, and by one message.
@@ -62,7 +62,7 @@
 		{"fault", http.StatusInternalServerError, nil, ErrIndeterminate},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+			rec := golden.NewRecorder(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
 				_, _ = w.Write(wire.Encode(c.body))
 			})
--- a/cmd/ospreystile/check_golden_test.go
+++ b/cmd/ospreystile/check_golden_test.go
@@ -34,5 +34,5 @@
 		err := root.Execute()
 		fmt.Fprintf(&text, "%s:\n  stdout %q\n  stderr %q\n  error  %v\n", c.name, out.String(), errs.String(), err)
 	}
-	golden.Text(t, "check.txt", text.String())
+	golden.CheckText(t, "check.txt", text.String())
 }
--- a/cmd/ospreystile/help_golden_test.go
+++ b/cmd/ospreystile/help_golden_test.go
@@ -23,5 +23,5 @@
 		}
 		fmt.Fprintf(&text, "# %s\n%s\n", strings.Join(append([]string{"ospreystile"}, args...), " "), out.String())
 	}
-	golden.Text(t, "help.txt", text.String())
+	golden.CheckText(t, "help.txt", text.String())
 }
--- a/cmd/ospreystile/zones_golden_test.go
+++ b/cmd/ospreystile/zones_golden_test.go
@@ -47,5 +47,5 @@
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
-	golden.Text(t, "zones.txt", text.String())
+	golden.CheckText(t, "zones.txt", text.String())
 }
--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -64,15 +64,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Text(t, "platform.toml", string(raw))
+	golden.CheckText(t, "platform.toml", string(raw))
 	want := goldenOperator()
 	for name, section := range map[string]any{"leadership": want.Leadership, "quota": want.Quota, "fleet": want.Fleet, "zone_return": want.ZoneRecovery} {
-		golden.Filled(t, name, section)
+		golden.CheckFieldsSet(t, name, section)
 	}
 	if raw, err = json.MarshalIndent(want, "", "  "); err != nil {
 		t.Fatal(err)
 	}
-	golden.Text(t, "operator.json", string(raw)+"\n")
+	golden.CheckText(t, "operator.json", string(raw)+"\n")
 	got, err := ParseOperator(raw)
 	if err != nil {
 		t.Fatal(err)
@@ -98,7 +98,7 @@
 	}
 	inSchema := schemaNames("", schema)
 	slices.Sort(inSchema)
-	golden.Text(t, "schema.txt", strings.Join(inSchema, "\n")+"\n")
+	golden.CheckText(t, "schema.txt", strings.Join(inSchema, "\n")+"\n")
 	inSettings := settingNames("", settings)
 	slices.Sort(inSettings)
 	if !slices.Equal(inSchema, inSettings) {
--- a/controller/acknowledgements_test.go
+++ b/controller/acknowledgements_test.go
@@ -96,7 +96,7 @@
 	}
 	a.checkReported(t, "job-1")
 
-	a.leaderState.Refuse("/")
+	a.leaderState.RefuseRequests("/")
 	until(t, "the leader's lease may have expired", func() bool { return !term.HoldsLease() })
 	a.checkNotTold(t, "job-2")
 	if knownToLeader(t, a.leader, "job-2") || !term.MayAnswerHeartbeats() {
@@ -109,7 +109,7 @@
 		t.Errorf("no known leader: %+v", answer)
 	}
 
-	a.leaderState.Accept()
+	a.leaderState.AcceptRequests()
 	until(t, "the leader holds its lease again", func() bool { return term.HoldsLease() })
 	if answer := a.asked.service.Status(t.Context(), "job-2"); answer.Status != 503 {
 		t.Errorf("no known leader: %+v", answer)
@@ -139,7 +139,7 @@
 	term := c.election.Term()
 	acknowledged := state.Put(records.JobKey("job-0"), records.Job{Status: wire.JobDone, Tasks: 1})
 	until(t, "all is acknowledged", func() bool { return c.pinger.message().AcknowledgedRevision >= acknowledged })
-	leaderState.Refuse("/grants")
+	leaderState.RefuseRequests("/grants")
 	until(t, "the lease may have expired", func() bool { return !term.HoldsLease() })
 	unacknowledged := state.Put(records.JobKey("job-00"), records.Job{Status: wire.JobDone, Tasks: 1})
 	follower := startFollower(t, state.Address(), c, address)
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -38,7 +38,7 @@
 
 // The format's record is read at the key and with the tags that it is written with.
 func TestFormatIsReadWhereItIsWritten(t *testing.T) {
-	rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+	rec := golden.NewRecorder(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(wire.Encode(map[string]any{"v": map[string]int{"v": 2}, "stamp": 5}))
 	})
 	c := newTestController(t, testConfig(rec.Address))
--- a/controller/kv_routes_test.go
+++ b/controller/kv_routes_test.go
@@ -15,7 +15,7 @@
 func newCancelledJobStore(t *testing.T) *kvtest.Server {
 	t.Helper()
 	server := newTestStore(t)
-	server.Advance(6)
+	server.AdvanceRevision(6)
 	server.Put(records.JobKey("job-1"), records.Job{Status: wire.JobCancelled, Tasks: 3, Spec: &wire.JobSpec{Tasks: 3}})
 	return server
 }
@@ -24,7 +24,7 @@
 // says at once that it does not know.
 func TestReadsThroughAPeerWhenRefusedAlone(t *testing.T) {
 	good, bad := newCancelledJobStore(t), newCancelledJobStore(t)
-	bad.Refuse("/")
+	bad.RefuseRequests("/")
 	ctx, cancel := context.WithCancel(t.Context())
 	other := newTestController(t, testConfig(good.Address()))
 
--- a/controller/status_reader_test.go
+++ b/controller/status_reader_test.go
@@ -122,7 +122,7 @@
 		if f.failures == 0 || f.failures > f.asked/2 {
 			t.Errorf("%d of %d questions failed", f.failures, f.asked)
 		}
-		if calls := store.Requests(); 4*calls > f.asked {
+		if calls := store.RequestCount(); 4*calls > f.asked {
 			t.Errorf("%d calls for %d questions", calls, f.asked)
 		}
 	})
--- a/controller/store_test.go
+++ b/controller/store_test.go
@@ -16,8 +16,8 @@
 func newTestStore(t *testing.T) *kvtest.Server {
 	t.Helper()
 	store := kvtest.NewStore()
-	store.SuspendExpiry()
-	store.SetMaxHold(testHold)
+	store.SuspendLeaseExpiry()
+	store.SetMaxWatchWait(testHold)
 	return serveStore(t, store)
 }
 
--- a/election/cluster_test.go
+++ b/election/cluster_test.go
@@ -113,7 +113,7 @@
 
 // kill ends the process before it can revoke its lease.
 func (m *candidate) kill() {
-	m.client.Refuse()
+	m.client.RefuseRequests()
 	m.stop()
 }
 
--- a/election/failover_test.go
+++ b/election/failover_test.go
@@ -69,14 +69,14 @@
 		c.store.EndOutage()
 		time.Sleep(time.Second)
 
-		candidates[first].client.Refuse()
+		candidates[first].client.RefuseRequests()
 		time.Sleep(5 * time.Second)
 		second, secondTerm := c.mustLeader(t)
 		if second == first || secondTerm.Revision <= firstTerm.Revision {
 			t.Fatalf("%s leads at revision %d after %s lost the store at revision %d",
 				second, secondTerm.Revision, first, firstTerm.Revision)
 		}
-		candidates[first].client.Accept()
+		candidates[first].client.AcceptRequests()
 
 		candidates[second].stop()
 		time.Sleep(6 * time.Second)
@@ -91,7 +91,7 @@
 func TestEarlierProcessIsReplacedImmediately(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		const earlierRevision = 4
-		c.store.Advance(earlierRevision - 1)
+		c.store.AdvanceRevision(earlierRevision - 1)
 		c.store.PutWithLease(records.LeaderKey, Identity{Name: "n0", Incarnation: 1}, time.Hour)
 
 		c.start(t, "n0", 2)
--- a/election/restart_test.go
+++ b/election/restart_test.go
@@ -124,9 +124,9 @@
 	}
 	target := r.candidates[name]
 	if r.rng.IntN(4) == 0 {
-		target.client.Refuse()
+		target.client.RefuseRequests()
 		r.sleepUpTo(9000)
-		target.client.Accept()
+		target.client.AcceptRequests()
 		return
 	}
 	target.kill()
--- a/election/term_test.go
+++ b/election/term_test.go
@@ -21,7 +21,7 @@
 		if term == nil {
 			t.Fatal("no term")
 		}
-		m.client.Refuse()
+		m.client.RefuseRequests()
 		m.election.Observe(Leader{Revision: term.Revision + 5}) // the key is deleted, so the name is unknown
 		time.Sleep(time.Second)
 		if m.election.Term() != nil {
@@ -41,7 +41,7 @@
 		m := c.start(t, "n0", 1)
 		time.Sleep(time.Second)
 		_, term := c.mustLeader(t)
-		m.client.Hold(12 * time.Second)
+		m.client.DelayRequests(12 * time.Second)
 		time.Sleep(11 * time.Second)
 		if term.MayAnswerHeartbeats() {
 			t.Error("answers heartbeats, although no renewal has confirmed a store outage")
@@ -61,8 +61,8 @@
 		m := c.start(t, "n0", 1)
 		time.Sleep(time.Second)
 		_, term := c.mustLeader(t)
-		m.client.Refuse()
-		m.client.Hold(12 * time.Second)
+		m.client.RefuseRequests()
+		m.client.DelayRequests(12 * time.Second)
 		time.Sleep(12*time.Second + 100*time.Millisecond)
 		if term.MayAnswerHeartbeats() {
 			t.Error("answers heartbeats after a renewal that started before the pause")
@@ -93,7 +93,7 @@
 func TestLateCommitBeginsNoTerm(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		delayed := newClient(c.store)
-		delayed.Hold(time.Second)
+		delayed.DelayRequests(time.Second)
 		m := c.startWith(t, Identity{Name: "n0", Incarnation: 1}, delayed, delayed)
 		m.election.Observe(Leader{Identity{Name: "n1"}, 50})
 		time.Sleep(5 * time.Second)
@@ -117,8 +117,8 @@
 		want        error
 	}{
 		{"superseded", func(e *Election, _ *kvtest.Client) { e.Observe(Leader{Revision: 50}) }, waitForEnd, ErrSuperseded},
-		{"lease expired", func(_ *Election, c *kvtest.Client) { c.Hold(12 * time.Second) }, waitForEnd, kv.ErrLeaseExpired},
-		{"outage grace expired", func(_ *Election, c *kvtest.Client) { c.Refuse() }, waitForEnd, errGraceExpired},
+		{"lease expired", func(_ *Election, c *kvtest.Client) { c.DelayRequests(12 * time.Second) }, waitForEnd, kv.ErrLeaseExpired},
+		{"outage grace expired", func(_ *Election, c *kvtest.Client) { c.RefuseRequests() }, waitForEnd, errGraceExpired},
 		{"work failed", func(*Election, *kvtest.Client) {}, func(context.Context, *Term) error { return errWork }, errWork},
 		{"work returned", func(*Election, *kvtest.Client) {}, func(context.Context, *Term) error { return nil }, errWorkReturned},
 	} {
--- a/election/watch_test.go
+++ b/election/watch_test.go
@@ -23,11 +23,11 @@
 		first := c.start(t, "n0", 1)
 		time.Sleep(time.Second)
 		c.store.SetRetention(10_000)
-		c.store.Advance(20_000)
-		before := c.store.Requests()
+		c.store.AdvanceRevision(20_000)
+		before := c.store.RequestCount()
 		c.start(t, "n1", 1)
 		time.Sleep(30 * time.Second)
-		if calls := c.store.Requests() - before; calls > 100 {
+		if calls := c.store.RequestCount() - before; calls > 100 {
 			t.Errorf("%d requests in 30 s, want at most 100", calls)
 		}
 		first.kill()
--- a/internal/faulttest/cloud.go
+++ b/internal/faulttest/cloud.go
@@ -17,7 +17,7 @@
 // methods may be called from any goroutine.
 type Cloud struct {
 	server      *httptest.Server
-	boot        time.Duration
+	bootDelay   time.Duration
 	capacity    int // machines of each zone
 	zones       []ids.Zone
 	startWorker func(wire.Machine) *Worker
@@ -50,13 +50,13 @@
 // NewCloud starts a cloud on loopback. startWorker starts the worker of a machine that has
 // booted; it must not call the cloud.
 func NewCloud(zones []ids.Zone, capacity int, boot time.Duration, startWorker func(wire.Machine) *Worker) *Cloud {
-	c := &Cloud{boot: boot, capacity: capacity, zones: zones, startWorker: startWorker,
+	c := &Cloud{bootDelay: boot, capacity: capacity, zones: zones, startWorker: startWorker,
 		machines: map[ids.MachineID]*cloudMachine{}, requests: map[string][]ids.MachineID{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog", c.catalog)
-	mux.HandleFunc("POST /hosts", c.provision)
-	mux.HandleFunc("POST /hosts/return", c.terminate)
-	mux.HandleFunc("GET /hosts", c.list)
+	mux.HandleFunc("GET /catalog", c.handleCatalog)
+	mux.HandleFunc("POST /hosts", c.handleProvision)
+	mux.HandleFunc("POST /hosts/return", c.handleTerminate)
+	mux.HandleFunc("GET /hosts", c.handleList)
 	c.server = httptest.NewServer(mux)
 	return c
 }
@@ -111,15 +111,15 @@
 	}
 }
 
-func (c *Cloud) catalog(w http.ResponseWriter, _ *http.Request) {
-	reply(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{{
+func (c *Cloud) handleCatalog(w http.ResponseWriter, _ *http.Request) {
+	respond(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{{
 		Name: machineType, CPUs: machineCPUs, MemoryGB: machineMemoryGB, CacheGB: machineCacheGB, FetchGBps: 1,
-		Price: 1, SpotPrice: 0.4, BootS: c.boot.Seconds(), Zones: c.zones,
+		Price: 1, SpotPrice: 0.4, BootS: c.bootDelay.Seconds(), Zones: c.zones,
 	}}})
 }
 
-func (c *Cloud) provision(w http.ResponseWriter, r *http.Request) {
-	request, ok := read[wire.ProvisionRequest](w, r)
+func (c *Cloud) handleProvision(w http.ResponseWriter, r *http.Request) {
+	request, ok := decodeBody[wire.ProvisionRequest](w, r)
 	if !ok {
 		return
 	}
@@ -130,11 +130,11 @@
 		machines = c.addMachines(request)
 	}
 	if len(machines) == 0 {
-		reply(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
+		respond(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 		return
 	}
 	c.requests[request.RequestID] = machines
-	reply(w, http.StatusOK, wire.MachineIDs{IDs: machines})
+	respond(w, http.StatusOK, wire.MachineIDs{IDs: machines})
 }
 
 // addMachines provisions as many machines as the zone has capacity for. The caller holds
@@ -152,7 +152,7 @@
 		}}
 		c.machines[m.ID] = m
 		added = append(added, m.ID)
-		time.AfterFunc(c.boot, func() { c.finishBoot(m) })
+		time.AfterFunc(c.bootDelay, func() { c.finishBoot(m) })
 	}
 	return added
 }
@@ -180,8 +180,8 @@
 	m.Endpoint, m.Status = m.worker.Address(), wire.MachineRunning
 }
 
-func (c *Cloud) terminate(w http.ResponseWriter, r *http.Request) {
-	body, ok := read[wire.MachineIDs](w, r)
+func (c *Cloud) handleTerminate(w http.ResponseWriter, r *http.Request) {
+	body, ok := decodeBody[wire.MachineIDs](w, r)
 	if !ok {
 		return
 	}
@@ -192,11 +192,11 @@
 			m.terminate()
 		}
 	}
-	reply(w, http.StatusOK, map[string]bool{})
+	respond(w, http.StatusOK, map[string]bool{})
 }
 
-// list responds with all machines in one page.
-func (c *Cloud) list(w http.ResponseWriter, r *http.Request) {
+// handleList responds with all machines in one page.
+func (c *Cloud) handleList(w http.ResponseWriter, r *http.Request) {
 	since := ids.MachineID(r.URL.Query().Get("since"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -209,5 +209,5 @@
 		}
 	}
 	slices.SortFunc(page.Machines, func(a, b wire.Machine) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	reply(w, http.StatusOK, page)
+	respond(w, http.StatusOK, page)
 }
--- a/internal/faulttest/harness_test.go
+++ b/internal/faulttest/harness_test.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	// repository is the root of this repository.
-	repository = "../.."
-	// waitLimit bounds a test that hangs; no result depends on it.
-	waitLimit = 90 * time.Second
+	// repositoryRoot is the root of this repository.
+	repositoryRoot = "../.."
+	// waitTimeout bounds a test that hangs; no result depends on it.
+	waitTimeout = 90 * time.Second
 	// pollInterval is the time between two checks of a condition that a test waits for.
 	pollInterval = 50 * time.Millisecond
 	// recoveryPollInterval is that of a recovery, whose ramp moves quickly.
 	recoveryPollInterval = 20 * time.Millisecond
-	// controllers is the number of controllers in each test.
-	controllers = 3
+	// controllerCount is the number of controllers in each test.
+	controllerCount = 3
 )
 
 // buildProgram builds the program, and reads from deploy/service.toml how it is started.
 func buildProgram(t *testing.T) Program {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join(repository, "deploy/service.toml"))
+	raw, err := os.ReadFile(filepath.Join(repositoryRoot, "deploy/service.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,11 +47,11 @@
 	}
 	path := filepath.Join(t.TempDir(), "ospreystile")
 	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", path, "./cmd/ospreystile")
-	build.Dir = repository
+	build.Dir = repositoryRoot
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	return Program{Path: path, Arguments: strings.Fields(service.Run)[1:], Directory: repository}
+	return Program{Path: path, Arguments: strings.Fields(service.Run)[1:], Directory: repositoryRoot}
 }
 
 // withOperatorSettings returns the program with another file of operators' settings.
@@ -81,7 +81,7 @@
 	}
 	z := &zoneTest{t: t, ctx: t.Context(), program: buildProgram(t).withOperatorSettings(operatorSettings)}
 	var err error
-	if z.Deployment, err = NewDeployment(t.TempDir(), zones, capacity, controllers); err != nil {
+	if z.Deployment, err = NewDeployment(t.TempDir(), zones, capacity, controllerCount); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -93,49 +93,49 @@
 		}
 	})
 	for _, c := range z.Controllers {
-		z.require(c.Start(z.program))
+		z.requireNoError(c.Start(z.program))
 	}
 	return z
 }
 
-// require ends the test if there is an error.
-func (z *zoneTest) require(err error) {
+// requireNoError ends the test if there is an error.
+func (z *zoneTest) requireNoError(err error) {
 	z.t.Helper()
 	if err != nil {
 		z.t.Fatal(err)
 	}
 }
 
-// await waits until a condition holds.
-func (z *zoneTest) await(what string, holds func() bool) {
+// awaitTrue waits until a condition holds.
+func (z *zoneTest) awaitTrue(what string, holds func() bool) {
 	z.t.Helper()
-	z.awaitEvery(pollInterval, what, holds)
+	z.awaitTrueEvery(pollInterval, what, holds)
 }
 
-// awaitEvery checks a condition at an interval until it holds.
-func (z *zoneTest) awaitEvery(interval time.Duration, what string, holds func() bool) {
+// awaitTrueEvery checks a condition at an interval until it holds.
+func (z *zoneTest) awaitTrueEvery(interval time.Duration, what string, holds func() bool) {
 	z.t.Helper()
-	for end := time.Now().Add(waitLimit); !holds(); time.Sleep(interval) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(interval) {
 		if time.Now().After(end) {
-			z.t.Fatalf("not within %v: %s", waitLimit, what)
+			z.t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 	}
 }
 
-// awaitCondition waits for the condition of a zone.
-func (z *zoneTest) awaitCondition(zone ids.Zone, want zonerecovery.Condition) {
+// awaitZoneCondition waits for the condition of a zone.
+func (z *zoneTest) awaitZoneCondition(zone ids.Zone, want zonerecovery.Condition) {
 	z.t.Helper()
-	z.await(string(zone)+" "+want.String(), func() bool {
+	z.awaitTrue(string(zone)+" "+want.String(), func() bool {
 		status, _, ok := z.zoneStatus(zone)
 		return ok && status.Condition == want
 	})
 }
 
-// awaitAtAllControllers waits until every controller responds with the same final state.
-func (z *zoneTest) awaitAtAllControllers(id ids.JobID, want wire.JobState) {
+// awaitJobState waits until every controller responds with the same final state.
+func (z *zoneTest) awaitJobState(id ids.JobID, want wire.JobState) {
 	z.t.Helper()
 	for i := range z.Controllers {
-		z.await(string(id)+" "+string(want), func() bool {
+		z.awaitTrue(string(id)+" "+string(want), func() bool {
 			status, err := z.Users.StatusAt(z.ctx, i, id)
 			if err != nil {
 				return false
@@ -180,7 +180,7 @@
 		z.t.Fatalf("no controller is called %q", name)
 	}
 	z.Controllers[i].Kill()
-	z.require(z.Controllers[i].Start(z.program))
+	z.requireNoError(z.Controllers[i].Start(z.program))
 }
 
 // countRunning counts the running tasks of a job in all zones.
@@ -197,11 +197,11 @@
 	return z.countRunning(job) - z.History.RunningByZone(job)[zone]
 }
 
-// checkHistory checks that no task ran twice at once.
-func (z *zoneTest) checkHistory() {
+// checkNoConcurrentRuns checks that no task ran twice at once.
+func (z *zoneTest) checkNoConcurrentRuns() {
 	z.t.Helper()
 	if violations := z.History.Violations(); len(violations) > 0 {
 		z.t.Errorf("violations: %v", violations)
 	}
-	z.t.Logf("%d tasks were started again after they completed", z.History.Repeated())
+	z.t.Logf("%d tasks were started again after they completed", z.History.RepeatedStarts())
 }
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -39,13 +39,13 @@
 // twice at once. It also counts the tasks that were started again after they completed.
 // The protocol allows that, since an end that was not recorded may be lost with the leader.
 type History struct {
-	mu         sync.Mutex
-	events     []Event
-	running    map[ids.TaskRef]Event
-	completed  map[ids.TaskRef]bool
-	inFlight   map[attemptKey]Event // starts that were received and do not run yet
-	violations []string
-	repeated   int
+	mu             sync.Mutex
+	events         []Event
+	running        map[ids.TaskRef]Event
+	completed      map[ids.TaskRef]bool
+	inFlight       map[attemptKey]Event // starts that were received and do not run yet
+	violations     []string
+	repeatedStarts int
 }
 
 // attemptKey identifies an attempt on a machine.
@@ -76,28 +76,28 @@
 	case StartReceived:
 		h.inFlight[key] = event
 		if h.completed[event.Task] {
-			h.repeated++
+			h.repeatedStarts++
 		}
 	case Started:
-		h.start(event)
+		h.recordStart(event)
 	case Completed:
 		h.completed[event.Task] = true
-		h.end(event)
+		h.recordEnd(event)
 	case Terminated:
-		h.end(event)
+		h.recordEnd(event)
 	}
 }
 
-// start notes that a task runs. It must not run anywhere else.
-func (h *History) start(event Event) {
+// recordStart notes that a task runs. It must not run anywhere else.
+func (h *History) recordStart(event Event) {
 	if other, runs := h.running[event.Task]; runs {
 		h.violations = append(h.violations, fmt.Sprintf("%s runs on %s and on %s", event.Task, other.Machine, event.Machine))
 	}
 	h.running[event.Task] = event
 }
 
-// end notes that an attempt no longer runs, if it did.
-func (h *History) end(event Event) {
+// recordEnd notes that an attempt no longer runs, if it did.
+func (h *History) recordEnd(event Event) {
 	if started, runs := h.running[event.Task]; runs && started.Machine == event.Machine && started.Attempt == event.Attempt {
 		delete(h.running, event.Task)
 	}
@@ -110,11 +110,11 @@
 	return slices.Clone(h.violations)
 }
 
-// Repeated counts the starts of tasks that had completed.
-func (h *History) Repeated() int {
+// RepeatedStarts counts the starts of tasks that had completed.
+func (h *History) RepeatedStarts() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.repeated
+	return h.repeatedStarts
 }
 
 // RunningByZone counts the running tasks of a job in each zone.
@@ -132,12 +132,12 @@
 
 // StartsInFlight counts the starts that a zone received after a time and that do not run
 // yet, of the jobs that a function selects.
-func (h *History) StartsInFlight(zone ids.Zone, after time.Time, selects func(ids.JobID) bool) int {
+func (h *History) StartsInFlight(zone ids.Zone, after time.Time, match func(ids.JobID) bool) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	count := 0
 	for _, event := range h.inFlight {
-		if event.Zone == zone && event.At.After(after) && selects(event.Task.Job) {
+		if event.Zone == zone && event.At.After(after) && match(event.Task.Job) {
 			count++
 		}
 	}
--- a/internal/faulttest/history_test.go
+++ b/internal/faulttest/history_test.go
@@ -8,7 +8,7 @@
 )
 
 // The history finds a task that runs twice at once, and one that is started again.
-func TestHistoryFindsFaults(t *testing.T) {
+func TestHistoryDetectsConcurrentAndRepeatedRuns(t *testing.T) {
 	task := ids.TaskRef{Job: "job-1"}
 	event := func(kind EventKind, machine ids.MachineID, attempt ids.Attempt) Event {
 		return Event{Task: task, Attempt: attempt, Machine: machine, Zone: "a", Kind: kind}
@@ -35,8 +35,8 @@
 		for _, e := range c.events {
 			history.Add(e)
 		}
-		if got := len(history.Violations()); got != c.violations || history.Repeated() != c.repeated {
-			t.Errorf("%s: %d violations, %d repeated", c.name, got, history.Repeated())
+		if got := len(history.Violations()); got != c.violations || history.RepeatedStarts() != c.repeated {
+			t.Errorf("%s: %d violations, %d repeated", c.name, got, history.RepeatedStarts())
 		}
 	}
 }
--- a/internal/faulttest/settings.go
+++ b/internal/faulttest/settings.go
@@ -12,22 +12,22 @@
 
 // writeSettings writes a controller's platform settings.
 func (d *Deployment) writeSettings(c *Controller) error {
-	raw, err := toml.Marshal(d.platformOf(c))
+	raw, err := toml.Marshal(d.controllerSettings(c))
 	if err != nil {
 		return fmt.Errorf("settings of %s: %w", c.Name, err)
 	}
 	return os.WriteFile(c.settingsPath, raw, 0o600)
 }
 
-// platformOf returns the platform settings of a controller.
-func (d *Deployment) platformOf(c *Controller) config.Platform {
+// controllerSettings returns the platform settings of a controller.
+func (d *Deployment) controllerSettings(c *Controller) config.Platform {
 	platform := config.Platform{
 		HostName: c.Name,
 		Location: d.zones[0],
 		APIAddr:  c.apiAddress,
 		PeerAddr: c.peerAddress,
 		External: config.External{Cloud: d.Cloud.Address(), KV: d.KV.Address()},
-		Settings: d.platformSettings(),
+		Settings: d.sharedSettings(),
 	}
 	for _, peer := range d.Controllers {
 		if peer != c {
@@ -37,8 +37,8 @@
 	return platform
 }
 
-// platformSettings returns the settings that all controllers share.
-func (d *Deployment) platformSettings() config.Settings {
+// sharedSettings returns the settings that all controllers share.
+func (d *Deployment) sharedSettings() config.Settings {
 	settings := config.Settings{
 		Zones: d.zones,
 		Workers: config.WorkerSettings{
--- a/internal/faulttest/worker.go
+++ b/internal/faulttest/worker.go
@@ -27,23 +27,23 @@
 // goroutine.
 type Worker struct {
 	workerEnvironment
-	machine wire.Machine
-	server  *httptest.Server
-	client  *http.Client
-	cancel  context.CancelFunc
-	changed chan struct{} // asks for a heartbeat before its time
-	running sync.WaitGroup
-
-	mu          sync.Mutex
-	incarnation ids.AgentIncarnation
-	sequence    ids.Sequence
-	token       ids.FencingToken
-	tasks       []*workerTask
-	images      map[ids.Image]bool
-	renewed     time.Time // when the last answered heartbeat was sent
-	partitioned bool
-	stopped     bool
-	controller  int // the index of the one that gets the heartbeats
+	machine          wire.Machine
+	server           *httptest.Server
+	client           *http.Client
+	cancel           context.CancelFunc
+	heartbeatTrigger chan struct{} // asks for a heartbeat before its time
+	goroutines       sync.WaitGroup
+
+	mu              sync.Mutex
+	incarnation     ids.AgentIncarnation
+	sequence        ids.Sequence
+	fencingToken    ids.FencingToken
+	tasks           []*workerTask
+	images          map[ids.Image]bool
+	leaseRenewedAt  time.Time // when the last answered heartbeat was sent
+	partitioned     bool
+	stopped         bool
+	controllerIndex int // the index of the one that gets the heartbeats
 }
 
 const (
@@ -61,18 +61,18 @@
 		machine:           machine,
 		client:            &http.Client{Timeout: heartbeatTimeout},
 		cancel:            cancel,
-		changed:           make(chan struct{}, 1),
+		heartbeatTrigger:  make(chan struct{}, 1),
 		incarnation:       1,
 		images:            map[ids.Image]bool{},
-		renewed:           time.Now(),
+		leaseRenewedAt:    time.Now(),
 		partitioned:       partitioned,
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /do", w.execute)
-	mux.HandleFunc("GET /show", w.show)
+	mux.HandleFunc("POST /do", w.handleCommands)
+	mux.HandleFunc("GET /show", w.handleStatus)
 	w.server = httptest.NewServer(mux)
 	w.machine.Endpoint = w.Address()
-	w.running.Go(func() { w.run(ctx) })
+	w.goroutines.Go(func() { w.run(ctx) })
 	return w
 }
 
@@ -100,14 +100,14 @@
 	w.stopped = true
 	w.dropTasks()
 	w.mu.Unlock()
-	w.running.Go(func() {
+	w.goroutines.Go(func() {
 		w.server.CloseClientConnections()
 		w.server.Close()
 	})
 }
 
 // Wait waits until a stopped worker has ended.
-func (w *Worker) Wait() { w.running.Wait() }
+func (w *Worker) Wait() { w.goroutines.Wait() }
 
 // run sends heartbeats until the context ends.
 func (w *Worker) run(ctx context.Context) {
@@ -116,7 +116,7 @@
 		w.sendHeartbeat(ctx)
 		select {
 		case <-ctx.Done():
-		case <-w.changed:
+		case <-w.heartbeatTrigger:
 			monotonic.Sleep(ctx, w.timing.HeartbeatInterval/heartbeatsPerInterval)
 		case <-time.After(w.timing.HeartbeatInterval):
 		}
@@ -130,12 +130,12 @@
 	if w.leaseExpired() {
 		w.dropTasks()
 		w.incarnation++
-		w.renewed = time.Now()
+		w.leaseRenewedAt = time.Now()
 	}
 }
 
 // leaseExpired reports whether the lease has expired. The caller holds the lock.
-func (w *Worker) leaseExpired() bool { return time.Since(w.renewed) > w.timing.Lease }
+func (w *Worker) leaseExpired() bool { return time.Since(w.leaseRenewedAt) > w.timing.Lease }
 
 // nextHeartbeat returns the next heartbeat. The caller holds the lock.
 func (w *Worker) nextHeartbeat() wire.Heartbeat {
@@ -148,7 +148,7 @@
 		Spot:         w.machine.Spot,
 		Incarnation:  w.incarnation,
 		Sequence:     w.sequence,
-		FencingToken: w.token,
+		FencingToken: w.fencingToken,
 		Tasks:        []wire.TaskStatus{},
 	}
 	for _, task := range w.tasks {
@@ -166,24 +166,24 @@
 		return
 	}
 	heartbeat, sent := w.nextHeartbeat(), time.Now()
-	address := w.controllers[w.controller%len(w.controllers)]
+	address := w.controllers[w.controllerIndex%len(w.controllers)]
 	w.mu.Unlock()
 	status, body, err := w.post(ctx, "http://"+address+"/hello", wire.Encode(heartbeat))
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil || status != http.StatusOK {
-		w.controller++
+		w.controllerIndex++
 		return
 	}
 	var response wire.HeartbeatResponse
-	if wire.Decode(body, &response) != nil || response.FencingToken < w.token {
+	if wire.Decode(body, &response) != nil || response.FencingToken < w.fencingToken {
 		return
 	}
 	if w.partitioned || w.stopped || heartbeat.Incarnation != w.incarnation {
 		return
 	}
-	w.token, w.renewed = response.FencingToken, sent
-	w.executeAll(response.Commands)
+	w.fencingToken, w.leaseRenewedAt = response.FencingToken, sent
+	w.executeCommands(response.Commands)
 }
 
 // post sends one request.
@@ -201,47 +201,47 @@
 	return response.StatusCode, responseBody, err
 }
 
-// heartbeatSoon has the next heartbeat sent before its time.
-func (w *Worker) heartbeatSoon() {
+// triggerHeartbeat has the next heartbeat sent before its time.
+func (w *Worker) triggerHeartbeat() {
 	select {
-	case w.changed <- struct{}{}:
+	case w.heartbeatTrigger <- struct{}{}:
 	default: // one is asked for already
 	}
 }
 
-// show responds with the worker's status.
-func (w *Worker) show(rw http.ResponseWriter, _ *http.Request) {
-	if w.dropWhilePartitioned(rw) {
+// handleStatus responds with the worker's status.
+func (w *Worker) handleStatus(rw http.ResponseWriter, _ *http.Request) {
+	if w.dropIfUnreachable(rw) {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	reply(rw, http.StatusOK, w.nextHeartbeat())
+	respond(rw, http.StatusOK, w.nextHeartbeat())
 }
 
-// execute executes commands that the leader sends between heartbeats.
-func (w *Worker) execute(rw http.ResponseWriter, r *http.Request) {
-	if w.dropWhilePartitioned(rw) {
+// handleCommands executes commands that the leader sends between heartbeats.
+func (w *Worker) handleCommands(rw http.ResponseWriter, r *http.Request) {
+	if w.dropIfUnreachable(rw) {
 		return
 	}
-	batch, ok := read[wire.CommandBatch](rw, r)
+	batch, ok := decodeBody[wire.CommandBatch](rw, r)
 	if !ok {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if batch.FencingToken < w.token || batch.Incarnation != w.incarnation || w.stopped {
-		reply(rw, http.StatusConflict, w.nextHeartbeat())
+	if batch.FencingToken < w.fencingToken || batch.Incarnation != w.incarnation || w.stopped {
+		respond(rw, http.StatusConflict, w.nextHeartbeat())
 		return
 	}
-	w.token = batch.FencingToken
-	w.executeAll(batch.Commands)
-	reply(rw, http.StatusOK, w.nextHeartbeat())
+	w.fencingToken = batch.FencingToken
+	w.executeCommands(batch.Commands)
+	respond(rw, http.StatusOK, w.nextHeartbeat())
 }
 
-// dropWhilePartitioned drops a request that cannot reach the machine, and reports whether
+// dropIfUnreachable drops a request that cannot reach the machine, and reports whether
 // it did. The caller of the request gets no response.
-func (w *Worker) dropWhilePartitioned(rw http.ResponseWriter) bool {
+func (w *Worker) dropIfUnreachable(rw http.ResponseWriter) bool {
 	w.mu.Lock()
 	unreachable := w.partitioned || w.stopped
 	w.mu.Unlock()
--- a/internal/faulttest/worker_tasks.go
+++ b/internal/faulttest/worker_tasks.go
@@ -25,17 +25,17 @@
 // cachedImageDelay is how long a task waits for an image that the machine has.
 const cachedImageDelay = time.Millisecond
 
-// record adds an event of a task to the history.
-func (w *Worker) record(task *workerTask, kind EventKind) {
+// recordEvent adds an event of a task to the history.
+func (w *Worker) recordEvent(task *workerTask, kind EventKind) {
 	w.history.Add(Event{Task: task.ref, Attempt: task.Attempt, Machine: w.machine.ID, Zone: w.machine.Zone, Kind: kind})
 }
 
-// executeAll executes commands in order. The caller holds the lock, as for all methods
+// executeCommands executes commands in order. The caller holds the lock, as for all methods
 // below.
-func (w *Worker) executeAll(commands []wire.Command) {
+func (w *Worker) executeCommands(commands []wire.Command) {
 	for _, command := range commands {
 		w.executeCommand(command)
-		w.heartbeatSoon()
+		w.triggerHeartbeat()
 	}
 }
 
@@ -68,7 +68,7 @@
 		task.State, task.Cause = wire.TaskEnded, wire.CauseNoSuch
 		return
 	}
-	w.record(task, StartReceived)
+	w.recordEvent(task, StartReceived)
 	delay := w.timing.ImageFetch
 	if w.images[job.Image] {
 		delay = cachedImageDelay
@@ -82,27 +82,27 @@
 
 // startTask starts a task whose image is there.
 func (w *Worker) startTask(task *workerTask, job Job) {
-	if !w.holds(task, wire.TaskFetching) {
+	if !w.hasTask(task, wire.TaskFetching) {
 		return
 	}
 	w.images[job.Image] = true
 	task.State = wire.TaskRunning
-	w.record(task, Started)
-	w.heartbeatSoon()
+	w.recordEvent(task, Started)
+	w.triggerHeartbeat()
 	if job.Service {
 		return
 	}
 	task.timer = time.AfterFunc(job.RunTime, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.holds(task, wire.TaskRunning) {
+		if w.hasTask(task, wire.TaskRunning) {
 			w.endTask(task, wire.CauseDone)
 		}
 	})
 }
 
-// holds reports whether a task is on the machine in a state, under a valid lease.
-func (w *Worker) holds(task *workerTask, state wire.TaskState) bool {
+// hasTask reports whether a task is on the machine in a state, under a valid lease.
+func (w *Worker) hasTask(task *workerTask, state wire.TaskState) bool {
 	return slices.Contains(w.tasks, task) && task.State == state && !w.leaseExpired()
 }
 
@@ -114,8 +114,8 @@
 	if cause == wire.CauseDone {
 		event = Completed
 	}
-	w.record(task, event)
-	w.heartbeatSoon()
+	w.recordEvent(task, event)
+	w.triggerHeartbeat()
 }
 
 // dropTasks terminates and forgets all tasks.
@@ -123,7 +123,7 @@
 	for _, task := range w.tasks {
 		task.stopTimer()
 		if task.State != wire.TaskEnded {
-			w.record(task, Terminated)
+			w.recordEvent(task, Terminated)
 		}
 	}
 	w.tasks = nil
--- a/internal/faulttest/zone_recovery_test.go
+++ b/internal/faulttest/zone_recovery_test.go
@@ -21,24 +21,24 @@
 	z := newZoneTest(t, "deploy/zone-return.json", []ids.Zone{"gdansk", "krakow", failedZone}, 6)
 	service := Job{ID: "job-000001", Team: "archive", Class: "query", Service: true, Priority: "high", Tasks: 9, CPUs: 2, Image: "query"}
 	array := Job{ID: "job-000002", Team: "archive", Class: "homogenise", Priority: "normal", Tasks: 90, CPUs: 2, Image: "homogenise", RunTime: 9 * time.Second}
-	z.require(z.Users.Submit(z.ctx, service))
-	z.await("all replicas run", func() bool { return z.countRunning(service.ID) == service.Tasks })
-	z.require(z.Users.Submit(z.ctx, array))
-	z.await("the array runs in the zone", func() bool { return z.History.RunningByZone(array.ID)[failedZone] >= 15 })
+	z.requireNoError(z.Users.Submit(z.ctx, service))
+	z.awaitTrue("all replicas run", func() bool { return z.countRunning(service.ID) == service.Tasks })
+	z.requireNoError(z.Users.Submit(z.ctx, array))
+	z.awaitTrue("the array runs in the zone", func() bool { return z.History.RunningByZone(array.ID)[failedZone] >= 15 })
 
 	z.PartitionZone(failedZone)
-	z.awaitCondition(failedZone, zonerecovery.Outage)
-	z.await("all replicas run elsewhere", func() bool { return z.countRunningOutside(failedZone, service.ID) == service.Tasks })
+	z.awaitZoneCondition(failedZone, zonerecovery.Outage)
+	z.awaitTrue("all replicas run elsewhere", func() bool { return z.countRunningOutside(failedZone, service.ID) == service.Tasks })
 
-	later := Job{ID: "job-000003", Team: "maps", Class: "reprocess", Priority: "normal", Tasks: 200, CPUs: 2, Image: "reprocess", RunTime: 2 * time.Second}
-	z.require(z.Users.Submit(z.ctx, later))
+	laterArray := Job{ID: "job-000003", Team: "maps", Class: "reprocess", Priority: "normal", Tasks: 200, CPUs: 2, Image: "reprocess", RunTime: 2 * time.Second}
+	z.requireNoError(z.Users.Submit(z.ctx, laterArray))
 	z.HealZone(failedZone)
 	z.checkRecoveryWithFailover(service.ID)
 
-	z.awaitAtAllControllers(array.ID, wire.JobDone)
-	z.awaitAtAllControllers(later.ID, wire.JobDone)
+	z.awaitJobState(array.ID, wire.JobDone)
+	z.awaitJobState(laterArray.ID, wire.JobDone)
 	z.cancelService(service.ID)
-	z.checkHistory()
+	z.checkNoConcurrentRuns()
 	z.checkHold()
 	z.checkRelease()
 	z.checkIncidents()
@@ -50,11 +50,11 @@
 // those of the critical job do not count.
 func (z *zoneTest) checkRecoveryWithFailover(critical ids.JobID) {
 	z.t.Helper()
-	z.awaitCondition(failedZone, zonerecovery.Recovering)
+	z.awaitZoneCondition(failedZone, zonerecovery.Recovering)
 	began, maxLimit := time.Now(), 0
 	flapsAtFailover, killed := 0, false
 	notCritical := func(job ids.JobID) bool { return job != critical }
-	z.awaitEvery(recoveryPollInterval, "the zone serves again", func() bool {
+	z.awaitTrueEvery(recoveryPollInterval, "the zone serves again", func() bool {
 		status, leader, ok := z.zoneStatus(failedZone)
 		if ok && status.Condition == zonerecovery.Serving {
 			if !killed || flapsAtFailover == 0 || status.Outages != flapsAtFailover {
@@ -80,12 +80,12 @@
 func (z *zoneTest) cancelService(id ids.JobID) {
 	z.t.Helper()
 	status, err := z.Users.Cancel(z.ctx, id)
-	z.require(err)
+	z.requireNoError(err)
 	if status.Status != wire.JobCancelled {
 		z.t.Errorf("the service is %s", status.Status)
 	}
-	z.awaitAtAllControllers(id, wire.JobCancelled)
-	z.await("the service has no task", func() bool { return z.countRunning(id) == 0 })
+	z.awaitJobState(id, wire.JobCancelled)
+	z.awaitTrue("the service has no task", func() bool { return z.countRunning(id) == 0 })
 }
 
 // checkHold holds the zone by command, through a controller that need not lead.
--- a/internal/golden/filled.go
+++ b/internal/golden/fields.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// Filled reports fields of a value that are empty, and fields of one struct that have the
+// CheckFieldsSet reports fields of a value that are empty, and fields of one struct that have the
 // same value: two of these could be swapped unnoticed.
-func Filled(t testing.TB, name string, value any) {
+func CheckFieldsSet(t testing.TB, name string, value any) {
 	t.Helper()
-	checkFilled(t, name, reflect.ValueOf(value))
+	checkValue(t, name, reflect.ValueOf(value))
 }
 
-// checkFilled checks a value and what is below it. path names the value.
-func checkFilled(t testing.TB, path string, v reflect.Value) {
+// checkValue checks a value and what is below it. path names the value.
+func checkValue(t testing.TB, path string, v reflect.Value) {
 	t.Helper()
 	if !v.IsValid() || v.IsZero() && v.Kind() != reflect.Struct {
 		t.Errorf("%s is empty", path)
@@ -22,7 +22,7 @@
 	}
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
-		checkFilled(t, path, v.Elem())
+		checkValue(t, path, v.Elem())
 	case reflect.Slice:
 		checkElements(t, path, v)
 	case reflect.Struct:
@@ -38,7 +38,7 @@
 	}
 	for i := range v.Len() {
 		if kind := v.Index(i).Kind(); kind == reflect.Struct || kind == reflect.Pointer {
-			checkFilled(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+			checkValue(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 	}
 }
@@ -54,7 +54,7 @@
 			continue
 		}
 		fieldPath := path + "." + field.Name
-		checkFilled(t, fieldPath, v.Field(i))
+		checkValue(t, fieldPath, v.Field(i))
 		if kind := field.Type.Kind(); kind == reflect.Bool || kind == reflect.Struct || kind == reflect.Pointer {
 			continue
 		}
--- a/internal/golden/filled_test.go
+++ b/internal/golden/fields_test.go
@@ -18,7 +18,7 @@
 	r.errors = append(r.errors, fmt.Sprintf(format, args...))
 }
 
-// inner and outer have a field of each kind that Filled distinguishes.
+// inner and outer have a field of each kind that CheckFieldsSet distinguishes.
 type inner struct{ Number, Other int }
 
 type outer struct {
@@ -31,12 +31,12 @@
 	hidden  int
 }
 
-// filledOuter returns a value that Filled accepts.
-func filledOuter() outer {
+// validOuter returns a value that CheckFieldsSet accepts.
+func validOuter() outer {
 	return outer{Name: "a", Flag: true, Another: true, Pointer: &inner{1, 2}, List: []inner{{3, 4}}, Names: []string{"b"}}
 }
 
-func TestFilled(t *testing.T) {
+func TestCheckFieldsSet(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*outer)
@@ -52,10 +52,10 @@
 		{"same values", func(o *outer) { o.Pointer.Other = 1 }, []string{"v.Pointer.Other has the same value as v.Pointer.Number"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			value := filledOuter()
+			value := validOuter()
 			c.change(&value)
 			var recorder errorRecorder
-			Filled(&recorder, "v", value)
+			CheckFieldsSet(&recorder, "v", value)
 			if !slices.Equal(recorder.errors, c.want) {
 				t.Errorf("reported %q, want %q", recorder.errors, c.want)
 			}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -60,7 +60,7 @@
 func (c *Case) check(t *testing.T, raw []byte, codec Codec) {
 	t.Helper()
 	if !c.Partial {
-		Filled(t, c.Name, c.Value)
+		CheckFieldsSet(t, c.Name, c.Value)
 	}
 	got := reflect.New(reflect.TypeOf(c.Value))
 	if err := codec.Decode(raw, got.Interface()); err != nil {
@@ -69,13 +69,13 @@
 	if !reflect.DeepEqual(got.Elem().Interface(), c.Value) {
 		t.Errorf("read %+v, want %+v", got.Elem(), c.Value)
 	}
-	if again, err := codec.Encode(got.Elem().Interface()); err != nil || !bytes.Equal(again, raw) {
-		t.Errorf("written as %x, %v, want %x", again, err, raw)
+	if reencoded, err := codec.Encode(got.Elem().Interface()); err != nil || !bytes.Equal(reencoded, raw) {
+		t.Errorf("written as %x, %v, want %x", reencoded, err, raw)
 	}
 }
 
-// Text compares a text with a file, byte by byte.
-func Text(t *testing.T, file, got string) {
+// CheckText compares a text with a file, byte by byte.
+func CheckText(t *testing.T, file, got string) {
 	t.Helper()
 	if *update {
 		writeFile(t, file, []byte(got))
@@ -121,13 +121,13 @@
 	writeFile(t, file, append(raw, '\n'))
 }
 
-// directory is where golden files are, from the directory of the test.
-const directory = "testdata"
+// testdataDir is where golden files are, from the directory of the test.
+const testdataDir = "testdata"
 
 // readFile reads a golden file.
 func readFile(t *testing.T, file string) []byte {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join(directory, file))
+	raw, err := os.ReadFile(filepath.Join(testdataDir, file))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,10 +137,10 @@
 // writeFile writes a golden file.
 func writeFile(t *testing.T, file string, raw []byte) {
 	t.Helper()
-	if err := os.MkdirAll(directory, 0o755); err != nil {
+	if err := os.MkdirAll(testdataDir, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(directory, file), raw, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(testdataDir, file), raw, 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/golden/recorder.go
+++ b/internal/golden/recorder.go
@@ -20,10 +20,10 @@
 	text strings.Builder
 }
 
-// Record starts a server that ends with the test. It records each request as one line
+// NewRecorder starts a server that ends with the test. It records each request as one line
 // (method, path with query, content type and the hexadecimal body, or - without a body),
 // and then calls the handler.
-func Record(t *testing.T, handler http.HandlerFunc) *Recorder {
+func NewRecorder(t *testing.T, handler http.HandlerFunc) *Recorder {
 	t.Helper()
 	recorder := &Recorder{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -20,8 +20,8 @@
 	dialTimeout = time.Second
 	// idleTimeout is how long a connection without requests stays open.
 	idleTimeout = 30 * time.Second
-	// connectionWait is how long a request waits for a free connection.
-	connectionWait = 500 * time.Millisecond
+	// connectionWaitTimeout is how long a request waits for a free connection.
+	connectionWaitTimeout = 500 * time.Millisecond
 	// contentType is the media type of request bodies.
 	contentType = "application/msgpack"
 )
@@ -39,7 +39,7 @@
 		Addr:                     address,
 		MaxConns:                 maxConnections,
 		MaxIdleConnDuration:      idleTimeout,
-		MaxConnWaitTimeout:       connectionWait,
+		MaxConnWaitTimeout:       connectionWaitTimeout,
 		MaxResponseBodySize:      maxBodyBytes,
 		NoDefaultUserAgentHeader: true,
 		// A retry inside the client would hide an indeterminate result from the caller.
@@ -82,18 +82,18 @@
 		request.Header.SetContentType(contentType)
 		request.SetBodyRaw(body)
 	}
-	if err := c.host.DoDeadline(request, response, earliestDeadline(ctx, timeout)); err != nil {
+	if err := c.host.DoDeadline(request, response, requestDeadline(ctx, timeout)); err != nil {
 		return 0, nil, &RequestError{Kind: transportErrorKind(err), Method: method, Path: path, Cause: err}
 	}
 	return response.StatusCode(), append([]byte(nil), response.Body()...), nil
 }
 
-// earliestDeadline returns the end of a timeout that starts now, or the context's deadline if
+// requestDeadline returns the end of a timeout that starts now, or the context's deadline if
 // that is earlier.
-func earliestDeadline(ctx context.Context, timeout time.Duration) time.Time {
+func requestDeadline(ctx context.Context, timeout time.Duration) time.Time {
 	deadline := time.Now().Add(timeout)
-	if ofContext, ok := ctx.Deadline(); ok && ofContext.Before(deadline) {
-		return ofContext
+	if contextDeadline, ok := ctx.Deadline(); ok && contextDeadline.Before(deadline) {
+		return contextDeadline
 	}
 	return deadline
 }
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -13,12 +13,12 @@
 // closedAddress is an address on which nothing listens.
 const closedAddress = "127.0.0.1:1"
 
-func TestRequestsWithoutAResponse(t *testing.T) {
+func TestTransportErrorKinds(t *testing.T) {
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	closesAfterRequest := golden.Record(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	hangs := golden.Record(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	long := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, 2000)) })
+	closesAfterRequest := golden.NewRecorder(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	hangs := golden.NewRecorder(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	largeResponse := golden.NewRecorder(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, 2000)) })
 	for _, c := range []struct {
 		name    string
 		ctx     context.Context
@@ -30,7 +30,7 @@
 		{"canceled before", canceled, closesAfterRequest.Address, time.Minute, ErrNotSent},
 		{"connection closed after the request", t.Context(), closesAfterRequest.Address, time.Minute, ErrNoResponse},
 		{"timeout", t.Context(), hangs.Address, 50 * time.Millisecond, ErrNoResponse},
-		{"response too long", t.Context(), long.Address, time.Minute, ErrNoResponse},
+		{"response too long", t.Context(), largeResponse.Address, time.Minute, ErrNoResponse},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			client := New(c.address, 1, 1000)
@@ -39,28 +39,28 @@
 			if !errors.Is(err, c.want) || errors.Is(err, ErrNotSent) && errors.Is(err, ErrNoResponse) {
 				t.Errorf("%v, want %v", err, c.want)
 			}
-			checkRequest(t, err, RequestError{Method: http.MethodPost, Path: "/commit"})
+			checkRequestError(t, err, RequestError{Method: http.MethodPost, Path: "/commit"})
 		})
 	}
 }
 
-// checkRequest requires that an error names the method, path, status and message of its request.
-func checkRequest(t *testing.T, err error, want RequestError) {
+// checkRequestError requires that an error names the method, path, status and message of its request.
+func checkRequestError(t *testing.T, err error, want RequestError) {
 	t.Helper()
-	var failed *RequestError
-	if !errors.As(err, &failed) {
+	var requestError *RequestError
+	if !errors.As(err, &requestError) {
 		t.Fatalf("%v names no request", err)
 	}
-	if failed.Method != want.Method || failed.Path != want.Path || failed.Status != want.Status || failed.Message != want.Message {
-		t.Errorf("names %+v, want %+v", *failed, want)
+	if requestError.Method != want.Method || requestError.Path != want.Path || requestError.Status != want.Status || requestError.Message != want.Message {
+		t.Errorf("names %+v, want %+v", *requestError, want)
 	}
 }
 
 // A request that finds all connections in use fails after connectionWait, and was not sent.
-func TestNoFreeConnection(t *testing.T) {
+func TestRequestWithoutFreeConnectionIsNotSent(t *testing.T) {
 	release := make(chan struct{})
 	arrived := make(chan struct{})
-	rec := golden.Record(t, func(http.ResponseWriter, *http.Request) { close(arrived); <-release })
+	rec := golden.NewRecorder(t, func(http.ResponseWriter, *http.Request) { close(arrived); <-release })
 	client := New(rec.Address, 1, 1000)
 	first := make(chan error, 1)
 	go func() {
@@ -78,8 +78,8 @@
 }
 
 // The context's deadline ends a request before its timeout.
-func TestContextDeadlineBoundsTheRequest(t *testing.T) {
-	hangs := golden.Record(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+func TestContextDeadlineBoundsRequest(t *testing.T) {
+	hangs := golden.NewRecorder(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	start := time.Now()
--- a/internal/httpclient/service.go
+++ b/internal/httpclient/service.go
@@ -23,8 +23,8 @@
 // Protocol maps the statuses of one service to errors. The error kinds are sentinels of the
 // package of the service's client.
 type Protocol struct {
-	// Accepted lists the statuses that are answers. All others are errors.
-	Accepted []int
+	// AcceptedStatuses lists the statuses that are answers. All others are errors.
+	AcceptedStatuses []int
 	// Unavailable is the kind of an error after which the request is known not to be executed.
 	Unavailable error
 	// Indeterminate is the kind of an error after which the request may have been executed,
@@ -34,10 +34,10 @@
 	Rejected error
 	// Malformed is the kind of an error for an answer that cannot be decoded.
 	Malformed error
-	// Condition returns the sentinel for a status and message that stand for a condition of
+	// ConditionError returns the sentinel for a status and message that stand for a condition of
 	// the service, such as an expired lease, and nil for all others. The sentinel is returned
 	// to callers without a *RequestError.
-	Condition func(status int, message string) error
+	ConditionError func(status int, message string) error
 }
 
 // Request is one request to a service.
@@ -75,7 +75,7 @@
 
 // Do waits for the budget, sends one request and returns its answer. An error is one of the
 // protocol's conditions, or wraps one of the protocol's kinds and a *RequestError.
-func (s *Service) Do(ctx context.Context, request Request) (*Answer, error) {
+func (s *Service) Do(ctx context.Context, request Request) (*Response, error) {
 	if err := s.budget.Wait(ctx); err != nil {
 		cause := fmt.Errorf("request budget: %w", err)
 		return nil, &RequestError{Kind: s.protocol.Unavailable, Method: request.Method, Path: request.Path, Cause: cause}
@@ -91,16 +91,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", s.protocol.Indeterminate, err)
 	}
-	if !slices.Contains(s.protocol.Accepted, status) {
+	if !slices.Contains(s.protocol.AcceptedStatuses, status) {
 		return nil, s.statusError(request, status, response)
 	}
-	return &Answer{Status: status, Body: response, request: request, malformed: s.protocol.Malformed}, nil
+	return &Response{Status: status, Body: response, request: request, malformedKind: s.protocol.Malformed}, nil
 }
 
 // statusError returns the error of a response whose status is not accepted.
 func (s *Service) statusError(request Request, status int, response []byte) error {
 	message := errorMessage(response)
-	if err := s.protocol.Condition(status, message); err != nil {
+	if err := s.protocol.ConditionError(status, message); err != nil {
 		return err
 	}
 	kind := s.protocol.Indeterminate
@@ -124,25 +124,25 @@
 	return response.Error
 }
 
-// Answer is a response with an accepted status.
-type Answer struct {
+// Response is a response with an accepted status.
+type Response struct {
 	Status int
 	Body   []byte
 
-	request   Request
-	malformed error
+	request       Request
+	malformedKind error
 }
 
 // Decode reads the body into a value. An error is a *RequestError of the kind Malformed.
-func (a *Answer) Decode(value any) error {
+func (a *Response) Decode(value any) error {
 	if err := wire.Decode(a.Body, value); err != nil {
-		return a.Malformed(err)
+		return a.MalformedError(err)
 	}
 	return nil
 }
 
-// Malformed returns the error of an answer that the protocol does not allow. cause is nil if
+// MalformedError returns the error of an answer that the protocol does not allow. cause is nil if
 // the status alone is wrong.
-func (a *Answer) Malformed(cause error) error {
-	return &RequestError{Kind: a.malformed, Method: a.request.Method, Path: a.request.Path, Status: a.Status, Cause: cause}
+func (a *Response) MalformedError(cause error) error {
+	return &RequestError{Kind: a.malformedKind, Method: a.request.Method, Path: a.request.Path, Status: a.Status, Cause: cause}
 }
--- a/internal/httpclient/service_test.go
+++ b/internal/httpclient/service_test.go
@@ -12,14 +12,14 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// scriptedTransport gives every request the same response.
-type scriptedTransport struct {
+// fakeTransport gives every request the same response.
+type fakeTransport struct {
 	status int
 	body   []byte
 	err    error
 }
 
-func (s scriptedTransport) Do(context.Context, string, string, []byte, time.Duration) (int, []byte, error) {
+func (s fakeTransport) Do(context.Context, string, string, []byte, time.Duration) (int, []byte, error) {
 	return s.status, s.body, s.err
 }
 
@@ -34,9 +34,9 @@
 // newTestService returns a service that accepts 200 and knows one condition.
 func newTestService(transport Transport) *Service {
 	return NewService(transport, rate.NewLimiter(rate.Inf, 1), Protocol{
-		Accepted:    []int{http.StatusOK},
-		Unavailable: errUnavailable, Indeterminate: errIndeterminate, Rejected: errRejected, Malformed: errMalformed,
-		Condition: func(status int, message string) error {
+		AcceptedStatuses: []int{http.StatusOK},
+		Unavailable:      errUnavailable, Indeterminate: errIndeterminate, Rejected: errRejected, Malformed: errMalformed,
+		ConditionError: func(status int, message string) error {
 			if status == http.StatusBadRequest && message == "special" {
 				return errCondition
 			}
@@ -50,14 +50,14 @@
 	notSent := &RequestError{Kind: ErrNotSent, Method: http.MethodGet, Path: "/x"}
 	for _, c := range []struct {
 		name      string
-		transport scriptedTransport
+		transport fakeTransport
 		kind      error
 		want      RequestError
 		text      string
 	}{
-		{"not sent", scriptedTransport{err: notSent}, errUnavailable, RequestError{}, "unavailable: not sent: GET /x"},
-		{"status", scriptedTransport{status: 500}, errIndeterminate, RequestError{Status: 500}, "indeterminate: GET /x: status 500"},
-		{"status and message", scriptedTransport{status: 400, body: message("too large")}, errRejected,
+		{"not sent", fakeTransport{err: notSent}, errUnavailable, RequestError{}, "unavailable: not sent: GET /x"},
+		{"status", fakeTransport{status: 500}, errIndeterminate, RequestError{Status: 500}, "indeterminate: GET /x: status 500"},
+		{"status and message", fakeTransport{status: 400, body: message("too large")}, errRejected,
 			RequestError{Status: 400, Message: "too large"}, "rejected: GET /x: status 400: too large"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -66,35 +66,35 @@
 				t.Errorf("%v, want %q of kind %v", err, c.text, c.kind)
 			}
 			c.want.Method, c.want.Path = http.MethodGet, "/x"
-			checkRequest(t, err, c.want)
+			checkRequestError(t, err, c.want)
 		})
 	}
 }
 
-func TestConditionStandsAlone(t *testing.T) {
-	transport := scriptedTransport{status: http.StatusBadRequest, body: wire.Encode(map[string]string{"error": "special"})}
+func TestConditionErrorIsNotWrapped(t *testing.T) {
+	transport := fakeTransport{status: http.StatusBadRequest, body: wire.Encode(map[string]string{"error": "special"})}
 	if _, err := newTestService(transport).Do(t.Context(), Request{}); err != errCondition {
 		t.Errorf("%v, want %v itself", err, errCondition)
 	}
 }
 
-func TestMalformedAnswerNamesTheRequest(t *testing.T) {
-	transport := scriptedTransport{status: http.StatusOK, body: []byte{0xc1}}
-	answer, err := newTestService(transport).Do(t.Context(), Request{Method: http.MethodGet, Path: "/x"})
+func TestMalformedResponseErrorNamesTheRequest(t *testing.T) {
+	transport := fakeTransport{status: http.StatusOK, body: []byte{0xc1}}
+	response, err := newTestService(transport).Do(t.Context(), Request{Method: http.MethodGet, Path: "/x"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out map[string]string
-	err = answer.Decode(&out)
+	err = response.Decode(&out)
 	if !errors.Is(err, errMalformed) {
 		t.Errorf("%v, want %v", err, errMalformed)
 	}
-	checkRequest(t, err, RequestError{Method: http.MethodGet, Path: "/x", Status: http.StatusOK})
+	checkRequestError(t, err, RequestError{Method: http.MethodGet, Path: "/x", Status: http.StatusOK})
 }
 
 // A service over another transport draws on the same budget; one without a budget does not.
-func TestServicesShareTheBudget(t *testing.T) {
-	transport := scriptedTransport{status: http.StatusOK}
+func TestServicesShareRequestBudget(t *testing.T) {
+	transport := fakeTransport{status: http.StatusOK}
 	service := newTestService(transport)
 	service.budget = rate.NewLimiter(rate.Every(time.Hour), 1)
 	if _, err := service.Do(t.Context(), Request{}); err != nil {
@@ -106,7 +106,7 @@
 	if !errors.Is(err, errUnavailable) {
 		t.Errorf("beyond the budget: %v", err)
 	}
-	checkRequest(t, err, RequestError{Method: http.MethodGet, Path: "/x"})
+	checkRequestError(t, err, RequestError{Method: http.MethodGet, Path: "/x"})
 	if _, err := service.Unthrottled().Do(ctx, Request{}); err != nil {
 		t.Errorf("without a budget: %v", err)
 	}
--- a/internal/knownfailures/citest/runner.go
+++ b/internal/knownfailures/citest/runner.go
@@ -16,8 +16,8 @@
 // testFlags are the flags that README.md gives.
 var testFlags = []string{"test", "-race", "-timeout", "10m"}
 
-// All runs all tests that do not match the pattern, and prints what they print.
-func (goTest) All(skip string) error {
+// RunAll runs all tests that do not match the pattern, and prints what they print.
+func (goTest) RunAll(skip string) error {
 	args := slices.Clone(testFlags)
 	if skip != "" {
 		args = append(args, "-skip", skip)
@@ -35,7 +35,7 @@
 	}
 	var found []string
 	for pkg := range strings.FieldsSeq(string(packages)) {
-		listed, err := exec.Command("go", "test", "-list", exactly(test), pkg).Output()
+		listed, err := exec.Command("go", "test", "-list", exactPattern(test), pkg).Output()
 		if err != nil {
 			return nil, fmt.Errorf("listing the tests of %s: %w", pkg, err)
 		}
@@ -49,17 +49,17 @@
 // Passes runs one test. A run that ends without a result of the test, such as one that
 // does not compile, is an error.
 func (goTest) Passes(pkg, test string) (bool, error) {
-	args := append(slices.Clone(testFlags), "-run", exactly(test), pkg)
+	args := append(slices.Clone(testFlags), "-run", exactPattern(test), pkg)
 	output, err := exec.Command("go", args...).CombinedOutput()
 	if err == nil {
 		return true, nil
 	}
-	var exit *exec.ExitError
-	if errors.As(err, &exit) && bytes.Contains(output, []byte("--- FAIL: "+test)) {
+	var exitErr *exec.ExitError
+	if errors.As(err, &exitErr) && bytes.Contains(output, []byte("--- FAIL: "+test)) {
 		return false, nil
 	}
 	return false, fmt.Errorf("running %s of %s: %w: %s", test, pkg, err, output)
 }
 
-// exactly returns a pattern that matches one test.
-func exactly(test string) string { return "^" + test + "$" }
+// exactPattern returns a pattern that matches one test.
+func exactPattern(test string) string { return "^" + test + "$" }
--- a/internal/knownfailures/list.go
+++ b/internal/knownfailures/list.go
@@ -37,7 +37,7 @@
 	Issue string
 }
 
-var testName = regexp.MustCompile(`^Test[A-Za-z0-9_]*$`)
+var testNamePattern = regexp.MustCompile(`^Test[A-Za-z0-9_]*$`)
 
 // Parse reads a list. Each line holds a test, the cause and the issue, separated by "|".
 // It skips empty lines and lines that begin with "#".
@@ -79,7 +79,7 @@
 		Issue: strings.TrimSpace(fields[2]),
 	}
 	switch {
-	case !testName.MatchString(entry.Test):
+	case !testNamePattern.MatchString(entry.Test):
 		return Entry{}, fmt.Errorf("%w: %q is not the name of a test", ErrMalformedLine, entry.Test)
 	case entry.Cause == "" || entry.Issue == "":
 		return Entry{}, fmt.Errorf("%w: %s: cause or issue is missing", ErrMalformedLine, entry.Test)
--- a/internal/knownfailures/run.go
+++ b/internal/knownfailures/run.go
@@ -16,8 +16,8 @@
 
 // Runner runs go test.
 type Runner interface {
-	// All runs all tests except those that match a pattern. An empty pattern excludes none.
-	All(skip string) error
+	// RunAll runs all tests except those that match a pattern. An empty pattern excludes none.
+	RunAll(skip string) error
 	// Packages lists the packages that have a test of this name.
 	Packages(test string) ([]string, error)
 	// Passes runs one test of a package.
@@ -28,18 +28,18 @@
 // out. It fails if a test that is not listed fails, or if a listed one passes or does not
 // exist; the error joins all of these.
 func Run(entries []Entry, runner Runner, out io.Writer) error {
-	errs := []error{runner.All(Pattern(entries))}
+	errs := []error{runner.RunAll(Pattern(entries))}
 	for _, entry := range entries {
 		fmt.Fprintf(out, "known failure: %s: %s (issue %s)\n", entry.Test, entry.Cause, entry.Issue)
-		if err := confirm(entry.Test, runner); err != nil {
+		if err := checkStillFails(entry.Test, runner); err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", entry.Test, err))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// confirm checks that a listed test exists, once, and still fails.
-func confirm(test string, runner Runner) error {
+// checkStillFails checks that a listed test exists, once, and still fails.
+func checkStillFails(test string, runner Runner) error {
 	packages, err := runner.Packages(test)
 	switch {
 	case err != nil:
--- a/internal/knownfailures/run_test.go
+++ b/internal/knownfailures/run_test.go
@@ -15,7 +15,7 @@
 	skipped  string              // the pattern of the last call of All
 }
 
-func (f *fakeRunner) All(skip string) error {
+func (f *fakeRunner) RunAll(skip string) error {
 	f.skipped = skip
 	return f.unlisted
 }
@@ -26,16 +26,16 @@
 
 func TestRunToleratesListedTestsOnly(t *testing.T) {
 	listed := []Entry{{Test: "TestA", Cause: "a cause", Issue: "20"}}
-	once := map[string][]string{"TestA": {"p"}}
+	inOnePackage := map[string][]string{"TestA": {"p"}}
 	unlisted := errors.New("exit status 1")
 	for _, c := range []struct {
 		name   string
 		runner fakeRunner
 		want   error
 	}{
-		{"a listed test fails", fakeRunner{packages: once}, nil},
-		{"another test fails", fakeRunner{packages: once, unlisted: unlisted}, unlisted},
-		{"a listed test passes", fakeRunner{packages: once, passes: map[string]bool{"TestA": true}}, ErrPasses},
+		{"a listed test fails", fakeRunner{packages: inOnePackage}, nil},
+		{"another test fails", fakeRunner{packages: inOnePackage, unlisted: unlisted}, unlisted},
+		{"a listed test passes", fakeRunner{packages: inOnePackage, passes: map[string]bool{"TestA": true}}, ErrPasses},
 		{"a listed test does not exist", fakeRunner{}, ErrMissing},
 		{"two tests of one name", fakeRunner{packages: map[string][]string{"TestA": {"p", "q"}}}, ErrAmbiguous},
 	} {
--- a/internal/kvtest/client.go
+++ b/internal/kvtest/client.go
@@ -21,9 +21,9 @@
 	// concurrently.
 	latency func() time.Duration
 
-	mu        sync.Mutex
-	refused   bool
-	heldUntil time.Time
+	mu           sync.Mutex
+	refused      bool
+	delayedUntil time.Time
 }
 
 // NewClient returns a client whose requests and responses each take what latency returns.
@@ -31,11 +31,11 @@
 	return &Client{store: s, latency: latency}
 }
 
-// Refuse has the store refuse this client's requests. Its open watches stay open.
-func (c *Client) Refuse() { c.setRefused(true) }
+// RefuseRequests has the store refuse this client's requests. Its open watches stay open.
+func (c *Client) RefuseRequests() { c.setRefused(true) }
 
-// Accept has the store execute this client's requests again.
-func (c *Client) Accept() { c.setRefused(false) }
+// AcceptRequests has the store execute this client's requests again.
+func (c *Client) AcceptRequests() { c.setRefused(false) }
 
 func (c *Client) setRefused(refused bool) {
 	c.mu.Lock()
@@ -43,18 +43,18 @@
 	c.refused = refused
 }
 
-// Hold has this client's requests reach the store only after a time from now.
-func (c *Client) Hold(duration time.Duration) {
+// DelayRequests has this client's requests reach the store only after a time from now.
+func (c *Client) DelayRequests(duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heldUntil = time.Now().Add(duration)
+	c.delayedUntil = time.Now().Add(duration)
 }
 
-// holdLeft returns for how long requests are held from now.
-func (c *Client) holdLeft() time.Duration {
+// remainingDelay returns for how long requests are held from now.
+func (c *Client) remainingDelay() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Until(c.heldUntil)
+	return time.Until(c.delayedUntil)
 }
 
 func (c *Client) isRefused() bool {
@@ -66,7 +66,7 @@
 // call sends a request to the store.
 func (c *Client) call(request func() error) error {
 	time.Sleep(c.latency())
-	time.Sleep(c.holdLeft())
+	time.Sleep(c.remainingDelay())
 	if c.isRefused() {
 		return kv.ErrUnavailable
 	}
@@ -125,9 +125,9 @@
 }
 
 // Watch is Store.Watch.
-func (c *Client) Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (revision ids.Revision, events []kv.Event, err error) {
+func (c *Client) Watch(ctx context.Context, prefix string, since ids.Revision, maxWait time.Duration) (revision ids.Revision, events []kv.Event, err error) {
 	err = c.call(func() error {
-		revision, events, err = c.store.Watch(ctx, prefix, since, hold)
+		revision, events, err = c.store.Watch(ctx, prefix, since, maxWait)
 		return err
 	})
 	return revision, events, err
--- a/internal/kvtest/control.go
+++ b/internal/kvtest/control.go
@@ -17,17 +17,17 @@
 	LoseResponse
 	// ApplyLate means that the transaction is not answered, and applied some seconds later.
 	ApplyLate
-	// Refuse means that the transaction fails with kv.ErrUnavailable.
-	Refuse
-	// Reject means that the transaction fails with kv.ErrRejected.
-	Reject
-	// MalformResponse means that the transaction is applied and fails with
+	// ReturnUnavailable means that the transaction fails with kv.ErrUnavailable.
+	ReturnUnavailable
+	// ReturnRejected means that the transaction fails with kv.ErrRejected.
+	ReturnRejected
+	// CorruptResponse means that the transaction is applied and fails with
 	// kv.ErrMalformedResponse.
-	MalformResponse
+	CorruptResponse
 )
 
-// lateDelay is after how long a transaction with the fault ApplyLate is applied.
-const lateDelay = 7 * time.Second
+// lateApplyDelay is after how long a transaction with the fault ApplyLate is applied.
+const lateApplyDelay = 7 * time.Second
 
 // SetCommitFault has a function decide about each later transaction. It is called under the
 // store's lock, one call at a time, and must not use the store.
@@ -69,12 +69,12 @@
 	s.wakeWatches()
 }
 
-// SuspendExpiry stops the expiry of leases. Revoked leases still end.
-func (s *Store) SuspendExpiry() {
+// SuspendLeaseExpiry stops the expiry of leases. Revoked leases still end.
+func (s *Store) SuspendLeaseExpiry() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	s.expirySuspended = true
+	s.leaseExpirySuspended = true
 }
 
 // SetRetention has watches fail that start from more than so many revisions ago.
@@ -84,16 +84,16 @@
 	s.retention = revisions
 }
 
-// SetMaxHold bounds the hold of later watches. A kv.Client cannot cancel a watch, so a test that
+// SetMaxWatchWait bounds the hold of later watches. A kv.Client cannot cancel a watch, so a test that
 // uses one over HTTP would end only with the longest watch.
-func (s *Store) SetMaxHold(hold time.Duration) {
+func (s *Store) SetMaxWatchWait(maxWait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.maxHold = hold
+	s.maxWatchWait = maxWait
 }
 
-// Advance raises the revision, as changes of keys would that no test looks at.
-func (s *Store) Advance(revisions ids.Revision) {
+// AdvanceRevision raises the revision, as changes of keys would that no test looks at.
+func (s *Store) AdvanceRevision(revisions ids.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision += revisions
@@ -129,9 +129,9 @@
 	return entry, found
 }
 
-// Requests returns how many requests there were, refused ones included.
-func (s *Store) Requests() int {
+// RequestCount returns how many requests there were, refused ones included.
+func (s *Store) RequestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.requests
+	return s.requestCount
 }
--- a/internal/kvtest/leases.go
+++ b/internal/kvtest/leases.go
@@ -12,12 +12,12 @@
 
 // lease ends unless it is renewed within its time. Its keys end with it.
 type lease struct {
-	ttl     time.Duration
-	expires time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // renew gives a lease its full time.
-func (l *lease) renew() { l.expires = time.Now().Add(l.ttl) }
+func (l *lease) renew() { l.expiresAt = time.Now().Add(l.ttl) }
 
 // GrantLease makes a lease that ends unless it is renewed within ttl.
 func (s *Store) GrantLease(_ context.Context, ttl time.Duration) (id ids.LeaseID, err error) {
@@ -57,17 +57,17 @@
 	})
 }
 
-// leasesExpire reports whether leases end by their time.
-func (s *Store) leasesExpire() bool { return !s.outage && !s.expirySuspended }
+// leaseExpiryEnabled reports whether leases end by their time.
+func (s *Store) leaseExpiryEnabled() bool { return !s.outage && !s.leaseExpirySuspended }
 
 // expireLeases ends the leases that have expired.
 func (s *Store) expireLeases() {
-	if !s.leasesExpire() {
+	if !s.leaseExpiryEnabled() {
 		return
 	}
 	now := time.Now()
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
-		if !now.Before(s.leases[id].expires) {
+		if !now.Before(s.leases[id].expiresAt) {
 			s.endLease(id)
 		}
 	}
@@ -86,12 +86,12 @@
 
 // nextExpiry returns when the next lease ends unless it is renewed; ok is false if none does.
 func (s *Store) nextExpiry() (next time.Time, ok bool) {
-	if !s.leasesExpire() {
+	if !s.leaseExpiryEnabled() {
 		return time.Time{}, false
 	}
 	for _, granted := range s.leases {
-		if !ok || granted.expires.Before(next) {
-			next, ok = granted.expires, true
+		if !ok || granted.expiresAt.Before(next) {
+			next, ok = granted.expiresAt, true
 		}
 	}
 	return next, ok
--- a/internal/kvtest/server.go
+++ b/internal/kvtest/server.go
@@ -31,12 +31,12 @@
 // NewServer starts a server of a store. Close ends it.
 func NewServer(store *Store) *Server {
 	server := &Server{Store: store}
-	server.http = httptest.NewServer(server.refuseOr(newHandler(store)))
+	server.http = httptest.NewServer(server.refuseOrServe(newHandler(store)))
 	return server
 }
 
-// refuseOr serves a request, or refuses it while the server's callers are refused.
-func (s *Server) refuseOr(next http.Handler) http.Handler {
+// refuseOrServe serves a request, or refuses it while the server's callers are refused.
+func (s *Server) refuseOrServe(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.refuses(r.URL.Path) {
 			respondError(w, kv.ErrUnavailable)
@@ -53,16 +53,16 @@
 	return s.refused && strings.HasPrefix(path, s.refusedPrefix)
 }
 
-// Refuse has the store refuse the requests to this server whose paths have a prefix; "/" is all
+// RefuseRequests has the store refuse the requests to this server whose paths have a prefix; "/" is all
 // requests. Open watches stay open.
-func (s *Server) Refuse(pathPrefix string) {
+func (s *Server) RefuseRequests(pathPrefix string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refused, s.refusedPrefix = true, pathPrefix
 }
 
-// Accept has the store execute the requests to this server again.
-func (s *Server) Accept() {
+// AcceptRequests has the store execute the requests to this server again.
+func (s *Server) AcceptRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refused = false
@@ -282,13 +282,13 @@
 		respond(w, http.StatusBadRequest, errorResponse{err.Error()})
 		return
 	}
-	holdMillis, err := strconv.ParseInt(query.Get("holdMs"), 10, 64)
+	maxWaitMillis, err := strconv.ParseInt(query.Get("holdMs"), 10, 64)
 	if err != nil {
 		respond(w, http.StatusBadRequest, errorResponse{err.Error()})
 		return
 	}
-	hold := time.Duration(holdMillis) * time.Millisecond
-	revision, events, err := h.store.Watch(r.Context(), query.Get("prefix"), ids.Revision(since), hold)
+	maxWait := time.Duration(maxWaitMillis) * time.Millisecond
+	revision, events, err := h.store.Watch(r.Context(), query.Get("prefix"), ids.Revision(since), maxWait)
 	if err != nil {
 		respondError(w, err)
 		return
--- a/internal/kvtest/store.go
+++ b/internal/kvtest/store.go
@@ -30,17 +30,17 @@
 	events []kv.Event
 	// retention is from how many revisions ago a watch may start; 0 means any.
 	retention ids.Revision
-	// maxHold bounds how long a watch waits; 0 means as long as it asks for.
-	maxHold   time.Duration
-	leases    map[ids.LeaseID]*lease
-	lastLease ids.LeaseID
+	// maxWatchWait bounds how long a watch waits; 0 means as long as it asks for.
+	maxWatchWait time.Duration
+	leases       map[ids.LeaseID]*lease
+	lastLease    ids.LeaseID
 	// changed is closed, and replaced, when a watch must look again.
 	changed chan struct{}
 	outage  bool
-	// expirySuspended has no lease end by its time.
-	expirySuspended bool
-	requests        int
-	commitFault     func(kv.Txn) Fault
+	// leaseExpirySuspended has no lease end by its time.
+	leaseExpirySuspended bool
+	requestCount         int
+	commitFault          func(kv.Txn) Fault
 }
 
 // NewStore returns an empty store at revision 0.
@@ -57,7 +57,7 @@
 func (s *Store) request(execute func() error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.requests++
+	s.requestCount++
 	if s.outage {
 		return kv.ErrUnavailable
 	}
@@ -119,13 +119,13 @@
 		_, _ = s.apply(txn) // the caller gets no result
 		return kv.TxnResult{}, kv.ErrIndeterminate
 	case ApplyLate:
-		s.applyAfter(lateDelay, txn)
+		s.applyAfter(lateApplyDelay, txn)
 		return kv.TxnResult{}, kv.ErrIndeterminate
-	case Refuse:
+	case ReturnUnavailable:
 		return kv.TxnResult{}, kv.ErrUnavailable
-	case Reject:
+	case ReturnRejected:
 		return kv.TxnResult{}, kv.ErrRejected
-	case MalformResponse:
+	case CorruptResponse:
 		_, _ = s.apply(txn) // the caller gets no result
 		return kv.TxnResult{}, kv.ErrMalformedResponse
 	}
--- a/internal/kvtest/store_test.go
+++ b/internal/kvtest/store_test.go
@@ -15,8 +15,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// access is what callers use a store by.
-type access interface {
+// kvClient is what callers use a store by.
+type kvClient interface {
 	Get(ctx context.Context, key string) (kv.Entry, bool, error)
 	List(ctx context.Context, prefix string, each func(kv.Entry) error) (ids.Revision, error)
 	Commit(ctx context.Context, txn kv.Txn) (kv.TxnResult, error)
@@ -27,16 +27,16 @@
 }
 
 var (
-	_ access = (*Store)(nil)
-	_ access = (*Client)(nil)
-	_ access = (*kv.Client)(nil)
+	_ kvClient = (*Store)(nil)
+	_ kvClient = (*Client)(nil)
+	_ kvClient = (*kv.Client)(nil)
 )
 
 // noLatency is the latency of clients that answer at once.
 func noLatency() time.Duration { return 0 }
 
-// forEachAccess runs a test on a store in memory, through a client and over HTTP.
-func forEachAccess(t *testing.T, test func(t *testing.T, store *Store, caller access)) {
+// forEachClient runs a test on a store in memory, through a client and over HTTP.
+func forEachClient(t *testing.T, test func(t *testing.T, store *Store, client kvClient)) {
 	t.Run("store", func(t *testing.T) {
 		store := NewStore()
 		test(t, store, store)
@@ -70,38 +70,38 @@
 }
 
 // checkCommit requires the result of a transaction.
-func checkCommit(t *testing.T, caller access, txn kv.Txn, want kv.TxnResult) {
+func checkCommit(t *testing.T, client kvClient, txn kv.Txn, want kv.TxnResult) {
 	t.Helper()
-	if got, err := caller.Commit(t.Context(), txn); err != nil || !reflect.DeepEqual(got, want) {
+	if got, err := client.Commit(t.Context(), txn); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v: %+v, %v, want %+v", txn, got, err, want)
 	}
 }
 
 // checkAbsent requires that a key does not exist.
-func checkAbsent(t *testing.T, caller access, key string) {
+func checkAbsent(t *testing.T, client kvClient, key string) {
 	t.Helper()
-	if entry, found, err := caller.Get(t.Context(), key); err != nil || found {
+	if entry, found, err := client.Get(t.Context(), key); err != nil || found {
 		t.Errorf("%s: %+v, %v, want none", key, entry, err)
 	}
 }
 
-func TestCommitComparesAndSwaps(t *testing.T) {
-	forEachAccess(t, func(t *testing.T, _ *Store, caller access) {
-		checkCommit(t, caller, put("a/b", 0, "x"), kv.TxnResult{Applied: true, Revision: 1})
-		checkCommit(t, caller, put("a/b", 0, "y"), kv.TxnResult{Revision: 1, FailedKeys: []string{"a/b"}})
-		checkCommit(t, caller, kv.Txn{Preconditions: []kv.Precondition{{Key: "a/b", Revision: 1}}}, kv.TxnResult{Applied: true, Revision: 1})
+func TestCommitIsCompareAndSwap(t *testing.T) {
+	forEachClient(t, func(t *testing.T, _ *Store, client kvClient) {
+		checkCommit(t, client, put("a/b", 0, "x"), kv.TxnResult{Applied: true, Revision: 1})
+		checkCommit(t, client, put("a/b", 0, "y"), kv.TxnResult{Revision: 1, FailedKeys: []string{"a/b"}})
+		checkCommit(t, client, kv.Txn{Preconditions: []kv.Precondition{{Key: "a/b", Revision: 1}}}, kv.TxnResult{Applied: true, Revision: 1})
 		want := kv.Entry{Key: "a/b", Value: wire.Encode("x"), Revision: 1}
-		if entry, found, err := caller.Get(t.Context(), "a/b"); err != nil || !found || !reflect.DeepEqual(entry, want) {
+		if entry, found, err := client.Get(t.Context(), "a/b"); err != nil || !found || !reflect.DeepEqual(entry, want) {
 			t.Errorf("%+v, %v, %v, want %+v", entry, found, err, want)
 		}
 		two := kv.Txn{Operations: []kv.Operation{{DeleteKey: "a/b"}, {PutKey: "c", Value: map[string]int{"v": 2}}}}
-		checkCommit(t, caller, two, kv.TxnResult{Applied: true, Revision: 2})
-		checkAbsent(t, caller, "a/b")
+		checkCommit(t, client, two, kv.TxnResult{Applied: true, Revision: 2})
+		checkAbsent(t, client, "a/b")
 	})
 }
 
 func TestListIsOrderedAndPaged(t *testing.T) {
-	forEachAccess(t, func(t *testing.T, store *Store, caller access) {
+	forEachClient(t, func(t *testing.T, store *Store, client kvClient) {
 		var want []string
 		for n := range 1003 { // more than a page of kv.Client
 			want = append(want, fmt.Sprintf("jobs/%04d", n))
@@ -111,7 +111,7 @@
 		}
 		store.Put("other", "x")
 		var keys []string
-		revision, err := caller.List(t.Context(), "jobs/", func(entry kv.Entry) error {
+		revision, err := client.List(t.Context(), "jobs/", func(entry kv.Entry) error {
 			keys = append(keys, entry.Key)
 			return nil
 		})
@@ -119,83 +119,83 @@
 			t.Errorf("%d keys at revision %d, %v", len(keys), revision, err)
 		}
 		errEnd := errors.New("end")
-		if _, err := caller.List(t.Context(), "jobs/", func(kv.Entry) error { return errEnd }); !errors.Is(err, errEnd) {
+		if _, err := client.List(t.Context(), "jobs/", func(kv.Entry) error { return errEnd }); !errors.Is(err, errEnd) {
 			t.Errorf("ended with %v, want %v", err, errEnd)
 		}
 	})
 }
 
-func TestLeaseEndsWithItsKeys(t *testing.T) {
+func TestExpiredLeaseDeletesItsKeys(t *testing.T) {
 	const ttl = 100 * time.Millisecond
-	forEachAccess(t, func(t *testing.T, _ *Store, caller access) {
-		lease, err := caller.GrantLease(t.Context(), ttl)
+	forEachClient(t, func(t *testing.T, _ *Store, client kvClient) {
+		lease, err := client.GrantLease(t.Context(), ttl)
 		if err != nil {
 			t.Fatal(err)
 		}
-		held := kv.Txn{Operations: []kv.Operation{{PutKey: "held", Value: "x", Lease: lease}}}
-		checkCommit(t, caller, held, kv.TxnResult{Applied: true, Revision: 1})
-		_, events, err := caller.Watch(t.Context(), "held", 1, time.Minute) // nobody renews the lease
+		leasedPut := kv.Txn{Operations: []kv.Operation{{PutKey: "held", Value: "x", Lease: lease}}}
+		checkCommit(t, client, leasedPut, kv.TxnResult{Applied: true, Revision: 1})
+		_, events, err := client.Watch(t.Context(), "held", 1, time.Minute) // nobody renews the lease
 		if err != nil || len(events) != 1 || events[0].DeletedKey != "held" || events[0].Revision != 2 {
 			t.Errorf("watch: %+v, %v", events, err)
 		}
-		checkAbsent(t, caller, "held")
-		if err := caller.RenewLease(t.Context(), lease); !errors.Is(err, kv.ErrLeaseExpired) {
+		checkAbsent(t, client, "held")
+		if err := client.RenewLease(t.Context(), lease); !errors.Is(err, kv.ErrLeaseExpired) {
 			t.Errorf("renewed: %v", err)
 		}
-		held.Preconditions = []kv.Precondition{{Key: "held", Revision: 77}}
-		if _, err := caller.Commit(t.Context(), held); !errors.Is(err, kv.ErrLeaseExpired) {
+		leasedPut.Preconditions = []kv.Precondition{{Key: "held", Revision: 77}}
+		if _, err := client.Commit(t.Context(), leasedPut); !errors.Is(err, kv.ErrLeaseExpired) {
 			t.Errorf("committed: %v", err)
 		}
 	})
 }
 
-func TestRevokedLeaseEndsAtOnce(t *testing.T) {
-	forEachAccess(t, func(t *testing.T, _ *Store, caller access) {
-		lease, err := caller.GrantLease(t.Context(), time.Minute)
+func TestRevokedLeaseEndsImmediately(t *testing.T) {
+	forEachClient(t, func(t *testing.T, _ *Store, client kvClient) {
+		lease, err := client.GrantLease(t.Context(), time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
 		operations := []kv.Operation{{PutKey: "held", Value: "x", Lease: lease}, {PutKey: "free", Value: "x", Lease: lease}}
-		checkCommit(t, caller, kv.Txn{Operations: operations}, kv.TxnResult{Applied: true, Revision: 1})
-		checkCommit(t, caller, put("free", 1, "y"), kv.TxnResult{Applied: true, Revision: 2}) // detaches it from the lease
+		checkCommit(t, client, kv.Txn{Operations: operations}, kv.TxnResult{Applied: true, Revision: 1})
+		checkCommit(t, client, put("free", 1, "y"), kv.TxnResult{Applied: true, Revision: 2}) // detaches it from the lease
 		for range 2 {
-			if err := caller.RevokeLease(t.Context(), lease); err != nil {
+			if err := client.RevokeLease(t.Context(), lease); err != nil {
 				t.Error(err)
 			}
 		}
-		checkAbsent(t, caller, "held")
-		if _, found, err := caller.Get(t.Context(), "free"); err != nil || !found {
+		checkAbsent(t, client, "held")
+		if _, found, err := client.Get(t.Context(), "free"); err != nil || !found {
 			t.Errorf("a key that was detached: %v, %v", found, err)
 		}
 	})
 }
 
 func TestWatch(t *testing.T) {
-	forEachAccess(t, func(t *testing.T, store *Store, caller access) {
+	forEachClient(t, func(t *testing.T, store *Store, client kvClient) {
 		store.Put("jobs/1", "x")
 		store.Put("other", "x")
-		revision, events, err := caller.Watch(t.Context(), "jobs/", 0, 0)
+		revision, events, err := client.Watch(t.Context(), "jobs/", 0, 0)
 		if want := []kv.Event{{PutKey: "jobs/1", Value: wire.Encode("x"), Revision: 1}}; err != nil || revision != 2 || !reflect.DeepEqual(events, want) {
 			t.Errorf("past changes: %d, %+v, %v", revision, events, err)
 		}
-		if revision, events, err := caller.Watch(t.Context(), "jobs/", 1, 10*time.Millisecond); err != nil || revision != 2 || len(events) > 0 {
+		if revision, events, err := client.Watch(t.Context(), "jobs/", 1, 10*time.Millisecond); err != nil || revision != 2 || len(events) > 0 {
 			t.Errorf("no change: %d, %+v, %v", revision, events, err)
 		}
 		time.AfterFunc(10*time.Millisecond, func() { store.Put("jobs/2", "x") })
-		if revision, events, err := caller.Watch(t.Context(), "jobs/", 2, time.Minute); err != nil || revision != 3 || len(events) != 1 {
+		if revision, events, err := client.Watch(t.Context(), "jobs/", 2, time.Minute); err != nil || revision != 3 || len(events) != 1 {
 			t.Errorf("a change to come: %d, %+v, %v", revision, events, err)
 		}
 	})
 }
 
-func TestRetentionOfChanges(t *testing.T) {
-	forEachAccess(t, func(t *testing.T, store *Store, caller access) {
+func TestWatchBeforeRetentionFails(t *testing.T) {
+	forEachClient(t, func(t *testing.T, store *Store, client kvClient) {
 		store.SetRetention(10)
-		store.Advance(20)
-		if _, _, err := caller.Watch(t.Context(), "", 9, 0); !errors.Is(err, kv.ErrCompacted) {
+		store.AdvanceRevision(20)
+		if _, _, err := client.Watch(t.Context(), "", 9, 0); !errors.Is(err, kv.ErrCompacted) {
 			t.Errorf("from 11 revisions ago: %v", err)
 		}
-		if _, _, err := caller.Watch(t.Context(), "", 10, 0); err != nil {
+		if _, _, err := client.Watch(t.Context(), "", 10, 0); err != nil {
 			t.Errorf("from 10 revisions ago: %v", err)
 		}
 	})
@@ -211,14 +211,14 @@
 		{"no fault", NoFault, nil, true},
 		{"response lost", LoseResponse, kv.ErrIndeterminate, true},
 		{"applied late", ApplyLate, kv.ErrIndeterminate, false},
-		{"refused", Refuse, kv.ErrUnavailable, false},
-		{"rejected", Reject, kv.ErrRejected, false},
-		{"response malformed", MalformResponse, kv.ErrMalformedResponse, true},
+		{"refused", ReturnUnavailable, kv.ErrUnavailable, false},
+		{"rejected", ReturnRejected, kv.ErrRejected, false},
+		{"response malformed", CorruptResponse, kv.ErrMalformedResponse, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			forEachAccess(t, func(t *testing.T, store *Store, caller access) {
+			forEachClient(t, func(t *testing.T, store *Store, client kvClient) {
 				store.SetCommitFault(func(kv.Txn) Fault { return c.fault })
-				if _, err := caller.Commit(t.Context(), put("k", 0, "x")); !errors.Is(err, c.want) || (err == nil) != (c.want == nil) {
+				if _, err := client.Commit(t.Context(), put("k", 0, "x")); !errors.Is(err, c.want) || (err == nil) != (c.want == nil) {
 					t.Errorf("%v, want %v", err, c.want)
 				}
 				if _, applied := store.Entry("k"); applied != c.applied {
@@ -230,20 +230,20 @@
 }
 
 func TestLoseResponses(t *testing.T) {
-	forEachAccess(t, func(t *testing.T, store *Store, caller access) {
+	forEachClient(t, func(t *testing.T, store *Store, client kvClient) {
 		store.LoseResponses(1)
-		if _, err := caller.Commit(t.Context(), put("k", 0, "x")); !errors.Is(err, kv.ErrIndeterminate) {
+		if _, err := client.Commit(t.Context(), put("k", 0, "x")); !errors.Is(err, kv.ErrIndeterminate) {
 			t.Errorf("the first: %v", err)
 		}
-		checkCommit(t, caller, put("k", 1, "y"), kv.TxnResult{Applied: true, Revision: 2})
+		checkCommit(t, client, put("k", 1, "y"), kv.TxnResult{Applied: true, Revision: 2})
 	})
 }
 
 // Servers of one store refuse their callers apart.
-func TestServerRefuses(t *testing.T) {
+func TestServerRefusesRequests(t *testing.T) {
 	store := NewStore()
 	one, other := startServer(t, store), startServer(t, store)
-	one.Refuse("/store/")
+	one.RefuseRequests("/store/")
 	if _, _, err := newHTTPClient(one).Get(t.Context(), "k"); !errors.Is(err, kv.ErrUnavailable) {
 		t.Errorf("refused: %v", err)
 	}
@@ -251,24 +251,24 @@
 		t.Errorf("at the other server: %v", err)
 	}
 	checkCommit(t, newHTTPClient(one), put("k", 0, "x"), kv.TxnResult{Applied: true, Revision: 1}) // another path
-	one.Accept()
+	one.AcceptRequests()
 	if _, found, err := newHTTPClient(one).Get(t.Context(), "k"); err != nil || !found {
 		t.Errorf("accepted again: %v, %v", found, err)
 	}
 }
 
-func TestOutage(t *testing.T) {
-	forEachAccess(t, func(t *testing.T, store *Store, caller access) {
+func TestStoreRefusesRequestsDuringOutage(t *testing.T) {
+	forEachClient(t, func(t *testing.T, store *Store, client kvClient) {
 		store.Put("k", "x")
 		store.StartOutage()
-		if _, _, err := caller.Get(t.Context(), "k"); !errors.Is(err, kv.ErrUnavailable) {
+		if _, _, err := client.Get(t.Context(), "k"); !errors.Is(err, kv.ErrUnavailable) {
 			t.Errorf("in the outage: %v", err)
 		}
 		store.EndOutage()
-		if _, found, err := caller.Get(t.Context(), "k"); err != nil || !found {
+		if _, found, err := client.Get(t.Context(), "k"); err != nil || !found {
 			t.Errorf("after the outage: %v, %v", found, err)
 		}
-		if requests := store.Requests(); requests != 2 {
+		if requests := store.RequestCount(); requests != 2 {
 			t.Errorf("counts %d requests, want 2", requests)
 		}
 	})
--- a/internal/kvtest/time_test.go
+++ b/internal/kvtest/time_test.go
@@ -11,20 +11,20 @@
 	"ospreystile.example/ospreystile/kv"
 )
 
-// grant makes a lease.
-func grant(t *testing.T, caller access, ttl time.Duration) ids.LeaseID {
+// grantLease makes a lease.
+func grantLease(t *testing.T, client kvClient, ttl time.Duration) ids.LeaseID {
 	t.Helper()
-	id, err := caller.GrantLease(t.Context(), ttl)
+	id, err := client.GrantLease(t.Context(), ttl)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return id
 }
 
-func TestRenewedLeaseLives(t *testing.T) {
+func TestRenewedLeaseDoesNotExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
-		lease := grant(t, store, time.Second)
+		lease := grantLease(t, store, time.Second)
 		for range 10 {
 			time.Sleep(999 * time.Millisecond)
 			if err := store.RenewLease(t.Context(), lease); err != nil {
@@ -39,10 +39,10 @@
 }
 
 // No lease ends in an outage, and afterwards each has its full time.
-func TestLeasesInAnOutage(t *testing.T) {
+func TestLeasesDoNotExpireDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
-		lease := grant(t, store, time.Second)
+		lease := grantLease(t, store, time.Second)
 		time.Sleep(900 * time.Millisecond)
 		store.StartOutage()
 		time.Sleep(time.Minute)
@@ -54,11 +54,11 @@
 	})
 }
 
-func TestSuspendedExpiry(t *testing.T) {
+func TestSuspendedLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
-		lease := grant(t, store, time.Second)
-		store.SuspendExpiry()
+		lease := grantLease(t, store, time.Second)
+		store.SuspendLeaseExpiry()
 		time.Sleep(time.Minute)
 		if err := store.RenewLease(t.Context(), lease); err != nil {
 			t.Error(err)
@@ -73,7 +73,7 @@
 }
 
 // A watch that is open when an outage begins sees what happens after it.
-func TestWatchInAnOutage(t *testing.T) {
+func TestWatchStaysOpenDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
 		store.PutWithLease("held", "x", time.Second)
@@ -87,10 +87,10 @@
 	})
 }
 
-func TestMaxHold(t *testing.T) {
+func TestMaxWatchWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
-		store.SetMaxHold(time.Second)
+		store.SetMaxWatchWait(time.Second)
 		start := time.Now()
 		_, events, err := store.Watch(t.Context(), "", 0, time.Minute)
 		if err != nil || len(events) > 0 || time.Since(start) != time.Second {
@@ -99,7 +99,7 @@
 	})
 }
 
-func TestWatchEndsWithItsContext(t *testing.T) {
+func TestWatchEndsWithContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -109,14 +109,14 @@
 	})
 }
 
-func TestTransactionIsAppliedLate(t *testing.T) {
+func TestLateAppliedTransaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
 		store.SetCommitFault(func(kv.Txn) Fault { return ApplyLate })
 		if _, err := store.Commit(t.Context(), put("k", 0, "x")); !errors.Is(err, kv.ErrIndeterminate) {
 			t.Errorf("%v, want %v", err, kv.ErrIndeterminate)
 		}
-		time.Sleep(lateDelay + 1)
+		time.Sleep(lateApplyDelay + 1)
 		synctest.Wait()
 		if _, found := store.Entry("k"); !found {
 			t.Error("it is not applied")
@@ -124,20 +124,20 @@
 	})
 }
 
-func TestFaultsOfOneClient(t *testing.T) {
+func TestRefusedAndDelayedClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
 		latency := func() time.Duration { return 5 * time.Millisecond }
 		one, other := store.NewClient(latency), store.NewClient(latency)
-		one.Refuse()
+		one.RefuseRequests()
 		if err := one.RevokeLease(t.Context(), 1); !errors.Is(err, kv.ErrUnavailable) {
 			t.Errorf("refused: %v", err)
 		}
 		if err := other.RevokeLease(t.Context(), 1); err != nil {
 			t.Errorf("the other: %v", err)
 		}
-		one.Accept()
-		one.Hold(time.Second)
+		one.AcceptRequests()
+		one.DelayRequests(time.Second)
 		start := time.Now()
 		if err := one.RevokeLease(t.Context(), 1); err != nil || time.Since(start) != 1005*time.Millisecond {
 			t.Errorf("held: %v after %v", err, time.Since(start))
@@ -150,7 +150,7 @@
 }
 
 // A client waits for a response that was lost.
-func TestClientWaitsForALostResponse(t *testing.T) {
+func TestClientWaitsForLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
 		store.LoseResponses(1)
--- a/internal/kvtest/watch.go
+++ b/internal/kvtest/watch.go
@@ -14,12 +14,12 @@
 
 // Watch returns the changes of keys with a prefix after a revision. It waits for one for at
 // most hold, and for as long as the context lasts. A watch that is open goes on in an outage.
-func (s *Store) Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []kv.Event, error) {
-	hold, err := s.openWatch(since, hold)
+func (s *Store) Watch(ctx context.Context, prefix string, since ids.Revision, maxWait time.Duration) (ids.Revision, []kv.Event, error) {
+	maxWait, err := s.openWatch(since, maxWait)
 	if err != nil {
 		return 0, nil, err
 	}
-	deadline := time.Now().Add(hold)
+	deadline := time.Now().Add(maxWait)
 	for {
 		update := s.updateSince(prefix, since)
 		if len(update.events) > 0 || !time.Now().Before(deadline) {
@@ -33,17 +33,17 @@
 
 // openWatch returns for how long a watch may wait. It fails if the changes since a revision are
 // not kept.
-func (s *Store) openWatch(since ids.Revision, hold time.Duration) (time.Duration, error) {
+func (s *Store) openWatch(since ids.Revision, maxWait time.Duration) (time.Duration, error) {
 	err := s.request(func() error {
 		if s.retention > 0 && since+s.retention < s.revision {
 			return kv.ErrCompacted
 		}
-		if s.maxHold > 0 {
-			hold = min(hold, s.maxHold)
+		if s.maxWatchWait > 0 {
+			maxWait = min(maxWait, s.maxWatchWait)
 		}
 		return nil
 	})
-	return hold, err
+	return maxWait, err
 }
 
 // watchUpdate is what a watch finds at one look, and when to look again.
--- a/internal/workqueue/queue_test.go
+++ b/internal/workqueue/queue_test.go
@@ -23,7 +23,7 @@
 	checkTake(t, q, 10)
 }
 
-func TestLimit(t *testing.T) {
+func TestAddBeyondLimit(t *testing.T) {
 	q := New[int](2)
 	if !q.Add(1) || !q.Add(2) {
 		t.Error("refused an item within the limit")
@@ -51,7 +51,7 @@
 }
 
 // A batch that was taken does not share memory with items that are added later.
-func TestTakenItemsStay(t *testing.T) {
+func TestTakenItemsDoNotShareMemory(t *testing.T) {
 	q := New[int](10)
 	q.Add(1, 2, 3)
 	taken := q.Take(2)
--- a/kv/client.go
+++ b/kv/client.go
@@ -41,7 +41,7 @@
 
 // do sends one request and decodes the body of its answer, if there is one, into out. A nil
 // out ignores the body.
-func (c *Client) do(ctx context.Context, request httpclient.Request, out any) (*httpclient.Answer, error) {
+func (c *Client) do(ctx context.Context, request httpclient.Request, out any) (*httpclient.Response, error) {
 	answer, err := c.service.Do(ctx, request)
 	if err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 		return err
 	}
 	if answer.Status != http.StatusOK {
-		return answer.Malformed(nil)
+		return answer.MalformedError(nil)
 	}
 	return nil
 }
@@ -74,7 +74,7 @@
 		return Entry{}, false, nil
 	}
 	if answer.Status != http.StatusOK || entry.Revision == 0 {
-		return Entry{}, false, answer.Malformed(nil)
+		return Entry{}, false, answer.MalformedError(nil)
 	}
 	entry.Key = key
 	return entry, true, nil
@@ -119,7 +119,7 @@
 	case http.StatusConflict:
 		return TxnResult{Revision: response.Revision, FailedKeys: response.FailedKeys}, nil
 	}
-	return TxnResult{}, answer.Malformed(nil)
+	return TxnResult{}, answer.MalformedError(nil)
 }
 
 // GrantLease makes a lease that expires unless it is renewed within ttl.
--- a/kv/errors.go
+++ b/kv/errors.go
@@ -29,12 +29,12 @@
 
 // protocol maps the store's statuses to errors.
 var protocol = httpclient.Protocol{
-	Accepted:      []int{http.StatusOK, http.StatusNotFound, http.StatusConflict},
-	Unavailable:   ErrUnavailable,
-	Indeterminate: ErrIndeterminate,
-	Rejected:      ErrRejected,
-	Malformed:     ErrMalformedResponse,
-	Condition:     condition,
+	AcceptedStatuses: []int{http.StatusOK, http.StatusNotFound, http.StatusConflict},
+	Unavailable:      ErrUnavailable,
+	Indeterminate:    ErrIndeterminate,
+	Rejected:         ErrRejected,
+	Malformed:        ErrMalformedResponse,
+	ConditionError:   condition,
 }
 
 // leaseExpiredMessage is the message of the store for a lease that it does not hold.
--- a/kv/golden_test.go
+++ b/kv/golden_test.go
@@ -63,7 +63,7 @@
 
 // Methods, paths, queries and bodies of requests, and what responses are decoded to.
 func TestRequestsToTheKeyValueStore(t *testing.T) {
-	rec := golden.Record(t, serveStore)
+	rec := golden.NewRecorder(t, serveStore)
 	c := New(httpclient.New(rec.Address, 2, 1<<20), 1000)
 	ctx := t.Context()
 	var text strings.Builder
@@ -86,7 +86,7 @@
 	note("touch", c.RenewLease(ctx, lease))
 	note("touch ended", c.RenewLease(ctx, 78))
 	note("revoke", c.RevokeLease(ctx, lease))
-	golden.Text(t, "requests.txt", rec.Text()+"\n"+text.String())
+	golden.CheckText(t, "requests.txt", rec.Text()+"\n"+text.String())
 }
 
 // Error responses are distinguished by their status, and by one message.
@@ -105,7 +105,7 @@
 		{"fault", http.StatusInternalServerError, nil, ErrIndeterminate},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+			rec := golden.NewRecorder(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
 				_, _ = w.Write(wire.Encode(c.body))
 			})
--- a/records/commit/committer_test.go
+++ b/records/commit/committer_test.go
@@ -31,7 +31,7 @@
 	rng := rand.New(rand.NewPCG(seed, 3))
 	store := kvtest.NewStore()
 	fence := setLeader(store, "a")
-	faults := []kvtest.Fault{kvtest.NoFault, kvtest.LoseResponse, kvtest.ApplyLate, kvtest.Refuse}
+	faults := []kvtest.Fault{kvtest.NoFault, kvtest.LoseResponse, kvtest.ApplyLate, kvtest.ReturnUnavailable}
 	log := recordCommits(store, func(kv.Txn) kvtest.Fault { return faults[rng.IntN(len(faults))] })
 	c := newTestCommitter(newTestClient(store), fence)
 	stop := startCommitter(t, c)
@@ -135,8 +135,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
 		// The store is unavailable until the late batch is applied.
-		faults := []kvtest.Fault{kvtest.ApplyLate, kvtest.Reject}
-		faults = append(faults, slices.Repeat([]kvtest.Fault{kvtest.Refuse}, 20)...)
+		faults := []kvtest.Fault{kvtest.ApplyLate, kvtest.ReturnRejected}
+		faults = append(faults, slices.Repeat([]kvtest.Fault{kvtest.ReturnUnavailable}, 20)...)
 		store.SetCommitFault(faultsInOrder(faults...))
 		c := newTestCommitter(newTestClient(store), nil)
 		results := make([]records.CommitResult, 2)
@@ -181,7 +181,7 @@
 func TestChangeWithDeadlineFailsImmediatelyInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
-		store.SetCommitFault(func(kv.Txn) kvtest.Fault { return kvtest.Refuse })
+		store.SetCommitFault(func(kv.Txn) kvtest.Fault { return kvtest.ReturnUnavailable })
 		c := newTestCommitter(newTestClient(store), nil)
 		startCommitter(t, c)
 		start := time.Now()
@@ -208,18 +208,18 @@
 		sent     int
 	}{
 		{name: "applied", want: nil, resolved: true, sent: 1},
-		{name: "unavailable twice", faults: []kvtest.Fault{kvtest.Refuse, kvtest.Refuse}, resolved: true, sent: 3},
-		{name: "unavailable, with a deadline", faults: []kvtest.Fault{kvtest.Refuse}, deadline: time.Minute, want: kv.ErrUnavailable, sent: 1},
+		{name: "unavailable twice", faults: []kvtest.Fault{kvtest.ReturnUnavailable, kvtest.ReturnUnavailable}, resolved: true, sent: 3},
+		{name: "unavailable, with a deadline", faults: []kvtest.Fault{kvtest.ReturnUnavailable}, deadline: time.Minute, want: kv.ErrUnavailable, sent: 1},
 		{name: "response lost after the change was applied", faults: []kvtest.Fault{kvtest.LoseResponse}, resolved: true, sent: 2},
 		{name: "response lost, with a deadline", faults: []kvtest.Fault{kvtest.LoseResponse}, deadline: time.Minute, resolved: true, sent: 2},
-		{name: "response lost, then unavailable", faults: []kvtest.Fault{kvtest.LoseResponse, kvtest.Refuse, kvtest.Refuse}, resolved: true, sent: 4},
+		{name: "response lost, then unavailable", faults: []kvtest.Fault{kvtest.LoseResponse, kvtest.ReturnUnavailable, kvtest.ReturnUnavailable}, resolved: true, sent: 4},
 		{name: "response lost, deadline passed", faults: []kvtest.Fault{kvtest.ApplyLate}, deadline: time.Second, want: records.ErrIndeterminate, sent: 1},
-		{name: "response lost, unavailable until the deadline", faults: []kvtest.Fault{kvtest.ApplyLate, kvtest.Refuse, kvtest.Refuse}, deadline: 1100 * time.Millisecond,
+		{name: "response lost, unavailable until the deadline", faults: []kvtest.Fault{kvtest.ApplyLate, kvtest.ReturnUnavailable, kvtest.ReturnUnavailable}, deadline: 1100 * time.Millisecond,
 			want: records.ErrIndeterminate, sent: 3},
-		{name: "response lost, then rejected, applied", faults: []kvtest.Fault{kvtest.LoseResponse, kvtest.Reject}, resolved: true, sent: 2},
-		{name: "response lost, then rejected, not applied", faults: []kvtest.Fault{kvtest.ApplyLate, kvtest.Reject}, want: records.ErrRejected, resolved: true, sent: 2},
-		{name: "rejected", faults: []kvtest.Fault{kvtest.Reject}, want: records.ErrRejected, resolved: true, sent: 1},
-		{name: "malformed response", faults: []kvtest.Fault{kvtest.MalformResponse}, want: records.ErrIndeterminate, sent: 1},
+		{name: "response lost, then rejected, applied", faults: []kvtest.Fault{kvtest.LoseResponse, kvtest.ReturnRejected}, resolved: true, sent: 2},
+		{name: "response lost, then rejected, not applied", faults: []kvtest.Fault{kvtest.ApplyLate, kvtest.ReturnRejected}, want: records.ErrRejected, resolved: true, sent: 2},
+		{name: "rejected", faults: []kvtest.Fault{kvtest.ReturnRejected}, want: records.ErrRejected, resolved: true, sent: 1},
+		{name: "malformed response", faults: []kvtest.Fault{kvtest.CorruptResponse}, want: records.ErrIndeterminate, sent: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -277,7 +277,7 @@
 func TestRetriesBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.NewStore()
-		log := recordCommits(store, faultsInOrder(slices.Repeat([]kvtest.Fault{kvtest.Refuse}, 6)...))
+		log := recordCommits(store, faultsInOrder(slices.Repeat([]kvtest.Fault{kvtest.ReturnUnavailable}, 6)...))
 		c := newTestCommitter(newTestClient(store), nil)
 		stop := startCommitter(t, c)
 		c.Submit(createTestJob(1), time.Time{}, func(records.CommitResult) {})
--- a/records/commit/store_test.go
+++ b/records/commit/store_test.go
@@ -85,7 +85,7 @@
 	return func(txn kv.Txn) kvtest.Fault {
 		fault := choose(txn)
 		if l.exceeded(txn) {
-			return kvtest.Reject
+			return kvtest.ReturnRejected
 		}
 		return fault
 	}
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -92,7 +92,7 @@
 	} {
 		text.WriteString(c.name + " " + hexEncode(kv.Txn{Preconditions: c.change.Preconditions, Operations: c.change.Operations}) + "\n")
 	}
-	golden.Text(t, "transactions.txt", text.String())
+	golden.CheckText(t, "transactions.txt", text.String())
 }
 
 func hexEncode(v any) string { return fmt.Sprintf("%x", wire.Encode(v)) }
--- a/server/golden_test.go
+++ b/server/golden_test.go
@@ -47,7 +47,7 @@
 		got = append(got, r.Method+" "+r.Path)
 	}
 	slices.Sort(got)
-	golden.Text(t, "routes.txt", strings.Join(got, "\n")+"\n")
+	golden.CheckText(t, "routes.txt", strings.Join(got, "\n")+"\n")
 }
 
 // exchange is a request, and the response of the service if it is called.
@@ -105,7 +105,7 @@
 		fmt.Fprintf(&text, "%s: %s %s [%x]\n%s  <- %d type %q retry after %q close %v [%x]\n", c.name, c.method, c.path, c.body, svc.calls.String(),
 			res.StatusCode, res.Header.Get("Content-Type"), res.Header.Get("Retry-After"), res.Close, raw)
 	}
-	golden.Text(t, "answers.txt", text.String())
+	golden.CheckText(t, "answers.txt", text.String())
 }
 
 // sorted encodes a body whose bytes do not depend on the order of a map.
--- a/worker/golden_test.go
+++ b/worker/golden_test.go
@@ -22,7 +22,7 @@
 	want := wire.Heartbeat{Machine: "n-1", Endpoint: "10.0.0.9:9000", Type: "g8", Zone: "zone-a", Spot: true, Incarnation: 6, Sequence: 7, FencingToken: 8,
 		SpotNoticeS: &notice, Tasks: []wire.TaskStatus{{Name: "job-1/3", Attempt: 2, State: wire.TaskEnded, Cause: wire.CauseDone, Checkpointed: true}}}
 	status := http.StatusOK
-	rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+	rec := golden.NewRecorder(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = w.Write(wire.Encode(answer))
 	})
@@ -47,5 +47,5 @@
 	if _, err := c.RequestHeartbeat(t.Context(), rec.Address, time.Second); !errors.Is(err, httpclient.ErrNoResponse) {
 		t.Errorf("internal error: %v, want %v", err, httpclient.ErrNoResponse)
 	}
-	golden.Text(t, "requests.txt", rec.Text())
+	golden.CheckText(t, "requests.txt", rec.Text())
 }
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -28,7 +28,7 @@
 		{"service unavailable", http.StatusServiceUnavailable, heartbeat},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+			rec := golden.NewRecorder(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
 				_, _ = w.Write(c.body)
 			})
@@ -46,7 +46,7 @@
 
 // An address that was forgotten can be used again.
 func TestForget(t *testing.T) {
-	rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+	rec := golden.NewRecorder(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(wire.Encode(map[string]any{"host": "n-1"}))
 	})
 	client := New()
