--- a/internal/faulttest/cloud.go
+++ b/internal/faulttest/cloud.go
@@ -13,22 +13,22 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Cloud is a stand-in for the cloud, with machines of one type in several zones. Its
-// methods may be called from any goroutine.
+// Cloud is a fake cloud that provisions machines of one type in several zones. It is safe for
+// concurrent use.
 type Cloud struct {
 	server      *httptest.Server
 	bootDelay   time.Duration
-	capacity    int // machines of each zone
+	capacity    int // machines per zone
 	zones       []ids.Zone
 	startWorker func(wire.Machine) *Worker
 
 	mu       sync.Mutex
 	machines map[ids.MachineID]*cloudMachine
-	requests map[string][]ids.MachineID // the machines of each provision request, by its id
+	requests map[string][]ids.MachineID // machines by the ID of their provision request
 	lastID   int
 }
 
-// cloudMachine is a machine that was provisioned.
+// cloudMachine represents a provisioned machine.
 type cloudMachine struct {
 	wire.Machine
 	provisioned time.Time
@@ -36,7 +36,7 @@
 	terminated  bool
 }
 
-// The machine type of the stand-in.
+// The only machine type of the fake cloud.
 const (
 	machineType     = "m8"
 	machineCPUs     = 8
@@ -44,11 +44,11 @@
 	machineCacheGB  = 50
 )
 
-// statusStarting is the status of a machine that boots.
+// statusStarting is the status of a machine that is booting.
 const statusStarting wire.MachineStatus = "starting"
 
-// NewCloud starts a cloud on loopback. startWorker starts the worker of a machine that has
-// booted; it must not call the cloud.
+// NewCloud starts a fake cloud on loopback. startWorker is called once a machine has booted and
+// starts its worker. It runs under the cloud's lock and must not call the cloud.
 func NewCloud(zones []ids.Zone, capacity int, boot time.Duration, startWorker func(wire.Machine) *Worker) *Cloud {
 	c := &Cloud{bootDelay: boot, capacity: capacity, zones: zones, startWorker: startWorker,
 		machines: map[ids.MachineID]*cloudMachine{}, requests: map[string][]ids.MachineID{}}
@@ -61,10 +61,10 @@
 	return c
 }
 
-// Address is host:port of the cloud.
+// Address returns the host:port on which the cloud listens.
 func (c *Cloud) Address() string { return strings.TrimPrefix(c.server.URL, "http://") }
 
-// Close ends the cloud and all machines, and waits for the end of their workers.
+// Close stops the cloud, terminates all machines and waits until their workers have stopped.
 func (c *Cloud) Close() {
 	c.server.CloseClientConnections()
 	c.server.Close()
@@ -73,7 +73,7 @@
 	}
 }
 
-// terminateAll terminates all machines, and lists the workers of all that ever booted.
+// terminateAll terminates all machines and returns the workers of all machines that ever booted.
 func (c *Cloud) terminateAll() []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +87,7 @@
 	return workers
 }
 
-// Workers lists the workers of a zone's machines that have booted.
+// Workers returns the workers of the zone's machines that have booted and are not terminated.
 func (c *Cloud) Workers(zone ids.Zone) []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +100,7 @@
 	return workers
 }
 
-// terminate ends a machine with all that runs on it.
+// terminate stops the machine and every task on it.
 func (m *cloudMachine) terminate() {
 	if m.terminated {
 		return
@@ -137,8 +137,8 @@
 	respond(w, http.StatusOK, wire.MachineIDs{IDs: machines})
 }
 
-// addMachines provisions as many machines as the zone has capacity for. The caller holds
-// the lock.
+// addMachines provisions the requested machines, or fewer if the zone's capacity does not suffice.
+// The caller holds the lock.
 func (c *Cloud) addMachines(request wire.ProvisionRequest) []ids.MachineID {
 	var added []ids.MachineID
 	for range min(request.Count, c.capacity-c.countMachines(request.Zone)) {
@@ -157,8 +157,8 @@
 	return added
 }
 
-// countMachines counts a zone's machines that are not terminated. The caller holds the
-// lock.
+// countMachines returns the number of machines in the zone that are not terminated. The caller holds
+// the lock.
 func (c *Cloud) countMachines(zone ids.Zone) int {
 	count := 0
 	for _, m := range c.machines {
@@ -169,7 +169,7 @@
 	return count
 }
 
-// finishBoot starts a machine's worker, unless the machine was terminated before.
+// finishBoot starts the machine's worker, unless the machine was terminated while it booted.
 func (c *Cloud) finishBoot(m *cloudMachine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,7 +195,7 @@
 	respond(w, http.StatusOK, map[string]bool{})
 }
 
-// handleList responds with all machines in one page.
+// handleList responds with all machines after the ID in the since parameter, in one page.
 func (c *Cloud) handleList(w http.ResponseWriter, r *http.Request) {
 	since := ids.MachineID(r.URL.Query().Get("since"))
 	c.mu.Lock()
--- a/internal/faulttest/controller.go
+++ b/internal/faulttest/controller.go
@@ -10,15 +10,14 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Program is how a controller is started: its path, the arguments before the path of the
-// settings, and the directory in which it runs.
+// Program describes how a controller process is started.
 type Program struct {
 	Path      string
-	Arguments []string
-	Directory string
+	Arguments []string // precede the path of the settings file
+	Directory string   // working directory
 }
 
-// Controller is one controller, which runs as a process of its own.
+// Controller is a controller that runs as a separate process.
 type Controller struct {
 	Name         ids.ControllerName
 	apiAddress   string
@@ -26,14 +25,14 @@
 	settingsPath string
 
 	log     *os.File
-	process *exec.Cmd     // nil while the controller is down
-	exited  chan struct{} // closed when the process has ended
+	process *exec.Cmd     // nil while the process does not run
+	exited  chan struct{} // closed when the process has exited
 }
 
-// Start starts the controller. Its log continues that of its previous process.
+// Start starts the controller process. Its log is appended to that of previous processes.
 func (c *Controller) Start(program Program) error {
 	if c.process != nil {
-		return fmt.Errorf("%s runs already", c.Name)
+		return fmt.Errorf("start %s: already running", c.Name)
 	}
 	if err := c.openLog(); err != nil {
 		return err
@@ -41,18 +40,18 @@
 	process := exec.Command(program.Path, append(slices.Clone(program.Arguments), c.settingsPath)...)
 	process.Stderr, process.Dir = c.log, program.Directory
 	if err := process.Start(); err != nil {
-		return fmt.Errorf("%s: %w", c.Name, err)
+		return fmt.Errorf("start %s: %w", c.Name, err)
 	}
 	exited := make(chan struct{})
 	go func() {
 		defer close(exited)
-		_ = process.Wait() // a killed process always has an error
+		_ = process.Wait() // Wait always returns an error for a killed process
 	}()
 	c.process, c.exited = process, exited
 	return nil
 }
 
-// openLog opens the log file for the first process.
+// openLog creates the log file unless it is open already.
 func (c *Controller) openLog() (err error) {
 	if c.log == nil {
 		c.log, err = os.Create(c.logPath())
@@ -60,18 +59,18 @@
 	return err
 }
 
-// Kill ends the process without a warning, and waits for its end. A controller that is
-// down stays down.
+// Kill kills the process with SIGKILL and waits until it has exited. It does nothing if the process
+// does not run.
 func (c *Controller) Kill() {
 	if c.process == nil {
 		return
 	}
-	_ = c.process.Process.Kill() // fails if the process has ended by itself
+	_ = c.process.Process.Kill() // fails if the process has already exited
 	<-c.exited
 	c.process = nil
 }
 
-// Close kills the process and closes its log.
+// Close kills the process and closes the log file.
 func (c *Controller) Close() error {
 	c.Kill()
 	if c.log == nil {
@@ -80,7 +79,7 @@
 	return c.log.Close()
 }
 
-// Log returns what the controller has logged, or why that cannot be read.
+// Log returns the controller's log, or the error message if the log cannot be read.
 func (c *Controller) Log() string {
 	raw, err := os.ReadFile(c.logPath())
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -89,5 +88,5 @@
 	return string(raw)
 }
 
-// logPath is where the log is.
+// logPath returns the path of the log file.
 func (c *Controller) logPath() string { return c.settingsPath + ".log" }
--- a/internal/faulttest/deployment.go
+++ b/internal/faulttest/deployment.go
@@ -14,16 +14,16 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Timing holds the times that workers and controllers go by. They are scaled down: tenths
-// of a second and seconds stand for seconds and tens of seconds.
+// Timing holds the intervals and delays of workers and machines. They are about a tenth of those of a
+// real deployment, so that tests run faster.
 type Timing struct {
 	HeartbeatInterval time.Duration
-	Lease             time.Duration // of a worker
+	Lease             time.Duration // of workers
 	ImageFetch        time.Duration
-	Boot              time.Duration // of a machine
+	Boot              time.Duration // of machines
 }
 
-// defaultTiming is the timing of every deployment.
+// defaultTiming is the timing of all deployments.
 var defaultTiming = Timing{
 	HeartbeatInterval: 400 * time.Millisecond,
 	Lease:             6 * time.Second,
@@ -31,9 +31,9 @@
 	Boot:              time.Second,
 }
 
-// Deployment is a whole deployment on loopback: controllers that are real processes, and
-// stand-ins for all else. Its methods may be called from any goroutine, but each controller
-// is started and killed by one goroutine at a time.
+// Deployment is a whole deployment on loopback: real controller processes and fakes of everything
+// else. It is safe for concurrent use, except that only one goroutine at a time may start or kill a
+// given controller.
 type Deployment struct {
 	Timing      Timing
 	KV          *kvtest.Server
@@ -49,9 +49,8 @@
 	partitioned map[ids.Zone]bool
 }
 
-// NewDeployment starts the stand-ins, and writes the settings of the controllers into a
-// directory. The controllers are not started yet. capacity is the number of machines that
-// each zone has.
+// NewDeployment starts the fakes and writes the controllers' settings files to the directory. It
+// does not start the controllers. capacity is the number of machines per zone.
 func NewDeployment(directory string, zones []ids.Zone, capacity, controllers int) (*Deployment, error) {
 	d := &Deployment{Timing: defaultTiming, History: NewHistory(), zones: zones, partitioned: map[ids.Zone]bool{}}
 	if err := d.addControllers(directory, controllers); err != nil {
@@ -69,7 +68,7 @@
 	return d, nil
 }
 
-// addControllers gives each controller its addresses and the path of its settings.
+// addControllers adds controllers, each with its own addresses and settings path.
 func (d *Deployment) addControllers(directory string, count int) error {
 	for i := range count {
 		api, err := freeAddress()
@@ -91,7 +90,7 @@
 	return nil
 }
 
-// freeAddress finds a loopback address that is not in use.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -101,7 +100,7 @@
 	return listener.Addr().String(), nil
 }
 
-// apiAddresses lists where the controllers take requests of users and workers.
+// apiAddresses returns the addresses on which the controllers serve users and workers.
 func (d *Deployment) apiAddresses() []string {
 	var addresses []string
 	for _, c := range d.Controllers {
@@ -110,14 +109,14 @@
 	return addresses
 }
 
-// startWorker starts the worker of a machine that has booted.
+// startWorker starts the worker of a booted machine.
 func (d *Deployment) startWorker(machine wire.Machine) *Worker {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return startWorker(d.workers, machine, d.partitioned[machine.Zone])
 }
 
-// PartitionZone cuts a zone's machines off from everything, also those that boot later.
+// PartitionZone isolates all machines of the zone, also those that boot later, from the network.
 func (d *Deployment) PartitionZone(zone ids.Zone) {
 	d.setPartitioned(zone, true)
 	for _, worker := range d.Cloud.Workers(zone) {
@@ -125,7 +124,7 @@
 	}
 }
 
-// HealZone ends the partition of a zone.
+// HealZone ends the partition of the zone.
 func (d *Deployment) HealZone(zone ids.Zone) {
 	d.setPartitioned(zone, false)
 	for _, worker := range d.Cloud.Workers(zone) {
@@ -133,14 +132,14 @@
 	}
 }
 
-// setPartitioned sets how the workers of a zone start.
+// setPartitioned sets whether workers that start in the zone are partitioned.
 func (d *Deployment) setPartitioned(zone ids.Zone, partitioned bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.partitioned[zone] = partitioned
 }
 
-// Logs returns what all controllers have logged.
+// Logs returns the logs of all controllers.
 func (d *Deployment) Logs() string {
 	var logs strings.Builder
 	for _, c := range d.Controllers {
@@ -149,7 +148,7 @@
 	return logs.String()
 }
 
-// Close ends the controllers and all stand-ins.
+// Close kills the controllers and stops the fakes.
 func (d *Deployment) Close() error {
 	var errs []error
 	for _, c := range d.Controllers {
--- a/internal/faulttest/doc.go
+++ b/internal/faulttest/doc.go
@@ -1,5 +1,5 @@
-// Package faulttest starts real controller processes on loopback against stand-ins for what
-// surrounds them: the key-value store of package kvtest, a cloud, agents in zones and users.
-// Tests of failures of a whole deployment use it. The stand-ins implement only what such a
-// test needs of each protocol.
+// Package faulttest tests how a whole deployment handles failures. It starts real controller
+// processes on loopback against fakes of the systems around them: the key-value store of package
+// kvtest, a cloud, the workers in its zones, and users. Each fake implements only the part of its
+// protocol that these tests need.
 package faulttest
--- a/internal/faulttest/harness_test.go
+++ b/internal/faulttest/harness_test.go
@@ -20,19 +20,20 @@
 )
 
 const (
-	// repositoryRoot is the root of this repository.
+	// repositoryRoot is the path of the repository's root from this package.
 	repositoryRoot = "../.."
-	// waitTimeout bounds a test that hangs; no result depends on it.
+	// waitTimeout ends a test that hangs. No test result depends on its value.
 	waitTimeout = 90 * time.Second
-	// pollInterval is the time between two checks of a condition that a test waits for.
+	// pollInterval is the interval between two checks of a condition that a test waits for.
 	pollInterval = 50 * time.Millisecond
-	// recoveryPollInterval is that of a recovery, whose ramp moves quickly.
+	// recoveryPollInterval is the poll interval during a recovery. It is shorter because the start limit
+	// changes quickly during the ramp-up.
 	recoveryPollInterval = 20 * time.Millisecond
 	// controllerCount is the number of controllers in each test.
 	controllerCount = 3
 )
 
-// buildProgram builds the program, and reads from deploy/service.toml how it is started.
+// buildProgram builds the program and reads its start command from deploy/service.toml.
 func buildProgram(t *testing.T) Program {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(repositoryRoot, "deploy/service.toml"))
@@ -54,7 +55,7 @@
 	return Program{Path: path, Arguments: strings.Fields(service.Run)[1:], Directory: repositoryRoot}
 }
 
-// withOperatorSettings returns the program with another file of operators' settings.
+// withOperatorSettings returns the program with the given file as its operator settings.
 func (p Program) withOperatorSettings(file string) Program {
 	arguments := slices.Clone(p.Arguments)
 	if i := slices.Index(arguments, "--operator"); i >= 0 {
@@ -64,7 +65,7 @@
 	return p
 }
 
-// zoneTest is the deployment of one test.
+// zoneTest holds the deployment of one test.
 type zoneTest struct {
 	*Deployment
 	t       *testing.T
@@ -72,8 +73,8 @@
 	program Program
 }
 
-// newZoneTest starts a deployment that ends with the test. A failed test logs what the
-// controllers have logged.
+// newZoneTest starts a deployment that is closed at the end of the test. If the test fails, the
+// controllers' logs are added to its output.
 func newZoneTest(t *testing.T, operatorSettings string, zones []ids.Zone, capacity int) *zoneTest {
 	t.Helper()
 	if testing.Short() {
@@ -98,7 +99,7 @@
 	return z
 }
 
-// requireNoError ends the test if there is an error.
+// requireNoError ends the test if err is not nil.
 func (z *zoneTest) requireNoError(err error) {
 	z.t.Helper()
 	if err != nil {
@@ -106,36 +107,37 @@
 	}
 }
 
-// awaitTrue waits until a condition holds.
-func (z *zoneTest) awaitTrue(what string, holds func() bool) {
+// await waits until a condition holds. what describes it in the failure message.
+func (z *zoneTest) await(what string, holds func() bool) {
 	z.t.Helper()
-	z.awaitTrueEvery(pollInterval, what, holds)
+	z.awaitEvery(pollInterval, what, holds)
 }
 
-// awaitTrueEvery checks a condition at an interval until it holds.
-func (z *zoneTest) awaitTrueEvery(interval time.Duration, what string, holds func() bool) {
+// awaitEvery checks a condition at the given interval until it holds.
+func (z *zoneTest) awaitEvery(interval time.Duration, what string, holds func() bool) {
 	z.t.Helper()
-	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(interval) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(interval) {
+		if time.Now().After(deadline) {
 			z.t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 	}
 }
 
-// awaitZoneCondition waits for the condition of a zone.
+// awaitZoneCondition waits until the zone is in the given condition.
 func (z *zoneTest) awaitZoneCondition(zone ids.Zone, want zonerecovery.Condition) {
 	z.t.Helper()
-	z.awaitTrue(string(zone)+" "+want.String(), func() bool {
+	z.await(string(zone)+" "+want.String(), func() bool {
 		status, _, ok := z.zoneStatus(zone)
 		return ok && status.Condition == want
 	})
 }
 
-// awaitJobState waits until every controller responds with the same final state.
+// awaitJobState waits until every controller reports the job in the given final state. It fails the test
+// if a controller reports another final state.
 func (z *zoneTest) awaitJobState(id ids.JobID, want wire.JobState) {
 	z.t.Helper()
 	for i := range z.Controllers {
-		z.awaitTrue(string(id)+" "+string(want), func() bool {
+		z.await(string(id)+" "+string(want), func() bool {
 			status, err := z.Users.StatusAt(z.ctx, i, id)
 			if err != nil {
 				return false
@@ -149,13 +151,13 @@
 	}
 }
 
-// runCommand runs a subcommand of the program with the settings of a controller.
+// runCommand runs a subcommand of the program with the controller's settings and returns its output.
 func (z *zoneTest) runCommand(c *Controller, args ...string) (string, error) {
 	out, err := exec.CommandContext(z.ctx, z.program.Path, append(args, "--config", c.settingsPath)...).CombinedOutput()
 	return string(out), err
 }
 
-// zoneStatus returns the status of a zone as operators see it, and who leads.
+// zoneStatus returns the zone's status and the leader's name as the zones command prints them.
 func (z *zoneTest) zoneStatus(zone ids.Zone) (status zonerecovery.Status, leader ids.ControllerName, ok bool) {
 	out, err := z.runCommand(z.Controllers[0], "zones", "--json")
 	if err != nil {
@@ -172,18 +174,18 @@
 	return response.Zones[i], response.Leader, true
 }
 
-// restartController kills a controller and starts it again.
+// restartController kills the controller with the given name and starts it again.
 func (z *zoneTest) restartController(name ids.ControllerName) {
 	z.t.Helper()
 	i := slices.IndexFunc(z.Controllers, func(c *Controller) bool { return c.Name == name })
 	if i < 0 {
-		z.t.Fatalf("no controller is called %q", name)
+		z.t.Fatalf("no controller named %q", name)
 	}
 	z.Controllers[i].Kill()
 	z.requireNoError(z.Controllers[i].Start(z.program))
 }
 
-// countRunning counts the running tasks of a job in all zones.
+// countRunning returns the number of running tasks of the job in all zones.
 func (z *zoneTest) countRunning(job ids.JobID) int {
 	count := 0
 	for _, running := range z.History.RunningByZone(job) {
@@ -192,12 +194,13 @@
 	return count
 }
 
-// countRunningOutside counts the running tasks of a job in all zones but one.
+// countRunningOutside returns the number of running tasks of the job outside the given zone.
 func (z *zoneTest) countRunningOutside(zone ids.Zone, job ids.JobID) int {
 	return z.countRunning(job) - z.History.RunningByZone(job)[zone]
 }
 
-// checkNoConcurrentRuns checks that no task ran twice at once.
+// checkNoConcurrentRuns checks that no task ran twice at the same time. Repeated starts are allowed and
+// only logged.
 func (z *zoneTest) checkNoConcurrentRuns() {
 	z.t.Helper()
 	if violations := z.History.Violations(); len(violations) > 0 {
--- a/internal/faulttest/history.go
+++ b/internal/faulttest/history.go
@@ -9,9 +9,9 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Event is what happened to one attempt of a task on a machine.
+// Event is a state change of one attempt of a task on a machine.
 type Event struct {
-	At      time.Time // set by the history
+	At      time.Time // set by History.Add
 	Task    ids.TaskRef
 	Attempt ids.Attempt
 	Machine ids.MachineID
@@ -19,31 +19,33 @@
 	Kind    EventKind
 }
 
-// EventKind tells what happened.
+// EventKind is the kind of state change that an Event represents.
 type EventKind uint8
 
-// The kinds of events.
+// The event kinds.
 const (
-	// StartReceived means that the worker was told to run the attempt, and fetches its
+	// StartReceived means that the worker received the command to run the attempt and fetches the
 	// image.
 	StartReceived EventKind = iota
-	// Started means that the attempt runs.
+	// Started means that the attempt started running.
 	Started
-	// Completed means that the attempt ended by itself.
+	// Completed means that the attempt ran to its end.
 	Completed
-	// Terminated means that the attempt was stopped, or lost with its lease or machine.
+	// Terminated means that the attempt was killed, or ended because its worker's lease expired or
+	// its machine was terminated.
 	Terminated
 )
 
-// History records what happened on all machines, in order, and checks that no task runs
-// twice at once. It also counts the tasks that were started again after they completed.
-// The protocol allows that, since an end that was not recorded may be lost with the leader.
+// History records the events of all machines in order and checks that no task runs twice at the
+// same time. It also counts the tasks that are started again after they completed. The protocol
+// allows such repeated starts: a completion that the leader has not recorded yet is lost if the leader
+// fails.
 type History struct {
 	mu             sync.Mutex
 	events         []Event
 	running        map[ids.TaskRef]Event
 	completed      map[ids.TaskRef]bool
-	inFlight       map[attemptKey]Event // starts that were received and do not run yet
+	inFlight       map[attemptKey]Event // received starts that do not run yet
 	violations     []string
 	repeatedStarts int
 }
@@ -55,7 +57,7 @@
 	machine ids.MachineID
 }
 
-// NewHistory returns an empty history.
+// NewHistory returns an empty History.
 func NewHistory() *History {
 	return &History{
 		running:   map[ids.TaskRef]Event{},
@@ -64,7 +66,7 @@
 	}
 }
 
-// Add records an event.
+// Add records the event with the current time.
 func (h *History) Add(event Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -88,7 +90,7 @@
 	}
 }
 
-// recordStart notes that a task runs. It must not run anywhere else.
+// recordStart records that the task runs, and a violation if another attempt of it runs already.
 func (h *History) recordStart(event Event) {
 	if other, runs := h.running[event.Task]; runs {
 		h.violations = append(h.violations, fmt.Sprintf("%s runs on %s and on %s", event.Task, other.Machine, event.Machine))
@@ -96,28 +98,28 @@
 	h.running[event.Task] = event
 }
 
-// recordEnd notes that an attempt no longer runs, if it did.
+// recordEnd removes the attempt from the running tasks, if it was running.
 func (h *History) recordEnd(event Event) {
 	if started, runs := h.running[event.Task]; runs && started.Machine == event.Machine && started.Attempt == event.Attempt {
 		delete(h.running, event.Task)
 	}
 }
 
-// Violations lists the tasks that ran twice at once.
+// Violations describes each case in which a task ran twice at the same time.
 func (h *History) Violations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.violations)
 }
 
-// RepeatedStarts counts the starts of tasks that had completed.
+// RepeatedStarts returns the number of starts of tasks that had already completed.
 func (h *History) RepeatedStarts() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.repeatedStarts
 }
 
-// RunningByZone counts the running tasks of a job in each zone.
+// RunningByZone returns the number of running tasks of the job in each zone.
 func (h *History) RunningByZone(job ids.JobID) map[ids.Zone]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -130,8 +132,8 @@
 	return counts
 }
 
-// StartsInFlight counts the starts that a zone received after a time and that do not run
-// yet, of the jobs that a function selects.
+// StartsInFlight returns the number of starts that the zone received after the given time and that do
+// not run yet. It counts only jobs for which match returns true.
 func (h *History) StartsInFlight(zone ids.Zone, after time.Time, match func(ids.JobID) bool) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -144,7 +146,8 @@
 	return count
 }
 
-// StartsReceived counts the starts of a job's tasks that a zone received after a time.
+// StartsReceived returns the number of starts of the job's tasks that the zone received after the given
+// time.
 func (h *History) StartsReceived(job ids.JobID, zone ids.Zone, after time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/faulttest/history_test.go
+++ b/internal/faulttest/history_test.go
@@ -7,7 +7,8 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// The history finds a task that runs twice at once, and one that is started again.
+// History must detect a task that runs twice at the same time and a task that is started again after it
+// completed. Otherwise the deployment tests would pass although a task ran twice.
 func TestHistoryDetectsConcurrentAndRepeatedRuns(t *testing.T) {
 	task := ids.TaskRef{Job: "job-1"}
 	event := func(kind EventKind, machine ids.MachineID, attempt ids.Attempt) Event {
@@ -41,6 +42,7 @@
 	}
 }
 
+// The counts by zone, job and time must include only matching events and starts that do not run yet.
 func TestHistoryCounts(t *testing.T) {
 	event := func(kind EventKind, index int, zone ids.Zone) Event {
 		return Event{Task: ids.TaskRef{Job: "job-1", Index: index}, Attempt: 1, Machine: "n-1", Zone: zone, Kind: kind}
--- a/internal/faulttest/http.go
+++ b/internal/faulttest/http.go
@@ -7,17 +7,17 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// maxRequestBytes is the largest request body that the stand-ins read.
+// maxRequestBytes is the size at which the fakes truncate a request body.
 const maxRequestBytes = 1 << 20
 
-// respond writes a response.
+// respond writes a response with the status and the encoded body.
 func respond(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
-	_, _ = w.Write(wire.Encode(body)) // a caller that is gone needs no response
+	_, _ = w.Write(wire.Encode(body)) // fails only if the client has disconnected
 }
 
-// decodeBody decodes the body of a request. If it cannot, it responds with 400 itself, and ok is
-// false.
+// decodeBody decodes the body of the request. If decoding fails, it responds with status 400 and
+// returns ok false.
 func decodeBody[T any](w http.ResponseWriter, r *http.Request) (body T, ok bool) {
 	raw, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 	if err == nil {
--- a/internal/faulttest/settings.go
+++ b/internal/faulttest/settings.go
@@ -10,16 +10,16 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// writeSettings writes a controller's platform settings.
+// writeSettings writes the platform settings file of the controller.
 func (d *Deployment) writeSettings(c *Controller) error {
 	raw, err := toml.Marshal(d.controllerSettings(c))
 	if err != nil {
-		return fmt.Errorf("settings of %s: %w", c.Name, err)
+		return fmt.Errorf("encode settings of %s: %w", c.Name, err)
 	}
 	return os.WriteFile(c.settingsPath, raw, 0o600)
 }
 
-// controllerSettings returns the platform settings of a controller.
+// controllerSettings returns the platform settings of the controller.
 func (d *Deployment) controllerSettings(c *Controller) config.Platform {
 	platform := config.Platform{
 		HostName: c.Name,
@@ -37,7 +37,7 @@
 	return platform
 }
 
-// sharedSettings returns the settings that all controllers share.
+// sharedSettings returns the settings that are the same for all controllers.
 func (d *Deployment) sharedSettings() config.Settings {
 	settings := config.Settings{
 		Zones: d.zones,
--- a/internal/faulttest/users.go
+++ b/internal/faulttest/users.go
@@ -15,21 +15,21 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Job is a job as its user describes it, as far as the stand-ins need it.
+// Job holds the properties of a submitted job that the fakes need.
 type Job struct {
 	ID       ids.JobID
 	Team     ids.Team
 	Class    string
 	Service  bool
-	Priority string // in the protocol's words
+	Priority string // as encoded in the protocol
 	Tasks    int
-	CPUs     float64 // of each task
+	CPUs     float64 // per task
 	Image    ids.Image
-	RunTime  time.Duration // of each task; 0 for services
+	RunTime  time.Duration // per task; 0 for services
 }
 
-// Users is a stand-in for users: it submits jobs and asks about them, and keeps the
-// descriptions of jobs that workers fetch. Its methods may be called from any goroutine.
+// Users is a fake for the users of the scheduler. It submits and cancels jobs, queries their status,
+// and holds the jobs' descriptions, which the fake workers look up. It is safe for concurrent use.
 type Users struct {
 	controllers []string // addresses
 
@@ -37,8 +37,7 @@
 	jobs map[ids.JobID]Job
 }
 
-// ErrNoResponse reports that no controller gave a definite response before the context
-// ended.
+// ErrNoResponse means that no controller gave a successful response before the context ended.
 var ErrNoResponse = errors.New("no controller responded")
 
 const (
@@ -46,12 +45,12 @@
 	userRetryDelay = 100 * time.Millisecond
 )
 
-// NewUsers returns the users of controllers with these addresses.
+// NewUsers returns a Users that sends its requests to the controllers at these addresses.
 func NewUsers(controllers []string) *Users {
 	return &Users{controllers: controllers, jobs: map[ids.JobID]Job{}}
 }
 
-// Job returns the description of a submitted job.
+// Job returns the description of a submitted job. It reports whether the job is known.
 func (u *Users) Job(id ids.JobID) (Job, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -59,7 +58,7 @@
 	return job, known
 }
 
-// Submit sends a job to one controller after the other until one accepts it.
+// Submit submits the job to each controller in turn until one accepts it.
 func (u *Users) Submit(ctx context.Context, job Job) error {
 	u.mu.Lock()
 	u.jobs[job.ID] = job
@@ -68,20 +67,21 @@
 	return err
 }
 
-// StatusAt asks one controller, given by its index, for a job's status.
+// StatusAt requests the job's status from the controller with the given index.
 func (u *Users) StatusAt(ctx context.Context, controller int, id ids.JobID) (wire.JobStatus, error) {
 	return u.request(ctx, controller, http.MethodGet, jobPath(id), nil)
 }
 
-// Cancel cancels a job.
+// Cancel cancels the job and returns its status.
 func (u *Users) Cancel(ctx context.Context, id ids.JobID) (wire.JobStatus, error) {
 	return u.retry(ctx, http.MethodPost, jobPath(id)+"/withdraw", nil)
 }
 
-// jobPath is the path of requests about a job.
+// jobPath returns the request path of the job.
 func jobPath(id ids.JobID) string { return "/api/jobs/" + string(id) }
 
-// submissionBody encodes a job in the protocol's words, which only users write.
+// submissionBody encodes a submission of the job. The keys are literals because the program only decodes
+// submissions and has no type that encodes them.
 func submissionBody(job Job) []byte {
 	shape := "batch"
 	if job.Service {
@@ -96,8 +96,7 @@
 	})
 }
 
-// retry sends a request to one controller after the other until one gives a definite
-// response.
+// retry sends a request to each controller in turn until one responds successfully or the context ends.
 func (u *Users) retry(ctx context.Context, method, path string, body []byte) (wire.JobStatus, error) {
 	var lastErr error
 	for i := 0; ctx.Err() == nil; i++ {
@@ -111,7 +110,8 @@
 	return wire.JobStatus{}, fmt.Errorf("%s %s: %w", method, path, errors.Join(ErrNoResponse, lastErr))
 }
 
-// request sends a request to one controller.
+// request sends a request to the controller with the given index and decodes the job status in the
+// response.
 func (u *Users) request(ctx context.Context, controller int, method, path string, body []byte) (status wire.JobStatus, err error) {
 	ctx, cancel := context.WithTimeout(ctx, userTimeout)
 	defer cancel()
--- a/internal/faulttest/worker.go
+++ b/internal/faulttest/worker.go
@@ -15,7 +15,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// workerEnvironment is what a worker needs of the deployment.
+// workerEnvironment holds what a worker uses of its deployment.
 type workerEnvironment struct {
 	timing      Timing
 	controllers []string // addresses
@@ -23,15 +23,14 @@
 	history     *History
 }
 
-// Worker is a stand-in for the worker of one machine. Its methods may be called from any
-// goroutine.
+// Worker is a fake for the worker of one machine. It is safe for concurrent use.
 type Worker struct {
 	workerEnvironment
 	machine          wire.Machine
 	server           *httptest.Server
 	client           *http.Client
 	cancel           context.CancelFunc
-	heartbeatTrigger chan struct{} // asks for a heartbeat before its time
+	heartbeatTrigger chan struct{} // requests a heartbeat before the interval ends
 	goroutines       sync.WaitGroup
 
 	mu              sync.Mutex
@@ -40,20 +39,20 @@
 	fencingToken    ids.FencingToken
 	tasks           []*workerTask
 	images          map[ids.Image]bool
-	leaseRenewedAt  time.Time // when the last answered heartbeat was sent
+	leaseRenewedAt  time.Time // send time of the last acknowledged heartbeat
 	partitioned     bool
 	stopped         bool
-	controllerIndex int // the index of the one that gets the heartbeats
+	controllerIndex int // index of the controller that receives the heartbeats; taken modulo their number
 }
 
 const (
-	// heartbeatTimeout bounds the wait for the response to a heartbeat.
+	// heartbeatTimeout is the timeout of a heartbeat request.
 	heartbeatTimeout = 4 * time.Second
-	// heartbeatsPerInterval bounds the heartbeats that changes cause.
+	// heartbeatsPerInterval limits the heartbeats per interval that state changes trigger.
 	heartbeatsPerInterval = 10
 )
 
-// startWorker starts a machine's worker. It ends with Stop and Wait.
+// startWorker starts the worker of the machine. Stop and Wait end it.
 func startWorker(environment workerEnvironment, machine wire.Machine, partitioned bool) *Worker {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Worker{
@@ -76,24 +75,25 @@
 	return w
 }
 
-// Address is host:port of the worker.
+// Address returns the host:port on which the worker listens.
 func (w *Worker) Address() string { return strings.TrimPrefix(w.server.URL, "http://") }
 
-// Partition cuts the machine off from everything.
+// Partition isolates the machine from the network.
 func (w *Worker) Partition() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.partitioned = true
 }
 
-// Heal ends the partition.
+// Heal ends the network partition.
 func (w *Worker) Heal() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.partitioned = false
 }
 
-// Stop ends the machine. It is called once, and does not wait for requests in flight.
+// Stop stops the worker and terminates its tasks. It must be called only once and does not wait for
+// requests in flight.
 func (w *Worker) Stop() {
 	w.cancel()
 	w.mu.Lock()
@@ -106,10 +106,10 @@
 	})
 }
 
-// Wait waits until a stopped worker has ended.
+// Wait blocks until all goroutines of a stopped worker have returned.
 func (w *Worker) Wait() { w.goroutines.Wait() }
 
-// run sends heartbeats until the context ends.
+// run sends heartbeats until the context is canceled.
 func (w *Worker) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.expireLease()
@@ -123,7 +123,7 @@
 	}
 }
 
-// expireLease ends the incarnation and its tasks once the lease has expired.
+// expireLease terminates all tasks and begins a new incarnation if the lease has expired.
 func (w *Worker) expireLease() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -134,10 +134,10 @@
 	}
 }
 
-// leaseExpired reports whether the lease has expired. The caller holds the lock.
+// leaseExpired reports whether the worker's lease has expired. The caller holds the lock.
 func (w *Worker) leaseExpired() bool { return time.Since(w.leaseRenewedAt) > w.timing.Lease }
 
-// nextHeartbeat returns the next heartbeat. The caller holds the lock.
+// nextHeartbeat returns a heartbeat with the next sequence number. The caller holds the lock.
 func (w *Worker) nextHeartbeat() wire.Heartbeat {
 	w.sequence++
 	heartbeat := wire.Heartbeat{
@@ -157,8 +157,8 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends a heartbeat to a controller and executes the commands of the
-// response. The next heartbeat goes to the next controller if this one does not accept it.
+// sendHeartbeat sends a heartbeat to a controller and executes the commands in the response. If the
+// controller does not accept the heartbeat, the next one goes to the next controller.
 func (w *Worker) sendHeartbeat(ctx context.Context) {
 	w.mu.Lock()
 	if w.partitioned || w.stopped {
@@ -186,7 +186,7 @@
 	w.executeCommands(response.Commands)
 }
 
-// post sends one request.
+// post sends a POST request and returns the status and body of the response.
 func (w *Worker) post(ctx context.Context, url string, body []byte) (int, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -201,15 +201,15 @@
 	return response.StatusCode, responseBody, err
 }
 
-// triggerHeartbeat has the next heartbeat sent before its time.
+// triggerHeartbeat requests a heartbeat before the interval ends.
 func (w *Worker) triggerHeartbeat() {
 	select {
 	case w.heartbeatTrigger <- struct{}{}:
-	default: // one is asked for already
+	default: // already requested
 	}
 }
 
-// handleStatus responds with the worker's status.
+// handleStatus responds with the worker's status, encoded as a heartbeat.
 func (w *Worker) handleStatus(rw http.ResponseWriter, _ *http.Request) {
 	if w.dropIfUnreachable(rw) {
 		return
@@ -219,7 +219,8 @@
 	respond(rw, http.StatusOK, w.nextHeartbeat())
 }
 
-// handleCommands executes commands that the leader sends between heartbeats.
+// handleCommands executes the commands that the leader sends between heartbeats. It rejects commands
+// with an older fencing token or for another incarnation.
 func (w *Worker) handleCommands(rw http.ResponseWriter, r *http.Request) {
 	if w.dropIfUnreachable(rw) {
 		return
@@ -239,8 +240,8 @@
 	respond(rw, http.StatusOK, w.nextHeartbeat())
 }
 
-// dropIfUnreachable drops a request that cannot reach the machine, and reports whether
-// it did. The caller of the request gets no response.
+// dropIfUnreachable closes the connection without a response if the machine is partitioned or stopped.
+// It reports whether it did.
 func (w *Worker) dropIfUnreachable(rw http.ResponseWriter) bool {
 	w.mu.Lock()
 	unreachable := w.partitioned || w.stopped
--- a/internal/faulttest/worker_tasks.go
+++ b/internal/faulttest/worker_tasks.go
@@ -8,30 +8,29 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// workerTask is an attempt of a task on a worker's machine.
+// workerTask is an attempt of a task on the worker's machine.
 type workerTask struct {
 	wire.TaskStatus
 	ref   ids.TaskRef
-	timer *time.Timer // of the next change of the state; nil: there is none
+	timer *time.Timer // fires at the next state change; nil if there is none
 }
 
-// stopTimer cancels the next change of the state.
+// stopTimer cancels the next state change.
 func (t *workerTask) stopTimer() {
 	if t.timer != nil {
 		t.timer.Stop()
 	}
 }
 
-// cachedImageDelay is how long a task waits for an image that the machine has.
+// cachedImageDelay is how long a task takes to load an image that the machine has cached.
 const cachedImageDelay = time.Millisecond
 
-// recordEvent adds an event of a task to the history.
+// recordEvent adds an event of the task to the history.
 func (w *Worker) recordEvent(task *workerTask, kind EventKind) {
 	w.history.Add(Event{Task: task.ref, Attempt: task.Attempt, Machine: w.machine.ID, Zone: w.machine.Zone, Kind: kind})
 }
 
-// executeCommands executes commands in order. The caller holds the lock, as for all methods
-// below.
+// executeCommands executes the commands in order. The caller holds the lock, as for all methods below.
 func (w *Worker) executeCommands(commands []wire.Command) {
 	for _, command := range commands {
 		w.executeCommand(command)
@@ -39,7 +38,7 @@
 	}
 }
 
-// executeCommand executes one command. One that does not fit the state of its task has no
+// executeCommand executes a command. A command that is not valid in the state of its task has no
 // effect.
 func (w *Worker) executeCommand(command wire.Command) {
 	ref, _ := ids.ParseTask(command.Name)
@@ -59,7 +58,7 @@
 	}
 }
 
-// addTask adds a task, which starts once the machine has its image.
+// addTask adds a task, which starts once its image is fetched. A task of an unknown job ends immediately.
 func (w *Worker) addTask(ref ids.TaskRef, command wire.Command) {
 	task := &workerTask{TaskStatus: wire.TaskStatus{Name: command.Name, Attempt: command.Attempt, State: wire.TaskFetching}, ref: ref}
 	w.tasks = append(w.tasks, task)
@@ -80,7 +79,7 @@
 	})
 }
 
-// startTask starts a task whose image is there.
+// startTask starts a task whose image is fetched.
 func (w *Worker) startTask(task *workerTask, job Job) {
 	if !w.hasTask(task, wire.TaskFetching) {
 		return
@@ -101,12 +100,12 @@
 	})
 }
 
-// hasTask reports whether a task is on the machine in a state, under a valid lease.
+// hasTask reports whether the task is on the machine in the given state and the lease is valid.
 func (w *Worker) hasTask(task *workerTask, state wire.TaskState) bool {
 	return slices.Contains(w.tasks, task) && task.State == state && !w.leaseExpired()
 }
 
-// endTask ends a task that has not ended.
+// endTask ends a task that has not ended yet and records the event.
 func (w *Worker) endTask(task *workerTask, cause wire.ExitCause) {
 	task.State, task.Cause = wire.TaskEnded, cause
 	task.stopTimer()
@@ -118,7 +117,7 @@
 	w.triggerHeartbeat()
 }
 
-// dropTasks terminates and forgets all tasks.
+// dropTasks terminates and removes all tasks.
 func (w *Worker) dropTasks() {
 	for _, task := range w.tasks {
 		task.stopTimer()
--- a/internal/faulttest/zone_recovery_test.go
+++ b/internal/faulttest/zone_recovery_test.go
@@ -13,22 +13,22 @@
 // failedZone is the zone that fails in each test.
 const failedZone = ids.Zone("wroclaw")
 
-// The built program, started as deploy/service.toml says with deploy/zone-return.json,
-// loses a zone and recovers it. Services run elsewhere before the zone is back. The
-// recovery stays within its ramp, also when the leader is killed in the middle. Each job
-// reaches exactly one final state.
+// A zone fails and recovers in a deployment of the built program, which is started as in
+// deploy/service.toml with the settings in deploy/zone-return.json. The services must run in other
+// zones before the zone recovers. The recovery must stay within the limits of its ramp-up, also after
+// the leader is killed during it. Each job must reach exactly one final state.
 func TestZoneOutageAndRecovery(t *testing.T) {
 	z := newZoneTest(t, "deploy/zone-return.json", []ids.Zone{"gdansk", "krakow", failedZone}, 6)
 	service := Job{ID: "job-000001", Team: "archive", Class: "query", Service: true, Priority: "high", Tasks: 9, CPUs: 2, Image: "query"}
 	array := Job{ID: "job-000002", Team: "archive", Class: "homogenise", Priority: "normal", Tasks: 90, CPUs: 2, Image: "homogenise", RunTime: 9 * time.Second}
 	z.requireNoError(z.Users.Submit(z.ctx, service))
-	z.awaitTrue("all replicas run", func() bool { return z.countRunning(service.ID) == service.Tasks })
+	z.await("all replicas run", func() bool { return z.countRunning(service.ID) == service.Tasks })
 	z.requireNoError(z.Users.Submit(z.ctx, array))
-	z.awaitTrue("the array runs in the zone", func() bool { return z.History.RunningByZone(array.ID)[failedZone] >= 15 })
+	z.await("the array runs in the zone", func() bool { return z.History.RunningByZone(array.ID)[failedZone] >= 15 })
 
 	z.PartitionZone(failedZone)
 	z.awaitZoneCondition(failedZone, zonerecovery.Outage)
-	z.awaitTrue("all replicas run elsewhere", func() bool { return z.countRunningOutside(failedZone, service.ID) == service.Tasks })
+	z.await("all replicas run elsewhere", func() bool { return z.countRunningOutside(failedZone, service.ID) == service.Tasks })
 
 	laterArray := Job{ID: "job-000003", Team: "maps", Class: "reprocess", Priority: "normal", Tasks: 200, CPUs: 2, Image: "reprocess", RunTime: 2 * time.Second}
 	z.requireNoError(z.Users.Submit(z.ctx, laterArray))
@@ -45,50 +45,51 @@
 	z.checkUnknownZone()
 }
 
-// checkRecoveryWithFailover follows the recovery of the zone to its end, and kills the
-// leader in the middle. The starts in flight must stay within what the ramp allowed so far;
-// those of the critical job do not count.
+// checkRecoveryWithFailover polls the zone until its recovery ends, and kills the leader after the first
+// step. The starts in flight must not exceed the highest start limit of the ramp-up so far; the limit
+// does not apply to those of the critical job. The failover must not change the number of outages.
 func (z *zoneTest) checkRecoveryWithFailover(critical ids.JobID) {
 	z.t.Helper()
 	z.awaitZoneCondition(failedZone, zonerecovery.Recovering)
-	began, maxLimit := time.Now(), 0
-	flapsAtFailover, killed := 0, false
+	began, maxStartLimit := time.Now(), 0
+	outagesAtFailover, leaderKilled := 0, false
 	notCritical := func(job ids.JobID) bool { return job != critical }
-	z.awaitTrueEvery(recoveryPollInterval, "the zone serves again", func() bool {
+	z.awaitEvery(recoveryPollInterval, "the zone serves again", func() bool {
 		status, leader, ok := z.zoneStatus(failedZone)
 		if ok && status.Condition == zonerecovery.Serving {
-			if !killed || flapsAtFailover == 0 || status.Outages != flapsAtFailover {
-				z.t.Errorf("leader killed %v: %d flaps before, %d after the recovery", killed, flapsAtFailover, status.Outages)
+			if !leaderKilled || outagesAtFailover == 0 || status.Outages != outagesAtFailover {
+				z.t.Errorf("leader killed: %v, %d outages at the failover, %d after the recovery", leaderKilled, outagesAtFailover, status.Outages)
 			}
 			return true
 		}
 		if ok {
-			maxLimit = max(maxLimit, status.StartLimit)
+			maxStartLimit = max(maxStartLimit, status.StartLimit)
 		}
-		if inFlight := z.History.StartsInFlight(failedZone, began, notCritical); inFlight > maxLimit {
-			z.t.Errorf("%d starts in flight, at most %d are allowed", inFlight, maxLimit)
+		if inFlight := z.History.StartsInFlight(failedZone, began, notCritical); inFlight > maxStartLimit {
+			z.t.Errorf("%d starts in flight, want at most %d", inFlight, maxStartLimit)
 		}
-		if ok && !killed && status.Step >= 1 {
-			killed, flapsAtFailover = true, status.Outages
+		if ok && !leaderKilled && status.Step >= 1 {
+			leaderKilled, outagesAtFailover = true, status.Outages
 			z.restartController(leader)
 		}
 		return false
 	})
 }
 
-// cancelService cancels a service, and waits until its tasks are gone.
+// cancelService cancels the service and waits until it has no running task.
 func (z *zoneTest) cancelService(id ids.JobID) {
 	z.t.Helper()
 	status, err := z.Users.Cancel(z.ctx, id)
 	z.requireNoError(err)
 	if status.Status != wire.JobCancelled {
-		z.t.Errorf("the service is %s", status.Status)
+		z.t.Errorf("the canceled service is %s", status.Status)
 	}
 	z.awaitJobState(id, wire.JobCancelled)
-	z.awaitTrue("the service has no task", func() bool { return z.countRunning(id) == 0 })
+	z.await("the service has no task", func() bool { return z.countRunning(id) == 0 })
 }
 
-// checkHold holds the zone by command, through a controller that need not lead.
+// checkHold holds the zone with the command, which must also work through a controller that is not the
+// leader.
 func (z *zoneTest) checkHold() {
 	z.t.Helper()
 	out, err := z.runCommand(z.Controllers[1], "zone", "hold", string(failedZone), "--reason", "power works", "--for", "1h")
@@ -101,7 +102,7 @@
 	}
 }
 
-// checkRelease releases the zone by command.
+// checkRelease releases the zone with the command, which must remove the override.
 func (z *zoneTest) checkRelease() {
 	z.t.Helper()
 	if out, err := z.runCommand(z.Controllers[2], "zone", "release", string(failedZone)); err != nil {
@@ -113,7 +114,7 @@
 	}
 }
 
-// checkIncidents checks that the outage is listed once.
+// checkIncidents checks that the incidents command lists the outage exactly once.
 func (z *zoneTest) checkIncidents() {
 	z.t.Helper()
 	out, err := z.runCommand(z.Controllers[0], "zone", "incidents")
@@ -122,7 +123,7 @@
 	}
 }
 
-// checkUnknownZone checks that a command about an unknown zone fails with one line.
+// checkUnknownZone checks that a command for an unknown zone fails with a one-line message.
 func (z *zoneTest) checkUnknownZone() {
 	z.t.Helper()
 	out, err := z.runCommand(z.Controllers[0], "zone", "hold", "poznan")
