--- a/internal/golden/fields.go
+++ b/internal/golden/fields.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// CheckFieldsSet reports fields of a value that are empty, and fields of one struct that have the
-// same value: two of these could be swapped unnoticed.
+// CheckFieldsSet reports an error for each empty field of a value, and for fields of one struct that
+// have the same value. A golden test would not detect that two such fields are swapped.
 func CheckFieldsSet(t testing.TB, name string, value any) {
 	t.Helper()
 	checkValue(t, name, reflect.ValueOf(value))
 }
 
-// checkValue checks a value and what is below it. path names the value.
+// checkValue checks a value and, recursively, its elements and fields. path names the value in errors.
 func checkValue(t testing.TB, path string, v reflect.Value) {
 	t.Helper()
 	if !v.IsValid() || v.IsZero() && v.Kind() != reflect.Struct {
@@ -30,7 +30,7 @@
 	}
 }
 
-// checkElements checks the elements of a slice that have fields.
+// checkElements checks that a slice is not empty, and checks its elements that are structs or pointers.
 func checkElements(t testing.TB, path string, v reflect.Value) {
 	t.Helper()
 	if v.Len() == 0 {
@@ -43,11 +43,11 @@
 	}
 }
 
-// checkFields checks the fields of a struct, and that no two have the same value. Flags
-// have only one value that is not empty, so they may.
+// checkFields checks the fields of a struct, and that no two have the same value. Bool fields may,
+// because only one bool value is not empty.
 func checkFields(t testing.TB, path string, v reflect.Value) {
 	t.Helper()
-	seen := map[string]string{} // the path of the field that has a value
+	seen := map[string]string{} // path of the field by its value
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
 		if !field.IsExported() && !field.Anonymous {
--- a/internal/golden/fields_test.go
+++ b/internal/golden/fields_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// errorRecorder records the errors that a check reports.
+// errorRecorder is a testing.TB that records the errors reported through it.
 type errorRecorder struct {
 	testing.TB
 	errors []string
@@ -18,7 +18,7 @@
 	r.errors = append(r.errors, fmt.Sprintf(format, args...))
 }
 
-// inner and outer have a field of each kind that CheckFieldsSet distinguishes.
+// inner and outer have a field of each kind that CheckFieldsSet treats differently.
 type inner struct{ Number, Other int }
 
 type outer struct {
@@ -31,11 +31,13 @@
 	hidden  int
 }
 
-// validOuter returns a value that CheckFieldsSet accepts.
+// validOuter returns a value for which CheckFieldsSet reports no error.
 func validOuter() outer {
 	return outer{Name: "a", Flag: true, Another: true, Pointer: &inner{1, 2}, List: []inner{{3, 4}}, Names: []string{"b"}}
 }
 
+// CheckFieldsSet must report each empty field and each pair of equal fields. Otherwise a golden test could
+// pass although a field was renamed or swapped.
 func TestCheckFieldsSet(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -44,11 +46,11 @@
 	}{
 		{"all filled", func(*outer) {}, nil},
 		{"unexported field", func(o *outer) { o.hidden = 1 }, nil},
-		{"empty text", func(o *outer) { o.Name = "" }, []string{"v.Name is empty"}},
-		{"flag not set", func(o *outer) { o.Flag = false }, []string{"v.Flag is empty"}},
+		{"empty string", func(o *outer) { o.Name = "" }, []string{"v.Name is empty"}},
+		{"bool not set", func(o *outer) { o.Flag = false }, []string{"v.Flag is empty"}},
 		{"nil pointer", func(o *outer) { o.Pointer = nil }, []string{"v.Pointer is empty"}},
-		{"empty list", func(o *outer) { o.Names = []string{} }, []string{"v.Names is empty"}},
-		{"empty field below", func(o *outer) { o.List[0].Other = 0 }, []string{"v.List[0].Other is empty"}},
+		{"empty slice", func(o *outer) { o.Names = []string{} }, []string{"v.Names is empty"}},
+		{"empty nested field", func(o *outer) { o.List[0].Other = 0 }, []string{"v.List[0].Other is empty"}},
 		{"same values", func(o *outer) { o.Pointer.Other = 1 }, []string{"v.Pointer.Other has the same value as v.Pointer.Number"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares what the tests of other packages encode or print with files in
-// their testdata directories. So a change of names in the code cannot change what is
-// stored, sent or printed. Only tests use it.
+// Package golden compares encoded values, requests and printed output with golden files in the testdata
+// directory of the package under test. The files ensure that renaming identifiers does not change what
+// is stored, sent or printed. Only tests use this package.
 package golden
 
 import (
@@ -14,27 +14,29 @@
 	"testing"
 )
 
-// update rewrites the files. Use it only if it is known what the change means for
-// stored records and for controllers of other versions.
-var update = flag.Bool("update", false, "write the golden files anew")
+// update makes Check and CheckText rewrite the golden files. A rewritten file means that the format
+// changes, so set it only after checking the effect on stored records and on controllers of other
+// versions.
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Codec converts values to bytes and back.
+// Codec encodes values to bytes and decodes them.
 type Codec struct {
 	Encode func(any) ([]byte, error)
 	Decode func([]byte, any) error
 }
 
-// Case is a value whose bytes must not change. All of its fields must be filled, since an
-// empty field would hide a changed name. Partial is for a value that lacks some on purpose.
+// Case holds a value whose encoding must not change. All of its fields must be set, because an empty
+// field could hide a changed name.
 type Case struct {
-	Name    string
-	Value   any
+	Name  string
+	Value any
+	// Partial allows a value to have empty fields.
 	Partial bool
 }
 
-// Check decodes the bytes that a file holds for each case, compares the result with the
-// case's value, and compares the bytes with those that the value is encoded to. Each case
-// is a subtest.
+// Check decodes the golden bytes of each case, compares the result with the case's value, and checks that
+// encoding the result gives the same bytes. Each case is a subtest. Every entry of the file must belong
+// to a case.
 func Check(t *testing.T, file string, codec Codec, cases []Case) {
 	t.Helper()
 	if *update {
@@ -45,14 +47,14 @@
 		t.Run(c.Name, func(t *testing.T) {
 			raw, found := golden[c.Name]
 			if !found {
-				t.Fatalf("%s holds no bytes for this case", file)
+				t.Fatalf("%s has no entry for this case", file)
 			}
 			c.check(t, raw, codec)
 		})
 		delete(golden, c.Name)
 	}
 	for name := range golden {
-		t.Errorf("%s: %q belongs to no case", file, name)
+		t.Errorf("%s: entry %q belongs to no case", file, name)
 	}
 }
 
@@ -67,14 +69,14 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got.Elem().Interface(), c.Value) {
-		t.Errorf("read %+v, want %+v", got.Elem(), c.Value)
+		t.Errorf("decoded %+v, want %+v", got.Elem(), c.Value)
 	}
 	if reencoded, err := codec.Encode(got.Elem().Interface()); err != nil || !bytes.Equal(reencoded, raw) {
-		t.Errorf("written as %x, %v, want %x", reencoded, err, raw)
+		t.Errorf("encoded %x, %v, want %x", reencoded, err, raw)
 	}
 }
 
-// CheckText compares a text with a file, byte by byte.
+// CheckText compares a text with the content of a golden file.
 func CheckText(t *testing.T, file, got string) {
 	t.Helper()
 	if *update {
@@ -85,7 +87,7 @@
 	}
 }
 
-// readCases reads a file that holds the bytes of cases by name, in hexadecimal.
+// readCases reads a golden file, which maps the names of cases to their bytes in hexadecimal.
 func readCases(t *testing.T, file string) map[string][]byte {
 	t.Helper()
 	var texts map[string]string
@@ -103,7 +105,7 @@
 	return golden
 }
 
-// writeCases writes a file for readCases.
+// writeCases writes a golden file that readCases reads.
 func writeCases(t *testing.T, file string, codec Codec, cases []Case) {
 	t.Helper()
 	texts := map[string]string{}
@@ -121,7 +123,7 @@
 	writeFile(t, file, append(raw, '\n'))
 }
 
-// testdataDir is where golden files are, from the directory of the test.
+// testdataDir is the directory of golden files, relative to that of the test.
 const testdataDir = "testdata"
 
 // readFile reads a golden file.
--- a/internal/golden/recorder.go
+++ b/internal/golden/recorder.go
@@ -11,18 +11,18 @@
 	"testing"
 )
 
-// Recorder is an HTTP server on loopback that records its requests.
+// Recorder is an HTTP server on loopback that records the requests it receives.
 type Recorder struct {
-	// Address is host:port of the server.
+	// Address is the host:port on which the server listens.
 	Address string
 
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-// NewRecorder starts a server that ends with the test. It records each request as one line
-// (method, path with query, content type and the hexadecimal body, or - without a body),
-// and then calls the handler.
+// NewRecorder starts a server that is closed at the end of the test. The server records each request as
+// one line and then calls the handler. A line holds the method, the path with the query, the content
+// type, and the body in hexadecimal, or "-" if there is none.
 func NewRecorder(t *testing.T, handler http.HandlerFunc) *Recorder {
 	t.Helper()
 	recorder := &Recorder{}
@@ -39,7 +39,7 @@
 	return recorder
 }
 
-// add records one request.
+// add records a request.
 func (rec *Recorder) add(r *http.Request, body []byte) {
 	text := hex.EncodeToString(body)
 	if text == "" {
@@ -50,7 +50,7 @@
 	fmt.Fprintf(&rec.text, "%s %s %q %s\n", r.Method, r.RequestURI, r.Header.Get("Content-Type"), text)
 }
 
-// Text returns the lines of all requests so far.
+// Text returns the lines of all requests received so far.
 func (rec *Recorder) Text() string {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,8 +1,8 @@
 // Package httpclient sends requests to external services: the key-value store, the cloud and
-// the agents on machines. Client is the HTTP transport to one address, with open
-// connections and a deadline on every request. Service adds the request budget and the
-// mapping of statuses to errors that the clients of services share. Neither repeats a
-// request: only the caller knows how to resolve an indeterminate result.
+// the agents on machines. Client is the HTTP transport to one address. It keeps connections open
+// and sets a deadline on every request. Service adds a request budget and maps response statuses to
+// errors; the clients of all services share it. Neither retries a request, because only the
+// caller can resolve an indeterminate result.
 package httpclient
 
 import (
@@ -16,9 +16,9 @@
 )
 
 const (
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout is the timeout for opening a connection.
 	dialTimeout = time.Second
-	// idleTimeout is how long a connection without requests stays open.
+	// idleTimeout is how long an idle connection stays open.
 	idleTimeout = 30 * time.Second
 	// connectionWaitTimeout is how long a request waits for a free connection.
 	connectionWaitTimeout = 500 * time.Millisecond
@@ -26,14 +26,14 @@
 	contentType = "application/msgpack"
 )
 
-// Client sends requests to one address. It is safe for concurrent use.
+// Client sends HTTP requests to one address. It is safe for concurrent use.
 type Client struct {
 	host    *fasthttp.HostClient
 	baseURL string
 }
 
-// New returns a client for an address with at most maxConnections connections. Response
-// bodies above maxBodyBytes are refused.
+// New returns a client for an address that opens at most maxConnections connections. A request whose
+// response body is larger than maxBodyBytes fails.
 func New(address string, maxConnections, maxBodyBytes int) *Client {
 	return &Client{baseURL: "http://" + address, host: &fasthttp.HostClient{
 		Addr:                     address,
@@ -49,10 +49,10 @@
 	}}
 }
 
-// errNoConnection means that no connection could be made, so that the request was not sent.
+// errNoConnection means that no connection could be opened, so the request was not sent.
 var errNoConnection = errors.New("no connection")
 
-// dial opens a connection.
+// dial opens a TCP connection. Its errors wrap errNoConnection.
 func dial(address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	connection, err := dialer.Dial("tcp4", address)
@@ -62,13 +62,14 @@
 	return connection, nil
 }
 
-// SetIdleTimeout sets how long a connection without requests stays open. It must be called
-// before the first request.
+// SetIdleTimeout sets how long an idle connection stays open. It must be called before the first
+// request.
 func (c *Client) SetIdleTimeout(timeout time.Duration) { c.host.MaxIdleConnDuration = timeout }
 
-// Do sends one request and returns the status and a copy of the response's body. The request
-// ends with its timeout or the context's deadline, whichever is earlier. Cancelling the context
-// does not end a request that was sent. An error is a *RequestError of the kind ErrNotSent or ErrNoResponse.
+// Do sends one request and returns the status and a copy of the response body. The request fails
+// when the timeout or the context's deadline expires, whichever is earlier. Canceling the context
+// does not abort a request that was already sent. An error is a *RequestError of kind ErrNotSent or
+// ErrNoResponse.
 func (c *Client) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
 	if err := ctx.Err(); err != nil {
 		return 0, nil, &RequestError{Kind: ErrNotSent, Method: method, Path: path, Cause: err}
@@ -88,8 +89,8 @@
 	return response.StatusCode(), append([]byte(nil), response.Body()...), nil
 }
 
-// requestDeadline returns the end of a timeout that starts now, or the context's deadline if
-// that is earlier.
+// requestDeadline returns the time at which the timeout expires if it starts now, or the context's
+// deadline if that is earlier.
 func requestDeadline(ctx context.Context, timeout time.Duration) time.Time {
 	deadline := time.Now().Add(timeout)
 	if contextDeadline, ok := ctx.Deadline(); ok && contextDeadline.Before(deadline) {
@@ -98,7 +99,7 @@
 	return deadline
 }
 
-// transportErrorKind returns ErrNotSent or ErrNoResponse for an error of the transport.
+// transportErrorKind returns the kind of a transport error: ErrNotSent or ErrNoResponse.
 func transportErrorKind(err error) error {
 	if errors.Is(err, errNoConnection) || errors.Is(err, fasthttp.ErrNoFreeConns) {
 		return ErrNotSent
@@ -106,5 +107,5 @@
 	return ErrNoResponse
 }
 
-// Close closes the idle connections.
+// Close closes all idle connections.
 func (c *Client) Close() { c.host.CloseIdleConnections() }
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -10,9 +10,11 @@
 	"ospreystile.example/ospreystile/internal/golden"
 )
 
-// closedAddress is an address on which nothing listens.
+// closedAddress is an address that refuses connections because nothing listens on it.
 const closedAddress = "127.0.0.1:1"
 
+// Only a request that was certainly not sent may fail with ErrNotSent, because callers treat it as not
+// executed. Every other failure must be ErrNoResponse.
 func TestTransportErrorKinds(t *testing.T) {
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -27,10 +29,10 @@
 		want    error
 	}{
 		{"refused connection", t.Context(), closedAddress, time.Minute, ErrNotSent},
-		{"canceled before", canceled, closesAfterRequest.Address, time.Minute, ErrNotSent},
+		{"context canceled before the request", canceled, closesAfterRequest.Address, time.Minute, ErrNotSent},
 		{"connection closed after the request", t.Context(), closesAfterRequest.Address, time.Minute, ErrNoResponse},
 		{"timeout", t.Context(), hangs.Address, 50 * time.Millisecond, ErrNoResponse},
-		{"response too long", t.Context(), largeResponse.Address, time.Minute, ErrNoResponse},
+		{"response too large", t.Context(), largeResponse.Address, time.Minute, ErrNoResponse},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			client := New(c.address, 1, 1000)
@@ -44,19 +46,20 @@
 	}
 }
 
-// checkRequestError requires that an error names the method, path, status and message of its request.
+// checkRequestError checks that err wraps a *RequestError with the method, path, status and message of
+// want.
 func checkRequestError(t *testing.T, err error, want RequestError) {
 	t.Helper()
 	var requestError *RequestError
 	if !errors.As(err, &requestError) {
-		t.Fatalf("%v names no request", err)
+		t.Fatalf("%v does not wrap a *RequestError", err)
 	}
 	if requestError.Method != want.Method || requestError.Path != want.Path || requestError.Status != want.Status || requestError.Message != want.Message {
-		t.Errorf("names %+v, want %+v", *requestError, want)
+		t.Errorf("request error %+v, want %+v", *requestError, want)
 	}
 }
 
-// A request that finds all connections in use fails after connectionWait, and was not sent.
+// A request fails with ErrNotSent if all connections are in use until connectionWaitTimeout expires.
 func TestRequestWithoutFreeConnectionIsNotSent(t *testing.T) {
 	release := make(chan struct{})
 	arrived := make(chan struct{})
@@ -77,7 +80,7 @@
 	}
 }
 
-// The context's deadline ends a request before its timeout.
+// A request must fail at the context's deadline if that is earlier than the timeout.
 func TestContextDeadlineBoundsRequest(t *testing.T) {
 	hangs := golden.NewRecorder(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
--- a/internal/httpclient/errors.go
+++ b/internal/httpclient/errors.go
@@ -7,28 +7,29 @@
 )
 
 var (
-	// ErrNoResponse means that the service may have executed the request, or may yet do so.
+	// ErrNoResponse means that no response was received. The service may have executed the request, or
+	// may still execute it.
 	ErrNoResponse = errors.New("no response")
-	// ErrNotSent means that the request never left this process.
+	// ErrNotSent means that the request was not sent, so the service has not executed it.
 	ErrNotSent = errors.New("not sent")
 )
 
-// RequestError says which request failed and how. It wraps Kind and Cause.
+// RequestError describes a failed request. It wraps Kind and Cause.
 type RequestError struct {
-	// Kind is the sentinel that callers test for: ErrNotSent, ErrNoResponse, or one of a
-	// Protocol.
+	// Kind is the sentinel error that callers test for: ErrNotSent, ErrNoResponse, or one of the
+	// errors of a Protocol.
 	Kind   error
 	Method string
 	Path   string
-	// Status is the status of the response; 0 if there was none.
+	// Status is the status of the response, or 0 if there was none.
 	Status int
-	// Message is the service's error message, "" if there was none.
+	// Message is the error message in the response, or "" if there was none.
 	Message string
-	// Cause is the underlying error; nil if only the status shows the failure.
+	// Cause is the underlying error, or nil if only the status indicates the failure.
 	Cause error
 }
 
-// Error names the kind, the request, the status and the cause.
+// Error returns a message with the kind, the request, the status, the service's message and the cause.
 func (e *RequestError) Error() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%v: %s %s", e.Kind, e.Method, e.Path)
@@ -44,7 +45,7 @@
 	return text.String()
 }
 
-// Unwrap lets errors.Is and errors.As see the kind and the cause.
+// Unwrap returns the kind and the cause, for errors.Is and errors.As.
 func (e *RequestError) Unwrap() []error {
 	if e.Cause == nil {
 		return []error{e.Kind}
--- a/internal/httpclient/service.go
+++ b/internal/httpclient/service.go
@@ -13,30 +13,31 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Transport carries one request to a service, once. Its errors are *RequestError of the kind
-// ErrNotSent or ErrNoResponse. An error that does not wrap ErrNotSent leaves the result
+// Transport sends one request to a service, without retries. Its errors are of type *RequestError and
+// of kind ErrNotSent or ErrNoResponse. After an error that does not wrap ErrNotSent the result is
 // indeterminate.
 type Transport interface {
 	Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (status int, response []byte, err error)
 }
 
-// Protocol maps the statuses of one service to errors. The error kinds are sentinels of the
-// package of the service's client.
+// Protocol maps the response statuses of one service to errors. The error kinds are sentinel errors
+// of the package that implements the service's client.
 type Protocol struct {
-	// AcceptedStatuses lists the statuses that are answers. All others are errors.
+	// AcceptedStatuses lists the statuses that are returned as a Response. All others are errors.
 	AcceptedStatuses []int
-	// Unavailable is the kind of an error after which the request is known not to be executed.
+	// Unavailable is the error kind if the service has certainly not executed the request.
 	Unavailable error
-	// Indeterminate is the kind of an error after which the request may have been executed,
-	// or may yet be.
+	// Indeterminate is the error kind if the service may have executed the request, or may still
+	// execute it.
 	Indeterminate error
-	// Rejected is the kind of an error for a request that the service never accepts as it is.
+	// Rejected is the error kind for an invalid request, which fails again if it is retried unchanged.
 	Rejected error
-	// Malformed is the kind of an error for an answer that cannot be decoded.
+	// Malformed is the error kind for a response that the protocol does not allow or that cannot be
+	// decoded.
 	Malformed error
-	// ConditionError returns the sentinel for a status and message that stand for a condition of
-	// the service, such as an expired lease, and nil for all others. The sentinel is returned
-	// to callers without a *RequestError.
+	// ConditionError returns the sentinel error for a status and message that represent a condition
+	// of the service, such as an expired lease, and nil for all others. Service.Do returns the
+	// sentinel without a *RequestError.
 	ConditionError func(status int, message string) error
 }
 
@@ -44,37 +45,38 @@
 type Request struct {
 	Method string
 	Path   string
-	// Body is encoded as MessagePack; nil sends none.
+	// Body is encoded as MessagePack. If it is nil, no body is sent.
 	Body any
-	// Timeout bounds the exchange; it starts once the budget admits the request.
+	// Timeout is the timeout of the request. It starts once the budget permits the request.
 	Timeout time.Duration
 }
 
-// Service sends requests to one service within a request budget and maps the results by the
-// service's protocol. It repeats no request. It is safe for concurrent use.
+// Service sends requests to one service within a request budget and maps the results according to the
+// service's protocol. It does not retry requests. It is safe for concurrent use.
 type Service struct {
 	transport Transport
 	budget    *rate.Limiter
 	protocol  Protocol
 }
 
-// NewService returns a service that sends over a transport within a budget.
+// NewService returns a Service that sends requests over the transport within the budget.
 func NewService(transport Transport, budget *rate.Limiter, protocol Protocol) *Service {
 	return &Service{transport: transport, budget: budget, protocol: protocol}
 }
 
-// WithTransport returns the same service over another transport. Both share the budget.
+// WithTransport returns a Service that uses another transport and shares the request budget with s.
 func (s *Service) WithTransport(transport Transport) *Service {
 	return NewService(transport, s.budget, s.protocol)
 }
 
-// Unthrottled returns the same service without a budget.
+// Unthrottled returns a Service that uses the same transport without a request budget.
 func (s *Service) Unthrottled() *Service {
 	return NewService(s.transport, rate.NewLimiter(rate.Inf, 1), s.protocol)
 }
 
-// Do waits for the budget, sends one request and returns its answer. An error is one of the
-// protocol's conditions, or wraps one of the protocol's kinds and a *RequestError.
+// Do waits until the budget permits the request, sends it once and returns the response. An error is
+// one of the protocol's condition errors, or wraps one of the protocol's error kinds and a
+// *RequestError.
 func (s *Service) Do(ctx context.Context, request Request) (*Response, error) {
 	if err := s.budget.Wait(ctx); err != nil {
 		cause := fmt.Errorf("request budget: %w", err)
@@ -97,7 +99,7 @@
 	return &Response{Status: status, Body: response, request: request, malformedKind: s.protocol.Malformed}, nil
 }
 
-// statusError returns the error of a response whose status is not accepted.
+// statusError returns the error for a response whose status is not accepted.
 func (s *Service) statusError(request Request, status int, response []byte) error {
 	message := errorMessage(response)
 	if err := s.protocol.ConditionError(status, message); err != nil {
@@ -113,7 +115,7 @@
 	return &RequestError{Kind: kind, Method: request.Method, Path: request.Path, Status: status, Message: message}
 }
 
-// errorMessage returns the message in the body of an error response, "" if there is none.
+// errorMessage returns the message in the body of an error response, or "" if there is none.
 func errorMessage(body []byte) string {
 	var response struct {
 		Error string `msgpack:"error"`
@@ -124,7 +126,7 @@
 	return response.Error
 }
 
-// Response is a response with an accepted status.
+// Response represents a response with an accepted status.
 type Response struct {
 	Status int
 	Body   []byte
@@ -133,7 +135,7 @@
 	malformedKind error
 }
 
-// Decode reads the body into a value. An error is a *RequestError of the kind Malformed.
+// Decode decodes the body into value. An error is a *RequestError of the protocol's Malformed kind.
 func (a *Response) Decode(value any) error {
 	if err := wire.Decode(a.Body, value); err != nil {
 		return a.MalformedError(err)
@@ -141,8 +143,8 @@
 	return nil
 }
 
-// MalformedError returns the error of an answer that the protocol does not allow. cause is nil if
-// the status alone is wrong.
+// MalformedError returns the error for a response that the protocol does not allow. cause is nil if
+// only the status is wrong.
 func (a *Response) MalformedError(cause error) error {
 	return &RequestError{Kind: a.malformedKind, Method: a.request.Method, Path: a.request.Path, Status: a.Status, Cause: cause}
 }
--- a/internal/httpclient/service_test.go
+++ b/internal/httpclient/service_test.go
@@ -12,7 +12,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// fakeTransport gives every request the same response.
+// fakeTransport is a Transport that returns the same result for every request.
 type fakeTransport struct {
 	status int
 	body   []byte
@@ -31,7 +31,8 @@
 	errCondition     = errors.New("condition")
 )
 
-// newTestService returns a service that accepts 200 and knows one condition.
+// newTestService returns a service that accepts status 200 and has one condition error, for status 400 with
+// the message "special".
 func newTestService(transport Transport) *Service {
 	return NewService(transport, rate.NewLimiter(rate.Inf, 1), Protocol{
 		AcceptedStatuses: []int{http.StatusOK},
@@ -45,6 +46,7 @@
 	})
 }
 
+// An error must name the request, status and message, and wrap the kind that callers test for.
 func TestErrorsNameTheRequest(t *testing.T) {
 	message := func(text string) []byte { return wire.Encode(map[string]string{"error": text}) }
 	notSent := &RequestError{Kind: ErrNotSent, Method: http.MethodGet, Path: "/x"}
@@ -71,10 +73,11 @@
 	}
 }
 
+// A condition error is returned as it is, so that callers can compare it.
 func TestConditionErrorIsNotWrapped(t *testing.T) {
 	transport := fakeTransport{status: http.StatusBadRequest, body: wire.Encode(map[string]string{"error": "special"})}
 	if _, err := newTestService(transport).Do(t.Context(), Request{}); err != errCondition {
-		t.Errorf("%v, want %v itself", err, errCondition)
+		t.Errorf("%v, want %v without a wrapper", err, errCondition)
 	}
 }
 
@@ -92,7 +95,8 @@
 	checkRequestError(t, err, RequestError{Method: http.MethodGet, Path: "/x", Status: http.StatusOK})
 }
 
-// A service over another transport draws on the same budget; one without a budget does not.
+// Services that differ only in their transport must share one request budget. An unthrottled service must
+// not use the budget.
 func TestServicesShareRequestBudget(t *testing.T) {
 	transport := fakeTransport{status: http.StatusOK}
 	service := newTestService(transport)
--- a/internal/knownfailures/citest/main.go
+++ b/internal/knownfailures/citest/main.go
@@ -1,5 +1,5 @@
-// Command citest runs the project's tests in CI: all except those that KNOWN-RED.txt
-// lists, which it prints and expects to fail. It runs in the module's root directory.
+// Command citest runs the project's tests in CI. It prints the tests that KNOWN-RED.txt lists and
+// expects them to fail; all others must pass. It must be run in the module's root directory.
 package main
 
 import (
@@ -11,7 +11,7 @@
 	"ospreystile.example/ospreystile/internal/knownfailures"
 )
 
-// listFile is the name of the list. If it does not exist, no test may fail.
+// listFile is the name of the list of known failures. If the file does not exist, no test may fail.
 const listFile = "KNOWN-RED.txt"
 
 func main() {
@@ -21,6 +21,7 @@
 	}
 }
 
+// run reads the list and runs the tests.
 func run() error {
 	entries, err := readList()
 	if err != nil {
@@ -29,7 +30,7 @@
 	return knownfailures.Run(entries, goTest{}, os.Stdout)
 }
 
-// readList reads the list; without a file it is empty.
+// readList reads the list of known failures. It returns an empty list if the file does not exist.
 func readList() ([]knownfailures.Entry, error) {
 	file, err := os.Open(listFile)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/knownfailures/citest/runner.go
+++ b/internal/knownfailures/citest/runner.go
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// goTest implements knownfailures.Runner with the go command.
+// goTest is a knownfailures.Runner that runs the go command.
 type goTest struct{}
 
-// testFlags are the flags that README.md gives.
+// testFlags are the arguments of the go command with which README.md runs the tests.
 var testFlags = []string{"test", "-race", "-timeout", "10m"}
 
-// RunAll runs all tests that do not match the pattern, and prints what they print.
+// RunAll runs all tests that do not match the pattern skip, and prints their output.
 func (goTest) RunAll(skip string) error {
 	args := slices.Clone(testFlags)
 	if skip != "" {
@@ -27,7 +27,7 @@
 	return cmd.Run()
 }
 
-// Packages lists the packages that have a test of this name.
+// Packages returns the packages that have a test with this name.
 func (goTest) Packages(test string) ([]string, error) {
 	packages, err := exec.Command("go", "list", "./...").Output()
 	if err != nil {
@@ -46,8 +46,8 @@
 	return found, nil
 }
 
-// Passes runs one test. A run that ends without a result of the test, such as one that
-// does not compile, is an error.
+// Passes runs one test and reports whether it passes. It returns an error if the run gives no result for
+// the test, for example because the package does not compile.
 func (goTest) Passes(pkg, test string) (bool, error) {
 	args := append(slices.Clone(testFlags), "-run", exactPattern(test), pkg)
 	output, err := exec.Command("go", args...).CombinedOutput()
@@ -61,5 +61,5 @@
 	return false, fmt.Errorf("running %s of %s: %w: %s", test, pkg, err, output)
 }
 
-// exactPattern returns a pattern that matches one test.
+// exactPattern returns a pattern that matches only the given test name.
 func exactPattern(test string) string { return "^" + test + "$" }
--- a/internal/knownfailures/list.go
+++ b/internal/knownfailures/list.go
@@ -1,7 +1,7 @@
-// Package knownfailures lets CI tolerate tests that fail for a known fault which could not
-// be fixed yet, and no other failures. The tests are listed in KNOWN-RED.txt, one a line. A
-// listed test that passes, or that does not exist, fails the run, so that the list never
-// outlives the faults.
+// Package knownfailures runs the tests in CI and tolerates the failures of tests that are listed in
+// KNOWN-RED.txt, one per line. A listed test fails because of a known fault that is not fixed yet. The
+// run fails if any other test fails. It also fails if a listed test passes or does not exist, so that an
+// entry is removed once its fault is fixed.
 package knownfailures
 
 import (
@@ -14,33 +14,35 @@
 	"strings"
 )
 
-// MaxEntries is how many tests may be listed at once.
+// MaxEntries is the maximum number of listed tests.
 const MaxEntries = 3
 
-// separator stands between the fields of a line, commentPrefix begins a line without any.
 const (
-	separator     = "|"
+	// separator separates the fields of a line.
+	separator = "|"
+	// commentPrefix marks a line as a comment.
 	commentPrefix = "#"
 )
 
-// Errors of a list. Parse wraps them with the line.
+// Errors in a list. Parse wraps the last two with the line number.
 var (
 	ErrTooManyEntries = fmt.Errorf("%d are allowed", MaxEntries)
 	ErrDuplicate      = errors.New("the test is listed twice")
 	ErrMalformedLine  = errors.New("want test | cause | issue")
 )
 
-// Entry is one listed test, with the cause of its failure and the open issue about it.
+// Entry represents a listed test, the cause of its failure and the open issue for it.
 type Entry struct {
 	Test  string
 	Cause string
 	Issue string
 }
 
+// testNamePattern matches the names of top-level tests.
 var testNamePattern = regexp.MustCompile(`^Test[A-Za-z0-9_]*$`)
 
-// Parse reads a list. Each line holds a test, the cause and the issue, separated by "|".
-// It skips empty lines and lines that begin with "#".
+// Parse parses a list. Each line holds the test, the cause and the issue, separated by "|". Empty
+// lines and lines that begin with "#" are skipped.
 func Parse(r io.Reader) ([]Entry, error) {
 	var entries []Entry
 	lines := bufio.NewScanner(r)
@@ -67,7 +69,7 @@
 	return entries, nil
 }
 
-// parseLine reads one line that is no comment.
+// parseLine parses a line that is neither empty nor a comment.
 func parseLine(line string) (Entry, error) {
 	fields := strings.Split(line, separator)
 	if len(fields) != 3 {
@@ -87,8 +89,8 @@
 	return entry, nil
 }
 
-// Pattern returns a regular expression, in the form that go test takes, which matches the
-// names of the listed tests and no others. It is empty if there are none.
+// Pattern returns a regular expression for the flags of go test that matches exactly the names of the
+// listed tests. It returns "" if there are none.
 func Pattern(entries []Entry) string {
 	if len(entries) == 0 {
 		return ""
--- a/internal/knownfailures/run.go
+++ b/internal/knownfailures/run.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Errors of a listed test. Run wraps them with the name of the test.
+// Errors for a listed test. Run wraps them with the name of the test.
 var (
 	ErrMissing   = errors.New("listed as a known failure but does not exist")
 	ErrAmbiguous = errors.New("the name of several tests")
@@ -16,17 +16,17 @@
 
 // Runner runs go test.
 type Runner interface {
-	// RunAll runs all tests except those that match a pattern. An empty pattern excludes none.
+	// RunAll runs all tests except those that match the pattern skip. An empty pattern skips none.
 	RunAll(skip string) error
-	// Packages lists the packages that have a test of this name.
+	// Packages returns the packages that have a test with this name.
 	Packages(test string) ([]string, error)
-	// Passes runs one test of a package.
+	// Passes runs one test of a package and reports whether it passes.
 	Passes(pkg, test string) (bool, error)
 }
 
-// Run runs all tests that are not listed, then each listed one, and prints the latter to
-// out. It fails if a test that is not listed fails, or if a listed one passes or does not
-// exist; the error joins all of these.
+// Run runs all tests that are not listed. Then it prints each listed test to out and runs it. It returns
+// an error if an unlisted test fails, or if a listed test passes, does not exist or is ambiguous. The
+// error joins all such errors.
 func Run(entries []Entry, runner Runner, out io.Writer) error {
 	errs := []error{runner.RunAll(Pattern(entries))}
 	for _, entry := range entries {
@@ -38,7 +38,7 @@
 	return errors.Join(errs...)
 }
 
-// checkStillFails checks that a listed test exists, once, and still fails.
+// checkStillFails checks that a listed test exists in exactly one package and still fails.
 func checkStillFails(test string, runner Runner) error {
 	packages, err := runner.Packages(test)
 	switch {
--- a/internal/knownfailures/run_test.go
+++ b/internal/knownfailures/run_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// fakeRunner has tests with given packages and results.
+// fakeRunner is a Runner with the given packages and results of tests.
 type fakeRunner struct {
-	unlisted error               // the result of all other tests
-	passes   map[string]bool     // by test
-	packages map[string][]string // by test
-	skipped  string              // the pattern of the last call of All
+	unlisted error               // result of RunAll
+	passes   map[string]bool     // by test name
+	packages map[string][]string // by test name
+	skipped  string              // pattern of the last call of RunAll
 }
 
 func (f *fakeRunner) RunAll(skip string) error {
@@ -24,6 +24,8 @@
 
 func (f *fakeRunner) Passes(_, test string) (bool, error) { return f.passes[test], nil }
 
+// Run must tolerate the failure of a listed test and nothing else. An entry must not hide the failure of
+// another test, and must not stay in the list after its test passes.
 func TestRunToleratesListedTestsOnly(t *testing.T) {
 	listed := []Entry{{Test: "TestA", Cause: "a cause", Issue: "20"}}
 	inOnePackage := map[string][]string{"TestA": {"p"}}
@@ -37,7 +39,7 @@
 		{"another test fails", fakeRunner{packages: inOnePackage, unlisted: unlisted}, unlisted},
 		{"a listed test passes", fakeRunner{packages: inOnePackage, passes: map[string]bool{"TestA": true}}, ErrPasses},
 		{"a listed test does not exist", fakeRunner{}, ErrMissing},
-		{"two tests of one name", fakeRunner{packages: map[string][]string{"TestA": {"p", "q"}}}, ErrAmbiguous},
+		{"two tests with one name", fakeRunner{packages: map[string][]string{"TestA": {"p", "q"}}}, ErrAmbiguous},
 	} {
 		var out bytes.Buffer
 		err := Run(listed, &c.runner, &out)
--- a/internal/workqueue/queue_test.go
+++ b/internal/workqueue/queue_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// checkTake requires the items that Take returns.
+// checkTake checks the items that Take returns.
 func checkTake(t *testing.T, q *Queue[int], limit int, want ...int) {
 	t.Helper()
 	if got := q.Take(limit); !slices.Equal(got, want) {
@@ -23,17 +23,19 @@
 	checkTake(t, q, 10)
 }
 
+// Add must refuse items beyond the limit, so that the queue cannot grow without bound if the receiver is
+// slow. Taking an item must make its place available again.
 func TestAddBeyondLimit(t *testing.T) {
 	q := New[int](2)
 	if !q.Add(1) || !q.Add(2) {
-		t.Error("refused an item within the limit")
+		t.Error("Add refused an item within the limit")
 	}
 	if q.Add(3) {
-		t.Error("added an item beyond the limit")
+		t.Error("Add accepted an item beyond the limit")
 	}
 	checkTake(t, q, 1, 1)
 	if !q.Add(4) {
-		t.Error("refused an item after another was taken")
+		t.Error("Add refused an item after another was taken")
 	}
 	checkTake(t, q, 10, 2, 4)
 }
@@ -45,12 +47,12 @@
 	<-q.Added()
 	select {
 	case <-q.Added():
-		t.Error("received a second value")
+		t.Error("Added received a second value")
 	default:
 	}
 }
 
-// A batch that was taken does not share memory with items that are added later.
+// Appending to a batch that was taken must not overwrite the items that are still in the queue.
 func TestTakenItemsDoNotShareMemory(t *testing.T) {
 	q := New[int](10)
 	q.Add(1, 2, 3)
