--- a/internal/kvtest/control.go
+++ b/internal/kvtest/control.go
@@ -7,15 +7,15 @@
 	"ospreystile.example/ospreystile/kv"
 )
 
-// Fault is what becomes of one transaction.
+// Fault is the fault that the store injects into a transaction.
 type Fault int
 
 const (
-	// NoFault means that the transaction is answered.
+	// NoFault means that the transaction is applied and its result returned.
 	NoFault Fault = iota
-	// LoseResponse means that the transaction is applied and not answered.
+	// LoseResponse means that the transaction is applied, but its response is lost.
 	LoseResponse
-	// ApplyLate means that the transaction is not answered, and applied some seconds later.
+	// ApplyLate means that the response is lost and the transaction is applied after lateApplyDelay.
 	ApplyLate
 	// ReturnUnavailable means that the transaction fails with kv.ErrUnavailable.
 	ReturnUnavailable
@@ -26,19 +26,19 @@
 	CorruptResponse
 )
 
-// lateApplyDelay is after how long a transaction with the fault ApplyLate is applied.
+// lateApplyDelay is the delay after which a transaction with the fault ApplyLate is applied.
 const lateApplyDelay = 7 * time.Second
 
-// SetCommitFault has a function decide about each later transaction. It is called under the
-// store's lock, one call at a time, and must not use the store.
+// SetCommitFault sets a function that chooses the fault of each later transaction. The function is
+// called under the store's lock, one call at a time, and must not use the store.
 func (s *Store) SetCommitFault(choose func(kv.Txn) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commitFault = choose
 }
 
-// LoseResponses has the next count transactions applied and not answered, and those after
-// them answered.
+// LoseResponses makes the responses of the next count transactions get lost. These transactions are
+// applied. Later transactions have no fault.
 func (s *Store) LoseResponses(count int) {
 	s.SetCommitFault(func(kv.Txn) Fault {
 		if count == 0 {
@@ -49,7 +49,8 @@
 	})
 }
 
-// StartOutage has the store refuse all requests. Open watches stay open, and no lease ends.
+// StartOutage makes all requests fail with kv.ErrUnavailable. Open watches stay open, and no lease
+// expires during the outage.
 func (s *Store) StartOutage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +59,7 @@
 	s.wakeWatches()
 }
 
-// EndOutage has the store execute requests again. Every lease has its full time.
+// EndOutage makes the store execute requests again. Every lease starts again with its full TTL.
 func (s *Store) EndOutage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +70,7 @@
 	s.wakeWatches()
 }
 
-// SuspendLeaseExpiry stops the expiry of leases. Revoked leases still end.
+// SuspendLeaseExpiry prevents leases from expiring. Leases can still be revoked.
 func (s *Store) SuspendLeaseExpiry() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,29 +78,30 @@
 	s.leaseExpirySuspended = true
 }
 
-// SetRetention has watches fail that start from more than so many revisions ago.
+// SetRetention makes later watches fail with kv.ErrCompacted if they start from more than the given
+// number of revisions ago.
 func (s *Store) SetRetention(revisions ids.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retention = revisions
 }
 
-// SetMaxWatchWait bounds the hold of later watches. A kv.Client cannot cancel a watch, so a test that
-// uses one over HTTP would end only with the longest watch.
+// SetMaxWatchWait limits how long later watches wait. A kv.Client cannot cancel a watch, so without the
+// limit a test that uses one over HTTP would not end before its longest watch.
 func (s *Store) SetMaxWatchWait(maxWait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxWatchWait = maxWait
 }
 
-// AdvanceRevision raises the revision, as changes of keys would that no test looks at.
+// AdvanceRevision increases the revision, as if keys outside the test had changed.
 func (s *Store) AdvanceRevision(revisions ids.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision += revisions
 }
 
-// Put writes a key, in an outage as well, and returns the revision.
+// Put writes a key, also during an outage, and returns the revision.
 func (s *Store) Put(key string, value any) ids.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,8 +111,7 @@
 	return s.revision
 }
 
-// PutWithLease writes a key with a lease of its own, in an outage as well, and returns the
-// revision.
+// PutWithLease writes a key with a new lease, also during an outage, and returns the revision.
 func (s *Store) PutWithLease(key string, value any, ttl time.Duration) ids.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +121,7 @@
 	return s.revision
 }
 
-// Entry reads a key, in an outage as well; found is false if it does not exist.
+// Entry returns the entry of a key, also during an outage; found is false if the key does not exist.
 func (s *Store) Entry(key string) (entry kv.Entry, found bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +130,7 @@
 	return entry, found
 }
 
-// RequestCount returns how many requests there were, refused ones included.
+// RequestCount returns the number of requests so far, including those refused during an outage.
 func (s *Store) RequestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/kvtest/leases.go
+++ b/internal/kvtest/leases.go
@@ -10,16 +10,17 @@
 	"ospreystile.example/ospreystile/kv"
 )
 
-// lease ends unless it is renewed within its time. Its keys end with it.
+// lease represents a lease, which expires unless it is renewed within its TTL. Its keys are deleted when
+// it expires or is revoked.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// renew gives a lease its full time.
+// renew restarts the lease's TTL.
 func (l *lease) renew() { l.expiresAt = time.Now().Add(l.ttl) }
 
-// GrantLease makes a lease that ends unless it is renewed within ttl.
+// GrantLease creates a lease that expires unless it is renewed within ttl.
 func (s *Store) GrantLease(_ context.Context, ttl time.Duration) (id ids.LeaseID, err error) {
 	err = s.request(func() error {
 		id = s.addLease(ttl)
@@ -28,7 +29,8 @@
 	return id, err
 }
 
-// addLease makes a lease.
+// addLease creates a lease and returns its ID. The caller holds the lock, as for all methods below that do
+// not call request.
 func (s *Store) addLease(ttl time.Duration) ids.LeaseID {
 	s.lastLease++
 	granted := &lease{ttl: ttl}
@@ -37,7 +39,7 @@
 	return s.lastLease
 }
 
-// RenewLease gives a lease its full time again, or returns kv.ErrLeaseExpired.
+// RenewLease restarts the lease's TTL. It returns kv.ErrLeaseExpired if the lease does not exist.
 func (s *Store) RenewLease(_ context.Context, id ids.LeaseID) error {
 	return s.request(func() error {
 		renewed := s.leases[id]
@@ -49,7 +51,7 @@
 	})
 }
 
-// RevokeLease ends a lease and deletes its keys. It succeeds if the lease has ended before.
+// RevokeLease ends the lease and deletes its keys. It succeeds if the lease has already ended.
 func (s *Store) RevokeLease(_ context.Context, id ids.LeaseID) error {
 	return s.request(func() error {
 		s.endLease(id)
@@ -57,10 +59,10 @@
 	})
 }
 
-// leaseExpiryEnabled reports whether leases end by their time.
+// leaseExpiryEnabled reports whether leases can expire now.
 func (s *Store) leaseExpiryEnabled() bool { return !s.outage && !s.leaseExpirySuspended }
 
-// expireLeases ends the leases that have expired.
+// expireLeases ends the leases whose TTL has expired, unless expiry is disabled.
 func (s *Store) expireLeases() {
 	if !s.leaseExpiryEnabled() {
 		return
@@ -73,7 +75,7 @@
 	}
 }
 
-// endLease ends a lease and deletes its keys.
+// endLease removes the lease and deletes its keys.
 func (s *Store) endLease(id ids.LeaseID) {
 	delete(s.leases, id)
 	for _, key := range slices.Sorted(maps.Keys(s.entries)) {
@@ -84,7 +86,8 @@
 	}
 }
 
-// nextExpiry returns when the next lease ends unless it is renewed; ok is false if none does.
+// nextExpiry returns when the next lease expires if it is not renewed; ok is false if no lease can
+// expire.
 func (s *Store) nextExpiry() (next time.Time, ok bool) {
 	if !s.leaseExpiryEnabled() {
 		return time.Time{}, false
--- a/internal/kvtest/server.go
+++ b/internal/kvtest/server.go
@@ -17,8 +17,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Server serves a Store at an address on loopback. Callers that the store is to refuse separately
-// get a server each.
+// Server serves a Store over HTTP on loopback. Several servers of one store can refuse the requests of
+// their callers independently.
 type Server struct {
 	*Store
 	http *httptest.Server
@@ -28,14 +28,15 @@
 	refusedPrefix string
 }
 
-// NewServer starts a server of a store. Close ends it.
+// NewServer starts a server for the store. Close stops it.
 func NewServer(store *Store) *Server {
 	server := &Server{Store: store}
 	server.http = httptest.NewServer(server.refuseOrServe(newHandler(store)))
 	return server
 }
 
-// refuseOrServe serves a request, or refuses it while the server's callers are refused.
+// refuseOrServe returns a handler that refuses a request if refuses reports true, and otherwise passes it to
+// next.
 func (s *Server) refuseOrServe(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.refuses(r.URL.Path) {
@@ -46,42 +47,42 @@
 	})
 }
 
-// refuses reports whether a request for a path is refused.
+// refuses reports whether requests for the path are refused.
 func (s *Server) refuses(path string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refused && strings.HasPrefix(path, s.refusedPrefix)
 }
 
-// RefuseRequests has the store refuse the requests to this server whose paths have a prefix; "/" is all
-// requests. Open watches stay open.
+// RefuseRequests makes requests to this server fail as unavailable if their paths have the prefix. The
+// prefix "/" matches all requests. Open watches stay open.
 func (s *Server) RefuseRequests(pathPrefix string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refused, s.refusedPrefix = true, pathPrefix
 }
 
-// AcceptRequests has the store execute the requests to this server again.
+// AcceptRequests makes this server accept all requests again.
 func (s *Server) AcceptRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refused = false
 }
 
-// Address is where the server listens.
+// Address returns the host:port on which the server listens.
 func (s *Server) Address() string { return strings.TrimPrefix(s.http.URL, "http://") }
 
-// Close ends the server and its open connections.
+// Close closes the server and its open connections.
 func (s *Server) Close() {
 	s.http.CloseClientConnections()
 	s.http.Close()
 }
 
-// handler answers requests by the protocol of the store.
+// handler implements the store's HTTP protocol.
 type handler struct{ store *Store }
 
-// newHandler returns a handler that serves a store by its protocol. A lost response closes the
-// connection.
+// newHandler returns a handler that serves the store. For a lost response, it closes the connection
+// without a response.
 func newHandler(store *Store) http.Handler {
 	h := handler{store}
 	mux := http.NewServeMux()
@@ -95,18 +96,18 @@
 	return mux
 }
 
-// errorResponse is the body of an error.
+// errorResponse is the body of an error response.
 type errorResponse struct {
 	Error string `msgpack:"error"`
 }
 
-// respond writes a response.
+// respond writes a response with the status and the encoded body.
 func respond(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
-	_, _ = w.Write(wire.Encode(body)) // a caller that is gone needs no response
+	_, _ = w.Write(wire.Encode(body)) // fails only if the client has disconnected
 }
 
-// respondError writes the response for an error of the store.
+// respondError writes the response that represents an error of the store.
 func respondError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, kv.ErrUnavailable):
@@ -122,7 +123,7 @@
 	}
 }
 
-// decodeBody reads a request's body.
+// decodeBody decodes the body of the request.
 func decodeBody(r *http.Request, body any) error {
 	raw, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -143,7 +144,7 @@
 	}
 }
 
-// listResponse is one page of a list.
+// listResponse is the response to a list request. It holds one page.
 type listResponse struct {
 	Entries  []kv.Entry   `msgpack:"entries"`
 	More     bool         `msgpack:"hasNext"`
@@ -176,13 +177,13 @@
 	respond(w, http.StatusOK, page)
 }
 
-// txnBody is a kv.Txn whose values stay encoded.
+// txnBody is a received kv.Txn whose values are not decoded.
 type txnBody struct {
 	Preconditions []kv.Precondition `msgpack:"guards"`
 	Operations    []operationBody   `msgpack:"apply"`
 }
 
-// operationBody is a kv.Operation whose value stays encoded.
+// operationBody is a received kv.Operation whose value is not decoded.
 type operationBody struct {
 	PutKey    string             `msgpack:"write"`
 	Value     msgpack.RawMessage `msgpack:"v"`
@@ -190,7 +191,7 @@
 	DeleteKey string             `msgpack:"drop"`
 }
 
-// txn returns the transaction of a body.
+// txn converts the body to a kv.Txn.
 func (b txnBody) txn() kv.Txn {
 	txn := kv.Txn{Preconditions: b.Preconditions}
 	for _, operation := range b.Operations {
@@ -200,7 +201,7 @@
 	return txn
 }
 
-// commitResponse is the answer to a transaction.
+// commitResponse is the response to a commit request.
 type commitResponse struct {
 	Revision   ids.Revision `msgpack:"epoch"`
 	FailedKeys []string     `msgpack:"failed,omitempty"`
@@ -224,7 +225,8 @@
 	respond(w, status, commitResponse{result.Revision, result.FailedKeys})
 }
 
-// leaseID reads the lease that a path names; 0, which no lease has, if it names none.
+// leaseID returns the lease ID in the request path. If the path has no valid ID, it returns 0, which is not
+// the ID of any lease.
 func leaseID(r *http.Request) ids.LeaseID {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if err != nil {
@@ -269,7 +271,7 @@
 	respond(w, http.StatusOK, struct{}{})
 }
 
-// watchResponse is the answer to a watch.
+// watchResponse is the response to a watch request.
 type watchResponse struct {
 	Revision ids.Revision `msgpack:"epoch"`
 	Events   []kv.Event   `msgpack:"events"`
--- a/internal/kvtest/store.go
+++ b/internal/kvtest/store.go
@@ -1,11 +1,11 @@
-// Package kvtest is a stand-in for the consensus-backed key-value store, for tests.
+// Package kvtest implements a fake of the consensus-backed key-value store, for tests.
 //
 // Store holds keys, leases and changes in memory and has the methods of kv.Client. It starts no
-// goroutine and reads the time from package time, so that it can be used within a bubble of
-// testing/synctest. Client is the access of one caller, with latency and with faults of this
-// caller alone. Server serves a Store over HTTP, for callers that use kv.Client and for
-// processes. The limits of the real store for requests and sizes are not implemented; a test
-// causes refusals by SetCommitFault.
+// goroutines and takes the time from package time, so it can be used in a testing/synctest bubble.
+// Client accesses a Store on behalf of one caller, with latency and with faults that affect only this
+// caller. Server serves a Store over HTTP to callers that use kv.Client and to other processes. The
+// real store's request and size limits are not implemented; a test uses SetCommitFault to have
+// transactions fail as if a limit were exceeded.
 package kvtest
 
 import (
@@ -26,18 +26,18 @@
 	mu       sync.Mutex
 	revision ids.Revision
 	entries  map[string]kv.Entry
-	// events holds all changes in the order of their revisions.
+	// events holds all changes, ordered by revision.
 	events []kv.Event
-	// retention is from how many revisions ago a watch may start; 0 means any.
+	// retention is the number of past revisions from which a watch may start; 0 means no limit.
 	retention ids.Revision
-	// maxWatchWait bounds how long a watch waits; 0 means as long as it asks for.
+	// maxWatchWait limits how long a watch waits for changes; 0 means no limit.
 	maxWatchWait time.Duration
 	leases       map[ids.LeaseID]*lease
 	lastLease    ids.LeaseID
-	// changed is closed, and replaced, when a watch must look again.
+	// changed is closed and replaced when open watches must check for changes again.
 	changed chan struct{}
 	outage  bool
-	// leaseExpirySuspended has no lease end by its time.
+	// leaseExpirySuspended prevents leases from expiring.
 	leaseExpirySuspended bool
 	requestCount         int
 	commitFault          func(kv.Txn) Fault
@@ -53,7 +53,8 @@
 	}
 }
 
-// request executes a request under the lock, unless there is an outage.
+// request counts a request and executes it under the lock, or returns kv.ErrUnavailable during an
+// outage.
 func (s *Store) request(execute func() error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +66,7 @@
 	return execute()
 }
 
-// Get reads one key; found is false if it does not exist.
+// Get returns the entry of a key; found is false if the key does not exist.
 func (s *Store) Get(_ context.Context, key string) (entry kv.Entry, found bool, err error) {
 	err = s.request(func() error {
 		entry, found = s.entries[key]
@@ -74,8 +75,8 @@
 	return entry, found, err
 }
 
-// List hands all entries whose keys have a prefix to each, in the order of keys, and returns
-// the store's revision.
+// List calls each for all entries whose keys have the prefix, in key order, and returns the store's
+// revision. It stops at the first error of each.
 func (s *Store) List(_ context.Context, prefix string, each func(kv.Entry) error) (ids.Revision, error) {
 	entries, revision, err := s.snapshot(prefix)
 	if err != nil {
@@ -89,7 +90,7 @@
 	return revision, nil
 }
 
-// snapshot returns the entries whose keys have a prefix in the order of keys, and the revision.
+// snapshot returns the entries whose keys have the prefix, in key order, and the revision.
 func (s *Store) snapshot(prefix string) (entries []kv.Entry, revision ids.Revision, err error) {
 	err = s.request(func() error {
 		revision = s.revision
@@ -103,7 +104,7 @@
 	return entries, revision, err
 }
 
-// Commit applies a transaction, or does to it what SetCommitFault says.
+// Commit applies a transaction, subject to the fault set with SetCommitFault.
 func (s *Store) Commit(_ context.Context, txn kv.Txn) (result kv.TxnResult, err error) {
 	err = s.request(func() error {
 		result, err = s.applyWithFault(txn)
@@ -112,7 +113,7 @@
 	return result, err
 }
 
-// applyWithFault applies a transaction, or does to it what SetCommitFault says.
+// applyWithFault applies a transaction, subject to the fault that commitFault returns for it.
 func (s *Store) applyWithFault(txn kv.Txn) (kv.TxnResult, error) {
 	switch s.commitFault(txn) {
 	case LoseResponse:
@@ -132,17 +133,17 @@
 	return s.apply(txn)
 }
 
-// applyAfter applies a transaction after a delay.
+// applyAfter applies a transaction after the delay.
 func (s *Store) applyAfter(delay time.Duration, txn kv.Txn) {
 	time.AfterFunc(delay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.expireLeases()
-		_, _ = s.apply(txn) // the caller has returned already
+		_, _ = s.apply(txn) // the result was already returned as indeterminate
 	})
 }
 
-// apply applies a transaction if its leases live and its preconditions hold.
+// apply applies a transaction if its leases have not expired and its preconditions hold.
 func (s *Store) apply(txn kv.Txn) (kv.TxnResult, error) {
 	for _, operation := range txn.Operations {
 		if operation.Lease != 0 && s.leases[operation.Lease] == nil {
@@ -165,7 +166,7 @@
 	return kv.TxnResult{Applied: true, Revision: s.revision}, nil
 }
 
-// failedKeys lists the keys whose preconditions do not hold, nil if all hold.
+// failedKeys returns the keys whose preconditions do not hold, or nil if all hold.
 func (s *Store) failedKeys(preconditions []kv.Precondition) []string {
 	var failed []string
 	for _, precondition := range preconditions {
@@ -176,20 +177,20 @@
 	return failed
 }
 
-// write puts a key at the present revision.
+// write puts a key at the current revision.
 func (s *Store) write(key string, value any, lease ids.LeaseID) {
 	entry := kv.Entry{Key: key, Value: wire.Encode(value), Revision: s.revision, Lease: lease}
 	s.entries[key] = entry
 	s.record(kv.Event{PutKey: key, Value: entry.Value, Revision: s.revision})
 }
 
-// remove deletes a key at the present revision.
+// remove deletes a key at the current revision.
 func (s *Store) remove(key string) {
 	delete(s.entries, key)
 	s.record(kv.Event{DeletedKey: key, Revision: s.revision})
 }
 
-// record keeps a change and wakes the watches.
+// record appends a change to the events and wakes all watches.
 func (s *Store) record(event kv.Event) {
 	s.events = append(s.events, event)
 	s.wakeWatches()
--- a/internal/kvtest/store_test.go
+++ b/internal/kvtest/store_test.go
@@ -15,7 +15,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// kvClient is what callers use a store by.
+// kvClient holds the methods that Store, Client and kv.Client have in common.
 type kvClient interface {
 	Get(ctx context.Context, key string) (kv.Entry, bool, error)
 	List(ctx context.Context, prefix string, each func(kv.Entry) error) (ids.Revision, error)
@@ -32,10 +32,10 @@
 	_ kvClient = (*kv.Client)(nil)
 )
 
-// noLatency is the latency of clients that answer at once.
+// noLatency is the latency of clients without delays.
 func noLatency() time.Duration { return 0 }
 
-// forEachClient runs a test on a store in memory, through a client and over HTTP.
+// forEachClient runs a test directly on a store, through a Client and over HTTP.
 func forEachClient(t *testing.T, test func(t *testing.T, store *Store, client kvClient)) {
 	t.Run("store", func(t *testing.T) {
 		store := NewStore()
@@ -51,7 +51,7 @@
 	})
 }
 
-// startServer starts a server of a store that ends with the test.
+// startServer starts a server for the store and closes it at the end of the test.
 func startServer(t *testing.T, store *Store) *Server {
 	t.Helper()
 	server := NewServer(store)
@@ -59,17 +59,17 @@
 	return server
 }
 
-// newHTTPClient returns a client of a server.
+// newHTTPClient returns a kv.Client that is connected to the server.
 func newHTTPClient(server *Server) *kv.Client {
 	return kv.New(httpclient.New(server.Address(), 4, 16<<20), 100_000)
 }
 
-// put is a transaction that puts a key if it has a revision.
+// put returns a transaction that puts a key if the key has the given revision.
 func put(key string, revision ids.Revision, value any) kv.Txn {
 	return kv.Txn{Preconditions: []kv.Precondition{{Key: key, Revision: revision}}, Operations: []kv.Operation{{PutKey: key, Value: value}}}
 }
 
-// checkCommit requires the result of a transaction.
+// checkCommit checks the result of committing a transaction.
 func checkCommit(t *testing.T, client kvClient, txn kv.Txn, want kv.TxnResult) {
 	t.Helper()
 	if got, err := client.Commit(t.Context(), txn); err != nil || !reflect.DeepEqual(got, want) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// checkAbsent requires that a key does not exist.
+// checkAbsent checks that a key does not exist.
 func checkAbsent(t *testing.T, client kvClient, key string) {
 	t.Helper()
 	if entry, found, err := client.Get(t.Context(), key); err != nil || found {
@@ -85,6 +85,7 @@
 	}
 }
 
+// A transaction must be applied only if all of its preconditions hold, and then as a whole.
 func TestCommitIsCompareAndSwap(t *testing.T) {
 	forEachClient(t, func(t *testing.T, _ *Store, client kvClient) {
 		checkCommit(t, client, put("a/b", 0, "x"), kv.TxnResult{Applied: true, Revision: 1})
@@ -125,6 +126,8 @@
 	})
 }
 
+// A watch must see that a key is deleted when its lease expires. The expired lease must not be usable, and a
+// commit with it must fail even if a precondition fails as well.
 func TestExpiredLeaseDeletesItsKeys(t *testing.T) {
 	const ttl = 100 * time.Millisecond
 	forEachClient(t, func(t *testing.T, _ *Store, client kvClient) {
@@ -134,21 +137,22 @@
 		}
 		leasedPut := kv.Txn{Operations: []kv.Operation{{PutKey: "held", Value: "x", Lease: lease}}}
 		checkCommit(t, client, leasedPut, kv.TxnResult{Applied: true, Revision: 1})
-		_, events, err := client.Watch(t.Context(), "held", 1, time.Minute) // nobody renews the lease
+		_, events, err := client.Watch(t.Context(), "held", 1, time.Minute) // the lease is not renewed
 		if err != nil || len(events) != 1 || events[0].DeletedKey != "held" || events[0].Revision != 2 {
 			t.Errorf("watch: %+v, %v", events, err)
 		}
 		checkAbsent(t, client, "held")
 		if err := client.RenewLease(t.Context(), lease); !errors.Is(err, kv.ErrLeaseExpired) {
-			t.Errorf("renewed: %v", err)
+			t.Errorf("renewal of the expired lease: %v", err)
 		}
 		leasedPut.Preconditions = []kv.Precondition{{Key: "held", Revision: 77}}
 		if _, err := client.Commit(t.Context(), leasedPut); !errors.Is(err, kv.ErrLeaseExpired) {
-			t.Errorf("committed: %v", err)
+			t.Errorf("commit with the expired lease: %v", err)
 		}
 	})
 }
 
+// A revoked lease must delete only the keys that are still attached to it. Revoking it twice must succeed.
 func TestRevokedLeaseEndsImmediately(t *testing.T) {
 	forEachClient(t, func(t *testing.T, _ *Store, client kvClient) {
 		lease, err := client.GrantLease(t.Context(), time.Minute)
@@ -157,7 +161,7 @@
 		}
 		operations := []kv.Operation{{PutKey: "held", Value: "x", Lease: lease}, {PutKey: "free", Value: "x", Lease: lease}}
 		checkCommit(t, client, kv.Txn{Operations: operations}, kv.TxnResult{Applied: true, Revision: 1})
-		checkCommit(t, client, put("free", 1, "y"), kv.TxnResult{Applied: true, Revision: 2}) // detaches it from the lease
+		checkCommit(t, client, put("free", 1, "y"), kv.TxnResult{Applied: true, Revision: 2}) // detaches the key from the lease
 		for range 2 {
 			if err := client.RevokeLease(t.Context(), lease); err != nil {
 				t.Error(err)
@@ -165,7 +169,7 @@
 		}
 		checkAbsent(t, client, "held")
 		if _, found, err := client.Get(t.Context(), "free"); err != nil || !found {
-			t.Errorf("a key that was detached: %v, %v", found, err)
+			t.Errorf("the detached key: %v, %v", found, err)
 		}
 	})
 }
@@ -183,7 +187,7 @@
 		}
 		time.AfterFunc(10*time.Millisecond, func() { store.Put("jobs/2", "x") })
 		if revision, events, err := client.Watch(t.Context(), "jobs/", 2, time.Minute); err != nil || revision != 3 || len(events) != 1 {
-			t.Errorf("a change to come: %d, %+v, %v", revision, events, err)
+			t.Errorf("later change: %d, %+v, %v", revision, events, err)
 		}
 	})
 }
@@ -233,27 +237,27 @@
 	forEachClient(t, func(t *testing.T, store *Store, client kvClient) {
 		store.LoseResponses(1)
 		if _, err := client.Commit(t.Context(), put("k", 0, "x")); !errors.Is(err, kv.ErrIndeterminate) {
-			t.Errorf("the first: %v", err)
+			t.Errorf("first commit: %v", err)
 		}
 		checkCommit(t, client, put("k", 1, "y"), kv.TxnResult{Applied: true, Revision: 2})
 	})
 }
 
-// Servers of one store refuse their callers apart.
+// A server must refuse only the requests with the prefix, and only its own.
 func TestServerRefusesRequests(t *testing.T) {
 	store := NewStore()
 	one, other := startServer(t, store), startServer(t, store)
 	one.RefuseRequests("/store/")
 	if _, _, err := newHTTPClient(one).Get(t.Context(), "k"); !errors.Is(err, kv.ErrUnavailable) {
-		t.Errorf("refused: %v", err)
+		t.Errorf("at the refusing server: %v", err)
 	}
 	if _, _, err := newHTTPClient(other).Get(t.Context(), "k"); err != nil {
 		t.Errorf("at the other server: %v", err)
 	}
-	checkCommit(t, newHTTPClient(one), put("k", 0, "x"), kv.TxnResult{Applied: true, Revision: 1}) // another path
+	checkCommit(t, newHTTPClient(one), put("k", 0, "x"), kv.TxnResult{Applied: true, Revision: 1}) // the path does not have the prefix
 	one.AcceptRequests()
 	if _, found, err := newHTTPClient(one).Get(t.Context(), "k"); err != nil || !found {
-		t.Errorf("accepted again: %v, %v", found, err)
+		t.Errorf("after AcceptRequests: %v, %v", found, err)
 	}
 }
 
@@ -262,14 +266,14 @@
 		store.Put("k", "x")
 		store.StartOutage()
 		if _, _, err := client.Get(t.Context(), "k"); !errors.Is(err, kv.ErrUnavailable) {
-			t.Errorf("in the outage: %v", err)
+			t.Errorf("during the outage: %v", err)
 		}
 		store.EndOutage()
 		if _, found, err := client.Get(t.Context(), "k"); err != nil || !found {
 			t.Errorf("after the outage: %v, %v", found, err)
 		}
 		if requests := store.RequestCount(); requests != 2 {
-			t.Errorf("counts %d requests, want 2", requests)
+			t.Errorf("%d requests counted, want 2", requests)
 		}
 	})
 }
--- a/internal/kvtest/time_test.go
+++ b/internal/kvtest/time_test.go
@@ -11,7 +11,7 @@
 	"ospreystile.example/ospreystile/kv"
 )
 
-// grantLease makes a lease.
+// grantLease grants a lease.
 func grantLease(t *testing.T, client kvClient, ttl time.Duration) ids.LeaseID {
 	t.Helper()
 	id, err := client.GrantLease(t.Context(), ttl)
@@ -33,12 +33,12 @@
 		}
 		time.Sleep(time.Second)
 		if err := store.RenewLease(t.Context(), lease); !errors.Is(err, kv.ErrLeaseExpired) {
-			t.Errorf("after its time: %v", err)
+			t.Errorf("after its TTL: %v", err)
 		}
 	})
 }
 
-// No lease ends in an outage, and afterwards each has its full time.
+// Leases must not expire during an outage, and must have their full TTL after it.
 func TestLeasesDoNotExpireDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
@@ -54,6 +54,7 @@
 	})
 }
 
+// Without expiry a lease must outlive its TTL, but must still end when it is revoked.
 func TestSuspendedLeaseExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
@@ -67,12 +68,13 @@
 			t.Error(err)
 		}
 		if err := store.RenewLease(t.Context(), lease); !errors.Is(err, kv.ErrLeaseExpired) {
-			t.Errorf("revoked: %v", err)
+			t.Errorf("after the revocation: %v", err)
 		}
 	})
 }
 
-// A watch that is open when an outage begins sees what happens after it.
+// A watch that is open when an outage starts must report changes after the outage. Here the change is the
+// expiry of a lease, one TTL after the outage ends.
 func TestWatchStaysOpenDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
@@ -119,11 +121,12 @@
 		time.Sleep(lateApplyDelay + 1)
 		synctest.Wait()
 		if _, found := store.Entry("k"); !found {
-			t.Error("it is not applied")
+			t.Error("the transaction is not applied")
 		}
 	})
 }
 
+// Refusing or delaying the requests of one client must not affect another client.
 func TestRefusedAndDelayedClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
@@ -131,25 +134,26 @@
 		one, other := store.NewClient(latency), store.NewClient(latency)
 		one.RefuseRequests()
 		if err := one.RevokeLease(t.Context(), 1); !errors.Is(err, kv.ErrUnavailable) {
-			t.Errorf("refused: %v", err)
+			t.Errorf("refused client: %v", err)
 		}
 		if err := other.RevokeLease(t.Context(), 1); err != nil {
-			t.Errorf("the other: %v", err)
+			t.Errorf("other client: %v", err)
 		}
 		one.AcceptRequests()
 		one.DelayRequests(time.Second)
 		start := time.Now()
 		if err := one.RevokeLease(t.Context(), 1); err != nil || time.Since(start) != 1005*time.Millisecond {
-			t.Errorf("held: %v after %v", err, time.Since(start))
+			t.Errorf("delayed request: %v after %v", err, time.Since(start))
 		}
 		start = time.Now()
 		if err := one.RevokeLease(t.Context(), 1); err != nil || time.Since(start) != 10*time.Millisecond {
-			t.Errorf("held no more: %v after %v", err, time.Since(start))
+			t.Errorf("request after the delay: %v after %v", err, time.Since(start))
 		}
 	})
 }
 
-// A client waits for a response that was lost.
+// A client must return an indeterminate result only after responseTimeout, as a real client waits for the
+// response.
 func TestClientWaitsForLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
--- a/internal/kvtest/watch.go
+++ b/internal/kvtest/watch.go
@@ -12,8 +12,9 @@
 	"ospreystile.example/ospreystile/kv"
 )
 
-// Watch returns the changes of keys with a prefix after a revision. It waits for one for at
-// most hold, and for as long as the context lasts. A watch that is open goes on in an outage.
+// Watch returns the store's revision and the changes of keys with the prefix after revision since. If
+// there are none, it waits for a change for at most maxWait. If the context ends first, it returns
+// kv.ErrIndeterminate. A watch that is open when an outage starts stays open.
 func (s *Store) Watch(ctx context.Context, prefix string, since ids.Revision, maxWait time.Duration) (ids.Revision, []kv.Event, error) {
 	maxWait, err := s.openWatch(since, maxWait)
 	if err != nil {
@@ -31,8 +32,8 @@
 	}
 }
 
-// openWatch returns for how long a watch may wait. It fails if the changes since a revision are
-// not kept.
+// openWatch returns how long a watch may wait. It returns kv.ErrCompacted if the changes since the
+// revision are no longer retained.
 func (s *Store) openWatch(since ids.Revision, maxWait time.Duration) (time.Duration, error) {
 	err := s.request(func() error {
 		if s.retention > 0 && since+s.retention < s.revision {
@@ -46,15 +47,15 @@
 	return maxWait, err
 }
 
-// watchUpdate is what a watch finds at one look, and when to look again.
+// watchUpdate holds the result of one check for changes, and what to wait for before the next check.
 type watchUpdate struct {
 	revision   ids.Revision
 	events     []kv.Event
 	changed    <-chan struct{}
-	nextExpiry time.Time // zero if no lease ends
+	nextExpiry time.Time // zero if no lease can expire
 }
 
-// updateSince looks for changes of keys with a prefix after a revision.
+// updateSince checks for changes of keys with the prefix after the revision.
 func (s *Store) updateSince(prefix string, since ids.Revision) watchUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +73,8 @@
 	return update
 }
 
-// wait returns when there may be a change, or when a deadline has passed.
+// wait blocks until there may be a change or the deadline expires. It returns an error if the context
+// ends.
 func (u watchUpdate) wait(ctx context.Context, deadline time.Time) error {
 	if !u.nextExpiry.IsZero() && u.nextExpiry.Before(deadline) {
 		deadline = u.nextExpiry
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// wakeWatches has all watches look again.
+// wakeWatches makes all open watches check for changes again.
 func (s *Store) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
