--- a/internal/knownfailures/list_test.go
+++ b/internal/knownfailures/list_test.go
@@ -52,7 +52,7 @@
 	pattern := regexp.MustCompile(Pattern([]Entry{{Test: "TestA"}, {Test: "TestB"}}))
 	for name, listed := range map[string]bool{"TestA": true, "TestB": true, "TestAB": false, "XTestA": false} {
 		if pattern.MatchString(name) != listed {
-			t.Errorf("%s: matches %v, want %v", name, !listed, listed)
+			t.Errorf("%s: match is %v", name, !listed)
 		}
 	}
 }
--- a/internal/kvtest/control.go
+++ b/internal/kvtest/control.go
@@ -11,7 +11,7 @@
 type Fault int
 
 const (
-	// NoFault means that the transaction is applied and its result returned.
+	// NoFault means that the transaction is executed and its result returned.
 	NoFault Fault = iota
 	// LoseResponse means that the transaction is applied, but its response is lost.
 	LoseResponse
--- a/internal/kvtest/store_test.go
+++ b/internal/kvtest/store_test.go
@@ -101,6 +101,8 @@
 	})
 }
 
+// List must return every key with the prefix once and in order, also across pages, and stop at an error of
+// its callback.
 func TestListIsOrderedAndPaged(t *testing.T) {
 	forEachClient(t, func(t *testing.T, store *Store, client kvClient) {
 		var want []string
@@ -174,6 +176,8 @@
 	})
 }
 
+// A watch must return changes that precede it, wait for changes that follow it, and return none when its
+// wait ends.
 func TestWatch(t *testing.T) {
 	forEachClient(t, func(t *testing.T, store *Store, client kvClient) {
 		store.Put("jobs/1", "x")
@@ -192,6 +196,7 @@
 	})
 }
 
+// A watch must fail if it starts before the retained changes, because it would miss some.
 func TestWatchBeforeRetentionFails(t *testing.T) {
 	forEachClient(t, func(t *testing.T, store *Store, client kvClient) {
 		store.SetRetention(10)
@@ -205,6 +210,7 @@
 	})
 }
 
+// Each fault must give the caller its error, and must apply the transaction only if the fault says so.
 func TestCommitFaults(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/kvtest/time_test.go
+++ b/internal/kvtest/time_test.go
@@ -111,6 +111,7 @@
 	})
 }
 
+// A transaction with the fault ApplyLate must be applied after its caller received an indeterminate result.
 func TestLateAppliedTransaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
--- a/internal/workqueue/queue_test.go
+++ b/internal/workqueue/queue_test.go
@@ -40,6 +40,7 @@
 	checkTake(t, q, 10, 2, 4)
 }
 
+// Add must not block while the receiver is busy, so one value represents all items added so far.
 func TestAddedReceivesOneValueForManyItems(t *testing.T) {
 	q := New[int](10)
 	q.Add(1)
