--- a/cloud/golden_test.go
+++ b/cloud/golden_test.go
@@ -33,7 +33,7 @@
 // The golden file holds the methods, paths, queries and bodies of requests, and the values that
 // responses are decoded to. They are part of the cloud's protocol and must not change.
 func TestRequestsToTheCloud(t *testing.T) {
-	rec := golden.Record(t, serveCloud)
+	rec := golden.NewRecorder(t, serveCloud)
 	c := New(rec.Address, 1000)
 	ctx := t.Context()
 	var text strings.Builder
@@ -45,7 +45,7 @@
 	record("return", c.Terminate(ctx, []ids.MachineID{"n-1", "n-2"}))
 	machines, err := c.List(ctx)
 	record("machine list", machines, err)
-	golden.Text(t, "requests.txt", rec.Text()+"\n"+text.String())
+	golden.CheckText(t, "requests.txt", rec.Text()+"\n"+text.String())
 }
 
 // Error responses are distinguished by their status. Only ErrNoCapacity depends on the message too.
@@ -63,7 +63,7 @@
 		{"internal error", http.StatusInternalServerError, nil, ErrIndeterminate},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+			rec := golden.NewRecorder(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
 				_, _ = w.Write(wire.Encode(c.body))
 			})
--- a/cmd/ospreystile/zones_golden_test.go
+++ b/cmd/ospreystile/zones_golden_test.go
@@ -48,5 +48,5 @@
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
-	golden.Text(t, "zones.txt", text.String())
+	golden.CheckText(t, "zones.txt", text.String())
 }
--- a/controller/acknowledgements_test.go
+++ b/controller/acknowledgements_test.go
@@ -97,7 +97,7 @@
 	}
 	a.checkReportedCancelled(t, "job-1")
 
-	a.leaderStore.Refuse("/")
+	a.leaderStore.RefuseRequests("/")
 	waitUntil(t, "the leader does not hold its lease", func() bool { return !term.HoldsLease() })
 	a.checkNotReported(t, "job-2")
 	if knownToLeader(t, a.leader, "job-2") || !term.MayAnswerHeartbeats() {
@@ -110,7 +110,7 @@
 		t.Errorf("cancellation without a reachable leader: %+v", answer)
 	}
 
-	a.leaderStore.Accept()
+	a.leaderStore.AcceptRequests()
 	waitUntil(t, "the leader holds its lease again", func() bool { return term.HoldsLease() })
 	if answer := a.follower.service.Status(t.Context(), "job-2"); answer.Status != 503 {
 		t.Errorf("status without a reachable leader: %+v", answer)
@@ -140,7 +140,7 @@
 	term := c.election.Term()
 	acknowledged := store.Put(records.JobKey("job-0"), records.Job{Status: wire.JobDone, Tasks: 1})
 	waitUntil(t, "all changes are acknowledged", func() bool { return c.pinger.currentPing().AcknowledgedRevision >= acknowledged })
-	leaderStore.Refuse("/grants")
+	leaderStore.RefuseRequests("/grants")
 	waitUntil(t, "the leader does not hold its lease", func() bool { return !term.HoldsLease() })
 	unacknowledged := store.Put(records.JobKey("job-00"), records.Job{Status: wire.JobDone, Tasks: 1})
 	follower := startFollower(t, store.Address(), c, address)
--- a/controller/kv_routes_test.go
+++ b/controller/kv_routes_test.go
@@ -15,7 +15,7 @@
 func newCancelledJobStore(t *testing.T) *kvtest.Server {
 	t.Helper()
 	server := newTestStore(t)
-	server.Advance(6)
+	server.AdvanceRevision(6)
 	server.Put(records.JobKey("job-1"), records.Job{Status: wire.JobCancelled, Tasks: 3, Spec: &wire.JobSpec{Tasks: 3}})
 	return server
 }
@@ -24,7 +24,7 @@
 // to reach the store, it must ask the user to retry.
 func TestReadsGoThroughPeerWhileStoreIsUnreachable(t *testing.T) {
 	reachable, unreachable := newCancelledJobStore(t), newCancelledJobStore(t)
-	unreachable.Refuse("/")
+	unreachable.RefuseRequests("/")
 	ctx, cancel := context.WithCancel(t.Context())
 	other := newTestController(t, testConfig(reachable.Address()))
 
--- a/controller/status_reader_test.go
+++ b/controller/status_reader_test.go
@@ -123,7 +123,7 @@
 		if f.failures == 0 || f.failures > f.queries/2 {
 			t.Errorf("%d of %d queries failed", f.failures, f.queries)
 		}
-		if calls := store.Requests(); 4*calls > f.queries {
+		if calls := store.RequestCount(); 4*calls > f.queries {
 			t.Errorf("%d requests to the store for %d queries", calls, f.queries)
 		}
 	})
--- a/controller/store_test.go
+++ b/controller/store_test.go
@@ -15,8 +15,8 @@
 func newTestStore(t *testing.T) *kvtest.Server {
 	t.Helper()
 	store := kvtest.NewStore()
-	store.SuspendExpiry()
-	store.SetMaxHold(testMaxHold)
+	store.SuspendLeaseExpiry()
+	store.SetMaxWatchWait(testMaxHold)
 	return serveStore(t, store)
 }
 
--- a/internal/faulttest/cloud.go
+++ b/internal/faulttest/cloud.go
@@ -13,22 +13,22 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Cloud is a stand-in for the cloud, with machines of one type in several zones. Its
-// methods may be called from any goroutine.
+// Cloud is a fake cloud that provisions machines of one type in several zones. It is safe for
+// concurrent use.
 type Cloud struct {
 	server      *httptest.Server
-	boot        time.Duration
-	capacity    int // machines of each zone
+	bootDelay   time.Duration
+	capacity    int // machines per zone
 	zones       []ids.Zone
 	startWorker func(wire.Machine) *Worker
 
 	mu       sync.Mutex
 	machines map[ids.MachineID]*cloudMachine
-	requests map[string][]ids.MachineID // the machines of each provision request, by its id
+	requests map[string][]ids.MachineID // machines by the ID of their provision request
 	lastID   int
 }
 
-// cloudMachine is a machine that was provisioned.
+// cloudMachine represents a provisioned machine.
 type cloudMachine struct {
 	wire.Machine
 	provisioned time.Time
@@ -36,7 +36,7 @@
 	terminated  bool
 }
 
-// The machine type of the stand-in.
+// The only machine type of the fake cloud.
 const (
 	machineType     = "m8"
 	machineCPUs     = 8
@@ -44,27 +44,27 @@
 	machineCacheGB  = 50
 )
 
-// statusStarting is the status of a machine that boots.
+// statusStarting is the status of a machine that is booting.
 const statusStarting wire.MachineStatus = "starting"
 
-// NewCloud starts a cloud on loopback. startWorker starts the worker of a machine that has
-// booted; it must not call the cloud.
+// NewCloud starts a fake cloud on loopback. startWorker is called once a machine has booted and
+// starts its worker. It runs under the cloud's lock and must not call the cloud.
 func NewCloud(zones []ids.Zone, capacity int, boot time.Duration, startWorker func(wire.Machine) *Worker) *Cloud {
-	c := &Cloud{boot: boot, capacity: capacity, zones: zones, startWorker: startWorker,
+	c := &Cloud{bootDelay: boot, capacity: capacity, zones: zones, startWorker: startWorker,
 		machines: map[ids.MachineID]*cloudMachine{}, requests: map[string][]ids.MachineID{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog", c.catalog)
-	mux.HandleFunc("POST /hosts", c.provision)
-	mux.HandleFunc("POST /hosts/return", c.terminate)
-	mux.HandleFunc("GET /hosts", c.list)
+	mux.HandleFunc("GET /catalog", c.handleCatalog)
+	mux.HandleFunc("POST /hosts", c.handleProvision)
+	mux.HandleFunc("POST /hosts/return", c.handleTerminate)
+	mux.HandleFunc("GET /hosts", c.handleList)
 	c.server = httptest.NewServer(mux)
 	return c
 }
 
-// Address is host:port of the cloud.
+// Address returns the host:port on which the cloud listens.
 func (c *Cloud) Address() string { return strings.TrimPrefix(c.server.URL, "http://") }
 
-// Close ends the cloud and all machines, and waits for the end of their workers.
+// Close stops the cloud, terminates all machines and waits until their workers have stopped.
 func (c *Cloud) Close() {
 	c.server.CloseClientConnections()
 	c.server.Close()
@@ -73,7 +73,7 @@
 	}
 }
 
-// terminateAll terminates all machines, and lists the workers of all that ever booted.
+// terminateAll terminates all machines and returns the workers of all machines that ever booted.
 func (c *Cloud) terminateAll() []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +87,7 @@
 	return workers
 }
 
-// Workers lists the workers of a zone's machines that have booted.
+// Workers returns the workers of the zone's machines that have booted and are not terminated.
 func (c *Cloud) Workers(zone ids.Zone) []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +100,7 @@
 	return workers
 }
 
-// terminate ends a machine with all that runs on it.
+// terminate stops the machine and every task on it.
 func (m *cloudMachine) terminate() {
 	if m.terminated {
 		return
@@ -111,15 +111,15 @@
 	}
 }
 
-func (c *Cloud) catalog(w http.ResponseWriter, _ *http.Request) {
-	reply(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{{
+func (c *Cloud) handleCatalog(w http.ResponseWriter, _ *http.Request) {
+	respond(w, http.StatusOK, wire.Catalog{Types: []wire.MachineType{{
 		Name: machineType, CPUs: machineCPUs, MemoryGB: machineMemoryGB, CacheGB: machineCacheGB, FetchGBps: 1,
-		Price: 1, SpotPrice: 0.4, BootS: c.boot.Seconds(), Zones: c.zones,
+		Price: 1, SpotPrice: 0.4, BootS: c.bootDelay.Seconds(), Zones: c.zones,
 	}}})
 }
 
-func (c *Cloud) provision(w http.ResponseWriter, r *http.Request) {
-	request, ok := read[wire.ProvisionRequest](w, r)
+func (c *Cloud) handleProvision(w http.ResponseWriter, r *http.Request) {
+	request, ok := decodeBody[wire.ProvisionRequest](w, r)
 	if !ok {
 		return
 	}
@@ -130,15 +130,15 @@
 		machines = c.addMachines(request)
 	}
 	if len(machines) == 0 {
-		reply(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
+		respond(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 		return
 	}
 	c.requests[request.RequestID] = machines
-	reply(w, http.StatusOK, wire.MachineIDs{IDs: machines})
+	respond(w, http.StatusOK, wire.MachineIDs{IDs: machines})
 }
 
-// addMachines provisions as many machines as the zone has capacity for. The caller holds
-// the lock.
+// addMachines provisions the requested machines, or fewer if the zone's capacity does not suffice.
+// The caller holds the lock.
 func (c *Cloud) addMachines(request wire.ProvisionRequest) []ids.MachineID {
 	var added []ids.MachineID
 	for range min(request.Count, c.capacity-c.countMachines(request.Zone)) {
@@ -152,13 +152,13 @@
 		}}
 		c.machines[m.ID] = m
 		added = append(added, m.ID)
-		time.AfterFunc(c.boot, func() { c.finishBoot(m) })
+		time.AfterFunc(c.bootDelay, func() { c.finishBoot(m) })
 	}
 	return added
 }
 
-// countMachines counts a zone's machines that are not terminated. The caller holds the
-// lock.
+// countMachines returns the number of machines in the zone that are not terminated. The caller holds
+// the lock.
 func (c *Cloud) countMachines(zone ids.Zone) int {
 	count := 0
 	for _, m := range c.machines {
@@ -169,7 +169,7 @@
 	return count
 }
 
-// finishBoot starts a machine's worker, unless the machine was terminated before.
+// finishBoot starts the machine's worker, unless the machine was terminated while it booted.
 func (c *Cloud) finishBoot(m *cloudMachine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,8 +180,8 @@
 	m.Endpoint, m.Status = m.worker.Address(), wire.MachineRunning
 }
 
-func (c *Cloud) terminate(w http.ResponseWriter, r *http.Request) {
-	body, ok := read[wire.MachineIDs](w, r)
+func (c *Cloud) handleTerminate(w http.ResponseWriter, r *http.Request) {
+	body, ok := decodeBody[wire.MachineIDs](w, r)
 	if !ok {
 		return
 	}
@@ -192,11 +192,11 @@
 			m.terminate()
 		}
 	}
-	reply(w, http.StatusOK, map[string]bool{})
+	respond(w, http.StatusOK, map[string]bool{})
 }
 
-// list responds with all machines in one page.
-func (c *Cloud) list(w http.ResponseWriter, r *http.Request) {
+// handleList responds with all machines after the ID in the since parameter, in one page.
+func (c *Cloud) handleList(w http.ResponseWriter, r *http.Request) {
 	since := ids.MachineID(r.URL.Query().Get("since"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -209,5 +209,5 @@
 		}
 	}
 	slices.SortFunc(page.Machines, func(a, b wire.Machine) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	reply(w, http.StatusOK, page)
+	respond(w, http.StatusOK, page)
 }
--- a/internal/faulttest/worker.go
+++ b/internal/faulttest/worker.go
@@ -15,7 +15,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// workerEnvironment is what a worker needs of the deployment.
+// workerEnvironment holds what a worker uses of its deployment.
 type workerEnvironment struct {
 	timing      Timing
 	controllers []string // addresses
@@ -23,37 +23,36 @@
 	history     *History
 }
 
-// Worker is a stand-in for the worker of one machine. Its methods may be called from any
-// goroutine.
+// Worker is a fake for the worker of one machine. It is safe for concurrent use.
 type Worker struct {
 	workerEnvironment
-	machine wire.Machine
-	server  *httptest.Server
-	client  *http.Client
-	cancel  context.CancelFunc
-	changed chan struct{} // asks for a heartbeat before its time
-	running sync.WaitGroup
-
-	mu          sync.Mutex
-	incarnation ids.AgentIncarnation
-	sequence    ids.Sequence
-	token       ids.FencingToken
-	tasks       []*workerTask
-	images      map[ids.Image]bool
-	renewed     time.Time // when the last answered heartbeat was sent
-	partitioned bool
-	stopped     bool
-	controller  int // the index of the one that gets the heartbeats
+	machine          wire.Machine
+	server           *httptest.Server
+	client           *http.Client
+	cancel           context.CancelFunc
+	heartbeatTrigger chan struct{} // requests a heartbeat before the interval ends
+	goroutines       sync.WaitGroup
+
+	mu              sync.Mutex
+	incarnation     ids.AgentIncarnation
+	sequence        ids.Sequence
+	fencingToken    ids.FencingToken
+	tasks           []*workerTask
+	images          map[ids.Image]bool
+	leaseRenewedAt  time.Time // send time of the last acknowledged heartbeat
+	partitioned     bool
+	stopped         bool
+	controllerIndex int // index of the controller that receives the heartbeats; taken modulo their number
 }
 
 const (
-	// heartbeatTimeout bounds the wait for the response to a heartbeat.
+	// heartbeatTimeout is the timeout of a heartbeat request.
 	heartbeatTimeout = 4 * time.Second
-	// heartbeatsPerInterval bounds the heartbeats that changes cause.
+	// heartbeatsPerInterval limits the heartbeats per interval that state changes trigger.
 	heartbeatsPerInterval = 10
 )
 
-// startWorker starts a machine's worker. It ends with Stop and Wait.
+// startWorker starts the worker of the machine. Stop and Wait end it.
 func startWorker(environment workerEnvironment, machine wire.Machine, partitioned bool) *Worker {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Worker{
@@ -61,83 +60,84 @@
 		machine:           machine,
 		client:            &http.Client{Timeout: heartbeatTimeout},
 		cancel:            cancel,
-		changed:           make(chan struct{}, 1),
+		heartbeatTrigger:  make(chan struct{}, 1),
 		incarnation:       1,
 		images:            map[ids.Image]bool{},
-		renewed:           time.Now(),
+		leaseRenewedAt:    time.Now(),
 		partitioned:       partitioned,
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /do", w.execute)
-	mux.HandleFunc("GET /show", w.show)
+	mux.HandleFunc("POST /do", w.handleCommands)
+	mux.HandleFunc("GET /show", w.handleStatus)
 	w.server = httptest.NewServer(mux)
 	w.machine.Endpoint = w.Address()
-	w.running.Go(func() { w.run(ctx) })
+	w.goroutines.Go(func() { w.run(ctx) })
 	return w
 }
 
-// Address is host:port of the worker.
+// Address returns the host:port on which the worker listens.
 func (w *Worker) Address() string { return strings.TrimPrefix(w.server.URL, "http://") }
 
-// Partition cuts the machine off from everything.
+// Partition isolates the machine from the network.
 func (w *Worker) Partition() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.partitioned = true
 }
 
-// Heal ends the partition.
+// Heal ends the network partition.
 func (w *Worker) Heal() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.partitioned = false
 }
 
-// Stop ends the machine. It is called once, and does not wait for requests in flight.
+// Stop stops the worker and terminates its tasks. It must be called only once and does not wait for
+// requests in flight.
 func (w *Worker) Stop() {
 	w.cancel()
 	w.mu.Lock()
 	w.stopped = true
 	w.dropTasks()
 	w.mu.Unlock()
-	w.running.Go(func() {
+	w.goroutines.Go(func() {
 		w.server.CloseClientConnections()
 		w.server.Close()
 	})
 }
 
-// Wait waits until a stopped worker has ended.
-func (w *Worker) Wait() { w.running.Wait() }
+// Wait blocks until all goroutines of a stopped worker have returned.
+func (w *Worker) Wait() { w.goroutines.Wait() }
 
-// run sends heartbeats until the context ends.
+// run sends heartbeats until the context is canceled.
 func (w *Worker) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.expireLease()
 		w.sendHeartbeat(ctx)
 		select {
 		case <-ctx.Done():
-		case <-w.changed:
+		case <-w.heartbeatTrigger:
 			monotonic.Sleep(ctx, w.timing.HeartbeatInterval/heartbeatsPerInterval)
 		case <-time.After(w.timing.HeartbeatInterval):
 		}
 	}
 }
 
-// expireLease ends the incarnation and its tasks once the lease has expired.
+// expireLease terminates all tasks and begins a new incarnation if the lease has expired.
 func (w *Worker) expireLease() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.leaseExpired() {
 		w.dropTasks()
 		w.incarnation++
-		w.renewed = time.Now()
+		w.leaseRenewedAt = time.Now()
 	}
 }
 
-// leaseExpired reports whether the lease has expired. The caller holds the lock.
-func (w *Worker) leaseExpired() bool { return time.Since(w.renewed) > w.timing.Lease }
+// leaseExpired reports whether the worker's lease has expired. The caller holds the lock.
+func (w *Worker) leaseExpired() bool { return time.Since(w.leaseRenewedAt) > w.timing.Lease }
 
-// nextHeartbeat returns the next heartbeat. The caller holds the lock.
+// nextHeartbeat returns a heartbeat with the next sequence number. The caller holds the lock.
 func (w *Worker) nextHeartbeat() wire.Heartbeat {
 	w.sequence++
 	heartbeat := wire.Heartbeat{
@@ -148,7 +148,7 @@
 		Spot:         w.machine.Spot,
 		Incarnation:  w.incarnation,
 		Sequence:     w.sequence,
-		FencingToken: w.token,
+		FencingToken: w.fencingToken,
 		Tasks:        []wire.TaskStatus{},
 	}
 	for _, task := range w.tasks {
@@ -157,8 +157,8 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends a heartbeat to a controller and executes the commands of the
-// response. The next heartbeat goes to the next controller if this one does not accept it.
+// sendHeartbeat sends a heartbeat to a controller and executes the commands in the response. If the
+// controller does not accept the heartbeat, the next one goes to the next controller.
 func (w *Worker) sendHeartbeat(ctx context.Context) {
 	w.mu.Lock()
 	if w.partitioned || w.stopped {
@@ -166,27 +166,27 @@
 		return
 	}
 	heartbeat, sent := w.nextHeartbeat(), time.Now()
-	address := w.controllers[w.controller%len(w.controllers)]
+	address := w.controllers[w.controllerIndex%len(w.controllers)]
 	w.mu.Unlock()
 	status, body, err := w.post(ctx, "http://"+address+"/hello", wire.Encode(heartbeat))
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil || status != http.StatusOK {
-		w.controller++
+		w.controllerIndex++
 		return
 	}
 	var response wire.HeartbeatResponse
-	if wire.Decode(body, &response) != nil || response.FencingToken < w.token {
+	if wire.Decode(body, &response) != nil || response.FencingToken < w.fencingToken {
 		return
 	}
 	if w.partitioned || w.stopped || heartbeat.Incarnation != w.incarnation {
 		return
 	}
-	w.token, w.renewed = response.FencingToken, sent
-	w.executeAll(response.Commands)
+	w.fencingToken, w.leaseRenewedAt = response.FencingToken, sent
+	w.executeCommands(response.Commands)
 }
 
-// post sends one request.
+// post sends a POST request and returns the status and body of the response.
 func (w *Worker) post(ctx context.Context, url string, body []byte) (int, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -201,47 +201,48 @@
 	return response.StatusCode, responseBody, err
 }
 
-// heartbeatSoon has the next heartbeat sent before its time.
-func (w *Worker) heartbeatSoon() {
+// triggerHeartbeat requests a heartbeat before the interval ends.
+func (w *Worker) triggerHeartbeat() {
 	select {
-	case w.changed <- struct{}{}:
-	default: // one is asked for already
+	case w.heartbeatTrigger <- struct{}{}:
+	default: // already requested
 	}
 }
 
-// show responds with the worker's status.
-func (w *Worker) show(rw http.ResponseWriter, _ *http.Request) {
-	if w.dropWhilePartitioned(rw) {
+// handleStatus responds with the worker's status, encoded as a heartbeat.
+func (w *Worker) handleStatus(rw http.ResponseWriter, _ *http.Request) {
+	if w.dropIfUnreachable(rw) {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	reply(rw, http.StatusOK, w.nextHeartbeat())
+	respond(rw, http.StatusOK, w.nextHeartbeat())
 }
 
-// execute executes commands that the leader sends between heartbeats.
-func (w *Worker) execute(rw http.ResponseWriter, r *http.Request) {
-	if w.dropWhilePartitioned(rw) {
+// handleCommands executes the commands that the leader sends between heartbeats. It rejects commands
+// with an older fencing token or for another incarnation.
+func (w *Worker) handleCommands(rw http.ResponseWriter, r *http.Request) {
+	if w.dropIfUnreachable(rw) {
 		return
 	}
-	batch, ok := read[wire.CommandBatch](rw, r)
+	batch, ok := decodeBody[wire.CommandBatch](rw, r)
 	if !ok {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if batch.FencingToken < w.token || batch.Incarnation != w.incarnation || w.stopped {
-		reply(rw, http.StatusConflict, w.nextHeartbeat())
+	if batch.FencingToken < w.fencingToken || batch.Incarnation != w.incarnation || w.stopped {
+		respond(rw, http.StatusConflict, w.nextHeartbeat())
 		return
 	}
-	w.token = batch.FencingToken
-	w.executeAll(batch.Commands)
-	reply(rw, http.StatusOK, w.nextHeartbeat())
+	w.fencingToken = batch.FencingToken
+	w.executeCommands(batch.Commands)
+	respond(rw, http.StatusOK, w.nextHeartbeat())
 }
 
-// dropWhilePartitioned drops a request that cannot reach the machine, and reports whether
-// it did. The caller of the request gets no response.
-func (w *Worker) dropWhilePartitioned(rw http.ResponseWriter) bool {
+// dropIfUnreachable closes the connection without a response if the machine is partitioned or stopped.
+// It reports whether it did.
+func (w *Worker) dropIfUnreachable(rw http.ResponseWriter) bool {
 	w.mu.Lock()
 	unreachable := w.partitioned || w.stopped
 	w.mu.Unlock()
--- a/internal/golden/filled.go
+++ b/internal/golden/fields.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// Filled reports fields of a value that are empty, and fields of one struct that have the
-// same value: two of these could be swapped unnoticed.
-func Filled(t testing.TB, name string, value any) {
+// CheckFieldsSet reports an error for each empty field of a value, and for fields of one struct that
+// have the same value. A golden test would not detect that two such fields are swapped.
+func CheckFieldsSet(t testing.TB, name string, value any) {
 	t.Helper()
-	checkFilled(t, name, reflect.ValueOf(value))
+	checkValue(t, name, reflect.ValueOf(value))
 }
 
-// checkFilled checks a value and what is below it. path names the value.
-func checkFilled(t testing.TB, path string, v reflect.Value) {
+// checkValue checks a value and, recursively, its elements and fields. path names the value in errors.
+func checkValue(t testing.TB, path string, v reflect.Value) {
 	t.Helper()
 	if !v.IsValid() || v.IsZero() && v.Kind() != reflect.Struct {
 		t.Errorf("%s is empty", path)
@@ -22,7 +22,7 @@
 	}
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
-		checkFilled(t, path, v.Elem())
+		checkValue(t, path, v.Elem())
 	case reflect.Slice:
 		checkElements(t, path, v)
 	case reflect.Struct:
@@ -30,7 +30,7 @@
 	}
 }
 
-// checkElements checks the elements of a slice that have fields.
+// checkElements checks that a slice is not empty, and checks its elements that are structs or pointers.
 func checkElements(t testing.TB, path string, v reflect.Value) {
 	t.Helper()
 	if v.Len() == 0 {
@@ -38,23 +38,23 @@
 	}
 	for i := range v.Len() {
 		if kind := v.Index(i).Kind(); kind == reflect.Struct || kind == reflect.Pointer {
-			checkFilled(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+			checkValue(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 	}
 }
 
-// checkFields checks the fields of a struct, and that no two have the same value. Flags
-// have only one value that is not empty, so they may.
+// checkFields checks the fields of a struct, and that no two have the same value. Bool fields may,
+// because only one bool value is not empty.
 func checkFields(t testing.TB, path string, v reflect.Value) {
 	t.Helper()
-	seen := map[string]string{} // the path of the field that has a value
+	seen := map[string]string{} // path of the field by its value
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
 		if !field.IsExported() && !field.Anonymous {
 			continue
 		}
 		fieldPath := path + "." + field.Name
-		checkFilled(t, fieldPath, v.Field(i))
+		checkValue(t, fieldPath, v.Field(i))
 		if kind := field.Type.Kind(); kind == reflect.Bool || kind == reflect.Struct || kind == reflect.Pointer {
 			continue
 		}
--- a/kv/errors.go
+++ b/kv/errors.go
@@ -30,12 +30,12 @@
 
 // protocol maps the HTTP statuses of the store to errors.
 var protocol = httpclient.Protocol{
-	Accepted:      []int{http.StatusOK, http.StatusNotFound, http.StatusConflict},
-	Unavailable:   ErrUnavailable,
-	Indeterminate: ErrIndeterminate,
-	Rejected:      ErrRejected,
-	Malformed:     ErrMalformedResponse,
-	Condition:     condition,
+	AcceptedStatuses: []int{http.StatusOK, http.StatusNotFound, http.StatusConflict},
+	Unavailable:      ErrUnavailable,
+	Indeterminate:    ErrIndeterminate,
+	Rejected:         ErrRejected,
+	Malformed:        ErrMalformedResponse,
+	ConditionError:   condition,
 }
 
 // leaseExpiredMessage is the store's error message for a lease that does not exist.
--- a/kv/golden_test.go
+++ b/kv/golden_test.go
@@ -64,7 +64,7 @@
 // The methods, paths, queries and bodies of requests, and the values that responses are decoded to,
 // do not change.
 func TestRequestEncoding(t *testing.T) {
-	recorder := golden.Record(t, serveStore)
+	recorder := golden.NewRecorder(t, serveStore)
 	c := New(httpclient.New(recorder.Address, 2, 1<<20), 1000)
 	ctx := t.Context()
 	var text strings.Builder
@@ -87,7 +87,7 @@
 	record("touch", c.RenewLease(ctx, lease))
 	record("touch ended", c.RenewLease(ctx, 78))
 	record("revoke", c.RevokeLease(ctx, lease))
-	golden.Text(t, "requests.txt", recorder.Text()+"\n"+text.String())
+	golden.CheckText(t, "requests.txt", recorder.Text()+"\n"+text.String())
 }
 
 // Error responses are distinguished by their status, and those for an expired lease by their message.
@@ -106,7 +106,7 @@
 		{"internal error", http.StatusInternalServerError, nil, ErrIndeterminate},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			recorder := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+			recorder := golden.NewRecorder(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
 				_, _ = w.Write(wire.Encode(c.body))
 			})
--- a/server/golden_test.go
+++ b/server/golden_test.go
@@ -52,7 +52,7 @@
 		got = append(got, r.Method+" "+r.Path)
 	}
 	slices.Sort(got)
-	golden.Text(t, "routes.txt", strings.Join(got, "\n")+"\n")
+	golden.CheckText(t, "routes.txt", strings.Join(got, "\n")+"\n")
 }
 
 // exchange holds a request, and the response of the service if the service is called.
@@ -110,7 +110,7 @@
 		fmt.Fprintf(&text, "%s: %s %s [%x]\n%s  <- %d type %q retry after %q close %v [%x]\n", c.name, c.method, c.path, c.body, svc.calls.String(),
 			res.StatusCode, res.Header.Get("Content-Type"), res.Header.Get("Retry-After"), res.Close, raw)
 	}
-	golden.Text(t, "answers.txt", text.String())
+	golden.CheckText(t, "answers.txt", text.String())
 }
 
 // encodeSorted encodes the fields of a body sorted by name, so that its bytes are always the same.
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -28,7 +28,7 @@
 		{"service unavailable", http.StatusServiceUnavailable, heartbeat},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+			rec := golden.NewRecorder(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
 				_, _ = w.Write(c.body)
 			})
@@ -47,7 +47,7 @@
 // An address can be used again after Forget, which must leave no transport: the addresses of
 // terminated machines would otherwise accumulate.
 func TestForget(t *testing.T) {
-	rec := golden.Record(t, func(w http.ResponseWriter, _ *http.Request) {
+	rec := golden.NewRecorder(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(wire.Encode(map[string]any{"host": "n-1"}))
 	})
 	client := New()
