--- a/controller/acknowledgements_test.go
+++ b/controller/acknowledgements_test.go
@@ -138,6 +138,9 @@
 	setTestCatalog(c)
 	address := startLeading(t, c)
 	term := c.election.Term()
+	const advanced = 40 // no record of a job changes up to this revision
+	store.Advance(advanced)
+	waitUntil(t, "revisions without changes of jobs are acknowledged", func() bool { return c.pinger.currentPing().AcknowledgedRevision >= advanced })
 	acknowledged := store.Put(records.JobKey("job-0"), records.Job{Status: wire.JobDone, Tasks: 1})
 	waitUntil(t, "all changes are acknowledged", func() bool { return c.pinger.currentPing().AcknowledgedRevision >= acknowledged })
 	leaderStore.Refuse("/grants")
--- a/controller/kv_routes_test.go
+++ b/controller/kv_routes_test.go
@@ -11,12 +11,13 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// newCancelledJobStore starts a key-value store that holds job-1, cancelled at revision 7.
+// newCancelledJobStore starts a key-value store at revision 9 that holds job-1, cancelled at revision 7.
 func newCancelledJobStore(t *testing.T) *kvtest.Server {
 	t.Helper()
 	server := newTestStore(t)
 	server.Advance(6)
 	server.Put(records.JobKey("job-1"), records.Job{Status: wire.JobCancelled, Tasks: 3, Spec: &wire.JobSpec{Tasks: 3}})
+	server.Advance(2)
 	return server
 }
 
