--- a/internal/kvtest/control.go
+++ b/internal/kvtest/control.go
@@ -38,10 +38,10 @@
 }
 
 // LoseResponses has the next count transactions applied and not answered, and those after
-// them answered.
+// them answered. A transaction whose preconditions do not hold is answered, and does not count.
 func (s *Store) LoseResponses(count int) {
-	s.SetCommitFault(func(kv.Txn) Fault {
-		if count == 0 {
+	s.SetCommitFault(func(txn kv.Txn) Fault {
+		if count == 0 || s.failedKeys(txn.Preconditions) != nil {
 			return NoFault
 		}
 		count--
--- a/internal/kvtest/store_test.go
+++ b/internal/kvtest/store_test.go
@@ -232,6 +232,7 @@
 func TestLoseResponses(t *testing.T) {
 	forEachAccess(t, func(t *testing.T, store *Store, caller access) {
 		store.LoseResponses(1)
+		checkCommit(t, caller, put("k", 7, "x"), kv.TxnResult{FailedKeys: []string{"k"}}) // a conflict is answered
 		if _, err := caller.Commit(t.Context(), put("k", 0, "x")); !errors.Is(err, kv.ErrIndeterminate) {
 			t.Errorf("the first: %v", err)
 		}
