--- a/internal/knownfailures/run_test.go
+++ b/internal/knownfailures/run_test.go
@@ -29,20 +29,21 @@
 	once := map[string][]string{"TestA": {"p"}}
 	unlisted := errors.New("exit status 1")
 	for _, c := range []struct {
-		name   string
-		runner fakeRunner
-		want   error
+		name    string
+		runner  fakeRunner
+		want    error
+		message string
 	}{
-		{"a listed test fails", fakeRunner{packages: once}, nil},
-		{"another test fails", fakeRunner{packages: once, unlisted: unlisted}, unlisted},
-		{"a listed test passes", fakeRunner{packages: once, passes: map[string]bool{"TestA": true}}, ErrPasses},
-		{"a listed test does not exist", fakeRunner{}, ErrMissing},
-		{"two tests of one name", fakeRunner{packages: map[string][]string{"TestA": {"p", "q"}}}, ErrAmbiguous},
+		{"a listed test fails", fakeRunner{packages: once}, nil, ""},
+		{"another test fails", fakeRunner{packages: once, unlisted: unlisted}, unlisted, "exit status 1"},
+		{"a listed test passes", fakeRunner{packages: once, passes: map[string]bool{"TestA": true}}, ErrPasses, "passes: remove it from the list"},
+		{"a listed test does not exist", fakeRunner{}, ErrMissing, "does not exist"},
+		{"two tests of one name", fakeRunner{packages: map[string][]string{"TestA": {"p", "q"}}}, ErrAmbiguous, "several tests"},
 	} {
 		var out bytes.Buffer
 		err := Run(listed, &c.runner, &out)
-		if !errors.Is(err, c.want) || (err == nil) != (c.want == nil) {
-			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+		if !errors.Is(err, c.want) || (err == nil) != (c.want == nil) || err != nil && !strings.Contains(err.Error(), c.message) {
+			t.Errorf("%s: %v, want %v with %q", c.name, err, c.want, c.message)
 		}
 		if c.runner.skipped != "^(TestA)$" || !strings.Contains(out.String(), "TestA: a cause (issue 20)") {
 			t.Errorf("%s: skipped %q, printed %q", c.name, c.runner.skipped, out.String())
