--- a/peerrpc/peerrpc_test.go
+++ b/peerrpc/peerrpc_test.go
@@ -124,11 +124,10 @@
 	}
 }
 
-// A network partition causes no connection error. The call ends with its context, and the peer may
-// have executed the request.
-func TestCallTimeout(t *testing.T) {
-	address, _ := startServer(t)
-	peer := newTestPeer(t, address)
+// checkTimeout requires that a call to a hanging peer ends with its context. The peer still executes
+// the request.
+func checkTimeout(t *testing.T, peer *Peer) {
+	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	if err := peer.Call(ctx, "hang", 1, nil); !errors.Is(err, ErrNoResponse) {
@@ -136,6 +135,13 @@
 	}
 }
 
+// A network partition causes no connection error. The call ends with its context, and the peer may
+// have executed the request.
+func TestCallTimeout(t *testing.T) {
+	address, _ := startServer(t)
+	checkTimeout(t, newTestPeer(t, address))
+}
+
 // countInFlight returns the number of requests in flight.
 func (c *clientConnection) countInFlight() int {
 	c.mu.Lock()
@@ -162,6 +168,7 @@
 	address, _ := startServer(t)
 	peer := newTestPeer(t, address)
 	checkDouble(t, peer, 1)
+	checkTimeout(t, peer)
 	peer.Close()
 	checkDouble(t, peer, 4)
 }
