--- a/internal/kvtest/control.go
+++ b/internal/kvtest/control.go
@@ -38,10 +38,11 @@
 }
 
 // LoseResponses makes the responses of the next count transactions get lost. These transactions are
-// applied. Later transactions have no fault.
+// applied. Later transactions have no fault. A transaction whose preconditions do not hold is answered,
+// and does not count.
 func (s *Store) LoseResponses(count int) {
-	s.SetCommitFault(func(kv.Txn) Fault {
-		if count == 0 {
+	s.SetCommitFault(func(txn kv.Txn) Fault {
+		if count == 0 || s.failedKeys(txn.Preconditions) != nil {
 			return NoFault
 		}
 		count--
--- a/internal/kvtest/store_test.go
+++ b/internal/kvtest/store_test.go
@@ -242,6 +242,7 @@
 func TestLoseResponses(t *testing.T) {
 	forEachClient(t, func(t *testing.T, store *Store, client kvClient) {
 		store.LoseResponses(1)
+		checkCommit(t, client, put("k", 7, "x"), kv.TxnResult{FailedKeys: []string{"k"}}) // a conflict is answered
 		if _, err := client.Commit(t.Context(), put("k", 0, "x")); !errors.Is(err, kv.ErrIndeterminate) {
 			t.Errorf("first commit: %v", err)
 		}
