--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -56,26 +56,26 @@
 	return &Client{transport: c.transport, service: c.service.WithTransport(transport)}
 }
 
-// do sends one request and decodes its answer into out.
+// do sends one request and decodes its response into out.
 func (c *Client) do(ctx context.Context, request httpclient.Request, out any) (*httpclient.Response, error) {
 	request.Timeout = requestTimeout
-	answer, err := c.service.Do(ctx, request)
+	response, err := c.service.Do(ctx, request)
 	if err != nil {
 		return nil, err
 	}
-	return answer, answer.Decode(out)
+	return response, response.Decode(out)
 }
 
 // Catalog reads the machine types and their current prices.
 func (c *Client) Catalog(ctx context.Context) ([]wire.MachineType, error) {
 	var catalog wire.Catalog
-	answer, err := c.do(ctx, httpclient.Request{Method: http.MethodGet, Path: "/catalog"}, &catalog)
+	response, err := c.do(ctx, httpclient.Request{Method: http.MethodGet, Path: "/catalog"}, &catalog)
 	if err != nil {
 		return nil, err
 	}
 	for _, machineType := range catalog.Types {
 		if !validMachineType(machineType) {
-			return nil, answer.MalformedError(fmt.Errorf("machine type %q has no name, no CPUs or a negative amount", machineType.Name))
+			return nil, response.MalformedError(fmt.Errorf("machine type %q has no name, no CPUs or a negative amount", machineType.Name))
 		}
 	}
 	return catalog.Types, nil
--- a/cloud/errors.go
+++ b/cloud/errors.go
@@ -23,7 +23,7 @@
 // errNotAuthorized means that the caller may no longer send requests to the cloud.
 var errNotAuthorized = errors.New("the caller is no longer authorized")
 
-// protocol maps the cloud's statuses to errors. An answer that cannot be decoded does not show
+// protocol maps the cloud's statuses to errors. A response that cannot be decoded does not show
 // whether the request was executed.
 var protocol = httpclient.Protocol{
 	AcceptedStatuses: []int{http.StatusOK},
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -11,7 +11,7 @@
 // The encoding of the two records that package records does not encode must not change: the format record,
 // which says that every controller is upgraded, and the fleet record, which holds the revision of the first
 // leader.
-func TestFormatRecordKeepsItsBytes(t *testing.T) {
+func TestFormatAndFleetRecordEncodingIsStable(t *testing.T) {
 	store := newTestStore(t)
 	c := startController(t, "n-0", store.Address())
 	if err := c.gate.run(t.Context()); err != nil {
--- a/controller/peerapi/golden_test.go
+++ b/controller/peerapi/golden_test.go
@@ -25,7 +25,7 @@
 }
 
 // The encodings of the requests and answers between controllers must not change.
-func TestMessagesKeepTheirBytes(t *testing.T) {
+func TestMessageEncodingIsStable(t *testing.T) {
 	every := Ping{From: "perch-1", Leader: "perch-0", LeaderPeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StoreReachable: true,
 		Workers: 231, Uptime: 90 * time.Second, AcknowledgedRevision: 411, Versions: Versions{Format: RecordFormat, Upgraded: []ids.ControllerName{"perch-0", "perch-2"}, Durable: true}}
 	old := every
@@ -57,7 +57,7 @@
 
 // The names of operations and the texts of refusals must not change, since controllers of two versions
 // communicate with each other during an upgrade.
-func TestOperationsKeepTheirNames(t *testing.T) {
+func TestOperationNamesAreStable(t *testing.T) {
 	for want, got := range map[peerrpc.Operation]peerrpc.Operation{"ping": OpPing, "state": OpStore, "progress": OpProgress, "job": OpJob,
 		"reports": OpHeartbeats, "zones": OpZones, "zone-override": OpZoneOverride} {
 		if got != want {
--- a/internal/httpclient/service.go
+++ b/internal/httpclient/service.go
@@ -136,15 +136,15 @@
 }
 
 // Decode decodes the body into value. An error is a *RequestError of the protocol's Malformed kind.
-func (a *Response) Decode(value any) error {
-	if err := wire.Decode(a.Body, value); err != nil {
-		return a.MalformedError(err)
+func (r *Response) Decode(value any) error {
+	if err := wire.Decode(r.Body, value); err != nil {
+		return r.MalformedError(err)
 	}
 	return nil
 }
 
 // MalformedError returns the error for a response that the protocol does not allow. cause is nil if
 // only the status is wrong.
-func (a *Response) MalformedError(cause error) error {
-	return &RequestError{Kind: a.malformedKind, Method: a.request.Method, Path: a.request.Path, Status: a.Status, Cause: cause}
+func (r *Response) MalformedError(cause error) error {
+	return &RequestError{Kind: r.malformedKind, Method: r.request.Method, Path: r.request.Path, Status: r.Status, Cause: cause}
 }
--- a/kv/client.go
+++ b/kv/client.go
@@ -42,39 +42,39 @@
 // do sends one request and decodes the body of its response, if there is one, into out. It
 // ignores the body if out is nil.
 func (c *Client) do(ctx context.Context, request httpclient.Request, out any) (*httpclient.Response, error) {
-	answer, err := c.service.Do(ctx, request)
+	response, err := c.service.Do(ctx, request)
 	if err != nil {
 		return nil, err
 	}
-	if out == nil || len(answer.Body) == 0 {
-		return answer, nil
+	if out == nil || len(response.Body) == 0 {
+		return response, nil
 	}
-	return answer, answer.Decode(out)
+	return response, response.Decode(out)
 }
 
 // doOK sends one request like do, and returns an error unless the status is 200 OK.
 func (c *Client) doOK(ctx context.Context, request httpclient.Request, out any) error {
-	answer, err := c.do(ctx, request, out)
+	response, err := c.do(ctx, request, out)
 	if err != nil {
 		return err
 	}
-	if answer.Status != http.StatusOK {
-		return answer.MalformedError(nil)
+	if response.Status != http.StatusOK {
+		return response.MalformedError(nil)
 	}
 	return nil
 }
 
 // Get reads one key. found is false if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (entry Entry, found bool, err error) {
-	answer, err := c.do(ctx, getRequest(key), &entry)
+	response, err := c.do(ctx, getRequest(key), &entry)
 	if err != nil {
 		return Entry{}, false, err
 	}
-	if answer.Status == http.StatusNotFound {
+	if response.Status == http.StatusNotFound {
 		return Entry{}, false, nil
 	}
-	if answer.Status != http.StatusOK || entry.Revision == 0 {
-		return Entry{}, false, answer.MalformedError(nil)
+	if response.Status != http.StatusOK || entry.Revision == 0 {
+		return Entry{}, false, response.MalformedError(nil)
 	}
 	entry.Key = key
 	return entry, true, nil
@@ -108,18 +108,18 @@
 
 // Commit sends one transaction. The result is definite if the error is nil.
 func (c *Client) Commit(ctx context.Context, txn Txn) (TxnResult, error) {
-	var response commitResponse
-	answer, err := c.do(ctx, commitRequest(txn), &response)
+	var body commitResponse
+	response, err := c.do(ctx, commitRequest(txn), &body)
 	if err != nil {
 		return TxnResult{}, err
 	}
-	switch answer.Status {
+	switch response.Status {
 	case http.StatusOK:
-		return TxnResult{Applied: true, Revision: response.Revision}, nil
+		return TxnResult{Applied: true, Revision: body.Revision}, nil
 	case http.StatusConflict:
-		return TxnResult{Revision: response.Revision, FailedKeys: response.FailedKeys}, nil
+		return TxnResult{Revision: body.Revision, FailedKeys: body.FailedKeys}, nil
 	}
-	return TxnResult{}, answer.MalformedError(nil)
+	return TxnResult{}, response.MalformedError(nil)
 }
 
 // GrantLease creates a lease that expires unless it is renewed within ttl.
@@ -134,8 +134,8 @@
 // RenewLease renews a lease for its full TTL. It returns ErrLeaseExpired if the lease has
 // expired or was revoked.
 func (c *Client) RenewLease(ctx context.Context, id ids.LeaseID) error {
-	answer, err := c.do(ctx, renewRequest(id), nil)
-	if err == nil && answer.Status != http.StatusOK {
+	response, err := c.do(ctx, renewRequest(id), nil)
+	if err == nil && response.Status != http.StatusOK {
 		return ErrLeaseExpired
 	}
 	return err
