--- a/cmd/ospreystile/zones.go
+++ b/cmd/ospreystile/zones.go
@@ -85,7 +85,7 @@
 	return fmt.Sprintf("%s (usual %s)", time.Duration(z.StartP90MS)*time.Millisecond, time.Duration(z.BaselineP90MS)*time.Millisecond)
 }
 
-// formatWithLimit formats a count and its limit. With limit 0 there is none.
+// formatWithLimit formats a count and its limit. Limit 0 means that there is none.
 func formatWithLimit(count, limit int) string {
 	if limit == 0 {
 		return fmt.Sprint(count)
--- a/config/kv_limits.go
+++ b/config/kv_limits.go
@@ -43,7 +43,7 @@
 }
 
 // The smallest limits with which records can be stored. A value must be large enough for the
-// description of a job, and a transaction for both parts of a record that is split.
+// specification of a job, and a transaction for both parts of a record that is split.
 const (
 	minRPS     = 1.0
 	minValueKB = 0.5
--- a/controller/acknowledgements.go
+++ b/controller/acknowledgements.go
@@ -10,9 +10,9 @@
 
 // acknowledgements determines which cancellations may be reported to users. It holds the acknowledged
 // revision: a leader observed all changes of jobs up to this revision while it held its lease, and no
-// previous leader could keep tasks of cancelled jobs running. This remains true under every later
-// leader, so controllers exchange the revision in their pings. acknowledgements is safe for concurrent
-// use.
+// previous leader could keep tasks of cancelled jobs running beyond the cancel deadline. This remains
+// true under every later leader, so controllers exchange the revision in their pings. acknowledgements
+// is safe for concurrent use.
 //
 // Once a job is reported as cancelled, its tasks must end within the cancel deadline, independent of
 // later failures. A leader without access to the key-value store does not read the job's record, and
@@ -22,8 +22,9 @@
 // tasks of the job any more (scheduler.Core.CanAcknowledgeCancel). Until then the response is 503 and
 // never an older status.
 //
-// Only terminalJobs.answer reports cancellations, so this rule applies to every request. A job that is
-// cancelled because a dependency is cancelled never had a task, so no lease is renewed for it.
+// Only terminalJobs.answer reports the cancellation of a job that may have tasks, so this rule applies
+// to every request. A job that is cancelled because a dependency is cancelled never had a task, so no
+// lease is renewed for it. The response to its submission may therefore already report it as cancelled.
 type acknowledgements struct {
 	localLeader  *localLeader
 	leaderClient *leaderClient
--- a/controller/connection_balancer.go
+++ b/controller/connection_balancer.go
@@ -27,8 +27,9 @@
 )
 
 // connectionBalancer counts the workers that send heartbeats to this controller, and redirects some of
-// them to other controllers if there are too many. Workers that connect to another controller during a
-// restart do not return by themselves. connectionBalancer is safe for concurrent use.
+// them to other controllers if there are too many. The redirects are necessary because workers whose
+// controller restarts connect to another one, and do not return by themselves. connectionBalancer is
+// safe for concurrent use.
 type connectionBalancer struct {
 	// window is the time for which a worker is counted after a heartbeat.
 	window time.Duration
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -65,7 +65,8 @@
 
 const (
 	// The shares of the key-value store's request rate: for the requests of the leader itself, for
-	// users' requests at all controllers together, and for status reads at all controllers together.
+	// users' requests at all controllers together, and, as a part of the latter, for status reads at
+	// all controllers together.
 	leaderRequestShare = 0.25
 	userRequestShare   = 0.65
 	statusReadShare    = 0.2
--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -22,8 +22,8 @@
 	redirectPeerTimeout = 1500 * time.Millisecond
 )
 
-// heartbeatHandler answers workers' heartbeats. Only the leader determines the answer, so a heartbeat is
-// relayed to the leader unless this controller leads.
+// heartbeatHandler answers workers' heartbeats. Only the leader determines the response, so a heartbeat
+// is relayed to the leader unless this controller leads.
 type heartbeatHandler struct {
 	self        ids.ControllerName
 	clock       monotonic.Clock
--- a/controller/job_replica.go
+++ b/controller/job_replica.go
@@ -15,7 +15,7 @@
 // jobStore is the part of the key-value store that a replica uses. kv.Client implements it.
 type jobStore interface {
 	List(ctx context.Context, prefix string, each func(kv.Entry) error) (ids.Revision, error)
-	Watch(ctx context.Context, prefix string, since ids.Revision, hold time.Duration) (ids.Revision, []kv.Event, error)
+	Watch(ctx context.Context, prefix string, since ids.Revision, maxWait time.Duration) (ids.Revision, []kv.Event, error)
 }
 
 // jobSnapshot holds the part of a job's record that a replica needs.
@@ -93,7 +93,7 @@
 	}
 	id := ids.JobID(key[len(records.JobPrefix):])
 	r.jobs[id] = snapshotOf(&record, revision)
-	r.graph.Put(id, record.Dependencies())
+	r.graph.Put(id, record.DependencyRecord())
 }
 
 // get returns the snapshot of a job. A job is cancelled as soon as a dependency is cancelled, even if
--- a/controller/kv_routes.go
+++ b/controller/kv_routes.go
@@ -53,9 +53,9 @@
 
 // Do implements kv.Transport.
 func (r *directRoute) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
-	status, answer, err := r.store.Do(ctx, method, path, body, timeout)
+	status, response, err := r.store.Do(ctx, method, path, body, timeout)
 	r.health.observe(ctx, status, err)
-	return status, answer, err
+	return status, response, err
 }
 
 // userRoute is the transport that calls the key-value store directly, or through a peer while this
@@ -94,24 +94,24 @@
 func callThroughPeer(ctx context.Context, p *peer, call peerapi.StoreCall, timeout time.Duration) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout+forwardingMargin)
 	defer cancel()
-	var answer peerapi.StoreAnswer
-	err := p.Call(ctx, peerapi.OpStore, call, &answer)
-	if kind := forwardErrorKind(err, answer); kind != nil {
+	var response peerapi.StoreResponse
+	err := p.Call(ctx, peerapi.OpStore, call, &response)
+	if kind := forwardErrorKind(err, response); kind != nil {
 		return 0, nil, &httpclient.RequestError{Kind: kind, Method: call.Method, Path: call.Path, Cause: err}
 	}
-	return answer.Status, answer.Body, nil
+	return response.Status, response.Body, nil
 }
 
-// forwardErrorKind returns the kind of a forwarded request's error, or nil if the store answered.
-func forwardErrorKind(err error, answer peerapi.StoreAnswer) error {
+// forwardErrorKind returns the kind of a forwarded request's error, or nil if the store responded.
+func forwardErrorKind(err error, response peerapi.StoreResponse) error {
 	switch {
 	case errors.Is(err, peerrpc.ErrNotSent):
 		return httpclient.ErrNotSent
 	case err != nil:
 		return httpclient.ErrNoResponse
-	case answer.NotSent:
+	case response.NotSent:
 		return httpclient.ErrNotSent
-	case answer.Indeterminate:
+	case response.Indeterminate:
 		return httpclient.ErrNoResponse
 	}
 	return nil
--- a/controller/leader/load.go
+++ b/controller/leader/load.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// ensureFleetRecord reports whether the fleet record exists, which means that there was a previous
-// leader. If the record does not exist, ensureFleetRecord writes it.
+// ensureFleetRecord reports whether the fleet record already existed, which means that there was a
+// previous leader. If the record did not exist, ensureFleetRecord writes it.
 func (l *loader) ensureFleetRecord(ctx context.Context) (previousLeader bool, err error) {
 	if _, found, err := l.Store.Get(ctx, records.FleetKey); found || err != nil {
 		return found, err
--- a/controller/leader/machines.go
+++ b/controller/leader/machines.go
@@ -13,7 +13,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// cloudRetryDelay is the delay before a cloud call with an indeterminate result is retried.
+// cloudRetryDelay is the delay before a failed cloud call is retried.
 const cloudRetryDelay = time.Second
 
 // provisioner provisions machines. Each request runs in a goroutine of the group.
@@ -24,7 +24,8 @@
 	log     *slog.Logger
 }
 
-// provision retries a request until its result is definite, and then posts provisioningFinished.
+// provision retries a request until the cloud grants or refuses it, and then posts
+// provisioningFinished.
 func (p *provisioner) provision(ctx context.Context, request wire.ProvisionRequest) {
 	p.group.Go(func() error {
 		if finished, ok := p.resolve(ctx, request); ok {
@@ -34,7 +35,7 @@
 	})
 }
 
-// resolve retries a request until its result is definite. The request ID makes the request
+// resolve retries a request until the cloud grants or refuses it. The request ID makes the request
 // idempotent. ok is false if the context ends first.
 func (p *provisioner) resolve(ctx context.Context, request wire.ProvisionRequest) (finished provisioningFinished, ok bool) {
 	for ctx.Err() == nil {
--- a/controller/leader/options.go
+++ b/controller/leader/options.go
@@ -32,7 +32,7 @@
 	recordWriteFraction = 0.7
 )
 
-// transactionLimits returns the bounds of one transaction.
+// transactionLimits returns the limits of one transaction.
 func (d *Dependencies) transactionLimits() commit.Limits {
 	return settings.TransactionLimits(d.Platform)
 }
--- a/controller/operatorclient/client.go
+++ b/controller/operatorclient/client.go
@@ -46,27 +46,27 @@
 // callLeader calls the controllers one after another until the leader answers or refuses the request.
 // If the leader does neither, callLeader returns the joined errors of all controllers.
 func (c *Client) callLeader(ctx context.Context, op peerrpc.Operation, request any) (peerapi.ZonesResponse, error) {
-	var answer peerapi.ZonesResponse
+	var response peerapi.ZonesResponse
 	var failures []error
 	for _, peer := range c.peers {
-		err := callOnce(ctx, peer, op, request, &answer)
+		err := callOnce(ctx, peer, op, request, &response)
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
 		failures = append(failures, err)
 		if refusedByLeader(err) {
-			return answer, err
+			return response, err
 		}
 	}
-	return answer, errors.Join(failures...)
+	return response, errors.Join(failures...)
 }
 
 // callOnce calls a controller over a new connection and closes it.
-func callOnce(ctx context.Context, peer *peerrpc.Peer, op peerrpc.Operation, request any, answer *peerapi.ZonesResponse) error {
+func callOnce(ctx context.Context, peer *peerrpc.Peer, op peerrpc.Operation, request any, response *peerapi.ZonesResponse) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	defer peer.Close()
-	return peer.Call(ctx, op, request, answer)
+	return peer.Call(ctx, op, request, response)
 }
 
 // refusedByLeader reports whether an error is a refusal by the leader.
--- a/controller/peer_handler.go
+++ b/controller/peer_handler.go
@@ -64,17 +64,17 @@
 
 // forwardStoreCall sends a peer's request to the key-value store. It uses the direct route, so a request
 // is never forwarded twice.
-func (h *peerHandler) forwardStoreCall(ctx context.Context, call peerapi.StoreCall) peerapi.StoreAnswer {
+func (h *peerHandler) forwardStoreCall(ctx context.Context, call peerapi.StoreCall) peerapi.StoreResponse {
 	timeout := time.Duration(call.TimeoutMS) * time.Millisecond
 	status, body, err := h.direct.Do(ctx, call.Method, call.Path, call.Body, timeout)
 	if err != nil {
-		return peerapi.StoreAnswer{NotSent: kv.IsNotSent(err), Indeterminate: !kv.IsNotSent(err)}
+		return peerapi.StoreResponse{NotSent: kv.IsNotSent(err), Indeterminate: !kv.IsNotSent(err)}
 	}
-	return peerapi.StoreAnswer{Status: status, Body: body}
+	return peerapi.StoreResponse{Status: status, Body: body}
 }
 
-// acknowledgeNotice passes a job's record that a follower sent to the leader in this process, and
-// reports whether the leader acknowledges it.
+// acknowledgeNotice passes a job's record from a follower to the leader in this process, and returns the
+// answer to the notice; see peerapi.JobNotice.
 func acknowledgeNotice(ctx context.Context, local *leader.Leader, notice peerapi.JobNotice) (bool, error) {
 	record := new(records.Job)
 	if err := wire.Decode(notice.Record, record); err != nil {
--- a/controller/peerapi/messages.go
+++ b/controller/peerapi/messages.go
@@ -53,8 +53,8 @@
 	TimeoutMS int64  `cbor:"4,keyasint"`
 }
 
-// StoreAnswer holds the answer of the key-value store to a StoreCall.
-type StoreAnswer struct {
+// StoreResponse holds the response of the key-value store to a StoreCall.
+type StoreResponse struct {
 	Status int    `cbor:"1,keyasint"`
 	Body   []byte `cbor:"2,keyasint"`
 	// NotSent reports whether the request was never sent to the store.
@@ -71,8 +71,8 @@
 
 // JobNotice holds a job's record, which is sent to the leader before the leader's watch returns it. The
 // answer reports whether the leader observed the record while it held its lease and no previous leader
-// can keep tasks of the job running. Leaders of older versions answer true as soon as the record is
-// queued.
+// can keep tasks of the job running beyond the cancel deadline. Leaders of older versions answer true as
+// soon as the record is queued.
 type JobNotice struct {
 	ID       ids.JobID    `cbor:"1,keyasint"`
 	Record   []byte       `cbor:"2,keyasint"`
--- a/controller/peerapi/operations.go
+++ b/controller/peerapi/operations.go
@@ -13,12 +13,11 @@
 const (
 	// OpPing sends a Ping, and answers with a Ping.
 	OpPing peerrpc.Operation = "ping"
-	// OpStore forwards a StoreCall to the key-value store, and answers with a StoreAnswer.
+	// OpStore forwards a StoreCall to the key-value store, and answers with a StoreResponse.
 	OpStore peerrpc.Operation = "state"
 	// OpProgress sends a list of job IDs, and answers with a JobProgress for each.
 	OpProgress peerrpc.Operation = "progress"
-	// OpJob sends a JobNotice, and answers with a bool that reports whether the leader acknowledges
-	// it.
+	// OpJob sends a JobNotice, and answers with a bool; see JobNotice.
 	OpJob peerrpc.Operation = "job"
 	// OpHeartbeats sends encoded heartbeats, and answers with a HeartbeatAnswer for each.
 	OpHeartbeats peerrpc.Operation = "reports"
--- a/controller/peerapi/production_test.go
+++ b/controller/peerapi/production_test.go
@@ -83,7 +83,7 @@
 	for name, want := range map[string]any{
 		"ping":         Ping{From: "perch-1", Leader: "perch-0", LeaderPeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StoreReachable: true, Workers: 231},
 		"state call":   StoreCall{"POST", "/commit", []byte{1, 2}, 1000},
-		"state answer": StoreAnswer{200, []byte{3}, false, true},
+		"state answer": StoreResponse{200, []byte{3}, false, true},
 		"announcement": JobNotice{"job-1", old["job queued"], 412},
 		"report answer": []HeartbeatAnswer{{true, wire.HeartbeatResponse{FencingToken: ids.NewFencingToken(412, 3), Commands: []wire.Command{
 			{Verb: "run", Name: "job-1/3", Attempt: 2}, {Verb: "kill", Name: "job-2/1", Attempt: 1, GraceS: 5.5}}}}},
--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -31,7 +31,9 @@
 	gate             *versionGate
 }
 
-// run pings one peer periodically until the context ends.
+// run pings one peer periodically until the context ends. Before each ping it recounts the workers of
+// this controller, whose number the ping contains. After a failed ping it closes the connection, because
+// a network partition causes no connection error.
 func (p *pinger) run(ctx context.Context, target *peer) error {
 	for {
 		p.balancer.recount(p.clock.Now())
--- a/controller/settings/settings.go
+++ b/controller/settings/settings.go
@@ -38,9 +38,9 @@
 // IsolatedReplicaGrace returns how long a leader that cannot rule out a later leader may answer
 // heartbeats of workers with replicas. It is longer than IsolatedGrace, so that a zone that is
 // partitioned together with its leader keeps its services for the grace plus a lease. The later leader
-// relies on this bound: until at most scheduler.CancelMargin of it remains, no job is reported as
-// cancelled whose tasks the previous leader may keep running. The result is 0 if the cancel deadline is
-// too short for any grace.
+// relies on this bound: until at most scheduler.CancelMargin of the grace remains, no job is reported
+// as cancelled whose tasks the previous leader may keep running. The result is 0 if the cancel deadline
+// is too short for any grace.
 func IsolatedReplicaGrace(platform *config.Platform, operator *config.Operator) time.Duration {
 	isolated := IsolatedGrace(platform, operator)
 	if isolated == 0 {
--- a/controller/status_reader.go
+++ b/controller/status_reader.go
@@ -27,7 +27,7 @@
 	reply chan<- queryAnswer
 }
 
-// queryAnswer holds the answer to a statusQuery. The other fields are valid only if err is nil.
+// queryAnswer holds the answer to a statusQuery. If err is not nil, no other field is valid.
 type queryAnswer struct {
 	job   jobSnapshot
 	found bool
--- a/controller/user_commits.go
+++ b/controller/user_commits.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/records/commit"
 )
 
-// maxQueuedCommits is the number of queued changes from which submissions are refused.
+// maxQueuedCommits is the number of queued changes at which submissions are refused.
 const maxQueuedCommits = 128
 
 // userCommitter commits the changes that users request. Its committer has no fence, since every
--- a/controller/version_gate.go
+++ b/controller/version_gate.go
@@ -99,7 +99,8 @@
 	return true
 }
 
-// upgradedAccordingToPeer reports whether another peer has received such a ping from the target.
+// upgradedAccordingToPeer reports whether a peer has received a ping of this version or a later one from
+// the target.
 func (g *versionGate) upgradedAccordingToPeer(target *peer) bool {
 	return slices.ContainsFunc(g.peers, func(p *peer) bool {
 		versions := p.versions.Load()
--- a/election/authority.go
+++ b/election/authority.go
@@ -9,8 +9,8 @@
 
 const (
 	// AuthorityExpired means that the lease is invalid and that the leader may not act without
-	// it: the term has ended, no renewal started recently, or OutageGrace has expired. A
-	// later leader was ruled out within IsolatedGrace.
+	// it: the term has ended, no renewal that started within renewalWindow has completed, or
+	// OutageGrace has expired. A later leader was ruled out within IsolatedGrace.
 	AuthorityExpired Authority = iota
 	// AuthorityExpiredIsolated means that the lease is invalid, that the leader may not act
 	// without it, and that a later leader could not be ruled out for IsolatedGrace or longer.
--- a/election/doc.go
+++ b/election/doc.go
@@ -28,8 +28,8 @@
 // their tasks, but it cannot commit records. The next leader relies on the bounds of this
 // period. A leader cannot distinguish an outage from its own isolation, during which a later
 // leader may have been elected. Acknowledgements by all peers rule out a later leader: each
-// peer was asked after the lease became invalid and knew of no later leader. Its process has
-// also run since before the lease became invalid, so that the peer cannot have led and lost
+// peer was asked after the lease became invalid and knew of no later leader. The peer's process
+// has also run since before the lease became invalid, so that the peer cannot have led and lost
 // that knowledge in a restart. Without acknowledgements by all peers, the shorter isolation
 // bounds apply. [LeaseBounds] holds the bounds. [Authority] lists the states and what each
 // permits.
--- a/election/election.go
+++ b/election/election.go
@@ -37,11 +37,11 @@
 // Store is the subset of the key-value store that an election uses.
 type Store interface {
 	Get(ctx context.Context, key string) (kv.Entry, bool, error)
-	Commit(ctx context.Context, t kv.Txn) (kv.TxnResult, error)
+	Commit(ctx context.Context, txn kv.Txn) (kv.TxnResult, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (ids.LeaseID, error)
 	RenewLease(ctx context.Context, id ids.LeaseID) error
 	RevokeLease(ctx context.Context, id ids.LeaseID) error
-	Watch(ctx context.Context, prefix string, since ids.Revision, timeout time.Duration) (ids.Revision, []kv.Event, error)
+	Watch(ctx context.Context, prefix string, since ids.Revision, maxWait time.Duration) (ids.Revision, []kv.Event, error)
 }
 
 // Election takes part in the election for one process of a controller. Run must be called only
@@ -70,7 +70,8 @@
 	return &Election{store: store, self: self, bounds: bounds, clock: clock, log: log, work: work}
 }
 
-// Leader returns the latest known leader. It returns false if none is known.
+// Leader returns the latest known leader. It returns false if the name of the leader is not known.
+// The revision of the last leader may be set even then.
 func (e *Election) Leader() (Leader, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/election/lease.go
+++ b/election/lease.go
@@ -17,7 +17,8 @@
 	renewalWindow = 5 * time.Second
 )
 
-// LeaseBounds holds the intervals during which a leader may act. None is negative.
+// LeaseBounds holds the bounds on how long a leader may act without renewing its lease, and the peers
+// whose acknowledgements extend them. No bound is negative.
 type LeaseBounds struct {
 	// TTL is the time to live of the leader lease after its last renewal.
 	TTL time.Duration
--- a/election/term.go
+++ b/election/term.go
@@ -55,7 +55,8 @@
 
 // End ends the term and cancels the context of the leader's work with the cause, unless the
 // term has already ended. Once End has returned, MayAnswerHeartbeats is false even for work that
-// ignores its context, because other controllers rely on this one following a later leader.
+// ignores its context. Other controllers rely on this: once a ping of this controller names a later
+// leader, this controller answers no heartbeat for the term.
 func (t *Term) End(cause error) {
 	t.ended.Store(true)
 	t.cancel(cause)
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,8 +1,8 @@
 // Package httpclient sends requests to external services: the key-value store, the cloud and
 // the agents on machines. Client is the HTTP transport to one address. It keeps connections open
 // and sets a deadline on every request. Service adds a request budget and maps response statuses to
-// errors; the clients of all services share it. Neither retries a request, because only the
-// caller can resolve an indeterminate result.
+// errors. Packages kv and cloud use a Service, and package worker uses a Client for each agent.
+// Neither type retries a request, because only the caller can resolve an indeterminate result.
 package httpclient
 
 import (
@@ -67,7 +67,7 @@
 func (c *Client) SetIdleTimeout(timeout time.Duration) { c.host.MaxIdleConnDuration = timeout }
 
 // Do sends one request and returns the status and a copy of the response body. The request fails
-// when the timeout or the context's deadline expires, whichever is earlier. Canceling the context
+// when the timeout or the context's deadline expires, whichever is earlier. Cancelling the context
 // does not abort a request that was already sent. An error is a *RequestError of kind ErrNotSent or
 // ErrNoResponse.
 func (c *Client) Do(ctx context.Context, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
--- a/peerrpc/errors.go
+++ b/peerrpc/errors.go
@@ -10,8 +10,9 @@
 var (
 	// ErrNotSent means that the peer did not receive the request.
 	ErrNotSent = errors.New("peer not reached")
-	// ErrNoResponse means that the peer may have received and executed the request.
-	ErrNoResponse = errors.New("no answer from the peer")
+	// ErrNoResponse means that no readable response was received. The peer may have executed the
+	// request, or may still execute it.
+	ErrNoResponse = errors.New("no response from the peer")
 	// ErrRemote means that the peer responded with an error. Such errors are *RemoteError.
 	ErrRemote = errors.New("refused by the peer")
 )
--- a/peerrpc/peer.go
+++ b/peerrpc/peer.go
@@ -41,8 +41,8 @@
 }
 
 // Call sends a request and decodes its response into out, unless out is nil. Only the context
-// limits the time of a request. An error wraps ErrNotSent, ErrNoResponse or ErrRemote, unless in
-// cannot be encoded.
+// limits the time of a request. An error wraps ErrNotSent, ErrNoResponse or ErrRemote, unless the
+// request cannot be encoded.
 //
 // A network partition causes no connection error. A caller whose requests to a peer time out
 // should call Close, so that the next call opens another connection.
--- a/records/changes.go
+++ b/records/changes.go
@@ -86,7 +86,7 @@
 }
 
 // CancelJobChange returns a change that records that a job is cancelled, which is final. The record
-// keeps the description, because the tasks count against quota until they have ended. A record
+// keeps the specification, because the tasks count against quota until they have ended. A record
 // larger than maxBytes keeps only the fields that quota needs, because it may have been written
 // when the store's limits were higher. If maxBytes is zero, there is no limit.
 func CancelJobChange(id ids.JobID, revision ids.Revision, nonce uint64, record Job, maxBytes int) Change {
@@ -99,7 +99,7 @@
 	return c
 }
 
-// quotaFields returns a description with only the fields that quota needs.
+// quotaFields returns a specification with only the fields that quota needs.
 func quotaFields(spec *wire.JobSpec) *wire.JobSpec {
 	return &wire.JobSpec{
 		Team:     spec.Team,
--- a/records/keys.go
+++ b/records/keys.go
@@ -13,8 +13,8 @@
 	JobPrefix = "jobs/"
 	// AdmissionPrefix is the prefix of the keys of admission slices.
 	AdmissionPrefix = "admissions/"
-	// ZonePrefix is the prefix of the keys of zones. These records exist only if operators
-	// enabled zone monitoring. Versions without support for them do not read them.
+	// ZonePrefix is the prefix of the keys of zones. These records exist only if the
+	// operators' settings enabled zone recovery. Versions without zone recovery do not read them.
 	ZonePrefix = "zones/"
 	// LeaderKey is the key that names the leader and is attached to its lease. The revision of
 	// the key fences the leader's commits.
--- a/records/records.go
+++ b/records/records.go
@@ -23,7 +23,7 @@
 	Status wire.JobState `msgpack:"s"`
 	// Tasks is the number of tasks.
 	Tasks int `msgpack:"n"`
-	// Spec is nil in the records of jobs whose description is no longer needed.
+	// Spec is nil in the records of jobs whose specification is no longer needed.
 	Spec *wire.JobSpec `msgpack:"p,omitempty"`
 	// SubmittedMS is the submission time as Unix time in milliseconds. Jobs are ordered by it.
 	SubmittedMS int64 `msgpack:"t,omitempty"`
@@ -32,8 +32,8 @@
 	DoneMS int64 `msgpack:"e,omitempty"`
 }
 
-// Dependencies returns the fields of the record that the dependency graph needs.
-func (j *Job) Dependencies() dependency.Record {
+// DependencyRecord returns the fields of the record that the dependency graph needs.
+func (j *Job) DependencyRecord() dependency.Record {
 	r := dependency.Record{Status: j.Status, SubmittedMS: j.SubmittedMS, DoneMS: j.DoneMS}
 	spec := j.Spec
 	if spec == nil {
@@ -60,8 +60,8 @@
 	Nonce uint64 `msgpack:"w"`
 	// Hosts lists the machines to which tasks were admitted.
 	Hosts []ids.MachineID `msgpack:"h"`
-	// Zones holds the zone of each machine, so that the next leader can respect oneZone and
-	// spread before it receives heartbeats of the machines.
+	// Zones holds the zone of each machine, so that the next leader can respect the
+	// OneZone and Spread of the job before it receives heartbeats of the machines.
 	Zones []ids.Zone `msgpack:"z"`
 	// Tasks holds triples: task index, last attempt, and index in Hosts or -1.
 	Tasks []int `msgpack:"t"`
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -99,7 +99,7 @@
 
 // loadJob loads a job's record at the start of the leadership term.
 func (r *jobRecordReader) loadJob(id ids.JobID, record *records.Job, revision ids.Revision) {
-	r.graph.Put(id, record.Dependencies())
+	r.graph.Put(id, record.DependencyRecord())
 	if record.Status == wire.JobDone || record.Spec == nil {
 		return
 	}
@@ -223,7 +223,7 @@
 // applyJobRecord adds a job's record to the dependency graph and updates all jobs whose readiness or
 // priority changes.
 func (r *jobRecordReader) applyJobRecord(id ids.JobID, record *records.Job) {
-	for _, other := range r.graph.Put(id, record.Dependencies()) {
+	for _, other := range r.graph.Put(id, record.DependencyRecord()) {
 		if j := r.cluster.Job(other); j != nil {
 			r.syncDependencies(j)
 		}
