--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -81,7 +81,8 @@
 	return catalog.Types, nil
 }
 
-// validMachineType reports whether a machine type has a name, CPUs and no negative amounts.
+// validMachineType reports whether a machine type has a name, CPUs, and no negative memory size, price or
+// boot time.
 func validMachineType(t wire.MachineType) bool {
 	return t.Name != "" && t.CPUs > 0 && t.MemoryGB >= 0 && t.Price >= 0 && t.SpotPrice >= 0 && t.BootS >= 0
 }
--- a/cmd/ospreystile/zone_override.go
+++ b/cmd/ospreystile/zone_override.go
@@ -14,7 +14,8 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// override holds an operator's decision about one zone, which flags set.
+// override holds an operator's override for one zone. The command determines the kind, and flags set the
+// reason and the duration.
 type override struct {
 	kind    zonerecovery.OverrideKind
 	reason  string
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -187,7 +187,7 @@
 	return err
 }
 
-// start starts the goroutines of all components in a group. They return when ctx ends.
+// start starts the goroutines of all components in a group. They return when ctx ends at the latest.
 func (c *Controller) start(ctx context.Context, group *errgroup.Group, apiListener, peerListener net.Listener) {
 	api := server.New(c.service, c.serverLimits(), c.log)
 	group.Go(func() error { return server.Serve(ctx, api, retryListener{apiListener, c.log}) })
--- a/controller/job_replica.go
+++ b/controller/job_replica.go
@@ -12,7 +12,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// jobStore is the part of the key-value store that a replica uses. kv.Client implements it.
+// jobStore is the subset of the key-value store that a replica uses. kv.Client implements it.
 type jobStore interface {
 	List(ctx context.Context, prefix string, each func(kv.Entry) error) (ids.Revision, error)
 	Watch(ctx context.Context, prefix string, since ids.Revision, maxWait time.Duration) (ids.Revision, []kv.Event, error)
--- a/controller/leader/events.go
+++ b/controller/leader/events.go
@@ -18,14 +18,14 @@
 	loop.core.CommitResult(loop.clock.Now(), e.result)
 }
 
-// workerCallFinished holds the heartbeat with which a worker answered commands. The heartbeat is nil
+// commandsFinished holds the heartbeat with which a worker responded to commands. The heartbeat is nil
 // if the call failed.
-type workerCallFinished struct {
+type commandsFinished struct {
 	machine   ids.MachineID
 	heartbeat *wire.Heartbeat
 }
 
-func (e workerCallFinished) applyTo(loop *eventLoop) {
+func (e commandsFinished) applyTo(loop *eventLoop) {
 	loop.core.CommandsResult(loop.clock.Now(), e.machine, e.heartbeat)
 }
 
--- a/controller/leader/leader.go
+++ b/controller/leader/leader.go
@@ -93,8 +93,9 @@
 	return &Leader{dependencies: dependencies, term: term, mailbox: newMailbox(), core: recordLoader.core, loadedRevision: recordLoader.revision}, nil
 }
 
-// Run runs the leader until the context ends, the term is superseded, or another writer changes
-// records that only this leader may change. It returns the cause.
+// Run runs the leader until the context ends, a later leader is observed or fences a commit, another
+// writer changes records that only this leader may change, or the key-value store no longer keeps all
+// changes of jobs that the leader has not observed. It returns the cause.
 func (l *Leader) Run(ctx context.Context) error {
 	if l.dependencies.VersionGate.Open() { // the gate may have opened while the records were loaded
 		l.core.EnableSplitRecords(l.dependencies.Clock.Now())
@@ -110,7 +111,7 @@
 	return err
 }
 
-// start starts the goroutines of the term in a group. They end when the context ends.
+// start starts the goroutines of the term in a group. They end when the context ends at the latest.
 func (l *Leader) start(ctx context.Context, group *errgroup.Group) {
 	d := &l.dependencies
 	// The cloud does not fence calls, so the client checks the term before each call.
--- a/controller/leader/workers.go
+++ b/controller/leader/workers.go
@@ -31,7 +31,7 @@
 			c.log.Debug("worker call failed", "machine", machine, "err", err)
 			heartbeat = nil
 		}
-		c.mailbox.post(ctx, workerCallFinished{machine: machine, heartbeat: heartbeat})
+		c.mailbox.post(ctx, commandsFinished{machine: machine, heartbeat: heartbeat})
 		return nil
 	})
 }
--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// observe applies the leader and the acknowledged revision of a ping. The peer does not know the
-// leader's name if the leader key was deleted. The revision ends earlier terms in this case too.
+// observe applies the leader and the acknowledged revision of a ping. If the peer knows that the leader
+// key was deleted, the ping has no leader's name. Its revision still ends earlier terms.
 func (p *pinger) observe(ping peerapi.Ping) {
 	p.election.Observe(election.Leader{
 		Identity: election.Identity{Name: ping.Leader, PeerAddress: ping.LeaderPeerAddress, Incarnation: ping.Incarnation},
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,5 +1,5 @@
 // Package httpclient sends requests to external services: the key-value store, the cloud and
-// the agents on machines. Client is the HTTP transport to one address. It keeps connections open
+// the workers' agents. Client is the HTTP transport to one address. It keeps connections open
 // and sets a deadline on every request. Service adds a request budget and maps response statuses to
 // errors. Packages kv and cloud use a Service, and package worker uses a Client for each agent.
 // Neither type retries a request, because only the caller can resolve an indeterminate result.
--- a/records/changes.go
+++ b/records/changes.go
@@ -34,8 +34,8 @@
 	c.Operations = append(c.Operations, kv.Operation{DeleteKey: key})
 }
 
-// SliceVersion identifies an admission slice and the revision at which its record must be. Zero
-// means that the slice has no record yet.
+// SliceVersion identifies an admission slice and the revision at which its record must be.
+// Revision 0 means that the slice has no record yet.
 type SliceVersion struct {
 	Number   int
 	Revision ids.Revision
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,5 +1,6 @@
-// Package worker is the client of the agents that run tasks on machines. The leader sends them
-// commands and requests heartbeats. Each request is sent once; the leader is responsible for retries.
+// Package worker is the client of workers, that is, of the agents that run tasks on machines. The
+// leader sends them commands and requests heartbeats. Each request is sent once; the leader is
+// responsible for retries.
 package worker
 
 import (
