--- a/controller/leader/load_test.go
+++ b/controller/leader/load_test.go
@@ -22,7 +22,7 @@
 func startStoreWithUnreadableRecords(t *testing.T) string {
 	t.Helper()
 	readable := records.Job{Status: wire.JobQueued, Tasks: 1, Spec: &wire.JobSpec{Team: "red", Tasks: 1, CPUs: 1}}
-	placed := records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}}
+	placed := records.AdmissionSlice{Machines: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}}
 	server := kvtest.NewServer(kvtest.NewStore())
 	t.Cleanup(server.Close)
 	server.Put(records.FleetKey, 1)
--- a/controller/peerapi/production_test.go
+++ b/controller/peerapi/production_test.go
@@ -68,7 +68,7 @@
 		"job queued":    queued,
 		"job withdrawn": cancelled,
 		"job done":      records.Job{Nonce: 98, Status: wire.JobDone, Tasks: 70},
-		"slice": records.AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"a", "b"},
+		"slice": records.AdmissionSlice{Nonce: 97, Machines: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"a", "b"},
 			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 3, -1}, Done: []int{67, 69}},
 		"leader": election.Identity{Name: "perch-0", PeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3},
 	} {
--- a/records/golden_test.go
+++ b/records/golden_test.go
@@ -39,11 +39,11 @@
 		{Name: "job cancelled without description", Value: Job{Nonce: 7, Status: wire.JobCancelled, Tasks: 70}, Partial: true},
 		{Name: "job done", Value: Job{Nonce: 8, Status: wire.JobDone, Tasks: 70, DoneMS: 1764640000456}, Partial: true},
 		{Name: "job done by an older version", Value: Job{Nonce: 9, Status: wire.JobDone, Tasks: 70}, Partial: true},
-		{Name: "admission slice", Value: AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"zone-a", "zone-b"},
+		{Name: "admission slice", Value: AdmissionSlice{Nonce: 97, Machines: []ids.MachineID{"n-000231", "n-000007"}, Zones: []ids.Zone{"zone-a", "zone-b"},
 			Tasks: []int{64, 2, 0, 65, 1, 1, 66, 300, -1}, Done: []int{67, 69}}},
-		{Name: "admission slice, split, first part", Value: AdmissionSlice{Nonce: 98, Hosts: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"},
+		{Name: "admission slice, split, first part", Value: AdmissionSlice{Nonce: 98, Machines: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"},
 			Tasks: []int{64, 2, 0}, Done: []int{67}}},
-		{Name: "admission slice, split, last part", Value: AdmissionSlice{Nonce: 98, Hosts: []ids.MachineID{"n-000007"}, Zones: []ids.Zone{"zone-b"},
+		{Name: "admission slice, split, last part", Value: AdmissionSlice{Nonce: 98, Machines: []ids.MachineID{"n-000007"}, Zones: []ids.Zone{"zone-b"},
 			Tasks: []int{65, 1, 0, 66, 300, -1}, Done: []int{69}}},
 	})
 }
@@ -73,7 +73,7 @@
 // preconditions and operations must not change.
 func TestTransactionEncodingIsStable(t *testing.T) {
 	versions := []SliceVersion{{Number: 2, Revision: 501}, {Number: 42}}
-	slice := AdmissionSlice{Nonce: 97, Hosts: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"}, Tasks: []int{64, 2, 0}}
+	slice := AdmissionSlice{Nonce: 97, Machines: []ids.MachineID{"n-000231"}, Zones: []ids.Zone{"zone-a"}, Tasks: []int{64, 2, 0}}
 	writes := []SliceWrite{{SliceVersion: versions[0], Record: slice}, {SliceVersion: versions[1], Record: slice}}
 	job := Job{Nonce: 5, Status: wire.JobQueued, Tasks: 70, Spec: goldenSpec("job-0"), SubmittedMS: 6, DoneMS: 7}
 	var text strings.Builder
--- a/records/records.go
+++ b/records/records.go
@@ -58,12 +58,12 @@
 type AdmissionSlice struct {
 	// Nonce identifies the change that wrote the record, as in Job.
 	Nonce uint64 `msgpack:"w"`
-	// Hosts lists the machines to which tasks were admitted.
-	Hosts []ids.MachineID `msgpack:"h"`
+	// Machines lists the machines to which tasks were admitted.
+	Machines []ids.MachineID `msgpack:"h"`
 	// Zones holds the zone of each machine, so that the next leader can respect the
 	// OneZone and Spread of the job before it receives heartbeats of the machines.
 	Zones []ids.Zone `msgpack:"z"`
-	// Tasks holds triples: task index, last attempt, and index in Hosts or -1.
+	// Tasks holds triples: task index, last attempt, and index in Machines or -1.
 	Tasks []int `msgpack:"t"`
 	// Done holds the indexes of the completed tasks.
 	Done []int `msgpack:"d,omitempty"`
--- a/scheduler/failover_test.go
+++ b/scheduler/failover_test.go
@@ -20,7 +20,7 @@
 	for _, zones := range [][]ids.Zone{{"a", "a"}, nil} {
 		h := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
 		h.inherit(wire.JobSpec{Service: true, Spread: true, Tasks: 3},
-			records.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
+			records.AdmissionSlice{Machines: []ids.MachineID{"n-1", "n-2"}, Zones: zones, Tasks: []int{0, 1, 0, 1, 1, 1, 2, 1, -1}})
 		h.c.Begin(h.now)
 		h.heartbeat("n-3", "a", ids.NewFencingToken(5, 0))
 		h.step()
@@ -39,7 +39,7 @@
 // tasks may run until its grace period and a lease have elapsed, and must use quota until then.
 func TestTasksUseQuotaDuringThePreviousLeadersGrace(t *testing.T) {
 	h := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
-	h.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	h.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Machines: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	h.c.Begin(h.now)
 	for _, step := range []struct {
 		after time.Duration
@@ -58,7 +58,7 @@
 // heartbeat sent just before may have been answered.
 func TestNoGraceOnceAllControllersFollow(t *testing.T) {
 	h := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: 10 * time.Minute}})
-	h.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	h.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Machines: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	h.c.Begin(h.now)
 	followed := 5 * time.Second
 	h.c.AllControllersFollow(h.now.Add(followed))
@@ -94,7 +94,7 @@
 // Otherwise the machine's tasks use quota for about two minutes, the grace period and a lease.
 func TestMachineThatFailedDuringFailoverIsTerminated(t *testing.T) {
 	h := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: 90 * time.Second}, FleetOptions: FleetOptions{ListLag: 3 * time.Second}})
-	h.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	h.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Machines: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	h.c.Begin(h.now)
 	for s := range 20 {
 		h.now = h.now.Add(time.Second)
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -138,7 +138,7 @@
 func (r *jobRecordReader) loadPlacements(j *cluster.Job, s *cluster.AdmissionSlice, record *records.AdmissionSlice) error {
 	for k := 0; k+2 < len(record.Tasks); k += 3 {
 		index, attempt, machineIndex := record.Tasks[k], ids.Attempt(record.Tasks[k+1]), record.Tasks[k+2]
-		if index < 0 || index >= len(j.Tasks()) || machineIndex >= len(record.Hosts) {
+		if index < 0 || index >= len(j.Tasks()) || machineIndex >= len(record.Machines) {
 			return fmt.Errorf("load admission record %s/%d: task index %d or machine index %d out of range",
 				j.ID, s.Number, index, machineIndex)
 		}
@@ -147,7 +147,7 @@
 		if machineIndex < 0 || t.State() == cluster.TaskDone {
 			continue
 		}
-		m := r.cluster.EnsureMachine(record.Hosts[machineIndex])
+		m := r.cluster.EnsureMachine(record.Machines[machineIndex])
 		if m.Zone() == "" && machineIndex < len(record.Zones) {
 			r.sites.setSite(m, placement.Site{Zone: record.Zones[machineIndex]}, "")
 		}
--- a/scheduler/previous_leaders_test.go
+++ b/scheduler/previous_leaders_test.go
@@ -37,7 +37,7 @@
 		{"within the margin", func(h *harness) { h.now = h.now.Add(grace - margin) }, true},
 	} {
 		h := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: grace}})
-		h.inherit(wire.JobSpec{Service: true, Tasks: 2}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
+		h.inherit(wire.JobSpec{Service: true, Tasks: 2}, records.AdmissionSlice{Machines: []ids.MachineID{"n-1", "n-2"}, Zones: []ids.Zone{"a", "a"}, Tasks: []int{0, 1, 0, 1, 1, 1}})
 		h.c.Begin(h.now)
 		spec := wire.JobSpec{Service: true, Tasks: 2, Class: "c", Team: "red", CPUs: 2, Image: "i"}
 		h.c.ObserveJob(h.now, "job-1", &records.Job{Status: wire.JobCancelled, Tasks: 2, Spec: &spec}, 50)
@@ -77,7 +77,7 @@
 		if c.unreadable {
 			h.c.LoadUnreadableJob("job-9")
 		}
-		h.inherit(wire.JobSpec{Service: c.service, Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+		h.inherit(wire.JobSpec{Service: c.service, Tasks: 1}, records.AdmissionSlice{Machines: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 		h.c.Begin(h.now)
 		began, delayed := h.now, c.service || c.unreadable
 		if got := h.c.CanAcknowledgeCancel(h.now, "job-1"); got == delayed {
@@ -137,7 +137,7 @@
 	previousToken, run := previous.runTask()
 
 	next := newHarness(t, Options{Revision: 9, LeaseOptions: LeaseOptions{PreviousLeader: true, PreviousLeaderGrace: time.Minute}})
-	next.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	next.inherit(wire.JobSpec{Tasks: 1}, records.AdmissionSlice{Machines: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	next.c.Begin(next.now)
 	// The next leader knows the addresses from the cloud's list. It receives no heartbeats, since all
 	// of them go to the previous leader. n-2 has no tasks, but must be asked as well.
--- a/scheduler/record_slices.go
+++ b/scheduler/record_slices.go
@@ -116,9 +116,9 @@
 	}
 	index, ok := known[a.Machine.ID]
 	if !ok {
-		index = len(record.Hosts)
+		index = len(record.Machines)
 		known[a.Machine.ID] = index
-		record.Hosts = append(record.Hosts, a.Machine.ID)
+		record.Machines = append(record.Machines, a.Machine.ID)
 		record.Zones = append(record.Zones, a.Machine.Zone())
 	}
 	return index
--- a/scheduler/record_slices_test.go
+++ b/scheduler/record_slices_test.go
@@ -19,11 +19,11 @@
 	f.cluster.Complete(j.Active()[0])
 	f.cluster.Release(j.Active()[1])
 	want := records.AdmissionSlice{
-		Nonce: uint64(ids.NewFencingToken(5, 1)),
-		Hosts: []ids.MachineID{"n-1", "n-2"},
-		Zones: []ids.Zone{"a", "a"},
-		Tasks: []int{1, 1, noMachine, 2, 1, 0, 3, 1, 1},
-		Done:  []int{0},
+		Nonce:    uint64(ids.NewFencingToken(5, 1)),
+		Machines: []ids.MachineID{"n-1", "n-2"},
+		Zones:    []ids.Zone{"a", "a"},
+		Tasks:    []int{1, 1, noMachine, 2, 1, 0, 3, 1, 1},
+		Done:     []int{0},
 	}
 	if got := f.sliceRecord(j, []int{0, 1, 2, 3}); !reflect.DeepEqual(got, want) {
 		t.Errorf("record %+v, want %+v", got, want)
@@ -33,7 +33,7 @@
 func TestTasksThatWereNeverPlacedAreNotRecorded(t *testing.T) {
 	f := newRecordFixture(t, recordSettings{})
 	record := f.sliceRecord(f.addJob("job-1", 2), []int{0, 1})
-	if len(record.Tasks) != 0 || len(record.Done) != 0 || len(record.Hosts) != 0 {
+	if len(record.Tasks) != 0 || len(record.Done) != 0 || len(record.Machines) != 0 {
 		t.Errorf("record %+v", record)
 	}
 }
--- a/scheduler/replacements_test.go
+++ b/scheduler/replacements_test.go
@@ -53,7 +53,7 @@
 func beginWithInheritedService(t *testing.T) *harness {
 	t.Helper()
 	h := newHarness(t, Options{LeaseOptions: LeaseOptions{PreviousLeader: true}})
-	h.inherit(wire.JobSpec{Tasks: 1, Service: true}, records.AdmissionSlice{Hosts: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
+	h.inherit(wire.JobSpec{Tasks: 1, Service: true}, records.AdmissionSlice{Machines: []ids.MachineID{"n-1"}, Zones: []ids.Zone{"a"}, Tasks: []int{0, 1, 0}})
 	h.c.Begin(h.now)
 	return h
 }
