--- a/controller/controller.go
+++ b/controller/controller.go
@@ -65,7 +65,8 @@
 
 const (
 	// The shares of the key-value store's request rate: for the requests of the leader itself, for
-	// users' requests at all controllers together, and for status reads at all controllers together.
+	// users' requests at all controllers together, and, as a part of the latter, for status reads at
+	// all controllers together.
 	leaderRequestShare = 0.25
 	userRequestShare   = 0.65
 	statusReadShare    = 0.2
@@ -186,7 +187,7 @@
 	return err
 }
 
-// start starts the goroutines of all components in a group. They return when ctx ends.
+// start starts the goroutines of all components in a group. They return when ctx ends at the latest.
 func (c *Controller) start(ctx context.Context, group *errgroup.Group, apiListener, peerListener net.Listener) {
 	api := server.New(c.service, c.serverLimits(), c.log)
 	group.Go(func() error { return server.Serve(ctx, api, retryListener{apiListener, c.log}) })
--- a/controller/peerapi/golden_test.go
+++ b/controller/peerapi/golden_test.go
@@ -25,7 +25,7 @@
 }
 
 // The encodings of the requests and answers between controllers must not change.
-func TestMessagesKeepTheirBytes(t *testing.T) {
+func TestMessageEncodingIsStable(t *testing.T) {
 	every := Ping{From: "perch-1", Leader: "perch-0", LeaderPeerAddress: "10.0.0.1:8081", Incarnation: 1<<62 + 3, Revision: 412, StoreReachable: true,
 		Workers: 231, Uptime: 90 * time.Second, AcknowledgedRevision: 411, Versions: Versions{Format: RecordFormat, Upgraded: []ids.ControllerName{"perch-0", "perch-2"}, Durable: true}}
 	old := every
@@ -35,9 +35,9 @@
 		{Name: "ping", Value: every},
 		{Name: "ping of an older version", Value: old, Partial: true},
 		{Name: "state request", Value: StoreCall{Method: "POST", Path: "/commit", Body: []byte{1, 2}, TimeoutMS: 1000}},
-		{Name: "state answer", Value: StoreAnswer{Status: 200, Body: []byte{3}, NotSent: true, Indeterminate: true}},
-		{Name: "state answer, not sent", Value: StoreAnswer{NotSent: true}, Partial: true},
-		{Name: "state answer, unknown", Value: StoreAnswer{Indeterminate: true}, Partial: true},
+		{Name: "state answer", Value: StoreResponse{Status: 200, Body: []byte{3}, NotSent: true, Indeterminate: true}},
+		{Name: "state answer, not sent", Value: StoreResponse{NotSent: true}, Partial: true},
+		{Name: "state answer, unknown", Value: StoreResponse{Indeterminate: true}, Partial: true},
 		{Name: "progress request", Value: []ids.JobID{"job-1", "job-2"}},
 		{Name: "progress answer", Value: []JobProgress{{Done: 3, Running: 13}, {Done: 300, Running: 70000}}},
 		{Name: "job notice", Value: NewJobNotice("job-1", &record, 412)},
@@ -57,7 +57,7 @@
 
 // The names of operations and the texts of refusals must not change, since controllers of two versions
 // communicate with each other during an upgrade.
-func TestOperationsKeepTheirNames(t *testing.T) {
+func TestOperationNamesAreStable(t *testing.T) {
 	for want, got := range map[peerrpc.Operation]peerrpc.Operation{"ping": OpPing, "state": OpStore, "progress": OpProgress, "job": OpJob,
 		"reports": OpHeartbeats, "zones": OpZones, "zone-override": OpZoneOverride} {
 		if got != want {
--- a/controller/pinger.go
+++ b/controller/pinger.go
@@ -31,7 +31,9 @@
 	gate             *versionGate
 }
 
-// run pings one peer periodically until the context ends.
+// run pings one peer periodically until the context ends. Before each ping it recounts the workers of
+// this controller, whose number the ping contains. After a failed ping it closes the connection, because
+// a network partition causes no connection error.
 func (p *pinger) run(ctx context.Context, target *peer) error {
 	for {
 		p.balancer.recount(p.clock.Now())
@@ -85,8 +87,8 @@
 	}
 }
 
-// observe applies the leader and the acknowledged revision of a ping. The peer does not know the
-// leader's name if the leader key was deleted. The revision ends earlier terms in this case too.
+// observe applies the leader and the acknowledged revision of a ping. If the peer knows that the leader
+// key was deleted, the ping has no leader's name. Its revision still ends earlier terms.
 func (p *pinger) observe(ping peerapi.Ping) {
 	p.election.Observe(election.Leader{
 		Identity: election.Identity{Name: ping.Leader, PeerAddress: ping.LeaderPeerAddress, Incarnation: ping.Incarnation},
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -99,7 +99,7 @@
 
 // loadJob loads a job's record at the start of the leadership term.
 func (r *jobRecordReader) loadJob(id ids.JobID, record *records.Job, revision ids.Revision) {
-	r.graph.Put(id, record.Dependencies())
+	r.graph.Put(id, record.DependencyRecord())
 	if record.Status == wire.JobDone || record.Spec == nil {
 		return
 	}
@@ -138,7 +138,7 @@
 func (r *jobRecordReader) loadPlacements(j *cluster.Job, s *cluster.AdmissionSlice, record *records.AdmissionSlice) error {
 	for k := 0; k+2 < len(record.Tasks); k += 3 {
 		index, attempt, machineIndex := record.Tasks[k], ids.Attempt(record.Tasks[k+1]), record.Tasks[k+2]
-		if index < 0 || index >= len(j.Tasks()) || machineIndex >= len(record.Hosts) {
+		if index < 0 || index >= len(j.Tasks()) || machineIndex >= len(record.Machines) {
 			return fmt.Errorf("load admission record %s/%d: task index %d or machine index %d out of range",
 				j.ID, s.Number, index, machineIndex)
 		}
@@ -147,7 +147,7 @@
 		if machineIndex < 0 || t.State() == cluster.TaskDone {
 			continue
 		}
-		m := r.cluster.EnsureMachine(record.Hosts[machineIndex])
+		m := r.cluster.EnsureMachine(record.Machines[machineIndex])
 		if m.Zone() == "" && machineIndex < len(record.Zones) {
 			r.sites.setSite(m, placement.Site{Zone: record.Zones[machineIndex]}, "")
 		}
@@ -223,7 +223,7 @@
 // applyJobRecord adds a job's record to the dependency graph and updates all jobs whose readiness or
 // priority changes.
 func (r *jobRecordReader) applyJobRecord(id ids.JobID, record *records.Job) {
-	for _, other := range r.graph.Put(id, record.Dependencies()) {
+	for _, other := range r.graph.Put(id, record.DependencyRecord()) {
 		if j := r.cluster.Job(other); j != nil {
 			r.syncDependencies(j)
 		}
