--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -23,7 +23,8 @@
 	zones      zoneAdmission
 	lifecycle  placementStopper
 	records    placementRecords
-	// maxSkippedJobs is the number of jobs that do not fit that one pass over the queue may skip.
+	// maxSkippedJobs is the maximum number of jobs that one pass over the queue may skip because
+	// they do not fit.
 	maxSkippedJobs int
 }
 
@@ -234,7 +235,7 @@
 		}
 		if aged && !attempt.allOrNothing {
 			adm.rounds.MarkDue()
-			break // the job has started, so its other tasks do not go first
+			break // the job has started, so its other tasks no longer precede those of other jobs
 		}
 	}
 	return placed, placementEnded
--- a/scheduler/autoscaler.go
+++ b/scheduler/autoscaler.go
@@ -19,8 +19,8 @@
 const planInterval = time.Second
 
 // autoscaler decides which machines to provision and which idle machines to terminate. The core
-// calls plan in each step and takeDecisions after it. Other policies query and update it through
-// the methods at the end of this file. It never places, stops or moves a task.
+// calls plan in each step and takeDecisions after it. Other components query and update it through
+// the methods at the end of this file. The autoscaler never places, stops or moves a task.
 type autoscaler struct {
 	cluster  *cluster.State
 	clock    *clock.Clock
--- a/scheduler/autoscaler_parts.go
+++ b/scheduler/autoscaler_parts.go
@@ -11,9 +11,9 @@
 	"ospreystile.example/ospreystile/scheduler/quota"
 )
 
-// autoscalerSettings holds the settings of the autoscaler and its components.
+// autoscalerSettings holds the settings of the autoscaler and its parts.
 type autoscalerSettings struct {
-	// revision is the revision of the leader's key.
+	// revision is the revision of the leader key.
 	revision ids.Revision
 	// previousLeader reports whether another leader may have acted before this term.
 	previousLeader bool
@@ -49,7 +49,7 @@
 	}
 }
 
-// autoscalerPeers holds the other policies that the autoscaler queries.
+// autoscalerPeers holds the other components that the autoscaler queries.
 type autoscalerPeers struct {
 	queue     *jobQueue
 	quota     *quotaCheck
@@ -87,8 +87,8 @@
 	}
 }
 
-// connect creates the components that query other policies. It is separate from newAutoscaler
-// because some of these policies query the autoscaler in turn.
+// connect creates the parts of the autoscaler that query other components. It is separate from
+// newAutoscaler because some of these components query the autoscaler in turn.
 func (as *autoscaler) connect(peers autoscalerPeers) {
 	as.health, as.zones = peers.health, peers.zones
 	as.provisioner.zones = peers.zones
--- a/scheduler/boot_times.go
+++ b/scheduler/boot_times.go
@@ -17,8 +17,8 @@
 	cluster  *cluster.State
 	clock    *clock.Clock
 	settings bootTimeSettings
-	// factors holds, by machine type, a running mean of the ratio of recent boot times to the boot
-	// time in the catalog.
+	// factors holds, by machine type, the exponential moving average of the ratio of recent boot
+	// times to the boot time in the catalog.
 	factors map[ids.MachineType]float64
 }
 
@@ -34,11 +34,12 @@
 	// lateBootFactor is the ratio to the recent boot times of its type above which a machine's boot
 	// counts as late.
 	lateBootFactor = 1.7
-	// newBootWeight is the weight of the newest boot in the running mean.
+	// newBootWeight is the weight of the newest boot in the exponential moving average of a type.
 	newBootWeight = 0.2
 )
 
-// record updates the running mean of a machine's type at the machine's first heartbeat.
+// record updates the moving average of a machine's type at the machine's first heartbeat. It ignores a
+// machine that a previous leader provisioned, and one without a boot time in the catalog.
 func (b *bootTimes) record(m *cluster.Machine) {
 	if m.MachineType() == nil || !m.Lifecycle.ProvisionedThisTerm || m.MachineType().BootS <= 0 {
 		return
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -12,11 +12,11 @@
 type candidateList struct {
 	machines []*cluster.Machine // sorted by ID
 	zones    []ids.Zone
-	// examined is the number of machines that all rounds of the leadership term have examined.
+	// examined is the number of machines that all rounds of the term have examined.
 	examined uint64
 }
 
-// collect updates the list to the machines that take tasks now.
+// collect updates the list to the machines that take tasks now, and counts all machines as examined.
 func (l *candidateList) collect(all []*cluster.Machine, health machineUsability) {
 	l.machines, l.zones = l.machines[:0], l.zones[:0]
 	for _, m := range all {
--- a/scheduler/clock/clock.go
+++ b/scheduler/clock/clock.go
@@ -15,15 +15,15 @@
 // machine has failed.
 const pauseThreshold = time.Second
 
-// Clock holds the scheduler's current time. Policies read it; only the core advances it.
+// Clock holds the scheduler's current time. All components read it; only the core advances it.
 type Clock struct {
 	now, termStart, lastStep, resumedAt monotonic.Instant
 	totalPause                          time.Duration
 	wallAtBeginMS                       int64
 }
 
-// New returns the clock of a term. wallMS is the time of day in Unix milliseconds when the
-// term begins; 0 means unknown.
+// New returns the clock of a term. wallMS is the wall-clock time in Unix milliseconds when
+// the term begins; 0 means unknown.
 func New(wallMS int64) *Clock { return &Clock{wallAtBeginMS: wallMS} }
 
 // Begin sets the time at which the term begins.
@@ -51,14 +51,16 @@
 // TermStart returns the time at which the term began.
 func (c *Clock) TermStart() monotonic.Instant { return c.termStart }
 
-// ResumedAt returns the time of the first step after the last pause of the process; 0 if there was
-// none.
+// ResumedAt returns the time of the first step or heartbeat after the last pause of the process. If there
+// was no pause, it is that of the first step or heartbeat of the term, or 0 if that was within
+// pauseThreshold of the origin of the monotonic clock.
 func (c *Clock) ResumedAt() monotonic.Instant { return c.resumedAt }
 
-// TotalPause returns the total duration of all pauses of the process.
+// TotalPause returns the total duration of all pauses of the process since its first step or heartbeat in
+// the term.
 func (c *Clock) TotalPause() time.Duration { return c.totalPause }
 
-// WallMS returns the current time of day in Unix milliseconds; 0 if it is unknown.
+// WallMS returns the current wall-clock time in Unix milliseconds; 0 if it is unknown.
 func (c *Clock) WallMS() int64 {
 	if c.wallAtBeginMS == 0 {
 		return 0
@@ -66,6 +68,6 @@
 	return c.wallAtBeginMS + c.now.Sub(c.termStart).Milliseconds()
 }
 
-// WallAtBeginMS returns the time of day in Unix milliseconds when the term began; 0 if it is
+// WallAtBeginMS returns the wall-clock time in Unix milliseconds when the term began; 0 if it is
 // unknown.
 func (c *Clock) WallAtBeginMS() int64 { return c.wallAtBeginMS }
--- a/scheduler/clock/trigger.go
+++ b/scheduler/clock/trigger.go
@@ -3,7 +3,7 @@
 import "ospreystile.example/ospreystile/monotonic"
 
 // RoundTrigger determines when the next scheduling round is due: after a change was marked, or at
-// a time that a policy requested, but never before the delay after the last round has passed.
+// a time that a component requested, but never before the delay after the last round has passed.
 type RoundTrigger struct {
 	due       bool
 	recheckAt monotonic.Instant // 0: none
--- a/scheduler/cluster/assignment.go
+++ b/scheduler/cluster/assignment.go
@@ -72,7 +72,7 @@
 
 // RecordStatus holds the state of an assignment's admission record. The record writer writes it.
 type RecordStatus struct {
-	Committed bool // the record is stored; no command is sent before
+	Committed bool // the record is stored; no run command is sent before it is
 	InFlight  bool // a change that contains the assignment is in flight
 }
 
@@ -165,18 +165,18 @@
 }
 
 // Stop records that a task must stop. A cancellation is never replaced by another reason.
-func (s *State) Stop(a *Assignment, why StopReason) {
+func (s *State) Stop(a *Assignment, reason StopReason) {
 	if a.stopReason == StopCancelled {
 		return
 	}
 	if a.stopReason == StopNone {
 		a.Machine.countNotStopping(a, -1)
 		s.countWorkload(a, -1)
-		a.stopReason = why
+		a.stopReason = reason
 		s.countWorkload(a, 1)
 		return
 	}
-	a.stopReason = why
+	a.stopReason = reason
 }
 
 // attach links an assignment with its task and machine, and counts the resources and quota that it
--- a/scheduler/cluster/cluster.go
+++ b/scheduler/cluster/cluster.go
@@ -9,9 +9,10 @@
 // assignments and the unrecorded tasks, and every index is consistent with the data it is derived
 // from.
 //
-// The package makes no decisions. Policies query the state and request changes. What a policy
-// records about a job or a machine is in a struct named after that policy, such as
-// Machine.Health. Only the policies named in the struct's comment write to it.
+// The package makes no decisions. The components of the scheduler query the state and request
+// changes. What a component records about a job or a machine is in a struct named after its
+// subject, such as Machine.Health. Only the components named in the struct's comment write to it,
+// apart from the initial values that State sets.
 //
 // The types aren't safe for concurrent use. They belong to the goroutine that runs the scheduler.
 package cluster
--- a/scheduler/cluster/job.go
+++ b/scheduler/cluster/job.go
@@ -37,11 +37,12 @@
 	Records  JobRecords
 }
 
-// JobQueue holds the state that admission keeps for a job. Admission, preemption and the processing
-// of job records and dependencies write it. The record writer sets RetryAt after the key-value store
-// has refused a change.
+// JobQueue holds the state that admission keeps for a job. Admission, reservations, preemption, and the
+// processing of job records and dependencies write it. The zone gate sets the preferred zone. RetryAt is
+// also set by the failure history, by heartbeat processing after an agent did not know a task, and by the
+// record writer after the key-value store has refused a change.
 type JobQueue struct {
-	// ReadyMS is the time of day in Unix milliseconds at which the job became ready to run.
+	// ReadyMS is the wall-clock time in Unix milliseconds at which the job became ready to run.
 	ReadyMS int64
 	// OrderMS determines the order of jobs with the same priority. It is ReadyMS, or for a job of a
 	// late pipeline the time at which the job should have started for the pipeline's last job to be
@@ -57,7 +58,7 @@
 	// a later time when a reservation did not suffice.
 	WaitingSince  monotonic.Instant
 	ReservedSince monotonic.Instant // 0: no machine is reserved for the job
-	RetryAt       monotonic.Instant // the job is not admitted before
+	RetryAt       monotonic.Instant // the job is not admitted before this time
 	// BorrowOnly reports whether the job may only borrow quota, because a job of its team with a
 	// higher priority must borrow.
 	BorrowOnly bool
@@ -73,7 +74,7 @@
 	PreferredUntil monotonic.Instant
 }
 
-// JobFailures holds a job's failures and run times. The failure and slow machine policies write it.
+// JobFailures holds a job's failures and run times. The failure history and the slowness detector write it.
 type JobFailures struct {
 	AntiAffinity map[ids.MachineID]monotonic.Instant // machines on which tasks failed, and when they last did
 	Succeeded    int                                 // tasks
@@ -82,7 +83,8 @@
 	RunTimes     map[ids.MachineID][]time.Duration // of tasks that were observed from start to end
 }
 
-// JobRecords holds the state of a job's records in the key-value store. The record writer writes it.
+// JobRecords holds the state of a job's records in the key-value store. The record writer writes it. The
+// processing of job records sets the revision that it has read.
 type JobRecords struct {
 	Revision ids.Revision // of the job's own record
 	// CancelUnrecorded reports whether the job is cancelled because a job that it depends on was
@@ -90,11 +92,11 @@
 	CancelUnrecorded   bool
 	Refusals           int               // consecutive changes that the key-value store refused
 	CompletionInFlight bool              // the change that completes the job is in flight
-	RereadAt           monotonic.Instant // no change is written before, while the record is read again
+	RereadAt           monotonic.Instant // no change is made before: a record is read again, or a change was refused
 }
 
-// AdmissionSlice represents one admission record of a job and the tasks that it contains. The record
-// writer owns all fields except Tasks.
+// AdmissionSlice represents one admission record of a job and the tasks that it contains. Once the
+// records are loaded, the record writer owns all fields except Tasks.
 type AdmissionSlice struct {
 	Number   int
 	Revision ids.Revision // 0: no record
--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -11,8 +11,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Machine represents a machine that was requested, that the cloud listed, or that sent a heartbeat,
-// until it is known to be terminated.
+// Machine represents a machine that the cloud provisioned or listed, that sent a heartbeat, or that the
+// records name, until it is known to be terminated.
 type Machine struct {
 	ID ids.MachineID // never changes
 
@@ -44,15 +44,16 @@
 }
 
 // MachineLifecycle holds the state of a machine from its provisioning to its termination. The machine
-// registry and the autoscaler write it.
+// registry, the autoscaler and heartbeat processing write it. State updates IdleSince and BootDeadline.
 type MachineLifecycle struct {
 	KnownSince   monotonic.Instant
 	BootDeadline monotonic.Instant // deadline of the first heartbeat; 0: unknown
-	// IdleSince is the time at which the machine last had an assignment.
+	// IdleSince is the time at which the machine last had an assignment, or of its first heartbeat of
+	// the term if that was later.
 	IdleSince           monotonic.Instant
 	ProvisionedThisTerm bool // by this leader, so no previous leader can have terminated it
 	ListedStatus        wire.MachineStatus
-	MissingLists        int // consecutive machine lists that lack it after it was listed
+	MissingLists        int // consecutive machine lists that lack it; see machineRegistry.countMissing
 	// Terminating reports whether it has been decided to terminate the machine, TerminateInFlight
 	// whether a call to terminate it is in flight, and Terminated whether the cloud has confirmed the
 	// termination.
@@ -60,7 +61,7 @@
 }
 
 // AgentStatus holds what the machine's agent has sent and when it was answered. Heartbeat processing
-// writes it.
+// writes it, except HadReplicas, which previousLeaders sets.
 type AgentStatus struct {
 	HeartbeatThisTerm bool // at least one heartbeat was received in this term
 	Incarnation       ids.AgentIncarnation
@@ -89,8 +90,8 @@
 	RequestHeartbeatAt monotonic.Instant
 }
 
-// MachineHealth holds the health of a machine. The health, failure and slow machine policies
-// write it.
+// MachineHealth holds the health of a machine. The health monitor, the failure history and the slowness
+// detector write it.
 type MachineHealth struct {
 	// Unreachable reports whether commands do not reach the machine although its heartbeats arrive.
 	Unreachable      bool
@@ -101,16 +102,17 @@
 	QuarantinedUntil       monotonic.Instant
 	QuarantinedForFailures bool // quarantined for failures rather than for slowness
 	LastFailure            monotonic.Instant
-	// Slowness is the running mean of the base-2 logarithm of the ratio between the run time of tasks
+	// Slowness is the moving average of the base-2 logarithm of the ratio between the run time of tasks
 	// here and that of other tasks of the same job elsewhere.
 	Slowness   float64
 	SlowUntil  monotonic.Instant
 	SlowStreak int // consecutive jobs after which Slowness was at the limit or above
 }
 
-// MachineAdmission holds the state that admission keeps for a machine.
+// MachineAdmission holds the state that admission keeps for a machine. Only reservations write it.
 type MachineAdmission struct {
-	// ReservedFor is the only job that may use the machine's free resources; nil: any job may.
+	// ReservedFor is the job for which the machine is reserved; nil: none. Which other jobs may still
+	// use the machine depends on their priority.
 	ReservedFor *Job
 }
 
--- a/scheduler/commands.go
+++ b/scheduler/commands.go
@@ -37,7 +37,7 @@
 	revision ids.Revision
 	// maxCallsInFlight is the maximum number of calls to agents in flight; 0: no limit.
 	maxCallsInFlight int
-	// heartbeatInterval is the time between two heartbeats of an agent.
+	// heartbeatInterval is the time between two heartbeats of a machine.
 	heartbeatInterval time.Duration
 }
 
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -78,10 +78,12 @@
 }
 
 // AllControllersFollow records that every other controller has confirmed since the start of this
-// term that it follows this leader. A process that knows of a later leader answers no heartbeat
-// for an earlier one, and neither does a process that starts after that. So no previous leader can
-// renew an agent's lease for a heartbeat sent from now on. Tasks on machines without heartbeats
-// therefore need not wait for the grace period of previous leaders.
+// term that it follows this leader or a later one. A controller that follows a later leader has
+// ended its own earlier terms. If its process restarts after the confirmation, the new process
+// cannot resume such a term, since each term belongs to the process that began it. So no previous
+// leader answers a heartbeat, and thereby renews an agent's lease, from now on. The lease of a
+// machine without heartbeats therefore expires without a wait for the grace period of previous
+// leaders, and its tasks may start elsewhere.
 func (c *Core) AllControllersFollow(now monotonic.Instant) {
 	c.clock.Set(now)
 	c.previousLeaders.end()
--- a/scheduler/direct_calls.go
+++ b/scheduler/direct_calls.go
@@ -21,7 +21,7 @@
 }
 
 // CommandsResult records the end of a call that TakeCommands started. heartbeat is the agent's
-// answer, or nil if there was none. Without an answer the agent may still execute the commands
+// response, or nil if there was none. Without a response the agent may still execute the commands
 // later. Fencing tokens make late execution harmless.
 func (c *Core) CommandsResult(now monotonic.Instant, machine ids.MachineID, heartbeat *wire.Heartbeat) {
 	c.clock.Set(now)
@@ -30,22 +30,22 @@
 		return
 	}
 	c.commands.commandCallAnswered(machine)
-	c.receiveCallAnswer(machine, heartbeat)
+	c.receiveCallResponse(machine, heartbeat)
 }
 
 // HeartbeatRequestResult records the end of a request for a heartbeat. heartbeat is the agent's
-// answer, or nil if there was none.
+// response, or nil if there was none.
 func (c *Core) HeartbeatRequestResult(now monotonic.Instant, machine ids.MachineID, heartbeat *wire.Heartbeat) {
 	c.clock.Set(now)
 	c.commands.heartbeatRequestEnded(machine)
 	if heartbeat != nil {
-		c.receiveCallAnswer(machine, heartbeat)
+		c.receiveCallResponse(machine, heartbeat)
 	}
 }
 
-// receiveCallAnswer applies the heartbeat with which an agent answered a call. It ignores the
+// receiveCallResponse applies the heartbeat with which an agent responded to a call. It ignores the
 // heartbeat if the machine was removed or another machine has its address now.
-func (c *Core) receiveCallAnswer(machine ids.MachineID, heartbeat *wire.Heartbeat) {
+func (c *Core) receiveCallResponse(machine ids.MachineID, heartbeat *wire.Heartbeat) {
 	if heartbeat.Machine == machine && c.cluster.Machine(machine) != nil {
 		c.HeartbeatFromCall(c.clock.Now(), heartbeat)
 	}
--- a/scheduler/dispatch_queue.go
+++ b/scheduler/dispatch_queue.go
@@ -126,7 +126,7 @@
 // needsDirectCall reports whether an agent must receive a command or a token before its next
 // heartbeat.
 func (d *commandDispatcher) needsDirectCall(m *cluster.Machine) bool {
-	if needsFencing(m) && d.answerOverdue(m) {
+	if needsFencing(m) && d.responseOverdue(m) {
 		return true
 	}
 	for _, a := range m.Assignments() {
@@ -140,8 +140,8 @@
 	return false
 }
 
-// answerOverdue reports whether no heartbeat of a machine was answered within the last heartbeat
+// responseOverdue reports whether no heartbeat of a machine was answered within the last heartbeat
 // interval.
-func (d *commandDispatcher) answerOverdue(m *cluster.Machine) bool {
+func (d *commandDispatcher) responseOverdue(m *cluster.Machine) bool {
 	return m.Agent.AnsweredAt == 0 || d.clock.Now() > m.Agent.AnsweredAt.Add(d.settings.heartbeatInterval)
 }
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -7,6 +7,9 @@
 // records, calls Begin, passes each event to a method of Core, and calls Step. It executes the
 // Decisions that Step returns and passes the results back as events.
 //
+// A machine is a host of the cloud, which runs one agent. The agent sends heartbeats, executes
+// commands and runs tasks. Other packages also call it a worker.
+//
 // The same events at the same times must give the same decisions. So nothing in this package
 // and the packages below it may
 //   - do I/O or log,
@@ -31,7 +34,7 @@
 //
 // Between steps, heartbeatHandler, jobRecordReader and machineRegistry receive events, and
 // taskLifecycle ends tasks. failureHistory, slownessDetector and runEstimates learn from how
-// tasks end. previousLeaders bounds what earlier leaders may still do.
+// tasks end. previousLeaders bounds what previous leaders may still do.
 //
 // cluster.State.CheckInvariants verifies the state. The simulation in the tests of this package
 // calls it after its steps. sim_rules_test.go also checks the guarantees given to users.
--- a/scheduler/fleet/backoff.go
+++ b/scheduler/fleet/backoff.go
@@ -11,7 +11,7 @@
 const maxBackoffFactor = 6
 
 // Backoff holds which sites recently lacked capacity, and until when no machines are requested from
-// them. The backoff of a site doubles with each refusal until a request succeeds.
+// them. The backoff of a site doubles with each refusal, up to maxBackoffFactor, until a request succeeds.
 type Backoff struct {
 	firstWait time.Duration
 	sites     map[placement.Site]siteBackoff
@@ -20,7 +20,7 @@
 // siteBackoff holds the state of a site that has refused requests since its last success. Other sites
 // have none.
 type siteBackoff struct {
-	until    monotonic.Instant // no machine is requested from the site before
+	until    monotonic.Instant // no machine is requested from the site before this time
 	nextWait time.Duration     // the backoff after the next refusal
 }
 
--- a/scheduler/fleet/bins.go
+++ b/scheduler/fleet/bins.go
@@ -11,7 +11,8 @@
 // roundingTolerance absorbs the rounding of a quotient of decimal amounts.
 const roundingTolerance = 1e-9
 
-// bin represents a machine that is booting or requested.
+// bin represents a machine with capacity for the demand: one that was added, or one that the planner
+// requests.
 type bin struct {
 	placement.Site
 	free placement.Resources
--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -1,8 +1,8 @@
 // Package fleet decides which machines to provision for tasks that could not be placed.
 //
-// The scheduler's autoscaler creates a Planner for each decision, adds the machines that are booting,
-// adds the demand job by job, and reads the machines to request. A Backoff lives as long as the
-// autoscaler. The package reads no clock and starts no goroutine. Its types aren't safe for
+// The scheduler's autoscaler creates a Planner for each decision, adds the machines whose free resources
+// the tasks may use, adds the demand job by job, and reads the machines to request. A Backoff lives as
+// long as the autoscaler. The package reads no clock and starts no goroutine. Its types aren't safe for
 // concurrent use.
 package fleet
 
@@ -27,7 +27,7 @@
 	Count int
 }
 
-// Planner packs demand into the machines that are booting and requests machines for the rest.
+// Planner packs demand into the capacity that was added and requests machines for the rest.
 // The exported fields are set before the first Add.
 type Planner struct {
 	Types []wire.MachineType
@@ -49,7 +49,8 @@
 	firstBin map[requirements]int
 }
 
-// AddCapacity adds a machine that is booting, with its free resources.
+// AddCapacity adds the free resources of a machine that exists or is already requested. Demand that is
+// added later uses them before another machine is requested.
 func (p *Planner) AddCapacity(s placement.Site, free placement.Resources) {
 	p.bins = append(p.bins, &bin{s, free})
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -12,7 +12,7 @@
 // heartbeats, lease expiry, boot timeouts, spot reclaims and the end of quarantines. It terminates
 // machines that can no longer be used and releases the tasks of machines whose lease has expired.
 //
-// The other policies query it for the health of machines and zones, which the embedded
+// The other components query it for the health of machines and zones, which the embedded
 // machineLiveness and partitionDetector implement. Core.Step calls checkIfDue. healthMonitor must never
 // release a task that may still be running. Only lease expiry, or the cloud's confirmation that the
 // machine is terminated, proves that a task has ended.
@@ -35,11 +35,11 @@
 	checkRequested bool
 }
 
-// healthSettings holds the settings that all parts of the health policy share.
+// healthSettings holds the settings that all parts of the health monitor share.
 type healthSettings struct {
 	// agentLease is how long an agent keeps running tasks after its last answered heartbeat.
 	agentLease time.Duration
-	// heartbeatInterval is the time between two heartbeats of an agent.
+	// heartbeatInterval is the time between two heartbeats of a machine.
 	heartbeatInterval time.Duration
 	// cancelDeadline is the time within which the tasks of a cancelled job must have ended.
 	cancelDeadline time.Duration
--- a/scheduler/heartbeats.go
+++ b/scheduler/heartbeats.go
@@ -44,7 +44,7 @@
 	lifecycle    taskEnder
 	zones        zoneTaskObserver
 	leaders      *previousLeaders
-	// revision is the revision of the leader's key. All fencing tokens of the term contain it.
+	// revision is the revision of the leader key. All fencing tokens of the term contain it.
 	revision ids.Revision
 	// interval is the time between two heartbeats of a machine.
 	interval time.Duration
@@ -240,10 +240,10 @@
 	case !a.MayRun():
 		// Not sent yet.
 	case a.Delivery.Sent && a.Machine.Agent.Incarnation > a.Delivery.Incarnation,
-		// The agent's lease has expired. The agent has dropped all its tasks, and its new
-		// incarnation rejects commands for the old one.
 		a.Machine.Agent.FencingToken > a.Delivery.Token:
-		// The agent now rejects a run command that carries the lower token.
+		// A new incarnation means that the agent's lease has expired: the agent has dropped all
+		// its tasks, and it rejects commands for the old incarnation. An agent with a higher
+		// token rejects a run command that carries the lower one.
 		if onlyCommandVoided(a) {
 			// The assignment is kept, and the run command for the same attempt is sent again.
 			a.Delivery.Sent = false
--- a/scheduler/job_records.go
+++ b/scheduler/job_records.go
@@ -14,7 +14,7 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// LoadJob loads a job's record at the start of the leadership term. All jobs must be loaded before
+// LoadJob loads a job's record at the start of the term. All jobs must be loaded before
 // any admission slice.
 func (c *Core) LoadJob(id ids.JobID, record *records.Job, revision ids.Revision) {
 	c.jobRecords.loadJob(id, record, revision)
@@ -27,7 +27,7 @@
 	c.previousLeaders.recordsUnreadable = true
 }
 
-// LoadSlice loads an admission record at the start of the leadership term.
+// LoadSlice loads an admission record at the start of the term.
 func (c *Core) LoadSlice(id ids.JobID, number int, record *records.AdmissionSlice, revision ids.Revision) error {
 	return c.jobRecords.loadSlice(id, number, record, revision)
 }
@@ -70,7 +70,7 @@
 	records    jobRecordMarks
 	sites      siteRecorder
 	arrivals   arrivalObserver
-	// revision is the revision of the leader's key.
+	// revision is the revision of the leader key.
 	revision ids.Revision
 	// valueBytes is the maximum size of a record in JSON form, in bytes. Zero means no limit.
 	valueBytes int
@@ -97,7 +97,7 @@
 	recordArrival(spec *wire.JobSpec)
 }
 
-// loadJob loads a job's record at the start of the leadership term.
+// loadJob loads a job's record at the start of the term.
 func (r *jobRecordReader) loadJob(id ids.JobID, record *records.Job, revision ids.Revision) {
 	r.graph.Put(id, record.Dependencies())
 	if record.Status == wire.JobDone || record.Spec == nil {
@@ -106,7 +106,7 @@
 	r.cluster.AddJob(id, record, revision)
 }
 
-// loadSlice loads an admission record at the start of the leadership term, after the jobs.
+// loadSlice loads an admission record at the start of the term, after the jobs.
 func (r *jobRecordReader) loadSlice(id ids.JobID, number int, record *records.AdmissionSlice, revision ids.Revision) error {
 	if r.unreadable[id] {
 		return nil
@@ -183,7 +183,7 @@
 	}
 }
 
-// begin prepares the jobs for the leadership term once all records are loaded. It visits the jobs in
+// begin prepares the jobs for the term once all records are loaded. It visits the jobs in
 // order of their IDs, because the order determines what is stopped, sent and written first.
 func (r *jobRecordReader) begin() {
 	for _, j := range r.cluster.SortedJobs() {
@@ -205,7 +205,7 @@
 	}
 }
 
-// maxInheritedWait limits how long a job counts as having waited before the leadership term began.
+// maxInheritedWait limits how long a job counts as having waited before the term began.
 const maxInheritedWait = time.Hour
 
 // readySince returns the instant at which a loaded job became ready to run, derived from the wall
--- a/scheduler/liveness.go
+++ b/scheduler/liveness.go
@@ -17,7 +17,7 @@
 )
 
 // machineLiveness determines from heartbeats which machines are alive and may get tasks. It does not
-// modify any state. All other policies may query it.
+// modify any state. All other components may query it.
 type machineLiveness struct {
 	clock    *clock.Clock
 	settings healthSettings
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -11,7 +11,7 @@
 // Options holds the settings of one term of leadership, grouped by policy. The scheduler applies
 // no defaults: every field must be set unless its comment says what 0 means.
 type Options struct {
-	// Revision is the revision of the leader's key. All fencing tokens of the term contain it.
+	// Revision is the revision of the leader key. All fencing tokens of the term contain it.
 	Revision ids.Revision
 	// WallClockMS is the wall-clock time at the start of the term, in Unix milliseconds. The time
 	// that jobs have already waited is computed from it. 0 means unknown.
@@ -33,8 +33,8 @@
 // may still act.
 type LeaseOptions struct {
 	// HeartbeatInterval is the time between two heartbeats of a machine. AgentLease is how long
-	// an agent keeps running its tasks without an answer to its heartbeats. CancelDeadline is
-	// the time within which the tasks of a cancelled job must have ended.
+	// an agent keeps running tasks after its last answered heartbeat. CancelDeadline is the time
+	// within which the tasks of a cancelled job must have ended.
 	HeartbeatInterval, AgentLease, CancelDeadline time.Duration
 	// PreviousLeader reports whether another leader may have acted before this term.
 	PreviousLeader bool
@@ -46,8 +46,8 @@
 
 // AdmissionOptions holds the settings of scheduling rounds.
 type AdmissionOptions struct {
-	// MaxSkippedJobs is the maximum number of jobs that do not fit which one pass over the
-	// queue may skip.
+	// MaxSkippedJobs is the maximum number of jobs that one pass over the queue may skip because
+	// they do not fit.
 	MaxSkippedJobs int
 	// LatencySensitive maps each class whose tasks must start faster than a machine boots to
 	// its start time objective.
@@ -106,6 +106,6 @@
 
 // CommandOptions holds the settings of command dispatch.
 type CommandOptions struct {
-	// MaxWorkerCalls is the maximum number of calls to machines in flight. 0 means no limit.
+	// MaxWorkerCalls is the maximum number of calls to agents in flight. 0 means no limit.
 	MaxWorkerCalls int
 }
--- a/scheduler/placement/score.go
+++ b/scheduler/placement/score.go
@@ -8,11 +8,11 @@
 	Free, Total      Resources
 	Cached           bool    // the machine has the image
 	Fetching         bool    // the machine is fetching the image
-	SameJob          int     // tasks of the same job on the machine
+	SameJob          int     // replicas of the same service on the machine; 0 for other jobs
 	SameZone         int     // tasks of the same job in the zone
 	RunsServices     bool    // the machine runs services, so it is not terminated
-	LatencySensitive bool    // the job's tasks must start within seconds
-	SpotRisk         float64 // probability that a spot instance is reclaimed while the task runs
+	LatencySensitive bool    // the job's tasks must start faster than a machine boots
+	SpotRisk         float64 // expected number of reclaims of a spot instance while the task runs
 	Suspect          bool    // tasks failed on the machine, or it runs them slowly
 	InPreferredZone  bool    // the task is a replica that was stopped to be moved to this zone
 	ZoneUnproven     bool    // the zone had an outage and its recovery is not proven yet
@@ -20,8 +20,8 @@
 
 // The weights of Score, in points. Only their ratios matter.
 const (
-	// cachedImageBonus is for a machine that has the image. For tasks that must start within
-	// seconds, urgentImageBonus applies instead. It outweighs the difference between spot and
+	// cachedImageBonus is for a machine that has the image. For latency-sensitive tasks,
+	// urgentImageBonus applies instead. It outweighs the difference between spot and
 	// on-demand machines.
 	cachedImageBonus = 25.0
 	urgentImageBonus = 100.0
@@ -39,9 +39,9 @@
 	spotRiskWeight     = 800.0
 	maxSpotRiskPenalty = 200.0
 
-	// suspectPenalty outweighs all other weights together.
+	// suspectPenalty outweighs all bonuses together.
 	suspectPenalty = 500.0
-	// preferredZoneBonus outweighs all other weights except suspectPenalty.
+	// preferredZoneBonus outweighs all other bonuses together.
 	preferredZoneBonus = 300.0
 	// unprovenZonePenalty is for a service in a zone whose recovery is not proven yet. It outweighs
 	// cachedImageBonus, but not urgentImageBonus.
--- a/scheduler/preemption/plan_totals.go
+++ b/scheduler/preemption/plan_totals.go
@@ -22,33 +22,33 @@
 
 // newPlanTotals returns the totals of a round without plans: the quota that the teams borrow.
 func newPlanTotals(teams []ids.Team, quotas *quota.Tracker) planTotals {
-	l := planTotals{
+	t := planTotals{
 		borrowed:  map[ids.Team]quota.Amount{},
 		committed: map[ids.Team]quota.Amount{},
 		victims:   map[*cluster.Assignment]bool{},
 	}
 	for _, team := range teams {
-		l.borrowed[team] = quotas.Borrowed(team)
+		t.borrowed[team] = quotas.Borrowed(team)
 	}
-	return l
+	return t
 }
 
 // clone returns a copy of the totals.
-func (l *planTotals) clone() planTotals {
+func (t *planTotals) clone() planTotals {
 	return planTotals{
-		borrowed:  maps.Clone(l.borrowed),
-		committed: maps.Clone(l.committed),
-		victims:   maps.Clone(l.victims),
+		borrowed:  maps.Clone(t.borrowed),
+		committed: maps.Clone(t.committed),
+		victims:   maps.Clone(t.victims),
 	}
 }
 
 // reserve adds quota that a team will use.
-func (l *planTotals) reserve(team ids.Team, amount quota.Amount) {
-	l.committed[team] = l.committed[team].Plus(amount)
+func (t *planTotals) reserve(team ids.Team, amount quota.Amount) {
+	t.committed[team] = t.committed[team].Plus(amount)
 }
 
 // free subtracts quota that a team will free.
-func (l *planTotals) free(team ids.Team, amount quota.Amount) {
-	l.borrowed[team] = l.borrowed[team].Minus(amount)
-	l.committed[team] = l.committed[team].Minus(amount)
+func (t *planTotals) free(team ids.Team, amount quota.Amount) {
+	t.borrowed[team] = t.borrowed[team].Minus(amount)
+	t.committed[team] = t.committed[team].Minus(amount)
 }
--- a/scheduler/preemption/preemption.go
+++ b/scheduler/preemption/preemption.go
@@ -43,14 +43,14 @@
 // tasks with equal classes, either all can be placed or none.
 type RequestClass any
 
-// Scheduler is the interface to the other policies of the scheduler.
+// Scheduler is the interface to the other components of the scheduler.
 type Scheduler interface {
 	// LatencySensitive reports whether a job must start in less time than a machine takes to boot.
 	LatencySensitive(j *cluster.Job) bool
 	// Probing reports whether only one task of a job may be placed at a time, because the job has
 	// failed everywhere. No task is preempted for such a job.
 	Probing(j *cluster.Job) bool
-	// MayUse reports whether the other policies allow the next pending task of a job on a machine,
+	// MayUse reports whether the other components allow the next pending task of a job on a machine,
 	// provided that the machine has enough free resources. The job must have a pending task.
 	MayUse(j *cluster.Job, m *cluster.Machine) bool
 	// RequestClass returns the class of the next task of a job whose other tasks are in the given
@@ -59,7 +59,7 @@
 	// RunTime returns the time that a task has been in its phase, less the pauses of this process.
 	RunTime(a *cluster.Assignment) time.Duration
 	// Stop stops a task. A task that never started is released immediately.
-	Stop(a *cluster.Assignment, why cluster.StopReason)
+	Stop(a *cluster.Assignment, reason cluster.StopReason)
 }
 
 // Policy decides which tasks are stopped for waiting jobs.
--- a/scheduler/preemption_scheduler.go
+++ b/scheduler/preemption_scheduler.go
@@ -9,7 +9,7 @@
 	"ospreystile.example/ospreystile/scheduler/preemption"
 )
 
-// preemptionScheduler gives the preemption policy access to the other scheduling policies. It
+// preemptionScheduler gives the preemption policy access to the other components of the scheduler. It
 // implements preemption.Scheduler.
 type preemptionScheduler struct {
 	clock        *clock.Clock
--- a/scheduler/previous_leaders.go
+++ b/scheduler/previous_leaders.go
@@ -76,7 +76,8 @@
 	p.replicasAnsweredUntil, p.othersAnsweredUntil = min(p.replicasAnsweredUntil, now), min(p.othersAnsweredUntil, now)
 }
 
-// answeredUntil returns the latest time at which a previous leader may have answered a machine.
+// answeredUntil returns the latest time at which a previous leader may have received a heartbeat of a
+// machine that it then answered.
 func (p *previousLeaders) answeredUntil(m *cluster.Machine) monotonic.Instant {
 	if m.Agent.HadReplicas || p.recordsUnreadable {
 		return p.replicasAnsweredUntil
--- a/scheduler/provisioning.go
+++ b/scheduler/provisioning.go
@@ -28,7 +28,7 @@
 	rounds  *clock.RoundTrigger
 	zones   provisioningLimiter
 	backoff *fleet.Backoff
-	// revision is the revision of the leader's key. It makes request IDs unique among leaders.
+	// revision is the revision of the leader key. It makes request IDs unique among leaders.
 	revision ids.Revision
 	// lastRequest is the number of the last request of the term.
 	lastRequest int
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -21,11 +21,12 @@
 
 // queueSettings holds the settings of the job queue.
 type queueSettings struct {
-	// latencySensitive holds the start latency objectives of the classes whose tasks must
-	// start in less time than a machine takes to boot.
+	// latencySensitive maps each class whose tasks must start faster than a machine boots to
+	// its start time objective.
 	latencySensitive map[string]time.Duration
-	// reserveAfter is how long a job waits for its start before it counts as starved. Zero
-	// disables this: no job ever counts as starved.
+	// reserveAfter is how long a job waits for its start before machines are reserved for it.
+	// After agingFactor times as long it counts as aged, and after starvationFactor times as
+	// long as starving. Zero disables both.
 	reserveAfter time.Duration
 }
 
--- a/scheduler/quota_check.go
+++ b/scheduler/quota_check.go
@@ -23,7 +23,7 @@
 	health  machineUsability
 }
 
-// machineUsability determines which machines may run tasks and which may be given new ones.
+// machineUsability reports which machines may run tasks and which may be given new ones.
 type machineUsability interface {
 	// usable reports whether tasks may run on a machine.
 	usable(m *cluster.Machine) bool
--- a/scheduler/record_completion.go
+++ b/scheduler/record_completion.go
@@ -14,7 +14,7 @@
 // completion represents the change that records that a job is done.
 type completion struct {
 	job    *cluster.Job
-	doneMS int64 // time of day in Unix milliseconds
+	doneMS int64 // wall-clock time in Unix milliseconds
 	// deleted holds the slices whose records the change deletes.
 	deleted []*cluster.AdmissionSlice
 }
--- a/scheduler/record_outcomes.go
+++ b/scheduler/record_outcomes.go
@@ -96,7 +96,7 @@
 	return len(conflict.Keys) == 1 && conflict.Keys[0] == records.JobKey(j.ID)
 }
 
-// handleRefusal handles a change that the key-value store rejects for its size or form, for
+// handleRefusal handles a change that the key-value store refuses for its size or form, for
 // instance because the store's limits are lower than announced. The same change would be refused
 // again, so the job's next change is half as large and is made after a backoff. After maxRefusals
 // the job waits until slices may be split or another controller is the leader. Other jobs are not
--- a/scheduler/record_writer.go
+++ b/scheduler/record_writer.go
@@ -13,9 +13,10 @@
 // recordWriter keeps the records in the key-value store consistent with the cluster state. It owns
 // the marks of records that are out of date, the changes in flight, the write budget, and the
 // fields of the cluster state that describe records: cluster.JobRecords, cluster.RecordStatus, and
-// cluster.AdmissionSlice except its tasks.
+// cluster.AdmissionSlice except its tasks. Only jobRecordReader also sets some of these fields, from
+// the records that it reads.
 //
-// Other policies mark what has changed. Core.Step calls refillBudget, writeRecords and
+// Other components mark what has changed. Core.Step calls refillBudget, writeRecords and
 // takeDecisions in this order, and Core.CommitResult passes results to handleResult. A task must
 // not be sent before the result says that its placement is committed. The record writer does no
 // I/O and never has two changes of one slice in flight. If another writer has changed a job's
@@ -77,8 +78,8 @@
 	applyJobRecord(id ids.JobID, record *records.Job)
 }
 
-// newRecordWriter returns a record writer with a full budget. The core sets the policies that the
-// record writer calls once they are created.
+// newRecordWriter returns a record writer with a full budget. The core sets the components that
+// the record writer calls once they are created.
 func newRecordWriter(state *cluster.State, clk *clock.Clock, rounds *clock.RoundTrigger, settings recordSettings) *recordWriter {
 	return &recordWriter{
 		cluster:     state,
@@ -151,7 +152,7 @@
 	w.pending[w.submit(change)] = p
 }
 
-// nextNonce returns the nonce of the next change. No two leader terms have the same revision, so no
+// nextNonce returns the nonce of the next change. No two terms have the same revision, so no
 // two changes have the same nonce.
 func (w *recordWriter) nextNonce() uint64 {
 	return uint64(ids.NewFencingToken(w.settings.leaderRevision, w.lastChange+1))
--- a/scheduler/reservations.go
+++ b/scheduler/reservations.go
@@ -17,8 +17,8 @@
 // long, some machines that it could use take no other tasks of its priority or below until enough
 // resources are free there.
 //
-// Each scheduling round calls update after admission and preemption. It must not place or stop
-// a task, and it must not reserve more than maxReservedFraction of the machines.
+// Each scheduling round calls update after admission and preemption. update must not place or stop
+// a task, and it must not reserve a further machine beyond maxReservedFraction.
 type reservations struct {
 	cluster    *cluster.State
 	clock      *clock.Clock
@@ -38,7 +38,8 @@
 }
 
 const (
-	// maxReservedFraction limits the reserved machines, as a fraction of all machines.
+	// maxReservedFraction is the fraction of the machines that take tasks above which no further
+	// machine is reserved. One machine may always be reserved.
 	maxReservedFraction = 0.1
 	// reservationRecheckInterval is the interval at which jobs that wait to start are examined
 	// again, because a reservation may begin or end without any event.
--- a/scheduler/scale_in.go
+++ b/scheduler/scale_in.go
@@ -33,7 +33,7 @@
 
 // idleMachineTerminator terminates machines.
 type idleMachineTerminator interface {
-	terminateMachine(m *cluster.Machine, why terminateReason)
+	terminateMachine(m *cluster.Machine, reason terminateReason)
 }
 
 // terminateIdleMachines terminates the machines whose idle timeout has expired.
--- a/scheduler/search.go
+++ b/scheduler/search.go
@@ -50,8 +50,9 @@
 func (s *searcher) requestOf(j *cluster.Job, tasksByZone placement.TasksByZone) (request placementRequest, ok bool) {
 	spec := j.Spec
 	if len(spec.Types) > 0 || len(s.candidates.zones) > maxRequestZones || j.Queue.ReservedSince != 0 {
-		// Machines may be reserved for this job alone, so an equal request of another job
-		// may have a different result.
+		// A request holds neither machine types nor more than maxRequestZones zones. Machines may
+		// be reserved for this job alone, so an equal request of another job may have a different
+		// result.
 		return placementRequest{}, false
 	}
 	request = placementRequest{resources: placement.TaskResources(spec), priority: j.Priority(), spot: spec.Spot, zone: spec.Zone}
--- a/scheduler/task_lifecycle.go
+++ b/scheduler/task_lifecycle.go
@@ -10,7 +10,7 @@
 
 // taskLifecycle stops tasks, releases those that are known to have ended, and notifies the record
 // writer, command dispatch, the zone gate, the run time estimates, and the detection of slow
-// machines and failures. All policies end tasks through it. It must not release a task that may
+// machines and failures. All components end tasks through it. It must not release a task that may
 // still run.
 type taskLifecycle struct {
 	cluster   *cluster.State
@@ -117,12 +117,12 @@
 // stop stops a task on its machine. A task that was never sent is released immediately, or, if its
 // record is in flight, when the result of the write is known. A stopped task gets a grace period
 // in which to write a checkpoint, unless it is cancelled or writes no checkpoints.
-func (l *taskLifecycle) stop(a *cluster.Assignment, why cluster.StopReason) {
+func (l *taskLifecycle) stop(a *cluster.Assignment, reason cluster.StopReason) {
 	a.Delivery.KillGraceS = 0
-	if why != cluster.StopCancelled && a.StopReason() != cluster.StopCancelled && a.Job.Spec.CheckpointEveryS > 0 {
+	if reason != cluster.StopCancelled && a.StopReason() != cluster.StopCancelled && a.Job.Spec.CheckpointEveryS > 0 {
 		a.Delivery.KillGraceS = a.Job.Spec.CheckpointS*checkpointGraceFactor + checkpointGraceSlackS
 	}
-	l.cluster.Stop(a, why)
+	l.cluster.Stop(a, reason)
 	l.commands.queueMachine(a.Machine)
 	if !a.MayRun() && !a.Record.InFlight {
 		l.release(a)
--- a/scheduler/wiring.go
+++ b/scheduler/wiring.go
@@ -235,21 +235,21 @@
 	})
 }
 
-// connectRecords sets the policies that the record writer notifies of results.
+// connectRecords sets the components that the record writer notifies of results.
 func (c *Core) connectRecords() {
 	c.records.tasks = c.lifecycle
 	c.records.commands = c.commands
 	c.records.jobs = c.jobRecords
 }
 
-// connectRegistry sets the policies that the registry notifies of machines.
+// connectRegistry sets the components that the registry calls.
 func (c *Core) connectRegistry() {
 	c.registry.commands = c.commands
 	c.registry.lifecycle = c.lifecycle
 	c.registry.zones = c.zones
 }
 
-// connectAutoscaler sets the policies that the autoscaler queries.
+// connectAutoscaler sets the components that the autoscaler queries.
 func (c *Core) connectAutoscaler() {
 	c.autoscaler.connect(autoscalerPeers{
 		queue:     c.queue,
@@ -262,7 +262,7 @@
 	})
 }
 
-// connectZones sets the policies that the zone gate queries.
+// connectZones sets the components that the zone gate queries and calls.
 func (c *Core) connectZones() {
 	g := c.zones
 	if g == nil {
--- a/scheduler/zone_gate.go
+++ b/scheduler/zone_gate.go
@@ -13,7 +13,7 @@
 )
 
 // zoneGate connects the scheduler to the state machines of package zonerecovery. It owns the
-// manager of one term. It reports to the core and the other policies whether a task may start or a
+// manager of one term. It reports to the core and the other components whether a task may start or a
 // machine may be provisioned in a zone, and they notify it when tasks start, run and end. It
 // passes the health of zones to the manager, writes the records of zones, and moves replicas back
 // to recovered zones.
@@ -92,8 +92,8 @@
 	}
 }
 
-// summarize adds the zones that are not serving or are overridden, and the counts of moved
-// tasks, to the summary.
+// summarize adds the zones that are not serving or are overridden to the summary, and the counts of
+// displaced tasks and of failbacks if a task was displaced.
 func (g *zoneGate) summarize(b *strings.Builder) {
 	if g == nil {
 		return
--- a/scheduler/zone_restore.go
+++ b/scheduler/zone_restore.go
@@ -30,7 +30,7 @@
 
 // replicaStopper stops replicas of services.
 type replicaStopper interface {
-	stop(a *cluster.Assignment, why cluster.StopReason)
+	stop(a *cluster.Assignment, reason cluster.StopReason)
 }
 
 // restore moves a replica of a service back to a zone from which it was displaced, if the policy
--- a/scheduler/zones.go
+++ b/scheduler/zones.go
@@ -59,61 +59,62 @@
 }
 
 // recordZoneHeartbeat records that a heartbeat of a machine of a zone arrived now.
-func (o *partitionDetector) recordZoneHeartbeat(zone ids.Zone) {
-	z := o.zoneStates[zone]
+func (d *partitionDetector) recordZoneHeartbeat(zone ids.Zone) {
+	z := d.zoneStates[zone]
 	if z == nil {
 		z = &zoneState{}
-		o.zoneStates[zone] = z
+		d.zoneStates[zone] = z
 	}
-	z.lastHeartbeatAt = o.clock.Now()
-	o.lastHeartbeatAt = o.clock.Now()
+	z.lastHeartbeatAt = d.clock.Now()
+	d.lastHeartbeatAt = d.clock.Now()
 }
 
 // updateZones counts the machines of each zone whose heartbeats are not overdue, and records which
 // zones are partitioned.
-func (o *partitionDetector) updateZones() {
+func (d *partitionDetector) updateZones() {
 	up := map[ids.Zone]int{}
-	for _, m := range o.cluster.Machines() {
+	for _, m := range d.cluster.Machines() {
 		if m.Up() {
 			up[m.Zone()]++
 		}
 	}
-	for zone, z := range o.zoneStates {
-		if !o.heartbeatsOverdue(z) {
+	for zone, z := range d.zoneStates {
+		if !d.heartbeatsOverdue(z) {
 			z.machinesUp = up[zone]
 		}
-		if o.zonePartitioned(zone) {
-			z.partitionedAt = o.clock.Now()
+		if d.zonePartitioned(zone) {
+			z.partitionedAt = d.clock.Now()
 		}
 	}
 }
 
-// zonePartitioned reports whether the heartbeats of a whole zone stopped while those of other zones
-// arrive. Machines that are provisioned there cannot send heartbeats. They would cost money, and
-// would prevent machines from being provisioned elsewhere because they count as booting capacity.
-func (o *partitionDetector) zonePartitioned(zone ids.Zone) bool {
-	z := o.zoneStates[zone]
-	if z == nil || z.machinesUp < minZoneMachines || !o.heartbeatsOverdue(z) {
+// zonePartitioned reports whether the heartbeats of a whole zone have stopped, for no longer than
+// maxPartitionDuration. Machines that are provisioned there cannot send heartbeats. They would cost
+// money, and would prevent machines from being provisioned elsewhere because they count as booting
+// capacity.
+func (d *partitionDetector) zonePartitioned(zone ids.Zone) bool {
+	z := d.zoneStates[zone]
+	if z == nil || z.machinesUp < minZoneMachines || !d.heartbeatsOverdue(z) {
 		return false
 	}
-	return o.clock.Now() < z.lastHeartbeatAt.Add(maxPartitionDuration)
+	return d.clock.Now() < z.lastHeartbeatAt.Add(maxPartitionDuration)
 }
 
 // zonePartitionedRecently reports whether a zone is partitioned, or was partitioned so recently
 // that not all of its machines have had time to send a heartbeat.
-func (o *partitionDetector) zonePartitionedRecently(zone ids.Zone) bool {
-	z := o.zoneStates[zone]
+func (d *partitionDetector) zonePartitionedRecently(zone ids.Zone) bool {
+	z := d.zoneStates[zone]
 	if z == nil || z.partitionedAt == 0 {
 		return false
 	}
-	return o.clock.Now() < z.partitionedAt.Add(partitionEndIntervals*o.settings.heartbeatInterval)
+	return d.clock.Now() < z.partitionedAt.Add(partitionEndIntervals*d.settings.heartbeatInterval)
 }
 
 // partitionedZones returns the partitioned zones, sorted by name.
-func (o *partitionDetector) partitionedZones() []ids.Zone {
+func (d *partitionDetector) partitionedZones() []ids.Zone {
 	var partitioned []ids.Zone
-	for _, zone := range slices.Sorted(maps.Keys(o.zoneStates)) {
-		if o.zonePartitioned(zone) {
+	for _, zone := range slices.Sorted(maps.Keys(d.zoneStates)) {
+		if d.zonePartitioned(zone) {
 			partitioned = append(partitioned, zone)
 		}
 	}
@@ -121,14 +122,15 @@
 }
 
 // heartbeatsOverdue reports whether no heartbeat of a zone has arrived for longer than the random
-// gaps between heartbeats of its machines. With hundreds of machines that takes seconds. The time
-// of a pause of this process does not count.
-func (o *partitionDetector) heartbeatsOverdue(z *zoneState) bool {
-	timeout := o.settings.agentLease / 2
-	anyRecentHeartbeat := o.clock.Now() < o.lastHeartbeatAt.Add(partitionTimeout/2)
+// gaps between heartbeats of its machines. The timeout is a few seconds for a zone with hundreds of
+// machines, and at most half a lease. It is half a lease while no zone sends heartbeats. The time of
+// a pause of this process does not count.
+func (d *partitionDetector) heartbeatsOverdue(z *zoneState) bool {
+	timeout := d.settings.agentLease / 2
+	anyRecentHeartbeat := d.clock.Now() < d.lastHeartbeatAt.Add(partitionTimeout/2)
 	if z.machinesUp > 0 && anyRecentHeartbeat {
-		expectedGap := partitionTimeoutHeartbeats * o.settings.heartbeatInterval / time.Duration(z.machinesUp)
+		expectedGap := partitionTimeoutHeartbeats * d.settings.heartbeatInterval / time.Duration(z.machinesUp)
 		timeout = min(timeout, partitionTimeout+expectedGap)
 	}
-	return o.clock.Now() > max(z.lastHeartbeatAt, o.clock.ResumedAt()).Add(timeout)
+	return d.clock.Now() > max(z.lastHeartbeatAt, d.clock.ResumedAt()).Add(timeout)
 }
--- a/zonerecovery/condition.go
+++ b/zonerecovery/condition.go
@@ -12,14 +12,14 @@
 const (
 	// Serving means that the zone accepts work without limits.
 	Serving Condition = iota
-	// Suspect means that many of its machines are unreachable. No task starts there.
+	// Suspect means that many of the zone's machines are unreachable. No task starts there.
 	Suspect
 	// Outage means that the zone counts as lost. Its work is evacuated once its machines'
 	// leases have expired. No task starts there until its machines have been reachable for
 	// the hold-down.
 	Outage
-	// Recovering means that its machines are reachable again, and that the limits on starts
-	// increase in steps.
+	// Recovering means that the zone's machines are reachable again, and that the limits on
+	// starts increase in steps.
 	Recovering
 )
 
--- a/zonerecovery/doc.go
+++ b/zonerecovery/doc.go
@@ -7,6 +7,10 @@
 // returns. A Manager never reads a clock, starts a goroutine, or changes a job or a
 // machine. No type in the package is safe for concurrent use.
 //
+// Settings is the section of the operators' settings (package config) that concerns zone recovery.
+// Settings.Policy validates it and converts it to the Policy that a Manager applies. Status is what
+// operators are shown.
+//
 // Manager is the type to read first. It has one state machine for each zone:
 //
 //	serving -> suspect -> outage -> recovering -> serving
--- a/zonerecovery/manager.go
+++ b/zonerecovery/manager.go
@@ -60,7 +60,7 @@
 	return z
 }
 
-// Load restores the state of a zone from the record that an earlier leader wrote. It must be called
+// Load restores the state of a zone from the record that a previous leader wrote. It must be called
 // before any other method for the zone.
 func (m *Manager) Load(name ids.Zone, record *Record, revision ids.Revision, at ClockReading) {
 	m.zoneNamed(name, at.Now).loadRecord(record, revision, at)
--- a/zonerecovery/manager_tasks.go
+++ b/zonerecovery/manager_tasks.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// TaskInherited records that an earlier leader placed a task in a zone. Its start counts as in flight
+// TaskInherited records that a previous leader placed a task in a zone. Its start counts as in flight
 // until TaskRunning or TaskEnded is called.
 func (m *Manager) TaskInherited(name ids.Zone, request *StartRequest, now monotonic.Instant) {
 	m.zoneNamed(name, now).starts.add(request, now)
--- a/zonerecovery/record_tracker.go
+++ b/zonerecovery/record_tracker.go
@@ -49,82 +49,82 @@
 // newRecordTracker returns the tracker of a zone without a record.
 func newRecordTracker() *recordTracker { return &recordTracker{jobLimit: maxRecordedJobs} }
 
-// load sets the committed state and the revision to those of an earlier leader's record.
-func (k *recordTracker) load(recorded recordedState, revision ids.Revision) {
-	k.committed, k.revision = recorded, revision
+// load sets the committed state and the revision to those of a previous leader's record.
+func (t *recordTracker) load(recorded recordedState, revision ids.Revision) {
+	t.committed, t.revision = recorded, revision
 }
 
 // markOutdated causes the record to be written as soon as no other write is in flight.
-func (k *recordTracker) markOutdated() { k.outdated = true }
+func (t *recordTracker) markOutdated() { t.outdated = true }
 
 // markJobsChanged causes the record to be written after jobsWriteDelay.
-func (k *recordTracker) markJobsChanged() { k.jobsChanged = true }
+func (t *recordTracker) markJobsChanged() { t.jobsChanged = true }
 
 // due reports whether the record must be written now.
-func (k *recordTracker) due(now monotonic.Instant) bool {
-	if k.inFlight {
+func (t *recordTracker) due(now monotonic.Instant) bool {
+	if t.inFlight {
 		return false
 	}
-	if k.jobsChanged {
-		k.jobsChanged = false
-		if k.jobsChangedAt == 0 {
-			k.jobsChangedAt = now
+	if t.jobsChanged {
+		t.jobsChanged = false
+		if t.jobsChangedAt == 0 {
+			t.jobsChangedAt = now
 		}
 	}
-	if k.jobsChangedAt != 0 && now >= k.jobsChangedAt.Add(jobsWriteDelay) {
-		k.outdated = true
+	if t.jobsChangedAt != 0 && now >= t.jobsChangedAt.Add(jobsWriteDelay) {
+		t.outdated = true
 	}
-	return k.outdated
+	return t.outdated
 }
 
 // skip records that no record exists, and that none is needed for the given state.
-func (k *recordTracker) skip(state recordedState) {
-	k.outdated, k.committed = false, state
+func (t *recordTracker) skip(state recordedState) {
+	t.outdated, t.committed = false, state
 }
 
 // submit records that a write of the given state is in flight.
-func (k *recordTracker) submit(state recordedState) {
-	k.outdated, k.jobsChangedAt, k.inFlight = false, 0, true
-	k.submitted = state
+func (t *recordTracker) submit(state recordedState) {
+	t.outdated, t.jobsChangedAt, t.inFlight = false, 0, true
+	t.submitted = state
 }
 
 // commit records that the write in flight is committed. revision is the revision of the key, 0 if the
 // record was deleted. relaxed reports whether the committed condition or step has changed, so that
 // more tasks may start than before.
-func (k *recordTracker) commit(revision ids.Revision) (relaxed bool) {
-	k.inFlight, k.revision = false, revision
-	relaxed = !k.committed.matches(k.submitted.condition, k.submitted.step)
-	k.committed = k.submitted
+func (t *recordTracker) commit(revision ids.Revision) (relaxed bool) {
+	t.inFlight, t.revision = false, revision
+	relaxed = !t.committed.matches(t.submitted.condition, t.submitted.step)
+	t.committed = t.submitted
 	return relaxed
 }
 
 // reject records that the key-value store refused the write in flight because of its size.
-func (k *recordTracker) reject() {
-	k.inFlight, k.outdated = false, true
-	k.jobLimit /= 2
+func (t *recordTracker) reject() {
+	t.inFlight, t.outdated = false, true
+	t.jobLimit /= 2
 }
 
 // shrink reduces jobLimit to at most half of the jobs of a record that is too large.
-func (k *recordTracker) shrink(jobs int) { k.jobLimit = min(k.jobLimit, jobs) / 2 }
+func (t *recordTracker) shrink(jobs int) { t.jobLimit = min(t.jobLimit, jobs) / 2 }
 
 // upToDate reports whether all changes are committed, except those of displaced jobs.
-func (k *recordTracker) upToDate() bool { return !k.outdated && !k.inFlight }
+func (t *recordTracker) upToDate() bool { return !t.outdated && !t.inFlight }
 
 // allows reports whether the committed record allows the zone to act on a condition.
-func (k *recordTracker) allows(condition Condition) bool {
+func (t *recordTracker) allows(condition Condition) bool {
 	switch condition {
 	case Serving:
-		return k.committed.condition == Serving
+		return t.committed.condition == Serving
 	case Recovering:
-		return k.committed.condition == Recovering || k.committed.condition == Serving
+		return t.committed.condition == Recovering || t.committed.condition == Serving
 	}
 	return true
 }
 
 // allowedStep returns the smaller of the given step and the committed step.
-func (k *recordTracker) allowedStep(step int) int {
-	if k.committed.condition == Serving {
+func (t *recordTracker) allowedStep(step int) int {
+	if t.committed.condition == Serving {
 		return step // the recovery is more restrictive than the committed record
 	}
-	return min(step, k.committed.step)
+	return min(step, t.committed.step)
 }
--- a/zonerecovery/recovery_window.go
+++ b/zonerecovery/recovery_window.go
@@ -14,7 +14,8 @@
 	until  time.Time
 }
 
-// update looks up the window that is open now. opened reports whether it is another window than before.
+// update looks up the window that is open now. opened reports whether a window is open that was not
+// open at the last update.
 func (w *recoveryWindow) update(policy *Policy, zone ids.Zone, wall time.Time) (opened bool) {
 	before := w.window
 	w.window, w.until = policy.openWindow(zone, wall)
--- a/zonerecovery/starts.go
+++ b/zonerecovery/starts.go
@@ -60,7 +60,7 @@
 	return startTracker{inFlight: map[ids.TaskRef]startInFlight{}, fetches: map[imageFetch]int{}}
 }
 
-// add records that a task was placed by an earlier leader, or while the zone was not recovering.
+// add records that a task was placed by a previous leader, or while the zone was not recovering.
 func (t *startTracker) add(request *StartRequest, now monotonic.Instant) {
 	t.insert(request, startInFlight{placedAt: now, critical: request.Critical})
 }
--- a/zonerecovery/status.go
+++ b/zonerecovery/status.go
@@ -7,7 +7,7 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// Status holds what is shown to operators of a zone. Times are in milliseconds since the epoch.
+// Status holds what operators are shown of a zone. Times are in milliseconds since the epoch.
 type Status struct {
 	Zone      ids.Zone  `cbor:"1,keyasint" json:"zone"`
 	Condition Condition `cbor:"2,keyasint" json:"condition"`
--- a/zonerecovery/zone_record.go
+++ b/zonerecovery/zone_record.go
@@ -77,7 +77,7 @@
 	return record
 }
 
-// loadRecord replaces the state of the zone by the record of an earlier leader.
+// loadRecord replaces the state of the zone by the record of a previous leader.
 func (z *zone) loadRecord(record *Record, revision ids.Revision, at ClockReading) {
 	z.machine.load(record, at)
 	z.override.current = record.override()
