--- a/scheduler/cluster/job.go
+++ b/scheduler/cluster/job.go
@@ -90,9 +90,11 @@
 	// CancelUnrecorded reports whether the job is cancelled because a job that it depends on was
 	// cancelled, and its own record does not say so yet.
 	CancelUnrecorded   bool
-	Refusals           int               // consecutive changes that the key-value store refused
-	CompletionInFlight bool              // the change that completes the job is in flight
-	RereadAt           monotonic.Instant // no change is made before: a record is read again, or a change was refused
+	Refusals           int  // consecutive changes that the key-value store refused
+	CompletionInFlight bool // the change that completes the job is in flight
+	// RereadAt is the time before which no change of the job is made, because its record is read again
+	// or the last change was refused.
+	RereadAt monotonic.Instant
 }
 
 // AdmissionSlice represents one admission record of a job and the tasks that it contains. Once the
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -81,16 +81,16 @@
 // term that it follows this leader or a later one. A controller that follows a later leader has
 // ended its own earlier terms. If its process restarts after the confirmation, the new process
 // cannot resume such a term, since each term belongs to the process that began it. So no previous
-// leader answers a heartbeat, and thereby renews an agent's lease, from now on. The lease of a
-// machine without heartbeats therefore expires without a wait for the grace period of previous
-// leaders, and its tasks may start elsewhere.
+// leader answers a heartbeat, and thereby renews an agent's lease, from now on. Tasks on machines
+// without heartbeats may therefore be placed elsewhere once the agent's lease has expired, without
+// waiting for the grace period of previous leaders.
 func (c *Core) AllControllersFollow(now monotonic.Instant) {
 	c.clock.Set(now)
 	c.previousLeaders.end()
 }
 
-// Step does the work that is due at a time and after the events since the last step, and returns
-// the decisions since the last step.
+// Step does the work that is due now, including that which the events since the last step have
+// caused, and returns the decisions made since the last step.
 func (c *Core) Step(now monotonic.Instant) Decisions {
 	c.clock.Advance(now)
 	c.checkHealth()
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -8,7 +8,7 @@
 // Decisions that Step returns and passes the results back as events.
 //
 // A machine is a host of the cloud, which runs one agent. The agent sends heartbeats, executes
-// commands and runs tasks. Other packages also call it a worker.
+// commands and runs tasks. Other packages also call the agent a worker.
 //
 // The same events at the same times must give the same decisions. So nothing in this package
 // and the packages below it may
--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -1,4 +1,5 @@
-// Package fleet decides which machines to provision for tasks that could not be placed.
+// Package fleet decides which machines to provision for tasks that could not be placed, and for tasks
+// that are expected to need resources soon.
 //
 // The scheduler's autoscaler creates a Planner for each decision, adds the machines whose free resources
 // the tasks may use, adds the demand job by job, and reads the machines to request. A Backoff lives as
@@ -14,7 +15,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Demand represents a number of tasks of one job that could not be placed.
+// Demand represents a number of tasks of one job, or with the requirements of one job, that need
+// resources.
 type Demand struct {
 	Spec  *wire.JobSpec
 	Count int
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -8,7 +8,7 @@
 	"ospreystile.example/ospreystile/zonerecovery"
 )
 
-// Options holds the settings of one term of leadership, grouped by policy. The scheduler applies
+// Options holds the settings of one term of leadership, grouped by purpose. The scheduler applies
 // no defaults: every field must be set unless its comment says what 0 means.
 type Options struct {
 	// Revision is the revision of the leader key. All fencing tokens of the term contain it.
--- a/scheduler/summary.go
+++ b/scheduler/summary.go
@@ -31,7 +31,8 @@
 	return b.String()
 }
 
-// summarizeJobs writes the numbers of jobs, of their waiting and placed tasks, and of machines.
+// summarizeJobs writes the numbers of jobs and starving jobs, of waiting and placed tasks, and of all,
+// usable and booting machines.
 func (c *Core) summarizeJobs(b *strings.Builder) {
 	var pending, placed, usable, booting, starving int
 	for _, j := range c.cluster.Jobs() {
--- a/zonerecovery/incident.go
+++ b/zonerecovery/incident.go
@@ -23,8 +23,8 @@
 	// of these tasks.
 	DisplacedTasks int `msgpack:"t,omitempty" cbor:"7,keyasint" json:"displaced_tasks"`
 	DisplacedJobs  int `msgpack:"j,omitempty" cbor:"8,keyasint" json:"displaced_jobs"`
-	// Failbacks counts the jobs that returned to the zone within their budget, ForcedFailbacks
-	// those that returned beyond it.
+	// Failbacks counts how often jobs returned to the zone within their budget, ForcedFailbacks
+	// how often they returned beyond it.
 	Failbacks       int `msgpack:"o,omitempty" cbor:"9,keyasint" json:"bounces"`
 	ForcedFailbacks int `msgpack:"f,omitempty" cbor:"10,keyasint" json:"forced"`
 	// RestoredReplicas counts the replicas of services that were moved back.
@@ -71,7 +71,7 @@
 	l.update(func(incident *Incident) { incident.ServingSinceMS = at.Wall.UnixMilli() })
 }
 
-// addFailback counts a job that returned to the zone.
+// addFailback counts the return of a job to the zone.
 func (l *incidentLog) addFailback(kind failback) {
 	l.update(func(incident *Incident) {
 		switch kind {
--- a/zonerecovery/ramp_up.go
+++ b/zonerecovery/ramp_up.go
@@ -26,7 +26,7 @@
 	rampStartsSlow
 	// rampStartsFailing means that too many starts fail.
 	rampStartsFailing
-	// rampLacksProbes means that tasks were denied in the probe, and none of them is eligible.
+	// rampLacksProbes means that tasks were denied in the probe, and none was placed.
 	rampLacksProbes
 	// rampStepSucceeded means that the step has succeeded.
 	rampStepSucceeded
@@ -50,8 +50,8 @@
 	latencies                  *startLatencies
 	// denied reports whether a task was denied in this step that a later step may admit.
 	denied bool
-	// anyTaskMayProbe reports whether any task may be a probe, because no eligible task was
-	// requested.
+	// anyTaskMayProbe reports whether any task may be a probe, because the recovery lacks eligible
+	// ones.
 	anyTaskMayProbe bool
 }
 
