--- a/scheduler/cluster/machine.go
+++ b/scheduler/cluster/machine.go
@@ -68,7 +68,7 @@
 	Sequence          ids.Sequence
 	FencingToken      ids.FencingToken // highest token that the agent has reported
 	LastHeartbeat     monotonic.Instant
-	AnsweredAt        monotonic.Instant // when the latest heartbeat that this leader answered was received
+	AnsweredAt        monotonic.Instant // when the newest heartbeat that this leader answered was received
 	AnsweredCall      bool              // the agent answered a call of this leader
 	// Fenced reports whether the agent has reported a fencing token of this leader.
 	Fenced   bool
@@ -133,7 +133,7 @@
 	Cost       float64
 }
 
-// ReportedTask represents one task in the latest heartbeat.
+// ReportedTask represents one task in the newest heartbeat.
 type ReportedTask struct {
 	Ref     ids.TaskRef
 	Attempt ids.Attempt
@@ -204,7 +204,7 @@
 	return now > max(m.Agent.LastHeartbeat, m.Lifecycle.KnownSince).Add(d)
 }
 
-// FindReported returns an attempt of a task from the latest heartbeat, or nil.
+// FindReported returns an attempt of a task from the newest heartbeat, or nil.
 func (m *Machine) FindReported(ref ids.TaskRef, attempt ids.Attempt) *ReportedTask {
 	for i := range m.Agent.ReportedTasks {
 		if m.Agent.ReportedTasks[i].Ref == ref && m.Agent.ReportedTasks[i].Attempt == attempt {
@@ -220,7 +220,7 @@
 	return a != nil && a.Attempt == reported.Attempt
 }
 
-// ReportsTask reports whether the latest heartbeat contains any attempt of a task.
+// ReportsTask reports whether the newest heartbeat contains any attempt of a task.
 func (m *Machine) ReportsTask(ref ids.TaskRef) bool {
 	for i := range m.Agent.ReportedTasks {
 		if m.Agent.ReportedTasks[i].Ref == ref {
--- a/scheduler/cluster/machines.go
+++ b/scheduler/cluster/machines.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// CountUnrecorded counts the tasks that the latest heartbeat reports and that have no assignment on
+// CountUnrecorded counts the tasks that the newest heartbeat reports and that have no assignment on
 // the machine: their resources on the machine and their teams' quota.
 func (s *State) CountUnrecorded(m *Machine) {
 	s.releaseUnrecorded(m)
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -7,7 +7,7 @@
 // records, calls Begin, passes each event to a method of Core, and calls Step. It executes the
 // Decisions that Step returns and passes the results back as events.
 //
-// A machine is a host of the cloud, which runs one agent. The agent sends heartbeats, executes
+// A machine is provisioned by the cloud and runs one agent. The agent sends heartbeats, executes
 // commands and runs tasks. Other packages also call the agent a worker.
 //
 // The same events at the same times must give the same decisions. So nothing in this package
--- a/scheduler/preemption/preemption.go
+++ b/scheduler/preemption/preemption.go
@@ -45,7 +45,7 @@
 
 // Scheduler is the interface to the other components of the scheduler.
 type Scheduler interface {
-	// LatencySensitive reports whether a job must start in less time than a machine takes to boot.
+	// LatencySensitive reports whether a job must start faster than a machine boots.
 	LatencySensitive(j *cluster.Job) bool
 	// Probing reports whether only one task of a job may be placed at a time, because the job has
 	// failed everywhere. No task is preempted for such a job.
--- a/scheduler/preemption_scheduler.go
+++ b/scheduler/preemption_scheduler.go
@@ -26,7 +26,7 @@
 	hasAntiAffinity(j *cluster.Job, m *cluster.Machine) bool
 }
 
-// LatencySensitive reports whether a job must start in less time than a machine takes to boot.
+// LatencySensitive reports whether a job must start faster than a machine boots.
 func (s *preemptionScheduler) LatencySensitive(j *cluster.Job) bool {
 	return s.queue.latencySensitive(j)
 }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -78,8 +78,7 @@
 	return len(j.Active()) == 0 || !probing(j)
 }
 
-// latencySensitive reports whether tasks of a job's class must start in less time than a machine
-// takes to boot.
+// latencySensitive reports whether tasks of a job's class must start faster than a machine boots.
 func (q *jobQueue) latencySensitive(j *cluster.Job) bool {
 	_, ok := q.settings.latencySensitive[j.Spec.Class]
 	return ok
