--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -90,7 +90,7 @@
 // RecordOptions holds the settings of record writing.
 type RecordOptions struct {
 	// MaxTxnOps is the maximum number of operations in one change, and MaxValueBytes the maximum
-	// size of the JSON form of each value. 0 means no limit.
+	// size of the JSON form of each value. If MaxValueBytes is 0, there is no limit on the size.
 	MaxTxnOps, MaxValueBytes int
 	// SplitRecords reports whether every controller can read a slice that is split. See
 	// EnableSplitRecords.
