--- a/scheduler/fleet/fleet.go
+++ b/scheduler/fleet/fleet.go
@@ -1,8 +1,9 @@
-// Package fleet decides which machines to provision for tasks that could not be placed.
+// Package fleet decides which machines to provision for tasks that could not be placed, and for tasks
+// that are expected to need resources soon.
 //
-// The scheduler's autoscaler creates a Planner for each decision, adds the machines that are booting,
-// adds the demand job by job, and reads the machines to request. A Backoff lives as long as the
-// autoscaler. The package reads no clock and starts no goroutine. Its types aren't safe for
+// The scheduler's autoscaler creates a Planner for each decision, adds the machines whose free resources
+// the tasks may use, adds the demand job by job, and reads the machines to request. A Backoff lives as
+// long as the autoscaler. The package reads no clock and starts no goroutine. Its types aren't safe for
 // concurrent use.
 package fleet
 
@@ -14,7 +15,8 @@
 	"ospreystile.example/ospreystile/wire"
 )
 
-// Demand represents a number of tasks of one job that could not be placed.
+// Demand represents a number of tasks of one job, or with the requirements of one job, that need
+// resources.
 type Demand struct {
 	Spec  *wire.JobSpec
 	Count int
@@ -27,7 +29,7 @@
 	Count int
 }
 
-// Planner packs demand into the machines that are booting and requests machines for the rest.
+// Planner packs demand into the capacity that was added and requests machines for the rest.
 // The exported fields are set before the first Add.
 type Planner struct {
 	Types []wire.MachineType
@@ -49,7 +51,8 @@
 	firstBin map[requirements]int
 }
 
-// AddCapacity adds a machine that is booting, with its free resources.
+// AddCapacity adds the free resources of a machine that exists or is already requested. Demand that is
+// added later uses them before another machine is requested.
 func (p *Planner) AddCapacity(s placement.Site, free placement.Resources) {
 	p.bins = append(p.bins, &bin{s, free})
 }
--- a/scheduler/preemption_scheduler.go
+++ b/scheduler/preemption_scheduler.go
@@ -9,7 +9,7 @@
 	"ospreystile.example/ospreystile/scheduler/preemption"
 )
 
-// preemptionScheduler gives the preemption policy access to the other scheduling policies. It
+// preemptionScheduler gives the preemption policy access to the other components of the scheduler. It
 // implements preemption.Scheduler.
 type preemptionScheduler struct {
 	clock        *clock.Clock
@@ -26,7 +26,7 @@
 	hasAntiAffinity(j *cluster.Job, m *cluster.Machine) bool
 }
 
-// LatencySensitive reports whether a job must start in less time than a machine takes to boot.
+// LatencySensitive reports whether a job must start faster than a machine boots.
 func (s *preemptionScheduler) LatencySensitive(j *cluster.Job) bool {
 	return s.queue.latencySensitive(j)
 }
