--- a/server/connections_test.go
+++ b/server/connections_test.go
@@ -73,10 +73,14 @@
 }
 
 // There may be more workers than sockets. If the server kept the connections of all workers open,
-// others could not send their heartbeats, and health checks would get no socket.
+// others could not send their heartbeats, and health checks would get no socket. A connection that
+// the server closes counts against MaxConnections until its goroutine has ended, which may be after
+// the client has read the response and opened its next connection. With 100 connections, of which
+// workers keep 70, a request is rejected only while 30 such goroutines haven't ended. With 10, three
+// are enough, and that happens on a busy machine.
 func TestMoreWorkersThanSockets(t *testing.T) {
-	address := startServer(t, &fakeService{healthy: true}, Limits{MaxConnections: 10, IdleTimeout: time.Minute})
-	workers := make([]*http.Client, 30)
+	address := startServer(t, &fakeService{healthy: true}, Limits{MaxConnections: 100, IdleTimeout: time.Minute})
+	workers := make([]*http.Client, 300)
 	for i := range workers {
 		workers[i] = newClient(t)
 	}
