--- a/controller/leader/workers.go
+++ b/controller/leader/workers.go
@@ -23,7 +23,7 @@
 	log     *slog.Logger
 }
 
-// sendCommands sends commands to a worker, and then posts workerCallFinished.
+// sendCommands sends commands to a worker, and then posts commandsFinished.
 func (c *workerCaller) sendCommands(ctx context.Context, machine ids.MachineID, endpoint string, commands wire.CommandBatch) {
 	c.group.Go(func() error {
 		heartbeat, err := c.client.SendCommands(ctx, endpoint, commands, workerCallTimeout)
