--- a/records/commit/store_test.go
+++ b/records/commit/store_test.go
@@ -79,7 +79,7 @@
 	tooLarge map[string]int
 }
 
-// rejectExceeding returns a function that chooses kvtest.Reject for transactions that exceed the
+// rejectExceeding returns a function that chooses kvtest.ReturnRejected for transactions that exceed the
 // limits, and the fault that choose returns for all others. It calls choose for every transaction.
 func (l *storeLimits) rejectExceeding(choose func(kv.Txn) kvtest.Fault) func(kv.Txn) kvtest.Fault {
 	return func(txn kv.Txn) kvtest.Fault {
