--- a/controller/heartbeats.go
+++ b/controller/heartbeats.go
@@ -45,7 +45,7 @@
 	}
 	h.balancer.recordHeartbeat(heartbeat.Machine, now)
 	if target, ok := h.balancer.chooseTarget(h.ownLoad(own), h.peerLoads(now, known), now); ok {
-		return server.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Leader: target}}
+		return server.Response{Status: http.StatusMisdirectedRequest, Body: wire.Redirect{Target: target}}
 	}
 	if own != nil {
 		return answerHeartbeat(ctx, own, heartbeat)
--- a/server/handlers.go
+++ b/server/handlers.go
@@ -83,7 +83,7 @@
 func jobHandler(call func(context.Context, ids.JobID) Response) fiber.Handler {
 	return func(c fiber.Ctx) error {
 		id := ids.JobID(strings.Clone(c.Params("id"))) // the framework reuses the parameter's memory
-		if !wire.ValidID(id) {
+		if !wire.ValidJobID(id) {
 			return send(c, Response{Status: fiber.StatusNotFound})
 		}
 		return send(c, call(c.Context(), id))
--- a/server/server.go
+++ b/server/server.go
@@ -36,7 +36,7 @@
 func New(service Service, limits Limits, log *slog.Logger) *fiber.App {
 	h := &handlers{service: service, limits: limits, log: log}
 	app := fiber.New(fiber.Config{
-		BodyLimit:         wire.MaxBody,
+		BodyLimit:         wire.MaxBodyBytes,
 		Concurrency:       limits.MaxConnections,
 		ReadTimeout:       readTimeout,
 		WriteTimeout:      writeTimeout,
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,14 +1,17 @@
 // Package wire defines the MessagePack bodies that controllers exchange with users,
-// workers and the cloud, and checks the jobs that users submit. PROTOCOL-ospreystile.md
-// specifies the bodies.
+// workers and the cloud, and validates the jobs that users submit.
+// PROTOCOL-ospreystile.md specifies the bodies.
 //
-// The types are grouped by the partner that exchanges them: users.go, workers.go and
-// cloud.go. Every other package uses these types; none builds or parses a body itself.
-// The package holds no state, does no I/O, and all of its functions may be called from
-// any goroutine.
+// The types are grouped by the party that controllers exchange them with: users.go,
+// workers.go and cloud.go. Every other package uses these types; none builds or parses a
+// body itself. The package holds no state and does no I/O. All of its functions are safe
+// for concurrent use.
 //
-// The protocol has words of its own. They appear in the tags and string constants of
-// this package only. Everywhere else the code uses the standard terms:
+// Unless a type says otherwise, a field that is missing from a body has its zero value,
+// and an unknown field is ignored.
+//
+// The protocol has its own vocabulary, which appears in the struct tags and string
+// constants of this package only. Everywhere else the code uses the standard terms:
 //
 //	protocol                   code
 //
@@ -36,12 +39,12 @@
 //	withdraw, withdrawn        cancel, JobCancelled
 //	host, hosts                machine
 //	tenure                     Incarnation of a worker's agent
-//	tick                       Sequence of an agent's messages
+//	tick                       Sequence number of an agent's message
 //	baton                      FencingToken
 //	warningS                   SpotNoticeS
 //	orders                     Commands
 //	leewayS                    GraceS
-//	steward                    Leader
+//	steward                    Target of a redirect
 //	label                      Name of a machine type
 //	localGb                    CacheGB
 //	hourly, marketPrice        Price, SpotPrice
@@ -50,5 +53,5 @@
 //	number                     Count
 //	hasNext                    More
 //
-// Names that end in S are in seconds, names that end in GB in gigabytes.
+// Fields whose names end in S are in seconds, and those whose names end in GB in gigabytes.
 package wire
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -6,10 +6,10 @@
 	"ospreystile.example/ospreystile/ids"
 )
 
-// TaskState is the state of a task in a worker's heartbeat.
+// TaskState represents the state of a task in a worker's heartbeat.
 type TaskState string
 
-// The states of a task.
+// The states of a task. The leader treats an unknown state as one that has not ended.
 const (
 	TaskFetching      TaskState = "pulling"
 	TaskRunning       TaskState = "running"
@@ -17,30 +17,32 @@
 	TaskEnded         TaskState = "ended"
 )
 
-// ExitCause is the reason why a task ended.
+// ExitCause represents the reason why a task ended.
 type ExitCause string
 
-// The causes of a task's end. The last three mean that the worker refused the start.
+// The causes of a task's end. With the last three the worker refused to start the task. The
+// leader treats an unknown cause like CauseStopped.
 const (
 	CauseDone    ExitCause = "done"
 	CauseStopped ExitCause = "stopped" // by a command
 	CauseError   ExitCause = "error"
 	CauseFull    ExitCause = "full"    // too few free resources on the machine
-	CauseInUse   ExitCause = "in_use"  // the machine has another attempt of the task
+	CauseInUse   ExitCause = "in_use"  // another attempt of the task is on the machine
 	CauseNoSuch  ExitCause = "no_such" // the worker found no such job or task
 )
 
-// Verb is what a command asks of a worker.
+// Verb represents the action that a command requests of a worker.
 type Verb string
 
-// The verbs of commands. VerbReap has the worker forget a task that ended.
+// The verbs of commands. VerbReap makes the worker forget a task that has ended.
 const (
 	VerbRun  Verb = "run"
 	VerbKill Verb = "kill"
 	VerbReap Verb = "reap"
 )
 
-// TaskStatus is the status of one task in a heartbeat.
+// TaskStatus holds the status of one task in a heartbeat. The leader ignores a task with a
+// malformed name.
 type TaskStatus struct {
 	// Name is the task's name, such as job-000412/3; see ids.ParseTask.
 	Name    string      `msgpack:"leg"`
@@ -52,25 +54,28 @@
 	Checkpointed bool `msgpack:"stored"`
 }
 
-// Heartbeat is the status that a worker sends to a controller.
+// Heartbeat is a worker's status. A worker sends it to a controller, which responds with a
+// HeartbeatResponse or a Redirect. It is also the worker's response to a CommandBatch and to a
+// request for a heartbeat.
 type Heartbeat struct {
-	Machine     ids.MachineID        `msgpack:"host"`
-	Endpoint    string               `msgpack:"endpoint"` // host:port of the worker
+	Machine ids.MachineID `msgpack:"host"`
+	// Endpoint is host:port of the worker. An empty one leaves the known endpoint unchanged.
+	Endpoint    string               `msgpack:"endpoint"`
 	Type        ids.MachineType      `msgpack:"frame"`
 	Zone        ids.Zone             `msgpack:"hall"`
 	Spot        bool                 `msgpack:"loaner"`
 	Incarnation ids.AgentIncarnation `msgpack:"tenure"`
 	Sequence    ids.Sequence         `msgpack:"tick"`
-	// FencingToken is the largest that the worker has seen.
+	// FencingToken is the largest token that the worker has seen.
 	FencingToken ids.FencingToken `msgpack:"baton"`
-	// SpotNoticeS is how long a spot instance still has; nil means that the cloud has not
-	// announced its termination.
+	// SpotNoticeS is the time until the cloud terminates the spot instance; nil or missing
+	// means that the cloud has not announced a termination.
 	SpotNoticeS *float64     `msgpack:"warningS"`
 	Tasks       []TaskStatus `msgpack:"legs"`
 }
 
-// ParseHeartbeat decodes a heartbeat, which must name its machine and incarnation. An error wraps
-// ErrMalformedBody.
+// ParseHeartbeat decodes a heartbeat, which must name its machine and incarnation. Every error
+// wraps ErrMalformedBody.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	heartbeat := new(Heartbeat)
 	if err := Decode(body, heartbeat); err != nil {
@@ -82,40 +87,41 @@
 	return heartbeat, nil
 }
 
-// Newer reports whether the heartbeat was made after the message of the same worker that
-// has the given incarnation and sequence number.
+// Newer reports whether the worker made the heartbeat after its message with the given
+// incarnation and sequence number.
 func (h *Heartbeat) Newer(incarnation ids.AgentIncarnation, sequence ids.Sequence) bool {
 	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Sequence > sequence
 }
 
-// Command is one command to a worker.
+// Command holds one command of the leader to a worker.
 type Command struct {
 	Verb Verb `msgpack:"verb" cbor:"1,keyasint"`
 	// Name is the task's name, such as job-000412/3.
 	Name    string      `msgpack:"leg" cbor:"2,keyasint"`
 	Attempt ids.Attempt `msgpack:"try" cbor:"3,keyasint"`
-	// GraceS is how long a killed task may take to store a checkpoint. If that is less than
-	// the job's CheckpointS, the task ends at once.
+	// GraceS is the time that a killed task gets to store a checkpoint. If it is less than the
+	// job's CheckpointS, the task ends immediately.
 	GraceS float64 `msgpack:"leewayS" cbor:"4,keyasint"`
 }
 
-// HeartbeatResponse is the leader's response to a heartbeat.
+// HeartbeatResponse is the leader's response to a worker's heartbeat. A follower relays it from
+// the leader in CBOR. Commands is sent even if empty.
 type HeartbeatResponse struct {
 	FencingToken ids.FencingToken `msgpack:"baton" cbor:"1,keyasint"`
 	Commands     []Command        `msgpack:"orders" cbor:"2,keyasint"`
 }
 
-// CommandBatch holds commands that the leader sends to a worker between heartbeats. The
-// worker refuses them if the token is smaller than one that it has seen, or if its
-// incarnation is another.
+// CommandBatch holds commands that the leader sends to a worker between heartbeats. The worker
+// responds with a Heartbeat in any case. It rejects the commands if the token is smaller than
+// one that it has seen, or if its incarnation differs. Commands is sent even if empty.
 type CommandBatch struct {
 	FencingToken ids.FencingToken     `msgpack:"baton"`
 	Incarnation  ids.AgentIncarnation `msgpack:"tenure"`
 	Commands     []Command            `msgpack:"orders"`
 }
 
-// Redirect is a follower's response to a heartbeat. Leader is the controller to send
-// heartbeats to; empty means that the follower knows of no leader.
+// Redirect is a controller's response to a heartbeat that the worker should send elsewhere.
+// Target is the controller to send heartbeats to; missing means that the sender knows no leader.
 type Redirect struct {
-	Leader ids.ControllerName `msgpack:"steward,omitempty"`
+	Target ids.ControllerName `msgpack:"steward,omitempty"`
 }
